--- a/rig/src/main/java/appleridge/rig/plant/Edit.java
+++ b/rig/src/main/java/appleridge/rig/plant/Edit.java
@@ -1,34 +1,46 @@
 package appleridge.rig.plant;
 
+import java.util.Arrays;
+
 /**
- * A change of one place in a source.
+ * A change of one place in a source. White space does not count where a fragment or block is looked for, so
+ * that a formatter that breaks lines elsewhere leaves the recorded fragments valid.
  *
  * @param file the source file without its ending, with as many of its packages ahead as tell it from others
  * @param within opening line of the block in which the fragment stands once; null for the whole file
- * @param original the fragment of a line that is replaced
+ * @param original the fragment of a statement that is replaced
  * @param replacement what takes its place; may be empty
  */
 public record Edit(String file, String within, String original, String replacement) {
-    /** The changed source; a fragment that isn't there exactly once is an error. */
+    /**
+     * The changed source.
+     *
+     * @throws IllegalStateException if the block or the fragment isn't there exactly once
+     */
     String in(String source) {
+        Compact compact = Compact.of(source);
         int from = 0;
-        int to = source.length();
+        int to = compact.text.length();
         if (within != null) {
-            from = onlyPlace(source, within, 0, to, "block");
-            to = endOfBlock(source, from + within.length());
+            String opening = Compact.of(within).text;
+            from = onlyPlace(compact.text, opening, 0, to, "block", within);
+            to = endOfBlock(compact.text, from + opening.length());
         }
-        int at = onlyPlace(source, original, from, to, "fragment");
-        return source.substring(0, at) + replacement + source.substring(at + original.length());
+        String fragment = Compact.of(original).text;
+        int at = onlyPlace(compact.text, fragment, from, to, "fragment", original);
+        int begin = compact.positions[at];
+        int end = compact.positions[at + fragment.length() - 1] + 1;
+        return source.substring(0, begin) + replacement + source.substring(end);
     }
 
-    private int onlyPlace(String source, String text, int from, int to, String kind) {
+    private int onlyPlace(String source, String text, int from, int to, String kind, String recorded) {
         int first = source.indexOf(text, from);
         if (first < 0 || first + text.length() > to) {
-            throw new IllegalStateException(kind + " not found in " + file + ": " + text);
+            throw new IllegalStateException(kind + " not found in " + file + ": " + recorded);
         }
         int second = source.indexOf(text, first + 1);
         if (second >= 0 && second + text.length() <= to) {
-            throw new IllegalStateException(kind + " more than once in " + file + ": " + text);
+            throw new IllegalStateException(kind + " more than once in " + file + ": " + recorded);
         }
         return first;
     }
@@ -45,4 +57,19 @@
         }
         throw new IllegalStateException("block without end in " + file + ": " + within);
     }
+
+    /** A text without its white space, and where each of its characters stands in the whole. */
+    private record Compact(String text, int[] positions) {
+        static Compact of(String whole) {
+            StringBuilder text = new StringBuilder(whole.length());
+            int[] positions = new int[whole.length()];
+            for (int i = 0; i < whole.length(); i++) {
+                if (!Character.isWhitespace(whole.charAt(i))) {
+                    positions[text.length()] = i;
+                    text.append(whole.charAt(i));
+                }
+            }
+            return new Compact(text.toString(), Arrays.copyOf(positions, text.length()));
+        }
+    }
 }
--- a/rig/src/test/java/appleridge/rig/plant/EditTest.java
+++ b/rig/src/test/java/appleridge/rig/plant/EditTest.java
@@ -41,6 +41,14 @@
         refuses("block more than once in A: void ", "void ", "open();");
     }
 
+    @Test
+    void whiteSpaceDoesNotCountWhereAFragmentIsLookedFor() {
+        assertEquals(SOURCE.replace("open();", "shut();"),
+                edit("void two()\t{", "open( );", "shut();").in(SOURCE));
+        assertEquals(SOURCE.replace("close();\n        open();", "shut();"),
+                edit("void two() {", "close(); open();", "shut();").in(SOURCE));
+    }
+
     private static void refuses(String why, String within, String original) {
         assertEquals(why, assertThrows(IllegalStateException.class,
                 () -> edit(within, original, "").in(SOURCE)).getMessage());
