--- a/rig/src/main/java/appleridge/rig/coordination/CoordinationCommand.java
+++ b/rig/src/main/java/appleridge/rig/coordination/CoordinationCommand.java
@@ -18,10 +18,12 @@
     private static final String USAGE = """
             usage: java -jar rig.jar coordination --listen HOST:PORT [--listen HOST:PORT ...]
                     [--tick 50] [--least 200] [--most 60000]
-              one member of one ensemble for each --listen; milliseconds of its clock and of session
+              one member of one ensemble for each --listen; milliseconds of its clock \
+              and of session
               time-outs.
               Lines on its input, with members numbered from 1, each answered by ok or no:
-                stop N.. | start N.. | wipe N.. | restore CHANGE N.. | cut N.. | heal | hang N.. | unhang N..
+                stop N.. | start N.. | wipe N.. | restore CHANGE N.. | cut N.. | heal | \
+                hang N.. | unhang N..
                 lag MILLIS N.. (-1: without end) | read-only N.. | break before|after KIND N
                 expire SESSION | sessions | sessions-last | sessions-end | changes""";
 
--- a/rig/src/main/java/appleridge/rig/coordination/Ensemble.java
+++ b/rig/src/main/java/appleridge/rig/coordination/Ensemble.java
@@ -110,9 +110,7 @@
 
     /** Finds out anew who has a quorum, after a member came, went or was cut off. */
     void regroup() {
-        List<Member> next = members.stream().filter(each -> each.up() && 2 * members.stream()
-                .filter(other -> other.up() && other.apart() == each.apart()).count() > members.size())
-                .toList();
+        List<Member> next = members.stream().filter(this::reachesMajority).toList();
         boolean anew = quorum.isEmpty() && !next.isEmpty();
         List<Member> left = quorum.stream().filter(each -> !next.contains(each)).toList();
         List<Member> joined = next.stream().filter(each -> !quorum.contains(each)).toList();
@@ -125,6 +123,12 @@
         joined.forEach(Member::joins);
     }
 
+    private boolean reachesMajority(Member member) {
+        long reached = members.stream()
+                .filter(other -> other.up() && other.apart() == member.apart()).count();
+        return member.up() && 2 * reached > members.size();
+    }
+
     /** All after this never was; and sessions have their whole time again. */
     private void truncate(long zxid) {
         log.subList((int) zxid, log.size()).clear();
--- a/rig/src/main/java/appleridge/rig/coordination/Measure.java
+++ b/rig/src/main/java/appleridge/rig/coordination/Measure.java
@@ -20,12 +20,14 @@
 public final class Measure {
     private static final String USAGE = """
             usage: java -jar rig.jar measure WHAT [--jar FILE] [--seed N] [--rate N] ...
-              membership-drain [--sequences 300] [--servers 12] [--strikes all|none|cut,reset,...]
+              membership-drain [--sequences 300] [--servers 12] [--strikes all|none|cut,\
+              reset,...]
                           [--source nodes|both] [--session 2s]
                   servers vanish, flap and restart: how long new work went on
               membership-outage [--pairs 10] [--seconds 60] [--servers 9]
                   calm and outage in turns: requests lost or refused, latencies
-              membership-latency [--rounds 100] [--servers 9] [--source nodes|both|registry] [--warm]
+              membership-latency [--rounds 100] [--servers 9] [--source \
+              nodes|both|registry] [--warm]
                   from a session's end to the last request, from a new node to the first
               membership-scale [--nodes 10000] [--changes 100] [--seconds 60]
                   what a long list with many changes costs the sidecar
--- a/rig/src/main/java/appleridge/rig/lease/CheckLeases.java
+++ b/rig/src/main/java/appleridge/rig/lease/CheckLeases.java
@@ -12,7 +12,8 @@
 public final class CheckLeases {
     private static final String USAGE = """
             usage: check-leases [--deeper N] [--stories] [NAME...]
-              explores the product's lease in every order of events, to a depth of each scope and N deeper;
+              explores the product's lease in every order of events, to a depth of each \
+              scope and N deeper;
               then without the assumptions of these names, or each: a story must come of it
             """;
     /** Two holders and three, clocks at their bounds or alike. */
--- a/rig/src/main/java/appleridge/rig/lease/TaskFleet.java
+++ b/rig/src/main/java/appleridge/rig/lease/TaskFleet.java
@@ -45,7 +45,8 @@
     private static final String ACTS = """
             use IO::Socket::INET; use POSIX;
             my ($port, $manner, $number) = @ARGV;
-            # Not of the block: Perl would close them at its end, and the command be over while it acts.
+            # Not of the block: Perl would close them at its end, and the command be \
+            over while it acts.
             my ($over, $acting);
             if ($manner eq 'APART') {
                 pipe($over, $acting);
@@ -54,7 +55,8 @@
             }
             $SIG{TERM} = 'IGNORE' if $manner ne 'PLAIN';
             $SIG{USR1} = sub { exit 0 };
-            my $to = IO::Socket::INET->new(PeerAddr => "127.0.0.1:$port", Proto => 'udp') or die;
+            my $to = IO::Socket::INET->new(PeerAddr => "127.0.0.1:$port", Proto => \
+            'udp') or die;
             while (1) {
                 $to->send("$ENV{APPLERIDGE_TOKEN} $$ $ENV{APPLERIDGE_LEASE} $number");
                 select(undef, undef, undef, 0.01);
--- a/rig/src/main/java/appleridge/rig/plant/PlantedCommand.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedCommand.java
@@ -17,7 +17,8 @@
                    planted search FROM-TO [--threads N] [--record FAULTS] [NAME...]
               table   prints what is recorded
               check   plays each fault on the day kept for it
-              search  plays the days of these seeds with those faults whose records don't hold, or with these,
+              search  plays the days of these seeds with those faults whose records \
+              don't hold, or with these,
                       and records in that file, with days beside it
             """;
     /** The status for a command line that can't be read. */
--- a/rig/src/test/java/appleridge/rig/coordination/EnsembleTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/EnsembleTest.java
@@ -232,16 +232,17 @@
                 .bind(new InetSocketAddress(there, 2181));
         simulation.runUntil(MS);
         List<byte[]> heard = new ArrayList<>();
+        SimpleChannelInboundHandler<ByteBuf> recorder = new SimpleChannelInboundHandler<>() {
+            @Override
+            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
+                heard.add(ByteBufUtil.getBytes(frame));
+            }
+        };
         SimChannel channel = (SimChannel) new Bootstrap().group(client)
                 .channelFactory(client.socketFactory()).handler(new ChannelInitializer<SimChannel>() {
                     @Override
                     protected void initChannel(SimChannel each) {
-                        each.pipeline().addLast(new Frames(), new SimpleChannelInboundHandler<ByteBuf>() {
-                            @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                                heard.add(ByteBufUtil.getBytes(frame));
-                            }
-                        });
+                        each.pipeline().addLast(new Frames(), recorder);
                     }
                 }).connect(new InetSocketAddress(there, 2181)).channel();
         simulation.runUntil(10 * MS);
--- a/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
+++ b/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
@@ -18,7 +18,8 @@
 final class HoldingPlatform implements AutoCloseable {
     private static final String PERL = """
             use Socket; $| = 1;
-            socket(my $s, PF_INET, $ARGV[0], 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
+            socket(my $s, PF_INET, $ARGV[0], 0) or die; bind($s, sockaddr_in(0, \
+            INADDR_LOOPBACK)) or die;
             if ($ARGV[1]) { listen($s, 1024) or die; }
             my ($port) = sockaddr_in(getsockname($s)); print "$port\\n"; my %ours;
             while (my $line = <STDIN>) {
@@ -31,7 +32,8 @@
                     }
                     $ours{$pid} = 1; print "$pid\\n";
                 } else {
-                    waitpid($first, 0); delete $ours{$first}; print(($? & 127) + ($? >> 8), "\\n");
+                    waitpid($first, 0); delete $ours{$first}; print(($? & 127) + ($? >> \
+                    8), "\\n");
                 }
             }
             kill 'KILL', keys %ours;
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -20,19 +20,25 @@
 
     public static final String SETTINGS = """
             {"profiles":[
-              {"name":"read","slo":1000000000,"deadline":3000000000,"semantics":"repeatable","worth":1.0},
-              {"name":"write","slo":1000000000,"deadline":3000000000,"semantics":"by_key","keyScope":"all",
+              {"name":"read","slo":1000000000,"deadline":3000000000,\
+              "semantics":"repeatable","worth":1.0},
+              {"name":"write","slo":1000000000,"deadline":3000000000,\
+              "semantics":"by_key","keyScope":"all",
                "keyTtl":5000000000},
-              {"name":"hold","slo":1000000000,"deadline":3000000000,"semantics":"by_key","keyScope":"zone",
+              {"name":"hold","slo":1000000000,"deadline":3000000000,\
+              "semantics":"by_key","keyScope":"zone",
                "keyTtl":5000000000},
               {"name":"pay","slo":1000000000,"deadline":3000000000,"semantics":"once"},
               {"name":"slow","slo":1000000000,"deadline":6000000000,"semantics":"once"}],
              "parties":[{"name":"acme","portion":1.0,"quotaRps":1000.0}],
-             "zones":["a","b"],"kinds":["m1"],"rank":0,"replicasOfMe":1,"zone":0,"quantum":5000000,
+             "zones":["a","b"],"kinds":["m1"],"rank":0,"replicasOfMe":1,"zone":0,\
+             "quantum":5000000,
              "discovery":"subscribe","report":{"how":"piggyback","fields":["rate","q"]},
-             "caps":{"mayCancel":true,"tryLimit":6,"connIdle":%d,"connectTimeout":500000000,"maxOpen":%d,
+             "caps":{"mayCancel":true,"tryLimit":6,"connIdle":%d,\
+             "connectTimeout":500000000,"maxOpen":%d,
                "maxRetryAfter":750000000,"retryAfter":true},
-             "rules":{"answerSlack":20000000,"askWithin":%d,"stopSendingWithin":2000000000,"coldShare":0.4,
+             "rules":{"answerSlack":20000000,"askWithin":%d,\
+             "stopSendingWithin":2000000000,"coldShare":0.4,
                "rampTime":7000000000,"overloadFactor":4.0,"tipAfter":1500000000}}
             """;
 
