--- a/rig/src/main/java/appleridge/rig/judge/EndingRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/EndingRule.java
@@ -1,10 +1,10 @@
 package appleridge.rig.judge;
 
 /**
- * After SIGTERM new connections are taken for as long as they go on coming, and the process ends by itself
- * before SIGKILL comes, which leaves it the longest deadline and some time more, unless it stood still or
- * could not reach its clients meanwhile. At no other time are connections refused by a process that has been
- * ready.
+ * After SIGTERM new connections are taken for as long as they go on coming, and the process ends by
+ * itself before SIGKILL comes, which leaves it the longest deadline and some time more, unless it
+ * stood still or could not reach its clients meanwhile. At no other time are connections refused by
+ * a process that has been ready.
  */
 final class EndingRule implements Evidence {
     /** The end itself takes a moment. */
@@ -25,12 +25,22 @@
         if (lives.isKilled(sidecar, life) || !lives.wasReady(sidecar, life, begunAt)) {
             return;
         }
-        // Heard later it may have come later: over a slow link, or again, having found the backlog full.
+        // Heard later it may have come later: over a slow link, or again, having found the backlog
+        // full.
         long term = lives.termAt(sidecar, life);
-        if (term == Asked.NEVER ? lives.runs(sidecar, life)
+        if (term == Asked.NEVER
+                ? lives.runs(sidecar, life)
                 : shared.alarms().now() <= term + figures.stillComing()) {
-            shared.findings().add(Rule.ENDING, sidecar, "refused a connection" + (term == Asked.NEVER ? ""
-                    : " that came " + Spans.text(begunAt - term) + " after SIGTERM"));
+            shared.findings()
+                    .add(
+                            Rule.ENDING,
+                            sidecar,
+                            "refused a connection"
+                                    + (term == Asked.NEVER
+                                            ? ""
+                                            : " that came "
+                                                    + Spans.text(begunAt - term)
+                                                    + " after SIGTERM"));
         }
     }
 
@@ -38,11 +48,17 @@
     public void sidecarKilled(String sidecar, int life) {
         long now = shared.alarms().now();
         long term = shared.lives().termAt(sidecar, life);
-        if (term != Asked.NEVER && now >= term + figures.longestDeadline() + figures.killAfter() + ENDS
+        if (term != Asked.NEVER
+                && now >= term + figures.longestDeadline() + figures.killAfter() + ENDS
                 && !shared.excuses().paused(sidecar, term, now)
                 && !shared.excuses().linksTroubled(sidecar, term, now)) {
-            shared.findings().add(Rule.ENDING, sidecar, "had not ended when SIGKILL came, "
-                    + Spans.text(now - term) + " after SIGTERM");
+            shared.findings()
+                    .add(
+                            Rule.ENDING,
+                            sidecar,
+                            "had not ended when SIGKILL came, "
+                                    + Spans.text(now - term)
+                                    + " after SIGTERM");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Excuses.java
+++ b/rig/src/main/java/appleridge/rig/judge/Excuses.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Spans of time for which a sidecar is not to blame: its loop stood still, or had more to do than it could,
- * or the link to its clients was in trouble. What was due within one is due as much later as it lasted.
+ * Spans of time for which a sidecar is not to blame: its loop stood still, or had more to do than
+ * it could, or the link to its clients was in trouble. What was due within one is due as much later
+ * as it lasted.
  */
 final class Excuses implements Evidence {
     /** However loaded it is, no more than this is due to it. */
@@ -18,6 +19,7 @@
     private final Map<String, List<Span>> pauses = new HashMap<>();
     private final Map<String, List<Span>> links = new HashMap<>();
     private final Map<String, List<Span>> connections = new HashMap<>();
+
     /** Pauses and links of all sidecars, for clients of whom it isn't known whom they ask. */
     private final List<Span> any = new ArrayList<>();
 
@@ -34,8 +36,14 @@
     /** A time limit with what excuses a request of this sidecar. */
     long extended(Try asking, long from, long until) {
         long end = unloaded(asking, from, until);
-        return Math.min(Spans.plus(end, MOST_LOAD), lengthened(load.busy(asking.sidecar()).stream()
-                .filter(each -> each.until() - each.from() > usualWork).toList(), from, end));
+        return Math.min(
+                Spans.plus(end, MOST_LOAD),
+                lengthened(
+                        load.busy(asking.sidecar()).stream()
+                                .filter(each -> each.until() - each.from() > usualWork)
+                                .toList(),
+                        from,
+                        end));
     }
 
     private long unloaded(Try asking, long from, long until) {
@@ -51,7 +59,8 @@
 
     /** Whether its way to and from its client was in trouble. */
     boolean linkTroubled(Try asking, long from, long to) {
-        return meets(links.get(asking.sidecar()), from, to) || meets(connections.get(asking.id()), from, to);
+        return meets(links.get(asking.sidecar()), from, to)
+                || meets(connections.get(asking.id()), from, to);
     }
 
     boolean paused(String sidecar, long from, long to) {
--- a/rig/src/main/java/appleridge/rig/judge/Fan.java
+++ b/rig/src/main/java/appleridge/rig/judge/Fan.java
@@ -12,8 +12,7 @@
     }
 
     /** Called ahead of each event. */
-    protected void before() {
-    }
+    protected void before() {}
 
     @Override
     public final void asks(Try asking) {
@@ -32,7 +31,12 @@
     }
 
     @Override
-    public final void reads(String server, String sidecar, String id, Message message, long deadlineNanos,
+    public final void reads(
+            String server,
+            String sidecar,
+            String id,
+            Message message,
+            long deadlineNanos,
             long firstByteSentAt) {
         before();
         for (Evidence each : listeners) {
@@ -49,8 +53,8 @@
     }
 
     @Override
-    public final void answered(String id, int status, String body, long retryAfterNanos,
-            long lastByteSentAt) {
+    public final void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         before();
         for (Evidence each : listeners) {
             each.answered(id, status, body, retryAfterNanos, lastByteSentAt);
@@ -114,8 +118,14 @@
     }
 
     @Override
-    public final void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
+    public final void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
         before();
         for (Evidence each : listeners) {
             each.arrived(server, life, sidecar, id, firstByteSentAt, lastByteSentAt, work);
@@ -123,7 +133,8 @@
     }
 
     @Override
-    public final void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public final void begun(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         before();
         for (Evidence each : listeners) {
             each.begun(server, life, sidecar, id, firstByteSentAt);
@@ -267,8 +278,8 @@
     }
 
     @Override
-    public final void moduleHears(String sidecar, long key, int requestClass, int tenant,
-            boolean clientRetry) {
+    public final void moduleHears(
+            String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
         before();
         for (Evidence each : listeners) {
             each.moduleHears(sidecar, key, requestClass, tenant, clientRetry);
@@ -300,8 +311,8 @@
     }
 
     @Override
-    public final void moduleOutcome(String sidecar, int life, long moduleId, int attempt, String outcome,
-            boolean ended) {
+    public final void moduleOutcome(
+            String sidecar, int life, long moduleId, int attempt, String outcome, boolean ended) {
         before();
         for (Evidence each : listeners) {
             each.moduleOutcome(sidecar, life, moduleId, attempt, outcome, ended);
@@ -381,7 +392,8 @@
     }
 
     @Override
-    public final void moduleListed(String sidecar, int life, String uid, boolean ready, long startedAt) {
+    public final void moduleListed(
+            String sidecar, int life, String uid, boolean ready, long startedAt) {
         before();
         for (Evidence each : listeners) {
             each.moduleListed(sidecar, life, uid, ready, startedAt);
--- a/rig/src/main/java/appleridge/rig/judge/Figures.java
+++ b/rig/src/main/java/appleridge/rig/judge/Figures.java
@@ -7,15 +7,18 @@
  *
  * @param classes what each class of request allows, by its place
  * @param answerSlack by how much an answer may be later than the deadline
- * @param quantum time within which the sidecar does what has been decided, or follows what it has heard
+ * @param quantum time within which the sidecar does what has been decided, or follows what it has
+ *     heard
  * @param socketSlack by how much each time limit is longer on sockets
- * @param link the longest way between a client and its sidecar while no trouble of their link is told: delay,
- *     jitter, a segment's retransmission, the passing of a whole message
- * @param loop what work that waits in a sidecar's loop may add to all it does, in a time of no trouble
+ * @param link the longest way between a client and its sidecar while no trouble of their link is
+ *     told: delay, jitter, a segment's retransmission, the passing of a whole message
+ * @param loop what work that waits in a sidecar's loop may add to all it does, in a time of no
+ *     trouble
  * @param drainGrace from being told of a drain to the last send
  * @param tipAfter the span over which a cold server's work counts
  * @param askWithin a sidecar that neither watched nor asked for so long counts as told
- * @param answerTold what discovery has to tell counts as told so long after a call that doesn't wait
+ * @param answerTold what discovery has to tell counts as told so long after a call that doesn't
+ *     wait
  * @param waitTold and so long after the wait of one that does
  * @param hupTold and so long after SIGHUP
  * @param longestDeadline the longest that any client waits
@@ -25,10 +28,25 @@
  * @param recovery from the last fault until all that can be served is served
  * @param served the part of it that suffices
  */
-public record Figures(List<ClassRule> classes, long answerSlack, long quantum, long socketSlack, long link,
-        long loop, long drainGrace, long tipAfter, long askWithin, long answerTold, long waitTold,
-        long hupTold, long longestDeadline, long killAfter, long stillComing, long maxRetryAfter,
-        long recovery, double served) {
+public record Figures(
+        List<ClassRule> classes,
+        long answerSlack,
+        long quantum,
+        long socketSlack,
+        long link,
+        long loop,
+        long drainGrace,
+        long tipAfter,
+        long askWithin,
+        long answerTold,
+        long waitTold,
+        long hupTold,
+        long longestDeadline,
+        long killAfter,
+        long stillComing,
+        long maxRetryAfter,
+        long recovery,
+        double served) {
     /** How far a class's requests may be repeated once one may have run. */
     public enum Repeats {
         /** Freely. */
@@ -47,58 +65,158 @@
     }
 
     /** A class of request. */
-    public record ClassRule(String name, Repeats repeats, long window) {
-    }
+    public record ClassRule(String name, Repeats repeats, long window) {}
 
     /** Those of the site, on a day whose network and loops are quick. */
     public static Figures usual() {
         return new Figures(
-                List.of(new ClassRule("stock-check", Repeats.FREELY, 0),
+                List.of(
+                        new ClassRule("stock-check", Repeats.FREELY, 0),
                         new ClassRule("stock-hold", Repeats.WITHIN_ZONE, Spans.SECOND),
                         new ClassRule("order-confirm", Repeats.ANYWHERE, 7500 * Spans.MS),
                         new ClassRule("raise-invoice", Repeats.NEVER, 0)),
-                20 * Spans.MS, 5 * Spans.MS, 50 * Spans.MS, 5 * Spans.MS, 5 * Spans.MS, 2 * Spans.SECOND,
-                1500 * Spans.MS, 10 * Spans.SECOND, 6 * Spans.SECOND, 2 * Spans.SECOND, 4 * Spans.SECOND,
-                1500 * Spans.MS, 700 * Spans.MS, 400 * Spans.MS, Spans.SECOND, 10 * Spans.SECOND, 0.99);
+                20 * Spans.MS,
+                5 * Spans.MS,
+                50 * Spans.MS,
+                5 * Spans.MS,
+                5 * Spans.MS,
+                2 * Spans.SECOND,
+                1500 * Spans.MS,
+                10 * Spans.SECOND,
+                6 * Spans.SECOND,
+                2 * Spans.SECOND,
+                4 * Spans.SECOND,
+                1500 * Spans.MS,
+                700 * Spans.MS,
+                400 * Spans.MS,
+                Spans.SECOND,
+                10 * Spans.SECOND,
+                0.99);
     }
 
     /** The same with the delays of another day. */
     public Figures withDelays(long longestWay, long longestWork) {
-        return new Figures(classes, answerSlack, quantum, socketSlack, longestWay, longestWork, drainGrace,
-                tipAfter, askWithin, answerTold, waitTold, hupTold, longestDeadline, killAfter, stillComing,
-                maxRetryAfter, recovery,
+        return new Figures(
+                classes,
+                answerSlack,
+                quantum,
+                socketSlack,
+                longestWay,
+                longestWork,
+                drainGrace,
+                tipAfter,
+                askWithin,
+                answerTold,
+                waitTold,
+                hupTold,
+                longestDeadline,
+                killAfter,
+                stillComing,
+                maxRetryAfter,
+                recovery,
                 served);
     }
 
     /** The same with another time within which a sidecar has to ask. */
     public Figures withAskWithin(long within) {
-        return new Figures(classes, answerSlack, quantum, socketSlack, link, loop, drainGrace, tipAfter,
-                within, answerTold, waitTold, hupTold, longestDeadline, killAfter, stillComing, maxRetryAfter,
+        return new Figures(
+                classes,
+                answerSlack,
+                quantum,
+                socketSlack,
+                link,
+                loop,
+                drainGrace,
+                tipAfter,
+                within,
+                answerTold,
+                waitTold,
+                hupTold,
+                longestDeadline,
+                killAfter,
+                stillComing,
+                maxRetryAfter,
                 recovery,
                 served);
     }
 
-    /** The same with another window of the classes whose repeats only the servers of a zone drop. */
+    /**
+     * The same with another window of the classes whose repeats only the servers of a zone drop.
+     */
     public Figures withWindowOfZones(long window) {
-        List<ClassRule> changed = classes.stream().map(each -> each.repeats() == Repeats.WITHIN_ZONE
-                ? new ClassRule(each.name(), each.repeats(), window) : each).toList();
-        return new Figures(changed, answerSlack, quantum, socketSlack, link, loop, drainGrace, tipAfter,
-                askWithin, answerTold, waitTold, hupTold, longestDeadline, killAfter, stillComing,
-                maxRetryAfter, recovery, served);
+        List<ClassRule> changed =
+                classes.stream()
+                        .map(
+                                each ->
+                                        each.repeats() == Repeats.WITHIN_ZONE
+                                                ? new ClassRule(each.name(), each.repeats(), window)
+                                                : each)
+                        .toList();
+        return new Figures(
+                changed,
+                answerSlack,
+                quantum,
+                socketSlack,
+                link,
+                loop,
+                drainGrace,
+                tipAfter,
+                askWithin,
+                answerTold,
+                waitTold,
+                hupTold,
+                longestDeadline,
+                killAfter,
+                stillComing,
+                maxRetryAfter,
+                recovery,
+                served);
     }
 
     /** The same where clients wait up to another time. */
     public Figures withLongestDeadline(long longest) {
-        return new Figures(classes, answerSlack, quantum, socketSlack, link, loop, drainGrace, tipAfter,
-                askWithin, answerTold, waitTold, hupTold, longest, killAfter, stillComing, maxRetryAfter,
-                recovery, served);
+        return new Figures(
+                classes,
+                answerSlack,
+                quantum,
+                socketSlack,
+                link,
+                loop,
+                drainGrace,
+                tipAfter,
+                askWithin,
+                answerTold,
+                waitTold,
+                hupTold,
+                longest,
+                killAfter,
+                stillComing,
+                maxRetryAfter,
+                recovery,
+                served);
     }
 
     /** The same with another bound of what refusals may say. */
     public Figures withMaxRetryAfter(long most) {
-        return new Figures(classes, answerSlack, quantum, socketSlack, link, loop, drainGrace, tipAfter,
-                askWithin, answerTold, waitTold, hupTold, longestDeadline, killAfter, stillComing, most,
-                recovery, served);
+        return new Figures(
+                classes,
+                answerSlack,
+                quantum,
+                socketSlack,
+                link,
+                loop,
+                drainGrace,
+                tipAfter,
+                askWithin,
+                answerTold,
+                waitTold,
+                hupTold,
+                longestDeadline,
+                killAfter,
+                stillComing,
+                most,
+                recovery,
+                served);
     }
 
     ClassRule of(Try asking) {
--- a/rig/src/main/java/appleridge/rig/judge/GivenUpRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/GivenUpRule.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What the module has refused or given up is answered at once, not held back. Behind an open request on the
- * same connection it may go as late as that one's answer.
+ * What the module has refused or given up is answered at once, not held back. Behind an open
+ * request on the same connection it may go as late as that one's answer.
  */
 final class GivenUpRule implements Evidence {
     private final Figures figures;
@@ -54,9 +54,12 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         Asked request = shared.requests().find(id);
-        if (request == null || request.givenUpAt == Asked.NEVER || request.stage == Asked.Stage.ANSWERED) {
+        if (request == null
+                || request.givenUpAt == Asked.NEVER
+                || request.stage == Asked.Stage.ANSWERED) {
             return;
         }
         long from = request.givenUpAt;
@@ -65,10 +68,17 @@
         if (before != null) {
             from = Math.max(from, before.answeredAt);
         }
-        if (lastByteSentAt > shared.excuses().extended(request.asking, from,
-                from + figures.quantum() + figures.loop())) {
-            shared.findings().add(Rule.GIVEN_UP_LATE, id, "answered "
-                    + Spans.text(lastByteSentAt - request.givenUpAt) + " after the module had given it up");
+        if (lastByteSentAt
+                > shared.excuses()
+                        .extended(
+                                request.asking, from, from + figures.quantum() + figures.loop())) {
+            shared.findings()
+                    .add(
+                            Rule.GIVEN_UP_LATE,
+                            id,
+                            "answered "
+                                    + Spans.text(lastByteSentAt - request.givenUpAt)
+                                    + " after the module had given it up");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/HiddenRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/HiddenRule.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What a bad client hides where no request should be read, or what makes no sense, is not passed on. */
+/**
+ * What a bad client hides where no request should be read, or what makes no sense, is not passed
+ * on.
+ */
 final class HiddenRule implements Evidence {
     private final Findings findings;
     private final Set<String> hidden = new HashSet<>();
@@ -20,8 +23,10 @@
     @Override
     public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
         if (hidden.contains(id)) {
-            findings.add(Rule.DUPLICATE, id, "hidden by a bad client, or senseless, and passed on to "
-                    + server);
+            findings.add(
+                    Rule.DUPLICATE,
+                    id,
+                    "hidden by a bad client, or senseless, and passed on to " + server);
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Impossible.java
+++ b/rig/src/main/java/appleridge/rig/judge/Impossible.java
@@ -6,7 +6,8 @@
 import java.util.Set;
 
 /**
- * Which kinds of fault can't strike a request in which states, and why: a table with a reason in each row.
+ * Which kinds of fault can't strike a request in which states, and why: a table with a reason in
+ * each row.
  */
 public final class Impossible {
     private record Row(String kinds, Set<RequestState> states, String why) {
@@ -15,17 +16,28 @@
         }
 
         boolean coversKind(String kind) {
-            return kinds.endsWith("*") ? kind.startsWith(kinds.substring(0, kinds.length() - 1))
+            return kinds.endsWith("*")
+                    ? kind.startsWith(kinds.substring(0, kinds.length() - 1))
                     : kind.equals(kinds);
         }
     }
 
-    private static final Set<RequestState> NO_ATTEMPT = Set.of(RequestState.ARRIVING, RequestState.HELD,
-            RequestState.ANSWERED, RequestState.RESEND_HELD, RequestState.IDLE);
+    private static final Set<RequestState> NO_ATTEMPT =
+            Set.of(
+                    RequestState.ARRIVING,
+                    RequestState.HELD,
+                    RequestState.ANSWERED,
+                    RequestState.RESEND_HELD,
+                    RequestState.IDLE);
 
-    private static final Set<RequestState> FIRST = EnumSet.complementOf(EnumSet.of(RequestState.RESEND_HELD,
-            RequestState.RESEND_CONNECTING, RequestState.RESEND_WRITING, RequestState.RESEND_WRITTEN,
-            RequestState.RESEND_ANSWERING));
+    private static final Set<RequestState> FIRST =
+            EnumSet.complementOf(
+                    EnumSet.of(
+                            RequestState.RESEND_HELD,
+                            RequestState.RESEND_CONNECTING,
+                            RequestState.RESEND_WRITING,
+                            RequestState.RESEND_WRITTEN,
+                            RequestState.RESEND_ANSWERING));
 
     private final List<Row> rows = new ArrayList<>();
 
@@ -35,12 +47,15 @@
     }
 
     /**
-     * The world's: faults of one connection to a server, or of one answer, are aimed at a request that has an
-     * attempt out; what meets only those who need something meets no others; the rest can strike at any time.
+     * The world's: faults of one connection to a server, or of one answer, are aimed at a request
+     * that has an attempt out; what meets only those who need something meets no others; the rest
+     * can strike at any time.
      */
     public static Impossible usual() {
         Impossible usual = new Impossible();
-        usual.addBut("up-cut-request", List.of("WRITING", "WRITTEN"),
+        usual.addBut(
+                "up-cut-request",
+                List.of("WRITING", "WRITTEN"),
                 "it breaks in the request's bytes on their way");
         usual.addBut("up-cut-answer", List.of("ANSWERING"), "it breaks in the answer's bytes");
         usual.addBut("down-cut-answer", List.of("ANSWERED"), "it breaks in the answer's bytes");
@@ -52,9 +67,13 @@
         usual.add("extra*", answering, "the answer has begun as it is");
         usual.addBut("connect-*", List.of("CONNECTING"), "it meets those who connect");
         usual.addBut("backlog", List.of("CONNECTING"), "it meets those who connect");
-        usual.addBut("close-idle", List.of("WRITING", "WRITTEN", "ANSWERING"),
+        usual.addBut(
+                "close-idle",
+                List.of("WRITING", "WRITTEN", "ANSWERING"),
                 "the request is on no connection that stands idle for the server");
-        usual.addBut("no-descriptors", List.of("ARRIVING", "HELD"),
+        usual.addBut(
+                "no-descriptors",
+                List.of("ARRIVING", "HELD"),
                 "the request needs no further descriptor");
         usual.add("drain-told", NO_ATTEMPT, "the request is with no server that could drain");
         usual.add("window-closes", FIRST, "nothing is resent");
@@ -90,8 +109,9 @@
 
     /** The rows that concern any of these kinds. */
     String markdown(Set<String> kinds) {
-        StringBuilder out = new StringBuilder(256)
-                .append("| can't happen: fault | state | because |\n| --- | --- | --- |\n");
+        StringBuilder out =
+                new StringBuilder(256)
+                        .append("| can't happen: fault | state | because |\n| --- | --- | --- |\n");
         for (Row each : rows) {
             if (kinds.stream().anyMatch(each::coversKind)) {
                 out.append("| ").append(each.kinds).append(" | ");
--- a/rig/src/main/java/appleridge/rig/judge/InState.java
+++ b/rig/src/main/java/appleridge/rig/judge/InState.java
@@ -9,6 +9,11 @@
  * @param upstream the sidecar's end of the connection to a server; null where none is used
  * @param server the server at that connection's other end; null where there is none
  */
-public record InState(String id, Try asking, String sidecar, RequestState state, SimSocket client,
-        SimSocket upstream, String server) {
-}
+public record InState(
+        String id,
+        Try asking,
+        String sidecar,
+        RequestState state,
+        SimSocket client,
+        SimSocket upstream,
+        String server) {}
--- a/rig/src/main/java/appleridge/rig/judge/Judge.java
+++ b/rig/src/main/java/appleridge/rig/judge/Judge.java
@@ -5,12 +5,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Watches a day and says which rule broke, and when. Each event checks what it concerns at once; what is due
- * later is looked at when its time has come, by {@link #check}.
+ * Watches a day and says which rule broke, and when. Each event checks what it concerns at once;
+ * what is due later is looked at when its time has come, by {@link #check}.
  *
- * <p>What it is told must come in the order in which it happens. Of a sidecar it knows nothing but what the
- * stand-ins around it saw, the module's word on requests that it gave up, and at the end of the day its
- * books.
+ * <p>What it is told must come in the order in which it happens. Of a sidecar it knows nothing but
+ * what the stand-ins around it saw, the module's word on requests that it gave up, and at the end
+ * of the day its books.
  */
 public final class Judge extends Fan {
     private final Alarms alarms;
@@ -37,8 +37,13 @@
      * @param load how loaded the sidecars are
      * @param ledger what they count, and hold
      */
-    public static Judge ofDay(Figures figures, LongSupplier time, UnaryOperator<String> zoneOf, Wires wires,
-            Load load, Ledger ledger) {
+    public static Judge ofDay(
+            Figures figures,
+            LongSupplier time,
+            UnaryOperator<String> zoneOf,
+            Wires wires,
+            Load load,
+            Ledger ledger) {
         Alarms alarms = new Alarms();
         Lives lives = new Lives(alarms);
         Findings findings = new Findings(alarms);
@@ -48,28 +53,39 @@
         Lists lists = new Lists(figures, alarms);
         NodesTold nodes = new NodesTold(alarms);
         RecoveryRule recovery = new RecoveryRule(figures, shared);
-        // What the rules look up is noted ahead of them, and what they compare with only after them.
-        return new Judge(List.of(lives, excuses, lists, nodes, requests.opening(),
-                new AnswerRules(requests, findings),
-                new LostRule(figures, shared),
-                new LateRule(figures, shared),
-                new EffectRule(figures, requests, findings, zoneOf),
-                new RequestRule(figures, shared),
-                new RetryAfterRule(figures, findings),
-                new ReadyRule(figures, lists, shared),
-                new EndingRule(figures, shared),
-                new DiscoveryRule(shared),
-                new HiddenRule(findings),
-                new SameIdRule(figures, shared),
-                new SentAfterRule(figures, shared),
-                new DrainRule(figures, lists, nodes, findings),
-                new ListRule(nodes, shared),
-                new ColdRule(figures, lists, nodes, shared),
-                new GivenUpRule(figures, shared),
-                new BadClientRule(shared),
-                new ExitRule(lives, findings),
-                new QuietRule(shared, ledger),
-                recovery, requests.closing()), time, shared, recovery);
+        // What the rules look up is noted ahead of them, and what they compare with only after
+        // them.
+        return new Judge(
+                List.of(
+                        lives,
+                        excuses,
+                        lists,
+                        nodes,
+                        requests.opening(),
+                        new AnswerRules(requests, findings),
+                        new LostRule(figures, shared),
+                        new LateRule(figures, shared),
+                        new EffectRule(figures, requests, findings, zoneOf),
+                        new RequestRule(figures, shared),
+                        new RetryAfterRule(figures, findings),
+                        new ReadyRule(figures, lists, shared),
+                        new EndingRule(figures, shared),
+                        new DiscoveryRule(shared),
+                        new HiddenRule(findings),
+                        new SameIdRule(figures, shared),
+                        new SentAfterRule(figures, shared),
+                        new DrainRule(figures, lists, nodes, findings),
+                        new ListRule(nodes, shared),
+                        new ColdRule(figures, lists, nodes, shared),
+                        new GivenUpRule(figures, shared),
+                        new BadClientRule(shared),
+                        new ExitRule(lives, findings),
+                        new QuietRule(shared, ledger),
+                        recovery,
+                        requests.closing()),
+                time,
+                shared,
+                recovery);
     }
 
     @Override
@@ -77,14 +93,16 @@
         alarms.runBefore(time.getAsLong());
     }
 
-    /** To be called after each step: looks at what is due. Costs next to nothing when nothing is. */
+    /**
+     * To be called after each step: looks at what is due. Costs next to nothing when nothing is.
+     */
     public void check(long now) {
         alarms.runBefore(now);
     }
 
     /**
-     * The books of a sidecar at the end of the day, when no request is open and connections have had the time
-     * to be closed.
+     * The books of a sidecar at the end of the day, when no request is open and connections have
+     * had the time to be closed.
      *
      * @param baseline what may be in them
      */
@@ -98,7 +116,9 @@
         return findings.all();
     }
 
-    /** How many requests of the time after the last fault were judged; known when the day has ended. */
+    /**
+     * How many requests of the time after the last fault were judged; known when the day has ended.
+     */
     public int judgedForRecovery() {
         return recovery.judged();
     }
--- a/rig/src/main/java/appleridge/rig/judge/Knowledge.java
+++ b/rig/src/main/java/appleridge/rig/judge/Knowledge.java
@@ -28,7 +28,8 @@
     }
 
     /**
-     * The place of the last entry that says this; -1 if there is none, as for what was known before the day.
+     * The place of the last entry that says this; -1 if there is none, as for what was known before
+     * the day.
      */
     int lastPlace(String uid, String state, long bornAt) {
         for (int i = entries.size() - 1; i >= 0; i--) {
--- a/rig/src/main/java/appleridge/rig/judge/LateRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/LateRule.java
@@ -1,10 +1,11 @@
 package appleridge.rig.judge;
 
 /**
- * An answer comes by the deadline, and the slack that the rules give, or the request counts as late: also
- * where none comes at all, or the connection is ended once its time is up. Only a pause or trouble of the
- * client's link puts it off, by as long as it lasts; a client that leaves before has no say. Behind an open
- * request on the same connection the answer may come as late as that one's.
+ * An answer comes by the deadline, and the slack that the rules give, or the request counts as
+ * late: also where none comes at all, or the connection is ended once its time is up. Only a pause
+ * or trouble of the client's link puts it off, by as long as it lasts; a client that leaves before
+ * has no say. Behind an open request on the same connection the answer may come as late as that
+ * one's.
  */
 final class LateRule implements Evidence {
     private final Figures figures;
@@ -25,14 +26,18 @@
         }
     }
 
-    /** Danger: what is unread now will be read, and its client may leave before the time of what is not. */
+    /**
+     * Danger: what is unread now will be read, and its client may leave before the time of what is
+     * not.
+     */
     private void look(Asked request, long due) {
         long taken = request.takenAt;
         shared.alarms().at(Spans.plus(due, figures.link()), () -> overdue(request, taken));
     }
 
     private void overdue(Asked request, long taken) {
-        if (!request.isOpen() || request.takenAt != taken
+        if (!request.isOpen()
+                || request.takenAt != taken
                 || !shared.lives().runs(request.asking.sidecar(), request.life)) {
             return;
         }
@@ -40,18 +45,29 @@
             look(request, dues.answer(request));
             return;
         }
-        shared.findings().add(Rule.LATE, request.id(), "no answer "
-                + Spans.text(shared.alarms().now() - taken) + " after it was taken, with a deadline of "
-                + Spans.text(request.asking.deadlineNanos()));
+        shared.findings()
+                .add(
+                        Rule.LATE,
+                        request.id(),
+                        "no answer "
+                                + Spans.text(shared.alarms().now() - taken)
+                                + " after it was taken, with a deadline of "
+                                + Spans.text(request.asking.deadlineNanos()));
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         Asked request = shared.requests().find(id);
         if (request != null && request.isOpen() && lastByteSentAt > dues.answer(request)) {
-            shared.findings().add(Rule.LATE, id, "answered " + Spans.text(lastByteSentAt - request.takenAt)
-                    + " after it was taken, with a deadline of "
-                    + Spans.text(request.asking.deadlineNanos()));
+            shared.findings()
+                    .add(
+                            Rule.LATE,
+                            id,
+                            "answered "
+                                    + Spans.text(lastByteSentAt - request.takenAt)
+                                    + " after it was taken, with a deadline of "
+                                    + Spans.text(request.asking.deadlineNanos()));
         }
     }
 
@@ -63,13 +79,18 @@
         }
         long now = shared.alarms().now();
         Try asking = request.asking;
-        if (now > shared.excuses().extended(asking, request.takenAt,
-                request.takenAt + asking.deadlineNanos())
+        if (now
+                        > shared.excuses()
+                                .extended(
+                                        asking,
+                                        request.takenAt,
+                                        request.takenAt + asking.deadlineNanos())
                 && !shared.crossed(request)
                 && !shared.excuses().linkTroubled(asking, request.takenAt, now)
                 && !(begun && request.made.isEmpty())
                 && !shared.lives().isKilled(asking.sidecar(), request.life)) {
-            shared.findings().add(Rule.LATE, id, "its connection ended (" + how + ") when its time was up");
+            shared.findings()
+                    .add(Rule.LATE, id, "its connection ended (" + how + ") when its time was up");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Ledger.java
+++ b/rig/src/main/java/appleridge/rig/judge/Ledger.java
@@ -1,6 +1,8 @@
 package appleridge.rig.judge;
 
-/** What a sidecar's process counts, and what its machine holds; looked at in quiet moments alone. */
+/**
+ * What a sidecar's process counts, and what its machine holds; looked at in quiet moments alone.
+ */
 public interface Ledger {
     /** What the process says of itself; null while none runs. */
     Books books(String sidecar);
--- a/rig/src/main/java/appleridge/rig/judge/ListRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/ListRule.java
@@ -4,22 +4,25 @@
 import java.util.Map;
 
 /**
- * Where nodes alone make the list, it is what they told: nobody is taken away of whom no end was told,
- * whatever else happens; soon after something was told it is so; and a process that began anew is listed with
- * its new start.
+ * Where nodes alone make the list, it is what they told: nobody is taken away of whom no end was
+ * told, whatever else happens; soon after something was told it is so; and a process that began
+ * anew is listed with its new start.
  */
 final class ListRule implements Evidence {
     /** What was told is in the list by then, if the process runs: a tick, and some ways. */
     private static final long SETTLED = 1500 * Spans.MS;
+
     /** Starts are named to the millisecond, and clocks are read some time apart. */
     private static final long NEAR = 300 * Spans.MS;
 
-    private record Listed(boolean ready, long startedAt) { }
+    private record Listed(boolean ready, long startedAt) {}
 
     private final NodesTold told;
     private final Shared shared;
+
     /** By sidecar, what its present process lists. */
     private final Map<String, Map<String, Listed>> lists = new HashMap<>();
+
     /** Who starts by a false clock takes what started before for older or younger than it is. */
     private boolean falseClocks;
 
@@ -42,20 +45,33 @@
         long now = shared.alarms().now();
         if (!ready && before != null && before.ready) {
             // Who takes its place may be told of in the same list.
-            shared.alarms().at(now, () -> {
-                Listed after = lists.get(sidecar).get(uid);
-                if (after != null && !after.ready && says(sidecar, uid, now) && !replaced(sidecar, uid)) {
-                    shared.findings().add(Rule.LIST, sidecar + ' ' + uid, sidecar + " takes " + uid
-                            + " away, of which no end was told");
-                }
-            });
+            shared.alarms()
+                    .at(
+                            now,
+                            () -> {
+                                Listed after = lists.get(sidecar).get(uid);
+                                if (after != null
+                                        && !after.ready
+                                        && says(sidecar, uid, now)
+                                        && !replaced(sidecar, uid)) {
+                                    shared.findings()
+                                            .add(
+                                                    Rule.LIST,
+                                                    sidecar + ' ' + uid,
+                                                    sidecar
+                                                            + " takes "
+                                                            + uid
+                                                            + " away, of which no end was told");
+                                }
+                            });
         }
     }
 
     /** Whether it was told that it is ready, and nothing else lately. */
     private boolean says(String sidecar, String uid, long now) {
         long ready = told.readySince(sidecar, uid, now);
-        return ready != Asked.NEVER && ready <= now - SETTLED
+        return ready != Asked.NEVER
+                && ready <= now - SETTLED
                 && !shared.excuses().paused(sidecar, now - SETTLED, now);
     }
 
@@ -70,7 +86,8 @@
         long startedAt = own == null ? 0 : own.startedAt;
         for (Map.Entry<String, Listed> each : lists.get(sidecar).entrySet()) {
             boolean later = each.getValue().ready || each.getValue().startedAt > startedAt;
-            if (later && !each.getKey().equals(uid)
+            if (later
+                    && !each.getKey().equals(uid)
                     && machine(each.getKey()).equals(machine(uid))) {
                 return true;
             }
@@ -94,7 +111,8 @@
 
     private void look(String sidecar, int life, String uid, long toldAt) {
         long now = shared.alarms().now();
-        if (shared.lives().current(sidecar) != life || !shared.lives().runs(sidecar, life)
+        if (shared.lives().current(sidecar) != life
+                || !shared.lives().runs(sidecar, life)
                 || shared.lives().termAt(sidecar, life) != Asked.NEVER) {
             return;
         }
@@ -108,18 +126,37 @@
         boolean isReady = listed != null && listed.ready;
         long start = told.lastStart(sidecar, uid, now);
         if (drains != Asked.NEVER && drains <= now - SETTLED && isReady) {
-            shared.findings().add(Rule.LIST, sidecar + ' ' + uid, sidecar + " still lists " + uid + ' '
-                    + Spans.text(now - drains) + " after it was told that it drains or is gone");
+            shared.findings()
+                    .add(
+                            Rule.LIST,
+                            sidecar + ' ' + uid,
+                            sidecar
+                                    + " still lists "
+                                    + uid
+                                    + ' '
+                                    + Spans.text(now - drains)
+                                    + " after it was told that it drains or is gone");
         }
         if (ready == Asked.NEVER || ready > now - SETTLED) {
             return;
         }
         if (!isReady && !replaced(sidecar, uid)) {
-            shared.findings().add(Rule.LIST, sidecar + ' ' + uid, sidecar + " does not list " + uid + ' '
-                    + Spans.text(now - ready) + " after it was told that it is ready");
+            shared.findings()
+                    .add(
+                            Rule.LIST,
+                            sidecar + ' ' + uid,
+                            sidecar
+                                    + " does not list "
+                                    + uid
+                                    + ' '
+                                    + Spans.text(now - ready)
+                                    + " after it was told that it is ready");
         } else if (isReady && start > 0 && !falseClocks && listed.startedAt < start - NEAR) {
-            shared.findings().add(Rule.LIST, sidecar + ' ' + uid, sidecar + " takes " + uid
-                    + " for the process that was there before");
+            shared.findings()
+                    .add(
+                            Rule.LIST,
+                            sidecar + ' ' + uid,
+                            sidecar + " takes " + uid + " for the process that was there before");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Lists.java
+++ b/rig/src/main/java/appleridge/rig/judge/Lists.java
@@ -6,22 +6,27 @@
 import java.util.Map;
 
 /**
- * What each sidecar has been told of the servers. What discovery has written into a connection is told; what
- * it had to tell also counts as told though it did not arrive:
+ * What each sidecar has been told of the servers. What discovery has written into a connection is
+ * told; what it had to tell also counts as told though it did not arrive:
+ *
  * <ul>
- * <li>6 s after a call that doesn't wait, and 2 s after the wait of one that does, unless discovery has
- *     answered the call or failed it; with a later call that is out then, if there is one;
- * <li>4 s after SIGHUP; a call that is out then and is due later goes with the old discovery;
- * <li>to a sidecar without a call for as long as it may be, what was known that long ago.
+ *   <li>6 s after a call that doesn't wait, and 2 s after the wait of one that does, unless
+ *       discovery has answered the call or failed it; with a later call that is out then, if there
+ *       is one;
+ *   <li>4 s after SIGHUP; a call that is out then and is due later goes with the old discovery;
+ *   <li>to a sidecar without a call for as long as it may be, what was known that long ago.
  * </ul>
- * Where discovery could not be reached meanwhile, it all counts 6 s after it can be again at the earliest. A
- * new process begins anew.
+ *
+ * Where discovery could not be reached meanwhile, it all counts 6 s after it can be again at the
+ * earliest. A new process begins anew.
  */
 final class Lists implements Evidence {
     private static final class Call {
         private final long from;
+
         /** What is known by then is its answer. */
         private final long horizon;
+
         private final long due;
 
         Call(long from, long horizon, long due) {
@@ -35,6 +40,7 @@
         private final List<Told> lives = new ArrayList<>(2);
         private final Map<Long, Call> calls = new HashMap<>();
         private final List<long[]> unreachable = new ArrayList<>(1);
+
         /** Since when no call is out. */
         private long silentSince;
 
@@ -48,8 +54,10 @@
     private final Knowledge knowledge = new Knowledge();
     private final Map<String, Client> clients = new HashMap<>();
     private final List<Client> inOrder = new ArrayList<>();
+
     /** Whether discovery is asked at all; who is not supposed to ask has nothing to hear. */
     private boolean asked = true;
+
     /** What nodes told is not in these books. */
     private boolean nodes;
 
@@ -58,7 +66,9 @@
         this.alarms = alarms;
     }
 
-    /** Since when the sidecar, at a moment, had been told that a server drains or is gone; or never. */
+    /**
+     * Since when the sidecar, at a moment, had been told that a server drains or is gone; or never.
+     */
     long drainsSince(String sidecar, String server, long moment) {
         Told told = at(client(sidecar), moment);
         return told == null ? Asked.NEVER : told.drainsSince(server, moment);
@@ -73,8 +83,9 @@
     /** Whether the sidecar, at a moment, may have gone by a list with a ready server in it. */
     boolean mayHaveReady(String sidecar, long moment) {
         Told told = at(client(sidecar), moment);
-        return nodes || told != null
-                && told.mayHaveReady(moment - figures.drainGrace() - figures.socketSlack());
+        return nodes
+                || told != null
+                        && told.mayHaveReady(moment - figures.drainGrace() - figures.socketSlack());
     }
 
     /** Since when the sidecar, at a moment, had been told that a server is ready; or never. */
@@ -159,8 +170,10 @@
     public void listCall(String sidecar, long callId, boolean whole, long waitNanos) {
         long now = alarms.now();
         Client client = client(sidecar);
-        Call call = waitNanos > 0 ? new Call(now, now + waitNanos, now + waitNanos + figures.waitTold())
-                : new Call(now, now, now + figures.answerTold());
+        Call call =
+                waitNanos > 0
+                        ? new Call(now, now + waitNanos, now + waitNanos + figures.waitTold())
+                        : new Call(now, now, now + figures.answerTold());
         client.calls.put(callId, call);
         Told told = client.told();
         alarms.at(call.due, () -> count(client, told, callId, call));
@@ -252,11 +265,18 @@
         }
     }
 
-    /** Who stood still could not ask; what it has missed is due as for a call that it makes right after. */
+    /**
+     * Who stood still could not ask; what it has missed is due as for a call that it makes right
+     * after.
+     */
     @Override
     public void sidecarPaused(String sidecar, long from, long until) {
-        client(sidecar).unreachable.add(new long[] {from,
-                Math.max(from, until - figures.answerTold() + figures.waitTold())});
+        client(sidecar)
+                .unreachable
+                .add(
+                        new long[] {
+                            from, Math.max(from, until - figures.answerTold() + figures.waitTold())
+                        });
     }
 
     @Override
--- a/rig/src/main/java/appleridge/rig/judge/Lives.java
+++ b/rig/src/main/java/appleridge/rig/judge/Lives.java
@@ -21,6 +21,7 @@
 
     /** Of each sidecar, in the order of their beginning. */
     private final Map<String, List<Life>> lives = new HashMap<>();
+
     private final Alarms alarms;
 
     Lives(Alarms alarms) {
--- a/rig/src/main/java/appleridge/rig/judge/Load.java
+++ b/rig/src/main/java/appleridge/rig/judge/Load.java
@@ -2,8 +2,13 @@
 
 import java.util.List;
 
-/** How loaded the sidecars' processes are, as anyone sees from outside who looks at what they use. */
+/**
+ * How loaded the sidecars' processes are, as anyone sees from outside who looks at what they use.
+ */
 public interface Load {
-    /** Whiles in which a sidecar's loop always had something to do, in order; the last may go on yet. */
+    /**
+     * Whiles in which a sidecar's loop always had something to do, in order; the last may go on
+     * yet.
+     */
     List<Span> busy(String sidecar);
 }
--- a/rig/src/main/java/appleridge/rig/judge/Message.java
+++ b/rig/src/main/java/appleridge/rig/judge/Message.java
@@ -38,8 +38,12 @@
 
     private static void add(StringBuilder text, String what, String one, String other) {
         if (!one.equals(other)) {
-            text.append(text.length() > 0 ? ", " : "").append(what).append(' ').append(other)
-                    .append(" instead of ").append(one);
+            text.append(text.length() > 0 ? ", " : "")
+                    .append(what)
+                    .append(' ')
+                    .append(other)
+                    .append(" instead of ")
+                    .append(one);
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/MessageScan.java
+++ b/rig/src/main/java/appleridge/rig/judge/MessageScan.java
@@ -3,8 +3,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Follows HTTP/1.1 messages through bytes in pieces of any size, far enough to know where each begins and
- * ends and which request id it names. It trusts what it reads: only well-behaved sides are followed.
+ * Follows HTTP/1.1 messages through bytes in pieces of any size, far enough to know where each
+ * begins and ends and which request id it names. It trusts what it reads: only well-behaved sides
+ * are followed.
  */
 final class MessageScan {
     private static final int LONGEST_LINE = 256;
@@ -12,7 +13,14 @@
     private static final byte[] LENGTH = "content-length:".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] CODING = "transfer-encoding:".getBytes(StandardCharsets.US_ASCII);
 
-    private enum Part { START, HEAD, BODY, SIZE, CHUNK, TRAILER }
+    private enum Part {
+        START,
+        HEAD,
+        BODY,
+        SIZE,
+        CHUNK,
+        TRAILER
+    }
 
     private final byte[] line = new byte[LONGEST_LINE];
     private int held;
@@ -23,7 +31,9 @@
     private long left;
     private String id;
 
-    /** The id of the message that is being followed or has just ended; null while it isn't known. */
+    /**
+     * The id of the message that is being followed or has just ended; null while it isn't known.
+     */
     String id() {
         return id;
     }
--- a/rig/src/main/java/appleridge/rig/judge/NodesTold.java
+++ b/rig/src/main/java/appleridge/rig/judge/NodesTold.java
@@ -39,7 +39,8 @@
 
     @Override
     public void sidecarStarted(String sidecar, int life) {
-        sidecars.computeIfAbsent(sidecar, name -> new ArrayList<>(2)).add(new Told(none, alarms.now()));
+        sidecars.computeIfAbsent(sidecar, name -> new ArrayList<>(2))
+                .add(new Told(none, alarms.now()));
     }
 
     @Override
--- a/rig/src/main/java/appleridge/rig/judge/QuietRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/QuietRule.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * When nothing has been open at a sidecar for a while, its books say so and agree with its sockets: no call,
- * no attempt, as many connections of clients and to servers as its machine holds. What stands there for a
- * moment only, as a socket that is just being closed, is looked at again.
+ * When nothing has been open at a sidecar for a while, its books say so and agree with its sockets:
+ * no call, no attempt, as many connections of clients and to servers as its machine holds. What
+ * stands there for a moment only, as a socket that is just being closed, is looked at again.
  */
 final class QuietRule implements Evidence {
     private static final long QUIET = 2 * Spans.SECOND;
+
     /** Between two looks; unlike one another, so that they meet no rhythm. */
     private static final long[] AGAIN = {70 * Spans.MS, 190 * Spans.MS};
 
@@ -17,6 +18,7 @@
     private final Ledger ledger;
     private final Map<String, String> openAt = new HashMap<>();
     private final Map<String, Integer> open = new HashMap<>();
+
     /** Grows whenever a request is asked or a process begins or stands still. */
     private final Map<String, Integer> changes = new HashMap<>();
 
@@ -34,7 +36,8 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         over(id);
     }
 
@@ -78,7 +81,8 @@
 
     private void look(String sidecar, int change, int looks, String before) {
         long now = shared.alarms().now();
-        if (open.getOrDefault(sidecar, 0) > 0 || changes.getOrDefault(sidecar, 0) != change
+        if (open.getOrDefault(sidecar, 0) > 0
+                || changes.getOrDefault(sidecar, 0) != change
                 || shared.excuses().paused(sidecar, now - QUIET, now)) {
             return;
         }
@@ -111,8 +115,12 @@
 
     private static void add(StringBuilder wrong, String what, int counted, int there) {
         if (counted != there) {
-            wrong.append(wrong.length() > 0 ? ", " : "").append(counted).append(' ').append(what)
-                    .append(" where there are ").append(there);
+            wrong.append(wrong.length() > 0 ? ", " : "")
+                    .append(counted)
+                    .append(' ')
+                    .append(what)
+                    .append(" where there are ")
+                    .append(there);
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/ReadyRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/ReadyRule.java
@@ -1,6 +1,8 @@
 package appleridge.rig.judge;
 
-/** A process says that it is ready only while it has a ready server in its list, and is not to end. */
+/**
+ * A process says that it is ready only while it has a ready server in its list, and is not to end.
+ */
 final class ReadyRule implements Evidence {
     private final Figures figures;
     private final Lists lists;
@@ -20,14 +22,24 @@
         long term = shared.lives().termAt(sidecar, shared.lives().current(sidecar));
         // It may have been about to read the question, or behind its work.
         long heard = figures.quantum() + figures.loop() + figures.socketSlack();
-        if (term != Asked.NEVER && lastByteSentAt > term + heard
+        if (term != Asked.NEVER
+                && lastByteSentAt > term + heard
                 && !shared.excuses().paused(sidecar, term, lastByteSentAt)) {
-            shared.findings().add(Rule.READY, sidecar, "said that it was ready "
-                    + Spans.text(lastByteSentAt - term) + " after SIGTERM");
+            shared.findings()
+                    .add(
+                            Rule.READY,
+                            sidecar,
+                            "said that it was ready "
+                                    + Spans.text(lastByteSentAt - term)
+                                    + " after SIGTERM");
         }
         if (!lists.mayHaveReady(sidecar, lastByteSentAt)) {
-            shared.findings().add(Rule.READY, sidecar, "said that it was ready, and all servers drain or are"
-                    + " gone, as far as it was told of any");
+            shared.findings()
+                    .add(
+                            Rule.READY,
+                            sidecar,
+                            "said that it was ready, and all servers drain or are"
+                                    + " gone, as far as it was told of any");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/RecoveryRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/RecoveryRule.java
@@ -4,16 +4,18 @@
 import java.util.TreeMap;
 
 /**
- * Some time after the day's last fault all is well again: each sidecar has become ready, and of the requests
- * that are then asked by clients who wait for their whole deadline and read what they get, and whose time is
- * up when the day ends, enough are served.
+ * Some time after the day's last fault all is well again: each sidecar has become ready, and of the
+ * requests that are then asked by clients who wait for their whole deadline and read what they get,
+ * and whose time is up when the day ends, enough are served.
  */
 final class RecoveryRule implements Evidence {
     private final Figures figures;
     private final Shared shared;
     private long over = Asked.NEVER;
+
     /** When those processes began that have not become ready yet, by their sidecars. */
     private final Map<String, Long> notReady = new TreeMap<>();
+
     private int could;
     private int served;
 
@@ -46,34 +48,53 @@
         for (Asked each : shared.requests().all()) {
             Try asking = each.asking;
             // A further try has what its wish has left, which may be less than the work takes.
-            if (asking.number() == 0 && asking.askedAt() >= over + figures.recovery()
+            if (asking.number() == 0
+                    && asking.askedAt() >= over + figures.recovery()
                     && asking.askedAt() + asking.deadlineNanos() + figures.answerSlack() <= end
                     && waited(each)
-                    && !shared.excuses().linkTroubled(asking, asking.askedAt(),
-                            asking.askedAt() + asking.deadlineNanos())) {
+                    && !shared.excuses()
+                            .linkTroubled(
+                                    asking,
+                                    asking.askedAt(),
+                                    asking.askedAt() + asking.deadlineNanos())) {
                 could++;
                 served += each.stage == Asked.Stage.ANSWERED && each.status == 200 ? 1 : 0;
             }
         }
-        notReady.forEach((sidecar, since) -> {
-            if (end - Math.max(since, over) >= figures.recovery()) {
-                shared.findings().add(Rule.NOT_RECOVERED, sidecar, "began at " + Spans.text(since)
-                        + " and has never been ready");
-            }
-        });
+        notReady.forEach(
+                (sidecar, since) -> {
+                    if (end - Math.max(since, over) >= figures.recovery()) {
+                        shared.findings()
+                                .add(
+                                        Rule.NOT_RECOVERED,
+                                        sidecar,
+                                        "began at "
+                                                + Spans.text(since)
+                                                + " and has never been ready");
+                    }
+                });
         // Of a few requests one may fail all the same: a server may err once.
         int mayFail = Math.max(1, (int) Math.floor(could * (1 - figures.served())));
         if (could - served > mayFail) {
-            shared.findings().add(Rule.NOT_RECOVERED, "day", served + " of " + could
-                    + " requests served from " + Spans.text(figures.recovery()) + " after the last fault on");
+            shared.findings()
+                    .add(
+                            Rule.NOT_RECOVERED,
+                            "day",
+                            served
+                                    + " of "
+                                    + could
+                                    + " requests served from "
+                                    + Spans.text(figures.recovery())
+                                    + " after the last fault on");
         }
     }
 
     /** Danger: a client that leaves takes along what others have asked on its connection. */
     private static boolean waited(Asked request) {
         long deadline = request.asking.deadlineNanos();
-        return request.asking.patienceNanos() >= deadline && (request.stage != Asked.Stage.LEFT
-                || request.leftAt >= request.asking.askedAt() + deadline);
+        return request.asking.patienceNanos() >= deadline
+                && (request.stage != Asked.Stage.LEFT
+                        || request.leftAt >= request.asking.askedAt() + deadline);
     }
 
     /** How many requests it judged by. */
--- a/rig/src/main/java/appleridge/rig/judge/RequestRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/RequestRule.java
@@ -5,10 +5,10 @@
 
 /**
  * A request comes to a server as its client wrote it: method, path, query, body, X-Request-Id and
- * Idempotency-Key. Its X-Deadline is at most what the client said, no more than what was left of that when it
- * was sent, and above nothing; only in a request's last moments it may be written as 0, for it is told in
- * whole milliseconds, and the sidecar keeps some of the time to itself. The module is told its class, its
- * tenant and whether it is a client's repeat.
+ * Idempotency-Key. Its X-Deadline is at most what the client said, no more than what was left of
+ * that when it was sent, and above nothing; only in a request's last moments it may be written as
+ * 0, for it is told in whole milliseconds, and the sidecar keeps some of the time to itself. The
+ * module is told its class, its tenant and whether it is a client's repeat.
  */
 final class RequestRule implements Evidence {
     /** Ids that begin so are those of bad clients, which are judged by other rules. */
@@ -32,13 +32,28 @@
     }
 
     @Override
-    public void moduleHears(String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
+    public void moduleHears(
+            String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
         Try asking = byKey.get(key);
-        if (asking != null && (asking.requestClass() != requestClass || asking.tenant() != tenant
-                || asking.number() > 0 != clientRetry)) {
-            add(asking.id(), sidecar + "'s module was told class " + requestClass + ", tenant " + tenant
-                    + ", repeat " + clientRetry + " instead of class " + asking.requestClass() + ", tenant "
-                    + asking.tenant() + ", repeat " + (asking.number() > 0));
+        if (asking != null
+                && (asking.requestClass() != requestClass
+                        || asking.tenant() != tenant
+                        || asking.number() > 0 != clientRetry)) {
+            add(
+                    asking.id(),
+                    sidecar
+                            + "'s module was told class "
+                            + requestClass
+                            + ", tenant "
+                            + tenant
+                            + ", repeat "
+                            + clientRetry
+                            + " instead of class "
+                            + asking.requestClass()
+                            + ", tenant "
+                            + asking.tenant()
+                            + ", repeat "
+                            + (asking.number() > 0));
         }
     }
 
@@ -48,15 +63,26 @@
     }
 
     @Override
-    public void reads(String server, String sidecar, String id, Message message, long deadlineNanos,
+    public void reads(
+            String server,
+            String sidecar,
+            String id,
+            Message message,
+            long deadlineNanos,
             long firstByteSentAt) {
         if (id.startsWith(BAD)) {
             return;
         }
         Message own = written.get(id);
         if (own == null) {
-            add(id.isEmpty() ? server : id, sidecar + " sent " + server + (id.isEmpty() ? " a request"
-                    + " without an id" : " an id that no client has used"));
+            add(
+                    id.isEmpty() ? server : id,
+                    sidecar
+                            + " sent "
+                            + server
+                            + (id.isEmpty()
+                                    ? " a request" + " without an id"
+                                    : " an id that no client has used"));
             return;
         }
         String unlike = own.unlike(message);
@@ -74,8 +100,16 @@
         long left = dues.patience(request) - sentAt;
         boolean lastMoments = request.takenAt + said - sentAt <= figures.answerSlack();
         if (deadline > Math.min(said, left) || deadline < 0 || deadline == 0 && !lastMoments) {
-            add(request.id(), server + " was told a deadline of " + Spans.text(deadline) + " when "
-                    + Spans.text(left) + " of " + Spans.text(said) + " were left");
+            add(
+                    request.id(),
+                    server
+                            + " was told a deadline of "
+                            + Spans.text(deadline)
+                            + " when "
+                            + Spans.text(left)
+                            + " of "
+                            + Spans.text(said)
+                            + " were left");
         }
     }
 
--- a/rig/src/main/java/appleridge/rig/judge/RequestState.java
+++ b/rig/src/main/java/appleridge/rig/judge/RequestState.java
@@ -1,6 +1,8 @@
 package appleridge.rig.judge;
 
-/** Where a request is, seen from outside; the RESEND states are those of a second or later attempt. */
+/**
+ * Where a request is, seen from outside; the RESEND states are those of a second or later attempt.
+ */
 public enum RequestState {
     /** Some of its bytes are written, the last one isn't. */
     ARRIVING,
@@ -12,7 +14,9 @@
     WRITING,
     /** The attempt is written whole, and nothing of an answer has come. */
     WRITTEN,
-    /** Some of the server's answer has been written, and the sidecar has written none of its own. */
+    /**
+     * Some of the server's answer has been written, and the sidecar has written none of its own.
+     */
     ANSWERING,
     /** The sidecar has begun to write its answer, and the client hasn't read the end of it. */
     ANSWERED,
@@ -31,6 +35,7 @@
 
     /** Whether this is a state of a second or later attempt. */
     public boolean isResend() {
-        return this.ordinal() >= RESEND_HELD.ordinal() && this.ordinal() <= RESEND_ANSWERING.ordinal();
+        return this.ordinal() >= RESEND_HELD.ordinal()
+                && this.ordinal() <= RESEND_ANSWERING.ordinal();
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/RequestStates.java
+++ b/rig/src/main/java/appleridge/rig/judge/RequestStates.java
@@ -11,33 +11,40 @@
 import java.util.function.Consumer;
 
 /**
- * Knows the state that each usual request is in, from the bytes on the sockets, what the stand-ins tell and
- * the module's own word. Must hear of everything ahead of what acts on a state.
+ * Knows the state that each usual request is in, from the bytes on the sockets, what the stand-ins
+ * tell and the module's own word. Must hear of everything ahead of what acts on a state.
  *
- * <p>Who waits for a state is told at once, in the middle of whatever brought it about: sockets may be struck
- * then and there, but to end or pause a process is to be planned as a step of its own.
+ * <p>Who waits for a state is told at once, in the middle of whatever brought it about: sockets may
+ * be struck then and there, but to end or pause a process is to be planned as a step of its own.
  */
 public final class RequestStates implements Evidence, Tap, Wires {
     private final Map<String, String> sidecars = new HashMap<>();
     private final Map<String, String> servers = new HashMap<>();
     private final Map<String, Tracked> requests = new HashMap<>();
+
     /** Those that are on their way, and those whose answered connection is kept. */
     private final Map<String, Tracked> current = new LinkedHashMap<>();
+
     private final Map<Long, ClientWire> clientWires = new HashMap<>();
     private final Map<Long, ServerWire> serverWires = new HashMap<>();
+
     /** Attempts of which no byte and no connect has been seen, for each sidecar. */
     private final Map<String, List<Tracked>> pending = new HashMap<>();
+
     private final Map<Long, Tracked> byKey = new HashMap<>();
     private final Map<String, Map<Long, Tracked>> byModuleId = new HashMap<>();
-    private final Map<RequestState, List<Consumer<InState>>> waiting = new EnumMap<>(RequestState.class);
+    private final Map<RequestState, List<Consumer<InState>>> waiting =
+            new EnumMap<>(RequestState.class);
 
     /** The requests and answers on a client's connection. */
     private static final class ClientWire {
         private final MessageScan asked = new MessageScan();
         private final MessageScan answered = new MessageScan();
         private final List<Tracked> open = new ArrayList<>(2);
+
         /** The request that is being written. */
         private Tracked arriving;
+
         private Tracked idle;
         private int count;
         private long acceptedAt = Asked.NEVER;
@@ -87,7 +94,8 @@
     public List<InState> at(String sidecarOrServer) {
         List<InState> there = new ArrayList<>();
         for (Tracked each : current.values()) {
-            if (each.asking.sidecar().equals(sidecarOrServer) || sidecarOrServer.equals(each.server)) {
+            if (each.asking.sidecar().equals(sidecarOrServer)
+                    || sidecarOrServer.equals(each.server)) {
                 there.add(each.now());
             }
         }
@@ -95,7 +103,8 @@
     }
 
     /**
-     * The request that is on the connection with this end of a client's or of a sidecar's; null if none is.
+     * The request that is on the connection with this end of a client's or of a sidecar's; null if
+     * none is.
      */
     public InState on(SimSocket end) {
         for (Tracked each : current.values()) {
@@ -107,7 +116,10 @@
         return null;
     }
 
-    /** The request that a module of that sidecar knows by that number; null if it is over or unknown. */
+    /**
+     * The request that a module of that sidecar knows by that number; null if it is over or
+     * unknown.
+     */
     public InState ofModule(String sidecar, long moduleId) {
         Tracked request = held(sidecar, moduleId);
         return request == null ? null : request.now();
@@ -130,14 +142,17 @@
     @Override
     public boolean wasRead(String id) {
         Tracked request = requests.get(id);
-        return request != null && request.endsAt >= 0 && request.client.peer() != null
+        return request != null
+                && request.endsAt >= 0
+                && request.client.peer() != null
                 && request.client.peer().bytesRead() >= request.endsAt;
     }
 
     @Override
     public long acceptedAt(String id) {
         Tracked request = requests.get(id);
-        return request == null || request.client == null ? Asked.NEVER
+        return request == null || request.client == null
+                ? Asked.NEVER
                 : clientWires.get(request.client.id()).acceptedAt;
     }
 
@@ -234,7 +249,9 @@
         }
     }
 
-    /** Danger: a bad client may use the id of a request that is open; the first connection counts. */
+    /**
+     * Danger: a bad client may use the id of a request that is open; the first connection counts.
+     */
     private void arrives(ClientWire wire, SimSocket client, Tracked request) {
         if (request == null || request.client != null || request.state != RequestState.ARRIVING) {
             return;
@@ -282,7 +299,8 @@
         int end = offset + length;
         while (at < end) {
             if (wire.asked.between()) {
-                // On a new connection the attempt is known that has waited for it, else only by its id.
+                // On a new connection the attempt is known that has waited for it, else only by its
+                // id.
                 if (isIn(wire.carried, upstream, RequestState.CONNECTING)) {
                     begins(wire.carried, upstream);
                 } else {
@@ -301,7 +319,9 @@
     }
 
     private static boolean isIn(Tracked request, SimSocket upstream, RequestState first) {
-        return request != null && request.upstream == upstream && request.state == request.attempt(first);
+        return request != null
+                && request.upstream == upstream
+                && request.state == request.attempt(first);
     }
 
     private void begins(Tracked request, SimSocket upstream) {
@@ -318,8 +338,9 @@
 
     private void serverAnswers(SimSocket server) {
         ServerWire wire = serverWires.get(server.id());
-        if (wire != null && (isIn(wire.carried, server.peer(), RequestState.WRITTEN)
-                || isIn(wire.carried, server.peer(), RequestState.WRITING))) {
+        if (wire != null
+                && (isIn(wire.carried, server.peer(), RequestState.WRITTEN)
+                        || isIn(wire.carried, server.peer(), RequestState.WRITING))) {
             enter(wire.carried, wire.carried.attempt(RequestState.ANSWERING));
         }
     }
@@ -356,7 +377,8 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         Tracked request = current.get(id);
         if (request == null) {
             return;
@@ -436,10 +458,13 @@
     }
 
     @Override
-    public void moduleOutcome(String sidecar, int life, long moduleId, int attempt, String outcome,
-            boolean ended) {
+    public void moduleOutcome(
+            String sidecar, int life, long moduleId, int attempt, String outcome, boolean ended) {
         Tracked request = held(sidecar, moduleId);
-        if (request == null || ended || outcome.equals("OK") || request.answerBegun()
+        if (request == null
+                || ended
+                || outcome.equals("OK")
+                || request.answerBegun()
                 || attempt != request.attempts - 1) {
             return;
         }
--- a/rig/src/main/java/appleridge/rig/judge/Requests.java
+++ b/rig/src/main/java/appleridge/rig/judge/Requests.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 
 /**
- * The usual clients' requests of a day, with what is known of each. Read by the rules, written here alone.
+ * The usual clients' requests of a day, with what is known of each. Read by the rules, written here
+ * alone.
  */
 final class Requests {
     private final Map<String, Asked> all = new LinkedHashMap<>();
@@ -74,7 +75,8 @@
         }
 
         @Override
-        public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+        public void begun(
+                String server, int life, String sidecar, String id, long firstByteSentAt) {
             Asked request = all.get(id);
             if (request != null) {
                 request.sent.add(new Sent(server, life, firstByteSentAt));
@@ -82,15 +84,23 @@
         }
 
         @Override
-        public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-                long lastByteSentAt, long work) {
+        public void arrived(
+                String server,
+                int life,
+                String sidecar,
+                String id,
+                long firstByteSentAt,
+                long lastByteSentAt,
+                long work) {
             Asked request = all.get(id);
             if (request == null) {
                 return;
             }
             Sent copy = null;
             for (Sent each : request.sent) {
-                if (!each.arrived && each.life == life && each.firstByteAt == firstByteSentAt
+                if (!each.arrived
+                        && each.life == life
+                        && each.firstByteAt == firstByteSentAt
                         && each.server.equals(server)) {
                     copy = each;
                     break;
@@ -141,7 +151,8 @@
 
     private final class Closing implements Evidence {
         @Override
-        public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+        public void answered(
+                String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
             Asked request = all.get(id);
             if (request != null && request.stage != Asked.Stage.ANSWERED) {
                 request.stage = Asked.Stage.ANSWERED;
--- a/rig/src/main/java/appleridge/rig/judge/RetryAfterRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/RetryAfterRule.java
@@ -1,6 +1,9 @@
 package appleridge.rig.judge;
 
-/** Only a refusal says when to come again, only where the settings allow it, and never later than they do. */
+/**
+ * Only a refusal says when to come again, only where the settings allow it, and never later than
+ * they do.
+ */
 final class RetryAfterRule implements Evidence {
     private final Figures figures;
     private final Findings findings;
@@ -11,15 +14,21 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         if (retryAfterNanos < 0) {
             return;
         }
         if (status != 429 && status != 503) {
             findings.add(Rule.RETRY_AFTER, id, "an answer " + status + " says when to come again");
         } else if (retryAfterNanos > figures.maxRetryAfter()) {
-            findings.add(Rule.RETRY_AFTER, id, "come again after " + Spans.text(retryAfterNanos)
-                    + ", allowed are " + Spans.text(figures.maxRetryAfter()));
+            findings.add(
+                    Rule.RETRY_AFTER,
+                    id,
+                    "come again after "
+                            + Spans.text(retryAfterNanos)
+                            + ", allowed are "
+                            + Spans.text(figures.maxRetryAfter()));
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Rule.java
+++ b/rig/src/main/java/appleridge/rig/judge/Rule.java
@@ -14,7 +14,9 @@
     WRONG_REQUEST,
     /** An effect could happen twice, or after it was said that it did not happen. */
     DUPLICATE,
-    /** An answer invites to come again later than is allowed, or where that is not for it to say. */
+    /**
+     * An answer invites to come again later than is allowed, or where that is not for it to say.
+     */
     RETRY_AFTER,
     /** A process said that it was ready, and had no server to use or was to end. */
     READY,
@@ -26,7 +28,9 @@
     SENT_AFTER,
     /** Something was sent to a server after its drain's grace. */
     DRAIN,
-    /** The list is not what was told: emptied by who told nothing, or not as it was told long since. */
+    /**
+     * The list is not what was told: emptied by who told nothing, or not as it was told long since.
+     */
     LIST,
     /** A cold server fell over under what was sent by those who knew that it was cold. */
     COLD,
--- a/rig/src/main/java/appleridge/rig/judge/SameIdRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/SameIdRule.java
@@ -6,16 +6,19 @@
 import java.util.Map;
 
 /**
- * While a request is open nothing else is passed on under its id. It is surely open from when its sidecar has
- * read it until its answer is written; what was in writing for a while ended somewhat before its last byte.
+ * While a request is open nothing else is passed on under its id. It is surely open from when its
+ * sidecar has read it until its answer is written; what was in writing for a while ended somewhat
+ * before its last byte.
  */
 final class SameIdRule implements Evidence {
     private static final int CONFLICT = 409;
 
     private final Figures figures;
     private final Shared shared;
+
     /** Whose id it is, by the ids by which servers tell of what others ask under it. */
     private final Map<String, String> owners = new HashMap<>();
+
     /** When something else was sent under an id, by whose it is. */
     private final Map<String, List<Long>> sent = new HashMap<>();
 
@@ -46,7 +49,8 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         Asked request = shared.requests().find(id);
         if (request != null && sent.containsKey(id)) {
             compare(request, status, lastByteSentAt);
@@ -58,8 +62,11 @@
         if (status != CONFLICT
                 && !shared.excuses().linkTroubled(request.asking, request.takenAt, answeredAt)
                 && sent.get(request.id()).stream().anyMatch(at -> at < surely)) {
-            shared.findings().add(Rule.DUPLICATE, request.id(),
-                    "while it was open something else was passed on under its id");
+            shared.findings()
+                    .add(
+                            Rule.DUPLICATE,
+                            request.id(),
+                            "while it was open something else was passed on under its id");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Sent.java
+++ b/rig/src/main/java/appleridge/rig/judge/Sent.java
@@ -6,8 +6,10 @@
     final int life;
     final long firstByteAt;
     long lastByteAt;
+
     /** Its last byte was read. */
     boolean arrived;
+
     /** The server has said that it never ran it. */
     boolean notRun;
 
--- a/rig/src/main/java/appleridge/rig/judge/SentAfterRule.java
+++ b/rig/src/main/java/appleridge/rig/judge/SentAfterRule.java
@@ -1,8 +1,8 @@
 package appleridge.rig.judge;
 
 /**
- * Nothing is sent for a request after its final answer was written, nor after its client's connection was
- * closed and the sidecar could have heard of it.
+ * Nothing is sent for a request after its final answer was written, nor after its client's
+ * connection was closed and the sidecar could have heard of it.
  */
 final class SentAfterRule implements Evidence {
     private final Figures figures;
@@ -24,17 +24,38 @@
             return;
         }
         long closed = shared.wires().closedAt(id);
-        if (closed != Asked.NEVER && firstByteSentAt > shared.excuses().extended(request.asking, closed,
-                closed + figures.link() + figures.quantum() + figures.loop())) {
-            shared.findings().add(Rule.SENT_AFTER, id, "sent to " + server + " "
-                    + Spans.text(firstByteSentAt - closed) + " after its client's connection was closed");
+        if (closed != Asked.NEVER
+                && firstByteSentAt
+                        > shared.excuses()
+                                .extended(
+                                        request.asking,
+                                        closed,
+                                        closed
+                                                + figures.link()
+                                                + figures.quantum()
+                                                + figures.loop())) {
+            shared.findings()
+                    .add(
+                            Rule.SENT_AFTER,
+                            id,
+                            "sent to "
+                                    + server
+                                    + " "
+                                    + Spans.text(firstByteSentAt - closed)
+                                    + " after its client's connection was closed");
         }
     }
 
     /** What began before its answer has ended by then too. */
     @Override
-    public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
+    public void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
         Asked request = shared.requests().find(id);
         if (request != null && request.stage == Asked.Stage.ANSWERED) {
             compare(request, server, lastByteSentAt, request.answeredAt);
@@ -43,7 +64,8 @@
 
     /** The answer may be read only after a server has begun to read what was sent after it. */
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         Asked request = shared.requests().find(id);
         if (request != null && request.stage != Asked.Stage.ANSWERED) {
             for (Sent each : request.sent) {
@@ -54,8 +76,15 @@
 
     private void compare(Asked request, String server, long sentAt, long answeredAt) {
         if (sentAt > answeredAt) {
-            shared.findings().add(Rule.SENT_AFTER, request.id(), "sent to " + server + " "
-                    + Spans.text(sentAt - answeredAt) + " after its final answer");
+            shared.findings()
+                    .add(
+                            Rule.SENT_AFTER,
+                            request.id(),
+                            "sent to "
+                                    + server
+                                    + " "
+                                    + Spans.text(sentAt - answeredAt)
+                                    + " after its final answer");
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/judge/Spans.java
+++ b/rig/src/main/java/appleridge/rig/judge/Spans.java
@@ -5,8 +5,7 @@
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000_000_000L;
 
-    private Spans() {
-    }
+    private Spans() {}
 
     /** Never past the end of time. */
     static long plus(long time, long more) {
--- a/rig/src/main/java/appleridge/rig/judge/Strikes.java
+++ b/rig/src/main/java/appleridge/rig/judge/Strikes.java
@@ -1,9 +1,10 @@
 package appleridge.rig.judge;
 
 /**
- * Counts which requests a fault strikes, in the state that they are in at that moment: one aimed at a request
- * that one; another all at the sidecar or server that it strikes. What is told with a request has changed
- * what happens to that one; what strikes neither a request nor a sidecar nor a server counts none.
+ * Counts which requests a fault strikes, in the state that they are in at that moment: one aimed at
+ * a request that one; another all at the sidecar or server that it strikes. What is told with a
+ * request has changed what happens to that one; what strikes neither a request nor a sidecar nor a
+ * server counts none.
  */
 public final class Strikes implements Evidence {
     private final RequestStates states;
--- a/rig/src/main/java/appleridge/rig/judge/Tally.java
+++ b/rig/src/main/java/appleridge/rig/judge/Tally.java
@@ -31,7 +31,8 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         if (open.remove(id)) {
             if (status == 200) {
                 served++;
@@ -58,8 +59,14 @@
     }
 
     @Override
-    public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
+    public void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
         Integer before = arrived.get(id);
         if (before != null) {
             arrived.put(id, before + 1);
--- a/rig/src/main/java/appleridge/rig/judge/Told.java
+++ b/rig/src/main/java/appleridge/rig/judge/Told.java
@@ -5,18 +5,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** What one life of a sidecar has been told of the servers, or counts as having been told, and when. */
+/**
+ * What one life of a sidecar has been told of the servers, or counts as having been told, and when.
+ */
 final class Told {
     /** A server's book. */
     private static final class Server {
         /**
-         * Moments at which it became one that drains or is gone (even places), or ready again (odd places).
+         * Moments at which it became one that drains or is gone (even places), or ready again (odd
+         * places).
          */
         private final List<Long> turns = new ArrayList<>(2);
+
         /** Starts told of: when, and the start's own time. */
         private final List<long[]> starts = new ArrayList<>(2);
+
         /** The last place in discovery's knowledge that this book takes account of. */
         private int place = -1;
+
         /** As it was before what was told last. */
         private int placeBefore = -1;
 
@@ -28,6 +34,7 @@
     private final Map<String, Server> servers = new HashMap<>();
     private final Knowledge knowledge;
     private final long since;
+
     /** Knowledge ahead of this place has been counted as told. */
     private int counted;
 
@@ -42,8 +49,8 @@
     }
 
     /**
-     * Discovery has written it to the sidecar. That a server drains, said by a list older than one that was
-     * told before, obliges to nothing: who knows better may go on.
+     * Discovery has written it to the sidecar. That a server drains, said by a list older than one
+     * that was told before, obliges to nothing: who knows better may go on.
      */
     void told(long now, String uid, String state, long bornAt) {
         Server server = server(uid);
@@ -57,8 +64,8 @@
     }
 
     /**
-     * That servers drain, as was told at that moment, has not reached the sidecar; it counts as told when
-     * what did not arrive does.
+     * That servers drain, as was told at that moment, has not reached the sidecar; it counts as
+     * told when what did not arrive does.
      */
     void untold(long at) {
         for (Server server : servers.values()) {
@@ -76,12 +83,14 @@
     }
 
     /**
-     * Since when, at a moment, it was told that a server is ready; never if it was told otherwise, or
-     * nothing.
+     * Since when, at a moment, it was told that a server is ready; never if it was told otherwise,
+     * or nothing.
      */
     long readySince(String uid, long moment) {
         Server server = servers.get(uid);
-        if (server == null || server.starts.isEmpty() || server.starts.get(0)[0] > moment
+        if (server == null
+                || server.starts.isEmpty()
+                || server.starts.get(0)[0] > moment
                 || drainsSince(uid, moment) != Asked.NEVER) {
             return Asked.NEVER;
         }
@@ -95,7 +104,8 @@
     /** The start that was told last; 0 for long ago. */
     long lastStart(String uid) {
         Server server = servers.get(uid);
-        return server == null || server.starts.isEmpty() ? 0
+        return server == null || server.starts.isEmpty()
+                ? 0
                 : server.starts.get(server.starts.size() - 1)[1];
     }
 
@@ -120,13 +130,16 @@
         if (ready == server.drains()) {
             server.turns.add(now);
         }
-        if (ready && (server.starts.isEmpty() || server.starts.get(server.starts.size() - 1)[1] != bornAt)) {
+        if (ready
+                && (server.starts.isEmpty()
+                        || server.starts.get(server.starts.size() - 1)[1] != bornAt)) {
             server.starts.add(new long[] {now, bornAt});
         }
     }
 
     /**
-     * Since when, at a moment, it was told that a server drains or is gone; never if it was told otherwise.
+     * Since when, at a moment, it was told that a server drains or is gone; never if it was told
+     * otherwise.
      */
     long drainsSince(String uid, long moment) {
         Server server = servers.get(uid);
@@ -143,8 +156,9 @@
     /** Whether it was told of a server that had not been draining for it at that moment already. */
     boolean mayHaveReady(long moment) {
         for (Map.Entry<String, Server> each : servers.entrySet()) {
-            if (!each.getValue().starts.isEmpty() && (!each.getValue().drains()
-                    || drainsSince(each.getKey(), moment) == Asked.NEVER)) {
+            if (!each.getValue().starts.isEmpty()
+                    && (!each.getValue().drains()
+                            || drainsSince(each.getKey(), moment) == Asked.NEVER)) {
                 return true;
             }
         }
--- a/rig/src/main/java/appleridge/rig/judge/Tracked.java
+++ b/rig/src/main/java/appleridge/rig/judge/Tracked.java
@@ -7,14 +7,20 @@
     final Try asking;
     RequestState state = RequestState.ARRIVING;
     SimSocket client;
+
     /** Which request on its connection it is; 0 before its first bytes are seen. */
     int place;
+
     String ahead;
+
     /** Where on its client's end it ends; -1 before all of it is written. */
     long endsAt = -1;
+
     int attempts;
+
     /** Which server the module has named for the latest attempt. */
     String target;
+
     SimSocket upstream;
     String server;
 
--- a/rig/src/main/java/appleridge/rig/judge/Try.java
+++ b/rig/src/main/java/appleridge/rig/judge/Try.java
@@ -10,11 +10,21 @@
  * @param requestClass place in the world's classes
  * @param tenant place in the world's tenants
  * @param idempotencyKey null for classes without one
- * @param cookieKey what the request is about, unique for each try, so that the module's word can be matched
+ * @param cookieKey what the request is about, unique for each try, so that the module's word can be
+ *     matched
  * @param askedAt when its first byte is written
  * @param deadlineNanos what its X-Deadline says
  * @param patienceNanos how long it waits before it gives up by itself
  */
-public record Try(String id, String origin, int number, String sidecar, int requestClass, int tenant,
-        String idempotencyKey, long cookieKey, long askedAt, long deadlineNanos, long patienceNanos) {
-}
+public record Try(
+        String id,
+        String origin,
+        int number,
+        String sidecar,
+        int requestClass,
+        int tenant,
+        String idempotencyKey,
+        long cookieKey,
+        long askedAt,
+        long deadlineNanos,
+        long patienceNanos) {}
--- a/rig/src/main/java/appleridge/rig/judge/Verdict.java
+++ b/rig/src/main/java/appleridge/rig/judge/Verdict.java
@@ -9,7 +9,12 @@
  * @param broken the rules that broke, in the order of finding
  * @param simulatedNanos how long the day was
  */
-public record Verdict(long seed, long digest, List<Broken> broken, Counts counts, Coverage coverage,
+public record Verdict(
+        long seed,
+        long digest,
+        List<Broken> broken,
+        Counts counts,
+        Coverage coverage,
         long simulatedNanos) {
     public Verdict {
         broken = List.copyOf(broken);
@@ -23,9 +28,14 @@
     /** A line for the day, and one for each broken rule. */
     public String text() {
         StringBuilder out = new StringBuilder(200);
-        out.append("seed ").append(seed).append(": ")
-                .append(good() ? "no rule broken" : broken.size() + " broken").append(", ").append(counts)
-                .append(", digest ").append(Long.toHexString(digest));
+        out.append("seed ")
+                .append(seed)
+                .append(": ")
+                .append(good() ? "no rule broken" : broken.size() + " broken")
+                .append(", ")
+                .append(counts)
+                .append(", digest ")
+                .append(Long.toHexString(digest));
         for (Broken each : broken) {
             out.append("\n  ").append(each);
         }
--- a/rig/src/main/java/appleridge/rig/judge/Wires.java
+++ b/rig/src/main/java/appleridge/rig/judge/Wires.java
@@ -5,7 +5,10 @@
     /** Which request on its connection it is: 1 for the first, 0 if that isn't known. */
     int place(String id);
 
-    /** The id of the request that was open on its connection when it was asked; null if there was none. */
+    /**
+     * The id of the request that was open on its connection when it was asked; null if there was
+     * none.
+     */
     String ahead(String id);
 
     /** Whether the sidecar's process has read its last byte. */
--- a/rig/src/main/java/appleridge/rig/lease/Assumption.java
+++ b/rig/src/main/java/appleridge/rig/lease/Assumption.java
@@ -6,12 +6,14 @@
 import java.util.List;
 
 /**
- * One thing on which safety rests, and what takes it away: an edit of the product, or a holder's conduct.
+ * One thing on which safety rests, and what takes it away: an edit of the product, or a holder's
+ * conduct.
  *
  * @param name short, of lower-case words joined by hyphens
  * @param what what is wrong without it
  * @param scope where that is looked for, to the depth at which it must have been found
- * @param edits more than one place only where another line guards against the same; none for a conduct
+ * @param edits more than one place only where another line guards against the same; none for a
+ *     conduct
  */
 record Assumption(String name, String what, String scope, List<Edit> edits) {
     private static final String LEASE = "lease/Lease";
@@ -19,51 +21,117 @@
     private static final String STOPPED = "timed held 35 1 STOPS 0 0 1 ";
     private static final String LEAVING = "timed held 35 1 STOPS 1 1 1 ";
 
-    static final List<Assumption> ALL = List.of(
-            of("counted-from-answer", "a grant counts from the answer", STOPPED + 30,
-                    in(LEASE, null, "lastWrite.at + terms.actFor()", "now + terms.actFor()")),
-            of("no-guard", "a holder's reading of its clock may be older than it allows for", STOPPED + 30,
-                    in(TERMS, "public long actFor() {", " - guard", "")),
-            of("no-guard-of-waiter", "a waiter's reading may be older than it allows for", STOPPED + 30,
-                    in(TERMS, "public long keptOutFor(long itsTerm) {", " + guard", "")),
-            of("drift-ignored", "all clocks are taken to run alike", STOPPED + 30,
-                    in(TERMS, "private static long drift(long time, int driftPpm) {",
-                            "time / MILLION * driftPpm + (time % MILLION * driftPpm + MILLION - 1) / MILLION",
-                            "0")),
-            of("checked-when-queued", "an act is checked when it is queued, and begins when its turn comes",
-                    "timed held 35 1 STOPS 0 0 9 30"),
-            of("pause-longer", "a pause between check and act is longer than assumed",
-                    "timed held 35 1 STOPS 0 0 2 30"),
-            of("take-over-not-waited-out", "the new holder acts while acts of the old go on", STOPPED + 30,
-                    in(LEASE, null, "seen.released() ? 0 : terms.actsOut()", "seen.released() ? 0 : 0")),
-            of("take-over-passed-on", "a new holder that leaves at once hides that acts of the old go on",
-                    LEAVING + 24, in(LEASE, null, "Math.max(notBefore, actFrom)", "notBefore")),
-            of("shrunk-at-once", "a part that shrinks is given to another while acts under it go on",
-                    "timed held 35 0 - 1 0 1 24",
-                    in(LEASE, "public void giveUp(long now) {", " + terms.actsOut()", "")),
-            of("doubt-taken-for-held", "a renewal of which nothing is known extends the grant",
-                    "timed held 35 2 LOST,STOPS 0 0 1 27",
-                    in(LEASE, "public void unknown(long now, long question) {", "Asked asked = open;",
-                            "Asked asked = open; if (grant != null && asked != null && asked.next != null) "
-                            + "{ lastWrite = asked; grant(now); }")),
-            of("renewed-by-pings", "a connection that is there again extends the grant",
-                    "timed held 35 2 DISCONNECTS 0 0 1 27",
-                    in(LEASE, null, "connected = true;\n        current",
-                            "connected = true; if (grant != null) { "
-                            + "grant = new Grant(grant.token(), grant.from(), now + terms.actFor()); }"
-                            + "\n        current")),
-            of("token-repeats", "a new holder goes on with the token of the old",
-                    "fenced held 44 1 STOPS 0 0 1 24",
-                    in(LEASE, null, "(giving || grant != null ? 0 : 1)", "0")),
-            of("release-undone", "a late renewal undoes a release", "timed held 35 0 - 1 1 1 18",
-                    in(LEASE, null, "lastWrite.question > soughtAt", "lastWrite.question > 0"),
-                    in(LEASE, null, "proven && !giving", "proven")),
-            of("written-whatever-the-version", "a late write undoes what came after",
-                    "timed held 35 1 DELAYED 1 1 1 18",
-                    in(LEASE, null, "seen == null ? -1 : seen.version()", "-2")),
-            of("parts-rounded-up", "what is left over is given to each", Parts.WORDS,
-                    in("lease/Shares", null, "whole * permits.usable(now, lasting)",
-                            "(whole * permits.usable(now, lasting) + permits.leases().size() - 1)")));
+    static final List<Assumption> ALL =
+            List.of(
+                    of(
+                            "counted-from-answer",
+                            "a grant counts from the answer",
+                            STOPPED + 30,
+                            in(
+                                    LEASE,
+                                    null,
+                                    "lastWrite.at + terms.actFor()",
+                                    "now + terms.actFor()")),
+                    of(
+                            "no-guard",
+                            "a holder's reading of its clock may be older than it allows for",
+                            STOPPED + 30,
+                            in(TERMS, "public long actFor() {", " - guard", "")),
+                    of(
+                            "no-guard-of-waiter",
+                            "a waiter's reading may be older than it allows for",
+                            STOPPED + 30,
+                            in(TERMS, "public long keptOutFor(long itsTerm) {", " + guard", "")),
+                    of(
+                            "drift-ignored",
+                            "all clocks are taken to run alike",
+                            STOPPED + 30,
+                            in(
+                                    TERMS,
+                                    "private static long drift(long time, int driftPpm) {",
+                                    "time / MILLION * driftPpm + (time % MILLION * driftPpm +"
+                                            + " MILLION - 1) / MILLION",
+                                    "0")),
+                    of(
+                            "checked-when-queued",
+                            "an act is checked when it is queued, and begins when its turn comes",
+                            "timed held 35 1 STOPS 0 0 9 30"),
+                    of(
+                            "pause-longer",
+                            "a pause between check and act is longer than assumed",
+                            "timed held 35 1 STOPS 0 0 2 30"),
+                    of(
+                            "take-over-not-waited-out",
+                            "the new holder acts while acts of the old go on",
+                            STOPPED + 30,
+                            in(
+                                    LEASE,
+                                    null,
+                                    "seen.released() ? 0 : terms.actsOut()",
+                                    "seen.released() ? 0 : 0")),
+                    of(
+                            "take-over-passed-on",
+                            "a new holder that leaves at once hides that acts of the old go on",
+                            LEAVING + 24,
+                            in(LEASE, null, "Math.max(notBefore, actFrom)", "notBefore")),
+                    of(
+                            "shrunk-at-once",
+                            "a part that shrinks is given to another while acts under it go on",
+                            "timed held 35 0 - 1 0 1 24",
+                            in(LEASE, "public void giveUp(long now) {", " + terms.actsOut()", "")),
+                    of(
+                            "doubt-taken-for-held",
+                            "a renewal of which nothing is known extends the grant",
+                            "timed held 35 2 LOST,STOPS 0 0 1 27",
+                            in(
+                                    LEASE,
+                                    "public void unknown(long now, long question) {",
+                                    "Asked asked = open;",
+                                    "Asked asked = open; if (grant != null && asked != null &&"
+                                        + " asked.next != null) { lastWrite = asked; grant(now);"
+                                        + " }")),
+                    of(
+                            "renewed-by-pings",
+                            "a connection that is there again extends the grant",
+                            "timed held 35 2 DISCONNECTS 0 0 1 27",
+                            in(
+                                    LEASE,
+                                    null,
+                                    "connected = true;\n        current",
+                                    "connected = true; if (grant != null) { grant = new"
+                                            + " Grant(grant.token(), grant.from(), now +"
+                                            + " terms.actFor()); }\n"
+                                            + "        current")),
+                    of(
+                            "token-repeats",
+                            "a new holder goes on with the token of the old",
+                            "fenced held 44 1 STOPS 0 0 1 24",
+                            in(LEASE, null, "(giving || grant != null ? 0 : 1)", "0")),
+                    of(
+                            "release-undone",
+                            "a late renewal undoes a release",
+                            "timed held 35 0 - 1 1 1 18",
+                            in(
+                                    LEASE,
+                                    null,
+                                    "lastWrite.question > soughtAt",
+                                    "lastWrite.question > 0"),
+                            in(LEASE, null, "proven && !giving", "proven")),
+                    of(
+                            "written-whatever-the-version",
+                            "a late write undoes what came after",
+                            "timed held 35 1 DELAYED 1 1 1 18",
+                            in(LEASE, null, "seen == null ? -1 : seen.version()", "-2")),
+                    of(
+                            "parts-rounded-up",
+                            "what is left over is given to each",
+                            Parts.WORDS,
+                            in(
+                                    "lease/Shares",
+                                    null,
+                                    "whole * permits.usable(now, lasting)",
+                                    "(whole * permits.usable(now, lasting) +"
+                                            + " permits.leases().size() - 1)")));
 
     private static Assumption of(String name, String what, String scope, Edit... edits) {
         return new Assumption(name, what, scope, Arrays.asList(edits));
--- a/rig/src/main/java/appleridge/rig/lease/CheckLeases.java
+++ b/rig/src/main/java/appleridge/rig/lease/CheckLeases.java
@@ -10,17 +10,25 @@
 
 /** The command line that explores the lease, and what is left of it without each assumption. */
 public final class CheckLeases {
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             usage: check-leases [--deeper N] [--stories] [NAME...]
               explores the product's lease in every order of events, to a depth of each \
               scope and N deeper;
               then without the assumptions of these names, or each: a story must come of it
             """;
+
     /** Two holders and three, clocks at their bounds or alike. */
-    private static final List<String> SOUND = List.of("timed held 35 1 all 0 0 1 26",
-            "timed asked 35 1 all 1 1 1 13", "timed held 53 2 all 0 0 1 13", "timed held 44 1 all 1 1 1 12",
-            "timed asked 355 1 all 0 0 1 12", "timed held 345 1 all 1 0 1 10",
-            "fenced held 44 1 all 0 1 1 16", "fenced asked 444 1 all 1 0 1 10");
+    private static final List<String> SOUND =
+            List.of(
+                    "timed held 35 1 all 0 0 1 26",
+                    "timed asked 35 1 all 1 1 1 13",
+                    "timed held 53 2 all 0 0 1 13",
+                    "timed held 44 1 all 1 1 1 12",
+                    "timed asked 355 1 all 0 0 1 12",
+                    "timed held 345 1 all 1 0 1 10",
+                    "fenced held 44 1 all 0 1 1 16",
+                    "fenced asked 444 1 all 1 0 1 10");
 
     private final PrintStream out;
 
@@ -49,9 +57,15 @@
         }
         boolean asItShould = true;
         // What is found without an assumption says little unless nothing is found there with it.
-        List<String> scopes = Stream.concat(Assumption.ALL.stream().filter(its -> !its.edits().isEmpty())
-                .map(Assumption::scope).filter(its -> !its.equals(Parts.WORDS)), SOUND.stream())
-                .distinct().toList();
+        List<String> scopes =
+                Stream.concat(
+                                Assumption.ALL.stream()
+                                        .filter(its -> !its.edits().isEmpty())
+                                        .map(Assumption::scope)
+                                        .filter(its -> !its.equals(Parts.WORDS)),
+                                SOUND.stream())
+                        .distinct()
+                        .toList();
         for (String sound : scopes) {
             Scope scope = Scope.of(sound);
             String said = Explorer.explore(scope.withDepth(scope.depth() + deeper).words());
@@ -65,8 +79,12 @@
         for (Assumption assumption : Assumption.ALL) {
             if (names.isEmpty() || names.contains(assumption.name())) {
                 String said = without(assumption, planter);
-                out.println(assumption.name() + ": " + assumption.what() + ": "
-                        + (stories ? said : said.lines().findFirst().orElse("")));
+                out.println(
+                        assumption.name()
+                                + ": "
+                                + assumption.what()
+                                + ": "
+                                + (stories ? said : said.lines().findFirst().orElse("")));
                 asItShould &= said.startsWith("broken");
             }
         }
@@ -76,8 +94,10 @@
     static String without(Assumption assumption, Planter planter) {
         try {
             ClassLoader loader = planter.plant(assumption.fault());
-            return (String) loader.loadClass(Explorer.class.getName()).getMethod("explore", String.class)
-                    .invoke(null, assumption.scope());
+            return (String)
+                    loader.loadClass(Explorer.class.getName())
+                            .getMethod("explore", String.class)
+                            .invoke(null, assumption.scope());
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(assumption.name(), e);
         }
--- a/rig/src/main/java/appleridge/rig/lease/Explorer.java
+++ b/rig/src/main/java/appleridge/rig/lease/Explorer.java
@@ -6,16 +6,20 @@
 import java.util.stream.IntStream;
 
 /**
- * Goes through every order of events, shallow ones first, each state once. States are told apart by 64 bits
- * of their keys: of ten million, two would be taken for one with a chance of three in a million.
+ * Goes through every order of events, shallow ones first, each state once. States are told apart by
+ * 64 bits of their keys: of ten million, two would be taken for one with a chance of three in a
+ * million.
  */
 public final class Explorer {
     /** The step that led here, and the state before. */
-    private record Trace(Trace before, byte step) { }
+    private record Trace(Trace before, byte step) {}
 
-    private record Reached(World world, Trace trace, long key) { }
+    private record Reached(World world, Trace trace, long key) {}
 
-    /** States of which the next ones are made side by side; they are looked at in order all the same. */
+    /**
+     * States of which the next ones are made side by side; they are looked at in order all the
+     * same.
+     */
     private static final int BATCH = 4096;
 
     private final Scope scope;
@@ -27,9 +31,13 @@
         permute(new int[scope.rates().length()], 0, 0);
     }
 
-    /** What came of it, in words that cross the border between loaders; a story if something broke. */
+    /**
+     * What came of it, in words that cross the border between loaders; a story if something broke.
+     */
     public static String explore(String scope) {
-        return scope.equals(Parts.WORDS) ? Parts.explore() : new Explorer(Scope.of(scope)).explore();
+        return scope.equals(Parts.WORDS)
+                ? Parts.explore()
+                : new Explorer(Scope.of(scope)).explore();
     }
 
     /** Only holders whose clocks run alike can be taken for one another. */
@@ -38,7 +46,8 @@
             ranks.add(rank.clone());
         }
         for (int place = 0; at < rank.length && place < rank.length; place++) {
-            if ((used & 1 << place) == 0 && scope.rates().charAt(place) == scope.rates().charAt(at)) {
+            if ((used & 1 << place) == 0
+                    && scope.rates().charAt(place) == scope.rates().charAt(at)) {
                 rank[at] = place;
                 permute(rank, at + 1, used | 1 << place);
             }
@@ -54,7 +63,8 @@
             List<Reached> next = new ArrayList<>();
             depth++;
             for (int from = 0; from < level.size(); from += BATCH) {
-                for (Reached reached : after(level.subList(from, Math.min(level.size(), from + BATCH)))) {
+                for (Reached reached :
+                        after(level.subList(from, Math.min(level.size(), from + BATCH)))) {
                     if (reached.world.broken() != null) {
                         return story(reached.trace, reached.world.broken(), depth);
                     }
@@ -65,17 +75,29 @@
             }
             level = next;
         }
-        return "sound: " + known.size() + " states to depth " + depth + (level.isEmpty() ? ", all" : "");
+        return "sound: "
+                + known.size()
+                + " states to depth "
+                + depth
+                + (level.isEmpty() ? ", all" : "");
     }
 
     private List<Reached> after(List<Reached> batch) {
-        return batch.parallelStream().flatMap(reached -> {
-            List<World.Step> steps = reached.world.steps();
-            return IntStream.range(0, steps.size()).mapToObj(i -> {
-                World world = reached.world.after(steps.get(i));
-                return new Reached(world, new Trace(reached.trace, (byte) i), key(world));
-            });
-        }).toList();
+        return batch.parallelStream()
+                .flatMap(
+                        reached -> {
+                            List<World.Step> steps = reached.world.steps();
+                            return IntStream.range(0, steps.size())
+                                    .mapToObj(
+                                            i -> {
+                                                World world = reached.world.after(steps.get(i));
+                                                return new Reached(
+                                                        world,
+                                                        new Trace(reached.trace, (byte) i),
+                                                        key(world));
+                                            });
+                        })
+                .toList();
     }
 
     private long key(World world) {
@@ -97,8 +119,15 @@
         for (Trace trace = last; trace != null; trace = trace.before) {
             steps.add(0, trace.step);
         }
-        StringBuilder story = new StringBuilder("broken: " + broken + ", at depth " + depth + " after "
-                + known.size() + " states\n");
+        StringBuilder story =
+                new StringBuilder(
+                        "broken: "
+                                + broken
+                                + ", at depth "
+                                + depth
+                                + " after "
+                                + known.size()
+                                + " states\n");
         World world = new World(scope);
         for (byte step : steps) {
             World.Step taken = world.steps().get(step);
--- a/rig/src/main/java/appleridge/rig/lease/Holder.java
+++ b/rig/src/main/java/appleridge/rig/lease/Holder.java
@@ -16,16 +16,23 @@
     final int rate;
     final Lease lease;
     private final Scope scope;
+
     /** What the event under way has sent. */
     final List<Message> sent = new ArrayList<>();
+
     boolean connected = true;
+
     /** Whether it stands still: it takes nothing in and does nothing. */
     boolean stopped;
+
     /** When an act was found to be allowed, and when it began; {@link #NONE} for not. */
     int checked = NONE;
+
     int begun = NONE;
+
     /** The token of a fenced act on its way. */
     long carried = NONE;
+
     long wakeAt = Long.MAX_VALUE;
 
     Holder(Scope scope, int index) {
@@ -76,12 +83,12 @@
     }
 
     @Override
-    public void granted(Grant grant) { }
+    public void granted(Grant grant) {}
 
     /** What has begun goes on to its end: the worst that a holder may do. */
     @Override
-    public void stopNow(Why why) { }
+    public void stopNow(Why why) {}
 
     @Override
-    public void line(boolean in) { }
+    public void line(boolean in) {}
 }
--- a/rig/src/main/java/appleridge/rig/lease/LeaseFields.java
+++ b/rig/src/main/java/appleridge/rig/lease/LeaseFields.java
@@ -13,22 +13,29 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Copies what a lease knows, and writes it down so that states come together which differ in nothing that
- * matters: times as how long ago, versions and questions by their order alone. So it takes two rounds: what
- * is there is gathered, then written.
+ * Copies what a lease knows, and writes it down so that states come together which differ in
+ * nothing that matters: times as how long ago, versions and questions by their order alone. So it
+ * takes two rounds: what is there is gathered, then written.
  */
 final class LeaseFields {
     /** What is longer ago can't be told apart by any wait of the terms, nor by sums of two. */
     private static final long LONG_AGO = -64;
-    private static final List<Field> FIELDS = Arrays.stream(Lease.class.getDeclaredFields())
-            .filter(field -> !Modifier.isStatic(field.getModifiers())
-                    && !Modifier.isFinal(field.getModifiers()))
-            .peek(field -> field.setAccessible(true)).toList();
+
+    private static final List<Field> FIELDS =
+            Arrays.stream(Lease.class.getDeclaredFields())
+                    .filter(
+                            field ->
+                                    !Modifier.isStatic(field.getModifiers())
+                                            && !Modifier.isFinal(field.getModifiers()))
+                    .peek(field -> field.setAccessible(true))
+                    .toList();
     private static final Map<Class<?>, Method[]> PARTS = new ConcurrentHashMap<>();
 
     private final StringBuilder key;
+
     /** New numbers of the holders, and the time by the clock of each. */
     private final int[] rank;
+
     private final long[] now;
     private final TreeSet<Long> versions = new TreeSet<>();
     private final TreeSet<Long>[] questions;
@@ -76,7 +83,10 @@
         }
         int process = entry.nonce().charAt(0) - 'a';
         version(entry.version());
-        key.append(entry.token()).append(' ').append(rank[process]).append(entry.released() ? "r " : " ");
+        key.append(entry.token())
+                .append(' ')
+                .append(rank[process])
+                .append(entry.released() ? "r " : " ");
         question(process, Long.parseLong(entry.nonce().substring(2)));
     }
 
@@ -105,17 +115,21 @@
             }
         } else if (value instanceof Long number && name.startsWith("token")) {
             key.append(number).append(' ');
-        } else if (value instanceof Long number && (name.startsWith("question") || name.equals("soughtAt"))) {
+        } else if (value instanceof Long number
+                && (name.startsWith("question") || name.equals("soughtAt"))) {
             question(holder, number);
         } else if (value instanceof Long time) {
-            key.append(time == Long.MAX_VALUE ? time : Math.max(LONG_AGO, time - now[holder])).append(' ');
+            key.append(time == Long.MAX_VALUE ? time : Math.max(LONG_AGO, time - now[holder]))
+                    .append(' ');
         } else {
             key.append(value instanceof Enum<?> constant ? constant.ordinal() : value).append(' ');
         }
     }
 
     private static Method[] parts(Class<?> type) {
-        return Arrays.stream(type.getRecordComponents()).map(RecordComponent::getAccessor)
-                .peek(part -> part.setAccessible(true)).toArray(Method[]::new);
+        return Arrays.stream(type.getRecordComponents())
+                .map(RecordComponent::getAccessor)
+                .peek(part -> part.setAccessible(true))
+                .toArray(Method[]::new);
     }
 }
--- a/rig/src/main/java/appleridge/rig/lease/LeaseStrike.java
+++ b/rig/src/main/java/appleridge/rig/lease/LeaseStrike.java
@@ -9,32 +9,32 @@
     /** SIGSTOP of the holder's {@code task} for half a term: it may go on. */
     STOPPED_HALF(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() / 2);
         }
     },
     /** For nine tenths of one: its command is ended, or just not. */
     STOPPED_NEARLY(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 9 / 10);
         }
     },
     /** For a little more than one. */
     STOPPED_LONGER(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 11 / 10);
         }
     },
     /** For four. */
     STOPPED_LONG(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 4);
         }
     },
@@ -55,8 +55,8 @@
     /** Its guardian is stopped, and the holder cut off from the store. */
     GUARDIAN_STOPPED(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             ProcessHandle guardian = fleet.tasks.get(holder).guardian().orElse(null);
             if (guardian != null) {
                 TaskProcess.signal(guardian.pid(), "STOP");
@@ -111,8 +111,8 @@
     /** The store is away for a moment. */
     RESTARTED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             fleet.server.stop();
             TimeUnit.MILLISECONDS.sleep(chance.nextInt(500));
             fleet.server.start();
@@ -128,8 +128,8 @@
     /** A waiter is stopped for half a term. */
     WAITER_STOPPED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             stop(fleet.tasks.get(other(fleet, holder, chance)), fleet.termMillis() / 2);
         }
     },
@@ -143,8 +143,8 @@
     /** The command ends well. */
     DONE(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-                InterruptedException {
+        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws IOException, InterruptedException {
             TaskProcess.signal(fleet.witness.pid(), "USR1");
         }
     };
@@ -156,8 +156,8 @@
         this.changes = changes;
     }
 
-    abstract void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws IOException,
-            InterruptedException;
+    abstract void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+            throws IOException, InterruptedException;
 
     /** Whether the holder gives the lease away itself. */
     boolean handsOver() {
@@ -168,7 +168,8 @@
         return (holder + 1 + chance.nextInt(fleet.tasks.size() - 1)) % fleet.tasks.size();
     }
 
-    private static void stop(TaskProcess task, long millis) throws IOException, InterruptedException {
+    private static void stop(TaskProcess task, long millis)
+            throws IOException, InterruptedException {
         task.signal("STOP");
         TimeUnit.MILLISECONDS.sleep(millis);
         task.signal("CONT");
--- a/rig/src/main/java/appleridge/rig/lease/LeaseWitness.java
+++ b/rig/src/main/java/appleridge/rig/lease/LeaseWitness.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is acted on: commands write their token and who they are to it, all the time. It keeps its own
- * record, by its own clock, and refuses nothing. Datagrams of a machine come in the order of their sending.
+ * What is acted on: commands write their token and who they are to it, all the time. It keeps its
+ * own record, by its own clock, and refuses nothing. Datagrams of a machine come in the order of
+ * their sending.
  */
 final class LeaseWitness implements AutoCloseable {
     /** From the last act under one token to the first under the next. */
@@ -60,9 +61,14 @@
             } catch (IOException e) {
                 return;
             }
-            String[] words = new String(packet.getData(), 0, packet.getLength(),
-                    StandardCharsets.US_ASCII).split(" ");
-            heard(Long.parseLong(words[0]), Long.parseLong(words[1]), words[2], Integer.parseInt(words[3]),
+            String[] words =
+                    new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII)
+                            .split(" ");
+            heard(
+                    Long.parseLong(words[0]),
+                    Long.parseLong(words[1]),
+                    words[2],
+                    Integer.parseInt(words[3]),
                     System.nanoTime());
         }
     }
@@ -92,8 +98,14 @@
             for (Path each : all) {
                 long its = tokenOf(each, lease);
                 if (its > 0 && its < newer) {
-                    findings.add("process " + each.getFileName() + " of token " + its
-                            + " is there after token " + newer + " has begun");
+                    findings.add(
+                            "process "
+                                    + each.getFileName()
+                                    + " of token "
+                                    + its
+                                    + " is there after token "
+                                    + newer
+                                    + " has begun");
                 }
             }
         } catch (IOException e) {
@@ -104,8 +116,10 @@
     /** 0 for none. */
     private static long tokenOf(Path process, String lease) {
         try {
-            String environment = new String(Files.readAllBytes(process.resolve("environ")),
-                    StandardCharsets.ISO_8859_1);
+            String environment =
+                    new String(
+                            Files.readAllBytes(process.resolve("environ")),
+                            StandardCharsets.ISO_8859_1);
             int at = ("\0" + environment).indexOf("\0APPLERIDGE_TOKEN=");
             if (at < 0 || !("\0" + environment).contains("\0APPLERIDGE_LEASE=" + lease + "\0")) {
                 return 0;
--- a/rig/src/main/java/appleridge/rig/lease/LeasesCommand.java
+++ b/rig/src/main/java/appleridge/rig/lease/LeasesCommand.java
@@ -15,12 +15,20 @@
 import org.HdrHistogram.Histogram;
 import org.apache.zookeeper.KeeperException;
 
-/** The command {@code leases}: real {@code task} processes take over from one another, by a seed's faults. */
+/**
+ * The command {@code leases}: real {@code task} processes take over from one another, by a seed's
+ * faults.
+ */
 public final class LeasesCommand {
-    private static final String USAGE = "usage: java -jar rig.jar leases [--changes 100] [--processes 8]"
-            + " [--seed 1] [--seconds 600] [--jar FILE]";
-    /** Beyond what is promised: starting a guardian on a busy machine, and finding the store again. */
+    private static final String USAGE =
+            "usage: java -jar rig.jar leases [--changes 100] [--processes 8]"
+                    + " [--seed 1] [--seconds 600] [--jar FILE]";
+
+    /**
+     * Beyond what is promised: starting a guardian on a busy machine, and finding the store again.
+     */
     private static final long LONGEST_MILLIS = 30_000;
+
     private static final int MOST_DWELL_MILLIS = 400;
     private static final long MOST_MILLIS = TimeUnit.HOURS.toMillis(1);
     private static final int DIGITS = 3;
@@ -31,6 +39,7 @@
     private final Histogram handedOver = new Histogram(MOST_MILLIS, DIGITS);
     private final Histogram lost = new Histogram(MOST_MILLIS, DIGITS);
     private final List<String> late = new ArrayList<>();
+
     /** Changes of which the time is in a histogram. */
     private int counted;
 
@@ -48,8 +57,8 @@
             int seconds = number(args, "--seconds", 600);
             Path jar = Path.of(word(args, "--jar", besideOurs()));
             if (args.length % 2 != 0 || processes < 2 || !Files.isRegularFile(jar)) {
-                throw new IllegalArgumentException(processes < 2 ? "--processes is less than 2"
-                        : "no such file: " + jar);
+                throw new IllegalArgumentException(
+                        processes < 2 ? "--processes is less than 2" : "no such file: " + jar);
             }
             return run(jar, processes, changes, seed, TimeUnit.SECONDS.toNanos(seconds));
         } catch (IllegalArgumentException e) {
@@ -65,17 +74,19 @@
         }
     }
 
-    private int run(Path jar, int processes, int changes, long seed, long longest) throws IOException,
-            InterruptedException, KeeperException {
+    private int run(Path jar, int processes, int changes, long seed, long longest)
+            throws IOException, InterruptedException, KeeperException {
         SplittableRandom chance = new SplittableRandom(seed);
         long by = System.nanoTime() + longest;
-        try (TaskFleet fleet = new TaskFleet(jar, processes, TaskFleet.SHORT_MILLIS,
-                TaskFleet.Manner.values())) {
+        try (TaskFleet fleet =
+                new TaskFleet(jar, processes, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.values())) {
             for (TaskProcess each : fleet.tasks) {
                 each.start();
             }
             boolean goesOn = fleet.witness.awaitAbove(0, LONGEST_MILLIS);
-            while (goesOn && fleet.witness.changes().size() < changes && System.nanoTime() < by
+            while (goesOn
+                    && fleet.witness.changes().size() < changes
+                    && System.nanoTime() < by
                     && fleet.witness.findings().isEmpty()) {
                 goesOn = strike(fleet, chance);
             }
@@ -85,8 +96,8 @@
     }
 
     /** One strike and what follows; false if nobody acts any more. */
-    private boolean strike(TaskFleet fleet, SplittableRandom chance) throws IOException,
-            InterruptedException {
+    private boolean strike(TaskFleet fleet, SplittableRandom chance)
+            throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(chance.nextInt(MOST_DWELL_MILLIS));
         if (!fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS)) {
             return false;
@@ -95,8 +106,10 @@
         long token = fleet.witness.token();
         strikes.merge(strike, 1, Integer::sum);
         strike.hit(fleet, fleet.witness.holder(), chance);
-        boolean goesOn = strike.changes ? fleet.witness.awaitAbove(token, LONGEST_MILLIS)
-                : fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS);
+        boolean goesOn =
+                strike.changes
+                        ? fleet.witness.awaitAbove(token, LONGEST_MILLIS)
+                        : fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS);
         for (TaskProcess each : fleet.tasks) {
             if (!each.alive()) {
                 each.start();
@@ -117,15 +130,26 @@
     private int report(TaskFleet fleet, boolean goesOn, boolean gone) throws IOException {
         List<String> findings = fleet.witness.findings();
         out.println("strikes: " + strikes.toString().toLowerCase(Locale.ROOT));
-        out.println(fleet.witness.changes().size() + " changes of holder, " + fleet.witness.acts()
-                + " acts; overlaps and old tokens: " + findings.size()
-                + (gone ? "" : "; something was left at the end")
-                + (goesOn ? "" : "; at the end nobody acted for " + LONGEST_MILLIS + " ms"));
+        out.println(
+                fleet.witness.changes().size()
+                        + " changes of holder, "
+                        + fleet.witness.acts()
+                        + " acts; overlaps and old tokens: "
+                        + findings.size()
+                        + (gone ? "" : "; something was left at the end")
+                        + (goesOn
+                                ? ""
+                                : "; at the end nobody acted for " + LONGEST_MILLIS + " ms"));
         findings.forEach(each -> out.println("  " + each));
         out.println("without a holder after it gave the lease away: " + text(handedOver));
         out.println("without a holder after it was lost: " + text(lost));
-        out.println("promised: " + TaskFleet.promisedMillis(TaskFleet.SHORT_MILLIS)
-                + " ms and what the store takes to answer; longer: " + late.size() + " " + late);
+        out.println(
+                "promised: "
+                        + TaskFleet.promisedMillis(TaskFleet.SHORT_MILLIS)
+                        + " ms and what the store takes to answer; longer: "
+                        + late.size()
+                        + " "
+                        + late);
         boolean held = findings.isEmpty() && gone && goesOn;
         if (!held) {
             for (TaskProcess each : fleet.tasks) {
@@ -137,9 +161,16 @@
     }
 
     private static String text(Histogram times) {
-        return times.getTotalCount() + " times, median " + times.getValueAtPercentile(50) + ", p90 "
-                + times.getValueAtPercentile(90) + ", p99 " + times.getValueAtPercentile(99) + ", largest "
-                + times.getMaxValue() + " ms";
+        return times.getTotalCount()
+                + " times, median "
+                + times.getValueAtPercentile(50)
+                + ", p90 "
+                + times.getValueAtPercentile(90)
+                + ", p99 "
+                + times.getValueAtPercentile(99)
+                + ", largest "
+                + times.getMaxValue()
+                + " ms";
     }
 
     private static int number(String[] args, String name, int usual) {
@@ -161,8 +192,14 @@
 
     private static String besideOurs() {
         try {
-            return Path.of(LeasesCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI())
-                    .resolveSibling(Path.of("..", "..", "sidecar", "target", "appleridge.jar")).normalize()
+            return Path.of(
+                            LeasesCommand.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI())
+                    .resolveSibling(Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
+                    .normalize()
                     .toString();
         } catch (URISyntaxException e) {
             throw new IllegalArgumentException("--jar is needed", e);
--- a/rig/src/main/java/appleridge/rig/lease/Message.java
+++ b/rig/src/main/java/appleridge/rig/lease/Message.java
@@ -9,7 +9,14 @@
  * @param late whether time may go on before it arrives
  */
 record Message(Kind kind, int holder, long question, long version, Entry entry, boolean late) {
-    enum Kind { READ, WRITE, RECORD, WRITTEN, CONFLICT, UNKNOWN }
+    enum Kind {
+        READ,
+        WRITE,
+        RECORD,
+        WRITTEN,
+        CONFLICT,
+        UNKNOWN
+    }
 
     boolean isRequest() {
         return kind == Kind.READ || kind == Kind.WRITE;
--- a/rig/src/main/java/appleridge/rig/lease/Parts.java
+++ b/rig/src/main/java/appleridge/rig/lease/Parts.java
@@ -17,10 +17,11 @@
     private static final Terms TERMS = Terms.fenced(100, 0, 0, 30);
     private static final int MOST_PERMITS = 5;
     private static final int MOST_WHOLE = 12;
+
     /** A permit is the first one's, the second one's, or nobody's. */
     private static final int OWNERS = 3;
 
-    private Parts() { }
+    private Parts() {}
 
     static String explore() {
         int ways = 0;
@@ -33,7 +34,12 @@
                         sum += new Shares(whole, permits).part(1, 0);
                     }
                     if (sum > whole) {
-                        return "broken: parts sum to " + sum + " of " + whole + ", with " + count
+                        return "broken: parts sum to "
+                                + sum
+                                + " of "
+                                + whole
+                                + ", with "
+                                + count
                                 + " permits\n";
                     }
                     ways++;
@@ -48,7 +54,8 @@
         for (int i = 0, rest = way; i < count; i++, rest /= OWNERS) {
             owners.add(rest % OWNERS);
         }
-        Permits permits = new Permits(count, i -> new Lease(TERMS, "", owner + "-" + i, new Nothing()));
+        Permits permits =
+                new Permits(count, i -> new Lease(TERMS, "", owner + "-" + i, new Nothing()));
         permits.want(0, count);
         for (int i = 0; i < count; i++) {
             if (owners.get(i) == owner) {
@@ -64,21 +71,21 @@
     /** What a lease asks is known: first a read, then a write. */
     private static final class Nothing implements LeaseActions {
         @Override
-        public void read(long question) { }
+        public void read(long question) {}
 
         @Override
-        public void write(long question, long expectedVersion, Entry next) { }
+        public void write(long question, long expectedVersion, Entry next) {}
 
         @Override
-        public void wakeAt(long at) { }
+        public void wakeAt(long at) {}
 
         @Override
-        public void granted(Grant grant) { }
+        public void granted(Grant grant) {}
 
         @Override
-        public void stopNow(Why why) { }
+        public void stopNow(Why why) {}
 
         @Override
-        public void line(boolean in) { }
+        public void line(boolean in) {}
     }
 }
--- a/rig/src/main/java/appleridge/rig/lease/TaskFleet.java
+++ b/rig/src/main/java/appleridge/rig/lease/TaskFleet.java
@@ -19,8 +19,8 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Some {@code task} processes that seek one lease on a stand-in, each through a relay of its own, and the
- * witness that their commands act on. Closed, nothing of it is left.
+ * Some {@code task} processes that seek one lease on a stand-in, each through a relay of its own,
+ * and the witness that their commands act on. Closed, nothing of it is left.
  */
 final class TaskFleet implements AutoCloseable {
     /** What the command does beside acting all the time. */
@@ -35,14 +35,17 @@
 
     /** The shortest term that the other times below allow. */
     static final int SHORT_MILLIS = 2000;
+
     /** Of a term, the longest time without a holder after one has died: by check-config. */
     static long promisedMillis(int termMillis) {
         return (termMillis + 1500) * 101L / 100 + 200;
     }
 
-    private static final String TIMES = "renew-every = \"400ms\"\nguard = \"200ms\"\nkill-after = \"300ms\"\n"
-            + "longest-act = \"1s\"\nlongest-pause = \"500ms\"\nsession-timeout = \"2s\"\n";
-    private static final String ACTS = """
+    private static final String TIMES =
+            "renew-every = \"400ms\"\nguard = \"200ms\"\nkill-after = \"300ms\"\n"
+                    + "longest-act = \"1s\"\nlongest-pause = \"500ms\"\nsession-timeout = \"2s\"\n";
+    private static final String ACTS =
+            """
             use IO::Socket::INET; use POSIX;
             my ($port, $manner, $number) = @ARGV;
             # Not of the block: Perl would close them at its end, and the command be \
@@ -70,15 +73,16 @@
     final LeaseWitness witness;
     final List<TaskProcess> tasks = new ArrayList<>();
     final List<Relay> relays = new ArrayList<>();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("relays", true), NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(
+                    1, new DefaultThreadFactory("relays", true), NioIoHandler.newFactory());
     private final Path folder;
     private final String lease;
     private final int termMillis;
     private final Thread atExit = new Thread(this::kill, "fleet's end");
 
-    TaskFleet(Path jar, int size, int termMillis, Manner... manners) throws IOException, InterruptedException,
-            KeeperException {
+    TaskFleet(Path jar, int size, int termMillis, Manner... manners)
+            throws IOException, InterruptedException, KeeperException {
         this.termMillis = termMillis;
         Runtime.getRuntime().addShutdownHook(atExit);
         folder = Files.createTempDirectory("leases");
@@ -88,16 +92,33 @@
         ground();
         Path script = Files.writeString(folder.resolve("acts.pl"), ACTS);
         for (int i = 0; i < size; i++) {
-            Relay relay = new Relay(group.next(), new RealTime(), server.address(), (what, at) -> { });
+            Relay relay =
+                    new Relay(group.next(), new RealTime(), server.address(), (what, at) -> {});
             relay.listen();
             relays.add(relay);
-            Path operator = Files.writeString(folder.resolve("operator" + i + ".toml"),
-                    "version = 1\n[leases]\nservers = [\"127.0.0.1:" + relay.address().getPort()
-                    + "\"]\nroot = \"" + ROOT + "\"\nterm = \"" + termMillis + "ms\"\n" + TIMES);
-            tasks.add(new TaskProcess(jar, operator, lease, List.of("perl", script.toString(),
-                    Integer.toString(witness.port()), manners[i % manners.length].name(),
-                    Integer.toString(i)),
-                    folder.resolve("task" + i + ".log")));
+            Path operator =
+                    Files.writeString(
+                            folder.resolve("operator" + i + ".toml"),
+                            "version = 1\n[leases]\nservers = [\"127.0.0.1:"
+                                    + relay.address().getPort()
+                                    + "\"]\nroot = \""
+                                    + ROOT
+                                    + "\"\nterm = \""
+                                    + termMillis
+                                    + "ms\"\n"
+                                    + TIMES);
+            tasks.add(
+                    new TaskProcess(
+                            jar,
+                            operator,
+                            lease,
+                            List.of(
+                                    "perl",
+                                    script.toString(),
+                                    Integer.toString(witness.port()),
+                                    manners[i % manners.length].name(),
+                                    Integer.toString(i)),
+                            folder.resolve("task" + i + ".log")));
         }
     }
 
--- a/rig/src/main/java/appleridge/rig/lease/TaskProcess.java
+++ b/rig/src/main/java/appleridge/rig/lease/TaskProcess.java
@@ -10,9 +10,14 @@
 
 /** One {@code task} of the packaged jar, which is started again and again. */
 final class TaskProcess {
-    private static final List<String> FLAGS = List.of("-Xmx40m", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData",
-            "-Djava.util.logging.SimpleFormatter.format=%1$tT.%1$tL %5$s%n");
+    private static final List<String> FLAGS =
+            List.of(
+                    "-Xmx40m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData",
+                    "-Djava.util.logging.SimpleFormatter.format=%1$tT.%1$tL %5$s%n");
     private static final int ENDS_SECONDS = 20;
 
     private final Path jar;
@@ -34,11 +39,22 @@
         List<String> words = new ArrayList<>();
         words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         words.addAll(FLAGS);
-        words.addAll(List.of("-jar", jar.toString(), "task", "--operator", operator.toString(), "--lease",
-                lease, "--"));
+        words.addAll(
+                List.of(
+                        "-jar",
+                        jar.toString(),
+                        "task",
+                        "--operator",
+                        operator.toString(),
+                        "--lease",
+                        lease,
+                        "--"));
         words.addAll(command);
-        process = new ProcessBuilder(words).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
+        process =
+                new ProcessBuilder(words)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+                        .start();
     }
 
     boolean alive() {
@@ -67,8 +83,11 @@
     }
 
     static void signal(long pid, String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(pid)).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(pid))
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start()
+                .waitFor();
     }
 
     /** How it ended; -1 if it had to be killed. */
--- a/rig/src/main/java/appleridge/rig/lease/World.java
+++ b/rig/src/main/java/appleridge/rig/lease/World.java
@@ -9,19 +9,38 @@
 import java.util.Objects;
 import java.util.stream.LongStream;
 
-/** All of it at one moment: holders, the store's record, what is on its way. Not changed once it is made. */
+/**
+ * All of it at one moment: holders, the store's record, what is on its way. Not changed once it is
+ * made.
+ */
 final class World {
     /** What a step does; in the order in which they are tried. */
     enum Kind {
-        ARRIVES, LOST, UNANSWERED, DELAYED, DOUBLED, WAKES, CHECKS, BEGINS, REACHES, LEAVES, GIVES_UP,
-        ASKS_AGAIN, HEARS, DISCONNECTS, CONNECTS, STOPS, GOES_ON, TICK
+        ARRIVES,
+        LOST,
+        UNANSWERED,
+        DELAYED,
+        DOUBLED,
+        WAKES,
+        CHECKS,
+        BEGINS,
+        REACHES,
+        LEAVES,
+        GIVES_UP,
+        ASKS_AGAIN,
+        HEARS,
+        DISCONNECTS,
+        CONNECTS,
+        STOPS,
+        GOES_ON,
+        TICK
     }
 
     /** One event; the message is null where it is about none. */
-    record Step(Kind kind, int holder, Message message) { }
+    record Step(Kind kind, int holder, Message message) {}
 
     /** A write that changed the holder; the later, the newer. */
-    private record TakeOver(int holder, long token) { }
+    private record TakeOver(int holder, long token) {}
 
     /** A version that no sound lease expects: the write is done whatever the store has. */
     private static final long WHATEVER = -2;
@@ -35,9 +54,12 @@
     private int faults;
     private int leaves;
     private int again;
+
     /** The newest that the fenced thing has taken: its token, and which take-over it came from. */
     private long taken;
+
     private int takenFrom = Holder.NONE;
+
     /** What is broken; null for nothing. */
     private String broken;
 
@@ -55,8 +77,10 @@
             seek(holders[i]);
         }
         while (scope.held() && holders[0].lease.grant() == null) {
-            take(Kind.ARRIVES, holders[0], messages.stream().filter(its -> its.holder() == 0).findFirst()
-                    .orElseThrow());
+            take(
+                    Kind.ARRIVES,
+                    holders[0],
+                    messages.stream().filter(its -> its.holder() == 0).findFirst().orElseThrow());
         }
     }
 
@@ -125,10 +149,13 @@
     }
 
     private void faultsOf(Message message, List<Step> steps) {
-        List<Kind> faults = message.isRequest()
-                ? List.of(Kind.LOST, Kind.UNANSWERED, Kind.DELAYED, Kind.DOUBLED) : List.of(Kind.DELAYED);
+        List<Kind> faults =
+                message.isRequest()
+                        ? List.of(Kind.LOST, Kind.UNANSWERED, Kind.DELAYED, Kind.DOUBLED)
+                        : List.of(Kind.DELAYED);
         int holder = message.holder();
-        faults.stream().filter(fault -> scope.has(fault, holder))
+        faults.stream()
+                .filter(fault -> scope.has(fault, holder))
                 .forEach(fault -> steps.add(new Step(fault, holder, message)));
     }
 
@@ -137,18 +164,31 @@
         boolean isIdle = holder.isIdle(tick);
         boolean isAway = state == State.LOST || state == State.RELEASED;
         add(steps, Kind.WAKES, holder, now(holder) >= holder.wakeAt);
-        add(steps, Kind.CHECKS, holder, isIdle
-                && readings(holder).anyMatch(at -> holder.lease.mayBegin(at, 0)));
+        add(
+                steps,
+                Kind.CHECKS,
+                holder,
+                isIdle && readings(holder).anyMatch(at -> holder.lease.mayBegin(at, 0)));
         add(steps, Kind.BEGINS, holder, holder.checked != Holder.NONE);
         add(steps, Kind.REACHES, holder, holder.carried != Holder.NONE);
         add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != State.RELEASED);
-        add(steps, Kind.GIVES_UP, holder, leaves > 0 && !isIdle && state != State.RELEASED
-                && holder.checked == Holder.NONE);
+        add(
+                steps,
+                Kind.GIVES_UP,
+                holder,
+                leaves > 0 && !isIdle && state != State.RELEASED && holder.checked == Holder.NONE);
         add(steps, Kind.ASKS_AGAIN, holder, again > 0 && isAway);
         Entry seen = holder.lease.seen();
-        add(steps, Kind.HEARS, holder, state == State.SEEKING && seen != null && !seen.equals(record));
-        add(steps, Kind.DISCONNECTS, holder, faults > 0 && holder.connected
-                && scope.has(Kind.DISCONNECTS, holder.index));
+        add(
+                steps,
+                Kind.HEARS,
+                holder,
+                state == State.SEEKING && seen != null && !seen.equals(record));
+        add(
+                steps,
+                Kind.DISCONNECTS,
+                holder,
+                faults > 0 && holder.connected && scope.has(Kind.DISCONNECTS, holder.index));
         add(steps, Kind.CONNECTS, holder, !holder.connected);
         add(steps, Kind.STOPS, holder, faults > 0 && scope.has(Kind.STOPS, holder.index));
     }
@@ -245,17 +285,28 @@
             return request.answer(Message.Kind.CONFLICT, 0, null);
         }
         Entry next = request.entry();
-        boolean isRenewal = record != null && record.token() == next.token()
-                && record.nonce().charAt(0) == next.nonce().charAt(0);
+        boolean isRenewal =
+                record != null
+                        && record.token() == next.token()
+                        && record.nonce().charAt(0) == next.nonce().charAt(0);
         if (!isRenewal) {
             takeOvers.add(new TakeOver(request.holder(), next.token()));
         }
-        record = new Entry(version + 1, next.token(), next.holder(), next.nonce(),
-                next.term(), next.released());
+        record =
+                new Entry(
+                        version + 1,
+                        next.token(),
+                        next.holder(),
+                        next.nonce(),
+                        next.term(),
+                        next.released());
         return request.answer(Message.Kind.WRITTEN, record.version(), null);
     }
 
-    /** Danger: a holder that reads the time and then stands still believes that a record came long ago. */
+    /**
+     * Danger: a holder that reads the time and then stands still believes that a record came long
+     * ago.
+     */
     private void tell(Holder holder, Message answer) {
         long now = now(holder);
         long question = answer.question();
@@ -273,8 +324,12 @@
     }
 
     private void check(Holder holder) {
-        Act allowed = readings(holder).mapToObj(reading -> holder.lease.begin(reading, 0))
-                .filter(Objects::nonNull).findFirst().orElseThrow();
+        Act allowed =
+                readings(holder)
+                        .mapToObj(reading -> holder.lease.begin(reading, 0))
+                        .filter(Objects::nonNull)
+                        .findFirst()
+                        .orElseThrow();
         if (allowed instanceof Act.FencedAct act) {
             holder.carried = act.token();
         } else {
@@ -287,7 +342,11 @@
         holder.begun = tick;
         for (Holder other : holders) {
             if (other != holder && other.acts(tick)) {
-                broken = Holder.name(holder.index) + " acts while " + Holder.name(other.index) + " does";
+                broken =
+                        Holder.name(holder.index)
+                                + " acts while "
+                                + Holder.name(other.index)
+                                + " does";
             }
         }
     }
@@ -296,7 +355,10 @@
         int from = takeOvers.lastIndexOf(new TakeOver(holder.index, holder.carried));
         if (holder.carried >= taken) {
             if (from < takenFrom) {
-                broken = "an act of " + Holder.name(holder.index) + " is taken after one of a newer holder";
+                broken =
+                        "an act of "
+                                + Holder.name(holder.index)
+                                + " is taken after one of a newer holder";
             }
             taken = holder.carried;
             takenFrom = from;
@@ -316,16 +378,28 @@
     }
 
     private void write(LeaseFields fields, StringBuilder key, int... rank) {
-        key.append(faults).append(leaves).append(again).append(' ').append(taken).append(' ')
-                .append(takenFrom).append(' ');
+        key.append(faults)
+                .append(leaves)
+                .append(again)
+                .append(' ')
+                .append(taken)
+                .append(' ')
+                .append(takenFrom)
+                .append(' ');
         fields.entry(record);
-        takeOvers.forEach(its -> key.append(rank[its.holder]).append(':').append(its.token).append(' '));
+        takeOvers.forEach(
+                its -> key.append(rank[its.holder]).append(':').append(its.token).append(' '));
         for (int place = 0; place < rank.length; place++) {
             for (Holder holder : holders) {
                 if (rank[holder.index] == place) {
-                    key.append(holder.connected).append(holder.stopped).append(holder.carried).append(' ')
-                            .append(holder.checked == Holder.NONE ? 9 : holder.checked - tick).append(' ')
-                            .append(holder.acts(tick) ? holder.begun - tick : 9).append(' ');
+                    key.append(holder.connected)
+                            .append(holder.stopped)
+                            .append(holder.carried)
+                            .append(' ')
+                            .append(holder.checked == Holder.NONE ? 9 : holder.checked - tick)
+                            .append(' ')
+                            .append(holder.acts(tick) ? holder.begun - tick : 9)
+                            .append(' ');
                     fields.lease(holder.index, holder.lease);
                 }
             }
@@ -333,7 +407,9 @@
         int start = key.length();
         List<String> sent = new ArrayList<>();
         for (Message message : messages) {
-            key.append(message.kind().ordinal()).append(message.late()).append(rank[message.holder()]);
+            key.append(message.kind().ordinal())
+                    .append(message.late())
+                    .append(rank[message.holder()]);
             fields.version(message.version());
             fields.question(message.holder(), message.question());
             fields.entry(message.entry());
@@ -348,13 +424,37 @@
     String told(Step step) {
         String who = step.holder < 0 ? "" : Holder.name(step.holder);
         Message message = step.message;
-        String what = message == null ? "" : message.kind() + (message.entry() == null ? ""
-                : " " + message.entry().nonce() + " token " + message.entry().token()
-                + (message.entry().released() ? " released" : ""));
-        String clock = step.holder < 0 ? "" : " (its clock " + now(holders[step.holder]) + ", "
-                + holders[step.holder].lease.state() + ")";
-        return "tick " + tick + ": " + (step.kind == Kind.TICK ? "time goes on" : who + clock + " "
-                + step.kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
-                + (what.isEmpty() ? "" : ": " + what));
+        String what =
+                message == null
+                        ? ""
+                        : message.kind()
+                                + (message.entry() == null
+                                        ? ""
+                                        : " "
+                                                + message.entry().nonce()
+                                                + " token "
+                                                + message.entry().token()
+                                                + (message.entry().released() ? " released" : ""));
+        String clock =
+                step.holder < 0
+                        ? ""
+                        : " (its clock "
+                                + now(holders[step.holder])
+                                + ", "
+                                + holders[step.holder].lease.state()
+                                + ")";
+        return "tick "
+                + tick
+                + ": "
+                + (step.kind == Kind.TICK
+                        ? "time goes on"
+                        : who
+                                + clock
+                                + " "
+                                + step.kind
+                                        .name()
+                                        .toLowerCase(java.util.Locale.ROOT)
+                                        .replace('_', ' ')
+                                + (what.isEmpty() ? "" : ": " + what));
     }
 }
--- a/rig/src/main/java/appleridge/rig/loopback/BadClients.java
+++ b/rig/src/main/java/appleridge/rig/loopback/BadClients.java
@@ -19,10 +19,16 @@
 public final class BadClients {
     /** What is told of one that got neither an error nor a close in time. */
     public static final String LEFT_WAITING = "left waiting";
+
     private static final String HEAD = " HTTP/1.1\r\nHost: orders.svc\r\n";
     private static final String CHECK = "GET /api/stock-check" + HEAD + "X-Class: stock-check\r\n";
-    private static final String CONFIRM = "POST /api/order-confirm" + HEAD + "X-Class: order-confirm\r\n"
-            + "X-Request-Id: bad-client\r\nIdempotency-Key: bad-client\r\nX-Deadline: 1.0\r\n";
+    private static final String CONFIRM =
+            "POST /api/order-confirm"
+                    + HEAD
+                    + "X-Class: order-confirm\r\n"
+                    + "X-Request-Id: bad-client\r\n"
+                    + "Idempotency-Key: bad-client\r\n"
+                    + "X-Deadline: 1.0\r\n";
 
     private final EventLoop loop;
     private final InetSocketAddress sidecar;
@@ -39,14 +45,19 @@
         this.witness = witness;
         lines.put("noise", "\u0001\u0002 what is this?\r\n\r\n");
         lines.put("half a request", "POST /api/order-confirm HTTP/1.1\r\nX-Requ");
-        lines.put("a class that does not exist", "GET /api/gold" + HEAD
-                + "X-Class: gold\r\nX-Request-Id: bad-client\r\nX-Deadline: 1.0\r\n\r\n");
+        lines.put(
+                "a class that does not exist",
+                "GET /api/gold"
+                        + HEAD
+                        + "X-Class: gold\r\nX-Request-Id: bad-client\r\nX-Deadline: 1.0\r\n\r\n");
         lines.put("no id", CHECK + "X-Deadline: 0.4\r\n\r\n");
-        lines.put("a deadline that is no number", CHECK
-                + "X-Request-Id: bad-client\r\nX-Deadline: soon\r\n\r\n");
+        lines.put(
+                "a deadline that is no number",
+                CHECK + "X-Request-Id: bad-client\r\nX-Deadline: soon\r\n\r\n");
         lines.put("a huge length", CONFIRM + "Content-Length: 62914560\r\n\r\n{}");
-        lines.put("two ways to read a length", CONFIRM
-                + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
+        lines.put(
+                "two ways to read a length",
+                CONFIRM + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     }
 
     /** One of each kind connects and sends. */
@@ -61,17 +72,23 @@
 
     private void connect(String what, String text) {
         open++;
-        new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Owed(what, text));
-                    }
-                }).connect(sidecar).addListener(done -> {
-                    if (!done.isSuccess()) {
-                        ended(what, "no connection", false);
-                    }
-                });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline().addLast(new Owed(what, text));
+                            }
+                        })
+                .connect(sidecar)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                ended(what, "no connection", false);
+                            }
+                        });
     }
 
     private void ended(String what, String how, boolean served) {
--- a/rig/src/main/java/appleridge/rig/loopback/ClientConnection.java
+++ b/rig/src/main/java/appleridge/rig/loopback/ClientConnection.java
@@ -41,37 +41,53 @@
         head = null;
         body.setLength(0);
         Witness.Ask ask = next.ask();
-        channel.writeAndFlush(request(ask)).addListener(done -> {
-            if (!done.isSuccess()) {
-                channel.close();
-            } else if (exchange == next) {
-                written = true;
-                witness.taken(ask.id(), time.nanos());
-            }
-        });
+        channel.writeAndFlush(request(ask))
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                channel.close();
+                            } else if (exchange == next) {
+                                written = true;
+                                witness.taken(ask.id(), time.nanos());
+                            }
+                        });
         if (exchange == next) {
-            patience = channel.eventLoop().schedule(() -> end(next.leaves() < next.listens()
-                    ? Witness.Ending.GAVE_UP : Witness.Ending.SILENT),
-                    Math.min(next.leaves(), next.listens()), TimeUnit.NANOSECONDS);
+            patience =
+                    channel.eventLoop()
+                            .schedule(
+                                    () ->
+                                            end(
+                                                    next.leaves() < next.listens()
+                                                            ? Witness.Ending.GAVE_UP
+                                                            : Witness.Ending.SILENT),
+                                    Math.min(next.leaves(), next.listens()),
+                                    TimeUnit.NANOSECONDS);
         }
     }
 
     private static ByteBuf request(Witness.Ask ask) {
         boolean safe = ask.kind().repeats() == RequestKind.Repeats.SAFE;
-        StringBuilder text = new StringBuilder(safe ? "GET " : "POST ").append(ask.kind().path())
-                .append(" HTTP/1.1\r\nHost: orders.svc\r\nX-Request-Id: ").append(ask.id())
-                .append("\r\nX-Class: ").append(ask.kind().name())
-                .append("\r\nX-Tenant: ").append(ask.wholesaler())
-                .append("\r\nX-Deadline: ")
-                .append(TimeUnit.NANOSECONDS.toMillis(ask.patience()) / 1000.0);
+        StringBuilder text =
+                new StringBuilder(safe ? "GET " : "POST ")
+                        .append(ask.kind().path())
+                        .append(" HTTP/1.1\r\nHost: orders.svc\r\nX-Request-Id: ")
+                        .append(ask.id())
+                        .append("\r\nX-Class: ")
+                        .append(ask.kind().name())
+                        .append("\r\nX-Tenant: ")
+                        .append(ask.wholesaler())
+                        .append("\r\nX-Deadline: ")
+                        .append(TimeUnit.NANOSECONDS.toMillis(ask.patience()) / 1000.0);
         if (ask.key() != null) {
             text.append("\r\nIdempotency-Key: ").append(ask.key());
         }
-        String order = safe ? "" : "{\"part\":\"chain-11\",\"dealer\":\"" + ask.wholesaler() + "\"}";
+        String order =
+                safe ? "" : "{\"part\":\"chain-11\",\"dealer\":\"" + ask.wholesaler() + "\"}";
         if (!safe) {
             text.append("\r\nContent-Length: ").append(order.length());
         }
-        return Unpooled.copiedBuffer(text.append("\r\n\r\n").append(order), StandardCharsets.US_ASCII);
+        return Unpooled.copiedBuffer(
+                text.append("\r\n\r\n").append(order), StandardCharsets.US_ASCII);
     }
 
     void close() {
@@ -115,8 +131,9 @@
 
     private long retryAfter() {
         try {
-            return (long) (Double.parseDouble(head.headers().get(HttpHeaderNames.RETRY_AFTER, "-1"))
-                    * TimeUnit.SECONDS.toNanos(1));
+            return (long)
+                    (Double.parseDouble(head.headers().get(HttpHeaderNames.RETRY_AFTER, "-1"))
+                            * TimeUnit.SECONDS.toNanos(1));
         } catch (NumberFormatException e) {
             return -1;
         }
--- a/rig/src/main/java/appleridge/rig/loopback/ColdStart.java
+++ b/rig/src/main/java/appleridge/rig/loopback/ColdStart.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** What a fresh server can do while it warms up, and how near the work sent to it comes to tipping it. */
+/**
+ * What a fresh server can do while it warms up, and how near the work sent to it comes to tipping
+ * it.
+ */
 public final class ColdStart {
     /**
      * A kind of machine; times in nanoseconds.
@@ -15,11 +18,16 @@
      */
     public record Figures(int cores, double coldShare, long ramp, double factor, long tipAfter) {
         /** The ordering platform's machines. */
-        public static final Figures USUAL = new Figures(3, 0.39, TimeUnit.MILLISECONDS.toNanos(7400), 4,
-                TimeUnit.MILLISECONDS.toNanos(1500));
+        public static final Figures USUAL =
+                new Figures(
+                        3,
+                        0.39,
+                        TimeUnit.MILLISECONDS.toNanos(7400),
+                        4,
+                        TimeUnit.MILLISECONDS.toNanos(1500));
     }
 
-    private record Sent(long at, double work) { }
+    private record Sent(long at, double work) {}
 
     private final Figures figures;
     private final boolean cold;
@@ -39,7 +47,10 @@
         return !cold || passed >= 1 ? 1 : figures.coldShare() + (1 - figures.coldShare()) * passed;
     }
 
-    /** Takes a request's work in; returns all that came lately as a part of what tips it, 0 once warm. */
+    /**
+     * Takes a request's work in; returns all that came lately as a part of what tips it, 0 once
+     * warm.
+     */
     public double sent(long now, double work) {
         if (share(now) >= 1) {
             return 0;
--- a/rig/src/main/java/appleridge/rig/loopback/Listener.java
+++ b/rig/src/main/java/appleridge/rig/loopback/Listener.java
@@ -39,33 +39,43 @@
 
     /** Listens on this port as soon as it is free: what held it last may not be gone altogether. */
     void listen(int port, Runnable listening) {
-        bind(port).addListener(done -> {
-            if (done.isSuccess()) {
-                channel = ((ChannelFuture) done).channel();
-                if (closed) {
-                    channel.close();
-                } else {
-                    listening.run();
-                }
-            } else if (!closed) {
-                loop.schedule(() -> listen(port, listening), AGAIN_MILLIS, TimeUnit.MILLISECONDS);
-            }
-        });
+        bind(port)
+                .addListener(
+                        done -> {
+                            if (done.isSuccess()) {
+                                channel = ((ChannelFuture) done).channel();
+                                if (closed) {
+                                    channel.close();
+                                } else {
+                                    listening.run();
+                                }
+                            } else if (!closed) {
+                                loop.schedule(
+                                        () -> listen(port, listening),
+                                        AGAIN_MILLIS,
+                                        TimeUnit.MILLISECONDS);
+                            }
+                        });
     }
 
     private ChannelFuture bind(int port) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel accepted) {
-                        connections.add(accepted);
-                        accepted.closeFuture().addListener(done -> connections.remove(accepted));
-                        install.accept(accepted);
-                        accepted.pipeline().addLast(new Deaf());
-                    }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel accepted) {
+                                connections.add(accepted);
+                                accepted.closeFuture()
+                                        .addListener(done -> connections.remove(accepted));
+                                install.accept(accepted);
+                                accepted.pipeline().addLast(new Deaf());
+                            }
+                        })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     int port() {
--- a/rig/src/main/java/appleridge/rig/loopback/LoadReport.java
+++ b/rig/src/main/java/appleridge/rig/loopback/LoadReport.java
@@ -7,6 +7,7 @@
 final class LoadReport {
     /** Names of the figures. */
     static final List<String> FIELDS = List.of("qps", "latency_ms", "eps", "queue");
+
     private static final long PERIOD = TimeUnit.MILLISECONDS.toNanos(100);
 
     private String text = "qps=0,latency_ms=0,eps=0,queue=0";
@@ -25,9 +26,17 @@
         long passed = now - since;
         if (passed >= PERIOD) {
             double seconds = passed / (double) TimeUnit.SECONDS.toNanos(1);
-            long latency = answers == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis((long) (work / answers));
-            text = "qps=" + Math.round(answers / seconds) + ",latency_ms=" + latency + ",eps="
-                    + Math.round(errors / seconds) + ",queue=" + queue;
+            long latency =
+                    answers == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis((long) (work / answers));
+            text =
+                    "qps="
+                            + Math.round(answers / seconds)
+                            + ",latency_ms="
+                            + latency
+                            + ",eps="
+                            + Math.round(errors / seconds)
+                            + ",queue="
+                            + queue;
             since = now;
             answers = 0;
             errors = 0;
--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackClient.java
+++ b/rig/src/main/java/appleridge/rig/loopback/LoopbackClient.java
@@ -20,21 +20,36 @@
     private final Bootstrap bootstrap;
     private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
-    LoopbackClient(EventLoop loop, RealTime time, InetSocketAddress sidecar, LoopbackClients all,
+    LoopbackClient(
+            EventLoop loop,
+            RealTime time,
+            InetSocketAddress sidecar,
+            LoopbackClients all,
             Witness witness) {
         this.time = time;
         this.all = all;
         this.witness = witness;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).remoteAddress(sidecar)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpResponseDecoder(),
-                                new ClientConnection(LoopbackClient.this, time, witness, channel));
-                    }
-                });
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .remoteAddress(sidecar)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpResponseDecoder(),
+                                                        new ClientConnection(
+                                                                LoopbackClient.this,
+                                                                time,
+                                                                witness,
+                                                                channel));
+                                    }
+                                });
     }
 
     /** Sends it; the client leaves after so many nanoseconds, or stops listening for the answer. */
@@ -48,17 +63,26 @@
         }
     }
 
-    /** On a connection of its own: the first one, or because a kept one ended as the request was sent. */
+    /**
+     * On a connection of its own: the first one, or because a kept one ended as the request was
+     * sent.
+     */
     void askAnew(Exchange exchange) {
-        bootstrap.connect().addListener(done -> {
-            Channel channel = ((ChannelFuture) done).channel();
-            if (done.isSuccess()) {
-                channel.pipeline().get(ClientConnection.class).send(exchange);
-            } else {
-                witness.ended(exchange.ask().id(), Witness.Ending.NOT_TAKEN, time.nanos());
-                over(exchange, false, 0);
-            }
-        });
+        bootstrap
+                .connect()
+                .addListener(
+                        done -> {
+                            Channel channel = ((ChannelFuture) done).channel();
+                            if (done.isSuccess()) {
+                                channel.pipeline().get(ClientConnection.class).send(exchange);
+                            } else {
+                                witness.ended(
+                                        exchange.ask().id(),
+                                        Witness.Ending.NOT_TAKEN,
+                                        time.nanos());
+                                over(exchange, false, 0);
+                            }
+                        });
     }
 
     void over(Exchange exchange, boolean refused, long wait) {
@@ -78,5 +102,5 @@
     }
 
     /** A request and how long its client stays, in nanoseconds from its sending. */
-    record Exchange(Witness.Ask ask, long leaves, long listens) { }
+    record Exchange(Witness.Ask ask, long leaves, long listens) {}
 }
--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackClients.java
+++ b/rig/src/main/java/appleridge/rig/loopback/LoopbackClients.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The applications beside a sidecar: they ask at random times, whether or not earlier requests are answered,
- * and after a refusal once more. Lives on its event loop.
+ * The applications beside a sidecar: they ask at random times, whether or not earlier requests are
+ * answered, and after a refusal once more. Lives on its event loop.
  */
 public final class LoopbackClients {
     /**
@@ -20,11 +20,15 @@
      * @param impatient the part of requests whose client leaves before its time is over
      * @param overtime how long beyond its time a client goes on listening, in nanoseconds
      */
-    public record Habits(int clients, double rate, double impatient, long overtime) { }
+    public record Habits(int clients, double rate, double impatient, long overtime) {}
 
     private static final int SECOND = 1_000_000_000;
-    /** After the process stood still for longer, what should have been asked meanwhile is left out. */
+
+    /**
+     * After the process stood still for longer, what should have been asked meanwhile is left out.
+     */
     private static final long CATCHES_UP = TimeUnit.MILLISECONDS.toNanos(250);
+
     private static final long USUAL_WAIT = TimeUnit.MILLISECONDS.toNanos(50);
     private static final long LEAST_TIME = TimeUnit.MILLISECONDS.toNanos(50);
 
@@ -40,8 +44,13 @@
     private long nextAt;
     private int open;
 
-    public LoopbackClients(EventLoop loop, RealTime time, InetSocketAddress sidecar, Habits habits,
-            SplittableRandom chance, Witness witness) {
+    public LoopbackClients(
+            EventLoop loop,
+            RealTime time,
+            InetSocketAddress sidecar,
+            Habits habits,
+            SplittableRandom chance,
+            Witness witness) {
         this.loop = loop;
         this.time = time;
         this.habits = habits;
@@ -81,17 +90,21 @@
     }
 
     private void scheduleNext() {
-        nextAt += (long) (-Math.log(1 - chance.nextDouble()) * SECOND / (habits.rate() * weights()));
+        nextAt +=
+                (long) (-Math.log(1 - chance.nextDouble()) * SECOND / (habits.rate() * weights()));
         long now = time.nanos();
         if (nextAt < now - CATCHES_UP) {
             nextAt = now;
         }
-        loop.schedule(() -> {
-            if (asking) {
-                wish();
-                scheduleNext();
-            }
-        }, Math.max(0, nextAt - now), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    if (asking) {
+                        wish();
+                        scheduleNext();
+                    }
+                },
+                Math.max(0, nextAt - now),
+                TimeUnit.NANOSECONDS);
     }
 
     private double weights() {
@@ -105,16 +118,27 @@
     private void wish() {
         String id = hex();
         RequestKind kind = kind();
-        send(new Witness.Ask(id, id, kind, wholesaler(), kind.repeats().keyed() ? hex() + hex() : null, 0,
-                time.nanos(), kind.patience()));
+        send(
+                new Witness.Ask(
+                        id,
+                        id,
+                        kind,
+                        wholesaler(),
+                        kind.repeats().keyed() ? hex() + hex() : null,
+                        0,
+                        time.nanos(),
+                        kind.patience()));
     }
 
     private void send(Witness.Ask ask) {
         open++;
         witness.asks(ask);
-        long leaves = chance.nextDouble() < habits.impatient()
-                ? (long) (ask.patience() * chance.nextDouble()) : Long.MAX_VALUE;
-        clients.get(chance.nextInt(clients.size())).ask(ask, leaves, ask.patience() + habits.overtime());
+        long leaves =
+                chance.nextDouble() < habits.impatient()
+                        ? (long) (ask.patience() * chance.nextDouble())
+                        : Long.MAX_VALUE;
+        clients.get(chance.nextInt(clients.size()))
+                .ask(ask, leaves, ask.patience() + habits.overtime());
     }
 
     /** A request is over; one that was refused is sent once more, if there is time. */
@@ -123,12 +147,23 @@
         long pause = wait < 0 ? USUAL_WAIT : wait;
         long left = ask.patience() - (time.nanos() - ask.at()) - pause;
         if (refused && asking && ask.number() == 0 && left > LEAST_TIME) {
-            loop.schedule(() -> {
-                if (asking) {
-                    send(new Witness.Ask(hex(), ask.wish(), ask.kind(), ask.wholesaler(), ask.key(), 1,
-                            time.nanos(), left));
-                }
-            }, pause, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (asking) {
+                            send(
+                                    new Witness.Ask(
+                                            hex(),
+                                            ask.wish(),
+                                            ask.kind(),
+                                            ask.wholesaler(),
+                                            ask.key(),
+                                            1,
+                                            time.nanos(),
+                                            left));
+                        }
+                    },
+                    pause,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackRegistry.java
+++ b/rig/src/main/java/appleridge/rig/loopback/LoopbackRegistry.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery: the list of servers, whole or as a watch on changes, and times at which it is away. Lives on its
- * event loop; only the constructor and {@link #listen()} are called from elsewhere.
+ * Discovery: the list of servers, whole or as a watch on changes, and times at which it is away.
+ * Lives on its event loop; only the constructor and {@link #listen()} are called from elsewhere.
  */
 public final class LoopbackRegistry {
     /** What discovery knows of a server. */
@@ -39,14 +39,15 @@
     }
 
     /** One line of the list; {@code bootMillis} in Unix time, 0 for long ago. */
-    public record Entry(String uid, String endpoint, String zone, State state, long bootMillis) { }
+    public record Entry(String uid, String endpoint, String zone, State state, long bootMillis) {}
 
-    private record Known(Entry entry, long revision) { }
+    private record Known(Entry entry, long revision) {}
 
-    private record Watch(Channel channel, long since) { }
+    private record Watch(Channel channel, long since) {}
 
     /** The one kind of machine that the list knows. */
     public static final String MODEL = "std-3c";
+
     private static final long OLD_CLOSES_MILLIS = 1500;
 
     private final EventLoop loop;
@@ -103,12 +104,14 @@
     public void move(Runnable moved) {
         Listener old = listener;
         Listener other = new Listener(loop, this::install);
-        other.listen(0, () -> {
-            listener = other;
-            old.close();
-            loop.schedule(old::resetAll, OLD_CLOSES_MILLIS, TimeUnit.MILLISECONDS);
-            moved.run();
-        });
+        other.listen(
+                0,
+                () -> {
+                    listener = other;
+                    old.close();
+                    loop.schedule(old::resetAll, OLD_CLOSES_MILLIS, TimeUnit.MILLISECONDS);
+                    moved.run();
+                });
     }
 
     /** Ends. */
@@ -119,12 +122,17 @@
 
     /** The whole list in its own form. */
     public ObjectNode whole() {
-        return body(list.values().stream().map(Known::entry).filter(e -> e.state() != State.GONE).toList(),
+        return body(
+                list.values().stream()
+                        .map(Known::entry)
+                        .filter(e -> e.state() != State.GONE)
+                        .toList(),
                 true);
     }
 
     private void install(Channel channel) {
-        channel.pipeline().addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1024), new Calls());
+        channel.pipeline()
+                .addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1024), new Calls());
     }
 
     private void call(Channel channel, String uri) {
@@ -140,11 +148,14 @@
         }
         Watch watch = new Watch(channel, since);
         watches.add(watch);
-        loop.schedule(() -> {
-            if (watches.remove(watch)) {
-                answer(channel, since);
-            }
-        }, Math.min(60_000, number(query, "timeout_ms", 0)), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (watches.remove(watch)) {
+                        answer(channel, since);
+                    }
+                },
+                Math.min(60_000, number(query, "timeout_ms", 0)),
+                TimeUnit.MILLISECONDS);
     }
 
     private static long number(QueryStringDecoder query, String name, long absent) {
@@ -154,15 +165,23 @@
 
     /** What is newer than a version; the whole list if there is none. */
     private void answer(Channel channel, long since) {
-        List<Entry> told = list.values().stream().filter(known -> known.revision() > since)
-                .map(Known::entry).toList();
+        List<Entry> told =
+                list.values().stream()
+                        .filter(known -> known.revision() > since)
+                        .map(Known::entry)
+                        .toList();
         ObjectNode body = since < 0 ? whole() : body(told, false);
-        channel.writeAndFlush(Replies.bytes("200 OK", body.toString(), "Content-Type: application/json"))
-                .addListener(done -> {
-                    if (done.isSuccess()) {
-                        told.forEach(entry -> witness.told(entry.uid(), entry.state(), time.nanos()));
-                    }
-                });
+        channel.writeAndFlush(
+                        Replies.bytes("200 OK", body.toString(), "Content-Type: application/json"))
+                .addListener(
+                        done -> {
+                            if (done.isSuccess()) {
+                                told.forEach(
+                                        entry ->
+                                                witness.told(
+                                                        entry.uid(), entry.state(), time.nanos()));
+                            }
+                        });
     }
 
     private ObjectNode body(List<Entry> entries, boolean all) {
@@ -171,9 +190,14 @@
         body.put("all", all);
         ArrayNode targets = body.putArray("targets");
         for (Entry entry : entries) {
-            targets.addObject().put("uid", entry.uid()).put("endpoint", entry.endpoint())
-                    .put("az", entry.zone()).put("model", MODEL).put("pod_group", 0)
-                    .put("state", entry.state().word()).put("capacity_hint", 1.0)
+            targets.addObject()
+                    .put("uid", entry.uid())
+                    .put("endpoint", entry.endpoint())
+                    .put("az", entry.zone())
+                    .put("model", MODEL)
+                    .put("pod_group", 0)
+                    .put("state", entry.state().word())
+                    .put("capacity_hint", 1.0)
                     .put("boot_ms", entry.bootMillis());
         }
         return body;
