--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackServer.java
+++ b/rig/src/main/java/appleridge/rig/loopback/LoopbackServer.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process of an order server: cores, a queue, a cold start, and faults that can be set. What is called
- * off runs on, as the real ones do. Lives on its event loop; only {@link #listen()} is called from elsewhere.
+ * One process of an order server: cores, a queue, a cold start, and faults that can be set. What is
+ * called off runs on, as the real ones do. Lives on its event loop; only {@link #listen()} is
+ * called from elsewhere.
  */
 public final class LoopbackServer {
     /**
@@ -24,13 +25,17 @@
      * @param queue how many requests may wait for a core
      * @param cold whether it starts now; else it has been running for long
      */
-    public record Identity(String name, String zone, ColdStart.Figures figures, int queue, boolean cold) { }
+    public record Identity(
+            String name, String zone, ColdStart.Figures figures, int queue, boolean cold) {}
 
     private static final int MAX_BODY = 64 * 1024;
     private static final int IDLE_SECONDS = 10;
+
     /** What a new connection costs, before its first request. */
     private static final double HANDSHAKE = TimeUnit.MICROSECONDS.toNanos(4500);
+
     private static final double REPEAT = TimeUnit.MILLISECONDS.toNanos(1);
+
     /** Times the mean; no request is more work than that. */
     private static final double MOST = 5;
 
@@ -50,8 +55,13 @@
     private int answers;
 
     /** With the memory of repeats that all servers of a site share. */
-    public LoopbackServer(EventLoop loop, RealTime time, Identity identity, RepeatMemory memory,
-            SplittableRandom chance, Witness witness) {
+    public LoopbackServer(
+            EventLoop loop,
+            RealTime time,
+            Identity identity,
+            RepeatMemory memory,
+            SplittableRandom chance,
+            Witness witness) {
         this.time = time;
         this.identity = identity;
         this.memory = memory;
@@ -59,8 +69,12 @@
         this.witness = witness;
         this.startedAt = time.nanos();
         this.coldStart = new ColdStart(identity.figures(), identity.cold(), startedAt);
-        this.workshop = new Workshop(loop, identity.figures().cores(), identity.queue(),
-                () -> coldStart.share(time.nanos()) / slowness);
+        this.workshop =
+                new Workshop(
+                        loop,
+                        identity.figures().cores(),
+                        identity.queue(),
+                        () -> coldStart.share(time.nanos()) / slowness);
         this.listener = new Listener(loop, this::install);
     }
 
@@ -114,29 +128,46 @@
 
     private void install(Channel channel) {
         FirstByte firstByte = new FirstByte(time);
-        channel.pipeline().addLast(new ReadTimeoutHandler(IDLE_SECONDS), firstByte, new HttpRequestDecoder(),
-                new HttpObjectAggregator(MAX_BODY), new Requests(firstByte));
+        channel.pipeline()
+                .addLast(
+                        new ReadTimeoutHandler(IDLE_SECONDS),
+                        firstByte,
+                        new HttpRequestDecoder(),
+                        new HttpObjectAggregator(MAX_BODY),
+                        new Requests(firstByte));
     }
 
-    private void take(Channel channel, FullHttpRequest request, long firstByte, boolean firstOfConnection) {
+    private void take(
+            Channel channel, FullHttpRequest request, long firstByte, boolean firstOfConnection) {
         long now = time.nanos();
         String id = request.headers().get("X-Request-Id");
         RequestKind kind = RequestKind.ofPath(request.uri());
         if (request.decoderResult().isFailure() || id == null || kind == null) {
-            channel.writeAndFlush(Replies.bytes(id == null ? "404 Not Found" : "400 Bad Request", ""));
+            channel.writeAndFlush(
+                    Replies.bytes(id == null ? "404 Not Found" : "400 Bad Request", ""));
             return;
         }
         String key = request.headers().get("Idempotency-Key");
         double drawn = -Math.log(1 - chance.nextDouble()) * kind.work();
         double work = Math.min(drawn, MOST * kind.work()) + (firstOfConnection ? HANDSHAKE : 0);
         boolean full = workshop.full();
-        witness.arrived(new Witness.Arrival(identity.name(), identity.zone(), id, kind, key, firstByte, now,
-                work, full));
+        witness.arrived(
+                new Witness.Arrival(
+                        identity.name(),
+                        identity.zone(),
+                        id,
+                        kind,
+                        key,
+                        firstByte,
+                        now,
+                        work,
+                        full));
         if (coldStart.sent(now, work) > 1) {
             witness.fellOver(identity.name(), now);
             crash();
         } else if (full) {
-            channel.writeAndFlush(Replies.bytes("503 Service Unavailable", "", "X-Not-Run: 1", load(now)));
+            channel.writeAndFlush(
+                    Replies.bytes("503 Service Unavailable", "", "X-Not-Run: 1", load(now)));
         } else {
             boolean takesEffect = memory.takesEffect(kind, key, identity.zone(), now);
             double cost = takesEffect ? work : Math.min(work, REPEAT);
@@ -147,9 +178,15 @@
     private void answer(Channel channel, String id, double work, boolean takesEffect) {
         boolean cut = chance.nextDouble() < resetPart;
         report.answered(work, cut);
-        String body = id + (takesEffect ? " done by " : " known to ") + identity.name() + " #" + ++answers;
+        String body =
+                id
+                        + (takesEffect ? " done by " : " known to ")
+                        + identity.name()
+                        + " #"
+                        + ++answers;
         witness.made(identity.name(), id, body);
-        ByteBuf reply = Replies.bytes("200 OK", body, "Content-Type: text/plain", load(time.nanos()));
+        ByteBuf reply =
+                Replies.bytes("200 OK", body, "Content-Type: text/plain", load(time.nanos()));
         if (cut) {
             channel.writeAndFlush(reply.readSlice(reply.readableBytes() / 2))
                     .addListener(done -> Replies.reset(channel));
--- a/rig/src/main/java/appleridge/rig/loopback/RepeatMemory.java
+++ b/rig/src/main/java/appleridge/rig/loopback/RepeatMemory.java
@@ -5,7 +5,7 @@
 
 /** What groups of servers remember of keyed requests, so that a repeat has no effect. */
 public final class RepeatMemory {
-    private record Group(String zone, String key) { }
+    private record Group(String zone, String key) {}
 
     private final long extra;
     private final Map<Group, Long> since = new HashMap<>();
--- a/rig/src/main/java/appleridge/rig/loopback/Replies.java
+++ b/rig/src/main/java/appleridge/rig/loopback/Replies.java
@@ -8,7 +8,7 @@
 
 /** Answers as bytes, so that stand-ins can also send a part of one; and an end with a reset. */
 final class Replies {
-    private Replies() { }
+    private Replies() {}
 
     static ByteBuf bytes(String status, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 ").append(status).append("\r\n");
--- a/rig/src/main/java/appleridge/rig/loopback/RequestKind.java
+++ b/rig/src/main/java/appleridge/rig/loopback/RequestKind.java
@@ -13,8 +13,15 @@
  * @param worth of an answer in time
  * @param window for a keyed one: how long servers drop its repeats
  */
-public record RequestKind(String name, double share, long work, long aim, long patience, double worth,
-        Repeats repeats, long window) {
+public record RequestKind(
+        String name,
+        double share,
+        long work,
+        long aim,
+        long patience,
+        double worth,
+        Repeats repeats,
+        long window) {
     /** What may happen to it again, and which servers drop a repeat. */
     public enum Repeats {
         /** Safe to repeat. */
@@ -33,14 +40,44 @@
     }
 
     /** The ordering platform's classes, and one that must not be repeated. */
-    public static final List<RequestKind> ALL = List.of(
-            new RequestKind("stock-check", 0.42, millis(35), millis(200), millis(400), 1, Repeats.SAFE, 0),
-            new RequestKind("stock-hold", 0.30, millis(63), millis(400), millis(1000), 3,
-                    Repeats.KEYED_BY_ZONE, millis(1000)),
-            new RequestKind("order-confirm", 0.20, millis(93), millis(500), millis(1500), 10,
-                    Repeats.KEYED_BY_ALL, millis(7500)),
-            new RequestKind("raise-invoice", 0.08, millis(60), millis(500), millis(1500), 10,
-                    Repeats.UNSAFE, 0));
+    public static final List<RequestKind> ALL =
+            List.of(
+                    new RequestKind(
+                            "stock-check",
+                            0.42,
+                            millis(35),
+                            millis(200),
+                            millis(400),
+                            1,
+                            Repeats.SAFE,
+                            0),
+                    new RequestKind(
+                            "stock-hold",
+                            0.30,
+                            millis(63),
+                            millis(400),
+                            millis(1000),
+                            3,
+                            Repeats.KEYED_BY_ZONE,
+                            millis(1000)),
+                    new RequestKind(
+                            "order-confirm",
+                            0.20,
+                            millis(93),
+                            millis(500),
+                            millis(1500),
+                            10,
+                            Repeats.KEYED_BY_ALL,
+                            millis(7500)),
+                    new RequestKind(
+                            "raise-invoice",
+                            0.08,
+                            millis(60),
+                            millis(500),
+                            millis(1500),
+                            10,
+                            Repeats.UNSAFE,
+                            0));
 
     private static final String PATH = "/api/";
 
--- a/rig/src/main/java/appleridge/rig/loopback/Witness.java
+++ b/rig/src/main/java/appleridge/rig/loopback/Witness.java
@@ -14,8 +14,15 @@
      * @param number of this try, from 0
      * @param patience how long the client says that it will wait, from the last byte
      */
-    record Ask(String id, String wish, RequestKind kind, String wholesaler, String key, int number, long at,
-            long patience) { }
+    record Ask(
+            String id,
+            String wish,
+            RequestKind kind,
+            String wholesaler,
+            String key,
+            int number,
+            long at,
+            long patience) {}
 
     /** How a try ends that has no whole answer. */
     enum Ending {
@@ -38,8 +45,16 @@
      * @param work what it is to this server, in nanoseconds of a core
      * @param turnedAway the server answered that it has not run and never will
      */
-    record Arrival(String server, String zone, String id, RequestKind kind, String key, long firstByte,
-            long lastByte, double work, boolean turnedAway) { }
+    record Arrival(
+            String server,
+            String zone,
+            String id,
+            RequestKind kind,
+            String key,
+            long firstByte,
+            long lastByte,
+            double work,
+            boolean turnedAway) {}
 
     /** A client begins to send. */
     void asks(Ask ask);
@@ -59,7 +74,9 @@
     /** Bytes came on a client's connection that waited for none. */
     void unasked(String connection, long at);
 
-    /** What became of a client that does not speak as it should; {@code served} is what must not be. */
+    /**
+     * What became of a client that does not speak as it should; {@code served} is what must not be.
+     */
     void badClient(String what, String how, boolean served);
 
     /** A server process begins; a cold one warms up from then on. */
--- a/rig/src/main/java/appleridge/rig/loopback/Workshop.java
+++ b/rig/src/main/java/appleridge/rig/loopback/Workshop.java
@@ -5,9 +5,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/** A server's cores and the queue before them. Work is time that passes; no processor is kept busy. */
+/**
+ * A server's cores and the queue before them. Work is time that passes; no processor is kept busy.
+ */
 final class Workshop {
-    private record Job(double work, Runnable done) { }
+    private record Job(double work, Runnable done) {}
 
     private final EventLoop loop;
     private final int cores;
@@ -44,7 +46,8 @@
 
     private void begin(Job job) {
         busy++;
-        loop.schedule(() -> end(job), (long) (job.work() / speed.getAsDouble()), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> end(job), (long) (job.work() / speed.getAsDouble()), TimeUnit.NANOSECONDS);
     }
 
     private void end(Job job) {
--- a/rig/src/main/java/appleridge/rig/loopback/package-info.java
+++ b/rig/src/main/java/appleridge/rig/loopback/package-info.java
@@ -1,2 +1,5 @@
-/** Order servers, discovery and clients on real loopback sockets, with what they saw told to a witness. */
+/**
+ * Order servers, discovery and clients on real loopback sockets, with what they saw told to a
+ * witness.
+ */
 package appleridge.rig.loopback;
--- a/rig/src/main/java/appleridge/rig/net/ByteRing.java
+++ b/rig/src/main/java/appleridge/rig/net/ByteRing.java
@@ -1,6 +1,9 @@
 package appleridge.rig.net;
 
-/** Bytes by their position in a stream, from the first one kept to the last one put in; grows as needed. */
+/**
+ * Bytes by their position in a stream, from the first one kept to the last one put in; grows as
+ * needed.
+ */
 final class ByteRing {
     private static final int FIRST = 512;
 
--- a/rig/src/main/java/appleridge/rig/net/Chance.java
+++ b/rig/src/main/java/appleridge/rig/net/Chance.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Seeded chance. Streams are split off by name, so that one more draw in one shifts nothing in another: a
- * stream depends on the seed and its name alone, never on what has been drawn so far.
+ * Seeded chance. Streams are split off by name, so that one more draw in one shifts nothing in
+ * another: a stream depends on the seed and its name alone, never on what has been drawn so far.
  */
 public final class Chance {
     private static final long STEP = 0x9E3779B97F4A7C15L;
@@ -17,7 +17,10 @@
         state = mix(seed);
     }
 
-    /** The stream of this name; the same however often it is asked for, from its beginning each time. */
+    /**
+     * The stream of this name; the same however often it is asked for, from its beginning each
+     * time.
+     */
     public Chance stream(String name) {
         long hash = 0xCBF29CE484222325L;
         for (int i = 0; i < name.length(); i++) {
--- a/rig/src/main/java/appleridge/rig/net/Handshake.java
+++ b/rig/src/main/java/appleridge/rig/net/Handshake.java
@@ -5,7 +5,10 @@
 import java.net.InetSocketAddress;
 import java.net.NoRouteToHostException;
 
-/** A connect under way: its first word is said again after 1, 3, 7 ... seconds until something answers. */
+/**
+ * A connect under way: its first word is said again after 1, 3, 7 ... seconds until something
+ * answers.
+ */
 final class Handshake {
     private static final long SECOND = 1_000_000_000L;
     private static final long NO_ROUTE = 3 * SECOND;
@@ -40,8 +43,13 @@
     /** There is no machine at that address. */
     static void lost(SimSocket client) {
         Simulation simulation = client.host().network().simulation();
-        Simulation.Event end = simulation.after(NO_ROUTE,
-                () -> client.fail(new NoRouteToHostException("No route to host: " + client.remote())));
+        Simulation.Event end =
+                simulation.after(
+                        NO_ROUTE,
+                        () ->
+                                client.fail(
+                                        new NoRouteToHostException(
+                                                "No route to host: " + client.remote())));
         client.onAbandoned(end::cancel);
     }
 
@@ -76,7 +84,9 @@
         } else if (!found.isFull()) {
             if (server == null || server.isForgotten() || found != listener) {
                 listener = found;
-                server = new SimSocket(target, client.host(), to, client.local(), client.id(), found);
+                server =
+                        new SimSocket(
+                                target, client.host(), to, client.local(), client.id(), found);
                 SimSocket.join(client, server);
             }
             answer(this::welcomed);
@@ -84,11 +94,13 @@
     }
 
     private void answer(Runnable heard) {
-        simulation.after(back.travel(network.chance()), () -> {
-            if (isWaiting() && !isDark() && !back.blackHole) {
-                heard.run();
-            }
-        });
+        simulation.after(
+                back.travel(network.chance()),
+                () -> {
+                    if (isWaiting() && !isDark() && !back.blackHole) {
+                        heard.run();
+                    }
+                });
     }
 
     private boolean isWaiting() {
--- a/rig/src/main/java/appleridge/rig/net/Host.java
+++ b/rig/src/main/java/appleridge/rig/net/Host.java
@@ -48,7 +48,10 @@
         return network;
     }
 
-    /** Port 0 takes a free one. Throws if it is taken or descriptors are out. A dead process lives again. */
+    /**
+     * Port 0 takes a free one. Throws if it is taken or descriptors are out. A dead process lives
+     * again.
+     */
     public SimListener listen(InetSocketAddress at, int backlog) throws IOException {
         checkDescriptors();
         return open(at, backlog);
@@ -56,7 +59,8 @@
 
     /** Listens without asking for a descriptor. */
     SimListener open(InetSocketAddress at, int backlog) throws IOException {
-        InetSocketAddress own = new InetSocketAddress(address, at.getPort() == 0 ? port() : at.getPort());
+        InetSocketAddress own =
+                new InetSocketAddress(address, at.getPort() == 0 ? port() : at.getPort());
         if (network.listener(own, null) != null) {
             throw new BindException("Address already in use: " + own);
         }
@@ -76,8 +80,14 @@
     SimSocket open(InetSocketAddress to, SimSocket.Events events) {
         alive = true;
         Host target = network.route(this, to);
-        SimSocket socket = new SimSocket(this, target == null ? this : target,
-                new InetSocketAddress(address, port()), to, network.nextId(), null);
+        SimSocket socket =
+                new SimSocket(
+                        this,
+                        target == null ? this : target,
+                        new InetSocketAddress(address, port()),
+                        to,
+                        network.nextId(),
+                        null);
         socket.events(events);
         hold(socket);
         network.connecting(socket);
@@ -106,7 +116,10 @@
         maxDescriptors = most;
     }
 
-    /** The process ends: every connection is reset and listeners closed; peers hear of it after the delay. */
+    /**
+     * The process ends: every connection is reset and listeners closed; peers hear of it after the
+     * delay.
+     */
     public void die() {
         alive = false;
         reserved = 0;
@@ -118,12 +131,18 @@
         }
     }
 
-    /** The machine says nothing any more, and hears nothing. Its process goes on unless it is ended too. */
+    /**
+     * The machine says nothing any more, and hears nothing. Its process goes on unless it is ended
+     * too.
+     */
     public void vanish() {
         vanished = true;
     }
 
-    /** The machine speaks again and knows nothing of its old connections; listeners are as they were. */
+    /**
+     * The machine speaks again and knows nothing of its old connections; listeners are as they
+     * were.
+     */
     public void back() {
         if (!vanished) {
             return;
@@ -146,7 +165,9 @@
         return vanished;
     }
 
-    /** This process's own present: ahead of the simulation's while it is in the middle of a task. */
+    /**
+     * This process's own present: ahead of the simulation's while it is in the middle of a task.
+     */
     public long localNow() {
         return network.simulation().now() + ahead;
     }
--- a/rig/src/main/java/appleridge/rig/net/Network.java
+++ b/rig/src/main/java/appleridge/rig/net/Network.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** A simulated IP network of hosts that carry bytes; what it does to them is set per pair and direction. */
+/**
+ * A simulated IP network of hosts that carry bytes; what it does to them is set per pair and
+ * direction.
+ */
 public final class Network {
     private static final int CONNECTING = 1;
     private static final int CONNECTED = 2;
@@ -58,7 +61,9 @@
         taps.add(tap);
     }
 
-    /** Within a tap: the time of the process that does what is seen; never before the simulation's. */
+    /**
+     * Within a tap: the time of the process that does what is seen; never before the simulation's.
+     */
     public long tapTime() {
         return tapTime;
     }
@@ -126,7 +131,11 @@
     }
 
     void written(SimSocket by, byte[] bytes, int offset, int length) {
-        note(WRITTEN, by, digest(bytes, offset, length), simulation.isTraced() ? "writes " + length : null);
+        note(
+                WRITTEN,
+                by,
+                digest(bytes, offset, length),
+                simulation.isTraced() ? "writes " + length : null);
         for (Tap tap : taps) {
             tap.written(by, bytes, offset, length);
         }
--- a/rig/src/main/java/appleridge/rig/net/Pipe.java
+++ b/rig/src/main/java/appleridge/rig/net/Pipe.java
@@ -3,12 +3,14 @@
 import java.util.ArrayDeque;
 
 /**
- * One direction of a connection: a bounded send buffer, segments on the way, a bounded receive buffer. All
- * bytes stand in one ring; what they are is told by positions: read &lt;= arrived &lt;= left &lt;= written.
+ * One direction of a connection: a bounded send buffer, segments on the way, a bounded receive
+ * buffer. All bytes stand in one ring; what they are is told by positions: read &lt;= arrived &lt;=
+ * left &lt;= written.
  */
 final class Pipe {
     /** The first wait of a sender that hears nothing; doubled each time, as TCP does. */
     private static final long RETRY = 200_000_000L;
+
     private static final long LONGEST_RETRY = 120_000_000_000L;
     private static final long SECOND = 1_000_000_000L;
     private static final long NEVER = Long.MAX_VALUE;
@@ -23,17 +25,20 @@
     private final int receiveLimit;
     private final ByteRing ring = new ByteRing();
     private final ArrayDeque<Segment> flight = new ArrayDeque<>(4);
+
     /** Up to which byte was written when. */
     private final Marks stamps = new Marks();
+
     /** Up to which byte was read, and when the sender hears of it. */
     private final Marks heard = new Marks();
+
     private final Runnable landing = this::land;
     private final Runnable pumping = this::pump;
     private long arrived;
     private long left;
     private long window;
     private long breakAt = NEVER;
-    private Runnable whenBreaking = () -> { };
+    private Runnable whenBreaking = () -> {};
     private long lastDue;
     private long lastRead;
     private long retry = RETRY;
--- a/rig/src/main/java/appleridge/rig/net/Planned.java
+++ b/rig/src/main/java/appleridge/rig/net/Planned.java
@@ -5,6 +5,7 @@
     private final long tie;
     private final long serial;
     private long when;
+
     /** Where its heap has it; -1: nowhere. */
     private int index = -1;
 
--- a/rig/src/main/java/appleridge/rig/net/SimChannel.java
+++ b/rig/src/main/java/appleridge/rig/net/SimChannel.java
@@ -66,7 +66,8 @@
     }
 
     private SimConfig newConfig() {
-        return new SimConfig(this, loop, new AdaptiveRecvByteBufAllocator(), this::clearReadPending);
+        return new SimConfig(
+                this, loop, new AdaptiveRecvByteBufAllocator(), this::clearReadPending);
     }
 
     @Override
@@ -85,9 +86,12 @@
 
     @Override
     public boolean isReady() {
-        return open && isRegistered() && (connected
-                ? readInterest && socket.isReadable() || writeInterest && socket.isWritable()
-                : connectDone && connectPromise != null);
+        return open
+                && isRegistered()
+                && (connected
+                        ? readInterest && socket.isReadable()
+                                || writeInterest && socket.isWritable()
+                        : connectDone && connectPromise != null);
     }
 
     @Override
@@ -118,7 +122,7 @@
     public void forget() {
         open = false;
         if (socket != null) {
-            socket.events(new SimSocket.Events() { });
+            socket.events(new SimSocket.Events() {});
         }
     }
 
@@ -187,7 +191,7 @@
 
     /** The port is the system's choice here. */
     @Override
-    protected void doBind(SocketAddress localAddress) { }
+    protected void doBind(SocketAddress localAddress) {}
 
     @Override
     protected void doDisconnect() {
@@ -328,12 +332,13 @@
                 socket = loop.host().open((InetSocketAddress) remote, new Ears());
                 connectPromise = promise;
                 planTimeout(remote);
-                promise.addListener(future -> {
-                    if (future.isCancelled()) {
-                        connectPromise = null;
-                        close(voidPromise());
-                    }
-                });
+                promise.addListener(
+                        future -> {
+                            if (future.isCancelled()) {
+                                connectPromise = null;
+                                close(voidPromise());
+                            }
+                        });
             } catch (Throwable e) {
                 promise.tryFailure(annotateConnectException(e, remote));
                 closeIfClosed();
@@ -343,13 +348,22 @@
         private void planTimeout(SocketAddress remote) {
             int millis = config.getConnectTimeoutMillis();
             if (millis > 0) {
-                connectTimeout = loop.schedule(() -> {
-                    ChannelPromise promise = connectPromise;
-                    if (promise != null && promise.tryFailure(new ConnectTimeoutException(
-                            "connection timed out after " + millis + " ms: " + remote))) {
-                        close(voidPromise());
-                    }
-                }, millis, TimeUnit.MILLISECONDS);
+                connectTimeout =
+                        loop.schedule(
+                                () -> {
+                                    ChannelPromise promise = connectPromise;
+                                    if (promise != null
+                                            && promise.tryFailure(
+                                                    new ConnectTimeoutException(
+                                                            "connection timed out after "
+                                                                    + millis
+                                                                    + " ms: "
+                                                                    + remote))) {
+                                        close(voidPromise());
+                                    }
+                                },
+                                millis,
+                                TimeUnit.MILLISECONDS);
             }
         }
 
@@ -435,7 +449,8 @@
             }
         }
 
-        private void readFailed(ChannelPipeline pipeline, ByteBuf buffer, Throwable why, boolean end) {
+        private void readFailed(
+                ChannelPipeline pipeline, ByteBuf buffer, Throwable why, boolean end) {
             if (buffer != null) {
                 buffer.release();
             }
--- a/rig/src/main/java/appleridge/rig/net/SimConfig.java
+++ b/rig/src/main/java/appleridge/rig/net/SimConfig.java
@@ -10,14 +10,25 @@
 /** What a channel is told about itself; options of real sockets are taken and given back. */
 class SimConfig extends DefaultChannelConfig {
     private static final ChannelOption<?>[] SOCKET_OPTIONS = {
-        ChannelOption.TCP_NODELAY, ChannelOption.SO_KEEPALIVE, ChannelOption.SO_REUSEADDR,
-        ChannelOption.SO_LINGER, ChannelOption.SO_SNDBUF, ChannelOption.SO_RCVBUF, ChannelOption.IP_TOS,
-        ChannelOption.SO_BACKLOG, ChannelOption.ALLOW_HALF_CLOSURE};
+        ChannelOption.TCP_NODELAY,
+        ChannelOption.SO_KEEPALIVE,
+        ChannelOption.SO_REUSEADDR,
+        ChannelOption.SO_LINGER,
+        ChannelOption.SO_SNDBUF,
+        ChannelOption.SO_RCVBUF,
+        ChannelOption.IP_TOS,
+        ChannelOption.SO_BACKLOG,
+        ChannelOption.ALLOW_HALF_CLOSURE
+    };
 
     private final Map<ChannelOption<?>, Object> options = new LinkedHashMap<>();
     private final Runnable readingStopped;
 
-    SimConfig(Channel channel, SimLoop loop, RecvByteBufAllocator receiving, Runnable readingStopped) {
+    SimConfig(
+            Channel channel,
+            SimLoop loop,
+            RecvByteBufAllocator receiving,
+            Runnable readingStopped) {
         super(channel, receiving);
         this.readingStopped = readingStopped;
         setAllocator(loop.allocator());
@@ -33,7 +44,9 @@
     }
 
     int backlog(int otherwise) {
-        return options.get(ChannelOption.SO_BACKLOG) instanceof Integer backlog ? backlog : otherwise;
+        return options.get(ChannelOption.SO_BACKLOG) instanceof Integer backlog
+                ? backlog
+                : otherwise;
     }
 
     @Override
--- a/rig/src/main/java/appleridge/rig/net/SimListener.java
+++ b/rig/src/main/java/appleridge/rig/net/SimListener.java
@@ -10,7 +10,7 @@
     private final InetSocketAddress address;
     private final int backlog;
     private final ArrayDeque<SimSocket> waiting = new ArrayDeque<>();
-    private Runnable told = () -> { };
+    private Runnable told = () -> {};
     private boolean open = true;
 
     SimListener(Host host, InetSocketAddress address, int backlog) {
@@ -19,7 +19,9 @@
         this.backlog = Math.max(1, backlog);
     }
 
-    /** Null if none waits; throws when out of descriptors, the connection then stays in the backlog. */
+    /**
+     * Null if none waits; throws when out of descriptors, the connection then stays in the backlog.
+     */
     public SimSocket accept() throws IOException {
         SimSocket first = waiting.peek();
         if (first == null) {
--- a/rig/src/main/java/appleridge/rig/net/SimLoop.java
+++ b/rig/src/main/java/appleridge/rig/net/SimLoop.java
@@ -22,17 +22,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process's event loop, stepped by the simulation. While the process is busy, as its last task's cost is
- * not over or it stands still, whatever comes waits. When it is free it takes one of: a due timer, the first
- * queued task, a channel with something to do; which one is drawn. All it does is done at its local time,
- * which runs ahead of the simulation's by what the task has cost so far.
+ * One process's event loop, stepped by the simulation. While the process is busy, as its last
+ * task's cost is not over or it stands still, whatever comes waits. When it is free it takes one
+ * of: a due timer, the first queued task, a channel with something to do; which one is drawn. All
+ * it does is done at its local time, which runs ahead of the simulation's by what the task has cost
+ * so far.
  *
- * <p>Nothing may wait for a future here: there is no other thread that could complete it. At the end of a run
- * each loop is ended with {@link #die()}, or what Netty keeps for every executor would stay for ever.
+ * <p>Nothing may wait for a future here: there is no other thread that could complete it. At the
+ * end of a run each loop is ended with {@link #die()}, or what Netty keeps for every executor would
+ * stay for ever.
  */
 public final class SimLoop extends SteppedExecutor {
     /** Shorter whiles of being busy are not kept. */
     public static final long NOTED = 10_000_000;
+
     private static final int SCRATCH = 64 * 1024;
     private static final int ORIGIN = 1_000_000_000;
 
@@ -43,10 +46,10 @@
      * @param read each reading, writing, accepting or connecting of a socket on top of it
      * @param clock a reading of the clock
      */
-    public record Costs(long task, long read, long clock) { }
+    public record Costs(long task, long read, long clock) {}
 
     /** A while in which there was always something to do. */
-    public record Busy(long from, long until) { }
+    public record Busy(long from, long until) {}
 
     private final Simulation simulation;
     private final Host host;
@@ -68,8 +71,10 @@
     private byte[] scratch;
     private Simulation.Event wake;
     private long freeAt;
+
     /** Since when there was always something to do, up to {@link #freeAt}. */
     private long busySince;
+
     private final List<Busy> busy = new ArrayList<>();
     private long spent;
     private long serials;
@@ -102,7 +107,9 @@
         return ticker;
     }
 
-    /** Heap buffers, counted; all of this loop's channels take theirs here unless told otherwise. */
+    /**
+     * Heap buffers, counted; all of this loop's channels take theirs here unless told otherwise.
+     */
     public ByteBufAllocator allocator() {
         return allocator;
     }
@@ -121,8 +128,8 @@
     }
 
     /**
-     * Stands still for so long from now on; in the middle of a task, if one is running. What overlaps does
-     * not add up.
+     * Stands still for so long from now on; in the middle of a task, if one is running. What
+     * overlaps does not add up.
      */
     public void pause(long nanos) {
         if (running) {
@@ -135,7 +142,10 @@
         }
     }
 
-    /** Nothing runs here any more; all that was planned is forgotten. The host's sockets are the host's. */
+    /**
+     * Nothing runs here any more; all that was planned is forgotten. The host's sockets are the
+     * host's.
+     */
     public void die() {
         if (!dead) {
             dead = true;
@@ -195,8 +205,8 @@
     }
 
     /**
-     * Whiles, no shorter than {@link #NOTED}, in which it was busy throughout, in their order; the last may
-     * go on yet. To stand still is not to be busy.
+     * Whiles, no shorter than {@link #NOTED}, in which it was busy throughout, in their order; the
+     * last may go on yet. To stand still is not to be busy.
      */
     public List<Busy> busy() {
         if (freeAt - busySince < NOTED) {
@@ -261,7 +271,9 @@
         arm();
     }
 
-    /** One of the channels that have something to do, put at the end of the list; null if none has. */
+    /**
+     * One of the channels that have something to do, put at the end of the list; null if none has.
+     */
     private SimIo drawIo() {
         int last = ready.size() - 1;
         while (last >= 0) {
@@ -399,7 +411,9 @@
 
     private void checkThread() {
         if (Thread.currentThread() != thread) {
-            trespass = new IllegalStateException("a second thread: " + Thread.currentThread().getName());
+            trespass =
+                    new IllegalStateException(
+                            "a second thread: " + Thread.currentThread().getName());
             throw new IllegalStateException(trespass);
         }
     }
--- a/rig/src/main/java/appleridge/rig/net/SimServerChannel.java
+++ b/rig/src/main/java/appleridge/rig/net/SimServerChannel.java
@@ -39,7 +39,12 @@
         } catch (IOException e) {
             throw new ChannelException("Failed to open a server socket.", e);
         }
-        config = new SimConfig(this, loop, new ServerChannelRecvByteBufAllocator(), this::clearReadPending);
+        config =
+                new SimConfig(
+                        this,
+                        loop,
+                        new ServerChannelRecvByteBufAllocator(),
+                        this::clearReadPending);
     }
 
     /** Null as long as it is not bound. */
--- a/rig/src/main/java/appleridge/rig/net/SimSocket.java
+++ b/rig/src/main/java/appleridge/rig/net/SimSocket.java
@@ -6,23 +6,23 @@
 import java.nio.channels.NotYetConnectedException;
 
 /**
- * One end of a connection. Its events are told from within the simulation's steps, never from within a call
- * of the same end's methods.
+ * One end of a connection. Its events are told from within the simulation's steps, never from
+ * within a call of the same end's methods.
  */
 public final class SimSocket {
-    private static final Events NOBODY = new Events() { };
+    private static final Events NOBODY = new Events() {};
 
     /** What its owner hears. */
     public interface Events {
-        default void connected() { }
+        default void connected() {}
 
-        default void failed(IOException why) { }
+        default void failed(IOException why) {}
 
         /** Bytes, the end or a reset wait to be read. */
-        default void readable() { }
+        default void readable() {}
 
         /** There is room after a short write. */
-        default void writable() { }
+        default void writable() {}
     }
 
     /** What can be done to a connection from outside. */
@@ -64,7 +64,7 @@
     private boolean outputShut;
     private boolean mute;
     private long breakAt = -1;
-    private Runnable whenBreaking = () -> { };
+    private Runnable whenBreaking = () -> {};
     private long written;
     private long read;
 
@@ -72,7 +72,12 @@
     public Object tag;
 
     /** With a listener: the end which that one will accept. */
-    SimSocket(Host host, Host peerHost, InetSocketAddress local, InetSocketAddress remote, long id,
+    SimSocket(
+            Host host,
+            Host peerHost,
+            InetSocketAddress local,
+            InetSocketAddress remote,
+            long id,
             SimListener listener) {
         this.host = host;
         this.peerHost = peerHost;
@@ -84,7 +89,10 @@
         epoch = host.epoch();
     }
 
-    /** From now on these are told; if something waits to be read already, they hear it at this instant. */
+    /**
+     * From now on these are told; if something waits to be read already, they hear it at this
+     * instant.
+     */
     public void events(Events told) {
         events = told;
         if (isReadable()) {
@@ -178,7 +186,10 @@
         leave("closed");
     }
 
-    /** Closes at once with a reset to the peer; what was not sent is lost, mostly also what is on the way. */
+    /**
+     * Closes at once with a reset to the peer; what was not sent is lost, mostly also what is on
+     * the way.
+     */
     public void reset() {
         if (!open) {
             return;
@@ -202,7 +213,10 @@
         return established;
     }
 
-    /** At the listening end whether its process has taken it; at the connecting end whether the other has. */
+    /**
+     * At the listening end whether its process has taken it; at the connecting end whether the
+     * other has.
+     */
     public boolean isAccepted() {
         return listener != null ? accepted : peer != null && peer.accepted;
     }
@@ -296,11 +310,12 @@
     }
 
     /**
-     * The connection breaks at this position of what this end sends: bytes before it are delivered, that one
-     * is not, and both ends are reset as soon as it would have arrived; at once if that byte has left.
+     * The connection breaks at this position of what this end sends: bytes before it are delivered,
+     * that one is not, and both ends are reset as soon as it would have arrived; at once if that
+     * byte has left.
      */
     public void resetAtByte(long position) {
-        resetAtByte(position, () -> { });
+        resetAtByte(position, () -> {});
     }
 
     /** The same, telling of the moment in which it breaks, just before it does. */
@@ -320,7 +335,15 @@
 
     @Override
     public String toString() {
-        return "#" + id + " " + host.name() + ":" + local.getPort() + " - " + peerHost.name() + ":"
+        return "#"
+                + id
+                + " "
+                + host.name()
+                + ":"
+                + local.getPort()
+                + " - "
+                + peerHost.name()
+                + ":"
                 + remote.getPort();
     }
 
--- a/rig/src/main/java/appleridge/rig/net/SimTimer.java
+++ b/rig/src/main/java/appleridge/rig/net/SimTimer.java
@@ -11,8 +11,10 @@
 final class SimTimer<V> extends DefaultPromise<V> implements ScheduledFuture<V> {
     private final SimLoop loop;
     private final Callable<V> task;
+
     /** 0: once; above: from due time to due time; below: from end to begin. */
     private final long period;
+
     private final Entry entry;
 
     SimTimer(SimLoop loop, Callable<V> task, long due, long period, long tie, long serial) {
--- a/rig/src/main/java/appleridge/rig/net/Simulation.java
+++ b/rig/src/main/java/appleridge/rig/net/Simulation.java
@@ -6,8 +6,9 @@
 import java.util.function.Supplier;
 
 /**
- * Virtual time, and everything that is to happen in it. Nanoseconds from the start of the day. What is due at
- * one instant runs in an order drawn from the chance for ties, so that all orders get played.
+ * Virtual time, and everything that is to happen in it. Nanoseconds from the start of the day. What
+ * is due at one instant runs in an order drawn from the chance for ties, so that all orders get
+ * played.
  */
 public final class Simulation {
     private static final long SECOND = 1_000_000_000L;
@@ -83,9 +84,13 @@
         return steps;
     }
 
-    /** Everything that matters is noted: goes into the digest with its time; text is made for a trace. */
+    /**
+     * Everything that matters is noted: goes into the digest with its time; text is made for a
+     * trace.
+     */
     public void note(int kind, long a, long b, Supplier<String> text) {
-        digest = Chance.mix(digest + now + kind * 0x632BE59BD9B4E019L) + a * 0x9E3779B97F4A7C15L + b;
+        digest =
+                Chance.mix(digest + now + kind * 0x632BE59BD9B4E019L) + a * 0x9E3779B97F4A7C15L + b;
         if (trace != null) {
             trace.accept(line(text.get()));
         }
@@ -119,7 +124,12 @@
     private String line(String text) {
         String seconds = Long.toString(now / SECOND);
         String fraction = Long.toString(now % SECOND + SECOND).substring(1);
-        return " ".repeat(Math.max(0, 4 - seconds.length())) + seconds + '.' + fraction + ' ' + text;
+        return " ".repeat(Math.max(0, 4 - seconds.length()))
+                + seconds
+                + '.'
+                + fraction
+                + ' '
+                + text;
     }
 
     /** Something planned, which can be taken back as long as it is pending. */
--- a/rig/src/main/java/appleridge/rig/net/SteppedExecutor.java
+++ b/rig/src/main/java/appleridge/rig/net/SteppedExecutor.java
@@ -29,14 +29,15 @@
     }
 
     @Override
-    public final ScheduledFuture<?> scheduleAtFixedRate(Runnable command, long delay, long period,
-            TimeUnit unit) {
-        return plan(Executors.callable(command), unit.toNanos(delay), positive(unit.toNanos(period)));
+    public final ScheduledFuture<?> scheduleAtFixedRate(
+            Runnable command, long delay, long period, TimeUnit unit) {
+        return plan(
+                Executors.callable(command), unit.toNanos(delay), positive(unit.toNanos(period)));
     }
 
     @Override
-    public final ScheduledFuture<?> scheduleWithFixedDelay(Runnable command, long delay, long gap,
-            TimeUnit unit) {
+    public final ScheduledFuture<?> scheduleWithFixedDelay(
+            Runnable command, long delay, long gap, TimeUnit unit) {
         return plan(Executors.callable(command), unit.toNanos(delay), -positive(unit.toNanos(gap)));
     }
 
--- a/rig/src/main/java/appleridge/rig/net/Weather.java
+++ b/rig/src/main/java/appleridge/rig/net/Weather.java
@@ -1,8 +1,8 @@
 package appleridge.rig.net;
 
 /**
- * What one direction between a pair of hosts does to bytes. Changed at any time; what leaves from then on is
- * subject to it. By itself: 200 us of delay, nothing else.
+ * What one direction between a pair of hosts does to bytes. Changed at any time; what leaves from
+ * then on is subject to it. By itself: 200 us of delay, nothing else.
  */
 public final class Weather {
     private static final int BUFFER = 64 * 1024;
@@ -10,34 +10,53 @@
 
     /** Nanoseconds that each segment takes. */
     public long delay = 200_000;
+
     /** Up to so many more, drawn for each segment; the order within a connection is kept. */
     public long jitter;
+
     /** The line's width, shared by all connections; 0: no bound. */
     public long bytesPerSecond;
+
     /** Largest segment; 0: up to 1460 bytes; 1: byte by byte; -n: each drawn from 1 to n. */
     public int segment;
-    /** If `segment` is set: each arrives up to so long (drawn) behind the one before, so that cuts show. */
+
+    /**
+     * If `segment` is set: each arrives up to so long (drawn) behind the one before, so that cuts
+     * show.
+     */
     public long gap = 2_000;
+
     /** How often a segment is lost and sent again ... */
     public double lossDelayProbability;
+
     /** ... and arrives so much later for it. */
     public long lossDelay;
-    /** Nothing arrives, nothing is refused, no reset is heard. What was sent arrives once this is over. */
+
+    /**
+     * Nothing arrives, nothing is refused, no reset is heard. What was sent arrives once this is
+     * over.
+     */
     public boolean blackHole;
+
     /** Connects in this direction are refused. */
     public boolean refuse;
+
     /** Connects in this direction get no answer. */
     public boolean silentConnect;
+
     /** Bytes that the sending end holds, for connections made from now on. */
     public int sendBuffer = BUFFER;
+
     /** Bytes that the receiving end holds, for connections made from now on. */
     public int receiveBuffer = BUFFER;
+
     /** How often a reset discards what had arrived and was not yet read. */
     public double resetDiscards = 0.9;
+
     /** When the line is free again. */
     long free;
 
-    Weather() { }
+    Weather() {}
 
     /** Makes everything as it was at first. */
     public void calm() {
--- a/rig/src/main/java/appleridge/rig/net/package-info.java
+++ b/rig/src/main/java/appleridge/rig/net/package-info.java
@@ -1,2 +1,5 @@
-/** Virtual time, a simulated network that carries bytes, and Netty's channels and event loop on top of it. */
+/**
+ * Virtual time, a simulated network that carries bytes, and Netty's channels and event loop on top
+ * of it.
+ */
 package appleridge.rig.net;
--- a/rig/src/main/java/appleridge/rig/plant/Days.java
+++ b/rig/src/main/java/appleridge/rig/plant/Days.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Plays days through a class of a given loader, which has the static methods of {@link PlantedDay}. Nothing
- * but numbers and texts crosses the border between loaders.
+ * Plays days through a class of a given loader, which has the static methods of {@link PlantedDay}.
+ * Nothing but numbers and texts crosses the border between loaders.
  */
 final class Days {
     /** In place of a rule's name where a day couldn't be played to its end. */
--- a/rig/src/main/java/appleridge/rig/plant/Edit.java
+++ b/rig/src/main/java/appleridge/rig/plant/Edit.java
@@ -3,11 +3,13 @@
 import java.util.Arrays;
 
 /**
- * A change of one place in a source. White space does not count where a fragment or block is looked for, so
- * that a formatter that breaks lines elsewhere leaves the recorded fragments valid.
+ * A change of one place in a source. White space does not count where a fragment or block is looked
+ * for, so that a formatter that breaks lines elsewhere leaves the recorded fragments valid.
  *
- * @param file the source file without its ending, with as many of its packages ahead as tell it from others
- * @param within opening line of the block in which the fragment stands once; null for the whole file
+ * @param file the source file without its ending, with as many of its packages ahead as tell it
+ *     from others
+ * @param within opening line of the block in which the fragment stands once; null for the whole
+ *     file
  * @param original the fragment of a statement that is replaced
  * @param replacement what takes its place; may be empty
  */
@@ -33,7 +35,8 @@
         return source.substring(0, begin) + replacement + source.substring(end);
     }
 
-    private int onlyPlace(String source, String text, int from, int to, String kind, String recorded) {
+    private int onlyPlace(
+            String source, String text, int from, int to, String kind, String recorded) {
         int first = source.indexOf(text, from);
         if (first < 0 || first + text.length() > to) {
             throw new IllegalStateException(kind + " not found in " + file + ": " + recorded);
@@ -45,7 +48,9 @@
         return first;
     }
 
-    /** Braces are counted as they come: the product has none in its texts and comments but in pairs. */
+    /**
+     * Braces are counted as they come: the product has none in its texts and comments but in pairs.
+     */
     private int endOfBlock(String source, int begun) {
         int depth = 1;
         for (int i = begun; i < source.length(); i++) {
--- a/rig/src/main/java/appleridge/rig/plant/FaultFile.java
+++ b/rig/src/main/java/appleridge/rig/plant/FaultFile.java
@@ -12,9 +12,10 @@
 import java.util.TreeSet;
 
 /**
- * Reads the planted faults from text: a line for each property of a fault, its name and a value that goes on
- * to the line's end; {@code fault} begins one, and {@code file} each of its edits. Empty lines and such with
- * a {@code #} ahead say nothing. Whatever else is there is an error with the line's number.
+ * Reads the planted faults from text: a line for each property of a fault, its name and a value
+ * that goes on to the line's end; {@code fault} begins one, and {@code file} each of its edits.
+ * Empty lines and such with a {@code #} ahead say nothing. Whatever else is there is an error with
+ * the line's number.
  */
 public final class FaultFile {
     private static final String RESOURCE = "/planted/faults.txt";
@@ -29,7 +30,7 @@
     private static final Set<String> KNOWN_OF_EDIT = Set.of(FILE, "in", "line", WITH);
     private static final int SEEN_WORDS = 3;
 
-    private FaultFile() { }
+    private FaultFile() {}
 
     /** All faults that the rig brings along. */
     public static List<PlantedFault> packed() throws IOException {
@@ -78,8 +79,13 @@
             }
             recorded.append(line).append('\n');
             if (own && key.equals("rules")) {
-                recorded.append("  seen   ").append(finding.rule()).append(finding.tried() == 0 ? ""
-                        : " " + finding.seed() + ' ' + finding.tried()).append('\n');
+                recorded.append("  seen   ")
+                        .append(finding.rule())
+                        .append(
+                                finding.tried() == 0
+                                        ? ""
+                                        : " " + finding.seed() + ' ' + finding.tried())
+                        .append('\n');
             }
         }
         return recorded.toString();
@@ -133,10 +139,21 @@
                 need(Map.of(), NEEDED_OF_EDIT);
             }
             edits.forEach(edit -> need(edit, NEEDED_OF_EDIT));
-            return new PlantedFault(name, properties.get("what"), edits.stream()
-                    .map(edit -> new Edit(edit.get(FILE), edit.get("in"), edit.get("line"), edit.get(WITH)))
-                    .toList(), List.copyOf(Arrays.asList(properties.get("rules").split(" +"))),
-                    properties.get(UNSEEN), seen(properties.get(SEEN)));
+            return new PlantedFault(
+                    name,
+                    properties.get("what"),
+                    edits.stream()
+                            .map(
+                                    edit ->
+                                            new Edit(
+                                                    edit.get(FILE),
+                                                    edit.get("in"),
+                                                    edit.get("line"),
+                                                    edit.get(WITH)))
+                            .toList(),
+                    List.copyOf(Arrays.asList(properties.get("rules").split(" +"))),
+                    properties.get(UNSEEN),
+                    seen(properties.get(SEEN)));
         }
 
         private void need(Map<String, String> given, List<String> needed) {
@@ -148,7 +165,10 @@
             }
         }
 
-        /** The rule, the seed and how many were played; the rule alone where the day was written by hand. */
+        /**
+         * The rule, the seed and how many were played; the rule alone where the day was written by
+         * hand.
+         */
         private PlantedFault.Seen seen(String text) {
             if (text == null) {
                 return null;
@@ -156,8 +176,8 @@
             String[] parts = text.split(" +");
             try {
                 if (parts.length == SEEN_WORDS) {
-                    return new PlantedFault.Seen(parts[0], Long.parseLong(parts[1]),
-                            Integer.parseInt(parts[2]));
+                    return new PlantedFault.Seen(
+                            parts[0], Long.parseLong(parts[1]), Integer.parseInt(parts[2]));
                 }
                 if (parts.length == 1 && !parts[0].isEmpty()) {
                     return new PlantedFault.Seen(parts[0], 0, 0);
@@ -165,7 +185,8 @@
             } catch (NumberFormatException e) {
                 // Told below, together with what has other parts.
             }
-            throw wrong(begun, "not a rule, or a rule, a seed and the number of seeds played: " + text);
+            throw wrong(
+                    begun, "not a rule, or a rule, a seed and the number of seeds played: " + text);
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/plant/Finding.java
+++ b/rig/src/main/java/appleridge/rig/plant/Finding.java
@@ -9,7 +9,8 @@
  * @param said what the judge said to it, or why there is no finding
  * @param day the day, cut down to what it takes; null if none is known
  */
-public record Finding(PlantedFault fault, String rule, long seed, int tried, String said, String day) {
+public record Finding(
+        PlantedFault fault, String rule, long seed, int tried, String said, String day) {
     static Finding none(PlantedFault fault, int tried, String why) {
         return new Finding(fault, "", 0, tried, why, null);
     }
--- a/rig/src/main/java/appleridge/rig/plant/KeptDays.java
+++ b/rig/src/main/java/appleridge/rig/plant/KeptDays.java
@@ -11,12 +11,13 @@
     private static final String DIRECTORY = "days";
     private static final String ENDING = ".txt";
 
-    private KeptDays() { }
+    private KeptDays() {}
 
     /** The day kept for a fault; null if there is none. */
     public static String packed(String fault) {
-        try (InputStream in = KeptDays.class.getResourceAsStream("/planted/" + DIRECTORY + "/" + fault
-                + ENDING)) {
+        try (InputStream in =
+                KeptDays.class.getResourceAsStream(
+                        "/planted/" + DIRECTORY + "/" + fault + ENDING)) {
             return in == null ? null : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/rig/src/main/java/appleridge/rig/plant/MemoryCompiler.java
+++ b/rig/src/main/java/appleridge/rig/plant/MemoryCompiler.java
@@ -30,15 +30,32 @@
         this.classPath = classPath;
     }
 
-    /** The source's classes by their full names. Constants of its that others use stay as they were there. */
+    /**
+     * The source's classes by their full names. Constants of its that others use stay as they were
+     * there.
+     */
     Map<String, byte[]> compile(String path, String source) {
         Map<String, byte[]> classes = new TreeMap<>();
         StringWriter errors = new StringWriter();
-        try (JavaFileManager files = new Kept(
-                compiler.getStandardFileManager(null, null, StandardCharsets.UTF_8), classes)) {
-            boolean compiled = compiler.getTask(errors, files, null,
-                    List.of("-classpath", classPath, "-proc:none", "-implicit:none", "-g", "-nowarn"), null,
-                    List.of(new Source(path, source))).call();
+        try (JavaFileManager files =
+                new Kept(
+                        compiler.getStandardFileManager(null, null, StandardCharsets.UTF_8),
+                        classes)) {
+            boolean compiled =
+                    compiler.getTask(
+                                    errors,
+                                    files,
+                                    null,
+                                    List.of(
+                                            "-classpath",
+                                            classPath,
+                                            "-proc:none",
+                                            "-implicit:none",
+                                            "-g",
+                                            "-nowarn"),
+                                    null,
+                                    List.of(new Source(path, source)))
+                            .call();
             if (!compiled) {
                 throw new IllegalStateException(path + " does not compile: " + errors);
             }
@@ -72,8 +89,8 @@
         }
 
         @Override
-        public JavaFileObject getJavaFileForOutput(Location location, String name, JavaFileObject.Kind kind,
-                FileObject sibling) {
+        public JavaFileObject getJavaFileForOutput(
+                Location location, String name, JavaFileObject.Kind kind, FileObject sibling) {
             URI uri = URI.create("planted:///" + name.replace('.', '/') + kind.extension);
             return new SimpleJavaFileObject(uri, kind) {
                 @Override
--- a/rig/src/main/java/appleridge/rig/plant/PackedSources.java
+++ b/rig/src/main/java/appleridge/rig/plant/PackedSources.java
@@ -28,7 +28,13 @@
     static PackedSources read() throws IOException {
         Path place;
         try {
-            place = Path.of(PackedSources.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            place =
+                    Path.of(
+                            PackedSources.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI());
         } catch (URISyntaxException e) {
             throw new IOException(e);
         }
@@ -42,9 +48,15 @@
 
     private static PackedSources under(Path root) throws IOException {
         try (Stream<Path> files = Files.walk(root)) {
-            return new PackedSources(files.filter(file -> file.toString().endsWith(ENDING))
-                    .collect(Collectors.toMap(file -> root.relativize(file).toString().replace('\\', '/'),
-                            PackedSources::text)));
+            return new PackedSources(
+                    files.filter(file -> file.toString().endsWith(ENDING))
+                            .collect(
+                                    Collectors.toMap(
+                                            file ->
+                                                    root.relativize(file)
+                                                            .toString()
+                                                            .replace('\\', '/'),
+                                            PackedSources::text)));
         }
     }
 
@@ -59,11 +71,15 @@
     /** The one file of that name, which has as many packages ahead as it takes. */
     String path(String file) {
         String end = "/" + file + ENDING;
-        List<String> found = byPath.keySet().stream()
-                .filter(path -> ("/" + path).endsWith(end) && isCompiled(path)).toList();
+        List<String> found =
+                byPath.keySet().stream()
+                        .filter(path -> ("/" + path).endsWith(end) && isCompiled(path))
+                        .toList();
         if (found.size() != 1) {
-            throw new IllegalStateException(found.isEmpty() ? "no file " + file
-                    : "more than one file: " + String.join(", ", found));
+            throw new IllegalStateException(
+                    found.isEmpty()
+                            ? "no file " + file
+                            : "more than one file: " + String.join(", ", found));
         }
         return found.get(0);
     }
@@ -72,7 +88,10 @@
         return byPath.get(path);
     }
 
-    /** Danger: where a file has moved, an earlier build's copy stays behind; it has no class any more. */
+    /**
+     * Danger: where a file has moved, an earlier build's copy stays behind; it has no class any
+     * more.
+     */
     private static boolean isCompiled(String path) {
         String type = path.substring(0, path.length() - ENDING.length()) + ".class";
         return PackedSources.class.getClassLoader().getResource(type) != null;
--- a/rig/src/main/java/appleridge/rig/plant/PlantedCommand.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedCommand.java
@@ -11,7 +11,8 @@
 
 /** The command line of planted faults. */
 public final class PlantedCommand {
-    private static final String USAGE = """
+    private static final String USAGE =
+            """
             usage: planted table
                    planted check [--threads N] [NAME...]
                    planted search FROM-TO [--threads N] [--record FAULTS] [NAME...]
@@ -21,6 +22,7 @@
               don't hold, or with these,
                       and records in that file, with days beside it
             """;
+
     /** The status for a command line that can't be read. */
     private static final int NOT_UNDERSTOOD = 2;
 
@@ -33,7 +35,9 @@
         this.out = out;
     }
 
-    /** Does what the words say; the exit status is 0 only if every fault was seen as it should be. */
+    /**
+     * Does what the words say; the exit status is 0 only if every fault was seen as it should be.
+     */
     public int run(String... words) throws IOException {
         List<String> rest = new ArrayList<>(Arrays.asList(words));
         String command = rest.isEmpty() ? "" : rest.remove(0);
@@ -50,8 +54,11 @@
                     return check(named(rest));
                 case "search":
                     String[] ends = (rest.isEmpty() ? "" : rest.remove(0)).split("-", 2);
-                    return search(named(rest), Long.parseLong(ends[0]),
-                            Long.parseLong(ends[ends.length - 1]), !rest.isEmpty());
+                    return search(
+                            named(rest),
+                            Long.parseLong(ends[0]),
+                            Long.parseLong(ends[ends.length - 1]),
+                            !rest.isEmpty());
                 default:
                     out.print(USAGE);
                     return NOT_UNDERSTOOD;
@@ -84,32 +91,46 @@
                 throw new IllegalArgumentException("no fault of that name: " + name);
             }
         }
-        return names.isEmpty() ? all : all.stream().filter(fault -> names.contains(fault.name())).toList();
+        return names.isEmpty()
+                ? all
+                : all.stream().filter(fault -> names.contains(fault.name())).toList();
     }
 
     private int check(List<PlantedFault> faults) throws IOException {
         List<PlantedFault> showable = faults.stream().filter(PlantedFault::showable).toList();
-        List<Finding> findings = run().check(showable, finding -> {
-            if (!PlantedRun.isAsRecorded(finding)) {
-                print(finding);
-            }
-        });
+        List<Finding> findings =
+                run().check(
+                                showable,
+                                finding -> {
+                                    if (!PlantedRun.isAsRecorded(finding)) {
+                                        print(finding);
+                                    }
+                                });
         long seen = findings.stream().filter(PlantedRun::isAsRecorded).count();
         out.println(findings.size() + " planted faults, " + seen + " seen on their days");
         return seen == findings.size() ? 0 : 1;
     }
 
-    private int search(List<PlantedFault> faults, long from, long to, boolean named) throws IOException {
+    private int search(List<PlantedFault> faults, long from, long to, boolean named)
+            throws IOException {
         PlantedRun run = run();
         List<PlantedFault> sought = faults;
         if (!named) {
-            sought = run.check(faults, finding -> { }).stream()
-                    .filter(finding -> !PlantedRun.isAsRecorded(finding)).map(Finding::fault).toList();
+            sought =
+                    run.check(faults, finding -> {}).stream()
+                            .filter(finding -> !PlantedRun.isAsRecorded(finding))
+                            .map(Finding::fault)
+                            .toList();
         }
-        List<Finding> findings = run.search(sought, from, (int) (to - from + 1), finding -> {
-            print(finding);
-            record(finding);
-        });
+        List<Finding> findings =
+                run.search(
+                        sought,
+                        from,
+                        (int) (to - from + 1),
+                        finding -> {
+                            print(finding);
+                            record(finding);
+                        });
         long seen = findings.stream().filter(Finding::expected).count();
         out.println(findings.size() + " planted faults looked for, " + seen + " seen");
         return seen == findings.size() ? 0 : 1;
@@ -132,8 +153,13 @@
     }
 
     private void print(Finding finding) {
-        out.println(finding.fault().name() + ": " + finding.said() + (finding.found() ? " (seed "
-                + finding.seed() + ", tried " + finding.tried() + ")" : "")
-                + (finding.found() && !finding.expected() ? " UNEXPECTED" : ""));
+        out.println(
+                finding.fault().name()
+                        + ": "
+                        + finding.said()
+                        + (finding.found()
+                                ? " (seed " + finding.seed() + ", tried " + finding.tried() + ")"
+                                : "")
+                        + (finding.found() && !finding.expected() ? " UNEXPECTED" : ""));
     }
 }
--- a/rig/src/main/java/appleridge/rig/plant/PlantedDay.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedDay.java
@@ -6,9 +6,11 @@
 import appleridge.rig.world.Plan;
 import java.util.stream.Collectors;
 
-/** What {@link Days} asks of the classes of its loader: to play a day, and what was broken on it. */
+/**
+ * What {@link Days} asks of the classes of its loader: to play a day, and what was broken on it.
+ */
 final class PlantedDay {
-    private PlantedDay() { }
+    private PlantedDay() {}
 
     /** The rules broken on a seed's day, a line each, in the order of finding. */
     static String ofSeed(long seed) {
--- a/rig/src/main/java/appleridge/rig/plant/PlantedFault.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedFault.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * One thing made wrong in the product on purpose, mostly one line, and what the judge should say to it.
+ * One thing made wrong in the product on purpose, mostly one line, and what the judge should say to
+ * it.
  *
  * @param name short, of lower-case words joined by hyphens
  * @param what what is wrong, in a sentence
@@ -12,8 +13,8 @@
  * @param unseen why no day can show it; null for one that is to be found
  * @param seen where it was found; null while it wasn't
  */
-public record PlantedFault(String name, String what, List<Edit> edits, List<String> rules, String unseen,
-        Seen seen) {
+public record PlantedFault(
+        String name, String what, List<Edit> edits, List<String> rules, String unseen, Seen seen) {
     /**
      * Where a fault was found: on the day that is kept under its name.
      *
@@ -21,7 +22,7 @@
      * @param seed the seed from which that day was drawn
      * @param tried seeds played until then, this one too; 0 for a day written by hand
      */
-    public record Seen(String rule, long seed, int tried) { }
+    public record Seen(String rule, long seed, int tried) {}
 
     /** Whether it is to be found. */
     boolean showable() {
--- a/rig/src/main/java/appleridge/rig/plant/PlantedLoader.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedLoader.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Loads all classes of the project anew, those of one source as they were compiled with a fault in it. What
- * is not the project's comes from the parent, and only such types can cross the border.
+ * Loads all classes of the project anew, those of one source as they were compiled with a fault in
+ * it. What is not the project's comes from the parent, and only such types can cross the border.
  */
 public final class PlantedLoader extends ClassLoader {
     private static final String OURS = "appleridge.";
@@ -36,7 +36,8 @@
     private Class<?> define(String name) throws ClassNotFoundException {
         byte[] bytes = changed.get(name);
         if (bytes == null) {
-            try (InputStream in = getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
+            try (InputStream in =
+                    getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
                 if (in == null) {
                     throw new ClassNotFoundException(name);
                 }
--- a/rig/src/main/java/appleridge/rig/plant/PlantedRun.java
+++ b/rig/src/main/java/appleridge/rig/plant/PlantedRun.java
@@ -15,14 +15,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Plays days with each fault planted and tells what the judge says. The faults share nothing, so they run
- * side by side; the findings come in the faults' order and are the same on any number of threads.
+ * Plays days with each fault planted and tells what the judge says. The faults share nothing, so
+ * they run side by side; the findings come in the faults' order and are the same on any number of
+ * threads.
  */
 public final class PlantedRun {
     private static final Pattern SEED = Pattern.compile("^seed -?\\d+", Pattern.MULTILINE);
 
-    /** Netty logs what reaches the end of a pipeline, with a stack trace each time. Held, or it is lost. */
+    /**
+     * Netty logs what reaches the end of a pipeline, with a stack trace each time. Held, or it is
+     * lost.
+     */
     private final Logger netty = Logger.getLogger("io.netty");
+
     private final Planter planter;
     private final String className;
     private final UnaryOperator<String> kept;
@@ -54,14 +59,15 @@
     }
 
     /**
-     * For each fault, plays seeds until a rule of its breaks on a day that the sound product has no trouble
-     * with, and cuts that day down to what it takes.
+     * For each fault, plays seeds until a rule of its breaks on a day that the sound product has no
+     * trouble with, and cuts that day down to what it takes.
      *
      * @param from the first seed
      * @param most how many are played at most
      * @param told of each finding as it comes; by one thread at a time
      */
-    public List<Finding> search(List<PlantedFault> faults, long from, int most, Consumer<Finding> told) {
+    public List<Finding> search(
+            List<PlantedFault> faults, long from, int most, Consumer<Finding> told) {
         return each(faults, fault -> search(fault, from, most), told);
     }
 
@@ -88,10 +94,11 @@
             String said = days.ofSeed(seed);
             if (!said.isEmpty() && sound.ofSeed(seed).isEmpty()) {
                 String rule = rule(fault, said);
-                Finding finding = new Finding(fault, rule, seed, tried, Days.line(said, rule), null);
+                Finding finding =
+                        new Finding(fault, rule, seed, tried, Days.line(said, rule), null);
                 if (finding.expected()) {
-                    return new Finding(fault, rule, seed, tried, finding.said(),
-                            reduced(days, seed, rule));
+                    return new Finding(
+                            fault, rule, seed, tried, finding.said(), reduced(days, seed, rule));
                 }
                 other = other == null ? finding : other;
             }
@@ -107,8 +114,13 @@
             String other = SEED.matcher(day).replaceFirst("seed " + seed);
             String said = days.ofPlan(other);
             if (Days.rules(said).contains(seen.rule()) && sound.ofPlan(other).isEmpty()) {
-                return new Finding(fault, seen.rule(), seen.seed(), seen.tried(),
-                        Days.line(said, seen.rule()), other);
+                return new Finding(
+                        fault,
+                        seen.rule(),
+                        seen.seed(),
+                        seen.tried(),
+                        Days.line(said, seen.rule()),
+                        other);
             }
         }
         return null;
@@ -120,8 +132,11 @@
     }
 
     private String reduced(Days days, long seed, String rule) {
-        return new Reducer(text -> Days.rules(days.ofPlan(text)).contains(rule)
-                && sound.ofPlan(text).isEmpty()).reduce(sound.planOf(seed));
+        return new Reducer(
+                        text ->
+                                Days.rules(days.ofPlan(text)).contains(rule)
+                                        && sound.ofPlan(text).isEmpty())
+                .reduce(sound.planOf(seed));
     }
 
     private Finding check(PlantedFault fault) {
@@ -136,23 +151,27 @@
         }
         String said = new Days(planter.plant(fault), className).ofPlan(day);
         boolean again = Days.rules(said).contains(seen.rule());
-        return again ? new Finding(fault, seen.rule(), seen.seed(), 1, Days.line(said, seen.rule()), day)
+        return again
+                ? new Finding(fault, seen.rule(), seen.seed(), 1, Days.line(said, seen.rule()), day)
                 : Finding.none(fault, 1, said.isEmpty() ? "not found" : "instead: " + said);
     }
 
-    private List<Finding> each(List<PlantedFault> faults, Function<PlantedFault, Finding> play,
+    private List<Finding> each(
+            List<PlantedFault> faults,
+            Function<PlantedFault, Finding> play,
             Consumer<Finding> told) {
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
             List<Callable<Finding>> tasks = new ArrayList<>();
             for (PlantedFault fault : faults) {
-                tasks.add(() -> {
-                    Finding finding = play.apply(fault);
-                    synchronized (told) {
-                        told.accept(finding);
-                    }
-                    return finding;
-                });
+                tasks.add(
+                        () -> {
+                            Finding finding = play.apply(fault);
+                            synchronized (told) {
+                                told.accept(finding);
+                            }
+                            return finding;
+                        });
             }
             List<Finding> findings = new ArrayList<>();
             for (Future<Finding> done : workers.invokeAll(tasks)) {
--- a/rig/src/main/java/appleridge/rig/plant/Planter.java
+++ b/rig/src/main/java/appleridge/rig/plant/Planter.java
@@ -11,7 +11,10 @@
     private final PackedSources sources;
     private final MemoryCompiler compiler;
 
-    /** Reads the product's sources from beside the rig's classes, and compiles against its class path. */
+    /**
+     * Reads the product's sources from beside the rig's classes, and compiles against its class
+     * path.
+     */
     public Planter() throws IOException {
         this(PackedSources.read());
     }
@@ -22,8 +25,8 @@
     }
 
     /**
-     * The project's classes with the fault in them, loaded anew for each call. What is wrong with the fault
-     * itself is told by an {@link IllegalStateException} with its name.
+     * The project's classes with the fault in them, loaded anew for each call. What is wrong with
+     * the fault itself is told by an {@link IllegalStateException} with its name.
      */
     public PlantedLoader plant(PlantedFault fault) {
         try {
--- a/rig/src/main/java/appleridge/rig/sim/Campaign.java
+++ b/rig/src/main/java/appleridge/rig/sim/Campaign.java
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * Many days on all cores; what comes out does not depend on how many there are, nor on the order of the
- * days.
+ * Many days on all cores; what comes out does not depend on how many there are, nor on the order of
+ * the days.
  */
 final class Campaign {
     private static final int TOLD_EACH = 500;
@@ -26,16 +26,27 @@
      * @param bad the days on which a rule broke, by their seeds
      * @param nanos how long it took
      */
-    record Result(long seeds, List<Verdict> bad, long digest, Counts counts, Coverage coverage,
-            long simulatedNanos, long nanos) {
+    record Result(
+            long seeds,
+            List<Verdict> bad,
+            long digest,
+            Counts counts,
+            Coverage coverage,
+            long simulatedNanos,
+            long nanos) {
         long brokenRules() {
             return bad.stream().mapToLong(each -> each.broken().size()).sum();
         }
 
         String line() {
-            return seeds + " seeds, " + brokenRules() + " broken rules, digest "
-                    + Long.toHexString(digest) + ", "
-                    + simulatedNanos / Math.max(1, nanos) + " simulated seconds a second";
+            return seeds
+                    + " seeds, "
+                    + brokenRules()
+                    + " broken rules, digest "
+                    + Long.toHexString(digest)
+                    + ", "
+                    + simulatedNanos / Math.max(1, nanos)
+                    + " simulated seconds a second";
         }
     }
 
@@ -43,7 +54,7 @@
     private final long to;
     private final int threads;
     private final AtomicLong next;
-    private BiConsumer<Long, Long> progress = (done, all) -> { };
+    private BiConsumer<Long, Long> progress = (done, all) -> {};
     private final List<Verdict> bad = new ArrayList<>();
     private final Coverage coverage = new Coverage();
     private Counts counts = Counts.NONE;
@@ -76,7 +87,8 @@
             join(each);
         }
         bad.sort(Comparator.comparingLong(Verdict::seed));
-        return new Result(to - from + 1, bad, digest, counts, coverage, simulated, WallTime.nanos() - start);
+        return new Result(
+                to - from + 1, bad, digest, counts, coverage, simulated, WallTime.nanos() - start);
     }
 
     private static void join(Thread worker) {
--- a/rig/src/main/java/appleridge/rig/sim/DayPlayer.java
+++ b/rig/src/main/java/appleridge/rig/sim/DayPlayer.java
@@ -28,12 +28,15 @@
 /** Plays one day from its plan: everything in it is made for it and ends with it. */
 public final class DayPlayer {
     /**
-     * Timers that a sidecar with nothing open has, as measured: the sweeps of clients and of servers, the
-     * watch of discovery, the module's alarms, of which each is for an earlier time than the one before.
+     * Timers that a sidecar with nothing open has, as measured: the sweeps of clients and of
+     * servers, the watch of discovery, the module's alarms, of which each is for an earlier time
+     * than the one before.
      */
     private static final int STANDING_TIMERS = 6;
+
     /** And those of one that follows nodes: their membership's tick. */
     private static final int NODE_TIMERS = 2;
+
     private static final long QUIET = 500_000_000;
     private static final int LOOKS = 100;
 
@@ -63,8 +66,18 @@
             return play(plan);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            return new Verdict(plan.seed(), 0, List.of(new Broken(Rule.CRASH, 0, "the rig",
-                    e + (trace.length == 0 ? "" : " at " + trace[0]))), Counts.NONE, new Coverage(), 0);
+            return new Verdict(
+                    plan.seed(),
+                    0,
+                    List.of(
+                            new Broken(
+                                    Rule.CRASH,
+                                    0,
+                                    "the rig",
+                                    e + (trace.length == 0 ? "" : " at " + trace[0]))),
+                    Counts.NONE,
+                    new Coverage(),
+                    0);
         }
     }
 
@@ -86,7 +99,12 @@
         } finally {
             sidecars.values().forEach(SimSidecar::close);
         }
-        return new Verdict(plan.seed(), world.simulation().digest(), judge.broken(), tally.counts(), coverage,
+        return new Verdict(
+                plan.seed(),
+                world.simulation().digest(),
+                judge.broken(),
+                tally.counts(),
+                coverage,
                 world.simulation().now());
     }
 
@@ -97,21 +115,29 @@
     }
 
     private Evidence watch(World world, RequestStates states, UnaryOperator<String> zoneOf) {
-        judge = Judge.ofDay(figures(), world.simulation()::now, zoneOf, states,
-                name -> sidecars.get(name).busy(), ledger(world));
-        Evidence listed = new Evidence() {
-            @Override
-            public void listKnows(long revision, String uid, int life, String state, long bornAt) {
-                sidecars.values().forEach(each -> each.listed(uid));
-            }
-
-            @Override
-            public void serverState(String uid, int life, String state, long bornAt) {
-                sidecars.values().forEach(each -> each.listed(uid));
-            }
-        };
-        List<Evidence> watchers = new ArrayList<>(List.of(listed, new Strikes(states, coverage), tally,
-                judge));
+        judge =
+                Judge.ofDay(
+                        figures(),
+                        world.simulation()::now,
+                        zoneOf,
+                        states,
+                        name -> sidecars.get(name).busy(),
+                        ledger(world));
+        Evidence listed =
+                new Evidence() {
+                    @Override
+                    public void listKnows(
+                            long revision, String uid, int life, String state, long bornAt) {
+                        sidecars.values().forEach(each -> each.listed(uid));
+                    }
+
+                    @Override
+                    public void serverState(String uid, int life, String state, long bornAt) {
+                        sidecars.values().forEach(each -> each.listed(uid));
+                    }
+                };
+        List<Evidence> watchers =
+                new ArrayList<>(List.of(listed, new Strikes(states, coverage), tally, judge));
         return new Fan(watchers);
     }
 
@@ -136,7 +162,8 @@
     }
 
     private Figures figures() {
-        return Figures.usual().withDelays(plan.longestWay(), plan.longestWork())
+        return Figures.usual()
+                .withDelays(plan.longestWay(), plan.longestWork())
                 .withAskWithin(plan.size(Knob.ASK_WITHIN))
                 .withWindowOfZones(plan.size(Knob.KEY_WINDOW))
                 .withLongestDeadline(plan.size(Knob.LONGEST_DEADLINE))
@@ -144,8 +171,8 @@
     }
 
     /**
-     * At a quiet moment: buffers may hold half of an answer of discovery's, which is always asking, so they
-     * are looked at again until that is read.
+     * At a quiet moment: buffers may hold half of an answer of discovery's, which is always asking,
+     * so they are looked at again until that is read.
      */
     private void books(World world) {
         Simulation simulation = world.simulation();
@@ -154,13 +181,24 @@
                 && sidecars.values().stream().anyMatch(each -> each.books().bufferBytes() > 0)) {
             simulation.runUntil(simulation.now() + QUIET / LOOKS);
         }
-        // What stands idle for as long as servers are said to allow has been closed, and no client is there.
-        boolean allIdle = plan.size(Knob.QUIET) > plan.size(Knob.CONN_IDLE) + plan.size(Knob.CONNECT_TIMEOUT);
+        // What stands idle for as long as servers are said to allow has been closed, and no client
+        // is there.
+        boolean allIdle =
+                plan.size(Knob.QUIET) > plan.size(Knob.CONN_IDLE) + plan.size(Knob.CONNECT_TIMEOUT);
         Ledger ledger = ledger(world);
-        sidecars.forEach((name, sidecar) -> {
-            Books baseline = new Books(0, 0, ledger.clients(name), allIdle ? 0 : ledger.upstreams(name),
-                    STANDING_TIMERS + (plan.size(Knob.MEMBERSHIP) > 0 ? NODE_TIMERS : 0), 0, List.of());
-            judge.books(name, sidecar.books(), baseline);
-        });
+        sidecars.forEach(
+                (name, sidecar) -> {
+                    Books baseline =
+                            new Books(
+                                    0,
+                                    0,
+                                    ledger.clients(name),
+                                    allIdle ? 0 : ledger.upstreams(name),
+                                    STANDING_TIMERS
+                                            + (plan.size(Knob.MEMBERSHIP) > 0 ? NODE_TIMERS : 0),
+                                    0,
+                                    List.of());
+                    judge.books(name, sidecar.books(), baseline);
+                });
     }
 }
--- a/rig/src/main/java/appleridge/rig/sim/Options.java
+++ b/rig/src/main/java/appleridge/rig/sim/Options.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A command line's words: {@code --name value} and {@code --name}; what nobody asked for is an error. */
+/**
+ * A command line's words: {@code --name value} and {@code --name}; what nobody asked for is an
+ * error.
+ */
 final class Options {
     private final List<String> words;
 
--- a/rig/src/main/java/appleridge/rig/sim/ScenarioFile.java
+++ b/rig/src/main/java/appleridge/rig/sim/ScenarioFile.java
@@ -10,7 +10,7 @@
 
 /** A scenario that a person names on the command line. */
 final class ScenarioFile {
-    private ScenarioFile() { }
+    private ScenarioFile() {}
 
     /** The plan in it; what is wrong with it is told by the exception. */
     static Plan read(String name) throws IOException {
--- a/rig/src/main/java/appleridge/rig/sim/Scenarios.java
+++ b/rig/src/main/java/appleridge/rig/sim/Scenarios.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * The scenarios that are kept with the rig. Each showed something that was mended then, as its first line
- * says, and is played for ever.
+ * The scenarios that are kept with the rig. Each showed something that was mended then, as its
+ * first line says, and is played for ever.
  */
 final class Scenarios {
     private static final String DIRECTORY = "scenarios";
@@ -24,15 +24,21 @@
      *
      * @param what what it showed
      */
-    record Scenario(String name, String what, Plan plan) { }
+    record Scenario(String name, String what, Plan plan) {}
 
-    private Scenarios() { }
+    private Scenarios() {}
 
     /** All of them, by their names. */
     static List<Scenario> kept() throws IOException {
         Path place;
         try {
-            place = Path.of(Scenarios.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            place =
+                    Path.of(
+                            Scenarios.class
+                                    .getProtectionDomain()
+                                    .getCodeSource()
+                                    .getLocation()
+                                    .toURI());
         } catch (URISyntaxException e) {
             throw new IOException(e);
         }
@@ -61,7 +67,8 @@
         String name = file.substring(0, file.length() - ENDING.length());
         String first = text.lines().findFirst().orElse("");
         if (!first.startsWith("# ")) {
-            throw new IllegalArgumentException(name + ": the first line says what it showed, behind #");
+            throw new IllegalArgumentException(
+                    name + ": the first line says what it showed, behind #");
         }
         try {
             return new Scenario(name, first.substring(2), Plan.parse(text));
--- a/rig/src/main/java/appleridge/rig/sim/Shrink.java
+++ b/rig/src/main/java/appleridge/rig/sim/Shrink.java
@@ -36,7 +36,10 @@
         this.err = err;
     }
 
-    /** Runs a command line without its first word; the exit status is 1 if there is nothing to shrink. */
+    /**
+     * Runs a command line without its first word; the exit status is 1 if there is nothing to
+     * shrink.
+     */
     public int run(String... words) {
         try {
             return run(new Options(words));
@@ -57,14 +60,20 @@
         if (seed == null == (scenario == null)) {
             throw new IllegalArgumentException("a seed or a scenario is to be given");
         }
-        Plan plan = scenario != null ? ScenarioFile.read(scenario)
-                : Plan.draw(Options.whole("--seed", seed));
+        Plan plan =
+                scenario != null
+                        ? ScenarioFile.read(scenario)
+                        : Plan.draw(Options.whole("--seed", seed));
         Rule sought = rule == null ? null : rule(rule);
         // Netty logs what reaches the end of a pipeline, with a stack trace each time.
         Logger.getLogger("io.netty").setLevel(Level.OFF);
         Broken broken = broken(plan, sought);
         if (broken == null) {
-            err.println("shrink: " + (rule == null ? "no rule" : rule) + " broken on seed " + plan.seed());
+            err.println(
+                    "shrink: "
+                            + (rule == null ? "no rule" : rule)
+                            + " broken on seed "
+                            + plan.seed());
             return 1;
         }
         write(plan, broken.rule(), most, file);
@@ -83,22 +92,39 @@
     private void write(Plan plan, Rule rule, int most, String file) throws IOException {
         Shrinker shrinker = new Shrinker(each -> broken(each, rule) != null, most);
         Plan left = shrinker.shrink(plan);
-        String text = "# " + broken(left, rule) + "\n# Cut down from seed " + plan.seed() + ".\n"
-                + left.text();
+        String text =
+                "# "
+                        + broken(left, rule)
+                        + "\n# Cut down from seed "
+                        + plan.seed()
+                        + ".\n"
+                        + left.text();
         if (file == null) {
             out.print(text);
         } else {
             Files.writeString(Path.of(file), text);
         }
-        out.println(rule + ": " + left.faults().size() + " of " + plan.faults().size() + " faults and "
-                + left.unusual().size() + " of " + plan.unusual().size() + " unusual sizes are left after "
-                + shrinker.plays() + " plays");
+        out.println(
+                rule
+                        + ": "
+                        + left.faults().size()
+                        + " of "
+                        + plan.faults().size()
+                        + " faults and "
+                        + left.unusual().size()
+                        + " of "
+                        + plan.unusual().size()
+                        + " unusual sizes are left after "
+                        + shrinker.plays()
+                        + " plays");
     }
 
     /** The first time that the rule broke, or any if none is named; null if it didn't. */
     private static Broken broken(Plan plan, Rule rule) {
         Verdict verdict = DayPlayer.playOrCrash(plan);
-        return verdict.broken().stream().filter(each -> rule == null || each.rule() == rule).findFirst()
+        return verdict.broken().stream()
+                .filter(each -> rule == null || each.rule() == rule)
+                .findFirst()
                 .orElse(null);
     }
 }
--- a/rig/src/main/java/appleridge/rig/sim/Shrinker.java
+++ b/rig/src/main/java/appleridge/rig/sim/Shrinker.java
@@ -10,8 +10,9 @@
 import java.util.function.Predicate;
 
 /**
- * Cuts a plan that breaks a rule down to what matters: first the faults, by delta debugging, then the sizes
- * that need not be unusual, at last the numbers that may be rounder. What is left breaks the rule yet.
+ * Cuts a plan that breaks a rule down to what matters: first the faults, by delta debugging, then
+ * the sizes that need not be unusual, at last the numbers that may be rounder. What is left breaks
+ * the rule yet.
  */
 final class Shrinker {
     private final Predicate<Plan> breaks;
@@ -48,7 +49,9 @@
         return plays;
     }
 
-    /** Goes on with that plan if it breaks the rule too; a plan that is none is as one that doesn't. */
+    /**
+     * Goes on with that plan if it breaks the rule too; a plan that is none is as one that doesn't.
+     */
     private boolean take(Plan candidate) {
         if (plays >= most || !isPlan(candidate)) {
             return false;
--- a/rig/src/main/java/appleridge/rig/sim/SimNodes.java
+++ b/rig/src/main/java/appleridge/rig/sim/SimNodes.java
@@ -12,7 +12,10 @@
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 
-/** The product's list from nodes, with the simulated world's coordination service in ZooKeeper's place. */
+/**
+ * The product's list from nodes, with the simulated world's coordination service in ZooKeeper's
+ * place.
+ */
 record SimNodes(Ensemble ensemble, String sidecar) implements SourceFactory {
     private record Hearer(Loop loop, NodeMembership membership) implements EnsembleClient.Hearer {
         @Override
@@ -50,8 +53,13 @@
 
     @Override
     public ListSource make(Loop loop, Sockets sockets, Config config, ListSink sink) {
-        return new NodeLists(loop, ensemble.isBoth() ? Merge.BOTH : Merge.NODES,
-                NodeMembership.Settings.USUAL, config.settings().limits().askWithin(), config.seed(), sink,
+        return new NodeLists(
+                loop,
+                ensemble.isBoth() ? Merge.BOTH : Merge.NODES,
+                NodeMembership.Settings.USUAL,
+                config.settings().limits().askWithin(),
+                config.seed(),
+                sink,
                 told -> SourceFactory.registry(loop, sockets, config, told),
                 membership -> new Client(ensemble.client(sidecar, new Hearer(loop, membership))));
     }
--- a/rig/src/main/java/appleridge/rig/sim/SimSidecar.java
+++ b/rig/src/main/java/appleridge/rig/sim/SimSidecar.java
@@ -33,8 +33,10 @@
     private final Evidence evidence;
     private final Supplier<Ensemble> ensemble;
     private final List<String> escaped = new ArrayList<>();
+
     /** Ids of upstreams by the numbers that they have here. */
     private final Map<Long, String> names = new HashMap<>();
+
     private long wallOffset;
     private SimLoop loop;
     private Node node;
@@ -56,35 +58,66 @@
     @Override
     public void start(Process process) {
         config = parse(process.config());
-        loop = new SimLoop(simulation, process.host(), process.chance(), new SimLoop.Costs(
-                process.costs().task(), process.costs().read(), process.costs().clock()));
+        loop =
+                new SimLoop(
+                        simulation,
+                        process.host(),
+                        process.chance(),
+                        new SimLoop.Costs(
+                                process.costs().task(),
+                                process.costs().read(),
+                                process.costs().clock()));
         SimLoop own = loop;
-        loop.execute(() -> {
-            Loop time = new Loop(own, () -> Site.EPOCH_MILLIS + (own.localNow() + wallOffset) / MILLI,
-                    new SimLog(simulation, process.name(), escaped));
-            Tuning tuning = ensemble.get() == null ? Tuning.USUAL
-                    : Tuning.USUAL.with(new SimNodes(ensemble.get(), process.name()));
-            node = new Node(time, new SimSockets(own), config, tuning, (settings, seed,
-                    actions) -> {
-                WitnessedActions witnessed = new WitnessedActions(process.name(), process.life(), evidence,
-                        number -> names.getOrDefault(number, ""), actions);
-                return new WitnessedModule(process.name(), process.life(), evidence,
-                        number -> names.getOrDefault(number, ""), simulation,
-                        new SymmetricRoundRobin(settings, seed, witnessed));
-            });
-            node.listening().addListener(done -> {
-                if (done.isSuccess()) {
-                    node.warm();
-                } else {
-                    end();
-                    process.exited().accept(1);
-                }
-            });
-            ending = () -> {
-                end();
-                process.exited().accept(0);
-            };
-        });
+        loop.execute(
+                () -> {
+                    Loop time =
+                            new Loop(
+                                    own,
+                                    () -> Site.EPOCH_MILLIS + (own.localNow() + wallOffset) / MILLI,
+                                    new SimLog(simulation, process.name(), escaped));
+                    Tuning tuning =
+                            ensemble.get() == null
+                                    ? Tuning.USUAL
+                                    : Tuning.USUAL.with(
+                                            new SimNodes(ensemble.get(), process.name()));
+                    node =
+                            new Node(
+                                    time,
+                                    new SimSockets(own),
+                                    config,
+                                    tuning,
+                                    (settings, seed, actions) -> {
+                                        WitnessedActions witnessed =
+                                                new WitnessedActions(
+                                                        process.name(),
+                                                        process.life(),
+                                                        evidence,
+                                                        number -> names.getOrDefault(number, ""),
+                                                        actions);
+                                        return new WitnessedModule(
+                                                process.name(),
+                                                process.life(),
+                                                evidence,
+                                                number -> names.getOrDefault(number, ""),
+                                                simulation,
+                                                new SymmetricRoundRobin(settings, seed, witnessed));
+                                    });
+                    node.listening()
+                            .addListener(
+                                    done -> {
+                                        if (done.isSuccess()) {
+                                            node.warm();
+                                        } else {
+                                            end();
+                                            process.exited().accept(1);
+                                        }
+                                    });
+                    ending =
+                            () -> {
+                                end();
+                                process.exited().accept(0);
+                            };
+                });
     }
 
     private static Config parse(String text) {
@@ -147,8 +180,14 @@
             loop.escaped().forEach(each -> failures.add(String.valueOf(each)));
         }
         appleridge.exchange.Books own = node.books();
-        return new Books(own.open() + own.names() + own.calls(), own.attempts(), node.clients(),
-                node.upstreams(), loop.pendingTimers(), loop.usedMemory(), failures);
+        return new Books(
+                own.open() + own.names() + own.calls(),
+                own.attempts(),
+                node.clients(),
+                node.upstreams(),
+                loop.pendingTimers(),
+                loop.usedMemory(),
+                failures);
     }
 
     /** Ends what still runs when the day is over. */
--- a/rig/src/main/java/appleridge/rig/sim/Simulate.java
+++ b/rig/src/main/java/appleridge/rig/sim/Simulate.java
@@ -22,7 +22,7 @@
 public final class Simulate {
     private static final String USAGE =
             "usage: simulate --seeds FROM-TO [--threads N] [--coverage [FILE.md]]\n"
-            + "       simulate --seed N [--trace] | --scenario FILE [--trace] | --scenarios";
+                + "       simulate --seed N [--trace] | --scenario FILE [--trace] | --scenarios";
     private static final int MOST_SHOWN = 400;
 
     private final PrintStream out;
@@ -54,12 +54,21 @@
         String seeds = options.value("--seeds");
         int threads = options.number("--threads", 1, 0);
         options.done();
-        int ways = (scenarios ? 1 : 0) + (scenario == null ? 0 : 1) + (seed == null ? 0 : 1)
-                + (seeds == null ? 0 : 1);
-        require(ways == 1, ways == 0 ? "nothing to play"
-                : "one of --seeds, --seed, --scenario and --scenarios at a time");
-        require(!trace || seed != null || scenario != null, "--trace is for one day: --seed or --scenario");
-        require(coverage == null && threads == 0 || seeds != null,
+        int ways =
+                (scenarios ? 1 : 0)
+                        + (scenario == null ? 0 : 1)
+                        + (seed == null ? 0 : 1)
+                        + (seeds == null ? 0 : 1);
+        require(
+                ways == 1,
+                ways == 0
+                        ? "nothing to play"
+                        : "one of --seeds, --seed, --scenario and --scenarios at a time");
+        require(
+                !trace || seed != null || scenario != null,
+                "--trace is for one day: --seed or --scenario");
+        require(
+                coverage == null && threads == 0 || seeds != null,
                 "--coverage and --threads go with --seeds");
         if (scenarios) {
             return kept();
@@ -76,7 +85,11 @@
         require(from <= to, "no seeds from " + from + " to " + to);
         // Its successor, and how many there are, must be numbers too.
         require(to < Long.MAX_VALUE, "no seed as high as " + to);
-        return many(from, to, threads == 0 ? Runtime.getRuntime().availableProcessors() : threads, coverage);
+        return many(
+                from,
+                to,
+                threads == 0 ? Runtime.getRuntime().availableProcessors() : threads,
+                coverage);
     }
 
     private static void require(boolean holds, String otherwise) {
--- a/rig/src/main/java/appleridge/rig/sim/WallTime.java
+++ b/rig/src/main/java/appleridge/rig/sim/WallTime.java
@@ -2,7 +2,7 @@
 
 /** The real clock, to say how long playing took; nothing that is played reads it. */
 final class WallTime {
-    private WallTime() { }
+    private WallTime() {}
 
     static long nanos() {
         return System.nanoTime();
--- a/rig/src/main/java/appleridge/rig/sim/WitnessedActions.java
+++ b/rig/src/main/java/appleridge/rig/sim/WitnessedActions.java
@@ -9,8 +9,9 @@
  *
  * @param names the upstream's id for the number by which the module knows it
  */
-record WitnessedActions(String sidecar, int life, Evidence evidence, LongFunction<String> names,
-        Actions actions) implements Actions {
+record WitnessedActions(
+        String sidecar, int life, Evidence evidence, LongFunction<String> names, Actions actions)
+        implements Actions {
     @Override
     public void send(long request, long upstream, long timeout) {
         evidence.moduleSends(sidecar, life, request, names.apply(upstream));
--- a/rig/src/main/java/appleridge/rig/sim/WitnessedModule.java
+++ b/rig/src/main/java/appleridge/rig/sim/WitnessedModule.java
@@ -16,12 +16,18 @@
     private final LongFunction<String> names;
     private final Simulation simulation;
     private final Balancer module;
+
     /** Upstreams that are ready as it was told. */
     private final Set<Long> listed = new TreeSet<>();
 
     /** With the names of upstreams by their numbers. */
-    WitnessedModule(String sidecar, int life, Evidence evidence, LongFunction<String> names,
-            Simulation simulation, Balancer module) {
+    WitnessedModule(
+            String sidecar,
+            int life,
+            Evidence evidence,
+            LongFunction<String> names,
+            Simulation simulation,
+            Balancer module) {
         this.sidecar = sidecar;
         this.life = life;
         this.evidence = evidence;
@@ -41,7 +47,9 @@
         Set<Long> missing = new TreeSet<>(whole ? listed : Set.of());
         for (Upstream each : entries) {
             missing.remove(each.id());
-            listed(each.id(), each.state() == State.READY,
+            listed(
+                    each.id(),
+                    each.state() == State.READY,
                     each.startedAt() == 0 ? 0 : simulation.now() - (now - each.startedAt()));
         }
         missing.forEach(each -> listed(each, false, 0));
@@ -60,7 +68,11 @@
     @Override
     public void request(long now, Request request) {
         evidence.moduleTook(sidecar, life, request.id(), request.key());
-        evidence.moduleHears(sidecar, request.key(), request.requestClass(), request.tenant(),
+        evidence.moduleHears(
+                sidecar,
+                request.key(),
+                request.requestClass(),
+                request.tenant(),
                 request.clientRetry());
         module.request(now, request);
     }
@@ -71,8 +83,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long upstream,
+            Outcome outcome,
+            long elapsed,
+            boolean ended,
+            float[] load) {
         evidence.moduleOutcome(sidecar, life, request, attempt, outcome.name(), ended);
         module.outcome(now, request, attempt, upstream, outcome, elapsed, ended, load);
     }
--- a/rig/src/main/java/appleridge/rig/world/Answers.java
+++ b/rig/src/main/java/appleridge/rig/world/Answers.java
@@ -9,6 +9,7 @@
     private static final String HINTS = "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n";
     private static final String NOISE = "\u0000\u0001\u00fe noise \r\n\r\n\u0016\u0003\u0001";
     private static final long GIGABYTES = 3L << 30;
+
     /** Nanoseconds from a body to the reset behind it. */
     private static final long RESET_AFTER = 5 * Site.MS;
 
@@ -21,15 +22,23 @@
 
     /** An answer with a length. */
     static String plain(String status, String headers, String body) {
-        return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
+        return "HTTP/1.1 "
+                + status
+                + "\r\n"
+                + headers
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
                 + body;
     }
 
     /** How a server fails: what was asked may have run, whatever else is said. */
     String failed(String headers) {
         Chance how = chance.stream("failed" + ++failures);
-        String status = how.hits(0.5) ? "500 Internal Server Error"
-                : how.hits(0.5) ? "503 Service Unavailable" : "504 Gateway Timeout";
+        String status =
+                how.hits(0.5)
+                        ? "500 Internal Server Error"
+                        : how.hits(0.5) ? "503 Service Unavailable" : "504 Gateway Timeout";
         boolean odd = status.startsWith("500") && how.hits(0.2);
         return plain(status, headers + (odd ? "X-Not-Run: 1\r\n" : ""), "sorry");
     }
@@ -40,11 +49,16 @@
             return plain("200 OK", headers, body);
         }
         StringBuilder text = new StringBuilder(body.length() + 200);
-        text.append("HTTP/1.1 200 OK\r\n").append(headers).append("Transfer-Encoding: chunked\r\n\r\n");
+        text.append("HTTP/1.1 200 OK\r\n")
+                .append(headers)
+                .append("Transfer-Encoding: chunked\r\n\r\n");
         int from = 0;
         while (from < body.length()) {
-            int size = Math.min(body.length() - from, 1 + chance.nextInt(Math.max(16, body.length())));
-            text.append(Integer.toHexString(size)).append("\r\n").append(body, from, from + size)
+            int size =
+                    Math.min(body.length() - from, 1 + chance.nextInt(Math.max(16, body.length())));
+            text.append(Integer.toHexString(size))
+                    .append("\r\n")
+                    .append(body, from, from + size)
                     .append("\r\n");
             from += size;
         }
@@ -55,7 +69,8 @@
     Script withExtra(Extra extra, String good) {
         return switch (extra) {
             case INTERIM -> Script.of((chance.hits(0.5) ? CONTINUE : HINTS) + good);
-            case INTERIMS -> Script.of(CONTINUE).then(pause(20), HINTS).then(pause(20), CONTINUE + good);
+            case INTERIMS ->
+                    Script.of(CONTINUE).then(pause(20), HINTS).then(pause(20), CONTINUE + good);
             case COPY -> Script.of(good + good);
             case NOISE -> Script.of(good + NOISE);
             case LATE_NOISE -> Script.of(good).then(pause(300), NOISE);
@@ -76,31 +91,53 @@
             case BAD_HEADER -> Script.of(head + "no colon here\r\n" + sized + "\r\n" + body);
             case FOLDED -> Script.of(head + "X-Long: a\r\n b\r\n" + sized + "\r\n" + body);
             case CONTROL_BYTES -> Script.of(head + "X-Odd: a\u0000b\r\n" + sized + "\r\n" + body);
-            case ENDLESS_HEAD -> Script.of(head).repeat(MANY, 2 * Site.MS, "X-More: " + "m".repeat(2000)
-                    + "\r\n");
-            case LONG_LENGTH -> Script.of(head + "Content-Length: " + (body.length() + 500) + "\r\n\r\n"
-                    + body);
+            case ENDLESS_HEAD ->
+                    Script.of(head)
+                            .repeat(MANY, 2 * Site.MS, "X-More: " + "m".repeat(2000) + "\r\n");
+            case LONG_LENGTH ->
+                    Script.of(
+                            head + "Content-Length: " + (body.length() + 500) + "\r\n\r\n" + body);
             case NEGATIVE_LENGTH -> Script.of(head + "Content-Length: -5\r\n\r\n" + body);
-            case HUGE_LENGTH -> Script.of(head + "Content-Length: 99999999999999999999999\r\n\r\n" + body);
+            case HUGE_LENGTH ->
+                    Script.of(head + "Content-Length: 99999999999999999999999\r\n\r\n" + body);
             case TWO_LENGTHS -> Script.of(head + sized + "Content-Length: 3\r\n\r\n" + body);
-            case LENGTH_AND_CHUNKS -> Script.of(head + sized + "Transfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n");
-            case BAD_CHUNKS -> Script.of(head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + body
-                    + "\r\n0\r\n\r\n");
+            case LENGTH_AND_CHUNKS ->
+                    Script.of(
+                            head
+                                    + sized
+                                    + "Transfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(body.length())
+                                    + "\r\n"
+                                    + body
+                                    + "\r\n0\r\n\r\n");
+            case BAD_CHUNKS ->
+                    Script.of(
+                            head
+                                    + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"
+                                    + body
+                                    + "\r\n0\r\n\r\n");
             // An orderly end would be the answer's; a reset is none.
-            case NO_LENGTH -> Script.of(head + "\r\n" + body).then(RESET_AFTER, "")
-                    .ending(Script.End.RESET);
-            case THREE_GIGABYTES -> Script.of(head + "Content-Length: " + GIGABYTES + "\r\n\r\n")
-                    .repeat(MANY, Site.MS, "3".repeat(8192));
-            case CUT_HEAD -> Script.of(head.substring(0, 10 + chance.nextInt(20))).ending(Script.End.CLOSE);
-            case CUT_BODY -> Script.of(head + sized + "\r\n" + body.substring(0, half))
-                    .ending(Script.End.CLOSE);
-            case CUT_RESET -> Script.of(head + sized + "\r\n" + body.substring(0, half)).then(pause(5), "")
-                    .ending(Script.End.RESET);
+            case NO_LENGTH ->
+                    Script.of(head + "\r\n" + body).then(RESET_AFTER, "").ending(Script.End.RESET);
+            case THREE_GIGABYTES ->
+                    Script.of(head + "Content-Length: " + GIGABYTES + "\r\n\r\n")
+                            .repeat(MANY, Site.MS, "3".repeat(8192));
+            case CUT_HEAD ->
+                    Script.of(head.substring(0, 10 + chance.nextInt(20))).ending(Script.End.CLOSE);
+            case CUT_BODY ->
+                    Script.of(head + sized + "\r\n" + body.substring(0, half))
+                            .ending(Script.End.CLOSE);
+            case CUT_RESET ->
+                    Script.of(head + sized + "\r\n" + body.substring(0, half))
+                            .then(pause(5), "")
+                            .ending(Script.End.RESET);
             case STOPS -> Script.of(head + sized + "\r\n" + body.substring(0, half));
             case ONLY_INTERIM -> Script.of(CONTINUE).then(pause(5), HINTS);
-            case SWITCHES -> Script.of("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\n"
-                    + "Upgrade: x\r\n\r\n" + body);
+            case SWITCHES ->
+                    Script.of(
+                            "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\n"
+                                    + "Upgrade: x\r\n\r\n"
+                                    + body);
             default -> throw new IllegalArgumentException("not spoilt: " + how);
         };
     }
--- a/rig/src/main/java/appleridge/rig/world/AppConnection.java
+++ b/rig/src/main/java/appleridge/rig/world/AppConnection.java
@@ -7,7 +7,8 @@
 import java.util.ArrayDeque;
 
 /**
- * A usual client's connection to a sidecar: mostly one request at a time, at times a few behind one another.
+ * A usual client's connection to a sidecar: mostly one request at a time, at times a few behind one
+ * another.
  */
 final class AppConnection implements SimSocket.Events {
     private static final int BULK = 1 << 16;
@@ -21,8 +22,10 @@
     private final Seat seat;
     private final HttpReader reader = new HttpReader(true);
     private final ArrayDeque<Asking> open = new ArrayDeque<>(2);
+
     /** How many bytes of earlier requests were written when each of the open ones began. */
     private final ArrayDeque<Long> begunAt = new ArrayDeque<>(2);
+
     private SimSocket socket;
     private Player player;
     private Asking first;
@@ -81,8 +84,15 @@
 
     /** Whether this one may be asked behind the others: it must not be due before them. */
     boolean takesBehind(long until) {
-        return !closed && first == null && !spent && !stalled && !open.isEmpty() && open.size() < MOST_BEHIND
-                && player.isDone() && !open.peekLast().wish.slowReader && open.peekLast().until() <= until;
+        return !closed
+                && first == null
+                && !spent
+                && !stalled
+                && !open.isEmpty()
+                && open.size() < MOST_BEHIND
+                && player.isDone()
+                && !open.peekLast().wish.slowReader
+                && open.peekLast().until() <= until;
     }
 
     void ask(Asking asking) {
@@ -136,7 +146,9 @@
         }
     }
 
-    /** Something is done to it for good: what happens to requests on it is not the sidecar's fault. */
+    /**
+     * Something is done to it for good: what happens to requests on it is not the sidecar's fault.
+     */
     void troubled() {
         troubled = true;
         open.forEach(this::tellTroubled);
@@ -204,15 +216,18 @@
         }
         if (!open.isEmpty() && open.peek().wish.slowReader) {
             if (sip == null) {
-                sip = day.after(SIP_PAUSE, () -> {
-                    sip = null;
-                    if (!closed && !stalled) {
-                        read(SIP);
-                        if (!closed && socket.isReadable()) {
-                            readable();
-                        }
-                    }
-                });
+                sip =
+                        day.after(
+                                SIP_PAUSE,
+                                () -> {
+                                    sip = null;
+                                    if (!closed && !stalled) {
+                                        read(SIP);
+                                        if (!closed && socket.isReadable()) {
+                                            readable();
+                                        }
+                                    }
+                                });
             }
             return;
         }
@@ -282,7 +297,9 @@
     /** -1 for none; what can't be read is for ever. */
     private static long retryAfter(String text) {
         try {
-            return text == null ? -1 : Math.max(0, Math.round(Double.parseDouble(text) * Site.SECOND));
+            return text == null
+                    ? -1
+                    : Math.max(0, Math.round(Double.parseDouble(text) * Site.SECOND));
         } catch (NumberFormatException e) {
             return Long.MAX_VALUE;
         }
--- a/rig/src/main/java/appleridge/rig/world/Application.java
+++ b/rig/src/main/java/appleridge/rig/world/Application.java
@@ -8,12 +8,13 @@
 import java.util.List;
 
 /**
- * The calling application beside one sidecar: its clients, who keep connections and open more when all are
- * busy. While its own sidecar is away they use another one that is ready.
+ * The calling application beside one sidecar: its clients, who keep connections and open more when
+ * all are busy. While its own sidecar is away they use another one that is ready.
  */
 final class Application {
     /** A client that finds no sidecar for so long does without. */
     private static final long WAITS = 1500 * Site.MS;
+
     private static final long LEAST_LEFT = 50 * Site.MS;
     private static final long SERIALS = 1L << 32;
 
@@ -46,8 +47,13 @@
     /** A client of a tenant wants something done. */
     void wish(int tenant) {
         long number = wishes++;
-        Wish wish = new Wish(day, "w" + index + "-" + number, day.work("wish." + index + "." + number),
-                works, tenant);
+        Wish wish =
+                new Wish(
+                        day,
+                        "w" + index + "-" + number,
+                        day.work("wish." + index + "." + number),
+                        works,
+                        tenant);
         ask(wish);
     }
 
@@ -65,7 +71,8 @@
             await(wish);
             return;
         }
-        AppConnection behind = wish.chance.hits(day.plan.part(Knob.PIPELINED)) ? busy(seat, wish) : null;
+        AppConnection behind =
+                wish.chance.hits(day.plan.part(Knob.PIPELINED)) ? busy(seat, wish) : null;
         AppConnection connection = behind != null ? behind : free(seat);
         if (connection == null && seat.isFull() && !spare(seat)) {
             await(wish);
@@ -161,7 +168,7 @@
     void ended(Asking asking, Asking.Outcome outcome, long retryAfter) {
         Wish wish = asking.wish;
         switch (outcome) {
-            case SERVED, GAVE_UP -> { }
+            case SERVED, GAVE_UP -> {}
             case UNSENT -> again(wish, backoff(wish));
             case CROSSED -> again(wish, 0);
             case REFUSED -> retry(wish, heeds(wish, retryAfter) ? retryAfter : backoff(wish));
@@ -174,7 +181,9 @@
     }
 
     private boolean heeds(Wish wish, long retryAfter) {
-        return retryAfter >= 0 && retryAfter < Long.MAX_VALUE && wish.chance.hits(day.plan.part(Knob.HONOUR));
+        return retryAfter >= 0
+                && retryAfter < Long.MAX_VALUE
+                && wish.chance.hits(day.plan.part(Knob.HONOUR));
     }
 
     private long backoff(Wish wish) {
--- a/rig/src/main/java/appleridge/rig/world/Asked.java
+++ b/rig/src/main/java/appleridge/rig/world/Asked.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the usual clients have asked, by id: from it servers know what a request is, and which are none. */
+/**
+ * What the usual clients have asked, by id: from it servers know what a request is, and which are
+ * none.
+ */
 final class Asked {
     /**
      * One try's form.
@@ -25,8 +28,10 @@
 
     private final Map<String, Form> forms = new HashMap<>();
     private final Set<String> borrowed = new HashSet<>();
+
     /** What is to be done to the answers of some; by id. */
     private final Map<String, Spoil> spoilt = new HashMap<>();
+
     private final Map<String, Extra> extras = new HashMap<>();
 
     void add(String id, Form form) {
@@ -46,7 +51,9 @@
     /** What to call what came under this id: it may be another's who only says so. */
     String name(String id, String method) {
         Form form = forms.get(id);
-        return form != null && borrowed.contains(id) && !form.method().equals(method) ? Site.BAD_ID + id : id;
+        return form != null && borrowed.contains(id) && !form.method().equals(method)
+                ? Site.BAD_ID + id
+                : id;
     }
 
     void spoil(String id, Spoil how) {
--- a/rig/src/main/java/appleridge/rig/world/Asking.java
+++ b/rig/src/main/java/appleridge/rig/world/Asking.java
@@ -5,14 +5,27 @@
 import appleridge.rig.net.Simulation;
 import java.nio.charset.StandardCharsets;
 
-/** One try of a wish, from when it is due until its client knows how it ended, or no longer cares. */
+/**
+ * One try of a wish, from when it is due until its client knows how it ended, or no longer cares.
+ */
 final class Asking {
     /** How it ended. */
-    enum Outcome { SERVED, REFUSED, FAILED, CROSSED, GAVE_UP, UNSENT }
+    enum Outcome {
+        SERVED,
+        REFUSED,
+        FAILED,
+        CROSSED,
+        GAVE_UP,
+        UNSENT
+    }
 
     private static final char[] HEX = "0123456789abcdef".toCharArray();
-    /** Clients look a little longer for an answer than they have said, so that a late one is seen. */
+
+    /**
+     * Clients look a little longer for an answer than they have said, so that a late one is seen.
+     */
     private static final long LOOKS_LONGER = 150 * Site.MS;
+
     private static final int LONG_TEXT = 512;
     private static final int MOST_PAUSES = 3;
     private static final long LONGEST_PAUSE = 30 * Site.MS;
@@ -23,8 +36,10 @@
     final long deadline;
     final long patience;
     private final int number;
+
     /** A slow writer's, within its request. */
     private final int pauses;
+
     private final long pause;
     private final Day day;
     private final Application application;
@@ -34,7 +49,9 @@
     private long askedAt;
     private boolean over;
 
-    /** @param serial unlike that of any other try of the day */
+    /**
+     * @param serial unlike that of any other try of the day
+     */
     Asking(Day day, Application application, Wish wish, long serial) {
         this.day = day;
         this.application = application;
@@ -48,8 +65,10 @@
         this.deadline = Math.max(Site.MS, Math.min(left, wait) / Site.MS * Site.MS);
         this.pauses = wish.slowWriter ? 1 + wish.chance.nextInt(MOST_PAUSES) : 0;
         this.pause = 1 + wish.chance.nextLong(LONGEST_PAUSE);
-        this.patience = wish.impatient ? (long) (deadline * wish.chance.nextDouble() * 0.5)
-                : deadline + LOOKS_LONGER + pauses * pause;
+        this.patience =
+                wish.impatient
+                        ? (long) (deadline * wish.chance.nextDouble() * 0.5)
+                        : deadline + LOOKS_LONGER + pauses * pause;
     }
 
     /** One to one, so that no two numbers become the same; never 0 but for 0. */
@@ -84,10 +103,22 @@
         if (wish.endsAt == 0) {
             wish.endsAt = askedAt + wish.deadline;
         }
-        Message message = Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
+        Message message =
+                Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
         day.asked.add(id, new Asked.Form(wish.requestClass, message, wish.work));
-        day.evidence.asks(new Try(id, wish.origin, number, sidecar, wish.requestClass, wish.tenant, wish.key,
-                cookieKey, askedAt, deadline, patience));
+        day.evidence.asks(
+                new Try(
+                        id,
+                        wish.origin,
+                        number,
+                        sidecar,
+                        wish.requestClass,
+                        wish.tenant,
+                        wish.key,
+                        cookieKey,
+                        askedAt,
+                        deadline,
+                        patience));
         day.evidence.writes(id, message);
         if (wish.slowReader) {
             day.evidence.clientLinkTroubled(sidecar, id, askedAt, askedAt + patience);
@@ -118,13 +149,17 @@
     void answered(int status, String body, long retryAfter, long lastByteSentAt) {
         if (finish()) {
             day.evidence.answered(id, status, body, retryAfter, lastByteSentAt);
-            Outcome outcome = status == 200 ? Outcome.SERVED
-                    : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
+            Outcome outcome =
+                    status == 200
+                            ? Outcome.SERVED
+                            : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
             application.ended(this, outcome, retryAfter);
         }
     }
 
-    /** @param crossed whether the connection was closed with not a byte of this one read */
+    /**
+     * @param crossed whether the connection was closed with not a byte of this one read
+     */
     void broken(String how, boolean begun, boolean crossed) {
         if (finish()) {
             day.evidence.answerBroken(id, crossed ? "crossed" : how, begun);
@@ -165,11 +200,20 @@
     /** As it goes over the wire. */
     private String text() {
         StringBuilder text = new StringBuilder(LONG_TEXT + wish.body.length);
-        text.append(wish.method()).append(' ').append(wish.uri)
-                .append(" HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: ").append(id).append("\r\nX-Class: ")
-                .append(wish.kind.name()).append("\r\nX-Tenant: ").append(Tenants.ALL.get(wish.tenant).name())
-                .append("\r\nCookie: user=").append(hex(cookieKey)).append("\r\nX-Deadline: ")
-                .append(Unit.TIME.text(deadline)).append("\r\n");
+        text.append(wish.method())
+                .append(' ')
+                .append(wish.uri)
+                .append(" HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: ")
+                .append(id)
+                .append("\r\nX-Class: ")
+                .append(wish.kind.name())
+                .append("\r\nX-Tenant: ")
+                .append(Tenants.ALL.get(wish.tenant).name())
+                .append("\r\nCookie: user=")
+                .append(hex(cookieKey))
+                .append("\r\nX-Deadline: ")
+                .append(Unit.TIME.text(deadline))
+                .append("\r\n");
         if (number > 0) {
             text.append("X-Retry: 1\r\n");
         }
--- a/rig/src/main/java/appleridge/rig/world/BadClient.java
+++ b/rig/src/main/java/appleridge/rig/world/BadClient.java
@@ -4,7 +4,10 @@
 import appleridge.rig.net.SimSocket;
 import java.io.IOException;
 
-/** One bad client's connection: it plays its script, and waits for the error or the close that it is owed. */
+/**
+ * One bad client's connection: it plays its script, and waits for the error or the close that it is
+ * owed.
+ */
 final class BadClient implements SimSocket.Events {
     private static final long OWED = 3 * Site.SECOND;
     private static final long OWED_FOR_MUCH = 6 * Site.SECOND;
@@ -23,8 +26,17 @@
     private Player player;
     private boolean ended;
 
-    /** @param whenEnded told when it has been turned away */
-    BadClient(Day day, Host host, Seat seat, BadKind kind, String name, Script script, Runnable whenEnded) {
+    /**
+     * @param whenEnded told when it has been turned away
+     */
+    BadClient(
+            Day day,
+            Host host,
+            Seat seat,
+            BadKind kind,
+            String name,
+            Script script,
+            Runnable whenEnded) {
         this.day = day;
         this.host = host;
         this.seat = seat;
@@ -54,7 +66,7 @@
             day.evidence.badConnected(name, day.now() + (much ? OWED_FOR_MUCH : OWED));
         }
         player = new Player(day.simulation, socket);
-        player.play(script, () -> { });
+        player.play(script, () -> {});
     }
 
     /** One that leaves by itself, or never looks, is owed nothing that it could see. */
--- a/rig/src/main/java/appleridge/rig/world/BadClients.java
+++ b/rig/src/main/java/appleridge/rig/world/BadClients.java
@@ -19,8 +19,10 @@
     private final Day day;
     private final List<Application> applications;
     private final Host host;
+
     /** From here come those that never read: little fits on the way to them. */
     private final Host mute;
+
     private final Chance chance;
     private final BadRequests requests;
     private int clients;
@@ -49,13 +51,15 @@
     void come(BadKind kind, Seat seat, long count) {
         long all = kind == BadKind.CROWD ? CROWD_LEAST + chance.nextInt(CROWD_MORE) : count;
         for (long i = 0; i < all; i++) {
-            day.after(chance.nextLong(SPREAD), () -> {
-                if (kind == BadKind.SAME_ID) {
-                    same(seat, LOOKS);
-                } else {
-                    one(kind, seat, kind == BadKind.AGAIN ? AGAIN : 0);
-                }
-            });
+            day.after(
+                    chance.nextLong(SPREAD),
+                    () -> {
+                        if (kind == BadKind.SAME_ID) {
+                            same(seat, LOOKS);
+                        } else {
+                            one(kind, seat, kind == BadKind.AGAIN ? AGAIN : 0);
+                        }
+                    });
         }
     }
 
@@ -67,7 +71,7 @@
         if (kind.isSenseless()) {
             day.evidence.badHides(name, name);
         }
-        Runnable next = again > 0 ? () -> one(kind, seat, again - 1) : () -> { };
+        Runnable next = again > 0 ? () -> one(kind, seat, again - 1) : () -> {};
         Host from = kind == BadKind.NEVER_READS ? mute : host;
         new BadClient(day, from, seat, kind, name, requests.script(kind, name), next).connect();
     }
@@ -81,7 +85,7 @@
                 day.asked.borrow(id);
                 day.evidence.badTakesId(name, Site.BAD_ID + id, id);
                 Script script = requests.same(id, day.asked.form(id).method());
-                new BadClient(day, host, seat, BadKind.SAME_ID, name, script, () -> { }).connect();
+                new BadClient(day, host, seat, BadKind.SAME_ID, name, script, () -> {}).connect();
                 return;
             }
         }
--- a/rig/src/main/java/appleridge/rig/world/BadKind.java
+++ b/rig/src/main/java/appleridge/rig/world/BadKind.java
@@ -69,12 +69,31 @@
     /** Pipelines much and never reads. */
     NEVER_READS;
 
-    /** Whether its request may reach no server: it is too large, or can be read in more than one way. */
+    /**
+     * Whether its request may reach no server: it is too large, or can be read in more than one
+     * way.
+     */
     boolean isSenseless() {
         return switch (this) {
-            case BAD_HEADER, FOLDED, SHORT_LENGTH, NEGATIVE_LENGTH, HUGE_LENGTH, WORD_LENGTH, TWO_LENGTHS,
-                    HIDDEN, BAD_CHUNKS, BIG_BODY, BIG_CHUNKS, UNKNOWN_CLASS, NO_CLASS, BAD_DEADLINE,
-                    NO_DEADLINE, NEGATIVE_DEADLINE, NO_KEY, WRONG_METHOD -> true;
+            case BAD_HEADER,
+                    FOLDED,
+                    SHORT_LENGTH,
+                    NEGATIVE_LENGTH,
+                    HUGE_LENGTH,
+                    WORD_LENGTH,
+                    TWO_LENGTHS,
+                    HIDDEN,
+                    BAD_CHUNKS,
+                    BIG_BODY,
+                    BIG_CHUNKS,
+                    UNKNOWN_CLASS,
+                    NO_CLASS,
+                    BAD_DEADLINE,
+                    NO_DEADLINE,
+                    NEGATIVE_DEADLINE,
+                    NO_KEY,
+                    WRONG_METHOD ->
+                    true;
             default -> false;
         };
     }
--- a/rig/src/main/java/appleridge/rig/world/Classes.java
+++ b/rig/src/main/java/appleridge/rig/world/Classes.java
@@ -14,8 +14,17 @@
      * @param leastWork the mean work of a day is drawn between this and {@code mostWork}
      * @param share part of the requests
      */
-    public record Kind(String name, Semantics semantics, Scope scope, long keyTtl, long aim, long deadline,
-            long leastWork, long mostWork, double share, double worth) {
+    public record Kind(
+            String name,
+            Semantics semantics,
+            Scope scope,
+            long keyTtl,
+            long aim,
+            long deadline,
+            long leastWork,
+            long mostWork,
+            double share,
+            double worth) {
         /** Whether its requests carry a key by which a repeat is known. */
         public boolean keyed() {
             return semantics == Semantics.BY_KEY;
@@ -28,17 +37,54 @@
     static final long LONGEST = 1500 * MS;
 
     /** All of them, in order. */
-    public static final List<Kind> ALL = List.of(
-            new Kind("stock-check", Semantics.REPEATABLE, null, 0, 200 * MS, 400 * MS,
-                    25 * MS, 45 * MS, 0.4, 1),
-            new Kind("stock-hold", Semantics.BY_KEY, Scope.ZONE, 1000 * MS, 400 * MS, 1000 * MS,
-                    45 * MS, 81 * MS, 0.28, 3),
-            new Kind("order-confirm", Semantics.BY_KEY, Scope.ALL, 7500 * MS, 500 * MS, LONGEST,
-                    67 * MS, 120 * MS, 0.22, 10),
-            new Kind("raise-invoice", Semantics.ONCE, null, 0, 500 * MS, LONGEST,
-                    60 * MS, 110 * MS, 0.1, 5));
+    public static final List<Kind> ALL =
+            List.of(
+                    new Kind(
+                            "stock-check",
+                            Semantics.REPEATABLE,
+                            null,
+                            0,
+                            200 * MS,
+                            400 * MS,
+                            25 * MS,
+                            45 * MS,
+                            0.4,
+                            1),
+                    new Kind(
+                            "stock-hold",
+                            Semantics.BY_KEY,
+                            Scope.ZONE,
+                            1000 * MS,
+                            400 * MS,
+                            1000 * MS,
+                            45 * MS,
+                            81 * MS,
+                            0.28,
+                            3),
+                    new Kind(
+                            "order-confirm",
+                            Semantics.BY_KEY,
+                            Scope.ALL,
+                            7500 * MS,
+                            500 * MS,
+                            LONGEST,
+                            67 * MS,
+                            120 * MS,
+                            0.22,
+                            10),
+                    new Kind(
+                            "raise-invoice",
+                            Semantics.ONCE,
+                            null,
+                            0,
+                            500 * MS,
+                            LONGEST,
+                            60 * MS,
+                            110 * MS,
+                            0.1,
+                            5));
 
-    private Classes() { }
+    private Classes() {}
 
     /** The class at a place. */
     public static Kind of(int place) {
--- a/rig/src/main/java/appleridge/rig/world/ConnectionStrikes.java
+++ b/rig/src/main/java/appleridge/rig/world/ConnectionStrikes.java
@@ -44,7 +44,10 @@
             return;
         }
         if (fault.kind() == FaultKind.UP_CUT_ANSWER) {
-            cutAnswer(fault, near, states.state(request.id()) == request.state() && isAnswering(request));
+            cutAnswer(
+                    fault,
+                    near,
+                    states.state(request.id()) == request.state() && isAnswering(request));
             return;
         }
         tell(fault, request, request.server());
@@ -70,8 +73,8 @@
     }
 
     /**
-     * Somewhere in what has not left yet of the request, or at its next byte; whole and gone it can't be
-     * cut.
+     * Somewhere in what has not left yet of the request, or at its next byte; whole and gone it
+     * can't be cut.
      */
     private void cutRequest(Fault fault, InState request, SimSocket near) {
         int unsent = (int) (near.bytesWritten() - near.bytesLeft());
@@ -89,8 +92,8 @@
     }
 
     /**
-     * Somewhere in what has not left yet of the answer; before it has begun, in its first bytes; else at its
-     * next one, if there is one.
+     * Somewhere in what has not left yet of the answer; before it has begun, in its first bytes;
+     * else at its next one, if there is one.
      *
      * @param near the end of the connection that reads the answer
      */
@@ -101,19 +104,26 @@
         }
         int unsent = (int) (far.bytesWritten() - far.bytesLeft());
         long bytes = fault.value(Param.BYTES);
-        cutAt(fault, far, unsent > 0 ? far.bytesLeft() + bytes % unsent
-                : far.bytesWritten() + (begun ? 0 : bytes % SHORTEST), near);
+        cutAt(
+                fault,
+                far,
+                unsent > 0
+                        ? far.bytesLeft() + bytes % unsent
+                        : far.bytesWritten() + (begun ? 0 : bytes % SHORTEST),
+                near);
     }
 
     /** Counts when it breaks, for the request that is on the connection then. */
     private void cutAt(Fault fault, SimSocket writer, long position, SimSocket end) {
         day.evidence.faultSet(fault.kind().word(), null);
-        writer.resetAtByte(position, () -> {
-            InState met = states.on(end);
-            if (met != null) {
-                tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
-            }
-        });
+        writer.resetAtByte(
+                position,
+                () -> {
+                    InState met = states.on(end);
+                    if (met != null) {
+                        tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
+                    }
+                });
     }
 
     private static boolean isAnswering(InState request) {
--- a/rig/src/main/java/appleridge/rig/world/Discovery.java
+++ b/rig/src/main/java/appleridge/rig/world/Discovery.java
@@ -8,7 +8,9 @@
     private final Seats seats;
     private int current;
 
-    /** @param addresses where it will be, one after the other */
+    /**
+     * @param addresses where it will be, one after the other
+     */
     Discovery(List<Registry> addresses, Seats seats) {
         this.addresses = addresses;
         this.seats = seats;
--- a/rig/src/main/java/appleridge/rig/world/Engine.java
+++ b/rig/src/main/java/appleridge/rig/world/Engine.java
@@ -23,7 +23,9 @@
     private final List<Simulation.Event> running = new ArrayList<>();
     private boolean stopped;
 
-    /** @param speed what a core does of its work at present; 1 when all is well */
+    /**
+     * @param speed what a core does of its work at present; 1 when all is well
+     */
     Engine(Simulation simulation, int cores, DoubleSupplier speed) {
         this.simulation = simulation;
         this.cores = cores;
@@ -57,11 +59,14 @@
             long work = job.begins();
             if (work >= 0 && !stopped) {
                 Simulation.Event[] end = new Simulation.Event[1];
-                end[0] = simulation.after((long) (work / speed.getAsDouble()), () -> {
-                    running.remove(end[0]);
-                    job.done();
-                    pull();
-                });
+                end[0] =
+                        simulation.after(
+                                (long) (work / speed.getAsDouble()),
+                                () -> {
+                                    running.remove(end[0]);
+                                    job.done();
+                                    pull();
+                                });
                 running.add(end[0]);
             }
         }
--- a/rig/src/main/java/appleridge/rig/world/Ensemble.java
+++ b/rig/src/main/java/appleridge/rig/world/Ensemble.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * The coordination service: what its nodes have come to, one transaction after the other, and the troubles of
- * its servers. What each sidecar hears of it is its {@link EnsembleClient}'s.
+ * The coordination service: what its nodes have come to, one transaction after the other, and the
+ * troubles of its servers. What each sidecar hears of it is its {@link EnsembleClient}'s.
  */
 public final class Ensemble {
     /** One transaction; {@code after} null: the node is gone. */
-    record Change(long at, long zxid, String name, Znode after) { }
+    record Change(long at, long zxid, String name, Znode after) {}
 
     /** Whatever begins anew is so far below what was. */
     private static final long ERA = 10_000;
+
     private static final long FIRST_ZXID = 100 * ERA;
     private static final long MOST_WAIT = 500 * Site.MS;
 
@@ -26,11 +27,15 @@
     private final Map<String, Znode> present = new LinkedHashMap<>();
     private final Map<String, EnsembleClient> clients = new LinkedHashMap<>();
     private final Map<String, Integer> processes = new LinkedHashMap<>();
+
     /** Counts how often it was wiped. */
     private int era;
+
     private long zxid = FIRST_ZXID;
+
     /** The transaction that made the path of the nodes; 0 while it is not there. */
     private long root = FIRST_ZXID;
+
     private long downUntil;
     private long readOnlyUntil;
     private long lagUntil;
@@ -51,8 +56,9 @@
     /** The client of a process that begins; the one of the process before it hears no more. */
     public EnsembleClient client(String sidecar, EnsembleClient.Hearer hearer) {
         int number = processes.merge(sidecar, 1, Integer::sum);
-        EnsembleClient client = new EnsembleClient(day, this, sidecar, hearer,
-                day.work("ensemble." + sidecar + "." + number));
+        EnsembleClient client =
+                new EnsembleClient(
+                        day, this, sidecar, hearer, day.work("ensemble." + sidecar + "." + number));
         EnsembleClient before = clients.put(sidecar, client);
         if (before != null) {
             before.close();
@@ -94,9 +100,15 @@
             before = null;
         }
         zxid++;
-        long made = day.now() == 0 ? Site.EPOCH_MILLIS - 3_000_000 : Site.EPOCH_MILLIS + day.now() / Site.MS;
-        change(name, before == null ? new Znode(name, zxid, zxid, made, data, life, bornAt)
-                : before.with(zxid, data));
+        long made =
+                day.now() == 0
+                        ? Site.EPOCH_MILLIS - 3_000_000
+                        : Site.EPOCH_MILLIS + day.now() / Site.MS;
+        change(
+                name,
+                before == null
+                        ? new Znode(name, zxid, zxid, made, data, life, bornAt)
+                        : before.with(zxid, data));
     }
 
     void remove(String name) {
@@ -175,7 +187,8 @@
         downUntil = Math.max(downUntil, day.now() + duration);
         readOnlyUntil = downUntil;
         clients.values().forEach(each -> each.lose(chance.hits(0.3), 0));
-        day.simulation.at(readOnlyUntil, () -> clients.values().forEach(each -> each.lose(false, 0)));
+        day.simulation.at(
+                readOnlyUntil, () -> clients.values().forEach(each -> each.lose(false, 0)));
     }
 
     /** All are sent to servers that are behind; new sessions are not refused there. */
--- a/rig/src/main/java/appleridge/rig/world/EnsembleClient.java
+++ b/rig/src/main/java/appleridge/rig/world/EnsembleClient.java
@@ -16,10 +16,10 @@
 import java.util.function.Supplier;
 
 /**
- * One process's connection with the {@link Ensemble}, as a client keeps it: a watch over all nodes, whose
- * events carry no data; whole readings after each connect; what was missed in between is lost. What is
- * written to it arrives in order, also before the news that the connection is gone, and waits for the
- * process's loop.
+ * One process's connection with the {@link Ensemble}, as a client keeps it: a watch over all nodes,
+ * whose events carry no data; whole readings after each connect; what was missed in between is
+ * lost. What is written to it arrives in order, also before the news that the connection is gone,
+ * and waits for the process's loop.
  */
 public final class EnsembleClient {
     /** The process that hears. */
@@ -35,7 +35,7 @@
     }
 
     /** What has arrived, and when. */
-    private record Mail(long at, Runnable what) { }
+    private record Mail(long at, Runnable what) {}
 
     /** A reading of the whole. */
     private static final class Reading {
@@ -63,25 +63,32 @@
     private final NodesWord word;
     private final Deque<Mail> mail = new ArrayDeque<>();
     private long lastArrival;
+
     /** How long the mail that is being read has waited for the loop. */
     private long waited;
+
     private boolean closed;
     private boolean connected;
     private boolean newSession = true;
     private boolean watching;
     private boolean readOnly;
+
     /** Counts connections; what belongs to an earlier one is over. */
     private int connection;
+
     private boolean first = true;
 
     /** The server that it is connected to: what that has come to. */
     private final Map<String, Znode> view = new LinkedHashMap<>();
+
     private int applied;
     private long viewZxid;
     private long lastApply;
     private int era;
+
     /** What this handle has seen, which servers behind it refuse. */
     private long seen;
+
     private long root;
     private long highest;
     private Reading reading;
@@ -114,11 +121,13 @@
     /** Runs it on the loop when a question that is asked now has been answered. */
     public void confirm(Runnable heard) {
         int mine = connection;
-        day.after(way(), () -> {
-            if (isOn(mine)) {
-                deliver(heard);
-            }
-        });
+        day.after(
+                way(),
+                () -> {
+                    if (isOn(mine)) {
+                        deliver(heard);
+                    }
+                });
     }
 
     /** Ends. */
@@ -138,18 +147,21 @@
     }
 
     private void note(long number, Supplier<String> text) {
-        day.simulation.note(NOTED, number, connection, () -> "nodes -> " + sidecar + ": " + text.get());
+        day.simulation.note(
+                NOTED, number, connection, () -> "nodes -> " + sidecar + ": " + text.get());
     }
 
     /** Written now; arrives in order. */
     private void deliver(Runnable what) {
         lastArrival = Math.max(lastArrival + 1, day.now() + way());
-        day.simulation.at(lastArrival, () -> {
-            if (!closed) {
-                mail.add(new Mail(day.now(), what));
-                hearer.soon(this::catchUp);
-            }
-        });
+        day.simulation.at(
+                lastArrival,
+                () -> {
+                    if (!closed) {
+                        mail.add(new Mail(day.now(), what));
+                        hearer.soon(this::catchUp);
+                    }
+                });
     }
 
     private NodeMembership membership() {
@@ -220,19 +232,24 @@
             return;
         }
         int mine = connection;
-        Ensemble.Change next = applied < ensemble.past().size() ? ensemble.past().get(applied) : null;
+        Ensemble.Change next =
+                applied < ensemble.past().size() ? ensemble.past().get(applied) : null;
         if (next == null || lastApply > day.now()) {
             return;
         }
-        lastApply = Math.max(day.now() + 1, next.at() + ensemble.lag() + chance.nextLong(LONGEST_DELAY));
-        day.simulation.at(lastApply, () -> {
-            if (isOn(mine)) {
-                lastApply = 0;
-                take(next);
-                event(next);
-                committed();
-            }
-        });
+        lastApply =
+                Math.max(
+                        day.now() + 1, next.at() + ensemble.lag() + chance.nextLong(LONGEST_DELAY));
+        day.simulation.at(
+                lastApply,
+                () -> {
+                    if (isOn(mine)) {
+                        lastApply = 0;
+                        take(next);
+                        event(next);
+                        committed();
+                    }
+                });
     }
 
     /**
@@ -291,12 +308,14 @@
 
     private void ask(List<String> names, boolean ofEvent) {
         int mine = connection;
-        day.after(2 * way() + ensemble.slowness(), () -> {
-            if (isOn(mine)) {
-                names.forEach(name -> answer(name, ofEvent));
-                complete();
-            }
-        });
+        day.after(
+                2 * way() + ensemble.slowness(),
+                () -> {
+                    if (isOn(mine)) {
+                        names.forEach(name -> answer(name, ofEvent));
+                        complete();
+                    }
+                });
     }
 
     private void answer(String name, boolean ofEvent) {
@@ -317,25 +336,29 @@
         }
     }
 
-    /** Reads all: first whether the path is there, then the names, then the data of some at a time. */
+    /**
+     * Reads all: first whether the path is there, then the names, then the data of some at a time.
+     */
     private void read(int mine) {
         if (!isOn(mine)) {
             return;
         }
         Reading now = new Reading();
         reading = now;
-        day.after(way() + ensemble.slowness(), () -> {
-            if (isOn(mine) && reading == now) {
-                watching = true;
-                if (ensemble.root() == 0 && era == ensemble.era()) {
-                    deliver(() -> membership().doubt(hearer.now(), Doubt.ROOT_MISSING));
-                    again(mine);
-                } else {
-                    rootIs(ensemble.root());
-                    names(mine, now);
-                }
-            }
-        });
+        day.after(
+                way() + ensemble.slowness(),
+                () -> {
+                    if (isOn(mine) && reading == now) {
+                        watching = true;
+                        if (ensemble.root() == 0 && era == ensemble.era()) {
+                            deliver(() -> membership().doubt(hearer.now(), Doubt.ROOT_MISSING));
+                            again(mine);
+                        } else {
+                            rootIs(ensemble.root());
+                            names(mine, now);
+                        }
+                    }
+                });
     }
 
     /** As a client tells that the ensemble has begun anew. */
@@ -352,22 +375,26 @@
     }
 
     private void names(int mine, Reading now) {
-        day.after(way() + ensemble.slowness(), () -> {
-            if (!isOn(mine) || reading != now) {
-                return;
-            }
-            now.listed = true;
-            now.zxid = viewZxid;
-            now.namesZxid = viewZxid;
-            now.missing.addAll(view.keySet());
-            note(viewZxid, () -> "names " + viewZxid + ' ' + view.keySet());
-            deliver(() -> now.asOf = toldAt());
-            List<String> names = new ArrayList<>(view.keySet());
-            for (int i = 0; i < names.size(); i += BATCH) {
-                ask(List.copyOf(names.subList(i, Math.min(names.size(), i + BATCH))), false);
-            }
-            complete();
-        });
+        day.after(
+                way() + ensemble.slowness(),
+                () -> {
+                    if (!isOn(mine) || reading != now) {
+                        return;
+                    }
+                    now.listed = true;
+                    now.zxid = viewZxid;
+                    now.namesZxid = viewZxid;
+                    now.missing.addAll(view.keySet());
+                    note(viewZxid, () -> "names " + viewZxid + ' ' + view.keySet());
+                    deliver(() -> now.asOf = toldAt());
+                    List<String> names = new ArrayList<>(view.keySet());
+                    for (int i = 0; i < names.size(); i += BATCH) {
+                        ask(
+                                List.copyOf(names.subList(i, Math.min(names.size(), i + BATCH))),
+                                false);
+                    }
+                    complete();
+                });
     }
 
     private void complete() {
@@ -385,14 +412,15 @@
         if (!readOnly) {
             word.whole(zxid, whole.namesZxid, whole.nodes, view);
         }
-        deliver(() -> {
-            membership().snapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
-            Doubt doubt = membership().doubt();
-            if (doubt == Doubt.NONE && of == era) {
-                word.accepted(view);
-            } else if (doubt == Doubt.OLDER || doubt == Doubt.WIPED) {
-                again(mine);
-            }
-        });
+        deliver(
+                () -> {
+                    membership().snapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
+                    Doubt doubt = membership().doubt();
+                    if (doubt == Doubt.NONE && of == era) {
+                        word.accepted(view);
+                    } else if (doubt == Doubt.OLDER || doubt == Doubt.WIPED) {
+                        again(mine);
+                    }
+                });
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/Extra.java
+++ b/rig/src/main/java/appleridge/rig/world/Extra.java
@@ -1,8 +1,8 @@
 package appleridge.rig.world;
 
 /**
- * What a good answer can bring beside what belongs to it. No second copy comes some time later: where the
- * next request crosses it, no reader could tell it from that one's answer.
+ * What a good answer can bring beside what belongs to it. No second copy comes some time later:
+ * where the next request crosses it, no reader could tell it from that one's answer.
  */
 enum Extra {
     /** An interim answer ahead of it. */
--- a/rig/src/main/java/appleridge/rig/world/Fault.java
+++ b/rig/src/main/java/appleridge/rig/world/Fault.java
@@ -5,13 +5,13 @@
 /**
  * One fault of a plan.
  *
- * @param who a sidecar, a machine or a site; null where the kind needs none, or a trap is to take the
- *     request's
+ * @param who a sidecar, a machine or a site; null where the kind needs none, or a trap is to take
+ *     the request's
  * @param style null where the kind has none
  * @param values a figure for each that the kind has
  */
-public record Fault(Trigger trigger, FaultKind kind, String who, String style,
-        SortedMap<Param, Long> values) {
+public record Fault(
+        Trigger trigger, FaultKind kind, String who, String style, SortedMap<Param, Long> values) {
     long value(Param param) {
         return values.get(param);
     }
@@ -20,7 +20,10 @@
     public String text() {
         StringBuilder text = new StringBuilder(80);
         if (trigger.trap()) {
-            text.append("on ").append(FaultKind.word(trigger.state())).append(' ').append(trigger.nth());
+            text.append("on ")
+                    .append(FaultKind.word(trigger.state()))
+                    .append(' ')
+                    .append(trigger.nth());
             if (trigger.at() > 0) {
                 text.append(" after ").append(Unit.TIME.text(trigger.at()));
             }
@@ -34,8 +37,12 @@
         if (who != null) {
             text.append(" who=").append(who);
         }
-        values.forEach((param, value) -> text.append(' ').append(param.word()).append('=')
-                .append(param.text(value)));
+        values.forEach(
+                (param, value) ->
+                        text.append(' ')
+                                .append(param.word())
+                                .append('=')
+                                .append(param.text(value)));
         return text.toString();
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/FaultKind.java
+++ b/rig/src/main/java/appleridge/rig/world/FaultKind.java
@@ -128,11 +128,16 @@
     NODES_LAG(Target.NODES, Param.FOR, Param.BY),
     /** Their answers take so much longer; what they tell by themselves does not. */
     NODES_SLOW(Target.NODES, Param.FOR, Param.BY),
-    /** The coordination service has lost everything; the servers' nodes are there again within so long. */
+    /**
+     * The coordination service has lost everything; the servers' nodes are there again within so
+     * long.
+     */
     NODES_WIPED(Target.NODES, Param.DOWN),
     /** A sidecar's connection to it is lost for so long; its session too, if it lives shorter. */
     NODES_LOST(Target.SIDECAR, Param.FOR),
-    /** A server's session ends and is there again, so often and so long apart; its process goes on. */
+    /**
+     * A server's session ends and is there again, so often and so long apart; its process goes on.
+     */
     NODE_FLAPS(Target.SERVER, Param.COUNT, Param.BY),
     /** A server's node can't be read for a while. */
     NODE_GARBLED(Target.SERVER, Param.FOR);
@@ -178,8 +183,15 @@
     /** Whether it is one of the coordination service, and nothing on a day without. */
     boolean ofNodes() {
         return switch (this) {
-            case NODES_DOWN, NODES_READ_ONLY, NODES_LAG, NODES_SLOW, NODES_WIPED, NODES_LOST, NODE_FLAPS,
-                    NODE_GARBLED -> true;
+            case NODES_DOWN,
+                    NODES_READ_ONLY,
+                    NODES_LAG,
+                    NODES_SLOW,
+                    NODES_WIPED,
+                    NODES_LOST,
+                    NODE_FLAPS,
+                    NODE_GARBLED ->
+                    true;
             default -> false;
         };
     }
@@ -191,7 +203,8 @@
 
     /** The words of its styles; empty if it has none. */
     List<String> styles() {
-        return styles == null ? List.of()
+        return styles == null
+                ? List.of()
                 : Arrays.stream(styles.getEnumConstants()).map(FaultKind::word).toList();
     }
 
@@ -202,38 +215,59 @@
 
     /** Whether it can strike a request in that state. */
     public boolean canStrike(RequestState state) {
-        boolean attempt = switch (state) {
-            case CONNECTING, WRITING, WRITTEN, ANSWERING, RESEND_CONNECTING, RESEND_WRITING, RESEND_WRITTEN,
-                    RESEND_ANSWERING -> true;
-            default -> false;
-        };
+        boolean attempt =
+                switch (state) {
+                    case CONNECTING,
+                            WRITING,
+                            WRITTEN,
+                            ANSWERING,
+                            RESEND_CONNECTING,
+                            RESEND_WRITING,
+                            RESEND_WRITTEN,
+                            RESEND_ANSWERING ->
+                            true;
+                    default -> false;
+                };
         return switch (target) {
             case UPSTREAM -> attempt;
-            case ANSWER -> attempt && state != RequestState.ANSWERING
-                    && state != RequestState.RESEND_ANSWERING;
+            case ANSWER ->
+                    attempt
+                            && state != RequestState.ANSWERING
+                            && state != RequestState.RESEND_ANSWERING;
             default -> true;
         };
     }
 
-    /** Whether it is worth aiming at a request in that state: else it would meet none, or another. */
+    /**
+     * Whether it is worth aiming at a request in that state: else it would meet none, or another.
+     */
     boolean isAimedAt(RequestState state) {
-        boolean answering = state == RequestState.ANSWERING || state == RequestState.RESEND_ANSWERING;
+        boolean answering =
+                state == RequestState.ANSWERING || state == RequestState.RESEND_ANSWERING;
         return switch (this) {
-            case CLOSE_IDLE -> answering || UP_RESET.canStrike(state) && state != RequestState.CONNECTING
-                    && state != RequestState.RESEND_CONNECTING;
+            case CLOSE_IDLE ->
+                    answering
+                            || UP_RESET.canStrike(state)
+                                    && state != RequestState.CONNECTING
+                                    && state != RequestState.RESEND_CONNECTING;
             case UP_CUT_REQUEST -> canStrike(state) && !answering;
             default -> canStrike(state);
         };
     }
 
-    /** Whether it would change anything for this request: on a new connection a server finds nothing idle. */
+    /**
+     * Whether it would change anything for this request: on a new connection a server finds nothing
+     * idle.
+     */
     boolean suits(InState request) {
-        boolean sending = switch (request.state()) {
-            case WRITING, WRITTEN, RESEND_WRITING, RESEND_WRITTEN -> true;
-            default -> false;
-        };
-        return this != CLOSE_IDLE || !sending || request.upstream() != null
-                && request.upstream().isAccepted();
+        boolean sending =
+                switch (request.state()) {
+                    case WRITING, WRITTEN, RESEND_WRITING, RESEND_WRITTEN -> true;
+                    default -> false;
+                };
+        return this != CLOSE_IDLE
+                || !sending
+                || request.upstream() != null && request.upstream().isAccepted();
     }
 
     /** As a scenario names it. */
@@ -256,7 +290,10 @@
                 return each;
             }
         }
-        throw new IllegalArgumentException(Nearest.unknown(what, word,
-                Arrays.stream(type.getEnumConstants()).map(FaultKind::word).toList()));
+        throw new IllegalArgumentException(
+                Nearest.unknown(
+                        what,
+                        word,
+                        Arrays.stream(type.getEnumConstants()).map(FaultKind::word).toList()));
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/Fleet.java
+++ b/rig/src/main/java/appleridge/rig/world/Fleet.java
@@ -4,7 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All machines with order servers, what they remember together, and what discovery knows of them. */
+/**
+ * All machines with order servers, what they remember together, and what discovery knows of them.
+ */
 final class Fleet {
     private final List<Machine> machines = new ArrayList<>();
     private final Instances instances;
--- a/rig/src/main/java/appleridge/rig/world/HttpReader.java
+++ b/rig/src/main/java/appleridge/rig/world/HttpReader.java
@@ -7,14 +7,25 @@
 import java.util.Arrays;
 
 /**
- * Reads the HTTP/1.1 messages of one connection as their bytes come. It forgives much, as those do whom it
- * stands for: plain line ends, both a length and chunks (the chunks count), blank lines ahead.
+ * Reads the HTTP/1.1 messages of one connection as their bytes come. It forgives much, as those do
+ * whom it stands for: plain line ends, both a length and chunks (the chunks count), blank lines
+ * ahead.
  */
 final class HttpReader {
     private static final int MOST_HEAD = 64 * 1024;
     private static final int MOST_BODY = 1 << 20;
 
-    private enum Step { HEAD, LENGTH, TO_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, WHOLE, BROKEN }
+    private enum Step {
+        HEAD,
+        LENGTH,
+        TO_END,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        WHOLE,
+        BROKEN
+    }
 
     private final boolean answers;
     private byte[] bytes = new byte[512];
@@ -25,10 +36,13 @@
     private String head;
     private byte[] body = new byte[0];
     private int bodyLength;
+
     /** Bytes of the body, or of the chunk, that are still to come. */
     private long missing;
 
-    /** @param answers whether it reads answers; requests otherwise */
+    /**
+     * @param answers whether it reads answers; requests otherwise
+     */
     HttpReader(boolean answers) {
         this.answers = answers;
     }
@@ -248,7 +262,8 @@
 
     /** The same in a head that has not come whole. */
     String partialHeader(String name) {
-        return head != null ? header(name)
+        return head != null
+                ? header(name)
                 : find(new String(bytes, from, to - from, StandardCharsets.ISO_8859_1), name);
     }
 
@@ -260,7 +275,8 @@
                 return null;
             }
             int colon = line + name.length();
-            if (colon < end && head.charAt(colon) == ':'
+            if (colon < end
+                    && head.charAt(colon) == ':'
                     && head.regionMatches(true, line, name, 0, name.length())) {
                 return head.substring(colon + 1, end).strip();
             }
--- a/rig/src/main/java/appleridge/rig/world/Instances.java
+++ b/rig/src/main/java/appleridge/rig/world/Instances.java
@@ -13,29 +13,44 @@
     static final String GONE = "Gone";
 
     /** What is told of one server; {@code bornAt} 0 for long ago. */
-    record Entry(String uid, int life, InetSocketAddress endpoint, int zone, String state, long bornAt) {
+    record Entry(
+            String uid, int life, InetSocketAddress endpoint, int zone, String state, long bornAt) {
         Entry in(String other) {
             return new Entry(uid, life, endpoint, zone, other, bornAt);
         }
 
         String json() {
-            return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + Site.text(endpoint) + "\",\"az\":\""
-                    + Site.ZONES.get(zone) + "\",\"model\":\"" + Site.KIND + "\",\"pod_group\":" + zone
-                    + ",\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":"
-                    + (bornAt == 0 ? 0 : Site.EPOCH_MILLIS + bornAt / Site.MS) + "}";
+            return "{\"uid\":\""
+                    + uid
+                    + "\",\"endpoint\":\""
+                    + Site.text(endpoint)
+                    + "\",\"az\":\""
+                    + Site.ZONES.get(zone)
+                    + "\",\"model\":\""
+                    + Site.KIND
+                    + "\",\"pod_group\":"
+                    + zone
+                    + ",\"state\":\""
+                    + state
+                    + "\",\"capacity_hint\":1.0,\"boot_ms\":"
+                    + (bornAt == 0 ? 0 : Site.EPOCH_MILLIS + bornAt / Site.MS)
+                    + "}";
         }
     }
 
-    private record Version(long at, long revision, Entry entry) { }
+    private record Version(long at, long revision, Entry entry) {}
 
     private final Day day;
     private final List<Version> log = new ArrayList<>();
     private final Map<String, Entry> known = new LinkedHashMap<>();
+
     /** For each uid how many changes there were, and which of them was the last to be known. */
     private final Map<String, Integer> changes = new LinkedHashMap<>();
+
     private final Map<String, Integer> applied = new LinkedHashMap<>();
     private final List<Runnable> told = new ArrayList<>();
     private long revision;
+
     /** The last version of long before the day. */
     private long past;
 
@@ -56,12 +71,14 @@
     /** Known after so long, unless what came later is known by then. */
     void change(Entry entry, long notice) {
         int serial = changes.merge(entry.uid(), 1, Integer::sum);
-        day.after(notice, () -> {
-            if (applied.getOrDefault(entry.uid(), 0) < serial) {
-                applied.put(entry.uid(), serial);
-                know(entry);
-            }
-        });
+        day.after(
+                notice,
+                () -> {
+                    if (applied.getOrDefault(entry.uid(), 0) < serial) {
+                        applied.put(entry.uid(), serial);
+                        know(entry);
+                    }
+                });
     }
 
     /** An entry that is listed goes and comes again, by a mistake of discovery. */
@@ -72,17 +89,21 @@
         }
         Entry gone = entry.in(away);
         know(gone);
-        day.after(apart, () -> {
-            if (known.get(uid) == gone || away.equals(GONE) && !known.containsKey(uid)
-                    && last(uid) == gone) {
-                know(entry);
-                day.after(apart, () -> {
-                    if (known.get(uid) == entry && day.isTroubled()) {
-                        flap(uid, away, times - 1, apart);
+        day.after(
+                apart,
+                () -> {
+                    if (known.get(uid) == gone
+                            || away.equals(GONE) && !known.containsKey(uid) && last(uid) == gone) {
+                        know(entry);
+                        day.after(
+                                apart,
+                                () -> {
+                                    if (known.get(uid) == entry && day.isTroubled()) {
+                                        flap(uid, away, times - 1, apart);
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     private Entry last(String uid) {
@@ -158,7 +179,11 @@
 
     static String json(long version, boolean all, List<Entry> entries) {
         StringBuilder text = new StringBuilder(64 + 180 * entries.size());
-        text.append("{\"rev\":").append(version).append(",\"all\":").append(all).append(",\"targets\":[");
+        text.append("{\"rev\":")
+                .append(version)
+                .append(",\"all\":")
+                .append(all)
+                .append(",\"targets\":[");
         for (int i = 0; i < entries.size(); i++) {
             text.append(i == 0 ? "" : ",").append(entries.get(i).json());
         }
--- a/rig/src/main/java/appleridge/rig/world/Knob.java
+++ b/rig/src/main/java/appleridge/rig/world/Knob.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The sizes of a day; each with the value that a scenario has unless it says otherwise, and its bounds. */
+/**
+ * The sizes of a day; each with the value that a scenario has unless it says otherwise, and its
+ * bounds.
+ */
 public enum Knob {
     /** How many sidecars. */
     SIDECARS(Unit.COUNT, 3, 1, 5),
@@ -90,7 +93,10 @@
     ASK_WITHIN(Unit.TIME, s(10), s(1), s(120)),
     /** Whether it is given a list at its start: 1, or 0. */
     KNOWN(Unit.COUNT, 1, 0, 1),
-    /** How old the list is that it is given at its start; above the day's length: as of before the day. */
+    /**
+     * How old the list is that it is given at its start; above the day's length: as of before the
+     * day.
+     */
     KNOWN_AGE(Unit.TIME, 0, 0, s(600)),
     /** From a process's start until it listens. */
     START(Unit.TIME, ms(400), 0, s(10)),
@@ -176,8 +182,8 @@
                 return each;
             }
         }
-        throw new IllegalArgumentException(Nearest.unknown("size", word,
-                Arrays.stream(values()).map(Knob::word).toList()));
+        throw new IllegalArgumentException(
+                Nearest.unknown("size", word, Arrays.stream(values()).map(Knob::word).toList()));
     }
 
     Unit unit() {
@@ -190,8 +196,14 @@
 
     long checked(long value) {
         if (value < least || value > most) {
-            throw new IllegalArgumentException(word() + " " + unit.text(value) + " is not between "
-                    + unit.text(least) + " and " + unit.text(most));
+            throw new IllegalArgumentException(
+                    word()
+                            + " "
+                            + unit.text(value)
+                            + " is not between "
+                            + unit.text(least)
+                            + " and "
+                            + unit.text(most));
         }
         return value;
     }
--- a/rig/src/main/java/appleridge/rig/world/Links.java
+++ b/rig/src/main/java/appleridge/rig/world/Links.java
@@ -14,13 +14,15 @@
 final class Links {
     /** Cuts of a chopped link that are as small as they get, beside those of some size. */
     private static final double BYTE_BY_BYTE = 0.1;
+
     private static final int LARGEST_PIECE = 200;
     private static final int SMALLEST_PIECE = 8;
+
     /** On one machine the pieces follow one another at once. */
     private static final long GAP_AT_HOME = 100;
 
     /** How one direction is by nature. */
-    private record Nature(long delay, int segment, long bytesPerSecond) { }
+    private record Nature(long delay, int segment, long bytesPerSecond) {}
 
     private final Day day;
     private final Network network;
@@ -45,8 +47,12 @@
 
     private void both(Host one, Host other, long delay, boolean home) {
         boolean chopped = chance.hits(day.plan.part(Knob.CHOPPED));
-        int segment = !chopped ? 0 : chance.hits(BYTE_BY_BYTE) ? 1
-                : -SMALLEST_PIECE - chance.nextInt(LARGEST_PIECE);
+        int segment =
+                !chopped
+                        ? 0
+                        : chance.hits(BYTE_BY_BYTE)
+                                ? 1
+                                : -SMALLEST_PIECE - chance.nextInt(LARGEST_PIECE);
         for (Weather each : List.of(network.weather(one, other), network.weather(other, one))) {
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
             each.jitter = (long) (each.delay * day.plan.part(Knob.JITTER));
--- a/rig/src/main/java/appleridge/rig/world/ListStrikes.java
+++ b/rig/src/main/java/appleridge/rig/world/ListStrikes.java
@@ -17,7 +17,8 @@
     void strike(Fault fault, InState request) {
         Registry registry = discovery.registry();
         day.evidence.fault(fault.kind().word(), null, request == null ? null : request.id());
-        long duration = fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+        long duration =
+                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
         switch (fault.kind()) {
             case LIST_DOWN -> {
                 unreachable(duration);
--- a/rig/src/main/java/appleridge/rig/world/LoadReport.java
+++ b/rig/src/main/java/appleridge/rig/world/LoadReport.java
@@ -28,9 +28,15 @@
         long due = how == Report.LATE ? age + 5 * Site.SECOND : age;
         if (now - since > due) {
             long micros = Math.max(1, (now - since) / 1000);
-            text = "rate=" + decimal(answers * 1_000_000_000L / micros) + ",lat_ms="
-                    + decimal(answers == 0 ? 0 : served / answers / 1000) + ",fail_rate="
-                    + decimal(errors * 1_000_000_000L / micros) + ",q=" + queue;
+            text =
+                    "rate="
+                            + decimal(answers * 1_000_000_000L / micros)
+                            + ",lat_ms="
+                            + decimal(answers == 0 ? 0 : served / answers / 1000)
+                            + ",fail_rate="
+                            + decimal(errors * 1_000_000_000L / micros)
+                            + ",q="
+                            + queue;
             since = now;
             answers = 0;
             errors = 0;
@@ -38,8 +44,15 @@
         }
         return switch (how) {
             case ABSENT -> null;
-            case WRONG -> "rate=" + chance.nextInt(100_000) + ",lat_ms=" + chance.nextInt(100_000)
-                    + ",fail_rate=" + chance.nextInt(100) + ",q=" + chance.nextInt(1_000_000);
+            case WRONG ->
+                    "rate="
+                            + chance.nextInt(100_000)
+                            + ",lat_ms="
+                            + chance.nextInt(100_000)
+                            + ",fail_rate="
+                            + chance.nextInt(100)
+                            + ",q="
+                            + chance.nextInt(1_000_000);
             case UNREADABLE -> unreadable();
             default -> text;
         };
--- a/rig/src/main/java/appleridge/rig/world/Machine.java
+++ b/rig/src/main/java/appleridge/rig/world/Machine.java
@@ -20,6 +20,7 @@
     private RequestStates states;
     private OrderServer server;
     private int uids;
+
     /** Whether something is under way that ends with a server's being there again. */
     private boolean changing;
 
@@ -69,7 +70,8 @@
     }
 
     private Instances.Entry entry(String state) {
-        return new Instances.Entry(server.uid(), server.life(), address, zone, state, server.bornAt());
+        return new Instances.Entry(
+                server.uid(), server.life(), address, zone, state, server.bornAt());
     }
 
     /** Ends in order, and a new one comes under a new id; discovery knows of it after so long. */
@@ -79,14 +81,19 @@
         }
         changing = true;
         OrderServer leaving = server;
-        day.evidence.serverState(leaving.uid(), leaving.life(), Instances.TERMINATING, leaving.bornAt());
+        day.evidence.serverState(
+                leaving.uid(), leaving.life(), Instances.TERMINATING, leaving.bornAt());
         fleet.instances().change(entry(Instances.TERMINATING), notice);
-        leaving.drain(() -> day.after(LINGER, () -> {
-            if (server == leaving) {
-                end(day.plan.size(Knob.NOTICE));
-                follow(name + "." + ++uids, 0, down);
-            }
-        }));
+        leaving.drain(
+                () ->
+                        day.after(
+                                LINGER,
+                                () -> {
+                                    if (server == leaving) {
+                                        end(day.plan.size(Knob.NOTICE));
+                                        follow(name + "." + ++uids, 0, down);
+                                    }
+                                }));
     }
 
     /** Dies at once; another comes under this id, or under a new one. */
@@ -101,7 +108,9 @@
         follow(uid, life, down);
     }
 
-    /** It has fallen over and stays down; people see to another one when the day's faults are over. */
+    /**
+     * It has fallen over and stays down; people see to another one when the day's faults are over.
+     */
     void fell() {
         changing = true;
         end(day.plan.size(Knob.SILENT_NOTICE));
@@ -118,11 +127,14 @@
     }
 
     private void follow(String uid, int life, long down) {
-        day.after(day.bounded(down), () -> {
-            boot(uid, life, Math.max(1, day.now()));
-            fleet.instances().change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
-            changing = false;
-        });
+        day.after(
+                day.bounded(down),
+                () -> {
+                    boot(uid, life, Math.max(1, day.now()));
+                    fleet.instances()
+                            .change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
+                    changing = false;
+                });
     }
 
     /** Says nothing for a while; discovery sees that late, and its return. */
@@ -138,11 +150,14 @@
         if (seen) {
             fleet.instances().change(entry(Instances.GONE), notice);
         }
-        day.after(away, () -> {
-            host.back();
-            if (seen && server == hidden && !hidden.isDraining()) {
-                fleet.instances().change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
-            }
-        });
+        day.after(
+                away,
+                () -> {
+                    host.back();
+                    if (seen && server == hidden && !hidden.isDraining()) {
+                        fleet.instances()
+                                .change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
+                    }
+                });
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/Meetings.java
+++ b/rig/src/main/java/appleridge/rig/world/Meetings.java
@@ -14,21 +14,24 @@
 import java.util.Set;
 
 /**
- * Tells which requests are met by what lasts for a while or comes by itself: a server to which connects
- * fail, a process without descriptors, a drain that is told, a window that closes, a stand-still over a
- * deadline, a drain's grace and a window at once. To be told of everything ahead of the states.
+ * Tells which requests are met by what lasts for a while or comes by itself: a server to which
+ * connects fail, a process without descriptors, a drain that is told, a window that closes, a
+ * stand-still over a deadline, a drain's grace and a window at once. To be told of everything ahead
+ * of the states.
  */
 final class Meetings implements Evidence {
     /** A request is resent, and the time for that ends. */
     static final String WINDOW_CLOSES = "window-closes";
+
     /** A drain of the server of its attempt is told. */
     static final String DRAIN_TOLD = "drain-told";
+
     /** Its sidecar stands still over its deadline, its window and a drain's grace. */
     static final String PAUSE_OVER_ALL = "pause-over-all";
 
-    private record Lasting(FaultKind kind, Host host, long until) { }
+    private record Lasting(FaultKind kind, Host host, long until) {}
 
-    private record Grace(String sidecar, long endsAt) { }
+    private record Grace(String sidecar, long endsAt) {}
 
     private final RequestStates states;
     private final List<Lasting> lasting = new ArrayList<>();
@@ -84,10 +87,12 @@
     }
 
     @Override
-    public void moduleOutcome(String sidecar, int life, long moduleId, int attempt, String outcome,
-            boolean ended) {
+    public void moduleOutcome(
+            String sidecar, int life, long moduleId, int attempt, String outcome, boolean ended) {
         InState request = outcome.equals("NEVER_SENT") ? states.ofModule(sidecar, moduleId) : null;
-        if (request != null && request.upstream() == null && request.client() != null
+        if (request != null
+                && request.upstream() == null
+                && request.client() != null
                 && request.client().peerHost().isFull()) {
             meets(request, request.client().peerHost());
         }
@@ -131,8 +136,14 @@
     }
 
     @Override
-    public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
+    public void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
         Asked.Form form = day.asked.form(id);
         if (form == null || form.key() == null || windows.containsKey(id)) {
             return;
@@ -140,27 +151,49 @@
         long closes = lastByteSentAt + day.plan.window(Classes.of(form.requestClass()));
         windows.put(id, closes);
         if (closes > day.now()) {
-            day.simulation.at(closes, () -> {
-                RequestState state = states.state(id);
-                if (state != null && state.isResend()) {
-                    day.evidence.meets(WINDOW_CLOSES, id, state);
-                }
-            });
+            day.simulation.at(
+                    closes,
+                    () -> {
+                        RequestState state = states.state(id);
+                        if (state != null && state.isResend()) {
+                            day.evidence.meets(WINDOW_CLOSES, id, state);
+                        }
+                    });
         }
     }
 
     @Override
     public void sidecarPaused(String sidecar, long from, long until) {
-        List<InState> resent = states.at(sidecar).stream().filter(each -> each.state().isResend()
-                && within(from, until, windows.getOrDefault(each.id(), 0L))
-                && within(from, until, each.asking().askedAt() + each.asking().deadlineNanos())).toList();
+        List<InState> resent =
+                states.at(sidecar).stream()
+                        .filter(
+                                each ->
+                                        each.state().isResend()
+                                                && within(
+                                                        from,
+                                                        until,
+                                                        windows.getOrDefault(each.id(), 0L))
+                                                && within(
+                                                        from,
+                                                        until,
+                                                        each.asking().askedAt()
+                                                                + each.asking().deadlineNanos()))
+                        .toList();
         if (!resent.isEmpty()) {
-            day.simulation.at(until, () -> {
-                if (graces.stream().anyMatch(each -> each.sidecar().equals(sidecar)
-                        && within(from, until, each.endsAt()))) {
-                    resent.forEach(each -> day.evidence.meets(PAUSE_OVER_ALL, each.id(), each.state()));
-                }
-            });
+            day.simulation.at(
+                    until,
+                    () -> {
+                        if (graces.stream()
+                                .anyMatch(
+                                        each ->
+                                                each.sidecar().equals(sidecar)
+                                                        && within(from, until, each.endsAt()))) {
+                            resent.forEach(
+                                    each ->
+                                            day.evidence.meets(
+                                                    PAUSE_OVER_ALL, each.id(), each.state()));
+                        }
+                    });
         }
     }
 
--- a/rig/src/main/java/appleridge/rig/world/Narrator.java
+++ b/rig/src/main/java/appleridge/rig/world/Narrator.java
@@ -36,20 +36,39 @@
 
     @Override
     public void asks(Try asking) {
-        note(ASKS, asking.id(), asking.deadlineNanos(), () -> "client asks " + asking.sidecar() + " for "
-                + Classes.of(asking.requestClass()).name() + " " + asking.id() + " (" + asking.origin()
-                + ", try " + asking.number() + "), waits " + Unit.TIME.text(asking.deadlineNanos()) + " s");
-    }
-
-    @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+        note(
+                ASKS,
+                asking.id(),
+                asking.deadlineNanos(),
+                () ->
+                        "client asks "
+                                + asking.sidecar()
+                                + " for "
+                                + Classes.of(asking.requestClass()).name()
+                                + " "
+                                + asking.id()
+                                + " ("
+                                + asking.origin()
+                                + ", try "
+                                + asking.number()
+                                + "), waits "
+                                + Unit.TIME.text(asking.deadlineNanos())
+                                + " s");
+    }
+
+    @Override
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         note(ANSWERED, id, status, () -> "client has its answer: " + id + " " + status);
     }
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
-        note(BROKEN, id, how.length(), () -> "client has no answer: " + id + " " + how
-                + (begun ? ", begun" : ""));
+        note(
+                BROKEN,
+                id,
+                how.length(),
+                () -> "client has no answer: " + id + " " + how + (begun ? ", begun" : ""));
     }
 
     @Override
@@ -78,10 +97,27 @@
     }
 
     @Override
-    public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
-        note(ARRIVED, id, work, () -> server + " has " + id + " from " + sidecar + ", work "
-                + Unit.TIME.text(work) + " s");
+    public void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
+        note(
+                ARRIVED,
+                id,
+                work,
+                () ->
+                        server
+                                + " has "
+                                + id
+                                + " from "
+                                + sidecar
+                                + ", work "
+                                + Unit.TIME.text(work)
+                                + " s");
     }
 
     @Override
@@ -106,7 +142,11 @@
 
     @Override
     public void listKnows(long revision, String uid, int life, String state, long bornAt) {
-        note(LIST, uid, revision, () -> "discovery knows, version " + revision + ": " + uid + " " + state);
+        note(
+                LIST,
+                uid,
+                revision,
+                () -> "discovery knows, version " + revision + ": " + uid + " " + state);
     }
 
     @Override
@@ -121,21 +161,35 @@
 
     @Override
     public void moduleListed(String sidecar, int life, String uid, boolean ready, long startedAt) {
-        note(MODULE, uid, startedAt, () -> sidecar + "'s module has " + uid
-                + (ready ? " ready" : " not ready"));
+        note(
+                MODULE,
+                uid,
+                startedAt,
+                () -> sidecar + "'s module has " + uid + (ready ? " ready" : " not ready"));
     }
 
     @Override
     public void listCall(String sidecar, long callId, boolean whole, long waitNanos) {
-        note(LIST, sidecar, callId, () -> sidecar + " calls discovery, call " + callId + (whole
-                ? ", whole list"
-                : ", waits " + Unit.TIME.text(waitNanos) + " s"));
+        note(
+                LIST,
+                sidecar,
+                callId,
+                () ->
+                        sidecar
+                                + " calls discovery, call "
+                                + callId
+                                + (whole
+                                        ? ", whole list"
+                                        : ", waits " + Unit.TIME.text(waitNanos) + " s"));
     }
 
     @Override
     public void listCallEnded(String sidecar, long callId, boolean answered) {
-        note(LIST, sidecar, -callId, () -> "call " + callId + " of " + sidecar + (answered ? " is answered"
-                : " fails"));
+        note(
+                LIST,
+                sidecar,
+                -callId,
+                () -> "call " + callId + " of " + sidecar + (answered ? " is answered" : " fails"));
     }
 
     @Override
@@ -170,13 +224,20 @@
 
     @Override
     public void sidecarPaused(String sidecar, long from, long until) {
-        note(SIDECAR, sidecar, until, () -> sidecar + " stands still for " + Unit.TIME.text(until - from)
-                + " s");
+        note(
+                SIDECAR,
+                sidecar,
+                until,
+                () -> sidecar + " stands still for " + Unit.TIME.text(until - from) + " s");
     }
 
     @Override
     public void moduleSends(String sidecar, int life, long moduleId, String server) {
-        note(MODULE, server, moduleId, () -> sidecar + "'s module sends its " + moduleId + " to " + server);
+        note(
+                MODULE,
+                server,
+                moduleId,
+                () -> sidecar + "'s module sends its " + moduleId + " to " + server);
     }
 
     @Override
@@ -190,22 +251,42 @@
     }
 
     @Override
-    public void moduleOutcome(String sidecar, int life, long moduleId, int attempt, String outcome,
-            boolean ended) {
-        note(MODULE, outcome, moduleId, () -> sidecar + "'s module hears of its " + moduleId + ": attempt "
-                + attempt + " " + outcome);
+    public void moduleOutcome(
+            String sidecar, int life, long moduleId, int attempt, String outcome, boolean ended) {
+        note(
+                MODULE,
+                outcome,
+                moduleId,
+                () ->
+                        sidecar
+                                + "'s module hears of its "
+                                + moduleId
+                                + ": attempt "
+                                + attempt
+                                + " "
+                                + outcome);
     }
 
     @Override
     public void fault(String kind, String at, String id) {
-        note(FAULT, kind, 0, () -> "FAULT " + kind + (at == null ? "" : " at " + at) + (id == null ? ""
-                : " for " + id));
+        note(
+                FAULT,
+                kind,
+                0,
+                () ->
+                        "FAULT "
+                                + kind
+                                + (at == null ? "" : " at " + at)
+                                + (id == null ? "" : " for " + id));
     }
 
     @Override
     public void faultSet(String kind, String at) {
-        note(FAULT, kind, 1, () -> "FAULT " + kind + (at == null ? "" : " at " + at)
-                + " for whom it meets");
+        note(
+                FAULT,
+                kind,
+                1,
+                () -> "FAULT " + kind + (at == null ? "" : " at " + at) + " for whom it meets");
     }
 
     @Override
--- a/rig/src/main/java/appleridge/rig/world/Nearest.java
+++ b/rig/src/main/java/appleridge/rig/world/Nearest.java
@@ -9,13 +9,21 @@
     /** More than this are not all told: the nearest ones are. */
     private static final int MOST_TOLD = 8;
 
-    private Nearest() { }
+    private Nearest() {}
 
     /** Such as {@code no such size: sidecar; known: sidecars, servers, ...}. */
     public static String unknown(String what, String word, Collection<String> known) {
-        List<String> nearest = known.stream()
-                .sorted(Comparator.comparingInt(each -> distance(word, each))).limit(MOST_TOLD).toList();
-        return "no such " + what + ": " + word + "; known: " + String.join(", ", nearest)
+        List<String> nearest =
+                known.stream()
+                        .sorted(Comparator.comparingInt(each -> distance(word, each)))
+                        .limit(MOST_TOLD)
+                        .toList();
+        return "no such "
+                + what
+                + ": "
+                + word
+                + "; known: "
+                + String.join(", ", nearest)
                 + (known.size() > MOST_TOLD ? ", ..." : "");
     }
 
