--- a/rig/src/main/java/appleridge/rig/world/NodeStrikes.java
+++ b/rig/src/main/java/appleridge/rig/world/NodeStrikes.java
@@ -3,7 +3,10 @@
 import appleridge.rig.judge.InState;
 import appleridge.rig.net.Chance;
 
-/** Faults of the coordination service, of its nodes and of sidecars' sessions; none where it is not asked. */
+/**
+ * Faults of the coordination service, of its nodes and of sidecars' sessions; none where it is not
+ * asked.
+ */
 final class NodeStrikes {
     private final Day day;
     private final Ensemble ensemble;
@@ -26,7 +29,8 @@
         if (ensemble == null) {
             return;
         }
-        long duration = fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+        long duration =
+                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
         String id = request == null ? null : request.id();
         switch (fault.kind()) {
             case NODE_FLAPS, NODE_GARBLED -> {
@@ -34,7 +38,9 @@
                 if (server != null) {
                     day.evidence.fault(fault.kind().word(), server.uid(), id);
                     if (fault.kind() == FaultKind.NODE_FLAPS) {
-                        registrations.flap(server.uid(), (int) fault.value(Param.COUNT),
+                        registrations.flap(
+                                server.uid(),
+                                (int) fault.value(Param.COUNT),
                                 fault.value(Param.BY));
                     } else {
                         registrations.garble(server.uid(), duration);
@@ -42,7 +48,8 @@
                 }
             }
             case NODES_LOST -> {
-                String sidecar = fault.who() != null ? fault.who() : chance.pick(seats.all()).name();
+                String sidecar =
+                        fault.who() != null ? fault.who() : chance.pick(seats.all()).name();
                 day.evidence.fault(fault.kind().word(), sidecar, id);
                 ensemble.lose(sidecar, duration);
             }
@@ -72,7 +79,10 @@
         if (fault.who() != null) {
             return fleet.machine(fault.who());
         }
-        Machine own = request == null || request.server() == null ? null : fleet.ofServer(request.server());
+        Machine own =
+                request == null || request.server() == null
+                        ? null
+                        : fleet.ofServer(request.server());
         return own != null ? own : chance.pick(fleet.machines());
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/NodesWord.java
+++ b/rig/src/main/java/appleridge/rig/world/NodesWord.java
@@ -7,26 +7,29 @@
 import java.util.Map;
 
 /**
- * What the coordination service has told one process, as the judge is to have it: said when it is written.
- * What comes from servers that lag, have lost the others or have lost their past is not told, but for what
- * the process may make of it.
+ * What the coordination service has told one process, as the judge is to have it: said when it is
+ * written. What comes from servers that lag, have lost the others or have lost their past is not
+ * told, but for what the process may make of it.
  */
 final class NodesWord {
     /** Nothing can be said of that server. */
     static final String UNKNOWN = "Unknown";
+
     /** A change whose data has not come within this stops new work. */
     private static final long READ_WITHIN = Site.SECOND;
+
     /** For so long what a new beginning has not got is kept. */
     private static final long COME_BACK_WITHIN = 10 * Site.SECOND;
 
     /** What was said of a server. */
-    private record Said(long zxid, String state, long bornAt) { }
+    private record Said(long zxid, String state, long bornAt) {}
 
     private final Day day;
     private final String sidecar;
     private final Map<String, Said> said = new LinkedHashMap<>();
     private long highest;
     private boolean lost;
+
     /** Counts beginnings; what was waited for in an earlier one is over. */
     private int beginnings;
 
@@ -86,12 +89,20 @@
         highest = Math.max(highest, zxid);
         if (zxid > zxid(name)) {
             int mine = beginnings;
-            day.after(READ_WITHIN, () -> {
-                Said last = said.get(name);
-                if (last != null && last.zxid < zxid && last.state.equals(Instances.READY)) {
-                    say(name, last.zxid, mine == beginnings ? Instances.TERMINATING : UNKNOWN, last.bornAt);
-                }
-            });
+            day.after(
+                    READ_WITHIN,
+                    () -> {
+                        Said last = said.get(name);
+                        if (last != null
+                                && last.zxid < zxid
+                                && last.state.equals(Instances.READY)) {
+                            say(
+                                    name,
+                                    last.zxid,
+                                    mine == beginnings ? Instances.TERMINATING : UNKNOWN,
+                                    last.bornAt);
+                        }
+                    });
         }
     }
 
@@ -113,7 +124,8 @@
     }
 
     private static String state(NodeRead read) {
-        return read.data() != null && read.data().state() == State.READY ? Instances.READY
+        return read.data() != null && read.data().state() == State.READY
+                ? Instances.READY
                 : Instances.TERMINATING;
     }
 
@@ -128,17 +140,23 @@
             return;
         }
         highest = zxid;
-        nodes.forEach((name, read) -> {
-            Znode node = view.get(name);
-            // Who was never read is left out.
-            boolean counts = read.data() != null || said.containsKey(name);
-            if (counts && node != null && read.mzxid() >= zxid(name) && node.czxid() == read.czxid()) {
-                say(name, read.mzxid(), state(read), node.bornAt());
-            }
-        });
+        nodes.forEach(
+                (name, read) -> {
+                    Znode node = view.get(name);
+                    // Who was never read is left out.
+                    boolean counts = read.data() != null || said.containsKey(name);
+                    if (counts
+                            && node != null
+                            && read.mzxid() >= zxid(name)
+                            && node.czxid() == read.czxid()) {
+                        say(name, read.mzxid(), state(read), node.bornAt());
+                    }
+                });
         for (String name : new ArrayList<>(said.keySet())) {
             // What an ensemble that began anew has not got yet is kept for a while.
-            if (!nodes.containsKey(name) && zxid(name) > 0 && zxid(name) <= namesZxid
+            if (!nodes.containsKey(name)
+                    && zxid(name) > 0
+                    && zxid(name) <= namesZxid
                     && !said.get(name).state.equals(Instances.GONE)) {
                 gone(name, namesZxid);
             }
@@ -154,22 +172,29 @@
         highest = 0;
         Map<String, Said> old = new LinkedHashMap<>(said);
         said.clear();
-        view.values().forEach(node -> {
-            highest = Math.max(highest, node.mzxid());
-            // Made again: not the node that was there.
-            day.evidence.nodeTold(sidecar, node.name(), UNKNOWN, node.bornAt());
-            say(node.name(), node.mzxid(), state(node.read()), node.bornAt());
-        });
-        old.forEach((name, last) -> {
-            if (!said.containsKey(name)) {
-                said.put(name, new Said(0, last.state, last.bornAt));
-                int mine = beginnings;
-                day.after(COME_BACK_WITHIN, () -> {
-                    if (mine == beginnings && zxid(name) == 0 && !last.state.equals(Instances.GONE)) {
-                        gone(name, 0);
+        view.values()
+                .forEach(
+                        node -> {
+                            highest = Math.max(highest, node.mzxid());
+                            // Made again: not the node that was there.
+                            day.evidence.nodeTold(sidecar, node.name(), UNKNOWN, node.bornAt());
+                            say(node.name(), node.mzxid(), state(node.read()), node.bornAt());
+                        });
+        old.forEach(
+                (name, last) -> {
+                    if (!said.containsKey(name)) {
+                        said.put(name, new Said(0, last.state, last.bornAt));
+                        int mine = beginnings;
+                        day.after(
+                                COME_BACK_WITHIN,
+                                () -> {
+                                    if (mine == beginnings
+                                            && zxid(name) == 0
+                                            && !last.state.equals(Instances.GONE)) {
+                                        gone(name, 0);
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/OrderServer.java
+++ b/rig/src/main/java/appleridge/rig/world/OrderServer.java
@@ -12,8 +12,10 @@
 /** One process that serves orders: its connections, its cores, its troubles. */
 final class OrderServer {
     private static final int BACKLOG = 64;
+
     /** What it costs to know a repeat. */
     private static final long REPEAT_WORK = Site.MS;
+
     private static final long LONGEST_DRAIN = 5 * Site.SECOND;
 
     private final Day day;
@@ -43,7 +45,14 @@
     private long reportUntil;
     private Report report = Report.GOOD;
 
-    OrderServer(Day day, Fleet fleet, Machine machine, String uid, int life, long bornAt, Chance chance) {
+    OrderServer(
+            Day day,
+            Fleet fleet,
+            Machine machine,
+            String uid,
+            int life,
+            long bornAt,
+            Chance chance) {
         this.day = day;
         this.fleet = fleet;
         this.machine = machine;
@@ -128,15 +137,21 @@
         String id = received.id();
         Asked.Form form = day.asked.form(id);
         boolean fits = form != null && form.message().equals(received.message());
-        long work = !fits ? 0
-                : (long) (form.work() * (0.7 + 0.6 * chance.nextDouble()))
-                + (received.first() ? day.plan.size(Knob.HANDSHAKE) : 0);
+        long work =
+                !fits
+                        ? 0
+                        : (long) (form.work() * (0.7 + 0.6 * chance.nextDouble()))
+                                + (received.first() ? day.plan.size(Knob.HANDSHAKE) : 0);
         on.tellArrived(received, work);
         if (!fits) {
-            on.say(Script.of(Answers.plain(id.isEmpty() ? "404 Not Found" : "400 Bad Request", "", "")));
+            on.say(
+                    Script.of(
+                            Answers.plain(
+                                    id.isEmpty() ? "404 Not Found" : "400 Bad Request", "", "")));
             return;
         }
-        if (share() < 1 && tip.tips(day.now(), work, on.sidecar(), share() * day.plan.count(Knob.CORES))) {
+        if (share() < 1
+                && tip.tips(day.now(), work, on.sidecar(), share() * day.plan.count(Knob.CORES))) {
             day.evidence.fellOver(uid, life, tip.bySidecar());
             machine.fell();
             return;
@@ -146,52 +161,68 @@
 
     private void whenAwake(Runnable what) {
         if (day.now() < hungUntil) {
-            day.after(hungUntil - day.now(), () -> {
-                if (!stopped) {
-                    whenAwake(what);
-                }
-            });
+            day.after(
+                    hungUntil - day.now(),
+                    () -> {
+                        if (!stopped) {
+                            whenAwake(what);
+                        }
+                    });
         } else {
             what.run();
         }
     }
 
-    private void admit(ServerConnection on, ServerConnection.Received received, Asked.Form form, long work) {
-        if (isDraining() || on.isSurplus() || day.now() < fullUntil
+    private void admit(
+            ServerConnection on, ServerConnection.Received received, Asked.Form form, long work) {
+        if (isDraining()
+                || on.isSurplus()
+                || day.now() < fullUntil
                 || engine.waiting() >= Math.max(1, day.plan.count(Knob.QUEUE))) {
             turnAway(on, received.id(), isDraining() || on.isSurplus());
             return;
         }
-        Repeats repeats = form.key() == null ? null : fleet.repeats(form.requestClass(), machine.zone());
+        Repeats repeats =
+                form.key() == null ? null : fleet.repeats(form.requestClass(), machine.zone());
         boolean repeat = repeats != null && repeats.isRepeat(form.key(), day.now());
         long began = day.now();
-        engine.offer(new Engine.Job() {
-            @Override
-            public long begins() {
-                boolean late = day.now() > received.dueAt()
-                        && chance.hits(day.plan.part(Knob.DROPS_EXPIRED));
-                if (late && !repeat) {
-                    if (repeats != null) {
-                        repeats.forget(form.key());
+        engine.offer(
+                new Engine.Job() {
+                    @Override
+                    public long begins() {
+                        boolean late =
+                                day.now() > received.dueAt()
+                                        && chance.hits(day.plan.part(Knob.DROPS_EXPIRED));
+                        if (late && !repeat) {
+                            if (repeats != null) {
+                                repeats.forget(form.key());
+                            }
+                            turnAway(on, received.id(), false);
+                            return -1;
+                        }
+                        return repeat ? REPEAT_WORK : work;
                     }
-                    turnAway(on, received.id(), false);
-                    return -1;
-                }
-                return repeat ? REPEAT_WORK : work;
-            }
 
-            @Override
-            public void done() {
-                whenAwake(() -> answer(on, received.id(), day.now() - began));
-            }
-        });
+                    @Override
+                    public void done() {
+                        whenAwake(() -> answer(on, received.id(), day.now() - began));
+                    }
+                });
     }
 
     private void turnAway(ServerConnection on, String id, boolean close) {
         day.evidence.saysNotRun(uid, life, id);
-        on.say(Script.of(Answers.plain(chance.hits(0.8) ? "503 Service Unavailable" : "504 Gateway Timeout",
-                "X-Not-Run: 1\r\n" + report(Report.GOOD) + (close ? "Connection: close\r\n" : ""), ""))
-                .ending(close ? Script.End.CLOSE : Script.End.KEEP));
+        on.say(
+                Script.of(
+                                Answers.plain(
+                                        chance.hits(0.8)
+                                                ? "503 Service Unavailable"
+                                                : "504 Gateway Timeout",
+                                        "X-Not-Run: 1\r\n"
+                                                + report(Report.GOOD)
+                                                + (close ? "Connection: close\r\n" : ""),
+                                        ""))
+                        .ending(close ? Script.End.CLOSE : Script.End.KEEP));
         endWhenDrained();
     }
 
@@ -200,8 +231,12 @@
         boolean runs = chance.hits(0.5);
         if (!runs) {
             day.evidence.saysNotRun(uid, life, id);
-            on.say(Script.of(Answers.plain("503 Service Unavailable",
-                    "X-Not-Run: 1\r\nConnection: close\r\n", "")));
+            on.say(
+                    Script.of(
+                            Answers.plain(
+                                    "503 Service Unavailable",
+                                    "X-Not-Run: 1\r\nConnection: close\r\n",
+                                    "")));
         } else {
             on.say(Script.of(answers.good(report(Report.GOOD), make(id), 0)));
         }
@@ -209,8 +244,9 @@
     }
 
     private void answer(ServerConnection on, String id, long took) {
-        boolean fails = chance.hits(day.isTroubled() ? day.plan.part(Knob.ERRORS) : 0)
-                || day.now() < failingUntil && chance.hits(failing);
+        boolean fails =
+                chance.hits(day.isTroubled() ? day.plan.part(Knob.ERRORS) : 0)
+                        || day.now() < failingUntil && chance.hits(failing);
         load.answered(took, fails);
         if (!on.isOpen()) {
             endWhenDrained();
@@ -237,8 +273,9 @@
         if (extra == null && day.isTroubled() && chance.hits(day.plan.part(Knob.EXTRAS))) {
             extra = chance.pick(List.of(Extra.values()));
         }
-        String headers = report(extra == Extra.BAD_REPORT ? Report.UNREADABLE : Report.GOOD)
-                + (isDraining() ? "Connection: close\r\n" : "");
+        String headers =
+                report(extra == Extra.BAD_REPORT ? Report.UNREADABLE : Report.GOOD)
+                        + (isDraining() ? "Connection: close\r\n" : "");
         String good = answers.good(headers, make(id), day.plan.part(Knob.CHUNKED));
         boolean behind = extra == Extra.COPY || extra == Extra.NOISE;
         if (extra == null || behind && !on.carriesAtOnce(2 * good.length())) {
@@ -251,8 +288,10 @@
 
     private String make(String id) {
         String token = uid + '/' + life + '/' + ++made + '/' + id;
-        String body = chance.hits(day.plan.part(Knob.LARGE_ANSWERS))
-                ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.largestBody())) : token;
+        String body =
+                chance.hits(day.plan.part(Knob.LARGE_ANSWERS))
+                        ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.largestBody()))
+                        : token;
         day.evidence.made(uid, life, id, body);
         return body;
     }
@@ -271,21 +310,28 @@
         if (chance.hits(0.5)) {
             closeIdle();
         }
-        day.after(day.bounded(chance.nextLong(LONGEST_DRAIN)), () -> {
-            mayEnd = true;
-            endWhenDrained();
-        });
+        day.after(
+                day.bounded(chance.nextLong(LONGEST_DRAIN)),
+                () -> {
+                    mayEnd = true;
+                    endWhenDrained();
+                });
     }
 
     private void endWhenDrained() {
-        if (mayEnd && !stopped && engine.isIdle()
+        if (mayEnd
+                && !stopped
+                && engine.isIdle()
                 && connections.stream().noneMatch(ServerConnection::isBusy)) {
             mayEnd = false;
             whenDrained.run();
         }
     }
 
-    /** What it has answered to a sidecar comes once more, where nothing is open; its rest so much later. */
+    /**
+     * What it has answered to a sidecar comes once more, where nothing is open; its rest so much
+     * later.
+     */
     void repeatAnswers(String sidecar, long cutFor) {
         for (ServerConnection each : new ArrayList<>(connections)) {
             if (each.sidecar().equals(sidecar)) {
--- a/rig/src/main/java/appleridge/rig/world/Outbox.java
+++ b/rig/src/main/java/appleridge/rig/world/Outbox.java
@@ -24,7 +24,8 @@
         int written = isEmpty() ? socket.write(bytes, 0, bytes.length) : 0;
         if (written < bytes.length) {
             int left = waiting.length - from;
-            byte[] more = Arrays.copyOfRange(waiting, from, waiting.length + bytes.length - written);
+            byte[] more =
+                    Arrays.copyOfRange(waiting, from, waiting.length + bytes.length - written);
             System.arraycopy(bytes, written, more, left, bytes.length - written);
             waiting = more;
             from = 0;
--- a/rig/src/main/java/appleridge/rig/world/Param.java
+++ b/rig/src/main/java/appleridge/rig/world/Param.java
@@ -40,8 +40,14 @@
     long parse(String text) {
         long value = unit.parse(text);
         if (value < least || value > most) {
-            throw new IllegalArgumentException(word() + "=" + text + " is not between " + unit.text(least)
-                    + " and " + unit.text(most));
+            throw new IllegalArgumentException(
+                    word()
+                            + "="
+                            + text
+                            + " is not between "
+                            + unit.text(least)
+                            + " and "
+                            + unit.text(most));
         }
         return value;
     }
--- a/rig/src/main/java/appleridge/rig/world/Plan.java
+++ b/rig/src/main/java/appleridge/rig/world/Plan.java
@@ -9,13 +9,16 @@
 import java.util.Set;
 
 /**
- * What happens on a day: its sizes and its faults. All else is drawn from the seed, from streams that no
- * fault shifts. A plan is drawn from a seed, or read from a scenario: a small text with one fault a line.
+ * What happens on a day: its sizes and its faults. All else is drawn from the seed, from streams
+ * that no fault shifts. A plan is drawn from a seed, or read from a scenario: a small text with one
+ * fault a line.
  */
 public final class Plan {
     /** On one machine sockets hold at least so many bytes. */
     static final int LEAST_BUFFER_AT_HOME = 4096;
+
     private static final int LARGEST_BODY = 30_000;
+
     /** Through a small buffer a body takes so many ways there and back at most. */
     private static final int BUFFERS_IN_A_BODY = 20;
 
@@ -39,7 +42,8 @@
     }
 
     /**
-     * Reads a scenario; what makes no sense is told by an exception's message, with the number of the line.
+     * Reads a scenario; what makes no sense is told by an exception's message, with the number of
+     * the line.
      */
     public static Plan parse(String text) {
         return new PlanText().parse(text);
@@ -78,11 +82,12 @@
     /** The sizes that are not as usual. */
     public List<Knob> unusual() {
         List<Knob> unusual = new ArrayList<>();
-        sizes.forEach((knob, value) -> {
-            if (value != knob.usual()) {
-                unusual.add(knob);
-            }
-        });
+        sizes.forEach(
+                (knob, value) -> {
+                    if (value != knob.usual()) {
+                        unusual.add(knob);
+                    }
+                });
         return unusual;
     }
 
@@ -137,8 +142,11 @@
 
     /** What a client asks, or gets, has no longer body than this. */
     int largestBody() {
-        return (int) Math.min(LARGEST_BODY, BUFFERS_IN_A_BODY
-                * Math.min(size(Knob.SEND_BUFFER), size(Knob.RECEIVE_BUFFER)));
+        return (int)
+                Math.min(
+                        LARGEST_BODY,
+                        BUFFERS_IN_A_BODY
+                                * Math.min(size(Knob.SEND_BUFFER), size(Knob.RECEIVE_BUFFER)));
     }
 
     /** The longest that clients of a class wait. */
@@ -151,7 +159,10 @@
         return kind.scope() == Scope.ALL ? kind.keyTtl() : size(Knob.KEY_WINDOW);
     }
 
-    /** The longest that a whole message takes between a client and its sidecar, while no trouble is told. */
+    /**
+     * The longest that a whole message takes between a client and its sidecar, while no trouble is
+     * told.
+     */
     public long longestWay() {
         double way = 1.2 * size(Knob.CLIENT_DELAY) * (1 + part(Knob.JITTER));
         return (long) (way * (1 + 2.0 * BUFFERS_IN_A_BODY)) + 5 * Site.MS;
@@ -159,12 +170,16 @@
 
     /** What work that waits in a sidecar's loop may add to all it does, in a time of no trouble. */
     public long longestWork() {
-        return 50 * (size(Knob.TASK_COST) + size(Knob.READ_COST)) + 300 * size(Knob.CLOCK_COST) + 5 * Site.MS;
+        return 50 * (size(Knob.TASK_COST) + size(Knob.READ_COST))
+                + 300 * size(Knob.CLOCK_COST)
+                + 5 * Site.MS;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Plan plan && plan.seed == seed && plan.sizes.equals(sizes)
+        return other instanceof Plan plan
+                && plan.seed == seed
+                && plan.sizes.equals(sizes)
                 && plan.faults.equals(faults);
     }
 
--- a/rig/src/main/java/appleridge/rig/world/PlanDraw.java
+++ b/rig/src/main/java/appleridge/rig/world/PlanDraw.java
@@ -11,31 +11,49 @@
 import java.util.stream.Stream;
 
 /**
- * Draws a day from a seed: usual sizes with some unusual ones, the kinds of fault that are on, the faults.
+ * Draws a day from a seed: usual sizes with some unusual ones, the kinds of fault that are on, the
+ * faults.
  */
 final class PlanDraw {
     private static final long S = Site.SECOND;
     private static final long MS = Site.MS;
     private static final long US = 1000;
+
     /** How much of the traffic of a day is to come at least, with room for chance. */
     private static final int LEAST_REQUESTS = 400;
+
     private static final int LEAST_TRAPS = 16;
     private static final int MORE_TRAPS = 22;
+
     /** Those that many days have few of, or for short times only, come more often. */
-    private static final List<RequestState> STATES = Stream.concat(Arrays.stream(RequestState.values()),
-            Stream.of(RequestState.ARRIVING, RequestState.CONNECTING, RequestState.WRITING,
-            RequestState.WRITING, RequestState.ANSWERING, RequestState.ANSWERED,
-            RequestState.RESEND_HELD, RequestState.RESEND_HELD, RequestState.RESEND_CONNECTING,
-            RequestState.RESEND_WRITING, RequestState.RESEND_WRITING, RequestState.RESEND_WRITING,
-            RequestState.RESEND_ANSWERING)).toList();
+    private static final List<RequestState> STATES =
+            Stream.concat(
+                            Arrays.stream(RequestState.values()),
+                            Stream.of(
+                                    RequestState.ARRIVING,
+                                    RequestState.CONNECTING,
+                                    RequestState.WRITING,
+                                    RequestState.WRITING,
+                                    RequestState.ANSWERING,
+                                    RequestState.ANSWERED,
+                                    RequestState.RESEND_HELD,
+                                    RequestState.RESEND_HELD,
+                                    RequestState.RESEND_CONNECTING,
+                                    RequestState.RESEND_WRITING,
+                                    RequestState.RESEND_WRITING,
+                                    RequestState.RESEND_WRITING,
+                                    RequestState.RESEND_ANSWERING))
+                    .toList();
+
     /** Later visits of a state than this are too rare to be waited for. */
     private static final int RARE = 3;
+
     private static final int SELDOM = 8;
     private static final int COMMON = 60;
 
     /**
-     * Part of the days on which servers are learned of from nodes. None yet: some of these days break rules
-     * that are not understood; a scenario plays them with {@code set membership}.
+     * Part of the days on which servers are learned of from nodes. None yet: some of these days
+     * break rules that are not understood; a scenario plays them with {@code set membership}.
      */
     private static final double NODE_DAYS = 0;
 
@@ -79,7 +97,8 @@
         between(Knob.SERVERS, 6, 10);
         between(Knob.FAULTS_END, 6 * S, 13 * S);
         stage.length(stageChance, sizes);
-        double seconds = (size(Knob.FAULTS_END) + Knob.RECOVERY.usual() + size(Knob.CALM)) / (double) S;
+        double seconds =
+                (size(Knob.FAULTS_END) + Knob.RECOVERY.usual() + size(Knob.CALM)) / (double) S;
         sizes.put(Knob.RATE, Knob.part((LEAST_REQUESTS + sizeChance.nextInt(140)) / seconds));
         between(Knob.UNEVEN, Knob.part(0.15), Knob.part(1));
         between(Knob.BURSTS, 0, Knob.part(0.6));
@@ -176,7 +195,10 @@
         }
     }
 
-    /** On some days there are ephemeral nodes, with their own troubles; all other draws are as they were. */
+    /**
+     * On some days there are ephemeral nodes, with their own troubles; all other draws are as they
+     * were.
+     */
     private List<Fault> drawMembership() {
         Chance own = new Chance(seed).stream("plan.membership");
         List<Fault> faults = new ArrayList<>();
@@ -186,8 +208,10 @@
         sizes.put(Knob.MEMBERSHIP, own.between(1, 2));
         sizes.put(Knob.SESSION_TIMEOUT, millis(own.between(500 * MS, 4 * S)));
         boolean wiped = own.hits(0.35);
-        List<FaultKind> kinds = Arrays.stream(FaultKind.values()).filter(kind -> kind.ofNodes()
-                && (wiped || kind != FaultKind.NODES_WIPED)).toList();
+        List<FaultKind> kinds =
+                Arrays.stream(FaultKind.values())
+                        .filter(kind -> kind.ofNodes() && (wiped || kind != FaultKind.NODES_WIPED))
+                        .toList();
         int timed = own.nextInt(7);
         for (int i = 0; i < timed; i++) {
             Trigger trigger = Trigger.time(millis(own.between(S, size(Knob.FAULTS_END) - S)));
@@ -235,15 +259,19 @@
 
     private Trigger trap(RequestState state) {
         Chance chance = faultChance;
-        int most = state.isResend() ? RARE : switch (state) {
-            case CONNECTING, HELD -> SELDOM;
-            default -> COMMON;
-        };
-        long after = switch (chance.nextInt(4)) {
-            case 0 -> chance.nextLong(2 * MS);
-            case 1 -> chance.nextLong(100 * MS);
-            default -> 0;
-        };
+        int most =
+                state.isResend()
+                        ? RARE
+                        : switch (state) {
+                            case CONNECTING, HELD -> SELDOM;
+                            default -> COMMON;
+                        };
+        long after =
+                switch (chance.nextInt(4)) {
+                    case 0 -> chance.nextLong(2 * MS);
+                    case 1 -> chance.nextLong(100 * MS);
+                    default -> 0;
+                };
         return new Trigger(after - after % US, state, 1 + chance.nextInt(most));
     }
 
@@ -257,12 +285,13 @@
         String who = null;
         boolean own = trigger.trap() && chance.hits(0.9);
         if (!own) {
-            who = switch (kind.target()) {
-                case SERVER -> "s" + chance.nextInt((int) size(Knob.SERVERS));
-                case SIDECAR -> "n" + chance.nextInt((int) size(Knob.SIDECARS));
-                case ZONE -> chance.pick(Site.ZONES);
-                default -> null;
-            };
+            who =
+                    switch (kind.target()) {
+                        case SERVER -> "s" + chance.nextInt((int) size(Knob.SERVERS));
+                        case SIDECAR -> "n" + chance.nextInt((int) size(Knob.SIDECARS));
+                        case ZONE -> chance.pick(Site.ZONES);
+                        default -> null;
+                    };
         }
         return new Fault(trigger, kind, who, style, values);
     }
@@ -270,30 +299,37 @@
     private long value(FaultKind kind, Param param) {
         Chance chance = faultChance;
         return switch (param) {
-            case FOR -> switch (kind) {
-                case PAUSE -> chance.hits(0.3) ? millis(chance.between(2 * S, 8 * S))
-                        : millis(chance.between(5 * MS, 600 * MS));
-                case FLOOD -> millis(chance.between(500 * MS, 2 * S));
-                default -> millis(chance.between(200 * MS, 6 * S));
-            };
+            case FOR ->
+                    switch (kind) {
+                        case PAUSE ->
+                                chance.hits(0.3)
+                                        ? millis(chance.between(2 * S, 8 * S))
+                                        : millis(chance.between(5 * MS, 600 * MS));
+                        case FLOOD -> millis(chance.between(500 * MS, 2 * S));
+                        default -> millis(chance.between(200 * MS, 6 * S));
+                    };
             case DOWN -> millis(chance.between(100 * MS, 4 * S));
-            case BY -> switch (kind) {
-                case WALL_STEP -> millis(chance.between(-20 * S, 20 * S));
-                case LIST_STALE -> millis(chance.between(S, 10 * S));
-                case LIST_FLAPS, NODE_FLAPS -> millis(chance.between(20 * MS, 900 * MS));
-                case NODES_LAG, NODES_SLOW -> millis(chance.between(100 * MS, 4 * S));
-                default -> millis(chance.between(5 * MS, 300 * MS));
-            };
+            case BY ->
+                    switch (kind) {
+                        case WALL_STEP -> millis(chance.between(-20 * S, 20 * S));
+                        case LIST_STALE -> millis(chance.between(S, 10 * S));
+                        case LIST_FLAPS, NODE_FLAPS -> millis(chance.between(20 * MS, 900 * MS));
+                        case NODES_LAG, NODES_SLOW -> millis(chance.between(100 * MS, 4 * S));
+                        default -> millis(chance.between(5 * MS, 300 * MS));
+                    };
             case FACTOR -> Knob.part(2 + chance.nextInt(80) / 10.0);
             case RATE -> Knob.part(20 + chance.nextInt(60));
-            case COUNT -> switch (kind) {
-                case FAILING -> chance.between(50, 1000);
-                case NO_DESCRIPTORS -> chance.between(0, 8);
-                case LINK_CHOPPED -> chance.between(1, 40);
-                default -> chance.between(1, 4);
-            };
-            case BYTES -> kind == FaultKind.LINK_THIN ? chance.between(10_000, 200_000)
-                    : chance.between(0, 400);
+            case COUNT ->
+                    switch (kind) {
+                        case FAILING -> chance.between(50, 1000);
+                        case NO_DESCRIPTORS -> chance.between(0, 8);
+                        case LINK_CHOPPED -> chance.between(1, 40);
+                        default -> chance.between(1, 4);
+                    };
+            case BYTES ->
+                    kind == FaultKind.LINK_THIN
+                            ? chance.between(10_000, 200_000)
+                            : chance.between(0, 400);
         };
     }
 
--- a/rig/src/main/java/appleridge/rig/world/PlanText.java
+++ b/rig/src/main/java/appleridge/rig/world/PlanText.java
@@ -11,17 +11,24 @@
 final class PlanText {
     private final Map<Knob, Long> sizes = new EnumMap<>(Knob.class);
     private final List<Fault> faults = new ArrayList<>();
+
     /** The number of the line that each fault stands in. */
     private final List<Integer> lines = new ArrayList<>();
+
     private Long seed;
 
     static String text(Plan plan) {
         StringBuilder text = new StringBuilder(1024);
-        text.append("# One fault a line: at SECONDS KIND ..., or on STATE NTH [after SECONDS] KIND ...\n");
+        text.append(
+                "# One fault a line: at SECONDS KIND ..., or on STATE NTH [after SECONDS] KIND"
+                        + " ...\n");
         text.append("seed ").append(plan.seed()).append('\n');
         for (Knob each : Knob.values()) {
             if (plan.size(each) != each.usual()) {
-                text.append("set ").append(each.word()).append(' ').append(each.unit().text(plan.size(each)))
+                text.append("set ")
+                        .append(each.word())
+                        .append(' ')
+                        .append(each.unit().text(plan.size(each)))
                         .append('\n');
             }
         }
@@ -54,7 +61,8 @@
             try {
                 check(plan, faults.get(i));
             } catch (IllegalArgumentException e) {
-                throw new IllegalArgumentException("line " + lines.get(i) + ": " + e.getMessage(), e);
+                throw new IllegalArgumentException(
+                        "line " + lines.get(i) + ": " + e.getMessage(), e);
             }
         }
         return plan;
@@ -74,7 +82,8 @@
             case "set" -> {
                 require(words.length == 3, "set SIZE VALUE");
                 Knob knob = Knob.of(words[1]);
-                require(sizes.put(knob, knob.checked(knob.unit().parse(words[2]))) == null,
+                require(
+                        sizes.put(knob, knob.checked(knob.unit().parse(words[2]))) == null,
                         words[1] + " is set twice");
             }
             case "at" -> {
@@ -88,11 +97,15 @@
                 require(nth >= 1 && nth <= 1_000_000, "there is no such time: " + words[2]);
                 boolean after = words[3].equals("after");
                 require(!after || words.length >= 6, "after SECONDS KIND ...");
-                faults.add(fault(new Trigger(after ? time(words[4]) : 0, state, (int) nth), words,
-                        after ? 5 : 3));
+                faults.add(
+                        fault(
+                                new Trigger(after ? time(words[4]) : 0, state, (int) nth),
+                                words,
+                                after ? 5 : 3));
             }
-            default -> throw new IllegalArgumentException("a line begins with seed, set, at or on, not "
-                    + words[0]);
+            default ->
+                    throw new IllegalArgumentException(
+                            "a line begins with seed, set, at or on, not " + words[0]);
         }
     }
 
@@ -112,28 +125,40 @@
             } else if (name.equals("style")) {
                 require(style == null, "style twice");
                 require(!kind.styles().isEmpty(), kind.word() + " has no style");
-                require(kind.styles().contains(value),
+                require(
+                        kind.styles().contains(value),
                         Nearest.unknown("style of " + kind.word(), value, kind.styles()));
                 style = value;
             } else {
                 Param param = FaultKind.of(Param.class, "figure", name);
-                require(kind.params().contains(param), kind.word() + " has no " + name
-                        + (kind.params().isEmpty() ? "" : "; it has " + words(kind.params())));
+                require(
+                        kind.params().contains(param),
+                        kind.word()
+                                + " has no "
+                                + name
+                                + (kind.params().isEmpty()
+                                        ? ""
+                                        : "; it has " + words(kind.params())));
                 require(values.put(param, param.parse(value)) == null, name + " twice");
             }
         }
-        require(style != null || kind.styles().isEmpty(), kind.word() + " needs a style: "
-                + String.join(", ", kind.styles()));
+        require(
+                style != null || kind.styles().isEmpty(),
+                kind.word() + " needs a style: " + String.join(", ", kind.styles()));
         for (Param each : kind.params()) {
             require(values.containsKey(each), kind.word() + " needs " + each.word());
         }
-        require(trigger.trap() || !kind.trappedOnly(), kind.word() + " needs a request: on STATE NTH ...");
-        require(!trigger.trap() || kind.canStrike(trigger.state()),
+        require(
+                trigger.trap() || !kind.trappedOnly(),
+                kind.word() + " needs a request: on STATE NTH ...");
+        require(
+                !trigger.trap() || kind.canStrike(trigger.state()),
                 kind.word() + " can't strike a request there");
-        boolean named = switch (kind.target()) {
-            case SERVER, SIDECAR, ZONE -> true;
-            default -> false;
-        };
+        boolean named =
+                switch (kind.target()) {
+                    case SERVER, SIDECAR, ZONE -> true;
+                    default -> false;
+                };
         require(named || who == null, kind.word() + " has no who");
         require(!named || who != null || trigger.trap(), kind.word() + " needs who=NAME");
         return new Fault(trigger, kind, who, style, values);
@@ -141,14 +166,18 @@
 
     /** Whether a fault strikes, and whom, can be told only when the day's sizes are known. */
     private static void check(Plan plan, Fault fault) {
-        require(fault.trigger().at() < plan.faultsEnd(), "it can't strike: faults have ended at "
-                + Unit.TIME.text(plan.faultsEnd()) + " s (faults-end)");
+        require(
+                fault.trigger().at() < plan.faultsEnd(),
+                "it can't strike: faults have ended at "
+                        + Unit.TIME.text(plan.faultsEnd())
+                        + " s (faults-end)");
         if (fault.who() != null) {
-            List<String> known = switch (fault.kind().target()) {
-                case SERVER -> numbered('s', plan.count(Knob.SERVERS));
-                case SIDECAR -> numbered('n', plan.count(Knob.SIDECARS));
-                default -> Site.ZONES;
-            };
+            List<String> known =
+                    switch (fault.kind().target()) {
+                        case SERVER -> numbered('s', plan.count(Knob.SERVERS));
+                        case SIDECAR -> numbered('n', plan.count(Knob.SIDECARS));
+                        default -> Site.ZONES;
+                    };
             require(known.contains(fault.who()), Nearest.unknown("who", fault.who(), known));
         }
     }
--- a/rig/src/main/java/appleridge/rig/world/Player.java
+++ b/rig/src/main/java/appleridge/rig/world/Player.java
@@ -25,7 +25,10 @@
         return script == null;
     }
 
-    /** Told when all is written and the script's end is carried out, unless the connection breaks before. */
+    /**
+     * Told when all is written and the script's end is carried out, unless the connection breaks
+     * before.
+     */
     void play(Script what, Runnable whenWritten) {
         script = what;
         whenDone = whenWritten;
@@ -61,11 +64,14 @@
             }
             Script.Part part = script.parts().get(next++);
             if (part.pause() > 0) {
-                pause = simulation.after(part.pause(), () -> {
-                    pause = null;
-                    send(part);
-                    goOn();
-                });
+                pause =
+                        simulation.after(
+                                part.pause(),
+                                () -> {
+                                    pause = null;
+                                    send(part);
+                                    goOn();
+                                });
             } else {
                 send(part);
             }
@@ -90,7 +96,7 @@
         switch (played.end()) {
             case CLOSE -> socket.close();
             case RESET -> socket.reset();
-            default -> { }
+            default -> {}
         }
         whenDone.run();
     }
--- a/rig/src/main/java/appleridge/rig/world/Readiness.java
+++ b/rig/src/main/java/appleridge/rig/world/Readiness.java
@@ -7,15 +7,15 @@
 import java.net.ConnectException;
 
 /**
- * Asks one sidecar whether it is ready: often until it is, then now and then, and often again when it has
- * been told to end, as one more who comes with a new connection.
+ * Asks one sidecar whether it is ready: often until it is, then now and then, and often again when
+ * it has been told to end, as one more who comes with a new connection.
  */
 final class Readiness {
     private static final long EVERY = 100 * Site.MS;
     private static final long WHEN_READY = 1300 * Site.MS;
     private static final long WHEN_ENDING = 60 * Site.MS;
-    private static final String ASK = "GET /health/ready HTTP/1.1\r\nHost: origin.svc\r\n"
-            + "Connection: close\r\n\r\n";
+    private static final String ASK =
+            "GET /health/ready HTTP/1.1\r\nHost: origin.svc\r\n" + "Connection: close\r\n\r\n";
 
     private final Day day;
     private final Host host;
@@ -47,15 +47,21 @@
     }
 
     private void ask(long wait) {
-        next = day.after(wait, () -> {
-            stop();
-            if (!seat.isAsked()) {
-                return;
-            }
-            question = new Question();
-            question.connect();
-            ask(seat.isLeaving() ? WHEN_ENDING : seat.isUsable() ? WHEN_READY : EVERY);
-        });
+        next =
+                day.after(
+                        wait,
+                        () -> {
+                            stop();
+                            if (!seat.isAsked()) {
+                                return;
+                            }
+                            question = new Question();
+                            question.connect();
+                            ask(
+                                    seat.isLeaving()
+                                            ? WHEN_ENDING
+                                            : seat.isUsable() ? WHEN_READY : EVERY);
+                        });
     }
 
     private final class Question implements SimSocket.Events {
--- a/rig/src/main/java/appleridge/rig/world/Registrations.java
+++ b/rig/src/main/java/appleridge/rig/world/Registrations.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Each order server's node: made some time after it listens, marked when it drains, gone with it at an
- * orderly end, and when its session's time is out after any other one.
+ * Each order server's node: made some time after it listens, marked when it drains, gone with it at
+ * an orderly end, and when its session's time is out after any other one.
  */
 final class Registrations {
     /** One life of a server. */
@@ -66,16 +66,20 @@
         }
         if (state.equals(Instances.TERMINATING)) {
             server.drains = true;
-            soon(chance.nextLong(LONGEST_WORD), () -> {
-                if (ensemble.node(uid) != null) {
-                    put(uid, server);
-                }
-            });
+            soon(
+                    chance.nextLong(LONGEST_WORD),
+                    () -> {
+                        if (ensemble.node(uid) != null) {
+                            put(uid, server);
+                        }
+                    });
         } else {
             server.ended = true;
             long timeout = ensemble.timeout();
-            long wait = server.drains ? chance.nextLong(LONGEST_WORD)
-                    : chance.between(timeout / 3, timeout);
+            long wait =
+                    server.drains
+                            ? chance.nextLong(LONGEST_WORD)
+                            : chance.between(timeout / 3, timeout);
             soon(wait, () -> remove(uid, server));
         }
     }
@@ -92,16 +96,29 @@
 
     private NodeData data(String uid, Server server) {
         Machine machine = fleet.ofServer(uid);
-        long started = !namesStart.get(uid) ? 0 : server.bornAt == 0 ? Site.EPOCH_MILLIS - LONG_AGO_MILLIS
-                : Site.EPOCH_MILLIS + server.bornAt / Site.MS;
-        return new NodeData(machine.address(), machine.zone(), 0, machine.zone(),
-                server.drains ? State.DRAINING : State.READY, 1, started, null);
+        long started =
+                !namesStart.get(uid)
+                        ? 0
+                        : server.bornAt == 0
+                                ? Site.EPOCH_MILLIS - LONG_AGO_MILLIS
+                                : Site.EPOCH_MILLIS + server.bornAt / Site.MS;
+        return new NodeData(
+                machine.address(),
+                machine.zone(),
+                0,
+                machine.zone(),
+                server.drains ? State.DRAINING : State.READY,
+                1,
+                started,
+                null);
     }
 
     /** A session is over: its node is gone, if it is its node still. */
     private void remove(String uid, Server server) {
         Znode node = ensemble.node(uid);
-        if (node != null && node.life() == server.life && (server.ended || servers.get(uid) == server)) {
+        if (node != null
+                && node.life() == server.life
+                && (server.ended || servers.get(uid) == server)) {
             ensemble.remove(uid);
         }
     }
@@ -124,11 +141,13 @@
             ensemble.whenUp(() -> remove(uid, server));
         } else if (!silent && server.silentSince >= 0) {
             server.silentSince = -1;
-            soon(chance.nextLong(LONGEST_BOOT), () -> {
-                if (ensemble.node(uid) == null) {
-                    put(uid, server);
-                }
-            });
+            soon(
+                    chance.nextLong(LONGEST_BOOT),
+                    () -> {
+                        if (ensemble.node(uid) == null) {
+                            put(uid, server);
+                        }
+                    });
         }
     }
 
@@ -141,12 +160,14 @@
             return;
         }
         remove(uid, server);
-        soon(apart, () -> {
-            put(uid, server);
-            if (day.isTroubled()) {
-                soon(apart, () -> flap(uid, times - 1, apart));
-            }
-        });
+        soon(
+                apart,
+                () -> {
+                    put(uid, server);
+                    if (day.isTroubled()) {
+                        soon(apart, () -> flap(uid, times - 1, apart));
+                    }
+                });
     }
 
     /** Its node can't be read for so long. */
@@ -160,10 +181,14 @@
 
     /** The ensemble has lost everything: each finds out some time within this. */
     void again(long within) {
-        servers.forEach((uid, server) -> soon(1 + chance.nextLong(Math.max(1, within)), () -> {
-            if (ensemble.node(uid) == null) {
-                put(uid, server);
-            }
-        }));
+        servers.forEach(
+                (uid, server) ->
+                        soon(
+                                1 + chance.nextLong(Math.max(1, within)),
+                                () -> {
+                                    if (ensemble.node(uid) == null) {
+                                        put(uid, server);
+                                    }
+                                }));
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/Registry.java
+++ b/rig/src/main/java/appleridge/rig/world/Registry.java
@@ -12,7 +12,8 @@
 import java.util.Set;
 
 /**
- * Discovery at one address: it works through calls in turn, lets watches wait, and has troubles of its own.
+ * Discovery at one address: it works through calls in turn, lets watches wait, and has troubles of
+ * its own.
  */
 final class Registry {
     /** One call; {@code since} below zero for the whole list. */
@@ -25,15 +26,23 @@
     /** The site where it stands. */
     static final int ZONE = 0;
 
-    /** What is written has been read by then, if all is well; well within the time that drains allow. */
+    /**
+     * What is written has been read by then, if all is well; well within the time that drains
+     * allow.
+     */
     private static final long ARRIVES = Site.SECOND;
+
     private static final int BACKLOG = 128;
+
     /** A call that has waited for so long for its turn fails. */
     private static final long PATIENCE = 2 * Site.SECOND;
+
     /** The old address closes its connections so long after a move. */
     private static final long LAST_WORDS = 1500 * Site.MS;
+
     /** What the next address's calls begin with. */
     private static final long CALLS_APART = 1_000_000_000L;
+
     /** How far apart the watches are told of news. */
     private static final long SPREAD = 20 * Site.MS;
 
@@ -42,8 +51,10 @@
     private final Told told;
     private final Host host;
     private final InetSocketAddress address;
+
     /** What its versions begin with. */
     private final long offset;
+
     private final Chance chance;
     private final Set<RegistryConnection> connections = new LinkedHashSet<>();
     private final List<Call> parked = new ArrayList<>();
@@ -133,11 +144,13 @@
         } else {
             parked.add(call);
             long left = Math.max(0, call.at() + call.mayWait() - day.now());
-            day.after(left, () -> {
-                if (parked.remove(call)) {
-                    answer(call);
-                }
-            });
+            day.after(
+                    left,
+                    () -> {
+                        if (parked.remove(call)) {
+                            answer(call);
+                        }
+                    });
         }
     }
 
@@ -147,17 +160,22 @@
 
     private void changed() {
         for (Call each : new ArrayList<>(parked)) {
-            day.after(chance.nextLong(SPREAD), () -> {
-                if (news(each.since()) && parked.remove(each)) {
-                    answer(each);
-                }
-            });
+            day.after(
+                    chance.nextLong(SPREAD),
+                    () -> {
+                        if (news(each.since()) && parked.remove(each)) {
+                            answer(each);
+                        }
+                    });
         }
     }
 
     private void fail(Call call, String status) {
-        call.from().say(call, Script.of(Answers.plain(status, "", "")),
-                () -> day.evidence.listCallEnded(call.from().sidecar(), call.id(), false));
+        call.from()
+                .say(
+                        call,
+                        Script.of(Answers.plain(status, "", "")),
+                        () -> day.evidence.listCallEnded(call.from().sidecar(), call.id(), false));
     }
 
     private void answer(Call call) {
@@ -185,37 +203,57 @@
         if (cuts > 0 && day.isTroubled()) {
             cuts--;
             int half = text.length() / 2;
-            call.from().say(call, Script.of(text.substring(0, half)).then(Site.MS, "")
-                    .ending(chance.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
-                    () -> spoilt(sidecar, call));
+            call.from()
+                    .say(
+                            call,
+                            Script.of(text.substring(0, half))
+                                    .then(Site.MS, "")
+                                    .ending(chance.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
+                            () -> spoilt(sidecar, call));
         } else if (garbles > 0 && day.isTroubled()) {
             garbles--;
             call.from().say(call, Script.of(garbled(json)), () -> spoilt(sidecar, call));
         } else {
-            call.from().say(call, Script.of(text), () -> {
-                if (call.from().isHeard()) {
-                    told.tell(sidecar, all, entries);
-                    day.evidence.listCallEnded(sidecar, call.id(), true);
-                    lookWhetherItArrives(call.from(), call.from().written(), sidecar, day.now());
-                } else {
-                    // It may arrive when the way is open again.
-                    told.tell(sidecar, false, entries.stream()
-                            .filter(each -> each.state().equals(Instances.READY)).toList());
-                }
-            });
+            call.from()
+                    .say(
+                            call,
+                            Script.of(text),
+                            () -> {
+                                if (call.from().isHeard()) {
+                                    told.tell(sidecar, all, entries);
+                                    day.evidence.listCallEnded(sidecar, call.id(), true);
+                                    lookWhetherItArrives(
+                                            call.from(), call.from().written(), sidecar, day.now());
+                                } else {
+                                    // It may arrive when the way is open again.
+                                    told.tell(
+                                            sidecar,
+                                            false,
+                                            entries.stream()
+                                                    .filter(
+                                                            each ->
+                                                                    each.state()
+                                                                            .equals(
+                                                                                    Instances
+                                                                                            .READY))
+                                                    .toList());
+                                }
+                            });
         }
     }
 
     /** What lies unread at a process that stands still may be lost with the connection yet. */
-    private void lookWhetherItArrives(RegistryConnection connection, long bytes, String sidecar,
-            long toldAt) {
-        day.after(ARRIVES, () -> {
-            if (connection.isLost(bytes)) {
-                day.evidence.listUntold(sidecar, toldAt);
-            } else if (!connection.wasRead(bytes)) {
-                lookWhetherItArrives(connection, bytes, sidecar, toldAt);
-            }
-        });
+    private void lookWhetherItArrives(
+            RegistryConnection connection, long bytes, String sidecar, long toldAt) {
+        day.after(
+                ARRIVES,
+                () -> {
+                    if (connection.isLost(bytes)) {
+                        day.evidence.listUntold(sidecar, toldAt);
+                    } else if (!connection.wasRead(bytes)) {
+                        lookWhetherItArrives(connection, bytes, sidecar, toldAt);
+                    }
+                });
     }
 
     /** Nothing that could be read was told: as if it could not have been asked. */
@@ -225,16 +263,20 @@
     }
 
     private String garbled(String json) {
-        String body = switch (chance.nextInt(7)) {
-            case 0 -> json.substring(0, json.length() / 2);
-            case 1 -> "<html>no list here</html>";
-            case 2 -> json.replace("\"Ready\"", "\"Sleeping\"").replace("[]", "[{}]");
-            case 3 -> json.replace("\"rev\":", "\"rev\":\"x").replaceFirst(",", "\",");
-            case 4 -> json.replace("\"targets\":[", "\"targets\":[{\"uid\":\"\",\"endpoint\":\"nowhere\"},")
-                    .replace("},]", "}]");
-            case 5 -> "";
-            default -> "null";
-        };
+        String body =
+                switch (chance.nextInt(7)) {
+                    case 0 -> json.substring(0, json.length() / 2);
+                    case 1 -> "<html>no list here</html>";
+                    case 2 -> json.replace("\"Ready\"", "\"Sleeping\"").replace("[]", "[{}]");
+                    case 3 -> json.replace("\"rev\":", "\"rev\":\"x").replaceFirst(",", "\",");
+                    case 4 ->
+                            json.replace(
+                                            "\"targets\":[",
+                                            "\"targets\":[{\"uid\":\"\",\"endpoint\":\"nowhere\"},")
+                                    .replace("},]", "}]");
+                    case 5 -> "";
+                    default -> "null";
+                };
         return Answers.plain("200 OK", "Content-Type: application/json\r\n", body);
     }
 
@@ -247,11 +289,13 @@
         }
         failAll();
         host.die();
-        day.after(duration, () -> {
-            if (!retired) {
-                listen();
-            }
-        });
+        day.after(
+                duration,
+                () -> {
+                    if (!retired) {
+                        listen();
+                    }
+                });
     }
 
     private void failAll() {
@@ -306,9 +350,11 @@
         if (listener.isOpen()) {
             listener.close();
         }
-        day.after(LAST_WORDS, () -> {
-            failAll();
-            host.die();
-        });
+        day.after(
+                LAST_WORDS,
+                () -> {
+                    failAll();
+                    host.die();
+                });
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/RegistryConnection.java
+++ b/rig/src/main/java/appleridge/rig/world/RegistryConnection.java
@@ -16,6 +16,7 @@
     private final HttpReader reader = new HttpReader(false);
     private final Player player;
     private Registry.Call open;
+
     /** The sidecar ended it, and had what was written to it or gave that up by itself. */
     private boolean left;
 
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Whether it can't read so many any more, by no choice of its own: the connection broke before they came
-     * to its machine, or before it looked at what had come.
+     * Whether it can't read so many any more, by no choice of its own: the connection broke before
+     * they came to its machine, or before it looked at what had come.
      */
     boolean isLost(long bytes) {
         SimSocket peer = socket.peer();
@@ -103,7 +104,7 @@
         reader.next();
         int query = uri.indexOf('?');
         if (!(query < 0 ? uri : uri.substring(0, query)).equals(LIST)) {
-            player.play(Script.of(Answers.plain("404 Not Found", "", "")), () -> { });
+            player.play(Script.of(Answers.plain("404 Not Found", "", "")), () -> {});
             return;
         }
         long since = query < 0 ? -1 : number(uri, "since=", -1);
@@ -124,20 +125,25 @@
         return end == from || end - from > 15 ? absent : Long.parseLong(uri.substring(from, end));
     }
 
-    /** Answers this call; what is given is told when the answer's last byte is in the socket's buffer. */
+    /**
+     * Answers this call; what is given is told when the answer's last byte is in the socket's
+     * buffer.
+     */
     void say(Registry.Call call, Script answer, Runnable whenWritten) {
         if (!owes(call)) {
             return;
         }
-        player.play(answer, () -> {
-            open = null;
-            whenWritten.run();
-            if (!socket.isOpen()) {
-                registry.closed(this);
-            } else if (reader.begun()) {
-                proceed();
-            }
-        });
+        player.play(
+                answer,
+                () -> {
+                    open = null;
+                    whenWritten.run();
+                    if (!socket.isOpen()) {
+                        registry.closed(this);
+                    } else if (reader.begun()) {
+                        proceed();
+                    }
+                });
     }
 
     /** Ends with its process, or as the old address does; a call that is open fails. */
--- a/rig/src/main/java/appleridge/rig/world/Script.java
+++ b/rig/src/main/java/appleridge/rig/world/Script.java
@@ -7,10 +7,14 @@
 /** What is written to a connection piece by piece, and how that ends. */
 final class Script {
     /** How it ends. */
-    enum End { KEEP, CLOSE, RESET }
+    enum End {
+        KEEP,
+        CLOSE,
+        RESET
+    }
 
     /** Some bytes, so long after those before. */
-    record Part(byte[] bytes, long pause) { }
+    record Part(byte[] bytes, long pause) {}
 
     private final List<Part> parts = new ArrayList<>(1);
     private End end = End.KEEP;
--- a/rig/src/main/java/appleridge/rig/world/Seat.java
+++ b/rig/src/main/java/appleridge/rig/world/Seat.java
@@ -10,11 +10,15 @@
 final class Seat {
     /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline. */
     private static final long GRACE = 700 * Site.MS;
+
     /** For how long clients go on opening connections after SIGTERM. */
     private static final long STILL_OPEN_LEAST = 200 * Site.MS;
+
     private static final long STILL_OPEN_MOST = 400 * Site.MS;
+
     /** Whoever isn't ready for so long after discovery has moved will not be by itself. */
     private static final long NEVER_READY = 2 * Site.SECOND;
+
     /** SIGHUP never comes sooner after a process has become ready. */
     private static final long FIRST_SECOND = Site.SECOND;
 
@@ -40,7 +44,14 @@
     private Readiness readiness;
     private int connections;
 
-    Seat(Day day, Seats seats, String name, int rank, Host host, SidecarHost process, Told told,
+    Seat(
+            Day day,
+            Seats seats,
+            String name,
+            int rank,
+            Host host,
+            SidecarHost process,
+            Told told,
             Instances instances) {
         this.day = day;
         this.seats = seats;
@@ -79,7 +90,9 @@
         return leaving && ready;
     }
 
-    /** Whether anyone may ask whether it is ready: nobody comes any more some time after SIGTERM. */
+    /**
+     * Whether anyone may ask whether it is ready: nobody comes any more some time after SIGTERM.
+     */
     boolean isAsked() {
         return running && (ready || !leaving);
     }
@@ -112,17 +125,29 @@
         List<Instances.Entry> known = given ? instances.wholeAt(version) : List.of();
         day.evidence.sidecarStarted(name, life);
         told.restart(name, known);
-        SidecarHost.Costs costs = new SidecarHost.Costs(day.plan.size(Knob.TASK_COST),
-                day.plan.size(Knob.READ_COST), day.plan.size(Knob.CLOCK_COST));
+        SidecarHost.Costs costs =
+                new SidecarHost.Costs(
+                        day.plan.size(Knob.TASK_COST),
+                        day.plan.size(Knob.READ_COST),
+                        day.plan.size(Knob.CLOCK_COST));
         host.maxDescriptors(day.plan.count(Knob.SOCKETS));
-        String list = !given ? "null" : Instances.json(version + discovery.versionsFrom(), true, known);
-        process.start(new SidecarHost.Process(name, life, config(list), host,
-                day.loops(name + "." + life), costs, status -> exited(mine, status)));
+        String list =
+                !given ? "null" : Instances.json(version + discovery.versionsFrom(), true, known);
+        process.start(
+                new SidecarHost.Process(
+                        name,
+                        life,
+                        config(list),
+                        host,
+                        day.loops(name + "." + life),
+                        costs,
+                        status -> exited(mine, status)));
         readiness.begin();
     }
 
     private String config(String known) {
-        return Settings.json(day.plan, name, rank, address, discovery.address(), chance.nextLong(), known);
+        return Settings.json(
+                day.plan, name, rank, address, discovery.address(), chance.nextLong(), known);
     }
 
     /** It is killed at once, and starts again after so long. */
@@ -155,17 +180,22 @@
         readiness.begin();
         process.term();
         int mine = life;
-        day.after(chance.between(STILL_OPEN_LEAST, STILL_OPEN_MOST), () -> {
-            if (life == mine) {
-                ready = false;
-            }
-        });
+        day.after(
+                chance.between(STILL_OPEN_LEAST, STILL_OPEN_MOST),
+                () -> {
+                    if (life == mine) {
+                        ready = false;
+                    }
+                });
         long wait = day.plan.size(Knob.LONGEST_DEADLINE) + GRACE + chance.nextLong(500 * Site.MS);
-        killing = day.after(wait, () -> {
-            killing = null;
-            killNow();
-            again(down);
-        });
+        killing =
+                day.after(
+                        wait,
+                        () -> {
+                            killing = null;
+                            killNow();
+                            again(down);
+                        });
         restartAfter = down;
     }
 
@@ -207,23 +237,30 @@
         hupNow();
     }
 
-    /** One that waits for a list from where discovery is no more would never be ready: it is started anew. */
+    /**
+     * One that waits for a list from where discovery is no more would never be ready: it is started
+     * anew.
+     */
     private void orAnew() {
         int mine = life;
-        day.after(NEVER_READY, () -> {
-            if (hupDue && !ready && life == mine && running && !leaving) {
-                kill(0);
-            }
-        });
+        day.after(
+                NEVER_READY,
+                () -> {
+                    if (hupDue && !ready && life == mine && running && !leaving) {
+                        kill(0);
+                    }
+                });
     }
 
     private void hupLater() {
         int mine = life;
-        day.after(readyAt + FIRST_SECOND - day.now(), () -> {
-            if (hupDue && life == mine && running && !leaving) {
-                hupNow();
-            }
-        });
+        day.after(
+                readyAt + FIRST_SECOND - day.now(),
+                () -> {
+                    if (hupDue && life == mine && running && !leaving) {
+                        hupNow();
+                    }
+                });
     }
 
     private void hupNow() {
--- a/rig/src/main/java/appleridge/rig/world/ServerConnection.java
+++ b/rig/src/main/java/appleridge/rig/world/ServerConnection.java
@@ -9,8 +9,10 @@
 /** A connection to an order server: one request at a time is read, and answered. */
 final class ServerConnection implements SimSocket.Events {
     private static final int BULK = 1 << 16;
+
     /** What surely travels in one piece. */
     private static final int ONE_SEGMENT = 1400;
+
     /** Within an answer's first line. */
     private static final int CUT = 12;
 
@@ -22,8 +24,14 @@
      * @param dueAt when that is over; Long.MAX_VALUE without one
      * @param first whether it is the first on its connection
      */
-    record Received(String id, Message message, long firstByteSentAt, long lastByteSentAt, long deadline,
-            long dueAt, boolean first) { }
+    record Received(
+            String id,
+            Message message,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long deadline,
+            long dueAt,
+            boolean first) {}
 
     private final Day day;
     private final OrderServer server;
@@ -39,6 +47,7 @@
     private boolean busy;
     private boolean first = true;
     private boolean stopped;
+
     /** The last answer, if it was a usual one; else null. */
     private String last;
 
@@ -148,7 +157,11 @@
             String id = reader.partialHeader("x-request-id");
             if (id != null && !id.isEmpty()) {
                 begunTold = true;
-                day.evidence.begun(server.uid(), server.life(), sidecar(), day.asked.name(id, method()),
+                day.evidence.begun(
+                        server.uid(),
+                        server.life(),
+                        sidecar(),
+                        day.asked.name(id, method()),
                         firstByteSentAt);
             }
         }
@@ -171,9 +184,15 @@
         String id = reader.header("x-request-id");
         Message message = reader.message();
         long deadline = deadline();
-        Received received = new Received(id == null ? "" : day.asked.name(id, message.method()), message,
-                firstByteSentAt, socket.sentAt(), deadline,
-                deadline > 0 ? day.now() + deadline : Long.MAX_VALUE, first);
+        Received received =
+                new Received(
+                        id == null ? "" : day.asked.name(id, message.method()),
+                        message,
+                        firstByteSentAt,
+                        socket.sentAt(),
+                        deadline,
+                        deadline > 0 ? day.now() + deadline : Long.MAX_VALUE,
+                        first);
         boolean answered = early;
         first = false;
         begunTold = false;
@@ -199,10 +218,21 @@
     /** Told of every request, one without an id too. */
     void tellArrived(Received received, long work) {
         if (!received.id().isEmpty()) {
-            day.evidence.arrived(server.uid(), server.life(), sidecar(), received.id(),
-                    received.firstByteSentAt(), received.lastByteSentAt(), work);
+            day.evidence.arrived(
+                    server.uid(),
+                    server.life(),
+                    sidecar(),
+                    received.id(),
+                    received.firstByteSentAt(),
+                    received.lastByteSentAt(),
+                    work);
         }
-        day.evidence.reads(server.uid(), sidecar(), received.id(), received.message(), received.deadline(),
+        day.evidence.reads(
+                server.uid(),
+                sidecar(),
+                received.id(),
+                received.message(),
+                received.deadline(),
                 received.firstByteSentAt());
     }
 
@@ -220,18 +250,20 @@
         if (!isOpen()) {
             return;
         }
-        player.play(script, () -> {
-            busy = false;
-            if (!socket.isOpen()) {
-                stop();
-                server.closed(this);
-                return;
-            }
-            rest();
-            if (reader.begun()) {
-                proceed();
-            }
-        });
+        player.play(
+                script,
+                () -> {
+                    busy = false;
+                    if (!socket.isOpen()) {
+                        stop();
+                        server.closed(this);
+                        return;
+                    }
+                    rest();
+                    if (reader.begun()) {
+                        proceed();
+                    }
+                });
     }
 
     /** What it has said last. */
@@ -240,26 +272,36 @@
     }
 
     /**
-     * Says its last answer once more, where nothing is open or on its way and the copy travels in one piece.
-     * For whom the other end doesn't listen meanwhile.
+     * Says its last answer once more, where nothing is open or on its way and the copy travels in
+     * one piece. For whom the other end doesn't listen meanwhile.
      *
      * @param restAfter how much later all but its first bytes come; 0 for at once
      */
     void repeatAnswer(long restAfter) {
-        if (last == null || !isOpen() || isBusy() || reader.begun() || socket.peer() == null
-                || socket.peer().bytesWritten() != socket.bytesRead() || !carriesAtOnce(last.length())) {
+        if (last == null
+                || !isOpen()
+                || isBusy()
+                || reader.begun()
+                || socket.peer() == null
+                || socket.peer().bytesWritten() != socket.bytesRead()
+                || !carriesAtOnce(last.length())) {
             return;
         }
         int cut = restAfter > 0 ? Math.min(last.length(), CUT) : 0;
-        say(restAfter > 0 ? Script.of(last.substring(0, cut)).then(restAfter, last.substring(cut))
-                : Script.of(last));
+        say(
+                restAfter > 0
+                        ? Script.of(last.substring(0, cut)).then(restAfter, last.substring(cut))
+                        : Script.of(last));
     }
 
     /** Whether so many bytes reach the other end in one piece. */
     boolean carriesAtOnce(int bytes) {
         Weather weather = day.network.weather(socket.host(), socket.peerHost());
-        return bytes <= ONE_SEGMENT && weather.segment == 0 && weather.bytesPerSecond == 0
-                && weather.sendBuffer > ONE_SEGMENT && weather.receiveBuffer > ONE_SEGMENT;
+        return bytes <= ONE_SEGMENT
+                && weather.segment == 0
+                && weather.bytesPerSecond == 0
+                && weather.sendBuffer > ONE_SEGMENT
+                && weather.receiveBuffer > ONE_SEGMENT;
     }
 
     /** From now on it stands idle, and is closed if it does so for long. */
@@ -271,11 +313,16 @@
             long least = day.isTroubled() ? 0 : day.plan.size(Knob.CONN_IDLE);
             boolean asTold = Math.max(idle, least) >= day.plan.size(Knob.CONN_IDLE);
             boolean forgets = asTold && socket.id() % 2 == 0;
-            idleEnd = day.after(Math.max(idle, least), forgets ? this::forgetIfIdle : this::closeIfIdle);
+            idleEnd =
+                    day.after(
+                            Math.max(idle, least),
+                            forgets ? this::forgetIfIdle : this::closeIfIdle);
         }
     }
 
-    /** What stood idle for as long as was said is forgotten without a word, as on the way it may be. */
+    /**
+     * What stood idle for as long as was said is forgotten without a word, as on the way it may be.
+     */
     private void forgetIfIdle() {
         if (!isBusy() && !reader.begun()) {
             stop();
--- a/rig/src/main/java/appleridge/rig/world/ServerStrikes.java
+++ b/rig/src/main/java/appleridge/rig/world/ServerStrikes.java
@@ -29,7 +29,8 @@
         if (server == null) {
             return;
         }
-        long duration = fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+        long duration =
+                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
         switch (fault.kind()) {
             case CONNECT_SLOW, CONNECT_REFUSED, CONNECT_SILENT, BACKLOG ->
                     meetings.connectsTo(machine, fault.kind(), duration);
@@ -37,21 +38,31 @@
                 meetings.closed(server.closeIdle(), server.uid());
                 return;
             }
-            default -> day.evidence.fault(fault.kind().word(), server.uid(),
-                    request == null ? null : request.id());
+            default ->
+                    day.evidence.fault(
+                            fault.kind().word(),
+                            server.uid(),
+                            request == null ? null : request.id());
         }
         switch (fault.kind()) {
-            case CONNECT_SLOW -> ways(machine, duration, weather -> weather.delay += fault.value(Param.BY));
+            case CONNECT_SLOW ->
+                    ways(machine, duration, weather -> weather.delay += fault.value(Param.BY));
             case CONNECT_REFUSED -> ways(machine, duration, weather -> weather.refuse = true);
             case CONNECT_SILENT -> ways(machine, duration, weather -> weather.silentConnect = true);
-            case DRAIN -> machine.drain(fault.value(Param.DOWN),
-                    chance.hits(0.5) ? 0 : day.plan.size(Knob.NOTICE));
+            case DRAIN ->
+                    machine.drain(
+                            fault.value(Param.DOWN),
+                            chance.hits(0.5) ? 0 : day.plan.size(Knob.NOTICE));
             case CRASH -> machine.crash(fault.value(Param.DOWN), false);
             case RESTART -> machine.crash(fault.value(Param.DOWN), true);
             case VANISH -> machine.vanish(duration);
-            case LIST_FLAPS -> fleet.instances().flap(server.uid(),
-                    chance.hits(0.5) ? Instances.TERMINATING : Instances.GONE,
-                    (int) fault.value(Param.COUNT), fault.value(Param.BY));
+            case LIST_FLAPS ->
+                    fleet.instances()
+                            .flap(
+                                    server.uid(),
+                                    chance.hits(0.5) ? Instances.TERMINATING : Instances.GONE,
+                                    (int) fault.value(Param.COUNT),
+                                    fault.value(Param.BY));
             default -> own(fault, server, duration);
         }
     }
--- a/rig/src/main/java/appleridge/rig/world/Settings.java
+++ b/rig/src/main/java/appleridge/rig/world/Settings.java
@@ -8,23 +8,37 @@
 public final class Settings {
     /** Traffic above a tenant's part of this many times the usual is above its quota. */
     private static final double QUOTA = 1.5;
+
     private static final String OVER_SHARE = "0.1";
 
-    private Settings() { }
+    private Settings() {}
 
     /**
      * The file of one process.
      *
      * @param known the list as last had, as JSON; null for none
      */
-    static String json(Plan plan, String name, int rank, InetSocketAddress listen,
-            InetSocketAddress discovery, long seed, String known) {
+    static String json(
+            Plan plan,
+            String name,
+            int rank,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            String known) {
         StringBuilder text = new StringBuilder(4096);
-        text.append("{\"name\":\"").append(name).append("\",\"listen\":\"").append(Site.text(listen))
-                .append("\",\"discovery\":\"").append(Site.text(discovery)).append("\",\"seed\":\"")
+        text.append("{\"name\":\"")
+                .append(name)
+                .append("\",\"listen\":\"")
+                .append(Site.text(listen))
+                .append("\",\"discovery\":\"")
+                .append(Site.text(discovery))
+                .append("\",\"seed\":\"")
                 .append(Long.toHexString(seed))
                 .append("\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":")
-                .append(plan.size(Knob.SOCKETS)).append("},\"known\":").append(known)
+                .append(plan.size(Knob.SOCKETS))
+                .append("},\"known\":")
+                .append(known)
                 .append(",\"settings\":{");
         profiles(text, plan);
         parties(text, plan);
@@ -32,10 +46,18 @@
         for (int i = 0; i < Site.ZONES.size(); i++) {
             text.append(i == 0 ? "\"" : ",\"").append(Site.ZONES.get(i)).append('"');
         }
-        text.append("],\"kinds\":[\"").append(Site.KIND).append("\"],\"rank\":").append(rank)
-                .append(",\"replicasOfMe\":").append(plan.size(Knob.SIDECARS)).append(",\"zone\":")
-                .append(rank % Site.ZONES.size()).append(",\"quantum\":").append(5 * Site.MS)
-                .append(",\"discovery\":\"subscribe\",\"overShareWorth\":").append(OVER_SHARE)
+        text.append("],\"kinds\":[\"")
+                .append(Site.KIND)
+                .append("\"],\"rank\":")
+                .append(rank)
+                .append(",\"replicasOfMe\":")
+                .append(plan.size(Knob.SIDECARS))
+                .append(",\"zone\":")
+                .append(rank % Site.ZONES.size())
+                .append(",\"quantum\":")
+                .append(5 * Site.MS)
+                .append(",\"discovery\":\"subscribe\",\"overShareWorth\":")
+                .append(OVER_SHARE)
                 .append(",\"report\":{\"how\":\"piggyback\",\"fields\":[");
         for (int i = 0; i < Site.REPORT.size(); i++) {
             text.append(i == 0 ? "\"" : ",\"").append(Site.REPORT.get(i)).append('"');
@@ -50,13 +72,23 @@
         text.append("\"profiles\":[");
         for (int i = 0; i < Classes.ALL.size(); i++) {
             Classes.Kind kind = Classes.of(i);
-            text.append(i == 0 ? "{" : ",{").append("\"name\":\"").append(kind.name()).append("\",\"slo\":")
-                    .append(kind.aim()).append(",\"deadline\":").append(plan.deadline(kind))
-                    .append(",\"worth\":").append(kind.worth()).append(",\"semantics\":\"")
-                    .append(kind.semantics().name().toLowerCase(Locale.ROOT)).append('"');
+            text.append(i == 0 ? "{" : ",{")
+                    .append("\"name\":\"")
+                    .append(kind.name())
+                    .append("\",\"slo\":")
+                    .append(kind.aim())
+                    .append(",\"deadline\":")
+                    .append(plan.deadline(kind))
+                    .append(",\"worth\":")
+                    .append(kind.worth())
+                    .append(",\"semantics\":\"")
+                    .append(kind.semantics().name().toLowerCase(Locale.ROOT))
+                    .append('"');
             if (kind.semantics() == Semantics.BY_KEY) {
-                text.append(",\"keyScope\":\"").append(kind.scope().name().toLowerCase(Locale.ROOT))
-                        .append("\",\"keyTtl\":").append(plan.window(kind));
+                text.append(",\"keyScope\":\"")
+                        .append(kind.scope().name().toLowerCase(Locale.ROOT))
+                        .append("\",\"keyTtl\":")
+                        .append(plan.window(kind));
             }
             text.append('}');
         }
@@ -67,32 +99,51 @@
         text.append("\"parties\":[");
         for (int i = 0; i < Tenants.ALL.size(); i++) {
             Tenants.Tenant tenant = Tenants.ALL.get(i);
-            text.append(i == 0 ? "{" : ",{").append("\"name\":\"").append(tenant.name())
+            text.append(i == 0 ? "{" : ",{")
+                    .append("\"name\":\"")
+                    .append(tenant.name())
                     .append("\",\"portion\":")
-                    .append(tenant.share()).append(",\"quotaRps\":")
-                    .append(tenant.share() * QUOTA * plan.part(Knob.RATE)).append('}');
+                    .append(tenant.share())
+                    .append(",\"quotaRps\":")
+                    .append(tenant.share() * QUOTA * plan.part(Knob.RATE))
+                    .append('}');
         }
         text.append("],");
     }
 
     private static void caps(StringBuilder text, Plan plan) {
         long retryAfter = plan.size(Knob.RETRY_AFTER);
-        text.append("\"caps\":{\"mayCancel\":").append(plan.size(Knob.MAY_CANCEL) > 0)
+        text.append("\"caps\":{\"mayCancel\":")
+                .append(plan.size(Knob.MAY_CANCEL) > 0)
                 .append(",\"mayProbe\":false,\"peers\":false,")
                 .append("\"parallelTries\":false,\"tryLimit\":6,\"connIdle\":")
                 .append(plan.size(Knob.CONN_IDLE))
-                .append(",\"connectTimeout\":").append(plan.size(Knob.CONNECT_TIMEOUT))
+                .append(",\"connectTimeout\":")
+                .append(plan.size(Knob.CONNECT_TIMEOUT))
                 .append(",\"maxOpen\":")
-                .append(plan.size(Knob.MAX_OPEN)).append(",\"maxRetryAfter\":").append(retryAfter)
-                .append(",\"retryAfter\":").append(retryAfter > 0).append("},");
+                .append(plan.size(Knob.MAX_OPEN))
+                .append(",\"maxRetryAfter\":")
+                .append(retryAfter)
+                .append(",\"retryAfter\":")
+                .append(retryAfter > 0)
+                .append("},");
     }
 
     private static void rules(StringBuilder text, Plan plan) {
-        text.append("\"rules\":{\"answerSlack\":").append(Site.ANSWER_SLACK).append(",\"askWithin\":")
-                .append(plan.size(Knob.ASK_WITHIN)).append(",\"stopSendingWithin\":").append(Site.DRAIN_GRACE)
-                .append(",\"coldShare\":").append(Site.COLD_SHARE).append(",\"rampTime\":")
+        text.append("\"rules\":{\"answerSlack\":")
+                .append(Site.ANSWER_SLACK)
+                .append(",\"askWithin\":")
+                .append(plan.size(Knob.ASK_WITHIN))
+                .append(",\"stopSendingWithin\":")
+                .append(Site.DRAIN_GRACE)
+                .append(",\"coldShare\":")
+                .append(Site.COLD_SHARE)
+                .append(",\"rampTime\":")
                 .append(Site.RAMP_TIME)
-                .append(",\"overloadFactor\":").append(Site.OVERLOAD_FACTOR).append(",\"tipAfter\":")
-                .append(Site.TIP_AFTER).append('}');
+                .append(",\"overloadFactor\":")
+                .append(Site.OVERLOAD_FACTOR)
+                .append(",\"tipAfter\":")
+                .append(Site.TIP_AFTER)
+                .append('}');
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/SidecarHost.java
+++ b/rig/src/main/java/appleridge/rig/world/SidecarHost.java
@@ -5,13 +5,15 @@
 import java.util.function.IntConsumer;
 
 /**
- * The real sidecar behind one name, as the world handles its processes. Everything is called from within the
- * simulation's events. The world ends the sockets of a killed process itself ({@link Host#die}), after
- * {@link #kill}.
+ * The real sidecar behind one name, as the world handles its processes. Everything is called from
+ * within the simulation's events. The world ends the sockets of a killed process itself ({@link
+ * Host#die}), after {@link #kill}.
  */
 public interface SidecarHost {
-    /** What loops cost: nanoseconds on average of a task, a socket's event and a look at the clock. */
-    record Costs(long task, long read, long clock) { }
+    /**
+     * What loops cost: nanoseconds on average of a task, a socket's event and a look at the clock.
+     */
+    record Costs(long task, long read, long clock) {}
 
     /**
      * A process that begins.
@@ -20,10 +22,17 @@
      * @param config the file's text
      * @param host where it listens and connects; dead before, if it was killed
      * @param chance for its loop
-     * @param exited to be called once, with the status, if it ends by itself; its sockets are gone by then
+     * @param exited to be called once, with the status, if it ends by itself; its sockets are gone
+     *     by then
      */
-    record Process(String name, int life, String config, Host host, Chance chance, Costs costs,
-            IntConsumer exited) { }
+    record Process(
+            String name,
+            int life,
+            String config,
+            Host host,
+            Chance chance,
+            Costs costs,
+            IntConsumer exited) {}
 
     /** A process begins; there is none of this name. */
     void start(Process process);
--- a/rig/src/main/java/appleridge/rig/world/SidecarStrikes.java
+++ b/rig/src/main/java/appleridge/rig/world/SidecarStrikes.java
@@ -8,16 +8,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Faults of sidecars, of their links, of whole sites, and what too many or bad clients do to them. */
+/**
+ * Faults of sidecars, of their links, of whole sites, and what too many or bad clients do to them.
+ */
 final class SidecarStrikes {
     /** What was held up goes on arriving for so long. */
     private static final long AFTERMATH = 1100 * Site.MS;
 
     /** A pause in which copies of answers arrive for certain. */
     private static final long LEAST_FOR_COPIES = 60 * Site.MS;
+
     private static final double COPIES = 0.5;
+
     /** What was sent ahead of a pause has arrived by then. */
     private static final long SETTLE = 15 * Site.MS;
+
     private static final long LONGEST_REST = 300 * Site.MS;
 
     private final Day day;
@@ -31,8 +36,15 @@
     private final Chance chance;
     private final Chance copies;
 
-    SidecarStrikes(Day day, Seats seats, Fleet fleet, Discovery discovery, Links links, List<Traffic> traffic,
-            BadClients badClients, Meetings meetings) {
+    SidecarStrikes(
+            Day day,
+            Seats seats,
+            Fleet fleet,
+            Discovery discovery,
+            Links links,
+            List<Traffic> traffic,
+            BadClients badClients,
+            Meetings meetings) {
         this.day = day;
         this.seats = seats;
         this.fleet = fleet;
@@ -60,35 +72,49 @@
         if (fault.kind() != FaultKind.NO_DESCRIPTORS) {
             day.evidence.fault(fault.kind().word(), seat.name(), id);
         }
-        long duration = fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+        long duration =
+                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
         switch (fault.kind()) {
             case KILL -> seat.kill(fault.value(Param.DOWN));
             case TERM -> seat.term(fault.value(Param.DOWN));
             case PAUSE -> pause(seat, duration);
             case WALL_STEP -> seat.stepWall(fault.value(Param.BY));
             case NO_DESCRIPTORS -> {
-                // It can't accept meanwhile, and for a while after; its clients wait by no fault of its own.
+                // It can't accept meanwhile, and for a while after; its clients wait by no fault of
+                // its own.
                 troubled(seat, duration);
                 meetings.noDescriptors(seat.host(), duration);
-                seat.host().maxDescriptors(seat.host().descriptors() + (int) fault.value(Param.COUNT));
+                seat.host()
+                        .maxDescriptors(seat.host().descriptors() + (int) fault.value(Param.COUNT));
                 day.after(duration, () -> seat.host().maxDescriptors(day.plan.count(Knob.SOCKETS)));
             }
-            case LINK_LATE -> link(seat, duration, weather -> weather.delay += fault.value(Param.BY));
-            case LINK_CHOPPED -> link(seat, duration, weather ->
-                    weather.segment = -(int) fault.value(Param.COUNT));
-            case LINK_THIN -> link(seat, duration, weather ->
-                    weather.bytesPerSecond = fault.value(Param.BYTES));
-            case FLOOD -> traffic.get(seats.all().indexOf(seat)).flood(duration,
-                    fault.value(Param.RATE) / 1e6);
-            case BAD -> badClients.come(FaultKind.of(BadKind.class, fault.style()), seat,
-                    fault.value(Param.COUNT));
+            case LINK_LATE ->
+                    link(seat, duration, weather -> weather.delay += fault.value(Param.BY));
+            case LINK_CHOPPED ->
+                    link(
+                            seat,
+                            duration,
+                            weather -> weather.segment = -(int) fault.value(Param.COUNT));
+            case LINK_THIN ->
+                    link(
+                            seat,
+                            duration,
+                            weather -> weather.bytesPerSecond = fault.value(Param.BYTES));
+            case FLOOD ->
+                    traffic.get(seats.all().indexOf(seat))
+                            .flood(duration, fault.value(Param.RATE) / 1e6);
+            case BAD ->
+                    badClients.come(
+                            FaultKind.of(BadKind.class, fault.style()),
+                            seat,
+                            fault.value(Param.COUNT));
             default -> throw new IllegalArgumentException("no fault of a sidecar: " + fault.text());
         }
     }
 
     /**
-     * While it stands still nothing that it asks can cross an answer: servers repeat theirs, and it will find
-     * the copies unread.
+     * While it stands still nothing that it asks can cross an answer: servers repeat theirs, and it
+     * will find the copies unread.
      */
     private void pause(Seat seat, long duration) {
         seat.pause(duration);
@@ -96,16 +122,20 @@
             return;
         }
         long rest = copies.hits(0.5) ? duration + copies.nextLong(LONGEST_REST) : 0;
-        day.after(SETTLE, () -> {
-            for (Machine each : fleet.machines()) {
-                Weather way = day.network.weather(each.host(), seat.host());
-                boolean quick = way.delay + way.jitter < duration / 4 && way.lossDelayProbability == 0
-                        && !way.blackHole;
-                if (each.server() != null && quick) {
-                    each.server().repeatAnswers(seat.name(), rest);
-                }
-            }
-        });
+        day.after(
+                SETTLE,
+                () -> {
+                    for (Machine each : fleet.machines()) {
+                        Weather way = day.network.weather(each.host(), seat.host());
+                        boolean quick =
+                                way.delay + way.jitter < duration / 4
+                                        && way.lossDelayProbability == 0
+                                        && !way.blackHole;
+                        if (each.server() != null && quick) {
+                            each.server().repeatAnswers(seat.name(), rest);
+                        }
+                    }
+                });
     }
 
     private void troubled(Seat seat, long duration) {
@@ -119,7 +149,8 @@
     }
 
     /**
-     * Nothing passes between a site and the others; afterwards connections go on, or turn out to be reset.
+     * Nothing passes between a site and the others; afterwards connections go on, or turn out to be
+     * reset.
      */
     private void cut(int zone, long duration) {
         for (Seat seat : seats.all()) {
@@ -140,13 +171,15 @@
         links.change(seat.host(), other, duration, weather -> weather.blackHole = true);
         links.change(other, seat.host(), duration, weather -> weather.blackHole = true);
         if (chance.hits(0.5)) {
-            day.after(duration, () -> {
-                for (SimSocket each : day.network.sockets(seat.host())) {
-                    if (each.peerHost() == other) {
-                        each.fault(SimSocket.Fault.RESET);
-                    }
-                }
-            });
+            day.after(
+                    duration,
+                    () -> {
+                        for (SimSocket each : day.network.sockets(seat.host())) {
+                            if (each.peerHost() == other) {
+                                each.fault(SimSocket.Fault.RESET);
+                            }
+                        }
+                    });
         }
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/SimplerPlans.java
+++ b/rig/src/main/java/appleridge/rig/world/SimplerPlans.java
@@ -6,15 +6,19 @@
 import java.util.function.LongFunction;
 
 /**
- * Plans that differ from a given one in a single number, which is easier to read: rounder, or nothing at all.
+ * Plans that differ from a given one in a single number, which is easier to read: rounder, or
+ * nothing at all.
  */
 public final class SimplerPlans {
     /** Significant digits that a rounder number has. */
     private static final int MOST_DIGITS = 2;
 
-    private SimplerPlans() { }
+    private SimplerPlans() {}
 
-    /** How many numbers there are that may be simpler; it doesn't change when one of them is made so. */
+    /**
+     * How many numbers there are that may be simpler; it doesn't change when one of them is made
+     * so.
+     */
     public static int places(Plan plan) {
         int places = Knob.values().length;
         for (Fault each : plan.faults()) {
@@ -23,7 +27,9 @@
         return places;
     }
 
-    /** The plans with another number at a place, the simplest first; none if it can't be simpler. */
+    /**
+     * The plans with another number at a place, the simplest first; none if it can't be simpler.
+     */
     public static List<Plan> at(Plan plan, int place) {
         int left = place;
         for (int i = 0; i < plan.faults().size(); i++) {
@@ -35,7 +41,8 @@
             left -= numbers(fault);
         }
         Knob knob = Knob.values()[left];
-        return plan.size(knob) == knob.usual() ? List.of()
+        return plan.size(knob) == knob.usual()
+                ? List.of()
                 : rounder(plan.size(knob), value -> plan.with(knob, value));
     }
 
@@ -51,20 +58,28 @@
             if (trigger.trap() && trigger.at() > 0) {
                 simpler.add(with(fault, new Trigger(0, trigger.state(), trigger.nth())));
             }
-            simpler.addAll(rounder(trigger.at(), value ->
-                    with(fault, new Trigger(value, trigger.state(), trigger.nth()))));
+            simpler.addAll(
+                    rounder(
+                            trigger.at(),
+                            value ->
+                                    with(
+                                            fault,
+                                            new Trigger(value, trigger.state(), trigger.nth()))));
             return simpler;
         }
         if (number == 1) {
-            return trigger.nth() > 1 ? List.of(with(fault, new Trigger(trigger.at(), trigger.state(), 1)))
+            return trigger.nth() > 1
+                    ? List.of(with(fault, new Trigger(trigger.at(), trigger.state(), 1)))
                     : List.of();
         }
         Param param = new ArrayList<>(fault.values().keySet()).get(number - 2);
-        return rounder(fault.value(param), value -> {
-            TreeMap<Param, Long> values = new TreeMap<>(fault.values());
-            values.put(param, value);
-            return new Fault(trigger, fault.kind(), fault.who(), fault.style(), values);
-        });
+        return rounder(
+                fault.value(param),
+                value -> {
+                    TreeMap<Param, Long> values = new TreeMap<>(fault.values());
+                    values.put(param, value);
+                    return new Fault(trigger, fault.kind(), fault.who(), fault.style(), values);
+                });
     }
 
     private static Fault with(Fault fault, Trigger trigger) {
--- a/rig/src/main/java/appleridge/rig/world/Staging.java
+++ b/rig/src/main/java/appleridge/rig/world/Staging.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * What must come together to matter, and by chance alone would too seldom: on some days sizes and faults are
- * drawn for it, beside all others.
+ * What must come together to matter, and by chance alone would too seldom: on some days sizes and
+ * faults are drawn for it, beside all others.
  */
 enum Staging {
     /** Nothing of that kind. */
@@ -18,18 +18,28 @@
     HOUR(0.0007),
     /** Sidecars stand still for up to two minutes. */
     MINUTES(0.012),
-    /** Drains are told to sidecars that connect to those servers, for longer than the drains' grace. */
+    /**
+     * Drains are told to sidecars that connect to those servers, for longer than the drains' grace.
+     */
     DRAINS(0.05),
-    /** Sidecars stand still over a resend's window, its request's deadline and a drain's grace at once. */
+    /**
+     * Sidecars stand still over a resend's window, its request's deadline and a drain's grace at
+     * once.
+     */
     STILL(0.18),
     /** Windows close within resends: while they connect, and within their bytes. */
     WINDOWS(0.05);
 
     private static final long S = Site.SECOND;
     private static final long MS = Site.MS;
-    private static final List<RequestState> RESENT = List.of(RequestState.RESEND_HELD,
-            RequestState.RESEND_CONNECTING, RequestState.RESEND_WRITING, RequestState.RESEND_WRITTEN,
-            RequestState.RESEND_ANSWERING);
+    private static final List<RequestState> RESENT =
+            List.of(
+                    RequestState.RESEND_HELD,
+                    RequestState.RESEND_CONNECTING,
+                    RequestState.RESEND_WRITING,
+                    RequestState.RESEND_WRITTEN,
+                    RequestState.RESEND_ANSWERING);
+
     /** Keyed requests that break off are resent: so many are made to on a day. */
     private static final int BROKEN = 24;
 
@@ -62,7 +72,7 @@
                 sizes.put(Knob.FAULTS_END, chance.between(60 * S, 135 * S));
                 sizes.put(Knob.CALM, 20 * S);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -93,7 +103,7 @@
                 sizes.put(Knob.LARGE_BODIES, Knob.part(0.25));
                 sizes.put(Knob.LARGE_ANSWERS, 0L);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -109,17 +119,30 @@
         int servers = Math.toIntExact(sizes.get(Knob.SERVERS));
         String sidecar = "n" + chance.nextInt(Math.toIntExact(sizes.get(Knob.SIDECARS)));
         switch (this) {
-            case HOUR -> faults.add(pause(Trigger.time(millis(chance.between(2 * S, 60 * S))), sidecar,
-                    3600 * S));
+            case HOUR ->
+                    faults.add(
+                            pause(
+                                    Trigger.time(millis(chance.between(2 * S, 60 * S))),
+                                    sidecar,
+                                    3600 * S));
             case MINUTES -> {
-                faults.add(pause(Trigger.time(millis(chance.between(2 * S, end / 2))), sidecar,
-                        millis(chance.between(20 * S, 120 * S))));
-                faults.add(pause(new Trigger(0, chance.pick(RESENT), 1 + chance.nextInt(3)), null,
-                        millis(chance.between(10 * S, 60 * S))));
+                faults.add(
+                        pause(
+                                Trigger.time(millis(chance.between(2 * S, end / 2))),
+                                sidecar,
+                                millis(chance.between(20 * S, 120 * S))));
+                faults.add(
+                        pause(
+                                new Trigger(0, chance.pick(RESENT), 1 + chance.nextInt(3)),
+                                null,
+                                millis(chance.between(10 * S, 60 * S))));
             }
             case DRAINS -> {
                 for (int i = 2 + chance.nextInt(3); i > 0; i--) {
-                    drain(faults, "s" + chance.nextInt(servers), millis(chance.between(S, end - 4 * S)),
+                    drain(
+                            faults,
+                            "s" + chance.nextInt(servers),
+                            millis(chance.between(S, end - 4 * S)),
                             chance);
                 }
             }
@@ -128,51 +151,78 @@
                 closes(faults, chance);
                 for (RequestState each : RESENT) {
                     int nth = 1 + chance.nextInt(8);
-                    faults.add(fault(new Trigger(0, each, nth), FaultKind.DRAIN, null, Param.DOWN, S));
-                    faults.add(pause(new Trigger(0, each, nth), null, millis(chance.between(3 * S, 5 * S))));
+                    faults.add(
+                            fault(new Trigger(0, each, nth), FaultKind.DRAIN, null, Param.DOWN, S));
+                    faults.add(
+                            pause(
+                                    new Trigger(0, each, nth),
+                                    null,
+                                    millis(chance.between(3 * S, 5 * S))));
                 }
             }
             case WINDOWS -> {
                 breaks(faults, chance);
                 closes(faults, chance);
                 for (int i = 0; i < 3; i++) {
-                    faults.add(slow(millis(chance.between(S, end - 2 * S)), "s" + chance.nextInt(servers),
-                            4 * S, millis(chance.between(20 * MS, 120 * MS))));
+                    faults.add(
+                            slow(
+                                    millis(chance.between(S, end - 2 * S)),
+                                    "s" + chance.nextInt(servers),
+                                    4 * S,
+                                    millis(chance.between(20 * MS, 120 * MS))));
                 }
             }
-            default -> { }
+            default -> {}
         }
         return faults;
     }
 
     /** All connect anew, which takes longer than the grace, and meanwhile it drains. */
     private static void drain(List<Fault> faults, String server, long at, Chance chance) {
-        faults.add(new Fault(Trigger.time(at), FaultKind.CLOSE_IDLE, server, null, new TreeMap<>()));
-        // What is written when the connection is up at last goes quickly: the server must not have ended by
+        faults.add(
+                new Fault(Trigger.time(at), FaultKind.CLOSE_IDLE, server, null, new TreeMap<>()));
+        // What is written when the connection is up at last goes quickly: the server must not have
+        // ended by
         // then.
         faults.add(slow(at, server, 2 * S, millis(chance.between(2200 * MS, 2600 * MS))));
-        faults.add(fault(Trigger.time(at + millis(chance.between(200 * MS, 900 * MS))), FaultKind.DRAIN,
-                server,
-                Param.DOWN, S));
+        faults.add(
+                fault(
+                        Trigger.time(at + millis(chance.between(200 * MS, 900 * MS))),
+                        FaultKind.DRAIN,
+                        server,
+                        Param.DOWN,
+                        S));
     }
 
     private static void breaks(List<Fault> faults, Chance chance) {
         for (int i = 0; i < BROKEN; i++) {
             // By then it has come, and no answer is on its way.
             long after = millis(chance.between(6 * MS, 15 * MS));
-            faults.add(new Fault(new Trigger(after, RequestState.WRITTEN, 1 + chance.nextInt(100)),
-                    FaultKind.UP_RESET, null, null, new TreeMap<>()));
+            faults.add(
+                    new Fault(
+                            new Trigger(after, RequestState.WRITTEN, 1 + chance.nextInt(100)),
+                            FaultKind.UP_RESET,
+                            null,
+                            null,
+                            new TreeMap<>()));
         }
     }
 
     /** Idle connections are closed as they are taken, which needs one that was kept. */
     private static void closes(List<Fault> faults, Chance chance) {
-        for (RequestState each : List.of(RequestState.WRITTEN, RequestState.WRITTEN,
-                RequestState.RESEND_WRITTEN,
-                RequestState.RESEND_WRITTEN)) {
-            faults.add(new Fault(new Trigger(0, each, 1 + chance.nextInt(8)), FaultKind.CLOSE_IDLE, null,
-                    null,
-                    new TreeMap<>()));
+        for (RequestState each :
+                List.of(
+                        RequestState.WRITTEN,
+                        RequestState.WRITTEN,
+                        RequestState.RESEND_WRITTEN,
+                        RequestState.RESEND_WRITTEN)) {
+            faults.add(
+                    new Fault(
+                            new Trigger(0, each, 1 + chance.nextInt(8)),
+                            FaultKind.CLOSE_IDLE,
+                            null,
+                            null,
+                            new TreeMap<>()));
         }
     }
 
@@ -187,7 +237,8 @@
         return fault(trigger, FaultKind.PAUSE, sidecar, Param.FOR, duration);
     }
 
-    private static Fault fault(Trigger trigger, FaultKind kind, String who, Param param, long value) {
+    private static Fault fault(
+            Trigger trigger, FaultKind kind, String who, Param param, long value) {
         TreeMap<Param, Long> values = new TreeMap<>();
         values.put(param, value);
         return new Fault(trigger, kind, who, null, values);
--- a/rig/src/main/java/appleridge/rig/world/Strikes.java
+++ b/rig/src/main/java/appleridge/rig/world/Strikes.java
@@ -11,8 +11,13 @@
     private final SidecarStrikes sidecars;
     private final NodeStrikes nodes;
 
-    Strikes(Day day, ConnectionStrikes connections, ServerStrikes servers, ListStrikes lists,
-            SidecarStrikes sidecars, NodeStrikes nodes) {
+    Strikes(
+            Day day,
+            ConnectionStrikes connections,
+            ServerStrikes servers,
+            ListStrikes lists,
+            SidecarStrikes sidecars,
+            NodeStrikes nodes) {
         this.day = day;
         this.connections = connections;
         this.servers = servers;
@@ -40,12 +45,25 @@
     }
 
     /**
-     * Whether it can be carried out in the middle of something else: it changes sockets from outside alone.
+     * Whether it can be carried out in the middle of something else: it changes sockets from
+     * outside alone.
      */
     static boolean atOnce(FaultKind kind) {
         return switch (kind) {
-            case UP_RESET, UP_RESET_LATE, UP_END, UP_SILENT, UP_STALL, UP_CUT_REQUEST, UP_CUT_ANSWER, SPOIL,
-                    EXTRA, DOWN_RESET, DOWN_RESET_LATE, DOWN_SILENT, DOWN_CUT_ANSWER -> true;
+            case UP_RESET,
+                    UP_RESET_LATE,
+                    UP_END,
+                    UP_SILENT,
+                    UP_STALL,
+                    UP_CUT_REQUEST,
+                    UP_CUT_ANSWER,
+                    SPOIL,
+                    EXTRA,
+                    DOWN_RESET,
+                    DOWN_RESET_LATE,
+                    DOWN_SILENT,
+                    DOWN_CUT_ANSWER ->
+                    true;
             default -> false;
         };
     }
--- a/rig/src/main/java/appleridge/rig/world/Tenants.java
+++ b/rig/src/main/java/appleridge/rig/world/Tenants.java
@@ -5,19 +5,20 @@
 /** The wholesalers and their shares of the traffic. */
 public final class Tenants {
     /** One of them. */
-    public record Tenant(String name, double share) { }
+    public record Tenant(String name, double share) {}
 
     /** All of them, by their place in a sidecar's settings. */
-    public static final List<Tenant> ALL = List.of(
-            new Tenant("cycles-moris", 0.19),
-            new Tenant("roue-dor", 0.16),
-            new Tenant("piece-velo-nord", 0.16),
-            new Tenant("bois-cheri-cycles", 0.14),
-            new Tenant("ilot-bike-supply", 0.13),
-            new Tenant("curepipe-pedale", 0.11),
-            new Tenant("sud-rayons", 0.05),
-            new Tenant("flacq-chaines", 0.03),
-            new Tenant("mahebourg-velo", 0.03));
+    public static final List<Tenant> ALL =
+            List.of(
+                    new Tenant("cycles-moris", 0.19),
+                    new Tenant("roue-dor", 0.16),
+                    new Tenant("piece-velo-nord", 0.16),
+                    new Tenant("bois-cheri-cycles", 0.14),
+                    new Tenant("ilot-bike-supply", 0.13),
+                    new Tenant("curepipe-pedale", 0.11),
+                    new Tenant("sud-rayons", 0.05),
+                    new Tenant("flacq-chaines", 0.03),
+                    new Tenant("mahebourg-velo", 0.03));
 
-    private Tenants() { }
+    private Tenants() {}
 }
--- a/rig/src/main/java/appleridge/rig/world/TipWatch.java
+++ b/rig/src/main/java/appleridge/rig/world/TipWatch.java
@@ -7,18 +7,19 @@
 /** Whether a cold server has been sent more, within the rule's time, than it can bear. */
 final class TipWatch {
     /**
-     * Beyond the rule's limit, in nanoseconds of work, so that a judge's sums are not closer than the
-     * server's.
+     * Beyond the rule's limit, in nanoseconds of work, so that a judge's sums are not closer than
+     * the server's.
      */
     private static final long SLACK = 50 * Site.MS;
 
-    private record Sent(long at, long work, String sidecar) { }
+    private record Sent(long at, long work, String sidecar) {}
 
     private final ArrayDeque<Sent> window = new ArrayDeque<>();
     private long sum;
 
     /**
-     * Counts what has arrived; true if it was too much. {@code capacity}: cores' worth of work at present.
+     * Counts what has arrived; true if it was too much. {@code capacity}: cores' worth of work at
+     * present.
      */
     boolean tips(long now, long work, String sidecar, double capacity) {
         window.add(new Sent(now, work, sidecar));
--- a/rig/src/main/java/appleridge/rig/world/Told.java
+++ b/rig/src/main/java/appleridge/rig/world/Told.java
@@ -16,10 +16,12 @@
     }
 
     /**
-     * A list has been written to it; a whole one also says of those that it leaves out that they are gone.
+     * A list has been written to it; a whole one also says of those that it leaves out that they
+     * are gone.
      */
     void tell(String sidecar, boolean all, List<Instances.Entry> entries) {
-        Map<String, Instances.Entry> known = bySidecar.computeIfAbsent(sidecar, any -> new LinkedHashMap<>());
+        Map<String, Instances.Entry> known =
+                bySidecar.computeIfAbsent(sidecar, any -> new LinkedHashMap<>());
         if (all) {
             List<Instances.Entry> left = new ArrayList<>(known.values());
             for (Instances.Entry each : entries) {
--- a/rig/src/main/java/appleridge/rig/world/Traffic.java
+++ b/rig/src/main/java/appleridge/rig/world/Traffic.java
@@ -2,15 +2,20 @@
 
 import appleridge.rig.net.Chance;
 
-/** When the usual clients of one application want something: at chance times, some of them in bursts. */
+/**
+ * When the usual clients of one application want something: at chance times, some of them in
+ * bursts.
+ */
 final class Traffic {
     private static final long BURST_EVERY = 1500 * Site.MS;
     private static final long BURST_LENGTH = 60 * Site.MS;
 
     private final Day day;
     private final Application application;
+
     /** Requests a second. */
     private final double rate;
+
     private final Chance chance;
     private final Chance floods;
 
@@ -35,26 +40,32 @@
         }
         double bursts = day.isTroubled() ? day.plan.part(Knob.BURSTS) : 0;
         double mean = Site.SECOND / (rate * Math.max(0.01, 1 - bursts));
-        day.after((long) chance.exponential(mean), () -> {
-            if (day.now() < day.plan.quietFrom()) {
-                application.wish(tenant(chance));
-            }
-            goOn();
-        });
+        day.after(
+                (long) chance.exponential(mean),
+                () -> {
+                    if (day.now() < day.plan.quietFrom()) {
+                        application.wish(tenant(chance));
+                    }
+                    goOn();
+                });
     }
 
     private void burst() {
         long wait = BURST_EVERY / 2 + chance.nextLong(BURST_EVERY);
-        day.after(wait, () -> {
-            if (day.isTroubled()) {
-                double due = rate * day.plan.part(Knob.BURSTS) * BURST_EVERY / Site.SECOND;
-                int many = (int) due + (chance.hits(due - (int) due) ? 1 : 0);
-                for (int i = 0; i < many; i++) {
-                    day.after(chance.nextLong(BURST_LENGTH), () -> application.wish(tenant(chance)));
-                }
-                burst();
-            }
-        });
+        day.after(
+                wait,
+                () -> {
+                    if (day.isTroubled()) {
+                        double due = rate * day.plan.part(Knob.BURSTS) * BURST_EVERY / Site.SECOND;
+                        int many = (int) due + (chance.hits(due - (int) due) ? 1 : 0);
+                        for (int i = 0; i < many; i++) {
+                            day.after(
+                                    chance.nextLong(BURST_LENGTH),
+                                    () -> application.wish(tenant(chance)));
+                        }
+                        burst();
+                    }
+                });
     }
 
     /** One tenant sends more for a while, on top of the rest. */
@@ -68,12 +79,14 @@
         if (more <= 0) {
             return;
         }
-        day.after((long) floods.exponential(Site.SECOND / more), () -> {
-            if (day.now() < ends && day.isTroubled()) {
-                application.wish(tenant);
-                floodOn(tenant, ends, more);
-            }
-        });
+        day.after(
+                (long) floods.exponential(Site.SECOND / more),
+                () -> {
+                    if (day.now() < ends && day.isTroubled()) {
+                        application.wish(tenant);
+                        floodOn(tenant, ends, more);
+                    }
+                });
     }
 
     private static int tenant(Chance from) {
--- a/rig/src/main/java/appleridge/rig/world/Traps.java
+++ b/rig/src/main/java/appleridge/rig/world/Traps.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * Waits for the n-th request to enter a state, and has the fault struck that was planned for it. Where that
- * request is in the state for a moment within one step only, and the fault can but come as a step of its own,
- * the next request that stays there is struck; so is the next where a fault would change nothing for that
- * one.
+ * Waits for the n-th request to enter a state, and has the fault struck that was planned for it.
+ * Where that request is in the state for a moment within one step only, and the fault can but come
+ * as a step of its own, the next request that stays there is struck; so is the next where a fault
+ * would change nothing for that one.
  */
 final class Traps {
     private final Day day;
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Danger: this comes in the middle of what brought the state about. But for sockets, a step of its own.
+     * Danger: this comes in the middle of what brought the state about. But for sockets, a step of
+     * its own.
      */
     private void spring(Fault fault, InState request, List<Fault> waiting) {
         long after = fault.trigger().at();
@@ -55,13 +56,16 @@
             strikes.strike(fault, request);
             return;
         }
-        day.after(after, () -> {
-            RequestState now = states.state(request.id());
-            if (after == 0 && now != request.state()) {
-                waiting.add(fault);
-            } else if (!fault.kind().trappedOnly() || now != null && fault.kind().canStrike(now)) {
-                strikes.strike(fault, request);
-            }
-        });
+        day.after(
+                after,
+                () -> {
+                    RequestState now = states.state(request.id());
+                    if (after == 0 && now != request.state()) {
+                        waiting.add(fault);
+                    } else if (!fault.kind().trappedOnly()
+                            || now != null && fault.kind().canStrike(now)) {
+                        strikes.strike(fault, request);
+                    }
+                });
     }
 }
--- a/rig/src/main/java/appleridge/rig/world/Trigger.java
+++ b/rig/src/main/java/appleridge/rig/world/Trigger.java
@@ -3,10 +3,11 @@
 import appleridge.rig.judge.RequestState;
 
 /**
- * When a fault strikes: at a time, or some time after a request has entered a state for the n-th time that
- * day.
+ * When a fault strikes: at a time, or some time after a request has entered a state for the n-th
+ * time that day.
  *
- * @param at nanoseconds from the start of the day; for a trap, after the moment at which it is sprung
+ * @param at nanoseconds from the start of the day; for a trap, after the moment at which it is
+ *     sprung
  * @param state null for a time
  * @param nth from 1; 0 for a time
  */
--- a/rig/src/main/java/appleridge/rig/world/Unit.java
+++ b/rig/src/main/java/appleridge/rig/world/Unit.java
@@ -24,7 +24,10 @@
     /** The number that a text names; what it can't hold exactly is refused. */
     long parse(String text) {
         try {
-            if (!text.isEmpty() && text.length() < 24 && text.indexOf('e') < 0 && text.indexOf('E') < 0) {
+            if (!text.isEmpty()
+                    && text.length() < 24
+                    && text.indexOf('e') < 0
+                    && text.indexOf('E') < 0) {
                 return new BigDecimal(text).movePointRight(digits).longValueExact();
             }
         } catch (ArithmeticException | NumberFormatException e) {
--- a/rig/src/main/java/appleridge/rig/world/Wish.java
+++ b/rig/src/main/java/appleridge/rig/world/Wish.java
@@ -7,12 +7,25 @@
 /** What a usual client wants done, in one try or several, and how that client is. */
 final class Wish {
     private static final int SMALL_BODY = 60;
-    /** A request takes at most so many times the mean work; fewer in the calm, where all are to be served. */
+
+    /**
+     * A request takes at most so many times the mean work; fewer in the calm, where all are to be
+     * served.
+     */
     private static final int MOST_WORK = 4;
+
     private static final int MOST_WORK_IN_CALM = 2;
 
-    private static final List<String> QUERIES = List.of("item=", "q=a+b%20c%2Fd%3f", "x=?&y=;", "%00=~",
-            "empty=&n=", "Item=%C3%A9", "/../p=", "a=1&a=");
+    private static final List<String> QUERIES =
+            List.of(
+                    "item=",
+                    "q=a+b%20c%2Fd%3f",
+                    "x=?&y=;",
+                    "%00=~",
+                    "empty=&n=",
+                    "Item=%C3%A9",
+                    "/../p=",
+                    "a=1&a=");
 
     final String origin;
     final int requestClass;
@@ -29,13 +42,18 @@
     final boolean asksOnce;
     final boolean impatient;
     final double share;
+
     /** How many tries there were. */
     int tries;
+
     int retriesLeft;
+
     /** When the client waits no longer, whatever it tries; 0 before the first try. */
     long endsAt;
 
-    /** @param works mean work of each class on this day */
+    /**
+     * @param works mean work of each class on this day
+     */
     Wish(Day day, String origin, Chance chance, long[] works, int tenant) {
         Plan plan = day.plan;
         this.origin = origin;
@@ -46,12 +64,17 @@
         this.deadline = plan.deadline(kind);
         double meanWork = works[requestClass];
         double mostWork = meanWork * (day.isTroubled() ? MOST_WORK : MOST_WORK_IN_CALM);
-        this.work = (long) Math.min(mostWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
-        this.key = kind.keyed() ? Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong())
-                : null;
+        this.work =
+                (long) Math.min(mostWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
+        this.key =
+                kind.keyed()
+                        ? Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong())
+                        : null;
         boolean large = chance.hits(plan.part(Knob.LARGE_BODIES));
-        int length = kind.semantics() == Semantics.REPEATABLE ? 0
-                : 1 + chance.nextInt(large ? plan.largestBody() : SMALL_BODY);
+        int length =
+                kind.semantics() == Semantics.REPEATABLE
+                        ? 0
+                        : 1 + chance.nextInt(large ? plan.largestBody() : SMALL_BODY);
         Chance form = chance.stream("form");
         this.uri = "/api/" + kind.name() + query(form);
         this.body = body(form.nextLong(), length);
@@ -67,7 +90,8 @@
     private static String query(Chance form) {
         StringBuilder query = new StringBuilder(32);
         for (int i = form.nextInt(4); i > 0; i--) {
-            query.append(query.length() == 0 ? '?' : '&').append(form.pick(QUERIES))
+            query.append(query.length() == 0 ? '?' : '&')
+                    .append(form.pick(QUERIES))
                     .append(form.nextInt(1000));
         }
         return query.toString();
--- a/rig/src/main/java/appleridge/rig/world/World.java
+++ b/rig/src/main/java/appleridge/rig/world/World.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One day: real sidecars in a simulated world of clients, order servers and discovery. Everything in it is
- * made for the plan, and nothing outlives it.
+ * One day: real sidecars in a simulated world of clients, order servers and discovery. Everything
+ * in it is made for the plan, and nothing outlives it.
  */
 public final class World {
     /** Makes what handles the processes of one sidecar. */
@@ -37,8 +37,10 @@
 
     private static final int DESCRIPTORS = 20_000;
     private static final int DISCOVERY_ADDRESSES = 4;
+
     /** With each move its versions begin lower, as those of one that begins anew. */
     private static final long VERSIONS_APART = 1000;
+
     /** Clients come when all sidecars are ready, or after this. */
     private static final long CLIENTS_COME = 3 * Site.SECOND;
 
@@ -67,8 +69,14 @@
         network = new Network(simulation, chance.stream("network"));
         network.tap(states);
         Meetings meetings = new Meetings(states);
-        Evidence evidence = new Fan(List.of(meetings, states, new Narrator(simulation), nodes,
-                watch.of(this, states, this::zoneOf)));
+        Evidence evidence =
+                new Fan(
+                        List.of(
+                                meetings,
+                                states,
+                                new Narrator(simulation),
+                                nodes,
+                                watch.of(this, states, this::zoneOf)));
         day = new Day(plan, simulation, network, evidence, chance);
         meetings.begin(day);
         evidence.listedBy(plan.count(Knob.MEMBERSHIP) != 1, plan.count(Knob.MEMBERSHIP) > 0);
@@ -80,16 +88,25 @@
         }
         links = new Links(day);
         discovery = new Discovery(registries(instances, told), seats);
-        network.tap(new RegistryTap(network, seats, discovery.addresses().stream().map(Registry::host)
-                .toList(), evidence));
+        network.tap(
+                new RegistryTap(
+                        network,
+                        seats,
+                        discovery.addresses().stream().map(Registry::host).toList(),
+                        evidence));
         addMachines();
         addSeats(sidecars, instances, told);
         BadClients badClients = new BadClients(day, applications);
         join(badClients);
-        Strikes strikes = new Strikes(day, new ConnectionStrikes(day, applications, states),
-                new ServerStrikes(day, fleet, seats, links, meetings), new ListStrikes(day, discovery, seats),
-                new SidecarStrikes(day, seats, fleet, discovery, links, traffic, badClients, meetings),
-                nodes.strikes(day, fleet, seats));
+        Strikes strikes =
+                new Strikes(
+                        day,
+                        new ConnectionStrikes(day, applications, states),
+                        new ServerStrikes(day, fleet, seats, links, meetings),
+                        new ListStrikes(day, discovery, seats),
+                        new SidecarStrikes(
+                                day, seats, fleet, discovery, links, traffic, badClients, meetings),
+                        nodes.strikes(day, fleet, seats));
         new Traps(day, strikes, states).set(plan.faults());
         for (Fault each : plan.faults()) {
             if (!each.trigger().trap()) {
@@ -102,8 +119,14 @@
         List<Registry> registries = new ArrayList<>();
         for (int i = 0; i < DISCOVERY_ADDRESSES; i++) {
             Host host = network.host("discovery" + i, Site.address(4, 0, 1 + i), DESCRIPTORS);
-            registries.add(new Registry(day, instances, told, host, i,
-                    (DISCOVERY_ADDRESSES - i) * VERSIONS_APART));
+            registries.add(
+                    new Registry(
+                            day,
+                            instances,
+                            told,
+                            host,
+                            i,
+                            (DISCOVERY_ADDRESSES - i) * VERSIONS_APART));
         }
         return registries;
     }
@@ -125,8 +148,16 @@
             String name = "n" + i;
             Host host = network.host(name, Site.address(1, 0, 1 + i), plan.count(Knob.SOCKETS));
             states.sidecar(name, name);
-            Seat seat = new Seat(day, seats, name, i, host, sidecars.of(name, this, day.evidence), told,
-                    instances);
+            Seat seat =
+                    new Seat(
+                            day,
+                            seats,
+                            name,
+                            i,
+                            host,
+                            sidecars.of(name, this, day.evidence),
+                            told,
+                            instances);
             seats.all().add(seat);
         }
         for (int i = 0; i < count; i++) {
@@ -144,12 +175,17 @@
         long[] works = new long[Classes.ALL.size()];
         for (int i = 0; i < works.length; i++) {
             Classes.Kind kind = Classes.of(i);
-            works[i] = (long) (chance.between(kind.leastWork(), kind.mostWork()) * plan.part(Knob.WORK));
+            works[i] =
+                    (long)
+                            (chance.between(kind.leastWork(), kind.mostWork())
+                                    * plan.part(Knob.WORK));
         }
         return works;
     }
 
-    /** Which part of the traffic comes to each sidecar; the first one named need not have the most. */
+    /**
+     * Which part of the traffic comes to each sidecar; the first one named need not have the most.
+     */
     private double[] shares(int count) {
         Chance chance = day.work("shares");
         double[] shares = new double[count];
@@ -172,10 +208,19 @@
             applications.forEach(each -> links.home(each.host(), seat.host()));
             badClients.hosts().forEach(each -> links.home(each, seat.host()));
             badClients.narrow(seat);
-            fleet.machines().forEach(each -> links.join(seat.host(), each.host(),
-                    seat.zone() == each.zone()));
-            discovery.addresses().forEach(each ->
-                    links.join(seat.host(), each.host(), seat.zone() == Registry.ZONE));
+            fleet.machines()
+                    .forEach(
+                            each ->
+                                    links.join(
+                                            seat.host(), each.host(), seat.zone() == each.zone()));
+            discovery
+                    .addresses()
+                    .forEach(
+                            each ->
+                                    links.join(
+                                            seat.host(),
+                                            each.host(),
+                                            seat.zone() == Registry.ZONE));
         }
     }
 
@@ -190,27 +235,31 @@
     public void begin() {
         beginFleet();
         discovery.registry().listen();
-        seats.onReady(() -> {
-            if (seats.all().stream().allMatch(Seat::isUsable)) {
-                clientsCome();
-            }
-        });
+        seats.onReady(
+                () -> {
+                    if (seats.all().stream().allMatch(Seat::isUsable)) {
+                        clientsCome();
+                    }
+                });
         seats.all().forEach(seat -> seat.start(discovery.registry()));
         day.after(CLIENTS_COME, this::clientsCome);
-        simulation.at(plan.quietFrom() + plan.size(Knob.LONGEST_DEADLINE) + LAST_ANSWERS, () ->
-                applications.forEach(Application::goHome));
-        simulation.at(plan.faultsEnd(), () -> {
-            links.calm();
-            day.evidence.lastFaultOver();
-        });
+        simulation.at(
+                plan.quietFrom() + plan.size(Knob.LONGEST_DEADLINE) + LAST_ANSWERS,
+                () -> applications.forEach(Application::goHome));
+        simulation.at(
+                plan.faultsEnd(),
+                () -> {
+                    links.calm();
+                    day.evidence.lastFaultOver();
+                });
     }
 
     /** Long before the day there was a server that is gone, and the last machine was not there. */
     private void beginFleet() {
         Instances instances = fleet.instances();
         List<Machine> machines = fleet.machines();
-        InetSocketAddress past = new InetSocketAddress(machines.get(0).host().address(), Site.SERVER_PORT
-                + 1);
+        InetSocketAddress past =
+                new InetSocketAddress(machines.get(0).host().address(), Site.SERVER_PORT + 1);
         Instances.Entry old = new Instances.Entry("old.0", 0, past, 0, Instances.READY, 0);
         instances.begins(old);
         machines.subList(0, machines.size() - 1).forEach(machine -> machine.begin(states));
@@ -261,8 +310,9 @@
     public int upstreamsOf(String sidecar) {
         int upstreams = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
-            boolean discovery = this.discovery.addresses().stream()
-                    .anyMatch(registry -> registry.host() == each.peerHost());
+            boolean discovery =
+                    this.discovery.addresses().stream()
+                            .anyMatch(registry -> registry.host() == each.peerHost());
             upstreams += each.isListenersEnd() || discovery ? 0 : 1;
         }
         return upstreams;
--- a/rig/src/main/java/appleridge/rig/world/Znode.java
+++ b/rig/src/main/java/appleridge/rig/world/Znode.java
@@ -9,7 +9,14 @@
  * @param data null while it can't be read
  * @param bornAt when its server began, in the day's time; 0 for long ago
  */
-record Znode(String name, long czxid, long mzxid, long createdMillis, NodeData data, int life, long bornAt) {
+record Znode(
+        String name,
+        long czxid,
+        long mzxid,
+        long createdMillis,
+        NodeData data,
+        int life,
+        long bornAt) {
     Znode with(long zxid, NodeData other) {
         return new Znode(name, czxid, zxid, createdMillis, other, life, bornAt);
     }
--- a/rig/src/test/java/appleridge/daemon/NodesIT.java
+++ b/rig/src/test/java/appleridge/daemon/NodesIT.java
@@ -32,8 +32,7 @@
     private static final int LONGEST_SECONDS = 40;
     private static final String PASSWORD = "changeit";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String server(String address, String more) {
         return "{\"address\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"m1\"" + more + "}";
@@ -50,15 +49,24 @@
     }
 
     private Path operator(TestEnsemble ensemble, String source) throws IOException {
-        return Files.writeString(folder.resolve("operator.toml"), "version = 1\n[membership]\nsource = \""
-                + source + "\"\nservers = [\"127.0.0.1:" + ensemble.address().getPort()
-                + "\"]\nroot = \"/servers\"\nsession-timeout = \"2s\"\n");
+        return Files.writeString(
+                folder.resolve("operator.toml"),
+                "version = 1\n[membership]\nsource = \""
+                        + source
+                        + "\"\nservers = [\"127.0.0.1:"
+                        + ensemble.address().getPort()
+                        + "\"]\nroot = \"/servers\"\nsession-timeout = \"2s\"\n");
     }
 
     private Process run(Path config, List<String> words) throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-Xmx48m", "-jar", "../sidecar/target/appleridge.jar"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx48m",
+                                "-jar",
+                                "../sidecar/target/appleridge.jar"));
         command.addAll(words);
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().remove("BALANCER_CONFIG");
@@ -67,15 +75,17 @@
         }
         Process process = builder.start();
         // Danger: a log line that never comes would be waited for without end.
-        Thread watch = new Thread(() -> {
-            try {
-                if (!process.waitFor(LONGEST_SECONDS, TimeUnit.SECONDS)) {
-                    process.destroyForcibly();
-                }
-            } catch (InterruptedException e) {
-                process.destroyForcibly();
-            }
-        });
+        Thread watch =
+                new Thread(
+                        () -> {
+                            try {
+                                if (!process.waitFor(LONGEST_SECONDS, TimeUnit.SECONDS)) {
+                                    process.destroyForcibly();
+                                }
+                            } catch (InterruptedException e) {
+                                process.destroyForcibly();
+                            }
+                        });
         watch.setDaemon(true);
         watch.start();
         return process;
@@ -84,14 +94,16 @@
     private static TestClient connect(Process process, int port) {
         while (true) {
             try {
-                return new TestClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                return new TestClient(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             } catch (IOException e) {
                 assertTrue(process.isAlive(), "the sidecar ended before it listened");
             }
         }
     }
 
-    private static void untilReady(Process process, TestClient client, int status) throws Exception {
+    private static void untilReady(Process process, TestClient client, int status)
+            throws Exception {
         while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != status) {
             assertTrue(process.isAlive());
         }
@@ -101,7 +113,8 @@
         StringBuilder all = new StringBuilder();
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
-            assertFalse(line.contains("ClassNotFound") || line.contains("NoClassDefFound"),
+            assertFalse(
+                    line.contains("ClassNotFound") || line.contains("NoClassDefFound"),
                     "the packaged jar lacks a class that the client needs: " + line);
             all.append(line).append('\n');
             line = log.readLine();
@@ -118,11 +131,15 @@
                 StubUpstream two = answering("two")) {
             ensemble.persistent("/servers");
             ZooKeeper owner = ensemble.client();
-            Path config = Files.writeString(folder.resolve("config.json"),
-                    LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
-                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-            Process process = run(config,
-                    List.of("serve", "--operator", operator(ensemble, "nodes").toString()));
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"),
+                            LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                                    .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
+            Process process =
+                    run(
+                            config,
+                            List.of("serve", "--operator", operator(ensemble, "nodes").toString()));
             BufferedReader log = process.errorReader();
             try (TestClient client = connect(process, port)) {
                 untilReady(process, client, 503);
@@ -130,8 +147,10 @@
                 untilReady(process, client, 200);
                 assertTrue(client.ask(TestClient.request("pay", "2.0")).endsWith("one"));
                 TestEnsemble.server(owner, "/servers/s2", server(two.address(), ""));
-                owner.setData("/servers/s1",
-                        server(one.address(), ",\"state\":\"Terminating\"").getBytes(), -1);
+                owner.setData(
+                        "/servers/s1",
+                        server(one.address(), ",\"state\":\"Terminating\"").getBytes(),
+                        -1);
                 while (!client.ask(TestClient.request("pay", "2.0")).endsWith("two")) {
                     assertTrue(process.isAlive());
                 }
@@ -151,7 +170,9 @@
         }
     }
 
-    /** Guards against a certificate that is believed unseen, and a client that can't speak TLS here. */
+    /**
+     * Guards against a certificate that is believed unseen, and a client that can't speak TLS here.
+     */
     @Test
     void overTlsTheEnsemblesCertificateHasToFollowFromTheTrustStore() throws Exception {
         Path store = folder.resolve("ours.p12");
@@ -161,15 +182,25 @@
                 StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
             for (Path trusted : List.of(ours, other)) {
                 Path operator = operator(ensemble, "nodes");
-                Files.writeString(operator, Files.readString(operator) + "[membership.tls]\ntrust-store = \""
-                        + trusted + "\"\n");
-                Path config = Files.writeString(folder.resolve("config.json"),
-                        LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
-                                .replace("127.0.0.1:1\"", "127.0.0.1:" + freePort() + "\""));
+                Files.writeString(
+                        operator,
+                        Files.readString(operator)
+                                + "[membership.tls]\ntrust-store = \""
+                                + trusted
+                                + "\"\n");
+                Path config =
+                        Files.writeString(
+                                folder.resolve("config.json"),
+                                LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                                        .replace(
+                                                "127.0.0.1:1\"", "127.0.0.1:" + freePort() + "\""));
                 Process process = run(config, List.of("serve", "--operator", operator.toString()));
                 try {
-                    await(process.errorReader(), trusted == ours ? "the path of the nodes is not there"
-                            : "ZooKeeper's client: Unexpected throwable");
+                    await(
+                            process.errorReader(),
+                            trusted == ours
+                                    ? "the path of the nodes is not there"
+                                    : "ZooKeeper's client: Unexpected throwable");
                 } finally {
                     process.destroyForcibly().waitFor();
                 }
@@ -180,39 +211,94 @@
     /** Makes a certificate with its key, and a file of the certificate alone. */
     private Path certificate(Path store) throws Exception {
         Path alone = Path.of(store.toString().replace(".p12", ".pem"));
-        keytool("-genkeypair", "-alias", "zk", "-keyalg", "EC", "-storetype", "PKCS12",
-                "-keystore", store.toString(), "-storepass", PASSWORD, "-dname", "CN=zk",
-                "-ext", "SAN=IP:127.0.0.1", "-validity", "30");
-        keytool("-exportcert", "-rfc", "-alias", "zk", "-keystore", store.toString(), "-storepass",
-                PASSWORD, "-file", alone.toString());
+        keytool(
+                "-genkeypair",
+                "-alias",
+                "zk",
+                "-keyalg",
+                "EC",
+                "-storetype",
+                "PKCS12",
+                "-keystore",
+                store.toString(),
+                "-storepass",
+                PASSWORD,
+                "-dname",
+                "CN=zk",
+                "-ext",
+                "SAN=IP:127.0.0.1",
+                "-validity",
+                "30");
+        keytool(
+                "-exportcert",
+                "-rfc",
+                "-alias",
+                "zk",
+                "-keystore",
+                store.toString(),
+                "-storepass",
+                PASSWORD,
+                "-file",
+                alone.toString());
         return alone;
     }
 
     private static SslContext tls(Path store) throws Exception {
         KeyStore keys = KeyStore.getInstance(store.toFile(), PASSWORD.toCharArray());
-        KeyManagerFactory factory = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+        KeyManagerFactory factory =
+                KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
         factory.init(keys, PASSWORD.toCharArray());
         return SslContextBuilder.forServer(factory).build();
     }
 
     private static void keytool(String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "keytool").toString()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "keytool")
+                                        .toString()));
         command.addAll(List.of(words));
-        assertEquals(0, new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start()
+                        .waitFor());
     }
 
-    /** A shell that serves nothing stands for a server; a listener of the test's is what answers for it. */
-    private List<String> register(TestEnsemble ensemble, int port, String script) throws IOException {
-        return List.of("register", "--operator", operator(ensemble, "nodes").toString(), "--id", "s1",
-                "--address", "127.0.0.1:" + port, "--zone", "a", "--kind", "m1", "--drain-for", "700", "--",
-                "sh", "-c", script);
+    /**
+     * A shell that serves nothing stands for a server; a listener of the test's is what answers for
+     * it.
+     */
+    private List<String> register(TestEnsemble ensemble, int port, String script)
+            throws IOException {
+        return List.of(
+                "register",
+                "--operator",
+                operator(ensemble, "nodes").toString(),
+                "--id",
+                "s1",
+                "--address",
+                "127.0.0.1:" + port,
+                "--zone",
+                "a",
+                "--kind",
+                "m1",
+                "--drain-for",
+                "700",
+                "--",
+                "sh",
+                "-c",
+                script);
     }
 
     private static String holds(TestEnsemble ensemble) throws Exception {
-        return ensemble.operator().exists("/servers/s1", false) == null ? ""
-                : new String(ensemble.operator().getData("/servers/s1", false, null), StandardCharsets.UTF_8);
+        return ensemble.operator().exists("/servers/s1", false) == null
+                ? ""
+                : new String(
+                        ensemble.operator().getData("/servers/s1", false, null),
+                        StandardCharsets.UTF_8);
     }
 
     @Test
@@ -221,12 +307,20 @@
             ensemble.persistent("/servers");
             int port = freePort();
             Path told = folder.resolve("told");
-            Process process = run(null, register(ensemble, port, "trap 'date +%s%N > " + told
-                    + "; exit 7' TERM; while :; do sleep 0.05; done"));
+            Process process =
+                    run(
+                            null,
+                            register(
+                                    ensemble,
+                                    port,
+                                    "trap 'date +%s%N > "
+                                            + told
+                                            + "; exit 7' TERM; while :; do sleep 0.05; done"));
             try {
                 Thread.sleep(1500);
                 assertEquals("", holds(ensemble));
-                try (ServerSocket answers = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
+                try (ServerSocket answers =
+                        new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
                     while (!holds(ensemble).contains("\"state\":\"Ready\"")) {
                         assertTrue(process.isAlive() && answers.isBound());
                     }
@@ -252,8 +346,13 @@
                 ServerSocket answers = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             ensemble.persistent("/servers");
             Path end = folder.resolve("end");
-            Process process = run(null, register(ensemble, answers.getLocalPort(),
-                    "while [ ! -e " + end + " ]; do sleep 0.05; done; exit 3"));
+            Process process =
+                    run(
+                            null,
+                            register(
+                                    ensemble,
+                                    answers.getLocalPort(),
+                                    "while [ ! -e " + end + " ]; do sleep 0.05; done; exit 3"));
             while (holds(ensemble).isEmpty()) {
                 assertTrue(process.isAlive());
             }
--- a/rig/src/test/java/appleridge/membership/register/RegistrationTest.java
+++ b/rig/src/test/java/appleridge/membership/register/RegistrationTest.java
@@ -23,11 +23,13 @@
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     private static byte[] text(String text, long started) {
-        return ("{\"text\":\"" + text + "\",\"started\":" + started + "}").getBytes(StandardCharsets.UTF_8);
+        return ("{\"text\":\"" + text + "\",\"started\":" + started + "}")
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private Registration registration(TestEnsemble ensemble, String text, long started) {
-        return new Registration(ensemble.settings("/servers"), "s1", text(text, started), started, log::add);
+        return new Registration(
+                ensemble.settings("/servers"), "s1", text(text, started), started, log::add);
     }
 
     private static void end(Registration which) {
@@ -43,7 +45,8 @@
     }
 
     private static String holds(ZooKeeper client, Stat stat) throws Exception {
-        return client.exists(PATH, false) == null ? null
+        return client.exists(PATH, false) == null
+                ? null
                 : new String(client.getData(PATH, false, stat), StandardCharsets.UTF_8);
     }
 
--- a/rig/src/test/java/appleridge/membership/zookeeper/TestEnsemble.java
+++ b/rig/src/test/java/appleridge/membership/zookeeper/TestEnsemble.java
@@ -15,12 +15,16 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Id;
 
-/** One coordination stand-in in the test's own process, on a loopback port that it keeps over restarts. */
+/**
+ * One coordination stand-in in the test's own process, on a loopback port that it keeps over
+ * restarts.
+ */
 public final class TestEnsemble implements AutoCloseable {
     /** Everybody may do everything. */
     public static final List<ACL> OPEN = Arrays.asList(new ACL(31, new Id("world", "anyone")));
 
-    private static final CoordinationServer.Times TIMES = new CoordinationServer.Times(200, 400, 4000);
+    private static final CoordinationServer.Times TIMES =
+            new CoordinationServer.Times(200, 400, 4000);
 
     private final CoordinationServer server;
     private ZooKeeper operator;
@@ -31,8 +35,13 @@
 
     /** One that speaks TLS alone, unless this is null. */
     public TestEnsemble(SslContext tls) throws Exception {
-        server = new CoordinationServers(TIMES, tls,
-                List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))).members().get(0);
+        server =
+                new CoordinationServers(
+                                TIMES,
+                                tls,
+                                List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)))
+                        .members()
+                        .get(0);
     }
 
     public InetSocketAddress address() {
@@ -59,7 +68,8 @@
     }
 
     public ZooKeeperSettings settings(String root) {
-        return new ZooKeeperSettings(List.of(address()), "", root, false, 2000, false, null, null, 1 << 22);
+        return new ZooKeeperSettings(
+                List.of(address()), "", root, false, 2000, false, null, null, 1 << 22);
     }
 
     /** A handle of somebody who may do what is to be done. */
@@ -73,11 +83,15 @@
     /** A session of its own, connected. */
     public ZooKeeper client() throws IOException, InterruptedException {
         CountDownLatch connected = new CountDownLatch(1);
-        ZooKeeper client = new ZooKeeper("127.0.0.1:" + address().getPort(), 2000, event -> {
-            if (event.getState() == Watcher.Event.KeeperState.SyncConnected) {
-                connected.countDown();
-            }
-        });
+        ZooKeeper client =
+                new ZooKeeper(
+                        "127.0.0.1:" + address().getPort(),
+                        2000,
+                        event -> {
+                            if (event.getState() == Watcher.Event.KeeperState.SyncConnected) {
+                                connected.countDown();
+                            }
+                        });
         connected.await();
         return client;
     }
@@ -97,7 +111,8 @@
     }
 
     public void expireAll() {
-        server.sessions().stream().filter(each -> operator == null || each != operator.getSessionId())
+        server.sessions().stream()
+                .filter(each -> operator == null || each != operator.getSessionId())
                 .forEach(this::expire);
     }
 
--- a/rig/src/test/java/appleridge/membership/zookeeper/ZooKeeperSourceTest.java
+++ b/rig/src/test/java/appleridge/membership/zookeeper/ZooKeeperSourceTest.java
@@ -44,28 +44,36 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop executor = group.next();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private final Loop loop = new Loop(executor, SystemTime.UNIX_MILLIS, new Log() {
-        @Override
-        public void news(String line) {
-            log.add(line);
-        }
+    private final Loop loop =
+            new Loop(
+                    executor,
+                    SystemTime.UNIX_MILLIS,
+                    new Log() {
+                        @Override
+                        public void news(String line) {
+                            log.add(line);
+                        }
 
-        @Override
-        public void warning(String line) {
-            log.add(line);
-        }
+                        @Override
+                        public void warning(String line) {
+                            log.add(line);
+                        }
 
-        @Override
-        public void failure(String what, Throwable cause) {
-            log.add(what + cause);
-        }
-    });
+                        @Override
+                        public void failure(String what, Throwable cause) {
+                            log.add(what + cause);
+                        }
+                    });
     private final Heard heard = new Heard(executor::inEventLoop);
     private TestEnsemble ensemble;
     private ZooKeeperSource source;
 
     static String server(int port, String more) {
-        return "{\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"kind\":\"m1\"" + more + "}";
+        return "{\"address\":\"127.0.0.1:"
+                + port
+                + "\",\"zone\":\"a\",\"kind\":\"m1\""
+                + more
+                + "}";
     }
 
     @BeforeEach
@@ -84,8 +92,9 @@
     }
 
     private void follow(ZooKeeperSettings settings) {
-        source = new ZooKeeperSource(loop, settings, heard,
-                new NodeJson(List.of("a", "b"), List.of("m1")), 1);
+        source =
+                new ZooKeeperSource(
+                        loop, settings, heard, new NodeJson(List.of("a", "b"), List.of("m1")), 1);
         loop.soon(source::start);
     }
 
@@ -94,7 +103,8 @@
         ensemble.persistent(ROOT);
         ZooKeeper owner = ensemble.client();
         TestEnsemble.server(owner, ROOT + "/s1", server(1, ""));
-        TestEnsemble.server(owner, ROOT + "/s2", server(2, ",\"state\":\"Terminating\",\"unknown\":[{}]"));
+        TestEnsemble.server(
+                owner, ROOT + "/s2", server(2, ",\"state\":\"Terminating\",\"unknown\":[{}]"));
         TestEnsemble.server(owner, ROOT + "/bad", "{");
         follow(ensemble.settings(ROOT));
         heard.next("session CONNECTED");
@@ -127,8 +137,17 @@
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
         try (Relay relay = new Relay(ensemble.address())) {
             ZooKeeperSettings plain = ensemble.settings(ROOT);
-            follow(new ZooKeeperSettings(List.of(relay.address()), "", ROOT, false, 40_000, false, null, null,
-                    plain.answerBytes()));
+            follow(
+                    new ZooKeeperSettings(
+                            List.of(relay.address()),
+                            "",
+                            ROOT,
+                            false,
+                            40_000,
+                            false,
+                            null,
+                            null,
+                            plain.answerBytes()));
             heard.until("snapshot {s1=1READY}");
             long zxid = heard.lastZxid;
             relay.cut = true;
@@ -181,8 +200,17 @@
         heard.next("doubt ACCESS_DENIED");
         loop.soon(source::close);
         ZooKeeperSettings open = ensemble.settings(ROOT);
-        follow(new ZooKeeperSettings(open.servers(), "", ROOT, false, open.sessionMillis(), false,
-                "reader:secret", null, open.answerBytes()));
+        follow(
+                new ZooKeeperSettings(
+                        open.servers(),
+                        "",
+                        ROOT,
+                        false,
+                        open.sessionMillis(),
+                        false,
+                        "reader:secret",
+                        null,
+                        open.answerBytes()));
         heard.until("snapshot {s1=1READY}");
     }
 
@@ -213,8 +241,17 @@
         ensemble.persistent("/site" + ROOT + "/x");
         TestEnsemble.server(ensemble.operator(), "/site" + ROOT + "/x/s1", server(1, ""));
         ZooKeeperSettings plain = ensemble.settings(ROOT);
-        follow(new ZooKeeperSettings(plain.servers(), "/site", ROOT, true, plain.sessionMillis(), false, null,
-                null, plain.answerBytes()));
+        follow(
+                new ZooKeeperSettings(
+                        plain.servers(),
+                        "/site",
+                        ROOT,
+                        true,
+                        plain.sessionMillis(),
+                        false,
+                        null,
+                        null,
+                        plain.answerBytes()));
         heard.until("snapshot {x/s1=1READY}");
         assertEquals("s1", heard.last.get("x/s1").data().uid());
         ensemble.persistent("/site" + ROOT + "/y");
@@ -230,9 +267,14 @@
         ensemble.persistent(ROOT);
         CountDownLatch made = new CountDownLatch(10_000);
         for (int i = 0; i < 10_000; i++) {
-            ensemble.operator().create(ROOT + "/order-server-with-a-long-name-" + i,
-                    server(1 + i, "").getBytes(), TestEnsemble.OPEN, CreateMode.EPHEMERAL,
-                    (code, path, any, name) -> made.countDown(), null);
+            ensemble.operator()
+                    .create(
+                            ROOT + "/order-server-with-a-long-name-" + i,
+                            server(1 + i, "").getBytes(),
+                            TestEnsemble.OPEN,
+                            CreateMode.EPHEMERAL,
+                            (code, path, any, name) -> made.countDown(),
+                            null);
         }
         made.await();
         follow(ensemble.settings(ROOT));
@@ -240,8 +282,17 @@
         assertNull(heard.last.get("order-server-with-a-long-name-7").problem());
         loop.soon(source::close);
         ZooKeeperSettings plain = ensemble.settings(ROOT);
-        follow(new ZooKeeperSettings(plain.servers(), "", ROOT, false, plain.sessionMillis(), false, null,
-                null, 200_000));
+        follow(
+                new ZooKeeperSettings(
+                        plain.servers(),
+                        "",
+                        ROOT,
+                        false,
+                        plain.sessionMillis(),
+                        false,
+                        null,
+                        null,
+                        200_000));
         heard.until("doubt TOO_LARGE");
         assertNull(heard.lines.poll(3, TimeUnit.SECONDS), "no endless reconnects");
     }
@@ -257,7 +308,10 @@
         heard.until("snapshot {}");
     }
 
-    /** Guards against a loop that waits for the client, and against a queue that grows with the wait. */
+    /**
+     * Guards against a loop that waits for the client, and against a queue that grows with the
+     * wait.
+     */
     @Test
     void aLoopThatStandsStillHearsTheLastWordOfEach() throws Exception {
         ensemble.persistent(ROOT);
@@ -265,14 +319,15 @@
         heard.until("snapshot {}");
         CountDownLatch still = new CountDownLatch(1);
         CountDownLatch stands = new CountDownLatch(1);
-        loop.soon(() -> {
-            stands.countDown();
-            try {
-                still.await();
-            } catch (InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        loop.soon(
+                () -> {
+                    stands.countDown();
+                    try {
+                        still.await();
+                    } catch (InterruptedException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
         stands.await();
         for (int i = 1; i <= 50; i++) {
             TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(i, ""));
@@ -294,12 +349,23 @@
         ensemble.persistent(ROOT);
         try (Relay relay = new Relay(ensemble.address())) {
             ZooKeeperSettings plain = ensemble.settings(ROOT);
-            follow(new ZooKeeperSettings(List.of(relay.address()), "", ROOT, false, 40_000, false, null, null,
-                    plain.answerBytes()));
+            follow(
+                    new ZooKeeperSettings(
+                            List.of(relay.address()),
+                            "",
+                            ROOT,
+                            false,
+                            40_000,
+                            false,
+                            null,
+                            null,
+                            plain.answerBytes()));
             heard.until("snapshot {}");
             relay.onlyPings = true;
             heard.until("session SUSPENDED");
-            assertTrue(log.stream().anyMatch(line -> line.contains("answers nothing")), log.toString());
+            assertTrue(
+                    log.stream().anyMatch(line -> line.contains("answers nothing")),
+                    log.toString());
             relay.onlyPings = false;
             heard.until("session CONNECTED");
             heard.until("snapshot {}");
@@ -309,23 +375,25 @@
     /** Passes bytes on, and on wish only answers that are as long as one to a ping. */
     private static final class Relay implements AutoCloseable {
         private static final int PING_BYTES = 16;
-        private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket listener =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         volatile boolean onlyPings;
         volatile boolean cut;
 
         Relay(InetSocketAddress to) throws IOException {
-            daemon(() -> {
-                while (true) {
-                    Socket from = listener.accept();
-                    if (cut) {
-                        from.close();
-                        continue;
-                    }
-                    Socket there = new Socket(to.getAddress(), to.getPort());
-                    daemon(() -> from.getInputStream().transferTo(there.getOutputStream()));
-                    daemon(() -> answers(there, from));
-                }
-            });
+            daemon(
+                    () -> {
+                        while (true) {
+                            Socket from = listener.accept();
+                            if (cut) {
+                                from.close();
+                                continue;
+                            }
+                            Socket there = new Socket(to.getAddress(), to.getPort());
+                            daemon(() -> from.getInputStream().transferTo(there.getOutputStream()));
+                            daemon(() -> answers(there, from));
+                        }
+                    });
         }
 
         private void answers(Socket there, Socket from) throws IOException {
@@ -355,7 +423,8 @@
                 try {
                     return in.readInt();
                 } catch (SocketTimeoutException e) {
-                    // Danger: a length that comes in parts would be lost, which loopback does not do.
+                    // Danger: a length that comes in parts would be lost, which loopback does not
+                    // do.
                     continue;
                 }
             }
@@ -371,13 +440,15 @@
         }
 
         private static void daemon(Work work) {
-            Thread thread = new Thread(() -> {
-                try {
-                    work.run();
-                } catch (IOException e) {
-                    // The connection is over.
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    work.run();
+                                } catch (IOException e) {
+                                    // The connection is over.
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
         }
--- a/rig/src/test/java/appleridge/rig/ArchitectureTest.java
+++ b/rig/src/test/java/appleridge/rig/ArchitectureTest.java
@@ -9,16 +9,28 @@
     /** Guards against proofs that start another system's server: all stand-ins are our own. */
     @Test
     void nothingKnowsAThirdPartysServer() {
-        noClasses().should().dependOnClassesThat().resideInAPackage("org.apache.zookeeper.server..")
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("org.apache.zookeeper.server..")
                 .check(new ClassFileImporter().importPackages("appleridge"));
     }
 
     /** Guards against a coordination stand-in that only real sockets and threads can play. */
     @Test
     void theCoordinationStandInsCoreIsPure() {
-        noClasses().that().haveNameMatching("appleridge\\.rig\\.coordination\\."
-                + "(Change|Tree|Rules|Watches|Visit|Ensemble|Member)(\\$.*)?").should().dependOnClassesThat()
-                .resideInAnyPackage("io.netty..", "java.net", "java.nio.channels", "java.nio.file",
+        noClasses()
+                .that()
+                .haveNameMatching(
+                        "appleridge\\.rig\\.coordination\\."
+                                + "(Change|Tree|Rules|Watches|Visit|Ensemble|Member)(\\$.*)?")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io.netty..",
+                        "java.net",
+                        "java.nio.channels",
+                        "java.nio.file",
                         "java.util.concurrent..")
                 .check(new ClassFileImporter().importPackages("appleridge.rig.coordination"));
     }
--- a/rig/src/test/java/appleridge/rig/coordination/CoordinationIT.java
+++ b/rig/src/test/java/appleridge/rig/coordination/CoordinationIT.java
@@ -23,13 +23,20 @@
 @Timeout(60)
 class CoordinationIT {
     private static Process start(String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-XX:TieredStopAtLevel=1", "-jar", "target/rig.jar", "coordination"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-jar",
+                                "target/rig.jar",
+                                "coordination"));
         command.addAll(List.of(words));
         return new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
     }
 
-    private static void await(BlockingQueue<KeeperState> states, KeeperState wanted) throws Exception {
+    private static void await(BlockingQueue<KeeperState> states, KeeperState wanted)
+            throws Exception {
         KeeperState next;
         do {
             next = states.poll(30, TimeUnit.SECONDS);
@@ -39,17 +46,29 @@
 
     @Test
     void threeMembersInOneProcessPlayTheScriptsOfItsInput() throws Exception {
-        Process process = start("--listen", "127.0.0.1:0", "--listen", "127.0.0.1:0", "--listen",
-                "127.0.0.1:0", "--most", "5000");
+        Process process =
+                start(
+                        "--listen",
+                        "127.0.0.1:0",
+                        "--listen",
+                        "127.0.0.1:0",
+                        "--listen",
+                        "127.0.0.1:0",
+                        "--most",
+                        "5000");
         try (BufferedReader said = process.inputReader();
-                PrintWriter tell = new PrintWriter(process.getOutputStream(), true, StandardCharsets.UTF_8)) {
+                PrintWriter tell =
+                        new PrintWriter(process.getOutputStream(), true, StandardCharsets.UTF_8)) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 addresses.add(said.readLine().replace("listening ", ""));
             }
             BlockingQueue<KeeperState> states = new LinkedBlockingQueue<>();
-            ZooKeeper client = new ZooKeeper(addresses.get(0) + "," + addresses.get(1), 20_000,
-                    event -> states.add(event.getState()));
+            ZooKeeper client =
+                    new ZooKeeper(
+                            addresses.get(0) + "," + addresses.get(1),
+                            20_000,
+                            event -> states.add(event.getState()));
             await(states, KeeperState.SyncConnected);
             assertEquals(5000, client.getSessionTimeout());
             client.create("/a", new byte[0], Rules.OPEN, CreateMode.EPHEMERAL);
--- a/rig/src/test/java/appleridge/rig/coordination/CoordinationServerTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/CoordinationServerTest.java
@@ -48,8 +48,11 @@
     }
 
     private ZooKeeper client(CoordinationServer of, int millis) throws Exception {
-        ZooKeeper client = new ZooKeeper("127.0.0.1:" + of.address().getPort(), millis,
-                event -> states.add(event.getState()));
+        ZooKeeper client =
+                new ZooKeeper(
+                        "127.0.0.1:" + of.address().getPort(),
+                        millis,
+                        event -> states.add(event.getState()));
         clients.add(client);
         await(KeeperState.SyncConnected);
         return client;
--- a/rig/src/test/java/appleridge/rig/coordination/CoordinationServersTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/CoordinationServersTest.java
@@ -88,8 +88,9 @@
     }
 
     private static String at(CoordinationServer... servers) {
-        return String.join(",", Stream.of(servers).map(each -> "127.0.0.1:"
-                + each.address().getPort()).toList());
+        return String.join(
+                ",",
+                Stream.of(servers).map(each -> "127.0.0.1:" + each.address().getPort()).toList());
     }
 
     private ZooKeeper client(Events events, boolean readOnly, CoordinationServer... servers)
@@ -126,8 +127,8 @@
         make(client, "/a", CreateMode.EPHEMERAL);
         long session = client.getSessionId();
         String address = client.toString();
-        CoordinationServer there = address.contains(":" + member(0).address().getPort()) ? member(0)
-                : member(1);
+        CoordinationServer there =
+                address.contains(":" + member(0).address().getPort()) ? member(0) : member(1);
         there.stop();
         events.await(KeeperState.Disconnected);
         events.await(KeeperState.SyncConnected);
@@ -149,8 +150,13 @@
         BlockingQueue<Integer> synced = new LinkedBlockingQueue<>();
         late.sync("/lease", (code, path, any) -> synced.add(code), null);
         BlockingQueue<String> made = new LinkedBlockingQueue<>();
-        late.create("/other", new byte[0], Rules.OPEN, CreateMode.PERSISTENT,
-                (code, path, any, name) -> made.add(code + " " + name), null);
+        late.create(
+                "/other",
+                new byte[0],
+                Rules.OPEN,
+                CreateMode.PERSISTENT,
+                (code, path, any, name) -> made.add(code + " " + name),
+                null);
         assertNull(made.poll(300, TimeUnit.MILLISECONDS), "answers wait until its own copy has it");
         assertEquals(0, synced.size());
         member(2).lag(0);
@@ -225,23 +231,46 @@
     void manyWritesAreDoneAllOrNone() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.PERSISTENT);
-        List<OpResult> done = client.multi(List.of(Op.check("/a", 0), Op.setData("/a", new byte[3], 0),
-                Op.create("/a/n", new byte[0], Rules.OPEN, CreateMode.PERSISTENT_SEQUENTIAL),
-                Op.delete("/a/n0000000000", 0)));
+        List<OpResult> done =
+                client.multi(
+                        List.of(
+                                Op.check("/a", 0),
+                                Op.setData("/a", new byte[3], 0),
+                                Op.create(
+                                        "/a/n",
+                                        new byte[0],
+                                        Rules.OPEN,
+                                        CreateMode.PERSISTENT_SEQUENTIAL),
+                                Op.delete("/a/n0000000000", 0)));
         assertEquals("/a/n0000000000", ((OpResult.CreateResult) done.get(2)).getPath());
         Stat before = client.exists("/a", false);
         assertEquals(1, before.getVersion());
         assertEquals(2, before.getCversion());
-        KeeperException refused = assertThrows(KeeperException.BadVersionException.class,
-                () -> client.multi(List.of(Op.setData("/a", new byte[1], 1), Op.create("/b", new byte[0],
-                        Rules.OPEN, CreateMode.PERSISTENT), Op.check("/a", 1), Op.delete("/a", -1))));
-        List<Integer> codes = refused.getResults().stream()
-                .map(each -> ((OpResult.ErrorResult) each).getErr()).toList();
-        assertEquals(List.of(0, 0, Code.BADVERSION.intValue(), Code.RUNTIMEINCONSISTENCY.intValue()), codes);
+        KeeperException refused =
+                assertThrows(
+                        KeeperException.BadVersionException.class,
+                        () ->
+                                client.multi(
+                                        List.of(
+                                                Op.setData("/a", new byte[1], 1),
+                                                Op.create(
+                                                        "/b",
+                                                        new byte[0],
+                                                        Rules.OPEN,
+                                                        CreateMode.PERSISTENT),
+                                                Op.check("/a", 1),
+                                                Op.delete("/a", -1))));
+        List<Integer> codes =
+                refused.getResults().stream()
+                        .map(each -> ((OpResult.ErrorResult) each).getErr())
+                        .toList();
+        assertEquals(
+                List.of(0, 0, Code.BADVERSION.intValue(), Code.RUNTIMEINCONSISTENCY.intValue()),
+                codes);
         assertEquals(before, client.exists("/a", false));
         assertNull(client.exists("/b", false));
-        List<OpResult> read = client.multi(List.of(Op.getData("/a"), Op.getChildren("/"),
-                Op.getData("/none")));
+        List<OpResult> read =
+                client.multi(List.of(Op.getData("/a"), Op.getChildren("/"), Op.getData("/none")));
         assertEquals(3, ((OpResult.GetDataResult) read.get(0)).getData().length);
         assertEquals(List.of("a"), ((OpResult.GetChildrenResult) read.get(1)).getChildren());
         assertEquals(Code.NONODE.intValue(), ((OpResult.ErrorResult) read.get(2)).getErr());
@@ -267,7 +296,9 @@
         make(client, "/a", CreateMode.EPHEMERAL);
         assertEquals(Code.NODEEXISTS, code(() -> make(client, "/a", CreateMode.PERSISTENT)));
         assertEquals(Code.NONODE, code(() -> make(client, "/x/y", CreateMode.PERSISTENT)));
-        assertEquals(Code.NOCHILDRENFOREPHEMERALS, code(() -> make(client, "/a/b", CreateMode.PERSISTENT)));
+        assertEquals(
+                Code.NOCHILDRENFOREPHEMERALS,
+                code(() -> make(client, "/a/b", CreateMode.PERSISTENT)));
         assertEquals(Code.BADVERSION, code(() -> client.setData("/a", new byte[0], 3)));
         assertEquals(Code.BADVERSION, code(() -> client.delete("/a", 3)));
         assertEquals(Code.NONODE, code(() -> client.getData("/x", false, null)));
@@ -275,23 +306,45 @@
         make(client, "/p/c", CreateMode.PERSISTENT);
         assertEquals(Code.NOTEMPTY, code(() -> client.delete("/p", -1)));
         assertEquals(Code.UNIMPLEMENTED, code(() -> make(client, "/c", CreateMode.CONTAINER)));
-        assertEquals(Code.UNIMPLEMENTED, code(() -> client.create("/t", new byte[0], Rules.OPEN,
-                CreateMode.PERSISTENT_WITH_TTL, new Stat(), 1000)));
-        assertEquals(Code.INVALIDACL, code(() -> client.create("/l", new byte[0],
-                Arrays.asList(new ACL(Perms.ALL, new Id("auth", ""))), CreateMode.PERSISTENT)));
+        assertEquals(
+                Code.UNIMPLEMENTED,
+                code(
+                        () ->
+                                client.create(
+                                        "/t",
+                                        new byte[0],
+                                        Rules.OPEN,
+                                        CreateMode.PERSISTENT_WITH_TTL,
+                                        new Stat(),
+                                        1000)));
+        assertEquals(
+                Code.INVALIDACL,
+                code(
+                        () ->
+                                client.create(
+                                        "/l",
+                                        new byte[0],
+                                        Arrays.asList(new ACL(Perms.ALL, new Id("auth", ""))),
+                                        CreateMode.PERSISTENT)));
     }
 
     @Test
     void aDigestOpensWhatItsOwnerShut() throws Exception {
         ZooKeeper owner = client(0);
         owner.addAuthInfo("digest", "owner:secret".getBytes(StandardCharsets.UTF_8));
-        owner.create("/a", new byte[] {1}, Arrays.asList(new ACL(Perms.ALL, new Id("auth", "")),
-                new ACL(Perms.READ, new Id("world", "anyone"))), CreateMode.PERSISTENT);
+        owner.create(
+                "/a",
+                new byte[] {1},
+                Arrays.asList(
+                        new ACL(Perms.ALL, new Id("auth", "")),
+                        new ACL(Perms.READ, new Id("world", "anyone"))),
+                CreateMode.PERSISTENT);
         ZooKeeper other = client(1);
         assertEquals(1, other.getData("/a", false, null).length);
         assertEquals(Code.NOAUTH, code(() -> other.setData("/a", new byte[0], -1)));
         assertEquals(Code.NOAUTH, code(() -> make(other, "/a/b", CreateMode.PERSISTENT)));
-        assertTrue(other.getACL("/a", null).contains(new ACL(Perms.ALL, new Id("digest", "owner:x"))));
+        assertTrue(
+                other.getACL("/a", null).contains(new ACL(Perms.ALL, new Id("digest", "owner:x"))));
         other.addAuthInfo("digest", "owner:wrong".getBytes(StandardCharsets.UTF_8));
         assertEquals(Code.NOAUTH, code(() -> other.setACL("/a", Rules.OPEN, -1)));
         other.addAuthInfo("digest", "owner:secret".getBytes(StandardCharsets.UTF_8));
@@ -333,7 +386,9 @@
         client.sync("/r");
         assertEquals(0, once.nodes.size());
         assertEquals(0, on.nodes.size());
-        assertEquals(Code.NOWATCHER, code(() -> client.removeWatches("/r/a", on, WatcherType.Any, false)));
+        assertEquals(
+                Code.NOWATCHER,
+                code(() -> client.removeWatches("/r/a", on, WatcherType.Any, false)));
     }
 
     /** Guards against watches that end with the connection, and changes that nobody tells. */
@@ -366,8 +421,13 @@
             missed.add(told.next());
         }
         missed.sort(null);
-        assertEquals(List.of("NodeChildrenChanged /list", "NodeCreated /made", "NodeDataChanged /changed",
-                "NodeDeleted /gone"), missed);
+        assertEquals(
+                List.of(
+                        "NodeChildrenChanged /list",
+                        "NodeCreated /made",
+                        "NodeDataChanged /changed",
+                        "NodeDeleted /gone"),
+                missed);
         writer.setData("/same", new byte[1], -1);
         assertEquals("NodeDataChanged /same", told.next());
         make(writer, "/tree", CreateMode.PERSISTENT);
@@ -379,14 +439,21 @@
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.EPHEMERAL);
         Events events = new Events();
-        ZooKeeper taker = new ZooKeeper(at(member(1)), SESSION_MILLIS, events, client.getSessionId(),
-                client.getSessionPasswd());
+        ZooKeeper taker =
+                new ZooKeeper(
+                        at(member(1)),
+                        SESSION_MILLIS,
+                        events,
+                        client.getSessionId(),
+                        client.getSessionPasswd());
         clients.add(taker);
         events.await(KeeperState.SyncConnected);
         assertEquals(client.getSessionId(), taker.getSessionId());
         assertEquals(Code.CONNECTIONLOSS, code(() -> client.setData("/a", new byte[1], -1)));
         Events wrong = new Events();
-        clients.add(new ZooKeeper(at(member(1)), SESSION_MILLIS, wrong, taker.getSessionId(), new byte[16]));
+        clients.add(
+                new ZooKeeper(
+                        at(member(1)), SESSION_MILLIS, wrong, taker.getSessionId(), new byte[16]));
         wrong.await(KeeperState.Expired);
         assertNotEquals(0, taker.exists("/a", false).getEphemeralOwner());
     }
--- a/rig/src/test/java/appleridge/rig/coordination/DrainBookTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/DrainBookTest.java
@@ -19,8 +19,11 @@
     }
 
     private void holds(String name, String address, boolean ready, long at) {
-        tell(Heard.What.HOLDS, "/s/" + name, new String(new ServerNode(address, "z", ready, 5).bytes(),
-                StandardCharsets.UTF_8), at);
+        tell(
+                Heard.What.HOLDS,
+                "/s/" + name,
+                new String(new ServerNode(address, "z", ready, 5).bytes(), StandardCharsets.UTF_8),
+                at);
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/coordination/EnsembleTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/EnsembleTest.java
@@ -45,8 +45,9 @@
     private static final String PATH = "/a";
 
     private long now;
-    private final Ensemble ensemble = new Ensemble(CoordinationServer.Times.QUICK,
-            new Ensemble.Time(() -> now, at -> at / MS), 3);
+    private final Ensemble ensemble =
+            new Ensemble(
+                    CoordinationServer.Times.QUICK, new Ensemble.Time(() -> now, at -> at / MS), 3);
 
     /** One client's end of a line, and what came over it. */
     private final class Client implements Visit.Line {
@@ -77,7 +78,9 @@
         }
 
         private ReplyHeader head() {
-            return answers.isEmpty() ? null : new Wire.In(body(answers.remove())).read(new ReplyHeader());
+            return answers.isEmpty()
+                    ? null
+                    : new Wire.In(body(answers.remove())).read(new ReplyHeader());
         }
     }
 
@@ -108,8 +111,11 @@
     void aSessionEndsAfterItsTimeAndNotBefore() {
         start();
         Client client = new Client(0);
-        assertEquals(TIMEOUT, new Wire.In(body(client.answers.remove())).read(new ConnectResponse())
-                .getTimeOut());
+        assertEquals(
+                TIMEOUT,
+                new Wire.In(body(client.answers.remove()))
+                        .read(new ConnectResponse())
+                        .getTimeOut());
         client.ask(OpCode.create, create(PATH, CreateMode.EPHEMERAL));
         assertEquals(0, client.head().getErr());
         pass(TIMEOUT);
@@ -126,7 +132,9 @@
         assertEquals(Code.NONODE.intValue(), other.head().getErr());
     }
 
-    /** Guards against sessions that a stand-in ends which stood still itself, as on a busy machine. */
+    /**
+     * Guards against sessions that a stand-in ends which stood still itself, as on a busy machine.
+     */
     @Test
     void itsOwnStandStillIsNobodysSilence() {
         start();
@@ -220,36 +228,62 @@
         Network network = new Network(simulation, chance.stream("network"));
         SimLoop.Costs costs = new SimLoop.Costs(10_000, 2_000, 100);
         InetAddress there = InetAddress.getByAddress(new byte[] {10, 0, 0, 2});
-        SimLoop client = new SimLoop(simulation, network.host("client",
-                InetAddress.getByAddress(new byte[] {10, 0, 0, 1}), 100), chance.stream("client"), costs);
-        SimLoop server = new SimLoop(simulation, network.host("server", there, 100),
-                chance.stream("server"), costs);
-        Ensemble simulated = new Ensemble(CoordinationServer.Times.QUICK,
-                new Ensemble.Time(simulation::now, at -> at / MS), 1);
+        SimLoop client =
+                new SimLoop(
+                        simulation,
+                        network.host(
+                                "client", InetAddress.getByAddress(new byte[] {10, 0, 0, 1}), 100),
+                        chance.stream("client"),
+                        costs);
+        SimLoop server =
+                new SimLoop(
+                        simulation,
+                        network.host("server", there, 100),
+                        chance.stream("server"),
+                        costs);
+        Ensemble simulated =
+                new Ensemble(
+                        CoordinationServer.Times.QUICK,
+                        new Ensemble.Time(simulation::now, at -> at / MS),
+                        1);
         simulated.members().get(0).up(true);
-        new ServerBootstrap().group(server).channelFactory(server.serverFactory())
+        new ServerBootstrap()
+                .group(server)
+                .channelFactory(server.serverFactory())
                 .childHandler(new MemberSocket(simulated.members().get(0), null))
                 .bind(new InetSocketAddress(there, 2181));
         simulation.runUntil(MS);
         List<byte[]> heard = new ArrayList<>();
-        SimpleChannelInboundHandler<ByteBuf> recorder = new SimpleChannelInboundHandler<>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                heard.add(ByteBufUtil.getBytes(frame));
-            }
-        };
-        SimChannel channel = (SimChannel) new Bootstrap().group(client)
-                .channelFactory(client.socketFactory()).handler(new ChannelInitializer<SimChannel>() {
+        SimpleChannelInboundHandler<ByteBuf> recorder =
+                new SimpleChannelInboundHandler<>() {
                     @Override
-                    protected void initChannel(SimChannel each) {
-                        each.pipeline().addLast(new Frames(), recorder);
+                    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
+                        heard.add(ByteBufUtil.getBytes(frame));
                     }
-                }).connect(new InetSocketAddress(there, 2181)).channel();
+                };
+        SimChannel channel =
+                (SimChannel)
+                        new Bootstrap()
+                                .group(client)
+                                .channelFactory(client.socketFactory())
+                                .handler(
+                                        new ChannelInitializer<SimChannel>() {
+                                            @Override
+                                            protected void initChannel(SimChannel each) {
+                                                each.pipeline().addLast(new Frames(), recorder);
+                                            }
+                                        })
+                                .connect(new InetSocketAddress(there, 2181))
+                                .channel();
         simulation.runUntil(10 * MS);
-        channel.write(Unpooled.wrappedBuffer(Wire.frame(
-                new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false))));
-        channel.writeAndFlush(Unpooled.wrappedBuffer(Wire.frame(new RequestHeader(1, OpCode.create),
-                create(PATH, CreateMode.EPHEMERAL))));
+        channel.write(
+                Unpooled.wrappedBuffer(
+                        Wire.frame(new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false))));
+        channel.writeAndFlush(
+                Unpooled.wrappedBuffer(
+                        Wire.frame(
+                                new RequestHeader(1, OpCode.create),
+                                create(PATH, CreateMode.EPHEMERAL))));
         simulation.runUntil(20 * MS);
         assertEquals(2, heard.size());
         assertEquals(2, new Wire.In(body(heard.get(1))).read(new ReplyHeader()).getZxid());
--- a/rig/src/test/java/appleridge/rig/coordination/MeasureTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/MeasureTest.java
@@ -12,8 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class MeasureTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private final ByteArrayOutputStream said = new ByteArrayOutputStream();
 
@@ -48,6 +47,8 @@
     void aMissingJarIsNamed() {
         PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8);
         assertEquals(2, new Measure(err, err).run("membership-drain", "--jar", "no-such.jar"));
-        assertTrue(said.toString(StandardCharsets.UTF_8).startsWith("measure: no such file: no-such.jar"));
+        assertTrue(
+                said.toString(StandardCharsets.UTF_8)
+                        .startsWith("measure: no such file: no-such.jar"));
     }
 }
--- a/rig/src/test/java/appleridge/rig/coordination/MembershipIT.java
+++ b/rig/src/test/java/appleridge/rig/coordination/MembershipIT.java
@@ -22,18 +22,34 @@
 
     @Test
     void newWorkStopsWithinTwoSecondsOfTheWord() throws Exception {
-        Set<Strike> strikes = EnumSet.of(Strike.CUT, Strike.RESET, Strike.HALF, Strike.LATE, Strike.EXPIRED,
-                Strike.RESTART);
-        DrainCheck.Result result = new DrainCheck(new DrainCheck.Plan(8, 9, 100, 1, strikes,
-                CoordinatedSite.Source.NODES, CoordinatedSite.LEAST_SESSION), out).run(JAR);
+        Set<Strike> strikes =
+                EnumSet.of(
+                        Strike.CUT,
+                        Strike.RESET,
+                        Strike.HALF,
+                        Strike.LATE,
+                        Strike.EXPIRED,
+                        Strike.RESTART);
+        DrainCheck.Result result =
+                new DrainCheck(
+                                new DrainCheck.Plan(
+                                        8,
+                                        9,
+                                        100,
+                                        1,
+                                        strikes,
+                                        CoordinatedSite.Source.NODES,
+                                        CoordinatedSite.LEAST_SESSION),
+                                out)
+                        .run(JAR);
         assertTrue(result.held(), said::toString);
         assertTrue(result.ends() > 0, said::toString);
     }
 
     @Test
     void anOutageCostsNoRequest() throws Exception {
-        OutageCheck.Result result = new OutageCheck(new OutageCheck.Plan(1, 3, 6, 100, 1, 2000),
-                out).run(JAR);
+        OutageCheck.Result result =
+                new OutageCheck(new OutageCheck.Plan(1, 3, 6, 100, 1, 2000), out).run(JAR);
         assertEquals(0, result.lost(), said::toString);
         assertEquals(0, result.refused(), said::toString);
         assertEquals(1, result.righted().count(), said::toString);
