--- a/rig/src/test/java/appleridge/rig/coordination/RelayTest.java
+++ b/rig/src/test/java/appleridge/rig/coordination/RelayTest.java
@@ -28,9 +28,10 @@
 class RelayTest {
     private static final int SESSION_MILLIS = 15_000;
 
-    private record Told(Heard what, long at) { }
+    private record Told(Heard what, long at) {}
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final RealTime time = new RealTime();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
     private final BlockingQueue<KeeperState> states = new LinkedBlockingQueue<>();
@@ -43,7 +44,12 @@
     @BeforeEach
     void begin() throws Exception {
         server = CoordinationServer.alone(CoordinationServer.Times.QUICK);
-        relay = new Relay(group.next(), time, server.address(), (what, at) -> told.add(new Told(what, at)));
+        relay =
+                new Relay(
+                        group.next(),
+                        time,
+                        server.address(),
+                        (what, at) -> told.add(new Told(what, at)));
         relay.listen();
         writer = new NodeWriter(server.address(), "/s", SESSION_MILLIS);
         writer.ground();
@@ -65,13 +71,18 @@
     }
 
     private ZooKeeper client() throws Exception {
-        ZooKeeper client = new ZooKeeper("127.0.0.1:" + relay.address().getPort(), SESSION_MILLIS, event -> {
-            if (event.getType() == EventType.None) {
-                states.add(event.getState());
-            } else {
-                events.add(time.nanos());
-            }
-        }, true);
+        ZooKeeper client =
+                new ZooKeeper(
+                        "127.0.0.1:" + relay.address().getPort(),
+                        SESSION_MILLIS,
+                        event -> {
+                            if (event.getType() == EventType.None) {
+                                states.add(event.getState());
+                            } else {
+                                events.add(time.nanos());
+                            }
+                        },
+                        true);
         open.add(() -> client.close(100));
         return client;
     }
--- a/rig/src/test/java/appleridge/rig/demo/DemoIT.java
+++ b/rig/src/test/java/appleridge/rig/demo/DemoIT.java
@@ -18,13 +18,18 @@
 /** The packaged rig, playing the packaged sidecar. */
 @Timeout(180)
 class DemoIT {
-    @TempDir
-    private Path temporary;
+    @TempDir private Path temporary;
 
     private Process demo(String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Djava.io.tmpdir=" + temporary, "-XX:-UsePerfData", "-jar", "target/rig.jar", "demo"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-Djava.io.tmpdir=" + temporary,
+                                "-XX:-UsePerfData",
+                                "-jar",
+                                "target/rig.jar",
+                                "demo"));
         command.addAll(List.of(args));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
     }
@@ -40,8 +45,14 @@
         Process demo = demo("--seconds", "6");
         String said = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(0, demo.waitFor(), said);
-        for (String rule : new String[] {"no request is lost +kept", "no effect happens twice +kept",
-                "drains are kept +kept", "no cold server is pushed over +kept", "the four rules held"}) {
+        for (String rule :
+                new String[] {
+                    "no request is lost +kept",
+                    "no effect happens twice +kept",
+                    "drains are kept +kept",
+                    "no cold server is pushed over +kept",
+                    "the four rules held"
+                }) {
             assertTrue(said.lines().anyMatch(line -> line.matches(rule + ".*")), said);
         }
         assertTrue(leftNothing());
--- a/rig/src/test/java/appleridge/rig/demo/OptionsTest.java
+++ b/rig/src/test/java/appleridge/rig/demo/OptionsTest.java
@@ -17,16 +17,20 @@
 
     @Test
     void allCanBeSaid() {
-        assertEquals(new Options(60, 7, 200, Path.of("a.jar")),
+        assertEquals(
+                new Options(60, 7, 200, Path.of("a.jar")),
                 Options.parse("--seconds", "60", "--seed", "7", "--rate", "200", "--jar", "a.jar"));
     }
 
     @Test
     void whatMakesNoSenseIsNamed() {
-        for (String[] args : new String[][] {{"--seconds"}, {"--seconds", "4"}, {"--rate", "301"},
-                {"--seed", "x"}, {"fast"}}) {
-            String told = assertThrows(IllegalArgumentException.class, () -> Options.parse(args))
-                    .getMessage();
+        for (String[] args :
+                new String[][] {
+                    {"--seconds"}, {"--seconds", "4"}, {"--rate", "301"}, {"--seed", "x"}, {"fast"}
+                }) {
+            String told =
+                    assertThrows(IllegalArgumentException.class, () -> Options.parse(args))
+                            .getMessage();
             assertTrue(told.contains(args[0]), told);
         }
     }
--- a/rig/src/test/java/appleridge/rig/demo/VerdictTest.java
+++ b/rig/src/test/java/appleridge/rig/demo/VerdictTest.java
@@ -36,16 +36,33 @@
 
     private void asks(String id, int kind, long at) {
         RequestKind asked = RequestKind.ALL.get(kind);
-        log.asks(new Ask(id, id, asked, "roue-dor", asked.repeats().keyed() ? "key-" + id : null, 0,
-                millis(at), asked.patience()));
+        log.asks(
+                new Ask(
+                        id,
+                        id,
+                        asked,
+                        "roue-dor",
+                        asked.repeats().keyed() ? "key-" + id : null,
+                        0,
+                        millis(at),
+                        asked.patience()));
         log.taken(id, millis(at));
     }
 
     /** At s1 in zone a, s2 in zone b, s3 in zone a. */
     private void arrives(String id, String server, long at, boolean turnedAway) {
         Ask ask = log.tries.get(id).ask;
-        log.arrived(new Arrival(server, server.equals("s2") ? "b" : "a", id, ask.kind(), ask.key(),
-                millis(at), millis(at), ask.kind().work(), turnedAway));
+        log.arrived(
+                new Arrival(
+                        server,
+                        server.equals("s2") ? "b" : "a",
+                        id,
+                        ask.kind(),
+                        ask.key(),
+                        millis(at),
+                        millis(at),
+                        ask.kind().work(),
+                        turnedAway));
     }
 
     private void runs(String id, String server, long at) {
@@ -255,8 +272,16 @@
         asks("first", INVOICE, 0);
         arrives("first", "s1", 5, false);
         answered("first", 502, "", 50);
-        log.asks(new Ask("again", "first", RequestKind.ALL.get(INVOICE), "roue-dor", null, 1, millis(100),
-                millis(1000)));
+        log.asks(
+                new Ask(
+                        "again",
+                        "first",
+                        RequestKind.ALL.get(INVOICE),
+                        "roue-dor",
+                        null,
+                        1,
+                        millis(100),
+                        millis(1000)));
         runs("again", "s2", 105);
         answered("again", 200, "again by s2", 150);
         assertTwice("raise-invoice first");
@@ -264,7 +289,9 @@
 
     @Test
     void whatNoClientAskedForMustNotReachAServer() {
-        log.arrived(new Arrival("s1", "a", "bad-client", RequestKind.ALL.get(CHECK), null, 0, 0, 0, false));
+        log.arrived(
+                new Arrival(
+                        "s1", "a", "bad-client", RequestKind.ALL.get(CHECK), null, 0, 0, 0, false));
         assertTwice("which no client asks for");
     }
 
--- a/rig/src/test/java/appleridge/rig/judge/AnswerRulesTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/AnswerRulesTest.java
@@ -10,7 +10,9 @@
     private final Scene scene = new Scene();
 
     private Scene taken() {
-        return scene.at(Scene.S).taken("r", Scene.STOCK_CHECK, 400 * Scene.MS).after(5 * Scene.MS)
+        return scene.at(Scene.S)
+                .taken("r", Scene.STOCK_CHECK, 400 * Scene.MS)
+                .after(5 * Scene.MS)
                 .arrived("a-1", "r");
     }
 
--- a/rig/src/test/java/appleridge/rig/judge/CoverageTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/CoverageTest.java
@@ -44,9 +44,11 @@
         Impossible usual = Impossible.usual();
         assertNull(usual.why("kill", RequestState.IDLE));
         assertNull(usual.why("up-reset", RequestState.ANSWERING));
-        assertEquals("no connection to a server carries the request",
+        assertEquals(
+                "no connection to a server carries the request",
                 usual.why("up-reset", RequestState.HELD));
-        assertEquals("the answer has begun as it is", usual.why("spoil", RequestState.RESEND_ANSWERING));
+        assertEquals(
+                "the answer has begun as it is", usual.why("spoil", RequestState.RESEND_ANSWERING));
     }
 
     @Test
@@ -57,13 +59,19 @@
         List<String> lines = coverage.text(Impossible.usual()).lines().toList();
         assertEquals(3, lines.size());
         assertTrue(lines.get(0).startsWith("fault     arriving"), lines.get(0));
-        assertTrue(lines.get(1).startsWith("kill             0") && lines.get(1).endsWith("1"), lines.get(1));
-        assertTrue(lines.get(2).startsWith("up-reset         -") && lines.get(2).endsWith("-"), lines.get(2));
+        assertTrue(
+                lines.get(1).startsWith("kill             0") && lines.get(1).endsWith("1"),
+                lines.get(1));
+        assertTrue(
+                lines.get(2).startsWith("up-reset         -") && lines.get(2).endsWith("-"),
+                lines.get(2));
         assertEquals(lines.get(0).length(), lines.get(2).length());
         String markdown = coverage.markdown(Impossible.usual());
         assertTrue(markdown.startsWith("| fault | arriving | held |"), markdown);
         assertTrue(markdown.contains("| up-reset | - | - | 0 | 0 | 1 |"), markdown);
-        assertTrue(markdown.contains("| up-* | arriving, held, answered, resend held, idle | no connection"),
+        assertTrue(
+                markdown.contains(
+                        "| up-* | arriving, held, answered, resend held, idle | no connection"),
                 markdown);
         assertFalse(markdown.contains("spoil"), markdown);
     }
@@ -109,8 +117,11 @@
         assertNull(usual.why("connect-refused", RequestState.RESEND_CONNECTING));
         assertNull(usual.why("up-cut-answer", RequestState.RESEND_ANSWERING));
         assertNull(usual.why("window-closes", RequestState.RESEND_WRITING));
-        assertEquals("it meets those who connect", usual.why("connect-refused", RequestState.WRITING));
-        assertEquals("it breaks in the answer's bytes", usual.why("up-cut-answer", RequestState.WRITTEN));
+        assertEquals(
+                "it meets those who connect", usual.why("connect-refused", RequestState.WRITING));
+        assertEquals(
+                "it breaks in the answer's bytes",
+                usual.why("up-cut-answer", RequestState.WRITTEN));
         assertEquals("nothing is resent", usual.why("window-closes", RequestState.WRITING));
     }
 
@@ -135,10 +146,18 @@
         assertEquals(new Counts(14, 2, 4, 4, 2, 4, 2), counts.plus(counts));
         Verdict good = new Verdict(7, 255, List.of(), counts, new Coverage(), 20);
         assertTrue(good.good());
-        assertEquals("seed 7: no rule broken, 7 asked, 1 served, 2 refused, 2 failed, 1 left, 2 attempts, "
-                + "1 resends, digest ff", good.text());
-        Verdict bad = new Verdict(7, 255, List.of(new Broken(Rule.LOST, 1_500_000_000L, "d", "why")), counts,
-                new Coverage(), 20);
+        assertEquals(
+                "seed 7: no rule broken, 7 asked, 1 served, 2 refused, 2 failed, 1 left, 2"
+                        + " attempts, 1 resends, digest ff",
+                good.text());
+        Verdict bad =
+                new Verdict(
+                        7,
+                        255,
+                        List.of(new Broken(Rule.LOST, 1_500_000_000L, "d", "why")),
+                        counts,
+                        new Coverage(),
+                        20);
         assertFalse(bad.good());
         assertTrue(bad.text().startsWith("seed 7: 1 broken, "));
         assertTrue(bad.text().endsWith("\n  LOST at 1.500000000s d: why"));
--- a/rig/src/test/java/appleridge/rig/judge/DrainRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/DrainRuleTest.java
@@ -13,7 +13,8 @@
 
     /** Sends up to the grace after a moment are fine, and the next one isn't. */
     private void assertToldAt(long moment) {
-        scene.at(Math.max(scene.now, moment + GRACE + 100 * MS)).begun("a-1", "in time", moment + GRACE);
+        scene.at(Math.max(scene.now, moment + GRACE + 100 * MS))
+                .begun("a-1", "in time", moment + GRACE);
         assertEquals(List.of(), scene.rules());
         scene.begun("a-1", "late", moment + GRACE + 1);
         assertEquals(List.of(Rule.DRAIN), scene.rules());
@@ -149,7 +150,11 @@
     /** Who was told of a later version knows better than a list that is older. */
     @Test
     void aStaleDrainObligesToNothing() {
-        scene.at(S).knows("a-1", "Terminating", 0).at(2 * S).knows("a-1", "Ready", 0).told("a-1", "Ready", 0);
+        scene.at(S)
+                .knows("a-1", "Terminating", 0)
+                .at(2 * S)
+                .knows("a-1", "Ready", 0)
+                .told("a-1", "Ready", 0);
         scene.at(3 * S).told("a-1", "Terminating", 0);
         called(1, false, MS);
         assertNotToldBy(6 * S);
--- a/rig/src/test/java/appleridge/rig/judge/EffectRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/EffectRuleTest.java
@@ -115,7 +115,10 @@
 
     @Test
     void aWindowClosesAndASlackBehindIt() {
-        taken(Scene.STOCK_HOLD).arrived("a-1", "r", 2 * S).at(4 * S).arrived("a-2", "r", 3 * S + 50 * MS);
+        taken(Scene.STOCK_HOLD)
+                .arrived("a-1", "r", 2 * S)
+                .at(4 * S)
+                .arrived("a-2", "r", 3 * S + 50 * MS);
         assertFine();
         scene.arrived("a-2", "r", 3 * S + 50 * MS + 1);
         assertDuplicate("repeated when its window had passed");
@@ -123,7 +126,10 @@
 
     @Test
     void aKeyOfAllMayGoAnywhereWithinItsWindow() {
-        taken(Scene.ORDER_CONFIRM).arrived("a-1", "r", 2 * S).at(10 * S).arrived("b-1", "r", 9550 * MS);
+        taken(Scene.ORDER_CONFIRM)
+                .arrived("a-1", "r", 2 * S)
+                .at(10 * S)
+                .arrived("b-1", "r", 9550 * MS);
         assertFine();
         scene.arrived("a-2", "r", 9550 * MS + 1);
         assertDuplicate("repeated when its window had passed");
@@ -156,7 +162,10 @@
         scene.judge.saysNotRun("a-1", 1, "s");
         scene.after(MS).answered("s", 503, "");
         scene.taken("t", Scene.RAISE_INVOICE, S).begun("a-1", "t").after(MS).answered("t", 503, "");
-        scene.taken("u", Scene.RAISE_INVOICE, S).arrived("a-1", "u").after(MS).answered("u", 502, "");
+        scene.taken("u", Scene.RAISE_INVOICE, S)
+                .arrived("a-1", "u")
+                .after(MS)
+                .answered("u", 502, "");
         assertFine();
     }
 
--- a/rig/src/test/java/appleridge/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/JudgeTest.java
@@ -29,7 +29,8 @@
         scene.at(Scene.S).taken("r", Scene.RAISE_INVOICE, 400 * MS);
         scene.arrived("a-1", "r").arrived("a-1", "r").arrived("a-1", "r");
         assertEquals(List.of(Rule.DUPLICATE), scene.rules());
-        assertTrue(scene.judge.broken().get(0).toString().startsWith("DUPLICATE at 1.000000000s r: "));
+        assertTrue(
+                scene.judge.broken().get(0).toString().startsWith("DUPLICATE at 1.000000000s r: "));
     }
 
     @Test
@@ -62,19 +63,26 @@
     @Test
     void allThatIsToldIsPassedOn() throws ReflectiveOperationException {
         List<String> heard = new ArrayList<>();
-        InvocationHandler ear = (proxy, method, arguments) -> {
-            heard.add(method.getName());
-            return null;
-        };
-        Evidence listener = (Evidence) Proxy.newProxyInstance(getClass().getClassLoader(),
-                new Class<?>[] {Evidence.class}, ear);
+        InvocationHandler ear =
+                (proxy, method, arguments) -> {
+                    heard.add(method.getName());
+                    return null;
+                };
+        Evidence listener =
+                (Evidence)
+                        Proxy.newProxyInstance(
+                                getClass().getClassLoader(), new Class<?>[] {Evidence.class}, ear);
         Fan fan = new Fan(List.of(listener, listener));
         for (Method each : Evidence.class.getMethods()) {
             Object[] arguments = new Object[each.getParameterCount()];
             for (int i = 0; i < arguments.length; i++) {
                 Class<?> type = each.getParameterTypes()[i];
-                arguments[i] = type == long.class ? (Object) 0L : type == int.class ? (Object) 0
-                        : type == boolean.class ? (Object) false : null;
+                arguments[i] =
+                        type == long.class
+                                ? (Object) 0L
+                                : type == int.class
+                                        ? (Object) 0
+                                        : type == boolean.class ? (Object) false : null;
             }
             heard.clear();
             each.invoke(fan, arguments);
--- a/rig/src/test/java/appleridge/rig/judge/LateRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/LateRuleTest.java
@@ -8,8 +8,12 @@
 class LateRuleTest {
     private static final long MS = Scene.MS;
     private static final long S = Scene.S;
-    /** Taken at one second: deadline, the rules' slack, the sockets', one way and the loop's work. */
+
+    /**
+     * Taken at one second: deadline, the rules' slack, the sockets', one way and the loop's work.
+     */
     private static final long DUE = S + (400 + 20 + 50 + 5 + 5) * MS;
+
     private final Scene scene = new Scene();
 
     private Scene taken() {
--- a/rig/src/test/java/appleridge/rig/judge/LostRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/LostRuleTest.java
@@ -11,7 +11,10 @@
     private final Scene scene = new Scene();
 
     private void taken() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(5 * MS).arrived("a-1", "r")
+        scene.at(S)
+                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+                .after(5 * MS)
+                .arrived("a-1", "r")
                 .after(50 * MS);
     }
 
@@ -101,7 +104,10 @@
         broken(false);
         assertLost();
         Scene other = new Scene();
-        other.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).arrived("a-1", "r").at(S + 1501 * MS);
+        other.at(S)
+                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+                .arrived("a-1", "r")
+                .at(S + 1501 * MS);
         other.judge.answerBroken("r", "closed", false);
         assertEquals(List.of(Rule.LATE), other.rules());
     }
@@ -144,7 +150,10 @@
         scene.unread.add("r");
         broken(false);
         scene.unread.clear();
-        scene.after(MS).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(5 * MS).arrived("a-1", "r");
+        scene.after(MS)
+                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+                .after(5 * MS)
+                .arrived("a-1", "r");
         assertKept();
         broken(false);
         assertLost();
@@ -177,7 +186,9 @@
     private void killedAfterTerm(long untilKill, long takenBefore) {
         scene.at(S);
         scene.judge.sidecarTerm(Scene.SIDE, 1);
-        scene.at(S + untilKill - takenBefore).taken("r", Scene.STOCK_CHECK, 400 * MS).at(S + untilKill);
+        scene.at(S + untilKill - takenBefore)
+                .taken("r", Scene.STOCK_CHECK, 400 * MS)
+                .at(S + untilKill);
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         scene.after(MS);
         broken(false);
@@ -204,11 +215,14 @@
     @Test
     void sigkillConcernsItsOwnProcessAndWhatIsStillOpen() {
         scene.judge.sidecarStarted("side-1", 1);
-        scene.at(S).taken("open", Scene.STOCK_CHECK, 400 * MS).taken("answered", Scene.STOCK_CHECK, 400 * MS);
+        scene.at(S)
+                .taken("open", Scene.STOCK_CHECK, 400 * MS)
+                .taken("answered", Scene.STOCK_CHECK, 400 * MS);
         scene.after(MS).answered("answered", 504, "");
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.asks(new Try("other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
+        scene.judge.asks(
+                new Try("other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
         scene.judge.asked("other");
         scene.judge.sidecarTerm(Scene.SIDE, 2);
         scene.after(9 * S);
--- a/rig/src/test/java/appleridge/rig/judge/OtherRulesTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/OtherRulesTest.java
@@ -158,10 +158,14 @@
 
     @Test
     void whateverIsLeftIsALeak() {
-        List<Books> leaks = List.of(
-                new Books(1, 0, 0, 0, 0, 0, List.of()), new Books(0, 1, 0, 0, 0, 0, List.of()),
-                new Books(0, 0, 1, 0, 0, 0, List.of()), new Books(0, 0, 0, 1, 0, 0, List.of()),
-                new Books(0, 0, 0, 0, 1, 0, List.of()), new Books(0, 0, 0, 0, 0, 1, List.of()));
+        List<Books> leaks =
+                List.of(
+                        new Books(1, 0, 0, 0, 0, 0, List.of()),
+                                new Books(0, 1, 0, 0, 0, 0, List.of()),
+                        new Books(0, 0, 1, 0, 0, 0, List.of()),
+                                new Books(0, 0, 0, 1, 0, 0, List.of()),
+                        new Books(0, 0, 0, 0, 1, 0, List.of()),
+                                new Books(0, 0, 0, 0, 0, 1, List.of()));
         for (int i = 0; i < leaks.size(); i++) {
             scene.judge.books("side-" + i, leaks.get(i), Books.empty());
             assertEquals(i + 1, scene.rules().size());
@@ -233,8 +237,19 @@
         scene.judge.lastFaultOver();
         scene.at(12 * S);
         for (int i = 0; i < 2; i++) {
-            scene.judge.asks(new Try("r" + i, "r" + i, 0, Scene.SIDE, 0, 0, null, i, scene.now, 400 * MS,
-                    500 * MS));
+            scene.judge.asks(
+                    new Try(
+                            "r" + i,
+                            "r" + i,
+                            0,
+                            Scene.SIDE,
+                            0,
+                            0,
+                            null,
+                            i,
+                            scene.now,
+                            400 * MS,
+                            500 * MS));
         }
         scene.at(13 * S);
         scene.judge.dayEnds();
--- a/rig/src/test/java/appleridge/rig/judge/QuietRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/QuietRuleTest.java
@@ -29,7 +29,8 @@
 
     private void assertFound(String what) {
         assertEquals(List.of(Rule.BOOKS), scene.rules());
-        assertTrue(scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
+        assertTrue(
+                scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/judge/RequestRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/RequestRuleTest.java
@@ -10,7 +10,8 @@
 class RequestRuleTest {
     private static final long MS = Scene.MS;
     private static final long DEADLINE = 400 * MS;
-    private static final Message OWN = Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3);
+    private static final Message OWN =
+            Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3);
     private final Scene scene = new Scene();
 
     @BeforeEach
@@ -26,7 +27,8 @@
 
     private void assertFound(String what) {
         assertEquals(List.of(Rule.WRONG_REQUEST), scene.rules());
-        assertTrue(scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
+        assertTrue(
+                scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
     }
 
     @Test
@@ -45,8 +47,9 @@
     @Test
     void theQueryBelongsToIt() {
         reads("r", Message.of("POST", "/api/x", null, new byte[] {1, 2}, 2), 390 * MS);
-        assertFound("path and query /api/x instead of /api/x?a=1, Idempotency-Key null instead of k, "
-                + "length 2 instead of 3");
+        assertFound(
+                "path and query /api/x instead of /api/x?a=1, Idempotency-Key null instead of k, "
+                        + "length 2 instead of 3");
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/judge/RequestStatesTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/RequestStatesTest.java
@@ -139,7 +139,8 @@
 
     @Test
     void aBodyIsPartOfTheRequestInWhateverPiecesItComes() throws IOException {
-        String post = "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 10\r\n\r\n0123456789";
+        String post =
+                "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 10\r\n\r\n0123456789";
         wire.asks("r");
         for (int i = 0; i < post.length(); i++) {
             Wire.write(client, post.substring(i, i + 1));
@@ -158,7 +159,9 @@
     @Test
     void chunksEndWithAnEmptyOne() throws IOException {
         wire.asks("r");
-        Wire.write(client, "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n");
+        Wire.write(
+                client,
+                "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n");
         Wire.write(client, "3\r\n0\r\n\r\n0\r\n\r");
         assertFalse(states.wasRead("r"));
         wire.run();
--- a/rig/src/test/java/appleridge/rig/judge/Scene.java
+++ b/rig/src/test/java/appleridge/rig/judge/Scene.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A judge with a clock set by hand and sockets that show what a test says; one sidecar that runs. */
+/**
+ * A judge with a clock set by hand and sockets that show what a test says; one sidecar that runs.
+ */
 final class Scene implements Wires, Load, Ledger {
     static final long MS = Spans.MS;
     static final long S = Spans.SECOND;
@@ -25,8 +27,10 @@
     final Map<String, Long> closed = new HashMap<>();
     final Map<String, Long> accepted = new HashMap<>();
     final List<Span> busy = new ArrayList<>();
+
     /** What the sidecar says of itself, and what is there; null: no process runs. */
     Books books = Books.empty();
+
     int clients;
     int upstreams;
     long now;
@@ -34,8 +38,7 @@
 
     /** Servers named a-1, a-2, b-1 ...: their zones are their first letters. */
     Scene() {
-        judge = Judge.ofDay(figures, () -> now, server -> server.substring(0, 1), this, this,
-                this);
+        judge = Judge.ofDay(figures, () -> now, server -> server.substring(0, 1), this, this, this);
         judge.sidecarStarted(SIDE, 1);
         judge.sidecarReady(SIDE, 1);
     }
@@ -96,13 +99,17 @@
         return at(now + nanos);
     }
 
-    /** A request is asked and taken now, by a client that waits for a second longer than its deadline. */
+    /**
+     * A request is asked and taken now, by a client that waits for a second longer than its
+     * deadline.
+     */
     Scene taken(String id, int requestClass, long deadline) {
         return taken(id, requestClass, deadline, deadline + S);
     }
 
     Scene taken(String id, int requestClass, long deadline, long patience) {
-        judge.asks(new Try(id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
+        judge.asks(
+                new Try(id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
         judge.asked(id);
         return this;
     }
--- a/rig/src/test/java/appleridge/rig/judge/SentAfterRuleTest.java
+++ b/rig/src/test/java/appleridge/rig/judge/SentAfterRuleTest.java
@@ -7,8 +7,10 @@
 
 class SentAfterRuleTest {
     private static final long MS = Scene.MS;
+
     /** One way, the quantum and the loop's work. */
     private static final long HEARD = 15 * MS;
+
     private final Scene scene = new Scene();
 
     private Scene taken() {
--- a/rig/src/test/java/appleridge/rig/judge/Wire.java
+++ b/rig/src/test/java/appleridge/rig/judge/Wire.java
@@ -26,8 +26,10 @@
     final SimListener sideListens;
     final SimListener serverListens;
     final RequestStates states = new RequestStates();
+
     /** Each state that was entered, with the request. */
     final List<String> entered = new ArrayList<>();
+
     private long keys;
 
     Wire() throws IOException {
@@ -48,11 +50,12 @@
     }
 
     private Host host(String name, int last) throws IOException {
-        return network.host(name, InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) last}), 100);
+        return network.host(
+                name, InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) last}), 100);
     }
 
     SimSocket connect(Host from, SimListener to) throws IOException {
-        return from.connect(to.address(), new SimSocket.Events() { });
+        return from.connect(to.address(), new SimSocket.Events() {});
     }
 
     /** Both ends, client's first. */
@@ -67,8 +70,19 @@
     }
 
     void asks(String id) {
-        states.asks(new Try(id, id, 0, SIDE, 0, 0, null, ++keys, simulation.now(), 400_000_000L,
-                500_000_000L));
+        states.asks(
+                new Try(
+                        id,
+                        id,
+                        0,
+                        SIDE,
+                        0,
+                        0,
+                        null,
+                        ++keys,
+                        simulation.now(),
+                        400_000_000L,
+                        500_000_000L));
         states.moduleTook(SIDE, 1, keys, keys);
     }
 
@@ -95,7 +109,8 @@
     }
 
     static String get(String id) {
-        return "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id
+        return "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: "
+                + id
                 + "\r\nX-Class: stock-check\r\n\r\n";
     }
 
--- a/rig/src/test/java/appleridge/rig/lease/CheckLeasesTest.java
+++ b/rig/src/test/java/appleridge/rig/lease/CheckLeasesTest.java
@@ -14,14 +14,25 @@
 /** The short form of {@code check-leases}, and that what it says of states holds. */
 class CheckLeasesTest {
     /** Those that are found within ten thousand states; the command finds all. */
-    private static final Set<String> SHORT = Set.of("no-guard", "no-guard-of-waiter", "drift-ignored",
-            "pause-longer", "take-over-not-waited-out", "shrunk-at-once", "token-repeats", "release-undone",
-            "parts-rounded-up");
+    private static final Set<String> SHORT =
+            Set.of(
+                    "no-guard",
+                    "no-guard-of-waiter",
+                    "drift-ignored",
+                    "pause-longer",
+                    "take-over-not-waited-out",
+                    "shrunk-at-once",
+                    "token-repeats",
+                    "release-undone",
+                    "parts-rounded-up");
 
     @Test
     void theProductIsSoundInShort() {
-        for (String scope : List.of("timed asked 35 1 all 1 0 1 8", "timed held 355 1 all 0 0 1 8",
-                "fenced held 44 1 STOPS 0 1 1 16")) {
+        for (String scope :
+                List.of(
+                        "timed asked 35 1 all 1 0 1 8",
+                        "timed held 355 1 all 0 0 1 8",
+                        "fenced held 44 1 STOPS 0 1 1 16")) {
             String said = Explorer.explore(scope);
             assertTrue(said.startsWith("sound"), scope + ": " + said);
         }
--- a/rig/src/test/java/appleridge/rig/lease/LeaseStoreTest.java
+++ b/rig/src/test/java/appleridge/rig/lease/LeaseStoreTest.java
@@ -134,13 +134,20 @@
     }
 
     private static ZooKeeperSettings settings(InetSocketAddress... servers) {
-        return new ZooKeeperSettings(List.of(servers), "", ROOT, false, SESSION_MILLIS, false, null, null,
-                1 << 20);
+        return new ZooKeeperSettings(
+                List.of(servers), "", ROOT, false, SESSION_MILLIS, false, null, null, 1 << 20);
     }
 
     private LeaseStore store(String nonce, Told told, InetSocketAddress... servers) {
-        LeaseStore store = new ZooKeeperLeaseStore(settings(servers), "nightly", "host/" + nonce, nonce, told,
-                Runnable::run, log::add);
+        LeaseStore store =
+                new ZooKeeperLeaseStore(
+                        settings(servers),
+                        "nightly",
+                        "host/" + nonce,
+                        nonce,
+                        told,
+                        Runnable::run,
+                        log::add);
         open.add(store);
         store.start();
         return store;
@@ -153,7 +160,9 @@
     }
 
     private ZooKeeper operator() throws Exception {
-        operator = new ZooKeeper("127.0.0.1:" + server.address().getPort(), SESSION_MILLIS, event -> { });
+        operator =
+                new ZooKeeper(
+                        "127.0.0.1:" + server.address().getPort(), SESSION_MILLIS, event -> {});
         open.add(() -> operator.close(100));
         return operator;
     }
@@ -179,12 +188,16 @@
         told.await("conflicted 5");
         store.read(6);
         told.await("read 6");
-        assertEquals(new Entry(1, 1, "host", "a/4", TimeUnit.SECONDS.toNanos(2), false), told.entry);
-        String json = new String(operator().getData(RECORD, false, new Stat()), StandardCharsets.UTF_8);
+        assertEquals(
+                new Entry(1, 1, "host", "a/4", TimeUnit.SECONDS.toNanos(2), false), told.entry);
+        String json =
+                new String(operator().getData(RECORD, false, new Stat()), StandardCharsets.UTF_8);
         assertTrue(json.startsWith("{\"holder\":\"host\",\"token\":1,\"since\":\"20"), json);
     }
 
-    /** Guards against a write that was done and is taken for one that was not, and the other way. */
+    /**
+     * Guards against a write that was done and is taken for one that was not, and the other way.
+     */
     @Test
     void anAnswerThatIsLostLeavesItOpenWhetherItWasDone() throws Exception {
         Told told = new Told();
@@ -314,7 +327,9 @@
         assertEquals("read 2", told.either("read 2", "unknown 2"));
     }
 
-    /** Guards against a version that comes twice: whose record it overwrites would not know of it. */
+    /**
+     * Guards against a version that comes twice: whose record it overwrites would not know of it.
+     */
     @Test
     void aRecordThatWasMadeAnewUnderTheHolderBreaksIt() throws Exception {
         Told told = new Told();
@@ -325,8 +340,7 @@
         told.await("read 2");
         byte[] data = operator().getData(RECORD, false, new Stat());
         operator.delete(RECORD, -1);
-        operator.create(RECORD, data, OPEN,
-                CreateMode.PERSISTENT);
+        operator.create(RECORD, data, OPEN, CreateMode.PERSISTENT);
         store.write(3, 0, entry(1, "a/3", false));
         told.await("broken");
     }
@@ -335,8 +349,7 @@
     void anOperatorsHandInTheRecordIsNoFreeLease() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
-        operator().create(RECORD, new byte[] {'x'}, OPEN,
-                CreateMode.PERSISTENT);
+        operator().create(RECORD, new byte[] {'x'}, OPEN, CreateMode.PERSISTENT);
         store.read(1);
         told.await("unknown 1");
         assertTrue(log.contains(RECORD + ": the record is not one of a lease"), log::toString);
@@ -350,9 +363,9 @@
         LeaseStore store = store("a", told, server.address());
         store.read(1);
         told.await("unknown 1");
-        assertEquals("the path of the leases is not there: " + ROOT, log.poll(20, TimeUnit.SECONDS));
-        operator.create(ROOT, new byte[0], OPEN,
-                CreateMode.PERSISTENT);
+        assertEquals(
+                "the path of the leases is not there: " + ROOT, log.poll(20, TimeUnit.SECONDS));
+        operator.create(ROOT, new byte[0], OPEN, CreateMode.PERSISTENT);
         told.await("connected");
     }
 
@@ -370,7 +383,9 @@
         assertEquals("broken", told.either("broken", "written 3 version 1"));
     }
 
-    /** Guards against who waits for good, and says nothing, at a line that an operator has deleted. */
+    /**
+     * Guards against who waits for good, and says nothing, at a line that an operator has deleted.
+     */
     @Test
     void aLineThatIsGoneIsMadeAgain() throws Exception {
         Told told = new Told();
--- a/rig/src/test/java/appleridge/rig/lease/TaskIT.java
+++ b/rig/src/test/java/appleridge/rig/lease/TaskIT.java
@@ -9,18 +9,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Real {@code task} processes on the stand-in, with faults between them: no two commands act at once. */
+/**
+ * Real {@code task} processes on the stand-in, with faults between them: no two commands act at
+ * once.
+ */
 @Timeout(60)
 class TaskIT {
     private static final Path JAR = Path.of("..", "sidecar", "target", "appleridge.jar");
     private static final long LONGEST_MILLIS = 25_000;
     private static final int LONG_MILLIS = 6000;
+
     /** More than a term's, at one each hundredth of a second. */
     private static final int ACTS = 500;
+
     private static final int EXIT_TERMINATED = 143;
     private static final int EXIT_NO_GUARDIAN = 70;
 
-    private static TaskFleet fleet(int size, int termMillis, TaskFleet.Manner... manners) throws Exception {
+    private static TaskFleet fleet(int size, int termMillis, TaskFleet.Manner... manners)
+            throws Exception {
         TaskFleet fleet = new TaskFleet(JAR, size, termMillis, manners);
         fleet.tasks.get(0).start();
         assertTrue(fleet.witness.awaitAbove(0, LONGEST_MILLIS), () -> logs(fleet));
@@ -48,7 +54,9 @@
         assertEquals(List.of(), fleet.witness.findings(), () -> logs(fleet));
     }
 
-    /** Guards against a command that goes on beside the next one because its parent can do nothing. */
+    /**
+     * Guards against a command that goes on beside the next one because its parent can do nothing.
+     */
     @Test
     void aHolderThatIsStoppedForLongerThanItsLeaseHasNoCommand() throws Exception {
         try (TaskFleet fleet = fleet(2, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.PLAIN)) {
@@ -65,8 +73,12 @@
     /** Guards against what a command does that ignores SIGTERM, and has a session of its own. */
     @Test
     void whateverHappensToTheHolderItsCommandDies() throws Exception {
-        try (TaskFleet fleet = fleet(3, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.APART,
-                TaskFleet.Manner.STUBBORN)) {
+        try (TaskFleet fleet =
+                fleet(
+                        3,
+                        TaskFleet.SHORT_MILLIS,
+                        TaskFleet.Manner.APART,
+                        TaskFleet.Manner.STUBBORN)) {
             fleet.tasks.get(0).kill();
             changes(fleet, 1);
             fleet.tasks.get(0).start();
@@ -83,23 +95,27 @@
         }
     }
 
-    /** Guards against a lease that rests on a session, and against tokens that are given out twice. */
+    /**
+     * Guards against a lease that rests on a session, and against tokens that are given out twice.
+     */
     @Test
-    void aStoreThatStartsAgainWithoutSessionsEndsNoCommandAndAWipedOneIsNotBelieved() throws Exception {
+    void aStoreThatStartsAgainWithoutSessionsEndsNoCommandAndAWipedOneIsNotBelieved()
+            throws Exception {
         try (TaskFleet fleet = fleet(2, LONG_MILLIS, TaskFleet.Manner.PLAIN)) {
             fleet.server.stop();
             fleet.server.start();
             for (long session : fleet.server.sessions()) {
                 fleet.server.expire(session);
             }
-            assertTrue(fleet.witness.awaitAct(fleet.witness.acts() + ACTS, LONGEST_MILLIS),
+            assertTrue(
+                    fleet.witness.awaitAct(fleet.witness.acts() + ACTS, LONGEST_MILLIS),
                     () -> logs(fleet));
             assertEquals(1, fleet.witness.token(), () -> logs(fleet));
             fleet.tasks.get(0).term();
             changes(fleet, 1);
             fleet.wipe();
-            while (fleet.tasks.get(1).log().stream().noneMatch(line -> line.contains(
-                    "state=refusing why=wiped"))) {
+            while (fleet.tasks.get(1).log().stream()
+                    .noneMatch(line -> line.contains("state=refusing why=wiped"))) {
                 assertTrue(fleet.tasks.get(1).alive(), () -> logs(fleet));
                 Thread.sleep(10);
             }
--- a/rig/src/test/java/appleridge/rig/loopback/StandInsTest.java
+++ b/rig/src/test/java/appleridge/rig/loopback/StandInsTest.java
@@ -28,11 +28,13 @@
 /** Order server and discovery, asked by a client that nobody here wrote. */
 @Timeout(60)
 class StandInsTest {
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final RealTime time = new RealTime();
     private final Notes notes = new Notes();
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     @AfterEach
     void end() {
@@ -40,8 +42,15 @@
     }
 
     private LoopbackServer server(int queue) throws InterruptedException {
-        LoopbackServer server = new LoopbackServer(loop, time, new LoopbackServer.Identity("s1", "a",
-                ColdStart.Figures.USUAL, queue, false), new RepeatMemory(0), new SplittableRandom(1), notes);
+        LoopbackServer server =
+                new LoopbackServer(
+                        loop,
+                        time,
+                        new LoopbackServer.Identity(
+                                "s1", "a", ColdStart.Figures.USUAL, queue, false),
+                        new RepeatMemory(0),
+                        new SplittableRandom(1),
+                        notes);
         server.listen();
         return server;
     }
@@ -51,9 +60,12 @@
     }
 
     private static HttpRequest request(LoopbackServer server, String id) {
-        return HttpRequest.newBuilder(URI.create("http://" + server.endpoint() + "/api/order-confirm"))
-                .header("X-Request-Id", id).header("Idempotency-Key", "k")
-                .POST(HttpRequest.BodyPublishers.ofString("{}")).build();
+        return HttpRequest.newBuilder(
+                        URI.create("http://" + server.endpoint() + "/api/order-confirm"))
+                .header("X-Request-Id", id)
+                .header("Idempotency-Key", "k")
+                .POST(HttpRequest.BodyPublishers.ofString("{}"))
+                .build();
     }
 
     private <T> T onLoop(Callable<T> what) throws Exception {
@@ -68,7 +80,8 @@
         assertEquals("one done by s1 #1", first.body());
         assertTrue(first.headers().firstValue("X-Load").orElseThrow().startsWith("qps="));
         assertEquals("two known to s1 #2", confirm(server, "two").body());
-        assertEquals("[arrived one, made one, arrived two, made two]", onLoop(notes.lines::toString));
+        assertEquals(
+                "[arrived one, made one, arrived two, made two]", onLoop(notes.lines::toString));
     }
 
     @Test
@@ -83,10 +96,11 @@
     @Test
     void aResetComesWithinTheAnswerAndAfterTheWork() throws Exception {
         LoopbackServer server = server(10);
-        onLoop(() -> {
-            server.resets(1);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    server.resets(1);
+                    return null;
+                });
         // With a body the client does not try again by itself.
         assertThrows(IOException.class, () -> confirm(server, "one"));
         assertTrue(onLoop(notes.lines::toString).startsWith("[arrived one, made one"));
@@ -96,23 +110,31 @@
     void oneThatCrashedIsReplacedAtItsAddress() throws Exception {
         LoopbackServer server = server(10);
         int port = server.port();
-        onLoop(() -> {
-            server.slow(1000);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    server.slow(1000);
+                    return null;
+                });
         CompletableFuture<HttpResponse<String>> open =
                 http.sendAsync(request(server, "one"), HttpResponse.BodyHandlers.ofString());
         while (onLoop(notes.lines::isEmpty)) {
             Thread.onSpinWait();
         }
         CountDownLatch listening = new CountDownLatch(1);
-        LoopbackServer next = new LoopbackServer(loop, time, new LoopbackServer.Identity("s2", "a",
-                ColdStart.Figures.USUAL, 10, true), new RepeatMemory(0), new SplittableRandom(1), notes);
-        onLoop(() -> {
-            server.crash();
-            next.listen(port, listening::countDown);
-            return null;
-        });
+        LoopbackServer next =
+                new LoopbackServer(
+                        loop,
+                        time,
+                        new LoopbackServer.Identity("s2", "a", ColdStart.Figures.USUAL, 10, true),
+                        new RepeatMemory(0),
+                        new SplittableRandom(1),
+                        notes);
+        onLoop(
+                () -> {
+                    server.crash();
+                    next.listen(port, listening::countDown);
+                    return null;
+                });
         assertThrows(Exception.class, open::get);
         listening.await();
         assertEquals("two done by s2 #1", confirm(next, "two").body());
@@ -138,8 +160,11 @@
         assertEquals(1, change.path("targets").size());
         assertEquals(1, ask(registry, "").get().path("targets").size());
         assertEquals(0, ask(registry, "?since=3&timeout_ms=1").get().path("targets").size());
-        assertTrue(onLoop(notes.lines::toString).startsWith("[changed s1 READY, changed s2 READY, "
-                + "told s1 READY, told s2 READY, changed s1 GONE, told s1 GONE"));
+        assertTrue(
+                onLoop(notes.lines::toString)
+                        .startsWith(
+                                "[changed s1 READY, changed s2 READY, told s1 READY, told s2 READY,"
+                                        + " changed s1 GONE, told s1 GONE"));
     }
 
     @Test
@@ -158,28 +183,32 @@
     }
 
     private void away(LoopbackRegistry registry, boolean away) throws Exception {
-        onLoop(() -> {
-            registry.away(away);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    registry.away(away);
+                    return null;
+                });
     }
 
     private void set(LoopbackRegistry registry, String uid, State state) throws Exception {
-        onLoop(() -> {
-            registry.set(new LoopbackRegistry.Entry(uid, "127.0.0.1:1", "a", state, 0));
-            return null;
-        });
+        onLoop(
+                () -> {
+                    registry.set(new LoopbackRegistry.Entry(uid, "127.0.0.1:1", "a", state, 0));
+                    return null;
+                });
     }
 
     private CompletableFuture<JsonNode> ask(LoopbackRegistry registry, String query) {
         URI uri = URI.create("http://" + registry.endpoint() + "/registry/instances" + query);
-        return http.sendAsync(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
-                .thenApply(answer -> {
-                    try {
-                        return new ObjectMapper().readTree(answer.body());
-                    } catch (IOException e) {
-                        throw new IllegalStateException(e);
-                    }
-                });
+        return http.sendAsync(
+                        HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
+                .thenApply(
+                        answer -> {
+                            try {
+                                return new ObjectMapper().readTree(answer.body());
+                            } catch (IOException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
     }
 }
--- a/rig/src/test/java/appleridge/rig/net/ChannelTest.java
+++ b/rig/src/test/java/appleridge/rig/net/ChannelTest.java
@@ -65,7 +65,8 @@
     void carriesBuffersOfAllKindsInOnePiece() {
         SimChannel channel = connect();
         channel.write(bytes("heap "));
-        channel.write(Unpooled.directBuffer().writeBytes("direct ".getBytes(StandardCharsets.US_ASCII)));
+        channel.write(
+                Unpooled.directBuffer().writeBytes("direct ".getBytes(StandardCharsets.US_ASCII)));
         channel.write(Unpooled.EMPTY_BUFFER);
         channel.writeAndFlush(Unpooled.wrappedBuffer(bytes("com"), bytes("posite")));
         world.run(MS);
@@ -88,8 +89,11 @@
         assertEquals("client writable false", heard.get(heard.size() - 1));
         world.run(World.SECOND);
         assertTrue(second.isSuccess() && channel.isWritable());
-        int length = heard.stream().filter(each -> each.startsWith("server reads "))
-                .mapToInt(each -> each.length() - "server reads ".length()).sum();
+        int length =
+                heard.stream()
+                        .filter(each -> each.startsWith("server reads "))
+                        .mapToInt(each -> each.length() - "server reads ".length())
+                        .sum();
         assertEquals(7_000, length);
     }
 
@@ -130,8 +134,13 @@
         SimChannel channel = connect();
         channel.socket().fault(SimSocket.Fault.RESET);
         world.run(MS);
-        assertEquals(List.of("client Connection reset by peer", "client inactive",
-                "server Connection reset by peer", "server inactive"), heard.stream().sorted().toList());
+        assertEquals(
+                List.of(
+                        "client Connection reset by peer",
+                        "client inactive",
+                        "server Connection reset by peer",
+                        "server inactive"),
+                heard.stream().sorted().toList());
     }
 
     @Test
@@ -208,7 +217,9 @@
             world.run(2 * MS);
         }
         world.run(World.SECOND);
-        assertEquals(List.of(true, true, false), connects.stream().map(ChannelFuture::isSuccess).toList());
+        assertEquals(
+                List.of(true, true, false),
+                connects.stream().map(ChannelFuture::isSuccess).toList());
         world.run(3 * World.SECOND);
         assertTrue(connects.get(2).isSuccess());
         assertEquals(3, site.served.size());
--- a/rig/src/test/java/appleridge/rig/net/DeterminismTest.java
+++ b/rig/src/test/java/appleridge/rig/net/DeterminismTest.java
@@ -35,12 +35,14 @@
         world.simulation.after(50 * World.MS, () -> site.server.pause(30 * World.MS));
         world.simulation.after(100 * World.MS, () -> world.there().blackHole = true);
         world.simulation.after(200 * World.MS, () -> world.there().blackHole = false);
-        world.simulation.after(chance.nextLong(World.SECOND), () -> {
-            List<SimSocket> sockets = world.network.sockets(world.a);
-            if (!sockets.isEmpty()) {
-                chance.pick(sockets).fault(SimSocket.Fault.RESET);
-            }
-        });
+        world.simulation.after(
+                chance.nextLong(World.SECOND),
+                () -> {
+                    List<SimSocket> sockets = world.network.sockets(world.a);
+                    if (!sockets.isEmpty()) {
+                        chance.pick(sockets).fault(SimSocket.Fault.RESET);
+                    }
+                });
         world.run(5 * World.SECOND);
         assertTrue(site.answers > 0);
         assertEquals(List.of(), site.server.escaped());
--- a/rig/src/test/java/appleridge/rig/net/FaultTest.java
+++ b/rig/src/test/java/appleridge/rig/net/FaultTest.java
@@ -29,14 +29,15 @@
 
     private void begin(long seed) throws IOException {
         world = new World(seed);
-        world.network.tap(new Tap() {
-            @Override
-            public void ended(SimSocket socket, String how) {
-                ended.add(socket.host().name() + " " + how);
-            }
-        });
+        world.network.tap(
+                new Tap() {
+                    @Override
+                    public void ended(SimSocket socket, String how) {
+                        ended.add(socket.host().name() + " " + how);
+                    }
+                });
         listener = world.b.listen(World.at(2, 80), 5);
-        client = world.connect(listener, new SimSocket.Events() { });
+        client = world.connect(listener, new SimSocket.Events() {});
         server = client.peer();
     }
 
@@ -77,7 +78,8 @@
             assertEquals(7, World.write(client, "request"));
             world.run(MS);
             boolean broken = position < 7;
-            assertEquals("request".substring(0, Math.min(7, position)) + (broken ? "?" : ""),
+            assertEquals(
+                    "request".substring(0, Math.min(7, position)) + (broken ? "?" : ""),
                     World.read(server));
             assertEquals(broken ? "?" : "", World.read(client));
             assertEquals(7, client.bytesWritten());
@@ -87,12 +89,13 @@
     @Test
     void theSenderHearsOfABreakHalfATripLater() throws IOException {
         List<Long> heard = new ArrayList<>();
-        client.events(new SimSocket.Events() {
-            @Override
-            public void readable() {
-                heard.add(world.simulation.now());
-            }
-        });
+        client.events(
+                new SimSocket.Events() {
+                    @Override
+                    public void readable() {
+                        heard.add(world.simulation.now());
+                    }
+                });
         long sent = world.simulation.now();
         client.resetAtByte(3);
         World.write(client, "request");
@@ -120,7 +123,7 @@
 
     @Test
     void aBreakPlannedWhileItConnectsStrikesToo() throws IOException {
-        client = world.a.connect(World.at(2, 80), new SimSocket.Events() { });
+        client = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
         client.resetAtByte(2);
         world.run(MS);
         World.write(client, "abc");
@@ -204,7 +207,7 @@
         assertTrue(client.isReset());
         assertTrue(server.isReset());
         assertEquals(0, listener.waiting());
-        SimSocket again = world.connect(listener, new SimSocket.Events() { });
+        SimSocket again = world.connect(listener, new SimSocket.Events() {});
         assertTrue(again.isAccepted());
     }
 
@@ -222,7 +225,7 @@
 
     @Test
     void aDeadProcessResetsItsConnectionsAndRefusesNewOnes() throws IOException {
-        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() { });
+        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         world.b.die();
         world.run(199_000);
@@ -231,7 +234,7 @@
         assertTrue(client.isReset() && waiting.isReset());
         assertFalse(world.b.alive());
         assertEquals(0, world.b.descriptors());
-        SimSocket late = world.a.connect(World.at(2, 80), new SimSocket.Events() { });
+        SimSocket late = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         assertFalse(late.isOpen());
         world.b.listen(World.at(2, 80), 5);
@@ -244,14 +247,14 @@
         assertThrows(IOException.class, () -> next.listen(World.at(2, 80), 5));
         world.b.die();
         SimListener its = next.listen(World.at(2, 80), 5);
-        SimSocket socket = world.connect(its, new SimSocket.Events() { });
+        SimSocket socket = world.connect(its, new SimSocket.Events() {});
         assertEquals(next, socket.peerHost());
         assertEquals(next, socket.peer().host());
     }
 
     @Test
     void aListenerThatClosesResetsItsBacklog() throws IOException {
-        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() { });
+        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         listener.close();
         world.run(MS);
@@ -261,12 +264,13 @@
 
     @Test
     void aFaultFromWithinATapStrikesThatVeryWrite() throws IOException {
-        world.network.tap(new Tap() {
-            @Override
-            public void written(SimSocket by, byte[] bytes, int offset, int length) {
-                by.resetAtByte(by.bytesWritten() - 1);
-            }
-        });
+        world.network.tap(
+                new Tap() {
+                    @Override
+                    public void written(SimSocket by, byte[] bytes, int offset, int length) {
+                        by.resetAtByte(by.bytesWritten() - 1);
+                    }
+                });
         World.write(client, "request");
         world.run(MS);
         assertEquals("reques?", World.read(server));
@@ -287,12 +291,14 @@
     @Test
     void nobodyAtThatAddressMeansNoRoute() throws IOException {
         List<String> why = new ArrayList<>();
-        world.a.connect(World.at(9, 80), new SimSocket.Events() {
-            @Override
-            public void failed(IOException e) {
-                why.add(e.getClass().getSimpleName());
-            }
-        });
+        world.a.connect(
+                World.at(9, 80),
+                new SimSocket.Events() {
+                    @Override
+                    public void failed(IOException e) {
+                        why.add(e.getClass().getSimpleName());
+                    }
+                });
         world.run(5 * World.SECOND);
         assertEquals(List.of("NoRouteToHostException"), why);
     }
--- a/rig/src/test/java/appleridge/rig/net/LoopTest.java
+++ b/rig/src/test/java/appleridge/rig/net/LoopTest.java
@@ -46,7 +46,9 @@
         Set<String> orders = new HashSet<>();
         for (int seed = 0; seed < 30; seed++) {
             World other = new World(seed);
-            SimLoop its = new SimLoop(other.simulation, other.a, other.chance, new SimLoop.Costs(0, 0, 0));
+            SimLoop its =
+                    new SimLoop(
+                            other.simulation, other.a, other.chance, new SimLoop.Costs(0, 0, 0));
             StringBuilder order = new StringBuilder();
             its.schedule(() -> order.append("a"), 1, TimeUnit.MILLISECONDS);
             its.schedule(() -> order.append("b"), 1, TimeUnit.MILLISECONDS);
@@ -94,7 +96,8 @@
         loop.pause(100 * MS);
         loop.execute(() -> loop.pause(11 * MS));
         world.run(300 * MS);
-        assertEquals(List.of(new SimLoop.Busy(MS, 13 * MS), new SimLoop.Busy(151 * MS, 162 * MS)),
+        assertEquals(
+                List.of(new SimLoop.Busy(MS, 13 * MS), new SimLoop.Busy(151 * MS, 162 * MS)),
                 loop.busy());
     }
 
@@ -110,31 +113,43 @@
 
     @Test
     void repeatsAtARateOrWithAGap() {
-        ScheduledFuture<?> rate = loop.scheduleAtFixedRate(note("rate"), 10, 10, TimeUnit.MILLISECONDS);
+        ScheduledFuture<?> rate =
+                loop.scheduleAtFixedRate(note("rate"), 10, 10, TimeUnit.MILLISECONDS);
         world.run(35 * MS);
         rate.cancel(false);
         world.run(35 * MS);
         assertEquals(List.of("10 rate", "20 rate", "30 rate"), done);
         done.clear();
-        loop.scheduleWithFixedDelay(() -> {
-            note("gap").run();
-            loop.pause(5 * MS);
-        }, 10, 10, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    note("gap").run();
+                    loop.pause(5 * MS);
+                },
+                10,
+                10,
+                TimeUnit.MILLISECONDS);
         world.run(40 * MS);
         assertEquals(List.of("80 gap", "95 gap", "110 gap"), done);
     }
 
     @Test
     void keepsWhatEscapesAndGoesOn() {
-        loop.execute(() -> {
-            throw new IllegalStateException("task");
-        });
-        ScheduledFuture<?> timer = loop.schedule(() -> {
-            throw new IllegalStateException("timer");
-        }, 1, TimeUnit.MILLISECONDS);
+        loop.execute(
+                () -> {
+                    throw new IllegalStateException("task");
+                });
+        ScheduledFuture<?> timer =
+                loop.schedule(
+                        () -> {
+                            throw new IllegalStateException("timer");
+                        },
+                        1,
+                        TimeUnit.MILLISECONDS);
         loop.schedule(note("goes on"), 2, TimeUnit.MILLISECONDS);
         world.run(5 * MS);
-        assertEquals(List.of("task", "timer"), loop.escaped().stream().map(Throwable::getMessage).toList());
+        assertEquals(
+                List.of("task", "timer"),
+                loop.escaped().stream().map(Throwable::getMessage).toList());
         assertEquals("timer", timer.cause().getMessage());
         assertEquals(List.of("2 goes on"), done);
     }
@@ -157,8 +172,12 @@
         loop.execute(() -> done.add("in " + loop.inEventLoop()));
         world.run(MS);
         assertEquals(List.of("in true"), done);
-        Thread other = new Thread(() ->
-                assertThrows(IllegalStateException.class, () -> loop.execute(note("never"))));
+        Thread other =
+                new Thread(
+                        () ->
+                                assertThrows(
+                                        IllegalStateException.class,
+                                        () -> loop.execute(note("never"))));
         other.start();
         other.join();
         assertEquals(0, loop.pendingTasks());
@@ -170,10 +189,11 @@
         loop = loop(new SimLoop.Costs(10_000, 2_000, 1_000));
         List<Long> readings = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            loop.execute(() -> {
-                readings.add(loop.ticker().nanoTime());
-                readings.add(loop.ticker().nanoTime());
-            });
+            loop.execute(
+                    () -> {
+                        readings.add(loop.ticker().nanoTime());
+                        readings.add(loop.ticker().nanoTime());
+                    });
         }
         world.run(100 * MS);
         long within = 0;
@@ -192,18 +212,20 @@
         site.serveNoting(10);
         SimChannel channel = site.connectNoting();
         List<Long> written = new ArrayList<>();
-        site.world.network.tap(new Tap() {
-            @Override
-            public void written(SimSocket by, byte[] bytes, int offset, int length) {
-                written.add(site.world.network.tapTime());
-            }
-        });
+        site.world.network.tap(
+                new Tap() {
+                    @Override
+                    public void written(SimSocket by, byte[] bytes, int offset, int length) {
+                        written.add(site.world.network.tapTime());
+                    }
+                });
         long before = site.world.simulation.now();
-        site.client.execute(() -> {
-            channel.writeAndFlush(channel.alloc().buffer().writeByte('a'));
-            site.client.pause(5 * MS);
-            channel.writeAndFlush(channel.alloc().buffer().writeByte('b'));
-        });
+        site.client.execute(
+                () -> {
+                    channel.writeAndFlush(channel.alloc().buffer().writeByte('a'));
+                    site.client.pause(5 * MS);
+                    channel.writeAndFlush(channel.alloc().buffer().writeByte('b'));
+                });
         site.world.run(MS);
         assertEquals(List.of(before, before + 5 * MS), written);
         assertEquals("server reads a", site.heard.get(site.heard.size() - 1));
--- a/rig/src/test/java/appleridge/rig/net/NetworkTest.java
+++ b/rig/src/test/java/appleridge/rig/net/NetworkTest.java
@@ -17,31 +17,32 @@
 
     private final World world = new World(1);
     private final List<String> heard = new ArrayList<>();
-    private final SimSocket.Events ears = new SimSocket.Events() {
-        @Override
-        public void connected() {
-            hear("connected");
-        }
-
-        @Override
-        public void failed(IOException why) {
-            hear(why.getMessage());
-        }
-
-        @Override
-        public void readable() {
-            hear("readable");
-        }
-
-        @Override
-        public void writable() {
-            hear("writable");
-        }
-
-        private void hear(String what) {
-            heard.add(world.simulation.now() / 1_000 + " " + what);
-        }
-    };
+    private final SimSocket.Events ears =
+            new SimSocket.Events() {
+                @Override
+                public void connected() {
+                    hear("connected");
+                }
+
+                @Override
+                public void failed(IOException why) {
+                    hear(why.getMessage());
+                }
+
+                @Override
+                public void readable() {
+                    hear("readable");
+                }
+
+                @Override
+                public void writable() {
+                    hear("writable");
+                }
+
+                private void hear(String what) {
+                    heard.add(world.simulation.now() / 1_000 + " " + what);
+                }
+            };
     private SimListener listener;
     private SimSocket client;
     private SimSocket server;
@@ -52,7 +53,7 @@
     }
 
     private void connect() throws IOException {
-        client = world.connect(listener, new SimSocket.Events() { });
+        client = world.connect(listener, new SimSocket.Events() {});
         server = client.peer();
     }
 
@@ -232,7 +233,8 @@
         world.a.maxDescriptors(1);
         world.b.maxDescriptors(1);
         client = world.a.connect(World.at(2, 80), ears);
-        IOException none = assertThrows(IOException.class, () -> world.a.connect(World.at(2, 80), ears));
+        IOException none =
+                assertThrows(IOException.class, () -> world.a.connect(World.at(2, 80), ears));
         assertEquals("Too many open files", none.getMessage());
         world.run(MS);
         assertThrows(IOException.class, listener::accept);
--- a/rig/src/test/java/appleridge/rig/net/SimulationTest.java
+++ b/rig/src/test/java/appleridge/rig/net/SimulationTest.java
@@ -82,8 +82,8 @@
         Simulation simulation = new Simulation(new Chance(1));
         int[] checks = new int[1];
         simulation.afterEachStep(() -> checks[0]++);
-        simulation.at(1, () -> { });
-        simulation.at(2, () -> { });
+        simulation.at(1, () -> {});
+        simulation.at(2, () -> {});
         simulation.runUntil(5);
         assertEquals(2, checks[0]);
         assertEquals(2, simulation.steps());
--- a/rig/src/test/java/appleridge/rig/net/Site.java
+++ b/rig/src/test/java/appleridge/rig/net/Site.java
@@ -54,50 +54,67 @@
     }
 
     void serve(int backlog, ChannelInitializer<SimChannel> children) {
-        ChannelFuture bound = new ServerBootstrap().group(server).channelFactory(server.serverFactory())
-                .option(ChannelOption.SO_BACKLOG, backlog).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SimChannel>() {
-                    @Override
-                    protected void initChannel(SimChannel channel) {
-                        served.add(channel);
-                        channel.pipeline().addLast(children);
-                    }
-                }).bind(World.at(2, 80));
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(server)
+                        .channelFactory(server.serverFactory())
+                        .option(ChannelOption.SO_BACKLOG, backlog)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<SimChannel>() {
+                                    @Override
+                                    protected void initChannel(SimChannel channel) {
+                                        served.add(channel);
+                                        channel.pipeline().addLast(children);
+                                    }
+                                })
+                        .bind(World.at(2, 80));
         listener = (SimServerChannel) bound.channel();
         world.run(World.MS);
     }
 
     /** Answers each request with its path and body. */
     void serveHttp() {
-        serve(100, new ChannelInitializer<SimChannel>() {
-            @Override
-            protected void initChannel(SimChannel channel) {
-                channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20),
-                        new Echo());
-            }
-        });
+        serve(
+                100,
+                new ChannelInitializer<SimChannel>() {
+                    @Override
+                    protected void initChannel(SimChannel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(1 << 20),
+                                        new Echo());
+                    }
+                });
     }
 
     /** Notes all that happens on its channels. */
     void serveNoting(int backlog) {
-        serve(backlog, new ChannelInitializer<SimChannel>() {
-            @Override
-            protected void initChannel(SimChannel channel) {
-                channel.pipeline().addLast(new Noting("server", heard));
-            }
-        });
+        serve(
+                backlog,
+                new ChannelInitializer<SimChannel>() {
+                    @Override
+                    protected void initChannel(SimChannel channel) {
+                        channel.pipeline().addLast(new Noting("server", heard));
+                    }
+                });
     }
 
     ChannelFuture connect(int timeoutMillis, ChannelInboundHandlerAdapter... handlers) {
-        return new Bootstrap().group(client).channelFactory(client.socketFactory())
+        return new Bootstrap()
+                .group(client)
+                .channelFactory(client.socketFactory())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SimChannel>() {
-                    @Override
-                    protected void initChannel(SimChannel channel) {
-                        channel.pipeline().addLast(handlers);
-                    }
-                }).connect(World.at(2, 80));
+                .handler(
+                        new ChannelInitializer<SimChannel>() {
+                            @Override
+                            protected void initChannel(SimChannel channel) {
+                                channel.pipeline().addLast(handlers);
+                            }
+                        })
+                .connect(World.at(2, 80));
     }
 
     SimChannel connectNoting() {
@@ -108,14 +125,21 @@
 
     /** Asks one after the other; each next one as soon as an answer is there. */
     void ask(int requests, int bodyBytes) {
-        new Bootstrap().group(client).channelFactory(client.socketFactory())
-                .handler(new ChannelInitializer<SimChannel>() {
-                    @Override
-                    protected void initChannel(SimChannel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 20),
-                                new Asking(requests, bodyBytes));
-                    }
-                }).connect(World.at(2, 80));
+        new Bootstrap()
+                .group(client)
+                .channelFactory(client.socketFactory())
+                .handler(
+                        new ChannelInitializer<SimChannel>() {
+                            @Override
+                            protected void initChannel(SimChannel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(1 << 20),
+                                                new Asking(requests, bodyBytes));
+                            }
+                        })
+                .connect(World.at(2, 80));
     }
 
     private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -164,9 +188,12 @@
         private void ask(Channel channel) {
             ByteBuf body = channel.alloc().buffer(Math.max(1, bodyBytes));
             body.writeBytes("x".repeat(bodyBytes).getBytes(StandardCharsets.US_ASCII));
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.POST, "/" + ++asked, body);
-            request.headers().set(HttpHeaderNames.HOST, "b").set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes);
+            DefaultFullHttpRequest request =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + ++asked, body);
+            request.headers()
+                    .set(HttpHeaderNames.HOST, "b")
+                    .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes);
             channel.writeAndFlush(request);
         }
     }
@@ -177,8 +204,8 @@
             ByteBuf body = ctx.alloc().buffer();
             ByteBufUtil.writeAscii(body, request.uri());
             body.writeBytes(request.content());
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, body);
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             ctx.writeAndFlush(answer);
         }
--- a/rig/src/test/java/appleridge/rig/net/Speed.java
+++ b/rig/src/test/java/appleridge/rig/net/Speed.java
@@ -4,7 +4,7 @@
 final class Speed {
     private static final int REQUESTS = 20_000;
 
-    private Speed() { }
+    private Speed() {}
 
     /** An argument cuts into segments of up to so many bytes. */
     public static void main(String[] args) {
@@ -18,8 +18,11 @@
             }
             site.world.run(1_000 * World.SECOND);
             double seconds = (System.nanoTime() - begin) / 1e9;
-            System.out.println((int) (site.answers / seconds) + " exchanges a second, "
-                    + (int) (site.world.simulation.steps() / seconds) + " steps a second");
+            System.out.println(
+                    (int) (site.answers / seconds)
+                            + " exchanges a second, "
+                            + (int) (site.world.simulation.steps() / seconds)
+                            + " steps a second");
             site.end();
         }
     }
--- a/rig/src/test/java/appleridge/rig/plant/EditTest.java
+++ b/rig/src/test/java/appleridge/rig/plant/EditTest.java
@@ -6,7 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 class EditTest {
-    private static final String SOURCE = """
+    private static final String SOURCE =
+            """
             class A {
                 void one() {
                     if (x) {
@@ -23,12 +24,14 @@
 
     @Test
     void replacesTheOnePlace() {
-        assertEquals(SOURCE.replace("open();", "shut();"), edit(null, "open();", "shut();").in(SOURCE));
+        assertEquals(
+                SOURCE.replace("open();", "shut();"), edit(null, "open();", "shut();").in(SOURCE));
     }
 
     @Test
     void blockEndsAtItsOwnBrace() {
-        assertEquals(SOURCE.replace("            close();", "            "),
+        assertEquals(
+                SOURCE.replace("            close();", "            "),
                 edit("void one() {", "close();", "").in(SOURCE));
     }
 
@@ -43,15 +46,21 @@
 
     @Test
     void whiteSpaceDoesNotCountWhereAFragmentIsLookedFor() {
-        assertEquals(SOURCE.replace("open();", "shut();"),
+        assertEquals(
+                SOURCE.replace("open();", "shut();"),
                 edit("void two()\t{", "open( );", "shut();").in(SOURCE));
-        assertEquals(SOURCE.replace("close();\n        open();", "shut();"),
+        assertEquals(
+                SOURCE.replace("close();\n        open();", "shut();"),
                 edit("void two() {", "close(); open();", "shut();").in(SOURCE));
     }
 
     private static void refuses(String why, String within, String original) {
-        assertEquals(why, assertThrows(IllegalStateException.class,
-                () -> edit(within, original, "").in(SOURCE)).getMessage());
+        assertEquals(
+                why,
+                assertThrows(
+                                IllegalStateException.class,
+                                () -> edit(within, original, "").in(SOURCE))
+                        .getMessage());
     }
 
     private static Edit edit(String within, String original, String replacement) {
--- a/rig/src/test/java/appleridge/rig/plant/FaultFileTest.java
+++ b/rig/src/test/java/appleridge/rig/plant/FaultFileTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 class FaultFileTest {
-    private static final String ONE = """
+    private static final String ONE =
+            """
             # a comment
 
             fault  once-resent
@@ -28,13 +29,26 @@
     @Test
     void readsAllThatIsSaidOfAFault() {
         PlantedFault fault = FaultFile.parse(ONE + "  seen  LATE 17 3\n").get(0);
-        assertEquals(new PlantedFault("once-resent", "It is sent again.",
-                List.of(new Edit("decision/Module", "void send() {", "case ONCE -> false;",
-                        "case ONCE -> true;")), List.of("DUPLICATE", "LATE"), null,
-                new PlantedFault.Seen("LATE", 17, 3)), fault);
-        assertEquals(new PlantedFault.Seen("LATE", 0, 0),
+        assertEquals(
+                new PlantedFault(
+                        "once-resent",
+                        "It is sent again.",
+                        List.of(
+                                new Edit(
+                                        "decision/Module",
+                                        "void send() {",
+                                        "case ONCE -> false;",
+                                        "case ONCE -> true;")),
+                        List.of("DUPLICATE", "LATE"),
+                        null,
+                        new PlantedFault.Seen("LATE", 17, 3)),
+                fault);
+        assertEquals(
+                new PlantedFault.Seen("LATE", 0, 0),
                 FaultFile.parse(ONE + "  seen  LATE\n").get(0).seen());
-        assertEquals("Nobody looks.", FaultFile.parse(ONE + "  unseen  Nobody looks.\n").get(0).unseen());
+        assertEquals(
+                "Nobody looks.",
+                FaultFile.parse(ONE + "  unseen  Nobody looks.\n").get(0).unseen());
     }
 
     @Test
@@ -46,7 +60,8 @@
 
     @Test
     void replacementMayBeNothing() {
-        PlantedFault fault = FaultFile.parse(ONE.replace("with   case ONCE -> true;", "with")).get(0);
+        PlantedFault fault =
+                FaultFile.parse(ONE.replace("with   case ONCE -> true;", "with")).get(0);
         assertEquals("", fault.edits().get(0).replacement());
         assertNull(fault.seen());
     }
@@ -66,17 +81,30 @@
     }
 
     private static void refuses(String why, String text) {
-        assertEquals(why, assertThrows(IllegalArgumentException.class, () -> FaultFile.parse(text))
-                .getMessage());
+        assertEquals(
+                why,
+                assertThrows(IllegalArgumentException.class, () -> FaultFile.parse(text))
+                        .getMessage());
     }
 
     @Test
     void recordTakesTheNewFindingForTheOldOne() {
-        String text = ONE + "  seen  LATE 17 3\n" + ONE.replace("once-resent", "other")
-                + "  seen  LATE 1 1\n";
+        String text =
+                ONE
+                        + "  seen  LATE 17 3\n"
+                        + ONE.replace("once-resent", "other")
+                        + "  seen  LATE 1 1\n";
         List<PlantedFault> faults = FaultFile.parse(text);
-        String recorded = FaultFile.record(text,
-                new Finding(faults.get(0), "DUPLICATE", 40, 5, "DUPLICATE at 3 s", "seed 40\n"));
+        String recorded =
+                FaultFile.record(
+                        text,
+                        new Finding(
+                                faults.get(0),
+                                "DUPLICATE",
+                                40,
+                                5,
+                                "DUPLICATE at 3 s",
+                                "seed 40\n"));
         List<PlantedFault> again = FaultFile.parse(recorded);
         assertEquals(new PlantedFault.Seen("DUPLICATE", 40, 5), again.get(0).seen());
         assertEquals(faults.get(1), again.get(1));
@@ -85,10 +113,17 @@
 
     @Test
     void tableHasARowForEachFault() {
-        List<PlantedFault> faults = FaultFile.parse(ONE + "  seen LATE 17 3\n"
-                + ONE.replace("once-resent", "b") + "  seen LATE\n" + ONE.replace("once-resent", "c")
-                + ONE.replace("once-resent", "d") + "  unseen  Nobody | looks.\n");
-        assertEquals("""
+        List<PlantedFault> faults =
+                FaultFile.parse(
+                        ONE
+                                + "  seen LATE 17 3\n"
+                                + ONE.replace("once-resent", "b")
+                                + "  seen LATE\n"
+                                + ONE.replace("once-resent", "c")
+                                + ONE.replace("once-resent", "d")
+                                + "  unseen  Nobody | looks.\n");
+        assertEquals(
+                """
                 | fault | what is wrong | found by rule | seeds tried | day |
                 | --- | --- | --- | ---: | --- |
                 | `once-resent` | It is sent again. | LATE | 3 | seed 17 |
@@ -98,15 +133,19 @@
                 | fault | what is wrong | why no day shows it |
                 | --- | --- | --- |
                 | `d` | It is sent again. | Nobody \\| looks. |
-                """, FindingsTable.ofRecords(faults));
+                """,
+                FindingsTable.ofRecords(faults));
     }
 
     /** What is packed names rules that there are, and has a day for each fault that was found. */
     @Test
     void packedFaultsAreComplete() throws IOException {
         for (PlantedFault fault : FaultFile.packed()) {
-            fault.rules().forEach(rule -> assertDoesNotThrow(() -> Rule.valueOf(rule), fault.name()));
-            assertTrue(fault.seen() == null || fault.rules().contains(fault.seen().rule()), fault.name());
+            fault.rules()
+                    .forEach(rule -> assertDoesNotThrow(() -> Rule.valueOf(rule), fault.name()));
+            assertTrue(
+                    fault.seen() == null || fault.rules().contains(fault.seen().rule()),
+                    fault.name());
             if (fault.showable()) {
                 assertNotNull(fault.seen(), fault.name());
                 assertNotNull(KeptDays.packed(fault.name()), fault.name());
--- a/rig/src/test/java/appleridge/rig/plant/PlantedCommandTest.java
+++ b/rig/src/test/java/appleridge/rig/plant/PlantedCommandTest.java
@@ -14,8 +14,8 @@
 
 class PlantedCommandTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
-    private final PlantedCommand command = new PlantedCommand(new PrintStream(out, true,
-            StandardCharsets.UTF_8));
+    private final PlantedCommand command =
+            new PlantedCommand(new PrintStream(out, true, StandardCharsets.UTF_8));
 
     @Test
     void tableHasEveryPackedFault() throws IOException {
@@ -30,11 +30,20 @@
     void foundDayIsRecorded(@TempDir Path directory) throws IOException {
         Path faults = directory.resolve("faults.txt");
         Files.writeString(faults, "fault  once-resent\n  rules  DUPLICATE\n");
-        assertEquals(0, command.run("search", "1-50", "--threads", "1", "--record", faults.toString(),
-                "once-resent"));
+        assertEquals(
+                0,
+                command.run(
+                        "search",
+                        "1-50",
+                        "--threads",
+                        "1",
+                        "--record",
+                        faults.toString(),
+                        "once-resent"));
         assertTrue(Files.readString(faults).contains("\n  seen   DUPLICATE "));
-        assertTrue(Files.readString(directory.resolve("days").resolve("once-resent.txt"))
-                .contains("seed "));
+        assertTrue(
+                Files.readString(directory.resolve("days").resolve("once-resent.txt"))
+                        .contains("seed "));
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/plant/PlanterTest.java
+++ b/rig/src/test/java/appleridge/rig/plant/PlanterTest.java
@@ -23,7 +23,10 @@
         planter = new Planter();
     }
 
-    /** Holds for as long as the product's lines are where the faults say, and tells of all that aren't. */
+    /**
+     * Holds for as long as the product's lines are where the faults say, and tells of all that
+     * aren't.
+     */
     @Test
     void everyFaultIsPlantedInTodaysSources() throws IOException {
         List<String> wrong = new ArrayList<>();
@@ -51,47 +54,64 @@
         assertSame(loader, unchanged.getClassLoader());
         assertSame(loader.loadClass("appleridge.decision.Balancer"), unchanged.getInterfaces()[0]);
         assertSame(ByteBuf.class, loader.loadClass(ByteBuf.class.getName()));
-        assertNotSame(unchanged, planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"))
-                .loadClass(unchanged.getName()));
+        assertNotSame(
+                unchanged,
+                planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"))
+                        .loadClass(unchanged.getName()));
         assertThrows(ClassNotFoundException.class, () -> loader.loadClass("appleridge.Absent"));
     }
 
     @Test
     void faultThatCannotBePlantedIsToldByName() {
         assertEquals("f: no file Absent", told(fault("Absent", "a", "b")));
-        assertEquals("f: fragment not found in Balancer: RESET(maybe)",
+        assertEquals(
+                "f: fragment not found in Balancer: RESET(maybe)",
                 told(fault("Balancer", "RESET(maybe)", "")));
-        assertEquals("f: fragment more than once in Balancer: (true)",
+        assertEquals(
+                "f: fragment more than once in Balancer: (true)",
                 told(fault("Balancer", "(true)", "(false)")));
-        assertTrue(told(fault("Balancer", "RESET(false),", "RESET(maybe),"))
-                .startsWith("f: appleridge/decision/Balancer.java does not compile: "));
+        assertTrue(
+                told(fault("Balancer", "RESET(false),", "RESET(maybe),"))
+                        .startsWith("f: appleridge/decision/Balancer.java does not compile: "));
     }
 
     @Test
     void fileIsNamedWithAsManyPackagesAsItTakes() {
-        PackedSources sources = new PackedSources(Map.of("appleridge/decision/Balancer.java", "here",
-                "appleridge/rig/plant/Balancer.java", "a copy left behind by an earlier build"));
+        PackedSources sources =
+                new PackedSources(
+                        Map.of(
+                                "appleridge/decision/Balancer.java",
+                                "here",
+                                "appleridge/rig/plant/Balancer.java",
+                                "a copy left behind by an earlier build"));
         assertEquals("appleridge/decision/Balancer.java", sources.path("Balancer"));
-        PackedSources two = new PackedSources(Map.of("appleridge/rig/Main.java", "",
-                "appleridge/adapter/Main.java", ""));
+        PackedSources two =
+                new PackedSources(
+                        Map.of("appleridge/rig/Main.java", "", "appleridge/adapter/Main.java", ""));
         assertEquals("appleridge/adapter/Main.java", two.path("adapter/Main"));
-        assertEquals("more than one file: appleridge/adapter/Main.java, appleridge/rig/Main.java",
-                assertThrows(IllegalStateException.class, () -> two.path("Main"))
-                        .getMessage());
+        assertEquals(
+                "more than one file: appleridge/adapter/Main.java, appleridge/rig/Main.java",
+                assertThrows(IllegalStateException.class, () -> two.path("Main")).getMessage());
     }
 
     private String told(PlantedFault fault) {
         return assertThrows(IllegalStateException.class, () -> planter.plant(fault)).getMessage();
     }
 
-    private static boolean resetProvesNeverRan(ClassLoader loader) throws ReflectiveOperationException {
+    private static boolean resetProvesNeverRan(ClassLoader loader)
+            throws ReflectiveOperationException {
         Class<?> outcome = loader.loadClass(OUTCOME);
         Object reset = outcome.getField("RESET").get(null);
         return (boolean) outcome.getMethod("provesNeverRan").invoke(reset);
     }
 
     private static PlantedFault fault(String file, String original, String replacement) {
-        return new PlantedFault("f", "Something.", List.of(new Edit(file, null, original, replacement)),
-                List.of("LOST"), null, null);
+        return new PlantedFault(
+                "f",
+                "Something.",
+                List.of(new Edit(file, null, original, replacement)),
+                List.of("LOST"),
+                null,
+                null);
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/AcceptFailuresTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/AcceptFailuresTest.java
@@ -75,7 +75,9 @@
             front.run(1_500 * MS);
             long held = late.stream().filter(each -> each.statuses().isEmpty()).count();
             assertTrue(held <= 1 + 4, "held beside the three others: " + held);
-            assertTrue(front.server.connections() <= 4 + 4, "connections: " + front.server.connections());
+            assertTrue(
+                    front.server.connections() <= 4 + 4,
+                    "connections: " + front.server.connections());
         }
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/Digests.java
+++ b/rig/src/test/java/appleridge/rig/sim/Digests.java
@@ -4,9 +4,12 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Prints the digest of each seed from one to another, for a test that looks at them from another JVM. */
+/**
+ * Prints the digest of each seed from one to another, for a test that looks at them from another
+ * JVM.
+ */
 final class Digests {
-    private Digests() { }
+    private Digests() {}
 
     public static void main(String[] args) {
         Logger.getLogger("io.netty").setLevel(Level.OFF);
--- a/rig/src/test/java/appleridge/rig/sim/Front.java
+++ b/rig/src/test/java/appleridge/rig/sim/Front.java
@@ -29,12 +29,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The product's side towards clients on a simulated network, with a module that holds or refuses all. */
+/**
+ * The product's side towards clients on a simulated network, with a module that holds or refuses
+ * all.
+ */
 final class Front implements AutoCloseable {
     static final long MS = 1_000_000;
     static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     private static final int PORT = 80;
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:9","seed":"1",
              "settings":{"profiles":[
                {"name":"pay","slo":1000000000,"deadline":3000000000,"semantics":"once"}],
@@ -62,18 +66,36 @@
         network = new Network(simulation, chance.stream("network"));
         app = network.host("app", address(1), 10_000);
         sidecar = network.host("sidecar", address(2), 10_000);
-        loop = new SimLoop(simulation, sidecar, chance.stream("sidecar"),
-                new SimLoop.Costs(10_000, 2_000, 100));
+        loop =
+                new SimLoop(
+                        simulation,
+                        sidecar,
+                        chance.stream("sidecar"),
+                        new SimLoop.Costs(10_000, 2_000, 100));
         Config config = Config.parse(CONFIG.getBytes(StandardCharsets.UTF_8));
-        loop.execute(() -> {
-            Loop time = new Loop(loop, () -> simulation.now() / MS, new Noting());
-            Exchanges exchanges = new Exchanges(time, time, config.settings(), 10_000, new NoUpstreams(),
-                    time.log(), Module::new);
-            exchanges.start(new NoLists(), List.of(), Map.of());
-            server = new ClientServer(time, new SimSockets(loop), exchanges, new RequestReader(config),
-                    maxConnections, times);
-            server.listen(new InetSocketAddress(sidecar.address(), PORT));
-        });
+        loop.execute(
+                () -> {
+                    Loop time = new Loop(loop, () -> simulation.now() / MS, new Noting());
+                    Exchanges exchanges =
+                            new Exchanges(
+                                    time,
+                                    time,
+                                    config.settings(),
+                                    10_000,
+                                    new NoUpstreams(),
+                                    time.log(),
+                                    Module::new);
+                    exchanges.start(new NoLists(), List.of(), Map.of());
+                    server =
+                            new ClientServer(
+                                    time,
+                                    new SimSockets(loop),
+                                    exchanges,
+                                    new RequestReader(config),
+                                    maxConnections,
+                                    times);
+                    server.listen(new InetSocketAddress(sidecar.address(), PORT));
+                });
         run(MS);
     }
 
@@ -108,7 +130,8 @@
     }
 
     String request() {
-        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + ++names
+        return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: "
+                + ++names
                 + "\r\nX-Class: pay\r\nX-Deadline: 3.0\r\nContent-Length: 0\r\n\r\n";
     }
 
@@ -216,7 +239,7 @@
 
     private final class Noting implements Log {
         @Override
-        public void news(String line) { }
+        public void news(String line) {}
 
         @Override
         public void warning(String line) {
@@ -237,10 +260,10 @@
         }
 
         @Override
-        public void start(long now) { }
+        public void start(long now) {}
 
         @Override
-        public void listChanged(long now, ListKind kind, List<Upstream> entries) { }
+        public void listChanged(long now, ListKind kind, List<Upstream> entries) {}
 
         @Override
         public void request(long now, Request request) {
@@ -250,17 +273,24 @@
         }
 
         @Override
-        public void firstByte(long now, long request, int attempt, long upstream, long elapsed) { }
+        public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {}
 
         @Override
-        public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-                boolean ended, float[] load) { }
+        public void outcome(
+                long now,
+                long request,
+                int attempt,
+                long upstream,
+                Outcome outcome,
+                long elapsed,
+                boolean ended,
+                float[] load) {}
 
         @Override
-        public void hangup(long now, long request) { }
+        public void hangup(long now, long request) {}
 
         @Override
-        public void timer(long now, long token) { }
+        public void timer(long now, long token) {}
     }
 
     private static final class NoUpstreams implements Upstreams {
@@ -270,17 +300,17 @@
         }
 
         @Override
-        public void closeIdle(Endpoint endpoint) { }
+        public void closeIdle(Endpoint endpoint) {}
     }
 
     private static final class NoLists implements Lists {
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetchList() { }
+        public void fetchList() {}
 
         @Override
-        public void catchUp() { }
+        public void catchUp() {}
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/ReplayTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/ReplayTest.java
@@ -25,8 +25,7 @@
     private static final int TO = 60;
     private static List<String> digests;
 
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
 
     private static String line(int seed) {
         return seed + " " + Long.toHexString(Digests.of(seed));
@@ -43,12 +42,19 @@
     @BeforeAll
     static void playInOrder() {
         digests = seeds().stream().map(ReplayTest::line).toList();
-        assertEquals(digests.size(), digests.stream().map(each -> each.split(" ")[1]).distinct().count());
+        assertEquals(
+                digests.size(),
+                digests.stream().map(each -> each.split(" ")[1]).distinct().count());
     }
 
     private static List<String> inOrder(List<String> lines) {
-        return lines.stream().sorted((a, b) -> Integer.compare(Integer.parseInt(a.split(" ")[0]),
-                Integer.parseInt(b.split(" ")[0]))).toList();
+        return lines.stream()
+                .sorted(
+                        (a, b) ->
+                                Integer.compare(
+                                        Integer.parseInt(a.split(" ")[0]),
+                                        Integer.parseInt(b.split(" ")[0])))
+                .toList();
     }
 
     @Test
@@ -76,13 +82,21 @@
         }
     }
 
-    /** Other identity hashes, other salt for the order of immutable sets, another collector and compiler. */
+    /**
+     * Other identity hashes, other salt for the order of immutable sets, another collector and
+     * compiler.
+     */
     @Test
     void inFreshJvmsOfOtherKinds() throws Exception {
         List<Process> running = new ArrayList<>();
         List<Path> said = new ArrayList<>();
-        for (List<String> kind : List.of(List.of("-XX:hashCode=2", "-XX:+UseSerialGC"),
-                List.of("-XX:hashCode=0", "-XX:+UseParallelGC", "-XX:TieredStopAtLevel=1"))) {
+        for (List<String> kind :
+                List.of(
+                        List.of("-XX:hashCode=2", "-XX:+UseSerialGC"),
+                        List.of(
+                                "-XX:hashCode=0",
+                                "-XX:+UseParallelGC",
+                                "-XX:TieredStopAtLevel=1"))) {
             said.add(directory.resolve("jvm" + said.size()));
             running.add(start(kind, said.get(said.size() - 1)));
         }
@@ -96,12 +110,23 @@
     }
 
     private static Process start(List<String> kind, Path said) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-XX:+UnlockExperimentalVMOptions"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UnlockExperimentalVMOptions"));
         command.addAll(kind);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), Digests.class.getName(),
-                Integer.toString(FROM), Integer.toString(TO)));
-        return new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(said.toFile()).start();
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Digests.class.getName(),
+                        Integer.toString(FROM),
+                        Integer.toString(TO)));
+        return new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(said.toFile())
+                .start();
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/sim/ScenariosTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/ScenariosTest.java
@@ -18,21 +18,33 @@
     List<DynamicTest> noRuleBreaksInAnyThatIsKept() throws IOException {
         List<Scenarios.Scenario> kept = Scenarios.kept();
         assertFalse(kept.isEmpty());
-        return kept.stream().map(each -> DynamicTest.dynamicTest(each.name(), () -> {
-            Verdict verdict = DayPlayer.play(each.plan());
-            assertTrue(verdict.good(), () -> each.what() + "\n" + verdict.text());
-        })).toList();
+        return kept.stream()
+                .map(
+                        each ->
+                                DynamicTest.dynamicTest(
+                                        each.name(),
+                                        () -> {
+                                            Verdict verdict = DayPlayer.play(each.plan());
+                                            assertTrue(
+                                                    verdict.good(),
+                                                    () -> each.what() + "\n" + verdict.text());
+                                        }))
+                .toList();
     }
 
     @Test
     void eachSaysWhatItShowed() {
-        Scenarios.Scenario read = Scenarios.read("late.txt", "# LATE: an answer came late.\nseed 3\n");
+        Scenarios.Scenario read =
+                Scenarios.read("late.txt", "# LATE: an answer came late.\nseed 3\n");
         assertEquals("late", read.name());
         assertEquals("LATE: an answer came late.", read.what());
         assertEquals(3, read.plan().seed());
         assertThrows(IllegalArgumentException.class, () -> Scenarios.read("late.txt", "seed 3\n"));
-        String message = assertThrows(IllegalArgumentException.class, () ->
-                Scenarios.read("late.txt", "# Late.\nsed 3\n")).getMessage();
+        String message =
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> Scenarios.read("late.txt", "# Late.\nsed 3\n"))
+                        .getMessage();
         assertTrue(message.startsWith("late: line 2: "), message);
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/ShrinkTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/ShrinkTest.java
@@ -18,7 +18,8 @@
 
 class ShrinkTest {
     /** Far more work than one server can do: what is asked at the end can't all be served. */
-    private static final String TOO_MUCH = """
+    private static final String TOO_MUCH =
+            """
             seed 3
             set servers 1
             set cores 1
@@ -31,12 +32,13 @@
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
 
     private int run(String... words) {
-        return new Shrink(new PrintStream(out, true, StandardCharsets.UTF_8),
-                new PrintStream(err, true, StandardCharsets.UTF_8)).run(words);
+        return new Shrink(
+                        new PrintStream(out, true, StandardCharsets.UTF_8),
+                        new PrintStream(err, true, StandardCharsets.UTF_8))
+                .run(words);
     }
 
     private String scenario(String text) throws IOException {
@@ -48,7 +50,9 @@
     @Test
     void aFailingDayIsCutDownToAScenarioThatFailsTheSame() throws IOException {
         Path file = directory.resolve("left.txt");
-        assertEquals(0, run("--scenario", scenario(TOO_MUCH), "--out", file.toString(), "--plays", "60"));
+        assertEquals(
+                0,
+                run("--scenario", scenario(TOO_MUCH), "--out", file.toString(), "--plays", "60"));
         String text = Files.readString(file);
         assertTrue(text.startsWith("# NOT_RECOVERED at "), text);
         assertTrue(text.contains("\n# Cut down from seed 3.\n"), text);
@@ -63,7 +67,9 @@
 
     @Test
     void withoutAFileTheScenarioIsPrinted() throws IOException {
-        assertEquals(0, run("--scenario", scenario(TOO_MUCH), "--plays", "0", "--rule", "not-recovered"));
+        assertEquals(
+                0,
+                run("--scenario", scenario(TOO_MUCH), "--plays", "0", "--rule", "not-recovered"));
         assertTrue(out.toString(StandardCharsets.UTF_8).contains("\nseed 3\n"));
     }
 
--- a/rig/src/test/java/appleridge/rig/sim/ShrinkerTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/ShrinkerTest.java
@@ -19,7 +19,9 @@
     private static final Plan LONG_DAY = Plan.draw(4632);
 
     private static Set<FaultKind> kinds(Plan plan) {
-        return plan.faults().stream().map(Fault::kind).collect(Collectors.toCollection(TreeSet::new));
+        return plan.faults().stream()
+                .map(Fault::kind)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
@@ -27,7 +29,8 @@
         List<FaultKind> kinds = List.copyOf(kinds(LONG_DAY));
         for (int i = 2; i < kinds.size(); i++) {
             Set<FaultKind> needed = Set.of(kinds.get(0), kinds.get(i - 1), kinds.get(i));
-            Plan left = new Shrinker(plan -> kinds(plan).containsAll(needed), MANY).shrink(LONG_DAY);
+            Plan left =
+                    new Shrinker(plan -> kinds(plan).containsAll(needed), MANY).shrink(LONG_DAY);
             assertEquals(needed.size(), left.faults().size(), left.text());
             assertEquals(List.of(), left.unusual());
         }
@@ -37,8 +40,13 @@
     void sizesThatMatterStayUnusualAndAreMadeRounder() {
         Plan failing = Plan.draw(1845);
         assertTrue(failing.size(Knob.CLOCK_COST) > 30_000 && failing.size(Knob.SIDECARS) == 2);
-        Plan left = new Shrinker(plan -> plan.size(Knob.CLOCK_COST) > 30_000
-                && plan.size(Knob.SIDECARS) == 2, MANY).shrink(failing);
+        Plan left =
+                new Shrinker(
+                                plan ->
+                                        plan.size(Knob.CLOCK_COST) > 30_000
+                                                && plan.size(Knob.SIDECARS) == 2,
+                                MANY)
+                        .shrink(failing);
         assertEquals(List.of(Knob.SIDECARS, Knob.CLOCK_COST), left.unusual());
         assertEquals(0, left.size(Knob.CLOCK_COST) % 10_000);
         assertEquals(List.of(), left.faults());
@@ -47,13 +55,17 @@
     @Test
     void whatIsLeftAlwaysBreaksTheRuleAndIsAPlan() {
         List<Plan> broken = new ArrayList<>();
-        Plan left = new Shrinker(plan -> {
-            boolean breaks = plan.faults().size() % 3 != 1;
-            if (breaks) {
-                broken.add(plan);
-            }
-            return breaks;
-        }, MANY).shrink(LONG_DAY);
+        Plan left =
+                new Shrinker(
+                                plan -> {
+                                    boolean breaks = plan.faults().size() % 3 != 1;
+                                    if (breaks) {
+                                        broken.add(plan);
+                                    }
+                                    return breaks;
+                                },
+                                MANY)
+                        .shrink(LONG_DAY);
         assertEquals(broken.get(broken.size() - 1), left);
         for (Plan each : broken) {
             assertEquals(each, Plan.parse(each.text()));
@@ -63,10 +75,13 @@
     @Test
     void noMorePlansAreTriedThanAllowed() {
         int[] tried = new int[1];
-        Shrinker shrinker = new Shrinker(plan -> {
-            tried[0]++;
-            return plan.faults().size() > 30;
-        }, 25);
+        Shrinker shrinker =
+                new Shrinker(
+                        plan -> {
+                            tried[0]++;
+                            return plan.faults().size() > 30;
+                        },
+                        25);
         shrinker.shrink(LONG_DAY);
         assertEquals(25, tried[0]);
         assertEquals(25, shrinker.plays());
--- a/rig/src/test/java/appleridge/rig/sim/SimulateTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/SimulateTest.java
@@ -15,12 +15,13 @@
 class SimulateTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
 
     private int run(String... words) {
-        return new Simulate(new PrintStream(out, true, StandardCharsets.UTF_8),
-                new PrintStream(err, true, StandardCharsets.UTF_8)).run(words);
+        return new Simulate(
+                        new PrintStream(out, true, StandardCharsets.UTF_8),
+                        new PrintStream(err, true, StandardCharsets.UTF_8))
+                .run(words);
     }
 
     private String said() {
@@ -33,8 +34,11 @@
     void manySeedsEndWithOneLine() {
         assertEquals(0, run("--seeds", "1-4", "--threads", "2"));
         String[] lines = said().split("\n");
-        assertTrue(lines[lines.length - 1].matches(
-                "4 seeds, 0 broken rules, digest [0-9a-f]+, \\d+ simulated seconds a second"), lines[1]);
+        assertTrue(
+                lines[lines.length - 1].matches(
+                        "4 seeds, 0 broken rules, digest [0-9a-f]+, \\d+ simulated seconds a"
+                                + " second"),
+                lines[1]);
     }
 
     @Test
@@ -50,7 +54,9 @@
     void aSeedIsPrintedAsAPersonReadsItAndPlayedAgainFromThat() throws IOException {
         assertEquals(0, run("--seed", "7", "--trace"));
         String trace = said();
-        assertTrue(trace.contains("\nseed 7\n") && trace.contains("\n  26."), "a plan, then what happens");
+        assertTrue(
+                trace.contains("\nseed 7\n") && trace.contains("\n  26."),
+                "a plan, then what happens");
         String verdict = trace.substring(trace.lastIndexOf("\nseed 7: no rule broken") + 1);
         Path file = directory.resolve("seven.txt");
         Files.writeString(file, trace.substring(0, trace.indexOf("\n   0.000000000")));
@@ -87,7 +93,10 @@
     void aScenarioThatMakesNoSenseIsToldWithItsFileAndLine() throws IOException {
         Path file = directory.resolve("late.txt");
         Files.writeString(file, "seed 3\nset faults-end 4\nat 9 move\n");
-        refused(file + ": line 3: it can't strike: faults have ended at 4 s", "--scenario", file.toString());
+        refused(
+                file + ": line 3: it can't strike: faults have ended at 4 s",
+                "--scenario",
+                file.toString());
     }
 
     /** What plays nothing, or not what was meant, must not be green. */
@@ -96,10 +105,16 @@
         refused("--threads is at least 1, not 0", "--seeds", "1-4", "--threads", "0");
         refused("--threads is at least 1, not -1", "--seeds", "1-4", "--threads", "-1");
         refused("no seeds from 5 to 1", "--seeds", "5-1");
-        refused("no seed as high as 9223372036854775807", "--seeds",
+        refused(
+                "no seed as high as 9223372036854775807",
+                "--seeds",
                 "9223372036854775800-9223372036854775807");
         refused("the last of --seeds is a whole number", "--seeds", "1-9223372036854775808");
-        refused("one of --seeds, --seed, --scenario and --scenarios at a time", "--seed", "1", "--seeds",
+        refused(
+                "one of --seeds, --seed, --scenario and --scenarios at a time",
+                "--seed",
+                "1",
+                "--seeds",
                 "1-2");
         refused("--trace is for one day", "--seeds", "1-2", "--trace");
         refused("--coverage and --threads go with --seeds", "--seed", "1", "--threads", "2");
@@ -109,6 +124,8 @@
         err.reset();
         assertEquals(2, run(words));
         String said = err.toString(StandardCharsets.UTF_8);
-        assertTrue(said.startsWith("simulate: " + why) && said.contains("\nusage: simulate --seeds"), said);
+        assertTrue(
+                said.startsWith("simulate: " + why) && said.contains("\nusage: simulate --seeds"),
+                said);
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/SimulationIT.java
+++ b/rig/src/test/java/appleridge/rig/sim/SimulationIT.java
@@ -12,9 +12,11 @@
 
     @Test
     void noRuleBreaks() {
-        Campaign.Result result = new Campaign(1, SEEDS, Runtime.getRuntime().availableProcessors()).run();
+        Campaign.Result result =
+                new Campaign(1, SEEDS, Runtime.getRuntime().availableProcessors()).run();
         System.out.println(result.line());
-        assertTrue(result.bad().isEmpty(), () -> result.bad().stream().map(Verdict::text)
-                .collect(Collectors.joining("\n")));
+        assertTrue(
+                result.bad().isEmpty(),
+                () -> result.bad().stream().map(Verdict::text).collect(Collectors.joining("\n")));
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/UnreadAnswersTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/UnreadAnswersTest.java
@@ -23,7 +23,10 @@
         front.run(5 * MS);
     }
 
-    /** Asks so much that some answers find no room in the system's buffers, at a pace of who could read. */
+    /**
+     * Asks so much that some answers find no room in the system's buffers, at a pace of who could
+     * read.
+     */
     private static void fill(Front front, Front.Client client, int more) {
         ask(front, client, 1200);
         ask(front, client, more);
@@ -36,7 +39,9 @@
             Front.Client greedy = front.client();
             greedy.send(Front.READY.repeat(1000));
             front.run(50 * MS);
-            assertTrue(greedy.statuses().size() <= AT_ONCE + 1, "answered " + greedy.statuses().size());
+            assertTrue(
+                    greedy.statuses().size() <= AT_ONCE + 1,
+                    "answered " + greedy.statuses().size());
             assertEquals(400, greedy.statuses().get(greedy.statuses().size() - 1));
             assertTrue(greedy.ended());
         }
@@ -76,7 +81,10 @@
         }
     }
 
-    /** Guards against a connection that hears nothing any more and waits for its last write for ever. */
+    /**
+     * Guards against a connection that hears nothing any more and waits for its last write for
+     * ever.
+     */
     @Test
     void aLastAnswerThatIsNeverReadEndsTheConnection() throws Exception {
         try (Front front = new Front(3, 50, ClientTimes.USUAL)) {
--- a/rig/src/test/java/appleridge/rig/sim/UnreadRequestsTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/UnreadRequestsTest.java
@@ -14,8 +14,8 @@
     private static final int SEEDS = 40;
 
     /**
-     * Guards against first requests lost at the cap: after the loop stood still, newcomers may be accepted
-     * before the connections there are have been read.
+     * Guards against first requests lost at the cap: after the loop stood still, newcomers may be
+     * accepted before the connections there are have been read.
      */
     @Test
     void whatHasAskedUnreadIsNotClosedToMakeRoom() throws Exception {
@@ -30,8 +30,10 @@
                 List<Front.Client> late = front.clients(2);
                 late.forEach(each -> each.send(front.request()));
                 front.run(100 * MS);
-                assertEquals(List.of(false, false, true, true),
-                        silent.stream().map(Front.Client::ended).toList(), "seed " + seed);
+                assertEquals(
+                        List.of(false, false, true, true),
+                        silent.stream().map(Front.Client::ended).toList(),
+                        "seed " + seed);
                 front.run(3_200 * MS);
                 for (Front.Client each : List.of(first, second, late.get(0), late.get(1))) {
                     assertEquals(List.of(504), each.statuses(), "seed " + seed);
@@ -66,7 +68,10 @@
         }
     }
 
-    /** Guards against first requests lost where their connection's time was up while the loop stood still. */
+    /**
+     * Guards against first requests lost where their connection's time was up while the loop stood
+     * still.
+     */
     @Test
     void whatHasAskedUnreadIsNotClosedForItsSilence() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
--- a/rig/src/test/java/appleridge/rig/sim/WaitingConnectionsTest.java
+++ b/rig/src/test/java/appleridge/rig/sim/WaitingConnectionsTest.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Connections that wait in the system's backlog, where there is no room for them or no time left. */
+/**
+ * Connections that wait in the system's backlog, where there is no room for them or no time left.
+ */
 class WaitingConnectionsTest {
     private static final long MS = Front.MS;
     private static final int SEEDS = 20;
@@ -20,7 +22,9 @@
         return clients;
     }
 
-    /** Guards against clients that hear nothing while others hold all connections that there may be. */
+    /**
+     * Guards against clients that hear nothing while others hold all connections that there may be.
+     */
     @Test
     void atTheCapWithAllInUseThoseThatWaitAreToldSoon() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
@@ -29,7 +33,9 @@
                 front.run(10 * MS);
                 clients.addAll(ask(front, 20));
                 front.run(250 * MS);
-                assertTrue(clients.stream().allMatch(each -> each.statuses().isEmpty()), "they may wait");
+                assertTrue(
+                        clients.stream().allMatch(each -> each.statuses().isEmpty()),
+                        "they may wait");
                 front.run(1_000 * MS);
                 List<Front.Client> held = clients.stream().filter(each -> !each.ended()).toList();
                 assertTrue(held.size() >= 4 && held.size() <= 4 + 4, "held: " + held.size());
@@ -56,14 +62,19 @@
                 front.run(10 * MS);
                 List<Front.Client> late = ask(front, 30);
                 front.run(1_000 * MS);
-                assertTrue(late.stream().allMatch(each -> each.statuses().isEmpty()), "held, seed " + seed);
+                assertTrue(
+                        late.stream().allMatch(each -> each.statuses().isEmpty()),
+                        "held, seed " + seed);
                 front.run(3_000 * MS);
                 late.forEach(each -> assertEquals(List.of(504), each.statuses()));
             }
         }
     }
 
-    /** Guards against what came before the end of accepting and is reset by it, as the loop stood still. */
+    /**
+     * Guards against what came before the end of accepting and is reset by it, as the loop stood
+     * still.
+     */
     @Test
     void whatCameWhileTheLoopStoodStillIsTakenBeforeAcceptingEnds() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
--- a/rig/src/test/java/appleridge/rig/world/ApplicationTest.java
+++ b/rig/src/test/java/appleridge/rig/world/ApplicationTest.java
@@ -23,13 +23,15 @@
 
     @Test
     void idsAndKeysAreNewWithEachTryAndTheIdempotencyKeyIsNot() {
-        Played day = Played.whole(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
+        Played day =
+                Played.whole(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
         Set<Long> keys = new HashSet<>();
         Map<String, String> idempotency = new HashMap<>();
         for (Try each : day.told.asks.values()) {
             assertTrue(keys.add(each.cookieKey()));
             assertEquals(Classes.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
-            String before = idempotency.putIfAbsent(each.origin(), String.valueOf(each.idempotencyKey()));
+            String before =
+                    idempotency.putIfAbsent(each.origin(), String.valueOf(each.idempotencyKey()));
             assertTrue(before == null || before.equals(String.valueOf(each.idempotencyKey())));
             assertTrue(each.deadlineNanos() <= Classes.of(each.requestClass()).deadline());
         }
@@ -41,17 +43,28 @@
         for (int i = 0; i < 8; i++) {
             full.append("at 1 full who=s").append(i).append(" for=9\n");
         }
-        assertEquals(1, tries(Played.whole(QUIET + "set retries 0\n" + full)).values().stream()
-                .mapToInt(Integer::intValue).max().orElseThrow());
-        assertEquals(3, tries(Played.whole(QUIET + "set retries 2\n" + full)).values().stream()
-                .mapToInt(Integer::intValue).max().orElseThrow());
+        assertEquals(
+                1,
+                tries(Played.whole(QUIET + "set retries 0\n" + full)).values().stream()
+                        .mapToInt(Integer::intValue)
+                        .max()
+                        .orElseThrow());
+        assertEquals(
+                3,
+                tries(Played.whole(QUIET + "set retries 2\n" + full)).values().stream()
+                        .mapToInt(Integer::intValue)
+                        .max()
+                        .orElseThrow());
     }
 
     @Test
     void theImpatientLeaveBeforeTheirTime() {
         Played day = Played.whole(QUIET.replace("set impatient 0", "set impatient 1"));
         assertTrue(day.told.gaveUp.size() > 50);
-        day.told.asks.values().forEach(each -> assertTrue(each.patienceNanos() < each.deadlineNanos()));
+        day.told
+                .asks
+                .values()
+                .forEach(each -> assertTrue(each.patienceNanos() < each.deadlineNanos()));
     }
 
     @Test
@@ -63,8 +76,9 @@
     @Test
     void aFewAskBehindOneAnother() {
         Played day = Played.whole(QUIET + "set pipelined 1\nset rate 100\nset sidecars 1");
-        assertTrue(day.told.served() > 0.8 * day.told.asks.size(), day.told.served() + " of "
-                + day.told.asks.size());
+        assertTrue(
+                day.told.served() > 0.8 * day.told.asks.size(),
+                day.told.served() + " of " + day.told.asks.size());
         assertEquals(Set.of(), day.told.broken.keySet());
     }
 
@@ -85,18 +99,23 @@
     @Test
     void aFloodIsOneTenants() {
         Played day = Played.whole(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
-        List<Integer> tenants = day.told.asks.values().stream().map(Try::tenant).distinct().toList();
+        List<Integer> tenants =
+                day.told.asks.values().stream().map(Try::tenant).distinct().toList();
         assertEquals(1, tenants.size());
         assertTrue(day.told.asks.size() > 60 && day.told.asks.size() < 140);
     }
 
     @Test
     void largeBodiesArriveWhole() {
-        Played day = Played.whole(QUIET + "set large-bodies 1\nset large-answers 1\nset chunked 0.5\n"
-                + "set send-buffer 256\nset receive-buffer 256\nset chopped 0.3");
-        assertTrue(day.told.served() > 0.7 * day.told.asks.size(), day.told.served() + " of "
-                + day.told.asks.size());
-        day.told.bodies.forEach((id, body) -> assertTrue(body.isEmpty()
-                || id.equals(day.told.made.get(body))));
+        Played day =
+                Played.whole(
+                        QUIET
+                                + "set large-bodies 1\nset large-answers 1\nset chunked 0.5\n"
+                                + "set send-buffer 256\nset receive-buffer 256\nset chopped 0.3");
+        assertTrue(
+                day.told.served() > 0.7 * day.told.asks.size(),
+                day.told.served() + " of " + day.told.asks.size());
+        day.told.bodies.forEach(
+                (id, body) -> assertTrue(body.isEmpty() || id.equals(day.told.made.get(body))));
     }
 }
--- a/rig/src/test/java/appleridge/rig/world/BadClientsTest.java
+++ b/rig/src/test/java/appleridge/rig/world/BadClientsTest.java
@@ -12,11 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 class BadClientsTest {
-    private static final Set<BadKind> UNSEEN = EnumSet.of(BadKind.HALF_CLOSE, BadKind.HALF_RESET,
-            BadKind.NEVER_READS);
+    private static final Set<BadKind> UNSEEN =
+            EnumSet.of(BadKind.HALF_CLOSE, BadKind.HALF_RESET, BadKind.NEVER_READS);
 
     private static Played day(BadKind kind, int count) {
-        return Played.whole("seed 2\nat 2 bad style=" + FaultKind.word(kind) + " who=n0 count=" + count);
+        return Played.whole(
+                "seed 2\nat 2 bad style=" + FaultKind.word(kind) + " who=n0 count=" + count);
     }
 
     @Test
@@ -25,7 +26,10 @@
             Played day = day(kind, 2);
             assertEquals(1, day.told.faults.get("bad"), kind.name());
             assertEquals(UNSEEN.contains(kind), day.told.badConnected.isEmpty(), kind.name());
-            day.told.badEnded.values().forEach(status -> assertTrue(status != 200, kind + " served"));
+            day.told
+                    .badEnded
+                    .values()
+                    .forEach(status -> assertTrue(status != 200, kind + " served"));
             assertTrue(day.told.badConnected.keySet().containsAll(day.told.badEnded.keySet()));
         }
     }
@@ -46,7 +50,8 @@
     void crowdsAreCrowds() {
         Played day = day(BadKind.CROWD, 1);
         assertTrue(day.told.badConnected.size() >= 30, "came " + day.told.badConnected.size());
-        assertTrue(day.told.badEnded.size() == day.told.badConnected.size(), "they leave in the end");
+        assertTrue(
+                day.told.badEnded.size() == day.told.badConnected.size(), "they leave in the end");
     }
 
     @Test
@@ -61,7 +66,8 @@
     void anothersIdIsUsedWhileItIsOpenAndNeverTakenForTheOther() {
         Played day = day(BadKind.SAME_ID, 3);
         assertEquals(3, day.told.badConnected.size());
-        List<String> usual = day.told.arrived.stream().filter(id -> !id.startsWith(Site.BAD_ID)).toList();
+        List<String> usual =
+                day.told.arrived.stream().filter(id -> !id.startsWith(Site.BAD_ID)).toList();
         assertEquals(3, day.told.arrived.size() - usual.size(), "the proxy passes them on");
         assertEquals(usual.size(), usual.stream().distinct().count());
     }
@@ -81,7 +87,8 @@
         assertEquals(Script.End.RESET, requests.script(BadKind.HALF_RESET, "bad-1").end());
         for (BadKind each : BadKind.values()) {
             if (each != BadKind.SAME_ID && each != BadKind.NO_ID && each != BadKind.HIDDEN) {
-                assertTrue(text(requests, each).split("X-Request-Id", -1).length <= 201, each.name());
+                assertTrue(
+                        text(requests, each).split("X-Request-Id", -1).length <= 201, each.name());
             }
         }
         assertTrue(requests.same("a", "GET").parts().get(0).bytes()[0] == 'P');
@@ -90,8 +97,10 @@
 
     private static String text(BadRequests requests, BadKind kind) {
         StringBuilder text = new StringBuilder();
-        requests.script(kind, "bad-1").parts().forEach(part ->
-                text.append(new String(part.bytes(), StandardCharsets.ISO_8859_1)));
+        requests.script(kind, "bad-1")
+                .parts()
+                .forEach(
+                        part -> text.append(new String(part.bytes(), StandardCharsets.ISO_8859_1)));
         return text.toString();
     }
 }
--- a/rig/src/test/java/appleridge/rig/world/DeterminismTest.java
+++ b/rig/src/test/java/appleridge/rig/world/DeterminismTest.java
@@ -33,12 +33,14 @@
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             boolean backwards = i == 0;
-            threads.add(new Thread(() -> {
-                List<Long> own = digests(backwards);
-                synchronized (beside) {
-                    beside.add(own);
-                }
-            }));
+            threads.add(
+                    new Thread(
+                            () -> {
+                                List<Long> own = digests(backwards);
+                                synchronized (beside) {
+                                    beside.add(own);
+                                }
+                            }));
         }
         threads.forEach(Thread::start);
         for (Thread each : threads) {
@@ -59,9 +61,13 @@
 
     @Test
     void aFaultTakenOutShiftsNothingElseThatIsDrawn() {
-        Plan plan = Plan.parse("seed 5\nset retries 0\nat 5 list-503 for=0.1\nat 6 wall-step who=n0 by=1");
+        Plan plan =
+                Plan.parse(
+                        "seed 5\nset retries 0\nat 5 list-503 for=0.1\nat 6 wall-step who=n0 by=1");
         Played with = Played.whole(plan);
         Played without = Played.whole(plan.without(Set.of(0, 1)));
-        assertEquals(new ArrayList<>(with.told.asks.keySet()), new ArrayList<>(without.told.asks.keySet()));
+        assertEquals(
+                new ArrayList<>(with.told.asks.keySet()),
+                new ArrayList<>(without.told.asks.keySet()));
     }
 }
--- a/rig/src/test/java/appleridge/rig/world/DumbSidecar.java
+++ b/rig/src/test/java/appleridge/rig/world/DumbSidecar.java
@@ -14,11 +14,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Stands in for a sidecar: passes each request on to the next server of its list, once, and knows no rules.
+ * Stands in for a sidecar: passes each request on to the next server of its list, once, and knows
+ * no rules.
  */
 final class DumbSidecar implements SidecarHost {
-    private static final Pattern ENTRY = Pattern.compile(
-            "\"uid\":\"([^\"]*)\",\"endpoint\":\"([0-9.]+:[0-9]+)\".*?\"state\":\"([^\"]*)\"");
+    private static final Pattern ENTRY =
+            Pattern.compile(
+                    "\"uid\":\"([^\"]*)\",\"endpoint\":\"([0-9.]+:[0-9]+)\".*?\"state\":\"([^\"]*)\"");
     private static final long STARTS = 20 * Site.MS;
     private static final long DRAINS = 600 * Site.MS;
 
@@ -45,12 +47,14 @@
         discovery = discovery(starting.config());
         servers.clear();
         take(starting.config());
-        simulation.after(STARTS, () -> {
-            if (process == starting) {
-                listen();
-                follow();
-            }
-        });
+        simulation.after(
+                STARTS,
+                () -> {
+                    if (process == starting) {
+                        listen();
+                        follow();
+                    }
+                });
     }
 
     private static InetSocketAddress discovery(String config) {
@@ -68,7 +72,8 @@
             bytes[i] = (byte) Integer.parseInt(parts[i]);
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(bytes), Integer.parseInt(parts[4]));
+            return new InetSocketAddress(
+                    InetAddress.getByAddress(bytes), Integer.parseInt(parts[4]));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -92,8 +97,12 @@
 
     private void listen() {
         try {
-            listener = process.host().listen(new InetSocketAddress(process.host().address(),
-                    Site.SIDECAR_PORT), 64);
+            listener =
+                    process.host()
+                            .listen(
+                                    new InetSocketAddress(
+                                            process.host().address(), Site.SIDECAR_PORT),
+                                    64);
             listener.onAcceptable(this::accept);
         } catch (IOException e) {
             log.add("can't listen");
@@ -118,53 +127,66 @@
         }
         HttpReader reader = new HttpReader(true);
         try {
-            watch = mine.host().connect(from, new SimSocket.Events() {
-                private final SimSocket[] own = new SimSocket[1];
-
-                @Override
-                public void connected() {
-                    own[0] = watch;
-                    try {
-                        new Outbox(own[0]).send("GET /registry/instances?since=" + revision
-                                + "&timeout_ms=1000 HTTP/1.1\r\nHost: a\r\n\r\n");
-                    } catch (IOException e) {
-                        log.add("can't ask discovery");
-                    }
-                }
-
-                @Override
-                public void failed(IOException why) {
-                    again();
-                }
-
-                private void again() {
-                    simulation.after(100 * Site.MS, () -> {
-                        if (process == mine) {
-                            follow();
-                        }
-                    });
-                }
-
-                @Override
-                public void readable() {
-                    try {
-                        while (own[0].isOpen() && own[0].isReadable()) {
-                            int read = reader.read(own[0], 1 << 16);
-                            if (read <= 0 || reader.advance()) {
-                                if (read > 0 && reader.isWhole() && reader.status() == 200
-                                        && reader.body().endsWith("]}")) {
-                                    take(reader.body());
-                                }
-                                own[0].close();
-                                again();
-                            }
-                        }
-                    } catch (IOException e) {
-                        own[0].close();
-                        again();
-                    }
-                }
-            });
+            watch =
+                    mine.host()
+                            .connect(
+                                    from,
+                                    new SimSocket.Events() {
+                                        private final SimSocket[] own = new SimSocket[1];
+
+                                        @Override
+                                        public void connected() {
+                                            own[0] = watch;
+                                            try {
+                                                new Outbox(own[0])
+                                                        .send(
+                                                                "GET /registry/instances?since="
+                                                                        + revision
+                                                                        + "&timeout_ms=1000"
+                                                                        + " HTTP/1.1\r\n"
+                                                                        + "Host: a\r\n\r\n");
+                                            } catch (IOException e) {
+                                                log.add("can't ask discovery");
+                                            }
+                                        }
+
+                                        @Override
+                                        public void failed(IOException why) {
+                                            again();
+                                        }
+
+                                        private void again() {
+                                            simulation.after(
+                                                    100 * Site.MS,
+                                                    () -> {
+                                                        if (process == mine) {
+                                                            follow();
+                                                        }
+                                                    });
+                                        }
+
+                                        @Override
+                                        public void readable() {
+                                            try {
+                                                while (own[0].isOpen() && own[0].isReadable()) {
+                                                    int read = reader.read(own[0], 1 << 16);
+                                                    if (read <= 0 || reader.advance()) {
+                                                        if (read > 0
+                                                                && reader.isWhole()
+                                                                && reader.status() == 200
+                                                                && reader.body().endsWith("]}")) {
+                                                            take(reader.body());
+                                                        }
+                                                        own[0].close();
+                                                        again();
+                                                    }
+                                                }
+                                            } catch (IOException e) {
+                                                own[0].close();
+                                                again();
+                                            }
+                                        }
+                                    });
         } catch (IOException e) {
             log.add("no descriptor for discovery");
         }
@@ -180,12 +202,14 @@
     public void term() {
         log.add("term " + process.name());
         Process mine = process;
-        simulation.after(DRAINS, () -> {
-            if (process == mine) {
-                process = null;
-                mine.exited().accept(0);
-            }
-        });
+        simulation.after(
+                DRAINS,
+                () -> {
+                    if (process == mine) {
+                        process = null;
+                        mine.exited().accept(0);
+                    }
+                });
     }
 
     @Override
@@ -261,13 +285,17 @@
             }
             String id = reader.header("x-request-id");
             String wait = reader.header("x-deadline");
-            boolean known = Classes.ALL.stream().anyMatch(
-                    kind -> kind.name().equals(reader.header("x-class")));
+            boolean known =
+                    Classes.ALL.stream()
+                            .anyMatch(kind -> kind.name().equals(reader.header("x-class")));
             if (reader.word(1).equals("/health/ready")) {
                 say("200 OK", "", "ready");
-            } else if (id == null || wait == null || !known || !reader.word(1).startsWith("/api")
+            } else if (id == null
+                    || wait == null
+                    || !known
+                    || !reader.word(1).startsWith("/api")
                     || reader.header("content-length") != null
-                    && reader.header("transfer-encoding") != null) {
+                            && reader.header("transfer-encoding") != null) {
                 say("400 Bad Request", "", "");
             } else {
                 pass();
@@ -286,12 +314,18 @@
             }
             busy = true;
             StringBuilder text = new StringBuilder();
-            text.append(reader.word(0)).append(' ').append(reader.word(1))
+            text.append(reader.word(0))
+                    .append(' ')
+                    .append(reader.word(1))
                     .append(" HTTP/1.1\r\nX-Request-Id: ")
-                    .append(reader.header("x-request-id")).append("\r\nX-Deadline: ")
-                    .append(reader.header("x-deadline")).append("\r\n");
+                    .append(reader.header("x-request-id"))
+                    .append("\r\nX-Deadline: ")
+                    .append(reader.header("x-deadline"))
+                    .append("\r\n");
             if (reader.header("idempotency-key") != null) {
-                text.append("Idempotency-Key: ").append(reader.header("idempotency-key")).append("\r\n");
+                text.append("Idempotency-Key: ")
+                        .append(reader.header("idempotency-key"))
+                        .append("\r\n");
             }
             if (reader.word(0).equals("POST")) {
                 text.append("Content-Length: ").append(reader.bodyLength()).append("\r\n");
--- a/rig/src/test/java/appleridge/rig/world/HttpReaderTest.java
+++ b/rig/src/test/java/appleridge/rig/world/HttpReaderTest.java
@@ -23,7 +23,8 @@
 
     @Test
     void readsARequestInPiecesOfAnySize() throws Exception {
-        String text = "\r\nPOST /api/x HTTP/1.1\r\nX-Request-Id: a1\r\nContent-Length: 5\r\n\r\nhelloGET";
+        String text =
+                "\r\nPOST /api/x HTTP/1.1\r\nX-Request-Id: a1\r\nContent-Length: 5\r\n\r\nhelloGET";
         for (int piece = 1; piece < text.length(); piece++) {
             HttpReader reader = read(false, piece, text);
             assertTrue(reader.isWhole());
@@ -39,8 +40,9 @@
 
     @Test
     void readsChunks() throws Exception {
-        String text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: t\r\n\r\n";
+        String text =
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: t\r\n\r\n";
         for (int piece : new int[] {1, 2, 7, 1000}) {
             HttpReader reader = read(true, piece, text);
             assertTrue(reader.isWhole());
@@ -51,9 +53,15 @@
 
     @Test
     void chunksCountWhereThereIsALengthToo() throws Exception {
-        HttpReader reader = read(false, 100,
-                "POST / HTTP/1.1\r\nContent-Length: 50\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "0\r\n\r\nGET /b HTTP/1.1\r\n\r\n");
+        HttpReader reader =
+                read(
+                        false,
+                        100,
+                        "POST / HTTP/1.1\r\n"
+                                + "Content-Length: 50\r\n"
+                                + "Transfer-Encoding: chunked\r\n\r\n"
+                                + "0\r\n\r\n"
+                                + "GET /b HTTP/1.1\r\n\r\n");
         assertTrue(reader.isWhole());
         assertEquals("", reader.body());
         reader.next();
@@ -63,7 +71,8 @@
 
     @Test
     void interimAnswersHaveNoBody() throws Exception {
-        HttpReader reader = read(true, 50, "HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 204 No\r\n\r\n");
+        HttpReader reader =
+                read(true, 50, "HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 204 No\r\n\r\n");
         assertEquals(103, reader.status());
         reader.next();
         assertTrue(reader.advance());
@@ -77,7 +86,9 @@
         assertTrue(read(false, 50, "GET /\r\n\r\n").isBroken());
         assertTrue(read(false, 50, "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n").isBroken());
         assertTrue(read(false, 50, "GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n").isBroken());
-        assertTrue(read(false, 50, "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n").isBroken());
+        assertTrue(
+                read(false, 50, "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")
+                        .isBroken());
     }
 
     @Test
--- a/rig/src/test/java/appleridge/rig/world/OrderServerTest.java
+++ b/rig/src/test/java/appleridge/rig/world/OrderServerTest.java
@@ -17,7 +17,9 @@
         for (int i = 0; i < 50; i++) {
             stage.knows("r" + i, 0, null, WORK);
         }
-        return stage.knows("k1", 2, "key", WORK).knows("k2", 2, "key", WORK).knows("h1", 1, "hold", WORK)
+        return stage.knows("k1", 2, "key", WORK)
+                .knows("k2", 2, "key", WORK)
+                .knows("h1", 1, "hold", WORK)
                 .knows("h2", 1, "hold", WORK);
     }
 
@@ -75,11 +77,15 @@
     void repeatsAreDroppedByTheGroupForTheWindow() {
         Stage stage = stage("set cores 1");
         assertTrue(stage.toServer(0).say(Stage.post("k1", "key")).hear(LONG).contains(" 200 "));
-        assertTrue(stage.toServer(1).say(Stage.post("k2", "key")).hear(5 * MS).contains(" 200 "), "no work");
+        assertTrue(
+                stage.toServer(1).say(Stage.post("k2", "key")).hear(5 * MS).contains(" 200 "),
+                "no work");
         assertTrue(stage.toServer(0).say(Stage.post("h1", "hold")).hear(LONG).contains(" 200 "));
-        assertEquals("", stage.toServer(1).say(Stage.post("h2", "hold")).hear(5 * MS), "another site");
+        assertEquals(
+                "", stage.toServer(1).say(Stage.post("h2", "hold")).hear(5 * MS), "another site");
         stage.after(8 * Site.SECOND);
-        assertEquals("", stage.toServer(1).say(Stage.post("k1", "key")).hear(5 * MS), "past the window");
+        assertEquals(
+                "", stage.toServer(1).say(Stage.post("k1", "key")).hear(5 * MS), "past the window");
     }
 
     @Test
@@ -215,7 +221,8 @@
             stage.day.asked.spoil("r1", each);
             Stage.Line line = stage.toServer(0).say(Stage.get("r1"));
             String answer = line.hear(Site.SECOND);
-            assertEquals(each == Spoil.PAUSES, stage.told.made.containsKey(body(answer)), each.name());
+            assertEquals(
+                    each == Spoil.PAUSES, stage.told.made.containsKey(body(answer)), each.name());
             assertFalse(answer.isEmpty(), each.name());
             stage.day.asked.takeSpoil("r1");
         }
@@ -232,9 +239,12 @@
             Stage.Line line = stage.toServer(0).say(Stage.get("r1"));
             String answer = line.hear(Site.SECOND);
             assertTrue(answer.contains("s0.0/0/1/r1"), answer);
-            assertEquals(each == Extra.INTERIM || each == Extra.INTERIMS, answer.startsWith("HTTP/1.1 10"),
+            assertEquals(
+                    each == Extra.INTERIM || each == Extra.INTERIMS,
+                    answer.startsWith("HTTP/1.1 10"),
                     each.name());
-            assertEquals(each == Extra.COPY ? 3 : 2, answer.split("200 OK", -1).length, each.name());
+            assertEquals(
+                    each == Extra.COPY ? 3 : 2, answer.split("200 OK", -1).length, each.name());
             assertEquals(each == Extra.CLOSES, line.isEnded(), each.name());
         }
     }
--- a/rig/src/test/java/appleridge/rig/world/PlanTest.java
+++ b/rig/src/test/java/appleridge/rig/world/PlanTest.java
@@ -40,7 +40,8 @@
         for (long seed = 0; seed < SEEDS; seed++) {
             Plan plan = Plan.draw(seed);
             assertTrue(plan.end() >= 20 * Site.SECOND);
-            assertTrue(plan.part(Knob.RATE) * plan.quietFrom() / Site.SECOND >= 399.9, "seed " + seed);
+            assertTrue(
+                    plan.part(Knob.RATE) * plan.quietFrom() / Site.SECOND >= 399.9, "seed " + seed);
             for (Fault each : plan.faults()) {
                 assertTrue(each.trigger().trap() || each.trigger().at() < plan.faultsEnd());
             }
@@ -63,11 +64,18 @@
             }
         }
         // Those of nodes are played by scenarios alone, as long as no day with nodes is drawn.
-        for (FaultKind kind : EnumSet.complementOf(EnumSet.copyOf(Arrays.stream(FaultKind.values())
-                .filter(FaultKind::ofNodes).toList()))) {
+        for (FaultKind kind :
+                EnumSet.complementOf(
+                        EnumSet.copyOf(
+                                Arrays.stream(FaultKind.values())
+                                        .filter(FaultKind::ofNodes)
+                                        .toList()))) {
             assertTrue(kind.trappedOnly() || timed.contains(kind), "never timed: " + kind);
             for (RequestState state : RequestState.values()) {
-                assertEquals(kind.isAimedAt(state), trapped.contains(kind + " " + state), kind + " " + state);
+                assertEquals(
+                        kind.isAimedAt(state),
+                        trapped.contains(kind + " " + state),
+                        kind + " " + state);
             }
             for (String style : kind.styles()) {
                 assertTrue(styles.contains(kind + " " + style), kind + " " + style);
@@ -77,16 +85,19 @@
 
     @Test
     void aScenarioSaysWhatDiffersFromAUsualDay() {
-        Plan plan = Plan.parse("""
-                # a day by hand
-                seed -3
+        Plan plan =
+                Plan.parse(
+                        """
+                        # a day by hand
+                        seed -3
 
-                set servers 2      # only
-                set loss 0.25
-                set call-cost 0.000000001
-                at 3.25 kill who=n1 down=0.8
-                on RESEND_CONNECTING 3 after 0.002 drain down=1
-                """.replace("RESEND_CONNECTING", "resend-connecting"));
+                        set servers 2      # only
+                        set loss 0.25
+                        set call-cost 0.000000001
+                        at 3.25 kill who=n1 down=0.8
+                        on RESEND_CONNECTING 3 after 0.002 drain down=1
+                        """
+                                .replace("RESEND_CONNECTING", "resend-connecting"));
         assertEquals(-3, plan.seed());
         assertEquals(2, plan.size(Knob.SERVERS));
         assertEquals(0.25, plan.part(Knob.LOSS));
@@ -103,7 +114,8 @@
 
     @Test
     void faultsAreTakenOutByTheirPlaces() {
-        Plan plan = Plan.parse("seed 1\nat 1 close-idle who=s0\nat 2 close-idle who=s1\nat 3 move\n");
+        Plan plan =
+                Plan.parse("seed 1\nat 1 close-idle who=s0\nat 2 close-idle who=s1\nat 3 move\n");
         Plan less = plan.without(Set.of(0, 2));
         assertEquals("at 2 close-idle who=s1", less.faults().get(0).text());
         assertEquals(1, less.faults().size());
@@ -112,8 +124,9 @@
     }
 
     private static void refused(String expected, String scenario) {
-        String message = assertThrows(IllegalArgumentException.class, () -> Plan.parse(scenario))
-                .getMessage();
+        String message =
+                assertThrows(IllegalArgumentException.class, () -> Plan.parse(scenario))
+                        .getMessage();
         assertTrue(message.contains(expected), message);
     }
 
@@ -140,19 +153,28 @@
         refused("line 2: up-reset needs a request", "seed 1\nat 1 up-reset");
         refused("line 2: up-reset can't strike a request there", "seed 1\non held 1 up-reset");
         refused("line 2: move has no who", "seed 1\nat 1 move who=n0");
-        refused("line 2: no such style of bad: odd; known: ", "seed 1\nat 1 bad style=odd who=n0 count=1");
+        refused(
+                "line 2: no such style of bad: odd; known: ",
+                "seed 1\nat 1 bad style=odd who=n0 count=1");
         refused("line 2: bad needs a style", "seed 1\nat 1 bad who=n0 count=1");
         refused("line 2: no such state: sleeping; known: ", "seed 1\non sleeping 1 move");
         refused("line 2: there is no such time: 0", "seed 1\non held 0 move");
         refused("line 2: after SECONDS KIND", "seed 1\non held 1 after 3");
         refused("line 2: no such who: n3; known: n0, n1, n2", "seed 1\nat 1 kill who=n3 down=1");
-        refused("line 3: no such who: s9; known: s0, ", "seed 1\nset servers 9\nat 1 close-idle who=s9");
-        refused("line 4: it can't strike: faults have ended at 5 s",
+        refused(
+                "line 3: no such who: s9; known: s0, ",
+                "seed 1\nset servers 9\nat 1 close-idle who=s9");
+        refused(
+                "line 4: it can't strike: faults have ended at 5 s",
                 "seed 1\nset faults-end 5\nat 4.9 move\nat 5 move");
-        refused("line 2: it can't strike: faults have ended at 8 s", "seed 1\non held 1 after 8 move");
+        refused(
+                "line 2: it can't strike: faults have ended at 8 s",
+                "seed 1\non held 1 after 8 move");
         refused("line 2: no such size: rats; known: rate, ", "seed 1\nset rats 3");
         refused("line 2: move has no for", "seed 1\nat 1 move for=1");
         refused("line 2: kill has no for; it has down", "seed 1\nat 1 kill who=n0 for=1");
-        refused("line 2: no such who: paris; known: ebene, ", "seed 1\nat 1 zone-cut who=paris for=1");
+        refused(
+                "line 2: no such who: paris; known: ebene, ",
+                "seed 1\nat 1 zone-cut who=paris for=1");
     }
 }
--- a/rig/src/test/java/appleridge/rig/world/Played.java
+++ b/rig/src/test/java/appleridge/rig/world/Played.java
@@ -10,8 +10,11 @@
     final World world;
 
     Played(Plan plan) {
-        world = new World(plan, (name, world, evidence) -> new DumbSidecar(world.simulation(), log),
-                (world, states, zoneOf) -> told);
+        world =
+                new World(
+                        plan,
+                        (name, world, evidence) -> new DumbSidecar(world.simulation(), log),
+                        (world, states, zoneOf) -> told);
     }
 
     static Played whole(Plan plan) {
--- a/rig/src/test/java/appleridge/rig/world/Recorded.java
+++ b/rig/src/test/java/appleridge/rig/world/Recorded.java
@@ -53,7 +53,12 @@
     }
 
     @Override
-    public void reads(String server, String sidecar, String id, Message message, long deadlineNanos,
+    public void reads(
+            String server,
+            String sidecar,
+            String id,
+            Message message,
+            long deadlineNanos,
             long firstByteSentAt) {
         read.put(id, message);
         deadlines.put(id, deadlineNanos);
@@ -65,7 +70,8 @@
     }
 
     @Override
-    public void answered(String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
+    public void answered(
+            String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
         answers.put(id, status);
         bodies.put(id, body);
     }
@@ -106,8 +112,14 @@
     }
 
     @Override
-    public void arrived(String server, int life, String sidecar, String id, long firstByteSentAt,
-            long lastByteSentAt, long work) {
+    public void arrived(
+            String server,
+            int life,
+            String sidecar,
+            String id,
+            long firstByteSentAt,
+            long lastByteSentAt,
+            long work) {
         if (firstByteSentAt > lastByteSentAt) {
             throw new AssertionError("the last byte came first");
         }
--- a/rig/src/test/java/appleridge/rig/world/RegistryTest.java
+++ b/rig/src/test/java/appleridge/rig/world/RegistryTest.java
@@ -12,25 +12,32 @@
     private static final String WHOLE = "GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n";
 
     private static String watch(long since, long millis) {
-        return "GET /registry/instances?since=" + since + "&timeout_ms=" + millis
+        return "GET /registry/instances?since="
+                + since
+                + "&timeout_ms="
+                + millis
                 + " HTTP/1.1\r\nHost: d\r\n\r\n";
     }
 
     private static Stage stage() {
-        return new Stage("set call-cost 0.01\nset notice 0.5\nset silent-notice 2\nset add-notice 0.2");
+        return new Stage(
+                "set call-cost 0.01\nset notice 0.5\nset silent-notice 2\nset add-notice 0.2");
     }
 
     @Test
     void givesTheWholeListAsTheProtocolHasIt() {
         Stage stage = stage();
         String answer = stage.toDiscovery().say(WHOLE).hear(50 * MS);
-        assertTrue(answer.endsWith("{\"rev\":2,\"all\":true,\"targets\":["
-                + "{\"uid\":\"s0.0\",\"endpoint\":\"127.3.0.1:4000\",\"az\":\"ebene\","
-                + "\"model\":\"std-3c\","
-                + "\"pod_group\":0,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0},"
-                + "{\"uid\":\"s1.0\",\"endpoint\":\"127.3.1.1:4000\",\"az\":\"port-louis\","
-                + "\"model\":\"std-3c\","
-                + "\"pod_group\":1,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}]}"), answer);
+        assertTrue(
+                answer.endsWith(
+                        "{\"rev\":2,\"all\":true,\"targets\":["
+                            + "{\"uid\":\"s0.0\",\"endpoint\":\"127.3.0.1:4000\",\"az\":\"ebene\","
+                            + "\"model\":\"std-3c\","
+                            + "\"pod_group\":0,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0},"
+                            + "{\"uid\":\"s1.0\",\"endpoint\":\"127.3.1.1:4000\",\"az\":\"port-louis\","
+                            + "\"model\":\"std-3c\","
+                            + "\"pod_group\":1,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}]}"),
+                answer);
         assertEquals(List.of("n0 s0.0 Ready", "n0 s1.0 Ready"), stage.told.told);
     }
 
@@ -44,7 +51,8 @@
         stage.machine(0).crash(Site.SECOND, false);
         assertEquals("", line.hear(1900 * MS - Site.SECOND));
         String added = line.hear(500 * MS);
-        assertTrue(added.contains("\"uid\":\"s0.1\"") && added.contains("\"state\":\"Ready\""), added);
+        assertTrue(
+                added.contains("\"uid\":\"s0.1\"") && added.contains("\"state\":\"Ready\""), added);
         assertTrue(added.contains("\"boot_ms\":17"), added);
         assertTrue(line.say(watch(3, 5000)).hear(Site.SECOND).contains("\"state\":\"Gone\""));
     }
@@ -168,7 +176,9 @@
         stage.registry.stale(Site.SECOND, 10 * Site.SECOND);
         String old = stage.toDiscovery().say(WHOLE).hear(50 * MS);
         assertTrue(old.contains("s0.0") && old.contains("\"rev\":2"), old);
-        assertTrue(stage.told.told.contains("n0 s0.1 Gone"), "what a whole list leaves out is told as gone");
+        assertTrue(
+                stage.told.told.contains("n0 s0.1 Gone"),
+                "what a whole list leaves out is told as gone");
     }
 
     @Test
@@ -176,8 +186,14 @@
         Stage stage = stage();
         stage.instances.flap("s0.0", Instances.GONE, 2, 100 * MS);
         stage.after(Site.SECOND);
-        assertEquals(List.of("s0.0 Ready", "s1.0 Ready", "s0.0 Gone", "s0.0 Ready", "s0.0 Gone",
-                "s0.0 Ready"),
+        assertEquals(
+                List.of(
+                        "s0.0 Ready",
+                        "s1.0 Ready",
+                        "s0.0 Gone",
+                        "s0.0 Ready",
+                        "s0.0 Gone",
+                        "s0.0 Ready"),
                 stage.told.knows);
     }
 
--- a/rig/src/test/java/appleridge/rig/world/SettingsTest.java
+++ b/rig/src/test/java/appleridge/rig/world/SettingsTest.java
@@ -15,9 +15,15 @@
         for (long seed = 0; seed < 50; seed++) {
             Plan plan = Plan.draw(seed);
             Stage stage = new Stage("");
-            String text = Settings.json(plan, "n1", 1, stage.machine(0).address(), stage.registry.address(),
-                    -5,
-                    Instances.json(2, true, stage.instances.whole()));
+            String text =
+                    Settings.json(
+                            plan,
+                            "n1",
+                            1,
+                            stage.machine(0).address(),
+                            stage.registry.address(),
+                            -5,
+                            Instances.json(2, true, stage.instances.whole()));
             Config config = Config.parse(text.getBytes(StandardCharsets.UTF_8));
             assertEquals("n1", config.name());
             assertEquals(stage.registry.address(), config.discovery());
@@ -35,8 +41,9 @@
             assertEquals(Classes.ALL.size(), settings.classes().size());
             for (int i = 0; i < Classes.ALL.size(); i++) {
                 assertEquals(Classes.of(i).semantics(), settings.classes().get(i).semantics());
-                assertTrue(!Classes.of(i).keyed() || Classes.of(i).scope() == settings.classes().get(i)
-                        .scope());
+                assertTrue(
+                        !Classes.of(i).keyed()
+                                || Classes.of(i).scope() == settings.classes().get(i).scope());
                 assertEquals(plan.deadline(Classes.of(i)), settings.classes().get(i).deadline());
             }
         }
--- a/rig/src/test/java/appleridge/rig/world/SimplerPlansTest.java
+++ b/rig/src/test/java/appleridge/rig/world/SimplerPlansTest.java
@@ -24,15 +24,24 @@
 
     @Test
     void numbersAreMadeRounderOneByOneTheRoundestFirst() {
-        assertEquals(List.of("at 3 pause who=n0 for=1.256", "at 3.4 pause who=n0 for=1.256",
-                "at 3.417 pause who=n0 for=1", "at 3.417 pause who=n0 for=1.3",
-                "set rate 20", "set rate 24"),
+        assertEquals(
+                List.of(
+                        "at 3 pause who=n0 for=1.256",
+                        "at 3.4 pause who=n0 for=1.256",
+                        "at 3.417 pause who=n0 for=1",
+                        "at 3.417 pause who=n0 for=1.3",
+                        "set rate 20",
+                        "set rate 24"),
                 simpler("seed 1\nset rate 23.963609\nat 3.417 pause who=n0 for=1.256\n"));
     }
 
     @Test
     void aTrapStrikesAtOnceAndOnTheFirstVisit() {
-        assertEquals(List.of("on held 7 move", "on held 7 after 0.002 move", "on held 1 after 0.0017 move"),
+        assertEquals(
+                List.of(
+                        "on held 7 move",
+                        "on held 7 after 0.002 move",
+                        "on held 1 after 0.0017 move"),
                 simpler("seed 1\non held 7 after 0.0017 move\n"));
     }
 
--- a/rig/src/test/java/appleridge/rig/world/Stage.java
+++ b/rig/src/test/java/appleridge/rig/world/Stage.java
@@ -23,8 +23,20 @@
     private final Host sidecar = network.host("n0", Site.address(1, 0, 1), 1000);
 
     Stage(String sizes) {
-        day = new Day(Plan.parse("seed 1\nset errors 0\nset handshake 0\nset chunked 0\nset servers 2\n"
-                + "set large-answers 0\n" + sizes), simulation, network, told, new Chance(3));
+        day =
+                new Day(
+                        Plan.parse(
+                                "seed 1\n"
+                                        + "set errors 0\n"
+                                        + "set handshake 0\n"
+                                        + "set chunked 0\n"
+                                        + "set servers 2\n"
+                                        + "set large-answers 0\n"
+                                        + sizes),
+                        simulation,
+                        network,
+                        told,
+                        new Chance(3));
         instances = new Instances(day);
         fleet = new Fleet(day.plan, instances);
         for (int i = 0; i < 2; i++) {
@@ -33,8 +45,14 @@
         }
         fleet.machines().forEach(each -> each.begin(new RequestStates()));
         instances.pastEnds();
-        registry = new Registry(day, instances, new Told(told),
-                network.host("d", Site.address(4, 0, 1), 1000), 0, 0);
+        registry =
+                new Registry(
+                        day,
+                        instances,
+                        new Told(told),
+                        network.host("d", Site.address(4, 0, 1), 1000),
+                        0,
+                        0);
         registry.listen();
     }
 
@@ -45,7 +63,8 @@
     /** What a server is to know of a request. */
     Stage knows(String id, int requestClass, String key, long work) {
         byte[] body = (requestClass == 0 ? "" : "abc").getBytes(StandardCharsets.ISO_8859_1);
-        Message message = Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
+        Message message =
+                Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
         day.asked.add(id, new Asked.Form(requestClass, message, work));
         return this;
     }
@@ -55,9 +74,11 @@
     }
 
     static String post(String id, String key) {
-        return "POST /api HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + (key == null ? ""
-                : "Idempotency-Key: " + key
-                + "\r\n") + "Content-Length: 3\r\n\r\nabc";
+        return "POST /api HTTP/1.1\r\nX-Request-Id: "
+                + id
+                + "\r\n"
+                + (key == null ? "" : "Idempotency-Key: " + key + "\r\n")
+                + "Content-Length: 3\r\n\r\nabc";
     }
 
     void after(long wait) {
--- a/rig/src/test/java/appleridge/rig/world/StagingTest.java
+++ b/rig/src/test/java/appleridge/rig/world/StagingTest.java
@@ -48,10 +48,14 @@
 
     @Test
     void sidecarsStandStillForMinutesAndForAnHour() {
-        assertEquals(3600 * Site.SECOND, of(plan(Staging.HOUR, 1), FaultKind.PAUSE).get(0).value(Param.FOR));
+        assertEquals(
+                3600 * Site.SECOND,
+                of(plan(Staging.HOUR, 1), FaultKind.PAUSE).get(0).value(Param.FOR));
         List<Long> all = new ArrayList<>();
         for (int seed = 0; seed < 50; seed++) {
-            all.add(of(plan(Staging.MINUTES, seed), FaultKind.PAUSE).get(0).value(Param.FOR) / Site.SECOND);
+            all.add(
+                    of(plan(Staging.MINUTES, seed), FaultKind.PAUSE).get(0).value(Param.FOR)
+                            / Site.SECOND);
         }
         assertTrue(all.stream().allMatch(each -> each >= 20 && each <= 120), all.toString());
         assertTrue(all.stream().anyMatch(each -> each > 100), all.toString());
@@ -77,8 +81,9 @@
         for (Fault each : of(plan, FaultKind.PAUSE)) {
             assertTrue(each.trigger().state().isResend());
             assertTrue(each.value(Param.FOR) > Site.DRAIN_GRACE + plan.size(Knob.NOTICE));
-            assertTrue(of(plan, FaultKind.DRAIN).stream().anyMatch(
-                    drain -> drain.trigger().equals(each.trigger())));
+            assertTrue(
+                    of(plan, FaultKind.DRAIN).stream()
+                            .anyMatch(drain -> drain.trigger().equals(each.trigger())));
         }
     }
 
--- a/rig/src/test/java/appleridge/rig/world/Wire.java
+++ b/rig/src/test/java/appleridge/rig/world/Wire.java
@@ -21,7 +21,7 @@
     Wire() throws IOException {
         InetSocketAddress at = new InetSocketAddress(other.address(), 80);
         SimListener listener = other.listen(at, 5);
-        client = one.connect(at, new SimSocket.Events() { });
+        client = one.connect(at, new SimSocket.Events() {});
         settle();
         server = listener.accept();
     }
--- a/rig/src/test/java/appleridge/rig/world/WorldTest.java
+++ b/rig/src/test/java/appleridge/rig/world/WorldTest.java
@@ -16,11 +16,12 @@
         Played day = Played.whole(CALM);
         assertTrue(day.told.asks.size() >= 300, "asked " + day.told.asks.size());
         assertTrue(day.told.served() >= 0.95 * day.told.asks.size(), day.told.answers.toString());
-        day.told.bodies.forEach((id, body) -> {
-            if (day.told.answers.get(id) == 200) {
-                assertEquals(id, day.told.made.get(body));
-            }
-        });
+        day.told.bodies.forEach(
+                (id, body) -> {
+                    if (day.told.answers.get(id) == 200) {
+                        assertEquals(id, day.told.made.get(body));
+                    }
+                });
         assertTrue(day.told.ended);
         assertEquals(List.of("start n0 0", "start n1 0", "start n2 0"), day.log);
     }
@@ -31,7 +32,8 @@
         assertEquals(told.asks.keySet(), told.written.keySet());
         assertFalse(told.read.isEmpty());
         told.read.forEach((id, message) -> assertEquals(told.written.get(id), message));
-        told.deadlines.forEach((id, deadline) -> assertEquals(told.asks.get(id).deadlineNanos(), deadline));
+        told.deadlines.forEach(
+                (id, deadline) -> assertEquals(told.asks.get(id).deadlineNanos(), deadline));
         assertTrue(told.written.values().stream().anyMatch(each -> each.uri().contains("?")));
         assertTrue(told.written.values().stream().map(Message::hash).distinct().count() > 100);
     }
@@ -86,8 +88,11 @@
     @Test
     void aServerThatDrainsIsFollowedByAnotherUnderANewId() {
         Played day = Played.whole(CALM + "at 3 drain who=s1 down=0.5");
-        List<String> own = day.told.servers.stream().filter(line -> line.startsWith("s1.")).toList();
-        assertEquals(List.of("s1.0 0 Ready", "s1.0 0 Terminating", "s1.0 0 Gone", "s1.1 0 Ready born"), own);
+        List<String> own =
+                day.told.servers.stream().filter(line -> line.startsWith("s1.")).toList();
+        assertEquals(
+                List.of("s1.0 0 Ready", "s1.0 0 Terminating", "s1.0 0 Gone", "s1.1 0 Ready born"),
+                own);
         assertTrue(day.told.told.contains("n0 s1.0 Terminating"));
         assertTrue(day.told.told.contains("n0 s1.1 Ready"));
     }
@@ -95,13 +100,15 @@
     @Test
     void aServerThatRestartsKeepsItsId() {
         Played day = Played.whole(CALM + "at 3 restart who=s1 down=0.5");
-        List<String> own = day.told.servers.stream().filter(line -> line.startsWith("s1.")).toList();
+        List<String> own =
+                day.told.servers.stream().filter(line -> line.startsWith("s1.")).toList();
         assertEquals(List.of("s1.0 0 Ready", "s1.0 0 Gone", "s1.0 1 Ready born"), own);
     }
 
     @Test
     void aTrapStrikesTheRequestThatSprangIt() {
-        Played day = Played.whole(CALM + "on arriving 20 client-reset\non answered 30 client-close");
+        Played day =
+                Played.whole(CALM + "on arriving 20 client-reset\non answered 30 client-close");
         assertEquals(1, day.told.faults.get("client-reset"));
         assertEquals(1, day.told.faults.get("client-close"));
         assertTrue(day.told.gaveUp.size() >= 2);
@@ -109,7 +116,9 @@
 
     @Test
     void nothingStrikesWhenTheFaultsHaveEnded() {
-        Played day = Played.whole(CALM + "on arriving 250 kill who=n0 down=1\non arriving 250 client-reset");
+        Played day =
+                Played.whole(
+                        CALM + "on arriving 250 kill who=n0 down=1\non arriving 250 client-reset");
         assertTrue(day.told.faults.isEmpty());
     }
 
@@ -117,12 +126,22 @@
     void allThatWasDoneToServersIsUndoneWhenTheFaultsEnd() {
         StringBuilder worst = new StringBuilder(CALM);
         for (int i = 0; i < 8; i++) {
-            worst.append("at 7.").append(i).append(i % 2 == 0 ? " crash" : " drain").append(" who=s")
+            worst.append("at 7.")
+                    .append(i)
+                    .append(i % 2 == 0 ? " crash" : " drain")
+                    .append(" who=s")
+                    .append(i)
+                    .append(" down=60\nat 7.9 vanish for=60 who=s")
                     .append(i)
-                    .append(" down=60\nat 7.9 vanish for=60 who=s").append(i).append('\n');
+                    .append('\n');
         }
-        worst.append("at 7 list-down for=60\nat 7.5 kill who=n0 down=60\nat 7.5 zone-cut who=ebene for=60\n")
-                .append("at 7 link-late who=n1 for=60 by=1\nat 7 no-descriptors who=n2 for=60 count=0\n");
+        worst.append(
+                        "at 7 list-down for=60\n"
+                                + "at 7.5 kill who=n0 down=60\n"
+                                + "at 7.5 zone-cut who=ebene for=60\n")
+                .append(
+                        "at 7 link-late who=n1 for=60 by=1\n"
+                                + "at 7 no-descriptors who=n2 for=60 count=0\n");
         Played day = Played.whole(worst.toString());
         int asked = 0;
         int served = 0;
--- a/sidecar/src/main/java/appleridge/adapter/Cursor.java
+++ b/sidecar/src/main/java/appleridge/adapter/Cursor.java
@@ -4,7 +4,9 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads little-endian fields of one frame's body and never runs past the end of the current record. */
+/**
+ * Reads little-endian fields of one frame's body and never runs past the end of the current record.
+ */
 final class Cursor {
     private final ByteBuffer buffer;
     private int recordStart;
@@ -23,8 +25,14 @@
         int code = buffer.get() & 0xff;
         long length = buffer.getInt() & 0xffffffffL;
         if (length > buffer.remaining()) {
-            throw new WireException("record at byte " + recordStart + " states " + length + " bytes, "
-                    + buffer.remaining() + " are left");
+            throw new WireException(
+                    "record at byte "
+                            + recordStart
+                            + " states "
+                            + length
+                            + " bytes, "
+                            + buffer.remaining()
+                            + " are left");
         }
         recordEnd = buffer.position() + (int) length;
         return code;
@@ -115,8 +123,8 @@
     /** The value an ordinal names, or an error saying which field was out of range. */
     <T> T choice(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
-            throw new WireException(field + " " + ordinal + " out of range in the record at byte "
-                    + recordStart);
+            throw new WireException(
+                    field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return values[ordinal];
     }
--- a/sidecar/src/main/java/appleridge/adapter/Host.java
+++ b/sidecar/src/main/java/appleridge/adapter/Host.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Hands the events of a batch to the instances they name. It decides nothing and shares nothing between
- * them.
+ * Hands the events of a batch to the instances they name. It decides nothing and shares nothing
+ * between them.
  */
 final class Host {
     private static final int MAX_LISTS = 16;
@@ -51,18 +51,36 @@
             case 1 -> provision(now, in);
             case 2 -> membership(now, in);
             case 3 -> submit(now, in);
-            case 4 -> instance(in).firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 -> instance(in).outcome(now, in.u32(), in.u8(), in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.u8() != 0,
-                    in.report());
+            case 4 ->
+                    instance(in)
+                            .firstByte(now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
+            case 5 ->
+                    instance(in)
+                            .outcome(
+                                    now,
+                                    in.u32(),
+                                    in.u8(),
+                                    in.upstream(),
+                                    in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                    in.time("timeTaken"),
+                                    in.u8() != 0,
+                                    in.report());
             case 6 -> instance(in).hangup(now, in.u32());
             case 7 -> instance(in).timer(now, in.i64());
-            case 8 -> instance(in).probeResult(now, in.upstream(),
-                    in.choice(OUTCOMES, in.u8(), "stateCode"), in.time("timeTaken"), in.report());
+            case 8 ->
+                    instance(in)
+                            .probeResult(
+                                    now,
+                                    in.upstream(),
+                                    in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                    in.time("timeTaken"),
+                                    in.report());
             case 9 -> instance(in).peerMessage(now, in.u16(), in.bytes(in.u16()));
             case 10 -> instances.remove(in.u16());
             case 11 -> defineList(in);
-            default -> throw new WireException("unknown event code " + code + " at byte " + in.recordStart());
+            default ->
+                    throw new WireException(
+                            "unknown event code " + code + " at byte " + in.recordStart());
         }
     }
 
@@ -70,7 +88,8 @@
         int sidecar = in.u16();
         Balancer instance = instances.get(sidecar);
         if (instance == null) {
-            throw new WireException("event for unknown instance " + sidecar + " at byte " + in.recordStart());
+            throw new WireException(
+                    "event for unknown instance " + sidecar + " at byte " + in.recordStart());
         }
         return instance;
     }
@@ -94,7 +113,8 @@
             return;
         }
         if (number >= MAX_LISTS || lists.get((int) number) == null) {
-            throw new WireException("unknown list number " + number + " at byte " + in.recordStart());
+            throw new WireException(
+                    "unknown list number " + number + " at byte " + in.recordStart());
         }
         instance.listChanged(now, kind, lists.get((int) number));
     }
@@ -108,20 +128,37 @@
         long left = in.time("left");
         long hint = in.time("costGuess");
         int bits = in.u8();
-        instance.request(now, new Request(id, requestClass, tenant, key, left, (bits & 1) != 0 ? hint : 0,
-                (bits & 2) != 0, (bits & 4) != 0));
+        instance.request(
+                now,
+                new Request(
+                        id,
+                        requestClass,
+                        tenant,
+                        key,
+                        left,
+                        (bits & 1) != 0 ? hint : 0,
+                        (bits & 2) != 0,
+                        (bits & 4) != 0));
     }
 
     private void defineList(Cursor in) {
         long number = in.u32();
         if (number >= MAX_LISTS) {
-            throw new WireException("list number " + number + " out of range at byte " + in.recordStart());
+            throw new WireException(
+                    "list number " + number + " out of range at byte " + in.recordStart());
         }
         long count = in.u32();
         List<Upstream> entries = new ArrayList<>((int) Math.min(count, FIRST_ENTRIES));
         for (long i = 0; i < count; i++) {
-            entries.add(new Upstream(in.upstream(), in.u8(), in.u16(), in.u16(),
-                    in.choice(STATES, in.u8(), "status"), in.f32(), in.time("lastStart")));
+            entries.add(
+                    new Upstream(
+                            in.upstream(),
+                            in.u8(),
+                            in.u16(),
+                            in.u16(),
+                            in.choice(STATES, in.u8(), "status"),
+                            in.f32(),
+                            in.time("lastStart")));
         }
         lists.set((int) number, entries);
     }
--- a/sidecar/src/main/java/appleridge/adapter/Main.java
+++ b/sidecar/src/main/java/appleridge/adapter/Main.java
@@ -14,12 +14,16 @@
 public final class Main {
     private static final int HEADER = 16;
 
-    private Main() { }
+    private Main() {}
 
-    /** Runs the adapter until input ends; a malformed frame ends it with a message and exit status 1. */
+    /**
+     * Runs the adapter until input ends; a malformed frame ends it with a message and exit status
+     * 1.
+     */
     public static void main() {
         try {
-            run(new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+            run(
+                    new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                     new FileOutputStream(FileDescriptor.out));
         } catch (IllegalArgumentException | IOException e) {
             System.err.println("appleridge: " + e.getMessage());
@@ -32,13 +36,14 @@
         Host host = new Host(replies);
         byte[] header = new byte[HEADER];
         byte[] body = new byte[1 << 16];
-        for (long frame = 0;; frame++) {
+        for (long frame = 0; ; frame++) {
             int got = in.readNBytes(header, 0, HEADER);
             if (got == 0) {
                 return;
             }
             if (got < HEADER) {
-                throw new WireException("frame " + frame + ": header cut short after " + got + " bytes");
+                throw new WireException(
+                        "frame " + frame + ": header cut short after " + got + " bytes");
             }
             ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             long now = head.getLong();
@@ -53,8 +58,13 @@
             }
             got = in.readNBytes(body, 0, size);
             if (got < size) {
-                throw new WireException("frame " + frame + ": states " + length + " bytes, ends after "
-                        + (got + HEADER));
+                throw new WireException(
+                        "frame "
+                                + frame
+                                + ": states "
+                                + length
+                                + " bytes, ends after "
+                                + (got + HEADER));
             }
             try {
                 host.batch(now, records, new Cursor(body, size));
--- a/sidecar/src/main/java/appleridge/adapter/package-info.java
+++ b/sidecar/src/main/java/appleridge/adapter/package-info.java
@@ -1,2 +1,5 @@
-/** The simulator's wire: reads event frames, drives one module instance a sidecar, writes action frames. */
+/**
+ * The simulator's wire: reads event frames, drives one module instance a sidecar, writes action
+ * frames.
+ */
 package appleridge.adapter;
--- a/sidecar/src/main/java/appleridge/config/Addresses.java
+++ b/sidecar/src/main/java/appleridge/config/Addresses.java
@@ -4,12 +4,14 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as text. Danger: a name would be looked up, on the loop, in a place that has no DNS. */
+/**
+ * Addresses as text. Danger: a name would be looked up, on the loop, in a place that has no DNS.
+ */
 public final class Addresses {
     private static final int LONGEST = 64;
     private static final int MOST_PORT = 65_535;
 
-    private Addresses() { }
+    private Addresses() {}
 
     /** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; null for all else, names too. */
     public static InetSocketAddress literal(String text) {
@@ -25,9 +27,11 @@
     private static InetAddress host(String text) {
         try {
             if (text.startsWith("[") && text.endsWith("]")) {
-                // Danger: only what is in brackets and has no other characters is surely taken for a literal.
+                // Danger: only what is in brackets and has no other characters is surely taken for
+                // a literal.
                 return text.chars().skip(1).limit(text.length() - 2L).allMatch(Addresses::isOfIpv6)
-                        ? InetAddress.getByName(text) : null;
+                        ? InetAddress.getByName(text)
+                        : null;
             }
             String[] parts = text.split("\\.", -1);
             byte[] bytes = new byte[4];
@@ -44,12 +48,18 @@
     }
 
     private static boolean isOfIpv6(int c) {
-        return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' || c == ':' || c == '.';
+        return c >= '0' && c <= '9'
+                || c >= 'a' && c <= 'f'
+                || c >= 'A' && c <= 'F'
+                || c == ':'
+                || c == '.';
     }
 
     /** A decimal number without leading zeros, within bounds; -1 if it is none. */
     private static int number(String text, int least, int most) {
-        if (text.isEmpty() || text.length() > 5 || text.length() > 1 && text.charAt(0) == '0'
+        if (text.isEmpty()
+                || text.length() > 5
+                || text.length() > 1 && text.charAt(0) == '0'
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
         }
--- a/sidecar/src/main/java/appleridge/config/Config.java
+++ b/sidecar/src/main/java/appleridge/config/Config.java
@@ -22,7 +22,8 @@
  * @param seed for the module's random numbers; new with each start
  * @param sockets file descriptors that the process may hold
  * @param known the list of upstreams as last had, in discovery's form; may be null
- * @param settings as the module gets them: a pushed list is one to subscribe to, and no peer is told
+ * @param settings as the module gets them: a pushed list is one to subscribe to, and no peer is
+ *     told
  * @param pushed discovery is an agent on this machine, and what it has counts as told at once
  * @param classes names of the request classes, as clients send them
  * @param tenants names of the tenants, as clients send them
@@ -30,19 +31,35 @@
  * @param maxOpen requests that may be open at once
  * @param admin where operators call; null for nowhere
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, JsonNode known,
-        Settings settings, boolean pushed, List<String> classes, List<String> tenants, List<String> zones,
-        List<String> kinds, long connIdle, int maxOpen, InetSocketAddress admin) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        JsonNode known,
+        Settings settings,
+        boolean pushed,
+        List<String> classes,
+        List<String> tenants,
+        List<String> zones,
+        List<String> kinds,
+        long connIdle,
+        int maxOpen,
+        InetSocketAddress admin) {
     private static final int LEAST_SOCKETS = 64;
+
     /**
-     * Nanoseconds within which an agent is asked again. Danger: it says nothing of being back, and what it
-     * has then counts as told, while a drain may have to be heeded in a quarter of a second. Asking costs
-     * nothing.
+     * Nanoseconds within which an agent is asked again. Danger: it says nothing of being back, and
+     * what it has then counts as told, while a drain may have to be heeded in a quarter of a
+     * second. Asking costs nothing.
      */
     private static final long AGENT_ASKED_WITHIN = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Reads a configuration file's text; what is missing or senseless is told by an exception's message. */
+    /**
+     * Reads a configuration file's text; what is missing or senseless is told by an exception's
+     * message.
+     */
     public static Config parse(byte[] text) throws IOException {
         return parse(new ObjectMapper().readTree(text));
     }
@@ -71,44 +88,84 @@
         if (parsed.classes().stream().anyMatch(RequestClass::stream)) {
             throw new IllegalArgumentException("streamed classes are not supported");
         }
-        // Danger: without them a watch would last no time, and a connect would be given up as it begins.
+        // Danger: without them a watch would last no time, and a connect would be given up as it
+        // begins.
         if (parsed.limits().askWithin() <= 0 || parsed.allowed().connectTimeout() <= 0) {
-            throw new IllegalArgumentException("rules.askWithin or caps.connectTimeout makes no sense");
+            throw new IllegalArgumentException(
+                    "rules.askWithin or caps.connectTimeout makes no sense");
         }
-        return new Config(text(root, "name"), address(text(root, "listen")),
-                address(text(root, "discovery")), seed(text(root, "seed")), sockets, root.get("known"),
-                parsed, pushed, names(settings.path("profiles")),
-                names(settings.path("parties")), strings(settings.path("zones")),
-                strings(settings.path("kinds")), connIdle, maxOpen,
-                root.path("admin").asText("").isEmpty() ? null : address(root.path("admin").asText()));
+        return new Config(
+                text(root, "name"),
+                address(text(root, "listen")),
+                address(text(root, "discovery")),
+                seed(text(root, "seed")),
+                sockets,
+                root.get("known"),
+                parsed,
+                pushed,
+                names(settings.path("profiles")),
+                names(settings.path("parties")),
+                strings(settings.path("zones")),
+                strings(settings.path("kinds")),
+                connIdle,
+                maxOpen,
+                root.path("admin").asText("").isEmpty()
+                        ? null
+                        : address(root.path("admin").asText()));
     }
 
     /**
-     * The settings of a module in a sidecar with sockets: a pushed list has to be asked of the agent by a
-     * watch, as any other is; and this sidecar sends its peers nothing, which is allowed and not demanded.
+     * The settings of a module in a sidecar with sockets: a pushed list has to be asked of the
+     * agent by a watch, as any other is; and this sidecar sends its peers nothing, which is allowed
+     * and not demanded.
      */
     private static Settings hosted(Settings told, boolean pushed) {
         Allowed may = told.allowed();
         Limits rules = told.limits();
-        return new Settings(told.rank(), told.replicas(), told.zone(), told.quantum(), Discovery.SUBSCRIBE,
-                told.weights(), told.classes(), told.tenants(),
-                new Allowed(may.cancel(), may.probes(), false, may.parallelTries(), may.retryAfter(),
-                        may.tryLimit(), may.maxRetryAfter(), may.connectTimeout()),
-                pushed ? new Limits(rules.answerSlack(), AGENT_ASKED_WITHIN, rules.drainGrace(),
-                        rules.coldShare(), rules.rampTime(), rules.overloadFactor(), rules.tipAfter())
+        return new Settings(
+                told.rank(),
+                told.replicas(),
+                told.zone(),
+                told.quantum(),
+                Discovery.SUBSCRIBE,
+                told.weights(),
+                told.classes(),
+                told.tenants(),
+                new Allowed(
+                        may.cancel(),
+                        may.probes(),
+                        false,
+                        may.parallelTries(),
+                        may.retryAfter(),
+                        may.tryLimit(),
+                        may.maxRetryAfter(),
+                        may.connectTimeout()),
+                pushed
+                        ? new Limits(
+                                rules.answerSlack(),
+                                AGENT_ASKED_WITHIN,
+                                rules.drainGrace(),
+                                rules.coldShare(),
+                                rules.rampTime(),
+                                rules.overloadFactor(),
+                                rules.tipAfter())
                         : rules,
-                told.reportFields(), told.valueByWork(), told.overShareWorth());
+                told.reportFields(),
+                told.valueByWork(),
+                told.overShareWorth());
     }
 
     /** The same with operators calling elsewhere. */
     public Config withAdmin(InetSocketAddress other) {
-        return new Config(name, listen, discovery, seed, sockets, known, settings, pushed, classes, tenants,
+        return new Config(
+                name, listen, discovery, seed, sockets, known, settings, pushed, classes, tenants,
                 zones, kinds, connIdle, maxOpen, other);
     }
 
     /** The same with clients connecting elsewhere. */
     public Config listeningAt(InetSocketAddress other) {
-        return new Config(name, other, discovery, seed, sockets, known, settings, pushed, classes, tenants,
+        return new Config(
+                name, other, discovery, seed, sockets, known, settings, pushed, classes, tenants,
                 zones, kinds, connIdle, maxOpen, admin);
     }
 
@@ -119,10 +176,16 @@
         same.put("listen", listen.equals(other.listen));
         same.put("admin", Objects.equals(admin, other.admin));
         same.put("limits", sockets == other.sockets);
-        same.put("settings", settings.equals(other.settings) && pushed == other.pushed
-                && classes.equals(other.classes) && tenants.equals(other.tenants)
-                && zones.equals(other.zones) && kinds.equals(other.kinds)
-                && connIdle == other.connIdle && maxOpen == other.maxOpen);
+        same.put(
+                "settings",
+                settings.equals(other.settings)
+                        && pushed == other.pushed
+                        && classes.equals(other.classes)
+                        && tenants.equals(other.tenants)
+                        && zones.equals(other.zones)
+                        && kinds.equals(other.kinds)
+                        && connIdle == other.connIdle
+                        && maxOpen == other.maxOpen);
         return same.keySet().stream().filter(part -> !same.get(part)).toList();
     }
 
@@ -170,7 +233,8 @@
     private static void flatten(String path, JsonNode node, StringBuilder lines) {
         if (node.isObject()) {
             String prefix = path.isEmpty() ? "" : path + ".";
-            node.properties().forEach(each -> flatten(prefix + each.getKey(), each.getValue(), lines));
+            node.properties()
+                    .forEach(each -> flatten(prefix + each.getKey(), each.getValue(), lines));
         } else if (node.isArray() && node.path(0).isContainerNode()) {
             lines.append(path).append(".count=").append(node.size()).append('\n');
             for (int i = 0; i < node.size(); i++) {
