--- a/sidecar/src/main/java/appleridge/config/Options.java
+++ b/sidecar/src/main/java/appleridge/config/Options.java
@@ -31,7 +31,9 @@
         }
     }
 
-    /** Reads path=value lines; what makes no sense is told by an {@link IllegalArgumentException}. */
+    /**
+     * Reads path=value lines; what makes no sense is told by an {@link IllegalArgumentException}.
+     */
     public static Settings parse(String text) {
         return new Options(text).settings();
     }
@@ -49,38 +51,67 @@
             tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
         }
         String fields = values.getOrDefault("report.fields", "");
-        return new Settings((int) number("rank", -1), (int) number("replicasOfMe", 1),
-                (int) number("zone", 0), (long) number("quantum", 0),
+        return new Settings(
+                (int) number("rank", -1),
+                (int) number("replicasOfMe", 1),
+                (int) number("zone", 0),
+                (long) number("quantum", 0),
                 choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT), classes, tenants,
-                allowed(), limits(), fields.isEmpty() ? List.of() : List.of(fields.split(",")),
-                "work".equals(values.get("valueBy")), number("overShareWorth", 1));
+                choice(Weights.class, "weights", Weights.SILENT),
+                classes,
+                tenants,
+                allowed(),
+                limits(),
+                fields.isEmpty() ? List.of() : List.of(fields.split(",")),
+                "work".equals(values.get("valueBy")),
+                number("overShareWorth", 1));
     }
 
     private RequestClass requestClass(String path) {
         Semantics semantics = choice(Semantics.class, path + "semantics", null);
         long deadline = (long) required(path + "deadline");
-        // Danger: where a day's deadlines are short, an aim may lie beyond one. Nothing is earned after the
-        // deadline, so such an aim is the deadline; turned down, no sidecar would start on that day.
+        // Danger: where a day's deadlines are short, an aim may lie beyond one. Nothing is earned
+        // after the
+        // deadline, so such an aim is the deadline; turned down, no sidecar would start on that
+        // day.
         long aim = Math.min((long) required(path + "slo"), deadline);
-        // Danger: these say nothing of other classes, and a start must not fail for what stands there.
+        // Danger: these say nothing of other classes, and a start must not fail for what stands
+        // there.
         boolean byKey = semantics == Semantics.BY_KEY;
         Scope scope = byKey ? choice(Scope.class, path + "keyScope", Scope.CELL) : Scope.CELL;
         long keyTtl = byKey ? (long) number(path + "keyTtl", 0) : 0;
-        return new RequestClass(aim, number(path + "aimStretch", 0), deadline, number(path + "worth", 1),
-                number(path + "lateShare", 0), semantics, scope, keyTtl, flag(path + "stream"));
+        return new RequestClass(
+                aim,
+                number(path + "aimStretch", 0),
+                deadline,
+                number(path + "worth", 1),
+                number(path + "lateShare", 0),
+                semantics,
+                scope,
+                keyTtl,
+                flag(path + "stream"));
     }
 
     private Allowed allowed() {
-        return new Allowed(flag("caps.mayCancel"), flag("caps.mayProbe"), flag("caps.peers"),
-                flag("caps.parallelTries"), flag("caps.retryAfter"), (int) number("caps.tryLimit", 1),
-                (long) number("caps.maxRetryAfter", 0), (long) number("caps.connectTimeout", 0));
+        return new Allowed(
+                flag("caps.mayCancel"),
+                flag("caps.mayProbe"),
+                flag("caps.peers"),
+                flag("caps.parallelTries"),
+                flag("caps.retryAfter"),
+                (int) number("caps.tryLimit", 1),
+                (long) number("caps.maxRetryAfter", 0),
+                (long) number("caps.connectTimeout", 0));
     }
 
     private Limits limits() {
-        return new Limits((long) required("rules.answerSlack"), (long) number("rules.askWithin", 0),
-                (long) required("rules.stopSendingWithin"), required("rules.coldShare"),
-                (long) required("rules.rampTime"), required("rules.overloadFactor"),
+        return new Limits(
+                (long) required("rules.answerSlack"),
+                (long) number("rules.askWithin", 0),
+                (long) required("rules.stopSendingWithin"),
+                required("rules.coldShare"),
+                (long) required("rules.rampTime"),
+                required("rules.overloadFactor"),
                 (long) required("rules.tipAfter"));
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
@@ -12,8 +12,9 @@
         if (address != null) {
             return address;
         }
-        cell.wrong("is not an address; write a literal one with its port, like \"192.0.2.1:8080\""
-                + " or \"[2001:db8::1]:8080\" (names are not looked up)");
+        cell.wrong(
+                "is not an address; write a literal one with its port, like \"192.0.2.1:8080\""
+                        + " or \"[2001:db8::1]:8080\" (names are not looked up)");
         return null;
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
@@ -20,7 +20,9 @@
                 case "--config" -> config = file(arguments, i++, config);
                 case "--operator" -> operator = file(arguments, i++, operator);
                 case "--json" -> json = true;
-                default -> throw new IllegalArgumentException("unknown argument: " + Words.quoted(argument));
+                default ->
+                        throw new IllegalArgumentException(
+                                "unknown argument: " + Words.quoted(argument));
             }
         }
         return new CheckArguments(config, operator, json);
--- a/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The command {@code check-config [--config FILE] [--operator FILE] [--json]}: says what a start with these
- * files would do, and what is wrong with them. Starts nothing.
+ * The command {@code check-config [--config FILE] [--operator FILE] [--json]}: says what a start
+ * with these files would do, and what is wrong with them. Starts nothing.
  */
 public final class CheckConfig {
     /** Exit status where a sidecar would start with these files. */
@@ -16,7 +16,8 @@
     /** Exit status where it would not, or where the command makes no sense. */
     public static final int PROBLEMS = 2;
 
-    private static final String USAGE = "usage: check-config [--config FILE] [--operator FILE] [--json]";
+    private static final String USAGE =
+            "usage: check-config [--config FILE] [--operator FILE] [--json]";
 
     /** What stands for a file that is not there: it leaves everything as usual. */
     private static final byte[] NOTHING = {'v', 'e', 'r', 's', 'i', 'o', 'n', '=', '1'};
@@ -33,7 +34,8 @@
      * Runs the command.
      *
      * @param arguments what follows the command's name
-     * @param configByDefault the platform's file where {@code --config} doesn't say; null if there is none
+     * @param configByDefault the platform's file where {@code --config} doesn't say; null if there
+     *     is none
      * @return {@link #FINE} or {@link #PROBLEMS}
      */
     public int run(List<String> arguments, String configByDefault) {
@@ -69,7 +71,11 @@
                 problem = firstLine(String.valueOf(e.getMessage()));
             }
         }
-        return new CheckReport(config, summary, problem, operator,
+        return new CheckReport(
+                config,
+                summary,
+                problem,
+                operator,
                 operator == null ? OperatorFile.inspect(NOTHING) : OperatorFile.inspect(operator));
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
@@ -7,7 +7,7 @@
 
 /** A check's report, for a program. */
 final class CheckJson {
-    private CheckJson() { }
+    private CheckJson() {}
 
     static String of(CheckReport report) {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
@@ -33,16 +33,22 @@
         node.put("file", name(report.operator()));
         ArrayNode problems = node.putArray("problems");
         for (Problem each : report.reading().findings().problems()) {
-            problems.addObject().put("path", each.path()).put("line", each.line())
+            problems.addObject()
+                    .put("path", each.path())
+                    .put("line", each.line())
                     .put("column", each.column())
                     .put("text", each.text());
         }
         ArrayNode settings = node.putArray("settings");
         for (Setting each : report.settings()) {
-            settings.addObject().put("path", each.path()).put("value", each.value())
+            settings.addObject()
+                    .put("path", each.path())
+                    .put("value", each.value())
                     .put("default", each.usual())
-                    .put("from", each.fromFile() ? "file" : "default").put("line", report.line(each))
-                    .put("changed", each.isChanged()).put("meaning", each.meaning());
+                    .put("from", each.fromFile() ? "file" : "default")
+                    .put("line", report.line(each))
+                    .put("changed", each.isChanged())
+                    .put("meaning", each.meaning());
         }
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/CheckReport.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckReport.java
@@ -13,7 +13,11 @@
  * @param operator the operator's file; null if there is none
  * @param reading what the operator's file says, or what holds without one
  */
-record CheckReport(Path config, PlatformFile.Summary platform, String platformProblem, Path operator,
+record CheckReport(
+        Path config,
+        PlatformFile.Summary platform,
+        String platformProblem,
+        Path operator,
         OperatorFile.Reading reading) {
     int problems() {
         return reading.findings().count() + (platformProblem == null ? 0 : 1);
@@ -21,8 +25,11 @@
 
     /** Settings of the operator's file; none if it can't be taken. */
     List<Setting> settings() {
-        return reading.findings().count() > 0 ? List.of() : reading.findings().settings().stream()
-                .filter(each -> operator != null || !each.fromFile()).toList();
+        return reading.findings().count() > 0
+                ? List.of()
+                : reading.findings().settings().stream()
+                        .filter(each -> operator != null || !each.fromFile())
+                        .toList();
     }
 
     List<Setting> changed() {
@@ -41,10 +48,16 @@
             LimitsSection limits = reading.file().limits().orElse(LimitsSection.USUAL);
             int clients = limits.clientConnections(descriptors);
             int upstreams = limits.upstreamConnections(descriptors);
-            lines.add("of " + descriptors + " file descriptors, " + clients
-                    + " are for connections of clients, "
-                    + upstreams + " for connections to upstreams, and " + (descriptors - clients - upstreams)
-                    + " for the program itself");
+            lines.add(
+                    "of "
+                            + descriptors
+                            + " file descriptors, "
+                            + clients
+                            + " are for connections of clients, "
+                            + upstreams
+                            + " for connections to upstreams, and "
+                            + (descriptors - clients - upstreams)
+                            + " for the program itself");
         }
         if (reading.findings().count() == 0) {
             reading.file().membership().ifPresent(section -> lines.addAll(section.consequences()));
--- a/sidecar/src/main/java/appleridge/config/operator/CheckText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckText.java
@@ -15,12 +15,17 @@
         CheckText text = new CheckText(report);
         text.platform();
         text.operator();
-        text.paragraph("Different from the defaults:", report.changed().stream()
-                .map(each -> each.path() + " = " + each.value() + instead(each)).toList());
+        text.paragraph(
+                "Different from the defaults:",
+                report.changed().stream()
+                        .map(each -> each.path() + " = " + each.value() + instead(each))
+                        .toList());
         text.paragraph("What follows:", report.consequences());
         text.line("");
-        text.line(report.problems() == 0 ? "No problems." : count(report.problems())
-                + ": a sidecar would not start with this.");
+        text.line(
+                report.problems() == 0
+                        ? "No problems."
+                        : count(report.problems()) + ": a sidecar would not start with this.");
         return text.out.toString();
     }
 
@@ -29,9 +34,14 @@
             line("Platform's file: none given, so not checked");
             return;
         }
-        line("Platform's file " + report.config() + (report.platformProblem() == null ? "" : ": 1 problem"));
+        line(
+                "Platform's file "
+                        + report.config()
+                        + (report.platformProblem() == null ? "" : ": 1 problem"));
         if (report.platformProblem() == null) {
-            report.platform().settings().forEach((name, value) -> line("  " + name + " = " + value));
+            report.platform()
+                    .settings()
+                    .forEach((name, value) -> line("  " + name + " = " + value));
         } else {
             line("  " + report.platformProblem());
         }
@@ -43,13 +53,24 @@
         if (report.operator() == null) {
             line("Operator's file: none given, so everything is by default");
         } else {
-            line("Operator's file " + report.operator() + (problems.isEmpty() ? ""
-                    : ": " + count(report.reading().findings().count())));
+            line(
+                    "Operator's file "
+                            + report.operator()
+                            + (problems.isEmpty()
+                                    ? ""
+                                    : ": " + count(report.reading().findings().count())));
         }
         problems.forEach(each -> line("  " + each));
         for (Setting each : report.settings()) {
-            line("  " + each.path() + " = " + (each.value().isEmpty() ? "nothing" : each.value()) + " ("
-                    + origin(each) + "): " + each.meaning());
+            line(
+                    "  "
+                            + each.path()
+                            + " = "
+                            + (each.value().isEmpty() ? "nothing" : each.value())
+                            + " ("
+                            + origin(each)
+                            + "): "
+                            + each.meaning());
         }
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
@@ -7,26 +7,37 @@
  * {@code [clients]}: how long a client's connection may stay as it is.
  *
  * @param requestTimeout from a request's first byte to its last: 100 ms to 1 min
- * @param firstRequestTimeout from the connection's start to its first request's first byte: 100 ms to 10 min
+ * @param firstRequestTimeout from the connection's start to its first request's first byte: 100 ms
+ *     to 10 min
  * @param idleTimeout from an answer to the next request's first byte: 100 ms to 1 h
  */
-public record ClientsSection(Duration requestTimeout, Duration firstRequestTimeout, Duration idleTimeout) {
+public record ClientsSection(
+        Duration requestTimeout, Duration firstRequestTimeout, Duration idleTimeout) {
     /** What holds where the file has no such section. */
-    public static final ClientsSection USUAL = new ClientsSection(
-            Duration.ofMillis(UsualValues.REQUEST_MILLIS),
-            Duration.ofMillis(UsualValues.FIRST_REQUEST_MILLIS),
-            Duration.ofMillis(UsualValues.IDLE_MILLIS));
+    public static final ClientsSection USUAL =
+            new ClientsSection(
+                    Duration.ofMillis(UsualValues.REQUEST_MILLIS),
+                    Duration.ofMillis(UsualValues.FIRST_REQUEST_MILLIS),
+                    Duration.ofMillis(UsualValues.IDLE_MILLIS));
 
     private static final Duration LEAST = Duration.ofMillis(100);
 
     static ClientsSection read(Table table) {
         return new ClientsSection(
-                table.value("request-timeout", Kind.duration(LEAST, Duration.ofMinutes(1)),
+                table.value(
+                        "request-timeout",
+                        Kind.duration(LEAST, Duration.ofMinutes(1)),
                         USUAL.requestTimeout,
                         "how long a request may take to come in, from its first byte to its last"),
-                table.value("first-request-timeout", Kind.duration(LEAST, Duration.ofMinutes(10)),
-                        USUAL.firstRequestTimeout, "how long a new connection may be without a request"),
-                table.value("idle-timeout", Kind.duration(LEAST, Duration.ofHours(1)), USUAL.idleTimeout,
+                table.value(
+                        "first-request-timeout",
+                        Kind.duration(LEAST, Duration.ofMinutes(10)),
+                        USUAL.firstRequestTimeout,
+                        "how long a new connection may be without a request"),
+                table.value(
+                        "idle-timeout",
+                        Kind.duration(LEAST, Duration.ofHours(1)),
+                        USUAL.idleTimeout,
                         "how long a connection is kept open between requests"));
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/Findings.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Findings.java
@@ -35,7 +35,8 @@
     /** In the order of the file; those without a place first. */
     List<Problem> problems() {
         return problems.stream()
-                .sorted(Comparator.comparingInt(Problem::line).thenComparingInt(Problem::column)).toList();
+                .sorted(Comparator.comparingInt(Problem::line).thenComparingInt(Problem::column))
+                .toList();
     }
 
     /** Each problem that is told on a line, and how many are not. */
@@ -48,7 +49,9 @@
         return lines;
     }
 
-    /** Every setting that was asked for, in that order, also those that the file says nothing of. */
+    /**
+     * Every setting that was asked for, in that order, also those that the file says nothing of.
+     */
     List<Setting> settings() {
         return List.copyOf(settings);
     }
--- a/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
@@ -18,7 +18,8 @@
 
     @Override
     public String show(Double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf(value.longValue())
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? String.valueOf(value.longValue())
                 : value.toString();
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/Kind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Kind.java
@@ -12,9 +12,13 @@
     /** As a person writes it, without quotes. */
     String show(T value);
 
-    /** A time in whole milliseconds with its unit, from {@code least} to {@code most}: {@code "250ms"}. */
+    /**
+     * A time in whole milliseconds with its unit, from {@code least} to {@code most}: {@code
+     * "250ms"}.
+     */
     static Kind<Duration> duration(Duration least, Duration most) {
-        return new QuantityKind<>(QuantityKind.DURATION, Duration::ofMillis, Duration::toMillis, least, most);
+        return new QuantityKind<>(
+                QuantityKind.DURATION, Duration::ofMillis, Duration::toMillis, least, most);
     }
 
     /** A number of bytes with its unit, from {@code least} to {@code most}: {@code "16MiB"}. */
--- a/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
@@ -4,8 +4,8 @@
 import java.math.BigDecimal;
 
 /**
- * {@code [limits]}: what the process's file descriptors are for. What neither part takes is the program's
- * own.
+ * {@code [limits]}: what the process's file descriptors are for. What neither part takes is the
+ * program's own.
  *
  * @param clientsPart part for connections of clients: 0.05 to 0.9
  * @param upstreamsPart part for connections to upstreams: 0.05 to 0.9; both together less than 0.95
@@ -19,18 +19,34 @@
 
     static LimitsSection read(Table table) {
         Kind<Double> part = Kind.fraction(0.05, 0.9);
-        LimitsSection section = new LimitsSection(
-                table.value("clients-part", part, USUAL.clientsPart,
-                        "part of the file descriptors for connections of clients"),
-                table.value("upstreams-part", part, USUAL.upstreamsPart,
-                        "part of the file descriptors for connections to upstreams"));
-        // Decimal, for in binary 0.4 and 0.55 are together a little more than 0.95, and other pairs less.
-        BigDecimal together = BigDecimal.valueOf(section.clientsPart)
-                .add(BigDecimal.valueOf(section.upstreamsPart));
+        LimitsSection section =
+                new LimitsSection(
+                        table.value(
+                                "clients-part",
+                                part,
+                                USUAL.clientsPart,
+                                "part of the file descriptors for connections of clients"),
+                        table.value(
+                                "upstreams-part",
+                                part,
+                                USUAL.upstreamsPart,
+                                "part of the file descriptors for connections to upstreams"));
+        // Decimal, for in binary 0.4 and 0.55 are together a little more than 0.95, and other pairs
+        // less.
+        BigDecimal together =
+                BigDecimal.valueOf(section.clientsPart)
+                        .add(BigDecimal.valueOf(section.upstreamsPart));
         if (table.sound() && together.compareTo(TOGETHER_BELOW) >= 0) {
-            table.wrong("clients-part " + section.clientsPart + " and upstreams-part " + section.upstreamsPart
-                    + " make " + together.toPlainString() + " together; less than " + TOGETHER_BELOW
-                    + " is allowed, for the program needs the rest");
+            table.wrong(
+                    "clients-part "
+                            + section.clientsPart
+                            + " and upstreams-part "
+                            + section.upstreamsPart
+                            + " make "
+                            + together.toPlainString()
+                            + " together; less than "
+                            + TOGETHER_BELOW
+                            + " is allowed, for the program needs the rest");
         }
         return section;
     }
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * An operator's file that can't be taken as it is. The message names the file, then every problem on a line
- * of its own (on the same line where there is but one).
+ * An operator's file that can't be taken as it is. The message names the file, then every problem
+ * on a line of its own (on the same line where there is but one).
  */
 public final class OperatorFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
@@ -23,7 +23,8 @@
 
     private static String message(String file, Findings findings) {
         List<String> lines = findings.lines();
-        return lines.size() == 1 ? file + ": " + lines.get(0)
+        return lines.size() == 1
+                ? file + ": " + lines.get(0)
                 : file + ": " + findings.count() + " problems\n  " + String.join("\n  ", lines);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/PlatformFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/PlatformFile.java
@@ -21,5 +21,5 @@
      * @param descriptors file descriptors that the process may hold
      * @param settings names and values, in the order in which to show them
      */
-    record Summary(int descriptors, Map<String, String> settings) { }
+    record Summary(int descriptors, Map<String, String> settings) {}
 }
--- a/sidecar/src/main/java/appleridge/config/operator/Positions.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Positions.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /**
- * Where the keys of a TOML text stand. The parser tells where its own complaints are but not where a value
- * came from, so this walks over the text a second time, once something is to be told. It trusts the parser
- * with what is valid: over what is not, or is nested deeper than anyone writes, it stops and knows no
- * further places.
+ * Where the keys of a TOML text stand. The parser tells where its own complaints are but not where
+ * a value came from, so this walks over the text a second time, once something is to be told. It
+ * trusts the parser with what is valid: over what is not, or is nested deeper than anyone writes,
+ * it stops and knows no further places.
  */
 final class Positions {
     private static final int DEEPEST = 20;
@@ -27,7 +27,7 @@
     private Twice twice;
 
     /** A key that is given a value twice, or a table with two headings. */
-    record Twice(String path, Position first, Position second) { }
+    record Twice(String path, Position first, Position second) {}
 
     private Positions(String text) {
         this.text = text;
@@ -62,7 +62,10 @@
         }
     }
 
-    /** {@code [a.b]} or {@code [[a.b]]}: the path of what follows; a name of a list means its last table. */
+    /**
+     * {@code [a.b]} or {@code [[a.b]]}: the path of what follows; a name of a list means its last
+     * table.
+     */
     private String header() {
         Position start = here();
         at++;
@@ -258,7 +261,11 @@
 
     /** Passes over spaces, line breaks and comments. */
     private void skipBlank() {
-        while (peek() == ' ' || peek() == '\t' || peek() == '\r' || peek() == '\n' || peek() == '#') {
+        while (peek() == ' '
+                || peek() == '\t'
+                || peek() == '\r'
+                || peek() == '\n'
+                || peek() == '#') {
             if (peek() == '#') {
                 skipLine();
             } else {
--- a/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
@@ -4,19 +4,26 @@
 import java.util.function.ToLongFunction;
 
 /** A whole number with a unit behind it. */
-record QuantityKind<T extends Comparable<T>>(Units units, LongFunction<T> of, ToLongFunction<T> in, T least,
-        T most)
-        implements Kind<T> {
-    static final Units DURATION = new Units("duration", "\"250ms\", \"2s\" or \"1m\"",
-            new String[] {"ms", "s", "m", "h"}, new long[] {1, 1000, 60_000, 3_600_000});
-    static final Units SIZE = new Units("size", "\"512B\", \"64KiB\" or \"16MiB\"",
-            new String[] {"B", "KiB", "MiB", "GiB"}, new long[] {1, 1L << 10, 1L << 20, 1L << 30});
+record QuantityKind<T extends Comparable<T>>(
+        Units units, LongFunction<T> of, ToLongFunction<T> in, T least, T most) implements Kind<T> {
+    static final Units DURATION =
+            new Units(
+                    "duration",
+                    "\"250ms\", \"2s\" or \"1m\"",
+                    new String[] {"ms", "s", "m", "h"},
+                    new long[] {1, 1000, 60_000, 3_600_000});
+    static final Units SIZE =
+            new Units(
+                    "size",
+                    "\"512B\", \"64KiB\" or \"16MiB\"",
+                    new String[] {"B", "KiB", "MiB", "GiB"},
+                    new long[] {1, 1L << 10, 1L << 20, 1L << 30});
 
     /** Digits that a number may have: fewer than could overflow with any unit. */
     private static final int MOST_DIGITS = 9;
 
     /** Names of units and how many of the smallest each is, in rising order. */
-    record Units(String what, String examples, String[] names, long[] worth) { }
+    record Units(String what, String examples, String[] names, long[] worth) {}
 
     @Override
     public T read(Cell cell) {
--- a/sidecar/src/main/java/appleridge/config/operator/Table.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Table.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 
 /**
- * A table of the file, from which a section takes its values. It remembers which keys were asked for, so that
- * {@link #finish} can name the others. A value that makes no sense is noted and its usual value handed out,
- * so that reading goes on to the next problem. A table that the file doesn't have hands out usual values
- * alone.
+ * A table of the file, from which a section takes its values. It remembers which keys were asked
+ * for, so that {@link #finish} can name the others. A value that makes no sense is noted and its
+ * usual value handed out, so that reading goes on to the next problem. A table that the file
+ * doesn't have hands out usual values alone.
  */
 final class Table {
     private final String path;
@@ -51,8 +51,8 @@
     /**
      * A value that the file has to give.
      *
-     * @param standIn what to go on with where it doesn't, to find further problems; a file that gives just
-     *         this counts as usual
+     * @param standIn what to go on with where it doesn't, to find further problems; a file that
+     *     gives just this counts as usual
      */
     <T> T required(String key, Kind<T> kind, T standIn, String meaning) {
         if (!node.has(key)) {
@@ -81,8 +81,12 @@
             tables.add(part(Words.item(child(key), i), value.get(i)));
         }
         if (!value.isMissingNode() && (!value.isArray() || tables.size() < value.size())) {
-            wrong(key, Words.value(value) + " is not a list of tables; write [[" + child(key)
-                    + "]] before each");
+            wrong(
+                    key,
+                    Words.value(value)
+                            + " is not a list of tables; write [["
+                            + child(key)
+                            + "]] before each");
         }
         return tables;
     }
@@ -109,14 +113,20 @@
         findings.problem(path, () -> text.where(path), () -> reason);
     }
 
-    /** To be called once all values are taken: names the keys that nobody asked for, at any depth. */
+    /**
+     * To be called once all values are taken: names the keys that nobody asked for, at any depth.
+     */
     void finish() {
-        node.fieldNames().forEachRemaining(key -> {
-            if (!known.contains(key)) {
-                findings.problem(child(key), () -> text.where(child(key)),
-                        () -> "unknown key" + Nearest.hint(key, known));
-            }
-        });
+        node.fieldNames()
+                .forEachRemaining(
+                        key -> {
+                            if (!known.contains(key)) {
+                                findings.problem(
+                                        child(key),
+                                        () -> text.where(child(key)),
+                                        () -> "unknown key" + Nearest.hint(key, known));
+                            }
+                        });
         parts.forEach(Table::finish);
     }
 
@@ -128,8 +138,13 @@
             sound &= read != null;
             value = read == null ? usual : read;
         }
-        findings.setting(new Setting(child(key), meaning, value == null ? "" : kind.show(value), usualShown,
-                node.has(key)));
+        findings.setting(
+                new Setting(
+                        child(key),
+                        meaning,
+                        value == null ? "" : kind.show(value),
+                        usualShown,
+                        node.has(key)));
         return value;
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/TomlText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/TomlText.java
@@ -41,7 +41,9 @@
         }
         String text = out.flip().toString();
         if (text.startsWith("\ufeff")) {
-            findings.problem("", () -> new Position(1, 1),
+            findings.problem(
+                    "",
+                    () -> new Position(1, 1),
                     () -> "begins with a byte order mark; save it as UTF-8 without one");
             return null;
         }
@@ -51,15 +53,22 @@
     /** The tree, always an object; what is no TOML is noted, and null returned. */
     JsonNode tree(Findings findings) {
         try {
-            return TomlMapper.builder().enable(TomlReadFeature.PARSE_JAVA_TIME).build().readTree(text);
+            return TomlMapper.builder()
+                    .enable(TomlReadFeature.PARSE_JAVA_TIME)
+                    .build()
+                    .readTree(text);
         } catch (StreamConstraintsException e) {
-            findings.problem("", () -> Position.UNKNOWN,
+            findings.problem(
+                    "",
+                    () -> Position.UNKNOWN,
                     () -> "is nested too deeply, or has a value that is too long");
         } catch (JacksonException e) {
             malformed(e, findings);
         } catch (DateTimeException e) {
             // Danger: the parser lets through what java.time says of an impossible date, as it is.
-            findings.problem("", () -> Position.UNKNOWN,
+            findings.problem(
+                    "",
+                    () -> Position.UNKNOWN,
                     () -> "not a date or time: " + inOneLine(e.getMessage()));
         }
         return null;
@@ -72,16 +81,26 @@
     private void malformed(JacksonException e, Findings findings) {
         String message = String.valueOf(e.getOriginalMessage());
         Positions.Twice twice = positions().twice();
-        if (twice != null && (message.equals("Duplicate key") || message.equals("Table redefined"))) {
-            findings.problem(twice.path(), twice::second,
+        if (twice != null
+                && (message.equals("Duplicate key") || message.equals("Table redefined"))) {
+            findings.problem(
+                    twice.path(),
+                    twice::second,
                     () -> "stands twice; first on line " + twice.first().line());
             return;
         }
-        String reason = message.startsWith("Invalid number representation")
-                ? "a number that is too long or too large" : "not TOML: " + inOneLine(message);
+        String reason =
+                message.startsWith("Invalid number representation")
+                        ? "a number that is too long or too large"
+                        : "not TOML: " + inOneLine(message);
         JsonLocation location = e.getLocation();
-        findings.problem("", () -> location == null ? Position.UNKNOWN
-                : new Position(location.getLineNr(), location.getColumnNr()), () -> reason);
+        findings.problem(
+                "",
+                () ->
+                        location == null
+                                ? Position.UNKNOWN
+                                : new Position(location.getLineNr(), location.getColumnNr()),
+                () -> reason);
     }
 
     private Positions positions() {
--- a/sidecar/src/main/java/appleridge/config/operator/WholeKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/WholeKind.java
@@ -8,7 +8,8 @@
             cell.wrong("is not a whole number");
             return null;
         }
-        if (!cell.node().canConvertToInt() || cell.node().intValue() < least
+        if (!cell.node().canConvertToInt()
+                || cell.node().intValue() < least
                 || cell.node().intValue() > most) {
             cell.wrong("is out of range: from " + least + " to " + most);
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/Words.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Words.java
@@ -5,11 +5,14 @@
 import java.nio.file.AccessDeniedException;
 import java.nio.file.NoSuchFileException;
 
-/** How keys and values of a file are put into messages: bounded, in one line, and harmless to a terminal. */
+/**
+ * How keys and values of a file are put into messages: bounded, in one line, and harmless to a
+ * terminal.
+ */
 final class Words {
     private static final int LONGEST = 60;
 
-    private Words() { }
+    private Words() {}
 
     /** The path of a key within the table at a path. */
     static String child(String path, String key) {
@@ -44,17 +47,22 @@
     /** Text in quotes, its control characters escaped and its middle left out where it is long. */
     static String quoted(String text) {
         StringBuilder out = new StringBuilder("\"");
-        clip(text).chars().forEach(c -> {
-            if (c == '"' || c == '\\') {
-                out.append('\\').append((char) c);
-            } else if (isPlain(c)) {
-                out.append((char) c);
-            } else {
-                out.append("\\u").append(Character.forDigit(c >> 12, 16))
-                        .append(Character.forDigit(c >> 8 & 15, 16))
-                        .append(Character.forDigit(c >> 4 & 15, 16)).append(Character.forDigit(c & 15, 16));
-            }
-        });
+        clip(text)
+                .chars()
+                .forEach(
+                        c -> {
+                            if (c == '"' || c == '\\') {
+                                out.append('\\').append((char) c);
+                            } else if (isPlain(c)) {
+                                out.append((char) c);
+                            } else {
+                                out.append("\\u")
+                                        .append(Character.forDigit(c >> 12, 16))
+                                        .append(Character.forDigit(c >> 8 & 15, 16))
+                                        .append(Character.forDigit(c >> 4 & 15, 16))
+                                        .append(Character.forDigit(c & 15, 16));
+                            }
+                        });
         return out.append('"').toString();
     }
 
@@ -68,7 +76,9 @@
         if (e instanceof NoSuchFileException) {
             return "no such file";
         }
-        return e instanceof AccessDeniedException ? "may not be read" : String.valueOf(e.getMessage());
+        return e instanceof AccessDeniedException
+                ? "may not be read"
+                : String.valueOf(e.getMessage());
     }
 
     static boolean isBare(String key) {
@@ -76,14 +86,24 @@
     }
 
     static boolean isBare(int c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_';
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || c == '-'
+                || c == '_';
     }
 
-    /** Whether a character shows as itself: no control, change of direction, line break or half of a pair. */
+    /**
+     * Whether a character shows as itself: no control, change of direction, line break or half of a
+     * pair.
+     */
     private static boolean isPlain(int c) {
         int type = Character.getType(c);
-        return c >= ' ' && type != Character.CONTROL && type != Character.FORMAT
+        return c >= ' '
+                && type != Character.CONTROL
+                && type != Character.FORMAT
                 && type != Character.SURROGATE
-                && type != Character.LINE_SEPARATOR && type != Character.PARAGRAPH_SEPARATOR;
+                && type != Character.LINE_SEPARATOR
+                && type != Character.PARAGRAPH_SEPARATOR;
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
@@ -2,7 +2,10 @@
 
 import java.util.regex.Pattern;
 
-/** A path of ZooKeeper's: {@code /a/b}, of the characters that need no care anywhere; it may be empty. */
+/**
+ * A path of ZooKeeper's: {@code /a/b}, of the characters that need no care anywhere; it may be
+ * empty.
+ */
 record ZooKeeperPathKind(boolean mayBeEmpty) implements Kind<String> {
     private static final Pattern PATH = Pattern.compile("/|(/[A-Za-z0-9_.:@-]{1,128}){1,16}");
     private static final Pattern DOTS = Pattern.compile(".*/\\.{1,2}(/.*|$)");
@@ -10,11 +13,16 @@
     @Override
     public String read(Cell cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : null;
-        if (text != null && (mayBeEmpty && text.isEmpty() || PATH.matcher(text).matches()
-                && !DOTS.matcher(text).matches() && !(mayBeEmpty && text.equals("/")))) {
+        if (text != null
+                && (mayBeEmpty && text.isEmpty()
+                        || PATH.matcher(text).matches()
+                                && !DOTS.matcher(text).matches()
+                                && !(mayBeEmpty && text.equals("/")))) {
             return text;
         }
-        cell.wrong("is not a path; write one like \"/site-a/servers\", of letters, digits and any of _.:@-");
+        cell.wrong(
+                "is not a path; write one like \"/site-a/servers\", of letters, digits and any of"
+                        + " _.:@-");
         return null;
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/Handover.java
+++ b/sidecar/src/main/java/appleridge/daemon/Handover.java
@@ -15,23 +15,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a process and the others of its sidecar informed of each other. Files are read and written on a
- * thread of their own, and come back to the loop; made only where the platform holds the listening socket.
+ * Keeps a process and the others of its sidecar informed of each other. Files are read and written
+ * on a thread of their own, and come back to the loop; made only where the platform holds the
+ * listening socket.
  */
 final class Handover {
     private static final System.Logger LOG = System.getLogger("appleridge");
+
     /** Between two looks, while there are others, and while there are none. */
     private static final long SOON = TimeUnit.MILLISECONDS.toNanos(25);
+
     private static final long SELDOM = TimeUnit.MILLISECONDS.toNanos(250);
 
     private static final String THERE = "another process of this sidecar is there";
 
     private final Slots slots;
-    private final ExecutorService files = Executors.newSingleThreadExecutor(work -> {
-        Thread thread = new Thread(work, "handover");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService files =
+            Executors.newSingleThreadExecutor(
+                    work -> {
+                        Thread thread = new Thread(work, "handover");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private List<ProcessState> others;
     private Phase phase = Phase.STARTING;
     private Overlap overlap;
@@ -44,15 +49,18 @@
         this.overlap = Overlap.of(phase, phases());
     }
 
-    /** Looks for others and tells them of this process; null where the folder can't be used. Blocks. */
+    /**
+     * Looks for others and tells them of this process; null where the folder can't be used. Blocks.
+     */
     static Handover begin(Path folder) {
         try {
             Slots slots = Slots.take(folder, line -> LOG.log(System.Logger.Level.WARNING, line));
             slots.tell(new ProcessState(Phase.STARTING, List.of()));
             return new Handover(slots, slots.others());
         } catch (IOException | RuntimeException e) {
-            LOG.log(System.Logger.Level.WARNING, "no word of another process of this sidecar: "
-                    + e.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "no word of another process of this sidecar: " + e.getMessage());
             return null;
         }
     }
@@ -85,14 +93,15 @@
     }
 
     private void look() {
-        files.execute(() -> {
-            try {
-                List<ProcessState> found = slots.others();
-                loop.soon(() -> heard(found));
-            } catch (IOException | RuntimeException e) {
-                loop.soon(() -> heard(List.of()));
-            }
-        });
+        files.execute(
+                () -> {
+                    try {
+                        List<ProcessState> found = slots.others();
+                        loop.soon(() -> heard(found));
+                    } catch (IOException | RuntimeException e) {
+                        loop.soon(() -> heard(List.of()));
+                    }
+                });
     }
 
     private void heard(List<ProcessState> found) {
@@ -122,32 +131,39 @@
     void phase(Phase now) {
         phase = now;
         settle();
-        tell(() -> { });
+        tell(() -> {});
     }
 
     /**
-     * Runs something once what operators have said is where the others read it, and they have had the time
-     * to. Danger: a yes that only this process knows of is broken by the other one.
+     * Runs something once what operators have said is where the others read it, and they have had
+     * the time to. Danger: a yes that only this process knows of is broken by the other one.
      */
     void keep(Runnable then) {
-        tell(() -> {
-            if (isBesideAnother()) {
-                loop.after(3 * SOON, then);
-            } else {
-                then.run();
-            }
-        });
+        tell(
+                () -> {
+                    if (isBesideAnother()) {
+                        loop.after(3 * SOON, then);
+                    } else {
+                        then.run();
+                    }
+                });
     }
 
     private void tell(Runnable then) {
         ProcessState state = new ProcessState(phase, node.words());
-        files.execute(() -> {
-            try {
-                slots.tell(state);
-            } catch (IOException | RuntimeException e) {
-                loop.soon(() -> loop.log().warning("the other process can't be told: " + e.getMessage()));
-            }
-            loop.soon(then);
-        });
+        files.execute(
+                () -> {
+                    try {
+                        slots.tell(state);
+                    } catch (IOException | RuntimeException e) {
+                        loop.soon(
+                                () ->
+                                        loop.log()
+                                                .warning(
+                                                        "the other process can't be told: "
+                                                                + e.getMessage()));
+                    }
+                    loop.soon(then);
+                });
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/Main.java
+++ b/sidecar/src/main/java/appleridge/daemon/Main.java
@@ -6,21 +6,24 @@
 import java.util.List;
 
 /**
- * Entry point of the packaged jar: the real sidecar, what helps its operators, or the simulator's adapter.
+ * Entry point of the packaged jar: the real sidecar, what helps its operators, or the simulator's
+ * adapter.
  */
 public final class Main {
-    private static final String USAGE = "usage: java -jar appleridge.jar serve [--operator FILE] | warm-up"
-            + " | adapter | check-config [--config FILE] [--operator FILE] [--json]"
-            + " | register ... -- COMMAND | task --operator FILE --lease NAME -- COMMAND";
+    private static final String USAGE =
+            "usage: java -jar appleridge.jar serve [--operator FILE] | warm-up"
+                    + " | adapter | check-config [--config FILE] [--operator FILE] [--json]"
+                    + " | register ... -- COMMAND | task --operator FILE --lease NAME -- COMMAND";
 
-    private Main() { }
+    private Main() {}
 
     /** Runs what the first argument names. */
     public static void main(String[] args) {
         List<String> words = Arrays.asList(args);
         if (words.equals(List.of("serve"))) {
             Serve.main(null);
-        } else if (words.size() == 3 && words.subList(0, 2).equals(List.of("serve", "--operator"))) {
+        } else if (words.size() == 3
+                && words.subList(0, 2).equals(List.of("serve", "--operator"))) {
             Serve.main(Path.of(args[2]));
         } else if (words.equals(List.of("warm-up"))) {
             Serve.warmUp();
--- a/sidecar/src/main/java/appleridge/daemon/Node.java
+++ b/sidecar/src/main/java/appleridge/daemon/Node.java
@@ -25,8 +25,10 @@
     private final Directory directory;
     private final ListSource source;
     private final ChannelFuture listening;
+
     /** What operators may ask; null where they have no way to. */
     private final OperatorsDesk operators;
+
     /** Null where the sidecar is one process. */
     private final Handover handover;
 
@@ -36,26 +38,44 @@
     }
 
     /**
-     * The same; with the listening socket that the platform holds, and what is known of other processes of
-     * this sidecar that have it. Null where it listens itself.
+     * The same; with the listening socket that the platform holds, and what is known of other
+     * processes of this sidecar that have it. Null where it listens itself.
      */
-    Node(Loop loop, Sockets sockets, Config config, Tuning tuning, ModuleFactory module,
-            HeldListener held, Handover handover) {
+    Node(
+            Loop loop,
+            Sockets sockets,
+            Config config,
+            Tuning tuning,
+            ModuleFactory module,
+            HeldListener held,
+            Handover handover) {
         this.handover = handover;
-        this.service = new Service(loop, sockets, config, new Service.Size(
-                (int) (config.sockets() * tuning.clientsPart()),
-                (int) (config.sockets() * tuning.upstreamsPart())), tuning.times(), module);
+        this.service =
+                new Service(
+                        loop,
+                        sockets,
+                        config,
+                        new Service.Size(
+                                (int) (config.sockets() * tuning.clientsPart()),
+                                (int) (config.sockets() * tuning.upstreamsPart())),
+                        tuning.times(),
+                        module);
         this.directory = new Directory(loop::place);
         this.source = tuning.source().make(loop, sockets, config, this::told);
-        this.operators = config.admin() == null ? null
-                : new OperatorsDesk(loop, sockets, config, service, this::told, this::keep);
+        this.operators =
+                config.admin() == null
+                        ? null
+                        : new OperatorsDesk(loop, sockets, config, service, this::told, this::keep);
         if (handover != null) {
             hear(handover.words());
         }
         Directory.News known = over(directory.news(ListKind.CACHED, source.begin()));
         service.exchanges.start(source, known.entries(), known.addresses());
-        this.listening = held == null ? service.server.listen(config.listen())
-                : service.server.listen(held, handover == null || handover.overlap().accepts());
+        this.listening =
+                held == null
+                        ? service.server.listen(config.listen())
+                        : service.server.listen(
+                                held, handover == null || handover.overlap().accepts());
         if (handover != null) {
             handover.attach(loop, this);
         }
--- a/sidecar/src/main/java/appleridge/daemon/NodeLists.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodeLists.java
@@ -15,9 +15,10 @@
 import java.util.function.Function;
 
 /**
- * The list from ephemeral nodes, alone or with the registry's. Loaded only where nodes are asked. The
- * decision module subscribes again when it is told of a failure, and takes any news for an answer; with two
- * sources the news of one would end its asking of the other, so the registry is asked again from here.
+ * The list from ephemeral nodes, alone or with the registry's. Loaded only where nodes are asked.
+ * The decision module subscribes again when it is told of a failure, and takes any news for an
+ * answer; with two sources the news of one would end its asking of the other, so the registry is
+ * asked again from here.
  */
 public final class NodeLists implements ListSource {
     /** What talks to the coordination service, and tells {@link NodeMembership} on the loop. */
@@ -29,18 +30,20 @@
         void catchUp();
 
         /**
-         * Asks the service for anything, and runs this on the loop when that is answered: all that it had
-         * told until then has been told on. Never where no server answers; a client that can't tell does
-         * nothing.
+         * Asks the service for anything, and runs this on the loop when that is answered: all that
+         * it had told until then has been told on. Never where no server answers; a client that
+         * can't tell does nothing.
          */
-        default void confirm(Runnable heard) {
-        }
+        default void confirm(Runnable heard) {}
 
         /** Ends all that is open. */
         void close();
     }
 
-    /** News that waited for the loop for longer than this are worth a word: new work went on meanwhile. */
+    /**
+     * News that waited for the loop for longer than this are worth a word: new work went on
+     * meanwhile.
+     */
     private static final long WAITED = TimeUnit.SECONDS.toNanos(1);
 
     private final Loop loop;
@@ -53,8 +56,8 @@
     private final long leastWait;
     private final long mostWait;
     private final SplittableRandom jitter;
-    private Timers.Timer ticks = () -> { };
-    private Timers.Timer again = () -> { };
+    private Timers.Timer ticks = () -> {};
+    private Timers.Timer again = () -> {};
     private long wait;
     private boolean begun;
     private boolean caughtUp = true;
@@ -62,14 +65,21 @@
     private long catchUps;
 
     /**
-     * With the factories of the registry's source, which is followed where both are asked and else only knows
-     * the list before the start, and of the client.
+     * With the factories of the registry's source, which is followed where both are asked and else
+     * only knows the list before the start, and of the client.
      *
      * @param askWithin nanoseconds in which the registry has to be asked at least once
      * @param seed for the jitter of asking again
      */
-    public NodeLists(Loop loop, Merge merge, NodeMembership.Settings settings, long askWithin, long seed,
-            ListSink sink, Function<ListSink, ListSource> registry, Function<NodeMembership, Client> client) {
+    public NodeLists(
+            Loop loop,
+            Merge merge,
+            NodeMembership.Settings settings,
+            long askWithin,
+            long seed,
+            ListSink sink,
+            Function<ListSink, ListSource> registry,
+            Function<NodeMembership, Client> client) {
         this.loop = loop;
         this.merge = merge;
         this.sink = sink;
@@ -77,8 +87,9 @@
         this.leastWait = Math.max(tick, askWithin / 40);
         this.mostWait = Math.max(leastWait, askWithin / 2);
         this.jitter = new SplittableRandom(seed);
-        this.membership = new NodeMembership(merge, settings, this::told, loop.log()::news,
-                loop.log()::warning);
+        this.membership =
+                new NodeMembership(
+                        merge, settings, this::told, loop.log()::news, loop.log()::warning);
         this.registry = registry.apply(this::registryTold);
         this.client = client.apply(membership);
     }
@@ -97,7 +108,10 @@
         if (kind == ListKind.FAILED) {
             wait = Math.min(mostWait, Math.max(leastWait, 2 * wait));
             again.cancel();
-            again = loop.after(wait / 2 + jitter.nextLong(wait / 2 + 1), () -> registry.subscribe(true));
+            again =
+                    loop.after(
+                            wait / 2 + jitter.nextLong(wait / 2 + 1),
+                            () -> registry.subscribe(true));
         } else {
             wait = 0;
             again.cancel();
@@ -111,7 +125,13 @@
         }
         long waited = loop.now() - toldAt;
         if (waited > WAITED) {
-            loop.log().warning("membership: news of the " + source + " waited " + waited / 1_000_000 + " ms");
+            loop.log()
+                    .warning(
+                            "membership: news of the "
+                                    + source
+                                    + " waited "
+                                    + waited / 1_000_000
+                                    + " ms");
         }
         telling = true;
         try {
@@ -136,9 +156,9 @@
     }
 
     /**
-     * After a stand-still nothing that was told waits for the next tick. Danger: what came to the client's
-     * threads may not have come to the loop, and where the whole process stood still not even to them, while
-     * the registry's news are here already.
+     * After a stand-still nothing that was told waits for the next tick. Danger: what came to the
+     * client's threads may not have come to the loop, and where the whole process stood still not
+     * even to them, while the registry's news are here already.
      */
     @Override
     public void catchUp() {
@@ -152,12 +172,13 @@
         client.catchUp();
         membership.tick(loop.now());
         long mine = ++catchUps;
-        client.confirm(() -> {
-            if (mine == catchUps && !caughtUp) {
-                caughtUp = true;
-                sink.told(ListKind.DELTA, List.of());
-            }
-        });
+        client.confirm(
+                () -> {
+                    if (mine == catchUps && !caughtUp) {
+                        caughtUp = true;
+                        sink.told(ListKind.DELTA, List.of());
+                    }
+                });
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/daemon/NodesStart.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodesStart.java
@@ -16,21 +16,37 @@
     /** So that what is drawn here is not what the decision module draws from the same seed. */
     private static final long OWN_CHANCE = 0x6e6f646573L;
 
-    private NodesStart() { }
+    private NodesStart() {}
 
     /** Makes sources with these settings. */
     static SourceFactory with(Merge merge, ZooKeeperSettings settings) {
         return (loop, sockets, config, sink) -> make(merge, settings, loop, sockets, config, sink);
     }
 
-    private static ListSource make(Merge merge, ZooKeeperSettings settings, Loop loop, Sockets sockets,
-            Config config, ListSink sink) {
+    private static ListSource make(
+            Merge merge,
+            ZooKeeperSettings settings,
+            Loop loop,
+            Sockets sockets,
+            Config config,
+            ListSink sink) {
         long seed = config.seed() ^ OWN_CHANCE;
-        return new NodeLists(loop, merge, NodeMembership.Settings.USUAL,
-                config.settings().limits().askWithin(), seed, sink,
+        return new NodeLists(
+                loop,
+                merge,
+                NodeMembership.Settings.USUAL,
+                config.settings().limits().askWithin(),
+                seed,
+                sink,
                 told -> SourceFactory.registry(loop, sockets, config, told),
-                membership -> new Client(new ZooKeeperSource(loop, settings, membership,
-                        new NodeJson(config.zones(), config.kinds()), seed + 1)));
+                membership ->
+                        new Client(
+                                new ZooKeeperSource(
+                                        loop,
+                                        settings,
+                                        membership,
+                                        new NodeJson(config.zones(), config.kinds()),
+                                        seed + 1)));
     }
 
     private record Client(ZooKeeperSource source) implements NodeLists.Client {
--- a/sidecar/src/main/java/appleridge/daemon/OperatorStart.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorStart.java
@@ -23,70 +23,121 @@
 import java.util.List;
 import java.util.Map;
 
-/** All that has to do with the operator's file, in one class that is loaded only where there is one. */
+/**
+ * All that has to do with the operator's file, in one class that is loaded only where there is one.
+ */
 final class OperatorStart {
     /** Names of those who wait are all that is long, and there are few. */
     private static final int LEASE_ANSWER_BYTES = 1 << 20;
 
-    private OperatorStart() { }
+    private OperatorStart() {}
 
-    /** What the file sets; what is wrong with it is told by an exception's message, of several lines. */
+    /**
+     * What the file sets; what is wrong with it is told by an exception's message, of several
+     * lines.
+     */
     static Tuning tuning(Path file) {
         OperatorFile read = OperatorFile.read(file);
         ClientsSection clients = read.clients().orElse(ClientsSection.USUAL);
         LimitsSection limits = read.limits().orElse(LimitsSection.USUAL);
-        return new Tuning(new ClientTimes(clients.requestTimeout().toMillis(),
-                clients.firstRequestTimeout().toMillis(), clients.idleTimeout().toMillis()),
-                limits.clientsPart(), limits.upstreamsPart(),
+        return new Tuning(
+                new ClientTimes(
+                        clients.requestTimeout().toMillis(),
+                        clients.firstRequestTimeout().toMillis(),
+                        clients.idleTimeout().toMillis()),
+                limits.clientsPart(),
+                limits.upstreamsPart(),
                 read.membership().map(OperatorStart::source).orElse(SourceFactory::registry));
     }
 
     /** The command {@code register}; its exit status. */
     static int register(List<String> words) {
-        return Register.run(words, file -> nodes(OperatorFile.read(file).membership().orElseThrow(
-                () -> new IllegalArgumentException(file + ": has no section [membership]"))));
+        return Register.run(
+                words,
+                file ->
+                        nodes(
+                                OperatorFile.read(file)
+                                        .membership()
+                                        .orElseThrow(
+                                                () ->
+                                                        new IllegalArgumentException(
+                                                                file
+                                                                        + ": has no section"
+                                                                        + " [membership]"))));
     }
 
     /** The command {@code task}; its exit status. */
     static int task(List<String> words) {
-        return TaskCommand.run(words, file -> leases(OperatorFile.read(file).leases().orElseThrow(
-                () -> new IllegalArgumentException(file + ": has no section [leases]"))));
+        return TaskCommand.run(
+                words,
+                file ->
+                        leases(
+                                OperatorFile.read(file)
+                                        .leases()
+                                        .orElseThrow(
+                                                () ->
+                                                        new IllegalArgumentException(
+                                                                file
+                                                                        + ": has no section"
+                                                                        + " [leases]"))));
     }
 
     private static TaskSettings leases(LeasesSection section) {
-        ZooKeeperSettings store = new ZooKeeperSettings(section.servers(), section.chroot(), section.root(),
-                false, (int) section.sessionTimeout().toMillis(), false,
-                section.digestFile().map(OperatorStart::digest).orElse(null),
-                section.tls().map(OperatorStart::tls).orElse(null), LEASE_ANSWER_BYTES);
+        ZooKeeperSettings store =
+                new ZooKeeperSettings(
+                        section.servers(),
+                        section.chroot(),
+                        section.root(),
+                        false,
+                        (int) section.sessionTimeout().toMillis(),
+                        false,
+                        section.digestFile().map(OperatorStart::digest).orElse(null),
+                        section.tls().map(OperatorStart::tls).orElse(null),
+                        LEASE_ANSWER_BYTES);
         Clients.check(store);
-        return new TaskSettings(store, Terms.timed(section.term().toNanos(), section.driftPpm(),
-                section.guard().toNanos(), section.renewEvery().toNanos(), section.longestPause().toNanos(),
-                section.longestAct().toNanos()), section.killAfter().toNanos(),
+        return new TaskSettings(
+                store,
+                Terms.timed(
+                        section.term().toNanos(),
+                        section.driftPpm(),
+                        section.guard().toNanos(),
+                        section.renewEvery().toNanos(),
+                        section.longestPause().toNanos(),
+                        section.longestAct().toNanos()),
+                section.killAfter().toNanos(),
                 LeasesSection.TO_KILL.toNanos());
     }
 
     private static SourceFactory source(MembershipSection section) {
-        return NodesStart.with(section.source() == MembershipSection.Source.NODES ? Merge.NODES : Merge.BOTH,
+        return NodesStart.with(
+                section.source() == MembershipSection.Source.NODES ? Merge.NODES : Merge.BOTH,
                 nodes(section));
     }
 
     /** Where the nodes are; a file that can't be read is told by an exception's message. */
     private static ZooKeeperSettings nodes(MembershipSection section) {
-        ZooKeeperSettings settings = new ZooKeeperSettings(section.servers(), section.chroot(),
-                section.root(), section.shards(),
-                (int) section.sessionTimeout().toMillis(), section.readOnly(),
-                section.digestFile().map(OperatorStart::digest).orElse(null),
-                section.tls().map(OperatorStart::tls).orElse(null),
-                (int) section.answerLimit());
+        ZooKeeperSettings settings =
+                new ZooKeeperSettings(
+                        section.servers(),
+                        section.chroot(),
+                        section.root(),
+                        section.shards(),
+                        (int) section.sessionTimeout().toMillis(),
+                        section.readOnly(),
+                        section.digestFile().map(OperatorStart::digest).orElse(null),
+                        section.tls().map(OperatorStart::tls).orElse(null),
+                        (int) section.answerLimit());
         Clients.check(settings);
         return settings;
     }
 
     private static ZooKeeperSettings.Tls tls(MembershipSection.Tls tls) {
-        return new ZooKeeperSettings.Tls(file(tls.trustStore()),
+        return new ZooKeeperSettings.Tls(
+                file(tls.trustStore()),
                 tls.trustPasswordFile().map(OperatorStart::file).orElse(null),
                 tls.keyStore().map(OperatorStart::file).orElse(null),
-                tls.keyPasswordFile().map(OperatorStart::file).orElse(null), tls.checkAddress());
+                tls.keyPasswordFile().map(OperatorStart::file).orElse(null),
+                tls.checkAddress());
     }
 
     private static String digest(String name) {
--- a/sidecar/src/main/java/appleridge/daemon/OperatorsDesk.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorsDesk.java
@@ -20,29 +20,46 @@
     private final Consumer<Directory.News> told;
 
     /** With who is told what an operator's word makes of the list, and what keeps such words. */
-    OperatorsDesk(Loop loop, Sockets sockets, Config config, Service service, Consumer<Directory.News> told,
+    OperatorsDesk(
+            Loop loop,
+            Sockets sockets,
+            Config config,
+            Service service,
+            Consumer<Directory.News> told,
             Consumer<Runnable> keeping) {
         this.loop = loop;
         this.told = told;
         this.maintenance = new Maintenance(config.settings().limits().rampTime());
-        Figures figures = new Figures(config.classes())
-                .gauge("requests_open", () -> service.exchanges.books().open())
-                .gauge("attempts_out", () -> service.exchanges.books().attempts())
-                .gauge("client_connections", service.server::connections)
-                .gauge("upstream_connections", service.pool::connections)
-                .gauge("upstreams_ready", service.exchanges::ready)
-                .gauge("upstreams_suspended", () -> maintenance.out().size())
-                .gauge("event_loop_turns", loop::turns)
-                .gauge("event_loop_events", service.exchanges::events)
-                .gauge("event_loop_stalls", service.server.monitor()::stalls)
-                .gauge("event_loop_spins", service.server.monitor()::spins)
-                .gauge("event_loop_longest_lag_milliseconds", service.server.monitor()::longestLagMillis)
-                .gauge("client_checks_after_stalls", service.exchanges::clientChecks)
-                .gauge("accept_gate_changes", service.server::acceptGateChanges)
-                .gauge("heap_used_bytes", OperatorsDesk::heapUsed);
+        Figures figures =
+                new Figures(config.classes())
+                        .gauge("requests_open", () -> service.exchanges.books().open())
+                        .gauge("attempts_out", () -> service.exchanges.books().attempts())
+                        .gauge("client_connections", service.server::connections)
+                        .gauge("upstream_connections", service.pool::connections)
+                        .gauge("upstreams_ready", service.exchanges::ready)
+                        .gauge("upstreams_suspended", () -> maintenance.out().size())
+                        .gauge("event_loop_turns", loop::turns)
+                        .gauge("event_loop_events", service.exchanges::events)
+                        .gauge("event_loop_stalls", service.server.monitor()::stalls)
+                        .gauge("event_loop_spins", service.server.monitor()::spins)
+                        .gauge(
+                                "event_loop_longest_lag_milliseconds",
+                                service.server.monitor()::longestLagMillis)
+                        .gauge("client_checks_after_stalls", service.exchanges::clientChecks)
+                        .gauge("accept_gate_changes", service.server::acceptGateChanges)
+                        .gauge("heap_used_bytes", OperatorsDesk::heapUsed);
         service.exchanges.tally(figures);
-        this.line = new OperatorsLine(loop, sockets, config.admin(), new Answers(service.server::ready,
-                figures::text, this::suspend, this::restore, keeping));
+        this.line =
+                new OperatorsLine(
+                        loop,
+                        sockets,
+                        config.admin(),
+                        new Answers(
+                                service.server::ready,
+                                figures::text,
+                                this::suspend,
+                                this::restore,
+                                keeping));
         line.open();
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/Reload.java
+++ b/sidecar/src/main/java/appleridge/daemon/Reload.java
@@ -9,19 +9,23 @@
 import java.util.List;
 
 /**
- * New configurations while the sidecar runs. The file is read on the thread that brings the signal, so that
- * the loop does not wait for it; a file that can't be used changes nothing.
+ * New configurations while the sidecar runs. The file is read on the thread that brings the signal,
+ * so that the loop does not wait for it; a file that can't be used changes nothing.
  */
 final class Reload {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     private Serve serve;
     private Path file;
+
     /** What the sidecar runs with, but for the address of discovery. */
     private Config started;
+
     private InetSocketAddress discovery;
+
     /** The operator's file, and what it held at the start; null where there is none. */
     private Path operator;
+
     private byte[] operatorHeld;
     private boolean early;
 
@@ -62,13 +66,15 @@
         try {
             next = Serve.withAdmin(Config.parse(Files.readAllBytes(file)));
         } catch (IOException | RuntimeException e) {
-            LOG.log(System.Logger.Level.WARNING, "new configuration not used: "
-                    + String.valueOf(e.getMessage()).split("\n")[0]);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "new configuration not used: " + String.valueOf(e.getMessage()).split("\n")[0]);
             return;
         }
         List<String> fixed = started.fixedParts(next);
         if (!fixed.isEmpty()) {
-            LOG.log(System.Logger.Level.WARNING,
+            LOG.log(
+                    System.Logger.Level.WARNING,
                     "needs a restart to take effect: " + String.join(", ", fixed));
         }
         if (!next.discovery().equals(discovery)) {
--- a/sidecar/src/main/java/appleridge/daemon/Serve.java
+++ b/sidecar/src/main/java/appleridge/daemon/Serve.java
@@ -24,26 +24,35 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 
-/** {@code java -jar appleridge.jar serve}: a sidecar as a process, with its thread and its signals. */
+/**
+ * {@code java -jar appleridge.jar serve}: a sidecar as a process, with its thread and its signals.
+ */
 final class Serve {
     private static final System.Logger LOG = System.getLogger("appleridge");
+
     /** Longer than any client waits; what is still open then has no one to answer to. */
     private static final long LONGEST_DRAIN_SECONDS = 10;
 
     private final NioEventLoopFactory eventLoops = new NioEventLoopFactory();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, eventLoops);
+
     /** Made on the loop and used there alone; null before. */
     private Node node;
+
     /** Used on the loop alone: the end was asked for, and nothing begins any more. */
     private boolean ending;
+
     private volatile boolean failed;
+
     /** A field, and in no lambda: its class is loaded only where there is one. */
     private HeldListener held;
+
     /** As above. */
     private Handover handover;
+
     private InetSocketAddress address;
 
-    private Serve() { }
+    private Serve() {}
 
     /** With the operator's file, or null where there is none. */
     static void main(Path operator) {
@@ -58,7 +67,8 @@
             tuning = tuning(operator);
         }
         Serve serve = new Serve();
-        // Danger: from when it listens on clients connect and ask, long before it says that it is ready.
+        // Danger: from when it listens on clients connect and ask, long before it says that it is
+        // ready.
         Runtime.getRuntime().addShutdownHook(new Thread(serve::drainAndHalt, "drain"));
         try {
             serve.takeOver(config);
@@ -66,24 +76,28 @@
             serve.warm(config);
             reload.begin(serve, file, config);
             if (!hearsHangup) {
-                LOG.log(System.Logger.Level.WARNING, "SIGHUP is ignored by who started this process: a new "
-                        + "configuration needs a restart");
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "SIGHUP is ignored by who started this process: a new "
+                                + "configuration needs a restart");
             }
             LOG.log(System.Logger.Level.INFO, config.name() + " serves at " + config.listen());
-            // Danger: clients come all at once when it says so. What a start has still to do then, on
+            // Danger: clients come all at once when it says so. What a start has still to do then,
+            // on
             // whichever thread, has the core while their requests wait unread.
             serve.ready();
         } catch (Exception e) {
             // Also the checked ones that Netty throws undeclared, such as an address in use.
             serve.failed = true;
-            System.err.println("appleridge: can't start: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            System.err.println(
+                    "appleridge: can't start: " + String.valueOf(e.getMessage()).split("\n")[0]);
             System.exit(1);
         }
     }
 
     /**
-     * Only loads and runs what a start loads and runs: to archive the classes while building, since loading
-     * them is most of the time that a restart takes.
+     * Only loads and runs what a start loads and runs: to archive the classes while building, since
+     * loading them is most of the time that a restart takes.
      */
     static void warmUp() {
         logging();
@@ -91,7 +105,8 @@
         try {
             // Danger: a fixed port is one that another build on the same machine may hold.
             Serve serve = new Serve();
-            serve.open(config.listeningAt(new InetSocketAddress(config.listen().getAddress(), 0)),
+            serve.open(
+                    config.listeningAt(new InetSocketAddress(config.listen().getAddress(), 0)),
                     Tuning.USUAL);
             serve.follow(serve.address());
             serve.warm(config);
@@ -99,7 +114,8 @@
             LOG.log(System.Logger.Level.INFO, config.name() + " is warm");
             serve.close();
         } catch (Exception e) {
-            System.err.println("appleridge: can't warm up: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            System.err.println(
+                    "appleridge: can't warm up: " + String.valueOf(e.getMessage()).split("\n")[0]);
             System.exit(1);
         }
     }
@@ -116,7 +132,8 @@
             }
             return withAdmin(Config.parse(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
-            System.err.println("appleridge: configuration: " + String.valueOf(e.getMessage()).split("\n")[0]);
+            System.err.println(
+                    "appleridge: configuration: " + String.valueOf(e.getMessage()).split("\n")[0]);
             System.exit(2);
             throw new IllegalStateException(e);
         }
@@ -139,7 +156,8 @@
         }
     }
 
-    static Serve start(Config config, Tuning tuning) throws InterruptedException, ExecutionException {
+    static Serve start(Config config, Tuning tuning)
+            throws InterruptedException, ExecutionException {
         Serve serve = new Serve();
         serve.begin(config, tuning);
         return serve;
@@ -159,14 +177,16 @@
         held = HeldListener.inherited(descriptor, handover != null && handover.isBesideAnother());
     }
 
-    private void begin(Config config, Tuning tuning) throws InterruptedException, ExecutionException {
+    private void begin(Config config, Tuning tuning)
+            throws InterruptedException, ExecutionException {
         open(config, tuning);
         warm(config);
         ready();
     }
 
     /** It listens, but is not ready. */
-    private void open(Config config, Tuning tuning) throws InterruptedException, ExecutionException {
+    private void open(Config config, Tuning tuning)
+            throws InterruptedException, ExecutionException {
         Loop loop = loop(group.next(), System.Logger.Level.INFO);
         Sockets sockets = new NioSockets();
         ChannelFuture listening = group.submit(() -> listen(loop, sockets, config, tuning)).get();
@@ -190,7 +210,10 @@
     }
 
     private Loop loop(EventLoop executor, System.Logger.Level level) {
-        return new Loop(executor, SystemTime.UNIX_MILLIS, new SystemLog(executor.ticker()::nanoTime, level),
+        return new Loop(
+                executor,
+                SystemTime.UNIX_MILLIS,
+                new SystemLog(executor.ticker()::nanoTime, level),
                 eventLoops);
     }
 
@@ -203,18 +226,22 @@
         return address;
     }
 
-    /** Danger: the time up to SIGKILL runs from when this process is told, not from when its loop hears. */
+    /**
+     * Danger: the time up to SIGKILL runs from when this process is told, not from when its loop
+     * hears.
+     */
     void drain(Runnable drained) {
         Ticker ticker = group.next().ticker();
         long toldAt = ticker.nanoTime();
-        group.execute(() -> {
-            ending = true;
-            if (node == null) {
-                drained.run();
-            } else {
-                node.drain(ticker.nanoTime() - toldAt, drained);
-            }
-        });
+        group.execute(
+                () -> {
+                    ending = true;
+                    if (node == null) {
+                        drained.run();
+                    } else {
+                        node.drain(ticker.nanoTime() - toldAt, drained);
+                    }
+                });
     }
 
     void close() {
--- a/sidecar/src/main/java/appleridge/daemon/SourceFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/SourceFactory.java
@@ -15,9 +15,15 @@
 
     /** The platform's registry. */
     static ListSource registry(Loop loop, Sockets sockets, Config config, ListSink sink) {
-        return new Discovery(loop, sockets, config.discovery(), config.known(),
-                new RegistryList(config.zones(), config.kinds()), sink,
-                config.pushed() ? Discovery.Pace.AGENT
+        return new Discovery(
+                loop,
+                sockets,
+                config.discovery(),
+                config.known(),
+                new RegistryList(config.zones(), config.kinds()),
+                sink,
+                config.pushed()
+                        ? Discovery.Pace.AGENT
                         : Discovery.Pace.asked(config.settings().limits().askWithin()));
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/Tuning.java
+++ b/sidecar/src/main/java/appleridge/daemon/Tuning.java
@@ -11,10 +11,15 @@
  * @param upstreamsPart part of them for connections to upstreams; the rest is the process's own
  * @param source makes the source of the list
  */
-public record Tuning(ClientTimes times, double clientsPart, double upstreamsPart, SourceFactory source) {
+public record Tuning(
+        ClientTimes times, double clientsPart, double upstreamsPart, SourceFactory source) {
     /** Where there is no operator's file. */
-    public static final Tuning USUAL = new Tuning(ClientTimes.USUAL, UsualValues.CLIENTS_PART,
-            UsualValues.UPSTREAMS_PART, SourceFactory::registry);
+    public static final Tuning USUAL =
+            new Tuning(
+                    ClientTimes.USUAL,
+                    UsualValues.CLIENTS_PART,
+                    UsualValues.UPSTREAMS_PART,
+                    SourceFactory::registry);
 
     Tuning with(ClientTimes other) {
         return new Tuning(other, clientsPart, upstreamsPart, source);
--- a/sidecar/src/main/java/appleridge/daemon/WarmUp.java
+++ b/sidecar/src/main/java/appleridge/daemon/WarmUp.java
@@ -38,25 +38,33 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends requests of every class through a second set of the same parts, to an upstream of its own inside this
- * process, before the sidecar says that it is ready. Danger: the first requests of a cold JVM take tens of
- * milliseconds each, on a core that has none to spare. No real upstream and no discovery is touched.
+ * Sends requests of every class through a second set of the same parts, to an upstream of its own
+ * inside this process, before the sidecar says that it is ready. Danger: the first requests of a
+ * cold JVM take tens of milliseconds each, on a core that has none to spare. No real upstream and
+ * no discovery is touched.
  */
 final class WarmUp {
     /** Where the measured time of a request stops falling steeply. */
     private static final int REQUESTS = 250;
+
     /** A slow core goes into service less warm, but soon: a restart is waited for. */
     private static final long LONGEST_MILLIS = 1500;
-    /** Connections; few beside what may be open, for only a part of that is kept between requests. */
+
+    /**
+     * Connections; few beside what may be open, for only a part of that is kept between requests.
+     */
     private static final int AT_ONCE = 4;
+
     private static final int BODY = 256;
     private static final int LARGEST = 8192;
 
     private final Loop loop;
     private final Sockets sockets;
     private final Config config;
+
     /** Filled by the loop and by who waits for it. */
     private final Queue<Channel> channels = new ConcurrentLinkedQueue<>();
+
     private final CountDownLatch done = new CountDownLatch(1);
     private int sent;
     private int answered;
@@ -74,44 +82,73 @@
 
     private void run() throws InterruptedException {
         InetSocketAddress anyPort = new InetSocketAddress(config.listen().getAddress(), 0);
-        Channel upstream = new ServerBootstrap().group(loop.executor(), loop.executor())
-                .channelFactory(sockets::listening)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channels.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(),
-                                new HttpObjectAggregator(LARGEST), new Upstreams());
-                    }
-                }).bind(anyPort).sync().channel();
-        Service service = new Service(loop, sockets, config, new Service.Size(8 * AT_ONCE, 2 * AT_ONCE),
-                ClientTimes.USUAL, SymmetricRoundRobin::new);
+        Channel upstream =
+                new ServerBootstrap()
+                        .group(loop.executor(), loop.executor())
+                        .channelFactory(sockets::listening)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channels.add(channel);
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(LARGEST),
+                                                        new Upstreams());
+                                    }
+                                })
+                        .bind(anyPort)
+                        .sync()
+                        .channel();
+        Service service =
+                new Service(
+                        loop,
+                        sockets,
+                        config,
+                        new Service.Size(8 * AT_ONCE, 2 * AT_ONCE),
+                        ClientTimes.USUAL,
+                        SymmetricRoundRobin::new);
         InetSocketAddress to = (InetSocketAddress) upstream.localAddress();
-        loop.soon(() -> service.exchanges.start(new NoLists(),
-                List.of(upstream(1), upstream(2)), Map.of(1L, to, 2L, to)));
-        InetSocketAddress address = (InetSocketAddress) service.server.listen(anyPort).sync().channel()
-                .localAddress();
+        loop.soon(
+                () ->
+                        service.exchanges.start(
+                                new NoLists(),
+                                List.of(upstream(1), upstream(2)),
+                                Map.of(1L, to, 2L, to)));
+        InetSocketAddress address =
+                (InetSocketAddress) service.server.listen(anyPort).sync().channel().localAddress();
         for (int i = 0; i < AT_ONCE; i++) {
             channels.add(client(address));
         }
         done.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
-        loop.soon(() -> {
-            sent = REQUESTS;
-            channels.forEach(Channel::close);
-            upstream.close();
-            service.close();
-        });
+        loop.soon(
+                () -> {
+                    sent = REQUESTS;
+                    channels.forEach(Channel::close);
+                    upstream.close();
+                    service.close();
+                });
     }
 
     private Channel client(InetSocketAddress address) throws InterruptedException {
-        return new Bootstrap().group(loop.executor()).channelFactory(sockets::connecting)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(),
-                                new HttpObjectAggregator(LARGEST), new Clients());
-                    }
-                }).connect(address).sync().channel();
+        return new Bootstrap()
+                .group(loop.executor())
+                .channelFactory(sockets::connecting)
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(LARGEST),
+                                                new Clients());
+                            }
+                        })
+                .connect(address)
+                .sync()
+                .channel();
     }
 
     private static Upstream upstream(long id) {
@@ -120,12 +157,21 @@
 
     private FullHttpRequest request() {
         int requestClass = sent % config.classes().size();
-        boolean safe = config.settings().classes().get(requestClass).semantics() == Semantics.REPEATABLE;
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/api?warm-up", Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, "warm-up").set(Headers.REQUEST_ID, "warm-up-" + sent)
-                .set(Headers.CLASS, config.classes().get(requestClass)).set(Headers.DEADLINE, "1.0")
-                .set(Headers.IDEMPOTENCY_KEY, sent).set(HttpHeaderNames.COOKIE, "user=7f3a9c21e0b4d655")
+        boolean safe =
+                config.settings().classes().get(requestClass).semantics() == Semantics.REPEATABLE;
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        safe ? HttpMethod.GET : HttpMethod.POST,
+                        "/api?warm-up",
+                        Unpooled.EMPTY_BUFFER);
+        request.headers()
+                .set(HttpHeaderNames.HOST, "warm-up")
+                .set(Headers.REQUEST_ID, "warm-up-" + sent)
+                .set(Headers.CLASS, config.classes().get(requestClass))
+                .set(Headers.DEADLINE, "1.0")
+                .set(Headers.IDEMPOTENCY_KEY, sent)
+                .set(HttpHeaderNames.COOKIE, "user=7f3a9c21e0b4d655")
                 .set(HttpHeaderNames.CONTENT_LENGTH, 0);
         return request;
     }
@@ -155,23 +201,30 @@
     private final class Upstreams extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Unpooled.wrappedBuffer(new byte[BODY]));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY).set(Headers.LOAD,
-                    config.settings().reportFields().stream().map(field -> field + "=1")
-                            .collect(Collectors.joining(",")));
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.OK,
+                            Unpooled.wrappedBuffer(new byte[BODY]));
+            answer.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, BODY)
+                    .set(
+                            Headers.LOAD,
+                            config.settings().reportFields().stream()
+                                    .map(field -> field + "=1")
+                                    .collect(Collectors.joining(",")));
             ctx.writeAndFlush(answer);
         }
     }
 
     private static final class NoLists implements Lists {
         @Override
-        public void subscribe(boolean on) { }
+        public void subscribe(boolean on) {}
 
         @Override
-        public void fetchList() { }
+        public void fetchList() {}
 
         @Override
-        public void catchUp() { }
+        public void catchUp() {}
     }
 }
--- a/sidecar/src/main/java/appleridge/decision/SymmetricRoundRobin.java
+++ b/sidecar/src/main/java/appleridge/decision/SymmetricRoundRobin.java
@@ -20,12 +20,14 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of one sidecar. Interface, settings, events and actions are in {@code Balancer.java}.
+ * Every decision of one sidecar. Interface, settings, events and actions are in {@code
+ * Balancer.java}.
  *
- * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready servers, the less
- * busy of the pointed entry and the next by this sidecar's own in-flight counts. All else either narrows who
- * may take a request now (gates in {@link Roster}, {@link Health}, {@link Admission}) or keeps the
- * books ({@link Ledger}). {@code docs/design.md} says where each departure acts and against what.
+ * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready
+ * servers, the less busy of the pointed entry and the next by this sidecar's own in-flight counts.
+ * All else either narrows who may take a request now (gates in {@link Roster}, {@link Health},
+ * {@link Admission}) or keeps the books ({@link Ledger}). {@code docs/design.md} says where each
+ * departure acts and against what.
  */
 public final class SymmetricRoundRobin implements Balancer {
     /** No registered size counts for less than this part of the largest. */
@@ -69,7 +71,8 @@
     @Override
     public void request(long now, Request request) {
         if (request.requestClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("request of unknown class " + request.requestClass());
+            throw new IllegalArgumentException(
+                    "request of unknown class " + request.requestClass());
         }
         Call call = ledger.open(now, request);
         admission.admit(now, call);
@@ -90,8 +93,15 @@
     }
 
     @Override
-    public void outcome(long now, long request, int attempt, long upstream, Outcome outcome, long elapsed,
-            boolean ended, float[] load) {
+    public void outcome(
+            long now,
+            long request,
+            int attempt,
+            long upstream,
+            Outcome outcome,
+            long elapsed,
+            boolean ended,
+            float[] load) {
         ledger.outcome(now, request, attempt, outcome, ended);
         admission.drain(now);
         alarms.flush();
@@ -139,33 +149,50 @@
     }
 
     /**
-     * The order, the pointer and the pick. Danger: where many sidecars each walk a whole large fleet, each
-     * sees a server so seldom that nearly every request pays for a connection of its own, and no evidence
-     * lasts until the next turn. So the order is walked over the servers that lie near, as many as the load
-     * of this sidecar keeps busy, and beyond them only where none of these takes a request. What lies near
-     * follows from this sidecar's rank: together the parts cover the fleet evenly, which parts drawn by
-     * chance would not.
+     * The order, the pointer and the pick. Danger: where many sidecars each walk a whole large
+     * fleet, each sees a server so seldom that nearly every request pays for a connection of its
+     * own, and no evidence lasts until the next turn. So the order is walked over the servers that
+     * lie near, as many as the load of this sidecar keeps busy, and beyond them only where none of
+     * these takes a request. What lies near follows from this sidecar's rank: together the parts
+     * cover the fleet evenly, which parts drawn by chance would not.
      */
     private final class Pattern {
         /** Requests open at a time for each that lies near: own counts tell busy ones apart. */
         private static final double BUSY = 0.8;
-        /** So many lie near at least: with a site lost, or some servers slow, there is still a choice. */
+
+        /**
+         * So many lie near at least: with a site lost, or some servers slow, there is still a
+         * choice.
+         */
         private static final int FEWEST = 6;
+
         /** With more sidecars at each server own counts are less than an eighth of what it has. */
         private static final double MANY = 8;
+
         /** Multiples of it lie evenly between whole numbers however many there are of them. */
         private static final double GOLDEN = (Math.sqrt(5) - 1) / 2;
+
         private final List<Server> order = new ArrayList<>();
         private final Walk near = new Walk();
         private final Walk far = new Walk();
-        /** Danger: where no rank is told all would ask the same few; parts drawn by chance only vary. */
+
+        /**
+         * Danger: where no rank is told all would ask the same few; parts drawn by chance only
+         * vary.
+         */
         private final double place;
+
         private int width = FEWEST;
 
-        /** Danger: the first draws of seeds that follow one another hardly differ, unless these are mixed. */
+        /**
+         * Danger: the first draws of seeds that follow one another hardly differ, unless these are
+         * mixed.
+         */
         Pattern(long seed) {
-            place = settings.rank() < 0 ? new SplittableRandom(seed).nextDouble()
-                    : settings.rank() * GOLDEN % 1;
+            place =
+                    settings.rank() < 0
+                            ? new SplittableRandom(seed).nextDouble()
+                            : settings.rank() * GOLDEN % 1;
         }
 
         /** Draws a uniform permutation of all ready servers; the list comes sorted by id. */
@@ -180,7 +207,8 @@
         /** What is near: from this sidecar's place in the list on, as many as it keeps busy. */
         private void divide() {
             List<Server> ready = roster.ready;
-            roster.servers.values().stream().filter(s -> s.entry.state() != State.READY)
+            roster.servers.values().stream()
+                    .filter(s -> s.entry.state() != State.READY)
                     .forEach(s -> s.near = false);
             int from = (int) (place * ready.size());
             for (int i = 0; i < ready.size(); i++) {
@@ -195,7 +223,9 @@
             far.over(order.stream().filter(server -> !server.near).toList());
         }
 
-        /** Follows the load: at once where it grows, but only where half is too much when it falls. */
+        /**
+         * Follows the load: at once where it grows, but only where half is too much when it falls.
+         */
         void fit(long now) {
             int wanted = Math.max(FEWEST, (int) Math.ceil(roster.load(now) / BUSY));
             if (wanted > width || wanted < width / 2) {
@@ -208,8 +238,8 @@
         }
 
         /**
-         * The part of its usual work that a sidecar may count on for one server, so that the sum of all keeps
-         * to what a server gets where it lies near one sidecar more than the average.
+         * The part of its usual work that a sidecar may count on for one server, so that the sum of
+         * all keeps to what a server gets where it lies near one sidecar more than the average.
          */
         double evenness() {
             return far.entries.isEmpty() ? 1 : sidecars() / (sidecars() + 1);
@@ -220,7 +250,10 @@
             return (double) settings.replicas() * size() / Math.max(1, order.size());
         }
 
-        /** Whether what is out here is so small a part of a server's work that it tells little of it. */
+        /**
+         * Whether what is out here is so small a part of a server's work that it tells little of
+         * it.
+         */
         boolean sparse() {
             return sidecars() > MANY;
         }
@@ -231,21 +264,25 @@
         }
 
         /**
-         * The pick among those that lie near, or where none of them takes it, among the others. Danger: what
-         * shut all out was learned near; where that is to be left out of account, the others come first.
+         * The pick among those that lie near, or where none of them takes it, among the others.
+         * Danger: what shut all out was learned near; where that is to be left out of account, the
+         * others come first.
          */
         Server pick(long now, Call call, boolean ignoreHealth) {
             if (!call.attempts.isEmpty() && !ledger.mayTryAgain(now, call)) {
                 return null;
             }
             Server server = pick(now, call, ignoreHealth, ignoreHealth ? far : near);
-            return server != null ? server : pick(now, call, ignoreHealth, ignoreHealth ? near : far);
+            return server != null
+                    ? server
+                    : pick(now, call, ignoreHealth, ignoreHealth ? near : far);
         }
 
         /**
-         * The less busy of the pointed entry and the next, a tie going to the pointed one; entries whose
-         * gates are shut to this request are passed over. Only first attempts turn the pointer: a walk for
-         * a further attempt sees few entries and would make the turns uneven. Null if all gates are shut.
+         * The less busy of the pointed entry and the next, a tie going to the pointed one; entries
+         * whose gates are shut to this request are passed over. Only first attempts turn the
+         * pointer: a walk for a further attempt sees few entries and would make the turns uneven.
+         * Null if all gates are shut.
          */
         private Server pick(long now, Call call, boolean ignoreHealth, Walk walk) {
             List<Server> entries = walk.entries;
@@ -275,12 +312,16 @@
     }
 
     /**
-     * Danger: even turns overrun the small machines of a fleet while the large ones idle, and one that is
-     * late more than the others keeps its turns. Each turn adds to a server's credit by its registered size
-     * beside the largest (a tenth at least) and by what is noted of it; a whole credit takes the turn.
+     * Danger: even turns overrun the small machines of a fleet while the large ones idle, and one
+     * that is late more than the others keeps its turns. Each turn adds to a server's credit by its
+     * registered size beside the largest (a tenth at least) and by what is noted of it; a whole
+     * credit takes the turn.
      */
     private boolean takesTurn(long now, Server server) {
-        double size = roster.sizes.getSum() > 0 ? Math.max(LEAST, server.size() / roster.sizes.getMax()) : 1;
+        double size =
+                roster.sizes.getSum() > 0
+                        ? Math.max(LEAST, server.size() / roster.sizes.getMax())
+                        : 1;
         server.turns += size * health.share(now, server);
         return server.turns >= 1 && server.turns-- > 0;
     }
@@ -321,8 +362,10 @@
         long coldUntil;
         double coldCredit = Double.NaN;
         long coldAt;
+
         /** From when on it may take one request beyond its slow-start credit. */
         long spareAt;
+
         long nextTrial;
         long backoff;
         double limit = Admission.FIRST_LIMIT;
@@ -331,9 +374,12 @@
         long ghostUntil;
         long lastCut;
         final FadingSum trouble;
+
         /** When the latest answered attempt was sent. */
         long answeredSent;
+
         double turns;
+
         /** Among those that this sidecar usually asks. */
         boolean near;
 
@@ -356,6 +402,7 @@
         final int crowd;
         boolean out = true;
         boolean mayHaveRun = true;
+
         /** Its answer is on the way in pieces. */
         boolean begun;
 
@@ -382,7 +429,8 @@
             this.request = request;
             this.kind = kind;
             this.deadline = now + request.timeLeft();
-            // Where a late answer keeps half its worth or more, only the deadline makes it worthless.
+            // Where a late answer keeps half its worth or more, only the deadline makes it
+            // worthless.
             double stretched = kind.aim() + kind.aimStretch() * request.costHint();
             boolean keeps = kind.lateShare() >= 0.5;
             this.aim = (long) Math.min(stretched, kind.deadline());
@@ -401,20 +449,28 @@
         private final Map<Long, Call> calls = new HashMap<>();
 
         Call open(long now, Request request) {
-            Call call = new Call(request, settings.classes().get(request.requestClass()), now,
-                    admission.elapsed(request));
+            Call call =
+                    new Call(
+                            request,
+                            settings.classes().get(request.requestClass()),
+                            now,
+                            admission.elapsed(request));
             // Danger: answers of no time would bring alarms an expected time apart to a stand.
-            call.expected = Math.max(call.aim / 1000.0,
-                    health.usual[request.requestClass()].expected(request.costHint()));
+            call.expected =
+                    Math.max(
+                            call.aim / 1000.0,
+                            health.usual[request.requestClass()].expected(request.costHint()));
             calls.put(request.id(), call);
             roster.asked.add(now, call.expected);
             pattern.fit(now);
             admission.share(call).asked.add(now, call.expected);
-            alarms.set(call.deadline, at -> {
-                if (!call.streaming) {
-                    answer(call);
-                }
-            });
+            alarms.set(
+                    call.deadline,
+                    at -> {
+                        if (!call.streaming) {
+                            answer(call);
+                        }
+                    });
             return call;
         }
 
@@ -425,17 +481,21 @@
 
         /** Whether some further attempt is allowed now, whichever server it goes to. */
         boolean mayTryAgain(long now, Call call) {
-            if (call.closed || call.streaming || now >= call.deadline
-                    || call.waiting() || call.attempts.size() >= settings.allowed().tryLimit()) {
+            if (call.closed
+                    || call.streaming
+                    || now >= call.deadline
+                    || call.waiting()
+                    || call.attempts.size() >= settings.allowed().tryLimit()) {
                 return false;
             }
             Attempt doubt = firstDoubt(call);
-            return doubt == null || switch (call.kind.semantics()) {
-                case REPEATABLE -> true;
-                case ONCE -> false;
-                // One quantum is kept back: the send takes effect at the end of this batch.
-                case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
-            };
+            return doubt == null
+                    || switch (call.kind.semantics()) {
+                        case REPEATABLE -> true;
+                        case ONCE -> false;
+                        // One quantum is kept back: the send takes effect at the end of this batch.
+                        case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                    };
         }
 
         /** Whether the next attempt, if there may be one, may go to this server. */
@@ -469,8 +529,9 @@
         }
 
         /**
-         * An answer too long to be held begins to go out. Danger: the rest takes as long as its client
-         * reads, which tells nothing of the server and must not take its room: what it was asked for is done.
+         * An answer too long to be held begins to go out. Danger: the rest takes as long as its
+         * client reads, which tells nothing of the server and must not take its room: what it was
+         * asked for is done.
          */
         void begun(long now, Call call, Attempt attempt, boolean answers) {
             if (!attempt.out || attempt.begun) {
@@ -517,7 +578,8 @@
                 return;
             }
             // Danger: held for a further attempt with every server tried, it would wait in vain.
-            if (mayTryAgain(now, call) && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
+            if (mayTryAgain(now, call)
+                    && roster.ready.stream().anyMatch(next -> mayGoTo(call, next))
                     && admission.worthRetry(now, call, attempt.mayHaveRun)) {
                 admission.admit(now, call);
             } else {
@@ -532,15 +594,22 @@
             }
         }
 
-        /** Gives the final answer: refused where a client's retry is known to be harmless, else failed. */
+        /**
+         * Gives the final answer: refused where a client's retry is known to be harmless, else
+         * failed.
+         */
         void answer(Call call) {
             if (call.closed) {
                 return;
             }
-            boolean harmless = firstDoubt(call) == null || call.kind.semantics() == Semantics.REPEATABLE
-                    || call.kind.semantics() == Semantics.BY_KEY && call.kind.scope() == Scope.ALL;
+            boolean harmless =
+                    firstDoubt(call) == null
+                            || call.kind.semantics() == Semantics.REPEATABLE
+                            || call.kind.semantics() == Semantics.BY_KEY
+                                    && call.kind.scope() == Scope.ALL;
             if (harmless) {
-                long longest = settings.allowed().retryAfter() ? settings.allowed().maxRetryAfter() : 0;
+                long longest =
+                        settings.allowed().retryAfter() ? settings.allowed().maxRetryAfter() : 0;
                 actions.refuse(call.request.id(), Math.min(longest, call.aim / 2));
             } else {
                 actions.fail(call.request.id());
@@ -548,7 +617,9 @@
             close(call);
         }
 
-        /** Nothing is sent for a closed request; its outstanding attempt still counts as in flight. */
+        /**
+         * Nothing is sent for a closed request; its outstanding attempt still counts as in flight.
+         */
         void close(Call call) {
             if (!call.closed && call.waiting() && !call.streaming && settings.allowed().cancel()) {
                 actions.cancel(call.request.id(), call.attempts.size() - 1);
@@ -564,19 +635,24 @@
     /** The list, the subscription to it, and the budget of cold servers. */
     private final class Roster {
         /**
-         * Requests that all sidecars together may send a cold server beyond what its capacity allows, in the
-         * time in which it tips: half of the constant of the slow-start budget, N + 3 sqrt(N) + 3.
+         * Requests that all sidecars together may send a cold server beyond what its capacity
+         * allows, in the time in which it tips: half of the constant of the slow-start budget, N +
+         * 3 sqrt(N) + 3.
          */
         private static final double SPARE = 1.5;
+
         private final TreeMap<Long, Server> servers = new TreeMap<>();
         private List<Server> ready = List.of();
         private long retryWait;
         private long asks;
+
         /** What was answered, and what was asked for, over about a ramp time. */
         private final FadingSum served = new FadingSum(Math.max(1, settings.limits().rampTime()));
+
         private final FadingSum asked = new FadingSum(Math.max(1, settings.limits().rampTime()));
         private DoubleSummaryStatistics sizes = new DoubleSummaryStatistics();
         private long startedAt;
+
         /** When the first of those that are ready is warm. */
         private long warmFrom;
 
@@ -589,22 +665,26 @@
 
         private void followAgain(long at) {
             long mine = ++asks;
-            alarms.set(at, now -> {
-                if (mine == asks) {
-                    follow(now);
-                }
-            });
+            alarms.set(
+                    at,
+                    now -> {
+                        if (mine == asks) {
+                            follow(now);
+                        }
+                    });
         }
 
         void listChanged(long now, ListKind kind, List<Upstream> entries) {
             if (kind == ListKind.FAILED) {
-                // Danger: a broken subscription is silent from now on, and sidecars whose calls failed
+                // Danger: a broken subscription is silent from now on, and sidecars whose calls
+                // failed
                 // together would hammer discovery together: backs off, with jitter.
                 if (retryWait == 0) {
                     actions.log("list lost: the last one stays in force, asking again");
                 }
                 long base = Math.max(settings.quantum(), settings.limits().askWithin() / 40);
-                retryWait = Math.max(base, Math.min(retryWait * 2, settings.limits().askWithin() / 2));
+                retryWait =
+                        Math.max(base, Math.min(retryWait * 2, settings.limits().askWithin() / 2));
                 followAgain(now + retryWait / 2 + random.nextLong(retryWait / 2 + 1));
                 return;
             }
@@ -623,14 +703,20 @@
                 changed |= server.entry.state() == State.READY;
                 server.entry = server.entry.gone();
             }
-            // Danger: upstreams are replaced as long as the sidecar runs; records of the gone would pile up.
+            // Danger: upstreams are replaced as long as the sidecar runs; records of the gone would
+            // pile up.
             servers.values().removeIf(s -> s.entry.state() == State.GONE && s.inFlight == 0);
             if (changed) {
-                ready = servers.values().stream().filter(s -> s.entry.state() == State.READY).toList();
+                ready =
+                        servers.values().stream()
+                                .filter(s -> s.entry.state() == State.READY)
+                                .toList();
                 warmFrom = ready.stream().mapToLong(s -> s.coldUntil).min().orElse(0);
                 // Live weights are load reports, which have no say in turns.
-                sizes = (settings.weights() == Weights.LIVE ? Stream.<Server>of() : ready.stream())
-                        .mapToDouble(Server::size).summaryStatistics();
+                sizes =
+                        (settings.weights() == Weights.LIVE ? Stream.<Server>of() : ready.stream())
+                                .mapToDouble(Server::size)
+                                .summaryStatistics();
                 ready.forEach(s -> s.turns = random.nextDouble());
                 pattern.redraw(ready);
             }
@@ -646,8 +732,10 @@
                 server = new Server(entry, now, health.window);
                 server.spareAt = now + (long) (pattern.place * spareInterval());
                 servers.put(entry.id(), server);
-                server.coldUntil = entry.startedAt() == 0 ? 0
-                        : entry.startedAt() + settings.limits().rampTime();
+                server.coldUntil =
+                        entry.startedAt() == 0
+                                ? 0
+                                : entry.startedAt() + settings.limits().rampTime();
             }
             server.entry = entry;
             boolean isReady = entry.state() == State.READY;
@@ -655,11 +743,12 @@
         }
 
         /**
-         * Danger: a cold server falls over and stays down when all sidecars together overfill it. It takes as
-         * many of its own turns as it has of its capacity. Danger: where other gates are shut, all would turn
-         * to it; turns passed on, and a busy sidecar's, need credit: what a server of this size is seen to
-         * serve FOR THIS SIDECAR, by half the factor that tips it. The credit starts at a random part of one
-         * request below nothing, or hundreds of sidecars would round their part up in the same second.
+         * Danger: a cold server falls over and stays down when all sidecars together overfill it.
+         * It takes as many of its own turns as it has of its capacity. Danger: where other gates
+         * are shut, all would turn to it; turns passed on, and a busy sidecar's, need credit: what
+         * a server of this size is seen to serve FOR THIS SIDECAR, by half the factor that tips it.
+         * The credit starts at a random part of one request below nothing, or hundreds of sidecars
+         * would round their part up in the same second.
          */
         boolean coldRoom(long now, Server server, Call call, boolean own) {
             if (now >= server.coldUntil) {
@@ -685,9 +774,10 @@
         }
 
         /**
-         * Takes a request off a server's slow-start credit, or where that is used up, off what it may take
-         * beyond. Invariant: servers that are all cold are not shut together for good. Before them the credit
-         * follows what is served, and would fall with it to one request in a ramp time.
+         * Takes a request off a server's slow-start credit, or where that is used up, off what it
+         * may take beyond. Invariant: servers that are all cold are not shut together for good.
+         * Before them the credit follows what is served, and would fall with it to one request in a
+         * ramp time.
          */
         void charge(long now, Server server, Call call) {
             if (server.coldCredit < 0) {
@@ -698,27 +788,32 @@
             }
         }
 
-        /** The constant part of the slow-start budget, of which half is used, is shared by all sidecars. */
+        /**
+         * The constant part of the slow-start budget, of which half is used, is shared by all
+         * sidecars.
+         */
         private long spareInterval() {
             return (long) (settings.replicas() * settings.limits().tipAfter() / SPARE);
         }
 
         /**
-         * Work a nanosecond that a server of this size serves for this sidecar; what it is asked for while
-         * nothing has been served yet, or a fleet that is cold as a whole would stay unused.
+         * Work a nanosecond that a server of this size serves for this sidecar; what it is asked
+         * for while nothing has been served yet, or a fleet that is cold as a whole would stay
+         * unused.
          */
         private double comparable(long now, Server server) {
             double sum = served.value(now);
             double all = sum > 0 ? sum : asked.value(now);
             double size = sizes.getSum() > 0 ? Math.min(1, server.size() / sizes.getAverage()) : 1;
-            // A fleet that is cold as a whole is asked as a whole: what lies near can't do all of it.
+            // A fleet that is cold as a whole is asked as a whole: what lies near can't do all of
+            // it.
             double part = now < warmFrom ? 1.0 / ready.size() : pattern.evenness() / pattern.size();
             return all * part / settings.limits().rampTime() * size;
         }
 
         /**
-         * What is asked for lately, as requests that are open at a time. Danger: right after the start the
-         * fading sum knows of a part of its window only.
+         * What is asked for lately, as requests that are open at a time. Danger: right after the
+         * start the fading sum knows of a part of its window only.
          */
         double load(long now) {
             double known = -Math.expm1(-Math.max(LEAST, (double) (now - startedAt) / asked.window));
@@ -730,11 +825,17 @@
     private static final class Usual {
         /** About the last 50 answers. */
         private static final double NEW = 0.02;
-        /** Before that many answers a mean is a guess; waiting longer would take a crowd for calm. */
+
+        /**
+         * Before that many answers a mean is a guess; waiting longer would take a crowd for calm.
+         */
         private static final int FEW = 20;
+
         double mean;
+
         /** The lowest mean, forgotten over some thousand answers: what an uncrowded fleet takes. */
         double calm = Double.MAX_VALUE;
+
         private long seen;
         private double cost;
 
@@ -747,7 +848,8 @@
             double time = Math.min(took, 3 * expected(hint));
             double part = Math.max(NEW, 1.0 / ++seen);
             mean += part * (time - mean);
-            // Danger: a first guess taken for calm makes every answer of the first seconds look crowded.
+            // Danger: a first guess taken for calm makes every answer of the first seconds look
+            // crowded.
             calm = seen < FEW ? calm : Math.min(calm * 1.0005, mean);
             cost += part * (hint - cost);
         }
@@ -760,8 +862,11 @@
 
     /** What failed connects tell of all servers of one zone together. */
     private static final class Site {
-        /** So many servers in a row that can't be reached tell of the site and not of themselves. */
+        /**
+         * So many servers in a row that can't be reached tell of the site and not of themselves.
+         */
         private static final int FAR = 2;
+
         private int unreached;
         private Server last;
         private long heardAt;
@@ -782,28 +887,47 @@
 
     /** Evidence about each server, from this sidecar's own attempts and from its peers' notes. */
     private final class Health {
-        /** Part of the aim: what takes longer leaves no time for a second try with its own delays. */
+        /**
+         * Part of the aim: what takes longer leaves no time for a second try with its own delays.
+         */
         static final double LATE = 0.4;
+
         /** Times the calm answer: longer is rare in work of any usual spread. */
         private static final double TAIL = 4;
-        /** Times the calm answer: in calm about one in five takes longer, which admission makes up for. */
+
+        /**
+         * Times the calm answer: in calm about one in five takes longer, which admission makes up
+         * for.
+         */
         private static final double TELLING = 1.5;
+
         /** Notes of one server that may be chance. */
         private static final double FEW = 1;
+
         /** A note is an upstream's id and a weight: 1 for lateness, 2 for what hurts at once. */
         private static final int NOTE = 8;
+
         private static final int HEAVY = 2;
         private final Map<Integer, Site> sites = new HashMap<>();
-        /** Bytes that may reach peers for each own request, all receivers together: few beside a request. */
+
+        /**
+         * Bytes that may reach peers for each own request, all receivers together: few beside a
+         * request.
+         */
         private static final double NOTED = 128;
+
         private final double noteIncome = NOTED / NOTE / settings.replicas();
 
         /** Of each class, over all servers, starting from a tenth of its aim. */
         private final Usual[] usual = new Usual[settings.classes().size()];
-        private final long firstBackoff = settings.classes().stream().mapToLong(c -> c.aim()).min().orElse(1);
+
+        private final long firstBackoff =
+                settings.classes().stream().mapToLong(c -> c.aim()).min().orElse(1);
+
         /** Two of the longest aims: a late answer is still counted when the next ones come. */
         private final double window =
                 4.0 * settings.classes().stream().mapToLong(c -> c.aim()).max().orElse(1);
+
         private final FadingSum trouble = new FadingSum(window);
         private double noteTokens;
 
@@ -814,16 +938,19 @@
         }
 
         /**
-         * When an attempt counts as late at its server. Danger: long calm answers taken for late would shed
-         * for good, and one long answer is no sign where work varies.
+         * When an attempt counts as late at its server. Danger: long calm answers taken for late
+         * would shed for good, and one long answer is no sign where work varies.
          */
         long lateAfter(Call call) {
-            return Math.max(after(call, TAIL / 2), (long) Math.min(TAIL * calm(call), 1.5 * LATE * call.aim));
+            return Math.max(
+                    after(call, TAIL / 2),
+                    (long) Math.min(TAIL * calm(call), 1.5 * LATE * call.aim));
         }
 
         /**
-         * When an attempt tells of a crowd. Where few sidecars share a server own counts and limits tell of
-         * it, and what is late; where many do, each sees little of it and has to go by less.
+         * When an attempt tells of a crowd. Where few sidecars share a server own counts and limits
+         * tell of it, and what is late; where many do, each sees little of it and has to go by
+         * less.
          */
         long crowdedAfter(Call call) {
             return pattern.sparse() ? after(call, TELLING) : lateAfter(call);
@@ -831,7 +958,8 @@
 
         private long after(Call call, double calms) {
             Usual usual = this.usual[call.request.requestClass()];
-            double late = Math.max(LATE * call.aim, usual.calm <= usual.mean ? calms * calm(call) : 0);
+            double late =
+                    Math.max(LATE * call.aim, usual.calm <= usual.mean ? calms * calm(call) : 0);
             return Math.max(Math.max(1, settings.quantum()), (long) late);
         }
 
@@ -841,32 +969,40 @@
         }
 
         /**
-         * Danger: each of many sidecars sees little of any one server, and a hung or crowded one answers
-         * nothing. An attempt out for long, with nothing sent after it answered, is noted at each doubling.
+         * Danger: each of many sidecars sees little of any one server, and a hung or crowded one
+         * answers nothing. An attempt out for long, with nothing sent after it answered, is noted
+         * at each doubling.
          */
         void watch(Call call, Attempt attempt, long wait) {
-            alarms.set(attempt.sentAt + wait, at -> {
-                if (unanswered(attempt)) {
-                    note(at, attempt.server, 1);
-                    watch(call, attempt, 2 * wait);
-                }
-            });
+            alarms.set(
+                    attempt.sentAt + wait,
+                    at -> {
+                        if (unanswered(attempt)) {
+                            note(at, attempt.server, 1);
+                            watch(call, attempt, 2 * wait);
+                        }
+                    });
         }
 
         /** The same for the fleet as a whole: what is out for so long has come upon a crowd. */
         void watchCrowd(Call call, Attempt attempt) {
-            alarms.set(attempt.sentAt + crowdedAfter(call), at -> {
-                if (unanswered(attempt)) {
-                    admission.late(at, call, attempt);
-                }
-            });
+            alarms.set(
+                    attempt.sentAt + crowdedAfter(call),
+                    at -> {
+                        if (unanswered(attempt)) {
+                            admission.late(at, call, attempt);
+                        }
+                    });
         }
 
         private static boolean unanswered(Attempt attempt) {
             return attempt.out && !attempt.begun && attempt.server.answeredSent <= attempt.sentAt;
         }
 
-        /** First-hand evidence: counted here, and told to the peers as far as the budget for that goes. */
+        /**
+         * First-hand evidence: counted here, and told to the peers as far as the budget for that
+         * goes.
+         */
         private void note(long now, Server server, int weight) {
             count(now, server, weight);
             if (noteTokens >= 1 && settings.allowed().peers() && settings.replicas() > 1) {
@@ -884,7 +1020,10 @@
             }
         }
 
-        /** A peer's note; never passed on. What is malformed or names no server listed here is ignored. */
+        /**
+         * A peer's note; never passed on. What is malformed or names no server listed here is
+         * ignored.
+         */
         void heard(long now, byte[] message) {
             if (message.length == NOTE) {
                 long note = ByteBuffer.wrap(message).getLong();
@@ -896,8 +1035,9 @@
         }
 
         /**
-         * The part of its turns that a server takes: all, unless more is noted of it than of the others.
-         * Danger: a trouble common to all would empty the pattern; what is noted of all alike does nothing.
+         * The part of its turns that a server takes: all, unless more is noted of it than of the
+         * others. Danger: a trouble common to all would empty the pattern; what is noted of all
+         * alike does nothing.
          */
         double share(long now, Server server) {
             double mean = trouble.value(now) / pattern.size();
@@ -905,7 +1045,10 @@
             return part >= 1 ? 1 : part * part;
         }
 
-        /** Shut by a failed connect, which costs a request the connect time-out; opens for rare trials. */
+        /**
+         * Shut by a failed connect, which costs a request the connect time-out; opens for rare
+         * trials.
+         */
         boolean open(long now, Server server) {
             return now >= server.nextTrial && now >= site(server).nextTrial;
         }
@@ -915,13 +1058,15 @@
         }
 
         /**
-         * Danger: a site that is cut off costs each of many sidecars the connect time-out at each of its
-         * servers, over and over, for every trial of a server is one. Where servers in a row can't be reached
-         * and there are others elsewhere, the site as a whole is tried as one server would be.
+         * Danger: a site that is cut off costs each of many sidecars the connect time-out at each
+         * of its servers, over and over, for every trial of a server is one. Where servers in a row
+         * can't be reached and there are others elsewhere, the site as a whole is tried as one
+         * server would be.
          */
         private void unreachable(long now, Attempt attempt) {
             Site site = site(attempt.server);
-            if (attempt.server == site.last || attempt.sentAt < site.heardAt
+            if (attempt.server == site.last
+                    || attempt.sentAt < site.heardAt
                     || roster.ready.stream().noneMatch(other -> site(other) != site)) {
                 return;
             }
@@ -949,7 +1094,8 @@
             Site site = site(server);
             if (site.shut()) {
                 actions.log("site " + server.entry.zone() + " answers again");
-                roster.ready.stream().filter(other -> site(other) == site)
+                roster.ready.stream()
+                        .filter(other -> site(other) == site)
                         .forEach(other -> other.nextTrial = Math.min(other.nextTrial, now));
             }
             site.heard(now);
@@ -968,8 +1114,9 @@
                 server.nextTrial = 0;
             }
             switch (outcome) {
-                case OK -> usual[call.request.requestClass()]
-                        .learn(now - attempt.sentAt, call.request.costHint());
+                case OK ->
+                        usual[call.request.requestClass()].learn(
+                                now - attempt.sentAt, call.request.costHint());
                 case CONNECT_FAILED -> {
                     if (server.nextTrial == 0) {
                         actions.log("upstream " + server.id + " shut out: no connection");
@@ -982,7 +1129,7 @@
                 }
                 case ERROR -> note(now, server, HEAVY);
                 case RESET, REJECTED -> note(now, server, 1);
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -991,6 +1138,7 @@
     private static final class Share {
         /** Newest first. Danger: first-in first-out under overload makes every answer late. */
         private final ArrayDeque<Call> held = new ArrayDeque<>();
+
         private final double portion;
         private final double quota;
         private final FadingSum spent;
@@ -1020,10 +1168,15 @@
 
     /** Learned concurrency limits, held work, refusals, and the budget of further attempts. */
     private final class Admission {
-        /** Room for two-choice to act; many sidecars start together, so no more before anything is known. */
+        /**
+         * Room for two-choice to act; many sidecars start together, so no more before anything is
+         * known.
+         */
         static final double FIRST_LIMIT = 2;
+
         /** Enough that a jam of later tries does not unseat the first ones at once. */
         private static final int MANY_VOTES = 1000;
+
         private final Share[] shares = new Share[Math.max(1, settings.tenants().size())];
         private int held;
         private long drains;
@@ -1031,31 +1184,42 @@
         private final int[] firstVotes = new int[settings.classes().size()];
         private long busyUntil;
         private boolean drainSet;
-        /** The part that one late attempt takes; won back by quarters of it, after three in full. */
+
+        /**
+         * The part that one late attempt takes; won back by quarters of it, after three in full.
+         */
         private static final double CUT = 0.1;
+
         /** Requests of a tenant that may have come together by chance. */
         private static final double CHANCE = 4;
+
         /** Windows of evidence after which nothing is left of what was lost. */
         private static final double EASE = 2;
+
         /** One cut over the whole at most: a rare late answer sheds nothing. */
         private double admitted = 1 + CUT;
+
         private boolean shedding;
         private long easedAt;
         private int inTime;
         private double ration = random.nextDouble();
-        private double retryTokens = 1;  // many sidecars start together
+        private double retryTokens = 1; // many sidecars start together
 
         Admission() {
             for (int i = 0; i < shares.length; i++) {
-                Tenant tenant = settings.tenants().isEmpty() ? new Tenant(1, 1) : settings.tenants().get(i);
+                Tenant tenant =
+                        settings.tenants().isEmpty() ? new Tenant(1, 1) : settings.tenants().get(i);
                 // Four aims: long against answers, short against a burst of some seconds.
-                shares[i] = new Share(tenant, 4.0 * settings.classes().get(0).aim(), roster.asked.window);
+                shares[i] =
+                        new Share(
+                                tenant, 4.0 * settings.classes().get(0).aim(), roster.asked.window);
             }
         }
 
         /**
-         * Time the client has spent on earlier tries. First tries have the same part of the deadline left,
-         * the commonest (until two of three differ); any other value tells the time spent.
+         * Time the client has spent on earlier tries. First tries have the same part of the
+         * deadline left, the commonest (until two of three differ); any other value tells the time
+         * spent.
          */
         long elapsed(Request request) {
             int kind = request.requestClass();
@@ -1075,7 +1239,8 @@
         /** Sends a request now, or holds it while it can still be answered within its aim. */
         void admit(long now, Call call) {
             if (call.attempts.isEmpty()) {
-                retryTokens = Math.min(20, retryTokens + 0.2);  // a fifth more work, and a short burst
+                retryTokens =
+                        Math.min(20, retryTokens + 0.2); // a fifth more work, and a short burst
                 health.noteTokens = Math.min(2, health.noteTokens + health.noteIncome);
             }
             if (now >= call.deadline || roster.ready.isEmpty() || shed(now, call)) {
@@ -1090,24 +1255,28 @@
                 call.held = true;
                 share(call).held.push(call);
                 held++;
-                long hopeless = call.aimAt - (long) (1.5 * call.expected);  // later, half would be late
-                alarms.set(Math.max(now + 1, hopeless), at -> {
-                    if (call.held) {
-                        ledger.answer(call);
-                    }
-                });
+                long hopeless =
+                        call.aimAt - (long) (1.5 * call.expected); // later, half would be late
+                alarms.set(
+                        Math.max(now + 1, hopeless),
+                        at -> {
+                            if (call.held) {
+                                ledger.answer(call);
+                            }
+                        });
                 drainSoon(now, call);
                 drain(now);
             }
         }
 
         /**
-         * Danger: no limit per server binds where each of many sidecars has one request out here and there,
-         * and together they queue all work past its aim for good. Lateness at a server no worse than others
-         * that held nothing else of this sidecar's cuts the share of first tries admitted, by the worth that
-         * lateness takes; each answer in time wins a part back. Danger: cuts of one size take from what is
-         * left as much as from the whole; a second of a crowd shuts each of a hundred sidecars nearly for
-         * good, together, and the servers idle. So a cut is a part of what is still admitted.
+         * Danger: no limit per server binds where each of many sidecars has one request out here
+         * and there, and together they queue all work past its aim for good. Lateness at a server
+         * no worse than others that held nothing else of this sidecar's cuts the share of first
+         * tries admitted, by the worth that lateness takes; each answer in time wins a part back.
+         * Danger: cuts of one size take from what is left as much as from the whole; a second of a
+         * crowd shuts each of a hundred sidecars nearly for good, together, and the servers idle.
+         * So a cut is a part of what is still admitted.
          */
         void late(long now, Call call, Attempt attempt) {
             if (attempt.crowd == 0 && health.share(now, attempt.server) > 0.5) {
@@ -1121,13 +1290,16 @@
             admitted = Math.max(CUT / 4, Math.min(1 + CUT, admitted + by));
             if (shedding ? admitted >= 1 : admitted < 0.5) {
                 shedding = !shedding;
-                actions.log("load shedding " + (shedding ? "begins: answers come late everywhere" : "ends"));
+                actions.log(
+                        "load shedding "
+                                + (shedding ? "begins: answers come late everywhere" : "ends"));
             }
         }
 
         /**
-         * Danger: a sidecar with little traffic wins its share back by answers in time, and gets few of them
-         * because it sheds: that would outlive its cause. Without new lateness shedding ends by itself.
+         * Danger: a sidecar with little traffic wins its share back by answers in time, and gets
+         * few of them because it sheds: that would outlive its cause. Without new lateness shedding
+         * ends by itself.
          */
         private void ease(long now) {
             move((now - easedAt) / (EASE * health.window));
@@ -1135,8 +1307,8 @@
         }
 
         /**
-         * Load shedding, spread evenly over the first tries, but that a tenant which asks for more than its
-         * part goes first: what comes beyond that is worth little.
+         * Load shedding, spread evenly over the first tries, but that a tenant which asks for more
+         * than its part goes first: what comes beyond that is worth little.
          */
         private boolean shed(long now, Call call) {
             if (!call.attempts.isEmpty()) {
@@ -1155,13 +1327,15 @@
         private void drainSoon(long now, Call call) {
             if (!drainSet) {
                 drainSet = true;
-                alarms.set(now + Math.max(settings.quantum(), call.aim / 50), at -> drainSet = false);
+                alarms.set(
+                        now + Math.max(settings.quantum(), call.aim / 50), at -> drainSet = false);
             }
         }
 
         private boolean place(long now, Call call) {
             Server server = pattern.pick(now, call, false);
-            // Danger: a trouble common to all would empty the pattern. Gates that all shut do not count.
+            // Danger: a trouble common to all would empty the pattern. Gates that all shut do not
+            // count.
             if (server == null && roster.ready.stream().noneMatch(s -> health.open(now, s))) {
                 server = pattern.pick(now, call, true);
             }
@@ -1186,9 +1360,11 @@
         void drain(long now) {
             drains++;
             while (held > 0) {
-                Share poorest = Arrays.stream(shares)
-                        .filter(share -> !share.held.isEmpty() && share.skippedAt != drains)
-                        .min(Comparator.comparingDouble(share -> share.used(now))).orElse(null);
+                Share poorest =
+                        Arrays.stream(shares)
+                                .filter(share -> !share.held.isEmpty() && share.skippedAt != drains)
+                                .min(Comparator.comparingDouble(share -> share.used(now)))
+                                .orElse(null);
                 if (poorest == null) {
                     return;
                 }
@@ -1201,10 +1377,11 @@
         }
 
         /**
-         * Danger: work given up at its deadline may stay in the server's queue, and a count that forgets it
-         * refills a full queue with work that will be given up too. Such ghosts count against the limit until
-         * the server answers something sent after them, or another aim has passed: a server with all its
-         * room taken by ghosts gets nothing that it could answer, and stays shut for that long.
+         * Danger: work given up at its deadline may stay in the server's queue, and a count that
+         * forgets it refills a full queue with work that will be given up too. Such ghosts count
+         * against the limit until the server answers something sent after them, or another aim has
+         * passed: a server with all its room taken by ghosts gets nothing that it could answer, and
+         * stays shut for that long.
          */
         boolean hasRoom(long now, Server server) {
             if (server.ghosts > 0 && now >= server.ghostUntil) {
@@ -1235,7 +1412,7 @@
                     server.lastCut = now;
                 }
             } else if (outcome == Outcome.OK && attempt.crowd + 1 >= server.limit / 2) {
-                server.limit += Math.min(0.2 * server.limit, 1 / server.limit);  // one a round trip
+                server.limit += Math.min(0.2 * server.limit, 1 / server.limit); // one a round trip
             }
         }
 
@@ -1249,14 +1426,23 @@
 
     /** Alarms of the module behind one timer of the host. */
     private final class Alarms {
-        private record Alarm(long at, long serial, LongConsumer what) { }
+        private record Alarm(long at, long serial, LongConsumer what) {}
+
+        private record Timer(long token, long at) {}
 
-        private record Timer(long token, long at) { }
+        private final PriorityQueue<Alarm> queue =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Long.compare(a.serial, b.serial));
 
-        private final PriorityQueue<Alarm> queue = new PriorityQueue<>((a, b) ->
-                a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
-        /** The host's timers that have not rung yet; each is for an earlier time than the one below it. */
+        /**
+         * The host's timers that have not rung yet; each is for an earlier time than the one below
+         * it.
+         */
         private final ArrayDeque<Timer> timers = new ArrayDeque<>();
+
         private long serials;
         private long lastToken;
 
@@ -1271,7 +1457,10 @@
             }
         }
 
-        /** Danger: a coarse host clock may ring early; told by its time, the one timer would be lost. */
+        /**
+         * Danger: a coarse host clock may ring early; told by its time, the one timer would be
+         * lost.
+         */
         void ring(long now, long token) {
             timers.removeIf(timer -> timer.token == token);
             while (!queue.isEmpty() && queue.peek().at <= now) {
--- a/sidecar/src/main/java/appleridge/decision/package-info.java
+++ b/sidecar/src/main/java/appleridge/decision/package-info.java
@@ -1,2 +1,4 @@
-/** Decisions of a client-side load balancer: {@link appleridge.decision.Balancer} is the interface. */
+/**
+ * Decisions of a client-side load balancer: {@link appleridge.decision.Balancer} is the interface.
+ */
 package appleridge.decision;
--- a/sidecar/src/main/java/appleridge/exchange/Call.java
+++ b/sidecar/src/main/java/appleridge/exchange/Call.java
@@ -13,10 +13,13 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     Timers.Timer backstop;
     Outcome last;
+
     /** The attempt whose answer is on the way to the client in pieces; null while there is none. */
     Attempt answering;
+
     /** Whether a part of it has been let go that is not held here any more. */
     boolean letGo;
+
     int out;
     boolean over;
 
--- a/sidecar/src/main/java/appleridge/exchange/ClientRequest.java
+++ b/sidecar/src/main/java/appleridge/exchange/ClientRequest.java
@@ -11,10 +11,19 @@
  * @param retry whether the client marked it as a repeat
  * @param message what is to be sent on
  */
-public record ClientRequest(String name, long arrived, long patience, int requestClass, int tenant, long key,
-        long costHint, boolean retry, Outgoing message) {
+public record ClientRequest(
+        String name,
+        long arrived,
+        long patience,
+        int requestClass,
+        int tenant,
+        long key,
+        long costHint,
+        boolean retry,
+        Outgoing message) {
     /** The same with something else to be sent on. */
     public ClientRequest with(Outgoing other) {
-        return new ClientRequest(name, arrived, patience, requestClass, tenant, key, costHint, retry, other);
+        return new ClientRequest(
+                name, arrived, patience, requestClass, tenant, key, costHint, retry, other);
     }
 }
--- a/sidecar/src/main/java/appleridge/exchange/EventLoopStallGuard.java
+++ b/sidecar/src/main/java/appleridge/exchange/EventLoopStallGuard.java
@@ -3,23 +3,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Knows, from the times of events alone, how late the event loop is: how long nothing was handled, and for
- * how long what is read now may have waited unread. It decides what has to be looked at again; who asks it
- * looks.
+ * Knows, from the times of events alone, how late the event loop is: how long nothing was handled,
+ * and for how long what is read now may have waited unread. It decides what has to be looked at
+ * again; who asks it looks.
  *
- * <p>Invariant: what came while the loop was late is not handled as if it had just come. All times are
- * nanoseconds on the loop's own clock.
+ * <p>Invariant: what came while the loop was late is not handled as if it had just come. All times
+ * are nanoseconds on the loop's own clock.
  */
 final class EventLoopStallGuard {
-    /** The longest stall after which the list is not caught up with; half of what drains allow, if less. */
+    /**
+     * The longest stall after which the list is not caught up with; half of what drains allow, if
+     * less.
+     */
     private static final long LONGEST_UNCHECKED = TimeUnit.MILLISECONDS.toNanos(500);
-    /** A gap of so much tells that the loop was late; for as long after, what is read may have come in it. */
+
+    /**
+     * A gap of so much tells that the loop was late; for as long after, what is read may have come
+     * in it.
+     */
     private static final long LATE = TimeUnit.MILLISECONDS.toNanos(150);
+
     /**
-     * From a gap of so much on, clients are looked at: no attempt may begin more than 0.1 s after its client
-     * has left. Twice as long as from one {@link #allRead} to the next, so that a quiet loop looks at nobody.
+     * From a gap of so much on, clients are looked at: no attempt may begin more than 0.1 s after
+     * its client has left. Twice as long as from one {@link #allRead} to the next, so that a quiet
+     * loop looks at nobody.
      */
     private static final long CLIENTS_UNSEEN = TimeUnit.MILLISECONDS.toNanos(80);
+
     /** For so long after a stall, what is read may have waited since before. */
     private static final long AFTERMATH = TimeUnit.SECONDS.toNanos(1);
 
@@ -29,13 +39,18 @@
     private boolean stalled;
     private boolean clientsUnchecked;
     private long stalledUntil;
+
     /** The last event before the loop was late, and the first one after. */
     private long lateFrom;
+
     private long lateUntil;
+
     /** The first event after the first of late turns in a row. */
     private long lateSince;
+
     /** When all that was there had last been read, or clients had been looked at. */
     private long allReadAt;
+
     /** When clients were last looked at because the loop was late. */
     private long lookedAt;
 
@@ -64,7 +79,8 @@
         if (gap > LATE) {
             noteLate(now);
         }
-        // Danger: where much is read at once, one after the other, there is no gap, and yet what is read
+        // Danger: where much is read at once, one after the other, there is no gap, and yet what is
+        // read
         // last has waited for as long as all of it took.
         clientsUnchecked = gap > CLIENTS_UNSEEN || now - allReadAt > CLIENTS_UNSEEN;
         if (clientsUnchecked) {
@@ -75,9 +91,9 @@
     }
 
     /**
-     * Danger: late again so soon, the loop has not come to the end of what came before: connections are
-     * accepted four at a time, and a new one's request is looked at one turn later. But one that is late for
-     * good has come to it, or all that is read would be too old.
+     * Danger: late again so soon, the loop has not come to the end of what came before: connections
+     * are accepted four at a time, and a new one's request is looked at one turn later. But one
+     * that is late for good has come to it, or all that is read would be too old.
      */
     private void noteLate(long now) {
         boolean again = lastEvent - lateUntil < LATE;
@@ -106,20 +122,26 @@
         return stalled;
     }
 
-    /** Whether a client may have left unnoticed: clients are to be looked at before anything is sent. */
+    /**
+     * Whether a client may have left unnoticed: clients are to be looked at before anything is
+     * sent.
+     */
     boolean mayHaveMissedClients() {
         return clientsUnchecked;
     }
 
-    /** Whether what is read from clients now may have waited unread, and its client have left since. */
+    /**
+     * Whether what is read from clients now may have waited unread, and its client have left since.
+     */
     boolean mayHaveWaited() {
         return lastEvent - stalledUntil < AFTERMATH || lastEvent - lookedAt < LATE;
     }
 
     /**
-     * Since when what is read from clients now may have been there. Danger: counted from when the loop comes
-     * to read it, a request that waited is answered as much later than its client waits for it; so what is
-     * read soon after the loop was late counts as having come at the last event before.
+     * Since when what is read from clients now may have been there. Danger: counted from when the
+     * loop comes to read it, a request that waited is answered as much later than its client waits
+     * for it; so what is read soon after the loop was late counts as having come at the last event
+     * before.
      */
     long arrivedAt() {
         return lastEvent - lateUntil < LATE ? lateFrom : lastEvent;
--- a/sidecar/src/main/java/appleridge/exchange/Exchanges.java
+++ b/sidecar/src/main/java/appleridge/exchange/Exchanges.java
@@ -21,15 +21,17 @@
 import java.util.function.Function;
 
 /**
- * Hosts the module: tells it what happens, carries out what it orders, and owes each request one final answer
- * and the module one outcome for each send. Everything runs on one thread, and time comes in from outside.
+ * Hosts the module: tells it what happens, carries out what it orders, and owes each request one
+ * final answer and the module one outcome for each send. Everything runs on one thread, and time
+ * comes in from outside.
  */
 public final class Exchanges implements Actions {
     /**
-     * For so long at most requests wait, after the thread stood still for longer than drains allow, for word
-     * of what the list has come to meanwhile.
+     * For so long at most requests wait, after the thread stood still for longer than drains allow,
+     * for word of what the list has come to meanwhile.
      */
     private static final long LIST_AWAITED = TimeUnit.MILLISECONDS.toNanos(500);
+
     private static final float[] NO_LOAD = {};
 
     private final Time time;
@@ -42,8 +44,10 @@
     private final RequestLog requestLog;
     private final Balancer balancer;
     private final Map<Long, Call> calls = new HashMap<>();
+
     /** The clients' own ids of the requests that are open. */
     private final Set<String> names = new HashSet<>();
+
     private final Map<Long, Endpoint> endpoints = new HashMap<>();
     private final Set<Long> ready = new HashSet<>();
     private Lists lists;
@@ -53,13 +57,19 @@
     private boolean inModule;
     private boolean closed;
     private boolean catchingUp;
-    /** Requests that the module has not heard of, for the list may be too old; null while it is not. */
+
+    /**
+     * Requests that the module has not heard of, for the list may be too old; null while it is not.
+     */
     private List<Runnable> unheard;
+
     private Timers.Timer listAwaited;
     private long endsAt = Long.MAX_VALUE;
     private Tally tally = Tally.NONE;
+
     /** Events from outside that have been handled. */
     private long events;
+
     /** Times that the clients of all open requests were looked at after a stall. */
     private long clientChecks;
 
@@ -69,7 +79,13 @@
      * @param maxOpen requests that may be open at once
      * @param module given the actions, makes the decision module
      */
-    public Exchanges(Time time, Timers timers, Settings settings, int maxOpen, Upstreams upstreams, Log log,
+    public Exchanges(
+            Time time,
+            Timers timers,
+            Settings settings,
+            int maxOpen,
+            Upstreams upstreams,
+            Log log,
             Function<Actions, Balancer> module) {
         this.time = time;
         this.timers = timers;
@@ -86,7 +102,8 @@
     public void start(Lists source, List<Upstream> cached, Map<Long, InetSocketAddress> listed) {
         lists = source;
         if (!source.isCaughtUp()) {
-            // Danger: what is known from before the start may be long out of date, and requests come at once.
+            // Danger: what is known from before the start may be long out of date, and requests
+            // come at once.
             awaitList();
         }
         tell(() -> balancer.start(time.now()));
@@ -94,19 +111,21 @@
     }
 
     /** News of the list, and where its upstreams listen. */
-    public void listChanged(ListKind kind, List<Upstream> entries, Map<Long, InetSocketAddress> listed) {
+    public void listChanged(
+            ListKind kind, List<Upstream> entries, Map<Long, InetSocketAddress> listed) {
         Set<Long> noLonger = new HashSet<>();
         if (kind == ListKind.FULL || kind == ListKind.CACHED) {
             noLonger.addAll(endpoints.keySet());
             noLonger.removeAll(listed.keySet());
         }
-        listed.forEach((id, address) -> {
-            Endpoint endpoint = new Endpoint(id, address);
-            Endpoint before = endpoints.put(id, endpoint);
-            if (before != null && !before.equals(endpoint)) {
-                upstreams.closeIdle(before);
-            }
-        });
+        listed.forEach(
+                (id, address) -> {
+                    Endpoint endpoint = new Endpoint(id, address);
+                    Endpoint before = endpoints.put(id, endpoint);
+                    if (before != null && !before.equals(endpoint)) {
+                        upstreams.closeIdle(before);
+                    }
+                });
         for (Upstream entry : entries) {
             if (entry.state() == State.READY) {
                 ready.add(entry.id());
@@ -118,13 +137,15 @@
                 noLonger.add(entry.id());
             }
         }
-        // Danger: upstreams come and go as long as the sidecar runs; what is kept of them must not pile up.
+        // Danger: upstreams come and go as long as the sidecar runs; what is kept of them must not
+        // pile up.
         for (long id : noLonger) {
             closeIdle(id);
             ready.remove(id);
             endpoints.remove(id);
         }
-        // Danger: what a tick takes in is newer than this, and would be told to the module ahead of it.
+        // Danger: what a tick takes in is newer than this, and would be told to the module ahead of
+        // it.
         tell(() -> balancer.listChanged(time.now(), kind, entries));
         callOffWhatHasNotBegun();
         reconcile();
@@ -134,14 +155,16 @@
     }
 
     /**
-     * Danger: an attempt that waits for its connection would reach an upstream that wants nothing new, as
-     * late as connecting allows. None of it has been written, so it never ran.
+     * Danger: an attempt that waits for its connection would reach an upstream that wants nothing
+     * new, as late as connecting allows. None of it has been written, so it never ran.
      */
     private void callOffWhatHasNotBegun() {
         List<Attempt> late = new ArrayList<>();
         for (Call call : calls.values()) {
             for (Attempt attempt : call.attempts) {
-                if (!attempt.done && attempt.sending != null && !attempt.sending.begun()
+                if (!attempt.done
+                        && attempt.sending != null
+                        && !attempt.sending.begun()
                         && !ready.contains(attempt.upstream)) {
                     late.add(attempt);
                 }
@@ -168,7 +191,10 @@
         return settings.classes().stream().mapToLong(RequestClass::deadline).max().orElseThrow();
     }
 
-    /** What is open, or is taken from now on, has its answer by then, however long its client would wait. */
+    /**
+     * What is open, or is taken from now on, has its answer by then, however long its client would
+     * wait.
+     */
     public void endBy(long at) {
         endsAt = at;
         timers.at(at, this::giveUpOpen);
@@ -209,8 +235,8 @@
     }
 
     /**
-     * To be called now and then, at least some times as often as a stall is long, and by a timer: all that
-     * was there has been read by then.
+     * To be called now and then, at least some times as often as a stall is long, and by a timer:
+     * all that was there has been read by then.
      */
     public void tick() {
         reconcile();
@@ -218,10 +244,10 @@
     }
 
     /**
-     * Danger: after the loop stalled, what discovery told meanwhile waits unread behind requests that have
-     * come too, and the time within which it must be heeded has run. All that comes from outside begins with
-     * this, ahead of anything it changes here: the module may act on what is read, and must find things as
-     * it knows them.
+     * Danger: after the loop stalled, what discovery told meanwhile waits unread behind requests
+     * that have come too, and the time within which it must be heeded has run. All that comes from
+     * outside begins with this, ahead of anything it changes here: the module may act on what is
+     * read, and must find things as it knows them.
      */
     private void reconcile() {
         events++;
@@ -245,8 +271,8 @@
     }
 
     /**
-     * Danger: while the thread was late clients have left, and what lets their requests go on, an answer that
-     * makes room or a connection that comes up, may be read ahead of their end.
+     * Danger: while the thread was late clients have left, and what lets their requests go on, an
+     * answer that makes room or a connection that comes up, may be read ahead of their end.
      */
     private void lookAfterClients() {
         clientChecks++;
@@ -257,7 +283,9 @@
         }
     }
 
-    /** Whether what is read from clients now may have waited unread, and its client have left since. */
+    /**
+     * Whether what is read from clients now may have waited unread, and its client have left since.
+     */
     public boolean mayHaveWaited() {
         reconcile();
         return guard.mayHaveWaited();
@@ -277,23 +305,28 @@
             // Nothing was sent for it, so that a repeat is harmless.
             tally.ended(request.requestClass(), Tally.End.REFUSED);
             client.refused(0);
-            return () -> { };
+            return () -> {};
         }
-        // Danger: two requests under one id are one to an upstream, and an answer could go to either.
+        // Danger: two requests under one id are one to an upstream, and an answer could go to
+        // either.
         if (!names.add(request.name())) {
             tally.ended(request.requestClass(), Tally.End.FAILED);
             client.failed(Front.Cause.ID_IN_USE);
-            return () -> { };
+            return () -> {};
         }
         // Time for the answer to reach the client before it gives up.
         long margin = Math.min(settings.quantum(), request.patience() / 4);
-        Call call = new Call(++lastId, request, client,
-                Math.min(endsAt, request.arrived() + request.patience() - margin));
+        Call call =
+                new Call(
+                        ++lastId,
+                        request,
+                        client,
+                        Math.min(endsAt, request.arrived() + request.patience() - margin));
         calls.put(call.id, call);
         open++;
         // Danger: an error in the module must not keep a client waiting for ever.
-        call.backstop = timers.at(call.deadline + settings.limits().answerSlack() / 2,
-                () -> giveUp(call));
+        call.backstop =
+                timers.at(call.deadline + settings.limits().answerSlack() / 2, () -> giveUp(call));
         if (unheard == null) {
             hear(call);
         } else {
@@ -319,15 +352,24 @@
     }
 
     private void hear(Call call) {
-        tell(() -> {
-            if (!call.over) {
-                ClientRequest request = call.request;
-                long now = time.now();
-                balancer.request(now, new Request(call.id, request.requestClass(), request.tenant(),
-                        request.key(), Math.max(0, call.deadline - now), request.costHint(), request.retry(),
-                        false));
-            }
-        });
+        tell(
+                () -> {
+                    if (!call.over) {
+                        ClientRequest request = call.request;
+                        long now = time.now();
+                        balancer.request(
+                                now,
+                                new Request(
+                                        call.id,
+                                        request.requestClass(),
+                                        request.tenant(),
+                                        request.key(),
+                                        Math.max(0, call.deadline - now),
+                                        request.costHint(),
+                                        request.retry(),
+                                        false));
+                    }
+                });
     }
 
     /** The module has not answered in time: nothing more is to be done for it there either. */
@@ -350,8 +392,9 @@
     }
 
     /**
-     * Hands an event to the module. Danger: the module is no more prepared to be called from within its own
-     * actions than to be left out when something fails; its errors are logged and leave the thread running.
+     * Hands an event to the module. Danger: the module is no more prepared to be called from within
+     * its own actions than to be left out when something fails; its errors are logged and leave the
+     * thread running.
      */
     private void tell(Runnable event) {
         if (inModule) {
@@ -378,59 +421,72 @@
         long now = time.now();
         long until = timeout == 0 ? call.deadline : Math.min(call.deadline, now + timeout);
         long repeatableUntil = repeatableUntil(call);
-        Attempt attempt = new Attempt(call, call.attempts.size(), upstream, now,
-                new Window(Math.min(until, repeatableUntil), repeatableUntil, until));
+        Attempt attempt =
+                new Attempt(
+                        call,
+                        call.attempts.size(),
+                        upstream,
+                        now,
+                        new Window(Math.min(until, repeatableUntil), repeatableUntil, until));
         call.attempts.add(attempt);
         out++;
         call.out++;
         Endpoint endpoint = endpoints.get(upstream);
-        if (call.over || until <= now || endpoint == null
+        if (call.over
+                || until <= now
+                || endpoint == null
                 || attempt.number >= settings.allowed().tryLimit()) {
             timers.soon(() -> ended(attempt, Outcome.NEVER_SENT, null));
             return;
         }
         tally.sent(call.request.requestClass(), attempt.number > 0);
-        attempt.sending = upstreams.send(endpoint, call.request.message(), attempt.window,
-                new Upstreams.Listener() {
-                    /**
-                     * Danger: the thread was late, and behind this connection waits the end of its client, or
-                     * word that its upstream drains: it would be sent all the same.
-                     */
-                    @Override
-                    public void connected() {
-                        reconcile();
-                    }
-
-                    @Override
-                    public boolean begins(Flow answer) {
-                        reconcile();
-                        return begun(attempt, answer);
-                    }
-
-                    @Override
-                    public void letGo() {
-                        reconcile();
-                        Exchanges.this.letGo(attempt);
-                    }
-
-                    @Override
-                    public void committed() {
-                        reconcile();
-                        timeRuns(attempt);
-                    }
-
-                    @Override
-                    public void ended(Outcome outcome, Reply reply) {
-                        reconcile();
-                        Exchanges.this.ended(attempt, outcome, reply);
-                    }
-                });
+        attempt.sending =
+                upstreams.send(
+                        endpoint,
+                        call.request.message(),
+                        attempt.window,
+                        new Upstreams.Listener() {
+                            /**
+                             * Danger: the thread was late, and behind this connection waits the end
+                             * of its client, or word that its upstream drains: it would be sent all
+                             * the same.
+                             */
+                            @Override
+                            public void connected() {
+                                reconcile();
+                            }
+
+                            @Override
+                            public boolean begins(Flow answer) {
+                                reconcile();
+                                return begun(attempt, answer);
+                            }
+
+                            @Override
+                            public void letGo() {
+                                reconcile();
+                                Exchanges.this.letGo(attempt);
+                            }
+
+                            @Override
+                            public void committed() {
+                                reconcile();
+                                timeRuns(attempt);
+                            }
+
+                            @Override
+                            public void ended(Outcome outcome, Reply reply) {
+                                reconcile();
+                                Exchanges.this.ended(attempt, outcome, reply);
+                            }
+                        });
         watch(attempt);
     }
 
     /**
-     * Until when a further attempt of a keyed request may reach an upstream: for as long as repeats of the
-     * first one that may have run are dropped. The module holds to it when it decides; this, when bytes go.
+     * Until when a further attempt of a keyed request may reach an upstream: for as long as repeats
+     * of the first one that may have run are dropped. The module holds to it when it decides; this,
+     * when bytes go.
      */
     private long repeatableUntil(Call call) {
         RequestClass kind = settings.classes().get(call.request.requestClass());
@@ -446,8 +502,10 @@
 
     private void watch(Attempt attempt) {
         Window window = attempt.window;
-        long next = attempt.sending.committed() ? window.until() : Math.min(window.until(),
-                window.lastByteBy());
+        long next =
+                attempt.sending.committed()
+                        ? window.until()
+                        : Math.min(window.until(), window.lastByteBy());
         attempt.timer = timers.at(next, () -> due(attempt));
     }
 
@@ -462,14 +520,15 @@
             return;
         }
         attempt.sending.abandon();
-        // Danger: a request whose time is up while it connects tells nothing of the upstream, which a failed
+        // Danger: a request whose time is up while it connects tells nothing of the upstream, which
+        // a failed
         // connect would shut out.
         ended(attempt, committed ? Outcome.TIMEOUT : Outcome.NEVER_SENT, null);
     }
 
     /**
-     * An answer that can't be held begins to go out. Danger: from here on the client has a part of it, and no
-     * other answer, refusal or further attempt may follow, whatever happens to the rest.
+     * An answer that can't be held begins to go out. Danger: from here on the client has a part of
+     * it, and no other answer, refusal or further attempt may follow, whatever happens to the rest.
      */
     private boolean begun(Attempt attempt, Flow answer) {
         Call call = attempt.call;
@@ -478,7 +537,9 @@
         }
         call.answering = attempt;
         timeStops(call, attempt);
-        call.attempts.stream().filter(other -> other != attempt).forEach(other -> callOff(call, other));
+        call.attempts.stream()
+                .filter(other -> other != attempt)
+                .forEach(other -> callOff(call, other));
         give(call, () -> call.client.flows(answer));
         tellBegun(call, attempt, time.now() - attempt.sentAt);
         return true;
@@ -493,10 +554,16 @@
 
     /** The module is told of what can't be taken back: nothing else can be tried any more. */
     private void tellBegun(Call call, Attempt attempt, long elapsed) {
-        tell(() -> balancer.firstByte(time.now(), call.id, attempt.number, attempt.upstream, elapsed));
+        tell(
+                () ->
+                        balancer.firstByte(
+                                time.now(), call.id, attempt.number, attempt.upstream, elapsed));
     }
 
-    /** Danger: what is let go of a request that is too long to be held can't be sent to another upstream. */
+    /**
+     * Danger: what is let go of a request that is too long to be held can't be sent to another
+     * upstream.
+     */
     private void letGo(Attempt attempt) {
         Call call = attempt.call;
         if (!call.over) {
@@ -510,8 +577,10 @@
     private void timeRuns(Attempt attempt) {
         Call call = attempt.call;
         if (!call.over && call.answering == null) {
-            call.backstop = timers.at(Math.min(endsAt, time.now() + call.request.patience()),
-                    () -> giveUp(call));
+            call.backstop =
+                    timers.at(
+                            Math.min(endsAt, time.now() + call.request.patience()),
+                            () -> giveUp(call));
         }
     }
 
@@ -529,32 +598,45 @@
             end(call, whole ? Tally.End.SERVED : Tally.End.FAILED);
             give(call, whole ? call.client::flowed : call.client::abort);
         } else if (call.letGo && outcome != Outcome.OK && !call.over) {
-            // Nothing is left to decide: what it was can't be sent again, and only what is proven is said.
+            // Nothing is left to decide: what it was can't be sent again, and only what is proven
+            // is said.
             boolean neverRan = outcome.provesNeverRan();
             end(call, neverRan ? Tally.End.REFUSED : Tally.End.FAILED);
-            give(call, () -> {
-                if (neverRan) {
-                    call.client.refused(0);
-                } else {
-                    call.client.failed(Front.Cause.UPSTREAM);
-                }
-            });
+            give(
+                    call,
+                    () -> {
+                        if (neverRan) {
+                            call.client.refused(0);
+                        } else {
+                            call.client.failed(Front.Cause.UPSTREAM);
+                        }
+                    });
         } else if (outcome == Outcome.OK && !call.over) {
             end(call, Tally.End.SERVED);
             give(call, () -> call.client.served(reply));
         }
         float[] load = reply == null ? NO_LOAD : reply.load(settings.reportFields());
-        tell(() -> {
-            long now = time.now();
-            balancer.outcome(now, call.id, attempt.number, attempt.upstream, outcome, now - attempt.sentAt,
-                    call.over, load);
-        });
+        tell(
+                () -> {
+                    long now = time.now();
+                    balancer.outcome(
+                            now,
+                            call.id,
+                            attempt.number,
+                            attempt.upstream,
+                            outcome,
+                            now - attempt.sentAt,
+                            call.over,
+                            load);
+                });
         out--;
         call.out--;
         forget(call);
     }
 
-    /** Danger: an answer that can't be given must not keep the module from hearing of what happened. */
+    /**
+     * Danger: an answer that can't be given must not keep the module from hearing of what happened.
+     */
     private void give(Call call, Runnable answer) {
         try {
             answer.run();
@@ -616,9 +698,10 @@
     }
 
     /**
-     * Danger: an attempt that waits for its connection would be sent when that is there, long after its
-     * client has left. The module may not be allowed to cancel; but of this one nothing has gone out, so it
-     * ends as never sent, and takes no room at its upstream for work that might still be done there.
+     * Danger: an attempt that waits for its connection would be sent when that is there, long after
+     * its client has left. The module may not be allowed to cancel; but of this one nothing has
+     * gone out, so it ends as never sent, and takes no room at its upstream for work that might
+     * still be done there.
      */
     private void callOffWhatNobodyWaitsFor(Call call) {
         for (Attempt attempt : call.attempts) {
@@ -645,12 +728,14 @@
 
     @Override
     public void timer(long token, long at) {
-        timers.at(at, () -> {
-            if (!closed) {
-                reconcile();
-                tell(() -> balancer.timer(time.now(), token));
-            }
-        });
+        timers.at(
+                at,
+                () -> {
+                    if (!closed) {
+                        reconcile();
+                        tell(() -> balancer.timer(time.now(), token));
+                    }
+                });
     }
 
     /** The module is left alone from now on, and nothing is done for it any more. */
--- a/sidecar/src/main/java/appleridge/exchange/Front.java
+++ b/sidecar/src/main/java/appleridge/exchange/Front.java
@@ -3,8 +3,8 @@
 /** Takes a request's one final answer and words it as its protocol does. */
 public interface Front {
     /**
-     * Takes in, before this returns, what its client has sent and whether it has left, as far as either is
-     * there and was not read yet.
+     * Takes in, before this returns, what its client has sent and whether it has left, as far as
+     * either is there and was not read yet.
      */
     void look();
 
@@ -22,8 +22,8 @@
     void served(Reply reply);
 
     /**
-     * An upstream's good answer begins to go out. From here on no other answer can be given: it ends by
-     * {@link #flowed} or {@link #abort}.
+     * An upstream's good answer begins to go out. From here on no other answer can be given: it
+     * ends by {@link #flowed} or {@link #abort}.
      */
     void flows(Flow answer);
 
@@ -40,8 +40,8 @@
     void failed(Cause cause);
 
     /**
-     * No answer can be given any more, or no more of one that flows: the client is shown that by the end of
-     * its connection.
+     * No answer can be given any more, or no more of one that flows: the client is shown that by
+     * the end of its connection.
      */
     void abort();
 }
--- a/sidecar/src/main/java/appleridge/exchange/Lists.java
+++ b/sidecar/src/main/java/appleridge/exchange/Lists.java
@@ -1,6 +1,9 @@
 package appleridge.exchange;
 
-/** What the decision module asks of the source of the list; answered by {@link Exchanges#listChanged}. */
+/**
+ * What the decision module asks of the source of the list; answered by {@link
+ * Exchanges#listChanged}.
+ */
 public interface Lists {
     /** Follows the list, or ends that. */
     void subscribe(boolean on);
@@ -11,7 +14,10 @@
     /** Takes in, before this returns, what has been told and not yet been read. */
     void catchUp();
 
-    /** Whether it is certain, after {@link #catchUp}, that nothing told before that is still to come. */
+    /**
+     * Whether it is certain, after {@link #catchUp}, that nothing told before that is still to
+     * come.
+     */
     default boolean isCaughtUp() {
         return true;
     }
--- a/sidecar/src/main/java/appleridge/exchange/Log.java
+++ b/sidecar/src/main/java/appleridge/exchange/Log.java
@@ -11,10 +11,10 @@
     void warning(String line);
 
     /**
-     * An event with its fields in the form {@code key=value}. Of one kind only some a second are written,
-     * with a count of those left out, and the fields are asked for only then.
+     * An event with its fields in the form {@code key=value}. Of one kind only some a second are
+     * written, with a count of those left out, and the fields are asked for only then.
      */
-    default void event(LogEvent kind, Supplier<String> fields) { }
+    default void event(LogEvent kind, Supplier<String> fields) {}
 
     /** Something failed that must not stop the rest; the cause may be null. */
     void failure(String what, Throwable cause);
--- a/sidecar/src/main/java/appleridge/exchange/LogEvent.java
+++ b/sidecar/src/main/java/appleridge/exchange/LogEvent.java
@@ -1,6 +1,9 @@
 package appleridge.exchange;
 
-/** What is logged with a stable name and keyed fields; each kind has a limit of its own on how often. */
+/**
+ * What is logged with a stable name and keyed fields; each kind has a limit of its own on how
+ * often.
+ */
 public enum LogEvent {
     /** The event loop came to its periodic work late: nothing was read or sent meanwhile. */
     EVENT_LOOP_STALL("event_loop.stall"),
@@ -36,7 +39,10 @@
         return label;
     }
 
-    /** Whether each one is written: there are a few of them in a process's life, one soon after the other. */
+    /**
+     * Whether each one is written: there are a few of them in a process's life, one soon after the
+     * other.
+     */
     public boolean isAlwaysWritten() {
         return always;
     }
--- a/sidecar/src/main/java/appleridge/exchange/Outgoing.java
+++ b/sidecar/src/main/java/appleridge/exchange/Outgoing.java
@@ -1,6 +1,7 @@
 package appleridge.exchange;
 
 /**
- * What a client asks of an upstream, in a protocol's own form; only the protocol that read it can write it.
+ * What a client asks of an upstream, in a protocol's own form; only the protocol that read it can
+ * write it.
  */
-public interface Outgoing { }
+public interface Outgoing {}
--- a/sidecar/src/main/java/appleridge/exchange/Reply.java
+++ b/sidecar/src/main/java/appleridge/exchange/Reply.java
@@ -4,6 +4,9 @@
 
 /** An upstream's whole answer, in the form of the protocol that read it. */
 public interface Reply {
-    /** The load report that came with it, in the order of the fields; empty if there is none to be read. */
+    /**
+     * The load report that came with it, in the order of the fields; empty if there is none to be
+     * read.
+     */
     float[] load(List<String> fields);
 }
--- a/sidecar/src/main/java/appleridge/exchange/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/exchange/RequestLog.java
@@ -3,7 +3,10 @@
 import appleridge.decision.Balancer.Outcome;
 import java.util.concurrent.TimeUnit;
 
-/** Logs what became of requests and attempts that did not go as asked: which, why, and how long it took. */
+/**
+ * Logs what became of requests and attempts that did not go as asked: which, why, and how long it
+ * took.
+ */
 final class RequestLog {
     private final Time time;
     private final Log log;
@@ -21,29 +24,64 @@
     void ended(Call call, Tally.End how, long now) {
         boolean late = now > call.request.arrived() + call.request.patience();
         if (how != Tally.End.SERVED || late) {
-            log.event(LogEvent.REQUEST_ENDED, () -> "id=" + call.request.name() + " how=" + how
-                    + " late=" + late + " class=" + call.request.requestClass()
-                    + " age_ms=" + millis(now - call.request.arrived())
-                    + " waits_ms=" + millis(call.request.patience()) + " attempts=" + call.attempts.size()
-                    + " out=" + call.out + " last=" + call.last);
+            log.event(
+                    LogEvent.REQUEST_ENDED,
+                    () ->
+                            "id="
+                                    + call.request.name()
+                                    + " how="
+                                    + how
+                                    + " late="
+                                    + late
+                                    + " class="
+                                    + call.request.requestClass()
+                                    + " age_ms="
+                                    + millis(now - call.request.arrived())
+                                    + " waits_ms="
+                                    + millis(call.request.patience())
+                                    + " attempts="
+                                    + call.attempts.size()
+                                    + " out="
+                                    + call.out
+                                    + " last="
+                                    + call.last);
         }
     }
 
     /** An attempt has ended without a usable answer. */
     void ended(Attempt attempt, Outcome outcome) {
         if (outcome != Outcome.OK) {
-            log.event(LogEvent.ATTEMPT_ENDED, () -> "id=" + attempt.call.request.name() + " number="
-                    + attempt.number + " upstream=" + attempt.upstream + " outcome=" + outcome + " age_ms="
-                    + millis(time.now() - attempt.sentAt) + " begun="
-                    + (attempt.sending != null && attempt.sending.begun()) + " committed="
-                    + (attempt.sending != null && attempt.sending.committed()));
+            log.event(
+                    LogEvent.ATTEMPT_ENDED,
+                    () ->
+                            "id="
+                                    + attempt.call.request.name()
+                                    + " number="
+                                    + attempt.number
+                                    + " upstream="
+                                    + attempt.upstream
+                                    + " outcome="
+                                    + outcome
+                                    + " age_ms="
+                                    + millis(time.now() - attempt.sentAt)
+                                    + " begun="
+                                    + (attempt.sending != null && attempt.sending.begun())
+                                    + " committed="
+                                    + (attempt.sending != null && attempt.sending.committed()));
         }
     }
 
     /** Requests are deferred from now on, or the deferred ones are resumed. */
     void deferred(boolean begins, int waiting, long stall) {
-        log.event(LogEvent.REQUESTS_DEFERRED, () -> "state=" + (begins ? "deferred" : "resumed")
-                + " requests=" + waiting + " stall_ms=" + millis(stall));
+        log.event(
+                LogEvent.REQUESTS_DEFERRED,
+                () ->
+                        "state="
+                                + (begins ? "deferred" : "resumed")
+                                + " requests="
+                                + waiting
+                                + " stall_ms="
+                                + millis(stall));
     }
 
     private static long millis(long nanos) {
--- a/sidecar/src/main/java/appleridge/exchange/Tally.java
+++ b/sidecar/src/main/java/appleridge/exchange/Tally.java
@@ -3,7 +3,7 @@
 /** Counts what becomes of requests; each thing is told in one place, once. */
 public interface Tally {
     /** Where nobody asks. */
-    Tally NONE = new Tally() { };
+    Tally NONE = new Tally() {};
 
     /** How a request that was taken has ended. */
     enum End {
@@ -18,14 +18,14 @@
     }
 
     /** A request has been taken. */
-    default void taken(int requestClass) { }
+    default void taken(int requestClass) {}
 
     /** A request that was taken has ended. */
-    default void ended(int requestClass, End how) { }
+    default void ended(int requestClass, End how) {}
 
     /** An attempt goes to an upstream; {@code further} where it is not the request's first. */
-    default void sent(int requestClass, boolean further) { }
+    default void sent(int requestClass, boolean further) {}
 
     /** What came made no sense and was turned away as that. */
-    default void malformed() { }
+    default void malformed() {}
 }
--- a/sidecar/src/main/java/appleridge/exchange/Timers.java
+++ b/sidecar/src/main/java/appleridge/exchange/Timers.java
@@ -1,6 +1,9 @@
 package appleridge.exchange;
 
-/** Later moments on the thread that owns a sidecar; nothing given here runs inside the call that gives it. */
+/**
+ * Later moments on the thread that owns a sidecar; nothing given here runs inside the call that
+ * gives it.
+ */
 public interface Timers {
     /** Something that was to happen. */
     interface Timer {
--- a/sidecar/src/main/java/appleridge/exchange/Upstreams.java
+++ b/sidecar/src/main/java/appleridge/exchange/Upstreams.java
@@ -5,16 +5,19 @@
 /** Sends to upstreams, each request once: nothing is ever sent a second time below this. */
 public interface Upstreams {
     /**
-     * Told once, and never inside a call to {@link Upstreams}, how an attempt ended that was not abandoned.
+     * Told once, and never inside a call to {@link Upstreams}, how an attempt ended that was not
+     * abandoned.
      */
     interface Listener {
-        /** Its connection has come up, and nothing is written yet: it may be abandoned from in here. */
-        default void connected() { }
+        /**
+         * Its connection has come up, and nothing is written yet: it may be abandoned from in here.
+         */
+        default void connected() {}
 
         /**
-         * A good answer is too long to be held, and begins to go out if that is wanted: then it ends by
-         * {@link #ended}, as OK only when all of it has come, and the time for which the answer is waited
-         * for no longer counts.
+         * A good answer is too long to be held, and begins to go out if that is wanted: then it
+         * ends by {@link #ended}, as OK only when all of it has come, and the time for which the
+         * answer is waited for no longer counts.
          *
          * @return whether it is wanted; else the attempt is broken off
          */
@@ -23,13 +26,14 @@
         }
 
         /**
-         * The first of a request that can't be held whole is let go: from here on it can't be sent again, and
-         * until {@link #committed} its client's time does not run. Told of such requests alone.
+         * The first of a request that can't be held whole is let go: from here on it can't be sent
+         * again, and until {@link #committed} its client's time does not run. Told of such requests
+         * alone.
          */
-        default void letGo() { }
+        default void letGo() {}
 
         /** The last byte of such a request is with the socket. */
-        default void committed() { }
+        default void committed() {}
 
         /** With the answer where one was read, good or bad; else null. */
         void ended(Outcome outcome, Reply reply);
@@ -40,7 +44,9 @@
         /** Whether any of the request's bytes may be with the socket. */
         boolean begun();
 
-        /** Whether the request's last byte is with the socket: from then on the upstream may run it. */
+        /**
+         * Whether the request's last byte is with the socket: from then on the upstream may run it.
+         */
         boolean committed();
 
         /** Gives it up: nothing more of it is written, nothing is told. */
--- a/sidecar/src/main/java/appleridge/exchange/package-info.java
+++ b/sidecar/src/main/java/appleridge/exchange/package-info.java
@@ -1,2 +1,5 @@
-/** A request's life: attempts, outcomes, windows and one final answer; knows no protocol, socket or clock. */
+/**
+ * A request's life: attempts, outcomes, windows and one final answer; knows no protocol, socket or
+ * clock.
+ */
 package appleridge.exchange;
--- a/sidecar/src/main/java/appleridge/handover/Word.java
+++ b/sidecar/src/main/java/appleridge/handover/Word.java
@@ -1,10 +1,11 @@
 package appleridge.handover;
 
 /**
- * What an operator has said of an upstream, to one process for all of a sidecar's. The latest counts.
+ * What an operator has said of an upstream, to one process for all of a sidecar's. The latest
+ * counts.
  *
  * @param id the upstream's, as the list has it
  * @param out whether it was called out, or back
  * @param at when, in nanoseconds of Unix time
  */
-public record Word(String id, boolean out, long at) { }
+public record Word(String id, boolean out, long at) {}
--- a/sidecar/src/main/java/appleridge/handover/file/Slots.java
+++ b/sidecar/src/main/java/appleridge/handover/file/Slots.java
@@ -13,15 +13,18 @@
 import java.util.function.Consumer;
 
 /**
- * The processes of one sidecar, by a folder that all of them have. Each holds the lock of a slot for as long
- * as it lives, which the system takes back however it ends, and writes its state beside it, whole or not at
- * all. Everything here blocks, if only for moments. Not to be used by two threads at once.
+ * The processes of one sidecar, by a folder that all of them have. Each holds the lock of a slot
+ * for as long as it lives, which the system takes back however it ends, and writes its state beside
+ * it, whole or not at all. Everything here blocks, if only for moments. Not to be used by two
+ * threads at once.
  *
- * <p>Danger: the system gives a process's lock back when the process closes any descriptor of that file, so
- * the own slot is never opened twice.
+ * <p>Danger: the system gives a process's lock back when the process closes any descriptor of that
+ * file, so the own slot is never opened twice.
  */
 public final class Slots implements AutoCloseable {
-    /** More processes than ever are one sidecar: one that ends, one that serves, one that starts. */
+    /**
+     * More processes than ever are one sidecar: one that ends, one that serves, one that starts.
+     */
     private static final int SLOTS = 4;
 
     private final Path folder;
@@ -57,8 +60,11 @@
     }
 
     private static FileLock lock(Path folder, int slot) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve("slot-" + slot + ".lock"),
-                StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve("slot-" + slot + ".lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         FileLock lock = channel.tryLock();
         if (lock == null) {
             channel.close();
