--- a/sidecar/src/main/java/appleridge/handover/file/StateFile.java
+++ b/sidecar/src/main/java/appleridge/handover/file/StateFile.java
@@ -10,19 +10,23 @@
 import java.util.zip.CRC32;
 
 /**
- * A process's state as text: a line with the version and the check sum of all behind it, a line with the
- * phase, then a line for each word. What is of another version, torn or too long is refused whole.
+ * A process's state as text: a line with the version and the check sum of all behind it, a line
+ * with the phase, then a line for each word. What is of another version, torn or too long is
+ * refused whole.
  */
 final class StateFile {
     static final int MOST_BYTES = 4 << 20;
     private static final String VERSION = "appleridge-state 1";
 
-    private StateFile() { }
+    private StateFile() {}
 
     static byte[] write(ProcessState state) {
         StringBuilder body = new StringBuilder(state.phase().name()).append('\n');
         for (Word word : state.words()) {
-            body.append(word.out() ? "out " : "back ").append(word.at()).append(' ').append(word.id())
+            body.append(word.out() ? "out " : "back ")
+                    .append(word.at())
+                    .append(' ')
+                    .append(word.id())
                     .append('\n');
         }
         String text = VERSION + " " + sum(body.toString()) + "\n" + body;
@@ -56,7 +60,8 @@
                 String[] parts = lines[i].split(" ", 3);
                 words.add(new Word(parts[2], parts[0].equals("out"), Long.parseLong(parts[1])));
             }
-            return new ProcessState(Phase.valueOf(lines[0]),
+            return new ProcessState(
+                    Phase.valueOf(lines[0]),
                     words.subList(0, Math.min(words.size(), ProcessState.MOST_WORDS)));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new IOException("unreadable: " + e.getMessage(), e);
--- a/sidecar/src/main/java/appleridge/http1/Backlog.java
+++ b/sidecar/src/main/java/appleridge/http1/Backlog.java
@@ -7,21 +7,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The connections that wait in the system while there is no room for them here. Now and then what waits is
- * taken in all the same: to be told that there is no room, or because accepting is about to end.
+ * The connections that wait in the system while there is no room for them here. Now and then what
+ * waits is taken in all the same: to be told that there is no room, or because accepting is about
+ * to end.
  */
 final class Backlog {
     /**
-     * For so long connections wait where all there are have a request open; then they are told. A bit longer
-     * than silent ones may hesitate, so that these make room first.
+     * For so long connections wait where all there are have a request open; then they are told. A
+     * bit longer than silent ones may hesitate, so that these make room first.
      */
     private static final long PATIENCE = TimeUnit.MILLISECONDS.toNanos(ClientTimes.HESITATES + 50);
+
     /** For so long, in nanoseconds, what waits is taken in at a time. */
     private static final long LOOK = TimeUnit.MILLISECONDS.toNanos(20);
+
     /** The end of accepting is put off for so many looks, if each brings more. */
     private static final int MOST_LOOKS = 10;
+
     /** Of the cap, for those told in one look: the process has some descriptors beyond the cap. */
     private static final int TOLD_PART = 16;
+
     private static final int LEAST_TOLD = 4;
 
     private final Loop loop;
@@ -49,7 +54,9 @@
         listener = listens;
     }
 
-    /** One has been accepted, and what could make room has done so; whether it must be told of none. */
+    /**
+     * One has been accepted, and what could make room has done so; whether it must be told of none.
+     */
     boolean tells() {
         accepted++;
         boolean tell = looking && !room.getAsBoolean();
@@ -73,8 +80,20 @@
         if (accepts != accepting) {
             accepting = accepts;
             changes++;
-            loop.log().event(LogEvent.ACCEPT_GATE, () -> "accepts=" + accepts + " stopped=" + stopped
-                    + " waits=" + waits + " looking=" + looking + " accepted=" + accepted);
+            loop.log()
+                    .event(
+                            LogEvent.ACCEPT_GATE,
+                            () ->
+                                    "accepts="
+                                            + accepts
+                                            + " stopped="
+                                            + stopped
+                                            + " waits="
+                                            + waits
+                                            + " looking="
+                                            + looking
+                                            + " accepted="
+                                            + accepted);
         }
         listener.config().setAutoRead(accepts);
     }
@@ -89,7 +108,10 @@
         waits = forNow;
     }
 
-    /** Accepts no more, and leaves the listening socket as it is: what waits there is another process's. */
+    /**
+     * Accepts no more, and leaves the listening socket as it is: what waits there is another
+     * process's.
+     */
     void stop() {
         ends = true;
         stopped = true;
@@ -97,18 +119,20 @@
     }
 
     /**
-     * Danger: where bad clients hold all connections there may be, those that wait would hear nothing, and
-     * find out by their own time limit. Told of it, they may ask again or elsewhere; nothing was sent on.
+     * Danger: where bad clients hold all connections there may be, those that wait would hear
+     * nothing, and find out by their own time limit. Told of it, they may ask again or elsewhere;
+     * nothing was sent on.
      */
     void tellWhoWaits() {
         if (!room.getAsBoolean() && !ends && loop.now() - roomAt >= PATIENCE) {
-            look(() -> { });
+            look(() -> {});
         }
     }
 
     /**
-     * Ends accepting. Danger: what waits when the listening socket closes is reset, and may have asked; after
-     * the loop stood still, or at the cap, that is any number. So it closes when a look has brought no more.
+     * Ends accepting. Danger: what waits when the listening socket closes is reset, and may have
+     * asked; after the loop stood still, or at the cap, that is any number. So it closes when a
+     * look has brought no more.
      */
     void end(Runnable closed) {
         ends = true;
@@ -117,23 +141,26 @@
 
     private void end(Runnable closed, int looks) {
         long before = accepted;
-        look(() -> {
-            if (accepted > before && looks > 1) {
-                end(closed, looks - 1);
-            } else {
-                listener.close().addListener(done -> closed.run());
-            }
-        });
+        look(
+                () -> {
+                    if (accepted > before && looks > 1) {
+                        end(closed, looks - 1);
+                    } else {
+                        listener.close().addListener(done -> closed.run());
+                    }
+                });
     }
 
     private void look(Runnable then) {
         looking = true;
         tells = Math.max(LEAST_TOLD, cap / TOLD_PART);
         accept();
-        loop.after(LOOK, () -> {
-            looking = false;
-            accept();
-            then.run();
-        });
+        loop.after(
+                LOOK,
+                () -> {
+                    looking = false;
+                    accept();
+                    then.run();
+                });
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -41,28 +41,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One of the application's connections. Requests that come before earlier ones are answered are taken at
- * once, for their time runs; the answers go out in the order of the requests.
+ * One of the application's connections. Requests that come before earlier ones are answered are
+ * taken at once, for their time runs; the answers go out in the order of the requests.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements HttpFlow.Source {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements HttpFlow.Source {
     private static final byte[] NO_BODY = {};
     private static final String READY_PATH = "/health/ready";
+
     /**
-     * Requests waiting for answers on one connection. Clients send one at a time; beyond this many the
-     * connection is of no use. Danger: where reading stopped instead, a hang-up would not be seen. Nor may
-     * more than that come in one turn of the loop, though all were answered at once: all others would wait.
+     * Requests waiting for answers on one connection. Clients send one at a time; beyond this many
+     * the connection is of no use. Danger: where reading stopped instead, a hang-up would not be
+     * seen. Nor may more than that come in one turn of the loop, though all were answered at once:
+     * all others would wait.
      */
     private static final int MAX_PIPELINED = 16;
+
     /** Time for a client to read the last answer before unread input of its own would reset it. */
     private static final long LINGER_MILLIS = 500;
-    /** The least of it, for one that is told that there is no room, where others wait to be told. */
+
+    /**
+     * The least of it, for one that is told that there is no room, where others wait to be told.
+     */
     private static final long TOLD_MILLIS = 20;
 
     /** Bytes a millisecond at which a request's body has to come at least. */
     private static final int SLOWEST_BODY = 60;
+
     /** Bytes of a long answer that the system holds for its client. */
     private static final int FLOW_BUFFER = 256 << 10;
-    /** Nanoseconds in which a client takes some of what waits for it of a long answer; then it is cut off. */
+
+    /**
+     * Nanoseconds in which a client takes some of what waits for it of a long answer; then it is
+     * cut off.
+     */
     private static final long LONGEST_UNREAD = TimeUnit.SECONDS.toNanos(10);
 
     private final ClientServer server;
@@ -73,29 +85,41 @@
     private final ArrayDeque<Exchange> exchanges = new ArrayDeque<>();
     private HttpRequest head;
     private ByteBuf body;
+
     /** The request whose body is being passed on; null for none. */
     private Exchange uploading;
+
     private long uploaded;
+
     /** When reading stopped because its upstream has enough; 0 while it goes on. */
     private long pausedAt;
+
     /** Nothing that comes from now on is read. */
     private boolean deaf;
+
     private boolean lingering;
     private boolean turnedAway;
     private boolean asked;
+
     /** Its client was seen to be there when what had come with its first request had been read. */
     private boolean seen;
+
     /** Since when nothing has been open; or when the request that is being read began. */
     private long since;
+
     private boolean reading;
+
     /** When something was read last. */
     private long heardAt;
+
     /** When a client was last seen to read of a long answer. */
     private long progress;
+
     /** Requests that have begun since the loop last looked elsewhere. */
     private int inOneTurn;
 
-    private ClientConnection(ClientServer server, Channel channel, InputWatch input, Decoder decoder) {
+    private ClientConnection(
+            ClientServer server, Channel channel, InputWatch input, Decoder decoder) {
         this.server = server;
         this.channel = channel;
         this.input = input;
@@ -107,8 +131,12 @@
     static void install(Channel channel, ClientServer server) {
         InputWatch input = new InputWatch();
         Decoder decoder = new Decoder();
-        channel.pipeline().addLast(input, decoder, new HttpResponseEncoder(),
-                new ClientConnection(server, channel, input, decoder));
+        channel.pipeline()
+                .addLast(
+                        input,
+                        decoder,
+                        new HttpResponseEncoder(),
+                        new ClientConnection(server, channel, input, decoder));
     }
 
     @Override
@@ -133,7 +161,9 @@
         }
         if (message instanceof HttpRequest request) {
             if (!Framing.isPlain(request)) {
-                reject(HttpResponseStatus.BAD_REQUEST, "the body's length can be read in more than one way");
+                reject(
+                        HttpResponseStatus.BAD_REQUEST,
+                        "the body's length can be read in more than one way");
                 return;
             }
             if (exchanges.size() >= MAX_PIPELINED || ++inOneTurn > MAX_PIPELINED) {
@@ -147,8 +177,11 @@
                 return;
             }
             if (HttpUtil.is100ContinueExpected(request) && exchanges.isEmpty()) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                channel.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.CONTINUE,
+                                Unpooled.EMPTY_BUFFER));
             }
         }
         if (message instanceof HttpContent content && uploading != null) {
@@ -168,8 +201,8 @@
     }
 
     /**
-     * Danger: chunks say nothing of what is to come, and who sends them without end would have an upstream
-     * read 32 MiB that are no request. So only what has said its length goes on.
+     * Danger: chunks say nothing of what is to come, and who sends them without end would have an
+     * upstream read 32 MiB that are no request. So only what has said its length goes on.
      */
     private void goOnBeyondWhatIsHeld(HttpContent content) {
         if (!HttpUtil.isContentLengthSet(head)) {
@@ -183,8 +216,8 @@
     }
 
     /**
-     * A body is too long to be held: its request is taken with what has come, so that who sends slowly holds
-     * no upstream's slot before that, and the rest is passed on as it comes.
+     * A body is too long to be held: its request is taken with what has come, so that who sends
+     * slowly holds no upstream's slot before that, and the rest is passed on as it comes.
      */
     private void beginUpload() {
         HttpRequest request = head;
@@ -192,17 +225,25 @@
         asked = true;
         reading = false;
         since = server.loop().now();
-        Exchange exchange = new Exchange(HttpUtil.isKeepAlive(request),
-                request.protocolVersion().equals(HttpVersion.HTTP_1_1));
+        Exchange exchange =
+                new Exchange(
+                        HttpUtil.isKeepAlive(request),
+                        request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         exchanges.add(exchange);
-        exchange.upload = new HttpFlow(request.headers(), HttpUtil.getContentLength(request, -1L), this);
+        exchange.upload =
+                new HttpFlow(request.headers(), HttpUtil.getContentLength(request, -1L), this);
         uploading = exchange;
         uploaded = body.readableBytes();
         try {
             ClientRequest read = server.reader().read(request, NO_BODY, since);
             exchange.upload.write(body);
-            exchange.hangUp = server.exchanges().accept(read.with(((OutgoingRequest) read.message())
-                    .with(exchange.upload)), exchange);
+            exchange.hangUp =
+                    server.exchanges()
+                            .accept(
+                                    read.with(
+                                            ((OutgoingRequest) read.message())
+                                                    .with(exchange.upload)),
+                                    exchange);
         } catch (BadRequest e) {
             server.exchanges().tally().malformed();
             exchange.say(e.status(), e.getMessage(), e.allowed());
@@ -226,7 +267,10 @@
         }
     }
 
-    /** The request that is being passed on has no end: nothing of it counts, and nothing more is read. */
+    /**
+     * The request that is being passed on has no end: nothing of it counts, and nothing more is
+     * read.
+     */
     private void cutShort(HttpResponseStatus status, String why) {
         Exchange exchange = uploading;
         uploading = null;
@@ -234,9 +278,10 @@
         exchange.upload.end();
         server.exchanges().tally().malformed();
         exchange.hangUp.run();
-        exchange.hangUp = () -> { };
+        exchange.hangUp = () -> {};
         if (exchange.begun) {
-            // Danger: its answer is on the way and will have no end; no other one can take its place.
+            // Danger: its answer is on the way and will have no end; no other one can take its
+            // place.
             channel.close();
         } else {
             exchange.say(status, why);
@@ -277,22 +322,29 @@
         reading = false;
         since = server.loop().now();
         input.whole(decoder.holdsBytes());
-        Exchange exchange = new Exchange(HttpUtil.isKeepAlive(request),
-                request.protocolVersion().equals(HttpVersion.HTTP_1_1));
+        Exchange exchange =
+                new Exchange(
+                        HttpUtil.isKeepAlive(request),
+                        request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         exchanges.add(exchange);
         deafenBehind(exchange);
         if (request.uri().equals(READY_PATH)) {
             if (request.method().equals(HttpMethod.GET)) {
                 boolean ready = server.ready();
-                exchange.say(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                exchange.say(
+                        ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                         ready ? "ready" : "not ready");
             } else {
-                exchange.say(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed", HttpMethod.GET);
+                exchange.say(
+                        HttpResponseStatus.METHOD_NOT_ALLOWED,
+                        "method not allowed",
+                        HttpMethod.GET);
             }
             return;
         }
         try {
-            ClientRequest read = server.reader().read(request, content, server.exchanges().cameAt());
+            ClientRequest read =
+                    server.reader().read(request, content, server.exchanges().cameAt());
             if (!seen || server.exchanges().mayHaveWaited()) {
                 server.loop().soon(() -> acceptIfThere(read, exchange));
             } else {
@@ -305,9 +357,9 @@
     }
 
     /**
-     * Danger: a new connection may have waited to be accepted, or all to be read, until a client gave up;
-     * then what it asked, the first request and all behind it, is read ahead of its connection's end, and
-     * what nobody waits for any more would be sent.
+     * Danger: a new connection may have waited to be accepted, or all to be read, until a client
+     * gave up; then what it asked, the first request and all behind it, is read ahead of its
+     * connection's end, and what nobody waits for any more would be sent.
      */
     private void acceptIfThere(ClientRequest request, Exchange exchange) {
         server.readNow(channel);
@@ -355,10 +407,15 @@
             }
             Exchange exchange = exchanges.poll();
             boolean cut = exchange.upload != null && !exchange.upload.isWhole();
-            boolean last = cut || !exchange.keepAlive
-                    || server.lastCall() && exchanges.isEmpty() && !input.begun();
-            exchange.response.headers().set(HttpHeaderNames.CONNECTION,
-                    last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
+            boolean last =
+                    cut
+                            || !exchange.keepAlive
+                            || server.lastCall() && exchanges.isEmpty() && !input.begun();
+            exchange.response
+                    .headers()
+                    .set(
+                            HttpHeaderNames.CONNECTION,
+                            last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
             var written = channel.writeAndFlush(exchange.response);
             output.follow(written);
             since = reading ? since : server.loop().now();
@@ -383,8 +440,9 @@
     }
 
     /**
-     * Begins a long answer, or ends it; the answers behind it wait. Danger: a client of HTTP/1.0 knows no
-     * chunks, and takes the connection's end for the answer's: there only a reset tells that it is not whole.
+     * Begins a long answer, or ends it; the answers behind it wait. Danger: a client of HTTP/1.0
+     * knows no chunks, and takes the connection's end for the answer's: there only a reset tells
+     * that it is not whole.
      *
      * @return whether the next answer may follow
      */
@@ -392,19 +450,27 @@
         if (!exchange.begun) {
             exchange.begun = true;
             HttpFlow flow = exchange.flow;
-            exchange.last = !exchange.keepAlive || !exchange.chunks && flow.length() < 0
-                    || exchange.upload != null && !exchange.upload.isWhole()
-                    || server.lastCall() && exchanges.size() == 1 && !input.begun();
-            HttpResponse start = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Headers.endToEnd(flow.headers()).remove(Headers.LOAD));
-            start.headers().set(HttpHeaderNames.CONNECTION,
-                    exchange.last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
+            exchange.last =
+                    !exchange.keepAlive
+                            || !exchange.chunks && flow.length() < 0
+                            || exchange.upload != null && !exchange.upload.isWhole()
+                            || server.lastCall() && exchanges.size() == 1 && !input.begun();
+            HttpResponse start =
+                    new DefaultHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.OK,
+                            Headers.endToEnd(flow.headers()).remove(Headers.LOAD));
+            start.headers()
+                    .set(
+                            HttpHeaderNames.CONNECTION,
+                            exchange.last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
             if (flow.length() >= 0) {
                 start.headers().set(HttpHeaderNames.CONTENT_LENGTH, flow.length());
             } else if (exchange.chunks) {
                 start.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             }
-            // Danger: the system's own buffer grows without being asked, and shows no progress for seconds.
+            // Danger: the system's own buffer grows without being asked, and shows no progress for
+            // seconds.
             channel.config().setOption(ChannelOption.SO_SNDBUF, FLOW_BUFFER);
             channel.config().setWriteBufferWaterMark(HttpFlow.MARKS);
             channel.write(start);
@@ -446,7 +512,9 @@
         ctx.fireChannelWritabilityChanged();
     }
 
-    /** Danger: what a client sends behind its last request has no answer, and would have an effect. */
+    /**
+     * Danger: what a client sends behind its last request has no answer, and would have an effect.
+     */
     private void deafenBehind(Exchange request) {
         if (!request.keepAlive) {
             deafen();
@@ -458,7 +526,10 @@
         input.discard();
     }
 
-    /** Danger: closed with input unread, the connection is reset, and the answer may be lost on the way. */
+    /**
+     * Danger: closed with input unread, the connection is reset, and the answer may be lost on the
+     * way.
+     */
     private void linger() {
         if (channel.isActive()) {
             lingering = true;
@@ -488,8 +559,8 @@
     }
 
     /**
-     * Ends it unless a request is open or has begun to arrive; in a way that resets nothing: a request that
-     * crosses this is read, and its client sees the end and asks again elsewhere.
+     * Ends it unless a request is open or has begun to arrive; in a way that resets nothing: a
+     * request that crosses this is read, and its client sees the end and asks again elsewhere.
      */
     void endIfIdle() {
         if (idle() && channel.isActive()) {
@@ -509,8 +580,9 @@
     }
 
     /**
-     * Closes it, and tells whether it did. Danger: a request may have come and wait unread, after the loop
-     * stood still or while others were served; so what the system holds for it is read first.
+     * Closes it, and tells whether it did. Danger: a request may have come and wait unread, after
+     * the loop stood still or while others were served; so what the system holds for it is read
+     * first.
      */
     boolean spared() {
         if (idle() && channel.isActive() && !input.delivering()) {
@@ -533,10 +605,10 @@
     }
 
     /**
-     * Ends it unless a whole request has come that has no answer yet. Danger: what has come and waits unread
-     * has been taken, and closing would lose it; so it is read first. What has come in part may become whole
-     * just now, and is refused. And an answer that has been written may wait here for the system to take it;
-     * closed now, it would be cut short.
+     * Ends it unless a whole request has come that has no answer yet. Danger: what has come and
+     * waits unread has been taken, and closing would lose it; so it is read first. What has come in
+     * part may become whole just now, and is refused. And an answer that has been written may wait
+     * here for the system to take it; closed now, it would be cut short.
      */
     void closeIfNothingIsOpen() {
         if (exchanges.isEmpty() && channel.isActive()) {
@@ -564,15 +636,18 @@
     }
 
     /**
-     * Ends what takes too long. Danger: connections left idle, with a request that never ends or an answer
-     * that is never read, would use the descriptors up; what keeps sending a byte now and then is no better.
+     * Ends what takes too long. Danger: connections left idle, with a request that never ends or an
+     * answer that is never read, would use the descriptors up; what keeps sending a byte now and
+     * then is no better.
      */
     void expire(long now, ClientTimes times) {
         long stood = TimeUnit.NANOSECONDS.toMillis(now - since);
         if (output.waits(now, OutputWatch.LONGEST_WAIT)
                 || flowing() != null && !channel.isWritable() && now - progress >= LONGEST_UNREAD) {
             cutOff();
-        } else if (reading && !deaf && endless(now, times, head == null ? 0 : body.readableBytes())) {
+        } else if (reading
+                && !deaf
+                && endless(now, times, head == null ? 0 : body.readableBytes())) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
         } else if (uploading != null && pausedAt == 0 && !deaf && endless(now, times, uploaded)) {
             cutShort(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
@@ -581,16 +656,20 @@
         }
     }
 
-    /** A body may come as slowly as a bad line brings it, in its own time beside the head's; but come. */
+    /**
+     * A body may come as slowly as a bad line brings it, in its own time beside the head's; but
+     * come.
+     */
     private boolean endless(long now, ClientTimes times, long ofBody) {
         return TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= times.request()
-                || TimeUnit.NANOSECONDS.toMillis(now - since) >= times.request() + ofBody / SLOWEST_BODY;
+                || TimeUnit.NANOSECONDS.toMillis(now - since)
+                        >= times.request() + ofBody / SLOWEST_BODY;
     }
 
     /**
-     * How readily it is closed to make room for another; 0 for not at all: a request is open or has begun to
-     * arrive, or is still to be expected as the first one, which the client would not send again; or its
-     * answer is on the way. What has stood for longer goes first among equals.
+     * How readily it is closed to make room for another; 0 for not at all: a request is open or has
+     * begun to arrive, or is still to be expected as the first one, which the client would not send
+     * again; or its answer is on the way. What has stood for longer goes first among equals.
      */
     int spare(long now) {
         long stood = TimeUnit.NANOSECONDS.toMillis(now - since);
@@ -640,17 +719,22 @@
     /** One request and its answer to come. */
     private final class Exchange implements Front {
         private final boolean keepAlive;
+
         /** Whether the client knows chunks. */
         private final boolean chunks;
+
         private FullHttpResponse response;
+
         /** The answer, where it is passed on in pieces; null else. */
         private HttpFlow flow;
+
         /** The request's body, where it is passed on in pieces; null else. */
         private HttpFlow upload;
+
         private boolean begun;
         private boolean flowed;
         private boolean last;
-        private Runnable hangUp = () -> { };
+        private Runnable hangUp = () -> {};
 
         Exchange(boolean keepAlive, boolean chunks) {
             this.keepAlive = keepAlive;
@@ -689,7 +773,9 @@
         @Override
         public void served(Reply reply) {
             HttpReply answer = (HttpReply) reply;
-            answer(HttpResponseStatus.OK, Headers.endToEnd(answer.headers()).remove(Headers.LOAD),
+            answer(
+                    HttpResponseStatus.OK,
+                    Headers.endToEnd(answer.headers()).remove(Headers.LOAD),
                     answer.body());
         }
 
@@ -704,11 +790,12 @@
 
         @Override
         public void failed(Cause cause) {
-            HttpResponseStatus status = switch (cause) {
-                case LATE -> HttpResponseStatus.GATEWAY_TIMEOUT;
-                case UPSTREAM -> HttpResponseStatus.BAD_GATEWAY;
-                case ID_IN_USE -> HttpResponseStatus.CONFLICT;
-            };
+            HttpResponseStatus status =
+                    switch (cause) {
+                        case LATE -> HttpResponseStatus.GATEWAY_TIMEOUT;
+                        case UPSTREAM -> HttpResponseStatus.BAD_GATEWAY;
+                        case ID_IN_USE -> HttpResponseStatus.CONFLICT;
+                    };
             answer(status, EmptyHttpHeaders.INSTANCE, NO_BODY);
         }
 
@@ -727,17 +814,22 @@
         }
 
         private void answer(HttpResponseStatus status, HttpHeaders headers, byte[] content) {
-            response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.wrappedBuffer(content), new DefaultHttpHeaders().set(headers),
-                    EmptyHttpHeaders.INSTANCE);
+            response =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            status,
+                            Unpooled.wrappedBuffer(content),
+                            new DefaultHttpHeaders().set(headers),
+                            EmptyHttpHeaders.INSTANCE);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
             flush();
         }
 
         /** A short text; with the methods allowed where the method was what was wrong. */
         void say(HttpResponseStatus status, String text, HttpMethod... allowed) {
-            HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE,
-                    HttpHeaderValues.TEXT_PLAIN);
+            HttpHeaders headers =
+                    new DefaultHttpHeaders()
+                            .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
             if (allowed.length > 0) {
                 headers.set(HttpHeaderNames.ALLOW, List.of(allowed));
             }
@@ -754,7 +846,8 @@
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
+        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
+                throws Exception {
             if (!lines.inOrder(in)) {
                 out.add(Framing.malformed(createInvalidMessage()));
                 in.skipBytes(in.readableBytes());
--- a/sidecar/src/main/java/appleridge/http1/ClientServer.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientServer.java
@@ -5,8 +5,8 @@
 import appleridge.exchange.LogEvent;
 import appleridge.exchange.Timers;
 import appleridge.transport.AcceptFailures;
-import appleridge.transport.HeldListener;
 import appleridge.transport.EventLoopMonitor;
+import appleridge.transport.HeldListener;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 import io.netty.bootstrap.ServerBootstrap;
@@ -24,25 +24,39 @@
 /** The listening side: accepts the application's connections, and ends them in order. */
 public final class ClientServer {
     private static final long SETTLE_MILLIS = 20;
+
     /**
-     * For so long after SIGTERM a connection that the application keeps may still bring a request, where
-     * another process accepts already; it is told then that it was the last one.
+     * For so long after SIGTERM a connection that the application keeps may still bring a request,
+     * where another process accepts already; it is told then that it was the last one.
      */
     private static final long KEPT_AFTER_TERM_MILLIS = 500;
+
     private static final long SWEEP_MILLIS = 100;
-    /** From one look at how late the loop is to the next: half of what a client's leaving may go unseen. */
+
+    /**
+     * From one look at how late the loop is to the next: half of what a client's leaving may go
+     * unseen.
+     */
     private static final long TICK_MILLIS = 40;
+
     /** After accepting failed, for descriptors to be free again. */
     private static final long ACCEPT_AGAIN_MILLIS = 50;
-    /** What is accepted between two looks at the connections there are; also what may come over the cap. */
+
+    /**
+     * What is accepted between two looks at the connections there are; also what may come over the
+     * cap.
+     */
     private static final int ACCEPTS_AT_ONCE = 4;
+
     /** Of the cap, for connections that have had their answer and wait for the next request. */
     private static final double KEPT_PART = 0.3;
+
     /**
-     * Bytes of answers that wait for clients to read, over all connections: a third of what the process is
-     * given outside the heap, where they are held.
+     * Bytes of answers that wait for clients to read, over all connections: a third of what the
+     * process is given outside the heap, where they are held.
      */
     static final long MOST_UNREAD = 8 << 20;
+
     private static final int BACKLOG = 1024;
 
     private final Loop loop;
@@ -56,22 +70,33 @@
     private final Timers.Timer stallTicks;
     private final Backlog backlog;
     private final EventLoopMonitor monitor;
+
     /** Of those, what it may hold now. */
     private int most;
+
     private Channel listener;
+
     /** The listening socket is the platform's: another process may accept from it, now or later. */
     private boolean held;
+
     private boolean warm;
     private boolean draining;
     private boolean lastCall;
+
     /** Connections are just being closed to make room. */
     private boolean closing;
+
     private boolean settling;
     private Runnable drained;
 
     /** With the most connections that are held at once. */
-    public ClientServer(Loop loop, Sockets sockets, Exchanges exchanges, RequestReader reader,
-            int maxConnections, ClientTimes times) {
+    public ClientServer(
+            Loop loop,
+            Sockets sockets,
+            Exchanges exchanges,
+            RequestReader reader,
+            int maxConnections,
+            ClientTimes times) {
         this.times = times;
         this.loop = loop;
         this.sockets = sockets;
@@ -91,8 +116,8 @@
     }
 
     /**
-     * Accepts from a socket that the platform holds, which goes on when this server ends; at once, or when it
-     * is told to by {@link #share}.
+     * Accepts from a socket that the platform holds, which goes on when this server ends; at once,
+     * or when it is told to by {@link #share}.
      */
     public ChannelFuture listen(HeldListener socket, boolean now) {
         held = true;
@@ -101,18 +126,20 @@
     }
 
     private ServerBootstrap bootstrap() {
-        return new ServerBootstrap().group(loop.executor(), loop.executor())
+        return new ServerBootstrap()
+                .group(loop.executor(), loop.executor())
                 .handler(new AcceptFailures(loop, this::acceptFailed))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, HttpFlow.reads())
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        ClientConnection.install(channel, ClientServer.this);
-                    }
-                });
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                ClientConnection.install(channel, ClientServer.this);
+                            }
+                        });
     }
 
     private ChannelFuture accept(ChannelFuture listening) {
@@ -120,7 +147,8 @@
         backlog.listener(listener);
         backlog.accept();
         if (!(listening.isDone() && !listening.isSuccess())) {
-            listener.config().<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
+            listener.config()
+                    .<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
                     .maxMessagesPerRead(ACCEPTS_AT_ONCE);
         }
         return listening;
@@ -198,25 +226,30 @@
     }
 
     /**
-     * Danger: the application's descriptors are bounded too, and with what it keeps it can't ask. Where many
-     * ask once and keep their connection, or another sidecar's clients come over, all its descriptors idle
-     * here while its requests find none. The longest idle one goes, for one in use is seldom it. Where more
-     * clients than are kept ask now and then, each has to connect anew.
+     * Danger: the application's descriptors are bounded too, and with what it keeps it can't ask.
+     * Where many ask once and keep their connection, or another sidecar's clients come over, all
+     * its descriptors idle here while its requests find none. The longest idle one goes, for one in
+     * use is seldom it. Where more clients than are kept ask now and then, each has to connect
+     * anew.
      */
     private void boundKept() {
         int keptAtMost = (int) (most * KEPT_PART);
         if (connections.size() > keptAtMost && !closing) {
-            List<ClientConnection> kept = connections.stream().filter(ClientConnection::kept).toList();
+            List<ClientConnection> kept =
+                    connections.stream().filter(ClientConnection::kept).toList();
             if (kept.size() > keptAtMost) {
-                closing(kept.stream().min((a, b) -> Long.signum(a.since() - b.since()))
-                        .orElseThrow()::closeIfIdle);
+                closing(
+                        kept.stream()
+                                        .min((a, b) -> Long.signum(a.since() - b.since()))
+                                        .orElseThrow()
+                                ::closeIfIdle);
             }
         }
     }
 
     /**
-     * Danger: what is to be closed is read first, and what is read may be answered at once, which leads here
-     * again; from connection to connection, as deep as there are many.
+     * Danger: what is to be closed is read first, and what is read may be answered at once, which
+     * leads here again; from connection to connection, as deep as there are many.
      */
     private void closing(Runnable what) {
         closing = true;
@@ -232,9 +265,12 @@
         long unread = connections.stream().mapToLong(each -> each.output().bytes()).sum();
         while (unread > MOST_UNREAD) {
             // What flows is bounded by itself: there is little of each, and its source waits.
-            OutputWatch longest = connections.stream().map(ClientConnection::output)
-                    .filter(OutputWatch::waits).min((a, b) -> Long.signum(a.since() - b.since()))
-                    .orElse(null);
+            OutputWatch longest =
+                    connections.stream()
+                            .map(ClientConnection::output)
+                            .filter(OutputWatch::waits)
+                            .min((a, b) -> Long.signum(a.since() - b.since()))
+                            .orElse(null);
             if (longest == null) {
                 return;
             }
@@ -249,7 +285,10 @@
         endWhenDrained();
     }
 
-    /** Danger: out of descriptors, accepting fails over and over, and upstreams can't be reached either. */
+    /**
+     * Danger: out of descriptors, accepting fails over and over, and upstreams can't be reached
+     * either.
+     */
     private void bound(ClientConnection connection) {
         backlog.changed();
     }
@@ -259,18 +298,20 @@
     }
 
     /**
-     * No descriptor was left, though the cap leaves room for some: a connection that can be spared makes
-     * place, and what waits is tried again soon. Danger: tried again at once, it would take the loop's time.
+     * No descriptor was left, though the cap leaves room for some: a connection that can be spared
+     * makes place, and what waits is tried again soon. Danger: tried again at once, it would take
+     * the loop's time.
      */
     private void acceptFailed() {
         listener.config().setAutoRead(false);
         int before = connections.size();
         if (!closing) {
-            closing(() -> {
-                while (connections.size() == before && spareOne()) {
-                    continue;
-                }
-            });
+            closing(
+                    () -> {
+                        while (connections.size() == before && spareOne()) {
+                            continue;
+                        }
+                    });
         }
         loop.after(millis(ACCEPT_AGAIN_MILLIS), backlog::accept);
     }
@@ -278,11 +319,12 @@
     /** Danger: connections that say nothing, or no more, would shut those out that ask. */
     private void makeRoom() {
         if (!closing && connections.size() > most) {
-            closing(() -> {
-                while (connections.size() > most && spareOne()) {
-                    continue;
-                }
-            });
+            closing(
+                    () -> {
+                        while (connections.size() > most && spareOne()) {
+                            continue;
+                        }
+                    });
         }
     }
 
@@ -317,12 +359,13 @@
     }
 
     /**
-     * Ends the service. Where the platform holds the listening socket, another process accepts from it
-     * already or will: nothing more is accepted, each answer is the last one on its connection, and
-     * connections on which nothing is asked any more are ended soon, so that all of it is over early. Else
-     * see {@link #drainAlone}.
+     * Ends the service. Where the platform holds the listening socket, another process accepts from
+     * it already or will: nothing more is accepted, each answer is the last one on its connection,
+     * and connections on which nothing is asked any more are ended soon, so that all of it is over
+     * early. Else see {@link #drainAlone}.
      *
-     * @param toldAgo nanoseconds since the process was told to end: SIGKILL does not wait for a late loop
+     * @param toldAgo nanoseconds since the process was told to end: SIGKILL does not wait for a
+     *     late loop
      */
     public void drain(long toldAgo, Runnable whenDrained) {
         draining = true;
@@ -330,51 +373,77 @@
         long toldAt = loop.now() - toldAgo;
         DrainSchedule schedule = DrainSchedule.of(exchanges.longestDeadline());
         exchanges.endBy(toldAt + schedule.end());
-        logDrain("begun told_ago_ms=" + TimeUnit.NANOSECONDS.toMillis(toldAgo) + " end_ms="
-                + TimeUnit.NANOSECONDS.toMillis(schedule.end()));
+        logDrain(
+                "begun told_ago_ms="
+                        + TimeUnit.NANOSECONDS.toMillis(toldAgo)
+                        + " end_ms="
+                        + TimeUnit.NANOSECONDS.toMillis(schedule.end()));
         if (held) {
             backlog.stop();
             lastCall = true;
-            loop.at(toldAt + millis(KEPT_AFTER_TERM_MILLIS),
+            loop.at(
+                    toldAt + millis(KEPT_AFTER_TERM_MILLIS),
                     () -> List.copyOf(connections).forEach(ClientConnection::endIfIdle));
         } else {
             drainAlone(toldAt, schedule);
         }
-        // What is due at the end is answered at the end; what is still open then never ends, and is not
+        // What is due at the end is answered at the end; what is still open then never ends, and is
+        // not
         // waited for.
-        loop.at(toldAt + schedule.end() + millis(SETTLE_MILLIS), () -> {
-            logDrain("ended");
-            List.copyOf(connections).forEach(ClientConnection::closeIfNothingIsOpen);
-        });
+        loop.at(
+                toldAt + schedule.end() + millis(SETTLE_MILLIS),
+                () -> {
+                    logDrain("ended");
+                    List.copyOf(connections).forEach(ClientConnection::closeIfNothingIsOpen);
+                });
         endWhenDrained();
     }
 
     /**
-     * Clients go on using the connections that they have, and new ones soon go elsewhere:
-     * accepting ends soon, while connections are served for as long as SIGKILL is known not to come. The
-     * sidecar that could take them over may just be starting, and where both are away, all requests fail.
-     * This covers whatever makes another sidecar late or leaves none. Danger: where SIGKILL came sooner than
-     * told, or clients waited for the end before they went elsewhere, it would cost more than it saves.
+     * Clients go on using the connections that they have, and new ones soon go elsewhere: accepting
+     * ends soon, while connections are served for as long as SIGKILL is known not to come. The
+     * sidecar that could take them over may just be starting, and where both are away, all requests
+     * fail. This covers whatever makes another sidecar late or leaves none. Danger: where SIGKILL
+     * came sooner than told, or clients waited for the end before they went elsewhere, it would
+     * cost more than it saves.
      */
     private void drainAlone(long toldAt, DrainSchedule schedule) {
         loop.at(toldAt + schedule.acceptsUntil(), () -> backlog.end(this::endWhenDrained));
-        loop.at(toldAt + schedule.lastCall(), () -> {
-            logDrain("last_call");
-            lastCall = true;
-            List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
-            endWhenDrained();
-        });
+        loop.at(
+                toldAt + schedule.lastCall(),
+                () -> {
+                    logDrain("last_call");
+                    lastCall = true;
+                    List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
+                    endWhenDrained();
+                });
     }
 
     /** A client's connection is closed from this side, and why. */
     void logClosed(String reason) {
-        loop.log().event(LogEvent.CLIENT_CONNECTION_CLOSED, () -> "reason=" + reason + " connections="
-                + connections.size() + " most=" + most);
+        loop.log()
+                .event(
+                        LogEvent.CLIENT_CONNECTION_CLOSED,
+                        () ->
+                                "reason="
+                                        + reason
+                                        + " connections="
+                                        + connections.size()
+                                        + " most="
+                                        + most);
     }
 
     private void logDrain(String step) {
-        loop.log().event(LogEvent.DRAIN, () -> "step=" + step + " connections=" + connections.size()
-                + " open=" + exchanges.books().open());
+        loop.log()
+                .event(
+                        LogEvent.DRAIN,
+                        () ->
+                                "step="
+                                        + step
+                                        + " connections="
+                                        + connections.size()
+                                        + " open="
+                                        + exchanges.books().open());
     }
 
     /** What is known of stalls and spins of the event loop. */
@@ -406,18 +475,22 @@
 
     private void endWhenDrained() {
         if (isDrained() && !settling) {
-            // Danger: the system's listening socket ends only when the loop next looks for events. What
-            // connects before would be reset by the process's end, so the loop gets to look first; and what
+            // Danger: the system's listening socket ends only when the loop next looks for events.
+            // What
+            // connects before would be reset by the process's end, so the loop gets to look first;
+            // and what
             // it finds, or had been told to take over, has to be gone again too.
             settling = true;
-            loop.after(millis(SETTLE_MILLIS), () -> {
-                settling = false;
-                if (isDrained()) {
-                    Runnable told = drained;
-                    drained = null;
-                    told.run();
-                }
-            });
+            loop.after(
+                    millis(SETTLE_MILLIS),
+                    () -> {
+                        settling = false;
+                        if (isDrained()) {
+                            Runnable told = drained;
+                            drained = null;
+                            told.run();
+                        }
+                    });
         }
     }
 
--- a/sidecar/src/main/java/appleridge/http1/ClientTimes.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimes.java
@@ -11,8 +11,12 @@
  */
 public record ClientTimes(long request, long first, long idle) {
     /** What {@link UsualValues} says, with the reasons. */
-    public static final ClientTimes USUAL = new ClientTimes(UsualValues.REQUEST_MILLIS,
-            UsualValues.FIRST_REQUEST_MILLIS, UsualValues.IDLE_MILLIS);
+    public static final ClientTimes USUAL =
+            new ClientTimes(
+                    UsualValues.REQUEST_MILLIS,
+                    UsualValues.FIRST_REQUEST_MILLIS,
+                    UsualValues.IDLE_MILLIS);
+
     /** A client that means to ask has done so long since. */
     static final long HESITATES = 250;
 }
--- a/sidecar/src/main/java/appleridge/http1/HeadLines.java
+++ b/sidecar/src/main/java/appleridge/http1/HeadLines.java
@@ -6,15 +6,16 @@
 import java.util.List;
 
 /**
- * Checks the lines of a head ahead of the decoder. Danger: the decoder forgives what another reader of the
- * same bytes would read in another way: lines without a colon, lines folded into the one before, control
- * bytes ahead of the first line.
+ * Checks the lines of a head ahead of the decoder. Danger: the decoder forgives what another reader
+ * of the same bytes would read in another way: lines without a colon, lines folded into the one
+ * before, control bytes ahead of the first line.
  */
 final class HeadLines {
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
     /** Whether empty lines may stand ahead of a head, as they may ahead of a request's. */
     private final boolean emptyAhead;
+
     private boolean inHead = true;
     private boolean begun;
 
@@ -23,8 +24,8 @@
     }
 
     /**
-     * Whether all whole lines of a head that are there are in order. To be called before each step of the
-     * decoder, which takes all whole lines out.
+     * Whether all whole lines of a head that are there are in order. To be called before each step
+     * of the decoder, which takes all whole lines out.
      */
     boolean inOrder(ByteBuf in) {
         if (!inHead) {
@@ -91,8 +92,11 @@
         }
         for (int i = from; i < colon; i++) {
             char c = (char) (in.getByte(i) & 0xff);
-            boolean token = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-                    || TOKEN_MARKS.indexOf(c) >= 0;
+            boolean token =
+                    c >= '0' && c <= '9'
+                            || c >= 'a' && c <= 'z'
+                            || c >= 'A' && c <= 'Z'
+                            || TOKEN_MARKS.indexOf(c) >= 0;
             if (!token) {
                 return false;
             }
--- a/sidecar/src/main/java/appleridge/http1/Headers.java
+++ b/sidecar/src/main/java/appleridge/http1/Headers.java
@@ -18,13 +18,21 @@
     public static final AsciiString NOT_RUN = AsciiString.cached("x-not-run");
     public static final AsciiString LOAD = AsciiString.cached("x-load");
 
-    private static final List<AsciiString> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
-            AsciiString.cached("keep-alive"), HttpHeaderNames.PROXY_AUTHENTICATE,
-            HttpHeaderNames.PROXY_AUTHORIZATION, AsciiString.cached("proxy-connection"), HttpHeaderNames.TE,
-            HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE,
-            HttpHeaderNames.EXPECT, HttpHeaderNames.CONTENT_LENGTH);
+    private static final List<AsciiString> HOP_BY_HOP =
+            List.of(
+                    HttpHeaderNames.CONNECTION,
+                    AsciiString.cached("keep-alive"),
+                    HttpHeaderNames.PROXY_AUTHENTICATE,
+                    HttpHeaderNames.PROXY_AUTHORIZATION,
+                    AsciiString.cached("proxy-connection"),
+                    HttpHeaderNames.TE,
+                    HttpHeaderNames.TRAILER,
+                    HttpHeaderNames.TRANSFER_ENCODING,
+                    HttpHeaderNames.UPGRADE,
+                    HttpHeaderNames.EXPECT,
+                    HttpHeaderNames.CONTENT_LENGTH);
 
-    private Headers() { }
+    private Headers() {}
 
     /** A copy without what concerns one connection only: the framing is made anew at each hop. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
--- a/sidecar/src/main/java/appleridge/http1/HttpFlow.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpFlow.java
@@ -11,8 +11,9 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body on its way from one connection to another, an answer's or a request's. What waits for who reads
- * it is bounded: that connection says when it has enough, and the other is not read until that has gone.
+ * A long body on its way from one connection to another, an answer's or a request's. What waits for
+ * who reads it is bounded: that connection says when it has enough, and the other is not read until
+ * that has gone.
  */
 final class HttpFlow implements Flow {
     /** Told when the answer may go on, or has to wait. */
@@ -22,7 +23,10 @@
         void resume();
     }
 
-    /** Bytes that wait in the process for who reads it: at the second it is paused, at the first goes on. */
+    /**
+     * Bytes that wait in the process for who reads it: at the second it is paused, at the first
+     * goes on.
+     */
     static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16 << 10, 32 << 10);
 
     private static final int LEAST_READ = 64;
@@ -32,12 +36,14 @@
     private final HttpHeaders headers;
     private final long length;
     private final Source source;
+
     /** What came before that connection was free for it; little, for the source waits meanwhile. */
     private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
+
     private Channel sink;
     private boolean paused;
     private boolean whole;
-    private Runnable end = () -> { };
+    private Runnable end = () -> {};
     private boolean over;
 
     /**
@@ -51,7 +57,9 @@
         this.source = source;
     }
 
-    /** How connections are read on which a long body may come: bounded, for it is held meanwhile. */
+    /**
+     * How connections are read on which a long body may come: bounded, for it is held meanwhile.
+     */
     static RecvByteBufAllocator reads() {
         return new AdaptiveRecvByteBufAllocator(LEAST_READ, USUAL_READ, MOST_READ);
     }
@@ -86,7 +94,7 @@
 
     /** The connection that it goes to is free for it, its head is written. */
     void to(Channel channel) {
-        to(channel, () -> { });
+        to(channel, () -> {});
     }
 
     /** The same; with what is to be done once all of it has been written behind one another. */
--- a/sidecar/src/main/java/appleridge/http1/InputWatch.java
+++ b/sidecar/src/main/java/appleridge/http1/InputWatch.java
@@ -6,12 +6,14 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Sees a connection's bytes ahead of the decoder, which tells of a message only once its head is whole and
- * keeps what it has read of one to itself. Behind a message that is the last one read, input is discarded
- * here, at no cost for decoding.
+ * Sees a connection's bytes ahead of the decoder, which tells of a message only once its head is
+ * whole and keeps what it has read of one to itself. Behind a message that is the last one read,
+ * input is discarded here, at no cost for decoding.
  */
 final class InputWatch extends ChannelInboundHandlerAdapter {
-    /** What is discarded for the sake of an orderly end; then the connection ends with input unread. */
+    /**
+     * What is discarded for the sake of an orderly end; then the connection ends with input unread.
+     */
     private static final long MOST_DISCARDED = 1 << 20;
 
     private boolean begun;
@@ -24,7 +26,9 @@
         return begun;
     }
 
-    /** A message has been read whole; {@code more} tells whether bytes of a further one are there. */
+    /**
+     * A message has been read whole; {@code more} tells whether bytes of a further one are there.
+     */
     void whole(boolean more) {
         begun = more;
     }
--- a/sidecar/src/main/java/appleridge/http1/LastByte.java
+++ b/sidecar/src/main/java/appleridge/http1/LastByte.java
@@ -8,10 +8,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Keeps the last byte of one message back until all before it is with the socket, and asks then whether it
- * may go. Danger: a write that waits for its reader goes on by itself when there is room, however long that
- * takes and without anyone being asked; the last byte is what makes an upstream run the request. Leaves the
- * pipeline when the message has gone, or its connection.
+ * Keeps the last byte of one message back until all before it is with the socket, and asks then
+ * whether it may go. Danger: a write that waits for its reader goes on by itself when there is
+ * room, however long that takes and without anyone being asked; the last byte is what makes an
+ * upstream run the request. Leaves the pipeline when the message has gone, or its connection.
  */
 final class LastByte extends ChannelOutboundHandlerAdapter {
     private final BooleanSupplier mayGo;
@@ -48,17 +48,18 @@
         ByteBuf last = kept;
         ChannelPromise promise = keptPromise;
         kept = null;
-        before.addListener(done -> {
-            if (done.isSuccess() && mayGo.getAsBoolean()) {
-                ctx.writeAndFlush(last, promise);
-            } else {
-                last.release();
-                promise.setFailure(done.isSuccess() ? new LateException() : done.cause());
-            }
-            if (!ctx.isRemoved()) {
-                ctx.pipeline().remove(this);
-            }
-        });
+        before.addListener(
+                done -> {
+                    if (done.isSuccess() && mayGo.getAsBoolean()) {
+                        ctx.writeAndFlush(last, promise);
+                    } else {
+                        last.release();
+                        promise.setFailure(done.isSuccess() ? new LateException() : done.cause());
+                    }
+                    if (!ctx.isRemoved()) {
+                        ctx.pipeline().remove(this);
+                    }
+                });
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/http1/OutgoingRequest.java
+++ b/sidecar/src/main/java/appleridge/http1/OutgoingRequest.java
@@ -22,7 +22,8 @@
  * @param body all of it; empty where it flows
  * @param flow the body, where it is too long to be held; null else
  */
-record OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body, HttpFlow flow)
+record OutgoingRequest(
+        HttpMethod method, String uri, HttpHeaders headers, byte[] body, HttpFlow flow)
         implements Outgoing {
 
     OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
@@ -39,7 +40,11 @@
         if (body.length > 0 || own.contains(Headers.IDEMPOTENCY_KEY)) {
             own.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
-        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body),
+        return new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                method,
+                uri,
+                Unpooled.wrappedBuffer(body),
                 own,
                 EmptyHttpHeaders.INSTANCE);
     }
--- a/sidecar/src/main/java/appleridge/http1/OutputWatch.java
+++ b/sidecar/src/main/java/appleridge/http1/OutputWatch.java
@@ -8,18 +8,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sees how much of what is written towards a client the system has not taken yet, and for how long. An answer
- * mostly fits into the system's own buffers: what waits here is for a client that has not read for long.
+ * Sees how much of what is written towards a client the system has not taken yet, and for how long.
+ * An answer mostly fits into the system's own buffers: what waits here is for a client that has not
+ * read for long.
  */
 final class OutputWatch {
     /**
-     * Bytes behind which no further answer is written. Clients ask one at a time and have read one answer
-     * when the next is written; even one that asks ahead is not four of the largest answers behind for long.
+     * Bytes behind which no further answer is written. Clients ask one at a time and have read one
+     * answer when the next is written; even one that asks ahead is not four of the largest answers
+     * behind for long.
      */
     static final long MOST_BEHIND = 4 * Framing.MAX_BODY;
+
     /**
-     * How long an answer may wait for the system to take it, in nanoseconds: as long as a request may take to
-     * come in. Longer than any aim, and no client waits much longer for its answer.
+     * How long an answer may wait for the system to take it, in nanoseconds: as long as a request
+     * may take to come in. Longer than any aim, and no client waits much longer for its answer.
      */
     static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(2);
 
@@ -41,10 +44,11 @@
         if (waiting++ == 0) {
             since = time.now();
         }
-        written.addListener(done -> {
-            waiting--;
-            since = time.now();
-        });
+        written.addListener(
+                done -> {
+                    waiting--;
+                    since = time.now();
+                });
     }
 
     /** Whether an answer has not been taken by the system yet. */
@@ -68,7 +72,10 @@
         return behind == null ? 0 : behind.totalPendingWriteBytes();
     }
 
-    /** Closes the connection with a reset, so that the system keeps nothing for a client that won't read. */
+    /**
+     * Closes the connection with a reset, so that the system keeps nothing for a client that won't
+     * read.
+     */
     void cutOff() {
         if (channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/sidecar/src/main/java/appleridge/http1/RequestReader.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestReader.java
@@ -42,18 +42,24 @@
     }
 
     private static final String PATH = "/api";
+
     /**
-     * A larger deadline is no one's, unless its class's clients wait for longer; up to it one beyond the
-     * class's own is valid, and cut to that.
+     * A larger deadline is no one's, unless its class's clients wait for longer; up to it one
+     * beyond the class's own is valid, and cut to that.
      */
     private static final double LONGEST_SECONDS = 60;
 
     /**
-     * Headers that tell what a request is. Danger: of two lines only the first would be looked at here, while
-     * both are sent on, and who reads them next may go by the other.
+     * Headers that tell what a request is. Danger: of two lines only the first would be looked at
+     * here, while both are sent on, and who reads them next may go by the other.
      */
-    private static final List<AsciiString> SAID_ONCE = List.of(Headers.REQUEST_ID, Headers.CLASS,
-            Headers.TENANT, Headers.DEADLINE, Headers.IDEMPOTENCY_KEY);
+    private static final List<AsciiString> SAID_ONCE =
+            List.of(
+                    Headers.REQUEST_ID,
+                    Headers.CLASS,
+                    Headers.TENANT,
+                    Headers.DEADLINE,
+                    Headers.IDEMPOTENCY_KEY);
 
     private final Config config;
 
@@ -69,7 +75,10 @@
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such path");
         }
         if (!head.method().equals(HttpMethod.GET) && !head.method().equals(HttpMethod.POST)) {
-            throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed", HttpMethod.GET,
+            throw new BadRequest(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED,
+                    "method not allowed",
+                    HttpMethod.GET,
                     HttpMethod.POST);
         }
         HttpHeaders headers = Headers.endToEnd(head.headers());
@@ -87,38 +96,50 @@
             throw bad("X-Class missing or unknown");
         }
         RequestClass kind = config.settings().classes().get(requestClass);
-        HttpMethod method = kind.semantics() == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod method =
+                kind.semantics() == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
         if (!head.method().equals(method)) {
-            throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "the class wants " + method,
-                    method);
+            throw new BadRequest(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED, "the class wants " + method, method);
         }
-        if (kind.semantics() == Semantics.BY_KEY && headers.get(Headers.IDEMPOTENCY_KEY, "").isBlank()) {
+        if (kind.semantics() == Semantics.BY_KEY
+                && headers.get(Headers.IDEMPOTENCY_KEY, "").isBlank()) {
             throw bad("Idempotency-Key missing");
         }
         double seconds = number(headers.get(Headers.DEADLINE));
-        double longest = Math.max(LONGEST_SECONDS, kind.deadline() / (double) TimeUnit.SECONDS.toNanos(1));
+        double longest =
+                Math.max(LONGEST_SECONDS, kind.deadline() / (double) TimeUnit.SECONDS.toNanos(1));
         if (!(seconds > 0 && seconds <= longest)) {
             throw bad("X-Deadline missing or senseless");
         }
-        // Danger: what is held for longer than its class's clients wait would hold its place for as long,
+        // Danger: what is held for longer than its class's clients wait would hold its place for as
+        // long,
         // and would outlive the end of the service, which waits for the longest class.
         long patience = Math.min((long) (seconds * TimeUnit.SECONDS.toNanos(1)), kind.deadline());
-        // Danger: one request with a guess without bounds would count for more work than all others together.
+        // Danger: one request with a guess without bounds would count for more work than all others
+        // together.
         double hint = number(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
         boolean guessed = hint > 0 && hint <= kind.deadline();
-        return new ClientRequest(name, arrived, patience, requestClass,
-                tenant(headers.get(Headers.TENANT, "").strip()), key(headers.get(HttpHeaderNames.COOKIE)),
-                guessed ? (long) hint : 0, "1".equals(headers.get(Headers.RETRY)),
+        return new ClientRequest(
+                name,
+                arrived,
+                patience,
+                requestClass,
+                tenant(headers.get(Headers.TENANT, "").strip()),
+                key(headers.get(HttpHeaderNames.COOKIE)),
+                guessed ? (long) hint : 0,
+                "1".equals(headers.get(Headers.RETRY)),
                 new OutgoingRequest(head.method(), uri, headers, body));
     }
 
     /**
-     * The tenant's place in the settings; the first one's where a request names none. Danger: taken for the
-     * first one, a name that nobody has would use up that one's quota.
+     * The tenant's place in the settings; the first one's where a request names none. Danger: taken
+     * for the first one, a name that nobody has would use up that one's quota.
      */
     private int tenant(String name) throws BadRequest {
         int tenant = position(config.tenants(), name);
-        boolean named = !name.isEmpty() && !config.tenants().isEmpty() && !config.tenants().contains("");
+        boolean named =
+                !name.isEmpty() && !config.tenants().isEmpty() && !config.tenants().contains("");
         if (tenant < 0 && named) {
             throw bad("X-Tenant unknown");
         }
@@ -128,8 +149,12 @@
     /** Danger: bytes of a head are read as Latin-1, while the settings have a name's letters. */
     private static int position(List<String> names, String told) {
         int at = names.indexOf(told);
-        return at >= 0 ? at : names.indexOf(new String(told.getBytes(StandardCharsets.ISO_8859_1),
-                StandardCharsets.UTF_8));
+        return at >= 0
+                ? at
+                : names.indexOf(
+                        new String(
+                                told.getBytes(StandardCharsets.ISO_8859_1),
+                                StandardCharsets.UTF_8));
     }
 
     private static BadRequest bad(String message) {
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -27,13 +27,16 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to an upstream and the answer being read on it. */
-final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements HttpFlow.Source {
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements HttpFlow.Source {
     private static final byte[] NO_BODY = {};
+
     /**
-     * For so long, in nanoseconds, an answer that has begun to go out may pause: nothing else can be tried
-     * any more, and its client holds the beginning.
+     * For so long, in nanoseconds, an answer that has begun to go out may pause: nothing else can
+     * be tried any more, and its client holds the beginning.
      */
     static final long LONGEST_PAUSE = TimeUnit.SECONDS.toNanos(5);
+
     /** Nanoseconds in which an upstream takes some of what waits for it of a long request. */
     private static final long LONGEST_UNREAD = TimeUnit.SECONDS.toNanos(10);
 
@@ -50,22 +53,27 @@
     private Outcome result;
     private HttpReply reply;
     private long idleSince;
+
     /**
-     * What it carries can't be read on from: nothing that has been read with it, or comes yet, counts. Set
-     * ahead of each end of the connection but the upstream's orderly one, which alone may end an answer that
-     * has neither a length nor chunks.
+     * What it carries can't be read on from: nothing that has been read with it, or comes yet,
+     * counts. Set ahead of each end of the connection but the upstream's orderly one, which alone
+     * may end an answer that has neither a length nor chunks.
      */
     private boolean broken;
+
     /** The answer, where it is too long to be held; null else. */
     private HttpFlow flow;
+
     private long flowed;
+
     /** The request, where it is too long to be held; null else, and when its answer has come. */
     private HttpFlow upload;
+
     private Loop.Timer unread;
     private boolean paused;
 
-    private UpstreamConnection(UpstreamPool pool, Channel channel, InputWatch input, Decoder decoder,
-            long stall) {
+    private UpstreamConnection(
+            UpstreamPool pool, Channel channel, InputWatch input, Decoder decoder, long stall) {
         this.pool = pool;
         this.channel = channel;
         this.input = input;
@@ -75,12 +83,17 @@
 
     /** With the nanoseconds for which an answer may pause once it has begun. */
     static void install(Channel channel, UpstreamPool pool, long stall) {
-        // Danger: by itself a long answer's reads grow to 64 KiB each, held for as long as a client is slow.
+        // Danger: by itself a long answer's reads grow to 64 KiB each, held for as long as a client
+        // is slow.
         channel.config().setRecvByteBufAllocator(HttpFlow.reads());
         InputWatch input = new InputWatch();
         Decoder decoder = new Decoder();
-        channel.pipeline().addLast(input, decoder, new Encoder(),
-                new UpstreamConnection(pool, channel, input, decoder, stall));
+        channel.pipeline()
+                .addLast(
+                        input,
+                        decoder,
+                        new Encoder(),
+                        new UpstreamConnection(pool, channel, input, decoder, stall));
     }
 
     UpstreamConnection open(Endpoint to) {
@@ -101,8 +114,9 @@
     }
 
     /**
-     * Whether nothing has come since the last answer. Danger: nothing in an answer tells which request it is
-     * for. A second copy that the system holds for us, unread, would be taken for the next request's.
+     * Whether nothing has come since the last answer. Danger: nothing in an answer tells which
+     * request it is for. A second copy that the system holds for us, unread, would be taken for the
+     * next request's.
      */
     boolean quiet() {
         if (channel.isActive()) {
@@ -141,22 +155,29 @@
         upload = next.flow();
         pool.loop().soon(next::tellLetGo);
         watchForUnread();
-        upload.to(channel, () -> follow(next, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
+        upload.to(
+                channel,
+                () -> follow(next, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
     }
 
     private void follow(UpstreamExchange next, ChannelFuture lastByte) {
-        lastByte.addListener(done -> {
-            if (done.isSuccess()) {
-                next.lastByteWritten();
-                if (next.flow() != null) {
-                    pool.loop().soon(next::tellCommitted);
-                }
-            } else {
-                // Kept back, it is known not to have run; else what the connection's end says holds.
-                result = done.cause() instanceof LastByte.LateException ? Outcome.NEVER_SENT : result;
-                breakOff();
-            }
-        });
+        lastByte.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        next.lastByteWritten();
+                        if (next.flow() != null) {
+                            pool.loop().soon(next::tellCommitted);
+                        }
+                    } else {
+                        // Kept back, it is known not to have run; else what the connection's end
+                        // says holds.
+                        result =
+                                done.cause() instanceof LastByte.LateException
+                                        ? Outcome.NEVER_SENT
+                                        : result;
+                        breakOff();
+                    }
+                });
     }
 
     /** The upstream has read some of a long request, or more waits for it than should. */
@@ -169,7 +190,9 @@
         ctx.fireChannelWritabilityChanged();
     }
 
-    /** Danger: an upstream that reads no more would hold its client's connection, unread, for good. */
+    /**
+     * Danger: an upstream that reads no more would hold its client's connection, unread, for good.
+     */
     private void watchForUnread() {
         if (unread != null) {
             unread.cancel();
@@ -214,12 +237,18 @@
             if (message instanceof LastHttpContent) {
                 input.whole(decoder.holdsBytes());
                 result = outcome(head);
-                reply = new HttpReply(head.headers(), flow != null ? NO_BODY : ByteBufUtil.getBytes(body));
+                reply =
+                        new HttpReply(
+                                head.headers(),
+                                flow != null ? NO_BODY : ByteBufUtil.getBytes(body));
             }
         }
     }
 
-    /** A piece of the body is held, or passed on where all would be too much; false if neither can be. */
+    /**
+     * A piece of the body is held, or passed on where all would be too much; false if neither can
+     * be.
+     */
     private boolean take(ByteBuf piece) {
         if (flow == null && body.readableBytes() + piece.readableBytes() <= Framing.MAX_BODY) {
             body.writeBytes(piece);
@@ -258,9 +287,9 @@
     }
 
     /**
-     * Danger: closing is heard of only after all that was read at once has been handed on. A part left out
-     * for its size, with a smaller one and the end right behind it, would go out as a whole answer with a
-     * hole.
+     * Danger: closing is heard of only after all that was read at once has been handed on. A part
+     * left out for its size, with a smaller one and the end right behind it, would go out as a
+     * whole answer with a hole.
      */
     private void breakOff() {
         broken = true;
@@ -268,8 +297,8 @@
     }
 
     /**
-     * One length, chunks, or neither: then the upstream's orderly end of the connection is the answer's (RFC
-     * 9112, 6.3), and whatever else ends the connection breaks it off.
+     * One length, chunks, or neither: then the upstream's orderly end of the connection is the
+     * answer's (RFC 9112, 6.3), and whatever else ends the connection breaks it off.
      */
     private static boolean canBeServed(HttpResponse response) {
         long most = response.status().code() == 200 ? Framing.MOST_FLOWING : Framing.MAX_BODY;
@@ -288,8 +317,8 @@
     }
 
     /**
-     * The answer is told, and the connection offered again, only when all that came with it has been read:
-     * noise behind an answer must not meet the next request.
+     * The answer is told, and the connection offered again, only when all that came with it has
+     * been read: noise behind an answer must not meet the next request.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -336,7 +365,8 @@
         if (status == 200) {
             return Outcome.OK;
         }
-        boolean notRun = (status == 503 || status == 504) && "1".equals(head.headers().get(Headers.NOT_RUN));
+        boolean notRun =
+                (status == 503 || status == 504) && "1".equals(head.headers().get(Headers.NOT_RUN));
         return notRun ? Outcome.REJECTED : Outcome.ERROR;
     }
 
@@ -369,13 +399,19 @@
     /** Writes requests as they came. */
     private static final class Encoder extends HttpRequestEncoder {
         /**
-         * Danger: a head is read with one letter a byte, and would be written with two for letters beyond
-         * ASCII: the server would get a path that no client sent.
+         * Danger: a head is read with one letter a byte, and would be written with two for letters
+         * beyond ASCII: the server would get a path that no client sent.
          */
         @Override
         protected void encodeInitialLine(ByteBuf out, HttpRequest request) {
-            out.writeCharSequence(request.method() + " " + request.uri() + " " + request.protocolVersion()
-                    + "\r\n", StandardCharsets.ISO_8859_1);
+            out.writeCharSequence(
+                    request.method()
+                            + " "
+                            + request.uri()
+                            + " "
+                            + request.protocolVersion()
+                            + "\r\n",
+                    StandardCharsets.ISO_8859_1);
         }
     }
 
@@ -388,7 +424,8 @@
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
+        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
+                throws Exception {
             if (!lines.inOrder(in)) {
                 out.add(Framing.malformed(createInvalidMessage()));
                 in.skipBytes(in.readableBytes());
--- a/sidecar/src/main/java/appleridge/http1/UpstreamExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamExchange.java
@@ -13,6 +13,7 @@
 final class UpstreamExchange implements Upstreams.Sending {
     /** Nanoseconds. */
     private static final long SHORTEST = 1_000_000;
+
     private final OutgoingRequest request;
     private final Window window;
     private final Upstreams.Listener listener;
@@ -40,14 +41,17 @@
     }
 
     /**
-     * Whether its first byte may still go out. Danger: with less than a millisecond left, which is what the
-     * protocol's three decimals tell, its upstream would be told of no time at all.
+     * Whether its first byte may still go out. Danger: with less than a millisecond left, which is
+     * what the protocol's three decimals tell, its upstream would be told of no time at all.
      */
     boolean mayBegin(long now) {
         return now <= window.firstByteBy() && window.until() - now >= SHORTEST;
     }
 
-    /** Whether there is a time after which its last byte must not go out, though its answer is waited for. */
+    /**
+     * Whether there is a time after which its last byte must not go out, though its answer is
+     * waited for.
+     */
     boolean mustEndInTime() {
         return window.lastByteBy() < Long.MAX_VALUE;
     }
@@ -69,8 +73,8 @@
     }
 
     /**
-     * The head of a request whose body flows: it begins now, and can't be sent again. It tells the whole of
-     * its client's time, which runs from its last byte on.
+     * The head of a request whose body flows: it begins now, and can't be sent again. It tells the
+     * whole of its client's time, which runs from its last byte on.
      */
     HttpRequest start(Channel on, Endpoint endpoint, long now) {
         channel = on;
@@ -124,7 +128,8 @@
         if (!over) {
             over = true;
             if (channel != null) {
-                // Danger: an end that looks like the upstream's would make a whole answer of a part.
+                // Danger: an end that looks like the upstream's would make a whole answer of a
+                // part.
                 channel.pipeline().get(UpstreamConnection.class).close();
             } else if (connecting != null) {
                 connecting.close();
--- a/sidecar/src/main/java/appleridge/http1/UpstreamPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamPool.java
@@ -15,13 +15,14 @@
 import java.util.Map;
 
 /**
- * Keep-alive connections to the upstreams, one request at a time on each. What happened to a request is told
- * as an {@link Outcome} that the socket proves; nothing is ever sent a second time here.
+ * Keep-alive connections to the upstreams, one request at a time on each. What happened to a
+ * request is told as an {@link Outcome} that the socket proves; nothing is ever sent a second time
+ * here.
  */
 public final class UpstreamPool implements Upstreams {
     /**
-     * Danger: a request written to a connection that the upstream is just closing ends as a reset that may
-     * have run. Idle ones are closed after this part of the time that upstreams grant.
+     * Danger: a request written to a connection that the upstream is just closing ends as a reset
+     * that may have run. Idle ones are closed after this part of the time that upstreams grant.
      */
     private static final double IDLE_PART = 0.6;
 
@@ -32,8 +33,10 @@
     private final int maxConnections;
     private final Map<Endpoint, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
     private final Loop.Timer sweeper;
+
     /** Of those, what it may hold now. */
     private int most;
+
     private int connections;
 
     /**
@@ -43,19 +46,31 @@
      * @param stall for which an answer may pause once it has begun
      * @param maxConnections connections at once, to all upstreams together
      */
-    public UpstreamPool(Loop loop, Sockets sockets, long connectTimeout, long connIdle, long stall,
+    public UpstreamPool(
+            Loop loop,
+            Sockets sockets,
+            long connectTimeout,
+            long connIdle,
+            long stall,
             int maxConnections) {
         this.loop = loop;
         this.sockets = sockets;
         this.maxIdle = (long) (connIdle * IDLE_PART);
         this.maxConnections = maxConnections;
         this.most = maxConnections;
-        this.connector = new Connector(loop, sockets, connectTimeout,
-                channel -> UpstreamConnection.install(channel, this, stall));
+        this.connector =
+                new Connector(
+                        loop,
+                        sockets,
+                        connectTimeout,
+                        channel -> UpstreamConnection.install(channel, this, stall));
         this.sweeper = loop.every(Math.max(1, maxIdle / 8), this::closeStale);
     }
 
-    /** Sends a request; it is made when a connection is there, so that it can tell the time that is left. */
+    /**
+     * Sends a request; it is made when a connection is there, so that it can tell the time that is
+     * left.
+     */
     @Override
     public Sending send(Endpoint to, Outgoing what, Window window, Listener listener) {
         UpstreamExchange exchange = new UpstreamExchange((OutgoingRequest) what, window, listener);
@@ -72,31 +87,43 @@
 
     private void connect(Endpoint to, UpstreamExchange exchange) {
         connections++;
-        exchange.connecting(connector.connect(to.address(), new Connector.Listener() {
-            @Override
-            public void connected(Channel channel) {
-                channel.closeFuture().addListener(closed -> connections--);
-                if (exchange.connected()) {
-                    carry(channel.pipeline().get(UpstreamConnection.class).open(to), exchange);
-                } else {
-                    channel.close();
-                }
-            }
-
-            @Override
-            public void failed(Throwable cause) {
-                connections--;
-                exchange.end(Outcome.CONNECT_FAILED, null);
-            }
-
-            /** Danger: told as a failed connect, it would shut a healthy upstream out. */
-            @Override
-            public void noSocket(Throwable cause) {
-                connections--;
-                loop.log().warning("no socket for an upstream: " + cause.getMessage());
-                exchange.end(Outcome.NEVER_SENT, null);
-            }
-        }));
+        exchange.connecting(
+                connector.connect(
+                        to.address(),
+                        new Connector.Listener() {
+                            @Override
+                            public void connected(Channel channel) {
+                                channel.closeFuture().addListener(closed -> connections--);
+                                if (exchange.connected()) {
+                                    carry(
+                                            channel.pipeline()
+                                                    .get(UpstreamConnection.class)
+                                                    .open(to),
+                                            exchange);
+                                } else {
+                                    channel.close();
+                                }
+                            }
+
+                            @Override
+                            public void failed(Throwable cause) {
+                                connections--;
+                                exchange.end(Outcome.CONNECT_FAILED, null);
+                            }
+
+                            /**
+                             * Danger: told as a failed connect, it would shut a healthy upstream
+                             * out.
+                             */
+                            @Override
+                            public void noSocket(Throwable cause) {
+                                connections--;
+                                loop.log()
+                                        .warning(
+                                                "no socket for an upstream: " + cause.getMessage());
+                                exchange.end(Outcome.NEVER_SENT, null);
+                            }
+                        }));
     }
 
     /** Danger: connecting took time, and what might be sent when it began may not be any more. */
@@ -135,7 +162,10 @@
         sockets.readNow(channel);
     }
 
-    /** What it may use beside another process of this sidecar, of the connections that it may hold alone. */
+    /**
+     * What it may use beside another process of this sidecar, of the connections that it may hold
+     * alone.
+     */
     public void share(double part) {
         most = Math.max(1, (int) (maxConnections * part));
         while (connections > most && evictIdle()) {
@@ -149,7 +179,8 @@
     }
 
     void release(UpstreamConnection connection) {
-        idle.computeIfAbsent(connection.endpoint(), endpoint -> new ArrayDeque<>()).push(connection);
+        idle.computeIfAbsent(connection.endpoint(), endpoint -> new ArrayDeque<>())
+                .push(connection);
     }
 
     void closed(UpstreamConnection connection) {
@@ -176,12 +207,14 @@
 
     private void closeStale() {
         long now = loop.now();
-        idle.values().removeIf(all -> {
-            while (!all.isEmpty() && now - all.peekLast().idleSince() >= maxIdle) {
-                all.pollLast().close();
-            }
-            return all.isEmpty();
-        });
+        idle.values()
+                .removeIf(
+                        all -> {
+                            while (!all.isEmpty() && now - all.peekLast().idleSince() >= maxIdle) {
+                                all.pollLast().close();
+                            }
+                            return all.isEmpty();
+                        });
     }
 
     /** Makes room under the socket limit; false if every connection is in use. */
--- a/sidecar/src/main/java/appleridge/lease/Grant.java
+++ b/sidecar/src/main/java/appleridge/lease/Grant.java
@@ -7,5 +7,4 @@
  * @param from no act begins before; what a holder before may still be doing has ended then
  * @param until no act may last beyond
  */
-public record Grant(long token, long from, long until) {
-}
+public record Grant(long token, long from, long until) {}
--- a/sidecar/src/main/java/appleridge/lease/Lease.java
+++ b/sidecar/src/main/java/appleridge/lease/Lease.java
@@ -1,19 +1,20 @@
 package appleridge.lease;
 
 /**
- * One process's part in one lease: a state machine on one thread, told what happens with the time of it, by a
- * clock that also counts while the process or its machine stands still. Times never fall by more than the
- * guard of the terms, which is also how old they may be.
+ * One process's part in one lease: a state machine on one thread, told what happens with the time
+ * of it, by a clock that also counts while the process or its machine stands still. Times never
+ * fall by more than the guard of the terms, which is also how old they may be.
  *
- * <p>Nothing rests on the store's sessions. A record in it says who holds; it is written only if its version
- * is still the one known. A write that was answered lets the holder act for a little less than the term, from
- * before its request; others take a record over only once they have seen it unchanged for a little more.
+ * <p>Nothing rests on the store's sessions. A record in it says who holds; it is written only if
+ * its version is still the one known. A write that was answered lets the holder act for a little
+ * less than the term, from before its request; others take a record over only once they have seen
+ * it unchanged for a little more.
  */
 public final class Lease {
     private static final long NEVER = Long.MAX_VALUE;
 
     /** An open question, or the last write; of a read there is no next record. */
-    private record Asked(long question, long at, Entry next) { }
+    private record Asked(long question, long at, Entry next) {}
 
     private final Terms terms;
     private final String holder;
@@ -25,20 +26,32 @@
     private boolean connected = true;
     private boolean inFront;
     private long questions;
+
     /** The last question before the lease was asked for. */
     private long soughtAt;
-    /** Null for none. There is one at most, so that no answer can tell of an older record than one before. */
+
+    /**
+     * Null for none. There is one at most, so that no answer can tell of an older record than one
+     * before.
+     */
     private Asked open;
+
     private Asked lastWrite;
+
     /** The newest record known, and since when; null for none. */
     private Entry seen;
+
     private long seenSince;
+
     /** Whether the store has told so since anything happened that may have changed it. */
     private boolean current;
+
     /** No act of ours before: those of the holder before may go on until then. */
     private long actFrom;
+
     /** Whether a record of ours is to be marked as released, and not before when. */
     private boolean giving;
+
     private long giveAt;
     private long askAt;
     private long idleAt = NEVER;
@@ -64,7 +77,9 @@
         go(now);
     }
 
-    /** The line says that it is this one's turn. That is believed for load alone, never for safety. */
+    /**
+     * The line says that it is this one's turn. That is believed for load alone, never for safety.
+     */
     public void inFront(long now) {
         inFront = state == State.SEEKING || state == State.REFUSING;
         go(now);
@@ -95,12 +110,22 @@
         if (answers(question)) {
             Entry next = write.next;
             current = true;
-            see(now, new Entry(version, next.token(), holder, next.nonce(), next.term(), next.released()));
+            see(
+                    now,
+                    new Entry(
+                            version,
+                            next.token(),
+                            holder,
+                            next.nonce(),
+                            next.term(),
+                            next.released()));
         }
         go(now);
     }
 
-    /** The version was another. Danger: it may be that the write itself, sent twice, had made it so. */
+    /**
+     * The version was another. Danger: it may be that the write itself, sent twice, had made it so.
+     */
     public void conflicted(long now, long question) {
         if (answers(question)) {
             doubt(Why.UNKNOWN);
@@ -144,7 +169,10 @@
         leave(now, now, Why.RELEASED);
     }
 
-    /** The holder begins nothing more; acts that it has begun are waited out before another may begin. */
+    /**
+     * The holder begins nothing more; acts that it has begun are waited out before another may
+     * begin.
+     */
     public void giveUp(long now) {
         leave(now, now + terms.actsOut(), Why.RELEASED);
     }
@@ -155,9 +183,15 @@
         go(now);
     }
 
-    /** Whether an act may begin now that ends within that time. To be asked when it begins, not before. */
+    /**
+     * Whether an act may begin now that ends within that time. To be asked when it begins, not
+     * before.
+     */
     public boolean mayBegin(long now, long lasting) {
-        return grant != null && now >= grant.from() && lasting >= 0 && lasting <= grant.until() - now
+        return grant != null
+                && now >= grant.from()
+                && lasting >= 0
+                && lasting <= grant.until() - now
                 && (terms.fenced() || lasting <= terms.longestAct());
     }
 
@@ -167,7 +201,8 @@
             return null;
         }
         idleAt = NEVER;
-        return terms.fenced() ? new Act.FencedAct(grant.token())
+        return terms.fenced()
+                ? new Act.FencedAct(grant.token())
                 : new Act.TimedAct(grant.token(), grant.until());
     }
 
@@ -203,13 +238,17 @@
     }
 
     /**
-     * Danger: in a store that was restored tokens would come twice. One with a higher token was reset; after
-     * one that can't grow the next would run back.
+     * Danger: in a store that was restored tokens would come twice. One with a higher token was
+     * reset; after one that can't grow the next would run back.
      */
     private boolean isOlder(Entry entry) {
-        return entry.token() < 0 || entry.token() == Long.MAX_VALUE || seen != null
-                && (entry.token() < seen.token() || entry.token() == seen.token()
-                && (entry.version() < seen.version() || !process(entry).equals(process(seen))));
+        return entry.token() < 0
+                || entry.token() == Long.MAX_VALUE
+                || seen != null
+                        && (entry.token() < seen.token()
+                                || entry.token() == seen.token()
+                                        && (entry.version() < seen.version()
+                                                || !process(entry).equals(process(seen))));
     }
 
     private static String process(Entry entry) {
@@ -230,8 +269,10 @@
             why = Why.NONE;
         }
         // Danger: what was written before a loss must not bring back a grant that was called off.
-        boolean proven = lastWrite != null && lastWrite.question > soughtAt
-                && entry.nonce().equals(lastWrite.next.nonce());
+        boolean proven =
+                lastWrite != null
+                        && lastWrite.question > soughtAt
+                        && entry.nonce().equals(lastWrite.next.nonce());
         if (entry.released()) {
             giving = giving && !isOurs(entry);
         } else if (proven && !giving && (state == State.SEEKING || grant != null)) {
@@ -302,7 +343,8 @@
             inFront = false;
             idleAt = NEVER;
             giving = lastWrite != null;
-            // Danger: acts of the holder before may still go on; the next one wouldn't wait for them again.
+            // Danger: acts of the holder before may still go on; the next one wouldn't wait for
+            // them again.
             giveAt = Math.max(notBefore, actFrom);
         }
         go(now);
@@ -354,7 +396,9 @@
         return isFree() ? askAt : Math.max(seenSince + terms.keptOutFor(seen.term()), askAt);
     }
 
-    /** A record of our own that we no longer act on needs no wait for its end, only for its acts. */
+    /**
+     * A record of our own that we no longer act on needs no wait for its end, only for its acts.
+     */
     private boolean isFree() {
         return seen == null || seen.released() || isOurs(seen);
     }
@@ -374,8 +418,11 @@
             actFrom = now + (seen == null || seen.released() ? 0 : terms.actsOut());
         }
         questions++;
-        open = new Asked(questions, now,
-                new Entry(0, token, holder, nonce + "/" + questions, terms.term(), giving));
+        open =
+                new Asked(
+                        questions,
+                        now,
+                        new Entry(0, token, holder, nonce + "/" + questions, terms.term(), giving));
         lastWrite = open;
         actions.write(questions, seen == null ? -1 : seen.version(), open.next);
     }
--- a/sidecar/src/main/java/appleridge/lease/LeaseActions.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseActions.java
@@ -1,8 +1,9 @@
 package appleridge.lease;
 
 /**
- * What a lease wants done; nothing of it may call the lease back before it has returned. A question is
- * answered at most once, by {@code read}, {@code written}, {@code conflicted} or {@code unknown}.
+ * What a lease wants done; nothing of it may call the lease back before it has returned. A question
+ * is answered at most once, by {@code read}, {@code written}, {@code conflicted} or {@code
+ * unknown}.
  */
 public interface LeaseActions {
     /** Asks for the record as of now: what a member that lags knows is no answer. */
@@ -20,6 +21,9 @@
     /** Nothing more may begin, and what is under way is called off. */
     void stopNow(Why why);
 
-    /** Joins the line of those who seek, or leaves it: a holder leaves, so that the next one watches it. */
+    /**
+     * Joins the line of those who seek, or leaves it: a holder leaves, so that the next one watches
+     * it.
+     */
     void line(boolean in);
 }
--- a/sidecar/src/main/java/appleridge/lease/Leases.java
+++ b/sidecar/src/main/java/appleridge/lease/Leases.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The leases of one process, by name. Danger: each costs the store writes for as long as it is held. */
+/**
+ * The leases of one process, by name. Danger: each costs the store writes for as long as it is
+ * held.
+ */
 public final class Leases {
     private final int most;
     private final int mostSeeking;
@@ -32,8 +35,10 @@
     /** Asks for it; false if there is none, or if as many wait already as may. */
     public boolean seek(long now, String name) {
         Lease lease = byName.get(name);
-        if (lease == null || lease.grant() == null && !seeks(lease)
-                && byName.values().stream().filter(Leases::seeks).count() >= mostSeeking) {
+        if (lease == null
+                || lease.grant() == null
+                        && !seeks(lease)
+                        && byName.values().stream().filter(Leases::seeks).count() >= mostSeeking) {
             return false;
         }
         lease.seek(now);
--- a/sidecar/src/main/java/appleridge/lease/Permits.java
+++ b/sidecar/src/main/java/appleridge/lease/Permits.java
@@ -5,9 +5,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Up to so many permits of one name. Each is a record with a lease of its own, so that no more are held in
- * the fleet than there are records, whatever fails. Events go to the leases, and after each of them
- * {@code look} is called.
+ * Up to so many permits of one name. Each is a record with a lease of its own, so that no more are
+ * held in the fleet than there are records, whatever fails. Events go to the leases, and after each
+ * of them {@code look} is called.
  */
 public final class Permits {
     /** Each permit is renewed by itself: a name with more would wear the store out. */
@@ -58,6 +58,7 @@
 
     /** How many may be used now for something that ends within that time. */
     public int usable(long now, long lasting) {
-        return (int) leases.stream().filter(lease -> lease.mayBegin(now, lasting)).limit(wanted).count();
+        return (int)
+                leases.stream().filter(lease -> lease.mayBegin(now, lasting)).limit(wanted).count();
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/Shares.java
+++ b/sidecar/src/main/java/appleridge/lease/Shares.java
@@ -1,9 +1,10 @@
 package appleridge.lease;
 
 /**
- * A part of a budget that the fleet shares, in whole permits: those of all together never make more than the
- * whole. A part that shrinks is waited out before another grows, as long as the terms' longest act is the
- * time over which the budget is counted. What is smaller than one permit is given by turn, never rounded up.
+ * A part of a budget that the fleet shares, in whole permits: those of all together never make more
+ * than the whole. A part that shrinks is waited out before another grows, as long as the terms'
+ * longest act is the time over which the budget is counted. What is smaller than one permit is
+ * given by turn, never rounded up.
  */
 public final class Shares {
     private final long whole;
@@ -18,10 +19,14 @@
         this.permits = permits;
     }
 
-    /** Wants so much from now on; of a little the permit that holds it, until something else is wanted. */
+    /**
+     * Wants so much from now on; of a little the permit that holds it, until something else is
+     * wanted.
+     */
     public void want(long now, long part) {
         long count = permits.leases().size();
-        long wanted = whole == 0 || part <= 0 ? 0 : Math.max(1, Math.min(part, whole) * count / whole);
+        long wanted =
+                whole == 0 || part <= 0 ? 0 : Math.max(1, Math.min(part, whole) * count / whole);
         permits.want(now, (int) wanted);
     }
 
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
@@ -9,14 +9,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock that leases are counted by; it never runs back. Danger: Java's monotonic clock goes on while the
- * process is stopped but not while the machine sleeps, and who wakes from that would take its lease for
- * young. So the larger progress counts of it and of {@code /proc/uptime}, which counts sleep too, to 10 ms.
- * Where there is no such file, a jump of the wall clock against the monotonic one is taken for a sleep.
+ * The clock that leases are counted by; it never runs back. Danger: Java's monotonic clock goes on
+ * while the process is stopped but not while the machine sleeps, and who wakes from that would take
+ * its lease for young. So the larger progress counts of it and of {@code /proc/uptime}, which
+ * counts sleep too, to 10 ms. Where there is no such file, a jump of the wall clock against the
+ * monotonic one is taken for a sleep.
  */
 public final class LeaseClock {
     /** What the source of a clock says where there is none. */
     public static final long NONE = Long.MAX_VALUE;
+
     private static final Path UPTIME = Path.of("/proc/uptime");
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -35,15 +37,20 @@
      *
      * @param uptime {@link #NONE} where there is no such clock
      */
-    public record Moment(long nanos, long uptime) { }
+    public record Moment(long nanos, long uptime) {}
 
     /** The system's; without {@code /proc/uptime} it says so. */
     public static LeaseClock system(long mostJump, Consumer<String> log) {
-        return new LeaseClock(SystemTime.NANOS, LeaseClock::uptime, SystemTime.UNIX_MILLIS, mostJump, log);
+        return new LeaseClock(
+                SystemTime.NANOS, LeaseClock::uptime, SystemTime.UNIX_MILLIS, mostJump, log);
     }
 
     /** By other clocks than the system's. */
-    public LeaseClock(LongSupplier nanos, LongSupplier uptime, LongSupplier unixMillis, long mostJump,
+    public LeaseClock(
+            LongSupplier nanos,
+            LongSupplier uptime,
+            LongSupplier unixMillis,
+            long mostJump,
             Consumer<String> log) {
         this.nanos = nanos;
         this.uptime = uptime;
@@ -55,9 +62,11 @@
         this.last = nanosFirst;
         this.wallLead = wallLead();
         if (!countsSleep) {
-            log.accept("no clock counts while the machine sleeps (/proc/uptime can't be read): a jump of the"
-                    + " wall clock of more than " + TimeUnit.NANOSECONDS.toMillis(mostJump)
-                    + " ms ends what is done under a lease");
+            log.accept(
+                    "no clock counts while the machine sleeps (/proc/uptime can't be read): a jump"
+                            + " of the wall clock of more than "
+                            + TimeUnit.NANOSECONDS.toMillis(mostJump)
+                            + " ms ends what is done under a lease");
         }
     }
 
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
@@ -13,7 +13,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private LeaseRecord() { }
+    private LeaseRecord() {}
 
     /**
      * What is written.
@@ -21,11 +21,16 @@
      * @param sinceMillis since when its holder holds, in Unix time; for operators alone
      */
     static byte[] bytes(Entry entry, long sinceMillis) {
-        return JSON.createObjectNode().put("holder", entry.holder()).put("token", entry.token())
-                .put("since", Instant.ofEpochMilli(sinceMillis).toString()).put("nonce", entry.nonce())
+        return JSON.createObjectNode()
+                .put("holder", entry.holder())
+                .put("token", entry.token())
+                .put("since", Instant.ofEpochMilli(sinceMillis).toString())
+                .put("nonce", entry.nonce())
                 // Rounded up, for too short a term would let others in.
-                .put("termMillis", (entry.term() + MILLI - 1) / MILLI).put("released", entry.released())
-                .toString().getBytes(StandardCharsets.UTF_8);
+                .put("termMillis", (entry.term() + MILLI - 1) / MILLI)
+                .put("released", entry.released())
+                .toString()
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     /** What is read; an exception's message tells what is wrong with it. */
@@ -36,14 +41,22 @@
         } catch (IOException e) {
             node = null;
         }
-        if (node == null || !node.path("token").canConvertToLong() || !node.path("token").isIntegralNumber()
-                || !node.path("termMillis").isIntegralNumber() || !node.path("termMillis").canConvertToInt()
-                || !node.path("holder").isTextual() || !node.path("nonce").isTextual()
+        if (node == null
+                || !node.path("token").canConvertToLong()
+                || !node.path("token").isIntegralNumber()
+                || !node.path("termMillis").isIntegralNumber()
+                || !node.path("termMillis").canConvertToInt()
+                || !node.path("holder").isTextual()
+                || !node.path("nonce").isTextual()
                 || !node.path("released").isBoolean()) {
             throw new IllegalArgumentException("the record is not one of a lease");
         }
-        return new Entry(version, node.path("token").longValue(), node.path("holder").textValue(),
-                node.path("nonce").textValue(), node.path("termMillis").longValue() * MILLI,
+        return new Entry(
+                version,
+                node.path("token").longValue(),
+                node.path("holder").textValue(),
+                node.path("nonce").textValue(),
+                node.path("termMillis").longValue() * MILLI,
                 node.path("released").booleanValue());
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
@@ -3,13 +3,14 @@
 import appleridge.lease.Entry;
 
 /**
- * Where one lease's record is kept, and the line of those who wait for it. A record's writes are conditional
- * on its version, and a read tells it as of after it was asked. Calls come from one thread.
+ * Where one lease's record is kept, and the line of those who wait for it. A record's writes are
+ * conditional on its version, and a read tells it as of after it was asked. Calls come from one
+ * thread.
  */
 public interface LeaseStore extends AutoCloseable {
     /**
-     * Told on the executor of who asks, never from within a call. Each question has at most one answer;
-     * {@code unknown} where it can't be known whether it was done.
+     * Told on the executor of who asks, never from within a call. Each question has at most one
+     * answer; {@code unknown} where it can't be known whether it was done.
      */
     interface Events {
         void connected();
@@ -32,7 +33,10 @@
         /** Nobody is ahead in the line. */
         void inFront();
 
-        /** What was written has come upon a record that began anew: nothing may be believed any more. */
+        /**
+         * What was written has come upon a record that began anew: nothing may be believed any
+         * more.
+         */
         void broken(String why);
     }
 
--- a/sidecar/src/main/java/appleridge/lease/store/WaitingLine.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaitingLine.java
@@ -11,8 +11,9 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * A place in the line of those who wait for a lease: an ephemeral node numbered by the service. Each watches
- * the one ahead alone, so that an end wakes one and not all. Of one handle, on its keeper's thread.
+ * A place in the line of those who wait for a lease: an ephemeral node numbered by the service.
+ * Each watches the one ahead alone, so that an end wakes one and not all. Of one handle, on its
+ * keeper's thread.
  */
 final class WaitingLine {
     /** What the line asks of its handle. */
@@ -47,7 +48,12 @@
     private boolean again;
     private boolean told;
 
-    WaitingLine(ZooKeeper client, ZooKeeperSettings settings, String path, String holder, String nonce,
+    WaitingLine(
+            ZooKeeper client,
+            ZooKeeperSettings settings,
+            String path,
+            String holder,
+            String nonce,
             Host host) {
         this.client = client;
         this.settings = settings;
@@ -68,8 +74,11 @@
             again = true;
         } else if (host.isReady()) {
             asking = true;
-            client.getChildren(path, false, (code, asked, context, names) ->
-                    host.then(() -> names(Code.get(code), names)), null);
+            client.getChildren(
+                    path,
+                    false,
+                    (code, asked, context, names) -> host.then(() -> names(Code.get(code), names)),
+                    null);
         }
     }
 
@@ -87,7 +96,9 @@
     }
 
     private boolean good(Code code) {
-        if (code != Code.OK && code != Code.NONODE && code != Code.CONNECTIONLOSS
+        if (code != Code.OK
+                && code != Code.NONODE
+                && code != Code.CONNECTIONLOSS
                 && code != Code.SESSIONEXPIRED) {
             host.trouble("the coordination service answers " + code + " for " + path);
         }
@@ -119,12 +130,13 @@
 
     /** In the order of their numbers, which are the last ten digits. */
     static List<String> order(List<String> names) {
-        return names.stream().sorted(Comparator.comparing(each -> each.substring(each.lastIndexOf('-') + 1)))
+        return names.stream()
+                .sorted(Comparator.comparing(each -> each.substring(each.lastIndexOf('-') + 1)))
                 .toList();
     }
 
     private void leave(String name) {
-        client.delete(path + "/" + name, -1, (code, asked, context) -> { }, null);
+        client.delete(path + "/" + name, -1, (code, asked, context) -> {}, null);
     }
 
     private void join(int length) {
@@ -134,24 +146,39 @@
             done();
             return;
         }
-        client.create(path + "/" + nonce + "-", holder.getBytes(StandardCharsets.UTF_8),
-                Clients.acl(settings), CreateMode.EPHEMERAL_SEQUENTIAL, (code, asked, context, name) ->
-                host.then(() -> {
-                    if (code == Code.NONODE.intValue() || good(Code.get(code))) {
-                        lookAgain();
-                    }
-                }), null);
+        client.create(
+                path + "/" + nonce + "-",
+                holder.getBytes(StandardCharsets.UTF_8),
+                Clients.acl(settings),
+                CreateMode.EPHEMERAL_SEQUENTIAL,
+                (code, asked, context, name) ->
+                        host.then(
+                                () -> {
+                                    if (code == Code.NONODE.intValue() || good(Code.get(code))) {
+                                        lookAgain();
+                                    }
+                                }),
+                null);
     }
 
-    /** Danger: a place of a session of before ends with that one, and holds up all behind it until then. */
+    /**
+     * Danger: a place of a session of before ends with that one, and holds up all behind it until
+     * then.
+     */
     private void check(List<String> order, String mine) {
-        client.exists(path + "/" + mine, false, (code, asked, context, stat) -> host.then(() -> {
-            if (code == Code.NONODE.intValue()) {
-                lookAgain();
-            } else if (good(Code.get(code))) {
-                checked(order, mine, stat);
-            }
-        }), null);
+        client.exists(
+                path + "/" + mine,
+                false,
+                (code, asked, context, stat) ->
+                        host.then(
+                                () -> {
+                                    if (code == Code.NONODE.intValue()) {
+                                        lookAgain();
+                                    } else if (good(Code.get(code))) {
+                                        checked(order, mine, stat);
+                                    }
+                                }),
+                null);
     }
 
     private void checked(List<String> order, String mine, Stat stat) {
@@ -167,14 +194,19 @@
             done();
         } else {
             told = false;
-            client.exists(path + "/" + order.get(place - 1), true, (code, asked, context, ahead) ->
-                    host.then(() -> {
-                        if (code == Code.NONODE.intValue()) {
-                            lookAgain();
-                        } else if (good(Code.get(code))) {
-                            done();
-                        }
-                    }), null);
+            client.exists(
+                    path + "/" + order.get(place - 1),
+                    true,
+                    (code, asked, context, ahead) ->
+                            host.then(
+                                    () -> {
+                                        if (code == Code.NONODE.intValue()) {
+                                            lookAgain();
+                                        } else if (good(Code.get(code))) {
+                                            done();
+                                        }
+                                    }),
+                    null);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -21,19 +21,22 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * A lease in ZooKeeper: {@code ROOT/NAME/record}, a persistent node that is written by its version, and
- * {@code ROOT/NAME/line}, under which each who waits has an ephemeral node. Nothing but the line rests on a
- * session. All is done on a thread of its own, and told on the caller's executor.
+ * A lease in ZooKeeper: {@code ROOT/NAME/record}, a persistent node that is written by its version,
+ * and {@code ROOT/NAME/line}, under which each who waits has an ephemeral node. Nothing but the
+ * line rests on a session. All is done on a thread of its own, and told on the caller's executor.
  */
 public final class ZooKeeperLeaseStore implements LeaseStore {
     private static final long LOOK_MILLIS = 250;
+
     /** What can't be done is tried again, and what can't be answered is said, after so long. */
     private static final long AGAIN = TimeUnit.MILLISECONDS.toNanos(500);
+
     /** A server that has not answered a question for so long gives way to another. */
     private static final long SILENT = TimeUnit.SECONDS.toNanos(4);
+
     private static final int CREATES = -1;
 
-    private record Later(long due, Runnable what) { }
+    private record Later(long due, Runnable what) {}
 
     private final ZooKeeperSettings settings;
     private final String folder;
@@ -47,14 +50,19 @@
     private final Thread keeper = new Thread(this::keep, "lease");
 
     /** All else is the keeper's. */
-    private final PriorityQueue<Later> later = new PriorityQueue<>(Comparator.comparingLong(Later::due));
+    private final PriorityQueue<Later> later =
+            new PriorityQueue<>(Comparator.comparingLong(Later::due));
+
     /** Questions that have no answer yet, and when each was asked. */
     private final Map<Long, Long> open = new HashMap<>();
+
     private Handle handle;
     private boolean inLine;
     private boolean over;
+
     /** The transaction that made the record that is known; 0 if none was. */
     private long made;
+
     private long sinceMillis;
     private long sinceToken = -1;
     private String told = "";
@@ -68,8 +76,14 @@
      * @param nonce that no other process has, of characters that a node's name may hold
      * @param events what is told, on the executor
      */
-    public ZooKeeperLeaseStore(ZooKeeperSettings settings, String name, String holder, String nonce,
-            Events events, Executor executor, Consumer<String> log) {
+    public ZooKeeperLeaseStore(
+            ZooKeeperSettings settings,
+            String name,
+            String holder,
+            String nonce,
+            Events events,
+            Executor executor,
+            Consumer<String> log) {
         this.settings = settings;
         this.folder = (settings.root().equals("/") ? "" : settings.root()) + "/" + name;
         this.record = folder + "/record";
@@ -89,41 +103,46 @@
 
     @Override
     public void read(long question) {
-        tasks.add(() -> {
-            if (asks(question)) {
-                handle.read(question);
-            }
-        });
+        tasks.add(
+                () -> {
+                    if (asks(question)) {
+                        handle.read(question);
+                    }
+                });
     }
 
     @Override
     public void write(long question, long expectedVersion, Entry next) {
-        tasks.add(() -> {
-            if (asks(question)) {
-                handle.write(question, (int) expectedVersion, bytes(next));
-            }
-        });
+        tasks.add(
+                () -> {
+                    if (asks(question)) {
+                        handle.write(question, (int) expectedVersion, bytes(next));
+                    }
+                });
     }
 
     @Override
     public void line(boolean in) {
-        tasks.add(() -> {
-            inLine = in;
-            if (handle != null && handle.ready) {
-                // Danger: who leaves and joins at once would not be told again that it is its turn.
-                handle.line.apart();
-                handle.line.look();
-            }
-        });
+        tasks.add(
+                () -> {
+                    inLine = in;
+                    if (handle != null && handle.ready) {
+                        // Danger: who leaves and joins at once would not be told again that it is
+                        // its turn.
+                        handle.line.apart();
+                        handle.line.look();
+                    }
+                });
     }
 
     /** Ends the session if a server can be told, and waits for that for a moment. */
     @Override
     public void close() {
-        tasks.add(() -> {
-            over = true;
-            drop();
-        });
+        tasks.add(
+                () -> {
+                    over = true;
+                    drop();
+                });
         try {
             keeper.join(TimeUnit.SECONDS.toMillis(2));
         } catch (InterruptedException e) {
@@ -167,7 +186,8 @@
         handle = next;
         try {
             next.client = Clients.open(settings, next);
-            next.line = new WaitingLine(next.client, settings, folder + "/line", holder, nonce, next);
+            next.line =
+                    new WaitingLine(next.client, settings, folder + "/line", holder, nonce, next);
         } catch (IOException | RuntimeException e) {
             say("the coordination service's client can't start: " + e);
             handle = null;
@@ -176,8 +196,9 @@
     }
 
     /**
-     * Danger: a server may answer pings and nothing else, which the client takes for a good connection; and a
-     * client that comes back to an ensemble that began anew is turned away without end.
+     * Danger: a server may answer pings and nothing else, which the client takes for a good
+     * connection; and a client that comes back to an ensemble that began anew is turned away
+     * without end.
      */
     private void look(long now) {
         if (handle == null) {
@@ -185,11 +206,14 @@
         }
         if (handle.ready) {
             apartSince = now;
-        } else if (now - apartSince > TimeUnit.MILLISECONDS.toNanos(2L * settings.sessionMillis())) {
+        } else if (now - apartSince
+                > TimeUnit.MILLISECONDS.toNanos(2L * settings.sessionMillis())) {
             apartSince = now;
             replace(handle);
         }
-        if (handle != null && handle.ready && open.values().stream().anyMatch(at -> now - at > SILENT)) {
+        if (handle != null
+                && handle.ready
+                && open.values().stream().anyMatch(at -> now - at > SILENT)) {
             say("a coordination server answers nothing; another one is asked");
             replace(handle);
         }
@@ -237,9 +261,14 @@
         answer(question, () -> events.unknown(question));
     }
 
-    /** What was not answered as asked; at once only if the connection is down, or it would go in circles. */
+    /**
+     * What was not answered as asked; at once only if the connection is down, or it would go in
+     * circles.
+     */
     private void failed(long question, Code code) {
-        if (code == Code.CONNECTIONLOSS || code == Code.SESSIONEXPIRED || code == Code.SESSIONMOVED) {
+        if (code == Code.CONNECTIONLOSS
+                || code == Code.SESSIONEXPIRED
+                || code == Code.SESSIONMOVED) {
             unknown(question);
         } else {
             say("the coordination service answers " + code + " for " + folder);
@@ -268,16 +297,21 @@
         private WaitingLine line;
         private boolean ready;
         private boolean closed;
-        /** Writes that have no answer: they tell of the change that they make, or that there was another. */
+
+        /**
+         * Writes that have no answer: they tell of the change that they make, or that there was
+         * another.
+         */
         private int writing;
 
         @Override
         public void process(WatchedEvent event) {
-            tasks.add(() -> {
-                if (!closed) {
-                    heard(event);
-                }
-            });
+            tasks.add(
+                    () -> {
+                        if (!closed) {
+                            heard(event);
+                        }
+                    });
         }
 
         private void heard(WatchedEvent event) {
@@ -302,7 +336,7 @@
                     say("the coordination service does not take who this is");
                     replace(this);
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -315,26 +349,39 @@
         }
 
         /**
-         * The lease's own nodes are made where they are missing. Danger: to make the path of all leases too
-         * would hide that the service has lost what it knew.
+         * The lease's own nodes are made where they are missing. Danger: to make the path of all
+         * leases too would hide that the service has lost what it knew.
          */
         private void makeFolder(String path) {
-            client.create(path, new byte[0], Clients.acl(settings), CreateMode.PERSISTENT,
-                    (code, asked, context, name) -> then(() -> {
-                        Code answer = Code.get(code);
-                        if (answer == Code.OK || answer == Code.NODEEXISTS) {
-                            if (path.equals(folder)) {
-                                makeFolder(folder + "/line");
-                            } else {
-                                connected();
-                            }
-                        } else if (answer != Code.CONNECTIONLOSS) {
-                            say(answer == Code.NONODE ? "the path of the leases is not there: "
-                                    + settings.root() : "the coordination service answers " + answer + " for "
-                                    + path);
-                            after(() -> then(() -> makeFolder(path)));
-                        }
-                    }), null);
+            client.create(
+                    path,
+                    new byte[0],
+                    Clients.acl(settings),
+                    CreateMode.PERSISTENT,
+                    (code, asked, context, name) ->
+                            then(
+                                    () -> {
+                                        Code answer = Code.get(code);
+                                        if (answer == Code.OK || answer == Code.NODEEXISTS) {
+                                            if (path.equals(folder)) {
+                                                makeFolder(folder + "/line");
+                                            } else {
+                                                connected();
+                                            }
+                                        } else if (answer != Code.CONNECTIONLOSS) {
+                                            say(
+                                                    answer == Code.NONODE
+                                                            ? "the path of the leases is not there:"
+                                                                    + " "
+                                                                    + settings.root()
+                                                            : "the coordination service answers "
+                                                                    + answer
+                                                                    + " for "
+                                                                    + path);
+                                            after(() -> then(() -> makeFolder(path)));
+                                        }
+                                    }),
+                    null);
         }
 
         private void connected() {
@@ -348,32 +395,44 @@
 
         @Override
         public void then(Runnable what) {
-            tasks.add(() -> {
-                if (!closed) {
-                    what.run();
-                }
-            });
+            tasks.add(
+                    () -> {
+                        if (!closed) {
+                            what.run();
+                        }
+                    });
         }
 
         /** Danger: a member that lags answers with what was; it has to catch up first. */
         void read(long question) {
-            client.sync(record, (code, path, context) -> {
-                if (code != Code.OK.intValue() && code != Code.NONODE.intValue()) {
-                    then(() -> failed(question, Code.get(code)));
-                }
-            }, null);
-            client.getData(record, true, (code, path, context, data, stat) ->
-                    then(() -> read(question, Code.get(code), data, stat)), null);
+            client.sync(
+                    record,
+                    (code, path, context) -> {
+                        if (code != Code.OK.intValue() && code != Code.NONODE.intValue()) {
+                            then(() -> failed(question, Code.get(code)));
+                        }
+                    },
+                    null);
+            client.getData(
+                    record,
+                    true,
+                    (code, path, context, data, stat) ->
+                            then(() -> read(question, Code.get(code), data, stat)),
+                    null);
         }
 
         private void read(long question, Code code, byte[] data, Stat stat) {
             if (code == Code.NONODE) {
                 made = 0;
-                client.exists(record, true, (exists, path, context, found) -> {
-                    if (exists == Code.OK.intValue()) {
-                        executor.execute(events::changed);
-                    }
-                }, null);
+                client.exists(
+                        record,
+                        true,
+                        (exists, path, context, found) -> {
+                            if (exists == Code.OK.intValue()) {
+                                executor.execute(events::changed);
+                            }
+                        },
+                        null);
                 answer(question, () -> events.read(question, null));
             } else if (code == Code.OK) {
                 try {
@@ -392,25 +451,46 @@
         void write(long question, int version, byte[] data) {
             writing++;
             if (version == CREATES) {
-                client.create(record, data, Clients.acl(settings), CreateMode.PERSISTENT,
-                        (code, path, context, name, stat) -> then(() -> {
-                            writing--;
-                            if (code == Code.OK.intValue()) {
-                                made = stat.getCzxid();
-                            }
-                            written(question, Code.get(code), 0);
-                        }), null);
+                client.create(
+                        record,
+                        data,
+                        Clients.acl(settings),
+                        CreateMode.PERSISTENT,
+                        (code, path, context, name, stat) ->
+                                then(
+                                        () -> {
+                                            writing--;
+                                            if (code == Code.OK.intValue()) {
+                                                made = stat.getCzxid();
+                                            }
+                                            written(question, Code.get(code), 0);
+                                        }),
+                        null);
             } else {
                 long before = made;
-                client.setData(record, data, version, (code, path, context, stat) -> then(() -> {
-                    writing--;
-                    if (code == Code.OK.intValue() && before != 0 && stat.getCzxid() != before) {
-                        open.remove(question);
-                        again();
-                    } else {
-                        written(question, Code.get(code), code == Code.OK.intValue() ? stat.getVersion() : 0);
-                    }
-                }), null);
+                client.setData(
+                        record,
+                        data,
+                        version,
+                        (code, path, context, stat) ->
+                                then(
+                                        () -> {
+                                            writing--;
+                                            if (code == Code.OK.intValue()
+                                                    && before != 0
+                                                    && stat.getCzxid() != before) {
+                                                open.remove(question);
+                                                again();
+                                            } else {
+                                                written(
+                                                        question,
+                                                        Code.get(code),
+                                                        code == Code.OK.intValue()
+                                                                ? stat.getVersion()
+                                                                : 0);
+                                            }
+                                        }),
+                        null);
             }
         }
 
@@ -427,8 +507,8 @@
         }
 
         /**
-         * Danger: a node that is made anew counts its versions from 0 again, so that a write which expects
-         * one of before may come upon another holder's. Neither of the two may go on by it.
+         * Danger: a node that is made anew counts its versions from 0 again, so that a write which
+         * expects one of before may come upon another holder's. Neither of the two may go on by it.
          */
         private void again() {
             String why = record + " was deleted and made anew while it was held";
--- a/sidecar/src/main/java/appleridge/lease/task/Guarded.java
+++ b/sidecar/src/main/java/appleridge/lease/task/Guarded.java
@@ -2,8 +2,8 @@
 
 import appleridge.lease.store.LeaseClock;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.io.OutputStream;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,8 +13,14 @@
 
 /** A command under its guardian, seen from {@code task}. On one thread. */
 final class Guarded {
-    private static final List<String> FLAGS = List.of("-Xmx24m", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
+    private static final List<String> FLAGS =
+            List.of(
+                    "-Xmx24m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData",
+                    "-XX:+ExitOnOutOfMemoryError");
 
     private final LeaseClock clock;
     private final TaskSettings settings;
@@ -31,20 +37,33 @@
      *
      * @param nonce marks what the command starts; never used before
      */
-    Guarded(LeaseClock clock, TaskSettings settings, String nonce, String lease, long token,
-            List<String> command) throws IOException {
+    Guarded(
+            LeaseClock clock,
+            TaskSettings settings,
+            String nonce,
+            String lease,
+            long token,
+            List<String> command)
+            throws IOException {
         this.clock = clock;
         this.settings = settings;
         this.report = Files.createTempFile("appleridge-task", "");
         List<String> words = new ArrayList<>();
         words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         words.addAll(FLAGS);
-        words.addAll(List.of("-cp", System.getProperty("java.class.path"), "appleridge.daemon.Main",
-                "task-guard"));
+        words.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "appleridge.daemon.Main",
+                        "task-guard"));
         words.addAll(Guardian.words(nonce, lease, token, settings, report));
         words.addAll(command);
-        this.guardian = new ProcessBuilder(words).redirectOutput(ProcessBuilder.Redirect.INHERIT)
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        this.guardian =
+                new ProcessBuilder(words)
+                        .redirectOutput(ProcessBuilder.Redirect.INHERIT)
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         this.tree = new ProcessTree(nonce, guardian.toHandle());
     }
 
@@ -72,7 +91,10 @@
         }
     }
 
-    /** The newest alone. Danger: a stopped guardian reads nothing, and who writes to it would stand still. */
+    /**
+     * The newest alone. Danger: a stopped guardian reads nothing, and who writes to it would stand
+     * still.
+     */
     private void tell() {
         if (next != null && telling.isDone()) {
             String line = next;
@@ -92,8 +114,9 @@
     }
 
     /**
-     * Its last word once nothing of the command is left; null before. Empty where the guardian could not say
-     * it. Danger: the guardian may be stopped or killed itself; then all that carries the mark is ended here.
+     * Its last word once nothing of the command is left; null before. Empty where the guardian
+     * could not say it. Danger: the guardian may be stopped or killed itself; then all that carries
+     * the mark is ended here.
      */
     String last(long now) throws IOException {
         try {
@@ -110,7 +133,8 @@
             if (now > until - settings.toKill()) {
                 tree.kill();
             }
-            // Danger: one that is stopped never says its last word. What it guarded has had its SIGKILL.
+            // Danger: one that is stopped never says its last word. What it guarded has had its
+            // SIGKILL.
             if (stopped && now > until) {
                 guardian.destroyForcibly();
             }
@@ -121,7 +145,8 @@
         }
         String word = Files.readString(report);
         Files.delete(report);
-        // All of it was ended, as was asked; who ended the guardian before it could say so is all the same.
+        // All of it was ended, as was asked; who ended the guardian before it could say so is all
+        // the same.
         return word.isEmpty() && stopped ? Guardian.STOPPED : word;
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/Guardian.java
+++ b/sidecar/src/main/java/appleridge/lease/task/Guardian.java
@@ -15,23 +15,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * {@code task-guard}: the process that a task's command runs under. It is told on its standard input until
- * when the command may run, and has ended all of it by then whatever has become of who tells it. Danger: a
- * {@code task} that is stopped or killed can end nothing, and its command would go on beside the next one.
+ * {@code task-guard}: the process that a task's command runs under. It is told on its standard
+ * input until when the command may run, and has ended all of it by then whatever has become of who
+ * tells it. Danger: a {@code task} that is stopped or killed can end nothing, and its command would
+ * go on beside the next one.
  */
 public final class Guardian {
-    /** Its last word, in the file that it is given, with the command's status: it ended by itself. */
+    /**
+     * Its last word, in the file that it is given, with the command's status: it ended by itself.
+     */
     static final String ENDED = "ended ";
+
     /** All of it was ended. */
     static final String STOPPED = "stopped ";
+
     /** It was not begun; without a status. */
     static final String NEVER = "never";
+
     /** It can't be started; without a status. */
     static final String NO_COMMAND = "no-command";
+
     /** What it is told: begin, or run on, until a moment. */
     static final String GO = "go";
+
     /** End it now. */
     static final String STOP = "stop";
+
     private static final String GONE = "gone";
 
     private static final int WORDS = 7;
@@ -53,8 +62,10 @@
     private LeaseClock.Moment until;
     private boolean go;
     private boolean ending;
+
     /** Nobody tells it anything any more. */
     private boolean orphan;
+
     private Process child;
     private boolean termed;
     private long termedAt;
@@ -74,9 +85,16 @@
     }
 
     /** What it is started with. */
-    static List<String> words(String nonce, String lease, long token, TaskSettings settings, Path report) {
-        return List.of(nonce, lease, Long.toString(token), Long.toString(settings.killAfter()),
-                Long.toString(settings.toKill()), Long.toString(settings.terms().guard()), report.toString());
+    static List<String> words(
+            String nonce, String lease, long token, TaskSettings settings, Path report) {
+        return List.of(
+                nonce,
+                lease,
+                Long.toString(token),
+                Long.toString(settings.killAfter()),
+                Long.toString(settings.toKill()),
+                Long.toString(settings.terms().guard()),
+                report.toString());
     }
 
     /** Runs what the words say; the exit status. */
@@ -89,7 +107,8 @@
         reader.setDaemon(true);
         reader.start();
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
-        // Danger: the first look takes many times as long as those that follow, when time may be short.
+        // Danger: the first look takes many times as long as those that follow, when time may be
+        // short.
         try {
             tree.none();
         } catch (UncheckedIOException e) {
@@ -118,8 +137,8 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in,
-                StandardCharsets.US_ASCII))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 told.add(line);
             }
@@ -161,16 +180,18 @@
         if (!child.isAlive() && !termed) {
             return clean() ? ENDED + status() : null;
         }
-        // Danger: what was told to end is no command any more, whatever is told of its time afterwards.
+        // Danger: what was told to end is no command any more, whatever is told of its time
+        // afterwards.
         ending |= left <= killAfter + toKill;
         return ending ? end(left) : null;
     }
 
     private String begin() {
-        ProcessBuilder builder = new ProcessBuilder(command)
-                .redirectInput(ProcessBuilder.Redirect.from(new File("/dev/null")))
-                .redirectOutput(ProcessBuilder.Redirect.INHERIT)
-                .redirectError(ProcessBuilder.Redirect.INHERIT);
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectInput(ProcessBuilder.Redirect.from(new File("/dev/null")))
+                        .redirectOutput(ProcessBuilder.Redirect.INHERIT)
+                        .redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().put("APPLERIDGE_LEASE", lease);
         builder.environment().put("APPLERIDGE_TOKEN", token);
         builder.environment().put(ProcessTree.VARIABLE, nonce);
@@ -191,8 +212,10 @@
             termedAt = now;
             tree.end();
         }
-        boolean gone = now - termedAt >= killAfter || left <= toKill ? clean()
-                : !child.isAlive() && tree.none();
+        boolean gone =
+                now - termedAt >= killAfter || left <= toKill
+                        ? clean()
+                        : !child.isAlive() && tree.none();
         return gone ? STOPPED + status() : null;
     }
 
--- a/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
+++ b/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
@@ -15,13 +15,14 @@
 import java.util.Optional;
 
 /**
- * All that a command has started: what descends from it, and what carries its mark in the environment with
- * which it was started. Danger: a process that leaves its session and its parents is nobody's child any more;
- * only the mark still shows whose it is.
+ * All that a command has started: what descends from it, and what carries its mark in the
+ * environment with which it was started. Danger: a process that leaves its session and its parents
+ * is nobody's child any more; only the mark still shows whose it is.
  */
 final class ProcessTree {
     /** The variable that is the mark. */
     static final String VARIABLE = "APPLERIDGE_TASK";
+
     private static final Path PROCESSES = Path.of("/proc");
 
     private final byte[] mark;
@@ -59,9 +60,12 @@
         try (DirectoryStream<Path> all = Files.newDirectoryStream(PROCESSES, "[0-9]*")) {
             for (Path each : all) {
                 long pid = Long.parseLong(each.getFileName().toString());
-                // Danger: taken after the look at its mark, it could be another process of the same number.
-                Optional<ProcessHandle> handle = pid == own || found.containsKey(pid) ? Optional.empty()
-                        : ProcessHandle.of(pid);
+                // Danger: taken after the look at its mark, it could be another process of the same
+                // number.
+                Optional<ProcessHandle> handle =
+                        pid == own || found.containsKey(pid)
+                                ? Optional.empty()
+                                : ProcessHandle.of(pid);
                 handle.filter(there -> marked(each)).ifPresent(there -> found.put(pid, there));
             }
         } catch (NotDirectoryException | NoSuchFileException e) {
--- a/sidecar/src/main/java/appleridge/lease/task/Task.java
+++ b/sidecar/src/main/java/appleridge/lease/task/Task.java
@@ -18,16 +18,23 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Seeks a lease and runs a command while it is held, again and again, until the command ends by itself. */
+/**
+ * Seeks a lease and runs a command while it is held, again and again, until the command ends by
+ * itself.
+ */
 final class Task implements LeaseActions, LeaseStore.Events {
     /** As the JVM has it for what nobody caught. */
     static final int FAILED = 1;
+
     /** The command was to begin, and its guardian ended without a word. */
     static final int NO_GUARDIAN = 70;
+
     /** The lease's record was made anew while it was held. */
     static final int BROKEN = 76;
+
     /** As shells have it for a command that can't be started. */
     static final int NO_COMMAND = 127;
+
     /** As shells have it for SIGTERM. */
     static final int TERMINATED = 143;
 
@@ -61,8 +68,15 @@
         LeaseStore make(LeaseStore.Events events, Executor executor);
     }
 
-    Task(TaskSettings settings, String name, String holder, List<String> command, LeaseClock clock,
-            Supplier<String> nonces, Stores stores, Consumer<String> log) {
+    Task(
+            TaskSettings settings,
+            String name,
+            String holder,
+            List<String> command,
+            LeaseClock clock,
+            Supplier<String> nonces,
+            Stores stores,
+            Consumer<String> log) {
         this.settings = settings;
         this.name = name;
         this.command = command;
@@ -91,8 +105,10 @@
     }
 
     private void step() throws InterruptedException, IOException {
-        Runnable task = tasks.poll(Math.max(0, Math.min(LOOK, wakeAt - clock.now())), TimeUnit.NANOSECONDS);
-        // Danger: after a stand-still, what waited tells of a time long ago; the lease's end comes first.
+        Runnable task =
+                tasks.poll(Math.max(0, Math.min(LOOK, wakeAt - clock.now())), TimeUnit.NANOSECONDS);
+        // Danger: after a stand-still, what waited tells of a time long ago; the lease's end comes
+        // first.
         lease.time(clock.now());
         if (task != null) {
             task.run();
@@ -119,7 +135,8 @@
             } else if (broken) {
                 status = BROKEN;
             } else if (jumped) {
-                // Danger: what is granted counts by a clock that stood still, and a guardian would not know.
+                // Danger: what is granted counts by a clock that stood still, and a guardian would
+                // not know.
                 release();
                 lease.seek(now);
             } else if (grant != null) {
@@ -146,8 +163,11 @@
     }
 
     private void ended(String last) {
-        log.accept("lease " + name + ": the command is over, " + (last.isEmpty() ? "its guardian was killed"
-                : last));
+        log.accept(
+                "lease "
+                        + name
+                        + ": the command is over, "
+                        + (last.isEmpty() ? "its guardian was killed" : last));
         if (last.startsWith(Guardian.ENDED)) {
             status = Integer.parseInt(last.substring(Guardian.ENDED.length()));
             if (status == 0) {
@@ -159,7 +179,8 @@
         } else if (last.isEmpty()) {
             status = NO_GUARDIAN;
         } else if (!terminating && !broken) {
-            // Its guardian may have ended it, as it had to, though the lease lasted: others come first.
+            // Its guardian may have ended it, as it had to, though the lease lasted: others come
+            // first.
             release();
             lease.seek(clock.now());
         }
@@ -170,7 +191,10 @@
         lease.release(clock.now());
     }
 
-    /** Waits for a moment until the store knows that the lease is free: else the next one waits its term. */
+    /**
+     * Waits for a moment until the store knows that the lease is free: else the next one waits its
+     * term.
+     */
     private void leave() throws InterruptedException {
         long by = clock.now() + LEAVE;
         for (long now = clock.now(); lease.isGiving() && now < by; now = clock.now()) {
@@ -187,8 +211,15 @@
     /** A line for each change of the record's holder, and of the state. */
     private void say() {
         Entry seen = lease.seen();
-        String record = seen == null ? "" : "holder=" + seen.holder() + " token=" + seen.token()
-                + " released=" + seen.released();
+        String record =
+                seen == null
+                        ? ""
+                        : "holder="
+                                + seen.holder()
+                                + " token="
+                                + seen.token()
+                                + " released="
+                                + seen.released();
         if (!record.equals(toldRecord)) {
             toldRecord = record;
             log.accept("lease " + name + ": record " + record);
@@ -196,9 +227,14 @@
         State state = lease.state();
         if (state != toldState) {
             toldState = state;
-            log.accept("lease " + name + ": state=" + state.name().toLowerCase(Locale.ROOT) + " why="
-                    + lease.why().name().toLowerCase(Locale.ROOT)
-                    + (grant == null ? "" : " token=" + grant.token()));
+            log.accept(
+                    "lease "
+                            + name
+                            + ": state="
+                            + state.name().toLowerCase(Locale.ROOT)
+                            + " why="
+                            + lease.why().name().toLowerCase(Locale.ROOT)
+                            + (grant == null ? "" : " token=" + grant.token()));
         }
     }
 
--- a/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
@@ -12,25 +12,34 @@
 import picocli.CommandLine.Spec;
 
 /** The arguments of {@code task}. */
-@Command(name = "task", sortOptions = false, separator = " ", usageHelpWidth = 110,
+@Command(
+        name = "task",
+        sortOptions = false,
+        separator = " ",
+        usageHelpWidth = 110,
         description = "Runs COMMAND on one machine of the fleet at a time, under a lease.",
         customSynopsis = "task --operator FILE --lease NAME -- COMMAND [ARGUMENT...]")
 final class TaskArguments {
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.:@-]{1,128}");
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--operator", required = true, paramLabel = "FILE",
+    @Option(
+            names = "--operator",
+            required = true,
+            paramLabel = "FILE",
             description = "The operator's file; its section [leases] says where leases are.")
     private Path operator;
 
     private String lease;
 
-    @Parameters(arity = "1..*", paramLabel = "COMMAND", description = "What to run, and its arguments.")
+    @Parameters(
+            arity = "1..*",
+            paramLabel = "COMMAND",
+            description = "What to run, and its arguments.")
     private List<String> command;
 
-    private TaskArguments() { }
+    private TaskArguments() {}
 
     /** Reads them; what makes no sense is told by an {@link IllegalArgumentException}. */
     static TaskArguments parse(List<String> words) {
@@ -40,7 +49,9 @@
             if (!words.contains("--")) {
                 throw new IllegalArgumentException("no command after --");
             }
-            new CommandLine(arguments).setExpandAtFiles(false).parseArgs(words.toArray(new String[0]));
+            new CommandLine(arguments)
+                    .setExpandAtFiles(false)
+                    .parseArgs(words.toArray(new String[0]));
             int own = words.size() - words.indexOf("--") - 1;
             if (arguments.command.size() > own) {
                 throw new IllegalArgumentException("unknown argument: " + arguments.command.get(0));
@@ -55,11 +66,15 @@
         return new CommandLine(new TaskArguments()).getUsageMessage(CommandLine.Help.Ansi.OFF);
     }
 
-    @Option(names = "--lease", required = true, paramLabel = "NAME",
+    @Option(
+            names = "--lease",
+            required = true,
+            paramLabel = "NAME",
             description = "The lease's name, of letters, digits and any of _.:@-")
     private void lease(String name) {
         if (!NAME.matcher(name).matches() || name.equals(".") || name.equals("..")) {
-            throw new ParameterException(spec.commandLine(),
+            throw new ParameterException(
+                    spec.commandLine(),
                     "--lease may hold up to 128 letters, digits and any of _.:@-");
         }
         lease = name;
--- a/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
@@ -16,11 +16,12 @@
 public final class TaskCommand {
     /** Exit status where the command makes no sense. */
     public static final int SENSELESS = 2;
+
     private static final Path HOST = Path.of("/proc/sys/kernel/hostname");
     private static final int NONCE_BYTES = 8;
     private static final System.Logger LOG = System.getLogger("appleridge");
 
-    private TaskCommand() { }
+    private TaskCommand() {}
 
     /**
      * Runs the command; its exit status.
@@ -46,23 +47,45 @@
         }
     }
 
-    private static int run(TaskArguments arguments, TaskSettings settings) throws InterruptedException,
-            IOException {
+    private static int run(TaskArguments arguments, TaskSettings settings)
+            throws InterruptedException, IOException {
         Consumer<String> log = line -> LOG.log(System.Logger.Level.INFO, line);
         SecureRandom chance = new SecureRandom();
         String holder = host() + "/" + ProcessHandle.current().pid();
         String place = nonce(chance);
-        Task task = new Task(settings, arguments.lease(), holder, arguments.command(),
-                LeaseClock.system(settings.terms().guard(), log), () -> nonce(chance),
-                (events, executor) -> new ZooKeeperLeaseStore(settings.store(), arguments.lease(), holder,
-                        place, events, executor, line -> log.accept("lease " + arguments.lease() + ": "
-                        + line)), log);
+        Task task =
+                new Task(
+                        settings,
+                        arguments.lease(),
+                        holder,
+                        arguments.command(),
+                        LeaseClock.system(settings.terms().guard(), log),
+                        () -> nonce(chance),
+                        (events, executor) ->
+                                new ZooKeeperLeaseStore(
+                                        settings.store(),
+                                        arguments.lease(),
+                                        holder,
+                                        place,
+                                        events,
+                                        executor,
+                                        line ->
+                                                log.accept(
+                                                        "lease "
+                                                                + arguments.lease()
+                                                                + ": "
+                                                                + line)),
+                        log);
         CountDownLatch ended = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (ended.getCount() > 0) {
-                terminate(task);
-            }
-        }, "terminate"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    if (ended.getCount() > 0) {
+                                        terminate(task);
+                                    }
+                                },
+                                "terminate"));
         try {
             return task.run();
         } finally {
--- a/sidecar/src/main/java/appleridge/lease/task/package-info.java
+++ b/sidecar/src/main/java/appleridge/lease/task/package-info.java
@@ -1,2 +1,4 @@
-/** The command {@code task}: runs an operator's command on one machine of the fleet, under a lease. */
+/**
+ * The command {@code task}: runs an operator's command on one machine of the fleet, under a lease.
+ */
 package appleridge.lease.task;
--- a/sidecar/src/main/java/appleridge/membership/AddressHolders.java
+++ b/sidecar/src/main/java/appleridge/membership/AddressHolders.java
@@ -7,25 +7,27 @@
 import java.util.Map;
 
 /**
- * Which upstream holds which address. Danger: an upstream may take the address of one that has gone before
- * the list knows of that. What is sent to the old one reaches the new one: cold, or told to drain, as it may
- * be. Only one process can listen at an address, so of two that are listed there the one that started last is
- * there.
+ * Which upstream holds which address. Danger: an upstream may take the address of one that has gone
+ * before the list knows of that. What is sent to the old one reaches the new one: cold, or told to
+ * drain, as it may be. Only one process can listen at an address, so of two that are listed there
+ * the one that started last is there.
  *
- * <p>Danger: a list may be older than the one before, and name a process again whose address a later one has
- * taken. So who held an address last is known for a while beyond its being listed.
+ * <p>Danger: a list may be older than the one before, and name a process again whose address a
+ * later one has taken. So who held an address last is known for a while beyond its being listed.
  */
 public final class AddressHolders {
     /** Addresses and upstreams that are remembered beyond being listed, the latest ones. */
     private static final int REMEMBERED = 4096;
 
-    private record Holder(String id, long startedAt) { }
+    private record Holder(String id, long startedAt) {}
 
     /** Where an upstream was listed last. */
     private record Place(InetSocketAddress address, long startedAt) {
         /** Instead of equals, which the JVM would have to make while the process starts. */
         boolean same(Place before) {
-            return before != null && startedAt == before.startedAt && address.equals(before.address);
+            return before != null
+                    && startedAt == before.startedAt
+                    && address.equals(before.address);
         }
     }
 
@@ -38,14 +40,18 @@
      * An upstream is listed at an address.
      *
      * @param startedAt when it started, on any clock that all starts are on; 0 for long ago
-     * @return the id of the upstream that is not there (any more): another one's, or its own; null for none
+     * @return the id of the upstream that is not there (any more): another one's, or its own; null
+     *     for none
      */
     public String listed(String id, InetSocketAddress address, long startedAt) {
         moves(id, address);
         Place place = new Place(address, startedAt);
         Holder last = formerly.get(address);
-        if (place.same(places.put(id, place)) && last != null && !last.id.equals(id)
-                && startedAt < last.startedAt && !holders.containsKey(address)) {
+        if (place.same(places.put(id, place))
+                && last != null
+                && !last.id.equals(id)
+                && startedAt < last.startedAt
+                && !holders.containsKey(address)) {
             return id;
         }
         addresses.put(id, address);
@@ -59,8 +65,8 @@
     }
 
     /**
-     * An upstream is about to be listed at an address; to be called for all of a list before any is listed.
-     * Danger: where two swap addresses in one list, each would find the other still there.
+     * An upstream is about to be listed at an address; to be called for all of a list before any is
+     * listed. Danger: where two swap addresses in one list, each would find the other still there.
      */
     public void moves(String id, InetSocketAddress address) {
         InetSocketAddress before = addresses.get(id);
--- a/sidecar/src/main/java/appleridge/membership/Directory.java
+++ b/sidecar/src/main/java/appleridge/membership/Directory.java
@@ -15,17 +15,25 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * What members of the list are to the decision module: a number for each, one place on the sidecar's clock
- * for each start, one upstream at an address. Keeps nothing of who is listed no more.
+ * What members of the list are to the decision module: a number for each, one place on the
+ * sidecar's clock for each start, one upstream at an address. Keeps nothing of who is listed no
+ * more.
  */
 public final class Directory {
-    /** News of the list as the module takes it, where its upstreams listen, and their ids in the list. */
-    public record News(ListKind kind, List<Upstream> entries, Map<Long, InetSocketAddress> addresses,
-            Map<Long, String> ids) { }
+    /**
+     * News of the list as the module takes it, where its upstreams listen, and their ids in the
+     * list.
+     */
+    public record News(
+            ListKind kind,
+            List<Upstream> entries,
+            Map<Long, InetSocketAddress> addresses,
+            Map<Long, String> ids) {}
 
     private final UpstreamNumbers numbers = new UpstreamNumbers();
     private final StartTimes starts;
     private final AddressHolders holders = new AddressHolders();
+
     /** What is listed, as it was listed last. */
     private final Map<String, Member> known = new HashMap<>();
 
@@ -50,8 +58,15 @@
         Map<Long, String> ids = new HashMap<>();
         for (Member member : settled(members).values()) {
             long number = numbers.of(member.id());
-            entries.add(new Upstream(number, member.zone(), member.kind(), member.cell(), member.state(),
-                    member.weight(), starts.of(member.id(), member.startedMillis())));
+            entries.add(
+                    new Upstream(
+                            number,
+                            member.zone(),
+                            member.kind(),
+                            member.cell(),
+                            member.state(),
+                            member.weight(),
+                            starts.of(member.id(), member.startedMillis())));
             addresses.put(number, member.address());
             ids.put(number, member.id());
         }
@@ -66,9 +81,9 @@
     }
 
     /**
-     * Of each the last word. Danger: a list of changes may have all that became of one since the last call,
-     * gone and there again; forgotten for the first of them, it would be missing when another one takes its
-     * address, and the news that tell of that would be lost whole.
+     * Of each the last word. Danger: a list of changes may have all that became of one since the
+     * last call, gone and there again; forgotten for the first of them, it would be missing when
+     * another one takes its address, and the news that tell of that would be lost whole.
      */
     private static Collection<Member> last(List<Member> told) {
         Map<String, Member> last = new LinkedHashMap<>();
@@ -89,8 +104,10 @@
         for (Member member : members) {
             told.put(member.id(), member);
             known.put(member.id(), member);
-            String absent = member.state() == State.GONE ? null
-                    : holders.listed(member.id(), member.address(), member.startedMillis());
+            String absent =
+                    member.state() == State.GONE
+                            ? null
+                            : holders.listed(member.id(), member.address(), member.startedMillis());
             if (absent != null) {
                 told.put(absent, known.get(absent).in(State.GONE));
             }
--- a/sidecar/src/main/java/appleridge/membership/Member.java
+++ b/sidecar/src/main/java/appleridge/membership/Member.java
@@ -11,7 +11,13 @@
  * @param weight its registered size
  * @param startedMillis Unix time in milliseconds at which it last started; 0 for long ago
  */
-public record Member(String id, InetSocketAddress address, int zone, int kind, int cell, State state,
+public record Member(
+        String id,
+        InetSocketAddress address,
+        int zone,
+        int kind,
+        int cell,
+        State state,
         float weight,
         long startedMillis) {
     /** The same in another state. */
--- a/sidecar/src/main/java/appleridge/membership/StartTimes.java
+++ b/sidecar/src/main/java/appleridge/membership/StartTimes.java
@@ -6,12 +6,12 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * When upstreams last started, on the sidecar's own clock. Danger: an upstream whose start moved between two
- * lists would be taken for restarted, so a start keeps the place that it was given first, also when the wall
- * clock by which it was placed has stepped since.
+ * When upstreams last started, on the sidecar's own clock. Danger: an upstream whose start moved
+ * between two lists would be taken for restarted, so a start keeps the place that it was given
+ * first, also when the wall clock by which it was placed has stepped since.
  */
 public final class StartTimes {
-    private record Start(long unixMillis, long at) { }
+    private record Start(long unixMillis, long at) {}
 
     private final LongUnaryOperator place;
     private final Map<String, Start> starts = new HashMap<>();
--- a/sidecar/src/main/java/appleridge/membership/UpstreamNumbers.java
+++ b/sidecar/src/main/java/appleridge/membership/UpstreamNumbers.java
@@ -7,14 +7,15 @@
 import java.util.Set;
 
 /**
- * The numbers by which the decision module knows upstreams. A number follows from the upstream's id alone, so
- * that an upstream that comes back, a peer and a next process all mean the same one by it. Of two ids that
- * fall on one number, which takes an odd hundred million of them, the later one here takes the next free
- * number.
+ * The numbers by which the decision module knows upstreams. A number follows from the upstream's id
+ * alone, so that an upstream that comes back, a peer and a next process all mean the same one by
+ * it. Of two ids that fall on one number, which takes an odd hundred million of them, the later one
+ * here takes the next free number.
  */
 public final class UpstreamNumbers {
     /** What the module's notes to its peers have room for. */
     private static final int BITS = 48;
+
     private static final long MASK = (1L << BITS) - 1;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -55,12 +56,14 @@
 
     /** Forgets all but these. */
     public void retain(Collection<String> ids) {
-        numbers.entrySet().removeIf(each -> {
-            boolean gone = !ids.contains(each.getKey());
-            if (gone) {
-                taken.remove(each.getValue());
-            }
-            return gone;
-        });
+        numbers.entrySet()
+                .removeIf(
+                        each -> {
+                            boolean gone = !ids.contains(each.getKey());
+                            if (gone) {
+                                taken.remove(each.getValue());
+                            }
+                            return gone;
+                        });
     }
 }
--- a/sidecar/src/main/java/appleridge/membership/nodes/AddressIndex.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/AddressIndex.java
@@ -14,7 +14,8 @@
 
     /** An id is at this address from now on; null: at none. */
     void put(String id, InetSocketAddress address) {
-        InetSocketAddress before = address == null ? addresses.remove(id) : addresses.put(id, address);
+        InetSocketAddress before =
+                address == null ? addresses.remove(id) : addresses.put(id, address);
         if (before != null && !before.equals(address)) {
             Set<String> same = ids.get(before);
             same.remove(id);
--- a/sidecar/src/main/java/appleridge/membership/nodes/Candidate.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/Candidate.java
@@ -11,13 +11,15 @@
  */
 record Candidate(Member member, boolean there, boolean fromNode, long czxid) {
     /**
-     * Who is at an address comes first: one process can listen there, and it is the one that began last. Of
-     * two that began together, the node speaks of the process itself, and the later node is the one that its
-     * process knows of.
+     * Who is at an address comes first: one process can listen there, and it is the one that began
+     * last. Of two that began together, the node speaks of the process itself, and the later node
+     * is the one that its process knows of.
      */
-    static final Comparator<Candidate> FIRST_AT_ADDRESS = Comparator.comparing(Candidate::there)
-            .thenComparingLong(each -> each.member.startedMillis())
-            .thenComparing(Candidate::fromNode)
-            .thenComparingLong(Candidate::czxid).reversed()
-            .thenComparing(each -> each.member.id());
+    static final Comparator<Candidate> FIRST_AT_ADDRESS =
+            Comparator.comparing(Candidate::there)
+                    .thenComparingLong(each -> each.member.startedMillis())
+                    .thenComparing(Candidate::fromNode)
+                    .thenComparingLong(Candidate::czxid)
+                    .reversed()
+                    .thenComparing(each -> each.member.id());
 }
--- a/sidecar/src/main/java/appleridge/membership/nodes/History.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/History.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the ensemble's transactions tell of a state that was read: whether it is newer than what was told
- * before, older, or of an ensemble that has lost its past.
+ * What the ensemble's transactions tell of a state that was read: whether it is newer than what was
+ * told before, older, or of an ensemble that has lost its past.
  */
 final class History {
     /** What a state that was read is to what was told before. */
@@ -20,15 +20,21 @@
     }
 
     /**
-     * A server that lags for so long is no part of its ensemble any more. Danger: taken for a new beginning,
-     * what it has not heard of yet would undo what was told.
+     * A server that lags for so long is no part of its ensemble any more. Danger: taken for a new
+     * beginning, what it has not heard of yet would undo what was told.
      */
     private static final long LONGEST_LAG = TimeUnit.SECONDS.toNanos(15);
+
     private static final long NEVER = Long.MAX_VALUE;
 
     private long seen;
-    /** The highest that events of the present connection told of: no server runs back on one connection. */
+
+    /**
+     * The highest that events of the present connection told of: no server runs back on one
+     * connection.
+     */
     private long seenOnConnection;
+
     private long olderSince = NEVER;
     private boolean newSession;
     private boolean lost;
@@ -52,7 +58,9 @@
         return zxid < seen;
     }
 
-    /** The ensemble has ended the session: none of the handles to come knows how far it had come. */
+    /**
+     * The ensemble has ended the session: none of the handles to come knows how far it had come.
+     */
     void sessionEnded() {
         newSession = true;
         olderSince = NEVER;
@@ -81,7 +89,8 @@
             return Verdict.GOES_ON;
         }
         olderSince = Math.min(olderSince, now);
-        // A session that goes on proves that the ensemble has its past: servers refuse who has seen more.
+        // A session that goes on proves that the ensemble has its past: servers refuse who has seen
+        // more.
         lost |= newSession && now - olderSince >= LONGEST_LAG;
         if (!lost) {
             return Verdict.OLDER;
--- a/sidecar/src/main/java/appleridge/membership/nodes/KnownNode.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/KnownNode.java
@@ -7,33 +7,53 @@
 final class KnownNode {
     /** No such time. */
     static final long NEVER = Long.MAX_VALUE;
-    /** A start that nothing is known of is now, to who places it: never long ago, which would be warm. */
+
+    /**
+     * A start that nothing is known of is now, to who places it: never long ago, which would be
+     * warm.
+     */
     private static final long LATEST_START = 7_258_118_400_000L;
 
     final String name;
+
     /** As it was last read; null if it never was. */
     private NodeData data;
+
     private long startedMillis;
+
     /** What it said of its start, before that was weighed. */
     private long saidMillis;
+
     long czxid;
     long mzxid;
+
     /** A change was told whose data has not come. */
     boolean awaited;
+
     long awaitedZxid;
     long awaitedSince = NEVER;
+
     /** When it was told last that it was made or changed. */
     long changedAt = Long.MIN_VALUE;
+
     /** The data is late, and there is no telling what it says. */
     boolean late;
+
     boolean unreadable;
+
     /** When it vanished; {@link #NEVER} while it is there. */
     long vanishedAt = NEVER;
+
     long vanishedZxid;
+
     /** Latest start that the registry has told the end of; {@link Long#MIN_VALUE} for none. */
     private long endedStart = Long.MIN_VALUE;
-    /** A process that began later has been listed at its address, and it can't be there any more. */
+
+    /**
+     * A process that began later has been listed at its address, and it can't be there any more.
+     */
     private boolean displaced;
+
     /** Of a history that the ensemble has lost; it may come back. */
     boolean ofOldHistory;
 
@@ -59,13 +79,16 @@
     }
 
     /**
-     * The registry has told the end of a process under this id; {@code registryStart} 0: it knows no start.
-     * Where the node names none either, its making tells nothing of which process is meant.
+     * The registry has told the end of a process under this id; {@code registryStart} 0: it knows
+     * no start. Where the node names none either, its making tells nothing of which process is
+     * meant.
      */
     void registryEnds(long registryStart) {
         boolean comparable = saidMillis > 0 && registryStart > 0;
-        endedStart = Math.max(endedStart,
-                comparable ? registryStart + RegistryBook.SAME_START : startedMillis);
+        endedStart =
+                Math.max(
+                        endedStart,
+                        comparable ? registryStart + RegistryBook.SAME_START : startedMillis);
     }
 
     void registryLists() {
@@ -109,12 +132,15 @@
     }
 
     /**
-     * Danger: a process restarted under a clock that had stepped back names a start before the one known, and
-     * would be taken for the old one; its node's making is then the better word.
+     * Danger: a process restarted under a clock that had stepped back names a start before the one
+     * known, and would be taken for the old one; its node's making is then the better word.
      */
     private long start(NodeRead read) {
         long said = read.data().startedMillis();
-        long made = read.createdMillis() > 0 ? Math.min(read.createdMillis(), LATEST_START) : LATEST_START;
+        long made =
+                read.createdMillis() > 0
+                        ? Math.min(read.createdMillis(), LATEST_START)
+                        : LATEST_START;
         if (said <= 0) {
             return made;
         }
@@ -127,7 +153,14 @@
     /** Its server as the list is to have it. */
     Member member() {
         State state = isThere() && !late && !unreadable ? data.state() : State.DRAINING;
-        return new Member(id(), data.address(), data.zone(), data.kind(), data.cell(), state, data.weight(),
+        return new Member(
+                id(),
+                data.address(),
+                data.zone(),
+                data.kind(),
+                data.cell(),
+                state,
+                data.weight(),
                 startedMillis);
     }
 }
--- a/sidecar/src/main/java/appleridge/membership/nodes/Merged.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/Merged.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * The one list: each upstream as the sources together have it, and what of that has been told. What is to be
- * told follows from what the sources have now, not from the order in which they came to it.
+ * The one list: each upstream as the sources together have it, and what of that has been told. What
+ * is to be told follows from what the sources have now, not from the order in which they came to
+ * it.
  */
 final class Merged {
     private final NodeBook nodes;
@@ -84,14 +85,16 @@
             return false;
         }
         Member before = told.get(id);
-        return next == null || next.member().state() != State.READY
+        return next == null
+                || next.member().state() != State.READY
                 || !next.member().address().equals(before.address())
                 || next.member().startedMillis() != before.startedMillis();
     }
 
     /**
-     * Danger: who has lost its address to a process that began later would be back in the list when that one
-     * ends, and what is sent to it reaches the later one, that drains, or the one after that.
+     * Danger: who has lost its address to a process that began later would be back in the list when
+     * that one ends, and what is sent to it reaches the later one, that drains, or the one after
+     * that.
      */
     private void displace(Collection<String> affected) {
         for (String id : affected) {
@@ -134,8 +137,10 @@
     private Candidate candidate(String id) {
         KnownNode node = null;
         for (KnownNode each : nodes.of(id)) {
-            if (!each.isEnded() && (node == null || Candidate.FIRST_AT_ADDRESS
-                    .compare(candidate(each), candidate(node)) < 0)) {
+            if (!each.isEnded()
+                    && (node == null
+                            || Candidate.FIRST_AT_ADDRESS.compare(candidate(each), candidate(node))
+                                    < 0)) {
                 node = each;
             }
         }
@@ -153,7 +158,8 @@
         Member own = node.member();
         boolean drains = own.state() != State.READY || listed.state() != State.READY;
         Member last = listed.startedMillis() > own.startedMillis() ? listed : own;
-        return new Candidate(last.in(drains ? State.DRAINING : State.READY), true, true, node.czxid);
+        return new Candidate(
+                last.in(drains ? State.DRAINING : State.READY), true, true, node.czxid);
     }
 
     private static Candidate candidate(KnownNode node) {
--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeBook.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/NodeBook.java
@@ -14,20 +14,28 @@
 final class NodeBook {
     private final long readWithin;
     private final long goneAfter;
+
     /** Told the id of each server of which something has changed. */
     private final Consumer<String> touched;
+
     /** Told of each node that has vanished, before it is touched. */
     private final Consumer<KnownNode> vanished;
+
     /** Told of each one that is there for the first time, or again. */
     private final Consumer<KnownNode> returned;
+
     private final Unreadable unreadable;
     private final Map<String, KnownNode> nodes = new LinkedHashMap<>();
     private final Map<String, Set<KnownNode>> byId = new HashMap<>();
     private final Set<KnownNode> awaited = new LinkedHashSet<>();
     private final Set<KnownNode> ending = new LinkedHashSet<>();
 
-    NodeBook(NodeMembership.Settings settings, Consumer<String> touched, Consumer<KnownNode> vanished,
-            Consumer<KnownNode> returned, Unreadable unreadable) {
+    NodeBook(
+            NodeMembership.Settings settings,
+            Consumer<String> touched,
+            Consumer<KnownNode> vanished,
+            Consumer<KnownNode> returned,
+            Unreadable unreadable) {
         this.readWithin = settings.readWithin();
         this.goneAfter = settings.goneAfter();
         this.touched = touched;
@@ -75,7 +83,9 @@
 
     void read(long mzxid, String name, NodeRead read) {
         KnownNode node = nodes.get(name);
-        if (node != null && (node.isThere() || node.awaited) && !isOfEnded(node, read)
+        if (node != null
+                && (node.isThere() || node.awaited)
+                && !isOfEnded(node, read)
                 && isLatest(node, mzxid, read)) {
             take(node, read);
         }
@@ -107,18 +117,20 @@
     }
 
     /**
-     * The whole subtree as it was while {@code told} or later; what was told of since then may be newer.
+     * The whole subtree as it was while {@code told} or later; what was told of since then may be
+     * newer.
      */
     void snapshot(long now, long told, Map<String, NodeRead> read) {
-        read.forEach((name, each) -> {
-            KnownNode node = nodes.get(name);
-            if (node == null) {
-                node = add(name);
-            }
-            if (!isOfEnded(node, each) && isLatest(node, each.mzxid(), each)) {
-                take(node, each);
-            }
-        });
+        read.forEach(
+                (name, each) -> {
+                    KnownNode node = nodes.get(name);
+                    if (node == null) {
+                        node = add(name);
+                    }
+                    if (!isOfEnded(node, each) && isLatest(node, each.mzxid(), each)) {
+                        take(node, each);
+                    }
+                });
         for (KnownNode each : new ArrayList<>(nodes.values())) {
             if (!read.containsKey(each.name) && each.changedAt < told && !each.ofOldHistory) {
                 vanish(now, 0, each);
@@ -149,7 +161,7 @@
 
     void tick(long now) {
         awaited.forEach(node -> lateIfSo(now, node));
-        for (Iterator<KnownNode> all = ending.iterator(); all.hasNext();) {
+        for (Iterator<KnownNode> all = ending.iterator(); all.hasNext(); ) {
             KnownNode node = all.next();
             if (node.isThere()) {
                 all.remove();
--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeData.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/NodeData.java
@@ -10,11 +10,19 @@
  * @param zone its place among the settings' zones, and so {@code kind} and {@code cell}
  * @param state {@link State#READY} or {@link State#DRAINING}
  * @param weight its registered size
- * @param startedMillis Unix time in milliseconds at which its process started; 0 where the node has none
+ * @param startedMillis Unix time in milliseconds at which its process started; 0 where the node has
+ *     none
  * @param uid its id in all sources; null: the node's name
  */
-public record NodeData(InetSocketAddress address, int zone, int kind, int cell, State state, float weight,
-        long startedMillis, String uid) {
+public record NodeData(
+        InetSocketAddress address,
+        int zone,
+        int kind,
+        int cell,
+        State state,
+        float weight,
+        long startedMillis,
+        String uid) {
     public NodeData {
         Objects.requireNonNull(address, "address");
         Objects.requireNonNull(state, "state");
