--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeMembership.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/NodeMembership.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Makes one list of what the nodes and, if it is asked too, the registry say. What was told is believed at
- * once; where nothing was told the last list stands. Everything comes in on one thread with a time that never
- * runs back.
+ * Makes one list of what the nodes and, if it is asked too, the registry say. What was told is
+ * believed at once; where nothing was told the last list stands. Everything comes in on one thread
+ * with a time that never runs back.
  */
 public final class NodeMembership {
     /** Takes the list. */
@@ -32,25 +32,30 @@
      *
      * @param readWithin a change whose data takes longer stops new work to its server
      * @param goneAfter for so long a server whose node vanished is kept, in case that it comes back
-     * @param tick how often {@link #tick} is called; what is told in between waits for it, but for the first
-     *     word in such a while of a server that wants no new work
+     * @param tick how often {@link #tick} is called; what is told in between waits for it, but for
+     *     the first word in such a while of a server that wants no new work
      */
     public record Settings(long readWithin, long goneAfter, long tick) {
         /** What nobody sets otherwise. */
-        public static final Settings USUAL = new Settings(TimeUnit.SECONDS.toNanos(1),
-                TimeUnit.SECONDS.toNanos(2), TimeUnit.MILLISECONDS.toNanos(100));
+        public static final Settings USUAL =
+                new Settings(
+                        TimeUnit.SECONDS.toNanos(1),
+                        TimeUnit.SECONDS.toNanos(2),
+                        TimeUnit.MILLISECONDS.toNanos(100));
     }
 
     /** What the list's news are said to come from. */
     public static final String NODES = "nodes";
+
     /** The same. */
     public static final String REGISTRY = "registry";
 
     /**
-     * What an ensemble that began anew has not got is kept for so long, for all who register find out about
-     * it one after the other. Danger: the first that is back would be sent everything.
+     * What an ensemble that began anew has not got is kept for so long, for all who register find
+     * out about it one after the other. Danger: the first that is back would be sent everything.
      */
     private static final long COME_BACK_WITHIN = TimeUnit.SECONDS.toNanos(10);
+
     private static final long NEVER = Long.MAX_VALUE;
 
     private final Merge merge;
@@ -65,22 +70,33 @@
     private final History history = new History();
     private Session session = Session.CONNECTED;
     private Doubt doubt = Doubt.NOT_CONNECTED;
+
     /** The nodes have been read once. */
     private boolean known;
+
     /** Of servers that came before the ensemble began anew. */
     private long oldHistoryUntil = NEVER;
+
     /** What the next snapshot leaves out is gone, whatever history it is of. */
     private boolean accepted;
+
     /** Ids of which something has changed and was not told. */
     private final Set<String> untold = new LinkedHashSet<>();
+
     private long untoldSince = NEVER;
+
     /** Those of the present event, and when that was told. */
     private final List<String> touched = new ArrayList<>();
+
     private long told;
     private long lastToldAt = Long.MIN_VALUE;
 
     /** {@code news} and {@code warning}: for operators. */
-    public NodeMembership(Merge merge, Settings settings, Sink sink, Consumer<String> news,
+    public NodeMembership(
+            Merge merge,
+            Settings settings,
+            Sink sink,
+            Consumer<String> news,
             Consumer<String> warning) {
         this.merge = merge;
         this.settings = settings;
@@ -89,16 +105,21 @@
         this.warning = warning;
         this.unreadable = new Unreadable(warning);
         this.registry = new RegistryBook(this::touch);
-        this.nodes = new NodeBook(settings, this::touch, this::vanished,
-                node -> registry.nodeReturned(node.member()), unreadable);
+        this.nodes =
+                new NodeBook(
+                        settings,
+                        this::touch,
+                        this::vanished,
+                        node -> registry.nodeReturned(node.member()),
+                        unreadable);
         this.merged = new Merged(nodes, registry);
     }
 
     // ---- the registry
 
     /**
-     * The registry's list, where it is asked too; a failure passes through. What is known before the start
-     * holds, where nodes alone are asked, until they are read.
+     * The registry's list, where it is asked too; a failure passes through. What is known before
+     * the start holds, where nodes alone are asked, until they are read.
      */
     public void registry(long now, ListKind kind, List<Member> members) {
         if (kind == ListKind.FAILED) {
@@ -112,8 +133,13 @@
             flush(now);
         }
         told = now;
-        registry.take(kind, members, listed -> nodes.of(listed.id()).forEach(this::listedToo),
-                ended -> nodes.of(ended.id()).forEach(node -> node.registryEnds(ended.startedMillis())));
+        registry.take(
+                kind,
+                members,
+                listed -> nodes.of(listed.id()).forEach(this::listedToo),
+                ended ->
+                        nodes.of(ended.id())
+                                .forEach(node -> node.registryEnds(ended.startedMillis())));
         List<Member> changes = changes();
         // Also where nothing has changed: it tells that the registry answers.
         tell(now, kind, kind == ListKind.DELTA ? changes : merged.all(), REGISTRY, now);
@@ -137,7 +163,10 @@
 
     // ---- the nodes
 
-    /** The state of the session has changed. After a connect, the next snapshot tells what was missed. */
+    /**
+     * The state of the session has changed. After a connect, the next snapshot tells what was
+     * missed.
+     */
     public void session(long now, Session state) {
         session = state;
         switch (state) {
@@ -153,8 +182,8 @@
     }
 
     /**
-     * The whole subtree. While {@link #doubt()} is {@link Doubt#OLDER} or {@link Doubt#WIPED} it is to be
-     * read again every few seconds.
+     * The whole subtree. While {@link #doubt()} is {@link Doubt#OLDER} or {@link Doubt#WIPED} it is
+     * to be read again every few seconds.
      *
      * @param asOf when its reading began: what an event told of a node since then may be newer
      * @param zxid the highest transaction in what was read; events of this connection count too
@@ -178,11 +207,12 @@
         if (verdict == History.Verdict.ANEW) {
             nodes.newHistory();
             oldHistoryUntil = now + COME_BACK_WITHIN;
-            warning.accept("membership: the coordination service has begun anew; what it has not got yet is"
-                    + " kept for a while");
+            warning.accept(
+                    "membership: the coordination service has begun anew; what it has not got yet"
+                            + " is kept for a while");
         }
         if (!known && merge == Merge.NODES) {
-            registry.take(ListKind.FULL, List.of(), none -> { }, none -> { });
+            registry.take(ListKind.FULL, List.of(), none -> {}, none -> {});
         }
         nodes.snapshot(now, asOf, read);
         if (accepted) {
@@ -195,8 +225,14 @@
         known = true;
         if (session == Session.CONNECTED && doubt != Doubt.NONE) {
             doubt = Doubt.NONE;
-            news.accept("membership: " + doubt.words() + ": " + merged.size() + " servers, " + before
-                    + " before");
+            news.accept(
+                    "membership: "
+                            + doubt.words()
+                            + ": "
+                            + merged.size()
+                            + " servers, "
+                            + before
+                            + " before");
         }
         if (first) {
             tell(now, ListKind.FULL, merged.all(), NODES, told);
@@ -210,7 +246,8 @@
         if (session == Session.READ_ONLY || doubt == Doubt.WIPED) {
             return;
         }
-        // Danger: a server that lags tells of the making of nodes whose end has long been told and forgotten.
+        // Danger: a server that lags tells of the making of nodes whose end has long been told and
+        // forgotten.
         if (doubt != Doubt.NONE && history.isOld(zxid) && !nodes.has(name)) {
             return;
         }
@@ -221,8 +258,8 @@
     }
 
     /**
-     * What a node holds, as it was when its data had this transaction. A node that is found to be no more is
-     * {@link #gone}.
+     * What a node holds, as it was when its data had this transaction. A node that is found to be
+     * no more is {@link #gone}.
      */
     public void read(long now, long mzxid, String name, NodeRead data) {
         if (session != Session.READ_ONLY && doubt != Doubt.WIPED) {
@@ -254,8 +291,8 @@
     }
 
     /**
-     * An operator says that what the ensemble has, or has not, is right although it runs back: the next
-     * snapshot holds, with all that it leaves out.
+     * An operator says that what the ensemble has, or has not, is right although it runs back: the
+     * next snapshot holds, with all that it leaves out.
      */
     public void accept(long now) {
         if (oldHistoryUntil != NEVER) {
@@ -267,7 +304,8 @@
         } else {
             return;
         }
-        news.accept("membership: what the coordination service has is taken for right, as was said");
+        news.accept(
+                "membership: what the coordination service has is taken for right, as was said");
     }
 
     /** To be called every {@link Settings#tick}. */
@@ -308,7 +346,8 @@
         }
         take();
         if (!known && !pressing.isEmpty()) {
-            // Of the list from before the start; what else comes now is of one that isn't known yet.
+            // Of the list from before the start; what else comes now is of one that isn't known
+            // yet.
             untold.removeAll(pressing);
             tell(now, ListKind.DELTA, merged.changes(pressing), NODES, told);
         } else if (!pressing.isEmpty() && now - settings.tick() >= lastToldAt) {
@@ -340,8 +379,12 @@
     private void turn(Doubt next) {
         if (doubt != next) {
             doubt = next;
-            warning.accept("membership: " + next.words() + ": the last list stands, " + merged.size()
-                    + " servers");
+            warning.accept(
+                    "membership: "
+                            + next.words()
+                            + ": the last list stands, "
+                            + merged.size()
+                            + " servers");
         }
     }
 
--- a/sidecar/src/main/java/appleridge/membership/nodes/RegistryBook.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/RegistryBook.java
@@ -13,19 +13,24 @@
 import java.util.function.Consumer;
 
 /**
- * What the registry lists, and which of that a node's end has spoken of already. A server is the process that
- * began at its start: what begins later under the same id is another one, of which no end has been told.
+ * What the registry lists, and which of that a node's end has spoken of already. A server is the
+ * process that began at its start: what begins later under the same id is another one, of which no
+ * end has been told.
  */
 final class RegistryBook {
     /**
-     * Two sources may name one process's start so far apart, in milliseconds. Danger: taken for two, the end
-     * that one source tells would be undone by the other, slower one.
+     * Two sources may name one process's start so far apart, in milliseconds. Danger: taken for
+     * two, the end that one source tells would be undone by the other, slower one.
      */
     static final long SAME_START = 5000;
 
-    /** An upstream as the registry lists it, and whether an end told by its node stands against that. */
+    /**
+     * An upstream as the registry lists it, and whether an end told by its node stands against
+     * that.
+     */
     private static final class Entry {
         Member member;
+
         /** Latest start that has ended, by the end of a node; {@link Long#MIN_VALUE} for none. */
         long endedStart = Long.MIN_VALUE;
 
@@ -52,19 +57,27 @@
         return entries.keySet();
     }
 
-    /** Takes a list over; told of each member that is listed, and of each that the registry ends. */
-    void take(ListKind kind, Collection<Member> members, Consumer<Member> listed, Consumer<Member> ended) {
+    /**
+     * Takes a list over; told of each member that is listed, and of each that the registry ends.
+     */
+    void take(
+            ListKind kind,
+            Collection<Member> members,
+            Consumer<Member> listed,
+            Consumer<Member> ended) {
         if (kind != ListKind.DELTA) {
             Set<String> left = new HashSet<>();
             members.forEach(member -> left.add(member.id()));
-            entries.values().removeIf(entry -> {
-                boolean missing = !left.contains(entry.member.id());
-                if (missing) {
-                    addresses.put(entry.member.id(), null);
-                    end(entry.member, ended);
-                }
-                return missing;
-            });
+            entries.values()
+                    .removeIf(
+                            entry -> {
+                                boolean missing = !left.contains(entry.member.id());
+                                if (missing) {
+                                    addresses.put(entry.member.id(), null);
+                                    end(entry.member, ended);
+                                }
+                                return missing;
+                            });
         }
         for (Member member : members) {
             if (member.state() == State.GONE) {
@@ -85,12 +98,16 @@
         touched.accept(member.id());
     }
 
-    /** The node of a server has vanished: what the registry has of that process is as good as gone. */
+    /**
+     * The node of a server has vanished: what the registry has of that process is as good as gone.
+     */
     void nodeVanished(Member node) {
         for (Entry each : speakingOf(node)) {
             Member listed = each.member;
-            long until = listed.id().equals(node.id()) ? node.startedMillis() + SAME_START
-                    : node.startedMillis();
+            long until =
+                    listed.id().equals(node.id())
+                            ? node.startedMillis() + SAME_START
+                            : node.startedMillis();
             if (listed.startedMillis() <= until) {
                 each.endedStart = Math.max(each.endedStart, until);
                 touched.accept(listed.id());
@@ -98,11 +115,14 @@
         }
     }
 
-    /** The same of a node that was never read: whatever process it stood for, it is the one listed. */
+    /**
+     * The same of a node that was never read: whatever process it stood for, it is the one listed.
+     */
     void nodeVanished(String name) {
         Entry entry = entries.get(name);
         if (entry != null) {
-            entry.endedStart = Math.max(entry.endedStart, entry.member.startedMillis() + SAME_START);
+            entry.endedStart =
+                    Math.max(entry.endedStart, entry.member.startedMillis() + SAME_START);
             touched.accept(name);
         }
     }
--- a/sidecar/src/main/java/appleridge/membership/nodes/Unreadable.java
+++ b/sidecar/src/main/java/appleridge/membership/nodes/Unreadable.java
@@ -28,10 +28,12 @@
         }
         if (named.size() < NAMED) {
             named.add(name);
-            warning.accept("membership: node " + name + " can't be read and is left out: " + problem);
+            warning.accept(
+                    "membership: node " + name + " can't be read and is left out: " + problem);
         } else if (!saidMany) {
             saidMany = true;
-            warning.accept("membership: more than " + NAMED + " nodes can't be read; no more are named");
+            warning.accept(
+                    "membership: more than " + NAMED + " nodes can't be read; no more are named");
         }
     }
 
--- a/sidecar/src/main/java/appleridge/membership/package-info.java
+++ b/sidecar/src/main/java/appleridge/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Where the list of upstreams comes from; the sources themselves stand in packages of their own below. */
+/**
+ * Where the list of upstreams comes from; the sources themselves stand in packages of their own
+ * below.
+ */
 package appleridge.membership;
--- a/sidecar/src/main/java/appleridge/membership/register/NodeText.java
+++ b/sidecar/src/main/java/appleridge/membership/register/NodeText.java
@@ -11,7 +11,7 @@
 final class NodeText {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private NodeText() { }
+    private NodeText() {}
 
     static byte[] of(RegisterArguments server, boolean terminating, long startedMillis) {
         ObjectNode node = JSON.createObjectNode();
@@ -22,8 +22,10 @@
         if (server.kind() != null) {
             node.put("kind", server.kind());
         }
-        node.put("cell", server.cell()).put("weight", server.weight())
-                .put("state", terminating ? "Terminating" : "Ready").put("started", startedMillis);
+        node.put("cell", server.cell())
+                .put("weight", server.weight())
+                .put("state", terminating ? "Terminating" : "Ready")
+                .put("started", startedMillis);
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
--- a/sidecar/src/main/java/appleridge/membership/register/Register.java
+++ b/sidecar/src/main/java/appleridge/membership/register/Register.java
@@ -14,19 +14,26 @@
 import java.util.function.Function;
 
 /**
- * {@code java -jar appleridge.jar register … -- COMMAND}: starts the command as its child, registers it once
- * it answers, and ends with its status. On SIGTERM the node says so first; the child is told a while later.
+ * {@code java -jar appleridge.jar register … -- COMMAND}: starts the command as its child,
+ * registers it once it answers, and ends with its status. On SIGTERM the node says so first; the
+ * child is told a while later.
  */
 public final class Register {
     /** Exit status where the command makes no sense. */
     public static final int SENSELESS = 2;
+
     /** As shells have it for a command that can't be started. */
     private static final int NO_COMMAND = 127;
+
     private static final int CONNECT_MILLIS = 250;
     private static final int ANSWER_MILLIS = 1000;
     private static final long LOOK_MILLIS = 100;
-    /** For so long the session's end is waited for; without that the node ends with its time-out. */
+
+    /**
+     * For so long the session's end is waited for; without that the node ends with its time-out.
+     */
     private static final long LEAVE_MILLIS = 4000;
+
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     private final RegisterArguments server;
@@ -53,8 +60,10 @@
             RegisterArguments arguments = RegisterArguments.parse(words);
             ZooKeeperSettings settings = read.apply(arguments.operator());
             if (settings.shards() != (arguments.shard() != null)) {
-                throw new IllegalArgumentException(settings.shards() ? "--shard is missing"
-                        : "--shard makes no sense without membership.shards");
+                throw new IllegalArgumentException(
+                        settings.shards()
+                                ? "--shard is missing"
+                                : "--shard makes no sense without membership.shards");
             }
             return new Register(arguments, settings).run();
         } catch (IllegalArgumentException e) {
@@ -68,13 +77,18 @@
         try {
             child = new ProcessBuilder(server.command()).inheritIO().start();
         } catch (IOException e) {
-            System.err.println("appleridge: can't start " + server.command().get(0) + ": " + e.getMessage());
+            System.err.println(
+                    "appleridge: can't start " + server.command().get(0) + ": " + e.getMessage());
             return NO_COMMAND;
         }
         startedMillis = SystemTime.UNIX_MILLIS.getAsLong();
-        registration = new Registration(settings, server.shard() == null ? server.id()
-                : server.shard() + "/" + server.id(), text(false), startedMillis,
-                line -> LOG.log(System.Logger.Level.INFO, line));
+        registration =
+                new Registration(
+                        settings,
+                        server.shard() == null ? server.id() : server.shard() + "/" + server.id(),
+                        text(false),
+                        startedMillis,
+                        line -> LOG.log(System.Logger.Level.INFO, line));
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
         try {
             boolean registered = awaitAnswer();
@@ -138,9 +152,14 @@
                 return true;
             }
             socket.setSoTimeout(ANSWER_MILLIS);
-            socket.getOutputStream().write(("GET " + check + " HTTP/1.1\r\nHost: "
-                    + address.getAddress().getHostAddress() + "\r\nConnection: close\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            ("GET "
+                                            + check
+                                            + " HTTP/1.1\r\nHost: "
+                                            + address.getAddress().getHostAddress()
+                                            + "\r\nConnection: close\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             return good(socket.getInputStream());
         } catch (IOException e) {
             return false;
--- a/sidecar/src/main/java/appleridge/membership/register/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/membership/register/RegisterArguments.java
@@ -20,15 +20,36 @@
  * @param drainMillis how long it is marked as ending before it is told
  * @param command what starts the server
  */
-record RegisterArguments(Path operator, String id, String shard, InetSocketAddress address, String zone,
-        String kind, int cell, double weight, String check, long drainMillis, List<String> command) {
-    static final String USAGE = "usage: register --operator FILE --id ID --address HOST:PORT [--shard NAME]"
-            + " [--zone ZONE] [--kind KIND] [--cell N] [--weight W] [--check /PATH]"
-            + " [--drain-for MILLISECONDS]"
-            + " -- COMMAND [ARGUMENT...]";
+record RegisterArguments(
+        Path operator,
+        String id,
+        String shard,
+        InetSocketAddress address,
+        String zone,
+        String kind,
+        int cell,
+        double weight,
+        String check,
+        long drainMillis,
+        List<String> command) {
+    static final String USAGE =
+            "usage: register --operator FILE --id ID --address HOST:PORT [--shard NAME]"
+                    + " [--zone ZONE] [--kind KIND] [--cell N] [--weight W] [--check /PATH]"
+                    + " [--drain-for MILLISECONDS]"
+                    + " -- COMMAND [ARGUMENT...]";
 
-    private static final Set<String> NAMES = Set.of("--operator", "--id", "--address", "--shard", "--zone",
-            "--kind", "--cell", "--weight", "--check", "--drain-for");
+    private static final Set<String> NAMES =
+            Set.of(
+                    "--operator",
+                    "--id",
+                    "--address",
+                    "--shard",
+                    "--zone",
+                    "--kind",
+                    "--cell",
+                    "--weight",
+                    "--check",
+                    "--drain-for");
     private static final String NAME = "[A-Za-z0-9_.:@-]{1,253}";
     private static final long MOST_DRAIN = 600_000;
     private static final double MOST_WEIGHT = 1e6;
@@ -56,12 +77,16 @@
         if (check != null && !check.matches("/[!-~]*")) {
             throw new IllegalArgumentException("--check is not a path like /health/ready");
         }
-        return new RegisterArguments(Path.of(needed(given, "--operator")),
+        return new RegisterArguments(
+                Path.of(needed(given, "--operator")),
                 name("--id", needed(given, "--id")),
                 given.containsKey("--shard") ? name("--shard", given.get("--shard")) : null,
-                address(needed(given, "--address")), given.get("--zone"), given.get("--kind"),
+                address(needed(given, "--address")),
+                given.get("--zone"),
+                given.get("--kind"),
                 (int) number(given, "--cell", 0, 0, Integer.MAX_VALUE),
-                number(given, "--weight", 1, Double.MIN_VALUE, MOST_WEIGHT), check,
+                number(given, "--weight", 1, Double.MIN_VALUE, MOST_WEIGHT),
+                check,
                 (long) number(given, "--drain-for", 2000, 0, MOST_DRAIN),
                 List.copyOf(words.subList(end + 1, words.size())));
     }
@@ -89,14 +114,16 @@
         return address;
     }
 
-    private static double number(Map<String, String> given, String name, double usual, double least,
-            double most) {
+    private static double number(
+            Map<String, String> given, String name, double usual, double least, double most) {
         if (!given.containsKey(name)) {
             return usual;
         }
         try {
             double value = Double.parseDouble(given.get(name));
-            if (value >= least && value <= most && (name.equals("--weight") || value == Math.rint(value))) {
+            if (value >= least
+                    && value <= most
+                    && (name.equals("--weight") || value == Math.rint(value))) {
                 return value;
             }
         } catch (NumberFormatException e) {
--- a/sidecar/src/main/java/appleridge/membership/register/Registration.java
+++ b/sidecar/src/main/java/appleridge/membership/register/Registration.java
@@ -16,17 +16,23 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Keeps one ephemeral node, over connections and sessions that are lost, until it is closed. Danger: a node
- * that is there may belong to a session that is about to end, and would vanish with it; so its owner is
- * compared, and one of another session is deleted and made anew.
+ * Keeps one ephemeral node, over connections and sessions that are lost, until it is closed.
+ * Danger: a node that is there may belong to a session that is about to end, and would vanish with
+ * it; so its owner is compared, and one of another session is deleted and made anew.
  */
 public final class Registration implements AutoCloseable {
     /** What to do, on the one thread that does it. */
-    private enum Task { OPEN, KEEP, END }
+    private enum Task {
+        OPEN,
+        KEEP,
+        END
+    }
 
     private static final long AGAIN_MILLIS = 1000;
+
     /** The node is looked at this often although nothing was told. */
     private static final long LOOK_MILLIS = 10_000;
+
     private static final int TRIES = 5;
 
     private final ZooKeeperSettings settings;
@@ -44,7 +50,11 @@
      *
      * @param startedMillis of two servers of one name, the one that started last has it
      */
-    public Registration(ZooKeeperSettings settings, String name, byte[] data, long startedMillis,
+    public Registration(
+            ZooKeeperSettings settings,
+            String name,
+            byte[] data,
+            long startedMillis,
             Consumer<String> log) {
         this.settings = settings;
         this.name = name;
@@ -93,7 +103,8 @@
                 again = false;
             } catch (KeeperException e) {
                 again = true;
-                if (e.code() != Code.CONNECTIONLOSS || client.getState() == ZooKeeper.States.CONNECTED) {
+                if (e.code() != Code.CONNECTIONLOSS
+                        || client.getState() == ZooKeeper.States.CONNECTED) {
                     tell("can't register: " + e.code());
                 }
             } catch (IOException | RuntimeException e) {
@@ -125,14 +136,18 @@
         }
         switch (event.getState()) {
             case SyncConnected -> tasks.add(Task.KEEP);
-            case Disconnected -> log.accept("registration: no coordination server answers; the node stays"
-                    + " while the session does");
+            case Disconnected ->
+                    log.accept(
+                            "registration: no coordination server answers; the node stays"
+                                    + " while the session does");
             case Expired, AuthFailed -> {
-                log.accept("registration: the session is over (" + event.getState()
-                        + "), another one begins");
+                log.accept(
+                        "registration: the session is over ("
+                                + event.getState()
+                                + "), another one begins");
                 tasks.add(Task.OPEN);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -162,7 +177,9 @@
         }
     }
 
-    /** What the node holds, and the watch that tells of its end; a number of 0 if it is not there. */
+    /**
+     * What the node holds, and the watch that tells of its end; a number of 0 if it is not there.
+     */
     private byte[] look(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
             return client.getData(path, true, stat);
@@ -194,8 +211,8 @@
     }
 
     /**
-     * Danger: a node made anew begins at version 0 again, so the version is no proof that it is still that
-     * one.
+     * Danger: a node made anew begins at version 0 again, so the version is no proof that it is
+     * still that one.
      */
     private void delete(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
--- a/sidecar/src/main/java/appleridge/membership/registry/Discovery.java
+++ b/sidecar/src/main/java/appleridge/membership/registry/Discovery.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the list of upstreams: one watch after the other, one call at a time. When to ask again after a
- * failure is the module's to say: it is told of each and subscribes again.
+ * Follows the list of upstreams: one watch after the other, one call at a time. When to ask again
+ * after a failure is the module's to say: it is told of each and subscribes again.
  */
 public final class Discovery implements ListSource, RegistryConnection.Caller {
     /**
@@ -27,38 +27,52 @@
      * @param watch a watch without news
      * @param late what a watch may take beyond that before discovery is asked beside it
      * @param patience a call that need not wait
-     * @param wholeAgain what has failed is followed by a call for the whole list, which need not wait, and
-     *     not by a watch
+     * @param wholeAgain what has failed is followed by a call for the whole list, which need not
+     *     wait, and not by a watch
      * @param holds for so long after a call no more counts as told than what was written
      */
     public record Pace(long watch, long late, long patience, boolean wholeAgain, long holds) {
         /**
-         * Where an agent on the same machine has what is pushed. It answers at once or, while what is behind
-         * it is down, not at all; and when it is back what it has counts as told, by whatever call.
+         * Where an agent on the same machine has what is pushed. It answers at once or, while what
+         * is behind it is down, not at all; and when it is back what it has counts as told, by
+         * whatever call.
          */
-        public static final Pace AGENT = new Pace(TimeUnit.SECONDS.toNanos(1),
-                TimeUnit.MILLISECONDS.toNanos(250), TimeUnit.MILLISECONDS.toNanos(150), true, 0);
+        public static final Pace AGENT =
+                new Pace(
+                        TimeUnit.SECONDS.toNanos(1),
+                        TimeUnit.MILLISECONDS.toNanos(250),
+                        TimeUnit.MILLISECONDS.toNanos(150),
+                        true,
+                        0);
+
         /** The protocol's longest wait. */
         private static final long LONGEST_WATCH = TimeUnit.SECONDS.toNanos(60);
 
         /**
-         * Where one service is asked by all, which gives a call up after two seconds itself. Danger: a watch
-         * that discovery has lost looks like one without news until its time is over, and all that is
-         * replaced meanwhile is missed. Short ones cost discovery a few calls more.
+         * Where one service is asked by all, which gives a call up after two seconds itself.
+         * Danger: a watch that discovery has lost looks like one without news until its time is
+         * over, and all that is replaced meanwhile is missed. Short ones cost discovery a few calls
+         * more.
          *
          * @param within nanoseconds in which discovery has to be asked at least once
          */
         public static Pace asked(long within) {
-            return new Pace(Math.min(LONGEST_WATCH, within / 4), TimeUnit.MILLISECONDS.toNanos(500),
-                    TimeUnit.SECONDS.toNanos(3), false, within);
+            return new Pace(
+                    Math.min(LONGEST_WATCH, within / 4),
+                    TimeUnit.MILLISECONDS.toNanos(500),
+                    TimeUnit.SECONDS.toNanos(3),
+                    false,
+                    within);
         }
     }
 
     private static final String LIST = "/registry/instances";
+
     /**
-     * From one watch to the next, where the first had no news. Invariant: nobody is asked without rest, as an
-     * agent or a service would be that answers a watch at once with what it has. Less than the 200 ms in
-     * which a watch goes on, and than the 250 ms in which drains may have to take effect.
+     * From one watch to the next, where the first had no news. Invariant: nobody is asked without
+     * rest, as an agent or a service would be that answers a watch at once with what it has. Less
+     * than the 200 ms in which a watch goes on, and than the 250 ms in which drains may have to
+     * take effect.
      */
     private static final long BETWEEN_WATCHES = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -74,28 +88,43 @@
     private final ObjectMapper json = new ObjectMapper();
     private final Pace pace;
     private RegistryConnection connection;
+
     /** A watch whose answer is overdue: still listened to, while another one asks. */
     private RegistryConnection overdue;
-    private Timers.Timer timeout = () -> { };
+
+    private Timers.Timer timeout = () -> {};
     private boolean calling;
+
     /** When the watch that is out was asked; for a call that need not wait, 0. */
     private long watchedAt;
+
     private long askedAt;
     private long askedBefore;
+
     /** More may count as told than has come; the answer to a call for the whole list brings it. */
     private boolean behind;
+
     private boolean catchingUp;
     private boolean watching;
     private boolean failing;
+
     /** Nothing that this discovery says builds on what another one said. */
     private boolean wholeFirst;
+
     private long revision;
+
     /** What the overdue watch has told; what was asked beside it may be older. */
     private long overdueRevision = Long.MIN_VALUE;
 
     /** With the list that the sidecar was given, in discovery's form; may be null. */
-    public Discovery(Loop loop, Sockets sockets, InetSocketAddress address, JsonNode known,
-            RegistryList lists, ListSink sink, Pace pace) {
+    public Discovery(
+            Loop loop,
+            Sockets sockets,
+            InetSocketAddress address,
+            JsonNode known,
+            RegistryList lists,
+            ListSink sink,
+            Pace pace) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
@@ -103,14 +132,17 @@
         this.lists = lists;
         this.sink = sink;
         this.pace = pace;
-        // Danger: where lists are pushed, what the agent has counts as told before a new process has asked.
+        // Danger: where lists are pushed, what the agent has counts as told before a new process
+        // has asked.
         this.behind = pace.holds == 0;
     }
 
     @Override
     public List<Member> begin() {
-        RegistryList.Update update = known == null || known.isNull()
-                ? new RegistryList.Update(0, ListKind.CACHED, List.of()) : lists.read(known);
+        RegistryList.Update update =
+                known == null || known.isNull()
+                        ? new RegistryList.Update(0, ListKind.CACHED, List.of())
+                        : lists.read(known);
         revision = update.revision();
         return update.members();
     }
@@ -131,9 +163,10 @@
     }
 
     /**
-     * Danger: a watch may have been answered long since, and what has come to discovery after that may count
-     * as told too; the old answer alone would let requests go on to who has drained meanwhile. So after one
-     * all is asked for, and that answer tells. Where a watch is still out there was nothing to tell.
+     * Danger: a watch may have been answered long since, and what has come to discovery after that
+     * may count as told too; the old answer alone would let requests go on to who has drained
+     * meanwhile. So after one all is asked for, and that answer tells. Where a watch is still out
+     * there was nothing to tell.
      */
     @Override
     public void catchUp() {
@@ -158,7 +191,8 @@
         } else if (watchIsOut) {
             behind = wasBehind;
             if (!failing) {
-                // Danger: kept back for word of the list, requests would wait for a watch that has none.
+                // Danger: kept back for word of the list, requests would wait for a watch that has
+                // none.
                 sink.told(ListKind.DELTA, List.of());
             }
         } else if (behind && watching && !calling && !failing) {
@@ -172,14 +206,15 @@
     }
 
     /**
-     * Follows another discovery from now on: first its whole list, whose versions need not go on from the
-     * old one's. A call that is out does not fail with that: what the old one has told may be on its way, so
-     * it is listened to until the new one answers.
+     * Follows another discovery from now on: first its whole list, whose versions need not go on
+     * from the old one's. A call that is out does not fail with that: what the old one has told may
+     * be on its way, so it is listened to until the new one answers.
      */
     @Override
     public void moveTo(InetSocketAddress other) {
         done();
-        // Danger: of a watch that is overdue and the call beside it, the call is the one that is answered.
+        // Danger: of a watch that is overdue and the call beside it, the call is the one that is
+        // answered.
         if (connection != null && !wholeFirst) {
             dropOverdue();
         }
@@ -214,7 +249,9 @@
             return;
         }
         long millis = TimeUnit.NANOSECONDS.toMillis(pace.watch);
-        call(LIST + "?since=" + revision + "&timeout_ms=" + millis, TimeUnit.MILLISECONDS.toNanos(millis));
+        call(
+                LIST + "?since=" + revision + "&timeout_ms=" + millis,
+                TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     private void call(String uri, long wait) {
@@ -234,13 +271,15 @@
             timeout = loop.after(wait + pace.late, this::askBeside);
         } else {
             // Danger: a machine that vanished says nothing, and would be waited for without end.
-            timeout = loop.after(wait + pace.patience, () -> failed(connection, "no answer in time"));
+            timeout =
+                    loop.after(wait + pace.patience, () -> failed(connection, "no answer in time"));
         }
     }
 
     /**
-     * Danger: what discovery has to tell counts as told two seconds after a watch's time is over, whether or
-     * not the watch is lost; given up only when that is certain, it would be asked again too late for drains.
+     * Danger: what discovery has to tell counts as told two seconds after a watch's time is over,
+     * whether or not the watch is lost; given up only when that is certain, it would be asked again
+     * too late for drains.
      */
     private void askBeside() {
         dropOverdue();
@@ -279,7 +318,8 @@
         if (old) {
             return;
         }
-        // Danger: the module takes any news for a subscription that stands, and would not subscribe again.
+        // Danger: the module takes any news for a subscription that stands, and would not subscribe
+        // again.
         if (!calling) {
             goOn();
         }
@@ -296,7 +336,8 @@
         }
         RegistryList.Update update = lists.read(list);
         if (update.revision() < revision && !wholeFirst) {
-            // Danger: whoever answers with less than it has told may take back a drain. One that began anew
+            // Danger: whoever answers with less than it has told may take back a drain. One that
+            // began anew
             // says so again when asked for all it has, and is believed then.
             beginAnew();
             failed(connection, "a list older than the last one: " + update.revision());
@@ -317,7 +358,10 @@
         told(update);
     }
 
-    /** At once: a watch goes on only if the next call comes soon, and news in between is not lost so. */
+    /**
+     * At once: a watch goes on only if the next call comes soon, and news in between is not lost
+     * so.
+     */
     private void goOn() {
         if (watching) {
             watch();
@@ -349,8 +393,8 @@
     }
 
     /**
-     * Danger: a lost watch would go on holding the one socket there is, while the call that is to make up for
-     * it finds none.
+     * Danger: a lost watch would go on holding the one socket there is, while the call that is to
+     * make up for it finds none.
      */
     @Override
     public void noSocket(RegistryConnection by, String why) {
--- a/sidecar/src/main/java/appleridge/membership/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/membership/registry/RegistryConnection.java
@@ -40,8 +40,10 @@
     private final Caller caller;
     private final Connector.Connecting connecting;
     private Channel channel;
+
     /** A call that waits for the connection. */
     private String pending;
+
     private boolean calling;
     private boolean dropped;
     private boolean kept = true;
@@ -50,34 +52,46 @@
         this.sockets = sockets;
         this.address = address;
         this.caller = caller;
-        this.connecting = new Connector(loop, sockets, CONNECT_TIMEOUT, opened -> opened.pipeline().addLast(
-                new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER), new Answers()))
-                .connect(address, new Connector.Listener() {
-                    @Override
-                    public void connected(Channel opened) {
-                        channel = opened;
-                        if (dropped) {
-                            opened.close();
-                        } else if (pending != null) {
-                            write(pending);
-                        }
-                    }
-
-                    @Override
-                    public void failed(Throwable cause) {
-                        end("can't connect");
-                    }
-
-                    @Override
-                    public void noSocket(Throwable cause) {
-                        boolean told = calling && !dropped;
-                        calling = false;
-                        drop();
-                        if (told) {
-                            caller.noSocket(RegistryConnection.this, cause.getMessage());
-                        }
-                    }
-                });
+        this.connecting =
+                new Connector(
+                                loop,
+                                sockets,
+                                CONNECT_TIMEOUT,
+                                opened ->
+                                        opened.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(MAX_ANSWER),
+                                                        new Answers()))
+                        .connect(
+                                address,
+                                new Connector.Listener() {
+                                    @Override
+                                    public void connected(Channel opened) {
+                                        channel = opened;
+                                        if (dropped) {
+                                            opened.close();
+                                        } else if (pending != null) {
+                                            write(pending);
+                                        }
+                                    }
+
+                                    @Override
+                                    public void failed(Throwable cause) {
+                                        end("can't connect");
+                                    }
+
+                                    @Override
+                                    public void noSocket(Throwable cause) {
+                                        boolean told = calling && !dropped;
+                                        calling = false;
+                                        drop();
+                                        if (told) {
+                                            caller.noSocket(
+                                                    RegistryConnection.this, cause.getMessage());
+                                        }
+                                    }
+                                });
     }
 
     /** Whether the next call may go out on it. */
@@ -96,13 +110,17 @@
 
     private void write(String uri) {
         pending = null;
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-        request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-        channel.writeAndFlush(request).addListener(done -> {
-            if (!done.isSuccess()) {
-                channel.close();
-            }
-        });
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+        request.headers()
+                .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+        channel.writeAndFlush(request)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                channel.close();
+                            }
+                        });
     }
 
     /** Takes in, before this returns, what has come and was not read yet. */
@@ -149,7 +167,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Danger: closed alone, it would still take what was read with it, behind an answer too long.
+            // Danger: closed alone, it would still take what was read with it, behind an answer too
+            // long.
             end("an answer that can't be read: " + cause.getMessage());
         }
     }
--- a/sidecar/src/main/java/appleridge/membership/registry/RegistryList.java
+++ b/sidecar/src/main/java/appleridge/membership/registry/RegistryList.java
@@ -11,7 +11,7 @@
 /** Reads discovery's lists. */
 public final class RegistryList {
     /** A list, whole or of changes alone, with its version. */
-    record Update(long revision, ListKind kind, List<Member> members) { }
+    record Update(long revision, ListKind kind, List<Member> members) {}
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -32,7 +32,8 @@
         }
         List<Member> members = new ArrayList<>();
         targets.forEach(target -> members.add(member(target)));
-        return new Update(revision.asLong(), all.asBoolean() ? ListKind.FULL : ListKind.DELTA, members);
+        return new Update(
+                revision.asLong(), all.asBoolean() ? ListKind.FULL : ListKind.DELTA, members);
     }
 
     private Member member(JsonNode target) {
@@ -40,26 +41,33 @@
         if (uid.isEmpty()) {
             throw new IllegalArgumentException("target without uid");
         }
-        State state = switch (target.path("state").asText()) {
-            case "Ready" -> State.READY;
-            case "Terminating" -> State.DRAINING;
-            case "Gone" -> State.GONE;
-            default -> throw new IllegalArgumentException("unknown state of " + uid);
-        };
+        State state =
+                switch (target.path("state").asText()) {
+                    case "Ready" -> State.READY;
+                    case "Terminating" -> State.DRAINING;
+                    case "Gone" -> State.GONE;
+                    default -> throw new IllegalArgumentException("unknown state of " + uid);
+                };
         long boot = target.path("boot_ms").asLong(0);
         if (boot < 0) {
             throw new IllegalArgumentException("senseless boot_ms of " + uid);
         }
-        return new Member(uid, Config.address(target.path("endpoint").asText()),
-                position(zones, target.path("az"), uid), position(kinds, target.path("model"), uid),
-                target.path("pod_group").asInt(0), state, (float) target.path("capacity_hint").asDouble(1),
-                        boot);
+        return new Member(
+                uid,
+                Config.address(target.path("endpoint").asText()),
+                position(zones, target.path("az"), uid),
+                position(kinds, target.path("model"), uid),
+                target.path("pod_group").asInt(0),
+                state,
+                (float) target.path("capacity_hint").asDouble(1),
+                boot);
     }
 
     private static int position(List<String> names, JsonNode name, String uid) {
         int at = names.indexOf(name.asText());
         if (at < 0 && !names.isEmpty()) {
-            throw new IllegalArgumentException("unknown zone or kind " + name.asText() + " of " + uid);
+            throw new IllegalArgumentException(
+                    "unknown zone or kind " + name.asText() + " of " + uid);
         }
         return Math.max(0, at);
     }
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Clients.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/Clients.java
@@ -14,22 +14,32 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Id;
 
-/** Makes the client's handles. Danger: to make or close one takes its time, so never on the loop. */
+/**
+ * Makes the client's handles. Danger: to make or close one takes its time, so never on the loop.
+ */
 public final class Clients {
     /** After this many milliseconds a handle that is closed waits for no answer any more. */
     private static final int LEAVE_MILLIS = 1000;
+
     /**
-     * Permissions, as {@code ZooDefs.Perms} has them; that class can't be compiled against without a warning.
+     * Permissions, as {@code ZooDefs.Perms} has them; that class can't be compiled against without
+     * a warning.
      */
     private static final int READ = 1;
+
     private static final int EVERYTHING = 31;
 
-    private Clients() { }
+    private Clients() {}
 
     /** Begins to connect; what becomes of that is told to the watcher. */
     public static ZooKeeper open(ZooKeeperSettings settings, Watcher watcher) throws IOException {
-        ZooKeeper client = new ZooKeeper(settings.connect(), settings.sessionMillis(), watcher,
-                settings.readOnly(), config(settings));
+        ZooKeeper client =
+                new ZooKeeper(
+                        settings.connect(),
+                        settings.sessionMillis(),
+                        watcher,
+                        settings.readOnly(),
+                        config(settings));
         if (settings.digest() != null) {
             client.addAuthInfo("digest", settings.digest().getBytes(StandardCharsets.UTF_8));
         }
@@ -37,9 +47,9 @@
     }
 
     /**
-     * Looks whether the files for TLS can be used; what is wrong with them is told by an exception's message.
-     * Danger: the client finds out with each attempt to connect, about once a second, and Netty logs a trace
-     * each time.
+     * Looks whether the files for TLS can be used; what is wrong with them is told by an
+     * exception's message. Danger: the client finds out with each attempt to connect, about once a
+     * second, and Netty logs a trace each time.
      */
     public static void check(ZooKeeperSettings settings) {
         if (settings.tls() != null) {
@@ -56,12 +66,14 @@
     }
 
     /**
-     * Who has shown who it is may change a node, and everybody may read it. Danger: the client asks a list of
-     * these whether it holds null, which a list of {@code List.of} takes amiss.
+     * Who has shown who it is may change a node, and everybody may read it. Danger: the client asks
+     * a list of these whether it holds null, which a list of {@code List.of} takes amiss.
      */
     public static List<ACL> acl(ZooKeeperSettings settings) {
-        ACL everybody = new ACL(settings.digest() == null ? EVERYTHING : READ, new Id("world", "anyone"));
-        return settings.digest() == null ? Arrays.asList(everybody)
+        ACL everybody =
+                new ACL(settings.digest() == null ? EVERYTHING : READ, new Id("world", "anyone"));
+        return settings.digest() == null
+                ? Arrays.asList(everybody)
                 : Arrays.asList(everybody, new ACL(EVERYTHING, new Id("auth", "")));
     }
 
@@ -77,19 +89,22 @@
     static ZKClientConfig config(ZooKeeperSettings settings) {
         ZKClientConfig config = new ZKClientConfig();
         config.setProperty(ZKClientConfig.ENABLE_CLIENT_SASL_KEY, "false");
-        config.setProperty(ZKClientConfig.ZOOKEEPER_REQUEST_TIMEOUT, Integer.toString(LEAVE_MILLIS));
+        config.setProperty(
+                ZKClientConfig.ZOOKEEPER_REQUEST_TIMEOUT, Integer.toString(LEAVE_MILLIS));
         config.setProperty(ZKConfig.JUTE_MAXBUFFER, Integer.toString(settings.answerBytes()));
         ZooKeeperSettings.Tls tls = settings.tls();
         if (tls != null) {
             config.setProperty(ZKClientConfig.SECURE_CLIENT, "true");
-            config.setProperty(ZKClientConfig.ZOOKEEPER_CLIENT_CNXN_SOCKET,
+            config.setProperty(
+                    ZKClientConfig.ZOOKEEPER_CLIENT_CNXN_SOCKET,
                     "org.apache.zookeeper.ClientCnxnSocketNetty");
             try (ClientX509Util names = new ClientX509Util()) {
                 file(config, names.getSslTruststoreLocationProperty(), tls.trustStore());
                 file(config, names.getSslTruststorePasswdPathProperty(), tls.trustPassword());
                 file(config, names.getSslKeystoreLocationProperty(), tls.keyStore());
                 file(config, names.getSslKeystorePasswdPathProperty(), tls.keyPassword());
-                config.setProperty(names.getSslHostnameVerificationEnabledProperty(),
+                config.setProperty(
+                        names.getSslHostnameVerificationEnabledProperty(),
                         Boolean.toString(tls.checkAddress()));
             }
         }
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/LogBridge.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/LogBridge.java
@@ -15,15 +15,16 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Takes what ZooKeeper's client logs, which it does through SLF4J: warnings and errors alone, each sort once
- * in some minutes, on one line with what caused it. Danger: the client logs each of its
- * attempts to connect with a trace, about one a second for as long as an outage lasts. Loaded by SLF4J, by
- * its name.
+ * Takes what ZooKeeper's client logs, which it does through SLF4J: warnings and errors alone, each
+ * sort once in some minutes, on one line with what caused it. Danger: the client logs each of its
+ * attempts to connect with a trace, about one a second for as long as an outage lasts. Loaded by
+ * SLF4J, by its name.
  */
 public final class LogBridge implements SLF4JServiceProvider {
     private static final System.Logger LOG = System.getLogger("appleridge.zookeeper");
     private static final int MOST_SORTS = 32;
     private static final int LONGEST = 400;
+
     /** Sorts of lines that were logged already. */
     private static final Set<String> TOLD = ConcurrentHashMap.newKeySet();
 
@@ -57,7 +58,7 @@
     }
 
     @Override
-    public void initialize() { }
+    public void initialize() {}
 
     private static final class Line extends LegacyAbstractLogger {
         private static final long serialVersionUID = 1;
@@ -67,25 +68,32 @@
         }
 
         @Override
-        protected void handleNormalizedLoggingCall(Level level, Marker marker, String pattern,
-                Object[] arguments, Throwable cause) {
+        protected void handleNormalizedLoggingCall(
+                Level level, Marker marker, String pattern, Object[] arguments, Throwable cause) {
             Throwable first = cause;
             while (first != null && first.getCause() != null) {
                 first = first.getCause();
             }
             if (!name.startsWith("org.apache.zookeeper")) {
-                System.getLogger(name).log(level == Level.ERROR ? System.Logger.Level.ERROR
-                        : System.Logger.Level.WARNING, MessageFormatter.basicArrayFormat(pattern, arguments),
-                        cause);
+                System.getLogger(name)
+                        .log(
+                                level == Level.ERROR
+                                        ? System.Logger.Level.ERROR
+                                        : System.Logger.Level.WARNING,
+                                MessageFormatter.basicArrayFormat(pattern, arguments),
+                                cause);
                 return;
             }
             String sort = pattern + (first == null ? "" : first.getClass().getName());
             if (TOLD.size() >= MOST_SORTS || !TOLD.add(sort)) {
                 return;
             }
-            String text = (MessageFormatter.basicArrayFormat(pattern, arguments)
-                    + (first == null ? "" : " (" + first + ")")).replaceAll("\\s+", " ");
-            LOG.log(level == Level.ERROR ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
+            String text =
+                    (MessageFormatter.basicArrayFormat(pattern, arguments)
+                                    + (first == null ? "" : " (" + first + ")"))
+                            .replaceAll("\\s+", " ");
+            LOG.log(
+                    level == Level.ERROR ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
                     "ZooKeeper's client: " + text.substring(0, Math.min(LONGEST, text.length())));
         }
 
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/Mailbox.java
@@ -16,17 +16,25 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * What has been heard on the client's threads and not yet been told on the loop, in order. Bounded however
- * long the loop stands still: of a node the last word is kept, and that it was gone; of all else the last of
- * each sort, once there is much of it.
+ * What has been heard on the client's threads and not yet been told on the loop, in order. Bounded
+ * however long the loop stands still: of a node the last word is kept, and that it was gone; of all
+ * else the last of each sort, once there is much of it.
  */
 final class Mailbox {
     /** Changes of nodes that are told in one turn of the loop. */
     private static final int TURN = 200;
+
     /** Parts that are kept before older ones give way to newer ones of their sort. */
     private static final int MOST_PARTS = 32;
 
-    private enum Sort { SESSION, DOUBT, SNAPSHOT, ACCEPT, CONFIRMED, NODES }
+    private enum Sort {
+        SESSION,
+        DOUBT,
+        SNAPSHOT,
+        ACCEPT,
+        CONFIRMED,
+        NODES
+    }
 
     /** What happened to one node; times are those of being told, and 0 where it did not happen. */
     private static final class Change {
@@ -37,7 +45,7 @@
         NodeRead read;
     }
 
-    private record Part(Sort sort, Runnable tell, Map<String, Change> changes) { }
+    private record Part(Sort sort, Runnable tell, Map<String, Change> changes) {}
 
     private final Loop loop;
     private final Hearer hearer;
@@ -66,10 +74,12 @@
     }
 
     void snapshot(long told, long zxid, Map<String, NodeRead> nodes, Runnable after) {
-        add(Sort.SNAPSHOT, () -> {
-            hearer.snapshot(loop.now(), told, zxid, nodes);
-            after.run();
-        });
+        add(
+                Sort.SNAPSHOT,
+                () -> {
+                    hearer.snapshot(loop.now(), told, zxid, nodes);
+                    after.run();
+                });
     }
 
     synchronized void changed(long told, long zxid, String name) {
@@ -120,7 +130,7 @@
     private void thin() {
         Set<Sort> later = EnumSet.noneOf(Sort.class);
         Deque<Part> kept = new ArrayDeque<>();
-        for (Iterator<Part> each = parts.descendingIterator(); each.hasNext();) {
+        for (Iterator<Part> each = parts.descendingIterator(); each.hasNext(); ) {
             Part part = each.next();
             if (part.sort != Sort.NODES) {
                 if (later.add(part.sort)) {
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/NodeJson.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/NodeJson.java
@@ -14,8 +14,10 @@
 /** Reads what a node holds. On any thread. */
 public final class NodeJson {
     private static final int LONGEST_ID = 253;
+
     /** The latest start in milliseconds that can be counted in nanoseconds. */
     private static final long LATEST = Long.MAX_VALUE / 1_000_000;
+
     private static final double MOST_WEIGHT = 1e6;
 
     private final ObjectMapper json = new ObjectMapper();
@@ -52,16 +54,21 @@
             throw new IllegalArgumentException("empty");
         }
         if (data.length > ZooKeeperSettings.NODE_BYTES) {
-            throw new IllegalArgumentException("larger than " + ZooKeeperSettings.NODE_BYTES + " bytes");
+            throw new IllegalArgumentException(
+                    "larger than " + ZooKeeperSettings.NODE_BYTES + " bytes");
         }
         JsonNode node = json.readTree(data);
         if (!node.isObject()) {
             throw new IllegalArgumentException("not a JSON object");
         }
-        return new NodeData(address(node.path("address")), position(zones, node.path("zone"), "zone"),
+        return new NodeData(
+                address(node.path("address")),
+                position(zones, node.path("zone"), "zone"),
                 position(kinds, node.path("kind"), "kind"),
-                (int) whole(node.path("cell"), "cell", Integer.MAX_VALUE), state(node.path("state")),
-                weight(node.path("weight")), whole(node.path("started"), "started", LATEST),
+                (int) whole(node.path("cell"), "cell", Integer.MAX_VALUE),
+                state(node.path("state")),
+                weight(node.path("weight")),
+                whole(node.path("started"), "started", LATEST),
                 id(name, node.path("uid")));
     }
 
@@ -108,7 +115,9 @@
         if (number.isMissingNode()) {
             return 0;
         }
-        if (!number.isIntegralNumber() || !number.canConvertToLong() || number.longValue() < 0
+        if (!number.isIntegralNumber()
+                || !number.canConvertToLong()
+                || number.longValue() < 0
                 || number.longValue() > most) {
             throw new IllegalArgumentException(what + " is not a whole number from 0 on");
         }
@@ -120,8 +129,11 @@
             int slash = name.lastIndexOf('/');
             return slash < 0 ? null : name.substring(slash + 1);
         }
-        if (!uid.isTextual() || uid.textValue().isEmpty() || uid.textValue().length() > LONGEST_ID) {
-            throw new IllegalArgumentException("uid is not a text of 1 to " + LONGEST_ID + " characters");
+        if (!uid.isTextual()
+                || uid.textValue().isEmpty()
+                || uid.textValue().length() > LONGEST_ID) {
+            throw new IllegalArgumentException(
+                    "uid is not a text of 1 to " + LONGEST_ID + " characters");
         }
         return uid.textValue();
     }
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Subtree.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/Subtree.java
@@ -22,14 +22,17 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Reads the nodes under a path by one handle, whole and then what changes, with a bounded number of questions
- * open at once. Whatever the ensemble says comes on the handle's one thread, in the ensemble's order: an
- * answer that follows an event is no older than it.
+ * Reads the nodes under a path by one handle, whole and then what changes, with a bounded number of
+ * questions open at once. Whatever the ensemble says comes on the handle's one thread, in the
+ * ensemble's order: an answer that follows an event is no older than it.
  */
 final class Subtree {
     /** What comes of it. To take it in must not take long. */
     interface Listener {
-        /** The path itself is there: which transaction made it, and the latest that touched what it holds. */
+        /**
+         * The path itself is there: which transaction made it, and the latest that touched what it
+         * holds.
+         */
         void root(long made, long latest, boolean accepted);
 
         /** The whole subtree as of the last event; {@code told}: when its names were heard. */
@@ -54,20 +57,28 @@
         long now();
     }
 
-    /** What an operator writes into the path's own data where what a wiped ensemble has is right. */
+    /**
+     * What an operator writes into the path's own data where what a wiped ensemble has is right.
+     */
     static final String ACCEPT = "accept";
 
     /** Nodes that are asked for in one question, at most. */
     private static final int BATCH = 64;
+
     /** Questions for data that are open at once. */
     private static final int QUESTIONS = 8;
+
     /** The least bytes that a name takes in an answer. */
     private static final int LEAST_NAME = 8;
-    /** So often in a row may the connection be lost over a listing before that is taken for its size. */
+
+    /**
+     * So often in a row may the connection be lost over a listing before that is taken for its
+     * size.
+     */
     private static final int LOST_LISTINGS = 2;
 
     /** A node whose data is asked for; a later event for it makes another one. */
-    private record Ask(String name, long zxid, boolean event) { }
+    private record Ask(String name, long zxid, boolean event) {}
 
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
@@ -76,13 +87,18 @@
 
     /** What each name waits for; whoever is not in here any more is not waited for. */
     private final Map<String, Ask> asks = new HashMap<>();
+
     private final Deque<Ask> urgent = new ArrayDeque<>();
     private final Deque<Ask> bulk = new ArrayDeque<>();
     private int batch = BATCH;
     private int questions;
 
-    /** Counts connections, and readings of the whole; answers that belong to earlier ones are passed over. */
+    /**
+     * Counts connections, and readings of the whole; answers that belong to earlier ones are passed
+     * over.
+     */
     private int connection;
+
     private int reading;
     private boolean collecting;
     private Map<String, NodeRead> nodes = new LinkedHashMap<>();
@@ -95,12 +111,18 @@
 
     /** The latest transaction that this handle has heard of under the path. */
     private long highest;
-    /** Whether the ensemble says with each event which transaction it was; servers before 3.9 don't. */
+
+    /**
+     * Whether the ensemble says with each event which transaction it was; servers before 3.9 don't.
+     */
     private boolean numbered = true;
+
     private long asked;
     private long answered;
+
     /** The server has lost the others, and knows no {@code sync}. */
     private boolean readsOnly;
+
     private boolean closed;
 
     Subtree(ZooKeeper client, ZooKeeperSettings settings, NodeJson json, Listener listener) {
@@ -124,17 +146,21 @@
         }
         int mine = reading;
         asked++;
-        client.addWatch(settings.root(), AddWatchMode.PERSISTENT_RECURSIVE, (code, path, any) -> {
-            synchronized (this) {
-                if (answers(mine, code)) {
-                    if (readOnly) {
-                        root(mine);
-                    } else {
-                        sync(mine);
+        client.addWatch(
+                settings.root(),
+                AddWatchMode.PERSISTENT_RECURSIVE,
+                (code, path, any) -> {
+                    synchronized (this) {
+                        if (answers(mine, code)) {
+                            if (readOnly) {
+                                root(mine);
+                            } else {
+                                sync(mine);
+                            }
+                        }
                     }
-                }
-            }
-        }, null);
+                },
+                null);
     }
 
     /** The connection is lost: what was asked is not answered any more. */
@@ -175,60 +201,76 @@
     /** Danger: without this a server that lags tells an older state after a reconnect. */
     private void sync(int mine) {
         asked++;
-        client.sync(settings.root(), (code, path, any) -> {
-            synchronized (this) {
-                if (answers(mine, code)) {
-                    root(mine);
-                }
-            }
-        }, null);
+        client.sync(
+                settings.root(),
+                (code, path, any) -> {
+                    synchronized (this) {
+                        if (answers(mine, code)) {
+                            root(mine);
+                        }
+                    }
+                },
+                null);
     }
 
     private void root(int mine) {
         asked++;
-        client.getData(settings.root(), false, (code, path, any, data, stat) -> {
-            synchronized (this) {
-                if (answers(mine, code)) {
-                    heard(data, stat);
-                    if ((long) stat.getNumChildren() * LEAST_NAME > settings.answerBytes()) {
-                        listener.doubt(Doubt.TOO_LARGE);
-                    } else {
-                        list(mine);
+        client.getData(
+                settings.root(),
+                false,
+                (code, path, any, data, stat) -> {
+                    synchronized (this) {
+                        if (answers(mine, code)) {
+                            heard(data, stat);
+                            if ((long) stat.getNumChildren() * LEAST_NAME
+                                    > settings.answerBytes()) {
+                                listener.doubt(Doubt.TOO_LARGE);
+                            } else {
+                                list(mine);
+                            }
+                        }
                     }
-                }
-            }
-        }, null);
+                },
+                null);
     }
 
     private void heard(byte[] data, Stat stat) {
         highest = Math.max(highest, stat.getPzxid());
-        listener.root(stat.getCzxid(), Math.max(stat.getMzxid(), stat.getPzxid()), data != null
-                && data.length < 2 * ACCEPT.length()
-                && new String(data, StandardCharsets.UTF_8).strip().equals(ACCEPT));
+        listener.root(
+                stat.getCzxid(),
+                Math.max(stat.getMzxid(), stat.getPzxid()),
+                data != null
+                        && data.length < 2 * ACCEPT.length()
+                        && new String(data, StandardCharsets.UTF_8).strip().equals(ACCEPT));
     }
 
     private void list(int mine) {
         asked++;
-        client.getChildren(settings.root(), false, (code, path, any, names, stat) -> {
-            synchronized (this) {
-                lostListings = code == Code.CONNECTIONLOSS.intValue() ? lostListings + 1 : 0;
-                if (answers(mine, code)) {
-                    collecting = true;
-                    told = listener.now();
-                    zxid = stat.getPzxid();
-                    if (settings.shards()) {
-                        shards.addAll(names);
-                        unlisted = names.size();
-                        for (int i = 0; i < QUESTIONS; i++) {
-                            shard(mine);
+        client.getChildren(
+                settings.root(),
+                false,
+                (code, path, any, names, stat) -> {
+                    synchronized (this) {
+                        lostListings =
+                                code == Code.CONNECTIONLOSS.intValue() ? lostListings + 1 : 0;
+                        if (answers(mine, code)) {
+                            collecting = true;
+                            told = listener.now();
+                            zxid = stat.getPzxid();
+                            if (settings.shards()) {
+                                shards.addAll(names);
+                                unlisted = names.size();
+                                for (int i = 0; i < QUESTIONS; i++) {
+                                    shard(mine);
+                                }
+                            } else {
+                                names.forEach(this::wanted);
+                            }
+                            goOn();
                         }
-                    } else {
-                        names.forEach(this::wanted);
                     }
-                    goOn();
-                }
-            }
-        }, null);
+                },
+                null);
     }
 
     private void shard(int mine) {
@@ -237,20 +279,24 @@
             return;
         }
         asked++;
-        client.getChildren(path(shard), false, (code, path, any, names, stat) -> {
-            synchronized (this) {
-                boolean gone = code == Code.NONODE.intValue();
-                if (answers(mine, gone ? Code.OK.intValue() : code)) {
-                    unlisted--;
-                    if (!gone) {
-                        zxid = Math.max(zxid, stat.getPzxid());
-                        names.forEach(name -> wanted(shard + "/" + name));
+        client.getChildren(
+                path(shard),
+                false,
+                (code, path, any, names, stat) -> {
+                    synchronized (this) {
+                        boolean gone = code == Code.NONODE.intValue();
+                        if (answers(mine, gone ? Code.OK.intValue() : code)) {
+                            unlisted--;
+                            if (!gone) {
+                                zxid = Math.max(zxid, stat.getPzxid());
+                                names.forEach(name -> wanted(shard + "/" + name));
+                            }
+                            shard(mine);
+                            goOn();
+                        }
                     }
-                    shard(mine);
-                    goOn();
-                }
-            }
-        }, null);
+                },
+                null);
     }
 
     private void wanted(String name) {
@@ -266,8 +312,9 @@
         if (closed) {
             return;
         }
-        boolean made = event.getType() == Watcher.Event.EventType.NodeCreated
-                || event.getType() == Watcher.Event.EventType.NodeDataChanged;
+        boolean made =
+                event.getType() == Watcher.Event.EventType.NodeCreated
+                        || event.getType() == Watcher.Event.EventType.NodeDataChanged;
         boolean gone = event.getType() == Watcher.Event.EventType.NodeDeleted;
         String name = name(event.getPath());
         if (event.getPath().equals(settings.root())) {
@@ -312,7 +359,8 @@
         }
         String name = path.substring(above.length());
         int slash = name.indexOf('/');
-        boolean fits = settings.shards() ? slash > 0 && name.indexOf('/', slash + 1) < 0 : slash < 0;
+        boolean fits =
+                settings.shards() ? slash > 0 && name.indexOf('/', slash + 1) < 0 : slash < 0;
         return fits && !name.isEmpty() ? name : null;
     }
 
@@ -351,7 +399,8 @@
         int mine = connection;
         questions++;
         asked++;
-        client.multi(of.stream().map(ask -> Op.getData(path(ask.name))).toList(),
+        client.multi(
+                of.stream().map(ask -> Op.getData(path(ask.name))).toList(),
                 (code, path, any, results) -> {
                     synchronized (this) {
                         answered++;
@@ -365,7 +414,8 @@
                             goOn();
                         }
                     }
-                }, null);
+                },
+                null);
     }
 
     private void data(List<Ask> of, int code, List<OpResult> results) {
@@ -405,8 +455,12 @@
                 missing.remove(ask.name);
                 return;
             }
-            read = NodeJson.unread(code == Code.NOAUTH.intValue() ? "may not be read"
-                    : "can't be read: " + Code.get(code), ask.zxid);
+            read =
+                    NodeJson.unread(
+                            code == Code.NOAUTH.intValue()
+                                    ? "may not be read"
+                                    : "can't be read: " + Code.get(code),
+                            ask.zxid);
         }
         if (collecting) {
             nodes.put(ask.name, read);
@@ -418,7 +472,8 @@
     }
 
     /**
-     * Asks whether the path is as it was last heard of: a lost event, or a server that only answers pings.
+     * Asks whether the path is as it was last heard of: a lost event, or a server that only answers
+     * pings.
      */
     synchronized void probe() {
         if (closed || collecting || waits()) {
@@ -426,34 +481,45 @@
         }
         int mine = reading;
         asked++;
-        client.getData(settings.root(), false, (code, path, any, data, stat) -> {
-            synchronized (this) {
-                long before = highest;
-                if (answers(mine, code)) {
-                    heard(data, stat);
-                    if (numbered && stat.getPzxid() > before) {
-                        begin(readsOnly);
+        client.getData(
+                settings.root(),
+                false,
+                (code, path, any, data, stat) -> {
+                    synchronized (this) {
+                        long before = highest;
+                        if (answers(mine, code)) {
+                            heard(data, stat);
+                            if (numbered && stat.getPzxid() > before) {
+                                begin(readsOnly);
+                            }
+                        }
                     }
-                }
-            }
-        }, null);
+                },
+                null);
     }
 
-    /** Asks for anything, and tells when that is answered: by then all has come that was told before. */
+    /**
+     * Asks for anything, and tells when that is answered: by then all has come that was told
+     * before.
+     */
     synchronized void confirm(Runnable heard) {
         if (closed) {
             return;
         }
         asked++;
-        client.getData(settings.root(), false, (code, path, any, data, stat) -> {
-            synchronized (this) {
-                answered++;
-            }
-            Code what = Code.get(code);
-            if (what == Code.OK || what == Code.NONODE || what == Code.NOAUTH) {
-                heard.run();
-            }
-        }, null);
+        client.getData(
+                settings.root(),
+                false,
+                (code, path, any, data, stat) -> {
+                    synchronized (this) {
+                        answered++;
+                    }
+                    Code what = Code.get(code);
+                    if (what == Code.OK || what == Code.NONODE || what == Code.NOAUTH) {
+                        heard.run();
+                    }
+                },
+                null);
     }
 
     private boolean answers(int mine, int code) {
@@ -466,7 +532,7 @@
             case OK -> {
                 return true;
             }
-            case CONNECTIONLOSS, SESSIONEXPIRED -> { }
+            case CONNECTIONLOSS, SESSIONEXPIRED -> {}
             case NONODE -> listener.doubt(Doubt.ROOT_MISSING);
             case NOAUTH, AUTHFAILED -> listener.doubt(Doubt.ACCESS_DENIED);
             default -> listener.trouble(what);
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSettings.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSettings.java
@@ -17,8 +17,16 @@
  * @param tls null for plain TCP
  * @param answerBytes the largest answer that is taken
  */
-public record ZooKeeperSettings(List<InetSocketAddress> servers, String chroot, String root, boolean shards,
-        int sessionMillis, boolean readOnly, String digest, Tls tls, int answerBytes) {
+public record ZooKeeperSettings(
+        List<InetSocketAddress> servers,
+        String chroot,
+        String root,
+        boolean shards,
+        int sessionMillis,
+        boolean readOnly,
+        String digest,
+        Tls tls,
+        int answerBytes) {
     /**
      * How to prove who one is, and who to believe.
      *
@@ -28,8 +36,12 @@
      * @param keyPassword a file that holds its password; null for none
      * @param checkAddress whether a server's certificate has to name its address
      */
-    public record Tls(Path trustStore, Path trustPassword, Path keyStore, Path keyPassword,
-            boolean checkAddress) { }
+    public record Tls(
+            Path trustStore,
+            Path trustPassword,
+            Path keyStore,
+            Path keyPassword,
+            boolean checkAddress) {}
 
     /** The largest number of bytes that a node's data may have. */
     static final int NODE_BYTES = 64 * 1024;
@@ -39,8 +51,10 @@
         StringBuilder text = new StringBuilder();
         for (InetSocketAddress each : servers) {
             String host = each.getAddress().getHostAddress();
-            text.append(text.isEmpty() ? "" : ",").append(host.indexOf(':') < 0 ? host : "[" + host + "]")
-                    .append(':').append(each.getPort());
+            text.append(text.isEmpty() ? "" : ",")
+                    .append(host.indexOf(':') < 0 ? host : "[" + host + "]")
+                    .append(':')
+                    .append(each.getPort());
         }
         return text.append(chroot).toString();
     }
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSource.java
+++ b/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSource.java
@@ -19,27 +19,37 @@
 import org.apache.zookeeper.ZooKeeper;
 
 /**
- * Follows ephemeral nodes in ZooKeeper and tells a {@link NodeMembership} of them, on the loop. Handles are
- * made and closed on a thread of its own, for both take their time; what they tell is read on theirs. To be
- * made, started and closed on the loop.
+ * Follows ephemeral nodes in ZooKeeper and tells a {@link NodeMembership} of them, on the loop.
+ * Handles are made and closed on a thread of its own, for both take their time; what they tell is
+ * read on theirs. To be made, started and closed on the loop.
  */
 public final class ZooKeeperSource implements AutoCloseable {
-    /** After a handle's end the next one waits this long, and twice as long each time, up to the most. */
+    /**
+     * After a handle's end the next one waits this long, and twice as long each time, up to the
+     * most.
+     */
     private static final long BACKOFF = TimeUnit.MILLISECONDS.toNanos(500);
+
     private static final long MOST_BACKOFF = TimeUnit.SECONDS.toNanos(30);
+
     /** Over so much time readings of the whole are spread, after the first one. */
     private static final long SPREAD = TimeUnit.MILLISECONDS.toNanos(500);
+
     private static final long AGAIN = TimeUnit.SECONDS.toNanos(10);
     private static final long AGAIN_TOO_LARGE = TimeUnit.SECONDS.toNanos(30);
     private static final long AGAIN_OLDER = TimeUnit.SECONDS.toNanos(2);
+
     /** Looks, one a second, at which no answer may have come before a server is given up. */
     private static final int SILENT_LOOKS = 4;
+
     /** Looks between two questions to a server that has nothing to tell. */
     private static final int PROBE_LOOKS = 5;
+
     /** Looks after which the client's log may say again what it has said. */
     private static final int LOG_LOOKS = 300;
 
-    private static final String MUTE = "a coordination server answers nothing; another one is asked";
+    private static final String MUTE =
+            "a coordination server answers nothing; another one is asked";
 
     private final Loop loop;
     private final ZooKeeperSettings settings;
@@ -52,24 +62,33 @@
 
     /** On the loop: handles that ended since one was connected. */
     private int ended;
+
     private boolean first = true;
     private String lastTrouble = "";
-    private Timers.Timer pending = () -> { };
+    private Timers.Timer pending = () -> {};
+
     /** On the keeper's thread. */
     private Handle handle;
+
     private boolean over;
 
     /** What was heard of the path by any handle; guarded by this. */
     private long rootMade;
+
     private long highest;
 
     /** {@code seed}: for what is drawn, so that many sidecars don't ask at once. */
-    public ZooKeeperSource(Loop loop, ZooKeeperSettings settings, NodeMembership membership, NodeJson json,
+    public ZooKeeperSource(
+            Loop loop,
+            ZooKeeperSettings settings,
+            NodeMembership membership,
+            NodeJson json,
             long seed) {
         this(loop, settings, Hearer.of(membership), json, seed);
     }
 
-    ZooKeeperSource(Loop loop, ZooKeeperSettings settings, Hearer hearer, NodeJson json, long seed) {
+    ZooKeeperSource(
+            Loop loop, ZooKeeperSettings settings, Hearer hearer, NodeJson json, long seed) {
         this.loop = loop;
         this.settings = settings;
         this.hearer = hearer;
@@ -90,25 +109,32 @@
         mailbox.tellNow();
     }
 
-    /** Runs this on the loop once a server has answered, and all that it told before has been told. */
+    /**
+     * Runs this on the loop once a server has answered, and all that it told before has been told.
+     */
     public void confirm(Runnable heard) {
-        tasks.add(() -> {
-            if (handle != null) {
-                handle.confirm(heard);
-            }
-        });
+        tasks.add(
+                () -> {
+                    if (handle != null) {
+                        handle.confirm(heard);
+                    }
+                });
     }
 
     /** Reads everything again. On any thread. */
     public void refresh() {
-        tasks.add(() -> {
-            if (handle != null) {
-                handle.read();
-            }
-        });
+        tasks.add(
+                () -> {
+                    if (handle != null) {
+                        handle.read();
+                    }
+                });
     }
 
-    /** On the loop: reads everything again after a while, which takes the place of a wait that is on. */
+    /**
+     * On the loop: reads everything again after a while, which takes the place of a wait that is
+     * on.
+     */
     private void readAfter(long wait) {
         pending.cancel();
         if (wait == 0) {
@@ -121,10 +147,11 @@
     /** Ends; the session is closed if a server can still be told. */
     @Override
     public void close() {
-        tasks.add(() -> {
-            over = true;
-            drop();
-        });
+        tasks.add(
+                () -> {
+                    over = true;
+                    drop();
+                });
     }
 
     private void keep() {
@@ -158,7 +185,11 @@
         try {
             next.begin(Clients.open(settings, next));
         } catch (IOException | RuntimeException e) {
-            loop.soon(() -> loop.log().warning("the coordination service's client can't start: " + e));
+            loop.soon(
+                    () ->
+                            loop.log()
+                                    .warning(
+                                            "the coordination service's client can't start: " + e));
             ended(next);
         }
     }
@@ -169,11 +200,12 @@
             return;
         }
         drop();
-        loop.soon(() -> {
-            long wait = Math.min(MOST_BACKOFF, BACKOFF << Math.min(ended, 10));
-            ended++;
-            loop.after(wait / 2 + chance.nextLong(wait), () -> tasks.add(this::open));
-        });
+        loop.soon(
+                () -> {
+                    long wait = Math.min(MOST_BACKOFF, BACKOFF << Math.min(ended, 10));
+                    ended++;
+                    loop.after(wait / 2 + chance.nextLong(wait), () -> tasks.add(this::open));
+                });
     }
 
     private void drop() {
@@ -187,6 +219,7 @@
     private final class Handle implements Watcher, Subtree.Listener {
         /** Danger: the client may tell that it is connected before its maker has it. */
         private final CountDownLatch made = new CountDownLatch(1);
+
         private volatile ZooKeeper client;
         private volatile Subtree subtree;
         private volatile boolean closed;
@@ -233,7 +266,7 @@
                     mailbox.doubt(Doubt.ACCESS_DENIED);
                     end();
                 }
-                default -> { }
+                default -> {}
             }
         }
 
@@ -241,11 +274,12 @@
             connected = true;
             readOnly = state == Session.READ_ONLY;
             mailbox.session(state);
-            loop.soon(() -> {
-                ended = 0;
-                readAfter(first ? 0 : chance.nextLong(SPREAD));
-                first = false;
-            });
+            loop.soon(
+                    () -> {
+                        ended = 0;
+                        readAfter(first ? 0 : chance.nextLong(SPREAD));
+                        first = false;
+                    });
         }
 
         private void end() {
@@ -268,8 +302,9 @@
         }
 
         /**
-         * Danger: a server may answer pings and nothing else, which the client takes for a good connection.
-         * Looks are counted and not time, so that a machine that stood still gives up nothing.
+         * Danger: a server may answer pings and nothing else, which the client takes for a good
+         * connection. Looks are counted and not time, so that a machine that stood still gives up
+         * nothing.
          */
         void look(boolean probe) {
             if (!connected) {
@@ -295,8 +330,8 @@
         }
 
         /**
-         * Danger: the client asks with the latest transaction that it has heard of, and an ensemble that
-         * began anew turns it away each time, without end.
+         * Danger: the client asks with the latest transaction that it has heard of, and an ensemble
+         * that began anew turns it away each time, without end.
          */
         private void giveUp() {
             mailbox.session(Session.EXPIRED);
@@ -338,12 +373,16 @@
         @Override
         public void whole(long told, long zxid, Map<String, NodeRead> nodes) {
             heard(zxid);
-            mailbox.snapshot(told, zxid, nodes, () -> {
-                lastTrouble = "";
-                if (hearer.doubt() == Doubt.OLDER || hearer.doubt() == Doubt.WIPED) {
-                    readAfter(AGAIN_OLDER + chance.nextLong(AGAIN_OLDER));
-                }
-            });
+            mailbox.snapshot(
+                    told,
+                    zxid,
+                    nodes,
+                    () -> {
+                        lastTrouble = "";
+                        if (hearer.doubt() == Doubt.OLDER || hearer.doubt() == Doubt.WIPED) {
+                            readAfter(AGAIN_OLDER + chance.nextLong(AGAIN_OLDER));
+                        }
+                    });
         }
 
         @Override
@@ -371,13 +410,14 @@
 
         @Override
         public void trouble(Code code) {
-            loop.soon(() -> {
-                String trouble = "the coordination service answers " + code;
-                if (!trouble.equals(lastTrouble)) {
-                    lastTrouble = trouble;
-                    loop.log().warning(trouble);
-                }
-            });
+            loop.soon(
+                    () -> {
+                        String trouble = "the coordination service answers " + code;
+                        if (!trouble.equals(lastTrouble)) {
+                            lastTrouble = trouble;
+                            loop.log().warning(trouble);
+                        }
+                    });
             again(AGAIN);
         }
 
--- a/sidecar/src/main/java/appleridge/operators/Answers.java
+++ b/sidecar/src/main/java/appleridge/operators/Answers.java
@@ -14,12 +14,17 @@
  * @param restore calls it back
  * @param keeping runs what it is given when what was carried out is kept, also beyond this process
  */
-public record Answers(BooleanSupplier serves, Supplier<String> figures,
-        Function<String, Maintenance.Effect> suspend, Function<String, Maintenance.Effect> restore,
+public record Answers(
+        BooleanSupplier serves,
+        Supplier<String> figures,
+        Function<String, Maintenance.Effect> suspend,
+        Function<String, Maintenance.Effect> restore,
         Consumer<Runnable> keeping) {
     private static final String YES = "YES\n";
 
-    /** Answers one line; its effect holds when this returns, and is kept when the answer is given. */
+    /**
+     * Answers one line; its effect holds when this returns, and is kept when the answer is given.
+     */
     public void to(byte[] line, Consumer<String> answer) {
         Call call = Call.read(line);
         if (call instanceof Call.Status) {
--- a/sidecar/src/main/java/appleridge/operators/Call.java
+++ b/sidecar/src/main/java/appleridge/operators/Call.java
@@ -6,23 +6,24 @@
 public sealed interface Call {
     /** Bytes that a line may have, without its end. */
     int MOST_BYTES = 1024;
+
     /** What an id may hold: what is printed and no space. */
     Pattern ID = Pattern.compile("[!-~]{1,256}");
 
     /** Whether it serves. */
-    record Status() implements Call { }
+    record Status() implements Call {}
 
     /** Its figures. */
-    record Metrics() implements Call { }
+    record Metrics() implements Call {}
 
     /** An upstream gets nothing new. */
-    record Suspend(String id) implements Call { }
+    record Suspend(String id) implements Call {}
 
     /** An upstream is back. */
-    record Restore(String id) implements Call { }
+    record Restore(String id) implements Call {}
 
     /** No call: why, in a few words. */
-    record Unreadable(String why) implements Call { }
+    record Unreadable(String why) implements Call {}
 
     /** Reads a line without its end; anything can be read, be it as {@link Unreadable}. */
     static Call read(byte[] line) {
@@ -38,12 +39,18 @@
         }
         String[] words = text.toString().strip().split("[ \t]+");
         return switch (words[0]) {
-            case "STATUS" -> words.length == 1 ? new Status() : new Unreadable("STATUS takes no argument");
-            case "METRICS" -> words.length == 1 ? new Metrics() : new Unreadable("METRICS takes no argument");
-            case "SUSPEND" -> words.length == 2 && ID.matcher(words[1]).matches() ? new Suspend(words[1])
-                    : new Unreadable("SUSPEND takes one id");
-            case "RESTORE" -> words.length == 2 && ID.matcher(words[1]).matches() ? new Restore(words[1])
-                    : new Unreadable("RESTORE takes one id");
+            case "STATUS" ->
+                    words.length == 1 ? new Status() : new Unreadable("STATUS takes no argument");
+            case "METRICS" ->
+                    words.length == 1 ? new Metrics() : new Unreadable("METRICS takes no argument");
+            case "SUSPEND" ->
+                    words.length == 2 && ID.matcher(words[1]).matches()
+                            ? new Suspend(words[1])
+                            : new Unreadable("SUSPEND takes one id");
+            case "RESTORE" ->
+                    words.length == 2 && ID.matcher(words[1]).matches()
+                            ? new Restore(words[1])
+                            : new Unreadable("RESTORE takes one id");
             case "" -> new Unreadable("empty call");
             default -> new Unreadable("unknown call");
         };
--- a/sidecar/src/main/java/appleridge/operators/Figures.java
+++ b/sidecar/src/main/java/appleridge/operators/Figures.java
@@ -9,9 +9,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The sidecar's figures: counts since its start, by class, and gauges as of now. Written in the text form
- * of OpenMetrics 1.0, which most collectors read. Danger: a figure that is counted in two places is wrong in
- * one.
+ * The sidecar's figures: counts since its start, by class, and gauges as of now. Written in the
+ * text form of OpenMetrics 1.0, which most collectors read. Danger: a figure that is counted in two
+ * places is wrong in one.
  */
 public final class Figures implements Tally {
     private static final String PREFIX = "appleridge_";
@@ -73,10 +73,11 @@
         byClass(lines, "attempts_further", further);
         lines.add("# TYPE " + PREFIX + "malformed counter");
         lines.add(PREFIX + "malformed_total " + malformed);
-        gauges.forEach((name, value) -> {
-            lines.add("# TYPE " + PREFIX + name + " gauge");
-            lines.add(PREFIX + name + " " + value.getAsLong());
-        });
+        gauges.forEach(
+                (name, value) -> {
+                    lines.add("# TYPE " + PREFIX + name + " gauge");
+                    lines.add(PREFIX + name + " " + value.getAsLong());
+                });
         lines.add("# EOF");
         return String.join("\n", lines) + "\n";
     }
@@ -84,7 +85,13 @@
     private void byClass(List<String> lines, String name, long[] values) {
         lines.add("# TYPE " + PREFIX + name + " counter");
         for (int i = 0; i < values.length; i++) {
-            lines.add(PREFIX + name + "_total{class=\"" + escaped(classes.get(i)) + "\"} " + values[i]);
+            lines.add(
+                    PREFIX
+                            + name
+                            + "_total{class=\""
+                            + escaped(classes.get(i))
+                            + "\"} "
+                            + values[i]);
         }
     }
 
--- a/sidecar/src/main/java/appleridge/operators/Maintenance.java
+++ b/sidecar/src/main/java/appleridge/operators/Maintenance.java
@@ -14,29 +14,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lays the operator's word over the list. An upstream that is called out drains for the decision module,
- * whatever the list says of it: gone, listed again, with another start or address. Called back, it is what
- * the list says, but for its start. All news of the list goes through here, and what an operator says comes
- * out as news of its own, so that the module decides as ever.
+ * Lays the operator's word over the list. An upstream that is called out drains for the decision
+ * module, whatever the list says of it: gone, listed again, with another start or address. Called
+ * back, it is what the list says, but for its start. All news of the list goes through here, and
+ * what an operator says comes out as news of its own, so that the module decides as ever.
  *
  * <p>Times are nanoseconds on the clock on which upstreams' starts are placed.
  */
 public final class Maintenance {
-    /** Upstreams that may be out at once; each is a word of an operator, and ids may be long gone. */
+    /**
+     * Upstreams that may be out at once; each is a word of an operator, and ids may be long gone.
+     */
     static final int MOST = 4096;
 
-    private record Listed(Upstream entry, InetSocketAddress address) { }
+    private record Listed(Upstream entry, InetSocketAddress address) {}
 
     /** For so long a word that calls back is told to other processes, in nanoseconds. */
     private static final long TOLD = TimeUnit.MINUTES.toNanos(1);
 
     private final long rampTime;
+
     /** What the list says, by id. */
     private final Map<String, Listed> listed = new HashMap<>();
+
     /** Who is out, and since when. */
     private final Map<String, Long> out = new LinkedHashMap<>();
+
     /** When who was called back, for as long as that can matter. */
     private final Map<String, Long> back = new HashMap<>();
+
     /** The last word of each who is out, or was until lately. */
     private final Map<String, Word> said = new LinkedHashMap<>();
 
@@ -46,13 +52,15 @@
     }
 
     /** What an operator's word comes to. */
-    public sealed interface Effect permits Done, Denied { }
+    public sealed interface Effect permits Done, Denied {}
 
-    /** It holds from now on; the news are to be told before anything else is decided. Null for none. */
-    public record Done(News news) implements Effect { }
+    /**
+     * It holds from now on; the news are to be told before anything else is decided. Null for none.
+     */
+    public record Done(News news) implements Effect {}
 
     /** Nothing has changed. */
-    public record Denied(String why) implements Effect { }
+    public record Denied(String why) implements Effect {}
 
     /** News of the list, as they are with the operator's word laid over them. */
     public News over(News news, long now) {
@@ -73,7 +81,10 @@
         return new News(news.kind(), entries, news.addresses(), news.ids());
     }
 
-    /** Calls an upstream out: nothing new goes to it. Calls on one that is out already change nothing. */
+    /**
+     * Calls an upstream out: nothing new goes to it. Calls on one that is out already change
+     * nothing.
+     */
     public Effect suspend(String id, long now) {
         Listed its = listed.get(id);
         if (its == null && !out.containsKey(id)) {
@@ -104,7 +115,8 @@
         }
         said.put(id, new Word(id, false, now));
         Listed its = listed.get(id);
-        // Danger: it may have been made anew meanwhile, and the list be late to tell. Only a start within the
+        // Danger: it may have been made anew meanwhile, and the list be late to tell. Only a start
+        // within the
         // time in which it was out is certain to be the last one.
         if (its == null || its.entry.startedAt() < since) {
             back.put(id, now);
@@ -122,10 +134,15 @@
         List<News> all = new ArrayList<>();
         for (Word word : words) {
             Word last = said.get(word.id());
-            boolean fresh = last == null ? word.out() ? out.size() < MOST : now - word.at() <= TOLD
-                    : word.at() > last.at();
+            boolean fresh =
+                    last == null
+                            ? word.out() ? out.size() < MOST : now - word.at() <= TOLD
+                            : word.at() > last.at();
             if (fresh) {
-                News news = word.out() ? suspended(word.id(), word.at()) : restored(word.id(), word.at());
+                News news =
+                        word.out()
+                                ? suspended(word.id(), word.at())
+                                : restored(word.id(), word.at());
                 if (news != null) {
                     all.add(news);
                 }
@@ -139,7 +156,10 @@
         return List.copyOf(said.values());
     }
 
-    /** Danger: words pile up as long as the sidecar runs; those that call back matter for a while only. */
+    /**
+     * Danger: words pile up as long as the sidecar runs; those that call back matter for a while
+     * only.
+     */
     private void forget(long now) {
         back.values().removeIf(at -> now - at > rampTime);
         said.values().removeIf(word -> !word.out() && now - word.at() > TOLD);
@@ -156,14 +176,26 @@
             return null;
         }
         long number = its.entry.id();
-        return new News(ListKind.DELTA, List.of(over(id, its.entry)), Map.of(number, its.address),
+        return new News(
+                ListKind.DELTA,
+                List.of(over(id, its.entry)),
+                Map.of(number, its.address),
                 Map.of(number, id));
     }
 
     private Upstream over(String id, Upstream entry) {
-        State state = entry.state() == State.READY && out.containsKey(id) ? State.DRAINING : entry.state();
+        State state =
+                entry.state() == State.READY && out.containsKey(id)
+                        ? State.DRAINING
+                        : entry.state();
         long started = Math.max(entry.startedAt(), back.getOrDefault(id, 0L));
-        return new Upstream(entry.id(), entry.zone(), entry.kind(), entry.cell(), state, entry.weight(),
+        return new Upstream(
+                entry.id(),
+                entry.zone(),
+                entry.kind(),
+                entry.cell(),
+                state,
+                entry.weight(),
                 started);
     }
 }
--- a/sidecar/src/main/java/appleridge/operators/line/Caller.java
+++ b/sidecar/src/main/java/appleridge/operators/line/Caller.java
@@ -15,16 +15,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of an operator: a line is read, answered, and whatever follows it is not looked at. */
+/**
+ * One connection of an operator: a line is read, answered, and whatever follows it is not looked
+ * at.
+ */
 final class Caller extends ChannelInboundHandlerAdapter {
-    /** For the caller to read the answer, before unread input of its own would reset the connection. */
+    /**
+     * For the caller to read the answer, before unread input of its own would reset the connection.
+     */
     private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final OperatorsLine line;
     private final Channel channel;
     private final ByteArrayOutputStream heard = new ByteArrayOutputStream(64);
     private final long since;
-    private Timers.Timer limit = () -> { };
+    private Timers.Timer limit = () -> {};
     private boolean answered;
 
     Caller(OperatorsLine line, Channel channel) {
@@ -96,7 +101,8 @@
 
     private void answer() {
         byte[] said = heard.toByteArray();
-        int length = said.length > 0 && said[said.length - 1] == '\r' ? said.length - 1 : said.length;
+        int length =
+                said.length > 0 && said[said.length - 1] == '\r' ? said.length - 1 : said.length;
         byte[] text = new byte[length];
         System.arraycopy(said, 0, text, 0, length);
         answered = true;
--- a/sidecar/src/main/java/appleridge/operators/line/OperatorsLine.java
+++ b/sidecar/src/main/java/appleridge/operators/line/OperatorsLine.java
@@ -17,19 +17,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens for operators: one line a connection, one answer, the end. What is kept back for it is a few
- * descriptors and, at each turn of the loop, the time for a few callers. Danger: it is asked most when all
- * goes wrong, and who only connects must not keep out who asks.
+ * Listens for operators: one line a connection, one answer, the end. What is kept back for it is a
+ * few descriptors and, at each turn of the loop, the time for a few callers. Danger: it is asked
+ * most when all goes wrong, and who only connects must not keep out who asks.
  */
 public final class OperatorsLine {
     /** Callers at once: of the descriptors that neither clients nor upstreams may use. */
     static final int MOST_CALLERS = 12;
+
     /** So long a caller may hesitate, though others wait. */
     private static final long HESITATES = TimeUnit.MILLISECONDS.toNanos(10);
+
     /** So long one may take to make a call, where nobody waits. */
     private static final long LONGEST = TimeUnit.SECONDS.toNanos(5);
+
     /** After listening failed, as where the sidecar before this one still does. */
     private static final long LISTEN_AGAIN = TimeUnit.MILLISECONDS.toNanos(100);
+
     private static final int ACCEPTS_AT_ONCE = 4;
     private static final int BACKLOG = 1024;
 
@@ -39,7 +43,7 @@
     private final Answers answers;
     private final Set<Caller> callers = new LinkedHashSet<>();
     private Channel listener;
-    private Timers.Timer next = () -> { };
+    private Timers.Timer next = () -> {};
     private boolean told;
     private boolean closed;
 
@@ -53,36 +57,47 @@
 
     /** Begins to listen, and goes on trying until it does. */
     public void open() {
-        ChannelFuture binding = new ServerBootstrap().group(loop.executor(), loop.executor())
-                .channelFactory(sockets::listening)
-                .handler(new AcceptFailures(loop, this::acceptFailed))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Caller(OperatorsLine.this, channel));
+        ChannelFuture binding =
+                new ServerBootstrap()
+                        .group(loop.executor(), loop.executor())
+                        .channelFactory(sockets::listening)
+                        .handler(new AcceptFailures(loop, this::acceptFailed))
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(new Caller(OperatorsLine.this, channel));
+                                    }
+                                })
+                        .bind(address);
+        binding.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        listening(binding.channel());
+                    } else if (!closed) {
+                        if (!told) {
+                            told = true;
+                            loop.log()
+                                    .warning(
+                                            "no operators' line at "
+                                                    + address
+                                                    + " yet: "
+                                                    + done.cause().getMessage());
+                        }
+                        next = loop.after(LISTEN_AGAIN, this::open);
                     }
-                }).bind(address);
-        binding.addListener(done -> {
-            if (done.isSuccess()) {
-                listening(binding.channel());
-            } else if (!closed) {
-                if (!told) {
-                    told = true;
-                    loop.log().warning("no operators' line at " + address + " yet: "
-                            + done.cause().getMessage());
-                }
-                next = loop.after(LISTEN_AGAIN, this::open);
-            }
-        });
+                });
     }
 
     private void listening(Channel channel) {
         listener = channel;
-        listener.config().<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
+        listener.config()
+                .<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
                 .maxMessagesPerRead(ACCEPTS_AT_ONCE);
         if (closed) {
             channel.close();
@@ -120,7 +135,9 @@
         bound();
     }
 
-    /** Where callers wait, who has said nothing for longest goes, as soon as it has had its moment. */
+    /**
+     * Where callers wait, who has said nothing for longest goes, as soon as it has had its moment.
+     */
     private void bound() {
         if (callers.size() < MOST_CALLERS) {
             accept(true);
@@ -130,11 +147,14 @@
         Caller oldest = callers.iterator().next();
         long stood = loop.now() - oldest.since();
         next.cancel();
-        next = loop.after(Math.max(0, HESITATES - stood), () -> {
-            if (callers.size() >= MOST_CALLERS) {
-                callers.iterator().next().late();
-            }
-        });
+        next =
+                loop.after(
+                        Math.max(0, HESITATES - stood),
+                        () -> {
+                            if (callers.size() >= MOST_CALLERS) {
+                                callers.iterator().next().late();
+                            }
+                        });
     }
 
     /** No descriptor was left; some soon are. */
--- a/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hears on the listening channel that accepting failed. It goes no further: Netty's own part would let all
- * wait for a second and accept again then, whatever the cap, and log each failure with its trace.
+ * Hears on the listening channel that accepting failed. It goes no further: Netty's own part would
+ * let all wait for a second and accept again then, whatever the cap, and log each failure with its
+ * trace.
  */
 public final class AcceptFailures extends ChannelInboundHandlerAdapter {
     private static final long APART = TimeUnit.SECONDS.toNanos(1);
@@ -27,8 +28,11 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         long now = loop.now();
         if (now - told >= APART) {
-            loop.log().warning("accepting fails: " + cause.getMessage()
-                    + (untold == 0 ? "" : "; untold before it: " + untold));
+            loop.log()
+                    .warning(
+                            "accepting fails: "
+                                    + cause.getMessage()
+                                    + (untold == 0 ? "" : "; untold before it: " + untold));
             told = now;
             untold = 0;
         } else {
--- a/sidecar/src/main/java/appleridge/transport/Clock.java
+++ b/sidecar/src/main/java/appleridge/transport/Clock.java
@@ -5,8 +5,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one clock of a sidecar: Unix time in nanoseconds as read once at the start, carried on by the monotonic
- * clock. It never runs back.
+ * The one clock of a sidecar: Unix time in nanoseconds as read once at the start, carried on by the
+ * monotonic clock. It never runs back.
  */
 final class Clock {
     private final Ticker ticker;
@@ -24,9 +24,10 @@
     }
 
     /**
-     * The place of a Unix time in milliseconds, never later than now. Danger: where the wall clock has
-     * stepped since the start, or the machine was suspended, the two clocks disagree; what started is then
-     * taken for as young as either makes it, for a cold upstream that is taken for warm is pushed over.
+     * The place of a Unix time in milliseconds, never later than now. Danger: where the wall clock
+     * has stepped since the start, or the machine was suspended, the two clocks disagree; what
+     * started is then taken for as young as either makes it, for a cold upstream that is taken for
+     * warm is pushed over.
      */
     long place(long millis) {
         long now = now();
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Opens connections. Whatever becomes of one is told on the loop, and never inside the call that asks. */
+/**
+ * Opens connections. Whatever becomes of one is told on the loop, and never inside the call that
+ * asks.
+ */
 public final class Connector {
     /** Told one of the two, once. */
     public interface Listener {
@@ -24,8 +27,8 @@
         void failed(Throwable cause);
 
         /**
-         * This machine has no means for it, such as a descriptor, a local port or a buffer: nothing is known
-         * of the other side.
+         * This machine has no means for it, such as a descriptor, a local port or a buffer: nothing
+         * is known of the other side.
          */
         void noSocket(Throwable cause);
     }
@@ -47,15 +50,20 @@
     /**
      * For connections of one kind.
      *
-     * @param timeout nanoseconds after which a connection that is not there has failed; 1 ms at least
+     * @param timeout nanoseconds after which a connection that is not there has failed; 1 ms at
+     *     least
      * @param initializer sets up the pipeline of each new channel
      */
     public Connector(Loop loop, Sockets sockets, long timeout, Consumer<Channel> initializer) {
         this.loop = loop;
         this.sockets = sockets;
-        // Danger: of more than an int holds a part is left that may be negative, and no connection is made.
-        this.timeoutMillis = (int) Math.min(Integer.MAX_VALUE,
-                Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeout)));
+        // Danger: of more than an int holds a part is left that may be negative, and no connection
+        // is made.
+        this.timeoutMillis =
+                (int)
+                        Math.min(
+                                Integer.MAX_VALUE,
+                                Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeout)));
         this.handler = new Initializer(initializer);
     }
 
@@ -67,22 +75,27 @@
         } catch (RuntimeException e) {
             // Danger: Netty's bootstrap would tell of this on a thread of its own.
             loop.soon(() -> listener.noSocket(e));
-            return () -> { };
+            return () -> {};
         }
         channel.config().setOption(ChannelOption.TCP_NODELAY, true);
         channel.config().setOption(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis);
         channel.pipeline().addLast(handler);
-        loop.executor().register(channel).addListener(registered -> {
-            if (registered.isSuccess()) {
-                told(channel.connect(address), channel, listener);
-            } else {
-                noMeans(channel, listener, registered.cause());
-            }
-        });
+        loop.executor()
+                .register(channel)
+                .addListener(
+                        registered -> {
+                            if (registered.isSuccess()) {
+                                told(channel.connect(address), channel, listener);
+                            } else {
+                                noMeans(channel, listener, registered.cause());
+                            }
+                        });
         return channel::close;
     }
 
-    /** On loopback a connection may be there at once; the caller is not prepared to hear of it yet. */
+    /**
+     * On loopback a connection may be there at once; the caller is not prepared to hear of it yet.
+     */
     private void told(ChannelFuture connecting, Channel channel, Listener listener) {
         if (connecting.isSuccess()) {
             loop.soon(() -> listener.connected(channel));
@@ -92,13 +105,14 @@
             noMeans(channel, listener, connecting.cause());
             return;
         }
-        connecting.addListener(done -> {
-            if (done.isSuccess()) {
-                listener.connected(channel);
-            } else {
-                failed(channel, listener, done.cause());
-            }
-        });
+        connecting.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        listener.connected(channel);
+                    } else {
+                        failed(channel, listener, done.cause());
+                    }
+                });
     }
 
     private void failed(Channel channel, Listener listener, Throwable cause) {
@@ -112,15 +126,18 @@
     }
 
     /**
-     * Whether a connect that failed at once did so for want of something on this machine (EADDRNOTAVAIL,
-     * ENOBUFS, EAGAIN); what the other side causes, such as a reset, is told later. The JVM has types of its
-     * own for a refusal, for silence and for no route to the host, and none for a network that can't be
-     * reached, which is told by its text alone.
+     * Whether a connect that failed at once did so for want of something on this machine
+     * (EADDRNOTAVAIL, ENOBUFS, EAGAIN); what the other side causes, such as a reset, is told later.
+     * The JVM has types of its own for a refusal, for silence and for no route to the host, and
+     * none for a network that can't be reached, which is told by its text alone.
      */
     private static boolean isLocal(Throwable cause) {
-        return cause instanceof SocketException && !(cause instanceof ConnectException)
+        return cause instanceof SocketException
+                && !(cause instanceof ConnectException)
                 && !(cause instanceof NoRouteToHostException)
-                && !String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT).contains(UNREACHABLE);
+                && !String.valueOf(cause.getMessage())
+                        .toLowerCase(Locale.ROOT)
+                        .contains(UNREACHABLE);
     }
 
     @ChannelHandler.Sharable
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -5,14 +5,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches an event loop from within: how late its periodic work comes (a stall), and whether it turns without
- * anything to do (a spin). Both are logged with what else is known of the interval, and counted.
+ * Watches an event loop from within: how late its periodic work comes (a stall), and whether it
+ * turns without anything to do (a spin). Both are logged with what else is known of the interval,
+ * and counted.
  */
 public final class EventLoopMonitor {
     /** Nanoseconds of lag from which on a tick counts as a stall. */
     private static final long STALL = TimeUnit.MILLISECONDS.toNanos(150);
-    /** Turns in one interval from which on they may be a spin: some for each event of a busy interval. */
+
+    /**
+     * Turns in one interval from which on they may be a spin: some for each event of a busy
+     * interval.
+     */
     private static final long MANY_TURNS = 2000;
+
     /** An event takes a few turns: for the event itself, the tasks that follow, its timers. */
     private static final long TURNS_PER_EVENT = 10;
 
@@ -28,8 +34,8 @@
     private long longestLag;
 
     /**
-     * With the nanoseconds from one {@link #tick} to the next, and the number of events that have been
-     * handled since the start.
+     * With the nanoseconds from one {@link #tick} to the next, and the number of events that have
+     * been handled since the start.
      */
     public EventLoopMonitor(Loop loop, long period, LongSupplier events) {
         this.loop = loop;
@@ -61,9 +67,16 @@
             spins++;
         }
         if (stalled || spun) {
-            loop.log().event(stalled ? LogEvent.EVENT_LOOP_STALL : LogEvent.EVENT_LOOP_SPIN,
-                    () -> "lag_ms=" + TimeUnit.NANOSECONDS.toMillis(lag) + " turns=" + turns + " events="
-                            + handled);
+            loop.log()
+                    .event(
+                            stalled ? LogEvent.EVENT_LOOP_STALL : LogEvent.EVENT_LOOP_SPIN,
+                            () ->
+                                    "lag_ms="
+                                            + TimeUnit.NANOSECONDS.toMillis(lag)
+                                            + " turns="
+                                            + turns
+                                            + " events="
+                                            + handled);
         }
     }
 
--- a/sidecar/src/main/java/appleridge/transport/HeldListener.java
+++ b/sidecar/src/main/java/appleridge/transport/HeldListener.java
@@ -9,10 +9,10 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket that whoever started the process has opened, and keeps: it outlives this process and
- * may be listened on by another one at the same time. It is never bound, shut down or closed here. Danger:
- * the JVM ties descriptors 0 to 2 to it, and closing it would point them all at nothing, and with them the
- * log.
+ * A listening socket that whoever started the process has opened, and keeps: it outlives this
+ * process and may be listened on by another one at the same time. It is never bound, shut down or
+ * closed here. Danger: the JVM ties descriptors 0 to 2 to it, and closing it would point them all
+ * at nothing, and with them the log.
  *
  * <p>That it doesn't block belongs to the open socket, which all processes share that have it.
  */
@@ -21,6 +21,7 @@
     private static final String DESCRIPTOR = "0";
 
     private final ServerSocketChannel socket;
+
     /** What had connected before; owed an answer like all others. Null for none. */
     private SocketChannel first;
 
@@ -33,12 +34,15 @@
      * Takes the socket over that the process was started with.
      *
      * @param descriptor its number as the platform tells it; the JVM knows 0 alone
-     * @param proven whether another process is known to accept from it, so that nothing need be taken here
-     * @throws IOException with a plain message where there is no listening TCP socket at that number
+     * @param proven whether another process is known to accept from it, so that nothing need be
+     *     taken here
+     * @throws IOException with a plain message where there is no listening TCP socket at that
+     *     number
      */
     public static HeldListener inherited(String descriptor, boolean proven) throws IOException {
         if (!descriptor.strip().equals(DESCRIPTOR)) {
-            throw new IOException("the listening socket must be descriptor 0, not '" + descriptor + "'");
+            throw new IOException(
+                    "the listening socket must be descriptor 0, not '" + descriptor + "'");
         }
         if (!(System.inheritedChannel() instanceof ServerSocketChannel inherited)
                 || !(inherited.getLocalAddress() instanceof InetSocketAddress)) {
@@ -54,21 +58,27 @@
             // The JVM takes any unconnected socket for one that listens; only accepting tells.
             return new HeldListener(socket, socket.accept());
         } catch (IOException e) {
-            throw new IOException("descriptor 0 is no TCP socket that listens: " + e.getMessage(), e);
+            throw new IOException(
+                    "descriptor 0 is no TCP socket that listens: " + e.getMessage(), e);
         }
     }
 
-    /** Begins to accept from it; to be called once, with a bootstrap that lacks nothing but its channel. */
+    /**
+     * Begins to accept from it; to be called once, with a bootstrap that lacks nothing but its
+     * channel.
+     */
     public ChannelFuture register(ServerBootstrap bootstrap) {
-        ChannelFuture registering = bootstrap.channelFactory(() -> new ListeningChannel(socket))
-                .register();
-        registering.addListener(done -> {
-            if (done.isSuccess() && first != null) {
-                // Danger: what takes connections over is itself put in place by a task, which goes ahead.
-                Channel listener = registering.channel();
-                listener.eventLoop().execute(() -> takeFirst(listener));
-            }
-        });
+        ChannelFuture registering =
+                bootstrap.channelFactory(() -> new ListeningChannel(socket)).register();
+        registering.addListener(
+                done -> {
+                    if (done.isSuccess() && first != null) {
+                        // Danger: what takes connections over is itself put in place by a task,
+                        // which goes ahead.
+                        Channel listener = registering.channel();
+                        listener.eventLoop().execute(() -> takeFirst(listener));
+                    }
+                });
         return registering;
     }
 
--- a/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
+++ b/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
@@ -8,7 +8,7 @@
 /** A listening socket of the JVM whose connections are {@link UninterruptedSocketChannel}s. */
 final class ListeningChannel extends NioServerSocketChannel {
     /** One that is to be bound. */
-    ListeningChannel() { }
+    ListeningChannel() {}
 
     /** One on a socket that listens already. */
     ListeningChannel(ServerSocketChannel socket) {
--- a/sidecar/src/main/java/appleridge/transport/Loop.java
+++ b/sidecar/src/main/java/appleridge/transport/Loop.java
@@ -9,8 +9,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns a sidecar's sockets, timers and module, and its time: all of it is the event
- * loop's ticker's, so that a loop on another ticker lives in another time.
+ * The one thread that owns a sidecar's sockets, timers and module, and its time: all of it is the
+ * event loop's ticker's, so that a loop on another ticker lives in another time.
  */
 public final class Loop implements Time, Timers {
     /** Nanoseconds between two runs of periodic work, at the least. */
@@ -26,7 +26,9 @@
         this(executor, unixMillis, log, () -> 0);
     }
 
-    /** The same; with what counts the turns of the event loop, each of which looks for events once. */
+    /**
+     * The same; with what counts the turns of the event loop, each of which looks for events once.
+     */
     public Loop(EventLoop executor, LongSupplier unixMillis, Log log, LongSupplier turns) {
         this.turns = turns;
         this.executor = executor;
@@ -70,12 +72,15 @@
     }
 
     /**
-     * Runs something over and over, so many nanoseconds after the last time; a millisecond at the least.
-     * Shorter periods, as they come out of settings with short times, would leave the loop no moment to wait.
+     * Runs something over and over, so many nanoseconds after the last time; a millisecond at the
+     * least. Shorter periods, as they come out of settings with short times, would leave the loop
+     * no moment to wait.
      */
     public Timer every(long nanos, Runnable what) {
         long period = Math.max(SHORTEST_PERIOD, nanos);
-        return timer(executor.scheduleWithFixedDelay(guarded(what), period, period, TimeUnit.NANOSECONDS));
+        return timer(
+                executor.scheduleWithFixedDelay(
+                        guarded(what), period, period, TimeUnit.NANOSECONDS));
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/transport/NioEventLoopFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/NioEventLoopFactory.java
@@ -13,19 +13,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * Makes the I/O part of one event loop on the JVM's sockets, which waits for its timers in whole milliseconds
- * and counts its turns.
+ * Makes the I/O part of one event loop on the JVM's sockets, which waits for its timers in whole
+ * milliseconds and counts its turns.
  *
- * <p>Invariant: a loop with nothing to do waits in the system. Netty's own handler rounds the time to the
- * next timer to the nearest millisecond and, where that is 0, looks for events over and over until the time
- * has come: half a millisecond of the core for each timer, and more where the clock moves in steps. A process
- * with a part of a core pays for that by stalling later, for up to seconds, with its clients unread.
+ * <p>Invariant: a loop with nothing to do waits in the system. Netty's own handler rounds the time
+ * to the next timer to the nearest millisecond and, where that is 0, looks for events over and over
+ * until the time has come: half a millisecond of the core for each timer, and more where the clock
+ * moves in steps. A process with a part of a core pays for that by stalling later, for up to
+ * seconds, with its clients unread.
  */
 public final class NioEventLoopFactory implements IoHandlerFactory, LongSupplier {
     /** What the system can wait for, in nanoseconds; timers come up to as much late. */
     private static final long RESOLUTION = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandlerFactory nio = NioIoHandler.newFactory();
+
     /** Written by the event loop's thread alone. */
     private volatile long turns;
 
@@ -88,8 +90,8 @@
     }
 
     /**
-     * The loop's own view of its timers, with each wait rounded up. It goes by the loop's ticker, as the
-     * timers do: by another clock a timer could be over that the loop does not run yet.
+     * The loop's own view of its timers, with each wait rounded up. It goes by the loop's ticker,
+     * as the timers do: by another clock a timer could be over that the loop does not run yet.
      */
     private static final class WholeMilliseconds implements IoHandlerContext {
         private final Ticker ticker;
@@ -106,7 +108,8 @@
 
         @Override
         public long delayNanos(long now) {
-            // The context takes a time of the system's clock, which a ticker's time is ahead of by its first.
+            // The context takes a time of the system's clock, which a ticker's time is ahead of by
+            // its first.
             long delay = context.delayNanos(ticker.nanoTime() + ticker.initialNanoTime());
             boolean none = delay > Long.MAX_VALUE - RESOLUTION;
             return delay <= 0 || none ? delay : (delay + RESOLUTION - 1) / RESOLUTION * RESOLUTION;
--- a/sidecar/src/main/java/appleridge/transport/Sockets.java
+++ b/sidecar/src/main/java/appleridge/transport/Sockets.java
@@ -12,8 +12,8 @@
     ServerChannel listening();
 
     /**
-     * Reads at once, before this returns, what the system holds for a channel, and hands it to the pipeline.
-     * To be called on the loop.
+     * Reads at once, before this returns, what the system holds for a channel, and hands it to the
+     * pipeline. To be called on the loop.
      */
     void readNow(Channel channel);
 }
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -9,13 +9,14 @@
 import java.util.function.Supplier;
 
 /**
- * The process's log. Warnings and failures, the latter with their causes, are logged one a second at most.
- * Danger: a flood of bad clients or upstreams can bring about any number of them, and writing them all would
- * take the loop's time.
+ * The process's log. Warnings and failures, the latter with their causes, are logged one a second
+ * at most. Danger: a flood of bad clients or upstreams can bring about any number of them, and
+ * writing them all would take the loop's time.
  */
 public final class SystemLog implements Log {
     private static final System.Logger LOG = System.getLogger("appleridge");
     private static final long APART = TimeUnit.SECONDS.toNanos(1);
+
     /** The logging system has ended or is about to: lines go to the standard error as they are. */
     private static volatile boolean direct;
 
@@ -34,8 +35,9 @@
     }
 
     /**
-     * To be called when the process begins to end. Danger: the logging system has a shutdown hook of its own
-     * that runs beside the service's, and what the service does from then on would be written nowhere.
+     * To be called when the process begins to end. Danger: the logging system has a shutdown hook
+     * of its own that runs beside the service's, and what the service does from then on would be
+     * written nowhere.
      */
     public static void writeDirectly() {
         direct = true;
@@ -51,8 +53,10 @@
             LOG.log(how, line, cause);
         } else if (LOG.isLoggable(how)) {
             String why = cause == null ? "" : " (" + cause + ")";
-            System.err.println(String.format("%tT.%<tL %s %s%s", SystemTime.UNIX_MILLIS.getAsLong(),
-                    how.getName(), line, why));
+            System.err.println(
+                    String.format(
+                            "%tT.%<tL %s %s%s",
+                            SystemTime.UNIX_MILLIS.getAsLong(), how.getName(), line, why));
         }
     }
 
--- a/sidecar/src/main/java/appleridge/transport/package-info.java
+++ b/sidecar/src/main/java/appleridge/transport/package-info.java
@@ -1,2 +1,5 @@
-/** Event loop, time, connecting and the sockets themselves: moves bytes and time and decides nothing. */
+/**
+ * Event loop, time, connecting and the sockets themselves: moves bytes and time and decides
+ * nothing.
+ */
 package appleridge.transport;
--- a/sidecar/src/test/java/appleridge/ArchitectureTest.java
+++ b/sidecar/src/test/java/appleridge/ArchitectureTest.java
@@ -32,24 +32,49 @@
 
 /** The walls between packages, and the one source of time and chance. */
 class ArchitectureTest {
-    private static final JavaClasses PRODUCT = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("appleridge");
+    private static final JavaClasses PRODUCT =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("appleridge");
+
     /** Values that look like input and output and are none. */
-    private static final DescribedPredicate<JavaClass> VALUES = belongToAnyOf(TimeUnit.class,
-            InetSocketAddress.class, InetAddress.class, IOException.class, UnknownHostException.class);
-    private static final DescribedPredicate<JavaClass> PLAIN_JAVA = resideInAnyPackage("java.lang..",
-            "java.util", "java.util.function", "java.util.stream", "java.util.regex", "java.nio",
-            "java.nio.charset").or(VALUES);
-    private static final DescribedPredicate<JavaClass> PURE = PLAIN_JAVA.and(not(belongToAnyOf(Thread.class,
-            Runtime.class, Process.class, ProcessBuilder.class)));
+    private static final DescribedPredicate<JavaClass> VALUES =
+            belongToAnyOf(
+                    TimeUnit.class,
+                    InetSocketAddress.class,
+                    InetAddress.class,
+                    IOException.class,
+                    UnknownHostException.class);
+
+    private static final DescribedPredicate<JavaClass> PLAIN_JAVA =
+            resideInAnyPackage(
+                            "java.lang..",
+                            "java.util",
+                            "java.util.function",
+                            "java.util.stream",
+                            "java.util.regex",
+                            "java.nio",
+                            "java.nio.charset")
+                    .or(VALUES);
+    private static final DescribedPredicate<JavaClass> PURE =
+            PLAIN_JAVA.and(
+                    not(
+                            belongToAnyOf(
+                                    Thread.class,
+                                    Runtime.class,
+                                    Process.class,
+                                    ProcessBuilder.class)));
 
     private static DescribedPredicate<JavaClass> rooms(String... names) {
         return resideInAnyPackage(names);
     }
 
     private static ArchRule only(String room, DescribedPredicate<JavaClass> allowed) {
-        return classes().that().resideInAPackage(room).should().onlyDependOnClassesThat(
-                resideInAPackage(room).or(allowed));
+        return classes()
+                .that()
+                .resideInAPackage(room)
+                .should()
+                .onlyDependOnClassesThat(resideInAPackage(room).or(allowed));
     }
 
     @Test
@@ -58,91 +83,193 @@
         only("appleridge.exchange", PURE.or(rooms("appleridge.decision"))).check(PRODUCT);
         only("appleridge.membership", PURE.or(rooms("appleridge.decision", "appleridge.exchange")))
                 .check(PRODUCT);
-        only("appleridge.membership.nodes", PURE.or(rooms("appleridge.decision", "appleridge.membership")))
+        only(
+                        "appleridge.membership.nodes",
+                        PURE.or(rooms("appleridge.decision", "appleridge.membership")))
                 .check(PRODUCT);
         only("appleridge.handover", PURE).check(PRODUCT);
         only("appleridge.lease", PURE).check(PRODUCT);
-        only("appleridge.operators", PURE.or(rooms("appleridge.decision", "appleridge.exchange",
-                "appleridge.membership", "appleridge.handover"))).check(PRODUCT);
+        only(
+                        "appleridge.operators",
+                        PURE.or(
+                                rooms(
+                                        "appleridge.decision",
+                                        "appleridge.exchange",
+                                        "appleridge.membership",
+                                        "appleridge.handover")))
+                .check(PRODUCT);
         only("appleridge.config", PURE.or(rooms("appleridge.decision", "com.fasterxml.jackson..")))
                 .check(PRODUCT);
     }
 
-    /** Guards against one protocol that can't be left out, and against a core that only it can use. */
+    /**
+     * Guards against one protocol that can't be left out, and against a core that only it can use.
+     */
     @Test
     void protocolsAndSourcesKnowTheCoreAndNotEachOther() {
-        DescribedPredicate<JavaClass> below = rooms("java..", "io.netty..", "appleridge.decision",
-                "appleridge.exchange", "appleridge.config", "appleridge.transport");
+        DescribedPredicate<JavaClass> below =
+                rooms(
+                        "java..",
+                        "io.netty..",
+                        "appleridge.decision",
+                        "appleridge.exchange",
+                        "appleridge.config",
+                        "appleridge.transport");
         only("appleridge.http1", below).check(PRODUCT);
-        only("appleridge.membership.registry", below.or(rooms("appleridge.membership",
-                "com.fasterxml.jackson.."))).check(PRODUCT);
+        only(
+                        "appleridge.membership.registry",
+                        below.or(rooms("appleridge.membership", "com.fasterxml.jackson..")))
+                .check(PRODUCT);
         only("appleridge.operators.line", below.or(rooms("appleridge.operators"))).check(PRODUCT);
-        only("appleridge.transport", rooms("java..", "io.netty..", "appleridge.exchange")).check(PRODUCT);
-        only("appleridge.adapter", rooms("java..", "appleridge.decision",
-                "appleridge.config")).check(PRODUCT);
+        only("appleridge.transport", rooms("java..", "io.netty..", "appleridge.exchange"))
+                .check(PRODUCT);
+        only("appleridge.adapter", rooms("java..", "appleridge.decision", "appleridge.config"))
+                .check(PRODUCT);
     }
 
     /** Guards against a client that can't be left out, and against one that decides. */
     @Test
     void zooKeepersClientIsKnownInThreePlaces() {
-        only("appleridge.membership.zookeeper", rooms("java..", "org.apache.zookeeper..", "org.slf4j..",
-                "com.fasterxml.jackson..", "appleridge.membership", "appleridge.membership.nodes",
-                "appleridge.decision", "appleridge.exchange", "appleridge.transport", "appleridge.config"))
-                .check(PRODUCT);
-        only("appleridge.membership.register", rooms("java..", "org.apache.zookeeper..",
-                "com.fasterxml.jackson..", "appleridge.membership.zookeeper", "appleridge.transport",
-                "appleridge.config")).check(PRODUCT);
-        only("appleridge.lease.store", rooms("java..", "org.apache.zookeeper..", "com.fasterxml.jackson..",
-                "appleridge.membership.zookeeper", "appleridge.transport", "appleridge.lease"))
-                .check(PRODUCT);
-        noClasses().that().resideOutsideOfPackages("appleridge.membership.zookeeper",
-                "appleridge.membership.register", "appleridge.lease.store").should().dependOnClassesThat()
-                .resideInAnyPackage("org.apache.zookeeper..", "org.slf4j..").check(PRODUCT);
-        noClasses().that().resideOutsideOfPackages("appleridge.membership.zookeeper",
-                "appleridge.membership.register", "appleridge.lease.store", "appleridge.lease.task").and()
-                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart").and()
-                .haveNameNotMatching("appleridge\\.daemon\\.NodesStart.*").should().dependOnClassesThat()
-                .resideInAnyPackage("appleridge.membership.zookeeper", "appleridge.membership.register")
+        only(
+                        "appleridge.membership.zookeeper",
+                        rooms(
+                                "java..",
+                                "org.apache.zookeeper..",
+                                "org.slf4j..",
+                                "com.fasterxml.jackson..",
+                                "appleridge.membership",
+                                "appleridge.membership.nodes",
+                                "appleridge.decision",
+                                "appleridge.exchange",
+                                "appleridge.transport",
+                                "appleridge.config"))
+                .check(PRODUCT);
+        only(
+                        "appleridge.membership.register",
+                        rooms(
+                                "java..",
+                                "org.apache.zookeeper..",
+                                "com.fasterxml.jackson..",
+                                "appleridge.membership.zookeeper",
+                                "appleridge.transport",
+                                "appleridge.config"))
+                .check(PRODUCT);
+        only(
+                        "appleridge.lease.store",
+                        rooms(
+                                "java..",
+                                "org.apache.zookeeper..",
+                                "com.fasterxml.jackson..",
+                                "appleridge.membership.zookeeper",
+                                "appleridge.transport",
+                                "appleridge.lease"))
+                .check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "appleridge.membership.zookeeper",
+                        "appleridge.membership.register",
+                        "appleridge.lease.store")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("org.apache.zookeeper..", "org.slf4j..")
+                .check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "appleridge.membership.zookeeper",
+                        "appleridge.membership.register",
+                        "appleridge.lease.store",
+                        "appleridge.lease.task")
+                .and()
+                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart")
+                .and()
+                .haveNameNotMatching("appleridge\\.daemon\\.NodesStart.*")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "appleridge.membership.zookeeper", "appleridge.membership.register")
                 .check(PRODUCT);
     }
 
     /** Guards against tests that start another system's server, and a product that carries one. */
     @Test
     void nothingKnowsZooKeepersServer() {
-        noClasses().should().dependOnClassesThat().resideInAPackage("org.apache.zookeeper.server..")
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("org.apache.zookeeper.server..")
                 .check(new ClassFileImporter().importPackages("appleridge"));
     }
 
-    /** Guards against leases, and a library for a command's arguments, that cost something where none are. */
+    /**
+     * Guards against leases, and a library for a command's arguments, that cost something where
+     * none are.
+     */
     @Test
     void leasesAreKnownOnlyToTheirCommand() {
-        only("appleridge.lease.task", rooms("java..", "picocli..", "appleridge.lease",
-                "appleridge.lease.store", "appleridge.membership.zookeeper")).check(PRODUCT);
-        noClasses().that().resideOutsideOfPackage("appleridge.lease.task").should().dependOnClassesThat()
-                .resideInAPackage("picocli..").check(PRODUCT);
-        noClasses().that().resideOutsideOfPackage("appleridge.lease..").and()
-                .doNotBelongToAnyOf(Main.class).and()
-                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart").should().dependOnClassesThat()
-                .resideInAPackage("appleridge.lease..").check(PRODUCT);
+        only(
+                        "appleridge.lease.task",
+                        rooms(
+                                "java..",
+                                "picocli..",
+                                "appleridge.lease",
+                                "appleridge.lease.store",
+                                "appleridge.membership.zookeeper"))
+                .check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("appleridge.lease.task")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("picocli..")
+                .check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("appleridge.lease..")
+                .and()
+                .doNotBelongToAnyOf(Main.class)
+                .and()
+                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("appleridge.lease..")
+                .check(PRODUCT);
     }
 
     /** Guards against an operator's file that costs something where there is none. */
     @Test
     void theOperatorsFileIsKnownInOnePlace() {
-        only("appleridge.config.operator", rooms("java..", "com.fasterxml.jackson..", "appleridge.config"))
+        only(
+                        "appleridge.config.operator",
+                        rooms("java..", "com.fasterxml.jackson..", "appleridge.config"))
+                .check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("appleridge.config.operator")
+                .and()
+                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("appleridge.config.operator")
                 .check(PRODUCT);
-        noClasses().that().resideOutsideOfPackage("appleridge.config.operator").and()
-                .doNotHaveFullyQualifiedName("appleridge.daemon.OperatorStart").should().dependOnClassesThat()
-                .resideInAPackage("appleridge.config.operator").check(PRODUCT);
     }
 
     @Test
     void nothingKnowsTheWholeButItself() {
-        noClasses().that().resideOutsideOfPackage("appleridge.daemon..").should().dependOnClassesThat()
-                .resideInAPackage("appleridge.daemon..").check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("appleridge.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("appleridge.daemon..")
+                .check(PRODUCT);
     }
 
-    /** Guards against a run that can't be played again: time is the loop's ticker's, chance is seeded. */
+    /**
+     * Guards against a run that can't be played again: time is the loop's ticker's, chance is
+     * seeded.
+     */
     @Test
     void timeAndChanceComeFromOutside() {
         ONE_SOURCE_OF_TIME.check(PRODUCT);
@@ -150,41 +277,63 @@
 
     @Test
     void timersAreMadeInOnePlace() {
-        noClasses().that().resideOutsideOfPackage("appleridge.transport").should().callMethodWhere(
-                new DescribedPredicate<JavaMethodCall>("an executor's timers") {
-                    @Override
-                    public boolean test(JavaMethodCall call) {
-                        JavaClass owner = call.getTargetOwner();
-                        return call.getName().startsWith("schedule")
-                                && (owner.isAssignableTo(EventExecutorGroup.class)
-                                || owner.isAssignableTo(ScheduledExecutorService.class));
-                    }
-                }).check(PRODUCT);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("appleridge.transport")
+                .should()
+                .callMethodWhere(
+                        new DescribedPredicate<JavaMethodCall>("an executor's timers") {
+                            @Override
+                            public boolean test(JavaMethodCall call) {
+                                JavaClass owner = call.getTargetOwner();
+                                return call.getName().startsWith("schedule")
+                                        && (owner.isAssignableTo(EventExecutorGroup.class)
+                                                || owner.isAssignableTo(
+                                                        ScheduledExecutorService.class));
+                            }
+                        })
+                .check(PRODUCT);
     }
 
-    private static final ArchRule ONE_SOURCE_OF_TIME = noClasses().that().doNotBelongToAnyOf(SystemTime.class)
-            .should().accessTargetWhere(new DescribedPredicate<JavaAccess<?>>("the system's time or chance") {
-                @Override
-                public boolean test(JavaAccess<?> access) {
-                    String owner = access.getTargetOwner().getName();
-                    String name = access.getName();
-                    boolean isNow = owner.startsWith("java.time.") && name.equals("now");
-                    return isNow || owner.equals("java.lang.System")
-                            && (name.equals("nanoTime") || name.equals("currentTimeMillis"))
-                            || owner.equals("java.lang.Thread") && name.equals("sleep")
-                            || owner.equals("java.lang.Math") && name.equals("random")
-                            || owner.equals(UUID.class.getName()) && name.equals("randomUUID")
-                            || owner.equals(ThreadLocalRandom.class.getName());
-                }
-            }).orShould().callConstructor(Random.class);
+    private static final ArchRule ONE_SOURCE_OF_TIME =
+            noClasses()
+                    .that()
+                    .doNotBelongToAnyOf(SystemTime.class)
+                    .should()
+                    .accessTargetWhere(
+                            new DescribedPredicate<JavaAccess<?>>("the system's time or chance") {
+                                @Override
+                                public boolean test(JavaAccess<?> access) {
+                                    String owner = access.getTargetOwner().getName();
+                                    String name = access.getName();
+                                    boolean isNow =
+                                            owner.startsWith("java.time.") && name.equals("now");
+                                    return isNow
+                                            || owner.equals("java.lang.System")
+                                                    && (name.equals("nanoTime")
+                                                            || name.equals("currentTimeMillis"))
+                                            || owner.equals("java.lang.Thread")
+                                                    && name.equals("sleep")
+                                            || owner.equals("java.lang.Math")
+                                                    && name.equals("random")
+                                            || owner.equals(UUID.class.getName())
+                                                    && name.equals("randomUUID")
+                                            || owner.equals(ThreadLocalRandom.class.getName());
+                                }
+                            })
+                    .orShould()
+                    .callConstructor(Random.class);
 
     /** A wall that nobody could run into would hold nothing: the rig's own test of the rule. */
     @Test
     void theRuleOfTimeSeesWhoBreaksIt() {
         JavaClasses offender = new ClassFileImporter().importClasses(Offender.class);
         assertThrows(AssertionError.class, () -> ONE_SOURCE_OF_TIME.check(offender));
-        assertThrows(AssertionError.class,
-                () -> only("appleridge", rooms("java.lang..", "java.util.function")).check(offender));
+        assertThrows(
+                AssertionError.class,
+                () ->
+                        only("appleridge", rooms("java.lang..", "java.util.function"))
+                                .check(offender));
     }
 
     private static final class Offender {
--- a/sidecar/src/test/java/appleridge/adapter/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/adapter/PackagedJarIT.java
@@ -17,17 +17,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar as a process: exit status, standard error, nothing half-written on standard output. */
+/**
+ * The packaged jar as a process: exit status, standard error, nothing half-written on standard
+ * output.
+ */
 class PackagedJarIT {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
-    private record Result(int status, byte[] out, String err) { }
+    private record Result(int status, byte[] out, String err) {}
 
-    private static Result run(byte[] input, String... args) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-jar", "target/appleridge.jar"));
+    private static Result run(byte[] input, String... args)
+            throws IOException, InterruptedException {
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-jar",
+                                "target/appleridge.jar"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         try (OutputStream in = process.getOutputStream()) {
@@ -50,18 +56,28 @@
     @Test
     void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
         byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
-        Map<String, byte[]> bad = Map.of(
-                "header cut short", new byte[] {1, 2, 3},
-                "ends after", Arrays.copyOf(provision, provision.length - 3),
-                "unknown event code 99", new WireTest.Frame().record(99).end().bytes(1),
-                "setting missing: rules.rampTime",
-                new WireTest.Frame().provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x")).bytes(1));
+        Map<String, byte[]> bad =
+                Map.of(
+                        "header cut short",
+                        new byte[] {1, 2, 3},
+                        "ends after",
+                        Arrays.copyOf(provision, provision.length - 3),
+                        "unknown event code 99",
+                        new WireTest.Frame().record(99).end().bytes(1),
+                        "setting missing: rules.rampTime",
+                        new WireTest.Frame()
+                                .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
+                                .bytes(1));
         for (Map.Entry<String, byte[]> each : bad.entrySet()) {
             Result result = run(each.getValue(), "adapter");
             assertEquals(1, result.status, each.getKey());
             assertEquals(0, result.out.length, each.getKey());
-            assertTrue(result.err.contains("frame 0: ") && result.err.contains(each.getKey()), result.err);
-            assertTrue(result.err.strip().lines().count() == 1, "one line, no stack trace: " + result.err);
+            assertTrue(
+                    result.err.contains("frame 0: ") && result.err.contains(each.getKey()),
+                    result.err);
+            assertTrue(
+                    result.err.strip().lines().count() == 1,
+                    "one line, no stack trace: " + result.err);
         }
     }
 
@@ -79,9 +95,13 @@
     void nothingOfLeasesIsLoadedWhereNoneAreAsked() throws Exception {
         for (String each : List.of("adapter", "warm-up")) {
             Path log = folder.resolve(each);
-            ProcessBuilder builder = new ProcessBuilder(
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-Xlog:class+load:file=" + log, "-jar", "target/appleridge.jar", each);
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-Xlog:class+load:file=" + log,
+                            "-jar",
+                            "target/appleridge.jar",
+                            each);
             builder.environment().put("BALANCER_CONFIG", "../deploy/warm-up.json");
             Process process = builder.redirectErrorStream(true).start();
             process.getOutputStream().close();
@@ -89,8 +109,12 @@
             assertEquals(0, process.waitFor(), each);
             String loaded = Files.readString(log);
             assertTrue(loaded.contains("appleridge.daemon.Main"), each);
-            for (String off : List.of("picocli", "appleridge.lease", "org.apache.zookeeper",
-                    "appleridge.config.operator")) {
+            for (String off :
+                    List.of(
+                            "picocli",
+                            "appleridge.lease",
+                            "org.apache.zookeeper",
+                            "appleridge.config.operator")) {
                 assertFalse(loaded.contains(" " + off), each + " loads of " + off);
             }
         }
@@ -99,13 +123,24 @@
     @Test
     void aTaskThatMakesNoSenseIsNotStarted() throws Exception {
         Path file = Files.writeString(folder.resolve("operator.toml"), "version = 1\n");
-        for (String[] each : new String[][] {
-            {"no command after --", "task", "--lease", "a"},
-            {file + ": has no section [leases]", "task", "--operator", file.toString(), "--lease", "a", "--",
-                "true"}}) {
+        for (String[] each :
+                new String[][] {
+                    {"no command after --", "task", "--lease", "a"},
+                    {
+                        file + ": has no section [leases]",
+                        "task",
+                        "--operator",
+                        file.toString(),
+                        "--lease",
+                        "a",
+                        "--",
+                        "true"
+                    }
+                }) {
             Result result = run(new byte[0], Arrays.copyOfRange(each, 1, each.length));
             assertEquals(2, result.status, result.err);
-            assertTrue(result.err.startsWith("appleridge: " + each[0] + "\nUsage: task "), result.err);
+            assertTrue(
+                    result.err.startsWith("appleridge: " + each[0] + "\nUsage: task "), result.err);
         }
     }
 
--- a/sidecar/src/test/java/appleridge/adapter/WireTest.java
+++ b/sidecar/src/test/java/appleridge/adapter/WireTest.java
@@ -18,14 +18,32 @@
 import org.junit.jupiter.api.Test;
 
 class WireTest {
-    static final String OPTIONS = String.join("\n",
-            "caps.mayCancel=true", "caps.tryLimit=3", "caps.parallelTries=true", "brand.newKey=what,ever",
-            "discovery=subscribe", "profiles.count=1", "profiles.0.deadline=1000000000",
-            "profiles.0.slo=500000000", "profiles.0.semantics=once", "profiles.0.worth=2.5",
-            "parties.count=1", "parties.0.portion=1.0", "parties.0.quotaRps=50", "quantum=5000000", "rank=1",
-            "replicasOfMe=3", "report.fields=rif,lat_ms", "rules.answerSlack=20000000",
-            "rules.coldShare=0.3", "rules.overloadFactor=3.0", "rules.rampTime=8000000000",
-            "rules.stopSendingWithin=250000000", "rules.tipAfter=1500000000");
+    static final String OPTIONS =
+            String.join(
+                    "\n",
+                    "caps.mayCancel=true",
+                    "caps.tryLimit=3",
+                    "caps.parallelTries=true",
+                    "brand.newKey=what,ever",
+                    "discovery=subscribe",
+                    "profiles.count=1",
+                    "profiles.0.deadline=1000000000",
+                    "profiles.0.slo=500000000",
+                    "profiles.0.semantics=once",
+                    "profiles.0.worth=2.5",
+                    "parties.count=1",
+                    "parties.0.portion=1.0",
+                    "parties.0.quotaRps=50",
+                    "quantum=5000000",
+                    "rank=1",
+                    "replicasOfMe=3",
+                    "report.fields=rif,lat_ms",
+                    "rules.answerSlack=20000000",
+                    "rules.coldShare=0.3",
+                    "rules.overloadFactor=3.0",
+                    "rules.rampTime=8000000000",
+                    "rules.stopSendingWithin=250000000",
+                    "rules.tipAfter=1500000000");
 
     /** Builds frames from the documented layout. */
     static final class Frame {
@@ -47,7 +65,8 @@
         }
 
         byte[] bytes(long clock) {
-            ByteBuffer out = ByteBuffer.allocate(16 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
+            ByteBuffer out =
+                    ByteBuffer.allocate(16 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
             out.putLong(clock).putInt(16 + body.position()).putInt(records);
             out.put(body.array(), 0, body.position());
             return out.array();
@@ -62,8 +81,14 @@
         Frame list(int number, int... upstreams) {
             record(11).body.putInt(number).putInt(upstreams.length);
             for (int id : upstreams) {
-                body.putInt(id).putShort((short) 80).put((byte) 0).putShort((short) 0).putShort((short) 0)
-                        .put((byte) 1).putFloat(1).putLong(0);
+                body.putInt(id)
+                        .putShort((short) 80)
+                        .put((byte) 0)
+                        .putShort((short) 0)
+                        .putShort((short) 0)
+                        .put((byte) 1)
+                        .putFloat(1)
+                        .putLong(0);
             }
             return end();
         }
@@ -74,8 +99,16 @@
         }
 
         Frame submit(int sidecar, int id) {
-            record(3).body.putShort((short) sidecar).putInt(id).put((byte) 0).putShort((short) 0).putLong(0)
-                    .putLong(1_000_000_000L).putLong(0).put((byte) 0);
+            record(3)
+                    .body
+                    .putShort((short) sidecar)
+                    .putInt(id)
+                    .put((byte) 0)
+                    .putShort((short) 0)
+                    .putLong(0)
+                    .putLong(1_000_000_000L)
+                    .putLong(0)
+                    .put((byte) 0);
             return end();
         }
     }
@@ -107,8 +140,14 @@
 
     @Test
     void requestIsPlacedOnTheListedUpstream() throws IOException {
-        byte[] reply = play(new Frame().provision(3, OPTIONS).list(0, 0x0100_000a).membership(3, 2, 0)
-                .submit(3, 0xf0000001).bytes(1_000_000_000L));
+        byte[] reply =
+                play(
+                        new Frame()
+                                .provision(3, OPTIONS)
+                                .list(0, 0x0100_000a)
+                                .membership(3, 2, 0)
+                                .submit(3, 0xf0000001)
+                                .bytes(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
         in.position(8);
@@ -126,8 +165,16 @@
 
     @Test
     void listNumbersResolveByOrder() throws IOException {
-        byte[] reply = play(new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).list(0, 8)
-                .membership(1, 1, 0).submit(1, 9).bytes(1_000_000_000L));
+        byte[] reply =
+                play(
+                        new Frame()
+                                .provision(1, OPTIONS)
+                                .list(0, 7)
+                                .membership(1, 2, 0)
+                                .list(0, 8)
+                                .membership(1, 1, 0)
+                                .submit(1, 9)
+                                .bytes(1_000_000_000L));
         String hex = java.util.HexFormat.of().formatHex(reply);
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
@@ -147,8 +194,12 @@
         fails("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
         fails("unknown event code 99", new Frame().record(99).end().bytes(1));
         fails("unknown instance 5", new Frame().submit(5, 1).bytes(1));
-        fails("unknown list number 3", new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
-        fails("form 9 out of range", new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
+        fails(
+                "unknown list number 3",
+                new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
+        fails(
+                "form 9 out of range",
+                new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
         fails("field cut short", new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
         byte[] shortLength = whole.clone();
         ByteBuffer.wrap(shortLength).order(ByteOrder.LITTLE_ENDIAN).putInt(8, 5);
@@ -165,11 +216,17 @@
         assertEquals(2.5, settings.classes().get(0).worth());
         assertEquals(2, settings.reportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        fails("setting missing: rules.rampTime",
+        fails(
+                "setting missing: rules.rampTime",
                 new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
-        fails("not a number", new Frame().provision(1, OPTIONS.replace("rank=1", "rank=NaN")).bytes(1));
-        fails("not a number", new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
-        fails("cold share",
+        fails(
+                "not a number",
+                new Frame().provision(1, OPTIONS.replace("rank=1", "rank=NaN")).bytes(1));
+        fails(
+                "not a number",
+                new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
+        fails(
+                "cold share",
                 new Frame().provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7")).bytes(1));
     }
 
--- a/sidecar/src/test/java/appleridge/config/AddressesTest.java
+++ b/sidecar/src/test/java/appleridge/config/AddressesTest.java
@@ -16,11 +16,23 @@
     /** Guards against a name in a list that is looked up on the loop, which waits for it. */
     @Test
     void namesAndNonsenseAreNot() {
-        for (String text : List.of("localhost:80", "s1.example.org:80", "10.1.0.18", ":80", "10.1.0:80",
-                "10.1.0.256:80",
-                "10.1.0.18:0", "10.1.0.18:65536", "10.1.0.18:x", "010.1.0.1:80", "[::1%lo]:80", "[]:80",
+        for (String text :
+                List.of(
+                        "localhost:80",
+                        "s1.example.org:80",
+                        "10.1.0.18",
+                        ":80",
+                        "10.1.0:80",
+                        "10.1.0.256:80",
+                        "10.1.0.18:0",
+                        "10.1.0.18:65536",
+                        "10.1.0.18:x",
+                        "010.1.0.1:80",
+                        "[::1%lo]:80",
+                        "[]:80",
                         "0x7f000001:80",
-                "1.2.3.4.5:80", "")) {
+                        "1.2.3.4.5:80",
+                        "")) {
             assertNull(Addresses.literal(text), text);
         }
     }
--- a/sidecar/src/test/java/appleridge/config/ConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/ConfigTest.java
@@ -17,7 +17,8 @@
 
 /** The configuration and the small texts that the protocol has values in. */
 class ConfigTest {
-    private static final String GOOD = LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:8500");
+    private static final String GOOD =
+            LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:8500");
 
     private static Config parse(String json) throws Exception {
         return Config.parse(new ObjectMapper().readTree(json));
@@ -35,15 +36,19 @@
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
-    /** Guards against a customer whose lists are pushed, or whose sidecars may speak to one another. */
+    /**
+     * Guards against a customer whose lists are pushed, or whose sidecars may speak to one another.
+     */
     @Test
     void pushedListsAreFollowedAndPeersLeftAlone() throws Exception {
-        String pushed = GOOD.replace("\"discovery\":\"subscribe\"", "\"discovery\":\"automatic\"")
-                .replace("\"askWithin\":1000000000,", "")
-                .replace("\"mayCancel\":true", "\"mayCancel\":true,\"peers\":true");
+        String pushed =
+                GOOD.replace("\"discovery\":\"subscribe\"", "\"discovery\":\"automatic\"")
+                        .replace("\"askWithin\":1000000000,", "")
+                        .replace("\"mayCancel\":true", "\"mayCancel\":true,\"peers\":true");
         Config config = parse(pushed);
         assertTrue(config.pushed());
-        assertEquals(Discovery.SUBSCRIBE, config.settings().discovery(), "the agent has to be asked");
+        assertEquals(
+                Discovery.SUBSCRIBE, config.settings().discovery(), "the agent has to be asked");
         assertFalse(config.settings().allowed().peers());
         assertTrue(config.settings().allowed().cancel());
         assertFalse(parse(GOOD).pushed());
@@ -53,14 +58,18 @@
     /** Guards against a day of short deadlines on which no sidecar starts. */
     @Test
     void anAimBeyondTheDeadlineIsCutToIt() throws Exception {
-        List<RequestClass> classes = parse(GOOD.replace("\"deadline\":3000000000", "\"deadline\":400000000"))
-                .settings().classes();
+        List<RequestClass> classes =
+                parse(GOOD.replace("\"deadline\":3000000000", "\"deadline\":400000000"))
+                        .settings()
+                        .classes();
         assertEquals(400_000_000, classes.get(0).aim());
         assertEquals(400_000_000, classes.get(0).deadline());
         assertEquals(1_000_000_000, classes.get(4).aim());
     }
 
-    /** Guards against a start that fails for what a class's other settings leave without meaning. */
+    /**
+     * Guards against a start that fails for what a class's other settings leave without meaning.
+     */
     @Test
     void aScopeIsReadOnlyWhereRepeatsAreDroppedByKey() throws Exception {
         String pay = "\"semantics\":\"once\"";
@@ -68,30 +77,36 @@
             Config config = parse(GOOD.replace(pay, pay + ",\"keyScope\":" + scope));
             assertEquals(Semantics.ONCE, config.settings().classes().get(3).semantics());
         }
-        assertThrows(IllegalArgumentException.class, () -> parse(GOOD.replace("\"keyScope\":\"zone\"",
-                "\"keyScope\":\"none\"")));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> parse(GOOD.replace("\"keyScope\":\"zone\"", "\"keyScope\":\"none\"")));
     }
 
     @Test
     void whatMakesNoSenseIsNamed() {
-        Map<String, String> spoilt = new LinkedHashMap<>(Map.of(
-                "\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"zz\"",
-                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1\"",
-                "\"discovery\":\"127.0.0.1:8500\"", "\"discovery\":\"127.0.0.1:99999\"",
-                "\"name\":\"n0\"", "\"name\":\"\"",
-                "\"discovery\":\"subscribe\"", "\"discovery\":\"guessed\"",
-                "\"sockets\":1024", "\"sockets\":3",
-                "\"connIdle\":10000000000", "\"connIdle\":0",
-                "\"coldShare\":0.4", "\"coldShare\":7",
-                "\"semantics\":\"once\"", "\"semantics\":\"twice\""));
+        Map<String, String> spoilt =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"zz\"",
+                                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1\"",
+                                "\"discovery\":\"127.0.0.1:8500\"",
+                                        "\"discovery\":\"127.0.0.1:99999\"",
+                                "\"name\":\"n0\"", "\"name\":\"\"",
+                                "\"discovery\":\"subscribe\"", "\"discovery\":\"guessed\"",
+                                "\"sockets\":1024", "\"sockets\":3",
+                                "\"connIdle\":10000000000", "\"connIdle\":0",
+                                "\"coldShare\":0.4", "\"coldShare\":7",
+                                "\"semantics\":\"once\"", "\"semantics\":\"twice\""));
         spoilt.put("\"askWithin\":1000000000", "\"askWithin\":0");
         spoilt.put("\"askWithin\":1000000000,", "");
         spoilt.put("\"connectTimeout\":500000000,", "");
-        spoilt.forEach((from, to) -> {
-            assertTrue(GOOD.contains(from), from);
-            String json = GOOD.replace(from, to);
-            Exception e = assertThrows(IllegalArgumentException.class, () -> parse(json), to);
-            assertEquals(1, e.getMessage().lines().count(), "one plain line");
-        });
+        spoilt.forEach(
+                (from, to) -> {
+                    assertTrue(GOOD.contains(from), from);
+                    String json = GOOD.replace(from, to);
+                    Exception e =
+                            assertThrows(IllegalArgumentException.class, () -> parse(json), to);
+                    assertEquals(1, e.getMessage().lines().count(), "one plain line");
+                });
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
@@ -19,8 +19,7 @@
 class CheckConfigTest {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    @TempDir
-    Path directory;
+    @TempDir Path directory;
 
     private static PlatformFile.Summary platform(Path file) throws java.io.IOException {
         if (Files.readString(file).isEmpty()) {
@@ -32,7 +31,8 @@
     private int run(String configByDefault, String... arguments) {
         bytes.reset();
         PrintStream out = new PrintStream(bytes, false, StandardCharsets.UTF_8);
-        return new CheckConfig(CheckConfigTest::platform, out).run(List.of(arguments), configByDefault);
+        return new CheckConfig(CheckConfigTest::platform, out)
+                .run(List.of(arguments), configByDefault);
     }
 
     private String said() {
@@ -46,43 +46,58 @@
     @Test
     void bothFilesAndWhatFollows() throws Exception {
         String config = file("config.json", "{}");
-        String operator = file("operator.toml",
-                "version = 1\n[clients]\nidle-timeout = \"1m\"\nrequest-timeout = \"2000ms\"\n"
-                        + "[limits]\nclients-part = 0.3\n");
+        String operator =
+                file(
+                        "operator.toml",
+                        "version = 1\n"
+                                + "[clients]\n"
+                                + "idle-timeout = \"1m\"\n"
+                                + "request-timeout = \"2000ms\"\n"
+                                + "[limits]\n"
+                                + "clients-part = 0.3\n");
         assertEquals(CheckConfig.FINE, run(null, "--config", config, "--operator", operator));
-        assertEquals("Platform's file " + config + "\n"
-                + "  listen = 127.0.0.1:80\n"
-                + "\n"
-                + "Operator's file " + operator + "\n"
-                + "  version = 1 (line 1, as by default): version of this file's form\n"
-                + "  clients.request-timeout = 2s (line 4, as by default): how long a request may take to "
-                + "come in, from its first byte to its last\n"
-                + "  clients.first-request-timeout = 2s (default): how long a new connection may be "
-                + "without a request\n"
-                + "  clients.idle-timeout = 1m (line 3, instead of 15s): how long a connection is kept "
-                + "open between requests\n"
-                + "  limits.clients-part = 0.3 (line 6, instead of 0.4): part of the file descriptors for "
-                + "connections of clients\n"
-                + "  limits.upstreams-part = 0.45 (default): part of the file descriptors for connections to "
-                + "upstreams\n"
-                + "\n"
-                + "Different from the defaults:\n"
-                + "  clients.idle-timeout = 1m instead of 15s\n"
-                + "  limits.clients-part = 0.3 instead of 0.4\n"
-                + "\n"
-                + "What follows:\n"
-                + "  of 1000 file descriptors, 300 are for connections of clients, 450 for connections to "
-                + "upstreams, and 250 for the program itself\n"
-                + "\n"
-                + "No problems.\n", said());
+        assertEquals(
+                "Platform's file "
+                        + config
+                        + "\n"
+                        + "  listen = 127.0.0.1:80\n"
+                        + "\n"
+                        + "Operator's file "
+                        + operator
+                        + "\n"
+                        + "  version = 1 (line 1, as by default): version of this file's form\n"
+                        + "  clients.request-timeout = 2s (line 4, as by default): how long a"
+                        + " request may take to come in, from its first byte to its last\n"
+                        + "  clients.first-request-timeout = 2s (default): how long a new"
+                        + " connection may be without a request\n"
+                        + "  clients.idle-timeout = 1m (line 3, instead of 15s): how long a"
+                        + " connection is kept open between requests\n"
+                        + "  limits.clients-part = 0.3 (line 6, instead of 0.4): part of the file"
+                        + " descriptors for connections of clients\n"
+                        + "  limits.upstreams-part = 0.45 (default): part of the file descriptors"
+                        + " for connections to upstreams\n"
+                        + "\n"
+                        + "Different from the defaults:\n"
+                        + "  clients.idle-timeout = 1m instead of 15s\n"
+                        + "  limits.clients-part = 0.3 instead of 0.4\n"
+                        + "\n"
+                        + "What follows:\n"
+                        + "  of 1000 file descriptors, 300 are for connections of clients, 450 for"
+                        + " connections to upstreams, and 250 for the program itself\n"
+                        + "\n"
+                        + "No problems.\n",
+                said());
     }
 
     @Test
     void withoutFilesTheDefaultsAreTold() {
         assertEquals(CheckConfig.FINE, run(null));
-        assertTrue(said().startsWith("Platform's file: none given, so not checked\n\n"
-                + "Operator's file: none given, so everything is by default\n"
-                + "  clients.request-timeout = 2s (default): "), said());
+        assertTrue(
+                said().startsWith(
+                                "Platform's file: none given, so not checked\n\n"
+                                    + "Operator's file: none given, so everything is by default\n"
+                                    + "  clients.request-timeout = 2s (default): "),
+                said());
         assertTrue(said().endsWith("connections to upstreams\n\nNo problems.\n"), said());
     }
 
@@ -91,36 +106,46 @@
         String config = file("config.json", "");
         String operator = file("operator.toml", "version = 1\nlimit = 1\nclients = 1");
         assertEquals(CheckConfig.PROBLEMS, run(config, "--operator", operator));
-        assertEquals("Platform's file " + config + ": 1 problem\n"
-                + "  settings missing\n"
-                + "\n"
-                + "Operator's file " + operator + ": 2 problems\n"
-                + "  line 2, column 1: limit: unknown key; did you mean \"limits\"?\n"
-                + "  line 3, column 1: clients: 1 is not a table; write [clients]\n"
-                + "\n"
-                + "3 problems: a sidecar would not start with this.\n", said());
+        assertEquals(
+                "Platform's file "
+                        + config
+                        + ": 1 problem\n"
+                        + "  settings missing\n"
+                        + "\n"
+                        + "Operator's file "
+                        + operator
+                        + ": 2 problems\n"
+                        + "  line 2, column 1: limit: unknown key; did you mean \"limits\"?\n"
+                        + "  line 3, column 1: clients: 1 is not a table; write [clients]\n"
+                        + "\n"
+                        + "3 problems: a sidecar would not start with this.\n",
+                said());
     }
 
     @Test
     void theSameAsJson() throws Exception {
         String operator = file("operator.toml", "version = 1\n[limits]\nclients-part = 0.3\n");
-        assertEquals(CheckConfig.FINE, run(file("config.json", "{}"), "--json", "--operator", operator));
+        assertEquals(
+                CheckConfig.FINE, run(file("config.json", "{}"), "--json", "--operator", operator));
         JsonNode root = new ObjectMapper().readTree(said());
-        assertEquals("{\"path\":\"limits.clients-part\",\"value\":\"0.3\",\"default\":\"0.4\","
-                + "\"from\":\"file\",\"line\":3,\"changed\":true,"
-                + "\"meaning\":\"part of the file descriptors for connections of clients\"}",
+        assertEquals(
+                "{\"path\":\"limits.clients-part\",\"value\":\"0.3\",\"default\":\"0.4\",\"from\":\"file\",\"line\":3,\"changed\":true,\"meaning\":\"part"
+                    + " of the file descriptors for connections of clients\"}",
                 root.at("/operator/settings/4").toString());
         assertEquals("{\"listen\":\"127.0.0.1:80\"}", root.at("/platform/settings").toString());
         assertEquals(1, root.at("/consequences").size());
         assertTrue(root.at("/fine").booleanValue());
 
-        assertEquals(CheckConfig.PROBLEMS, run("missing.json", "--operator", file("operator.toml", "a"),
-                "--json"));
-        assertEquals("{\"fine\":false,\"problems\":2,\"platform\":{\"file\":\"missing.json\",\"problem\":"
-                + "\"no such file\"},\"operator\":{\"file\":\"" + operator
-                + "\",\"problems\":[{\"path\":\"\","
-                + "\"line\":1,\"column\":2,\"text\":\"not TOML: Premature end of file\"}],\"settings\":[]},"
-                + "\"consequences\":[]}", new ObjectMapper().readTree(said()).toString());
+        assertEquals(
+                CheckConfig.PROBLEMS,
+                run("missing.json", "--operator", file("operator.toml", "a"), "--json"));
+        assertEquals(
+                "{\"fine\":false,\"problems\":2,\"platform\":{\"file\":\"missing.json\",\"problem\":\"no"
+                    + " such file\"},\"operator\":{\"file\":\""
+                        + operator
+                        + "\",\"problems\":[{\"path\":\"\",\"line\":1,\"column\":2,\"text\":\"not"
+                        + " TOML: Premature end of file\"}],\"settings\":[]},\"consequences\":[]}",
+                new ObjectMapper().readTree(said()).toString());
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
@@ -33,7 +33,9 @@
         assertEquals(10_000, example.driftPpm());
         assertEquals(Duration.ofMillis(20_700), example.handover());
         String text = CheckText.of(new CheckReport(null, null, null, EXAMPLE, reading));
-        assertTrue(text.contains("leases stand under /appleridge/leases of 3 coordination servers\n"), text);
+        assertTrue(
+                text.contains("leases stand under /appleridge/leases of 3 coordination servers\n"),
+                text);
     }
 
     @Test
@@ -45,17 +47,25 @@
     void mistakesAreNamedWithTheirPlace() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("version = 1\n[leases]", "line 2, column 1: leases.servers: missing");
-        mistakes.put(START + "root = \"/\"",
-                "line 4, column 1: leases.root: is the path of everything; give the leases one of their own");
-        mistakes.put(START + "term = \"9s\"", "line 4, column 1: leases.term: is too short: with this guard, "
-                + "drift, kill-after and two times renew-every it takes 10102ms");
-        mistakes.put(START + "longest-act = \"1s\"", "line 4, column 1: leases.longest-act: is shorter than "
-                + "kill-after and what it takes to kill, 3500ms");
-        mistakes.put(START + "drift = 0.2", "line 4, column 1: leases.drift: 0.2 is out of range: from 0 to "
-                + "0.05");
+        mistakes.put(
+                START + "root = \"/\"",
+                "line 4, column 1: leases.root: is the path of everything; give the leases one of"
+                        + " their own");
+        mistakes.put(
+                START + "term = \"9s\"",
+                "line 4, column 1: leases.term: is too short: with this guard, "
+                        + "drift, kill-after and two times renew-every it takes 10102ms");
+        mistakes.put(
+                START + "longest-act = \"1s\"",
+                "line 4, column 1: leases.longest-act: is shorter than "
+                        + "kill-after and what it takes to kill, 3500ms");
+        mistakes.put(
+                START + "drift = 0.2",
+                "line 4, column 1: leases.drift: 0.2 is out of range: from 0 to " + "0.05");
         mistakes.put(START + "kill = \"1s\"", "line 4, column 1: leases.kill: unknown key");
         mistakes.put(START + "[leases.tls]", "line 4, column 1: leases.tls.trust-store: missing");
-        mistakes.forEach((text, problem) ->
-                assertEquals(List.of(problem), read(text).findings().lines(), text));
+        mistakes.forEach(
+                (text, problem) ->
+                        assertEquals(List.of(problem), read(text).findings().lines(), text));
     }
 }
