--- a/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
@@ -17,7 +17,8 @@
 /** The section {@code [membership]}. */
 class MembershipSectionTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "membership.example.toml");
-    private static final String START = "version = 1\n[membership]\nservers = [\"192.0.2.1:2181\"]\n";
+    private static final String START =
+            "version = 1\n[membership]\nservers = [\"192.0.2.1:2181\"]\n";
 
     private static OperatorFile.Reading read(String text) {
         return OperatorFile.inspect(text.getBytes(StandardCharsets.UTF_8));
@@ -30,15 +31,28 @@
         for (Setting each : OperatorFile.inspect(EXAMPLE).findings().settings()) {
             assertFalse(each.isChanged() && !each.path().equals("membership.servers"), each.path());
         }
-        assertEquals(new MembershipSection(MembershipSection.Source.BOTH,
-                List.of(new InetSocketAddress("192.0.2.1", 2181)), "", "/appleridge/servers", false,
-                Duration.ofSeconds(6), false, Optional.empty(), 4 << 20, Optional.empty()),
+        assertEquals(
+                new MembershipSection(
+                        MembershipSection.Source.BOTH,
+                        List.of(new InetSocketAddress("192.0.2.1", 2181)),
+                        "",
+                        "/appleridge/servers",
+                        false,
+                        Duration.ofSeconds(6),
+                        false,
+                        Optional.empty(),
+                        4 << 20,
+                        Optional.empty()),
                 read(START).file().membership().orElseThrow());
         String everything = Files.readString(EXAMPLE).replaceAll("(?m)^#([a-z\\[])", "$1");
         assertEquals(List.of(), read(everything).findings().problems());
-        assertEquals(new MembershipSection.Tls("/etc/appleridge/ensemble.pem",
-                Optional.of("/etc/appleridge/trust.password"), Optional.of("/etc/appleridge/sidecar.pem"),
-                Optional.of("/etc/appleridge/key.password"), true),
+        assertEquals(
+                new MembershipSection.Tls(
+                        "/etc/appleridge/ensemble.pem",
+                        Optional.of("/etc/appleridge/trust.password"),
+                        Optional.of("/etc/appleridge/sidecar.pem"),
+                        Optional.of("/etc/appleridge/key.password"),
+                        true),
                 read(everything).file().membership().orElseThrow().tls().orElseThrow());
     }
 
@@ -46,36 +60,55 @@
     void everyMistakeIsNamedWithItsPlace() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("version = 1\n[membership]", "line 2, column 1: membership.servers: missing");
-        mistakes.put("version = 1\n[membership]\nservers = []",
+        mistakes.put(
+                "version = 1\n[membership]\nservers = []",
                 "line 3, column 1: membership.servers: a list of 0, allowed are 1 to 9");
-        mistakes.put("version = 1\n[membership]\nservers = [\"zk:2181\"]",
-                "line 3, column 12: membership.servers[1]: \"zk:2181\" is not an address; write a literal "
-                        + "one with its port, like \"192.0.2.1:8080\" or \"[2001:db8::1]:8080\" (names are "
-                        + "not looked up)");
-        mistakes.put(START + "source = \"registry\"",
+        mistakes.put(
+                "version = 1\n[membership]\nservers = [\"zk:2181\"]",
+                "line 3, column 12: membership.servers[1]: \"zk:2181\" is not an address; write a"
+                        + " literal one with its port, like \"192.0.2.1:8080\" or"
+                        + " \"[2001:db8::1]:8080\" (names are not looked up)");
+        mistakes.put(
+                START + "source = \"registry\"",
                 "line 4, column 1: membership.source: \"registry\" is none of \"nodes\", \"both\"");
-        mistakes.put(START + "root = \"/a/../b\"",
-                "line 4, column 1: membership.root: \"/a/../b\" is not a path; "
-                + "write one like \"/site-a/servers\", of letters, digits and any of _.:@-");
-        mistakes.put(START + "root = \"/\"",
+        mistakes.put(
+                START + "root = \"/a/../b\"",
+                "line 4, column 1: membership.root: \"/a/../b\" is not a path; write one like"
+                        + " \"/site-a/servers\", of letters, digits and any of _.:@-");
+        mistakes.put(
+                START + "root = \"/\"",
                 "line 4, column 1: membership.root: is the path of everything; give the "
                         + "servers' nodes one of their own");
-        mistakes.put(START + "session-timeout = \"1s\"",
-                "line 4, column 1: membership.session-timeout: \"1s\" is out of range: from 2s to 1m");
-        mistakes.put(START + "[membership.tls]", "line 4, column 1: membership.tls.trust-store: missing");
-        mistakes.put(START + "[membership.tls]\ntrust-store = \"a.pem\"\nkey-password-file = \"b\"",
-                "line 6, column 1: membership.tls.key-password-file: makes no sense without key-store");
-        mistakes.put(START + "shard = true", "line 4, column 1: membership.shard: unknown key; did you mean "
-                + "\"shards\"?");
-        mistakes.forEach((text, problem) ->
-                assertEquals(List.of(problem), read(text).findings().lines(), text));
+        mistakes.put(
+                START + "session-timeout = \"1s\"",
+                "line 4, column 1: membership.session-timeout: \"1s\" is out of range: from 2s to"
+                        + " 1m");
+        mistakes.put(
+                START + "[membership.tls]",
+                "line 4, column 1: membership.tls.trust-store: missing");
+        mistakes.put(
+                START + "[membership.tls]\ntrust-store = \"a.pem\"\nkey-password-file = \"b\"",
+                "line 6, column 1: membership.tls.key-password-file: makes no sense without"
+                        + " key-store");
+        mistakes.put(
+                START + "shard = true",
+                "line 4, column 1: membership.shard: unknown key; did you mean " + "\"shards\"?");
+        mistakes.forEach(
+                (text, problem) ->
+                        assertEquals(List.of(problem), read(text).findings().lines(), text));
     }
 
     @Test
     void whatItComesToIsTold() {
-        String text = CheckText.of(new CheckReport(null, null, null, EXAMPLE, OperatorFile.inspect(EXAMPLE)));
-        assertEquals(true, text.contains("the list of servers comes from the registry and the nodes at "
-                + "/appleridge/servers of 3 coordination servers\n"), text);
+        String text =
+                CheckText.of(
+                        new CheckReport(null, null, null, EXAMPLE, OperatorFile.inspect(EXAMPLE)));
+        assertEquals(
+                true,
+                text.contains(
+                        "the list of servers comes from the registry and the nodes at "
+                                + "/appleridge/servers of 3 coordination servers\n"),
+                text);
         assertEquals(true, text.contains("a change of [membership] needs a restart"), text);
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileFuzzTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileFuzzTest.java
@@ -9,15 +9,63 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Whatever a file holds, reading it ends with sections or with problems in plain lines, never otherwise. */
+/**
+ * Whatever a file holds, reading it ends with sections or with problems in plain lines, never
+ * otherwise.
+ */
 class OperatorFileFuzzTest {
     private static final int ROUNDS = 20_000;
     private static final String[] PIECES = {
-        "version", "clients", "limits", "request-timeout", "clients-part", "=", ".", ",", "[", "]", "[[",
-        "]]", "{", "}", "\"", "'", "\"\"\"", "'''", "\\", "\\u", "\n", "\\U0010ffff", "\r\n", "\r", " ",
-        "\t", "#", "1", "00", "0.4", "0x", "1e9999", "-", "+inf", "nan", "_", "true", "\"2s\"", "25:61:00",
-        "2026-02-30", "1979-05-27T07:32:00", "Z", "+99:99", "\u0000", "\ufeff", "\u202e", "\ud83d\ude00",
-        "\u007f", "a"};
+        "version",
+        "clients",
+        "limits",
+        "request-timeout",
+        "clients-part",
+        "=",
+        ".",
+        ",",
+        "[",
+        "]",
+        "[[",
+        "]]",
+        "{",
+        "}",
+        "\"",
+        "'",
+        "\"\"\"",
+        "'''",
+        "\\",
+        "\\u",
+        "\n",
+        "\\U0010ffff",
+        "\r\n",
+        "\r",
+        " ",
+        "\t",
+        "#",
+        "1",
+        "00",
+        "0.4",
+        "0x",
+        "1e9999",
+        "-",
+        "+inf",
+        "nan",
+        "_",
+        "true",
+        "\"2s\"",
+        "25:61:00",
+        "2026-02-30",
+        "1979-05-27T07:32:00",
+        "Z",
+        "+99:99",
+        "\u0000",
+        "\ufeff",
+        "\u202e",
+        "\ud83d\ude00",
+        "\u007f",
+        "a"
+    };
 
     private final Random random = new Random(20);
 
@@ -37,7 +85,8 @@
         for (int i = 0; i < ROUNDS; i++) {
             StringBuilder text = new StringBuilder("version = 1\n");
             for (int j = 0; j < 3; j++) {
-                text.append(random.nextInt(4) == 0 ? "[limits]\nclients-part = " : "key" + j + " = ");
+                text.append(
+                        random.nextInt(4) == 0 ? "[limits]\nclients-part = " : "key" + j + " = ");
                 for (int k = random.nextInt(3); k >= 0; k--) {
                     text.append(PIECES[random.nextInt(PIECES.length)]);
                 }
@@ -86,11 +135,14 @@
     }
 
     private static void check(byte[] bytes) {
-        OperatorFile.Reading reading = assertDoesNotThrow(() -> OperatorFile.inspect(bytes),
-                () -> new String(bytes, StandardCharsets.UTF_8));
+        OperatorFile.Reading reading =
+                assertDoesNotThrow(
+                        () -> OperatorFile.inspect(bytes),
+                        () -> new String(bytes, StandardCharsets.UTF_8));
         assertTrue(reading.file() != null || reading.findings().count() > 0);
         for (String line : reading.findings().lines()) {
-            assertTrue(line.length() < 1000 && line.chars().noneMatch(Character::isISOControl), line);
+            assertTrue(
+                    line.length() < 1000 && line.chars().noneMatch(Character::isISOControl), line);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
@@ -21,8 +21,7 @@
 class OperatorFileTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "operator.example.toml");
 
-    @TempDir
-    Path directory;
+    @TempDir Path directory;
 
     private static List<String> problems(String text) {
         return OperatorFile.inspect(text.getBytes(StandardCharsets.UTF_8)).findings().lines();
@@ -34,8 +33,12 @@
 
     @Test
     void theExampleSaysEverythingAndChangesNothing() {
-        assertEquals(new OperatorFile(Optional.of(ClientsSection.USUAL), Optional.of(LimitsSection.USUAL),
-                Optional.empty(), Optional.empty()),
+        assertEquals(
+                new OperatorFile(
+                        Optional.of(ClientsSection.USUAL),
+                        Optional.of(LimitsSection.USUAL),
+                        Optional.empty(),
+                        Optional.empty()),
                 OperatorFile.read(EXAMPLE));
         List<Setting> settings = OperatorFile.inspect(EXAMPLE).findings().settings();
         assertEquals(6, settings.size());
@@ -47,7 +50,9 @@
 
     @Test
     void usualValuesAreThoseOfTheConstants() {
-        assertEquals(new ClientsSection(Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(15)),
+        assertEquals(
+                new ClientsSection(
+                        Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(15)),
                 ClientsSection.USUAL);
         assertEquals(409, LimitsSection.USUAL.clientConnections(1024));
         assertEquals(460, LimitsSection.USUAL.upstreamConnections(1024));
@@ -55,19 +60,29 @@
 
     @Test
     void sectionsThatAreNotThereAreEmpty() throws Exception {
-        assertEquals(new OperatorFile(Optional.empty(), Optional.empty(), Optional.empty(),
-                Optional.empty()),
+        assertEquals(
+                new OperatorFile(
+                        Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty()),
                 OperatorFile.read(file("version = 1")));
-        assertEquals(Optional.of(new LimitsSection(0.5, 0.44)),
-                OperatorFile.read(file("version = 1\nlimits = { clients-part = 0.5, upstreams-part = 0.44 }"))
+        assertEquals(
+                Optional.of(new LimitsSection(0.5, 0.44)),
+                OperatorFile.read(
+                                file(
+                                        "version = 1\n"
+                                            + "limits = { clients-part = 0.5, upstreams-part = 0.44"
+                                            + " }"))
                         .limits());
     }
 
     @Test
     void whatTheSectionLeavesOutIsAsUsual() throws Exception {
-        OperatorFile read = OperatorFile.read(file("version = 1\n[clients]\nidle-timeout = \"1h\"\n"));
-        assertEquals(Optional.of(new ClientsSection(Duration.ofSeconds(2), Duration.ofSeconds(2),
-                Duration.ofHours(1))), read.clients());
+        OperatorFile read =
+                OperatorFile.read(file("version = 1\n[clients]\nidle-timeout = \"1h\"\n"));
+        assertEquals(
+                Optional.of(
+                        new ClientsSection(
+                                Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofHours(1))),
+                read.clients());
         assertEquals(Optional.empty(), read.limits());
     }
 
@@ -75,63 +90,95 @@
     void everyMistakeIsNamedWithItsPlace() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("", "version: missing");
-        mistakes.put("version = 2\nnew-key = 1",
+        mistakes.put(
+                "version = 2\nnew-key = 1",
                 "line 1, column 1: version: 2 is not known; this program reads version 1");
         mistakes.put("version = \"1\"", "line 1, column 1: version: \"1\" is not a whole number");
-        mistakes.put("version = 0", "line 1, column 1: version: 0 is out of range: from 1 to 2147483647");
-        mistakes.put("version = 1\nclients = 5",
+        mistakes.put(
+                "version = 0",
+                "line 1, column 1: version: 0 is out of range: from 1 to 2147483647");
+        mistakes.put(
+                "version = 1\nclients = 5",
                 "line 2, column 1: clients: 5 is not a table; write [clients]");
-        mistakes.put("version = 1\n[[clients]]",
+        mistakes.put(
+                "version = 1\n[[clients]]",
                 "line 2, column 1: clients: a list is not a table; write [clients]");
-        mistakes.put("version = 1\n[client]\nidle-timeout = \"1s\"",
+        mistakes.put(
+                "version = 1\n[client]\nidle-timeout = \"1s\"",
                 "line 2, column 1: client: unknown key; did you mean \"clients\"?");
-        mistakes.put("version = 1\n[clients]\n  idle-tmeout = \"1s\"",
-                "line 3, column 3: clients.idle-tmeout: unknown key; did you mean \"idle-timeout\"?");
-        mistakes.put("version = 1\nclients.nothing-like-it = true",
+        mistakes.put(
+                "version = 1\n[clients]\n  idle-tmeout = \"1s\"",
+                "line 3, column 3: clients.idle-tmeout: unknown key; did you mean"
+                        + " \"idle-timeout\"?");
+        mistakes.put(
+                "version = 1\nclients.nothing-like-it = true",
                 "line 2, column 1: clients.nothing-like-it: unknown key");
-        mistakes.put("version = 1\n[clients]\n\"a\u202e.b\" = 1",
+        mistakes.put(
+                "version = 1\n[clients]\n\"a\u202e.b\" = 1",
                 "line 3, column 1: clients.\"a\\u202e.b\": unknown key");
-        mistakes.put("version = 1\n[clients]\nrequest-timeout = 2000",
+        mistakes.put(
+                "version = 1\n[clients]\nrequest-timeout = 2000",
                 "line 3, column 1: clients.request-timeout: 2000 is not a duration; write one like "
                         + "\"250ms\", \"2s\" or \"1m\"");
-        mistakes.put("version = 1\n[clients]\nrequest-timeout = \"2h\"",
-                "line 3, column 1: clients.request-timeout: \"2h\" is out of range: from 100ms to 1m");
-        mistakes.put("version = 1\n[limits]\nclients-part = \"0.4\"",
+        mistakes.put(
+                "version = 1\n[clients]\nrequest-timeout = \"2h\"",
+                "line 3, column 1: clients.request-timeout: \"2h\" is out of range: from 100ms to"
+                        + " 1m");
+        mistakes.put(
+                "version = 1\n[limits]\nclients-part = \"0.4\"",
                 "line 3, column 1: limits.clients-part: \"0.4\" is not a number");
-        mistakes.put("version = 1\n[limits]\nclients-part = 40",
+        mistakes.put(
+                "version = 1\n[limits]\nclients-part = 40",
                 "line 3, column 1: limits.clients-part: 40 is out of range: from 0.05 to 0.9");
-        mistakes.put("version = 1\n[limits]\nclients-part = 0.5",
-                "line 2, column 1: limits: clients-part 0.5 and upstreams-part 0.45 make 0.95 together; "
-                        + "less than 0.95 is allowed, for the program needs the rest");
-        mistakes.put("version = 1\n[clients]\nidle-timeout = \"1s\"\nidle-timeout = \"1s\"",
+        mistakes.put(
+                "version = 1\n[limits]\nclients-part = 0.5",
+                "line 2, column 1: limits: clients-part 0.5 and upstreams-part 0.45 make 0.95"
+                        + " together; less than 0.95 is allowed, for the program needs the rest");
+        mistakes.put(
+                "version = 1\n[clients]\nidle-timeout = \"1s\"\nidle-timeout = \"1s\"",
                 "line 4, column 1: clients.idle-timeout: stands twice; first on line 3");
-        mistakes.put("version = 1\n[clients]\n[limits]\n[clients]",
+        mistakes.put(
+                "version = 1\n[clients]\n[limits]\n[clients]",
                 "line 4, column 1: clients: stands twice; first on line 2");
-        mistakes.put("version = 1\nclients = {}\nclients.idle-timeout = \"1s\"",
+        mistakes.put(
+                "version = 1\nclients = {}\nclients.idle-timeout = \"1s\"",
                 "line 3, column 9: not TOML: Object already closed");
-        mistakes.put("version = 1 limits = {}", "line 1, column 13: not TOML: More data after value has "
-                + "already ended. Invalid value preceding this position?");
-        mistakes.put("version = 1e99999999999", "line 1, column 24: a number that is too long or too large");
-        mistakes.put("version = 25:99:00", "not a date or time: Text '25:99:00' could not be parsed: "
-                + "Invalid value for MinuteOfHour (valid values 0 - 59): 99");
-        mistakes.put("version = 2026-01-01", "line 1, column 1: version: a date or time is not a whole "
-                + "number");
-        mistakes.put("\ufeffversion = 1",
+        mistakes.put(
+                "version = 1 limits = {}",
+                "line 1, column 13: not TOML: More data after value has "
+                        + "already ended. Invalid value preceding this position?");
+        mistakes.put(
+                "version = 1e99999999999",
+                "line 1, column 24: a number that is too long or too large");
+        mistakes.put(
+                "version = 25:99:00",
+                "not a date or time: Text '25:99:00' could not be parsed: "
+                        + "Invalid value for MinuteOfHour (valid values 0 - 59): 99");
+        mistakes.put(
+                "version = 2026-01-01",
+                "line 1, column 1: version: a date or time is not a whole " + "number");
+        mistakes.put(
+                "\ufeffversion = 1",
                 "line 1, column 1: begins with a byte order mark; save it as UTF-8 without one");
-        mistakes.put("a = " + "[".repeat(5000), "is nested too deeply, or has a value that is too long");
+        mistakes.put(
+                "a = " + "[".repeat(5000), "is nested too deeply, or has a value that is too long");
         mistakes.forEach((text, problem) -> assertEquals(List.of(problem), problems(text), text));
     }
 
     @Test
     void allProblemsAreToldInTheOrderOfTheFile() {
-        assertEquals(List.of(
-                "version: missing",
-                "line 1, column 1: verson: unknown key; did you mean \"version\"?",
-                "line 3, column 1: clients.idle: unknown key",
-                "line 4, column 1: clients.request-timeout: \"1ms\" is out of range: from 100ms to 1m",
-                "line 6, column 1: limits.upstreams-part: 0.99 is out of range: from 0.05 to 0.9"),
-                problems("verson = 1\n[clients]\nidle = \"3s\"\nrequest-timeout = \"1ms\"\n"
-                        + "[limits]\nupstreams-part = 0.99\n"));
+        assertEquals(
+                List.of(
+                        "version: missing",
+                        "line 1, column 1: verson: unknown key; did you mean \"version\"?",
+                        "line 3, column 1: clients.idle: unknown key",
+                        "line 4, column 1: clients.request-timeout: \"1ms\" is out of range: from"
+                                + " 100ms to 1m",
+                        "line 6, column 1: limits.upstreams-part: 0.99 is out of range: from 0.05"
+                                + " to 0.9"),
+                problems(
+                        "verson = 1\n[clients]\nidle = \"3s\"\nrequest-timeout = \"1ms\"\n"
+                                + "[limits]\nupstreams-part = 0.99\n"));
     }
 
     @Test
@@ -149,13 +196,18 @@
     @Test
     void theMessageNamesTheFile() throws Exception {
         Path one = file("version = 3");
-        assertEquals(one + ": line 1, column 1: version: 3 is not known; this program reads version 1",
+        assertEquals(
+                one + ": line 1, column 1: version: 3 is not known; this program reads version 1",
                 message(one));
         Path two = file("version = 1\na = 1\nb = 1");
-        assertEquals(two + ": 2 problems\n  line 2, column 1: a: unknown key\n  line 3, column 1: b: "
-                + "unknown key",
+        assertEquals(
+                two
+                        + ": 2 problems\n"
+                        + "  line 2, column 1: a: unknown key\n"
+                        + "  line 3, column 1: b: unknown key",
                 message(two));
-        OperatorFileException e = assertThrows(OperatorFileException.class, () -> OperatorFile.read(two));
+        OperatorFileException e =
+                assertThrows(OperatorFileException.class, () -> OperatorFile.read(two));
         assertEquals(new Problem("b", 3, 1, "unknown key"), e.problems().get(1));
     }
 
@@ -164,20 +216,24 @@
         Path missing = directory.resolve("missing.toml");
         assertEquals(missing + ": no such file", message(missing));
         assertEquals(directory + ": Is a directory", message(directory));
-        Path latin = Files.write(directory.resolve("latin.toml"),
-                "version = 1\n# caf\u00e9\n".getBytes(StandardCharsets.ISO_8859_1));
+        Path latin =
+                Files.write(
+                        directory.resolve("latin.toml"),
+                        "version = 1\n# caf\u00e9\n".getBytes(StandardCharsets.ISO_8859_1));
         assertEquals(latin + ": line 2: is not UTF-8", message(latin));
         Path cut = Files.write(directory.resolve("cut.toml"), new byte[] {'a', (byte) 0xc3});
         assertEquals(cut + ": line 1: is not UTF-8", message(cut));
         String most = "version = 1\n" + "#".repeat(TomlText.MOST_BYTES - 12);
-        assertEquals(new OperatorFile(Optional.empty(), Optional.empty(), Optional.empty(),
-                Optional.empty()),
+        assertEquals(
+                new OperatorFile(
+                        Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty()),
                 OperatorFile.read(file(most)));
         Path large = file(most + "#");
         assertEquals(large + ": is larger than 1 MiB", message(large));
     }
 
     private static String message(Path file) {
-        return assertThrows(OperatorFileException.class, () -> OperatorFile.read(file)).getMessage();
+        return assertThrows(OperatorFileException.class, () -> OperatorFile.read(file))
+                .getMessage();
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
@@ -19,11 +19,23 @@
 
     @Test
     void keysAreFoundBehindWhateverMayStandBeforeThem() {
-        String text = "# a = 1\r\n\r\n\tb.c = '''\nd = 1\n''''' # e = 1\nf = [ # ]\n '#', \"\\\"\", "
-                + "[1, {g = 2}] ]\n"
-                + "h = \"\"\"\n\\\"\"\" \"\"\"\n[ \"i.j\" . k ] # x\nl=1979-05-27 07:32:00\n"
-                + "[[m]]\n[m.n]\no=1\n[[m]]\n[m.n]\n"
-                + " o=2\n";
+        String text =
+                "# a = 1\r\n\r\n"
+                        + "\tb.c = '''\n"
+                        + "d = 1\n"
+                        + "''''' # e = 1\n"
+                        + "f = [ # ]\n"
+                        + " '#', \"\\\"\", [1, {g = 2}] ]\n"
+                        + "h = \"\"\"\n"
+                        + "\\\"\"\" \"\"\"\n"
+                        + "[ \"i.j\" . k ] # x\n"
+                        + "l=1979-05-27 07:32:00\n"
+                        + "[[m]]\n"
+                        + "[m.n]\n"
+                        + "o=1\n"
+                        + "[[m]]\n"
+                        + "[m.n]\n"
+                        + " o=2\n";
         assertEquals(new Position(3, 2), where(text, "b.c"));
         assertEquals(Position.UNKNOWN, where(text, "d"));
         assertEquals(new Position(6, 1), where(text, "f"));
@@ -50,36 +62,42 @@
         for (int seed = 0; seed < 300; seed++) {
             String text = new RandomToml(new Random(seed)).text();
             Findings findings = new Findings();
-            JsonNode tree = TomlText.of(text.getBytes(StandardCharsets.UTF_8), findings).tree(findings);
+            JsonNode tree =
+                    TomlText.of(text.getBytes(StandardCharsets.UTF_8), findings).tree(findings);
             assertEquals(List.of(), findings.lines(), text);
             TreeMap<String, String> keys = new TreeMap<>();
             collect("", tree, keys);
             assertTrue(!keys.isEmpty(), text);
             String[] lines = text.split("\n");
             Positions positions = Positions.of(text);
-            keys.forEach((path, key) -> {
-                Position at = positions.where(path);
-                assertTrue(at.line() > 0, () -> path + " in\n" + text);
-                String found = lines[at.line() - 1].substring(at.column() - 1);
-                assertTrue(found.contains(key), () -> path + " at " + found);
-            });
+            keys.forEach(
+                    (path, key) -> {
+                        Position at = positions.where(path);
+                        assertTrue(at.line() > 0, () -> path + " in\n" + text);
+                        String found = lines[at.line() - 1].substring(at.column() - 1);
+                        assertTrue(found.contains(key), () -> path + " at " + found);
+                    });
             assertEquals(null, positions.twice(), text);
         }
     }
 
     private static void collect(String path, JsonNode node, TreeMap<String, String> keys) {
-        node.properties().forEach(each -> {
-            String child = Words.child(path, each.getKey());
-            keys.put(child, each.getKey());
-            collect(child, each.getValue(), keys);
-        });
+        node.properties()
+                .forEach(
+                        each -> {
+                            String child = Words.child(path, each.getKey());
+                            keys.put(child, each.getKey());
+                            collect(child, each.getValue(), keys);
+                        });
         for (int i = 0; node.isArray() && i < node.size(); i++) {
             keys.put(Words.item(path, i), "");
             collect(Words.item(path, i), node.get(i), keys);
         }
     }
 
-    /** Writes valid TOML in as many ways as there are; each key is new, so that none is there twice. */
+    /**
+     * Writes valid TOML in as many ways as there are; each key is new, so that none is there twice.
+     */
     private static final class RandomToml {
         private final Random random;
         private final StringBuilder out = new StringBuilder();
@@ -114,7 +132,11 @@
         private void pairs() {
             out.append(end());
             for (int i = random.nextInt(4); i >= 0; i--) {
-                out.append(blank()).append(dotted()).append(blank()).append('=').append(blank())
+                out.append(blank())
+                        .append(dotted())
+                        .append(blank())
+                        .append('=')
+                        .append(blank())
                         .append(value(0));
                 out.append(end());
             }
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -16,7 +16,11 @@
 class TableTest {
     private final Findings findings = new Findings();
 
-    private enum Scope { ZONE, ALL, SAME_CELL }
+    private enum Scope {
+        ZONE,
+        ALL,
+        SAME_CELL
+    }
 
     private Table table(String toml) {
         TomlText text = TomlText.of(toml.getBytes(StandardCharsets.UTF_8), findings);
@@ -32,7 +36,9 @@
         int before = findings.count();
         assertNull(read(kind, value), value);
         assertEquals(before + 1, findings.count(), value);
-        assertEquals("key: " + problem, findings.lines().get(before).replaceFirst("line 1, column 1: ", ""));
+        assertEquals(
+                "key: " + problem,
+                findings.lines().get(before).replaceFirst("line 1, column 1: ", ""));
     }
 
     @Test
@@ -44,9 +50,22 @@
         assertEquals("90s", kind.show(Duration.ofSeconds(90)));
         assertEquals("2h", kind.show(Duration.ofMinutes(120)));
         assertEquals("0ms", kind.show(Duration.ZERO));
-        for (String wrong : List.of("5", "\"5\"", "\"ms\"", "\"-5s\"", "\"5 s\"", "\"1.5s\"", "\"5S\"",
-                "\"9999999999ms\"", "\"\u0665s\"", "\"\"")) {
-            refuses(kind, wrong, wrong + " is not a duration; write one like \"250ms\", \"2s\" or \"1m\"");
+        for (String wrong :
+                List.of(
+                        "5",
+                        "\"5\"",
+                        "\"ms\"",
+                        "\"-5s\"",
+                        "\"5 s\"",
+                        "\"1.5s\"",
+                        "\"5S\"",
+                        "\"9999999999ms\"",
+                        "\"\u0665s\"",
+                        "\"\"")) {
+            refuses(
+                    kind,
+                    wrong,
+                    wrong + " is not a duration; write one like \"250ms\", \"2s\" or \"1m\"");
         }
         refuses(kind, "\"999999999h\"", "\"999999999h\" is out of range: from 5ms to 2h");
         refuses(kind, "\"4ms\"", "\"4ms\" is out of range: from 5ms to 2h");
@@ -58,7 +77,10 @@
         assertEquals(16L << 20, read(kind, "\"16MiB\""));
         assertEquals(4L << 30, read(kind, "\"4GiB\""));
         assertEquals("1536KiB", kind.show(1536L << 10));
-        refuses(kind, "\"16MB\"", "\"16MB\" is not a size; write one like \"512B\", \"64KiB\" or \"16MiB\"");
+        refuses(
+                kind,
+                "\"16MB\"",
+                "\"16MB\" is not a size; write one like \"512B\", \"64KiB\" or \"16MiB\"");
         refuses(kind, "\"15B\"", "\"15B\" is out of range: from 16B to 4GiB");
         refuses(kind, "\"999999999GiB\"", "\"999999999GiB\" is out of range: from 16B to 4GiB");
     }
@@ -68,7 +90,9 @@
         assertEquals(0x10, read(Kind.whole(1, 20), "0x10"));
         refuses(Kind.whole(1, 20), "2.0", "2.0 is not a whole number");
         refuses(Kind.whole(1, 20), "21", "21 is out of range: from 1 to 20");
-        refuses(Kind.whole(1, 20), "99999999999999999999",
+        refuses(
+                Kind.whole(1, 20),
+                "99999999999999999999",
                 "99999999999999999999 is out of range: from 1 to 20");
         assertEquals(1, read(Kind.fraction(0, 1), "1"));
         refuses(Kind.fraction(0, 1), "nan", "NaN is out of range: from 0 to 1");
@@ -83,22 +107,48 @@
     void addressesAreLiteralOnes() {
         Kind<InetSocketAddress> kind = Kind.address();
         assertEquals("192.0.2.1:80", kind.show(read(kind, "\"192.0.2.1:80\"")));
-        assertEquals("[2001:db8:0:0:0:0:0:1]:65535", kind.show(read(kind, "\"[2001:db8::1]:65535\"")));
-        for (String wrong : List.of("80", "\"localhost:80\"", "\"192.0.2.1\"", "\":80\"", "\"192.0.2:80\"",
-                "\"192.0.2.256:80\"", "\"192.0.2.01:80\"", "\"192.0.2.1:0\"", "\"192.0.2.1:65536\"",
-                "\"192.0.2.1:+80\"", "\"::1:80\"", "\"[::1\"", "\"[::1%lo]:80\"", "\"[192.0.2.1]:80\"",
-                "\"[abc]:80\"", "\"[]:80\"", "\"[:80\"", "\"3221225985:80\"")) {
-            refuses(kind, wrong, wrong + " is not an address; write a literal one with its port, like "
-                    + "\"192.0.2.1:8080\" or \"[2001:db8::1]:8080\" (names are not looked up)");
+        assertEquals(
+                "[2001:db8:0:0:0:0:0:1]:65535", kind.show(read(kind, "\"[2001:db8::1]:65535\"")));
+        for (String wrong :
+                List.of(
+                        "80",
+                        "\"localhost:80\"",
+                        "\"192.0.2.1\"",
+                        "\":80\"",
+                        "\"192.0.2:80\"",
+                        "\"192.0.2.256:80\"",
+                        "\"192.0.2.01:80\"",
+                        "\"192.0.2.1:0\"",
+                        "\"192.0.2.1:65536\"",
+                        "\"192.0.2.1:+80\"",
+                        "\"::1:80\"",
+                        "\"[::1\"",
+                        "\"[::1%lo]:80\"",
+                        "\"[192.0.2.1]:80\"",
+                        "\"[abc]:80\"",
+                        "\"[]:80\"",
+                        "\"[:80\"",
+                        "\"3221225985:80\"")) {
+            refuses(
+                    kind,
+                    wrong,
+                    wrong
+                            + " is not an address; write a literal one with its port, like"
+                            + " \"192.0.2.1:8080\" or \"[2001:db8::1]:8080\" (names are not looked"
+                            + " up)");
         }
     }
 
     @Test
     void textsAndChoices() {
         assertEquals(Scope.SAME_CELL, read(Kind.choice(Scope.class), "\"same-cell\""));
-        refuses(Kind.choice(Scope.class), "\"zones\"",
+        refuses(
+                Kind.choice(Scope.class),
+                "\"zones\"",
                 "\"zones\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"zone\"?");
-        refuses(Kind.choice(Scope.class), "\"ALL\"",
+        refuses(
+                Kind.choice(Scope.class),
+                "\"ALL\"",
                 "\"ALL\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"all\"?");
         assertEquals("abc", read(Kind.text(3), "\"abc\""));
         refuses(Kind.text(3), "\"abcd\"", "\"abcd\" has 4 characters, allowed are 1 to 3");
@@ -106,7 +156,9 @@
         refuses(Kind.text(3), "\"a\\nb\"", "\"a\\u000ab\" holds a control character");
         refuses(Kind.text(3), "\"\\ud800\"", "\"\\ud800\" holds half a character");
         refuses(Kind.text(3), "1", "1 is not a text; put it in quotes");
-        refuses(Kind.text(3), "\"" + "x".repeat(99) + "\"",
+        refuses(
+                Kind.text(3),
+                "\"" + "x".repeat(99) + "\"",
                 "\"" + "x".repeat(57) + "...\" has 99 characters, allowed are 1 to 3");
     }
 
@@ -121,8 +173,11 @@
         Table table = table("key = [1,\n 'a',\n 3, 10]");
         assertEquals(Optional.empty(), table.optional("key", kind, ""));
         assertFalse(table.sound());
-        assertEquals(List.of("line 2, column 2: key[2]: \"a\" is not a whole number",
-                "line 3, column 5: key[4]: 10 is out of range: from 0 to 9"), findings.lines().subList(3, 5));
+        assertEquals(
+                List.of(
+                        "line 2, column 2: key[2]: \"a\" is not a whole number",
+                        "line 3, column 5: key[4]: 10 is out of range: from 0 to 9"),
+                findings.lines().subList(3, 5));
     }
 
     @Test
@@ -134,17 +189,23 @@
         assertEquals("x", routes.get(1).required("host", Kind.text(9), "x", ""));
         assertEquals(List.of(), top.tables("none"));
         top.finish();
-        assertEquals(List.of("line 3, column 1: route[2].host: missing",
-                "line 4, column 1: route[2].hots: unknown key; did you mean \"host\"?"), findings.lines());
+        assertEquals(
+                List.of(
+                        "line 3, column 1: route[2].host: missing",
+                        "line 4, column 1: route[2].hots: unknown key; did you mean \"host\"?"),
+                findings.lines());
     }
 
     @Test
     void whatIsNoListOfTablesIsNamed() {
         table("route = 1").tables("route");
         table("route = [{}, 1]").tables("route");
-        assertEquals(List.of(
-                "line 1, column 1: route: 1 is not a list of tables; write [[route]] before each",
-                "line 1, column 1: route: a list is not a list of tables; write [[route]] before each"),
+        assertEquals(
+                List.of(
+                        "line 1, column 1: route: 1 is not a list of tables; write [[route]] before"
+                                + " each",
+                        "line 1, column 1: route: a list is not a list of tables; write [[route]]"
+                                + " before each"),
                 findings.lines());
     }
 
@@ -155,11 +216,15 @@
         top.optional("c", Kind.text(9), "third");
         top.table("part").value("b", Kind.flag(), true, "second");
         top.finish();
-        assertEquals(List.of(new Setting("a", "first", "x", "y", true),
-                new Setting("c", "third", "", "", false),
-                new Setting("part.b", "second", "true", "true", true)), findings.settings());
-        assertEquals(List.of(true, false, false), findings.settings().stream().map(Setting::isChanged)
-                .toList());
+        assertEquals(
+                List.of(
+                        new Setting("a", "first", "x", "y", true),
+                        new Setting("c", "third", "", "", false),
+                        new Setting("part.b", "second", "true", "true", true)),
+                findings.settings());
+        assertEquals(
+                List.of(true, false, false),
+                findings.settings().stream().map(Setting::isChanged).toList());
         assertEquals(List.of(), findings.lines());
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -32,17 +32,21 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Requests that are read ahead of what counts as told. The order is forced: the loop is held still while the
- * test's discovery and clients write, and discovery's next answer waits until a request has had its chance.
+ * Requests that are read ahead of what counts as told. The order is forced: the loop is held still
+ * while the test's discovery and clients write, and discovery's next answer waits until a request
+ * has had its chance.
  */
 @Timeout(60)
 class CatchingUpTest {
-    private static final StubUpstream.Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final StubUpstream.Script GOOD =
+            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
+
     /** Longer than drains allow here. */
     private static final long STILL_MILLIS = 400;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private Node node;
     private InetSocketAddress address;
@@ -67,32 +71,52 @@
 
     private void begin(StubUpstream discovery, UnaryOperator<String> changed, String... targets)
             throws Exception {
-        LoopbackNode.Figures longWatches = new LoopbackNode.Figures(TimeUnit.SECONDS.toNanos(10), 1000,
-                TimeUnit.SECONDS.toNanos(60));
-        String json = changed.apply(LoopbackNode.json(longWatches, discovery.address(), targets))
-                .replace("\"stopSendingWithin\":2000000000", "\"stopSendingWithin\":250000000");
-        Config config = Config.parse(new ObjectMapper().readTree(json))
-                .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time = new Loop(loop, SystemTime.UNIX_MILLIS,
-                new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        node = loop.submit(() -> new Node(time, new NioSockets(), config, Tuning.USUAL,
-                SymmetricRoundRobin::new)).get();
+        LoopbackNode.Figures longWatches =
+                new LoopbackNode.Figures(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
+        String json =
+                changed.apply(LoopbackNode.json(longWatches, discovery.address(), targets))
+                        .replace(
+                                "\"stopSendingWithin\":2000000000",
+                                "\"stopSendingWithin\":250000000");
+        Config config =
+                Config.parse(new ObjectMapper().readTree(json))
+                        .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        Loop time =
+                new Loop(
+                        loop,
+                        SystemTime.UNIX_MILLIS,
+                        new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
+        node =
+                loop.submit(
+                                () ->
+                                        new Node(
+                                                time,
+                                                new NioSockets(),
+                                                config,
+                                                Tuning.USUAL,
+                                                SymmetricRoundRobin::new))
+                        .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
 
-    /** The loop stands still from before this returns until what it returns is counted down, and so long. */
+    /**
+     * The loop stands still from before this returns until what it returns is counted down, and so
+     * long.
+     */
     private CountDownLatch standStill() throws InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
-        loop.execute(() -> {
-            begun.countDown();
-            try {
-                over.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                Thread.sleep(STILL_MILLIS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        loop.execute(
+                () -> {
+                    begun.countDown();
+                    try {
+                        over.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        Thread.sleep(STILL_MILLIS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         return over;
     }
@@ -106,7 +130,10 @@
         return all;
     }
 
-    /** An agent that answers with what it has, a watch when that is newer; or holds all answers back. */
+    /**
+     * An agent that answers with what it has, a watch when that is newer; or holds all answers
+     * back.
+     */
     private static final class Agent implements StubUpstream.Script {
         final BlockingQueue<Long> answered = new LinkedBlockingQueue<>();
         private String list;
@@ -129,11 +156,14 @@
         }
 
         @Override
-        public synchronized boolean serve(Socket socket, String request) throws IOException,
-                InterruptedException {
+        public synchronized boolean serve(Socket socket, String request)
+                throws IOException, InterruptedException {
             int since = request.indexOf("since=");
-            long known = since < 0 ? 0
-                    : Long.parseLong(request.substring(since + 6, request.indexOf('&', since)));
+            long known =
+                    since < 0
+                            ? 0
+                            : Long.parseLong(
+                                    request.substring(since + 6, request.indexOf('&', since)));
             while (holds || known >= revision) {
                 wait();
             }
@@ -160,12 +190,13 @@
     }
 
     /**
-     * Guards against requests that go by an answer from early in a stand-still, where lists are pushed: what
-     * the agent has got after that counts as told, though no watch was open.
+     * Guards against requests that go by an answer from early in a stand-still, where lists are
+     * pushed: what the agent has got after that counts as told, though no watch was open.
      */
     @Test
     void afterAStandStillRequestsWaitForWhatThePushedListHasComeToSince() throws Exception {
-        try (StubUpstream one = new StubUpstream(GOOD); StubUpstream two = new StubUpstream(GOOD)) {
+        try (StubUpstream one = new StubUpstream(GOOD);
+                StubUpstream two = new StubUpstream(GOOD)) {
             String first = LoopbackNode.target("u0", one.address(), "Ready");
             Agent agent = new Agent(first);
             try (StubUpstream discovery = new StubUpstream(agent)) {
@@ -178,7 +209,10 @@
                 CountDownLatch over = standStill();
                 agent.has(2, false, first);
                 agent.answered.take();
-                agent.has(3, true, LoopbackNode.target("u0", one.address(), "Terminating"),
+                agent.has(
+                        3,
+                        true,
+                        LoopbackNode.target("u0", one.address(), "Terminating"),
                         LoopbackNode.target("u1", two.address(), "Ready"));
                 for (TestClient each : clients) {
                     each.send(TestClient.request("read", "3.0"));
@@ -197,19 +231,26 @@
     }
 
     /**
-     * Guards against requests that go by the list of before the start, where lists are pushed: what the agent
-     * has counts as told from the first moment of a new process.
+     * Guards against requests that go by the list of before the start, where lists are pushed: what
+     * the agent has counts as told from the first moment of a new process.
      */
     @Test
     void aNewProcessHearsThePushedListBeforeItsFirstRequest() throws Exception {
-        // Once with an agent that answers at once, or classes that are yet to load may take all of its wait.
+        // Once with an agent that answers at once, or classes that are yet to load may take all of
+        // its wait.
         for (boolean heldBack : new boolean[] {false, true}) {
-            try (StubUpstream one = new StubUpstream(GOOD); StubUpstream two = new StubUpstream(GOOD)) {
+            try (StubUpstream one = new StubUpstream(GOOD);
+                    StubUpstream two = new StubUpstream(GOOD)) {
                 Agent agent = new Agent();
-                agent.has(2, heldBack, LoopbackNode.target("u0", one.address(), "Terminating"),
+                agent.has(
+                        2,
+                        heldBack,
+                        LoopbackNode.target("u0", one.address(), "Terminating"),
                         LoopbackNode.target("u1", two.address(), "Ready"));
                 try (StubUpstream discovery = new StubUpstream(agent)) {
-                    begin(discovery, CatchingUpTest::pushed,
+                    begin(
+                            discovery,
+                            CatchingUpTest::pushed,
                             LoopbackNode.target("u0", one.address(), "Ready"));
                     askFirst(agent, heldBack, one);
                 }
@@ -232,17 +273,19 @@
     }
 
     /**
-     * Guards against requests that wait for word of the list, and are late or lost for it, where there is
-     * none: the watch is still out, and what is written to it would have been read.
+     * Guards against requests that wait for word of the list, and are late or lost for it, where
+     * there is none: the watch is still out, and what is written to it would have been read.
      */
     @Test
     void afterAStandStillNothingWaitsForAWatchThatHasNothingToTell() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    gate.await();
-                    return GOOD.serve(socket, request);
-                })) {
+                StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    gate.await();
+                                    return GOOD.serve(socket, request);
+                                })) {
             begin(discovery, json -> json, LoopbackNode.targets(upstream));
             assertTrue(discovery.nextRequest().contains("since=1&"));
             TestClient client = clients(1).get(0);
@@ -250,10 +293,12 @@
             client.send(TestClient.request("read", "3.0"));
             over.countDown();
             Books[] seen = new Books[1];
-            await("read", () -> {
-                seen[0] = books();
-                return seen[0].open() == 1;
-            });
+            await(
+                    "read",
+                    () -> {
+                        seen[0] = books();
+                        return seen[0].open() == 1;
+                    });
             assertEquals(1, seen[0].attempts(), "sent in the turn in which it was read");
             gate.countDown();
             assertEquals(200, TestClient.status(client.read()));
--- a/sidecar/src/test/java/appleridge/daemon/ClientServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientServerTest.java
@@ -34,10 +34,16 @@
         ClientTimes times = new ClientTimes(300, 300, 15_000);
         Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
-                LoopbackNode node = new LoopbackNode(new LoopbackNode.Figures(10_000_000_000L, 1000,
-                        1_000_000_000L, times), LoopbackNode.targets(upstream))) {
-            String head = TestClient.request("pay", "3.0").replace("Content-Length: 4\r\n\r\nbody",
-                    "Content-Length: 60000\r\n\r\n");
+                LoopbackNode node =
+                        new LoopbackNode(
+                                new LoopbackNode.Figures(
+                                        10_000_000_000L, 1000, 1_000_000_000L, times),
+                                LoopbackNode.targets(upstream))) {
+            String head =
+                    TestClient.request("pay", "3.0")
+                            .replace(
+                                    "Content-Length: 4\r\n\r\nbody",
+                                    "Content-Length: 60000\r\n\r\n");
             try (TestClient slow = new TestClient(node.node.address())) {
                 slow.send(head);
                 for (int i = 0; i < 60; i++) {
@@ -55,7 +61,8 @@
 
     @Test
     void readyOnlyWithAListToUse() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode();
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode();
                 TestClient client = host.client()) {
             assertEquals(503, TestClient.status(client.ask(READY)));
             host.tell(LoopbackNode.list(2, true, LoopbackNode.targets(upstream)));
@@ -86,19 +93,35 @@
         ends.put("what is this\r\n\r\n", 400);
         ends.put(good.replace("Content-Length: 4", "Content-Length: -4"), 400);
         ends.put(good.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400);
-        ends.put(good.replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"), 400);
+        ends.put(
+                good.replace(
+                        "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
+                400);
         ends.put(good.replace("Content-Length: 4", "Content-Length: 33554433"), 413);
-        for (String framing : new String[] {"Content-Length: +4", "Content-Length: 4\r\nContent-Length: 4",
-            "Content-Length: 4,4", "Content-Length: ", "Content-Length: 99999999999999999999",
-            "Transfer-Encoding: chunked\r\nContent-Length: 4",
-            "Transfer-Encoding:\r\n chunked\r\nContent-Length: 4",
-            "Transfer-Encoding: xchunked\r\nContent-Length: 4",
-            "Transfer-Encoding: identity\r\nContent-Length: 4",
-            "Transfer-Encoding : chunked\r\nContent-Length: 4", "Transfer-Encoding: \u000bchunked",
-            "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked, chunked",
-            "Transfer-Encoding: gzip, chunked", "Transfer-Encoding: xchunked",
-            " Content-Length: 4", "no colon here", "\u0000: x", ": x",
-            "Content-Length : 4", "Content-Length: 4\n"}) {
+        for (String framing :
+                new String[] {
+                    "Content-Length: +4",
+                    "Content-Length: 4\r\nContent-Length: 4",
+                    "Content-Length: 4,4",
+                    "Content-Length: ",
+                    "Content-Length: 99999999999999999999",
+                    "Transfer-Encoding: chunked\r\nContent-Length: 4",
+                    "Transfer-Encoding:\r\n chunked\r\nContent-Length: 4",
+                    "Transfer-Encoding: xchunked\r\nContent-Length: 4",
+                    "Transfer-Encoding: identity\r\nContent-Length: 4",
+                    "Transfer-Encoding : chunked\r\nContent-Length: 4",
+                    "Transfer-Encoding: \u000bchunked",
+                    "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+                    "Transfer-Encoding: chunked, chunked",
+                    "Transfer-Encoding: gzip, chunked",
+                    "Transfer-Encoding: xchunked",
+                    " Content-Length: 4",
+                    "no colon here",
+                    "\u0000: x",
+                    ": x",
+                    "Content-Length : 4",
+                    "Content-Length: 4\n"
+                }) {
             ends.put(good.replace("Content-Length: 4\r\n", framing + "\r\n"), 400);
         }
         ends.put(good.replace("\r\n", "\n"), 400);
@@ -106,15 +129,18 @@
         ends.put(good.replace(" HTTP/1.1", "\u0001 HTTP/1.1"), 400);
         ends.put(good.replace("Host: ", "Host: \u0001"), 400);
         ends.put("GET /api HTTP/1.1\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n", 400);
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode(upstream)) {
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode(upstream)) {
             try (TestClient client = host.client()) {
                 for (Map.Entry<String, Integer> each : keeps.entrySet()) {
                     String answer = client.ask(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
-                    assertEquals(each.getValue() == 405, StubUpstream.header(answer, "allow") != null);
+                    assertEquals(
+                            each.getValue() == 405, StubUpstream.header(answer, "allow") != null);
                 }
                 assertEquals(0, upstream.requests.size());
-                assertEquals(200, TestClient.status(client.ask(good)), "the connection is still of use");
+                assertEquals(
+                        200, TestClient.status(client.ask(good)), "the connection is still of use");
             }
             for (Map.Entry<String, Integer> each : ends.entrySet()) {
                 try (TestClient client = host.client()) {
@@ -131,9 +157,18 @@
     /** Guards against a check of heads that depends on how the bytes arrive. */
     @Test
     void requestsAreReadWhereverTheyAreCut() throws Exception {
-        String chunked = TestClient.request("pay", "3.0").replace("Content-Length: 4\r\n\r\nbody",
-                "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n");
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode(upstream);
+        String chunked =
+                TestClient.request("pay", "3.0")
+                        .replace(
+                                "Content-Length: 4\r\n\r\nbody",
+                                "Transfer-Encoding: chunked\r\n\r\n"
+                                        + "2\r\n"
+                                        + "bo\r\n"
+                                        + "2\r\n"
+                                        + "dy\r\n"
+                                        + "0\r\n\r\n");
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode(upstream);
                 TestClient client = host.client()) {
             String both = "\r\n" + TestClient.request("pay", "3.0") + chunked;
             for (char each : both.toCharArray()) {
@@ -149,33 +184,44 @@
     @Test
     void aBodyOfTheGreatestSizeIsTaken() throws Exception {
         String big = "x".repeat(64 * 1024);
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
+        try (StubUpstream upstream =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
                 LoopbackNode host = new LoopbackNode(upstream)) {
-            String answer = host.ask(TestClient.request("pay", "2.0")
-                    .replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65536\r\n\r\n" + big));
+            String answer =
+                    host.ask(
+                            TestClient.request("pay", "2.0")
+                                    .replace(
+                                            "Content-Length: 4\r\n\r\nbody",
+                                            "Content-Length: 65536\r\n\r\n" + big));
             assertEquals(big, TestClient.body(answer));
             assertEquals(big, TestClient.body(upstream.nextRequest()));
         }
     }
 
-    /** Guards against answers swapped on a connection whose requests are answered in another order. */
+    /**
+     * Guards against answers swapped on a connection whose requests are answered in another order.
+     */
     @Test
     void pipelinedRequestsAreTakenAtOnceAndAnsweredInOrder() throws Exception {
         CountDownLatch secondCame = new CountDownLatch(1);
-        Script script = (socket, request) -> {
-            String name = StubUpstream.header(request, "x-name");
-            if (name.equals("first")) {
-                secondCame.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-            } else {
-                secondCame.countDown();
-            }
-            StubUpstream.write(socket, StubUpstream.answer("200 OK", name));
-            return true;
-        };
-        try (StubUpstream upstream = new StubUpstream(script); LoopbackNode host = new LoopbackNode(upstream);
+        Script script =
+                (socket, request) -> {
+                    String name = StubUpstream.header(request, "x-name");
+                    if (name.equals("first")) {
+                        secondCame.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                    } else {
+                        secondCame.countDown();
+                    }
+                    StubUpstream.write(socket, StubUpstream.answer("200 OK", name));
+                    return true;
+                };
+        try (StubUpstream upstream = new StubUpstream(script);
+                LoopbackNode host = new LoopbackNode(upstream);
                 TestClient client = host.client()) {
-            client.send(TestClient.request("read", "3.0", "X-Name: first")
-                    + TestClient.request("read", "3.0", "X-Name: second") + READY);
+            client.send(
+                    TestClient.request("read", "3.0", "X-Name: first")
+                            + TestClient.request("read", "3.0", "X-Name: second")
+                            + READY);
             assertEquals("first", TestClient.body(client.read()));
             assertEquals("second", TestClient.body(client.read()));
             assertEquals("ready\n", TestClient.body(client.read()));
@@ -185,11 +231,16 @@
     /** Guards against descriptors used up by clients that say nothing, or half of something. */
     @Test
     void idleClientsAreLetGoButNotThoseThatWait() throws Exception {
-        Figures hasty = new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1),
-                new ClientTimes(200, 200, 200));
+        Figures hasty =
+                new Figures(
+                        TimeUnit.SECONDS.toNanos(10),
+                        1000,
+                        TimeUnit.SECONDS.toNanos(1),
+                        new ClientTimes(200, 200, 200));
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(silent));
-                TestClient mute = host.client(); TestClient half = host.client();
+                TestClient mute = host.client();
+                TestClient half = host.client();
                 TestClient waiting = host.client()) {
             half.send("GET /api HT");
             waiting.send(TestClient.request("pay", "1.0"));
@@ -199,11 +250,18 @@
         }
     }
 
-    /** Guards against a time limit that every byte puts off: a request that trickles in ends all the same. */
+    /**
+     * Guards against a time limit that every byte puts off: a request that trickles in ends all the
+     * same.
+     */
     @Test
     void aRequestThatTricklesInIsEnded() throws Exception {
-        Figures hasty = new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1),
-                new ClientTimes(400, 60_000, 60_000));
+        Figures hasty =
+                new Figures(
+                        TimeUnit.SECONDS.toNanos(10),
+                        1000,
+                        TimeUnit.SECONDS.toNanos(1),
+                        new ClientTimes(400, 60_000, 60_000));
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(upstream));
                 TestClient slow = host.client()) {
@@ -219,19 +277,28 @@
         }
     }
 
-    /** Guards against silent connections that use the descriptors up and shut those out that ask. */
+    /**
+     * Guards against silent connections that use the descriptors up and shut those out that ask.
+     */
     @Test
     void silentConnectionsMakeRoomForThoseThatAsk() throws Exception {
-        Figures patient = new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1),
-                new ClientTimes(60_000, 60_000, 60_000));
+        Figures patient =
+                new Figures(
+                        TimeUnit.SECONDS.toNanos(10),
+                        1000,
+                        TimeUnit.SECONDS.toNanos(1),
+                        new ClientTimes(60_000, 60_000, 60_000));
         CountDownLatch release = new CountDownLatch(1);
         List<TestClient> silent = new ArrayList<>();
-        try (StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    return GOOD.serve(socket, request);
-                });
+        try (StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    return GOOD.serve(socket, request);
+                                });
                 LoopbackNode host = new LoopbackNode(patient, LoopbackNode.targets(upstream));
-                TestClient half = host.client(); TestClient open = host.client()) {
+                TestClient half = host.client();
+                TestClient open = host.client()) {
             String request = TestClient.request("pay", "3.0");
             half.send(request.substring(0, 20));
             open.send(TestClient.request("pay", "3.0"));
@@ -243,7 +310,10 @@
             assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "3.0"))));
             assertEquals(200, TestClient.status(open.read()), "one with a request open stays");
             half.send(request.substring(20));
-            assertEquals(200, TestClient.status(half.read()), "one whose request has begun to arrive stays");
+            assertEquals(
+                    200,
+                    TestClient.status(half.read()),
+                    "one whose request has begun to arrive stays");
             assertNull(silent.get(0).read(), "the longest silent one went");
         } finally {
             for (TestClient each : silent) {
@@ -252,11 +322,15 @@
         }
     }
 
-    /** Guards against newcomers turned away for the sake of connections that have just had their answer. */
+    /**
+     * Guards against newcomers turned away for the sake of connections that have just had their
+     * answer.
+     */
     @Test
     void clientsThatAskOnceAndKeepTheirConnectionsShutNoOneOut() throws Exception {
         List<TestClient> keeping = new ArrayList<>();
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode(upstream)) {
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode(upstream)) {
             for (int i = 0; i < 500; i++) {
                 TestClient client = host.client();
                 keeping.add(client);
@@ -272,11 +346,18 @@
         }
     }
 
-    /** Guards against an application whose own descriptors are used up by connections it no longer needs. */
+    /**
+     * Guards against an application whose own descriptors are used up by connections it no longer
+     * needs.
+     */
     @Test
     void whereManyAreKeptIdleTheLongestIdleAreLetGo() throws Exception {
-        Figures crowd = new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1),
-                new ClientTimes(60_000, 60_000, 60_000));
+        Figures crowd =
+                new Figures(
+                        TimeUnit.SECONDS.toNanos(10),
+                        1000,
+                        TimeUnit.SECONDS.toNanos(1),
+                        new ClientTimes(60_000, 60_000, 60_000));
         List<TestClient> keeping = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(crowd, LoopbackNode.targets(upstream))) {
@@ -285,8 +366,10 @@
                 keeping.add(client);
                 assertEquals(200, TestClient.status(client.ask(READY)));
             }
-            assertNull(keeping.get(0).read(), "the longest idle one is let go though there is room");
-            assertEquals(200, TestClient.status(keeping.get(199).ask(READY)), "the latest one stays");
+            assertNull(
+                    keeping.get(0).read(), "the longest idle one is let go though there is room");
+            assertEquals(
+                    200, TestClient.status(keeping.get(199).ask(READY)), "the latest one stays");
         } finally {
             for (TestClient each : keeping) {
                 each.close();
@@ -298,11 +381,14 @@
     @Test
     void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    return GOOD.serve(socket, request);
-                });
-                LoopbackNode host = new LoopbackNode(upstream); TestClient first = host.client()) {
+        try (StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    return GOOD.serve(socket, request);
+                                });
+                LoopbackNode host = new LoopbackNode(upstream);
+                TestClient first = host.client()) {
             String request = TestClient.request("read", "3.0");
             first.send(request);
             upstream.nextRequest();
@@ -310,31 +396,43 @@
             assertEquals(0, upstream.requests.size());
             release.countDown();
             assertEquals(200, TestClient.status(first.read()));
-            assertEquals(200, TestClient.status(host.ask(request)), "free again once it has its answer");
+            assertEquals(
+                    200, TestClient.status(host.ask(request)), "free again once it has its answer");
         }
     }
 
-    /** Guards against an effect that nobody hears of: behind a client's last request nothing is answered. */
+    /**
+     * Guards against an effect that nobody hears of: behind a client's last request nothing is
+     * answered.
+     */
     @Test
     void whatFollowsAClientsLastRequestIsNotSent() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode(upstream);
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode(upstream);
                 TestClient client = host.client()) {
-            client.send(TestClient.request("pay", "3.0", "X-Name: last", "Connection: close")
-                    + TestClient.request("pay", "3.0", "X-Name: beyond"));
+            client.send(
+                    TestClient.request("pay", "3.0", "X-Name: last", "Connection: close")
+                            + TestClient.request("pay", "3.0", "X-Name: beyond"));
             assertEquals(200, TestClient.status(client.read()));
             assertNull(client.read());
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("read", "3.0", "X-Name: next"))));
+            assertEquals(
+                    200,
+                    TestClient.status(host.ask(TestClient.request("read", "3.0", "X-Name: next"))));
             for (String name : new String[] {"last", "next"}) {
                 assertEquals(name, StubUpstream.header(upstream.nextRequest(), "x-name"));
             }
         }
     }
 
-    /** Guards against one connection that holds requests without bound, or whose hang-up is not seen. */
+    /**
+     * Guards against one connection that holds requests without bound, or whose hang-up is not
+     * seen.
+     */
     @Test
     void hundredsOfRequestsAtOnceEndTheConnection() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent); TestClient client = host.client()) {
+                LoopbackNode host = new LoopbackNode(silent);
+                TestClient client = host.client()) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 many.append(TestClient.request("read", "0.5"));
@@ -356,14 +454,17 @@
     @Test
     void aClientThatNeverReadsIsCutOff() throws Exception {
         byte[] many = READY.repeat(1000).getBytes(StandardCharsets.US_ASCII);
-        try (LoopbackNode host = new LoopbackNode(); Socket hungry = new Socket()) {
+        try (LoopbackNode host = new LoopbackNode();
+                Socket hungry = new Socket()) {
             hungry.setReceiveBufferSize(16 * 1024);
             hungry.connect(host.node.address());
-            assertThrows(IOException.class, () -> {
-                for (int sent = 0; sent < 10_000_000; sent += many.length) {
-                    hungry.getOutputStream().write(many);
-                }
-            });
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        for (int sent = 0; sent < 10_000_000; sent += many.length) {
+                            hungry.getOutputStream().write(many);
+                        }
+                    });
             assertEquals(503, TestClient.status(host.ask(READY)));
         }
     }
@@ -371,10 +472,15 @@
     /** Guards against an end of the service that waits for a request which never ends. */
     @Test
     void theEndOfTheServiceDoesNotWaitForHalfARequest() throws Exception {
-        Figures patient = new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1),
-                new ClientTimes(60_000, 60_000, 60_000));
+        Figures patient =
+                new Figures(
+                        TimeUnit.SECONDS.toNanos(10),
+                        1000,
+                        TimeUnit.SECONDS.toNanos(1),
+                        new ClientTimes(60_000, 60_000, 60_000));
         CountDownLatch drained = new CountDownLatch(1);
-        try (LoopbackNode host = new LoopbackNode(patient); TestClient half = host.client();
+        try (LoopbackNode host = new LoopbackNode(patient);
+                TestClient half = host.client();
                 TestClient mute = host.client()) {
             half.send("GET /api HTTP/1.1\r\n");
             mute.send("\r\n");
@@ -395,20 +501,24 @@
     }
 
     /**
-     * Guards against requests lost at a planned restart, and against clients sent away while no other sidecar
-     * may be there: what is held and what still comes is answered, also on connections kept from before.
+     * Guards against requests lost at a planned restart, and against clients sent away while no
+     * other sidecar may be there: what is held and what still comes is answered, also on
+     * connections kept from before.
      */
     @Test
     void theEndOfTheServiceLosesNothing() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        Script held = (socket, request) -> {
-            release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-            StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
-            return true;
-        };
-        try (StubUpstream upstream = new StubUpstream(held); LoopbackNode host = new LoopbackNode(upstream);
-                TestClient kept = host.client(); TestClient busy = host.client()) {
+        Script held =
+                (socket, request) -> {
+                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
+                    return true;
+                };
+        try (StubUpstream upstream = new StubUpstream(held);
+                LoopbackNode host = new LoopbackNode(upstream);
+                TestClient kept = host.client();
+                TestClient busy = host.client()) {
             assertEquals(200, TestClient.status(kept.ask(READY)));
             busy.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
@@ -421,7 +531,8 @@
                 assertEquals(200, TestClient.status(late.read()));
                 untilNothingIsAccepted(host);
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
-                    assertEquals(200, TestClient.status(each.ask(TestClient.request("pay", "3.0"))));
+                    assertEquals(
+                            200, TestClient.status(each.ask(TestClient.request("pay", "3.0"))));
                 }
                 assertEquals(503, TestClient.status(kept.ask(READY)));
                 assertEquals(1, drained.getCount());
@@ -439,7 +550,8 @@
     void whatIsTakenAtTheEndOfTheServiceIsAnsweredBeforeIt() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent); TestClient kept = host.client()) {
+                LoopbackNode host = new LoopbackNode(silent);
+                TestClient kept = host.client()) {
             host.node.drain(drained::countDown);
             untilNothingIsAccepted(host);
             kept.send(TestClient.request("pay", "60.0"));
@@ -451,13 +563,18 @@
         }
     }
 
-    /** Guards against requests held since before the end of the service that its process's end finds open. */
+    /**
+     * Guards against requests held since before the end of the service that its process's end finds
+     * open.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"pay", "slow"})
-    void whatWasTakenBeforeTheEndOfTheServiceIsAnsweredBeforeIt(String requestClass) throws Exception {
+    void whatWasTakenBeforeTheEndOfTheServiceIsAnsweredBeforeIt(String requestClass)
+            throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent); TestClient client = host.client()) {
+                LoopbackNode host = new LoopbackNode(silent);
+                TestClient client = host.client()) {
             client.send(TestClient.request(requestClass, "60.0"));
             silent.nextRequest();
             host.node.drain(drained::countDown);
@@ -471,14 +588,15 @@
     }
 
     /**
-     * Guards against requests that SIGKILL finds unanswered where a class's clients wait for longer than it
-     * is put off: no more than 3 s of the longest deadline, and 0.7 s.
+     * Guards against requests that SIGKILL finds unanswered where a class's clients wait for longer
+     * than it is put off: no more than 3 s of the longest deadline, and 0.7 s.
      */
     @Test
     void whatIsTakenAtTheEndIsAnsweredBeforeSigkillHoweverLongItsClientsWait() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent); TestClient kept = host.client()) {
+                LoopbackNode host = new LoopbackNode(silent);
+                TestClient kept = host.client()) {
             long begun = System.nanoTime();
             host.node.drain(drained::countDown);
             untilNothingIsAccepted(host);
--- a/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
@@ -8,14 +8,17 @@
 import java.util.function.IntFunction;
 
 /**
- * Clients that ask one request after the other, each on a connection that it keeps, as the protocol has it: a
- * request whose connection ends without a byte of an answer is sent once more, on a new one.
+ * Clients that ask one request after the other, each on a connection that it keeps, as the protocol
+ * has it: a request whose connection ends without a byte of an answer is sent once more, on a new
+ * one.
  */
 final class ClosedLoopClients implements AutoCloseable {
     /** Status of a request that got no answer though it was sent a second time. */
     static final int NO_ANSWER = 0;
+
     /** Status of a request whose client found nobody to connect to; the sidecar never had it. */
     static final int NOT_TAKEN = -1;
+
     /** Status of a request that is still waiting. */
     static final int WAITING = -2;
 
@@ -38,7 +41,8 @@
 
         /** From its sending to its end. */
         synchronized long tookMillis() {
-            return TimeUnit.NANOSECONDS.toMillis((status == WAITING ? System.nanoTime() : endedAt) - sentAt);
+            return TimeUnit.NANOSECONDS.toMillis(
+                    (status == WAITING ? System.nanoTime() : endedAt) - sentAt);
         }
 
         private synchronized void ended(int how, String why) {
@@ -66,7 +70,10 @@
      * @param requests the next request of a client, by the client's number
      * @param pauseMillis between an answer and the next request
      */
-    ClosedLoopClients(InetSocketAddress address, int clients, long pauseMillis,
+    ClosedLoopClients(
+            InetSocketAddress address,
+            int clients,
+            long pauseMillis,
             IntFunction<String> requests) {
         this.address = address;
         this.requests = requests;
@@ -85,7 +92,8 @@
         try {
             while (!ends) {
                 String request = requests.apply(number);
-                Asked next = new Asked(StubUpstream.header(request, "x-request-id"), System.nanoTime());
+                Asked next =
+                        new Asked(StubUpstream.header(request, "x-request-id"), System.nanoTime());
                 synchronized (asked) {
                     asked.add(next);
                 }
@@ -114,7 +122,9 @@
                 String answer = client.ask(request);
                 if (answer != null) {
                     next.ended(TestClient.status(answer), "");
-                    return answer.toLowerCase().contains("connection: close") ? close(client) : client;
+                    return answer.toLowerCase().contains("connection: close")
+                            ? close(client)
+                            : client;
                 }
                 error = "connection ended";
             } catch (IOException e) {
@@ -148,7 +158,8 @@
     long count(int from, int status) {
         List<Asked> all = asked();
         return all.subList(Math.min(from, all.size()), all.size()).stream()
-                .filter(each -> each.status() == status).count();
+                .filter(each -> each.status() == status)
+                .count();
     }
 
     /** No more requests; each that is out is awaited. */
--- a/sidecar/src/test/java/appleridge/daemon/DelayingProxy.java
+++ b/sidecar/src/test/java/appleridge/daemon/DelayingProxy.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A fault proxy on loopback: passes bytes both ways, and holds each piece of what comes back for a time drawn
- * by its seed.
+ * A fault proxy on loopback: passes bytes both ways, and holds each piece of what comes back for a
+ * time drawn by its seed.
  */
 final class DelayingProxy implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -59,7 +59,8 @@
     }
 
     private void pass(Socket from, Socket to, boolean held) {
-        try (from; to) {
+        try (from;
+                to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             byte[] piece = new byte[8192];
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
@@ -17,27 +17,35 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The packaged jar as a process that is told to end while an upstream hangs, is held up now and then, and is
- * killed as soon as the platform may: clients send on each connection that stays open until then.
+ * The packaged jar as a process that is told to end while an upstream hangs, is held up now and
+ * then, and is killed as soon as the platform may: clients send on each connection that stays open
+ * until then.
  */
 @Timeout(120)
 class EndOfServiceIT {
     private static final int CLIENTS = 8;
     private static final long PAUSE_MILLIS = 5;
+
     /** Of load before the end: both upstreams are in use, and one of them hangs. */
     private static final long SETTLED_MILLIS = 500;
+
     /** A process may be held up for so long between reading its clock and writing. */
     private static final long HOLD_UP_MILLIS = 150;
-    /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline, of which 3 s count. */
+
+    /**
+     * SIGKILL comes no sooner after SIGTERM than this and the longest deadline, of which 3 s count.
+     */
     private static final long GRACE_MILLIS = 700;
+
     private static final long LONGEST_WAITED_MILLIS = 3000;
     private static final long LONGEST_DEADLINE_MILLIS = 6000;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String withDeadlines(String json, long millis) {
-        return json.replaceAll("\"deadline\":\\d+", "\"deadline\":" + TimeUnit.MILLISECONDS.toNanos(millis))
+        return json.replaceAll(
+                        "\"deadline\":\\d+",
+                        "\"deadline\":" + TimeUnit.MILLISECONDS.toNanos(millis))
                 .replaceAll("\"slo\":\\d+", "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(millis / 2));
     }
 
@@ -50,29 +58,48 @@
     }
 
     private static Set<String> forwarded(StubUpstream... upstreams) {
-        return Stream.of(upstreams).flatMap(each -> each.requests.stream())
-                .map(request -> StubUpstream.header(request, "x-request-id")).collect(Collectors.toSet());
+        return Stream.of(upstreams)
+                .flatMap(each -> each.requests.stream())
+                .map(request -> StubUpstream.header(request, "x-request-id"))
+                .collect(Collectors.toSet());
     }
 
     /**
      * Ends a process under load.
      *
      * @param deadlineMillis of every class
-     * @param heldUpAt milliseconds after SIGTERM at which it is held up; at 0 it hears of SIGTERM late
+     * @param heldUpAt milliseconds after SIGTERM at which it is held up; at 0 it hears of SIGTERM
+     *     late
      */
     private void endsWithNothingOpen(long deadlineMillis, long... heldUpAt) throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    Thread.sleep(PAUSE_MILLIS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
-                    return true;
-                });
+                StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    Thread.sleep(PAUSE_MILLIS);
+                                    StubUpstream.write(
+                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                    return true;
+                                });
                 StubUpstream hangs = new StubUpstream(StubUpstream.SILENT);
-                SidecarProcess sidecar = SidecarProcess.start(folder, withDeadlines(LoopbackNode.json(
-                        LoopbackNode.Figures.USUAL, discovery.address(),
-                        LoopbackNode.targets(upstream, hangs)), deadlineMillis), Map.of());
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, PAUSE_MILLIS,
-                        client -> TestClient.request("pay", String.valueOf(deadlineMillis / 1000.0)))) {
+                SidecarProcess sidecar =
+                        SidecarProcess.start(
+                                folder,
+                                withDeadlines(
+                                        LoopbackNode.json(
+                                                LoopbackNode.Figures.USUAL,
+                                                discovery.address(),
+                                                LoopbackNode.targets(upstream, hangs)),
+                                        deadlineMillis),
+                                Map.of());
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(
+                                sidecar.address(),
+                                CLIENTS,
+                                PAUSE_MILLIS,
+                                client ->
+                                        TestClient.request(
+                                                "pay", String.valueOf(deadlineMillis / 1000.0)))) {
             Thread.sleep(SETTLED_MILLIS);
             boolean late = heldUpAt.length > 0 && heldUpAt[0] == 0;
             if (late) {
@@ -88,24 +115,38 @@
                 sleepUntil(told + TimeUnit.MILLISECONDS.toNanos(heldUpAt[i]));
                 sidecar.holdUp(HOLD_UP_MILLIS);
             }
-            sleepUntil(told + TimeUnit.MILLISECONDS.toNanos(GRACE_MILLIS
-                    + Math.min(LONGEST_WAITED_MILLIS, deadlineMillis)));
-            List<ClosedLoopClients.Asked> open = clients.asked().stream()
-                    .filter(each -> each.status() == ClosedLoopClients.WAITING).toList();
+            sleepUntil(
+                    told
+                            + TimeUnit.MILLISECONDS.toNanos(
+                                    GRACE_MILLIS
+                                            + Math.min(LONGEST_WAITED_MILLIS, deadlineMillis)));
+            List<ClosedLoopClients.Asked> open =
+                    clients.asked().stream()
+                            .filter(each -> each.status() == ClosedLoopClients.WAITING)
+                            .toList();
             assertEquals(List.of(), open, sidecar.log());
             assertEquals(0, sidecar.awaitExit(), sidecar.log());
             List<ClosedLoopClients.Asked> asked = clients.end();
             Set<String> forwarded = forwarded(upstream, hangs);
-            assertEquals(List.of(), asked.stream()
-                    .filter(each -> each.status() <= 0 && forwarded.contains(each.id)).toList());
-            assertEquals(List.of(), asked.stream()
-                    .filter(each -> each.status() == ClosedLoopClients.NO_ANSWER).toList());
-            long after = asked.stream().filter(each -> each.sentAt > told && each.status() > 0).count();
+            assertEquals(
+                    List.of(),
+                    asked.stream()
+                            .filter(each -> each.status() <= 0 && forwarded.contains(each.id))
+                            .toList());
+            assertEquals(
+                    List.of(),
+                    asked.stream()
+                            .filter(each -> each.status() == ClosedLoopClients.NO_ANSWER)
+                            .toList());
+            long after =
+                    asked.stream().filter(each -> each.sentAt > told && each.status() > 0).count();
             assertTrue(after > CLIENTS, "clients go on for a while: " + after);
         }
     }
 
-    /** Guards against requests that are taken late in a shutdown and found unanswered by SIGKILL. */
+    /**
+     * Guards against requests that are taken late in a shutdown and found unanswered by SIGKILL.
+     */
     @Test
     void nothingIsOpenAtSigkillThoughAnUpstreamHangs() throws Exception {
         endsWithNothingOpen(LONGEST_DEADLINE_MILLIS);
@@ -118,7 +159,9 @@
         endsWithNothingOpen(deadlineMillis);
     }
 
-    /** Guards against a process that hears of SIGTERM late and is held up once more when it answers. */
+    /**
+     * Guards against a process that hears of SIGTERM late and is held up once more when it answers.
+     */
     @ParameterizedTest
     @ValueSource(longs = {3250, 3400, 3530})
     void nothingIsOpenAtSigkillThoughTheProcessIsHeldUpTwice(long heldUpAt) throws Exception {
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
@@ -38,22 +38,27 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the very end of the service finds: with deadlines of 0.4 s it comes 0.9 s after it was asked for. What
- * the loop reads ahead of that is forced by tasks of the loop itself, timed beside its own.
+ * What the very end of the service finds: with deadlines of 0.4 s it comes 0.9 s after it was asked
+ * for. What the loop reads ahead of that is forced by tasks of the loop itself, timed beside its
+ * own.
  */
 @Timeout(60)
 class EndOfServiceTest {
-    private static final StubUpstream.Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final StubUpstream.Script GOOD =
+            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final long END_MILLIS = 900;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch drained = new CountDownLatch(1);
     private StubUpstream discovery;
     private Node node;
     private InetSocketAddress address;
+
     /** Whether the system takes what is written to clients, and the connection accepted last. */
     private volatile boolean takes = true;
+
     private volatile NioSocketChannel accepted;
 
     @BeforeEach
@@ -67,30 +72,40 @@
     }
 
     private Callable<Node> node(StubUpstream upstream, HeldListener held) throws Exception {
-        String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                LoopbackNode.targets(upstream)).replaceAll("\"(slo|deadline)\":[0-9]+", "\"$1\":400000000");
-        Config config = Config.parse(new ObjectMapper().readTree(json))
-                .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time = new Loop(loop, SystemTime.UNIX_MILLIS,
-                new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
+        String json =
+                LoopbackNode.json(
+                                LoopbackNode.Figures.USUAL,
+                                discovery.address(),
+                                LoopbackNode.targets(upstream))
+                        .replaceAll("\"(slo|deadline)\":[0-9]+", "\"$1\":400000000");
+        Config config =
+                Config.parse(new ObjectMapper().readTree(json))
+                        .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        Loop time =
+                new Loop(
+                        loop,
+                        SystemTime.UNIX_MILLIS,
+                        new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
         NioSockets usual = new NioSockets();
-        Sockets sockets = new Sockets() {
-            @Override
-            public Channel connecting() {
-                return usual.connecting();
-            }
+        Sockets sockets =
+                new Sockets() {
+                    @Override
+                    public Channel connecting() {
+                        return usual.connecting();
+                    }
 
-            @Override
-            public ServerChannel listening() {
-                return new Listening();
-            }
+                    @Override
+                    public ServerChannel listening() {
+                        return new Listening();
+                    }
 
-            @Override
-            public void readNow(Channel channel) {
-                usual.readNow(channel);
-            }
-        };
-        return () -> new Node(time, sockets, config, Tuning.USUAL, SymmetricRoundRobin::new, held, null);
+                    @Override
+                    public void readNow(Channel channel) {
+                        usual.readNow(channel);
+                    }
+                };
+        return () ->
+                new Node(time, sockets, config, Tuning.USUAL, SymmetricRoundRobin::new, held, null);
     }
 
     @AfterEach
@@ -113,9 +128,10 @@
     }
 
     /**
-     * Guards against a request that is whole, and so taken, but not read when the end closes its connection
-     * because nothing is open on it. The loop is held over the end's time; so a task that was to come right
-     * ahead of the end is run together with it, and in that task the request's rest is sent.
+     * Guards against a request that is whole, and so taken, but not read when the end closes its
+     * connection because nothing is open on it. The loop is held over the end's time; so a task
+     * that was to come right ahead of the end is run together with it, and in that task the
+     * request's rest is sent.
      */
     @Test
     void aRequestThatLiesUnreadAtTheEndIsAnswered() throws Exception {
@@ -126,21 +142,30 @@
             try (TestClient client = new TestClient(address)) {
                 String request = TestClient.request("pay", "0.4");
                 client.send(request.substring(0, 30));
-                onLoop(() -> {
-                    AtomicLong end = new AtomicLong();
-                    loop.schedule(() -> {
-                        while (System.nanoTime() - end.get() < 0) {
-                            Thread.onSpinWait();
-                        }
-                    }, END_MILLIS - 20, TimeUnit.MILLISECONDS);
-                    loop.schedule(() -> {
-                        atTheEnd.countDown();
-                        stand(whole);
-                    }, END_MILLIS, TimeUnit.MILLISECONDS);
-                    node.drain(drained::countDown);
-                    end.set(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(END_MILLIS + 10));
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            AtomicLong end = new AtomicLong();
+                            loop.schedule(
+                                    () -> {
+                                        while (System.nanoTime() - end.get() < 0) {
+                                            Thread.onSpinWait();
+                                        }
+                                    },
+                                    END_MILLIS - 20,
+                                    TimeUnit.MILLISECONDS);
+                            loop.schedule(
+                                    () -> {
+                                        atTheEnd.countDown();
+                                        stand(whole);
+                                    },
+                                    END_MILLIS,
+                                    TimeUnit.MILLISECONDS);
+                            node.drain(drained::countDown);
+                            end.set(
+                                    System.nanoTime()
+                                            + TimeUnit.MILLISECONDS.toNanos(END_MILLIS + 10));
+                            return null;
+                        });
                 stand(atTheEnd);
                 client.send(request.substring(30));
                 whole.countDown();
@@ -153,7 +178,10 @@
         }
     }
 
-    /** Guards against a request lost because its last byte comes just as the end closes its connection. */
+    /**
+     * Guards against a request lost because its last byte comes just as the end closes its
+     * connection.
+     */
     @Test
     void halfARequestIsRefusedAtTheEndAndTheRestOfItResetsNothing() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
@@ -162,11 +190,12 @@
             try (TestClient client = new TestClient(address)) {
                 String request = TestClient.request("pay", "0.4");
                 client.send(request.substring(0, 30));
-                onLoop(() -> {
-                    node.drain(drained::countDown);
-                    loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            node.drain(drained::countDown);
+                            loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
+                            return null;
+                        });
                 stand(over);
                 client.send(request.substring(30));
                 String answer = client.read();
@@ -181,8 +210,8 @@
     }
 
     /**
-     * Guards against an answer that is cut short because it had been written when the end came, though the
-     * system had taken none of it yet, as where its client reads slowly.
+     * Guards against an answer that is cut short because it had been written when the end came,
+     * though the system had taken none of it yet, as where its client reads slowly.
      */
     @Test
     void anAnswerThatTheSystemHasNotTakenAtTheEndGoesOutWhole() throws Exception {
@@ -192,21 +221,24 @@
             try (TestClient client = new TestClient(address)) {
                 takes = false;
                 client.send(TestClient.request("pay", "0.4"));
-                while (accepted == null || onLoop(() -> accepted.unsafe().outboundBuffer()
-                        .totalPendingWriteBytes()) == 0) {
+                while (accepted == null
+                        || onLoop(() -> accepted.unsafe().outboundBuffer().totalPendingWriteBytes())
+                                == 0) {
                     Thread.sleep(1);
                 }
-                onLoop(() -> {
-                    node.drain(drained::countDown);
-                    loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            node.drain(drained::countDown);
+                            loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
+                            return null;
+                        });
                 stand(over);
-                onLoop(() -> {
-                    takes = true;
-                    accepted.unsafe().flush();
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            takes = true;
+                            accepted.unsafe().flush();
+                            return null;
+                        });
                 assertNotNull(client.read(), "its connection was closed");
                 assertNull(client.read(), "and is ended then");
             }
@@ -215,29 +247,33 @@
     }
 
     /**
-     * Guards against the end of a process that has just taken its platform's listening socket over: what had
-     * connected before is told to the loop behind the end, which saw no connection.
+     * Guards against the end of a process that has just taken its platform's listening socket over:
+     * what had connected before is told to the loop behind the end, which saw no connection.
      */
     @Test
-    void whatHadConnectedBeforeTheSocketWasTakenOverIsAnsweredThoughTheEndCameAtOnce() throws Exception {
+    void whatHadConnectedBeforeTheSocketWasTakenOverIsAnsweredThoughTheEndCameAtOnce()
+            throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch later = new CountDownLatch(1);
-        StubUpstream.Script held = (socket, request) -> {
-            stand(asked);
-            return GOOD.serve(socket, request);
-        };
+        StubUpstream.Script held =
+                (socket, request) -> {
+                    stand(asked);
+                    return GOOD.serve(socket, request);
+                };
         try (ServerSocketChannel socket = ServerSocketChannel.open();
                 StubUpstream upstream = new StubUpstream(held)) {
-            socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).configureBlocking(false);
+            socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                    .configureBlocking(false);
             try (TestClient client = new TestClient((InetSocketAddress) socket.getLocalAddress())) {
                 client.send(TestClient.request("pay", "0.4"));
                 Callable<Node> make = node(upstream, HeldListener.of(socket));
-                onLoop(() -> {
-                    node = make.call();
-                    node.drain(drained::countDown);
-                    loop.schedule(later::countDown, 100, TimeUnit.MILLISECONDS);
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            node = make.call();
+                            node.drain(drained::countDown);
+                            loop.schedule(later::countDown, 100, TimeUnit.MILLISECONDS);
+                            return null;
+                        });
                 stand(later);
                 assertEquals(1, drained.getCount(), "its process would have ended");
                 asked.countDown();
@@ -255,14 +291,15 @@
             if (socket == null) {
                 return 0;
             }
-            accepted = new NioSocketChannel(this, socket) {
-                @Override
-                protected void doWrite(ChannelOutboundBuffer in) throws Exception {
-                    if (takes) {
-                        super.doWrite(in);
-                    }
-                }
-            };
+            accepted =
+                    new NioSocketChannel(this, socket) {
+                        @Override
+                        protected void doWrite(ChannelOutboundBuffer in) throws Exception {
+                            if (takes) {
+                                super.doWrite(in);
+                            }
+                        }
+                    };
             all.add(accepted);
             return 1;
         }
--- a/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
@@ -14,25 +14,36 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar as a process behind a fault proxy: what its event loop does beside what it is asked. */
+/**
+ * The packaged jar as a process behind a fault proxy: what its event loop does beside what it is
+ * asked.
+ */
 @Timeout(120)
 class EventLoopSpinIT {
     private static final int CLIENTS = 4;
     private static final int REQUESTS = 200;
-    /** An event takes some turns: to read it, for the tasks that follow from it and for its timers. */
+
+    /**
+     * An event takes some turns: to read it, for the tasks that follow from it and for its timers.
+     */
     private static final int TURNS_PER_EVENT = 5;
-    /** Turns a second: one a millisecond at most where a timer is always near, and what is periodic. */
+
+    /**
+     * Turns a second: one a millisecond at most where a timer is always near, and what is periodic.
+     */
     private static final int TURNS_PER_SECOND = 1100;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** Some may be refused while the limits of a new process are small; how many were served. */
     private static int askOverAndOver(SidecarProcess sidecar) {
         int served = 0;
         try (TestClient client = new TestClient(sidecar.address())) {
             for (int i = 0; i < REQUESTS; i++) {
-                served += TestClient.status(client.ask(TestClient.request("read", "2.0"))) == 200 ? 1 : 0;
+                served +=
+                        TestClient.status(client.ask(TestClient.request("read", "2.0"))) == 200
+                                ? 1
+                                : 0;
             }
             return served;
         } catch (IOException e) {
@@ -41,19 +52,27 @@
     }
 
     /**
-     * Guards against the loop that polls for its next timer: requests, attempts and tenants have timers at
-     * odd moments, and each one's last half millisecond would be spent turning.
+     * Guards against the loop that polls for its next timer: requests, attempts and tenants have
+     * timers at odd moments, and each one's last half millisecond would be spent turning.
      */
     @Test
     void theEventLoopTurnsForEventsAndNotForTheTimeToPass() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
-                DelayingProxy proxy = new DelayingProxy(Config.address(upstream.address()), 7,
-                        TimeUnit.MILLISECONDS.toNanos(12))) {
-            String target = LoopbackNode.targets(upstream)[0].replace(upstream.address(), proxy.address());
-            try (SidecarProcess sidecar = SidecarProcess.start(folder, LoopbackNode.json(
-                    LoopbackNode.Figures.USUAL, discovery.address(), target), Map.of())) {
+                StubUpstream upstream =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                DelayingProxy proxy =
+                        new DelayingProxy(
+                                Config.address(upstream.address()),
+                                7,
+                                TimeUnit.MILLISECONDS.toNanos(12))) {
+            String target =
+                    LoopbackNode.targets(upstream)[0].replace(upstream.address(), proxy.address());
+            try (SidecarProcess sidecar =
+                    SidecarProcess.start(
+                            folder,
+                            LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL, discovery.address(), target),
+                            Map.of())) {
                 long began = System.nanoTime();
                 long turns = sidecar.figure("event_loop_turns");
                 long events = sidecar.figure("event_loop_events");
@@ -67,7 +86,8 @@
                 events = sidecar.figure("event_loop_events") - events;
                 long seconds = 1 + TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - began);
                 assertTrue(events >= CLIENTS * REQUESTS, "events: " + events);
-                assertTrue(turns <= TURNS_PER_EVENT * events + TURNS_PER_SECOND * seconds,
+                assertTrue(
+                        turns <= TURNS_PER_EVENT * events + TURNS_PER_SECOND * seconds,
                         "turns: " + turns + ", events: " + events + ", seconds: " + seconds);
             }
         }
--- a/sidecar/src/test/java/appleridge/daemon/HeldListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/HeldListenerIT.java
@@ -21,19 +21,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar with a listening socket that the platform holds; processes replaced under load. */
+/**
+ * The packaged jar with a listening socket that the platform holds; processes replaced under load.
+ */
 @Timeout(180)
 class HeldListenerIT {
     /** More of them are a measurement: -Dupgrades=50. */
     private static final int UPGRADES = Integer.getInteger("upgrades", 3);
+
     private static final int CLIENTS = 6;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String json(StubUpstream discovery, StubUpstream... upstreams) {
-        return LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                LoopbackNode.targets(upstreams));
+        return LoopbackNode.json(
+                LoopbackNode.Figures.USUAL, discovery.address(), LoopbackNode.targets(upstreams));
     }
 
     /** Clients that ask one request after the other, each on a connection that it keeps. */
@@ -78,7 +80,8 @@
         }
 
         void awaitMore(int requests) throws InterruptedException {
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+            long until =
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
             int goal = served.get() + requests;
             while (served.get() < goal && System.nanoTime() < until) {
                 Thread.sleep(5);
@@ -105,14 +108,14 @@
     }
 
     /**
-     * Guards against a request that meets a refused, reset or unread connection while one process takes over
-     * from the other; and against an end that waits though nothing is held.
+     * Guards against a request that meets a refused, reset or unread connection while one process
+     * takes over from the other; and against an end that waits though nothing is held.
      */
     @Test
     void processesAreReplacedUnderLoadAndNoRequestMeetsAClosedDoor() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
+                StubUpstream upstream =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             String json = json(discovery, upstream);
             HoldingPlatform.Sidecar old = platform.start(json, "0");
@@ -141,12 +144,14 @@
         }
     }
 
-    /** Guards against a queue that is reset with the process: what comes while nobody accepts waits. */
+    /**
+     * Guards against a queue that is reset with the process: what comes while nobody accepts waits.
+     */
     @Test
     void whatConnectsWhileNobodyAcceptsIsServedByTheNextProcess() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
+                StubUpstream upstream =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder);
                 TestClient early = new TestClient(platform.address())) {
             early.send(TestClient.request("pay", "3.0"));
@@ -186,14 +191,16 @@
     }
 
     /**
-     * Guards against an operator's word that is lost with the process it was told to, or heeded by one only;
-     * also where that process is killed right after its yes.
+     * Guards against an operator's word that is lost with the process it was told to, or heeded by
+     * one only; also where that process is killed right after its yes.
      */
     @Test
     void whatIsSuspendedStaysSoOverAnUpgradeWhicheverProcessWasTold() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                StubUpstream b = new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                StubUpstream a =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                StubUpstream b =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             String json = json(discovery, a, b);
             int first = port();
@@ -236,16 +243,19 @@
         }
     }
 
-    /** Guards against a start that fails, or believes noise, because of what another one has left. */
+    /**
+     * Guards against a start that fails, or believes noise, because of what another one has left.
+     */
     @Test
     void aTornStateIsRefusedOnceAndTheStartGoesOn() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
+                StubUpstream upstream =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             HoldingPlatform.Sidecar old = platform.start(json(discovery, upstream), "0");
             old.awaitLog("serves at");
-            // Its last state is written a moment after it says so, and would take the noise's place.
+            // Its last state is written a moment after it says so, and would take the noise's
+            // place.
             Path state = platform.sharedFolder().resolve("slot-0.state");
             while (!Files.readString(state).contains(Phase.SERVING.name())) {
                 Thread.sleep(10);
@@ -267,11 +277,14 @@
     void whatIsHeldAtSigtermIsAnsweredAndToldToClose() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
-                    return true;
-                });
+                StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    StubUpstream.write(
+                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                    return true;
+                                });
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             HoldingPlatform.Sidecar sidecar = platform.start(json(discovery, upstream), "0");
             sidecar.awaitLog("serves at");
@@ -300,7 +313,9 @@
                 try (HoldingPlatform platform = new HoldingPlatform(folder, type, false)) {
                     HoldingPlatform.Sidecar sidecar = platform.start(json(discovery), "0");
                     assertEquals(1, sidecar.end(), sidecar.log());
-                    assertTrue(sidecar.log().contains("can't start: descriptor 0 is no TCP socket that"),
+                    assertTrue(
+                            sidecar.log()
+                                    .contains("can't start: descriptor 0 is no TCP socket that"),
                             sidecar.log());
                 }
             }
@@ -308,7 +323,9 @@
                 try (HoldingPlatform platform = new HoldingPlatform(folder)) {
                     HoldingPlatform.Sidecar sidecar = platform.start(json(discovery), descriptor);
                     assertEquals(1, sidecar.end(), sidecar.log());
-                    assertTrue(sidecar.log().contains("must be descriptor 0, not '" + descriptor + "'"),
+                    assertTrue(
+                            sidecar.log()
+                                    .contains("must be descriptor 0, not '" + descriptor + "'"),
                             sidecar.log());
                 }
             }
--- a/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
+++ b/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
@@ -12,11 +12,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A platform that holds the listening socket and starts processes that have it as descriptor 0. The JVM can't
- * hand a socket to a process that it starts, so a few lines of Perl, which every Debian has, do it.
+ * A platform that holds the listening socket and starts processes that have it as descriptor 0. The
+ * JVM can't hand a socket to a process that it starts, so a few lines of Perl, which every Debian
+ * has, do it.
  */
 final class HoldingPlatform implements AutoCloseable {
-    private static final String PERL = """
+    private static final String PERL =
+            """
             use Socket; $| = 1;
             socket(my $s, PF_INET, $ARGV[0], 0) or die; bind($s, sockaddr_in(0, \
             INADDR_LOOPBACK)) or die;
@@ -48,8 +50,10 @@
     /** With Perl's number of the socket's type; and whether it listens. */
     HoldingPlatform(Path folder, int type, boolean listens) throws IOException {
         this.folder = folder;
-        this.holder = new ProcessBuilder("perl", "-e", PERL, Integer.toString(type), listens ? "1" : "")
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        this.holder =
+                new ProcessBuilder("perl", "-e", PERL, Integer.toString(type), listens ? "1" : "")
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         this.orders = holder.outputWriter();
         this.answers = holder.inputReader();
         this.port = Integer.parseInt(answers.readLine());
@@ -85,7 +89,8 @@
 
         /** Waits until it has logged something. */
         void awaitLog(String text) throws IOException, InterruptedException {
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * LoopbackNode.PATIENCE_SECONDS);
+            long until =
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * LoopbackNode.PATIENCE_SECONDS);
             while (!log().contains(text)) {
                 if (System.nanoTime() > until) {
                     throw new AssertionError("never logged: " + text + "\n" + log());
@@ -114,10 +119,21 @@
         Path file = Files.createTempFile(folder, "config", ".json");
         Path log = Files.createTempFile(folder, "sidecar", ".log");
         Files.writeString(file, config.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-        List<String> command = new ArrayList<>(List.of("start", log.toString(), "env",
-                "BALANCER_CONFIG=" + file, "BALANCER_LISTEN_FD=" + descriptor, "TMPDIR=" + folder,
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-Xmx48m", "-jar", "target/appleridge.jar", "serve"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "start",
+                                log.toString(),
+                                "env",
+                                "BALANCER_CONFIG=" + file,
+                                "BALANCER_LISTEN_FD=" + descriptor,
+                                "TMPDIR=" + folder,
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx48m",
+                                "-jar",
+                                "target/appleridge.jar",
+                                "serve"));
         return new Sidecar(log, Long.parseLong(order(command.toArray(String[]::new))));
     }
 
--- a/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
@@ -36,16 +36,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What waits when its client leaves is not sent on: for each way of waiting, and for each way of leaving. The
- * order of events is forced by upstreams that answer when they are told to, and by a loop that is held still.
+ * What waits when its client leaves is not sent on: for each way of waiting, and for each way of
+ * leaving. The order of events is forced by upstreams that answer when they are told to, and by a
+ * loop that is held still.
  */
 @Timeout(60)
 class LeavingClientTest {
-    private static final StubUpstream.Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final StubUpstream.Script GOOD =
+            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
+
     /** Each in turn: one client or a burst of them, that end their connection or reset it. */
-    private static final List<Leaving> WAYS = List.of(new Leaving(1, false), new Leaving(1, true),
-            new Leaving(8, false), new Leaving(8, true));
+    private static final List<Leaving> WAYS =
+            List.of(
+                    new Leaving(1, false),
+                    new Leaving(1, true),
+                    new Leaving(8, false),
+                    new Leaving(8, true));
 
     /** How many clients leave, and how. */
     private record Leaving(int clients, boolean resets) {
@@ -59,12 +66,17 @@
         }
     }
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private Node node;
     private InetSocketAddress address;
-    /** Where not null, each request costs the module some time, and the first one waits for this. */
+
+    /**
+     * Where not null, each request costs the module some time, and the first one waits for this.
+     */
     private volatile CountDownLatch turnGoesOn;
+
     private volatile CountDownLatch turnBegun;
 
     @AfterEach
@@ -82,14 +94,31 @@
 
     private void begin(StubUpstream discovery, UnaryOperator<String> changed, String... targets)
             throws Exception {
-        String json = changed.apply(LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                targets));
-        Config config = Config.parse(new ObjectMapper().readTree(json))
-                .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time = new Loop(loop, SystemTime.UNIX_MILLIS,
-                new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        node = loop.submit(() -> new Node(time, new NioSockets(), config, Tuning.USUAL,
-                (settings, seed, actions) -> slow(new SymmetricRoundRobin(settings, seed, actions)))).get();
+        String json =
+                changed.apply(
+                        LoopbackNode.json(
+                                LoopbackNode.Figures.USUAL, discovery.address(), targets));
+        Config config =
+                Config.parse(new ObjectMapper().readTree(json))
+                        .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        Loop time =
+                new Loop(
+                        loop,
+                        SystemTime.UNIX_MILLIS,
+                        new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
+        node =
+                loop.submit(
+                                () ->
+                                        new Node(
+                                                time,
+                                                new NioSockets(),
+                                                config,
+                                                Tuning.USUAL,
+                                                (settings, seed, actions) ->
+                                                        slow(
+                                                                new SymmetricRoundRobin(
+                                                                        settings, seed, actions))))
+                        .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
 
@@ -123,7 +152,10 @@
         return clients;
     }
 
-    /** What is asked after all others have left, and not refused, is the next that the upstream gets. */
+    /**
+     * What is asked after all others have left, and not refused, is the next that the upstream
+     * gets.
+     */
     private void nothingIsSentBefore(String last, StubUpstream upstream) throws Exception {
         try (TestClient client = new TestClient(address)) {
             String answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
@@ -200,21 +232,27 @@
         }
     }
 
-    /** Guards against a further attempt for nobody: the first one fails, and the second waits for room. */
+    /**
+     * Guards against a further attempt for nobody: the first one fails, and the second waits for
+     * room.
+     */
     @Test
     void whatWaitsBetweenTwoAttemptsIsNotSent() throws Exception {
         for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
             CountDownLatch gate = new CountDownLatch(1);
             CountDownLatch fails = new CountDownLatch(1);
-            StubUpstream.Script error = (socket, request) -> {
-                fails.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                StubUpstream.write(socket, StubUpstream.answer("500 Internal Server Error", ""));
-                return true;
-            };
+            StubUpstream.Script error =
+                    (socket, request) -> {
+                        fails.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        StubUpstream.write(
+                                socket, StubUpstream.answer("500 Internal Server Error", ""));
+                        return true;
+                    };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream full = new StubUpstream(after(gate));
-                    StubUpstream failing = new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1),
-                            error, GOOD))) {
+                    StubUpstream failing =
+                            new StubUpstream(
+                                    StubUpstream.firstThen(new CountDownLatch(1), error, GOOD))) {
                 begin(discovery, json -> json, LoopbackNode.targets(full, failing));
                 List<TestClient> busy = new ArrayList<>();
                 TestClient leaves = null;
@@ -250,25 +288,34 @@
     }
 
     /**
-     * Guards against an attempt that is sent when its connection comes up, long after its client has left:
-     * also where the settings allow no cancelling, for of this one nothing has gone out.
+     * Guards against an attempt that is sent when its connection comes up, long after its client
+     * has left: also where the settings allow no cancelling, for of this one nothing has gone out.
      */
     @Test
     void whatWaitsForItsConnectionIsNotSent() throws Exception {
         for (String cancels : new String[] {"true", "false"}) {
             for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                        ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                        ServerSocket full =
+                                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                     List<Socket> waiting = fill(full);
-                    begin(discovery, json -> json.replace("\"mayCancel\":true", "\"mayCancel\":" + cancels)
-                            .replace("\"connectTimeout\":500000000", "\"connectTimeout\":60000000000")
-                            .replace("\"deadline\":3000000000", "\"deadline\":60000000000"),
+                    begin(
+                            discovery,
+                            json ->
+                                    json.replace("\"mayCancel\":true", "\"mayCancel\":" + cancels)
+                                            .replace(
+                                                    "\"connectTimeout\":500000000",
+                                                    "\"connectTimeout\":60000000000")
+                                            .replace(
+                                                    "\"deadline\":3000000000",
+                                                    "\"deadline\":60000000000"),
                             LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                     TestClient client = new TestClient(address);
                     client.send(TestClient.request("read", "60.0"));
                     await("connecting", () -> onLoop(() -> node.upstreams()) == 1);
                     way.leave(List.of(client));
-                    await("its client has left, and it still connects",
+                    await(
+                            "its client has left, and it still connects",
                             () -> onLoop(() -> node.upstreams()) == 0);
                     assertEquals(0, books().calls());
                     for (Socket each : waiting) {
@@ -281,16 +328,19 @@
     }
 
     /**
-     * The same where both come while the loop stands still, and the connection is read ahead of the end: a
-     * late loop looks for those who have left before it writes.
+     * The same where both come while the loop stands still, and the connection is read ahead of the
+     * end: a late loop looks for those who have left before it writes.
      */
     @Test
-    void whatWaitsForItsConnectionIsNotSentWhereThatCameUpWhileTheLoopStoodStill() throws Exception {
+    void whatWaitsForItsConnectionIsNotSentWhereThatCameUpWhileTheLoopStoodStill()
+            throws Exception {
         for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 final List<Socket> waiting = fill(full);
-                begin(discovery, LeavingClientTest::patient,
+                begin(
+                        discovery,
+                        LeavingClientTest::patient,
                         LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                 TestClient client = new TestClient(address);
                 client.send(TestClient.request("read", "60.0"));
@@ -305,26 +355,46 @@
         }
     }
 
-    /** Guards against a drain that is told while the loop stands still, and read behind the connection. */
+    /**
+     * Guards against a drain that is told while the loop stands still, and read behind the
+     * connection.
+     */
     @Test
     void norIsItSentToWhoHasBegunToDrainMeanwhile() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
         CountDownLatch told = new CountDownLatch(1);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String endpoint = "127.0.0.1:" + full.getLocalPort();
-            StubUpstream.Script drain = (socket, request) -> {
-                drains.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                StubUpstream.write(socket, StubUpstream.answer("200 OK", LoopbackNode.list(2, false,
-                        LoopbackNode.target("u0", endpoint, "Terminating"))));
-                told.countDown();
-                return true;
-            };
-            try (StubUpstream discovery = new StubUpstream(
-                    StubUpstream.firstThen(new CountDownLatch(1), drain, StubUpstream.SILENT))) {
+            StubUpstream.Script drain =
+                    (socket, request) -> {
+                        drains.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        StubUpstream.write(
+                                socket,
+                                StubUpstream.answer(
+                                        "200 OK",
+                                        LoopbackNode.list(
+                                                2,
+                                                false,
+                                                LoopbackNode.target(
+                                                        "u0", endpoint, "Terminating"))));
+                        told.countDown();
+                        return true;
+                    };
+            try (StubUpstream discovery =
+                    new StubUpstream(
+                            StubUpstream.firstThen(
+                                    new CountDownLatch(1), drain, StubUpstream.SILENT))) {
                 final List<Socket> waiting = fill(full);
-                begin(discovery, json -> patient(json)
-                        .replace("\"stopSendingWithin\":2000000000", "\"stopSendingWithin\":250000000")
-                        .replace("\"askWithin\":1000000000", "\"askWithin\":60000000000"),
+                begin(
+                        discovery,
+                        json ->
+                                patient(json)
+                                        .replace(
+                                                "\"stopSendingWithin\":2000000000",
+                                                "\"stopSendingWithin\":250000000")
+                                        .replace(
+                                                "\"askWithin\":1000000000",
+                                                "\"askWithin\":60000000000"),
                         LoopbackNode.target("u0", endpoint, "Ready"));
                 discovery.nextRequest();
                 try (TestClient client = new TestClient(address)) {
@@ -336,7 +406,10 @@
                     assertTrue(told.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
                     over.countDown();
                     assertNothingIsSent(up);
-                    assertEquals(503, TestClient.status(client.read()), "it never ran: no other is there");
+                    assertEquals(
+                            503,
+                            TestClient.status(client.read()),
+                            "it never ran: no other is there");
                 }
                 closeNode();
             }
@@ -350,7 +423,8 @@
     }
 
     /** Takes what waits, and the first connection behind that. */
-    private static Socket takeAllBut(ServerSocket listener, List<Socket> waiting) throws IOException {
+    private static Socket takeAllBut(ServerSocket listener, List<Socket> waiting)
+            throws IOException {
         List<Integer> known = waiting.stream().map(Socket::getLocalPort).toList();
         listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
         while (true) {
@@ -384,8 +458,9 @@
     }
 
     /**
-     * Guards against a request that is read ahead of its connection's end: both waited while the loop stood
-     * still, for longer than a client's leaving may go unnoticed, though for no longer than half a second.
+     * Guards against a request that is read ahead of its connection's end: both waited while the
+     * loop stood still, for longer than a client's leaving may go unnoticed, though for no longer
+     * than half a second.
      */
     @Test
     void whatWaitedUnreadWhileTheLoopStoodStillIsNotSent() throws Exception {
@@ -415,9 +490,10 @@
     }
 
     /**
-     * Guards against what comes behind a new connection's first request, all of it sent at once and its
-     * client gone: as much as the first, it may have waited until the connection was accepted. The loop is
-     * held too shortly to be late, and an idle connection to the upstream takes what is sent at once.
+     * Guards against what comes behind a new connection's first request, all of it sent at once and
+     * its client gone: as much as the first, it may have waited until the connection was accepted.
+     * The loop is held too shortly to be late, and an idle connection to the upstream takes what is
+     * sent at once.
      */
     @Test
     void whatComesAtOnceOnANewConnectionIsNotSentWhenItsClientHasGone() throws Exception {
@@ -433,7 +509,8 @@
                 CountDownLatch left = standStill(0);
                 List<TestClient> leaving = ask(way.clients, "read");
                 for (TestClient each : leaving) {
-                    each.send(TestClient.request("read", "3.0") + TestClient.request("read", "3.0"));
+                    each.send(
+                            TestClient.request("read", "3.0") + TestClient.request("read", "3.0"));
                 }
                 way.leave(leaving);
                 left.countDown();
@@ -444,8 +521,8 @@
     }
 
     /**
-     * The same for what lets a request go on: the answers that make room for those that are held come while
-     * the loop stands still, and then their clients leave.
+     * The same for what lets a request go on: the answers that make room for those that are held
+     * come while the loop stands still, and then their clients leave.
      */
     @Test
     void whatIsHeldIsNotSentWhereRoomCameWhileTheLoopStoodStill() throws Exception {
@@ -459,11 +536,12 @@
     private void roomComesWhileTheLoopStandsStill(long still, Leaving way) throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(2);
-        StubUpstream.Script script = (socket, request) -> {
-            after(gate).serve(socket, request);
-            answered.countDown();
-            return true;
-        };
+        StubUpstream.Script script =
+                (socket, request) -> {
+                    after(gate).serve(socket, request);
+                    answered.countDown();
+                    return true;
+                };
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(script)) {
             begin(discovery, json -> json, LoopbackNode.targets(upstream));
@@ -488,30 +566,33 @@
     }
 
     /**
-     * The same where the loop never stands still and yet comes late to what it reads: one turn is long, for
-     * each of many requests costs some time in it. In that turn comes what makes room, and the end of who
-     * waits for the room behind it.
+     * The same where the loop never stands still and yet comes late to what it reads: one turn is
+     * long, for each of many requests costs some time in it. In that turn comes what makes room,
+     * and the end of who waits for the room behind it.
      */
     @Test
     void whatIsHeldIsNotSentWhereRoomCameLateInALongTurn() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch gate = new CountDownLatch(1);
             CountDownLatch answered = new CountDownLatch(2);
-            StubUpstream.Script script = (socket, request) -> {
-                boolean waits = "busy".equals(StubUpstream.header(request, "x-name"));
-                (waits ? after(gate) : GOOD).serve(socket, request);
-                if (waits) {
-                    answered.countDown();
-                }
-                return true;
-            };
+            StubUpstream.Script script =
+                    (socket, request) -> {
+                        boolean waits = "busy".equals(StubUpstream.header(request, "x-name"));
+                        (waits ? after(gate) : GOOD).serve(socket, request);
+                        if (waits) {
+                            answered.countDown();
+                        }
+                        return true;
+                    };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(script)) {
                 begin(discovery, json -> json, LoopbackNode.targets(upstream));
                 List<TestClient> many = new ArrayList<>();
                 for (int i = 0; i < 6; i++) {
                     many.add(new TestClient(address));
-                    assertEquals(200, TestClient.status(many.get(i).ask(TestClient.request("read", "3.0"))));
+                    assertEquals(
+                            200,
+                            TestClient.status(many.get(i).ask(TestClient.request("read", "3.0"))));
                 }
                 List<TestClient> busy = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
@@ -555,24 +636,31 @@
 
     /** A module that takes its time over each request, as one on a crowded machine does. */
     private Balancer slow(Balancer module) {
-        return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
-                    if (method.getName().equals("request") && turnGoesOn != null) {
-                        turnBegun.countDown();
-                        stand(turnGoesOn, 90);
-                    }
-                    return method.invoke(module, arguments);
-                });
+        return (Balancer)
+                Proxy.newProxyInstance(
+                        Balancer.class.getClassLoader(),
+                        new Class<?>[] {Balancer.class},
+                        (proxy, method, arguments) -> {
+                            if (method.getName().equals("request") && turnGoesOn != null) {
+                                turnBegun.countDown();
+                                stand(turnGoesOn, 90);
+                            }
+                            return method.invoke(module, arguments);
+                        });
     }
 
-    /** The loop stands still from before this returns until what it returns is counted down, and so long. */
+    /**
+     * The loop stands still from before this returns until what it returns is counted down, and so
+     * long.
+     */
     private CountDownLatch standStill(long millis) throws InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
-        loop.execute(() -> {
-            begun.countDown();
-            stand(over, millis);
-        });
+        loop.execute(
+                () -> {
+                    begun.countDown();
+                    stand(over, millis);
+                });
         assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         return over;
     }
--- a/sidecar/src/test/java/appleridge/daemon/LongAnswersTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LongAnswersTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers beyond what is held whole: passed on in pieces, and broken so that the client can tell. */
+/**
+ * Answers beyond what is held whole: passed on in pieces, and broken so that the client can tell.
+ */
 @Timeout(120)
 class LongAnswersTest {
     private static final int HELD = 64 * 1024;
@@ -36,7 +38,8 @@
         out.write(head.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void chunk(OutputStream out, byte[] body, int from, int length) throws IOException {
+    private static void chunk(OutputStream out, byte[] body, int from, int length)
+            throws IOException {
         out.write((Integer.toHexString(length) + ";ext=1\r\n").getBytes(StandardCharsets.US_ASCII));
         out.write(body, from, length);
         out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -61,7 +64,7 @@
     }
 
     /** An answer as a client reads it. */
-    private record Read(String head, byte[] body, boolean complete) { }
+    private record Read(String head, byte[] body, boolean complete) {}
 
     private static Read read(InputStream in) throws IOException {
         String head = line(in);
@@ -122,7 +125,9 @@
                     for (int i = 0; i < 3; i++) {
                         client.send(TestClient.request(ASK, "3.0"));
                         Read answer = read(client.socket.getInputStream());
-                        assertTrue(answer.complete && answer.head.startsWith("http/1.1 200"), answer.head);
+                        assertTrue(
+                                answer.complete && answer.head.startsWith("http/1.1 200"),
+                                answer.head);
                         assertArrayEquals(body, answer.body);
                     }
                 }
@@ -136,34 +141,41 @@
         try (StubUpstream upstream = new StubUpstream(whole(body, true));
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = new TestClient(node.node.address())) {
-            client.send(TestClient.request(ASK, "3.0") + TestClient.request(ASK, "3.0")
-                    + "GET /health/ready HTTP/1.1\r\n\r\n");
+            client.send(
+                    TestClient.request(ASK, "3.0")
+                            + TestClient.request(ASK, "3.0")
+                            + "GET /health/ready HTTP/1.1\r\n\r\n");
             for (int i = 0; i < 2; i++) {
                 assertArrayEquals(body, read(client.socket.getInputStream()).body);
             }
-            assertEquals("ready\n", new String(read(client.socket.getInputStream()).body,
-                    StandardCharsets.US_ASCII));
+            assertEquals(
+                    "ready\n",
+                    new String(
+                            read(client.socket.getInputStream()).body, StandardCharsets.US_ASCII));
         }
     }
 
-    /** Guards against an answer that looks whole and isn't: cut one byte short, or in its chunks. */
+    /**
+     * Guards against an answer that looks whole and isn't: cut one byte short, or in its chunks.
+     */
     @Test
     void anAnswerThatBreaksOffCanBeToldFromAWholeOne() throws Exception {
         byte[] body = body(300_000);
         for (boolean chunked : new boolean[] {false, true}) {
-            StubUpstream.Script broken = (socket, request) -> {
-                OutputStream out = socket.getOutputStream();
-                if (chunked) {
-                    head(out, "Transfer-Encoding: chunked");
-                    chunk(out, body, 0, body.length);
-                } else {
-                    head(out, "Content-Length: " + (body.length + 1));
-                    out.write(body);
-                }
-                out.flush();
-                Thread.sleep(100);
-                return false;
-            };
+            StubUpstream.Script broken =
+                    (socket, request) -> {
+                        OutputStream out = socket.getOutputStream();
+                        if (chunked) {
+                            head(out, "Transfer-Encoding: chunked");
+                            chunk(out, body, 0, body.length);
+                        } else {
+                            head(out, "Content-Length: " + (body.length + 1));
+                            out.write(body);
+                        }
+                        out.flush();
+                        Thread.sleep(100);
+                        return false;
+                    };
             try (StubUpstream upstream = new StubUpstream(broken);
                     LoopbackNode node = new LoopbackNode(upstream);
                     TestClient client = new TestClient(node.node.address())) {
@@ -171,23 +183,31 @@
                 Read answer = read(client.socket.getInputStream());
                 assertFalse(answer.complete);
                 assertTrue(answer.body.length <= body.length);
-                assertEquals(1, upstream.requests.size(), "nothing is tried again behind a begun answer");
-                assertEquals(200, TestClient.status(node.ask("GET /health/ready HTTP/1.1\r\n\r\n")));
+                assertEquals(
+                        1,
+                        upstream.requests.size(),
+                        "nothing is tried again behind a begun answer");
+                assertEquals(
+                        200, TestClient.status(node.ask("GET /health/ready HTTP/1.1\r\n\r\n")));
             }
         }
     }
 
-    /** Guards against a begun answer that goes on for ever because its server says nothing any more. */
+    /**
+     * Guards against a begun answer that goes on for ever because its server says nothing any more.
+     */
     @Test
     void aServerThatStopsInTheMiddleIsGivenUpInTime() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         byte[] body = body(HELD + 1);
-        try (StubUpstream upstream = new StubUpstream((socket, request) -> {
-                head(socket.getOutputStream(), "Content-Length: " + LONG);
-                socket.getOutputStream().write(body);
-                never.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                return false;
-            });
+        try (StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    head(socket.getOutputStream(), "Content-Length: " + LONG);
+                                    socket.getOutputStream().write(body);
+                                    never.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    return false;
+                                });
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = new TestClient(node.node.address())) {
             long asked = System.nanoTime();
@@ -205,24 +225,27 @@
         AtomicLong written = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
         byte[] piece = body(16 << 10);
-        StubUpstream.Script endless = (socket, request) -> {
-            head(socket.getOutputStream(), "Content-Length: " + LONG);
-            try {
-                for (int sent = 0; sent < LONG; sent += piece.length) {
-                    socket.getOutputStream().write(piece);
-                    written.addAndGet(piece.length);
-                }
-            } finally {
-                ended.countDown();
-            }
-            return true;
-        };
+        StubUpstream.Script endless =
+                (socket, request) -> {
+                    head(socket.getOutputStream(), "Content-Length: " + LONG);
+                    try {
+                        for (int sent = 0; sent < LONG; sent += piece.length) {
+                            socket.getOutputStream().write(piece);
+                            written.addAndGet(piece.length);
+                        }
+                    } finally {
+                        ended.countDown();
+                    }
+                    return true;
+                };
         try (StubUpstream upstream = new StubUpstream(endless);
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(TestClient.request(ASK, "3.0"));
             assertTrue(ended.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS), "given up");
-            assertTrue(written.get() < 16 << 20, written.get() + " bytes were taken for who reads none");
+            assertTrue(
+                    written.get() < 16 << 20,
+                    written.get() + " bytes were taken for who reads none");
             assertEquals(200, TestClient.status(node.ask("GET /health/ready HTTP/1.1\r\n\r\n")));
         }
     }
@@ -238,45 +261,53 @@
             client.connect(node.node.address());
             StubUpstream.write(client, TestClient.request(ASK, "0.3"));
             InputStream in = client.getInputStream();
-            InputStream slow = new InputStream() {
-                private int count;
+            InputStream slow =
+                    new InputStream() {
+                        private int count;
 
-                @Override
-                public int read() throws IOException {
-                    if (++count % 20_000 == 0) {
-                        try {
-                            Thread.sleep(10);
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
+                        @Override
+                        public int read() throws IOException {
+                            if (++count % 20_000 == 0) {
+                                try {
+                                    Thread.sleep(10);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            }
+                            return in.read();
                         }
-                    }
-                    return in.read();
-                }
-            };
+                    };
             Read answer = read(slow);
             assertTrue(answer.complete);
             assertArrayEquals(body, answer.body);
         }
     }
 
-    /** Guards against spoilt answers that are passed on where another attempt could still be made. */
+    /**
+     * Guards against spoilt answers that are passed on where another attempt could still be made.
+     */
     @Test
     void anAnswerThatSaysItIsFarTooLongIsNotBegun() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
-        StubUpstream.Script spoilt = (socket, request) -> {
-            head(socket.getOutputStream(), "Content-Length: 3000000000");
-            try {
-                while (true) {
-                    socket.getOutputStream().write(body(1000));
-                }
-            } catch (IOException e) {
-                return false;
-            }
-        };
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.firstThen(first, spoilt,
-                StubUpstream.says(StubUpstream.answer("200 OK", "fine"))));
-                StubUpstream next = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
+        StubUpstream.Script spoilt =
+                (socket, request) -> {
+                    head(socket.getOutputStream(), "Content-Length: 3000000000");
+                    try {
+                        while (true) {
+                            socket.getOutputStream().write(body(1000));
+                        }
+                    } catch (IOException e) {
+                        return false;
+                    }
+                };
+        try (StubUpstream upstream =
+                        new StubUpstream(
+                                StubUpstream.firstThen(
+                                        first,
+                                        spoilt,
+                                        StubUpstream.says(StubUpstream.answer("200 OK", "fine"))));
+                StubUpstream next =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 LoopbackNode node = new LoopbackNode(upstream, next)) {
             for (int i = 0; i < 10; i++) {
                 String answer = node.ask(TestClient.request(ASK, "3.0"));
@@ -285,7 +316,9 @@
         }
     }
 
-    /** Guards against a client of HTTP/1.0 that is given chunks, or takes a broken answer for whole. */
+    /**
+     * Guards against a client of HTTP/1.0 that is given chunks, or takes a broken answer for whole.
+     */
     @Test
     void aClientOfHttp10GetsTheBytesAloneAndTheEnd() throws Exception {
         byte[] body = body(500_000);
--- a/sidecar/src/test/java/appleridge/daemon/LongRequestsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LongRequestsTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests beyond what is held whole: passed on in pieces, once, with word of what is proven of them. */
+/**
+ * Requests beyond what is held whole: passed on in pieces, once, with word of what is proven of
+ * them.
+ */
 @Timeout(120)
 class LongRequestsTest {
     private static final int HELD = 64 * 1024;
@@ -33,21 +36,24 @@
     private static final class Reader implements AutoCloseable {
         final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
-        private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final ServerSocket listener =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
         Reader(Script script) throws IOException {
-            Thread accepts = new Thread(() -> {
-                try {
-                    while (true) {
-                        Socket socket = listener.accept();
-                        Thread serves = new Thread(() -> serve(socket, script));
-                        serves.setDaemon(true);
-                        serves.start();
-                    }
-                } catch (IOException e) {
-                    // Closed.
-                }
-            });
+            Thread accepts =
+                    new Thread(
+                            () -> {
+                                try {
+                                    while (true) {
+                                        Socket socket = listener.accept();
+                                        Thread serves = new Thread(() -> serve(socket, script));
+                                        serves.setDaemon(true);
+                                        serves.start();
+                                    }
+                                } catch (IOException e) {
+                                    // Closed.
+                                }
+                            });
             accepts.setDaemon(true);
             accepts.start();
         }
@@ -76,7 +82,8 @@
         }
 
         void awaitEnd() throws InterruptedException {
-            assertTrue(ended.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null, "ended");
+            assertTrue(
+                    ended.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null, "ended");
         }
 
         @Override
@@ -102,7 +109,9 @@
         CRC32 crc = new CRC32();
         long length = 0;
         if (head.contains("transfer-encoding: chunked")) {
-            for (int size = Integer.parseInt(line(in), 16); size > 0; size = Integer.parseInt(line(in), 16)) {
+            for (int size = Integer.parseInt(line(in), 16);
+                    size > 0;
+                    size = Integer.parseInt(line(in), 16)) {
                 crc.update(in.readNBytes(size));
                 length += size;
                 line(in);
@@ -139,7 +148,8 @@
 
     @Test
     void longRequestsArriveAsTheyAre() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum); LoopbackNode node = node(reader);
+        try (Reader reader = new Reader(LongRequestsTest::sum);
+                LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             OutputStream out = client.socket.getOutputStream();
             for (int length : new int[] {HELD, HELD + 1, 200_000, 5_000_000}) {
@@ -155,7 +165,8 @@
     @Test
     void severalAtOnceInOneConnectionsOrder() throws Exception {
         byte[] body = body(100_000);
-        try (Reader reader = new Reader(LongRequestsTest::sum); LoopbackNode node = node(reader);
+        try (Reader reader = new Reader(LongRequestsTest::sum);
+                LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             for (int i = 0; i < 3; i++) {
                 client.send(head("pay", "3.0", "Content-Length: " + body.length));
@@ -171,7 +182,8 @@
     @Test
     void aBodyMayComeMoreSlowlyThanItsDeadline() throws Exception {
         byte[] body = body(400_000);
-        try (Reader reader = new Reader(LongRequestsTest::sum); LoopbackNode node = node(reader);
+        try (Reader reader = new Reader(LongRequestsTest::sum);
+                LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
             for (int at = 0; at < body.length; at += 20_000) {
@@ -182,14 +194,19 @@
         }
     }
 
-    /** Guards against a request that nobody answers, since its time began to run when all of it was there. */
+    /**
+     * Guards against a request that nobody answers, since its time began to run when all of it was
+     * there.
+     */
     @Test
     void aServerThatReadsAllAndSaysNothingIsGivenUpAtTheDeadline() throws Exception {
         byte[] body = body(200_000);
-        try (Reader reader = new Reader((socket, head) -> {
-                socket.getInputStream().readNBytes(body.length);
-                Thread.sleep(TimeUnit.SECONDS.toMillis(5));
-            });
+        try (Reader reader =
+                        new Reader(
+                                (socket, head) -> {
+                                    socket.getInputStream().readNBytes(body.length);
+                                    Thread.sleep(TimeUnit.SECONDS.toMillis(5));
+                                });
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
@@ -201,14 +218,19 @@
         }
     }
 
-    /** Guards against a second effect: a part has gone, and only the proof that it never ran is a refusal. */
+    /**
+     * Guards against a second effect: a part has gone, and only the proof that it never ran is a
+     * refusal.
+     */
     @Test
     void aBreakBeforeTheLastByteIsRefusedAndNothingIsSentAgain() throws Exception {
         byte[] body = body(3_000_000);
-        try (Reader reader = new Reader((socket, head) -> {
-                socket.getInputStream().readNBytes(100_000);
-                throw new IOException("break");
-            });
+        try (Reader reader =
+                        new Reader(
+                                (socket, head) -> {
+                                    socket.getInputStream().readNBytes(100_000);
+                                    throw new IOException("break");
+                                });
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "3.0", "Content-Length: " + body.length));
@@ -221,17 +243,20 @@
     /** Guards against what is sent here without end for a server that doesn't read. */
     @Test
     void aServerThatDoesNotReadHoldsItsClientBackAndIsGivenUp() throws Exception {
-        try (Reader reader = new Reader((socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
+        try (Reader reader =
+                        new Reader((socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "3.0", "Content-Length: " + LONGEST));
-            Thread writes = new Thread(() -> {
-                try {
-                    client.socket.getOutputStream().write(body(LONGEST));
-                } catch (IOException e) {
-                    // Cut off, as it should be.
-                }
-            });
+            Thread writes =
+                    new Thread(
+                            () -> {
+                                try {
+                                    client.socket.getOutputStream().write(body(LONGEST));
+                                } catch (IOException e) {
+                                    // Cut off, as it should be.
+                                }
+                            });
             writes.setDaemon(true);
             writes.start();
             long asked = System.nanoTime();
@@ -244,11 +269,13 @@
     /** Guards against servers held by clients that go or stop in the middle. */
     @Test
     void whoStopsOrLeavesInTheMiddleHoldsNoServer() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum); LoopbackNode node = node(reader)) {
+        try (Reader reader = new Reader(LongRequestsTest::sum);
+                LoopbackNode node = node(reader)) {
             try (TestClient leaves = new TestClient(node.node.address())) {
                 leaves.send(head("pay", "3.0", "Content-Length: 1000000"));
                 leaves.socket.getOutputStream().write(body(300_000));
-                assertTrue(reader.heads.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null);
+                assertTrue(
+                        reader.heads.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null);
             }
             reader.awaitEnd();
             try (TestClient stops = new TestClient(node.node.address())) {
@@ -263,11 +290,15 @@
     /** Guards against the rest of a body being taken for a request. */
     @Test
     void anAnswerAheadOfTheBodysEndIsTheLastOnItsConnection() throws Exception {
-        try (Reader reader = new Reader((socket, head) -> {
-                socket.getInputStream().readNBytes(HELD);
-                StubUpstream.write(socket, StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
-                Thread.sleep(500);
-            });
+        try (Reader reader =
+                        new Reader(
+                                (socket, head) -> {
+                                    socket.getInputStream().readNBytes(HELD);
+                                    StubUpstream.write(
+                                            socket,
+                                            StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
+                                    Thread.sleep(500);
+                                });
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
@@ -278,17 +309,24 @@
         }
     }
 
-    /** Guards against a connection that is kept for good, with an answer begun and a body that stops. */
+    /**
+     * Guards against a connection that is kept for good, with an answer begun and a body that
+     * stops.
+     */
     @Test
     void aBodyThatStopsBehindABegunAnswerEndsTheConnection() throws Exception {
-        try (Reader reader = new Reader((socket, head) -> {
-                socket.getInputStream().readNBytes(HELD);
-                StubUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
-                for (int i = 0; i < 60; i++) {
-                    socket.getOutputStream().write(body(10_000));
-                    Thread.sleep(200);
-                }
-            });
+        try (Reader reader =
+                        new Reader(
+                                (socket, head) -> {
+                                    socket.getInputStream().readNBytes(HELD);
+                                    StubUpstream.write(
+                                            socket,
+                                            "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
+                                    for (int i = 0; i < 60; i++) {
+                                        socket.getOutputStream().write(body(10_000));
+                                        Thread.sleep(200);
+                                    }
+                                });
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
@@ -306,10 +344,15 @@
 
     @Test
     void whatIsLongerThanAnyOrMakesNoSenseIsRefusedAtOnce() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum); LoopbackNode node = node(reader)) {
-            assertEquals(413, TestClient.status(node.ask(head("pay", "3.0", "Content-Length: 60000000"))));
+        try (Reader reader = new Reader(LongRequestsTest::sum);
+                LoopbackNode node = node(reader)) {
+            assertEquals(
+                    413,
+                    TestClient.status(node.ask(head("pay", "3.0", "Content-Length: 60000000"))));
             try (TestClient unknown = new TestClient(node.node.address())) {
-                unknown.send(head("pay", "3.0", "Content-Length: 300000").replace("Class: pay", "Class: x"));
+                unknown.send(
+                        head("pay", "3.0", "Content-Length: 300000")
+                                .replace("Class: pay", "Class: x"));
                 unknown.socket.getOutputStream().write(body(100_000));
                 assertEquals(400, TestClient.status(unknown.read()));
             }
@@ -317,7 +360,8 @@
                 chunks.send(head("pay", "3.0", "Transfer-Encoding: chunked"));
                 chunks.send("11170\r\n");
                 chunks.socket.getOutputStream().write(body(70_000));
-                assertEquals(413, TestClient.status(chunks.read()), "nobody knows how much is to come");
+                assertEquals(
+                        413, TestClient.status(chunks.read()), "nobody knows how much is to come");
             }
             assertEquals(0, reader.heads.size());
         }
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -13,12 +13,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
-/** One real sidecar in this process, with scripted upstreams and discovery, all on ephemeral ports. */
+/**
+ * One real sidecar in this process, with scripted upstreams and discovery, all on ephemeral ports.
+ */
 public final class LoopbackNode implements AutoCloseable {
     /** The bound of every wait; nothing comes near it unless it hangs. */
     public static final int PATIENCE_SECONDS = 20;
 
-    public static final String SETTINGS = """
+    public static final String SETTINGS =
+            """
             {"profiles":[
               {"name":"read","slo":1000000000,"deadline":3000000000,\
               "semantics":"repeatable","worth":1.0},
@@ -43,16 +46,20 @@
             """;
 
     public final Serve node;
+
     /** Answers that discovery gives to its calls in turn; once there are none, a call waits. */
     public final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-    public final StubUpstream discovery = new StubUpstream((socket, request) -> {
-        String text = news.take();
-        if (text.isEmpty()) {
-            return StubUpstream.reset(socket);
-        }
-        StubUpstream.write(socket, text);
-        return true;
-    });
+
+    public final StubUpstream discovery =
+            new StubUpstream(
+                    (socket, request) -> {
+                        String text = news.take();
+                        if (text.isEmpty()) {
+                            return StubUpstream.reset(socket);
+                        }
+                        StubUpstream.write(socket, text);
+                        return true;
+                    });
 
     /** Figures of the settings that tests vary. */
     public record Figures(long connIdle, int maxOpen, long askWithin, ClientTimes times) {
@@ -60,8 +67,8 @@
             this(connIdle, maxOpen, askWithin, ClientTimes.USUAL);
         }
 
-        public static final Figures USUAL = new Figures(TimeUnit.SECONDS.toNanos(10), 1000,
-                TimeUnit.SECONDS.toNanos(1));
+        public static final Figures USUAL =
+                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1));
     }
 
     public LoopbackNode(StubUpstream... upstreams) throws Exception {
@@ -73,37 +80,73 @@
     }
 
     /** The same; operators call at an address, or nowhere if that is null. */
-    public LoopbackNode(Figures figures, InetSocketAddress admin, String... targets) throws Exception {
+    public LoopbackNode(Figures figures, InetSocketAddress admin, String... targets)
+            throws Exception {
         this(figures, admin, json -> json, targets);
     }
 
     /** The same with the configuration's text changed. */
-    public LoopbackNode(Figures figures, InetSocketAddress admin, UnaryOperator<String> changed,
-            String... targets) throws Exception {
+    public LoopbackNode(
+            Figures figures,
+            InetSocketAddress admin,
+            UnaryOperator<String> changed,
+            String... targets)
+            throws Exception {
         String json = changed.apply(json(figures, discovery.address(), targets));
         Config config = Config.parse(new ObjectMapper().readTree(json)).withAdmin(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        node = Serve.start(new Config(config.name(), anyPort, config.discovery(), config.seed(),
-                config.sockets(), config.known(), config.settings(), config.pushed(),
-                config.classes(), config.tenants(), config.zones(), config.kinds(), config.connIdle(),
-                config.maxOpen(), config.admin()), Tuning.USUAL.with(figures.times));
+        node =
+                Serve.start(
+                        new Config(
+                                config.name(),
+                                anyPort,
+                                config.discovery(),
+                                config.seed(),
+                                config.sockets(),
+                                config.known(),
+                                config.settings(),
+                                config.pushed(),
+                                config.classes(),
+                                config.tenants(),
+                                config.zones(),
+                                config.kinds(),
+                                config.connIdle(),
+                                config.maxOpen(),
+                                config.admin()),
+                        Tuning.USUAL.with(figures.times));
     }
 
     public static String json(Figures figures, String discovery, String... targets) {
-        String settings = String.format(SETTINGS, figures.connIdle, figures.maxOpen, figures.askWithin);
-        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"" + discovery
+        String settings =
+                String.format(SETTINGS, figures.connIdle, figures.maxOpen, figures.askWithin);
+        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\""
+                + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":"
-                + list(1, true, targets) + ",\"settings\":" + settings + "}";
+                + list(1, true, targets)
+                + ",\"settings\":"
+                + settings
+                + "}";
     }
 
     public static String list(long revision, boolean all, String... targets) {
-        return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
-                + String.join(",", targets) + "]}";
+        return "{\"rev\":"
+                + revision
+                + ",\"all\":"
+                + all
+                + ",\"targets\":["
+                + String.join(",", targets)
+                + "]}";
     }
 
     public static String target(String uid, String endpoint, String state) {
-        return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + endpoint + "\",\"az\":\"a\",\"model\":\"m1\","
-                + "\"pod_group\":0,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+        return "{\"uid\":\""
+                + uid
+                + "\",\"endpoint\":\""
+                + endpoint
+                + "\",\"az\":\"a\",\"model\":\"m1\","
+                + "\"pod_group\":0,\"state\":\""
+                + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     /** Ready targets u0, u1, ... */
--- a/sidecar/src/test/java/appleridge/daemon/NodeListsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeListsTest.java
@@ -25,13 +25,18 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Nodes and the registry as one source, on an event loop whose time stands still until it is moved. */
+/**
+ * Nodes and the registry as one source, on an event loop whose time stands still until it is moved.
+ */
 class NodeListsTest {
     private static final long ASK_WITHIN = TimeUnit.SECONDS.toNanos(10);
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Loop loop = new Loop(channel.eventLoop(), () -> 1_700_000_000_000L,
-            new SystemLog(() -> 0, System.Logger.Level.DEBUG));
+    private final Loop loop =
+            new Loop(
+                    channel.eventLoop(),
+                    () -> 1_700_000_000_000L,
+                    new SystemLog(() -> 0, System.Logger.Level.DEBUG));
     private final List<ListKind> kinds = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
     private final Registry registry = new Registry();
@@ -59,12 +64,10 @@
         }
 
         @Override
-        public void catchUp() {
-        }
+        public void catchUp() {}
 
         @Override
-        public void moveTo(InetSocketAddress other) {
-        }
+        public void moveTo(InetSocketAddress other) {}
 
         @Override
         public void close() {
@@ -76,8 +79,8 @@
         private NodeMembership membership;
         private boolean started;
         private boolean closed;
-        private Runnable waiting = () -> { };
-        private Runnable heard = () -> { };
+        private Runnable waiting = () -> {};
+        private Runnable heard = () -> {};
 
         @Override
         public void start() {
@@ -101,27 +104,44 @@
     }
 
     private static Member member(String id, int port) {
-        return new Member(id, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 0, 0, 0,
-                State.READY, 1, 5);
+        return new Member(
+                id,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                0,
+                0,
+                0,
+                State.READY,
+                1,
+                5);
     }
 
     private static NodeRead node(int port) {
         Member as = member("", port);
-        return new NodeRead(new NodeData(as.address(), 0, 0, 0, State.READY, 1, 5, null), null, 5, 1, 1);
+        return new NodeRead(
+                new NodeData(as.address(), 0, 0, 0, State.READY, 1, 5, null), null, 5, 1, 1);
     }
 
     private void begin(Merge merge) {
         channel.freezeTime();
-        lists = new NodeLists(loop, merge, NodeMembership.Settings.USUAL, ASK_WITHIN, 7, (kind, told) -> {
-            kinds.add(kind);
-            members.addAll(told);
-        }, sink -> {
-            registry.sink = sink;
-            return registry;
-        }, membership -> {
-            client.membership = membership;
-            return client;
-        });
+        lists =
+                new NodeLists(
+                        loop,
+                        merge,
+                        NodeMembership.Settings.USUAL,
+                        ASK_WITHIN,
+                        7,
+                        (kind, told) -> {
+                            kinds.add(kind);
+                            members.addAll(told);
+                        },
+                        sink -> {
+                            registry.sink = sink;
+                            return registry;
+                        },
+                        membership -> {
+                            client.membership = membership;
+                            return client;
+                        });
         assertEquals(List.of(member("known", 1)), lists.begin());
         assertTrue(kinds.isEmpty(), "told by what begin returns");
         assertTrue(client.started);
@@ -172,7 +192,9 @@
         assertEquals(3, registry.asked);
     }
 
-    /** Guards against requests that go by the registry's news while the nodes' have not come yet. */
+    /**
+     * Guards against requests that go by the registry's news while the nodes' have not come yet.
+     */
     @Test
     void afterAStandStillItIsCaughtUpWhenTheServiceHasAnswered() {
         begin(Merge.BOTH);
