--- a/sidecar/src/test/java/appleridge/daemon/NodeTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import appleridge.daemon.StubUpstream.Script;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -12,14 +13,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import appleridge.daemon.StubUpstream.Script;
 
 /** A request's life for each way in which an attempt can end, over loopback sockets. */
 @Timeout(60)
 class NodeTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
-    /** Two upstreams of which whichever comes first does the one thing, and all later requests the other. */
+    /**
+     * Two upstreams of which whichever comes first does the one thing, and all later requests the
+     * other.
+     */
     private static final class Pair implements AutoCloseable {
         final StubUpstream one;
         final StubUpstream two;
@@ -44,7 +47,8 @@
         }
     }
 
-    private static void once(Script first, String requestClass, int status, int sent) throws Exception {
+    private static void once(Script first, String requestClass, int status, int sent)
+            throws Exception {
         try (Pair pair = new Pair(first, GOOD)) {
             String answer = pair.host.ask(TestClient.request(requestClass, "2.0"));
             assertEquals(status, TestClient.status(answer), answer);
@@ -58,11 +62,19 @@
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
         String binary = "\u00ff\u0000\u0001 body";
-        Script script = StubUpstream.says(StubUpstream.answer("200 OK", binary, "X-Load: rate=3,q=0"));
+        Script script =
+                StubUpstream.says(StubUpstream.answer("200 OK", binary, "X-Load: rate=3,q=0"));
         try (StubUpstream upstream = new StubUpstream(script);
                 LoopbackNode host = new LoopbackNode(upstream)) {
-            String answer = host.ask(TestClient.request("write", "1.500", "Keep-Alive: 5",
-                    "Connection: keep-alive, X-Private", "X-Private: secret", "X-Other: kept"));
+            String answer =
+                    host.ask(
+                            TestClient.request(
+                                    "write",
+                                    "1.500",
+                                    "Keep-Alive: 5",
+                                    "Connection: keep-alive, X-Private",
+                                    "X-Private: secret",
+                                    "X-Other: kept"));
             assertEquals(200, TestClient.status(answer));
             assertEquals(binary, TestClient.body(answer));
             String sent = upstream.nextRequest();
@@ -70,7 +82,9 @@
             assertNotNull(StubUpstream.header(sent, "x-request-id"));
             assertNotNull(StubUpstream.header(sent, "idempotency-key"));
             assertEquals("kept", StubUpstream.header(sent, "x-other"));
-            assertNull(StubUpstream.header(sent, "x-private"), "named by Connection: ends at this hop");
+            assertNull(
+                    StubUpstream.header(sent, "x-private"),
+                    "named by Connection: ends at this hop");
             assertNull(StubUpstream.header(sent, "keep-alive"));
             assertEquals("body", TestClient.body(sent));
             double left = Double.parseDouble(StubUpstream.header(sent, "x-deadline"));
@@ -81,7 +95,8 @@
     /** Guards against a request that reaches a server as one that no client sent. */
     @Test
     void aPathWithLettersBeyondAsciiGoesOnByteForByte() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(GOOD); LoopbackNode host = new LoopbackNode(upstream)) {
+        try (StubUpstream upstream = new StubUpstream(GOOD);
+                LoopbackNode host = new LoopbackNode(upstream)) {
             String path = "/api/caf\u00c3\u00a9?q=\u00e9\u0080\u00ff";
             String answer = host.ask(TestClient.request("read", "2.0").replace("/api?x=1", path));
             assertEquals(200, TestClient.status(answer));
@@ -121,21 +136,23 @@
 
     @Test
     void anAnswerCutShortIsNotServed() throws Exception {
-        Script cut = (socket, request) -> {
-            StubUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine");
-            return false;
-        };
+        Script cut =
+                (socket, request) -> {
+                    StubUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine");
+                    return false;
+                };
         once(cut, "pay", 502, 1);
         once(cut, "read", 200, 2);
     }
 
     @Test
     void anAnswerThatAResetEndsIsNotServed() throws Exception {
-        Script reset = (socket, request) -> {
-            StubUpstream.write(socket, "HTTP/1.1 200 OK\r\n\r\nfine");
-            Thread.sleep(50);
-            return StubUpstream.reset(socket);
-        };
+        Script reset =
+                (socket, request) -> {
+                    StubUpstream.write(socket, "HTTP/1.1 200 OK\r\n\r\nfine");
+                    Thread.sleep(50);
+                    return StubUpstream.reset(socket);
+                };
         once(reset, "pay", 502, 1);
     }
 
@@ -151,9 +168,11 @@
             closedPort = unused.getLocalPort();
         }
         try (StubUpstream good = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(LoopbackNode.Figures.USUAL,
-                        LoopbackNode.target("u0", "127.0.0.1:" + closedPort, "Ready"),
-                        LoopbackNode.target("u1", good.address(), "Ready"))) {
+                LoopbackNode host =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL,
+                                LoopbackNode.target("u0", "127.0.0.1:" + closedPort, "Ready"),
+                                LoopbackNode.target("u1", good.address(), "Ready"))) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
             }
@@ -168,7 +187,9 @@
             long start = System.nanoTime();
             String answer = host.ask(TestClient.request("pay", "0.4"));
             assertEquals(504, TestClient.status(answer), "it may have run: no refusal");
-            assertTrue(System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(380), "not given up early");
+            assertTrue(
+                    System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(380),
+                    "not given up early");
             silent.awaitClosed();
             assertEquals(1, silent.requests.size());
         }
@@ -181,8 +202,12 @@
             try (TestClient client = pair.host.client()) {
                 client.send(TestClient.request("read", "2.0"));
                 while (took == null) {
-                    took = pair.one.requests.poll(10, TimeUnit.MILLISECONDS) != null ? pair.one
-                            : pair.two.requests.poll(10, TimeUnit.MILLISECONDS) != null ? pair.two : null;
+                    took =
+                            pair.one.requests.poll(10, TimeUnit.MILLISECONDS) != null
+                                    ? pair.one
+                                    : pair.two.requests.poll(10, TimeUnit.MILLISECONDS) != null
+                                            ? pair.two
+                                            : null;
                 }
             }
             took.awaitClosed();
@@ -193,23 +218,44 @@
     /** Guards against an attempt that waits for the rest of an answer which never comes. */
     @Test
     void anAnswerThatStopsIsGivenUpEarlyEnoughForAnother() throws Exception {
-        for (String cut : new String[] {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine",
-            "HTTP/1.1 200 OK\r\n", "noise", "\r\n", "HTTP/1.1 101 Switching\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"}) {
+        for (String cut :
+                new String[] {
+                    "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine",
+                    "HTTP/1.1 200 OK\r\n",
+                    "noise",
+                    "\r\n",
+                    "HTTP/1.1 101 Switching\r\n\r\n",
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"
+                }) {
             long start = System.nanoTime();
             once(StubUpstream.says(cut), "read", 200, 2);
             once(StubUpstream.says(cut), "pay", 502, 1);
-            assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(2), "waited for: " + cut);
+            assertTrue(
+                    System.nanoTime() - start < TimeUnit.SECONDS.toNanos(2), "waited for: " + cut);
         }
     }
 
     /** Guards against an answer served though no one can be sure what it says: it may have run. */
     @Test
     void anAnswerWhoseHeadIsNotInOrderIsNotServed() throws Exception {
-        for (String head : new String[] {"no colon here\r\n", " folded\r\n", "Bad Name: x\r\n",
-            "X-Bad : x\r\n", "X-Bare: x\n", "Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n"}) {
-            once(StubUpstream.says("HTTP/1.1 200 OK\r\nX-Fine: x\r\n" + head
-                    + "Content-Length: 4\r\n\r\nfine"), "pay", 502, 1);
+        for (String head :
+                new String[] {
+                    "no colon here\r\n",
+                    " folded\r\n",
+                    "Bad Name: x\r\n",
+                    "X-Bad : x\r\n",
+                    "X-Bare: x\n",
+                    "Content-Length: 4\r\n",
+                    "Transfer-Encoding: chunked\r\n"
+                }) {
+            once(
+                    StubUpstream.says(
+                            "HTTP/1.1 200 OK\r\nX-Fine: x\r\n"
+                                    + head
+                                    + "Content-Length: 4\r\n\r\nfine"),
+                    "pay",
+                    502,
+                    1);
         }
         for (String ahead : new String[] {"\u0000", "\r\n", " "}) {
             once(StubUpstream.says(ahead + StubUpstream.answer("200 OK", "fine")), "pay", 502, 1);
@@ -219,25 +265,38 @@
     /** Guards against a good answer lost over a load report that no one can read. */
     @Test
     void aLoadReportThatCantBeReadSpoilsNothing() throws Exception {
-        for (String report : new String[] {"%%%", "=,=", "{\"", "rate=1e999,q=NaN", "TEXT \u00ff", ""}) {
-            once(StubUpstream.says(StubUpstream.answer("200 OK", "fine", "X-Load: " + report,
-                    "X-Load: rate=1,q=1")), "pay", 200, 1);
+        for (String report :
+                new String[] {"%%%", "=,=", "{\"", "rate=1e999,q=NaN", "TEXT \u00ff", ""}) {
+            once(
+                    StubUpstream.says(
+                            StubUpstream.answer(
+                                    "200 OK", "fine", "X-Load: " + report, "X-Load: rate=1,q=1")),
+                    "pay",
+                    200,
+                    1);
         }
     }
 
     /** Guards against memory spent on an answer that can't be served. */
     @Test
     void anAnswerThatIsTooLongIsNotServed() throws Exception {
-        for (String length : new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
-            once(StubUpstream.says("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nfine"), "pay",
-                    502, 1);
+        for (String length :
+                new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
+            once(
+                    StubUpstream.says(
+                            "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nfine"),
+                    "pay",
+                    502,
+                    1);
         }
     }
 
     @Test
     void interimAnswersAreNotTheAnswer() throws Exception {
-        Script script = StubUpstream.says("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                + StubUpstream.answer("200 OK", "fine"));
+        Script script =
+                StubUpstream.says(
+                        "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+                                + StubUpstream.answer("200 OK", "fine"));
         once(script, "pay", 200, 1);
     }
 
@@ -245,8 +304,13 @@
     @Test
     void overTheLimitOfOpenRequestsIsRefused() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(new LoopbackNode.Figures(TimeUnit.SECONDS.toNanos(10), 1,
-                        TimeUnit.SECONDS.toNanos(1)), LoopbackNode.targets(silent));
+                LoopbackNode host =
+                        new LoopbackNode(
+                                new LoopbackNode.Figures(
+                                        TimeUnit.SECONDS.toNanos(10),
+                                        1,
+                                        TimeUnit.SECONDS.toNanos(1)),
+                                LoopbackNode.targets(silent));
                 TestClient first = host.client()) {
             first.send(TestClient.request("pay", "1.0"));
             silent.nextRequest();
--- a/sidecar/src/test/java/appleridge/daemon/OddSettingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/OddSettingsTest.java
@@ -10,10 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings that are legal, though few customers have them: with each of them requests are served. */
+/**
+ * Settings that are legal, though few customers have them: with each of them requests are served.
+ */
 @Timeout(600)
 class OddSettingsTest {
-    private static final StubUpstream.Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final StubUpstream.Script GOOD =
+            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
     /** What is replaced in the usual settings, and by what; both may be regular expressions. */
     private static Map<String, String> odd() {
@@ -37,7 +40,9 @@
         odd.put(",\"maxOpen\":[0-9]*", "");
         odd.put("\"keyTtl\":5000000000", "\"keyTtl\":0");
         odd.put(",\"keyScope\":\"all\"", "");
-        odd.put("\"slo\":1000000000,\"deadline\":3000000000", "\"slo\":1,\"deadline\":9000000000000000000");
+        odd.put(
+                "\"slo\":1000000000,\"deadline\":3000000000",
+                "\"slo\":1,\"deadline\":9000000000000000000");
         odd.put("\"slo\":1000000000", "\"slo\":3000000000");
         odd.put("\"worth\":1.0", "\"worth\":0");
         odd.put("\"quantum\":5000000", "\"quantum\":0");
@@ -68,11 +73,17 @@
         try (StubUpstream one = new StubUpstream(GOOD)) {
             for (Map.Entry<String, String> each : odd().entrySet()) {
                 String how = each.getKey() + " -> " + each.getValue();
-                try (LoopbackNode host = new LoopbackNode(LoopbackNode.Figures.USUAL, null, json -> {
-                    String changed = json.replaceAll(each.getKey(), each.getValue());
-                    assertNotEquals(json, changed, how);
-                    return changed;
-                }, LoopbackNode.targets(one))) {
+                try (LoopbackNode host =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL,
+                                null,
+                                json -> {
+                                    String changed =
+                                            json.replaceAll(each.getKey(), each.getValue());
+                                    assertNotEquals(json, changed, how);
+                                    return changed;
+                                },
+                                LoopbackNode.targets(one))) {
                     if (each.getValue().contains("unknown")) {
                         host.discovery.nextRequest();
                         host.tell(LoopbackNode.list(1, true, LoopbackNode.targets(one)));
@@ -81,7 +92,12 @@
                     for (String name : new String[] {"read", "write", "hold", "pay", "slow"}) {
                         String answer = host.ask(TestClient.request(name, "3.0"));
                         if (TestClient.status(answer) != 200) {
-                            wrong.add(how + ": " + name + ": " + answer.lines().findFirst().orElse(""));
+                            wrong.add(
+                                    how
+                                            + ": "
+                                            + name
+                                            + ": "
+                                            + answer.lines().findFirst().orElse(""));
                         }
                     }
                 } catch (Exception | AssertionError e) {
--- a/sidecar/src/test/java/appleridge/daemon/OperatorsLineTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/OperatorsLineTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The operators' line over loopback: what it does to a sidecar at work, and who may not take it. */
+/**
+ * The operators' line over loopback: what it does to a sidecar at work, and who may not take it.
+ */
 @Timeout(120)
 class OperatorsLineTest {
     private static final String GOOD = StubUpstream.answer("200 OK", "fine");
@@ -56,21 +58,27 @@
     }
 
     private static long figure(String figures, String name) {
-        return figures.lines().filter(line -> line.startsWith("appleridge_" + name + " ")).findFirst()
-                .map(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1))).orElseThrow();
+        return figures.lines()
+                .filter(line -> line.startsWith("appleridge_" + name + " "))
+                .findFirst()
+                .map(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1)))
+                .orElseThrow();
     }
 
     private static long sum(String figures, String name) {
-        return figures.lines().filter(line -> line.startsWith("appleridge_" + name + "_total{"))
-                .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1))).sum();
+        return figures.lines()
+                .filter(line -> line.startsWith("appleridge_" + name + "_total{"))
+                .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1)))
+                .sum();
     }
 
     @Test
     void whoIsSuspendedGetsNothingFromTheYesOnAndIsUsedAgainWhenRestored() throws Exception {
         try (StubUpstream a = new StubUpstream(StubUpstream.says(GOOD));
                 StubUpstream b = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node = new LoopbackNode(LoopbackNode.Figures.USUAL, admin,
-                        LoopbackNode.targets(a, b))) {
+                LoopbackNode node =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
             assertEquals("YES\n", call("STATUS"));
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
@@ -99,8 +107,11 @@
     @Test
     void eachFormOfACallHasItsAnswer() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node = new LoopbackNode(LoopbackNode.Figures.USUAL, admin,
-                        LoopbackNode.targets(upstream))) {
+                LoopbackNode node =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL,
+                                admin,
+                                LoopbackNode.targets(upstream))) {
             assertEquals("YES\n", say("STATUS\r\n", false));
             assertEquals("YES\n", say("STATUS\n", true));
             assertEquals("YES\n", say("STATUS", true));
@@ -115,8 +126,10 @@
                     slow.getOutputStream().write(each);
                     Thread.sleep(5);
                 }
-                assertEquals("YES\n", new String(slow.getInputStream().readAllBytes(),
-                        StandardCharsets.US_ASCII));
+                assertEquals(
+                        "YES\n",
+                        new String(
+                                slow.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
             }
             assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
         }
@@ -126,8 +139,11 @@
     @Test
     void whoSaysNothingDoesNotDelayWhoAsks() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node = new LoopbackNode(LoopbackNode.Figures.USUAL, admin,
-                        LoopbackNode.targets(upstream))) {
+                LoopbackNode node =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL,
+                                admin,
+                                LoopbackNode.targets(upstream))) {
             List<Socket> silent = new ArrayList<>();
             try {
                 for (int i = 0; i < 400; i++) {
@@ -150,12 +166,14 @@
     @Test
     void whoNeverMakesACallIsTold() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node = new LoopbackNode(LoopbackNode.Figures.USUAL, admin,
-                        LoopbackNode.targets(upstream));
+                LoopbackNode node =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(upstream));
                 Socket silent = open()) {
             assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
-            assertEquals("NO no call came in time\n", new String(silent.getInputStream().readAllBytes(),
-                    StandardCharsets.US_ASCII));
+            assertEquals(
+                    "NO no call came in time\n",
+                    new String(silent.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
         }
     }
 
@@ -163,26 +181,32 @@
     @Test
     void figuresAreWhatAWitnessOutsideCounts() throws Exception {
         AtomicInteger turn = new AtomicInteger();
-        StubUpstream.Script script = (socket, request) -> switch (turn.getAndIncrement() % 5) {
-            case 0 -> StubUpstream.reset(socket);
-            case 1 -> {
-                StubUpstream.write(socket, StubUpstream.answer("500 Wrong", "bad"));
-                yield true;
-            }
-            case 2 -> {
-                StubUpstream.write(socket, StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
-                yield true;
-            }
-            default -> {
-                StubUpstream.write(socket, GOOD);
-                yield true;
-            }
-        };
+        StubUpstream.Script script =
+                (socket, request) ->
+                        switch (turn.getAndIncrement() % 5) {
+                            case 0 -> StubUpstream.reset(socket);
+                            case 1 -> {
+                                StubUpstream.write(socket, StubUpstream.answer("500 Wrong", "bad"));
+                                yield true;
+                            }
+                            case 2 -> {
+                                StubUpstream.write(
+                                        socket,
+                                        StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
+                                yield true;
+                            }
+                            default -> {
+                                StubUpstream.write(socket, GOOD);
+                                yield true;
+                            }
+                        };
         Random random = new Random(11);
         String[] classes = {"read", "write", "hold", "pay"};
-        try (StubUpstream a = new StubUpstream(script); StubUpstream b = new StubUpstream(script);
-                LoopbackNode node = new LoopbackNode(LoopbackNode.Figures.USUAL, admin,
-                        LoopbackNode.targets(a, b))) {
+        try (StubUpstream a = new StubUpstream(script);
+                StubUpstream b = new StubUpstream(script);
+                LoopbackNode node =
+                        new LoopbackNode(
+                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
             int served = 0;
             int refused = 0;
             int failed = 0;
@@ -193,7 +217,8 @@
                 client = client == null ? new TestClient(node.node.address()) : client;
                 boolean senseless = random.nextInt(20) == 0;
                 String text = TestClient.request(classes[random.nextInt(classes.length)], "3.0");
-                String answer = client.ask(senseless ? text.replace("X-Class: ", "X-Class: no-") : text);
+                String answer =
+                        client.ask(senseless ? text.replace("X-Class: ", "X-Class: no-") : text);
                 switch (TestClient.status(answer)) {
                     case 200 -> served++;
                     case 503 -> refused++;
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -37,9 +37,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Upstreams that end requests in every way that a socket knows, and clients that leave at any time: what
- * comes to the upstreams and to the clients is held against the rules, and at the end nothing may be left
- * open.
+ * Upstreams that end requests in every way that a socket knows, and clients that leave at any time:
+ * what comes to the upstreams and to the clients is held against the rules, and at the end nothing
+ * may be left open.
  */
 @Timeout(120)
 class RandomEndingsTest {
@@ -50,8 +50,23 @@
 
     /** How an upstream ends a request. */
     private enum Ending {
-        GOOD, GOOD_BUT_LAST, GOOD_THEN_END, COPY_BEHIND, NOISE_BEHIND, INTERIM, ERROR, TURNED_AWAY,
-        SAYS_NOT_ZERO, NOISE, RESET, END, HALF_A_HEAD, HALF_A_BODY, PAUSE, SILENCE, NO_LENGTH_AND_RESET,
+        GOOD,
+        GOOD_BUT_LAST,
+        GOOD_THEN_END,
+        COPY_BEHIND,
+        NOISE_BEHIND,
+        INTERIM,
+        ERROR,
+        TURNED_AWAY,
+        SAYS_NOT_ZERO,
+        NOISE,
+        RESET,
+        END,
+        HALF_A_HEAD,
+        HALF_A_BODY,
+        PAUSE,
+        SILENCE,
+        NO_LENGTH_AND_RESET,
         HALF_A_REFUSAL
     }
 
@@ -70,7 +85,8 @@
     private final AtomicInteger served = new AtomicInteger();
     private volatile boolean calm;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private Node node;
     private InetSocketAddress address;
@@ -84,18 +100,31 @@
     private void begin(boolean sparse, StubUpstream discovery, String... targets) throws Exception {
         String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(), targets);
         if (sparse) {
-            json = json.replace("\"mayCancel\":true", "\"mayCancel\":false")
-                    .replace("\"tryLimit\":6", "\"tryLimit\":2")
-                    .replace("\"retryAfter\":true", "\"peers\":true")
-                    .replace("\"keyTtl\":5000000000", "\"keyTtl\":100000000")
-                    .replace("\"deadline\":3000000000", "\"deadline\":300000000");
+            json =
+                    json.replace("\"mayCancel\":true", "\"mayCancel\":false")
+                            .replace("\"tryLimit\":6", "\"tryLimit\":2")
+                            .replace("\"retryAfter\":true", "\"peers\":true")
+                            .replace("\"keyTtl\":5000000000", "\"keyTtl\":100000000")
+                            .replace("\"deadline\":3000000000", "\"deadline\":300000000");
         }
-        Config config = Config.parse(new ObjectMapper().readTree(json))
-                .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time = new Loop(loop, SystemTime.UNIX_MILLIS,
-                new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.WARNING));
-        node = loop.submit(() -> new Node(time, new NioSockets(), config, Tuning.USUAL,
-                SymmetricRoundRobin::new)).get();
+        Config config =
+                Config.parse(new ObjectMapper().readTree(json))
+                        .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        Loop time =
+                new Loop(
+                        loop,
+                        SystemTime.UNIX_MILLIS,
+                        new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.WARNING));
+        node =
+                loop.submit(
+                                () ->
+                                        new Node(
+                                                time,
+                                                new NioSockets(),
+                                                config,
+                                                Tuning.USUAL,
+                                                SymmetricRoundRobin::new))
+                        .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
 
@@ -110,11 +139,12 @@
         Came mine = new Came(server);
         Queue<Came> all = came.computeIfAbsent(id, any -> new ConcurrentLinkedQueue<>());
         for (Came earlier : all) {
-            boolean allowed = switch (kind) {
-                case "pay" -> false;
-                case "hold" -> earlier.server % 2 == server % 2;
-                default -> true;
-            };
+            boolean allowed =
+                    switch (kind) {
+                        case "pay" -> false;
+                        case "hold" -> earlier.server % 2 == server % 2;
+                        default -> true;
+                    };
             if (!earlier.neverRan && !allowed) {
                 broken.add("sent again: " + kind + " " + id);
             }
@@ -122,8 +152,10 @@
         Ending ending;
         int millis;
         synchronized (random) {
-            ending = calm || random.nextInt(3) == 0 ? Ending.GOOD
-                    : Ending.values()[random.nextInt(Ending.values().length)];
+            ending =
+                    calm || random.nextInt(3) == 0
+                            ? Ending.GOOD
+                            : Ending.values()[random.nextInt(Ending.values().length)];
             millis = random.nextInt(20);
         }
         // Ahead of the word that says so, and of the next attempt that it allows.
@@ -135,27 +167,33 @@
 
     private static boolean say(Ending ending, Socket socket, String good, String id)
             throws IOException, InterruptedException {
-        String word = switch (ending) {
-            case GOOD, GOOD_THEN_END -> good;
-            case GOOD_BUT_LAST -> StubUpstream.answer("200 OK", id, "Connection: close");
-            case COPY_BEHIND -> good + good;
-            case NOISE_BEHIND -> good + "\u0000noise";
-            case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
-            case ERROR -> StubUpstream.answer("500 Internal Server Error", "", "X-Not-Run: 1");
-            case TURNED_AWAY -> StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 1");
-            case SAYS_NOT_ZERO -> StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 0");
-            case NOISE -> "\u0000\u0001 noise\r\n\r\n";
-            case HALF_A_HEAD -> good.substring(0, 12);
-            case HALF_A_BODY, PAUSE -> good.substring(0, good.length() - 1);
-            case NO_LENGTH_AND_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
-            case HALF_A_REFUSAL -> "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"
-                    + "Content-Length: 4\r\n\r\nno";
-            case RESET, END, SILENCE -> "";
-        };
+        String word =
+                switch (ending) {
+                    case GOOD, GOOD_THEN_END -> good;
+                    case GOOD_BUT_LAST -> StubUpstream.answer("200 OK", id, "Connection: close");
+                    case COPY_BEHIND -> good + good;
+                    case NOISE_BEHIND -> good + "\u0000noise";
+                    case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
+                    case ERROR ->
+                            StubUpstream.answer("500 Internal Server Error", "", "X-Not-Run: 1");
+                    case TURNED_AWAY ->
+                            StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 1");
+                    case SAYS_NOT_ZERO ->
+                            StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 0");
+                    case NOISE -> "\u0000\u0001 noise\r\n\r\n";
+                    case HALF_A_HEAD -> good.substring(0, 12);
+                    case HALF_A_BODY, PAUSE -> good.substring(0, good.length() - 1);
+                    case NO_LENGTH_AND_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
+                    case HALF_A_REFUSAL ->
+                            "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"
+                                    + "Content-Length: 4\r\n\r\nno";
+                    case RESET, END, SILENCE -> "";
+                };
         StubUpstream.write(socket, word);
         return switch (ending) {
             case GOOD_BUT_LAST, GOOD_THEN_END, END, HALF_A_BODY -> false;
-            case RESET, HALF_A_HEAD, NO_LENGTH_AND_RESET, HALF_A_REFUSAL -> StubUpstream.reset(socket);
+            case RESET, HALF_A_HEAD, NO_LENGTH_AND_RESET, HALF_A_REFUSAL ->
+                    StubUpstream.reset(socket);
             case PAUSE -> {
                 Thread.sleep(400);
                 StubUpstream.write(socket, good.substring(good.length() - 1));
@@ -197,20 +235,24 @@
             return;
         }
         int status = TestClient.status(answer);
-        boolean ran = came.getOrDefault(id, new ConcurrentLinkedQueue<>()).stream()
-                .anyMatch(each -> !each.neverRan);
+        boolean ran =
+                came.getOrDefault(id, new ConcurrentLinkedQueue<>()).stream()
+                        .anyMatch(each -> !each.neverRan);
         if (status == 200 && !TestClient.body(answer).equals(id)) {
             broken.add("another's answer: " + kind + " " + id + ": " + answer);
         }
-        if ((status == 429 || status == 503) && ran && (kind.equals("pay") || kind.equals("hold"))) {
+        if ((status == 429 || status == 503)
+                && ran
+                && (kind.equals("pay") || kind.equals("hold"))) {
             broken.add("refused though it may have run: " + kind + " " + id);
         }
         served.addAndGet(status == 200 ? 1 : 0);
     }
 
     /**
-     * Guards against an effect twice, an answer that is another's, and what is open or out for good. Even
-     * seeds have another customer's settings: two tries, no cancelling, short deadlines and windows.
+     * Guards against an effect twice, an answer that is another's, and what is open or out for
+     * good. Even seeds have another customer's settings: two tries, no cancelling, short deadlines
+     * and windows.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -220,9 +262,11 @@
         String[] targets = new String[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
             int server = i;
-            servers.add(new StubUpstream((socket, request) -> serve(server, socket, request, random)));
-            targets[i] = LoopbackNode.target("u" + i, servers.get(i).address(), "Ready")
-                    .replace("\"az\":\"a\"", i % 2 == 0 ? "\"az\":\"a\"" : "\"az\":\"b\"");
+            servers.add(
+                    new StubUpstream((socket, request) -> serve(server, socket, request, random)));
+            targets[i] =
+                    LoopbackNode.target("u" + i, servers.get(i).address(), "Ready")
+                            .replace("\"az\":\"a\"", i % 2 == 0 ? "\"az\":\"a\"" : "\"az\":\"b\"");
         }
         ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
@@ -238,14 +282,19 @@
             assertEquals(List.of(), List.copyOf(broken));
             assertTrue(served.get() > 0, "most of this is trouble, and some is served");
             calm = true;
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+            long until =
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
             while (!books().equals(new Books(0, 0, 0, 0))) {
                 assertTrue(System.nanoTime() < until, "left open: " + books());
                 Thread.sleep(5);
             }
             // A place that was never given back would shut its server's room for good.
             came.clear();
-            while (came.values().stream().flatMap(Queue::stream).map(c -> c.server).distinct().count()
+            while (came.values().stream()
+                            .flatMap(Queue::stream)
+                            .map(c -> c.server)
+                            .distinct()
+                            .count()
                     < SERVERS) {
                 assertTrue(System.nanoTime() < until, "some server is not asked any more");
                 try (TestClient client = new TestClient(address)) {
--- a/sidecar/src/test/java/appleridge/daemon/ServeIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeIT.java
@@ -28,8 +28,7 @@
 /** The packaged jar as a sidecar process. */
 @Timeout(120)
 class ServeIT {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Process serve(String config) throws IOException {
         return serve(config, null);
@@ -38,9 +37,16 @@
     /** With a file for its log, or null for a pipe. */
     private Process serve(String config, Path log) throws IOException {
         // SIGHUP as usual, also where the build was started by who ignores it.
-        ProcessBuilder builder = new ProcessBuilder("perl", "-e", "$SIG{HUP} = 'DEFAULT'; exec @ARGV",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-jar", "target/appleridge.jar", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        "perl",
+                        "-e",
+                        "$SIG{HUP} = 'DEFAULT'; exec @ARGV",
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-jar",
+                        "target/appleridge.jar",
+                        "serve");
         builder.environment().remove("BALANCER_CONFIG");
         if (config != null) {
             Path file = folder.resolve("config.json");
@@ -57,7 +63,8 @@
     void aMissingOrSenselessConfigurationEndsWithOnePlainLine() throws Exception {
         for (String config : new String[] {null, "{", "{}", "[]", "{\"settings\":{}}"}) {
             Process process = serve(config);
-            String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            String err =
+                    new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertNotEquals(0, process.waitFor());
             assertEquals(1, err.strip().lines().count(), err);
             assertTrue(err.startsWith("appleridge: "), err);
@@ -65,8 +72,11 @@
     }
 
     private String output(String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         command.addAll(List.of(words));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", "../deploy/warm-up.json");
@@ -83,11 +93,21 @@
         assertTrue(loaded.contains("appleridge.daemon.Node "), "what is loaded is listed");
         assertFalse(loaded.contains("appleridge.config.operator"));
         assertFalse(loaded.contains("dataformat.toml"));
-        for (String off : new String[] {"appleridge.membership.nodes", "appleridge.membership.zookeeper",
-            "appleridge.membership.register", "appleridge.daemon.NodeLists", "appleridge.daemon.NodesStart",
-            "zookeeper", "org.slf4j", "appleridge.transport.HeldListener",
-            "appleridge.operators", "appleridge.daemon.OperatorsDesk", "appleridge.handover",
-            "appleridge.daemon.Handover"}) {
+        for (String off :
+                new String[] {
+                    "appleridge.membership.nodes",
+                    "appleridge.membership.zookeeper",
+                    "appleridge.membership.register",
+                    "appleridge.daemon.NodeLists",
+                    "appleridge.daemon.NodesStart",
+                    "zookeeper",
+                    "org.slf4j",
+                    "appleridge.transport.HeldListener",
+                    "appleridge.operators",
+                    "appleridge.daemon.OperatorsDesk",
+                    "appleridge.handover",
+                    "appleridge.daemon.Handover"
+                }) {
             assertFalse(loaded.contains(off), off);
         }
     }
@@ -109,21 +129,28 @@
     @Test
     void aBadOperatorsFileIsNamedAndNothingStarts() throws Exception {
         Path file = folder.resolve("operator.toml");
-        Files.writeString(file,
+        Files.writeString(
+                file,
                 "version = 1\n[clients]\nidle-timeuot = \"5s\"\n[limits]\nclients-part = 7\n");
-        for (String[] words : new String[][] {{"serve", "--operator", file.toString()},
-            {"check-config", "--operator", file.toString()}}) {
+        for (String[] words :
+                new String[][] {
+                    {"serve", "--operator", file.toString()},
+                    {"check-config", "--operator", file.toString()}
+                }) {
             List<String> command = new ArrayList<>(List.of("-jar", "target/appleridge.jar"));
             command.addAll(List.of(words));
             String told = output(command.toArray(String[]::new));
             assertTrue(told.startsWith("status 2"), told);
-            assertTrue(told.contains("clients.idle-timeuot") && told.contains("limits.clients-part"), told);
+            assertTrue(
+                    told.contains("clients.idle-timeuot") && told.contains("limits.clients-part"),
+                    told);
         }
     }
 
     /**
-     * Guards against a start that has something left to do when it says that it is ready: clients come at
-     * once, and wait for it unread. What it tells last stands in its log before the first 200.
+     * Guards against a start that has something left to do when it says that it is ready: clients
+     * come at once, and wait for it unread. What it tells last stands in its log before the first
+     * 200.
      */
     @Test
     void itIsReadyWhenNothingOfTheStartIsLeftToDo() throws Exception {
@@ -134,8 +161,12 @@
         Path log = folder.resolve("log");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
-            String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                    LoopbackNode.targets(upstream)).replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
+            String json =
+                    LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL,
+                                    discovery.address(),
+                                    LoopbackNode.targets(upstream))
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json, log);
             try (TestClient client = connect(process, port)) {
                 while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
@@ -157,13 +188,20 @@
         }
         CountDownLatch release = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
-                    return true;
-                })) {
-            String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                    LoopbackNode.targets(upstream)).replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
+                StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    StubUpstream.write(
+                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                    return true;
+                                })) {
+            String json =
+                    LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL,
+                                    discovery.address(),
+                                    LoopbackNode.targets(upstream))
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Path log = folder.resolve("log");
             Process process = serve(json, log);
             try (TestClient client = connect(process, port)) {
@@ -186,7 +224,9 @@
         }
     }
 
-    /** Guards against answers as much too late as the process stood still with the request unread. */
+    /**
+     * Guards against answers as much too late as the process stood still with the request unread.
+     */
     @Test
     void whatWaitedUnreadIsAnsweredInItsClientsTime() throws Exception {
         int port;
@@ -195,8 +235,12 @@
         }
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
-            String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                    LoopbackNode.targets(upstream)).replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
+            String json =
+                    LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL,
+                                    discovery.address(),
+                                    LoopbackNode.targets(upstream))
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
                 while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
@@ -221,7 +265,10 @@
         assertEquals(0, kill.waitFor());
     }
 
-    /** Guards against requests lost where a restart follows a start at once: it listens before it is warm. */
+    /**
+     * Guards against requests lost where a restart follows a start at once: it listens before it is
+     * warm.
+     */
     @Test
     void sigtermWhileWarmingUpAnswersWhatIsHeld() throws Exception {
         int port;
@@ -230,13 +277,20 @@
         }
         CountDownLatch release = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream((socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
-                    return true;
-                })) {
-            String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                    LoopbackNode.targets(upstream)).replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
+                StubUpstream upstream =
+                        new StubUpstream(
+                                (socket, request) -> {
+                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    StubUpstream.write(
+                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                    return true;
+                                })) {
+            String json =
+                    LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL,
+                                    discovery.address(),
+                                    LoopbackNode.targets(upstream))
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
                 client.send(TestClient.request("pay", "3.0"));
@@ -257,15 +311,22 @@
     @Test
     void anAddressInUseEndsTheStartWithStatusOne() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Process process = serve(LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9").replace(
-                    "127.0.0.1:1\"", "127.0.0.1:" + taken.getLocalPort() + "\""));
-            String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            Process process =
+                    serve(
+                            LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                                    .replace(
+                                            "127.0.0.1:1\"",
+                                            "127.0.0.1:" + taken.getLocalPort() + "\""));
+            String err =
+                    new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(1, process.waitFor(), err);
             assertTrue(err.contains("appleridge: can't start: "), err);
         }
     }
 
-    /** Guards against the JVM's own way with SIGHUP, which is to end, and against unusable files. */
+    /**
+     * Guards against the JVM's own way with SIGHUP, which is to end, and against unusable files.
+     */
     @Test
     void sighupBringsANewDiscoveryAndABadFileChangesNothing() throws Exception {
         int port;
@@ -274,10 +335,15 @@
         }
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream other = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")))) {
-            String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                    LoopbackNode.targets(upstream)).replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
+                StubUpstream upstream =
+                        new StubUpstream(
+                                StubUpstream.says(StubUpstream.answer("200 OK", "fine")))) {
+            String json =
+                    LoopbackNode.json(
+                                    LoopbackNode.Figures.USUAL,
+                                    discovery.address(),
+                                    LoopbackNode.targets(upstream))
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
                 while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
@@ -285,11 +351,14 @@
                 }
                 BufferedReader log = process.errorReader();
                 await(log, "serves at");
-                Files.writeString(folder.resolve("config.json"), json.substring(0, json.length() / 2));
+                Files.writeString(
+                        folder.resolve("config.json"), json.substring(0, json.length() / 2));
                 signal(process, "HUP");
                 await(log, "new configuration not used");
-                Files.writeString(folder.resolve("config.json"),
-                        json.replace(discovery.address(), other.address()).replace("\"n0\"", "\"n1\""));
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        json.replace(discovery.address(), other.address())
+                                .replace("\"n0\"", "\"n1\""));
                 signal(process, "HUP");
                 await(log, "needs a restart to take effect: name");
                 assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
@@ -304,7 +373,10 @@
         }
     }
 
-    /** Danger: a read that waits for a line can't be interrupted, so none is begun before there is one. */
+    /**
+     * Danger: a read that waits for a line can't be interrupted, so none is begun before there is
+     * one.
+     */
     private static void await(BufferedReader log, String text) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
         while (System.nanoTime() < until) {
@@ -326,11 +398,20 @@
         }
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
             Path file = folder.resolve("config.json");
-            Files.writeString(file, LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
-                    .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"",
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-XX:TieredStopAtLevel=1", "-jar", "target/appleridge.jar", "serve");
+            Files.writeString(
+                    file,
+                    LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                            .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "trap '' HUP; exec \"$0\" \"$@\"",
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-XX:TieredStopAtLevel=1",
+                            "-jar",
+                            "target/appleridge.jar",
+                            "serve");
             builder.environment().put("BALANCER_CONFIG", file.toString());
             Process process = builder.start();
             try {
@@ -349,7 +430,8 @@
     private static TestClient connect(Process process, int port) throws IOException {
         while (true) {
             try {
-                return new TestClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                return new TestClient(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             } catch (IOException e) {
                 assertTrue(process.isAlive(), "the sidecar ended before it listened");
             }
--- a/sidecar/src/test/java/appleridge/daemon/ServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServiceTest.java
@@ -13,18 +13,25 @@
 class ServiceTest {
     /** The pause that is granted where the shortest aim is so long, both in milliseconds. */
     private static long stall(long aim) throws IOException {
-        String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
-                .replaceAll("\"slo\":1000000000", "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
+        String json =
+                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                        .replaceAll(
+                                "\"slo\":1000000000",
+                                "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
         return TimeUnit.NANOSECONDS.toMillis(
                 Service.stall(Config.parse(json.getBytes(StandardCharsets.UTF_8)).settings()));
     }
 
-    /** Guards against a lost segment, or a server that writes in pieces, made a reset of our own. */
+    /**
+     * Guards against a lost segment, or a server that writes in pieces, made a reset of our own.
+     */
     @Test
     void anAnswerMayPauseForALostSegment() throws Exception {
         for (long aim : new long[] {50, 200, 499, 500, 700, 1000, 3000}) {
             assertTrue(stall(aim) > 200, "TCP's least retransmission time; aim " + aim);
-            assertTrue(aim < 500 || stall(aim) <= aim / 2, "another attempt has half the time; aim " + aim);
+            assertTrue(
+                    aim < 500 || stall(aim) <= aim / 2,
+                    "another attempt has half the time; aim " + aim);
         }
         assertEquals(600, stall(3000));
     }
--- a/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The packaged jar as a process of its own, with a port for clients, one for operators, and a log file. */
+/**
+ * The packaged jar as a process of its own, with a port for clients, one for operators, and a log
+ * file.
+ */
 final class SidecarProcess implements AutoCloseable {
     private final Process process;
     private final int port;
@@ -41,9 +44,14 @@
         Path config = Files.createTempFile(folder, "config", ".json");
         Path log = Files.createTempFile(folder, "sidecar", ".log");
         Files.writeString(config, json.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-        ProcessBuilder builder = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-Xmx48m", "-jar", "target/appleridge.jar", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx48m",
+                        "-jar",
+                        "target/appleridge.jar",
+                        "serve");
         builder.environment().putAll(environment);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         builder.environment().put("BALANCER_ADMIN", "127.0.0.1:" + admin);
@@ -82,9 +90,13 @@
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
             StubUpstream.write(socket, "METRICS\n");
-            String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            return text.lines().filter(line -> line.startsWith("appleridge_" + name + " ")).findFirst()
-                    .map(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1))).orElseThrow();
+            String text =
+                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            return text.lines()
+                    .filter(line -> line.startsWith("appleridge_" + name + " "))
+                    .findFirst()
+                    .map(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1)))
+                    .orElseThrow();
         }
     }
 
@@ -108,7 +120,8 @@
 
     /** Waits for its end; the exit status. */
     int awaitExit() throws InterruptedException {
-        assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS), "it has to end");
+        assertTrue(
+                process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS), "it has to end");
         return process.exitValue();
     }
 
--- a/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
+++ b/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
@@ -16,12 +16,15 @@
 public final class StubUpstream implements AutoCloseable {
     /** What to do about one request; returning false ends the connection. */
     public interface Script {
-        public boolean serve(Socket socket, String request) throws IOException, InterruptedException;
+        public boolean serve(Socket socket, String request)
+                throws IOException, InterruptedException;
     }
 
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+
     /** One entry for each connection whose other end has closed it. */
     public final BlockingQueue<Boolean> closed = new LinkedBlockingQueue<>();
+
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Script script;
@@ -104,7 +107,14 @@
 
     public static String answer(String status, String body, String... headers) {
         String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
-        return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "HTTP/1.1 "
+                + status
+                + "\r\n"
+                + more
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     public static Script says(String text) {
@@ -122,7 +132,10 @@
     /** Never answers; tells by {@link #closed} when the other end gives up. */
     public static final Script SILENT = (socket, request) -> true;
 
-    /** Does the first on the first request of all stubs that share it, the second on every later one. */
+    /**
+     * Does the first on the first request of all stubs that share it, the second on every later
+     * one.
+     */
     public static Script firstThen(CountDownLatch first, Script one, Script other) {
         return (socket, request) -> {
             boolean isFirst;
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaults.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaults.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * System calls of a process that fail as Linux documents, and a wall clock that steps: a small library in C
- * ({@code system-faults.c}) that is compiled here and preloaded into the process.
+ * System calls of a process that fail as Linux documents, and a wall clock that steps: a small
+ * library in C ({@code system-faults.c}) that is compiled here and preloaded into the process.
  */
 final class SystemFaults {
     /** What can fail; the order is that of the library's words. */
@@ -69,14 +69,25 @@
         try (InputStream text = SystemFaults.class.getResourceAsStream("system-faults.c")) {
             Files.copy(text, source);
         }
-        Process compiler = new ProcessBuilder("cc", "-O1", "-shared", "-fPIC", "-o", library.toString(),
-                source.toString(), "-ldl").redirectErrorStream(true).start();
+        Process compiler =
+                new ProcessBuilder(
+                                "cc",
+                                "-O1",
+                                "-shared",
+                                "-fPIC",
+                                "-o",
+                                library.toString(),
+                                source.toString(),
+                                "-ldl")
+                        .redirectErrorStream(true)
+                        .start();
         String told = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(0, compiler.waitFor(), told);
         Path control = Files.write(folder.resolve("system-faults"), new byte[WORDS * Long.BYTES]);
-        try (FileChannel file = FileChannel.open(control, StandardOpenOption.READ,
-                StandardOpenOption.WRITE)) {
-            MappedByteBuffer words = file.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * Long.BYTES);
+        try (FileChannel file =
+                FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+            MappedByteBuffer words =
+                    file.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * Long.BYTES);
             words.order(ByteOrder.nativeOrder());
             return new SystemFaults(library, control, words);
         }
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -18,27 +18,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packaged jar as a process whose system calls fail now and then and whose wall clock steps. */
+/**
+ * The packaged jar as a process whose system calls fail now and then and whose wall clock steps.
+ */
 @Timeout(120)
 class SystemFaultsIT {
     private static final int CLIENTS = 4;
     private static final int ENOUGH = 400;
     private static final int OFTEN = 300;
-    /** Of all requests, in hundredths: those that must be served though each attempt may fail here. */
+
+    /**
+     * Of all requests, in hundredths: those that must be served though each attempt may fail here.
+     */
     private static final int MOST = 90;
+
     /** Beyond its time a request is answered late; for processes that wait for a core. */
     private static final long SLACK_MILLIS = 500;
 
-    private static final StubUpstream.Script KEEPS = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final StubUpstream.Script KEEPS =
+            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+
     /** Each request needs a connection of its own. */
-    private static final StubUpstream.Script CLOSES = (socket, request) -> {
-        StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
-        return false;
-    };
+    private static final StubUpstream.Script CLOSES =
+            (socket, request) -> {
+                StubUpstream.write(
+                        socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
+                return false;
+            };
+
     private static final IntFunction<String> READS = client -> TestClient.request("read", "2.0");
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private SystemFaults faults;
 
     @BeforeEach
@@ -46,13 +56,20 @@
         faults = SystemFaults.in(folder);
     }
 
-    private SidecarProcess start(StubUpstream discovery, StubUpstream... upstreams) throws Exception {
-        return SidecarProcess.start(folder, LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(),
-                LoopbackNode.targets(upstreams)), faults.environment());
+    private SidecarProcess start(StubUpstream discovery, StubUpstream... upstreams)
+            throws Exception {
+        return SidecarProcess.start(
+                folder,
+                LoopbackNode.json(
+                        LoopbackNode.Figures.USUAL,
+                        discovery.address(),
+                        LoopbackNode.targets(upstreams)),
+                faults.environment());
     }
 
     /** Waits until so many requests more have come to an end. */
-    private static void awaitMore(ClosedLoopClients clients, int requests) throws InterruptedException {
+    private static void awaitMore(ClosedLoopClients clients, int requests)
+            throws InterruptedException {
         int goal = clients.asked().size() + requests;
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
         while (clients.asked().size() < goal && System.nanoTime() < until) {
@@ -70,13 +87,17 @@
         assertTrue(100 * served >= MOST * asked.size(), served + " served of " + asked.size());
     }
 
-    /** Guards against a call that was only interrupted and is taken for the end of its connection. */
+    /**
+     * Guards against a call that was only interrupted and is taken for the end of its connection.
+     */
     @Test
     void interruptedSystemCallsBreakNoConnectionAndNoConnect() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream closes = new StubUpstream(CLOSES); StubUpstream keeps = new StubUpstream(KEEPS);
+                StubUpstream closes = new StubUpstream(CLOSES);
+                StubUpstream keeps = new StubUpstream(KEEPS);
                 SidecarProcess sidecar = start(discovery, closes, keeps);
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
             awaitMore(clients, ENOUGH);
             faults.fail(SystemFaults.Fault.WAIT, OFTEN, SystemFaults.EINTR);
             faults.fail(SystemFaults.Fault.READ_WRITE, OFTEN, SystemFaults.EINTR);
@@ -96,10 +117,12 @@
     @ValueSource(ints = {SystemFaults.EADDRNOTAVAIL, SystemFaults.ENOBUFS})
     void aConnectThatFailsForWantOfLocalMeansEjectsNoUpstream(int errno) throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(CLOSES); StubUpstream b = new StubUpstream(CLOSES);
+                StubUpstream a = new StubUpstream(CLOSES);
+                StubUpstream b = new StubUpstream(CLOSES);
                 StubUpstream c = new StubUpstream(CLOSES);
                 SidecarProcess sidecar = start(discovery, a, b, c);
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
             faults.fail(SystemFaults.Fault.CONNECT, OFTEN, errno);
             awaitMore(clients, ENOUGH);
             List<ClosedLoopClients.Asked> asked = clients.end();
@@ -110,18 +133,23 @@
         }
     }
 
-    /** Guards against connections that wait unaccepted, or break, because of a failure that passes. */
+    /**
+     * Guards against connections that wait unaccepted, or break, because of a failure that passes.
+     */
     @Test
     void failedAcceptsAndSocketsAndShortReadsLoseNoRequest() throws Exception {
-        IntFunction<String> closing = client -> TestClient.request("read", "2.0", "Connection: close");
+        IntFunction<String> closing =
+                client -> TestClient.request("read", "2.0", "Connection: close");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(CLOSES); StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(CLOSES);
+                StubUpstream b = new StubUpstream(KEEPS);
                 SidecarProcess sidecar = start(discovery, a, b);
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, 1, closing)) {
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, closing)) {
             faults.fail(SystemFaults.Fault.SHORT, OFTEN, 0);
             faults.fail(SystemFaults.Fault.SOCKET, OFTEN / 3, SystemFaults.ENOBUFS);
-            for (int errno : List.of(SystemFaults.ENFILE, SystemFaults.ECONNABORTED,
-                    SystemFaults.ENOBUFS)) {
+            for (int errno :
+                    List.of(SystemFaults.ENFILE, SystemFaults.ECONNABORTED, SystemFaults.ENOBUFS)) {
                 faults.fail(SystemFaults.Fault.ACCEPT, OFTEN / 3, errno);
                 awaitMore(clients, ENOUGH / 4);
             }
@@ -134,15 +162,21 @@
         }
     }
 
-    /** Guards against an effect that happens twice, or a request lost, where a connection just stops. */
+    /**
+     * Guards against an effect that happens twice, or a request lost, where a connection just
+     * stops.
+     */
     @ParameterizedTest
     @ValueSource(ints = {SystemFaults.ETIMEDOUT, SystemFaults.EHOSTUNREACH})
     void aConnectionThatBreaksUnderARequestRunsNothingTwice(int errno) throws Exception {
-        IntFunction<String> both = client -> TestClient.request(client % 2 == 0 ? "read" : "pay", "2.0");
+        IntFunction<String> both =
+                client -> TestClient.request(client % 2 == 0 ? "read" : "pay", "2.0");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(KEEPS); StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(KEEPS);
+                StubUpstream b = new StubUpstream(KEEPS);
                 SidecarProcess sidecar = start(discovery, a, b);
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, 1, both)) {
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, both)) {
             awaitMore(clients, ENOUGH / 4);
             faults.breakConnectionsTo(Config.address(a.address()).getPort());
             faults.fail(SystemFaults.Fault.BREAK, OFTEN / 3, errno);
@@ -154,7 +188,9 @@
             for (StubUpstream upstream : List.of(a, b)) {
                 for (String request : upstream.requests) {
                     boolean once = request.startsWith("POST");
-                    assertTrue(!once || ran.add(StubUpstream.header(request, "x-request-id")), request);
+                    assertTrue(
+                            !once || ran.add(StubUpstream.header(request, "x-request-id")),
+                            request);
                 }
             }
         }
@@ -164,11 +200,16 @@
     @Test
     void aWallClockThatStepsMovesNoDeadlineAndNoSlowStart() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(KEEPS); StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(KEEPS);
+                StubUpstream b = new StubUpstream(KEEPS);
                 StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 SidecarProcess sidecar = start(discovery, a, b, silent);
-                ClosedLoopClients clients = new ClosedLoopClients(sidecar.address(), CLIENTS, 1,
-                        client -> TestClient.request("pay", "1.0"))) {
+                ClosedLoopClients clients =
+                        new ClosedLoopClients(
+                                sidecar.address(),
+                                CLIENTS,
+                                1,
+                                client -> TestClient.request("pay", "1.0"))) {
             for (long hours : new long[] {1, -1, 0, -1, 1}) {
                 awaitMore(clients, ENOUGH / 8);
                 faults.stepWallClock(hours, TimeUnit.HOURS);
@@ -177,7 +218,8 @@
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             long latest = TimeUnit.SECONDS.toMillis(1) + SLACK_MILLIS;
-            assertEquals(List.of(), asked.stream().filter(each -> each.tookMillis() > latest).toList());
+            assertEquals(
+                    List.of(), asked.stream().filter(each -> each.tookMillis() > latest).toList());
             assertEquals(0, sidecar.figure("event_loop_stalls"), sidecar.log());
             assertTrue(silent.requests.size() > 0, "some waited for their deadline");
         }
--- a/sidecar/src/test/java/appleridge/daemon/TestClient.java
+++ b/sidecar/src/test/java/appleridge/daemon/TestClient.java
@@ -20,12 +20,23 @@
     /** A well-formed request of a class in {@link LoopbackNode}'s settings. */
     public static String request(String requestClass, String deadline, String... headers) {
         String method = requestClass.equals("read") ? "GET" : "POST";
-        String key = requestClass.equals("write") || requestClass.equals("hold")
-                ? "Idempotency-Key: k" + IDS.get() + "\r\n" : "";
+        String key =
+                requestClass.equals("write") || requestClass.equals("hold")
+                        ? "Idempotency-Key: k" + IDS.get() + "\r\n"
+                        : "";
         String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
         String body = method.equals("POST") ? "Content-Length: 4\r\n\r\nbody" : "\r\n";
-        return method + " /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: id" + IDS.incrementAndGet()
-                + "\r\nX-Class: " + requestClass + "\r\nX-Deadline: " + deadline + "\r\n" + key + more + body;
+        return method
+                + " /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: id"
+                + IDS.incrementAndGet()
+                + "\r\nX-Class: "
+                + requestClass
+                + "\r\nX-Deadline: "
+                + deadline
+                + "\r\n"
+                + key
+                + more
+                + body;
     }
 
     public void send(String text) throws IOException {
--- a/sidecar/src/test/java/appleridge/daemon/UndelimitedAnswersTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UndelimitedAnswersTest.java
@@ -10,10 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Upstreams' answers with neither a length nor chunks: the orderly end of their connection ends them. */
+/**
+ * Upstreams' answers with neither a length nor chunks: the orderly end of their connection ends
+ * them.
+ */
 @Timeout(60)
 class UndelimitedAnswersTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
+
     /** More than the sidecar holds whole. */
     private static final int LONG = 300_000;
 
@@ -30,7 +34,8 @@
     /** The body, and that its own connection goes on; the client is told a length or chunks. */
     @Test
     void anAnswerThatTheConnectionsOrderlyEndDelimitsIsServed() throws Exception {
-        for (String head : new String[] {HEAD, "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"}) {
+        for (String head :
+                new String[] {HEAD, "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"}) {
             try (StubUpstream upstream = new StubUpstream(ended(head, "fi", "ne"));
                     LoopbackNode node = new LoopbackNode(upstream);
                     TestClient client = node.client()) {
@@ -58,11 +63,12 @@
     /** Guards against a part of an answer that is served as a whole one: a reset is no end. */
     @Test
     void aResetIsNoEnd() throws Exception {
-        StubUpstream.Script cut = (socket, request) -> {
-            StubUpstream.write(socket, HEAD + "fi");
-            Thread.sleep(50);
-            return StubUpstream.reset(socket);
-        };
+        StubUpstream.Script cut =
+                (socket, request) -> {
+                    StubUpstream.write(socket, HEAD + "fi");
+                    Thread.sleep(50);
+                    return StubUpstream.reset(socket);
+                };
         try (StubUpstream upstream = new StubUpstream(cut);
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = node.client()) {
@@ -73,10 +79,11 @@
     /** Guards against the same where this side ends the connection, for the answer pauses. */
     @Test
     void aPauseThatLastsIsNoEnd() throws Exception {
-        StubUpstream.Script paused = (socket, request) -> {
-            StubUpstream.write(socket, HEAD + "fi");
-            return true;
-        };
+        StubUpstream.Script paused =
+                (socket, request) -> {
+                    StubUpstream.write(socket, HEAD + "fi");
+                    return true;
+                };
         try (StubUpstream upstream = new StubUpstream(paused);
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = node.client()) {
@@ -87,10 +94,13 @@
     /** Guards against what proves that nothing ran being passed over for want of a length. */
     @Test
     void anUndelimitedRejectionIsTriedElsewhere() throws Exception {
-        try (StubUpstream full = new StubUpstream(ended(
-                "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n", "full"));
-                StubUpstream other = new StubUpstream(StubUpstream.says(
-                        StubUpstream.answer("200 OK", "fine")));
+        try (StubUpstream full =
+                        new StubUpstream(
+                                ended(
+                                        "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n",
+                                        "full"));
+                StubUpstream other =
+                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 LoopbackNode node = new LoopbackNode(full, other);
                 TestClient client = node.client()) {
             for (int i = 0; i < 4; i++) {
@@ -110,11 +120,12 @@
             client.send(TestClient.request("read", "3.0"));
             assertEquals(LONG, chunks(client.socket.getInputStream()));
         }
-        StubUpstream.Script cut = (socket, request) -> {
-            StubUpstream.write(socket, HEAD + half);
-            Thread.sleep(50);
-            return StubUpstream.reset(socket);
-        };
+        StubUpstream.Script cut =
+                (socket, request) -> {
+                    StubUpstream.write(socket, HEAD + half);
+                    Thread.sleep(50);
+                    return StubUpstream.reset(socket);
+                };
         try (StubUpstream upstream = new StubUpstream(cut);
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = node.client()) {
@@ -131,7 +142,9 @@
             assertTrue(next >= 0, "an answer begins");
             head.append((char) next);
         }
-        assertTrue(head.toString().toLowerCase().contains("transfer-encoding: chunked"), head.toString());
+        assertTrue(
+                head.toString().toLowerCase().contains("transfer-encoding: chunked"),
+                head.toString());
         int sum = 0;
         while (true) {
             StringBuilder line = new StringBuilder();
--- a/sidecar/src/test/java/appleridge/decision/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/appleridge/decision/EmbeddingExampleTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import org.junit.jupiter.api.Test;
 import appleridge.decision.Balancer.ListKind;
 import appleridge.decision.Balancer.Outcome;
 import appleridge.decision.Balancer.Request;
 import appleridge.decision.Balancer.State;
 import appleridge.decision.Balancer.Upstream;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** The README's embedding example, compiled and run. */
 class EmbeddingExampleTest {
@@ -21,8 +21,12 @@
         Balancer balancer = host.logic;
         long now = host.now;
 
-        balancer.listChanged(now, ListKind.CACHED, List.of(
-                new Upstream(1, 0, 0, 0, State.READY, 1, 0), new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
+        balancer.listChanged(
+                now,
+                ListKind.CACHED,
+                List.of(
+                        new Upstream(1, 0, 0, 0, State.READY, 1, 0),
+                        new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
         balancer.request(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
         Recorder.Sent sent = host.last();
         assertEquals(100, sent.request());
--- a/sidecar/src/test/java/appleridge/decision/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/decision/RandomEventsTest.java
@@ -1,9 +1,16 @@
 package appleridge.decision;
 
+import static appleridge.decision.Recorder.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static appleridge.decision.Recorder.MS;
 
+import appleridge.decision.Balancer.ListKind;
+import appleridge.decision.Balancer.Outcome;
+import appleridge.decision.Balancer.RequestClass;
+import appleridge.decision.Balancer.Scope;
+import appleridge.decision.Balancer.Semantics;
+import appleridge.decision.Balancer.State;
+import appleridge.decision.Balancer.Upstream;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,20 +20,18 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
 
 /** Long random legal event sequences, judged by an observer with books of its own. */
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
-    private static final List<RequestClass> CLASSES = List.of(Recorder.REPEATABLE, Recorder.ONCE,
-            Recorder.BY_CELL, Recorder.BY_ANY, Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+    private static final List<RequestClass> CLASSES =
+            List.of(
+                    Recorder.REPEATABLE,
+                    Recorder.ONCE,
+                    Recorder.BY_CELL,
+                    Recorder.BY_ANY,
+                    Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
@@ -64,7 +69,7 @@
                     judgeSend(sent);
                 }
                 case "refuse", "fail" -> judgeAnswer(action[0], Long.parseLong(action[1]));
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -89,7 +94,7 @@
                 switch (book.kind.scope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
-                    default -> { }
+                    default -> {}
                 }
             }
         }
@@ -101,8 +106,11 @@
         assertEquals(1, ++book.answers, "answered twice: " + id);
         assertTrue(host.now <= book.deadline + SLACK, "late answer: " + id);
         boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
-        boolean harmless = !doubt || book.kind.semantics() == Semantics.REPEATABLE
-                || book.kind.semantics() == Semantics.BY_KEY && book.kind.scope() == Scope.ALL;
+        boolean harmless =
+                !doubt
+                        || book.kind.semantics() == Semantics.REPEATABLE
+                        || book.kind.semantics() == Semantics.BY_KEY
+                                && book.kind.scope() == Scope.ALL;
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
     }
 
@@ -169,7 +177,9 @@
 
     private void end(Recorder.Sent sent, Random random) {
         int draw = random.nextInt(10);
-        finish(sent, draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
+        finish(
+                sent,
+                draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
     private void finish(Recorder.Sent sent, Outcome outcome) {
@@ -179,17 +189,26 @@
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.logic.outcome(host.now, sent.request(), sent.attempt(), sent.upstream(), outcome,
-                host.now - sent.at(), already || outcome == Outcome.OK, new float[0]);
+        host.logic.outcome(
+                host.now,
+                sent.request(),
+                sent.attempt(),
+                sent.upstream(),
+                outcome,
+                host.now - sent.at(),
+                already || outcome == Outcome.OK,
+                new float[0]);
         judge();
     }
 
     private void change(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
         State state = State.values()[random.nextInt(3)];
-        long startedAt = state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
+        long startedAt =
+                state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
         states.put(id, state);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
+        host.logic.listChanged(
+                host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
         judge();
     }
 }
--- a/sidecar/src/test/java/appleridge/decision/Recorder.java
+++ b/sidecar/src/test/java/appleridge/decision/Recorder.java
@@ -27,9 +27,9 @@
     static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
     static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) { }
+    record Sent(long request, int attempt, long upstream, long at) {}
 
-    record Timer(long at, long token) { }
+    record Timer(long at, long token) {}
 
     final List<String> log = new ArrayList<>();
     final List<Sent> sends = new ArrayList<>();
@@ -54,10 +54,20 @@
     }
 
     static Settings settings(Discovery discovery, RequestClass... classes) {
-        return new Settings(0, 3, 0, 5 * MS, discovery, Weights.SILENT, List.of(classes),
-                List.<Tenant>of(), new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+        return new Settings(
+                0,
+                3,
+                0,
+                5 * MS,
+                discovery,
+                Weights.SILENT,
+                List.of(classes),
+                List.<Tenant>of(),
+                new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
                 new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
-                List.of(), false, 1);
+                List.of(),
+                false,
+                1);
     }
 
     static Upstream upstream(long id) {
@@ -87,8 +97,15 @@
     }
 
     void outcome(Sent sent, Outcome outcome) {
-        logic.outcome(now, sent.request, sent.attempt, sent.upstream, outcome, now - sent.at,
-                outcome == Outcome.OK, new float[0]);
+        logic.outcome(
+                now,
+                sent.request,
+                sent.attempt,
+                sent.upstream,
+                outcome,
+                now - sent.at,
+                outcome == Outcome.OK,
+                new float[0]);
     }
 
     /** Moves the clock, ringing every timer on its way. */
--- a/sidecar/src/test/java/appleridge/decision/SettingsUnlikeTest.java
+++ b/sidecar/src/test/java/appleridge/decision/SettingsUnlikeTest.java
@@ -1,8 +1,8 @@
 package appleridge.decision;
 
+import static appleridge.decision.Recorder.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static appleridge.decision.Recorder.MS;
 
 import appleridge.decision.Balancer.Allowed;
 import appleridge.decision.Balancer.Discovery;
@@ -25,8 +25,22 @@
     private static Recorder bare(int tryLimit, RequestClass... classes) {
         Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
         Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
-        return new Recorder(new Settings(0, 1, 0, 0, Discovery.AUTOMATIC, Weights.SILENT, List.of(classes),
-                List.of(), allowed, limits, List.of(), true, 0), 5);
+        return new Recorder(
+                new Settings(
+                        0,
+                        1,
+                        0,
+                        0,
+                        Discovery.AUTOMATIC,
+                        Weights.SILENT,
+                        List.of(classes),
+                        List.of(),
+                        allowed,
+                        limits,
+                        List.of(),
+                        true,
+                        0),
+                5);
     }
 
     @Test
@@ -46,7 +60,8 @@
     void manyServersAllGetTheirTurn() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(500);
         host.serve(0, 500, 0, MS);
-        assertEquals(500, host.sends.stream().mapToLong(Recorder.Sent::upstream).distinct().count());
+        assertEquals(
+                500, host.sends.stream().mapToLong(Recorder.Sent::upstream).distinct().count());
     }
 
     @Test
@@ -66,9 +81,13 @@
         }
         host.logic.hangup(host.now, host.last().request());
         host.advance(3_000 * MS);
-        assertTrue(host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")), "unasked");
+        assertTrue(
+                host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")),
+                "unasked");
         assertTrue(host.log.stream().anyMatch(l -> l.startsWith("refuse")));
-        assertTrue(host.log.stream().noneMatch(l -> l.matches("refuse \\d+ [1-9].*")), "no wait is told");
+        assertTrue(
+                host.log.stream().noneMatch(l -> l.matches("refuse \\d+ [1-9].*")),
+                "no wait is told");
     }
 
     @Test
@@ -103,7 +122,8 @@
     @Test
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
         RequestClass stream =
-                new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
+                new RequestClass(
+                        500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
         Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
@@ -113,7 +133,10 @@
         assertEquals(List.of(), host.answers);
         host.outcome(sent, Outcome.RESET);
         assertEquals(1, host.sends.size());
-        assertEquals(List.of("refuse 1"), host.answers, "a repeatable request may be tried by its client");
+        assertEquals(
+                List.of("refuse 1"),
+                host.answers,
+                "a repeatable request may be tried by its client");
     }
 
     @Test
@@ -129,8 +152,12 @@
     @Test
     void drainingEverywhereStopsAllNewWork() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(
-                Recorder.upstream(0, State.DRAINING, 0), Recorder.upstream(1, State.DRAINING, 0)));
+        host.logic.listChanged(
+                host.now,
+                ListKind.DELTA,
+                List.of(
+                        Recorder.upstream(0, State.DRAINING, 0),
+                        Recorder.upstream(1, State.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
--- a/sidecar/src/test/java/appleridge/decision/SymmetricRoundRobinTest.java
+++ b/sidecar/src/test/java/appleridge/decision/SymmetricRoundRobinTest.java
@@ -1,10 +1,5 @@
 package appleridge.decision;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static appleridge.decision.Recorder.BY_ANY;
 import static appleridge.decision.Recorder.BY_CELL;
 import static appleridge.decision.Recorder.MS;
@@ -12,7 +7,16 @@
 import static appleridge.decision.Recorder.REPEATABLE;
 import static appleridge.decision.Recorder.settings;
 import static appleridge.decision.Recorder.upstream;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import appleridge.decision.Balancer.Discovery;
+import appleridge.decision.Balancer.ListKind;
+import appleridge.decision.Balancer.Outcome;
+import appleridge.decision.Balancer.State;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -26,10 +30,6 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.State;
 
 class SymmetricRoundRobinTest {
 
@@ -87,8 +87,9 @@
     }
 
     /**
-     * Guards against servers that are closed to all by a few clients that read or send slowly: forty long
-     * bodies at two servers leave their room free, are no lateness, and nothing is tried again for them.
+     * Guards against servers that are closed to all by a few clients that read or send slowly:
+     * forty long bodies at two servers leave their room free, are no lateness, and nothing is tried
+     * again for them.
      */
     @Test
     void whatHasBegunToGoOutTakesNoRoomAndHasNoOtherEnd() {
@@ -281,11 +282,13 @@
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.logic.listChanged(
+                host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.sentTo(9, before);
-        // 1.5 s at 200 a second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly grown.
+        // 1.5 s at 200 a second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly
+        // grown.
         assertTrue(cold > 5 && cold < 40, "cold upstream got " + cold);
     }
 
@@ -299,7 +302,8 @@
                 host.serve(id, id + 1, 0, 20 * MS);
                 host.advance(480 * MS);
             }
-            host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(99, State.READY, host.now)));
+            host.logic.listChanged(
+                    host.now, ListKind.DELTA, List.of(upstream(99, State.READY, host.now)));
             int before = host.sends.size();
             for (int id = 100; id < 103; id++) {
                 host.serve(id, id + 1, 0, 20 * MS);
@@ -316,13 +320,30 @@
     @Test
     void turnsFollowTheRegisteredSize() {
         Balancer.Settings base = settings(REPEATABLE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 3, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.ROUGH, base.classes(), List.of(), base.allowed(), base.limits(),
-                List.of(), false, 1), 7);
-        host.logic.listChanged(host.now, ListKind.CACHED, List.of(
-                new Balancer.Upstream(0, 0, 0, 0, State.READY, 4, 0),
-                new Balancer.Upstream(1, 0, 0, 0, State.READY, 2, 0),
-                new Balancer.Upstream(2, 0, 0, 0, State.READY, 2, 0)));
+        Recorder host =
+                new Recorder(
+                        new Balancer.Settings(
+                                0,
+                                3,
+                                0,
+                                5 * MS,
+                                Discovery.AUTOMATIC,
+                                Balancer.Weights.ROUGH,
+                                base.classes(),
+                                List.of(),
+                                base.allowed(),
+                                base.limits(),
+                                List.of(),
+                                false,
+                                1),
+                        7);
+        host.logic.listChanged(
+                host.now,
+                ListKind.CACHED,
+                List.of(
+                        new Balancer.Upstream(0, 0, 0, 0, State.READY, 4, 0),
+                        new Balancer.Upstream(1, 0, 0, 0, State.READY, 2, 0),
+                        new Balancer.Upstream(2, 0, 0, 0, State.READY, 2, 0)));
         host.serve(0, 400, 0, 20 * MS);
         assertEquals(200, host.sentTo(0, 0), 2);
         assertEquals(100, host.sentTo(1, 0), 2);
@@ -332,12 +353,29 @@
     void absurdWeightsDoNoHarm() {
         for (float weight : new float[] {0, -1, Float.NaN, Float.POSITIVE_INFINITY}) {
             Balancer.Settings base = settings(REPEATABLE);
-            Recorder host = new Recorder(new Balancer.Settings(0, 3, 0, 5 * MS, Discovery.AUTOMATIC,
-                    Balancer.Weights.NOMINAL, base.classes(), List.of(), base.allowed(), base.limits(),
-                    List.of(), false, 1), 7);
-            host.logic.listChanged(host.now, ListKind.CACHED, List.of(
-                    new Balancer.Upstream(0, 0, 0, 0, State.READY, weight, host.now - MS),
-                    new Balancer.Upstream(1, 0, 0, 0, State.READY, 1, 0)));
+            Recorder host =
+                    new Recorder(
+                            new Balancer.Settings(
+                                    0,
+                                    3,
+                                    0,
+                                    5 * MS,
+                                    Discovery.AUTOMATIC,
+                                    Balancer.Weights.NOMINAL,
+                                    base.classes(),
+                                    List.of(),
+                                    base.allowed(),
+                                    base.limits(),
+                                    List.of(),
+                                    false,
+                                    1),
+                            7);
+            host.logic.listChanged(
+                    host.now,
+                    ListKind.CACHED,
+                    List.of(
+                            new Balancer.Upstream(0, 0, 0, 0, State.READY, weight, host.now - MS),
+                            new Balancer.Upstream(1, 0, 0, 0, State.READY, 1, 0)));
             host.serve(0, 100, 0, 20 * MS);
             assertTrue(host.sentTo(1, 0) > 50, "weight " + weight);
             assertEquals(100, host.sends.size());
@@ -386,7 +424,9 @@
         int before = host.sends.size();
         host.serve(2_000, 2_040, 0, 80 * MS);
         Map<Long, Integer> turns = new HashMap<>();
-        host.sends.subList(before, before + 40).forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
+        host.sends
+                .subList(before, before + 40)
+                .forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
         turns.values().forEach(count -> assertEquals(10, count));
         assertTrue(host.answers.isEmpty(), "nothing refused: " + host.answers);
     }
@@ -415,10 +455,24 @@
     /** A service of many sidecars that may tell each other. */
     private static Recorder peered(int replicas) {
         Balancer.Settings base = settings(ONCE);
-        return new Recorder(new Balancer.Settings(0, replicas, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(),
-                new Balancer.Allowed(true, false, true, true, true, 3, 1_000 * MS, 250 * MS), base.limits(),
-                List.of(), false, 1), 7).withUpstreams(5);
+        return new Recorder(
+                        new Balancer.Settings(
+                                0,
+                                replicas,
+                                0,
+                                5 * MS,
+                                Discovery.AUTOMATIC,
+                                Balancer.Weights.SILENT,
+                                base.classes(),
+                                List.of(),
+                                new Balancer.Allowed(
+                                        true, false, true, true, true, 3, 1_000 * MS, 250 * MS),
+                                base.limits(),
+                                List.of(),
+                                false,
+                                1),
+                        7)
+                .withUpstreams(5);
     }
 
     @Test
@@ -427,7 +481,10 @@
         one.serve(0, 20, 0, 20 * MS);
         one.request(100, 0);
         one.advance(900 * MS);
-        assertEquals(1, one.told.size(), "an attempt out for long is told once; the budget allows no more");
+        assertEquals(
+                1,
+                one.told.size(),
+                "an attempt out for long is told once; the budget allows no more");
         Recorder other = peered(300);
         for (int i = 0; i < 12; i++) {
             other.logic.peerMessage(other.now, 3, one.told.get(0));
@@ -439,7 +496,9 @@
         other.advance(10_000 * MS);
         int before = other.sends.size();
         other.serve(200, 300, 0, 5 * MS);
-        assertTrue(other.sentTo(one.sendsOf(100).get(0).upstream(), before) >= 18, "an even part again");
+        assertTrue(
+                other.sentTo(one.sendsOf(100).get(0).upstream(), before) >= 18,
+                "an even part again");
     }
 
     @Test
@@ -459,7 +518,10 @@
         }
         int before = host.sends.size();
         host.serve(100, 150, 0, 20 * MS);
-        assertEquals(50, host.sends.size() - before, "notes of every server leave the pattern as it was");
+        assertEquals(
+                50,
+                host.sends.size() - before,
+                "notes of every server leave the pattern as it was");
         assertEquals(10, host.sentTo(2, before));
     }
 
@@ -470,13 +532,27 @@
 
     private static Recorder ofMany(int rank, int replicas, long seed) {
         Balancer.Settings base = settings(REPEATABLE);
-        return new Recorder(new Balancer.Settings(rank, replicas, 0, 5 * MS, Discovery.AUTOMATIC,
-                base.weights(), base.classes(), List.of(), base.allowed(), base.limits(), List.of(), false,
-                1), seed);
+        return new Recorder(
+                new Balancer.Settings(
+                        rank,
+                        replicas,
+                        0,
+                        5 * MS,
+                        Discovery.AUTOMATIC,
+                        base.weights(),
+                        base.classes(),
+                        List.of(),
+                        base.allowed(),
+                        base.limits(),
+                        List.of(),
+                        false,
+                        1),
+                seed);
     }
 
     private static Set<Long> asked(Recorder host, int from) {
-        return host.sends.subList(from, host.sends.size()).stream().map(Recorder.Sent::upstream)
+        return host.sends.subList(from, host.sends.size()).stream()
+                .map(Recorder.Sent::upstream)
                 .collect(Collectors.toSet());
     }
 
@@ -491,7 +567,8 @@
             host.serve(id, id + 1, 0, 20 * MS);
             host.advance(80 * MS);
         }
-        assertEquals(6, asked(host, 0).size(), "each request would pay for a connection of its own");
+        assertEquals(
+                6, asked(host, 0).size(), "each request would pay for a connection of its own");
         assertEquals(0, closed(host));
     }
 
@@ -536,7 +613,9 @@
                 host.logic.listChanged(host.now, ListKind.DELTA, fresh);
                 refusedBefore = host.answers.size();
             }
-            for (; seen < host.sends.size() && host.sends.get(seen).at() <= host.now - 50 * MS; seen++) {
+            for (;
+                    seen < host.sends.size() && host.sends.get(seen).at() <= host.now - 50 * MS;
+                    seen++) {
                 host.outcome(host.sends.get(seen), Outcome.OK);
             }
             host.request(tick, 0);
@@ -545,14 +624,38 @@
         assertTrue(refused < 520, "refused " + refused + " of 1300");
     }
 
-    /** Guards against notes of the whole fleet that are taken for notes of the few that lie near. */
+    /**
+     * Guards against notes of the whole fleet that are taken for notes of the few that lie near.
+     */
     @Test
     void whatPeersNoteOfTheWholeFleetStillTellsOfOneThatLiesNear() {
         Balancer.Settings base = settings(REPEATABLE);
-        Recorder host = new Recorder(new Balancer.Settings(7, 95, 0, 5 * MS, Discovery.AUTOMATIC,
-                base.weights(), base.classes(), List.of(),
-                new Balancer.Allowed(true, false, true, true, true, 3, 1_000 * MS, 250 * MS), base.limits(),
-                List.of(), false, 1), 7).withUpstreams(60);
+        Recorder host =
+                new Recorder(
+                                new Balancer.Settings(
+                                        7,
+                                        95,
+                                        0,
+                                        5 * MS,
+                                        Discovery.AUTOMATIC,
+                                        base.weights(),
+                                        base.classes(),
+                                        List.of(),
+                                        new Balancer.Allowed(
+                                                true,
+                                                false,
+                                                true,
+                                                true,
+                                                true,
+                                                3,
+                                                1_000 * MS,
+                                                250 * MS),
+                                        base.limits(),
+                                        List.of(),
+                                        false,
+                                        1),
+                                7)
+                        .withUpstreams(60);
         host.serve(0, 60, 0, 20 * MS);
         long slow = asked(host, 0).iterator().next();
         for (int id = 0; id < 60; id++) {
@@ -563,7 +666,8 @@
         }
         int before = host.sends.size();
         host.serve(100, 200, 0, 5 * MS);
-        assertTrue(host.sentTo(slow, before) <= 8, "the noted one got " + host.sentTo(slow, before));
+        assertTrue(
+                host.sentTo(slow, before) <= 8, "the noted one got " + host.sentTo(slow, before));
     }
 
     @Test
@@ -575,8 +679,8 @@
         host.request(id, 0);
         while (near.contains(host.last().upstream())) {
             host.outcome(host.last(), Outcome.CONNECT_FAILED);
-            if (host.last().request() != id || near.contains(host.last().upstream())
-                    && host.sendsOf(id).size() == 3) {
+            if (host.last().request() != id
+                    || near.contains(host.last().upstream()) && host.sendsOf(id).size() == 3) {
                 host.request(++id, 0);
             }
         }
@@ -620,7 +724,9 @@
         int served = 0;
         for (int id = 100; id < 200; id++) {
             host.request(id, 0);
-            for (int i = 0; i < 3 && !host.sendsOf(id).isEmpty() && host.last().request() == id; i++) {
+            for (int i = 0;
+                    i < 3 && !host.sendsOf(id).isEmpty() && host.last().request() == id;
+                    i++) {
                 boolean down = near.contains(host.last().upstream());
                 served += down ? 0 : 1;
                 host.advance(10 * MS);
@@ -650,11 +756,14 @@
         host.advance(5_000 * MS);
         host.serve(500, 520, 0, 20 * MS);
         List<String> logged = host.log.stream().filter(l -> l.startsWith("log ")).toList();
-        assertEquals(List.of("log upstream 1 shut out: no connection",
-                "log upstream 1 answers again"), logged);
+        assertEquals(
+                List.of("log upstream 1 shut out: no connection", "log upstream 1 answers again"),
+                logged);
     }
 
-    /** Sites are the ids' halves: a failed connect takes its time-out, and all of one site's fail. */
+    /**
+     * Sites are the ids' halves: a failed connect takes its time-out, and all of one site's fail.
+     */
     private static int connectsInto(Recorder host, int site, int requests) {
         int before = host.sends.size();
         for (int i = 0; i < requests; i++) {
@@ -739,15 +848,16 @@
     }
 
     /**
-     * Guards against a process that is new before a server that is cold: its first answer was all that it
-     * knew of what a server can do, and everything else was refused for seconds.
+     * Guards against a process that is new before a server that is cold: its first answer was all
+     * that it knew of what a server can do, and everything else was refused for seconds.
      */
     @Test
     void aNewProcessGoesOnSendingToALoneColdServer() {
         int sent = 0;
         for (int seed = 0; seed < 100; seed++) {
             Recorder host = ofMany(0, 1, seed);
-            host.logic.listChanged(host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
+            host.logic.listChanged(
+                    host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
             host.advance(300 * MS);
             host.burst(0, 6, 0);
             answerAtOnce(host, 1_000 * MS);
@@ -762,9 +872,11 @@
     /** Lets time pass; what is sent meanwhile is answered after 2 ms. */
     private static void answerAtOnce(Recorder host, long time) {
         Set<Recorder.Sent> answered = new HashSet<>();
-        for (long end = host.now + time; host.now < end;) {
+        for (long end = host.now + time; host.now < end; ) {
             host.advance(2 * MS);
-            host.sends.stream().filter(sent -> sent.at() >= end - time && answered.add(sent)).toList()
+            host.sends.stream()
+                    .filter(sent -> sent.at() >= end - time && answered.add(sent))
+                    .toList()
                     .forEach(sent -> host.outcome(sent, Outcome.OK));
         }
     }
@@ -775,7 +887,8 @@
         long cold = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
             Recorder host = ofMany(sidecar, 100);
-            host.logic.listChanged(host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
+            host.logic.listChanged(
+                    host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
             int before = host.sends.size();
             for (int id = 0; id < 10; id++) {
                 host.request(id, 0);
@@ -798,7 +911,8 @@
         for (int id = 0; id < 20; id++) {
             host.request(id, 0);
             host.advance(100 * MS);
-            List.copyOf(host.sends).stream().filter(s -> s.at() >= host.now - 100 * MS)
+            List.copyOf(host.sends).stream()
+                    .filter(s -> s.at() >= host.now - 100 * MS)
                     .forEach(s -> host.outcome(s, Outcome.OK));
             host.advance(300 * MS);
         }
@@ -818,7 +932,10 @@
         assertEquals(5, host.sends.get(out).request());
     }
 
-    /** Guards against a tenth of the attempts breaking, and no further ones left for a burst of them. */
+    /**
+     * Guards against a tenth of the attempts breaking, and no further ones left for a burst of
+     * them.
+     */
     @Test
     void aFifthMoreAttemptsAreAllowedAndNoMore() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
@@ -845,19 +962,24 @@
             if (i % 2 == 0) {
                 host.logic.hangup(host.now, i);
             }
-            assertTrue(host.logic.held() <= 100, "more than can wait at once: " + host.logic.held());
+            assertTrue(
+                    host.logic.held() <= 100, "more than can wait at once: " + host.logic.held());
         }
         host.advance(1_000 * MS);
         assertEquals(0, host.logic.held());
     }
 
-    /** Guards against records of upstreams that have gone, as fleets are replaced for as long as it runs. */
+    /**
+     * Guards against records of upstreams that have gone, as fleets are replaced for as long as it
+     * runs.
+     */
     @Test
     void upstreamsThatHaveGoneAreForgottenOnceNothingIsInFlight() {
         Recorder host = host(REPEATABLE).withUpstreams(2);
         host.request(1, 0);
         for (int id = 2; id < 100; id++) {
-            host.logic.listChanged(host.now, ListKind.FULL, List.of(upstream(id), upstream(id + 1)));
+            host.logic.listChanged(
+                    host.now, ListKind.FULL, List.of(upstream(id), upstream(id + 1)));
         }
         assertTrue(host.logic.known() <= 3, "the ready ones and the one that still has a request");
         host.outcome(host.last(), Outcome.OK);
@@ -865,7 +987,10 @@
         assertEquals(1, host.logic.known());
     }
 
-    /** Guards against an upstream shut for a whole deadline by work given up that it has long since done. */
+    /**
+     * Guards against an upstream shut for a whole deadline by work given up that it has long since
+     * done.
+     */
     @Test
     void givenUpWorkShutsAnUpstreamForOneAimAtMost() {
         Recorder host = host(REPEATABLE).withUpstreams(1);
@@ -886,7 +1011,8 @@
         for (int round = 0; round < 8; round++) {
             host.burst(1_000 + 10 * round, 1_010 + 10 * round, 0);
             host.advance(500 * MS);
-            List.copyOf(host.sends).stream().filter(s -> s.at() == host.now - 500 * MS)
+            List.copyOf(host.sends).stream()
+                    .filter(s -> s.at() == host.now - 500 * MS)
                     .forEach(s -> host.outcome(s, Outcome.OK));
         }
         int before = host.sends.size();
@@ -902,7 +1028,8 @@
     }
 
     /**
-     * Guards against a sidecar with little traffic that refuses for minutes what idle servers could answer.
+     * Guards against a sidecar with little traffic that refuses for minutes what idle servers could
+     * answer.
      */
     @Test
     void sheddingWithoutNewLatenessEndsByItselfAlsoWhereNothingIsAskedMeanwhile() {
@@ -911,7 +1038,8 @@
         for (int round = 0; round < 8; round++) {
             host.burst(1_000 + 10 * round, 1_010 + 10 * round, 0);
             host.advance(500 * MS);
-            List.copyOf(host.sends).stream().filter(s -> s.at() == host.now - 500 * MS)
+            List.copyOf(host.sends).stream()
+                    .filter(s -> s.at() == host.now - 500 * MS)
                     .forEach(s -> host.outcome(s, Outcome.OK));
         }
         assertTrue(host.log.contains("log load shedding begins: answers come late everywhere"));
@@ -940,13 +1068,17 @@
             }
         }
         assertEquals(399, host.last().request(), "the last ones are all admitted");
-        long begun = host.log.stream().filter(line -> line.startsWith("log load shedding begins")).count();
+        long begun =
+                host.log.stream()
+                        .filter(line -> line.startsWith("log load shedding begins"))
+                        .count();
         assertEquals(begun, host.log.stream().filter("log load shedding ends"::equals).count());
     }
 
     /**
-     * Guards against a hundred sidecars that a second of a crowd shuts nearly for good, together: half of
-     * what is answered is late, and goes on to be; of what is asked a good part is still to be sent.
+     * Guards against a hundred sidecars that a second of a crowd shuts nearly for good, together:
+     * half of what is answered is late, and goes on to be; of what is asked a good part is still to
+     * be sent.
      */
     @Test
     void halfOfTheAnswersLateLeavesAGoodPartAdmitted() {
@@ -975,7 +1107,10 @@
         assertTrue(part > 0.35 && part < 0.95, "sent of what was asked " + part);
     }
 
-    /** Guards against a hundred sidecars that all wait for answers to be late before each admits less. */
+    /**
+     * Guards against a hundred sidecars that all wait for answers to be late before each admits
+     * less.
+     */
     @Test
     void whereManyShareAServerSmallerSignsTellOfACrowd() {
         for (int replicas : new int[] {3, 95}) {
@@ -994,7 +1129,8 @@
                     }
                 }
             }
-            boolean sheds = host.log.stream().anyMatch(line -> line.startsWith("log load shedding begins"));
+            boolean sheds =
+                    host.log.stream().anyMatch(line -> line.startsWith("log load shedding begins"));
             assertEquals(replicas > 3, sheds, "of " + replicas);
         }
     }
@@ -1002,10 +1138,26 @@
     @Test
     void aTenantBeyondItsPartIsShedFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
-                new Balancer.Tenant(0.5, 10)), base.allowed(), base.limits(), List.of(), false, 0.1), 7)
-                .withUpstreams(40);
+        Recorder host =
+                new Recorder(
+                                new Balancer.Settings(
+                                        0,
+                                        1,
+                                        0,
+                                        5 * MS,
+                                        Discovery.AUTOMATIC,
+                                        Balancer.Weights.SILENT,
+                                        base.classes(),
+                                        List.of(
+                                                new Balancer.Tenant(0.5, 10),
+                                                new Balancer.Tenant(0.5, 10)),
+                                        base.allowed(),
+                                        base.limits(),
+                                        List.of(),
+                                        false,
+                                        0.1),
+                                7)
+                        .withUpstreams(40);
         host.serve(0, 200, 0, 20 * MS);
         int[] asked = new int[2];
         int[] sent = new int[2];
@@ -1013,7 +1165,8 @@
         for (int i = 1_000; i < 2_000; i++) {
             int tenant = i % 4 == 0 ? 1 : 0;
             int before = host.sends.size();
-            host.logic.request(host.now, new Balancer.Request(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
+            host.logic.request(
+                    host.now, new Balancer.Request(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
             asked[tenant]++;
             if (host.sends.size() > before) {
                 sent[tenant]++;
@@ -1088,13 +1241,25 @@
         }
         int answered = host.answers.size();
         host.request(50, 0, 600 * MS);
-        assertEquals(answered, host.answers.size(), "600 ms is what first tries have: held, not answered");
+        assertEquals(
+                answered,
+                host.answers.size(),
+                "600 ms is what first tries have: held, not answered");
     }
 
     @Test
     void lateAnswersThatKeepTheirWorthAreStillWaitedFor() {
-        Balancer.RequestClass late = new Balancer.RequestClass(100 * MS, 0, 1_000 * MS, 1, 0.9,
-                Balancer.Semantics.ONCE, Balancer.Scope.ALL, 0, false);
+        Balancer.RequestClass late =
+                new Balancer.RequestClass(
+                        100 * MS,
+                        0,
+                        1_000 * MS,
+                        1,
+                        0.9,
+                        Balancer.Semantics.ONCE,
+                        Balancer.Scope.ALL,
+                        0,
+                        false);
         Recorder host = host(late).withUpstreams(1);
         host.burst(0, 3, 0);
         host.advance(300 * MS);
@@ -1104,19 +1269,41 @@
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
         Balancer.Settings base = settings(ONCE);
-        Recorder host = new Recorder(new Balancer.Settings(0, 1, 0, 5 * MS, Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT, base.classes(), List.of(new Balancer.Tenant(0.5, 10),
-                new Balancer.Tenant(0.5, 10)), base.allowed(), base.limits(), List.of(), false, 0.1), 7)
-                .withUpstreams(1);
+        Recorder host =
+                new Recorder(
+                                new Balancer.Settings(
+                                        0,
+                                        1,
+                                        0,
+                                        5 * MS,
+                                        Discovery.AUTOMATIC,
+                                        Balancer.Weights.SILENT,
+                                        base.classes(),
+                                        List.of(
+                                                new Balancer.Tenant(0.5, 10),
+                                                new Balancer.Tenant(0.5, 10)),
+                                        base.allowed(),
+                                        base.limits(),
+                                        List.of(),
+                                        false,
+                                        0.1),
+                                7)
+                        .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
-            host.logic.request(host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
+            host.logic.request(
+                    host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
         }
-        host.logic.request(host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
-        host.logic.request(host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
+        host.logic.request(
+                host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
+        host.logic.request(
+                host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
         int out = host.sends.size();
         host.advance(10 * MS);
         host.outcome(host.sends.get(0), Outcome.OK);
-        assertEquals(10, host.sends.get(out).request(), "not the newest, but the tenant that had nothing");
+        assertEquals(
+                10,
+                host.sends.get(out).request(),
+                "not the newest, but the tenant that had nothing");
     }
 
     @Test
@@ -1129,16 +1316,20 @@
             host.advance(20 * MS);
             host.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
-        assertTrue(host.sends.subList(host.sends.size() - 20, host.sends.size()).stream()
-                .anyMatch(s -> s.upstream() == 1), "it came back");
+        assertTrue(
+                host.sends.subList(host.sends.size() - 20, host.sends.size()).stream()
+                        .anyMatch(s -> s.upstream() == 1),
+                "it came back");
     }
 
     // ---------------------------------------------------------------- settings and size
 
     @Test
     void senselessSettingsAreNamed() {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-                () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+        IllegalArgumentException e =
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertThrows(IllegalArgumentException.class, () -> settings());
     }
@@ -1157,8 +1348,9 @@
 
     @Test
     void moduleStaysWithinItsSize() throws IOException {
-        List<String> lines = Files.readAllLines(
-                Path.of("src/main/java/appleridge/decision/SymmetricRoundRobin.java"));
+        List<String> lines =
+                Files.readAllLines(
+                        Path.of("src/main/java/appleridge/decision/SymmetricRoundRobin.java"));
         assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1_200);
         assertTrue(lines.stream().allMatch(line -> line.length() <= 110));
     }
--- a/sidecar/src/test/java/appleridge/exchange/EventLoopStallGuardTest.java
+++ b/sidecar/src/test/java/appleridge/exchange/EventLoopStallGuardTest.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Guards against an attempt that begins more than 0.1 s after its client's end, which lies unread. */
+    /**
+     * Guards against an attempt that begins more than 0.1 s after its client's end, which lies
+     * unread.
+     */
     @Test
     void clientsAreLookedAtBeforeTheirLeavingIsATenthOfASecondOld() {
         for (long gap = 81; gap <= 1000; gap += 7) {
@@ -53,7 +56,8 @@
         long began = now;
         while (!guard.mayHaveMissedClients()) {
             eventAfter(5);
-            assertTrue(now - began < TimeUnit.MILLISECONDS.toNanos(100), "a turn goes on unlooked at");
+            assertTrue(
+                    now - began < TimeUnit.MILLISECONDS.toNanos(100), "a turn goes on unlooked at");
         }
         eventAfter(5);
         assertFalse(guard.mayHaveMissedClients(), "they have just been looked at");
--- a/sidecar/src/test/java/appleridge/exchange/ExchangesTest.java
+++ b/sidecar/src/test/java/appleridge/exchange/ExchangesTest.java
@@ -28,16 +28,22 @@
 /** A request's life on a clock and before upstreams that the test moves. */
 class ExchangesTest {
     private static final long MS = 1_000_000;
-    private static final InetSocketAddress ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-            1);
-    private static final Outgoing MESSAGE = new Outgoing() { };
+    private static final InetSocketAddress ADDRESS =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private static final Outgoing MESSAGE = new Outgoing() {};
 
-    /** Time that stands until it is moved, and timers that ring on the way, the earlier made first. */
+    /**
+     * Time that stands until it is moved, and timers that ring on the way, the earlier made first.
+     */
     private static final class Hand implements Time, Timers {
-        private record Alarm(long at, int serial, Runnable what) { }
-
-        private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) ->
-                a.at != b.at ? Long.compare(a.at, b.at) : Integer.compare(a.serial, b.serial));
+        private record Alarm(long at, int serial, Runnable what) {}
+
+        private final PriorityQueue<Alarm> alarms =
+                new PriorityQueue<>(
+                        (a, b) ->
+                                a.at != b.at
+                                        ? Long.compare(a.at, b.at)
+                                        : Integer.compare(a.serial, b.serial));
         private long now = 1_000_000 * MS;
         private int serials;
 
@@ -115,7 +121,7 @@
         final List<String> answers = new ArrayList<>();
 
         @Override
-        public void look() { }
+        public void look() {}
 
         @Override
         public void served(Reply reply) {
@@ -155,38 +161,64 @@
     private final Exchanges exchanges = exchanges(2000 * MS);
 
     private Exchanges exchanges(long drainGrace) {
-        return new Exchanges(hand, hand, settings(drainGrace), 100, new Upstreams() {
-            @Override
-            public Sending send(Endpoint to, Outgoing what, Window window, Listener listener) {
-                Sent next = new Sent(to, window, listener);
-                sent.add(next);
-                return next;
-            }
-
-            @Override
-            public void closeIdle(Endpoint endpoint) { }
-        }, new Log() {
-            @Override
-            public void news(String line) { }
-
-            @Override
-            public void warning(String line) { }
-
-            @Override
-            public void failure(String what, Throwable cause) {
-                failures.add(what + ": " + cause);
-            }
-        }, actions -> new SymmetricRoundRobin(settings(drainGrace), 7, actions));
+        return new Exchanges(
+                hand,
+                hand,
+                settings(drainGrace),
+                100,
+                new Upstreams() {
+                    @Override
+                    public Sending send(
+                            Endpoint to, Outgoing what, Window window, Listener listener) {
+                        Sent next = new Sent(to, window, listener);
+                        sent.add(next);
+                        return next;
+                    }
+
+                    @Override
+                    public void closeIdle(Endpoint endpoint) {}
+                },
+                new Log() {
+                    @Override
+                    public void news(String line) {}
+
+                    @Override
+                    public void warning(String line) {}
+
+                    @Override
+                    public void failure(String what, Throwable cause) {
+                        failures.add(what + ": " + cause);
+                    }
+                },
+                actions -> new SymmetricRoundRobin(settings(drainGrace), 7, actions));
     }
 
     private static Settings settings(long drainGrace) {
-        RequestClass hold = new RequestClass(400 * MS, 0, 1000 * MS, 1, 0, Semantics.BY_KEY, Scope.ALL,
-                1000 * MS,
-                false);
-        return new Settings(0, 1, 0, 5 * MS, Discovery.SUBSCRIBE, Weights.SILENT, List.of(hold), List.of(),
+        RequestClass hold =
+                new RequestClass(
+                        400 * MS,
+                        0,
+                        1000 * MS,
+                        1,
+                        0,
+                        Semantics.BY_KEY,
+                        Scope.ALL,
+                        1000 * MS,
+                        false);
+        return new Settings(
+                0,
+                1,
+                0,
+                5 * MS,
+                Discovery.SUBSCRIBE,
+                Weights.SILENT,
+                List.of(hold),
+                List.of(),
                 new Allowed(true, false, false, false, true, 6, 750 * MS, 100 * MS),
-                new Limits(20 * MS, 10_000 * MS, drainGrace, 0.4, 7000 * MS, 4, 1500 * MS), List.of(), false,
-                        1);
+                new Limits(20 * MS, 10_000 * MS, drainGrace, 0.4, 7000 * MS, 4, 1500 * MS),
+                List.of(),
+                false,
+                1);
     }
 
     private static Upstream upstream(long id, State state) {
@@ -194,15 +226,17 @@
     }
 
     private Runnable accept(Client client) {
-        return exchanges.accept(new ClientRequest("a", hand.now(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE),
-                client);
+        return exchanges.accept(
+                new ClientRequest("a", hand.now(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE), client);
     }
 
-    /** An answer that begins to go out, at the first attempt of a request that waits for a second. */
+    /**
+     * An answer that begins to go out, at the first attempt of a request that waits for a second.
+     */
     private Sent begins(Client client) {
         accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new Flow() { }));
+        assertTrue(first.listener.begins(new Flow() {}));
         assertEquals(List.of("flows"), client.answers);
         return first;
     }
@@ -238,7 +272,7 @@
         Client client = new Client();
         Runnable hangUp = accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new Flow() { }));
+        assertTrue(first.listener.begins(new Flow() {}));
         hangUp.run();
         hand.advance(1 * MS);
         assertTrue(first.abandoned);
@@ -251,7 +285,7 @@
         accept(client);
         Sent first = sent.get(0).write();
         hand.advance(1100 * MS);
-        assertFalse(first.listener.begins(new Flow() { }));
+        assertFalse(first.listener.begins(new Flow() {}));
         assertEquals(1, client.answers.size());
     }
 
@@ -260,25 +294,28 @@
     }
 
     private void start(Exchanges which) {
-        which.start(new Lists() {
-            @Override
-            public void subscribe(boolean on) { }
-
-            @Override
-            public void fetchList() { }
-
-            @Override
-            public void catchUp() {
-                unread.forEach(Runnable::run);
-                unread.clear();
-            }
-        }, List.of(upstream(1, State.READY), upstream(2, State.READY)), Map.of(1L, ADDRESS, 2L, ADDRESS));
+        which.start(
+                new Lists() {
+                    @Override
+                    public void subscribe(boolean on) {}
+
+                    @Override
+                    public void fetchList() {}
+
+                    @Override
+                    public void catchUp() {
+                        unread.forEach(Runnable::run);
+                        unread.clear();
+                    }
+                },
+                List.of(upstream(1, State.READY), upstream(2, State.READY)),
+                Map.of(1L, ADDRESS, 2L, ADDRESS));
     }
 
     private Client ask(String name, long patience) {
         Client client = new Client();
-        exchanges.accept(new ClientRequest(name, hand.now(), patience, 0, 0, 0, 0, false, MESSAGE),
-                client);
+        exchanges.accept(
+                new ClientRequest(name, hand.now(), patience, 0, 0, 0, 0, false, MESSAGE), client);
         return client;
     }
 
@@ -291,7 +328,8 @@
     }
 
     private void drain(long id) {
-        exchanges.listChanged(ListKind.DELTA, List.of(upstream(id, State.DRAINING)), Map.of(id, ADDRESS));
+        exchanges.listChanged(
+                ListKind.DELTA, List.of(upstream(id, State.DRAINING)), Map.of(id, ADDRESS));
     }
 
     @Test
@@ -330,7 +368,8 @@
     }
 
     /**
-     * Guards against what waited unread while the thread stood still, and was sent as if it had just come.
+     * Guards against what waited unread while the thread stood still, and was sent as if it had
+     * just come.
      */
     @Test
     void whatMayHaveWaitedWhileTheThreadStoodStillIsKnownForAWhile() {
@@ -344,7 +383,10 @@
         assertFalse(exchanges.mayHaveWaited(), "however long it was");
     }
 
-    /** Guards against answers that come as much too late as the thread was late to read what was asked. */
+    /**
+     * Guards against answers that come as much too late as the thread was late to read what was
+     * asked.
+     */
     @Test
     void whatIsReadAfterTheThreadWasLateMayHaveComeWhileItWas() {
         pass(300 * MS);
@@ -359,7 +401,10 @@
         assertEquals(hand.now(), exchanges.cameAt());
     }
 
-    /** Guards against a start whose waits add up: none of them alone is as long as what waited behind all. */
+    /**
+     * Guards against a start whose waits add up: none of them alone is as long as what waited
+     * behind all.
+     */
     @Test
     void whatWaitsBehindSeveralLateTurnsMayHaveComeBeforeTheFirst() {
         pass(300 * MS);
@@ -376,7 +421,10 @@
             hand.standStill(200 * MS);
             exchanges.tick();
         }
-        assertEquals(hand.now() - 200 * MS, exchanges.cameAt(), "a thread that is late for good serves on");
+        assertEquals(
+                hand.now() - 200 * MS,
+                exchanges.cameAt(),
+                "a thread that is late for good serves on");
     }
 
     /** Guards against a slow machine that takes all that is read for too old. */
@@ -387,8 +435,10 @@
             hand.standStill(160 * MS);
             Client client = new Client();
             int before = sent.size();
-            exchanges.accept(new ClientRequest("r" + i, exchanges.cameAt(), 770 * MS, 0, 0, 0, 0, false,
-                    MESSAGE), client);
+            exchanges.accept(
+                    new ClientRequest(
+                            "r" + i, exchanges.cameAt(), 770 * MS, 0, 0, 0, 0, false, MESSAGE),
+                    client);
             if (sent.size() > before) {
                 sent.get(before).write().listener.ended(Outcome.OK, null);
             }
@@ -422,32 +472,45 @@
     }
 
     /**
-     * Guards against who must stop sending in 250 ms and takes 200 ms in which nothing was read for nothing.
+     * Guards against who must stop sending in 250 ms and takes 200 ms in which nothing was read for
+     * nothing.
      */
     @Test
     void whereDrainsAreToBeHeededSoonALessLongStandStillIsLookedAfter() {
         Exchanges soon = exchanges(250 * MS);
         start(soon);
         hand.standStill(200 * MS);
-        unread.add(() -> soon.listChanged(ListKind.DELTA,
-                List.of(upstream(1, State.DRAINING), upstream(2, State.DRAINING)),
-                Map.of(1L, ADDRESS, 2L, ADDRESS)));
-        soon.accept(new ClientRequest("a", hand.now(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE), new Client());
+        unread.add(
+                () ->
+                        soon.listChanged(
+                                ListKind.DELTA,
+                                List.of(upstream(1, State.DRAINING), upstream(2, State.DRAINING)),
+                                Map.of(1L, ADDRESS, 2L, ADDRESS)));
+        soon.accept(
+                new ClientRequest("a", hand.now(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
+                new Client());
         assertEquals(0, sent.size(), "both drain");
     }
 
-    /** Guards against a drain that is undone: what a stand-still kept is newer than the list being told. */
+    /**
+     * Guards against a drain that is undone: what a stand-still kept is newer than the list being
+     * told.
+     */
     @Test
     void whatAStandStillKeptIsToldBehindTheListThatIsBeingTold() {
         hand.standStill(700 * MS);
         unread.add(() -> drain(1));
-        exchanges.listChanged(ListKind.DELTA, List.of(upstream(1, State.READY), upstream(2, State.DRAINING)),
+        exchanges.listChanged(
+                ListKind.DELTA,
+                List.of(upstream(1, State.READY), upstream(2, State.DRAINING)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
         ask("a", 2000 * MS);
         assertEquals(0, sent.size(), "both drain");
     }
 
-    /** Guards against sending to who may have drained long since, before discovery could be asked. */
+    /**
+     * Guards against sending to who may have drained long since, before discovery could be asked.
+     */
     @Test
     void afterLongerThanDrainsAllowRequestsWaitForWordOfTheList() {
         hand.standStill(2500 * MS);
@@ -485,8 +548,8 @@
     }
 
     /**
-     * Guards against a healthy upstream that is shut out because a request ran out of time on its way
-     * there.
+     * Guards against a healthy upstream that is shut out because a request ran out of time on its
+     * way there.
      */
     @Test
     void aDeadlineThatPassesWhileConnectingTellsNothingOfTheUpstream() {
@@ -498,7 +561,9 @@
             ask("b" + i, 900 * MS);
             sent.get(sent.size() - 1).write().listener.ended(Outcome.OK, fields -> new float[0]);
         }
-        assertEquals(2, sent.stream().skip(1).map(each -> each.to.upstream()).distinct().count(),
+        assertEquals(
+                2,
+                sent.stream().skip(1).map(each -> each.to.upstream()).distinct().count(),
                 "both still take their turns");
     }
 
@@ -512,13 +577,15 @@
 
     @Test
     void anAnswerThatCantBeGivenClosesTheConnectionAndIsKnownToTheModule() {
-        Client client = new Client() {
-            @Override
-            public void served(Reply reply) {
-                throw new IllegalStateException("no");
-            }
-        };
-        exchanges.accept(new ClientRequest("a", hand.now(), 900 * MS, 0, 0, 0, 0, false, MESSAGE), client);
+        Client client =
+                new Client() {
+                    @Override
+                    public void served(Reply reply) {
+                        throw new IllegalStateException("no");
+                    }
+                };
+        exchanges.accept(
+                new ClientRequest("a", hand.now(), 900 * MS, 0, 0, 0, 0, false, MESSAGE), client);
         sent.get(0).write().listener.ended(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("abort"), client.answers);
         assertEquals(new Books(0, 0, 0, 0), exchanges.books());
--- a/sidecar/src/test/java/appleridge/handover/OverlapTest.java
+++ b/sidecar/src/test/java/appleridge/handover/OverlapTest.java
@@ -27,21 +27,29 @@
             for (Phase other : Phase.values()) {
                 assertTrue(part(one, other) + part(other, one) < 1.0001, one + " beside " + other);
                 for (Phase third : Phase.values()) {
-                    double all = part(one, other, third) + part(other, one, third) + part(third, one, other);
+                    double all =
+                            part(one, other, third)
+                                    + part(other, one, third)
+                                    + part(third, one, other);
                     assertTrue(all < 1.0001, "an upgrade within an upgrade: " + all);
                 }
             }
         }
     }
 
-    /** Guards against a door that nobody opens: whoever can serve accepts; if nobody can, who starts does. */
+    /**
+     * Guards against a door that nobody opens: whoever can serve accepts; if nobody can, who starts
+     * does.
+     */
     @Test
     void someoneAcceptsUnlessAllAreEnding() {
         for (Phase one : Phase.values()) {
             for (Phase other : Phase.values()) {
-                boolean accepted = Overlap.of(one, List.of(other)).accepts()
-                        || Overlap.of(other, List.of(one)).accepts();
-                assertEquals(one != Phase.ENDING || other != Phase.ENDING, accepted, one + " " + other);
+                boolean accepted =
+                        Overlap.of(one, List.of(other)).accepts()
+                                || Overlap.of(other, List.of(one)).accepts();
+                assertEquals(
+                        one != Phase.ENDING || other != Phase.ENDING, accepted, one + " " + other);
             }
         }
         assertFalse(Overlap.of(Phase.STARTING, List.of(Phase.SERVING)).accepts(), "it is cold");
--- a/sidecar/src/test/java/appleridge/handover/file/SlotsTest.java
+++ b/sidecar/src/test/java/appleridge/handover/file/SlotsTest.java
@@ -18,14 +18,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The folder by which processes know of each other; locks between real processes are HeldListenerIT's. */
+/**
+ * The folder by which processes know of each other; locks between real processes are
+ * HeldListenerIT's.
+ */
 @Timeout(60)
 class SlotsTest {
-    private static final ProcessState STATE = new ProcessState(Phase.SERVING,
-            List.of(new Word("s-5be2a07c", true, 1_700_000_000_000_000_000L), new Word("b", false, 7)));
+    private static final ProcessState STATE =
+            new ProcessState(
+                    Phase.SERVING,
+                    List.of(
+                            new Word("s-5be2a07c", true, 1_700_000_000_000_000_000L),
+                            new Word("b", false, 7)));
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
@@ -34,7 +40,10 @@
         assertEquals(empty, StateFile.read(StateFile.write(empty)));
     }
 
-    /** Guards against half a file, another version's or noise being taken for word of the other process. */
+    /**
+     * Guards against half a file, another version's or noise being taken for word of the other
+     * process.
+     */
     @Test
     void whatIsTornOrForeignIsRefused() throws Exception {
         byte[] whole = StateFile.write(STATE);
@@ -52,7 +61,9 @@
                 assertTrue(e.getMessage() != null);
             }
         }
-        assertThrows(IOException.class, () -> StateFile.read("appleridge-state 2 0\nSERVING\n".getBytes()));
+        assertThrows(
+                IOException.class,
+                () -> StateFile.read("appleridge-state 2 0\nSERVING\n".getBytes()));
     }
 
     @Test
@@ -67,7 +78,8 @@
         }
         try (Slots again = Slots.take(folder, warnings::add)) {
             assertEquals(List.of(), again.others());
-            assertTrue(Files.notExists(folder.resolve("slot-0.state")), "who had the slot is no more");
+            assertTrue(
+                    Files.notExists(folder.resolve("slot-0.state")), "who had the slot is no more");
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
+++ b/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
@@ -17,15 +17,19 @@
         for (long deadline = 0; deadline <= 10_000; deadline += 10) {
             DrainSchedule schedule = DrainSchedule.of(millis(deadline));
             long kill = millis(700 + Math.min(3000, deadline));
-            assertTrue(schedule.end() <= kill - millis(300), "deadline " + deadline + ": " + schedule);
-            assertTrue(schedule.lastCall() > 0 && schedule.lastCall() < schedule.end(), schedule.toString());
+            assertTrue(
+                    schedule.end() <= kill - millis(300), "deadline " + deadline + ": " + schedule);
+            assertTrue(
+                    schedule.lastCall() > 0 && schedule.lastCall() < schedule.end(),
+                    schedule.toString());
             assertTrue(schedule.acceptsUntil() <= schedule.end(), schedule.toString());
         }
     }
 
     @Test
     void forALongDeadlineItServesUntilShortlyBeforeSigkill() {
-        assertEquals(new DrainSchedule(millis(600), millis(3000), millis(3300)),
+        assertEquals(
+                new DrainSchedule(millis(600), millis(3000), millis(3300)),
                 DrainSchedule.of(millis(6000)));
     }
 
--- a/sidecar/src/test/java/appleridge/http1/HttpReplyTest.java
+++ b/sidecar/src/test/java/appleridge/http1/HttpReplyTest.java
@@ -13,7 +13,8 @@
     void malformedLoadReportsAreIgnored() {
         List<String> fields = List.of("rate", "q");
         assertArrayEquals(new float[] {3, 2}, load("q=2,other=9, rate=3.0", fields));
-        for (String malformed : List.of("", "q=2", "q=2,rate=x", "q=2,rate=NaN", "q=-1,rate=1", "=,=", "q")) {
+        for (String malformed :
+                List.of("", "q=2", "q=2,rate=x", "q=2,rate=NaN", "q=-1,rate=1", "=,=", "q")) {
             assertEquals(0, load(malformed, fields).length, malformed);
         }
     }
--- a/sidecar/src/test/java/appleridge/http1/LastByteTest.java
+++ b/sidecar/src/test/java/appleridge/http1/LastByteTest.java
@@ -21,7 +21,7 @@
 class LastByteTest {
     /** A socket that takes what is written only when told to. */
     private static final class Slow extends ChannelOutboundHandlerAdapter {
-        private record Waiting(Object message, ChannelPromise promise) { }
+        private record Waiting(Object message, ChannelPromise promise) {}
 
         private final Deque<Waiting> waiting = new ArrayDeque<>();
         private ChannelHandlerContext ctx;
@@ -75,7 +75,10 @@
         assertNull(channel.pipeline().get(LastByte.class));
     }
 
-    /** Guards against a repeat that runs because its last bytes waited in a full socket beyond its window. */
+    /**
+     * Guards against a repeat that runs because its last bytes waited in a full socket beyond its
+     * window.
+     */
     @Test
     void theLastByteStaysIfItsTimeHasPassedWhileTheRestWaited() {
         ChannelFuture done = write("head", "body");
--- a/sidecar/src/test/java/appleridge/http1/RequestReaderTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestReaderTest.java
@@ -18,14 +18,18 @@
 
 /** What a request's headers say, and what they may not say. */
 class RequestReaderTest {
-    private static final String TWO_TENANTS = "\"parties\":["
-            + "{\"name\":\"first\",\"portion\":0.5,\"quotaRps\":9},"
-            + "{\"name\":\"acme\",\"portion\":0.5,\"quotaRps\":9}]";
+    private static final String TWO_TENANTS =
+            "\"parties\":["
+                    + "{\"name\":\"first\",\"portion\":0.5,\"quotaRps\":9},"
+                    + "{\"name\":\"acme\",\"portion\":0.5,\"quotaRps\":9}]";
 
-    private static ClientRequest read(String parties, HttpRequest head) throws IOException, BadRequest {
-        String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
-                .replaceAll("\"parties\":\\[[^]]*]", parties);
-        RequestReader reader = new RequestReader(Config.parse(json.getBytes(StandardCharsets.UTF_8)));
+    private static ClientRequest read(String parties, HttpRequest head)
+            throws IOException, BadRequest {
+        String json =
+                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                        .replaceAll("\"parties\":\\[[^]]*]", parties);
+        RequestReader reader =
+                new RequestReader(Config.parse(json.getBytes(StandardCharsets.UTF_8)));
         return reader.read(head, new byte[0], 0);
     }
 
@@ -35,7 +39,10 @@
 
     private static HttpRequest request() {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api");
-        head.headers().set(Headers.REQUEST_ID, "id").set(Headers.CLASS, "write").set(Headers.DEADLINE, "0.5")
+        head.headers()
+                .set(Headers.REQUEST_ID, "id")
+                .set(Headers.CLASS, "write")
+                .set(Headers.DEADLINE, "0.5")
                 .set(Headers.IDEMPOTENCY_KEY, "key");
         return head;
     }
@@ -48,8 +55,13 @@
     /** Guards against a check of the first line where an upstream goes by the second. */
     @Test
     void whatARequestIsIsSaidOnce() throws Exception {
-        String[][] lines = {{"X-Request-Id", "id"}, {"X-Class", "write"}, {"X-Deadline", "0.5"},
-            {"X-Tenant", "acme"}, {"Idempotency-Key", "key"}};
+        String[][] lines = {
+            {"X-Request-Id", "id"},
+            {"X-Class", "write"},
+            {"X-Deadline", "0.5"},
+            {"X-Tenant", "acme"},
+            {"Idempotency-Key", "key"}
+        };
         for (String[] line : lines) {
             for (String second : new String[] {line[1], "other"}) {
                 HttpRequest head = request();
@@ -87,16 +99,21 @@
         assertBad(head);
     }
 
-    /** Guards against a customer whose every request is turned away, for its clients wait for long. */
+    /**
+     * Guards against a customer whose every request is turned away, for its clients wait for long.
+     */
     @Test
     void aClassMayWaitForLongerThanAMinute() throws Exception {
-        String patient = LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
-                .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
-        RequestReader reader = new RequestReader(Config.parse(patient.getBytes(StandardCharsets.UTF_8)));
+        String patient =
+                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                        .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
+        RequestReader reader =
+                new RequestReader(Config.parse(patient.getBytes(StandardCharsets.UTF_8)));
         HttpRequest head = request();
         for (String deadline : new String[] {"75.5", "90"}) {
             head.headers().set(Headers.DEADLINE, deadline);
-            assertEquals((long) (Double.parseDouble(deadline) * 1e9),
+            assertEquals(
+                    (long) (Double.parseDouble(deadline) * 1e9),
                     reader.read(head, new byte[0], 0).patience());
         }
         head.headers().set(Headers.DEADLINE, "90.1");
@@ -104,8 +121,8 @@
     }
 
     /**
-     * Guards against one bad client whose request counts for more than all others together: what a sidecar
-     * allows a cold server, and whom it sheds, goes by the work that it was asked for.
+     * Guards against one bad client whose request counts for more than all others together: what a
+     * sidecar allows a cold server, and whom it sheds, goes by the work that it was asked for.
      */
     @Test
     void aGuessAtMoreWorkThanItsClientWaitsForIsNone() throws Exception {
@@ -114,7 +131,8 @@
             head.headers().set(Headers.COST_HINT, hint);
             assertEquals(Long.parseLong(hint) * 1000, read(head).costHint());
         }
-        for (String hint : new String[] {"3000001", "1e12", "1e300", "Infinity", "NaN", "-1", "much"}) {
+        for (String hint :
+                new String[] {"3000001", "1e12", "1e300", "Infinity", "NaN", "-1", "much"}) {
             head.headers().set(Headers.COST_HINT, hint);
             assertEquals(0, read(head).costHint(), hint);
         }
@@ -132,7 +150,9 @@
         head.headers().set(Headers.TENANT, "Acme");
         assertBad(head);
         assertEquals(0, read("\"parties\":[]", head).tenant(), "the settings have none");
-        assertEquals(0, read("\"parties\":[{\"portion\":1.0,\"quotaRps\":9}]", head).tenant(),
+        assertEquals(
+                0,
+                read("\"parties\":[{\"portion\":1.0,\"quotaRps\":9}]", head).tenant(),
                 "the settings don't name theirs");
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamPoolTest.java
@@ -5,16 +5,16 @@
 
 import appleridge.config.Config;
 import appleridge.daemon.LoopbackNode;
-import appleridge.daemon.StubUpstream.Script;
 import appleridge.daemon.StubUpstream;
+import appleridge.daemon.StubUpstream.Script;
 import appleridge.decision.Balancer.Outcome;
 import appleridge.exchange.Endpoint;
 import appleridge.exchange.Window;
 import appleridge.transport.Loop;
 import appleridge.transport.NioSockets;
+import appleridge.transport.Sockets;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
-import appleridge.transport.Sockets;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
@@ -39,13 +39,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections kept, closed and given up, without the module, whose own orders close idle ones too. */
+/**
+ * Connections kept, closed and given up, without the module, whose own orders close idle ones too.
+ */
 @Timeout(60)
 class UpstreamPoolTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
-    private static final OutgoingRequest REQUEST = new OutgoingRequest(HttpMethod.GET, "/",
-            new DefaultHttpHeaders(), new byte[0]);
+    private static final OutgoingRequest REQUEST =
+            new OutgoingRequest(HttpMethod.GET, "/", new DefaultHttpHeaders(), new byte[0]);
     private static final Window ALWAYS = new Window(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
     /** The system may have a connection up at once or a moment later; here it is always at once. */
@@ -62,12 +64,16 @@
         }
     }
 
-    private record Result(Outcome outcome, HttpReply reply) { }
+    private record Result(Outcome outcome, HttpReply reply) {}
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Loop time = new Loop(loop, SystemTime.UNIX_MILLIS,
-            new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
+    private final Loop time =
+            new Loop(
+                    loop,
+                    SystemTime.UNIX_MILLIS,
+                    new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
 
     @AfterEach
@@ -76,9 +82,13 @@
     }
 
     private UpstreamPool pool(long idleMillis, int connections) {
-        return new UpstreamPool(time, new NioSockets(), TimeUnit.SECONDS.toNanos(1),
+        return new UpstreamPool(
+                time,
+                new NioSockets(),
+                TimeUnit.SECONDS.toNanos(1),
                 TimeUnit.MILLISECONDS.toNanos(idleMillis),
-                TimeUnit.MILLISECONDS.toNanos(200), connections);
+                TimeUnit.MILLISECONDS.toNanos(200),
+                connections);
     }
 
     private static Endpoint endpoint(long id, StubUpstream upstream) {
@@ -86,8 +96,12 @@
     }
 
     private UpstreamExchange send(UpstreamPool pool, Endpoint endpoint) {
-        return (UpstreamExchange) pool.send(endpoint, REQUEST, ALWAYS,
-                (outcome, reply) -> results.add(new Result(outcome, (HttpReply) reply)));
+        return (UpstreamExchange)
+                pool.send(
+                        endpoint,
+                        REQUEST,
+                        ALWAYS,
+                        (outcome, reply) -> results.add(new Result(outcome, (HttpReply) reply)));
     }
 
     private UpstreamExchange start(UpstreamPool pool, StubUpstream upstream) throws Exception {
@@ -138,10 +152,12 @@
     /** Guards against a request written to a connection whose end the upstream has announced. */
     @Test
     void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
-        Script closing = (socket, request) -> {
-            StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
-            return false;
-        };
+        Script closing =
+                (socket, request) -> {
+                    StubUpstream.write(
+                            socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
+                    return false;
+                };
         try (StubUpstream upstream = new StubUpstream(closing)) {
             UpstreamPool pool = pool(10_000, 10);
             for (int i = 0; i < 5; i++) {
@@ -151,15 +167,19 @@
         }
     }
 
-    /** Guards against noise behind one answer being read as the next one, also where it is no whole line. */
+    /**
+     * Guards against noise behind one answer being read as the next one, also where it is no whole
+     * line.
+     */
     @Test
     void whatComesBehindAnAnswerDoesNotReachTheNextRequest() throws Exception {
         String[] noise = {StubUpstream.answer("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
         for (String behind : noise) {
             Script doubled = StubUpstream.says(StubUpstream.answer("200 OK", "fine") + behind);
             Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
-            try (StubUpstream upstream = new StubUpstream(
-                    StubUpstream.firstThen(new CountDownLatch(1), doubled, next))) {
+            try (StubUpstream upstream =
+                    new StubUpstream(
+                            StubUpstream.firstThen(new CountDownLatch(1), doubled, next))) {
                 UpstreamPool pool = pool(10_000, 10);
                 assertEquals("fine", ask(pool, upstream));
                 assertEquals("next", ask(pool, upstream));
@@ -169,26 +189,33 @@
     }
 
     /**
-     * Guards against a second copy of one answer, which the system holds unread, being taken for the next
-     * request's: it is written here while the loop is kept from reading.
+     * Guards against a second copy of one answer, which the system holds unread, being taken for
+     * the next request's: it is written here while the loop is kept from reading.
      */
     @Test
     void whatComesAfterAnAnswerWasReadDoesNotReachTheNextRequest() throws Exception {
         Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
-        try (StubUpstream upstream = new StubUpstream(
-                StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
+        try (StubUpstream upstream =
+                new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
             UpstreamPool pool = pool(10_000, 10);
             assertEquals("fine", ask(pool, upstream));
-            loop.submit(() -> {
-                StubUpstream.write(upstream.accepted.element(), StubUpstream.answer("200 OK", "wrong"));
-                Thread.sleep(50);
-                return send(pool, endpoint(1, upstream));
-            }).get();
+            loop.submit(
+                            () -> {
+                                StubUpstream.write(
+                                        upstream.accepted.element(),
+                                        StubUpstream.answer("200 OK", "wrong"));
+                                Thread.sleep(50);
+                                return send(pool, endpoint(1, upstream));
+                            })
+                    .get();
             assertEquals("next", new String(next().reply().body(), StandardCharsets.US_ASCII));
         }
     }
 
-    /** Guards against connections that pass from an upstream that has gone to one that has its address. */
+    /**
+     * Guards against connections that pass from an upstream that has gone to one that has its
+     * address.
+     */
     @Test
     void anUpstreamDoesNotInheritAnothersConnections() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
@@ -206,90 +233,131 @@
     }
 
     /**
-     * Guards against a channel that can't be made, as when descriptors are out: Netty would tell of it on a
-     * thread of its own, where it meets the loop's, and the connection would be counted for good.
+     * Guards against a channel that can't be made, as when descriptors are out: Netty would tell of
+     * it on a thread of its own, where it meets the loop's, and the connection would be counted for
+     * good.
      */
     @Test
     void withNoSocketToBeHadNothingIsSentAndItIsToldOnTheLoop() throws Exception {
-        Sockets none = new Sockets() {
-            @Override
-            public Channel connecting() {
-                throw new ChannelException("Failed to open a socket.",
-                        new IOException("Too many open files"));
-            }
+        Sockets none =
+                new Sockets() {
+                    @Override
+                    public Channel connecting() {
+                        throw new ChannelException(
+                                "Failed to open a socket.", new IOException("Too many open files"));
+                    }
 
-            @Override
-            public ServerChannel listening() {
-                throw new ChannelException("Failed to open a socket.");
-            }
+                    @Override
+                    public ServerChannel listening() {
+                        throw new ChannelException("Failed to open a socket.");
+                    }
 
-            @Override
-            public void readNow(Channel channel) { }
-        };
-        UpstreamPool pool = new UpstreamPool(time, none, TimeUnit.SECONDS.toNanos(1),
-                TimeUnit.SECONDS.toNanos(10), TimeUnit.MILLISECONDS.toNanos(200), 2);
-        Endpoint nowhere = new Endpoint(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
+                    @Override
+                    public void readNow(Channel channel) {}
+                };
+        UpstreamPool pool =
+                new UpstreamPool(
+                        time,
+                        none,
+                        TimeUnit.SECONDS.toNanos(1),
+                        TimeUnit.SECONDS.toNanos(10),
+                        TimeUnit.MILLISECONDS.toNanos(200),
+                        2);
+        Endpoint nowhere =
+                new Endpoint(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         for (int i = 0; i < 5; i++) {
             BlockingQueue<String> told = new LinkedBlockingQueue<>();
-            loop.submit(() -> pool.send(nowhere, REQUEST, ALWAYS,
-                    (outcome, reply) -> told.add(outcome + " " + loop.inEventLoop()))).get();
-            assertEquals("NEVER_SENT true", told.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            loop.submit(
+                            () ->
+                                    pool.send(
+                                            nowhere,
+                                            REQUEST,
+                                            ALWAYS,
+                                            (outcome, reply) ->
+                                                    told.add(outcome + " " + loop.inEventLoop())))
+                    .get();
+            assertEquals(
+                    "NEVER_SENT true", told.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, loop.submit(pool::connections).get());
         }
     }
 
     /**
-     * Guards against a request given to a connection that its upstream has closed between the two moments in
-     * which it came up and was told of: nothing was ever heard of it again. The end is read in between here.
+     * Guards against a request given to a connection that its upstream has closed between the two
+     * moments in which it came up and was told of: nothing was ever heard of it again. The end is
+     * read in between here.
      */
     @Test
     void whatIsClosedBeforeItIsToldOfCarriesNothing() throws Exception {
         BlockingQueue<Channel> made = new LinkedBlockingQueue<>();
         NioSockets usual = new NioSockets();
-        Sockets watched = new Sockets() {
-            @Override
-            public Channel connecting() {
-                Channel channel = new ConnectsAtOnce();
-                made.add(channel);
-                return channel;
-            }
+        Sockets watched =
+                new Sockets() {
+                    @Override
+                    public Channel connecting() {
+                        Channel channel = new ConnectsAtOnce();
+                        made.add(channel);
+                        return channel;
+                    }
 
-            @Override
-            public ServerChannel listening() {
-                return usual.listening();
-            }
+                    @Override
+                    public ServerChannel listening() {
+                        return usual.listening();
+                    }
 
-            @Override
-            public void readNow(Channel channel) {
-                usual.readNow(channel);
-            }
-        };
-        UpstreamPool pool = new UpstreamPool(time, watched, TimeUnit.SECONDS.toNanos(1),
-                TimeUnit.SECONDS.toNanos(10), TimeUnit.MILLISECONDS.toNanos(200), 2);
+                    @Override
+                    public void readNow(Channel channel) {
+                        usual.readNow(channel);
+                    }
+                };
+        UpstreamPool pool =
+                new UpstreamPool(
+                        time,
+                        watched,
+                        TimeUnit.SECONDS.toNanos(1),
+                        TimeUnit.SECONDS.toNanos(10),
+                        TimeUnit.MILLISECONDS.toNanos(200),
+                        2);
         try (StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
-            loop.submit(() -> {
-                send(pool, endpoint(1, upstream));
-                upstream.accepted.take().close();
-                Channel channel = made.take();
-                while (channel.isActive()) {
-                    usual.readNow(channel);
-                }
-                return null;
-            }).get();
+            loop.submit(
+                            () -> {
+                                send(pool, endpoint(1, upstream));
+                                upstream.accepted.take().close();
+                                Channel channel = made.take();
+                                while (channel.isActive()) {
+                                    usual.readNow(channel);
+                                }
+                                return null;
+                            })
+                    .get();
             assertEquals(Outcome.CONNECT_FAILED, next().outcome());
             assertEquals(0, loop.submit(pool::connections).get());
             assertEquals(0, upstream.requests.size());
         }
     }
 
-    /** Guards against time spent on an answer that can't be served: the rest of it is not waited for. */
+    /**
+     * Guards against time spent on an answer that can't be served: the rest of it is not waited
+     * for.
+     */
     @Test
     void anAnswerThatIsTooLongIsGivenUpByItsHead() throws Exception {
-        for (String length : new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
-            try (StubUpstream upstream = new StubUpstream(StubUpstream.says(
-                    "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nfine"))) {
-                UpstreamPool patient = new UpstreamPool(time, new NioSockets(), TimeUnit.SECONDS.toNanos(1),
-                        TimeUnit.SECONDS.toNanos(10), TimeUnit.HOURS.toNanos(1), 10);
+        for (String length :
+                new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
+            try (StubUpstream upstream =
+                    new StubUpstream(
+                            StubUpstream.says(
+                                    "HTTP/1.1 200 OK\r\nContent-Length: "
+                                            + length
+                                            + "\r\n\r\nfine"))) {
+                UpstreamPool patient =
+                        new UpstreamPool(
+                                time,
+                                new NioSockets(),
+                                TimeUnit.SECONDS.toNanos(1),
+                                TimeUnit.SECONDS.toNanos(10),
+                                TimeUnit.HOURS.toNanos(1),
+                                10);
                 start(patient, upstream);
                 assertEquals(Outcome.RESET, next().outcome(), length);
             }
@@ -297,13 +365,17 @@
     }
 
     /**
-     * Guards against an answer with a hole: the part that makes it too long is left out, and what was read
-     * together with it, which fits again, would complete the rest.
+     * Guards against an answer with a hole: the part that makes it too long is left out, and what
+     * was read together with it, which fits again, would complete the rest.
      */
     @Test
     void anAnswerThatGrowsTooLongIsNotServedWithoutThePartThatWasTooMuch() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk(Framing.MAX_BODY - 4) + chunk(10) + chunk(3) + "0\r\n\r\n";
+        String answer =
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + chunk(Framing.MAX_BODY - 4)
+                        + chunk(10)
+                        + chunk(3)
+                        + "0\r\n\r\n";
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
             UpstreamPool pool = pool(10_000, 10);
             for (int i = 0; i < 10; i++) {
@@ -313,11 +385,17 @@
         }
     }
 
-    /** Guards against a head that was turned down being followed by another one that is taken for it. */
+    /**
+     * Guards against a head that was turned down being followed by another one that is taken for
+     * it.
+     */
     @Test
     void whatFollowsAHeadThatCantBeServedIsNotItsAnswer() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, chunked\r\n\r\n"
-                + chunk(4) + "0\r\n\r\n" + StubUpstream.answer("200 OK", "next");
+        String answer =
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, chunked\r\n\r\n"
+                        + chunk(4)
+                        + "0\r\n\r\n"
+                        + StubUpstream.answer("200 OK", "next");
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
             UpstreamPool pool = pool(10_000, 10);
             start(pool, upstream);
--- a/sidecar/src/test/java/appleridge/lease/LeaseTest.java
+++ b/sidecar/src/test/java/appleridge/lease/LeaseTest.java
@@ -16,8 +16,11 @@
 class LeaseTest {
     private static final long MS = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long TERM = 10_000 * MS;
+
     /** One in a hundred, 100 ms of guard, a pause of 1 s, acts of 500 ms. */
-    private static final Terms TIMED = Terms.timed(TERM, 10_000, 100 * MS, 3_000 * MS, 1_000 * MS, 500 * MS);
+    private static final Terms TIMED =
+            Terms.timed(TERM, 10_000, 100 * MS, 3_000 * MS, 1_000 * MS, 500 * MS);
+
     private static final Terms FENCED = Terms.fenced(TERM, 10_000, 100 * MS, 3_000 * MS);
     private static final long ACTS_FOR = 9_800 * MS;
     private static final long KEPT_OUT = 10_200 * MS;
@@ -64,7 +67,9 @@
         assertEquals(1, a.lease.grant().token());
     }
 
-    /** In a holder that stood still: before its renewal, within it, and before its answer was read. */
+    /**
+     * In a holder that stood still: before its renewal, within it, and before its answer was read.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 0.9, 1.1, 4})
     void aStoppedHolderActsNoLongerThanItsGrant(double terms) {
@@ -231,7 +236,8 @@
         a.lease.time(6_000 * MS);
         assertEquals(State.DOUBTFUL, a.lease.state());
         late.run();
-        assertEquals(ACTS_FOR, a.lease.grant().until(), "an answer to a question that was given up");
+        assertEquals(
+                ACTS_FOR, a.lease.grant().until(), "an answer to a question that was given up");
         a.settle(6_200 * MS);
         assertEquals(State.HELD, a.lease.state());
     }
@@ -339,11 +345,13 @@
     @Test
     void termsThatCanNotHoldAreRefused() {
         for (long renewEvery : new long[] {0, ACTS_FOR}) {
-            assertThrows(IllegalArgumentException.class,
+            assertThrows(
+                    IllegalArgumentException.class,
                     () -> Terms.fenced(TERM, 10_000, 100 * MS, renewEvery));
         }
         assertEquals(KEPT_OUT, TIMED.keptOutFor(TERM));
-        assertEquals(Terms.LONGEST + Terms.LONGEST / 100 + 100 * MS, TIMED.keptOutFor(Long.MAX_VALUE));
+        assertEquals(
+                Terms.LONGEST + Terms.LONGEST / 100 + 100 * MS, TIMED.keptOutFor(Long.MAX_VALUE));
     }
 
     /** Guards against a token that runs back after the largest there is. */
--- a/sidecar/src/test/java/appleridge/lease/PermitsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/PermitsTest.java
@@ -17,8 +17,8 @@
     private static final Terms TERMS = Terms.timed(1_000, 10_000, 10, 300, 0, 100);
     private static final int COUNT = 4;
 
-    private final List<Register.Store> stores = IntStream.range(0, COUNT)
-            .mapToObj(i -> new Register.Store()).toList();
+    private final List<Register.Store> stores =
+            IntStream.range(0, COUNT).mapToObj(i -> new Register.Store()).toList();
 
     /** A process with a lease for each permit. */
     private final class Process {
@@ -27,10 +27,13 @@
         final Shares shares;
 
         Process(String name, long whole) {
-            permits = new Permits(COUNT, i -> {
-                registers.add(new Register(stores.get(i), TERMS, name, name));
-                return registers.get(i).lease;
-            });
+            permits =
+                    new Permits(
+                            COUNT,
+                            i -> {
+                                registers.add(new Register(stores.get(i), TERMS, name, name));
+                                return registers.get(i).lease;
+                            });
             shares = new Shares(whole, permits);
         }
 
@@ -70,8 +73,8 @@
     @Test
     void sharesNeverSumToMoreThanTheWholeThroughEveryReshaping() {
         long whole = 10;
-        List<Process> all = List.of(new Process("a", whole), new Process("b", whole),
-                new Process("c", whole));
+        List<Process> all =
+                List.of(new Process("a", whole), new Process("b", whole), new Process("c", whole));
         Random random = new Random(34);
         int grown = 0;
         long[] spent = new long[2_000];
@@ -99,7 +102,8 @@
         a.settle(0);
         assertEquals(0, a.shares.part(0, 0), "a quarter of three");
         assertEquals(1, a.permits.usable(0, 0));
-        assertThrows(IllegalArgumentException.class, () -> new Permits(Permits.MOST + 1, i -> null));
+        assertThrows(
+                IllegalArgumentException.class, () -> new Permits(Permits.MOST + 1, i -> null));
         assertThrows(IllegalArgumentException.class, () -> new Shares(-1, a.permits));
     }
 
@@ -108,7 +112,8 @@
         Leases leases = new Leases(2, 1);
         Register first = new Register(new Register.Store(), TERMS, "a", "a");
         assertNotNull(leases.open("x", () -> first.lease));
-        assertNotNull(leases.open("y", () -> new Register(new Register.Store(), TERMS, "a", "b").lease));
+        assertNotNull(
+                leases.open("y", () -> new Register(new Register.Store(), TERMS, "a", "b").lease));
         assertNull(leases.open("z", () -> first.lease));
         assertTrue(leases.seek(0, "x"));
         assertFalse(leases.seek(0, "y"), "one waits already");
--- a/sidecar/src/test/java/appleridge/lease/Register.java
+++ b/sidecar/src/test/java/appleridge/lease/Register.java
@@ -11,7 +11,7 @@
         long versions;
     }
 
-    private record Asked(long question, long expected, Entry next) { }
+    private record Asked(long question, long expected, Entry next) {}
 
     final Store store;
     final Lease lease;
@@ -48,7 +48,10 @@
         return asked != null;
     }
 
-    /** What was asked last happens in the store; whether it did, and the record, are kept for the answer. */
+    /**
+     * What was asked last happens in the store; whether it did, and the record, are kept for the
+     * answer.
+     */
     Runnable reach(long now) {
         Asked its = asked;
         Object done = reach();
@@ -56,7 +59,10 @@
         return () -> answer(now, its, done);
     }
 
-    /** It happens in the store; the answer is the record, or the version made, or null for a conflict. */
+    /**
+     * It happens in the store; the answer is the record, or the version made, or null for a
+     * conflict.
+     */
     private Object reach() {
         Asked its = asked;
         if (its.next == null) {
@@ -66,8 +72,14 @@
             return null;
         }
         Entry next = its.next;
-        store.record = new Entry(store.versions++, next.token(), next.holder(), next.nonce(), next.term(),
-                next.released());
+        store.record =
+                new Entry(
+                        store.versions++,
+                        next.token(),
+                        next.holder(),
+                        next.nonce(),
+                        next.term(),
+                        next.released());
         return store.record.version();
     }
 
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
@@ -12,11 +12,15 @@
 class LeaseRecordTest {
     @Test
     void whatIsWrittenIsReadAndCanBeReadByAPerson() {
-        byte[] bytes = LeaseRecord.bytes(new Entry(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
-        assertEquals("{\"holder\":\"host-a/12\",\"token\":7,\"since\":\"1970-01-01T00:00:00Z\","
-                + "\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}",
+        byte[] bytes =
+                LeaseRecord.bytes(new Entry(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
+        assertEquals(
+                "{\"holder\":\"host-a/12\",\"token\":7,\"since\":\"1970-01-01T00:00:00Z\","
+                        + "\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}",
                 new String(bytes, StandardCharsets.UTF_8));
-        assertEquals(new Entry(3, 7, "host-a/12", "ab", 2_001_000_000L, false), LeaseRecord.entry(bytes, 3));
+        assertEquals(
+                new Entry(3, 7, "host-a/12", "ab", 2_001_000_000L, false),
+                LeaseRecord.entry(bytes, 3));
     }
 
     /** Guards against an operator's hand in the record that is taken for a free lease. */
@@ -25,18 +29,30 @@
         String good =
                 "{\"holder\":\"a\",\"token\":7,\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}";
         assertEquals(7, LeaseRecord.entry(good.getBytes(StandardCharsets.UTF_8), 0).token());
-        for (String bad : List.of("", "{", "[]", "null", good.replace("7", "7.5"), good.replace("7", "\"7\""),
-                good.replace("2001", "1e30"), good.replace("false", "0"), good.replace("\"ab\"", "1"),
-                good.replace("\"a\"", "null"))) {
-            assertThrows(IllegalArgumentException.class,
-                    () -> LeaseRecord.entry(bad.getBytes(StandardCharsets.UTF_8), 0), bad);
+        for (String bad :
+                List.of(
+                        "",
+                        "{",
+                        "[]",
+                        "null",
+                        good.replace("7", "7.5"),
+                        good.replace("7", "\"7\""),
+                        good.replace("2001", "1e30"),
+                        good.replace("false", "0"),
+                        good.replace("\"ab\"", "1"),
+                        good.replace("\"a\"", "null"))) {
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> LeaseRecord.entry(bad.getBytes(StandardCharsets.UTF_8), 0),
+                    bad);
         }
         assertThrows(IllegalArgumentException.class, () -> LeaseRecord.entry(null, 0));
     }
 
     @Test
     void theLineIsInTheOrderOfItsNumbers() {
-        assertEquals(List.of("zz-0000000009", "aa-0000000010", "bb-0000000100"),
+        assertEquals(
+                List.of("zz-0000000009", "aa-0000000010", "bb-0000000100"),
                 WaitingLine.order(List.of("bb-0000000100", "zz-0000000009", "aa-0000000010")));
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -27,11 +27,14 @@
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    @TempDir
-    private Path folder;
-    private final LeaseClock clock = LeaseClock.system(SECOND, line -> { });
-    private final TaskSettings settings = new TaskSettings(null,
-            Terms.timed(10 * SECOND, 0, SECOND, SECOND, 0, 0), 300 * MILLI, 200 * MILLI);
+    @TempDir private Path folder;
+    private final LeaseClock clock = LeaseClock.system(SECOND, line -> {});
+    private final TaskSettings settings =
+            new TaskSettings(
+                    null,
+                    Terms.timed(10 * SECOND, 0, SECOND, SECOND, 0, 0),
+                    300 * MILLI,
+                    200 * MILLI);
     private final List<Guarded> begun = new ArrayList<>();
     private Path out;
     private String nonce;
@@ -61,8 +64,11 @@
     }
 
     private static void stop(Guarded guarded) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-STOP", Long.toString(guarded.guardian().pid())).start()
-                .waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-STOP", Long.toString(guarded.guardian().pid()))
+                        .start()
+                        .waitFor());
     }
 
     private String last(Guarded guarded) throws Exception {
@@ -71,7 +77,8 @@
             Thread.sleep(5);
             last = guarded.last(clock.now());
         }
-        assertTrue(new ProcessTree(nonce, guarded.guardian().toHandle()).none(), "something is left");
+        assertTrue(
+                new ProcessTree(nonce, guarded.guardian().toHandle()).none(), "something is left");
         return last;
     }
 
@@ -97,12 +104,20 @@
         assertEquals("ended 0", last(guarded));
     }
 
-    /** Guards against a command that outlives what it was told, with a session of its own or without. */
+    /**
+     * Guards against a command that outlives what it was told, with a session of its own or
+     * without.
+     */
     @Test
     void whatIgnoresItsEndIsKilledWithinItsTime() throws Exception {
         String writes = "while :; do echo 1 >> $1; sleep 0.02; done";
-        for (String script : List.of("trap '' TERM; " + writes, "setsid --fork bash -c \"trap '' TERM; "
-                + writes.replace("$1", out.toString()) + "\"; sleep 50", writes)) {
+        for (String script :
+                List.of(
+                        "trap '' TERM; " + writes,
+                        "setsid --fork bash -c \"trap '' TERM; "
+                                + writes.replace("$1", out.toString())
+                                + "\"; sleep 50",
+                        writes)) {
             Files.deleteIfExists(out);
             Guarded guarded = guarded(script);
             guarded.go(clock.now() + 20 * SECOND);
@@ -117,8 +132,10 @@
 
     @Test
     void itIsToldToEndFirst() throws Exception {
-        Guarded guarded = guarded("trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
-                + " done");
+        Guarded guarded =
+                guarded(
+                        "trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
+                                + " done");
         guarded.go(clock.now() + 20 * SECOND);
         awaitOut();
         guarded.stop();
@@ -129,8 +146,10 @@
     /** Guards against a guardian that waits for good beside a command that it has ended. */
     @Test
     void whatWasToldToEndStaysEndedThoughTheLeaseLastsLonger() throws Exception {
-        Guarded guarded = guarded("trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
-                + " while :; do sleep 0.01; done");
+        Guarded guarded =
+                guarded(
+                        "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
+                                + " while :; do sleep 0.01; done");
         guarded.go(clock.now() + 20 * SECOND);
         awaitOut();
         guarded.go(clock.now() + 400 * MILLI);
@@ -220,10 +239,12 @@
         guarded.go(clock.now() + 90 * SECOND);
         awaitOut();
         stop(guarded);
-        assertTimeoutPreemptively(Duration.ofSeconds(30), () -> {
-            for (int i = 0; i < 5_000; i++) {
-                guarded.go(clock.now() + 90 * SECOND);
-            }
-        });
+        assertTimeoutPreemptively(
+                Duration.ofSeconds(30),
+                () -> {
+                    for (int i = 0; i < 5_000; i++) {
+                        guarded.go(clock.now() + 90 * SECOND);
+                    }
+                });
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
+++ b/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
@@ -61,8 +61,14 @@
                     executor.execute(() -> events.conflicted(question));
                     return;
                 }
-                entry = new Entry(version + 1, next.token(), next.holder(), next.nonce(), next.term(),
-                        next.released());
+                entry =
+                        new Entry(
+                                version + 1,
+                                next.token(),
+                                next.holder(),
+                                next.nonce(),
+                                next.term(),
+                                next.released());
                 executor.execute(() -> events.written(question, version + 1));
             }
             changed();
--- a/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
@@ -16,7 +16,8 @@
 
     @Test
     void theCommandsOwnArgumentsAreItsOwn() {
-        TaskArguments read = parse("--lease nightly --operator o.toml -- run --lease x -- @file -v");
+        TaskArguments read =
+                parse("--lease nightly --operator o.toml -- run --lease x -- @file -v");
         assertEquals(Path.of("o.toml"), read.operator());
         assertEquals("nightly", read.lease());
         assertEquals(List.of("run", "--lease", "x", "--", "@file", "-v"), read.command());
@@ -24,18 +25,24 @@
 
     @Test
     void mistakesAreNamed() {
-        for (String[] each : new String[][] {
-            {"--lease a --operator o", "no command after --"},
-            {"--lease a --operator o --", "Missing required parameter: 'COMMAND'"},
-            {"--operator o -- run", "Missing required option: '--lease NAME'"},
-            {"--lease a -- run", "Missing required option: '--operator FILE'"},
-            {"--lease a --lease b --operator o -- run", "option '--lease' (NAME) should be specified only"},
-            {"--lease a/b --operator o -- run", "--lease may hold"},
-            {"--lease .. --operator o -- run", "--lease may hold"},
-            {"--lease a --operator o --leese b -- run", "Unknown option: '--leese'"},
-            {"--lease a --operator o stray -- run", "unknown argument: stray"},
-            {"--operator -- run", "Expected parameter for option '--operator'"}}) {
-            String message = assertThrows(IllegalArgumentException.class, () -> parse(each[0])).getMessage();
+        for (String[] each :
+                new String[][] {
+                    {"--lease a --operator o", "no command after --"},
+                    {"--lease a --operator o --", "Missing required parameter: 'COMMAND'"},
+                    {"--operator o -- run", "Missing required option: '--lease NAME'"},
+                    {"--lease a -- run", "Missing required option: '--operator FILE'"},
+                    {
+                        "--lease a --lease b --operator o -- run",
+                        "option '--lease' (NAME) should be specified only"
+                    },
+                    {"--lease a/b --operator o -- run", "--lease may hold"},
+                    {"--lease .. --operator o -- run", "--lease may hold"},
+                    {"--lease a --operator o --leese b -- run", "Unknown option: '--leese'"},
+                    {"--lease a --operator o stray -- run", "unknown argument: stray"},
+                    {"--operator -- run", "Expected parameter for option '--operator'"}
+                }) {
+            String message =
+                    assertThrows(IllegalArgumentException.class, () -> parse(each[0])).getMessage();
             assertTrue(message.startsWith(each[1]), message);
         }
     }
@@ -43,7 +50,9 @@
     @Test
     void theUsageNamesAll() {
         String usage = TaskArguments.usage();
-        assertTrue(usage.startsWith("Usage: task --operator FILE --lease NAME -- COMMAND [ARGUMENT...]"),
+        assertTrue(
+                usage.startsWith(
+                        "Usage: task --operator FILE --lease NAME -- COMMAND [ARGUMENT...]"),
                 usage);
         assertTrue(usage.contains("--lease NAME"), usage);
     }
