--- a/sidecar/src/test/java/appleridge/lease/task/TaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/TaskTest.java
@@ -26,11 +26,14 @@
 @Timeout(60)
 class TaskTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final TaskSettings SETTINGS = new TaskSettings(null, Terms.timed(4000 * MILLI, 0,
-            100 * MILLI, 200 * MILLI, 0, 700 * MILLI), 200 * MILLI, 500 * MILLI);
-
-    @TempDir
-    private Path folder;
+    private static final TaskSettings SETTINGS =
+            new TaskSettings(
+                    null,
+                    Terms.timed(4000 * MILLI, 0, 100 * MILLI, 200 * MILLI, 0, 700 * MILLI),
+                    200 * MILLI,
+                    500 * MILLI);
+
+    @TempDir private Path folder;
     private final SharedRecord shared = new SharedRecord();
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final AtomicInteger nonces = new AtomicInteger();
@@ -59,24 +62,45 @@
     }
 
     private Run task(String holder, String script, LeaseClock clock) {
-        return new Run(new Task(SETTINGS, "nightly", holder, List.of("bash", "-c", script, holder,
-                folder.resolve("out").toString()), clock,
-                () -> "t" + ProcessHandle.current().pid() + folder.getFileName() + nonces.incrementAndGet(),
-                (events, executor) -> {
-                    lastEvents = events;
-                    return shared.store(events, executor);
-                }, log::add));
+        return new Run(
+                new Task(
+                        SETTINGS,
+                        "nightly",
+                        holder,
+                        List.of("bash", "-c", script, holder, folder.resolve("out").toString()),
+                        clock,
+                        () ->
+                                "t"
+                                        + ProcessHandle.current().pid()
+                                        + folder.getFileName()
+                                        + nonces.incrementAndGet(),
+                        (events, executor) -> {
+                            lastEvents = events;
+                            return shared.store(events, executor);
+                        },
+                        log::add));
     }
 
     /** The guardian, stopped as soon as it is there. */
     private static ProcessHandle stoppedGuardian() throws Exception {
         ProcessHandle found = null;
         while (found == null) {
-            found = ProcessHandle.current().children().filter(each -> each.info().commandLine().orElse("")
-                    .contains("task-guard")).findAny().orElse(null);
+            found =
+                    ProcessHandle.current()
+                            .children()
+                            .filter(
+                                    each ->
+                                            each.info()
+                                                    .commandLine()
+                                                    .orElse("")
+                                                    .contains("task-guard"))
+                            .findAny()
+                            .orElse(null);
             Thread.sleep(1);
         }
-        assertEquals(0, new ProcessBuilder("kill", "-STOP", Long.toString(found.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-STOP", Long.toString(found.pid())).start().waitFor());
         return found;
     }
 
@@ -96,15 +120,19 @@
         assertEquals(4, second.get());
         await("b 2");
         assertEquals("b", shared.entry().holder());
-        assertFalse(shared.entry().released(), "a command that fails must not go round at full speed");
+        assertFalse(
+                shared.entry().released(), "a command that fails must not go round at full speed");
         assertTrue(log.contains("lease nightly: state=held why=none token=1"), log::toString);
         assertTrue(log.contains("lease nightly: the command is over, ended 0"), log::toString);
     }
 
     @Test
     void onSigtermTheCommandEndsAndTheLeaseIsFree() throws Exception {
-        Run run = task("a", "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
-                + " while :; do sleep 0.01; done");
+        Run run =
+                task(
+                        "a",
+                        "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
+                                + " while :; do sleep 0.01; done");
         await("on");
         assertEquals(Task.TERMINATED, run.task.terminate());
         await("over");
@@ -125,9 +153,17 @@
 
     @Test
     void aCommandThatIsNotThereIsLeftToOthers() throws Exception {
-        Run run = new Run(new Task(SETTINGS, "nightly", "a", List.of("/no/such/command"),
-                LeaseClock.system(100 * MILLI, log::add), () -> "n" + nonces.incrementAndGet(),
-                shared::store, log::add));
+        Run run =
+                new Run(
+                        new Task(
+                                SETTINGS,
+                                "nightly",
+                                "a",
+                                List.of("/no/such/command"),
+                                LeaseClock.system(100 * MILLI, log::add),
+                                () -> "n" + nonces.incrementAndGet(),
+                                shared::store,
+                                log::add));
         assertEquals(Task.NO_COMMAND, run.get());
         assertTrue(shared.entry().released());
     }
@@ -162,13 +198,22 @@
     /** Guards against a shutdown that waits for good for a task that has failed. */
     @Test
     void whoTellsAFailedTaskToEndIsToldSo() {
-        Run run = new Run(new Task(SETTINGS, "nightly", "a", List.of("true"),
-                LeaseClock.system(100 * MILLI, log::add), () -> {
-                    if (nonces.incrementAndGet() > 1) {
-                        throw new IllegalStateException("no nonce");
-                    }
-                    return "n";
-                }, shared::store, log::add));
+        Run run =
+                new Run(
+                        new Task(
+                                SETTINGS,
+                                "nightly",
+                                "a",
+                                List.of("true"),
+                                LeaseClock.system(100 * MILLI, log::add),
+                                () -> {
+                                    if (nonces.incrementAndGet() > 1) {
+                                        throw new IllegalStateException("no nonce");
+                                    }
+                                    return "n";
+                                },
+                                shared::store,
+                                log::add));
         assertThrows(ExecutionException.class, run::get);
         assertEquals(Task.FAILED, assertDoesNotThrow(run.task::terminate));
     }
@@ -176,9 +221,15 @@
     /** Guards against a grant from before a sleep that only the wall clock shows. */
     @Test
     void aSleepBeforeTheGuardianIsStartedIsNoticed() throws Exception {
-        LeaseClock clock = new LeaseClock(System::nanoTime, () -> LeaseClock.NONE,
-                () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
-                        + (shared.entry() == null ? 0 : TimeUnit.HOURS.toMillis(1)), 100 * MILLI, log::add);
+        LeaseClock clock =
+                new LeaseClock(
+                        System::nanoTime,
+                        () -> LeaseClock.NONE,
+                        () ->
+                                TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
+                                        + (shared.entry() == null ? 0 : TimeUnit.HOURS.toMillis(1)),
+                        100 * MILLI,
+                        log::add);
         assertEquals(0, task("a", "echo $APPLERIDGE_TOKEN >> $1; exit 0", clock).get());
         assertEquals("2\n", Files.readString(folder.resolve("out")));
     }
--- a/sidecar/src/test/java/appleridge/membership/AddressHoldersTest.java
+++ b/sidecar/src/test/java/appleridge/membership/AddressHoldersTest.java
@@ -9,8 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 class AddressHoldersTest {
-    private static final InetSocketAddress HERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    private static final InetSocketAddress THERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 2);
+    private static final InetSocketAddress HERE =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private static final InetSocketAddress THERE =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 2);
 
     private final AddressHolders holders = new AddressHolders();
 
@@ -52,7 +54,10 @@
         assertNull(holders.listed("oldest", HERE, 1));
     }
 
-    /** Guards against a list that is older than the one before: what is sent there reaches the later one. */
+    /**
+     * Guards against a list that is older than the one before: what is sent there reaches the later
+     * one.
+     */
     @Test
     void whoWasReplacedIsNotBackBecauseAListSaysSo() {
         assertNull(holders.listed("old", HERE, 5));
--- a/sidecar/src/test/java/appleridge/membership/DirectoryTest.java
+++ b/sidecar/src/test/java/appleridge/membership/DirectoryTest.java
@@ -25,8 +25,13 @@
 
     private final Directory directory = new Directory(millis -> Math.min(NOW, millis) * MS);
     private final Map<Long, Upstream> module = new LinkedHashMap<>();
-    private final NodeMembership membership = new NodeMembership(Merge.BOTH, NodeMembership.Settings.USUAL,
-            (kind, members, source, toldAt) -> take(kind, members), line -> { }, line -> { });
+    private final NodeMembership membership =
+            new NodeMembership(
+                    Merge.BOTH,
+                    NodeMembership.Settings.USUAL,
+                    (kind, members, source, toldAt) -> take(kind, members),
+                    line -> {},
+                    line -> {});
 
     private void take(ListKind kind, List<Member> members) {
         if (kind == ListKind.FULL) {
@@ -50,8 +55,12 @@
     }
 
     private static NodeRead node(long zxid, int port, long startedMillis) {
-        return new NodeRead(new NodeData(at(port), 0, 0, 0, State.READY, 1, startedMillis, null), null,
-                NOW - 5000, zxid, zxid);
+        return new NodeRead(
+                new NodeData(at(port), 0, 0, 0, State.READY, 1, startedMillis, null),
+                null,
+                NOW - 5000,
+                zxid,
+                zxid);
     }
 
     /** Guards against a cold server that is sent the work of two. */
@@ -60,7 +69,8 @@
         membership.registry(1, ListKind.FULL, List.of(member("r", 1, RECENT)));
         membership.session(2, Session.CONNECTED);
         membership.snapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT)));
-        assertEquals(List.of(RECENT * MS), module.values().stream().map(Upstream::startedAt).toList());
+        assertEquals(
+                List.of(RECENT * MS), module.values().stream().map(Upstream::startedAt).toList());
         membership.changed(4, 4, 11, "again");
         membership.read(5, 11, "again", node(11, 1, RECENT));
         membership.tick(6);
--- a/sidecar/src/test/java/appleridge/membership/nodes/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/membership/nodes/BothSourcesTest.java
@@ -16,7 +16,9 @@
 
     /** One server in both, one in the registry alone and one with a node alone. */
     private void begin() {
-        told.registry(ListKind.FULL, Told.member("both", 1, State.READY, DAY),
+        told.registry(
+                ListKind.FULL,
+                Told.member("both", 1, State.READY, DAY),
                 Told.member("listed", 2, State.READY, DAY));
         told.session(Session.CONNECTED);
         told.snapshot(10, Map.of("both", Told.ready(1, 1, DAY), "node", Told.ready(2, 3, DAY)));
@@ -61,7 +63,9 @@
         told.pass(2500);
         assertEquals(State.GONE, told.state("both"));
         told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY));
-        told.registry(ListKind.FULL, Told.member("both", 1, State.READY, DAY),
+        told.registry(
+                ListKind.FULL,
+                Told.member("both", 1, State.READY, DAY),
                 Told.member("listed", 2, State.READY, DAY));
         told.pass(600_000);
         assertEquals(State.GONE, told.state("both"));
@@ -162,8 +166,11 @@
     void whileTheNodesAreInDoubtTheRegistryIsHeard() {
         begin();
         told.session(Session.EXPIRED);
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.DRAINING, DAY),
-                Told.member("new", 7, State.READY, DAY), Told.member("listed", 2, State.GONE, DAY));
+        told.registry(
+                ListKind.DELTA,
+                Told.member("both", 1, State.DRAINING, DAY),
+                Told.member("new", 7, State.READY, DAY),
+                Told.member("listed", 2, State.GONE, DAY));
         assertEquals(State.DRAINING, told.state("both"));
         assertEquals(State.READY, told.state("new"));
         assertEquals(State.GONE, told.state("listed"));
@@ -176,7 +183,10 @@
         told.put("node-9", Told.ready(told.nextZxid(), 2, DAY));
         told.pass(100);
         assertEquals(State.READY, told.state("node-9"));
-        assertEquals(State.GONE, told.state("listed"), "the node speaks for the process at that address");
+        assertEquals(
+                State.GONE,
+                told.state("listed"),
+                "the node speaks for the process at that address");
         told.gone(told.nextZxid(), "node-9");
         assertEquals(State.DRAINING, told.state("node-9"));
         told.pass(3000);
--- a/sidecar/src/test/java/appleridge/membership/nodes/NodeMembershipTest.java
+++ b/sidecar/src/test/java/appleridge/membership/nodes/NodeMembershipTest.java
@@ -18,8 +18,15 @@
     /** Three servers, connected. */
     private void three() {
         told.session(Session.CONNECTED);
-        told.snapshot(10, Map.of("a", Told.ready(1, 1, 500), "b", Told.ready(2, 2, 600),
-                "c", Told.ready(3, 3, 700)));
+        told.snapshot(
+                10,
+                Map.of(
+                        "a",
+                        Told.ready(1, 1, 500),
+                        "b",
+                        Told.ready(2, 2, 600),
+                        "c",
+                        Told.ready(3, 3, 700)));
         told.pass(200);
     }
 
@@ -36,10 +43,15 @@
         assertEquals(Told.member("b", 2, State.READY, 600), told.list.get("b"));
     }
 
-    /** Guards against a list from before the start that outlives what is told before the nodes are read. */
+    /**
+     * Guards against a list from before the start that outlives what is told before the nodes are
+     * read.
+     */
     @Test
     void whatWasKnownBeforeTheStartHoldsUntilItsEndIsToldOrTheNodesAreRead() {
-        told.registry(ListKind.CACHED, Told.member("a", 1, State.READY, 500),
+        told.registry(
+                ListKind.CACHED,
+                Told.member("a", 1, State.READY, 500),
                 Told.member("old", 9, State.READY, 500));
         told.session(Session.CONNECTED);
         told.put("d", Told.ready(11, 4, 800));
@@ -72,13 +84,16 @@
     void allMayVanishForAllWereTold() {
         three();
         told.snapshot(told.nextZxid(), Map.of());
-        assertEquals(0, told.list.values().stream().filter(each -> each.state() == State.READY).count());
+        assertEquals(
+                0, told.list.values().stream().filter(each -> each.state() == State.READY).count());
         told.pass(3000);
         assertEquals(0, told.list.size());
         assertEquals(0, told.membership.remembered());
     }
 
-    /** Guards against a flood of events, each of which costs the loop work that grows with the list. */
+    /**
+     * Guards against a flood of events, each of which costs the loop work that grows with the list.
+     */
     @Test
     void manyEndsInOneTickAreToldInTwoEvents() {
         three();
@@ -102,7 +117,9 @@
         assertEquals(State.READY, told.state("d"));
     }
 
-    /** Guards against a drain whose time is counted from when it was read: a queue may have held it. */
+    /**
+     * Guards against a drain whose time is counted from when it was read: a queue may have held it.
+     */
     @Test
     void theTimeOfBeingToldGoesAlong() {
         three();
@@ -132,8 +149,11 @@
             told.pass(5600);
             assertEquals(Told.member("a", 1, State.READY, 500), told.list.get("a"));
         }
-        assertTrue(told.events.stream().flatMap(each -> each.members().stream())
-                .noneMatch(each -> each.state() == State.GONE), "its records are kept");
+        assertTrue(
+                told.events.stream()
+                        .flatMap(each -> each.members().stream())
+                        .noneMatch(each -> each.state() == State.GONE),
+                "its records are kept");
         assertEquals(3, told.membership.remembered());
     }
 
@@ -162,14 +182,20 @@
         assertTrue(start > 700, "started at " + start);
         told.put("c", Told.node(103, told.nextZxid(), Told.data(3, State.READY, 650)));
         told.pass(100);
-        assertEquals(start, told.list.get("c").startedMillis(), "what it says again is nothing new");
+        assertEquals(
+                start, told.list.get("c").startedMillis(), "what it says again is nothing new");
     }
 
     @Test
     void aStartThatIsNotNamedIsTheNodesMaking() {
         told.session(Session.CONNECTED);
-        told.snapshot(10, Map.of("a", Told.ready(7, 1, 0), "b",
-                new NodeRead(Told.data(2, State.READY, 0), null, 0, 8, 8)));
+        told.snapshot(
+                10,
+                Map.of(
+                        "a",
+                        Told.ready(7, 1, 0),
+                        "b",
+                        new NodeRead(Told.data(2, State.READY, 0), null, 0, 8, 8)));
         assertEquals(7000, told.list.get("a").startedMillis());
         assertTrue(told.list.get("b").startedMillis() > 0, "cold, and never long ago");
         told.gone(told.nextZxid(), "a");
@@ -236,7 +262,9 @@
         assertEquals(State.DRAINING, told.state("a"));
     }
 
-    /** Guards against one that comes back to life by an answer that was on its way when it ended. */
+    /**
+     * Guards against one that comes back to life by an answer that was on its way when it ended.
+     */
     @Test
     void whatWasReadBeforeTheEndIsPassedOver() {
         three();
@@ -273,12 +301,21 @@
         assertEquals(101, told.warnings.size(), "named up to a bound");
     }
 
-    /** What has no transaction, because the reading itself was refused, is no older than anything. */
+    /**
+     * What has no transaction, because the reading itself was refused, is no older than anything.
+     */
     @Test
     void whoMayNotBeReadAnyMoreGetsNoNewWork() {
         three();
-        told.snapshot(told.nextZxid(), Map.of("a", new NodeRead(null, "may not be read", 0, 0, 0),
-                "b", Told.ready(2, 2, 600), "c", Told.ready(3, 3, 700)));
+        told.snapshot(
+                told.nextZxid(),
+                Map.of(
+                        "a",
+                        new NodeRead(null, "may not be read", 0, 0, 0),
+                        "b",
+                        Told.ready(2, 2, 600),
+                        "c",
+                        Told.ready(3, 3, 700)));
         assertEquals(State.DRAINING, told.state("a"));
     }
 
@@ -295,8 +332,15 @@
         assertEquals(1, told.events.size());
         told.session(Session.CONNECTED);
         assertEquals(Doubt.NOT_CONNECTED, told.membership.doubt());
-        told.snapshot(told.nextZxid(), Map.of("a", Told.ready(1, 1, 500), "d", Told.ready(50, 4, 900),
-                "c", Told.node(3, 51, Told.data(3, State.DRAINING, 700))));
+        told.snapshot(
+                told.nextZxid(),
+                Map.of(
+                        "a",
+                        Told.ready(1, 1, 500),
+                        "d",
+                        Told.ready(50, 4, 900),
+                        "c",
+                        Told.node(3, 51, Told.data(3, State.DRAINING, 700))));
         assertEquals(Doubt.NONE, told.membership.doubt());
         assertEquals(State.READY, told.state("a"));
         assertEquals(State.DRAINING, told.state("b"));
@@ -359,8 +403,15 @@
         told.pass(3000);
         told.session(Session.SUSPENDED);
         told.session(Session.CONNECTED);
-        told.snapshot(10, Map.of("a", Told.ready(1, 1, 500), "b", Told.ready(2, 2, 600),
-                "c", Told.ready(3, 3, 700)));
+        told.snapshot(
+                10,
+                Map.of(
+                        "a",
+                        Told.ready(1, 1, 500),
+                        "b",
+                        Told.ready(2, 2, 600),
+                        "c",
+                        Told.ready(3, 3, 700)));
         assertEquals(Doubt.OLDER, told.membership.doubt());
         told.changed(2, "b");
         told.gone(16, "d");
@@ -436,7 +487,9 @@
         assertEquals(State.DRAINING, told.state("a"));
     }
 
-    /** Guards against a node that came back in time and is ended all the same, for want of its data. */
+    /**
+     * Guards against a node that came back in time and is ended all the same, for want of its data.
+     */
     @Test
     void whoWasToldToHaveComeBackIsNotEndedWithTheOldHistory() {
         wiped();
@@ -497,8 +550,17 @@
         told.gone(told.nextZxid(), "a");
         told.put("b", Told.node(2, told.nextZxid(), Told.data(2, State.DRAINING, 600)));
         told.pass(300);
-        told.membership.snapshot(told.now * Told.MS, asOf, 10, Map.of("a", Told.ready(1, 1, 500),
-                "b", Told.ready(2, 2, 600), "c", Told.ready(3, 3, 700)));
+        told.membership.snapshot(
+                told.now * Told.MS,
+                asOf,
+                10,
+                Map.of(
+                        "a",
+                        Told.ready(1, 1, 500),
+                        "b",
+                        Told.ready(2, 2, 600),
+                        "c",
+                        Told.ready(3, 3, 700)));
         assertEquals(State.DRAINING, told.state("a"));
         assertEquals(State.DRAINING, told.state("b"));
         assertEquals(State.READY, told.state("c"));
@@ -539,7 +601,9 @@
         assertEquals(State.READY, told.state("server-4"), "two nodes of one server");
         told.gone(107, "n4-again");
         assertEquals(State.DRAINING, told.state("server-4"));
-        told.put("a", Told.node(1, 108, new NodeData(Told.at(1), 0, 0, 0, State.READY, 1, 500, "other")));
+        told.put(
+                "a",
+                Told.node(1, 108, new NodeData(Told.at(1), 0, 0, 0, State.READY, 1, 500, "other")));
         told.pass(100);
         assertEquals(State.GONE, told.state("a"));
         assertEquals(State.READY, told.state("other"));
@@ -574,7 +638,10 @@
         assertEquals(State.READY, told.state("a"), "its node is made again");
     }
 
-    /** Guards against a server that is kept away from by one whose clock is ahead and whose node is gone. */
+    /**
+     * Guards against a server that is kept away from by one whose clock is ahead and whose node is
+     * gone.
+     */
     @Test
     void whoHasVanishedHoldsNoAddress() {
         three();
@@ -592,8 +659,11 @@
         three();
         for (int i = 0; i < 10_000; i++) {
             String name = "n" + i;
-            told.put(name, i % 3 == 0 ? Told.unreadable(told.nextZxid())
-                    : Told.ready(told.nextZxid(), 10 + i, i));
+            told.put(
+                    name,
+                    i % 3 == 0
+                            ? Told.unreadable(told.nextZxid())
+                            : Told.ready(told.nextZxid(), 10 + i, i));
             told.gone(told.nextZxid(), name);
             told.gone(told.nextZxid(), "never" + i);
         }
@@ -608,8 +678,15 @@
         three();
         told.put("a", Told.node(1, told.nextZxid(), Told.data(1, State.READY, 500)));
         told.pass(1000);
-        told.snapshot(told.nextZxid(), Map.of("a", Told.node(1, 101, Told.data(1, State.READY, 500)),
-                "b", Told.ready(2, 2, 600), "c", Told.ready(3, 3, 700)));
+        told.snapshot(
+                told.nextZxid(),
+                Map.of(
+                        "a",
+                        Told.node(1, 101, Told.data(1, State.READY, 500)),
+                        "b",
+                        Told.ready(2, 2, 600),
+                        "c",
+                        Told.ready(3, 3, 700)));
         assertEquals(1, told.events.size());
     }
 
--- a/sidecar/src/test/java/appleridge/membership/nodes/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/membership/nodes/RandomEventsTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random days of an ensemble, with lost events, stale servers and slow reads, held against a slow, obvious
- * model: of each node all that was told is kept, and what has the highest transaction is what holds.
+ * Random days of an ensemble, with lost events, stale servers and slow reads, held against a slow,
+ * obvious model: of each node all that was told is kept, and what has the highest transaction is
+ * what holds.
  */
 class RandomEventsTest {
     private static final int SEEDS = 2000;
@@ -33,8 +34,10 @@
     /** What the model knows of a node: each thing that was told, in no order. */
     private static final class Facts {
         final List<NodeRead> reads = new ArrayList<>();
+
         /** Transactions of changes, with when they were told. */
         final TreeMap<Long, Long> changes = new TreeMap<>();
+
         long end;
         long endedAt;
 
@@ -75,7 +78,8 @@
                 first = first == null ? told : Math.min(first, told);
             }
             if (!isThere()) {
-                // Whether one whose making was told but not yet read is still kept is of no interest.
+                // Whether one whose making was told but not yet read is still kept is of no
+                // interest.
                 boolean kept = now - endedAt < 2000 || first != null && actual == State.DRAINING;
                 return kept ? State.DRAINING : State.GONE;
             }
@@ -89,10 +93,13 @@
         private final Random random;
         private final Told told = new Told(Merge.NODES);
         private final Map<String, Facts> model = new LinkedHashMap<>();
+
         /** The ensemble's past: what it held after each transaction. */
         private final List<Map<String, NodeRead>> past = new ArrayList<>();
+
         /** Who was told of: the transaction that the connected server has come to. */
         private int server;
+
         private boolean connected;
         private boolean watching;
         private long highestTold;
@@ -124,7 +131,9 @@
             for (int i = 0; i < NAMES; i++) {
                 String name = "n" + i;
                 NodeRead node = present().get(name);
-                assertEquals(node == null ? State.GONE : node.data().state(), told.state(name),
+                assertEquals(
+                        node == null ? State.GONE : node.data().state(),
+                        told.state(name),
                         "at the end of seed " + seed + " " + name);
             }
             assertEquals(present().size(), told.membership.remembered(), "seed " + seed);
@@ -160,8 +169,11 @@
                 next.remove(name);
             } else {
                 long began = node == null ? ++start : node.data().startedMillis();
-                NodeData data = Told.data(Integer.parseInt(name.substring(1)) + 1,
-                        random.nextInt(4) == 0 ? State.DRAINING : State.READY, began);
+                NodeData data =
+                        Told.data(
+                                Integer.parseInt(name.substring(1)) + 1,
+                                random.nextInt(4) == 0 ? State.DRAINING : State.READY,
+                                began);
                 next.put(name, Told.node(node == null ? zxid : node.czxid(), zxid, data));
             }
             past.add(next);
@@ -188,8 +200,10 @@
                     facts(name).end(told.now, server);
                 } else {
                     // Told by a server that lags: of who is forgotten or never was, it is no news.
-                    boolean news = told.membership.doubt() == Doubt.NONE || server >= highestTold
-                            || facts(name).isKnown();
+                    boolean news =
+                            told.membership.doubt() == Doubt.NONE
+                                    || server >= highestTold
+                                    || facts(name).isKnown();
                     told.changed(server, name);
                     if (news) {
                         facts(name).changes.putIfAbsent((long) server, told.now);
@@ -200,16 +214,20 @@
             highestTold = Math.max(highestTold, server);
         }
 
-        /** Reads a node, as it is at the server by the time of the answer or was at that of the question. */
+        /**
+         * Reads a node, as it is at the server by the time of the answer or was at that of the
+         * question.
+         */
         private void ask(String name) {
             NodeRead asked = past.get(server).get(name);
             boolean late = random.nextBoolean();
-            answers.add(() -> {
-                NodeRead read = late && connected ? past.get(server).get(name) : asked;
-                if (read != null) {
-                    hear(name, read);
-                }
-            });
+            answers.add(
+                    () -> {
+                        NodeRead read = late && connected ? past.get(server).get(name) : asked;
+                        if (read != null) {
+                            hear(name, read);
+                        }
+                    });
         }
 
         private void hear(String name, NodeRead read) {
@@ -219,7 +237,10 @@
             // An answer that is older than the change which asked for it is of no use.
             boolean old = !facts.changes.tailMap(read.mzxid(), false).isEmpty();
             told.read(name, read);
-            if (known && !old && read.czxid() > facts.end && (last == null || read.mzxid() >= last.mzxid())) {
+            if (known
+                    && !old
+                    && read.czxid() > facts.end
+                    && (last == null || read.mzxid() >= last.mzxid())) {
                 facts.reads.add(read);
             }
         }
@@ -283,7 +304,9 @@
             told.pass(100);
             for (int i = 0; i < NAMES; i++) {
                 String name = "n" + i;
-                assertEquals(facts(name).state(told.now, told.state(name)), told.state(name),
+                assertEquals(
+                        facts(name).state(told.now, told.state(name)),
+                        told.state(name),
                         "seed " + seed + ", " + name + " at " + told.now);
                 Member member = told.list.get(name);
                 if (member != null) {
--- a/sidecar/src/test/java/appleridge/membership/nodes/Told.java
+++ b/sidecar/src/test/java/appleridge/membership/nodes/Told.java
@@ -15,7 +15,7 @@
     static final long MS = 1_000_000;
 
     /** One event that was told. */
-    record Event(long at, ListKind kind, List<Member> members, String source, long toldAt) { }
+    record Event(long at, ListKind kind, List<Member> members, String source, long toldAt) {}
 
     final List<Event> events = new ArrayList<>();
     final List<String> news = new ArrayList<>();
@@ -26,8 +26,9 @@
     private long zxid = 100;
 
     Told(Merge merge) {
-        membership = new NodeMembership(merge, NodeMembership.Settings.USUAL, this::told, news::add,
-                warnings::add);
+        membership =
+                new NodeMembership(
+                        merge, NodeMembership.Settings.USUAL, this::told, news::add, warnings::add);
     }
 
     private void told(ListKind kind, List<Member> members, String source, long toldAt) {
--- a/sidecar/src/test/java/appleridge/membership/register/RegisterArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/membership/register/RegisterArgumentsTest.java
@@ -18,19 +18,32 @@
 
     @Test
     void everythingCanBeSaid() {
-        assertEquals(new RegisterArguments(Path.of("o.toml"), "s1", "x",
-                new InetSocketAddress("192.0.2.1", 80), "a", "m1", 2, 1.5, "/ready", 500,
-                List.of("run", "--id", "mine")),
-                parse("--operator o.toml --id s1 --shard x --address 192.0.2.1:80 --zone a --kind m1 --cell 2"
-                        + " --weight 1.5 --check /ready --drain-for 500 -- run --id mine"));
+        assertEquals(
+                new RegisterArguments(
+                        Path.of("o.toml"),
+                        "s1",
+                        "x",
+                        new InetSocketAddress("192.0.2.1", 80),
+                        "a",
+                        "m1",
+                        2,
+                        1.5,
+                        "/ready",
+                        500,
+                        List.of("run", "--id", "mine")),
+                parse(
+                        "--operator o.toml --id s1 --shard x --address 192.0.2.1:80 --zone a --kind"
+                            + " m1 --cell 2 --weight 1.5 --check /ready --drain-for 500 -- run --id"
+                            + " mine"));
     }
 
     @Test
     void whatIsLeftOutIsUsual() {
         RegisterArguments read = parse("--operator o --id s1 --address [2001:db8::1]:80 -- run");
         assertEquals(2000, read.drainMillis());
-        assertEquals("{\"address\":\"[2001:db8:0:0:0:0:0:1]:80\",\"cell\":0,\"weight\":1.0,"
-                + "\"state\":\"Ready\",\"started\":7}",
+        assertEquals(
+                "{\"address\":\"[2001:db8:0:0:0:0:0:1]:80\",\"cell\":0,\"weight\":1.0,"
+                        + "\"state\":\"Ready\",\"started\":7}",
                 new String(NodeText.of(read, false, 7), StandardCharsets.UTF_8));
         assertEquals(7, NodeText.started(NodeText.of(read, true, 7)));
         assertEquals(0, NodeText.started(null));
@@ -39,17 +52,32 @@
 
     @Test
     void mistakesAreNamed() {
-        for (String[] each : new String[][] {
-            {"--id s1", "no command after --"}, {"--id s1 --", "no command after --"},
-            {"--idd s1 -- run", "unknown argument: --idd"}, {"--id -- run", "--id needs a value"},
-            {"--id a --id b -- run", "--id stands twice"}, {"--id a -- run", "--operator is missing"},
-            {"--operator o --id a/b -- run", "--id may hold"},
-            {"--operator o --id .. -- run", "--id may hold"},
-            {"--operator o --id a --address host:80 -- run", "--address is not like"},
-            {"--operator o --id a --address 192.0.2.1:80 --cell 1.5 -- run", "--cell makes no sense"},
-            {"--operator o --id a --address 192.0.2.1:80 --weight no -- run", "--weight makes no sense"},
-            {"--operator o --id a --address 192.0.2.1:80 --check ready -- run", "--check is not a path"}}) {
-            String message = assertThrows(IllegalArgumentException.class, () -> parse(each[0])).getMessage();
+        for (String[] each :
+                new String[][] {
+                    {"--id s1", "no command after --"},
+                    {"--id s1 --", "no command after --"},
+                    {"--idd s1 -- run", "unknown argument: --idd"},
+                    {"--id -- run", "--id needs a value"},
+                    {"--id a --id b -- run", "--id stands twice"},
+                    {"--id a -- run", "--operator is missing"},
+                    {"--operator o --id a/b -- run", "--id may hold"},
+                    {"--operator o --id .. -- run", "--id may hold"},
+                    {"--operator o --id a --address host:80 -- run", "--address is not like"},
+                    {
+                        "--operator o --id a --address 192.0.2.1:80 --cell 1.5 -- run",
+                        "--cell makes no sense"
+                    },
+                    {
+                        "--operator o --id a --address 192.0.2.1:80 --weight no -- run",
+                        "--weight makes no sense"
+                    },
+                    {
+                        "--operator o --id a --address 192.0.2.1:80 --check ready -- run",
+                        "--check is not a path"
+                    }
+                }) {
+            String message =
+                    assertThrows(IllegalArgumentException.class, () -> parse(each[0])).getMessage();
             assertTrue(message.startsWith(each[1]), message);
         }
     }
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/Heard.java
+++ b/sidecar/src/test/java/appleridge/membership/zookeeper/Heard.java
@@ -31,8 +31,9 @@
     }
 
     static String what(NodeRead read) {
-        return read.data() == null ? "?" + read.problem() : read.data().address().getPort() + ""
-                + read.data().state();
+        return read.data() == null
+                ? "?" + read.problem()
+                : read.data().address().getPort() + "" + read.data().state();
     }
 
     @Override
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/membership/zookeeper/MailboxTest.java
@@ -19,7 +19,8 @@
 /** What waits for the loop: its order, and its bound. */
 class MailboxTest {
     private final EventLoop executor = new DefaultEventLoop();
-    private final Loop loop = new Loop(executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
+    private final Loop loop =
+            new Loop(executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
     private final Heard heard = new Heard(executor::inEventLoop);
     private final Mailbox mailbox = new Mailbox(loop, heard);
 
@@ -30,10 +31,12 @@
 
     /** What is told after all of this came while the loop stood. */
     private List<String> told(Runnable posts) throws Exception {
-        executor.submit(() -> {
-            posts.run();
-            mailbox.tellNow();
-        }).get();
+        executor.submit(
+                        () -> {
+                            posts.run();
+                            mailbox.tellNow();
+                        })
+                .get();
         List<String> lines = new ArrayList<>();
         heard.lines.drainTo(lines);
         return lines;
@@ -42,34 +45,45 @@
     @Test
     void theOrderIsKeptAndOfANodeTheLastWord() throws Exception {
         NodeRead unread = NodeJson.unread("x", 1);
-        assertEquals(List.of("gone a", "changed a", "read a ?x", "changed b", "session SUSPENDED", "gone a"),
-                told(() -> {
-                    mailbox.changed(1, 1, "a");
-                    mailbox.read("a", unread);
-                    mailbox.gone(2, 2, "a");
-                    mailbox.changed(3, 3, "a");
-                    mailbox.changed(3, 3, "b");
-                    mailbox.changed(4, 4, "a");
-                    mailbox.read("a", unread);
-                    mailbox.session(Session.SUSPENDED);
-                    mailbox.changed(5, 5, "a");
-                    mailbox.gone(6, 6, "a");
-                }));
+        assertEquals(
+                List.of(
+                        "gone a",
+                        "changed a",
+                        "read a ?x",
+                        "changed b",
+                        "session SUSPENDED",
+                        "gone a"),
+                told(
+                        () -> {
+                            mailbox.changed(1, 1, "a");
+                            mailbox.read("a", unread);
+                            mailbox.gone(2, 2, "a");
+                            mailbox.changed(3, 3, "a");
+                            mailbox.changed(3, 3, "b");
+                            mailbox.changed(4, 4, "a");
+                            mailbox.read("a", unread);
+                            mailbox.session(Session.SUSPENDED);
+                            mailbox.changed(5, 5, "a");
+                            mailbox.gone(6, 6, "a");
+                        }));
     }
 
     @Test
     void whatAStandingLoopIsToldIsBounded() throws Exception {
-        List<String> lines = told(() -> {
-            for (int i = 1; i <= 10_000; i++) {
-                mailbox.session(Session.SUSPENDED);
-                mailbox.gone(i, i, "a");
-                mailbox.session(Session.CONNECTED);
-                mailbox.doubt(Doubt.ROOT_MISSING);
-                mailbox.snapshot(i, i, Map.of(), () -> { });
-                mailbox.changed(i, i, "a");
-            }
-        });
-        assertEquals(List.of("snapshot {}", "changed a"), lines.subList(lines.size() - 2, lines.size()));
+        List<String> lines =
+                told(
+                        () -> {
+                            for (int i = 1; i <= 10_000; i++) {
+                                mailbox.session(Session.SUSPENDED);
+                                mailbox.gone(i, i, "a");
+                                mailbox.session(Session.CONNECTED);
+                                mailbox.doubt(Doubt.ROOT_MISSING);
+                                mailbox.snapshot(i, i, Map.of(), () -> {});
+                                mailbox.changed(i, i, "a");
+                            }
+                        });
+        assertEquals(
+                List.of("snapshot {}", "changed a"), lines.subList(lines.size() - 2, lines.size()));
         assertEquals(true, lines.size() < 80, lines.size() + " lines");
         assertEquals("gone a", lines.get(0));
     }
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/NodeJsonTest.java
+++ b/sidecar/src/test/java/appleridge/membership/zookeeper/NodeJsonTest.java
@@ -28,38 +28,61 @@
 
     @Test
     void everythingIsTakenAndTheUnknownPassedOver() {
-        NodeRead read = read("s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"b\",\"kind\":\"m1\",\"cell\":3,"
-                + "\"weight\":2.5,\"state\":\"Terminating\",\"started\":1700000000000,"
-                + "\"uid\":\"u\",\"x\":[1]}");
-        assertEquals(new NodeRead(new NodeData(AT, 1, 0, 3, State.DRAINING, 2.5f, 1_700_000_000_000L, "u"),
-                null, 5, 7, 6), read);
+        NodeRead read =
+                read(
+                        "s1",
+                        "{\"address\":\"192.0.2.1:80\",\"zone\":\"b\",\"kind\":\"m1\",\"cell\":3,"
+                            + "\"weight\":2.5,\"state\":\"Terminating\",\"started\":1700000000000,"
+                            + "\"uid\":\"u\",\"x\":[1]}");
+        assertEquals(
+                new NodeRead(
+                        new NodeData(AT, 1, 0, 3, State.DRAINING, 2.5f, 1_700_000_000_000L, "u"),
+                        null,
+                        5,
+                        7,
+                        6),
+                read);
     }
 
     @Test
     void whatIsLeftOutIsUsual() {
-        assertEquals(new NodeData(AT, 0, 0, 0, State.READY, 1, 0, null),
+        assertEquals(
+                new NodeData(AT, 0, 0, 0, State.READY, 1, 0, null),
                 read("s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data());
-        assertEquals("s1", read("x/s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data().uid());
+        assertEquals(
+                "s1", read("x/s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data().uid());
     }
 
     @Test
     void whatMakesNoSenseIsNamed() {
         String good = "\"address\":\"192.0.2.1:80\",\"zone\":\"a\"";
-        Map<String, String> mistakes = Map.of(
-                "[]", "not a JSON object",
-                "{\"zone\":\"a\"}", "address is not like \"192.0.2.1:8080\"",
-                "{\"address\":\"example.org:80\",\"zone\":\"a\"}", "address is not like \"192.0.2.1:8080\"",
-                "{\"address\":\"192.0.2.1:80\"}", "unknown zone",
-                "{" + good + ",\"kind\":\"m2\"}", "unknown kind",
-                "{" + good + ",\"state\":\"Gone\"}", "unknown state",
-                "{" + good + ",\"weight\":0}", "weight is not a number above 0",
-                "{" + good + ",\"cell\":1.5}", "cell is not a whole number from 0 on",
-                "{" + good + ",\"started\":-1}", "started is not a whole number from 0 on",
-                "{" + good + ",\"uid\":\"\"}", "uid is not a text of 1 to 253 characters");
-        mistakes.forEach((text, problem) -> {
-            assertEquals(problem, read("s1", text).problem(), text);
-            assertNull(read("s1", text).data());
-        });
+        Map<String, String> mistakes =
+                Map.of(
+                        "[]",
+                        "not a JSON object",
+                        "{\"zone\":\"a\"}",
+                        "address is not like \"192.0.2.1:8080\"",
+                        "{\"address\":\"example.org:80\",\"zone\":\"a\"}",
+                        "address is not like \"192.0.2.1:8080\"",
+                        "{\"address\":\"192.0.2.1:80\"}",
+                        "unknown zone",
+                        "{" + good + ",\"kind\":\"m2\"}",
+                        "unknown kind",
+                        "{" + good + ",\"state\":\"Gone\"}",
+                        "unknown state",
+                        "{" + good + ",\"weight\":0}",
+                        "weight is not a number above 0",
+                        "{" + good + ",\"cell\":1.5}",
+                        "cell is not a whole number from 0 on",
+                        "{" + good + ",\"started\":-1}",
+                        "started is not a whole number from 0 on",
+                        "{" + good + ",\"uid\":\"\"}",
+                        "uid is not a text of 1 to 253 characters");
+        mistakes.forEach(
+                (text, problem) -> {
+                    assertEquals(problem, read("s1", text).problem(), text);
+                    assertNull(read("s1", text).data());
+                });
         assertEquals("empty", read("s1", null).problem());
         assertEquals("empty", read("s1", "").problem());
         assertEquals("larger than 65536 bytes", read("s1", " ".repeat(65_537)).problem());
--- a/sidecar/src/test/java/appleridge/operators/AnswersTest.java
+++ b/sidecar/src/test/java/appleridge/operators/AnswersTest.java
@@ -13,12 +13,18 @@
 class AnswersTest {
     private final List<String> effects = new ArrayList<>();
     private boolean serves = true;
-    private final Answers answers = new Answers(() -> serves, () -> "figures\n", id -> effect("out " + id),
-            id -> effect("back " + id), Runnable::run);
+    private final Answers answers =
+            new Answers(
+                    () -> serves,
+                    () -> "figures\n",
+                    id -> effect("out " + id),
+                    id -> effect("back " + id),
+                    Runnable::run);
 
     private Maintenance.Effect effect(String what) {
         effects.add(what);
-        return what.contains("nobody") ? new Maintenance.Denied("unknown upstream")
+        return what.contains("nobody")
+                ? new Maintenance.Denied("unknown upstream")
                 : new Maintenance.Done(null);
     }
 
@@ -45,7 +51,9 @@
         assertEquals(List.of("out s-5be2a07c", "back s-5be2a07c", "out nobody"), effects);
     }
 
-    /** Guards against an effect of what was no call, and against an answer that nobody understands. */
+    /**
+     * Guards against an effect of what was no call, and against an answer that nobody understands.
+     */
     @Test
     void whatIsNoCallIsANoWithAReasonAndHasNoEffect() {
         assertEquals("NO empty call\n", ask(""));
--- a/sidecar/src/test/java/appleridge/operators/MaintenanceTest.java
+++ b/sidecar/src/test/java/appleridge/operators/MaintenanceTest.java
@@ -62,18 +62,25 @@
     void itHoldsOverAnythingThatDiscoverySays() {
         told(ListKind.FULL, member("a", 1, State.READY, 0));
         maintenance.suspend("a", now);
-        assertEquals(State.DRAINING, only(told(ListKind.FULL, member("a", 1, State.READY, 0))).state());
+        assertEquals(
+                State.DRAINING, only(told(ListKind.FULL, member("a", 1, State.READY, 0))).state());
         told(ListKind.DELTA, member("a", 1, State.GONE, 0));
         assertNull(news(maintenance.suspend("a", now)), "known, though not listed");
         News again = told(ListKind.DELTA, member("a", 9, State.READY, 1_000_000_500));
         assertEquals(State.DRAINING, only(again).state());
         told(ListKind.FULL);
-        assertEquals(State.DRAINING, only(told(ListKind.CACHED, member("a", 3, State.READY, 0))).state());
+        assertEquals(
+                State.DRAINING,
+                only(told(ListKind.CACHED, member("a", 3, State.READY, 0))).state());
         News back = news(maintenance.restore("a", now));
-        assertEquals(3, back.addresses().get(only(back).id()).getPort(), "where the list has it now");
+        assertEquals(
+                3, back.addresses().get(only(back).id()).getPort(), "where the list has it now");
     }
 
-    /** Guards against a machine that was made anew while it was out being taken for warm, or for cold. */
+    /**
+     * Guards against a machine that was made anew while it was out being taken for warm, or for
+     * cold.
+     */
     @Test
     void aStartWithinTheTimeOutIsBelievedAndNoOther() {
         told(ListKind.FULL, member("a", 1, State.READY, 999_000_000));
@@ -81,18 +88,23 @@
         now += 3 * RAMP;
         long started = TimeUnit.NANOSECONDS.toMillis(now - 2 * RAMP);
         told(ListKind.DELTA, member("a", 1, State.READY, started));
-        assertEquals(TimeUnit.MILLISECONDS.toNanos(started), only(news(maintenance.restore("a", now)))
-                .startedAt());
+        assertEquals(
+                TimeUnit.MILLISECONDS.toNanos(started),
+                only(news(maintenance.restore("a", now))).startedAt());
         maintenance.suspend("a", now);
         now += 3 * RAMP;
         long restored = now;
         assertEquals(restored, only(news(maintenance.restore("a", now))).startedAt());
         now += RAMP / 2;
-        assertEquals(restored, only(told(ListKind.FULL, member("a", 1, State.READY, started))).startedAt(),
+        assertEquals(
+                restored,
+                only(told(ListKind.FULL, member("a", 1, State.READY, started))).startedAt(),
                 "a start that moved back and forth would look like another one");
         News flapped = told(ListKind.DELTA, member("a", 1, State.GONE, 0));
         assertEquals(State.GONE, only(flapped).state());
-        assertEquals(restored, only(told(ListKind.DELTA, member("a", 1, State.READY, started))).startedAt(),
+        assertEquals(
+                restored,
+                only(told(ListKind.DELTA, member("a", 1, State.READY, started))).startedAt(),
                 "gone and back does not make it warm");
     }
 
@@ -104,7 +116,8 @@
         told(ListKind.DELTA, member("a", 1, State.DRAINING, 0), member("b", 2, State.GONE, 0));
         assertEquals(State.DRAINING, only(news(maintenance.restore("a", now))).state());
         assertNull(news(maintenance.restore("b", now)), "nobody is there to be told of");
-        assertInstanceOf(Maintenance.Denied.class, maintenance.restore("b", now), "and now nobody holds it");
+        assertInstanceOf(
+                Maintenance.Denied.class, maintenance.restore("b", now), "and now nobody holds it");
     }
 
     @Test
@@ -119,12 +132,16 @@
         for (int i = 0; i < Maintenance.MOST; i++) {
             news(maintenance.suspend("u" + i, now));
         }
-        assertInstanceOf(Maintenance.Denied.class, maintenance.suspend("u" + Maintenance.MOST, now));
+        assertInstanceOf(
+                Maintenance.Denied.class, maintenance.suspend("u" + Maintenance.MOST, now));
         news(maintenance.restore("u0", now));
         news(maintenance.suspend("u" + Maintenance.MOST, now));
     }
 
-    /** Against a plain model: ready to the module is who the list has ready and nobody has called out. */
+    /**
+     * Against a plain model: ready to the module is who the list has ready and nobody has called
+     * out.
+     */
     @Test
     void afterAnyEventsTheModuleSeesWhatAModelSees() {
         for (int seed = 0; seed < 300; seed++) {
@@ -140,7 +157,8 @@
                 News news = null;
                 if (random.nextInt(4) == 0) {
                     boolean suspends = random.nextBoolean();
-                    Maintenance.Effect effect = suspends ? its.suspend(id, T0 + i) : its.restore(id, T0 + i);
+                    Maintenance.Effect effect =
+                            suspends ? its.suspend(id, T0 + i) : its.restore(id, T0 + i);
                     boolean held = listed.contains(id) || out.contains(id);
                     assertEquals(held, effect instanceof Maintenance.Done, "seed " + seed);
                     if (held && suspends) {
@@ -185,8 +203,13 @@
                     }
                 }
                 Set<Long> expected = new HashSet<>();
-                ready.stream().filter(each -> !out.contains(each))
-                        .forEach(each -> expected.add(appleridge.membership.UpstreamNumbers.natural(each)));
+                ready.stream()
+                        .filter(each -> !out.contains(each))
+                        .forEach(
+                                each ->
+                                        expected.add(
+                                                appleridge.membership.UpstreamNumbers.natural(
+                                                        each)));
                 assertEquals(expected, module, "seed " + seed + " step " + i);
             }
             assertTrue(its.out().keySet().containsAll(out));
--- a/sidecar/src/test/java/appleridge/transport/ClockTest.java
+++ b/sidecar/src/test/java/appleridge/transport/ClockTest.java
@@ -10,22 +10,25 @@
     private static final long S = 1_000_000_000;
     private long ticks = 7 * S;
     private long wall = 1_000_000;
-    private final Clock clock = new Clock(new Ticker() {
-        @Override
-        public long initialNanoTime() {
-            return 0;
-        }
-
-        @Override
-        public long nanoTime() {
-            return ticks;
-        }
-
-        @Override
-        public void sleep(long delay, TimeUnit unit) {
-            throw new UnsupportedOperationException();
-        }
-    }, () -> wall);
+    private final Clock clock =
+            new Clock(
+                    new Ticker() {
+                        @Override
+                        public long initialNanoTime() {
+                            return 0;
+                        }
+
+                        @Override
+                        public long nanoTime() {
+                            return ticks;
+                        }
+
+                        @Override
+                        public void sleep(long delay, TimeUnit unit) {
+                            throw new UnsupportedOperationException();
+                        }
+                    },
+                    () -> wall);
 
     private void pass(long seconds) {
         ticks += seconds * S;
@@ -49,6 +52,7 @@
         wall -= 60_000;
         assertEquals(clock.now(), clock.place(bornNow), "and now in the future");
         long suspended = wall += 3_600_000;
-        assertEquals(clock.now(), clock.place(suspended), "after an hour that the ticker did not count");
+        assertEquals(
+                clock.now(), clock.place(suspended), "after an hour that the ticker did not count");
     }
 }
--- a/sidecar/src/test/java/appleridge/transport/NioEventLoopFactoryTest.java
+++ b/sidecar/src/test/java/appleridge/transport/NioEventLoopFactoryTest.java
@@ -22,8 +22,12 @@
 
     private final NioEventLoopFactory factory = new NioEventLoopFactory();
 
-    /** Runs timers one after the other, each the given time after the last; the turns that this took. */
-    private long turnsFor(SingleThreadIoEventLoop loop, int timers, long delayNanos) throws Exception {
+    /**
+     * Runs timers one after the other, each the given time after the last; the turns that this
+     * took.
+     */
+    private long turnsFor(SingleThreadIoEventLoop loop, int timers, long delayNanos)
+            throws Exception {
         CountDownLatch done = new CountDownLatch(timers);
         long before = loop.submit(factory::getAsLong).get();
         loop.execute(() -> next(loop, done, delayNanos));
@@ -32,15 +36,21 @@
     }
 
     private static void next(SingleThreadIoEventLoop loop, CountDownLatch done, long delayNanos) {
-        loop.schedule(() -> {
-            done.countDown();
-            if (done.getCount() > 0) {
-                next(loop, done, delayNanos);
-            }
-        }, delayNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    done.countDown();
+                    if (done.getCount() > 0) {
+                        next(loop, done, delayNanos);
+                    }
+                },
+                delayNanos,
+                TimeUnit.NANOSECONDS);
     }
 
-    /** Guards against a loop that uses its core up while the end of a timer's last millisecond is awaited. */
+    /**
+     * Guards against a loop that uses its core up while the end of a timer's last millisecond is
+     * awaited.
+     */
     @Test
     void timersBetweenMillisecondsAreAwaitedWithoutTurning() throws Exception {
         try (Group group = new Group(Ticker.systemTicker())) {
@@ -51,8 +61,9 @@
     }
 
     /**
-     * Guards against the same where the loop's ticker moves in steps: waits that go by another clock than the
-     * timers are over before a timer's time has come, and a timer costs a whole step of the core's time.
+     * Guards against the same where the loop's ticker moves in steps: waits that go by another
+     * clock than the timers are over before a timer's time has come, and a timer costs a whole step
+     * of the core's time.
      */
     @Test
     void aClockThatMovesInStepsIsAwaitedWithoutTurning() throws Exception {
@@ -73,7 +84,8 @@
             for (int i = 0; i < late.length; i++) {
                 long began = System.nanoTime();
                 CompletableFuture<Long> came = new CompletableFuture<>();
-                group.loop.schedule(() -> came.complete(System.nanoTime()), after, TimeUnit.NANOSECONDS);
+                group.loop.schedule(
+                        () -> came.complete(System.nanoTime()), after, TimeUnit.NANOSECONDS);
                 late[i] = came.get() - began - after;
             }
             Arrays.sort(late);
@@ -106,12 +118,14 @@
         private final SingleThreadIoEventLoop loop;
 
         Group(Ticker ticker) {
-            loop = new SingleThreadIoEventLoop(parent, new DefaultThreadFactory("stepping", true), factory) {
-                @Override
-                public Ticker ticker() {
-                    return ticker;
-                }
-            };
+            loop =
+                    new SingleThreadIoEventLoop(
+                            parent, new DefaultThreadFactory("stepping", true), factory) {
+                        @Override
+                        public Ticker ticker() {
+                            return ticker;
+                        }
+                    };
         }
 
         @Override
--- a/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
@@ -10,24 +10,27 @@
 import org.junit.jupiter.api.Test;
 
 class SystemLogTest {
-    /** Guards against a loop that writes logs in place of serving: a flood leaves a line a second. */
+    /**
+     * Guards against a loop that writes logs in place of serving: a flood leaves a line a second.
+     */
     @Test
     void aFloodOfFailuresIsOneLine() {
         List<String> lines = new ArrayList<>();
-        Handler handler = new Handler() {
-            @Override
-            public void publish(LogRecord line) {
-                if (line.getMessage().startsWith("flood")) {
-                    lines.add(line.getMessage());
-                }
-            }
+        Handler handler =
+                new Handler() {
+                    @Override
+                    public void publish(LogRecord line) {
+                        if (line.getMessage().startsWith("flood")) {
+                            lines.add(line.getMessage());
+                        }
+                    }
 
-            @Override
-            public void flush() { }
+                    @Override
+                    public void flush() {}
 
-            @Override
-            public void close() { }
-        };
+                    @Override
+                    public void close() {}
+                };
         Logger logger = Logger.getLogger("appleridge");
         logger.addHandler(handler);
         try {
