--- a/rig/src/main/java/appleridge/rig/world/Settings.java
+++ b/rig/src/main/java/appleridge/rig/world/Settings.java
@@ -1,8 +1,8 @@
 package appleridge.rig.world;
 
+import appleridge.decision.Balancer.Scope;
 import appleridge.decision.Balancer.Semantics;
 import java.net.InetSocketAddress;
-import java.util.Locale;
 
 /** The configuration that a sidecar gets, as text. */
 public final class Settings {
@@ -82,11 +82,11 @@
                     .append(",\"worth\":")
                     .append(kind.worth())
                     .append(",\"semantics\":\"")
-                    .append(kind.semantics().name().toLowerCase(Locale.ROOT))
+                    .append(word(kind.semantics()))
                     .append('"');
             if (kind.semantics() == Semantics.BY_KEY) {
                 text.append(",\"keyScope\":\"")
-                        .append(kind.scope().name().toLowerCase(Locale.ROOT))
+                        .append(word(kind.scope()))
                         .append("\",\"keyTtl\":")
                         .append(plan.window(kind));
             }
@@ -111,6 +111,22 @@
         text.append("],");
     }
 
+    private static String word(Semantics semantics) {
+        return switch (semantics) {
+            case REPEATABLE -> "repeatable";
+            case BY_KEY -> "by_key";
+            case ONCE -> "once";
+        };
+    }
+
+    private static String word(Scope scope) {
+        return switch (scope) {
+            case ALL -> "all";
+            case ZONE -> "zone";
+            case CELL -> "cell";
+        };
+    }
+
     private static void caps(StringBuilder text, Plan plan) {
         long retryAfter = plan.size(Knob.RETRY_AFTER);
         text.append("\"caps\":{\"mayCancel\":")
--- a/sidecar/src/main/java/appleridge/adapter/Host.java
+++ b/sidecar/src/main/java/appleridge/adapter/Host.java
@@ -21,9 +21,24 @@
 final class Host {
     private static final int MAX_LISTS = 16;
     private static final int FIRST_ENTRIES = 1024;
-    private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final ListKind[] KINDS = ListKind.values();
-    private static final State[] STATES = State.values();
+
+    /** The outcomes, lists and states by their codes on the wire. */
+    private static final Outcome[] OUTCOMES = {
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.REJECTED,
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET,
+        Outcome.CANCELLED,
+        Outcome.NEVER_SENT
+    };
+
+    private static final ListKind[] KINDS = {
+        ListKind.DELTA, ListKind.FULL, ListKind.CACHED, ListKind.FAILED
+    };
+
+    private static final State[] STATES = {State.GONE, State.READY, State.DRAINING};
 
     private final Map<Integer, Balancer> instances = new HashMap<>();
     private final List<List<Upstream>> lists = new ArrayList<>();
--- a/sidecar/src/main/java/appleridge/config/Options.java
+++ b/sidecar/src/main/java/appleridge/config/Options.java
@@ -20,6 +20,22 @@
  * skipped. The real sidecar flattens its configuration to the same lines, so there is one mapping.
  */
 public final class Options {
+    private static final Map<String, Discovery> DISCOVERY_WORDS =
+            Map.of("AUTOMATIC", Discovery.AUTOMATIC, "SUBSCRIBE", Discovery.SUBSCRIBE);
+    private static final Map<String, Weights> WEIGHTS_WORDS =
+            Map.of(
+                    "SILENT", Weights.SILENT,
+                    "NOMINAL", Weights.NOMINAL,
+                    "ROUGH", Weights.ROUGH,
+                    "LIVE", Weights.LIVE);
+    private static final Map<String, Semantics> SEMANTICS_WORDS =
+            Map.of(
+                    "REPEATABLE", Semantics.REPEATABLE,
+                    "BY_KEY", Semantics.BY_KEY,
+                    "ONCE", Semantics.ONCE);
+    private static final Map<String, Scope> SCOPE_WORDS =
+            Map.of("ALL", Scope.ALL, "ZONE", Scope.ZONE, "CELL", Scope.CELL);
+
     private final Map<String, String> values = new HashMap<>();
 
     private Options(String text) {
@@ -56,8 +72,8 @@
                 (int) number("replicasOfMe", 1),
                 (int) number("zone", 0),
                 (long) number("quantum", 0),
-                choice(Discovery.class, "discovery", Discovery.AUTOMATIC),
-                choice(Weights.class, "weights", Weights.SILENT),
+                choice(DISCOVERY_WORDS, "discovery", Discovery.AUTOMATIC),
+                choice(WEIGHTS_WORDS, "weights", Weights.SILENT),
                 classes,
                 tenants,
                 allowed(),
@@ -68,7 +84,7 @@
     }
 
     private RequestClass requestClass(String path) {
-        Semantics semantics = choice(Semantics.class, path + "semantics", null);
+        Semantics semantics = choice(SEMANTICS_WORDS, path + "semantics", null);
         long deadline = (long) required(path + "deadline");
         // Danger: where a day's deadlines are short, an aim may lie beyond one. Nothing is earned
         // after the
@@ -78,7 +94,7 @@
         // Danger: these say nothing of other classes, and a start must not fail for what stands
         // there.
         boolean byKey = semantics == Semantics.BY_KEY;
-        Scope scope = byKey ? choice(Scope.class, path + "keyScope", Scope.CELL) : Scope.CELL;
+        Scope scope = byKey ? choice(SCOPE_WORDS, path + "keyScope", Scope.CELL) : Scope.CELL;
         long keyTtl = byKey ? (long) number(path + "keyTtl", 0) : 0;
         return new RequestClass(
                 aim,
@@ -143,7 +159,7 @@
     }
 
     /** An enum setting; {@code absent} null makes it required. */
-    private <E extends Enum<E>> E choice(Class<E> type, String key, E absent) {
+    private <E> E choice(Map<String, E> words, String key, E absent) {
         String text = values.get(key);
         if (text == null) {
             if (absent == null) {
@@ -151,10 +167,10 @@
             }
             return absent;
         }
-        try {
-            return Enum.valueOf(type, text.toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
+        E value = words.get(text.toUpperCase(Locale.ROOT));
+        if (value == null) {
             throw new IllegalArgumentException("setting has an unknown value: " + key + "=" + text);
         }
+        return value;
     }
 }
--- a/sidecar/src/main/java/appleridge/exchange/Tally.java
+++ b/sidecar/src/main/java/appleridge/exchange/Tally.java
@@ -8,13 +8,24 @@
     /** How a request that was taken has ended. */
     enum End {
         /** With an upstream's good answer. */
-        SERVED,
+        SERVED("served"),
         /** Not done, and asking again is harmless. */
-        REFUSED,
+        REFUSED("refused"),
         /** With no promise about effects. */
-        FAILED,
+        FAILED("failed"),
         /** Its client left first. */
-        LEFT
+        LEFT("left");
+
+        private final String metricWord;
+
+        End(String metricWord) {
+            this.metricWord = metricWord;
+        }
+
+        /** The word by which the metrics' names tell this end. */
+        public String metricWord() {
+            return metricWord;
+        }
     }
 
     /** A request has been taken. */
--- a/sidecar/src/main/java/appleridge/handover/Phase.java
+++ b/sidecar/src/main/java/appleridge/handover/Phase.java
@@ -3,9 +3,34 @@
 /** How far a process is. */
 public enum Phase {
     /** It can't serve yet. */
-    STARTING,
+    STARTING("STARTING"),
     /** It serves. */
-    SERVING,
+    SERVING("SERVING"),
     /** It accepts no more, and answers what it holds. */
-    ENDING
+    ENDING("ENDING");
+
+    private final String storedWord;
+
+    Phase(String storedWord) {
+        this.storedWord = storedWord;
+    }
+
+    /** The word by which a state file names this phase. */
+    public String storedWord() {
+        return storedWord;
+    }
+
+    /**
+     * The phase that a state file names.
+     *
+     * @throws IllegalArgumentException if no phase has this word
+     */
+    public static Phase ofStoredWord(String word) {
+        for (Phase phase : values()) {
+            if (phase.storedWord.equals(word)) {
+                return phase;
+            }
+        }
+        throw new IllegalArgumentException("unknown phase: " + word);
+    }
 }
--- a/sidecar/src/main/java/appleridge/handover/file/StateFile.java
+++ b/sidecar/src/main/java/appleridge/handover/file/StateFile.java
@@ -21,7 +21,7 @@
     private StateFile() {}
 
     static byte[] write(ProcessState state) {
-        StringBuilder body = new StringBuilder(state.phase().name()).append('\n');
+        StringBuilder body = new StringBuilder(state.phase().storedWord()).append('\n');
         for (Word word : state.words()) {
             body.append(word.out() ? "out " : "back ")
                     .append(word.at())
@@ -61,7 +61,7 @@
                 words.add(new Word(parts[2], parts[0].equals("out"), Long.parseLong(parts[1])));
             }
             return new ProcessState(
-                    Phase.valueOf(lines[0]),
+                    Phase.ofStoredWord(lines[0]),
                     words.subList(0, Math.min(words.size(), ProcessState.MOST_WORDS)));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new IOException("unreadable: " + e.getMessage(), e);
--- a/sidecar/src/main/java/appleridge/operators/Figures.java
+++ b/sidecar/src/main/java/appleridge/operators/Figures.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.LongSupplier;
 
@@ -67,7 +66,7 @@
         List<String> lines = new ArrayList<>();
         byClass(lines, "requests", taken);
         for (End how : End.values()) {
-            byClass(lines, "requests_" + how.name().toLowerCase(Locale.ROOT), ended[how.ordinal()]);
+            byClass(lines, "requests_" + how.metricWord(), ended[how.ordinal()]);
         }
         byClass(lines, "attempts", attempts);
         byClass(lines, "attempts_further", further);
