--- a/rig/src/main/java/appleridge/rig/demo/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * {@code rig.jar demo}: a small site on this machine, half a minute of traffic and faults, and a
- * verdict.
- */
-package appleridge.rig.demo;
--- a/sidecar/src/main/java/appleridge/operators/Answers.java
+++ b/sidecar/src/main/java/appleridge/admin/Answers.java
@@ -1,4 +1,4 @@
-package appleridge.operators;
+package appleridge.admin;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
--- a/sidecar/src/main/java/appleridge/operators/Figures.java
+++ b/sidecar/src/main/java/appleridge/admin/Figures.java
@@ -1,6 +1,6 @@
-package appleridge.operators;
+package appleridge.admin;
 
-import appleridge.exchange.Tally;
+import appleridge.request.Tally;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/operators/Maintenance.java
+++ b/sidecar/src/main/java/appleridge/admin/Maintenance.java
@@ -1,10 +1,10 @@
-package appleridge.operators;
+package appleridge.admin;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.handover.Word;
-import appleridge.membership.Directory.News;
+import appleridge.discovery.Directory.News;
+import appleridge.hotrestart.Word;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/sidecar/src/main/java/appleridge/operators/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/package-info.java
@@ -1,2 +1,2 @@
 /** What operators ask of a running sidecar, and what of their word is laid over the list; pure. */
-package appleridge.operators;
+package appleridge.admin;
--- a/sidecar/src/main/java/appleridge/operators/line/Caller.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/Caller.java
@@ -1,8 +1,8 @@
-package appleridge.operators.line;
+package appleridge.admin.protocol;
 
-import appleridge.exchange.Timers;
-import appleridge.operators.Answers;
-import appleridge.operators.Call;
+import appleridge.admin.Answers;
+import appleridge.admin.Call;
+import appleridge.request.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/sidecar/src/main/java/appleridge/operators/line/OperatorsLine.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/OperatorsLine.java
@@ -1,7 +1,7 @@
-package appleridge.operators.line;
+package appleridge.admin.protocol;
 
-import appleridge.exchange.Timers;
-import appleridge.operators.Answers;
+import appleridge.admin.Answers;
+import appleridge.request.Timers;
 import appleridge.transport.AcceptFailures;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
--- a/sidecar/src/main/java/appleridge/operators/line/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/package-info.java
@@ -1,2 +1,2 @@
 /** The front of the operators' calls: one line a connection. */
-package appleridge.operators.line;
+package appleridge.admin.protocol;
--- a/sidecar/src/main/java/appleridge/config/Config.java
+++ b/sidecar/src/main/java/appleridge/config/Config.java
@@ -1,10 +1,10 @@
 package appleridge.config;
 
-import appleridge.decision.Balancer.Allowed;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.Limits;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.Allowed;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.Limits;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Settings;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/sidecar/src/main/java/appleridge/config/Options.java
+++ b/sidecar/src/main/java/appleridge/config/Options.java
@@ -1,14 +1,14 @@
 package appleridge.config;
 
-import appleridge.decision.Balancer.Allowed;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.Limits;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.Settings;
-import appleridge.decision.Balancer.Tenant;
-import appleridge.decision.Balancer.Weights;
+import appleridge.loadbalancing.Balancer.Allowed;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.Limits;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.Tenant;
+import appleridge.loadbalancing.Balancer.Weights;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/daemon/Handover.java
+++ b/sidecar/src/main/java/appleridge/daemon/Handover.java
@@ -1,10 +1,10 @@
 package appleridge.daemon;
 
-import appleridge.handover.Overlap;
-import appleridge.handover.Phase;
-import appleridge.handover.ProcessState;
-import appleridge.handover.Word;
-import appleridge.handover.file.Slots;
+import appleridge.hotrestart.Overlap;
+import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.ProcessState;
+import appleridge.hotrestart.Word;
+import appleridge.hotrestart.file.Slots;
 import appleridge.transport.Loop;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/sidecar/src/main/java/appleridge/daemon/Main.java
+++ b/sidecar/src/main/java/appleridge/daemon/Main.java
@@ -28,7 +28,7 @@
         } else if (words.equals(List.of("warm-up"))) {
             Serve.warmUp();
         } else if (words.equals(List.of("adapter"))) {
-            appleridge.adapter.Main.main();
+            appleridge.simulator.Main.main();
         } else if (!words.isEmpty() && words.get(0).equals("check-config")) {
             System.exit(OperatorStart.check(words.subList(1, words.size())));
         } else if (!words.isEmpty() && words.get(0).equals("register")) {
--- a/sidecar/src/main/java/appleridge/daemon/ModuleFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/ModuleFactory.java
@@ -1,8 +1,8 @@
 package appleridge.daemon;
 
-import appleridge.decision.Balancer;
-import appleridge.decision.Balancer.Actions;
-import appleridge.decision.Balancer.Settings;
+import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.Balancer.Settings;
 
 /** Makes decision modules. */
 public interface ModuleFactory {
--- a/sidecar/src/main/java/appleridge/daemon/Node.java
+++ b/sidecar/src/main/java/appleridge/daemon/Node.java
@@ -1,14 +1,14 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.exchange.Books;
-import appleridge.handover.Overlap;
-import appleridge.handover.Phase;
-import appleridge.handover.Word;
-import appleridge.membership.Directory;
-import appleridge.membership.ListSource;
-import appleridge.membership.Member;
+import appleridge.discovery.Directory;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.Member;
+import appleridge.hotrestart.Overlap;
+import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.Word;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.request.Books;
 import appleridge.transport.HeldListener;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
--- a/sidecar/src/main/java/appleridge/daemon/NodeLists.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodeLists.java
@@ -1,12 +1,12 @@
 package appleridge.daemon;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.exchange.Timers;
-import appleridge.membership.ListSink;
-import appleridge.membership.ListSource;
-import appleridge.membership.Member;
-import appleridge.membership.nodes.Merge;
-import appleridge.membership.nodes.NodeMembership;
+import appleridge.discovery.ListSink;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.Member;
+import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.request.Timers;
 import appleridge.transport.Loop;
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/daemon/NodesStart.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodesStart.java
@@ -1,13 +1,13 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.membership.ListSink;
-import appleridge.membership.ListSource;
-import appleridge.membership.nodes.Merge;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.zookeeper.NodeJson;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
-import appleridge.membership.zookeeper.ZooKeeperSource;
+import appleridge.discovery.ListSink;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.zookeeper.NodeJson;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
+import appleridge.discovery.zookeeper.ZooKeeperSource;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 
--- a/sidecar/src/main/java/appleridge/daemon/OperatorsDesk.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorsDesk.java
@@ -1,12 +1,12 @@
 package appleridge.daemon;
 
+import appleridge.admin.Answers;
+import appleridge.admin.Figures;
+import appleridge.admin.Maintenance;
+import appleridge.admin.protocol.OperatorsLine;
 import appleridge.config.Config;
-import appleridge.handover.Word;
-import appleridge.membership.Directory;
-import appleridge.operators.Answers;
-import appleridge.operators.Figures;
-import appleridge.operators.Maintenance;
-import appleridge.operators.line.OperatorsLine;
+import appleridge.discovery.Directory;
+import appleridge.hotrestart.Word;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/daemon/Serve.java
+++ b/sidecar/src/main/java/appleridge/daemon/Serve.java
@@ -1,7 +1,7 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.decision.SymmetricRoundRobin;
+import appleridge.loadbalancing.SymmetricRoundRobin;
 import appleridge.transport.HeldListener;
 import appleridge.transport.Loop;
 import appleridge.transport.NioEventLoopFactory;
--- a/sidecar/src/main/java/appleridge/daemon/Service.java
+++ b/sidecar/src/main/java/appleridge/daemon/Service.java
@@ -1,13 +1,13 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Settings;
-import appleridge.exchange.Exchanges;
 import appleridge.http1.ClientServer;
 import appleridge.http1.ClientTimes;
 import appleridge.http1.RequestReader;
 import appleridge.http1.UpstreamPool;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.request.Exchanges;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 import java.util.concurrent.TimeUnit;
--- a/sidecar/src/main/java/appleridge/daemon/SourceFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/SourceFactory.java
@@ -1,10 +1,10 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.membership.ListSink;
-import appleridge.membership.ListSource;
-import appleridge.membership.registry.Discovery;
-import appleridge.membership.registry.RegistryList;
+import appleridge.discovery.ListSink;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.registry.Discovery;
+import appleridge.discovery.registry.RegistryList;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 
--- a/sidecar/src/main/java/appleridge/daemon/WarmUp.java
+++ b/sidecar/src/main/java/appleridge/daemon/WarmUp.java
@@ -1,13 +1,13 @@
 package appleridge.daemon;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.decision.SymmetricRoundRobin;
-import appleridge.exchange.Lists;
 import appleridge.http1.ClientTimes;
 import appleridge.http1.Headers;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.request.Lists;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 import io.netty.bootstrap.Bootstrap;
--- a/sidecar/src/main/java/appleridge/membership/AddressHolders.java
+++ b/sidecar/src/main/java/appleridge/discovery/AddressHolders.java
@@ -1,4 +1,4 @@
-package appleridge.membership;
+package appleridge.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
--- a/sidecar/src/main/java/appleridge/membership/Directory.java
+++ b/sidecar/src/main/java/appleridge/discovery/Directory.java
@@ -1,8 +1,8 @@
-package appleridge.membership;
+package appleridge.discovery;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/sidecar/src/main/java/appleridge/membership/ListSink.java
+++ b/sidecar/src/main/java/appleridge/discovery/ListSink.java
@@ -1,6 +1,6 @@
-package appleridge.membership;
+package appleridge.discovery;
 
-import appleridge.decision.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.ListKind;
 import java.util.List;
 
 /** Takes what a source of the list has to tell, on the loop. */
--- a/sidecar/src/main/java/appleridge/membership/ListSource.java
+++ b/sidecar/src/main/java/appleridge/discovery/ListSource.java
@@ -1,6 +1,6 @@
-package appleridge.membership;
+package appleridge.discovery;
 
-import appleridge.exchange.Lists;
+import appleridge.request.Lists;
 import java.net.InetSocketAddress;
 import java.util.List;
 
--- a/sidecar/src/main/java/appleridge/membership/Member.java
+++ b/sidecar/src/main/java/appleridge/discovery/Member.java
@@ -1,6 +1,6 @@
-package appleridge.membership;
+package appleridge.discovery;
 
-import appleridge.decision.Balancer.State;
+import appleridge.loadbalancing.Balancer.State;
 import java.net.InetSocketAddress;
 
 /**
--- a/sidecar/src/main/java/appleridge/membership/StartTimes.java
+++ b/sidecar/src/main/java/appleridge/discovery/StartTimes.java
@@ -1,4 +1,4 @@
-package appleridge.membership;
+package appleridge.discovery;
 
 import java.util.Collection;
 import java.util.HashMap;
--- a/sidecar/src/main/java/appleridge/membership/nodes/AddressIndex.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/AddressIndex.java
@@ -1,4 +1,4 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
--- a/sidecar/src/main/java/appleridge/membership/nodes/Candidate.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Candidate.java
@@ -1,6 +1,6 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
 import java.util.Comparator;
 
 /**
--- a/sidecar/src/main/java/appleridge/membership/nodes/Doubt.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Doubt.java
@@ -1,4 +1,4 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 /** Why the last list stands although nothing new is known. */
 public enum Doubt {
--- a/sidecar/src/main/java/appleridge/membership/nodes/KnownNode.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/KnownNode.java
@@ -1,7 +1,7 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
-import appleridge.decision.Balancer.State;
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.State;
 
 /** One node: what is known of it, and how sure that is. */
 final class KnownNode {
--- a/sidecar/src/main/java/appleridge/membership/nodes/Merge.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Merge.java
@@ -1,4 +1,4 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 /** Which sources make the list. */
 public enum Merge {
--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeData.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
@@ -1,6 +1,6 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
-import appleridge.decision.Balancer.State;
+import appleridge.loadbalancing.Balancer.State;
 import java.net.InetSocketAddress;
 import java.util.Objects;
 
--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeMembership.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeMembership.java
@@ -1,7 +1,7 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.ListKind;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/membership/nodes/NodeRead.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeRead.java
@@ -1,4 +1,4 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 /**
  * The answer to a node's reading: what it says, or why that can't be told.
--- a/sidecar/src/main/java/appleridge/membership/nodes/Session.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Session.java
@@ -1,4 +1,4 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 /** What is known of the session with the coordination service. */
 public enum Session {
--- a/sidecar/src/main/java/appleridge/membership/nodes/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/package-info.java
@@ -3,4 +3,4 @@
  * registry's: what counts as told, what is in doubt, and which source is believed where they
  * disagree. Pure; what talks to the service stands beside it.
  */
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
--- a/sidecar/src/main/java/appleridge/membership/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/package-info.java
@@ -2,4 +2,4 @@
  * Where the list of upstreams comes from; the sources themselves stand in packages of their own
  * below.
  */
-package appleridge.membership;
+package appleridge.discovery;
--- a/sidecar/src/main/java/appleridge/membership/register/NodeText.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeText.java
@@ -1,4 +1,4 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/sidecar/src/main/java/appleridge/membership/register/Register.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/Register.java
@@ -1,6 +1,6 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
-import appleridge.membership.zookeeper.ZooKeeperSettings;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import appleridge.transport.SystemTime;
 import java.io.IOException;
 import java.io.InputStream;
--- a/sidecar/src/main/java/appleridge/membership/register/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
@@ -1,4 +1,4 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
 import appleridge.config.Addresses;
 import java.net.InetSocketAddress;
--- a/sidecar/src/main/java/appleridge/membership/register/Registration.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/Registration.java
@@ -1,7 +1,7 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
-import appleridge.membership.zookeeper.Clients;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
+import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.concurrent.LinkedBlockingQueue;
--- a/sidecar/src/main/java/appleridge/membership/register/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/package-info.java
@@ -2,4 +2,4 @@
  * The command that runs beside a server: starts it as its child and keeps a node for it in
  * ZooKeeper.
  */
-package appleridge.membership.register;
+package appleridge.discovery.registration;
--- a/sidecar/src/main/java/appleridge/membership/registry/Discovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/Discovery.java
@@ -1,10 +1,10 @@
-package appleridge.membership.registry;
+package appleridge.discovery.registry;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.exchange.Timers;
-import appleridge.membership.ListSink;
-import appleridge.membership.ListSource;
-import appleridge.membership.Member;
+import appleridge.discovery.ListSink;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.request.Timers;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/sidecar/src/main/java/appleridge/membership/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -1,4 +1,4 @@
-package appleridge.membership.registry;
+package appleridge.discovery.registry;
 
 import appleridge.transport.Connector;
 import appleridge.transport.Loop;
--- a/sidecar/src/main/java/appleridge/membership/registry/RegistryList.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryList.java
@@ -1,9 +1,9 @@
-package appleridge.membership.registry;
+package appleridge.discovery.registry;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Clients.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Clients.java
@@ -1,4 +1,4 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Hearer.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Hearer.java
@@ -1,9 +1,9 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
 import java.util.Map;
 
 /** Who is told, on the loop; times are those of the loop's clock. */
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/LogBridge.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/LogBridge.java
@@ -1,4 +1,4 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -1,8 +1,8 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
 import appleridge.transport.Loop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/NodeJson.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJson.java
@@ -1,9 +1,9 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import appleridge.config.Addresses;
-import appleridge.decision.Balancer.State;
-import appleridge.membership.nodes.NodeData;
-import appleridge.membership.nodes.NodeRead;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.loadbalancing.Balancer.State;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/Subtree.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Subtree.java
@@ -1,7 +1,7 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeRead;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeRead;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSettings.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
@@ -1,4 +1,4 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
--- a/sidecar/src/main/java/appleridge/membership/zookeeper/ZooKeeperSource.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSource.java
@@ -1,10 +1,10 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
-import appleridge.exchange.Timers;
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
+import appleridge.request.Timers;
 import appleridge.transport.Loop;
 import java.io.IOException;
 import java.util.Map;
--- a/sidecar/src/main/java/appleridge/handover/Phase.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/Phase.java
@@ -1,4 +1,4 @@
-package appleridge.handover;
+package appleridge.hotrestart;
 
 /** How far a process is. */
 public enum Phase {
--- a/sidecar/src/main/java/appleridge/handover/ProcessState.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
@@ -1,4 +1,4 @@
-package appleridge.handover;
+package appleridge.hotrestart;
 
 import java.util.List;
 
--- a/sidecar/src/main/java/appleridge/handover/Word.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/Word.java
@@ -1,4 +1,4 @@
-package appleridge.handover;
+package appleridge.hotrestart;
 
 /**
  * What an operator has said of an upstream, to one process for all of a sidecar's. The latest
--- a/sidecar/src/main/java/appleridge/handover/file/Slots.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/Slots.java
@@ -1,6 +1,6 @@
-package appleridge.handover.file;
+package appleridge.hotrestart.file;
 
-import appleridge.handover.ProcessState;
+import appleridge.hotrestart.ProcessState;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
--- a/sidecar/src/main/java/appleridge/handover/file/StateFile.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/StateFile.java
@@ -1,8 +1,8 @@
-package appleridge.handover.file;
+package appleridge.hotrestart.file;
 
-import appleridge.handover.Phase;
-import appleridge.handover.ProcessState;
-import appleridge.handover.Word;
+import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.ProcessState;
+import appleridge.hotrestart.Word;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/sidecar/src/main/java/appleridge/handover/file/package-info.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/package-info.java
@@ -1,2 +1,2 @@
 /** Files in the folder that both processes have, by which they know of each other. */
-package appleridge.handover.file;
+package appleridge.hotrestart.file;
--- a/sidecar/src/main/java/appleridge/handover/package-info.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Two processes that count as one sidecar: what each may use, and what they tell one another; pure.
  */
-package appleridge.handover;
+package appleridge.hotrestart;
--- a/sidecar/src/main/java/appleridge/http1/Backlog.java
+++ b/sidecar/src/main/java/appleridge/http1/Backlog.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.exchange.LogEvent;
+import appleridge.request.LogEvent;
 import appleridge.transport.Loop;
 import io.netty.channel.Channel;
 import java.util.concurrent.TimeUnit;
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -1,10 +1,10 @@
 package appleridge.http1;
 
-import appleridge.exchange.ClientRequest;
-import appleridge.exchange.Flow;
-import appleridge.exchange.Front;
-import appleridge.exchange.Reply;
 import appleridge.http1.RequestReader.BadRequest;
+import appleridge.request.ClientRequest;
+import appleridge.request.Flow;
+import appleridge.request.Front;
+import appleridge.request.Reply;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/sidecar/src/main/java/appleridge/http1/ClientServer.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientServer.java
@@ -1,9 +1,9 @@
 package appleridge.http1;
 
-import appleridge.exchange.Exchanges;
-import appleridge.exchange.Log;
-import appleridge.exchange.LogEvent;
-import appleridge.exchange.Timers;
+import appleridge.request.Exchanges;
+import appleridge.request.Log;
+import appleridge.request.LogEvent;
+import appleridge.request.Timers;
 import appleridge.transport.AcceptFailures;
 import appleridge.transport.EventLoopMonitor;
 import appleridge.transport.HeldListener;
--- a/sidecar/src/main/java/appleridge/http1/HttpFlow.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpFlow.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.exchange.Flow;
+import appleridge.request.Flow;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
--- a/sidecar/src/main/java/appleridge/http1/HttpReply.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpReply.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.exchange.Reply;
+import appleridge.request.Reply;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Arrays;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/http1/OutgoingRequest.java
+++ b/sidecar/src/main/java/appleridge/http1/OutgoingRequest.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.exchange.Outgoing;
+import appleridge.request.Outgoing;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
--- a/sidecar/src/main/java/appleridge/http1/OutputWatch.java
+++ b/sidecar/src/main/java/appleridge/http1/OutputWatch.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.exchange.Time;
+import appleridge.request.Time;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
--- a/sidecar/src/main/java/appleridge/http1/RequestReader.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestReader.java
@@ -1,9 +1,9 @@
 package appleridge.http1;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.exchange.ClientRequest;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -1,7 +1,7 @@
 package appleridge.http1;
 
-import appleridge.decision.Balancer.Outcome;
-import appleridge.exchange.Endpoint;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.request.Endpoint;
 import appleridge.transport.Loop;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/sidecar/src/main/java/appleridge/http1/UpstreamExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamExchange.java
@@ -1,9 +1,9 @@
 package appleridge.http1;
 
-import appleridge.decision.Balancer.Outcome;
-import appleridge.exchange.Endpoint;
-import appleridge.exchange.Upstreams;
-import appleridge.exchange.Window;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.request.Endpoint;
+import appleridge.request.Upstreams;
+import appleridge.request.Window;
 import appleridge.transport.Connector;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.FullHttpRequest;
--- a/sidecar/src/main/java/appleridge/http1/UpstreamPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamPool.java
@@ -1,11 +1,11 @@
 package appleridge.http1;
 
-import appleridge.decision.Balancer.Outcome;
-import appleridge.exchange.Endpoint;
-import appleridge.exchange.Log;
-import appleridge.exchange.Outgoing;
-import appleridge.exchange.Upstreams;
-import appleridge.exchange.Window;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.request.Endpoint;
+import appleridge.request.Log;
+import appleridge.request.Outgoing;
+import appleridge.request.Upstreams;
+import appleridge.request.Window;
 import appleridge.transport.Connector;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
--- a/sidecar/src/main/java/appleridge/lease/store/WaitingLine.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaitingLine.java
@@ -1,7 +1,7 @@
 package appleridge.lease.store;
 
-import appleridge.membership.zookeeper.Clients;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
+import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -1,8 +1,8 @@
 package appleridge.lease.store;
 
+import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import appleridge.lease.Entry;
-import appleridge.membership.zookeeper.Clients;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
 import appleridge.transport.SystemTime;
 import java.io.IOException;
 import java.util.Comparator;
--- a/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
@@ -1,7 +1,7 @@
 package appleridge.lease.task;
 
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import appleridge.lease.Terms;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
 
 /**
  * What the operator's file says of tasks; times in nanoseconds.
--- a/sidecar/src/main/java/appleridge/decision/SymmetricRoundRobin.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobin.java
@@ -1,4 +1,4 @@
-package appleridge.decision;
+package appleridge.loadbalancing;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/loadbalancing/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Decisions of a client-side load balancer: {@link appleridge.loadbalancing.Balancer} is the
+ * interface.
+ */
+package appleridge.loadbalancing;
--- a/sidecar/src/main/java/appleridge/exchange/Attempt.java
+++ b/sidecar/src/main/java/appleridge/request/Attempt.java
@@ -1,6 +1,6 @@
-package appleridge.exchange;
+package appleridge.request;
 
-import appleridge.decision.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Outcome;
 
 /** One attempt of a request; its numbers count up from 0 within the request. */
 final class Attempt {
--- a/sidecar/src/main/java/appleridge/exchange/Books.java
+++ b/sidecar/src/main/java/appleridge/request/Books.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * What is open: all zero once every request has its answer and every attempt its end.
--- a/sidecar/src/main/java/appleridge/exchange/Call.java
+++ b/sidecar/src/main/java/appleridge/request/Call.java
@@ -1,6 +1,6 @@
-package appleridge.exchange;
+package appleridge.request;
 
-import appleridge.decision.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/sidecar/src/main/java/appleridge/exchange/ClientRequest.java
+++ b/sidecar/src/main/java/appleridge/request/ClientRequest.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * A client's request as read and found in order.
--- a/sidecar/src/main/java/appleridge/exchange/Exchanges.java
+++ b/sidecar/src/main/java/appleridge/request/Exchanges.java
@@ -1,15 +1,15 @@
-package appleridge.exchange;
-
-import appleridge.decision.Balancer;
-import appleridge.decision.Balancer.Actions;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.Request;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.Settings;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
+package appleridge.request;
+
+import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Request;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/sidecar/src/main/java/appleridge/exchange/Flow.java
+++ b/sidecar/src/main/java/appleridge/request/Flow.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * An upstream's good answer that is too long to be held: its beginning is here, and the rest is
--- a/sidecar/src/main/java/appleridge/exchange/Front.java
+++ b/sidecar/src/main/java/appleridge/request/Front.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /** Takes a request's one final answer and words it as its protocol does. */
 public interface Front {
--- a/sidecar/src/main/java/appleridge/exchange/Lists.java
+++ b/sidecar/src/main/java/appleridge/request/Lists.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * What the decision module asks of the source of the list; answered by {@link
--- a/sidecar/src/main/java/appleridge/exchange/LogEvent.java
+++ b/sidecar/src/main/java/appleridge/request/LogEvent.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * What is logged with a stable name and keyed fields; each kind has a limit of its own on how
--- a/sidecar/src/main/java/appleridge/exchange/Outgoing.java
+++ b/sidecar/src/main/java/appleridge/request/Outgoing.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * What a client asks of an upstream, in a protocol's own form; only the protocol that read it can
--- a/sidecar/src/main/java/appleridge/exchange/Reply.java
+++ b/sidecar/src/main/java/appleridge/request/Reply.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 import java.util.List;
 
--- a/sidecar/src/main/java/appleridge/exchange/Tally.java
+++ b/sidecar/src/main/java/appleridge/request/Tally.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /** Counts what becomes of requests; each thing is told in one place, once. */
 public interface Tally {
--- a/sidecar/src/main/java/appleridge/exchange/Time.java
+++ b/sidecar/src/main/java/appleridge/request/Time.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /** The one clock of a sidecar. */
 public interface Time {
--- a/sidecar/src/main/java/appleridge/exchange/Timers.java
+++ b/sidecar/src/main/java/appleridge/request/Timers.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * Later moments on the thread that owns a sidecar; nothing given here runs inside the call that
--- a/sidecar/src/main/java/appleridge/exchange/Upstreams.java
+++ b/sidecar/src/main/java/appleridge/request/Upstreams.java
@@ -1,6 +1,6 @@
-package appleridge.exchange;
+package appleridge.request;
 
-import appleridge.decision.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Outcome;
 
 /** Sends to upstreams, each request once: nothing is ever sent a second time below this. */
 public interface Upstreams {
--- a/sidecar/src/main/java/appleridge/exchange/Window.java
+++ b/sidecar/src/main/java/appleridge/request/Window.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 /**
  * When an attempt may reach its upstream, in nanoseconds of the {@link Time}. Danger: what was
--- a/sidecar/src/main/java/appleridge/exchange/package-info.java
+++ b/sidecar/src/main/java/appleridge/request/package-info.java
@@ -2,4 +2,4 @@
  * A request's life: attempts, outcomes, windows and one final answer; knows no protocol, socket or
  * clock.
  */
-package appleridge.exchange;
+package appleridge.request;
--- a/sidecar/src/main/java/appleridge/adapter/Cursor.java
+++ b/sidecar/src/main/java/appleridge/simulator/Cursor.java
@@ -1,4 +1,4 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/sidecar/src/main/java/appleridge/adapter/Host.java
+++ b/sidecar/src/main/java/appleridge/simulator/Host.java
@@ -1,14 +1,14 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 import appleridge.config.Options;
-import appleridge.decision.Balancer;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.Request;
-import appleridge.decision.Balancer.Settings;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.decision.SymmetricRoundRobin;
+import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Request;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.loadbalancing.SymmetricRoundRobin;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/sidecar/src/main/java/appleridge/adapter/Main.java
+++ b/sidecar/src/main/java/appleridge/simulator/Main.java
@@ -1,4 +1,4 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.FileDescriptor;
--- a/sidecar/src/main/java/appleridge/adapter/Replies.java
+++ b/sidecar/src/main/java/appleridge/simulator/Replies.java
@@ -1,6 +1,6 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
-import appleridge.decision.Balancer.Actions;
+import appleridge.loadbalancing.Balancer.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
--- a/sidecar/src/main/java/appleridge/adapter/WireException.java
+++ b/sidecar/src/main/java/appleridge/simulator/WireException.java
@@ -1,4 +1,4 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 /** Input that breaks the wire's format; the message says what and where. */
 final class WireException extends IllegalArgumentException {
--- a/sidecar/src/main/java/appleridge/adapter/package-info.java
+++ b/sidecar/src/main/java/appleridge/simulator/package-info.java
@@ -2,4 +2,4 @@
  * The simulator's wire: reads event frames, drives one module instance a sidecar, writes action
  * frames.
  */
-package appleridge.adapter;
+package appleridge.simulator;
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -1,6 +1,6 @@
 package appleridge.transport;
 
-import appleridge.exchange.LogEvent;
+import appleridge.request.LogEvent;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
--- a/sidecar/src/main/java/appleridge/transport/Loop.java
+++ b/sidecar/src/main/java/appleridge/transport/Loop.java
@@ -1,8 +1,8 @@
 package appleridge.transport;
 
-import appleridge.exchange.Log;
-import appleridge.exchange.Time;
-import appleridge.exchange.Timers;
+import appleridge.request.Log;
+import appleridge.request.Time;
+import appleridge.request.Timers;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -1,8 +1,8 @@
 package appleridge.transport;
 
-import appleridge.exchange.Log;
-import appleridge.exchange.LogEvent;
-import appleridge.exchange.Time;
+import appleridge.request.Log;
+import appleridge.request.LogEvent;
+import appleridge.request.Time;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
--- a/sidecar/src/test/java/appleridge/ArchitectureTest.java
+++ b/sidecar/src/test/java/appleridge/ArchitectureTest.java
@@ -79,26 +79,30 @@
 
     @Test
     void decidersArePureAndKnowOnlyWhatStandsBelowThem() {
-        only("appleridge.decision", PURE).check(PRODUCT);
-        only("appleridge.exchange", PURE.or(rooms("appleridge.decision"))).check(PRODUCT);
-        only("appleridge.membership", PURE.or(rooms("appleridge.decision", "appleridge.exchange")))
+        only("appleridge.loadbalancing", PURE).check(PRODUCT);
+        only("appleridge.request", PURE.or(rooms("appleridge.loadbalancing"))).check(PRODUCT);
+        only(
+                        "appleridge.discovery",
+                        PURE.or(rooms("appleridge.loadbalancing", "appleridge.request")))
                 .check(PRODUCT);
         only(
-                        "appleridge.membership.nodes",
-                        PURE.or(rooms("appleridge.decision", "appleridge.membership")))
+                        "appleridge.discovery.ephemeral",
+                        PURE.or(rooms("appleridge.loadbalancing", "appleridge.discovery")))
                 .check(PRODUCT);
-        only("appleridge.handover", PURE).check(PRODUCT);
+        only("appleridge.hotrestart", PURE).check(PRODUCT);
         only("appleridge.lease", PURE).check(PRODUCT);
         only(
-                        "appleridge.operators",
+                        "appleridge.admin",
                         PURE.or(
                                 rooms(
-                                        "appleridge.decision",
-                                        "appleridge.exchange",
-                                        "appleridge.membership",
-                                        "appleridge.handover")))
+                                        "appleridge.loadbalancing",
+                                        "appleridge.request",
+                                        "appleridge.discovery",
+                                        "appleridge.hotrestart")))
                 .check(PRODUCT);
-        only("appleridge.config", PURE.or(rooms("appleridge.decision", "com.fasterxml.jackson..")))
+        only(
+                        "appleridge.config",
+                        PURE.or(rooms("appleridge.loadbalancing", "com.fasterxml.jackson..")))
                 .check(PRODUCT);
     }
 
@@ -111,19 +115,21 @@
                 rooms(
                         "java..",
                         "io.netty..",
-                        "appleridge.decision",
-                        "appleridge.exchange",
+                        "appleridge.loadbalancing",
+                        "appleridge.request",
                         "appleridge.config",
                         "appleridge.transport");
         only("appleridge.http1", below).check(PRODUCT);
         only(
-                        "appleridge.membership.registry",
-                        below.or(rooms("appleridge.membership", "com.fasterxml.jackson..")))
+                        "appleridge.discovery.registry",
+                        below.or(rooms("appleridge.discovery", "com.fasterxml.jackson..")))
                 .check(PRODUCT);
-        only("appleridge.operators.line", below.or(rooms("appleridge.operators"))).check(PRODUCT);
-        only("appleridge.transport", rooms("java..", "io.netty..", "appleridge.exchange"))
+        only("appleridge.admin.protocol", below.or(rooms("appleridge.admin"))).check(PRODUCT);
+        only("appleridge.transport", rooms("java..", "io.netty..", "appleridge.request"))
                 .check(PRODUCT);
-        only("appleridge.adapter", rooms("java..", "appleridge.decision", "appleridge.config"))
+        only(
+                        "appleridge.simulator",
+                        rooms("java..", "appleridge.loadbalancing", "appleridge.config"))
                 .check(PRODUCT);
     }
 
@@ -131,26 +137,26 @@
     @Test
     void zooKeepersClientIsKnownInThreePlaces() {
         only(
-                        "appleridge.membership.zookeeper",
+                        "appleridge.discovery.zookeeper",
                         rooms(
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "org.slf4j..",
                                 "com.fasterxml.jackson..",
-                                "appleridge.membership",
-                                "appleridge.membership.nodes",
-                                "appleridge.decision",
-                                "appleridge.exchange",
+                                "appleridge.discovery",
+                                "appleridge.discovery.ephemeral",
+                                "appleridge.loadbalancing",
+                                "appleridge.request",
                                 "appleridge.transport",
                                 "appleridge.config"))
                 .check(PRODUCT);
         only(
-                        "appleridge.membership.register",
+                        "appleridge.discovery.registration",
                         rooms(
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "com.fasterxml.jackson..",
-                                "appleridge.membership.zookeeper",
+                                "appleridge.discovery.zookeeper",
                                 "appleridge.transport",
                                 "appleridge.config"))
                 .check(PRODUCT);
@@ -160,15 +166,15 @@
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "com.fasterxml.jackson..",
-                                "appleridge.membership.zookeeper",
+                                "appleridge.discovery.zookeeper",
                                 "appleridge.transport",
                                 "appleridge.lease"))
                 .check(PRODUCT);
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
-                        "appleridge.membership.zookeeper",
-                        "appleridge.membership.register",
+                        "appleridge.discovery.zookeeper",
+                        "appleridge.discovery.registration",
                         "appleridge.lease.store")
                 .should()
                 .dependOnClassesThat()
@@ -177,8 +183,8 @@
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
-                        "appleridge.membership.zookeeper",
-                        "appleridge.membership.register",
+                        "appleridge.discovery.zookeeper",
+                        "appleridge.discovery.registration",
                         "appleridge.lease.store",
                         "appleridge.lease.task")
                 .and()
@@ -188,7 +194,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "appleridge.membership.zookeeper", "appleridge.membership.register")
+                        "appleridge.discovery.zookeeper", "appleridge.discovery.registration")
                 .check(PRODUCT);
     }
 
@@ -215,7 +221,7 @@
                                 "picocli..",
                                 "appleridge.lease",
                                 "appleridge.lease.store",
-                                "appleridge.membership.zookeeper"))
+                                "appleridge.discovery.zookeeper"))
                 .check(PRODUCT);
         noClasses()
                 .that()
@@ -324,7 +330,7 @@
                     .orShould()
                     .callConstructor(Random.class);
 
-    /** A wall that nobody could run into would hold nothing: the rig's own test of the rule. */
+    /** A wall that nobody could run into would hold nothing: the testbed's own test of the rule. */
     @Test
     void theRuleOfTimeSeesWhoBreaksIt() {
         JavaClasses offender = new ClassFileImporter().importClasses(Offender.class);
--- a/sidecar/src/test/java/appleridge/operators/AnswersTest.java
+++ b/sidecar/src/test/java/appleridge/admin/AnswersTest.java
@@ -1,4 +1,4 @@
-package appleridge.operators;
+package appleridge.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/sidecar/src/test/java/appleridge/operators/MaintenanceTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceTest.java
@@ -1,16 +1,16 @@
-package appleridge.operators;
+package appleridge.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.membership.Directory;
-import appleridge.membership.Directory.News;
-import appleridge.membership.Member;
+import appleridge.discovery.Directory;
+import appleridge.discovery.Directory.News;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -208,7 +208,7 @@
                         .forEach(
                                 each ->
                                         expected.add(
-                                                appleridge.membership.UpstreamNumbers.natural(
+                                                appleridge.discovery.UpstreamNumbers.natural(
                                                         each)));
                 assertEquals(expected, module, "seed " + seed + " step " + i);
             }
--- a/sidecar/src/test/java/appleridge/config/ConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/ConfigTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.daemon.LoopbackNode;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Semantics;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.Config;
-import appleridge.decision.SymmetricRoundRobin;
+import appleridge.loadbalancing.SymmetricRoundRobin;
 import appleridge.transport.HeldListener;
 import appleridge.transport.Loop;
 import appleridge.transport.NioSockets;
--- a/sidecar/src/test/java/appleridge/daemon/HeldListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/HeldListenerIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.handover.Phase;
+import appleridge.hotrestart.Phase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer;
-import appleridge.decision.SymmetricRoundRobin;
-import appleridge.exchange.Books;
+import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.request.Books;
 import appleridge.transport.Loop;
 import appleridge.transport.NioSockets;
 import appleridge.transport.SystemLog;
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.Config;
-import appleridge.decision.SymmetricRoundRobin;
-import appleridge.exchange.Books;
+import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.request.Books;
 import appleridge.transport.Loop;
 import appleridge.transport.NioSockets;
 import appleridge.transport.SystemLog;
--- a/sidecar/src/test/java/appleridge/daemon/ServeIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeIT.java
@@ -95,17 +95,17 @@
         assertFalse(loaded.contains("dataformat.toml"));
         for (String off :
                 new String[] {
-                    "appleridge.membership.nodes",
-                    "appleridge.membership.zookeeper",
-                    "appleridge.membership.register",
+                    "appleridge.discovery.ephemeral",
+                    "appleridge.discovery.zookeeper",
+                    "appleridge.discovery.registration",
                     "appleridge.daemon.NodeLists",
                     "appleridge.daemon.NodesStart",
                     "zookeeper",
                     "org.slf4j",
                     "appleridge.transport.HeldListener",
-                    "appleridge.operators",
+                    "appleridge.admin",
                     "appleridge.daemon.OperatorsDesk",
-                    "appleridge.handover",
+                    "appleridge.hotrestart",
                     "appleridge.daemon.Handover"
                 }) {
             assertFalse(loaded.contains(off), off);
--- a/sidecar/src/test/java/appleridge/membership/AddressHoldersTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/AddressHoldersTest.java
@@ -1,4 +1,4 @@
-package appleridge.membership;
+package appleridge.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/sidecar/src/test/java/appleridge/membership/DirectoryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/DirectoryTest.java
@@ -1,15 +1,15 @@
-package appleridge.membership;
+package appleridge.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.membership.nodes.Merge;
-import appleridge.membership.nodes.NodeData;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
--- a/sidecar/src/test/java/appleridge/membership/nodes/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -1,10 +1,10 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
--- a/sidecar/src/test/java/appleridge/membership/nodes/NodeMembershipTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeMembershipTest.java
@@ -1,11 +1,11 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/sidecar/src/test/java/appleridge/membership/nodes/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -1,9 +1,9 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import appleridge.decision.Balancer.State;
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/sidecar/src/test/java/appleridge/membership/nodes/Told.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/Told.java
@@ -1,8 +1,8 @@
-package appleridge.membership.nodes;
+package appleridge.discovery.ephemeral;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.State;
-import appleridge.membership.Member;
+import appleridge.discovery.Member;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.State;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/sidecar/src/test/java/appleridge/membership/register/RegisterArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
@@ -1,4 +1,4 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/Heard.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/Heard.java
@@ -1,11 +1,11 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.LinkedBlockingQueue;
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
@@ -1,10 +1,10 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
 import appleridge.transport.Loop;
 import appleridge.transport.SystemLog;
 import io.netty.channel.DefaultEventLoop;
--- a/sidecar/src/test/java/appleridge/membership/zookeeper/NodeJsonTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonTest.java
@@ -1,11 +1,11 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import appleridge.decision.Balancer.State;
-import appleridge.membership.nodes.NodeData;
-import appleridge.membership.nodes.NodeRead;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.loadbalancing.Balancer.State;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/sidecar/src/test/java/appleridge/handover/OverlapTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/OverlapTest.java
@@ -1,4 +1,4 @@
-package appleridge.handover;
+package appleridge.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/sidecar/src/test/java/appleridge/handover/file/SlotsTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/SlotsTest.java
@@ -1,12 +1,12 @@
-package appleridge.handover.file;
+package appleridge.hotrestart.file;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.handover.Phase;
-import appleridge.handover.ProcessState;
-import appleridge.handover.Word;
+import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.ProcessState;
+import appleridge.hotrestart.Word;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/sidecar/src/test/java/appleridge/http1/RequestReaderTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestReaderTest.java
@@ -5,8 +5,8 @@
 
 import appleridge.config.Config;
 import appleridge.daemon.LoopbackNode;
-import appleridge.exchange.ClientRequest;
 import appleridge.http1.RequestReader.BadRequest;
+import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
--- a/sidecar/src/test/java/appleridge/decision/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/EmbeddingExampleTest.java
@@ -1,13 +1,13 @@
-package appleridge.decision;
+package appleridge.loadbalancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.Request;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Request;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/sidecar/src/test/java/appleridge/decision/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
@@ -1,16 +1,16 @@
-package appleridge.decision;
+package appleridge.loadbalancing;
 
-import static appleridge.decision.Recorder.MS;
+import static appleridge.loadbalancing.Recorder.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Upstream;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Upstream;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/sidecar/src/test/java/appleridge/decision/Recorder.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/Recorder.java
@@ -1,20 +1,20 @@
-package appleridge.decision;
-
-import appleridge.decision.Balancer.Actions;
-import appleridge.decision.Balancer.Allowed;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.Limits;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.Request;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.Settings;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Tenant;
-import appleridge.decision.Balancer.Upstream;
-import appleridge.decision.Balancer.Weights;
+package appleridge.loadbalancing;
+
+import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.Balancer.Allowed;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.Limits;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.Request;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Tenant;
+import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.loadbalancing.Balancer.Weights;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
--- a/sidecar/src/test/java/appleridge/decision/SettingsUnlikeTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SettingsUnlikeTest.java
@@ -1,20 +1,20 @@
-package appleridge.decision;
+package appleridge.loadbalancing;
 
-import static appleridge.decision.Recorder.MS;
+import static appleridge.loadbalancing.Recorder.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.Allowed;
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.Limits;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.RequestClass;
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.Settings;
-import appleridge.decision.Balancer.State;
-import appleridge.decision.Balancer.Weights;
+import appleridge.loadbalancing.Balancer.Allowed;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.Limits;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.RequestClass;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.Balancer.Weights;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/sidecar/src/test/java/appleridge/decision/SymmetricRoundRobinTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinTest.java
@@ -1,22 +1,22 @@
-package appleridge.decision;
-
-import static appleridge.decision.Recorder.BY_ANY;
-import static appleridge.decision.Recorder.BY_CELL;
-import static appleridge.decision.Recorder.MS;
-import static appleridge.decision.Recorder.ONCE;
-import static appleridge.decision.Recorder.REPEATABLE;
-import static appleridge.decision.Recorder.settings;
-import static appleridge.decision.Recorder.upstream;
+package appleridge.loadbalancing;
+
+import static appleridge.loadbalancing.Recorder.BY_ANY;
+import static appleridge.loadbalancing.Recorder.BY_CELL;
+import static appleridge.loadbalancing.Recorder.MS;
+import static appleridge.loadbalancing.Recorder.ONCE;
+import static appleridge.loadbalancing.Recorder.REPEATABLE;
+import static appleridge.loadbalancing.Recorder.settings;
+import static appleridge.loadbalancing.Recorder.upstream;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer.Discovery;
-import appleridge.decision.Balancer.ListKind;
-import appleridge.decision.Balancer.Outcome;
-import appleridge.decision.Balancer.State;
+import appleridge.loadbalancing.Balancer.Discovery;
+import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Balancer.State;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -1350,8 +1350,8 @@
     void moduleStaysWithinItsSize() throws IOException {
         List<String> lines =
                 Files.readAllLines(
-                        Path.of("src/main/java/appleridge/decision/SymmetricRoundRobin.java"));
-        assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1_480);
+                        Path.of("src/main/java/appleridge/loadbalancing/SymmetricRoundRobin.java"));
+        assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1_352);
         assertTrue(lines.stream().allMatch(line -> line.length() <= 100));
     }
 }
--- a/sidecar/src/test/java/appleridge/exchange/EventLoopStallGuardTest.java
+++ b/sidecar/src/test/java/appleridge/request/EventLoopStallGuardTest.java
@@ -1,4 +1,4 @@
-package appleridge.exchange;
+package appleridge.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/sidecar/src/test/java/appleridge/adapter/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -1,4 +1,4 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/sidecar/src/test/java/appleridge/adapter/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/WireTest.java
@@ -1,4 +1,4 @@
-package appleridge.adapter;
+package appleridge.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.Options;
-import appleridge.decision.Balancer.Actions;
-import appleridge.decision.Balancer.Semantics;
-import appleridge.decision.Balancer.Settings;
+import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Settings;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/rig/src/main/java/appleridge/rig/Main.java
+++ b/testbed/src/main/java/appleridge/testbed/Main.java
@@ -1,17 +1,17 @@
-package appleridge.rig;
+package appleridge.testbed;
 
-import appleridge.rig.coordination.CoordinationCommand;
-import appleridge.rig.coordination.Measure;
-import appleridge.rig.demo.Demo;
-import appleridge.rig.lease.CheckLeases;
-import appleridge.rig.lease.LeasesCommand;
-import appleridge.rig.plant.PlantedCommand;
-import appleridge.rig.sim.Shrink;
-import appleridge.rig.sim.Simulate;
+import appleridge.testbed.campaign.Shrink;
+import appleridge.testbed.campaign.Simulate;
+import appleridge.testbed.coordination.CoordinationCommand;
+import appleridge.testbed.coordination.Measure;
+import appleridge.testbed.demo.Demo;
+import appleridge.testbed.lease.CheckLeases;
+import appleridge.testbed.lease.LeasesCommand;
+import appleridge.testbed.mutation.PlantedCommand;
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Entry point of the rig's jar. */
+/** Entry point of the testbed's jar. */
 public final class Main {
     private Main() {}
 
@@ -31,8 +31,9 @@
                             new CoordinationCommand(System.out, System.err).run(System.in, rest));
             default -> {
                 System.err.println(
-                        "usage: java -jar rig.jar demo|simulate|shrink|planted|check-leases|leases"
-                                + "|measure|coordination ...");
+                        "usage: java -jar testbed.jar"
+                            + " demo|simulate|shrink|planted|check-leases|leases|measure|coordination"
+                            + " ...");
                 System.exit(2);
             }
         }
--- a/rig/src/main/java/appleridge/rig/sim/Campaign.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Campaign.java
@@ -1,10 +1,10 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.judge.Counts;
-import appleridge.rig.judge.Coverage;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.net.Chance;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.invariants.Counts;
+import appleridge.testbed.invariants.Coverage;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simulation.Plan;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/sim/DayPlayer.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/DayPlayer.java
@@ -1,23 +1,23 @@
-package appleridge.rig.sim;
-
-import appleridge.rig.judge.Books;
-import appleridge.rig.judge.Broken;
-import appleridge.rig.judge.Counts;
-import appleridge.rig.judge.Coverage;
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.Fan;
-import appleridge.rig.judge.Figures;
-import appleridge.rig.judge.Judge;
-import appleridge.rig.judge.Ledger;
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.judge.Rule;
-import appleridge.rig.judge.Strikes;
-import appleridge.rig.judge.Tally;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.net.Simulation;
-import appleridge.rig.world.Knob;
-import appleridge.rig.world.Plan;
-import appleridge.rig.world.World;
+package appleridge.testbed.campaign;
+
+import appleridge.testbed.invariants.Books;
+import appleridge.testbed.invariants.Broken;
+import appleridge.testbed.invariants.Counts;
+import appleridge.testbed.invariants.Coverage;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.Fan;
+import appleridge.testbed.invariants.Figures;
+import appleridge.testbed.invariants.Judge;
+import appleridge.testbed.invariants.Ledger;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.invariants.Rule;
+import appleridge.testbed.invariants.Strikes;
+import appleridge.testbed.invariants.Tally;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simnet.Simulation;
+import appleridge.testbed.simulation.Knob;
+import appleridge.testbed.simulation.Plan;
+import appleridge.testbed.simulation.World;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -60,7 +60,7 @@
         return new DayPlayer(plan).play(trace);
     }
 
-    /** The same; where the rig itself fails, that is what the day comes to. */
+    /** The same; where the testbed itself fails, that is what the day comes to. */
     static Verdict playOrCrash(Plan plan) {
         try {
             return play(plan);
@@ -73,7 +73,7 @@
                             new Broken(
                                     Rule.CRASH,
                                     0,
-                                    "the rig",
+                                    "the testbed",
                                     e + (trace.length == 0 ? "" : " at " + trace[0]))),
                     Counts.NONE,
                     new Coverage(),
--- a/rig/src/main/java/appleridge/rig/sim/Options.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Options.java
@@ -1,4 +1,4 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/sim/ScenarioFile.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/ScenarioFile.java
@@ -1,6 +1,6 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.world.Plan;
+import appleridge.testbed.simulation.Plan;
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.Files;
--- a/rig/src/main/java/appleridge/rig/sim/Scenarios.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Scenarios.java
@@ -1,6 +1,6 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.world.Plan;
+import appleridge.testbed.simulation.Plan;
 import java.io.IOException;
 import java.net.URISyntaxException;
 import java.nio.file.FileSystem;
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 
 /**
- * The scenarios that are kept with the rig. Each showed something that was mended then, as its
+ * The scenarios that are kept with the testbed. Each showed something that was mended then, as its
  * first line says, and is played for ever.
  */
 final class Scenarios {
--- a/rig/src/main/java/appleridge/rig/sim/Shrink.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Shrink.java
@@ -1,10 +1,10 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.judge.Broken;
-import appleridge.rig.judge.Rule;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.world.Nearest;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.invariants.Broken;
+import appleridge.testbed.invariants.Rule;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simulation.Nearest;
+import appleridge.testbed.simulation.Plan;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
--- a/rig/src/main/java/appleridge/rig/sim/Shrinker.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Shrinker.java
@@ -1,8 +1,8 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.world.Knob;
-import appleridge.rig.world.Plan;
-import appleridge.rig.world.SimplerPlans;
+import appleridge.testbed.simulation.Knob;
+import appleridge.testbed.simulation.Plan;
+import appleridge.testbed.simulation.SimplerPlans;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/sim/SimLog.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimLog.java
@@ -1,7 +1,7 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.exchange.Log;
-import appleridge.rig.net.Simulation;
+import appleridge.request.Log;
+import appleridge.testbed.simnet.Simulation;
 import java.util.List;
 
 /** A process's log in the simulation: lines go into the trace, failures are kept for the judge. */
--- a/rig/src/main/java/appleridge/rig/sim/SimNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
@@ -1,14 +1,14 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import appleridge.config.Config;
 import appleridge.daemon.NodeLists;
 import appleridge.daemon.SourceFactory;
-import appleridge.membership.ListSink;
-import appleridge.membership.ListSource;
-import appleridge.membership.nodes.Merge;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.rig.world.Ensemble;
-import appleridge.rig.world.EnsembleClient;
+import appleridge.discovery.ListSink;
+import appleridge.discovery.ListSource;
+import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.testbed.simulation.Ensemble;
+import appleridge.testbed.simulation.EnsembleClient;
 import appleridge.transport.Loop;
 import appleridge.transport.Sockets;
 
--- a/rig/src/main/java/appleridge/rig/sim/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -1,18 +1,18 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import appleridge.config.Config;
 import appleridge.daemon.Node;
 import appleridge.daemon.Tuning;
-import appleridge.decision.SymmetricRoundRobin;
-import appleridge.membership.UpstreamNumbers;
-import appleridge.rig.judge.Books;
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.Span;
-import appleridge.rig.net.SimLoop;
-import appleridge.rig.net.Simulation;
-import appleridge.rig.world.Ensemble;
-import appleridge.rig.world.SidecarHost;
-import appleridge.rig.world.Site;
+import appleridge.discovery.UpstreamNumbers;
+import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.testbed.invariants.Books;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.Span;
+import appleridge.testbed.simnet.SimLoop;
+import appleridge.testbed.simnet.Simulation;
+import appleridge.testbed.simulation.Ensemble;
+import appleridge.testbed.simulation.SidecarHost;
+import appleridge.testbed.simulation.Site;
 import appleridge.transport.Loop;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -179,7 +179,7 @@
         if (!loop.isDead()) {
             loop.escaped().forEach(each -> failures.add(String.valueOf(each)));
         }
-        appleridge.exchange.Books own = node.books();
+        appleridge.request.Books own = node.books();
         return new Books(
                 own.open() + own.names() + own.calls(),
                 own.attempts(),
--- a/rig/src/main/java/appleridge/rig/sim/SimSockets.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSockets.java
@@ -1,7 +1,7 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.net.SimChannel;
-import appleridge.rig.net.SimLoop;
+import appleridge.testbed.simnet.SimChannel;
+import appleridge.testbed.simnet.SimLoop;
 import appleridge.transport.Sockets;
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
--- a/rig/src/main/java/appleridge/rig/sim/Simulate.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Simulate.java
@@ -1,8 +1,8 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.judge.Impossible;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.invariants.Impossible;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simulation.Plan;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -107,7 +107,7 @@
         return verdict.good() ? 0 : 1;
     }
 
-    /** Plays all scenarios that are kept with the rig. */
+    /** Plays all scenarios that are kept with the testbed. */
     private int kept() throws IOException {
         List<Scenarios.Scenario> kept = Scenarios.kept();
         int broken = 0;
--- a/rig/src/main/java/appleridge/rig/sim/WallTime.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WallTime.java
@@ -1,4 +1,4 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 /** The real clock, to say how long playing took; nothing that is played reads it. */
 final class WallTime {
--- a/rig/src/main/java/appleridge/rig/sim/WitnessedActions.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
@@ -1,7 +1,7 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.decision.Balancer.Actions;
-import appleridge.rig.judge.Evidence;
+import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.testbed.invariants.Evidence;
 import java.util.function.LongFunction;
 
 /**
--- a/rig/src/main/java/appleridge/rig/sim/WitnessedModule.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedModule.java
@@ -1,8 +1,8 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.decision.Balancer;
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.net.Simulation;
+import appleridge.loadbalancing.Balancer;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.simnet.Simulation;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
--- a/rig/src/main/java/appleridge/rig/sim/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/package-info.java
@@ -1,2 +1,2 @@
 /** Plays days: the product itself on the simulated network, in the world, before the judge. */
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
--- a/rig/src/main/java/appleridge/rig/coordination/CoordinatedSite.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
@@ -1,13 +1,13 @@
-package appleridge.rig.coordination;
-
-import appleridge.rig.demo.SidecarProcess;
-import appleridge.rig.demo.SidecarSettings;
-import appleridge.rig.loopback.LoopbackClients;
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.LoopbackServer;
-import appleridge.rig.loopback.RealTime;
-import appleridge.rig.loopback.RepeatMemory;
-import appleridge.rig.loopback.Witness;
+package appleridge.testbed.coordination;
+
+import appleridge.testbed.demo.SidecarProcess;
+import appleridge.testbed.demo.SidecarSettings;
+import appleridge.testbed.standin.LoopbackClients;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.LoopbackServer;
+import appleridge.testbed.standin.RealTime;
+import appleridge.testbed.standin.RepeatMemory;
+import appleridge.testbed.standin.Witness;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/rig/src/main/java/appleridge/rig/coordination/CoordinationCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -19,7 +19,7 @@
 public final class CoordinationCommand {
     private static final String USAGE =
             """
-            usage: java -jar rig.jar coordination --listen HOST:PORT [--listen HOST:PORT ...]
+            usage: java -jar testbed.jar coordination --listen HOST:PORT [--listen HOST:PORT ...]
                     [--tick 50] [--least 200] [--most 60000]
               one member of one ensemble for each --listen; milliseconds of its clock \
               and of session
--- a/rig/src/main/java/appleridge/rig/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -1,11 +1,11 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.membership.nodes.Merge;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.zookeeper.NodeJson;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
-import appleridge.membership.zookeeper.ZooKeeperSource;
-import appleridge.rig.loopback.RealTime;
+import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.zookeeper.NodeJson;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
+import appleridge.discovery.zookeeper.ZooKeeperSource;
+import appleridge.testbed.standin.RealTime;
 import appleridge.transport.Loop;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
--- a/rig/src/main/java/appleridge/rig/coordination/LatencyCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/LatencyCheck.java
@@ -1,7 +1,7 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.LoopbackServer;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.LoopbackServer;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
--- a/rig/src/main/java/appleridge/rig/coordination/ManyServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/rig/src/main/java/appleridge/rig/coordination/Measure.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -20,7 +20,7 @@
 public final class Measure {
     private static final String USAGE =
             """
-            usage: java -jar rig.jar measure WHAT [--jar FILE] [--seed N] [--rate N] ...
+            usage: java -jar testbed.jar measure WHAT [--jar FILE] [--seed N] [--rate N] ...
               membership-drain [--sequences 300] [--servers 12] [--strikes all|none|cut,\
               reset,...]
                           [--source nodes|both] [--session 2s]
--- a/rig/src/main/java/appleridge/rig/coordination/Member.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Member.java
@@ -1,7 +1,7 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.coordination.Rules.Asked;
-import appleridge.rig.coordination.Watches.Kind;
+import appleridge.testbed.coordination.Rules.Asked;
+import appleridge.testbed.coordination.Watches.Kind;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/rig/src/main/java/appleridge/rig/coordination/OutageCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
@@ -1,6 +1,6 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.LoopbackServer;
+import appleridge.testbed.standin.LoopbackServer;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
--- a/rig/src/main/java/appleridge/rig/coordination/Relay.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
@@ -1,6 +1,6 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.RealTime;
+import appleridge.testbed.standin.RealTime;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
--- a/rig/src/main/java/appleridge/rig/coordination/ScaleCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ScaleCheck.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import java.io.IOException;
 import java.io.PrintStream;
--- a/rig/src/main/java/appleridge/rig/coordination/Seat.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Seat.java
@@ -1,7 +1,7 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.ColdStart;
-import appleridge.rig.loopback.LoopbackServer;
+import appleridge.testbed.standin.ColdStart;
+import appleridge.testbed.standin.LoopbackServer;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
--- a/rig/src/main/java/appleridge/rig/coordination/Sequence.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
@@ -1,6 +1,6 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.LoopbackServer;
+import appleridge.testbed.standin.LoopbackServer;
 import java.io.IOException;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutionException;
--- a/rig/src/main/java/appleridge/rig/coordination/ServerNode.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ServerNode.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/rig/src/main/java/appleridge/rig/coordination/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Traffic.java
@@ -1,8 +1,8 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.RealTime;
-import appleridge.rig.loopback.Witness;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.RealTime;
+import appleridge.testbed.standin.Witness;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/coordination/Visit.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Visit.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
--- a/rig/src/main/java/appleridge/rig/coordination/Watches.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import java.util.EnumMap;
 import java.util.HashSet;
--- a/rig/src/main/java/appleridge/rig/coordination/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/package-info.java
@@ -1,2 +1,2 @@
 /** A stand-in for a coordination service, a relay before it, servers that register, and checks. */
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
--- a/rig/src/main/java/appleridge/rig/demo/Board.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Board.java
@@ -1,7 +1,7 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
-import appleridge.rig.loopback.BadClients;
-import appleridge.rig.loopback.Witness.Ending;
+import appleridge.testbed.standin.BadClients;
+import appleridge.testbed.standin.Witness.Ending;
 import java.io.PrintStream;
 import java.util.List;
 import java.util.Locale;
--- a/rig/src/main/java/appleridge/rig/demo/Demo.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Demo.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/rig/src/main/java/appleridge/rig/demo/Faults.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Faults.java
@@ -1,7 +1,7 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
-import appleridge.rig.loopback.LoopbackRegistry.State;
-import appleridge.rig.loopback.LoopbackServer;
+import appleridge.testbed.standin.LoopbackRegistry.State;
+import appleridge.testbed.standin.LoopbackServer;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
--- a/rig/src/main/java/appleridge/rig/demo/Finding.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Finding.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import java.util.List;
 
--- a/rig/src/main/java/appleridge/rig/demo/Options.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Options.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import java.net.URISyntaxException;
 import java.nio.file.Path;
@@ -14,7 +14,7 @@
 record Options(int seconds, long seed, double rate, Path jar) {
     static final String USAGE =
             """
-            usage: java -jar rig.jar demo [--seconds N] [--seed N] [--rate N] [--jar FILE]
+            usage: java -jar testbed.jar demo [--seconds N] [--seed N] [--rate N] [--jar FILE]
               --seconds N   how long traffic is played: 5 to 3600, usually 30
               --seed N      draws other requests and other victims, usually 1
               --rate N      requests a second: 10 to 300, usually 150
--- a/rig/src/main/java/appleridge/rig/demo/SidecarProcess.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SidecarProcess.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
--- a/rig/src/main/java/appleridge/rig/demo/SidecarSettings.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SidecarSettings.java
@@ -1,9 +1,9 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
-import appleridge.rig.loopback.ColdStart;
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.RequestKind;
-import appleridge.rig.loopback.Wholesaler;
+import appleridge.testbed.standin.ColdStart;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.RequestKind;
+import appleridge.testbed.standin.Wholesaler;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/rig/src/main/java/appleridge/rig/demo/Site.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Site.java
@@ -1,13 +1,13 @@
-package appleridge.rig.demo;
-
-import appleridge.rig.loopback.BadClients;
-import appleridge.rig.loopback.ColdStart;
-import appleridge.rig.loopback.LoopbackClients;
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.LoopbackRegistry.State;
-import appleridge.rig.loopback.LoopbackServer;
-import appleridge.rig.loopback.RealTime;
-import appleridge.rig.loopback.RepeatMemory;
+package appleridge.testbed.demo;
+
+import appleridge.testbed.standin.BadClients;
+import appleridge.testbed.standin.ColdStart;
+import appleridge.testbed.standin.LoopbackClients;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.LoopbackRegistry.State;
+import appleridge.testbed.standin.LoopbackServer;
+import appleridge.testbed.standin.RealTime;
+import appleridge.testbed.standin.RepeatMemory;
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/appleridge/rig/demo/SiteLog.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SiteLog.java
@@ -1,7 +1,7 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
-import appleridge.rig.loopback.LoopbackRegistry;
-import appleridge.rig.loopback.Witness;
+import appleridge.testbed.standin.LoopbackRegistry;
+import appleridge.testbed.standin.Witness;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/rig/src/main/java/appleridge/rig/demo/Verdict.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Verdict.java
@@ -1,11 +1,11 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
-import appleridge.rig.loopback.ColdStart;
-import appleridge.rig.loopback.LoopbackRegistry.State;
-import appleridge.rig.loopback.RepeatMemory;
-import appleridge.rig.loopback.RequestKind.Repeats;
-import appleridge.rig.loopback.Witness.Arrival;
-import appleridge.rig.loopback.Witness.Ending;
+import appleridge.testbed.standin.ColdStart;
+import appleridge.testbed.standin.LoopbackRegistry.State;
+import appleridge.testbed.standin.RepeatMemory;
+import appleridge.testbed.standin.RequestKind.Repeats;
+import appleridge.testbed.standin.Witness.Arrival;
+import appleridge.testbed.standin.Witness.Ending;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/rig/src/main/java/appleridge/rig/judge/AnswerRules.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/AnswerRules.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** One answer for each request, and none that no server made for it. */
 final class AnswerRules implements Evidence {
--- a/rig/src/main/java/appleridge/rig/judge/BooksRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/BooksRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * When all is over, nothing is left in a sidecar's books but connections that are there, and no
--- a/rig/src/main/java/appleridge/rig/judge/Broken.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Broken.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * A rule that broke.
--- a/rig/src/main/java/appleridge/rig/judge/Counts.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Counts.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * What happened to the usual clients' requests.
--- a/rig/src/main/java/appleridge/rig/judge/DrainRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DrainRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * Nothing is sent to a server longer after its drain or end was told than the grace allows, by
--- a/rig/src/main/java/appleridge/rig/judge/Dues.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Dues.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** When answers are due, as far as is known now. */
 final class Dues {
--- a/rig/src/main/java/appleridge/rig/judge/EffectRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/EffectRule.java
@@ -1,7 +1,7 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
-import appleridge.rig.judge.Figures.ClassRule;
-import appleridge.rig.judge.Figures.Repeats;
+import appleridge.testbed.invariants.Figures.ClassRule;
+import appleridge.testbed.invariants.Figures.Repeats;
 import java.util.function.UnaryOperator;
 
 /**
--- a/rig/src/main/java/appleridge/rig/judge/EndingRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/EndingRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * After SIGTERM new connections are taken for as long as they go on coming, and the process ends by
--- a/rig/src/main/java/appleridge/rig/judge/ExitRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ExitRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** A sidecar ends only when it is told to. */
 final class ExitRule implements Evidence {
--- a/rig/src/main/java/appleridge/rig/judge/Impossible.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Impossible.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
--- a/rig/src/main/java/appleridge/rig/judge/LateRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LateRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * An answer comes by the deadline, and the slack that the rules give, or the request counts as
--- a/rig/src/main/java/appleridge/rig/judge/Ledger.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Ledger.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * What a sidecar's process counts, and what its machine holds; looked at in quiet moments alone.
--- a/rig/src/main/java/appleridge/rig/judge/LostRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LostRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * A request that was taken has its connection ended with no whole answer. That is excused
--- a/rig/src/main/java/appleridge/rig/judge/Message.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Message.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * What of a request has to come to a server as its client wrote it.
--- a/rig/src/main/java/appleridge/rig/judge/ReadyRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ReadyRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * A process says that it is ready only while it has a ready server in its list, and is not to end.
--- a/rig/src/main/java/appleridge/rig/judge/RequestState.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestState.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * Where a request is, seen from outside; the RESEND states are those of a second or later attempt.
--- a/rig/src/main/java/appleridge/rig/judge/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -1,7 +1,7 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Tap;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Tap;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
--- a/rig/src/main/java/appleridge/rig/judge/RetryAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * Only a refusal says when to come again, only where the settings allow it, and never later than
--- a/rig/src/main/java/appleridge/rig/judge/Rule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Rule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** What a day may not break. */
 public enum Rule {
--- a/rig/src/main/java/appleridge/rig/judge/Sent.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Sent.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** One copy of a request that a server has begun to read. */
 final class Sent {
--- a/rig/src/main/java/appleridge/rig/judge/SentAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SentAfterRule.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * Nothing is sent for a request after its final answer was written, nor after its client's
--- a/rig/src/main/java/appleridge/rig/judge/Shared.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Shared.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** What the rules share. */
 record Shared(
--- a/rig/src/main/java/appleridge/rig/judge/Span.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Span.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** From one moment to another. */
 public record Span(long from, long until) {
--- a/rig/src/main/java/appleridge/rig/judge/Spans.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Spans.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** Spans of time in nanoseconds, and how they are written. */
 final class Spans {
--- a/rig/src/main/java/appleridge/rig/judge/Strikes.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Strikes.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * Counts which requests a fault strikes, in the state that they are in at that moment: one aimed at
--- a/rig/src/main/java/appleridge/rig/judge/Tracked.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
@@ -1,6 +1,6 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.SimSocket;
 
 /** A request on its way, with the sockets it uses. */
 final class Tracked {
--- a/rig/src/main/java/appleridge/rig/judge/Try.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Try.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /**
  * One try of a usual client.
--- a/rig/src/main/java/appleridge/rig/judge/Wires.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Wires.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 /** What the sockets between clients and sidecars show, and no one tells. */
 public interface Wires {
--- a/rig/src/main/java/appleridge/rig/judge/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/package-info.java
@@ -1,2 +1,2 @@
 /** Watches a simulated day from outside and says which rule broke, and when. */
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
--- a/rig/src/main/java/appleridge/rig/lease/Assumption.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
@@ -1,7 +1,7 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
-import appleridge.rig.plant.Edit;
-import appleridge.rig.plant.PlantedFault;
+import appleridge.testbed.mutation.Edit;
+import appleridge.testbed.mutation.PlantedFault;
 import java.util.Arrays;
 import java.util.List;
 
--- a/rig/src/main/java/appleridge/rig/lease/CheckLeases.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
@@ -1,6 +1,6 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
-import appleridge.rig.plant.Planter;
+import appleridge.testbed.mutation.Planter;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.ArrayList;
--- a/rig/src/main/java/appleridge/rig/lease/LeaseWitness.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseWitness.java
@@ -1,4 +1,4 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import java.io.IOException;
 import java.net.DatagramPacket;
--- a/rig/src/main/java/appleridge/rig/lease/LeasesCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeasesCommand.java
@@ -1,4 +1,4 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -21,7 +21,7 @@
  */
 public final class LeasesCommand {
     private static final String USAGE =
-            "usage: java -jar rig.jar leases [--changes 100] [--processes 8]"
+            "usage: java -jar testbed.jar leases [--changes 100] [--processes 8]"
                     + " [--seed 1] [--seconds 600] [--jar FILE]";
 
     /**
--- a/rig/src/main/java/appleridge/rig/lease/Scope.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Scope.java
@@ -1,4 +1,4 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import appleridge.lease.Terms;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/lease/TaskFleet.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
@@ -1,9 +1,9 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
-import appleridge.rig.coordination.CoordinationServer;
-import appleridge.rig.coordination.NodeWriter;
-import appleridge.rig.coordination.Relay;
-import appleridge.rig.loopback.RealTime;
+import appleridge.testbed.coordination.CoordinationServer;
+import appleridge.testbed.coordination.NodeWriter;
+import appleridge.testbed.coordination.Relay;
+import appleridge.testbed.standin.RealTime;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/rig/src/main/java/appleridge/rig/plant/Days.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/Days.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
--- a/rig/src/main/java/appleridge/rig/plant/Edit.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/Edit.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.util.Arrays;
 
--- a/rig/src/main/java/appleridge/rig/plant/FaultFile.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/FaultFile.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -32,7 +32,7 @@
 
     private FaultFile() {}
 
-    /** All faults that the rig brings along. */
+    /** All faults that the testbed brings along. */
     public static List<PlantedFault> packed() throws IOException {
         try (InputStream in = FaultFile.class.getResourceAsStream(RESOURCE)) {
             return parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
--- a/rig/src/main/java/appleridge/rig/plant/Finding.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/Finding.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 /**
  * What came of playing days with one fault planted.
--- a/rig/src/main/java/appleridge/rig/plant/MemoryCompiler.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/MemoryCompiler.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/rig/src/main/java/appleridge/rig/plant/PackedSources.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/PackedSources.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,12 +13,12 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The product's sources as the build has put them beside the rig's classes. */
+/** The product's sources as the build has put them beside the testbed's classes. */
 final class PackedSources {
     private static final String DIRECTORY = "planted-sources";
     private static final String ENDING = ".java";
 
-    /** By path, which ends in the file's name: {@code appleridge/decision/Balancer.java}. */
+    /** By path, which ends in the file's name: {@code appleridge/loadbalancing/Balancer.java}. */
     private final Map<String, String> byPath;
 
     PackedSources(Map<String, String> byPath) {
--- a/rig/src/main/java/appleridge/rig/plant/PlantedDay.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/PlantedDay.java
@@ -1,9 +1,9 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
-import appleridge.rig.judge.Broken;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.sim.DayPlayer;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.campaign.DayPlayer;
+import appleridge.testbed.invariants.Broken;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simulation.Plan;
 import java.util.stream.Collectors;
 
 /**
--- a/rig/src/main/java/appleridge/rig/plant/Planter.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/Planter.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import java.io.IOException;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
     private final MemoryCompiler compiler;
 
     /**
-     * Reads the product's sources from beside the rig's classes, and compiles against its class
+     * Reads the product's sources from beside the testbed's classes, and compiles against its class
      * path.
      */
     public Planter() throws IOException {
--- a/rig/src/main/java/appleridge/rig/plant/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Faults planted in the product on purpose, one line wrong each, to show that the judge can see.
  */
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
--- a/rig/src/main/java/appleridge/rig/net/ByteRing.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/ByteRing.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /**
  * Bytes by their position in a stream, from the first one kept to the last one put in; grows as
--- a/rig/src/main/java/appleridge/rig/net/Network.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Network.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/appleridge/rig/net/Planned.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Planned.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /** Something with a moment; what has the same one is ordered by a drawn tie. */
 abstract class Planned {
--- a/rig/src/main/java/appleridge/rig/net/Segment.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Segment.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /** What travels: bytes up to a position of the stream, or a word about the connection. */
 record Segment(Kind kind, long end, long due) {
--- a/rig/src/main/java/appleridge/rig/net/SimIo.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimIo.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /** A channel as its loop sees it. */
 interface SimIo {
--- a/rig/src/main/java/appleridge/rig/net/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.UnpooledByteBufAllocator;
--- a/rig/src/main/java/appleridge/rig/net/SimServerChannel.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimServerChannel.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import io.netty.channel.AbstractChannel;
 import io.netty.channel.ChannelConfig;
--- a/rig/src/main/java/appleridge/rig/net/SimTicker.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimTicker.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import io.netty.util.concurrent.Ticker;
 import java.util.concurrent.TimeUnit;
--- a/rig/src/main/java/appleridge/rig/net/SimTimer.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimTimer.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import io.netty.util.concurrent.DefaultPromise;
 import io.netty.util.concurrent.EventExecutor;
--- a/rig/src/main/java/appleridge/rig/net/Tap.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Tap.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /**
  * Sees what happens on every socket, at the moment it happens, before anything else does. What a
--- a/rig/src/main/java/appleridge/rig/net/Weather.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Weather.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /**
  * What one direction between a pair of hosts does to bytes. Changed at any time; what leaves from
--- a/rig/src/main/java/appleridge/rig/net/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/package-info.java
@@ -2,4 +2,4 @@
  * Virtual time, a simulated network that carries bytes, and Netty's channels and event loop on top
  * of it.
  */
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
--- a/rig/src/main/java/appleridge/rig/world/Answers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Answers.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 
 /** How an order server words its answers: the good ones, the honest others, and the spoilt. */
 final class Answers {
--- a/rig/src/main/java/appleridge/rig/world/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.util.ArrayDeque;
--- a/rig/src/main/java/appleridge/rig/world/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SimSocket;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/Asked.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Asked.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Message;
+import appleridge.testbed.invariants.Message;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/rig/src/main/java/appleridge/rig/world/Asking.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Message;
-import appleridge.rig.judge.Try;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.invariants.Message;
+import appleridge.testbed.invariants.Try;
+import appleridge.testbed.simnet.Simulation;
 import java.nio.charset.StandardCharsets;
 
 /**
--- a/rig/src/main/java/appleridge/rig/world/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Host;
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
 
 /**
--- a/rig/src/main/java/appleridge/rig/world/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Weather;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Weather;
 import java.util.List;
 
 /** The machines from which bad clients come, and how they come. */
--- a/rig/src/main/java/appleridge/rig/world/BadKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadKind.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 /** What bad clients do. */
 enum BadKind {
--- a/rig/src/main/java/appleridge/rig/world/BadRequests.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 
 /** What bad clients send, by kind. */
 final class BadRequests {
--- a/rig/src/main/java/appleridge/rig/world/Classes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Classes.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
 import java.util.List;
 
 /** The classes of request in the world, by their place in a sidecar's settings. */
--- a/rig/src/main/java/appleridge/rig/world/ConnectionStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionStrikes.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.simnet.SimSocket;
 import java.util.List;
 
 /** Faults of one connection or one answer: those aimed at a request. */
--- a/rig/src/main/java/appleridge/rig/world/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.Simulation;
 
 /** What all stand-ins of one day share. */
 final class Day {
--- a/rig/src/main/java/appleridge/rig/world/Engine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Engine.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.Simulation;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.membership.nodes.NodeData;
-import appleridge.rig.net.Chance;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.testbed.simnet.Chance;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.membership.nodes.Doubt;
-import appleridge.membership.nodes.NodeMembership;
-import appleridge.membership.nodes.NodeRead;
-import appleridge.membership.nodes.Session;
-import appleridge.rig.net.Chance;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.Session;
+import appleridge.testbed.simnet.Chance;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/rig/src/main/java/appleridge/rig/world/Extra.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Extra.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 /**
  * What a good answer can bring beside what belongs to it. No second copy comes some time later:
--- a/rig/src/main/java/appleridge/rig/world/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.judge.RequestState;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.RequestState;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/rig/src/main/java/appleridge/rig/world/Fleet.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Scope;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/rig/src/main/java/appleridge/rig/world/HttpReader.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/HttpReader.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Message;
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.invariants.Message;
+import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/rig/src/main/java/appleridge/rig/world/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.Weather;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.Weather;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/ListStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListStrikes.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
+import appleridge.testbed.invariants.InState;
 
 /** Faults of discovery. */
 final class ListStrikes {
--- a/rig/src/main/java/appleridge/rig/world/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 
 /** The load report of one server, refreshed now and then. */
 final class LoadReport {
--- a/rig/src/main/java/appleridge/rig/world/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
 import java.net.InetSocketAddress;
 
 /** A machine on which one order server at a time runs; what comes after it has its address. */
--- a/rig/src/main/java/appleridge/rig/world/Meetings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Meetings.java
@@ -1,11 +1,11 @@
-package appleridge.rig.world;
-
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.InState;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.SimSocket;
+package appleridge.testbed.simulation;
+
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SimSocket;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
--- a/rig/src/main/java/appleridge/rig/world/Narrator.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Narrator.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.judge.Try;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.invariants.Try;
+import appleridge.testbed.simnet.Simulation;
 import java.util.Map;
 import java.util.function.Supplier;
 
--- a/rig/src/main/java/appleridge/rig/world/Nearest.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Nearest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import java.util.Collection;
 import java.util.Comparator;
--- a/rig/src/main/java/appleridge/rig/world/NodeStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeStrikes.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.net.Chance;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.simnet.Chance;
 
 /**
  * Faults of the coordination service, of its nodes and of sidecars' sessions; none where it is not
--- a/rig/src/main/java/appleridge/rig/world/Nodes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
+import appleridge.testbed.invariants.Evidence;
 
 /** The coordination service and the servers' registrations there, on days that have them. */
 final class Nodes implements Evidence {
--- a/rig/src/main/java/appleridge/rig/world/NodesWord.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodesWord.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.State;
-import appleridge.membership.nodes.NodeRead;
+import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.loadbalancing.Balancer.State;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/rig/src/main/java/appleridge/rig/world/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.SimListener;
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SimListener;
+import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/rig/src/main/java/appleridge/rig/world/Outbox.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Outbox.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
--- a/rig/src/main/java/appleridge/rig/world/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.net.Chance;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.simnet.Chance;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.EnumMap;
--- a/rig/src/main/java/appleridge/rig/world/PlanText.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.RequestState;
+import appleridge.testbed.invariants.RequestState;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/Player.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Player.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 
 /** Plays scripts on one connection, one after the other, each piece when there is room for it. */
--- a/rig/src/main/java/appleridge/rig/world/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.State;
-import appleridge.membership.nodes.NodeData;
-import appleridge.rig.net.Chance;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.loadbalancing.Balancer.State;
+import appleridge.testbed.simnet.Chance;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/rig/src/main/java/appleridge/rig/world/RegistryTap.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Tap;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Tap;
 import java.util.List;
 
 /** Tells of each connection to discovery that a sidecar opens, and how many it has then. */
--- a/rig/src/main/java/appleridge/rig/world/Report.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Report.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 /** How load reports can be of no use. */
 enum Report {
--- a/rig/src/main/java/appleridge/rig/world/Seat.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Seat.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Simulation;
 import java.net.InetSocketAddress;
 import java.util.List;
 
--- a/rig/src/main/java/appleridge/rig/world/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Message;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
-import appleridge.rig.net.Weather;
+import appleridge.testbed.invariants.Message;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
+import appleridge.testbed.simnet.Weather;
 import java.io.IOException;
 
 /** A connection to an order server: one request at a time is read, and answered. */
--- a/rig/src/main/java/appleridge/rig/world/ServerStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerStrikes.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Weather;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Weather;
 import java.util.function.Consumer;
 
 /** Faults of one order server, its machine, or the ways to it. */
--- a/rig/src/main/java/appleridge/rig/world/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.Scope;
-import appleridge.decision.Balancer.Semantics;
+import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.Balancer.Semantics;
 import java.net.InetSocketAddress;
 
 /** The configuration that a sidecar gets, as text. */
--- a/rig/src/main/java/appleridge/rig/world/SidecarHost.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
 import java.util.function.IntConsumer;
 
 /**
--- a/rig/src/main/java/appleridge/rig/world/SidecarStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarStrikes.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Weather;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Weather;
 import java.util.List;
 import java.util.function.Consumer;
 
--- a/rig/src/main/java/appleridge/rig/world/Spoil.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Spoil.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 /** How an answer can be spoilt. */
 enum Spoil {
--- a/rig/src/main/java/appleridge/rig/world/Strikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Strikes.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
+import appleridge.testbed.invariants.InState;
 
 /** Carries faults out, each by the part of the world that it concerns. */
 final class Strikes {
--- a/rig/src/main/java/appleridge/rig/world/Told.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Told.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
+import appleridge.testbed.invariants.Evidence;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 
 /**
  * When the usual clients of one application want something: at chance times, some of them in
--- a/rig/src/main/java/appleridge/rig/world/Traps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traps.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.InState;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.judge.RequestStates;
+import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.invariants.RequestStates;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/rig/src/main/java/appleridge/rig/world/Trigger.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Trigger.java
@@ -1,6 +1,6 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.RequestState;
+import appleridge.testbed.invariants.RequestState;
 
 /**
  * When a fault strikes: at a time, or some time after a request has entered a state for the n-th
--- a/rig/src/main/java/appleridge/rig/world/Wish.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Wish.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.decision.Balancer.Semantics;
-import appleridge.rig.net.Chance;
+import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.testbed.simnet.Chance;
 import java.util.List;
 
 /** What a usual client wants done, in one try or several, and how that client is. */
--- a/rig/src/main/java/appleridge/rig/world/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -1,13 +1,13 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.Fan;
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.Fan;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/rig/src/main/java/appleridge/rig/world/Znode.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Znode.java
@@ -1,7 +1,7 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.membership.nodes.NodeData;
-import appleridge.membership.nodes.NodeRead;
+import appleridge.discovery.ephemeral.NodeData;
+import appleridge.discovery.ephemeral.NodeRead;
 
 /**
  * A server's node.
--- a/rig/src/main/java/appleridge/rig/world/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/package-info.java
@@ -1,4 +1,4 @@
 /**
  * The world around sidecars on the simulated network: plans of days, stand-ins, and their faults.
  */
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
--- a/rig/src/main/java/appleridge/rig/loopback/ClientConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ClientConnection.java
@@ -1,4 +1,4 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackClient.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackClient.java
@@ -1,4 +1,4 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
--- a/rig/src/main/java/appleridge/rig/loopback/LoopbackRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackRegistry.java
@@ -1,4 +1,4 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/rig/src/main/java/appleridge/rig/loopback/RepeatMemory.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/RepeatMemory.java
@@ -1,4 +1,4 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/rig/src/main/java/appleridge/rig/loopback/Witness.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/Witness.java
@@ -1,4 +1,4 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 /**
  * Told by stand-ins what they did and saw, as it happens, on their event loop. Times are those of
--- a/rig/src/main/java/appleridge/rig/loopback/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/package-info.java
@@ -2,4 +2,4 @@
  * Order servers, discovery and clients on real loopback sockets, with what they saw told to a
  * witness.
  */
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
--- a/rig/src/test/java/appleridge/daemon/NodesIT.java
+++ b/testbed/src/test/java/appleridge/daemon/NodesIT.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.membership.zookeeper.TestEnsemble;
+import appleridge.discovery.zookeeper.TestEnsemble;
 import io.netty.handler.ssl.SslContext;
 import io.netty.handler.ssl.SslContextBuilder;
 import java.io.BufferedReader;
--- a/rig/src/test/java/appleridge/membership/register/RegistrationTest.java
+++ b/testbed/src/test/java/appleridge/discovery/registration/RegistrationTest.java
@@ -1,4 +1,4 @@
-package appleridge.membership.register;
+package appleridge.discovery.registration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.membership.zookeeper.TestEnsemble;
+import appleridge.discovery.zookeeper.TestEnsemble;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
--- a/rig/src/test/java/appleridge/membership/zookeeper/TestEnsemble.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/TestEnsemble.java
@@ -1,7 +1,7 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
-import appleridge.rig.coordination.CoordinationServer;
-import appleridge.rig.coordination.CoordinationServers;
+import appleridge.testbed.coordination.CoordinationServer;
+import appleridge.testbed.coordination.CoordinationServers;
 import io.netty.handler.ssl.SslContext;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/rig/src/test/java/appleridge/membership/zookeeper/ZooKeeperSourceTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperSourceTest.java
@@ -1,12 +1,12 @@
-package appleridge.membership.zookeeper;
+package appleridge.discovery.zookeeper;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.exchange.Log;
-import appleridge.membership.nodes.Doubt;
+import appleridge.discovery.ephemeral.Doubt;
+import appleridge.request.Log;
 import appleridge.transport.Loop;
 import appleridge.transport.SystemTime;
 import io.netty.channel.EventLoop;
--- a/rig/src/test/java/appleridge/rig/ArchitectureTest.java
+++ b/testbed/src/test/java/appleridge/testbed/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig;
+package appleridge.testbed;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
@@ -22,7 +22,7 @@
         noClasses()
                 .that()
                 .haveNameMatching(
-                        "appleridge\\.rig\\.coordination\\."
+                        "appleridge\\.testbed\\.coordination\\."
                                 + "(Change|Tree|Rules|Watches|Visit|Ensemble|Member)(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
@@ -32,6 +32,6 @@
                         "java.nio.channels",
                         "java.nio.file",
                         "java.util.concurrent..")
-                .check(new ClassFileImporter().importPackages("appleridge.rig.coordination"));
+                .check(new ClassFileImporter().importPackages("appleridge.testbed.coordination"));
     }
 }
--- a/rig/src/test/java/appleridge/rig/sim/Digests.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/Digests.java
@@ -1,6 +1,6 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
-import appleridge.rig.world.Plan;
+import appleridge.testbed.simulation.Plan;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
--- a/rig/src/test/java/appleridge/rig/sim/MeetingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/MeetingsTest.java
@@ -1,11 +1,11 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Coverage;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.invariants.Coverage;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.simulation.Plan;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
--- a/rig/src/test/java/appleridge/rig/sim/ScenariosTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ScenariosTest.java
@@ -1,11 +1,11 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Verdict;
+import appleridge.testbed.invariants.Verdict;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.DynamicTest;
--- a/rig/src/test/java/appleridge/rig/sim/ShrinkTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ShrinkTest.java
@@ -1,12 +1,12 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Rule;
-import appleridge.rig.judge.Verdict;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.invariants.Rule;
+import appleridge.testbed.invariants.Verdict;
+import appleridge.testbed.simulation.Plan;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/rig/src/test/java/appleridge/rig/sim/ShrinkerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ShrinkerTest.java
@@ -1,12 +1,12 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.world.Fault;
-import appleridge.rig.world.FaultKind;
-import appleridge.rig.world.Knob;
-import appleridge.rig.world.Plan;
+import appleridge.testbed.simulation.Fault;
+import appleridge.testbed.simulation.FaultKind;
+import appleridge.testbed.simulation.Knob;
+import appleridge.testbed.simulation.Plan;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/rig/src/test/java/appleridge/rig/sim/SimulateTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/SimulateTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/appleridge/rig/sim/SimulationIT.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/SimulationIT.java
@@ -1,8 +1,8 @@
-package appleridge.rig.sim;
+package appleridge.testbed.campaign;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Verdict;
+import appleridge.testbed.invariants.Verdict;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
--- a/rig/src/test/java/appleridge/rig/coordination/CoordinationIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationIT.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -29,7 +29,7 @@
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-XX:TieredStopAtLevel=1",
                                 "-jar",
-                                "target/rig.jar",
+                                "target/testbed.jar",
                                 "coordination"));
         command.addAll(List.of(words));
         return new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
--- a/rig/src/test/java/appleridge/rig/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -1,14 +1,14 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.SimChannel;
-import appleridge.rig.net.SimLoop;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SimChannel;
+import appleridge.testbed.simnet.SimLoop;
+import appleridge.testbed.simnet.Simulation;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/rig/src/test/java/appleridge/rig/coordination/MeasureTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/MeasureTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/appleridge/rig/coordination/RelayTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
@@ -1,11 +1,11 @@
-package appleridge.rig.coordination;
+package appleridge.testbed.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.loopback.RealTime;
+import appleridge.testbed.standin.RealTime;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/rig/src/test/java/appleridge/rig/demo/DemoIT.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/DemoIT.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
                                 "-Djava.io.tmpdir=" + temporary,
                                 "-XX:-UsePerfData",
                                 "-jar",
-                                "target/rig.jar",
+                                "target/testbed.jar",
                                 "demo"));
         command.addAll(List.of(args));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
--- a/rig/src/test/java/appleridge/rig/demo/OptionsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/OptionsTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/rig/src/test/java/appleridge/rig/demo/VerdictTest.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/VerdictTest.java
@@ -1,13 +1,13 @@
-package appleridge.rig.demo;
+package appleridge.testbed.demo;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.loopback.LoopbackRegistry.State;
-import appleridge.rig.loopback.RequestKind;
-import appleridge.rig.loopback.Witness.Arrival;
-import appleridge.rig.loopback.Witness.Ask;
-import appleridge.rig.loopback.Witness.Ending;
+import appleridge.testbed.standin.LoopbackRegistry.State;
+import appleridge.testbed.standin.RequestKind;
+import appleridge.testbed.standin.Witness.Arrival;
+import appleridge.testbed.standin.Witness.Ask;
+import appleridge.testbed.standin.Witness.Ending;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/rig/src/test/java/appleridge/rig/judge/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/appleridge/rig/judge/RequestStatesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.judge;
+package appleridge.testbed.invariants;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.net.SimSocket;
+import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
--- a/rig/src/test/java/appleridge/rig/judge/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
@@ -1,11 +1,11 @@
-package appleridge.rig.judge;
-
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.SimListener;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+package appleridge.testbed.invariants;
+
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SimListener;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/rig/src/test/java/appleridge/rig/lease/CheckLeasesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/CheckLeasesTest.java
@@ -1,9 +1,9 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.plant.Planter;
+import appleridge.testbed.mutation.Planter;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/rig/src/test/java/appleridge/rig/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -1,18 +1,18 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import appleridge.lease.Entry;
 import appleridge.lease.store.LeaseStore;
 import appleridge.lease.store.ZooKeeperLeaseStore;
-import appleridge.membership.zookeeper.Clients;
-import appleridge.membership.zookeeper.ZooKeeperSettings;
-import appleridge.rig.coordination.CoordinationServer;
-import appleridge.rig.coordination.CoordinationServers;
-import appleridge.rig.coordination.NodeWriter;
+import appleridge.testbed.coordination.CoordinationServer;
+import appleridge.testbed.coordination.CoordinationServers;
+import appleridge.testbed.coordination.NodeWriter;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/rig/src/test/java/appleridge/rig/lease/TaskIT.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/TaskIT.java
@@ -1,4 +1,4 @@
-package appleridge.rig.lease;
+package appleridge.testbed.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/appleridge/rig/plant/EditTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/EditTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/rig/src/test/java/appleridge/rig/plant/FaultFileTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/FaultFileTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Rule;
+import appleridge.testbed.invariants.Rule;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/rig/src/test/java/appleridge/rig/plant/OneRequestDay.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/OneRequestDay.java
@@ -1,7 +1,7 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
-import appleridge.decision.Balancer;
-import appleridge.decision.SymmetricRoundRobin;
+import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.SymmetricRoundRobin;
 import java.util.List;
 
 /**
--- a/rig/src/test/java/appleridge/rig/plant/PlanterTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/PlanterTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.plant;
+package appleridge.testbed.mutation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.decision.Balancer;
+import appleridge.loadbalancing.Balancer;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlanterTest {
-    private static final String OUTCOME = "appleridge.decision.Balancer$Outcome";
+    private static final String OUTCOME = "appleridge.loadbalancing.Balancer$Outcome";
     private final Planter planter;
 
     PlanterTest() throws IOException {
@@ -50,9 +50,11 @@
     @Test
     void projectIsLoadedAnewAndAllElseIsShared() throws ClassNotFoundException {
         PlantedLoader loader = planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"));
-        Class<?> unchanged = loader.loadClass("appleridge.decision.SymmetricRoundRobin");
+        Class<?> unchanged = loader.loadClass("appleridge.loadbalancing.SymmetricRoundRobin");
         assertSame(loader, unchanged.getClassLoader());
-        assertSame(loader.loadClass("appleridge.decision.Balancer"), unchanged.getInterfaces()[0]);
+        assertSame(
+                loader.loadClass("appleridge.loadbalancing.Balancer"),
+                unchanged.getInterfaces()[0]);
         assertSame(ByteBuf.class, loader.loadClass(ByteBuf.class.getName()));
         assertNotSame(
                 unchanged,
@@ -72,7 +74,8 @@
                 told(fault("Balancer", "(true)", "(false)")));
         assertTrue(
                 told(fault("Balancer", "RESET(false),", "RESET(maybe),"))
-                        .startsWith("f: appleridge/decision/Balancer.java does not compile: "));
+                        .startsWith(
+                                "f: appleridge/loadbalancing/Balancer.java does not compile: "));
     }
 
     @Test
@@ -80,17 +83,21 @@
         PackedSources sources =
                 new PackedSources(
                         Map.of(
-                                "appleridge/decision/Balancer.java",
+                                "appleridge/loadbalancing/Balancer.java",
                                 "here",
-                                "appleridge/rig/plant/Balancer.java",
+                                "appleridge/testbed/mutation/Balancer.java",
                                 "a copy left behind by an earlier build"));
-        assertEquals("appleridge/decision/Balancer.java", sources.path("Balancer"));
+        assertEquals("appleridge/loadbalancing/Balancer.java", sources.path("Balancer"));
         PackedSources two =
                 new PackedSources(
-                        Map.of("appleridge/rig/Main.java", "", "appleridge/adapter/Main.java", ""));
-        assertEquals("appleridge/adapter/Main.java", two.path("adapter/Main"));
+                        Map.of(
+                                "appleridge/testbed/Main.java",
+                                "",
+                                "appleridge/simulator/Main.java",
+                                ""));
+        assertEquals("appleridge/simulator/Main.java", two.path("adapter/Main"));
         assertEquals(
-                "more than one file: appleridge/adapter/Main.java, appleridge/rig/Main.java",
+                "more than one file: appleridge/simulator/Main.java, appleridge/testbed/Main.java",
                 assertThrows(IllegalStateException.class, () -> two.path("Main")).getMessage());
     }
 
--- a/rig/src/test/java/appleridge/rig/net/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/rig/src/test/java/appleridge/rig/net/Speed.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/Speed.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 /** Run by hand: how many HTTP exchanges one core simulates in a second of its time. */
 final class Speed {
--- a/rig/src/test/java/appleridge/rig/net/World.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/World.java
@@ -1,4 +1,4 @@
-package appleridge.rig.net;
+package appleridge.testbed.simnet;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/rig/src/test/java/appleridge/rig/world/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Try;
-import appleridge.rig.net.Host;
+import appleridge.testbed.invariants.Try;
+import appleridge.testbed.simnet.Host;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
--- a/rig/src/test/java/appleridge/rig/world/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 import java.nio.charset.StandardCharsets;
 import java.util.EnumSet;
 import java.util.List;
--- a/rig/src/test/java/appleridge/rig/world/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DeterminismTest.java
@@ -1,4 +1,4 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/rig/src/test/java/appleridge/rig/world/DumbSidecar.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DumbSidecar.java
@@ -1,8 +1,8 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.net.SimListener;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+import appleridge.testbed.simnet.SimListener;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/rig/src/test/java/appleridge/rig/world/PlanTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
@@ -1,11 +1,11 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.RequestState;
+import appleridge.testbed.invariants.RequestState;
 import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.HashSet;
--- a/rig/src/test/java/appleridge/rig/world/Recorded.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
-import appleridge.rig.judge.Evidence;
-import appleridge.rig.judge.Message;
-import appleridge.rig.judge.RequestState;
-import appleridge.rig.judge.Try;
+import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.Message;
+import appleridge.testbed.invariants.RequestState;
+import appleridge.testbed.invariants.Try;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/rig/src/test/java/appleridge/rig/world/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -1,11 +1,11 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.Config;
-import appleridge.decision.Balancer;
+import appleridge.loadbalancing.Balancer;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
--- a/rig/src/test/java/appleridge/rig/world/Stage.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
@@ -1,12 +1,12 @@
-package appleridge.rig.world;
-
-import appleridge.rig.judge.Message;
-import appleridge.rig.judge.RequestStates;
-import appleridge.rig.net.Chance;
-import appleridge.rig.net.Host;
-import appleridge.rig.net.Network;
-import appleridge.rig.net.SimSocket;
-import appleridge.rig.net.Simulation;
+package appleridge.testbed.simulation;
+
+import appleridge.testbed.invariants.Message;
+import appleridge.testbed.invariants.RequestStates;
+import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SimSocket;
+import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/rig/src/test/java/appleridge/rig/world/StagingTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/StagingTest.java
@@ -1,9 +1,9 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.net.Chance;
+import appleridge.testbed.simnet.Chance;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
--- a/rig/src/test/java/appleridge/rig/world/WorldTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
@@ -1,10 +1,10 @@
-package appleridge.rig.world;
+package appleridge.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.judge.Message;
+import appleridge.testbed.invariants.Message;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/rig/src/test/java/appleridge/rig/loopback/StandInsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/StandInsTest.java
@@ -1,10 +1,10 @@
-package appleridge.rig.loopback;
+package appleridge.testbed.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.rig.loopback.LoopbackRegistry.State;
+import appleridge.testbed.standin.LoopbackRegistry.State;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
