--- a/sidecar/src/main/java/appleridge/admin/Call.java
+++ b/sidecar/src/main/java/appleridge/admin/AdminCall.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /** One call of an operator, as read from a line. */
-public sealed interface Call {
+public sealed interface AdminCall {
     /** Bytes that a line may have, without its end. */
     int MOST_BYTES = 1024;
 
@@ -11,22 +11,22 @@
     Pattern ID = Pattern.compile("[!-~]{1,256}");
 
     /** Whether it serves. */
-    record Status() implements Call {}
+    record Status() implements AdminCall {}
 
     /** Its figures. */
-    record Metrics() implements Call {}
+    record Metrics() implements AdminCall {}
 
     /** An upstream gets nothing new. */
-    record Suspend(String id) implements Call {}
+    record Suspend(String id) implements AdminCall {}
 
     /** An upstream is back. */
-    record Restore(String id) implements Call {}
+    record Restore(String id) implements AdminCall {}
 
     /** No call: why, in a few words. */
-    record Unreadable(String why) implements Call {}
+    record Unreadable(String why) implements AdminCall {}
 
-    /** Reads a line without its end; anything can be read, be it as {@link Unreadable}. */
-    static Call read(byte[] line) {
+    /** Reads a line without its end; anything can be read, be it as {@link UnreadableNodes}. */
+    static AdminCall read(byte[] line) {
         if (line.length > MOST_BYTES) {
             return new Unreadable("line too long");
         }
--- a/sidecar/src/main/java/appleridge/admin/Answers.java
+++ b/sidecar/src/main/java/appleridge/admin/AdminCallHandler.java
@@ -14,11 +14,11 @@
  * @param restore calls it back
  * @param keeping runs what it is given when what was carried out is kept, also beyond this process
  */
-public record Answers(
+public record AdminCallHandler(
         BooleanSupplier serves,
         Supplier<String> figures,
-        Function<String, Maintenance.Effect> suspend,
-        Function<String, Maintenance.Effect> restore,
+        Function<String, MaintenanceOverlay.Effect> suspend,
+        Function<String, MaintenanceOverlay.Effect> restore,
         Consumer<Runnable> keeping) {
     private static final String YES = "YES\n";
 
@@ -26,17 +26,17 @@
      * Answers one line; its effect holds when this returns, and is kept when the answer is given.
      */
     public void to(byte[] line, Consumer<String> answer) {
-        Call call = Call.read(line);
-        if (call instanceof Call.Status) {
+        AdminCall call = AdminCall.read(line);
+        if (call instanceof AdminCall.Status) {
             answer.accept(serves.getAsBoolean() ? YES : no("not ready"));
-        } else if (call instanceof Call.Metrics) {
+        } else if (call instanceof AdminCall.Metrics) {
             answer.accept(figures.get());
-        } else if (call instanceof Call.Suspend asked) {
+        } else if (call instanceof AdminCall.Suspend asked) {
             told(suspend.apply(asked.id()), answer);
-        } else if (call instanceof Call.Restore asked) {
+        } else if (call instanceof AdminCall.Restore asked) {
             told(restore.apply(asked.id()), answer);
         } else {
-            answer.accept(no(((Call.Unreadable) call).why()));
+            answer.accept(no(((AdminCall.Unreadable) call).why()));
         }
     }
 
@@ -45,8 +45,8 @@
         return "NO " + why + "\n";
     }
 
-    private void told(Maintenance.Effect effect, Consumer<String> answer) {
-        if (effect instanceof Maintenance.Denied denied) {
+    private void told(MaintenanceOverlay.Effect effect, Consumer<String> answer) {
+        if (effect instanceof MaintenanceOverlay.Denied denied) {
             answer.accept(no(denied.why()));
         } else {
             keeping.accept(() -> answer.accept(YES));
--- a/sidecar/src/main/java/appleridge/admin/Maintenance.java
+++ b/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
@@ -1,10 +1,10 @@
 package appleridge.admin;
 
-import appleridge.discovery.Directory.News;
-import appleridge.hotrestart.Word;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.discovery.EndpointTable.EndpointUpdate;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,13 +21,13 @@
  *
  * <p>Times are nanoseconds on the clock on which upstreams' starts are placed.
  */
-public final class Maintenance {
+public final class MaintenanceOverlay {
     /**
      * Upstreams that may be out at once; each is a word of an operator, and ids may be long gone.
      */
     static final int MOST = 4096;
 
-    private record Listed(Upstream entry, InetSocketAddress address) {}
+    private record Listed(UpstreamHost entry, InetSocketAddress address) {}
 
     /** For so long a word that calls back is told to other processes, in nanoseconds. */
     private static final long TOLD = TimeUnit.MINUTES.toNanos(1);
@@ -44,10 +44,10 @@
     private final Map<String, Long> back = new HashMap<>();
 
     /** The last word of each who is out, or was until lately. */
-    private final Map<String, Word> said = new LinkedHashMap<>();
+    private final Map<String, MaintenanceDirective> said = new LinkedHashMap<>();
 
     /** With the nanoseconds for which an upstream that has started is cold. */
-    public Maintenance(long rampTime) {
+    public MaintenanceOverlay(long rampTime) {
         this.rampTime = rampTime;
     }
 
@@ -57,28 +57,28 @@
     /**
      * It holds from now on; the news are to be told before anything else is decided. Null for none.
      */
-    public record Done(News news) implements Effect {}
+    public record Done(EndpointUpdate news) implements Effect {}
 
     /** Nothing has changed. */
     public record Denied(String why) implements Effect {}
 
     /** News of the list, as they are with the operator's word laid over them. */
-    public News over(News news, long now) {
+    public EndpointUpdate over(EndpointUpdate news, long now) {
         forget(now);
-        if (news.kind() == ListKind.FULL || news.kind() == ListKind.CACHED) {
+        if (news.kind() == UpdateKind.SNAPSHOT || news.kind() == UpdateKind.CACHED_SNAPSHOT) {
             listed.clear();
         }
-        List<Upstream> entries = new ArrayList<>(news.entries().size());
-        for (Upstream entry : news.entries()) {
+        List<UpstreamHost> entries = new ArrayList<>(news.entries().size());
+        for (UpstreamHost entry : news.entries()) {
             String id = news.ids().get(entry.id());
-            if (entry.state() == State.GONE) {
+            if (entry.state() == HostState.GONE) {
                 listed.remove(id);
             } else {
                 listed.put(id, new Listed(entry, news.addresses().get(entry.id())));
             }
             entries.add(over(id, entry));
         }
-        return new News(news.kind(), entries, news.addresses(), news.ids());
+        return new EndpointUpdate(news.kind(), entries, news.addresses(), news.ids());
     }
 
     /**
@@ -96,8 +96,8 @@
         return new Done(suspended(id, now));
     }
 
-    private News suspended(String id, long at) {
-        said.put(id, new Word(id, true, at));
+    private EndpointUpdate suspended(String id, long at) {
+        said.put(id, new MaintenanceDirective(id, true, at));
         return out.putIfAbsent(id, at) == null ? news(id) : null;
     }
 
@@ -108,17 +108,17 @@
         return held ? new Done(restored(id, now)) : new Denied("unknown upstream");
     }
 
-    private News restored(String id, long now) {
+    private EndpointUpdate restored(String id, long now) {
         Long since = out.remove(id);
         if (since == null) {
             return null;
         }
-        said.put(id, new Word(id, false, now));
+        said.put(id, new MaintenanceDirective(id, false, now));
         Listed its = listed.get(id);
         // Danger: it may have been made anew meanwhile, and the list be late to tell. Only a start
         // within the
         // time in which it was out is certain to be the last one.
-        if (its == null || its.entry.startedAt() < since) {
+        if (its == null || its.entry.startedAtNanos() < since) {
             back.put(id, now);
         }
         return news(id);
@@ -129,17 +129,17 @@
      *
      * @return the news that are to be told
      */
-    public List<News> hear(List<Word> words, long now) {
+    public List<EndpointUpdate> hear(List<MaintenanceDirective> words, long now) {
         forget(now);
-        List<News> all = new ArrayList<>();
-        for (Word word : words) {
-            Word last = said.get(word.id());
+        List<EndpointUpdate> all = new ArrayList<>();
+        for (MaintenanceDirective word : words) {
+            MaintenanceDirective last = said.get(word.id());
             boolean fresh =
                     last == null
                             ? word.out() ? out.size() < MOST : now - word.at() <= TOLD
                             : word.at() > last.at();
             if (fresh) {
-                News news =
+                EndpointUpdate news =
                         word.out()
                                 ? suspended(word.id(), word.at())
                                 : restored(word.id(), word.at());
@@ -152,7 +152,7 @@
     }
 
     /** What operators have said, for other processes of this sidecar. */
-    public List<Word> words() {
+    public List<MaintenanceDirective> words() {
         return List.copyOf(said.values());
     }
 
@@ -170,26 +170,26 @@
         return Map.copyOf(out);
     }
 
-    private News news(String id) {
+    private EndpointUpdate news(String id) {
         Listed its = listed.get(id);
         if (its == null) {
             return null;
         }
         long number = its.entry.id();
-        return new News(
-                ListKind.DELTA,
+        return new EndpointUpdate(
+                UpdateKind.DELTA,
                 List.of(over(id, its.entry)),
                 Map.of(number, its.address),
                 Map.of(number, id));
     }
 
-    private Upstream over(String id, Upstream entry) {
-        State state =
-                entry.state() == State.READY && out.containsKey(id)
-                        ? State.DRAINING
+    private UpstreamHost over(String id, UpstreamHost entry) {
+        HostState state =
+                entry.state() == HostState.READY && out.containsKey(id)
+                        ? HostState.DRAINING
                         : entry.state();
-        long started = Math.max(entry.startedAt(), back.getOrDefault(id, 0L));
-        return new Upstream(
+        long started = Math.max(entry.startedAtNanos(), back.getOrDefault(id, 0L));
+        return new UpstreamHost(
                 entry.id(),
                 entry.zone(),
                 entry.kind(),
--- a/sidecar/src/main/java/appleridge/admin/Figures.java
+++ b/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
@@ -1,6 +1,6 @@
 package appleridge.admin;
 
-import appleridge.request.Tally;
+import appleridge.request.RequestMetrics;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
  * text form of OpenMetrics 1.0, which most collectors read. Danger: a figure that is counted in two
  * places is wrong in one.
  */
-public final class Figures implements Tally {
+public final class OpenMetricsReport implements RequestMetrics {
     private static final String PREFIX = "appleridge_";
 
     private final List<String> classes;
@@ -24,16 +24,16 @@
     private final Map<String, LongSupplier> gauges = new LinkedHashMap<>();
 
     /** With the names of the request classes. */
-    public Figures(List<String> classes) {
+    public OpenMetricsReport(List<String> classes) {
         this.classes = List.copyOf(classes);
         this.taken = new long[classes.size()];
-        this.ended = new long[End.values().length][classes.size()];
+        this.ended = new long[RequestEnd.values().length][classes.size()];
         this.attempts = new long[classes.size()];
         this.further = new long[classes.size()];
     }
 
     /** One more value that is asked for whenever the figures are. */
-    public Figures gauge(String name, LongSupplier value) {
+    public OpenMetricsReport gauge(String name, LongSupplier value) {
         gauges.put(name, value);
         return this;
     }
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void ended(int requestClass, End how) {
+    public void ended(int requestClass, RequestEnd how) {
         ended[how.ordinal()][requestClass]++;
     }
 
@@ -65,7 +65,7 @@
     public String text() {
         List<String> lines = new ArrayList<>();
         byClass(lines, "requests", taken);
-        for (End how : End.values()) {
+        for (RequestEnd how : RequestEnd.values()) {
             byClass(lines, "requests_" + how.metricWord(), ended[how.ordinal()]);
         }
         byClass(lines, "attempts", attempts);
--- a/sidecar/src/main/java/appleridge/admin/protocol/Caller.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
@@ -1,8 +1,8 @@
 package appleridge.admin.protocol;
 
-import appleridge.admin.Answers;
-import appleridge.admin.Call;
-import appleridge.request.Timers;
+import appleridge.admin.AdminCall;
+import appleridge.admin.AdminCallHandler;
+import appleridge.request.Scheduler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -19,20 +19,20 @@
  * One connection of an operator: a line is read, answered, and whatever follows it is not looked
  * at.
  */
-final class Caller extends ChannelInboundHandlerAdapter {
+final class AdminConnection extends ChannelInboundHandlerAdapter {
     /**
      * For the caller to read the answer, before unread input of its own would reset the connection.
      */
     private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final OperatorsLine line;
+    private final AdminServer line;
     private final Channel channel;
     private final ByteArrayOutputStream heard = new ByteArrayOutputStream(64);
     private final long since;
-    private Timers.Timer limit = () -> {};
+    private Scheduler.ScheduledTask limit = () -> {};
     private boolean answered;
 
-    Caller(OperatorsLine line, Channel channel) {
+    AdminConnection(AdminServer line, Channel channel) {
         this.line = line;
         this.channel = channel;
         this.since = line.loop().now();
@@ -50,7 +50,7 @@
     void late() {
         if (!answered) {
             answered = true;
-            channel.writeAndFlush(text(Answers.no("no call came in time")));
+            channel.writeAndFlush(text(AdminCallHandler.no("no call came in time")));
         }
         channel.close();
     }
@@ -75,11 +75,11 @@
             int end = bytes.bytesBefore((byte) '\n');
             int length = end < 0 ? bytes.readableBytes() : end;
             // One byte more than a line may have, and its end, tell that it is too long.
-            int room = Math.max(0, Call.MOST_BYTES + 2 - heard.size());
+            int room = Math.max(0, AdminCall.MOST_BYTES + 2 - heard.size());
             byte[] part = new byte[Math.min(length, room)];
             bytes.readBytes(part);
             heard.write(part, 0, part.length);
-            if (!answered && (end >= 0 || heard.size() > Call.MOST_BYTES + 1)) {
+            if (!answered && (end >= 0 || heard.size() > AdminCall.MOST_BYTES + 1)) {
                 answer();
             }
         } finally {
--- a/sidecar/src/main/java/appleridge/admin/protocol/OperatorsLine.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
@@ -1,10 +1,10 @@
 package appleridge.admin.protocol;
 
-import appleridge.admin.Answers;
-import appleridge.request.Timers;
+import appleridge.admin.AdminCallHandler;
+import appleridge.request.Scheduler;
 import appleridge.transport.AcceptFailures;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -21,7 +21,7 @@
  * few descriptors and, at each turn of the loop, the time for a few callers. Danger: it is asked
  * most when all goes wrong, and who only connects must not keep out who asks.
  */
-public final class OperatorsLine {
+public final class AdminServer {
     /** Callers at once: of the descriptors that neither clients nor upstreams may use. */
     static final int MOST_CALLERS = 12;
 
@@ -37,18 +37,22 @@
     private static final int ACCEPTS_AT_ONCE = 4;
     private static final int BACKLOG = 1024;
 
-    private final Loop loop;
-    private final Sockets sockets;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
     private final InetSocketAddress address;
-    private final Answers answers;
-    private final Set<Caller> callers = new LinkedHashSet<>();
+    private final AdminCallHandler answers;
+    private final Set<AdminConnection> callers = new LinkedHashSet<>();
     private Channel listener;
-    private Timers.Timer next = () -> {};
+    private Scheduler.ScheduledTask next = () -> {};
     private boolean told;
     private boolean closed;
 
     /** Made on the loop; listens from {@link #open} on. */
-    public OperatorsLine(Loop loop, Sockets sockets, InetSocketAddress address, Answers answers) {
+    public AdminServer(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            InetSocketAddress address,
+            AdminCallHandler answers) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
@@ -71,7 +75,9 @@
                                     @Override
                                     protected void initChannel(Channel channel) {
                                         channel.pipeline()
-                                                .addLast(new Caller(OperatorsLine.this, channel));
+                                                .addLast(
+                                                        new AdminConnection(
+                                                                AdminServer.this, channel));
                                     }
                                 })
                         .bind(address);
@@ -113,24 +119,24 @@
         if (listener != null) {
             listener.close();
         }
-        Set.copyOf(callers).forEach(Caller::close);
+        Set.copyOf(callers).forEach(AdminConnection::close);
     }
 
-    Answers answers() {
+    AdminCallHandler answers() {
         return answers;
     }
 
-    Loop loop() {
+    SidecarEventLoop loop() {
         return loop;
     }
 
-    void opened(Caller caller) {
+    void opened(AdminConnection caller) {
         callers.add(caller);
         caller.hangUpAfter(LONGEST);
         bound();
     }
 
-    void closed(Caller caller) {
+    void closed(AdminConnection caller) {
         callers.remove(caller);
         bound();
     }
@@ -144,7 +150,7 @@
             return;
         }
         accept(false);
-        Caller oldest = callers.iterator().next();
+        AdminConnection oldest = callers.iterator().next();
         long stood = loop.now() - oldest.since();
         next.cancel();
         next =
--- a/sidecar/src/main/java/appleridge/config/UsualValues.java
+++ b/sidecar/src/main/java/appleridge/config/Defaults.java
@@ -5,7 +5,7 @@
  * copies them to where they are used, so that a sidecar without an operator's file doesn't load
  * this class.
  */
-public final class UsualValues {
+public final class Defaults {
     /**
      * Milliseconds from a request's first byte to its last. Requests come whole in moments, and
      * what is not one is owed an answer or an end within 3 s.
@@ -27,5 +27,5 @@
     /** Part of the process's file descriptors for connections to upstreams. */
     public static final double UPSTREAMS_PART = 0.45;
 
-    private UsualValues() {}
+    private Defaults() {}
 }
--- a/sidecar/src/main/java/appleridge/config/Options.java
+++ b/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
@@ -1,14 +1,14 @@
 package appleridge.config;
 
-import appleridge.loadbalancing.Balancer.Allowed;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.Limits;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.loadbalancing.Balancer.Tenant;
-import appleridge.loadbalancing.Balancer.Weights;
+import appleridge.loadbalancing.Capabilities;
+import appleridge.loadbalancing.DeduplicationScope;
+import appleridge.loadbalancing.DiscoveryMode;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.loadbalancing.SafetyLimits;
+import appleridge.loadbalancing.Tenant;
+import appleridge.loadbalancing.WeightKind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,29 +16,36 @@
 import java.util.Map;
 
 /**
- * Turns the path=value lines of a provision event into {@link Settings}; keys it does not know are
- * skipped. The real sidecar flattens its configuration to the same lines, so there is one mapping.
+ * Turns the path=value lines of a provision event into {@link PolicySettings}; keys it does not
+ * know are skipped. The real sidecar flattens its configuration to the same lines, so there is one
+ * mapping.
  */
-public final class Options {
-    private static final Map<String, Discovery> DISCOVERY_WORDS =
-            Map.of("AUTOMATIC", Discovery.AUTOMATIC, "SUBSCRIBE", Discovery.SUBSCRIBE);
-    private static final Map<String, Weights> WEIGHTS_WORDS =
+public final class PolicySettingsParser {
+    private static final Map<String, DiscoveryMode> DISCOVERY_WORDS =
+            Map.of("AUTOMATIC", DiscoveryMode.PUSHED, "SUBSCRIBE", DiscoveryMode.SUBSCRIBED);
+    private static final Map<String, WeightKind> WEIGHTS_WORDS =
             Map.of(
-                    "SILENT", Weights.SILENT,
-                    "NOMINAL", Weights.NOMINAL,
-                    "ROUGH", Weights.ROUGH,
-                    "LIVE", Weights.LIVE);
-    private static final Map<String, Semantics> SEMANTICS_WORDS =
+                    "SILENT", WeightKind.SILENT,
+                    "NOMINAL", WeightKind.NOMINAL,
+                    "ROUGH", WeightKind.ROUGH,
+                    "LIVE", WeightKind.LIVE);
+    private static final Map<String, Idempotency> SEMANTICS_WORDS =
             Map.of(
-                    "REPEATABLE", Semantics.REPEATABLE,
-                    "BY_KEY", Semantics.BY_KEY,
-                    "ONCE", Semantics.ONCE);
-    private static final Map<String, Scope> SCOPE_WORDS =
-            Map.of("ALL", Scope.ALL, "ZONE", Scope.ZONE, "CELL", Scope.CELL);
+                    "REPEATABLE", Idempotency.IDEMPOTENT,
+                    "BY_KEY", Idempotency.IDEMPOTENT_BY_KEY,
+                    "ONCE", Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPE_WORDS =
+            Map.of(
+                    "ALL",
+                    DeduplicationScope.ALL,
+                    "ZONE",
+                    DeduplicationScope.ZONE,
+                    "CELL",
+                    DeduplicationScope.CELL);
 
     private final Map<String, String> values = new HashMap<>();
 
-    private Options(String text) {
+    private PolicySettingsParser(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
@@ -50,11 +57,11 @@
     /**
      * Reads path=value lines; what makes no sense is told by an {@link IllegalArgumentException}.
      */
-    public static Settings parse(String text) {
-        return new Options(text).settings();
+    public static PolicySettings parse(String text) {
+        return new PolicySettingsParser(text).settings();
     }
 
-    private Settings settings() {
+    private PolicySettings settings() {
         List<RequestClass> classes = new ArrayList<>();
         int classCount = (int) required("profiles.count");
         for (int i = 0; i < classCount; i++) {
@@ -67,13 +74,13 @@
             tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
         }
         String fields = values.getOrDefault("report.fields", "");
-        return new Settings(
+        return new PolicySettings(
                 (int) number("rank", -1),
                 (int) number("replicasOfMe", 1),
                 (int) number("zone", 0),
                 (long) number("quantum", 0),
-                choice(DISCOVERY_WORDS, "discovery", Discovery.AUTOMATIC),
-                choice(WEIGHTS_WORDS, "weights", Weights.SILENT),
+                choice(DISCOVERY_WORDS, "discovery", DiscoveryMode.PUSHED),
+                choice(WEIGHTS_WORDS, "weights", WeightKind.SILENT),
                 classes,
                 tenants,
                 allowed(),
@@ -84,7 +91,7 @@
     }
 
     private RequestClass requestClass(String path) {
-        Semantics semantics = choice(SEMANTICS_WORDS, path + "semantics", null);
+        Idempotency semantics = choice(SEMANTICS_WORDS, path + "semantics", null);
         long deadline = (long) required(path + "deadline");
         // Danger: where a day's deadlines are short, an aim may lie beyond one. Nothing is earned
         // after the
@@ -93,8 +100,11 @@
         long aim = Math.min((long) required(path + "slo"), deadline);
         // Danger: these say nothing of other classes, and a start must not fail for what stands
         // there.
-        boolean byKey = semantics == Semantics.BY_KEY;
-        Scope scope = byKey ? choice(SCOPE_WORDS, path + "keyScope", Scope.CELL) : Scope.CELL;
+        boolean byKey = semantics == Idempotency.IDEMPOTENT_BY_KEY;
+        DeduplicationScope scope =
+                byKey
+                        ? choice(SCOPE_WORDS, path + "keyScope", DeduplicationScope.CELL)
+                        : DeduplicationScope.CELL;
         long keyTtl = byKey ? (long) number(path + "keyTtl", 0) : 0;
         return new RequestClass(
                 aim,
@@ -108,8 +118,8 @@
                 flag(path + "stream"));
     }
 
-    private Allowed allowed() {
-        return new Allowed(
+    private Capabilities allowed() {
+        return new Capabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
                 flag("caps.peers"),
@@ -120,8 +130,8 @@
                 (long) number("caps.connectTimeout", 0));
     }
 
-    private Limits limits() {
-        return new Limits(
+    private SafetyLimits limits() {
+        return new SafetyLimits(
                 (long) required("rules.answerSlack"),
                 (long) number("rules.askWithin", 0),
                 (long) required("rules.stopSendingWithin"),
--- a/sidecar/src/main/java/appleridge/config/Config.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarConfig.java
@@ -1,10 +1,10 @@
 package appleridge.config;
 
-import appleridge.loadbalancing.Balancer.Allowed;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.Limits;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.loadbalancing.Capabilities;
+import appleridge.loadbalancing.DiscoveryMode;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.loadbalancing.SafetyLimits;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -31,14 +31,14 @@
  * @param maxOpen requests that may be open at once
  * @param admin where operators call; null for nowhere
  */
-public record Config(
+public record SidecarConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
         int sockets,
         JsonNode known,
-        Settings settings,
+        PolicySettings settings,
         boolean pushed,
         List<String> classes,
         List<String> tenants,
@@ -60,12 +60,12 @@
      * Reads a configuration file's text; what is missing or senseless is told by an exception's
      * message.
      */
-    public static Config parse(byte[] text) throws IOException {
+    public static SidecarConfig parse(byte[] text) throws IOException {
         return parse(new ObjectMapper().readTree(text));
     }
 
     /** The same from what was read already. */
-    public static Config parse(JsonNode root) {
+    public static SidecarConfig parse(JsonNode root) {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
             throw new IllegalArgumentException("settings missing");
@@ -82,19 +82,20 @@
         if (connIdle <= 0 || maxOpen <= 0) {
             throw new IllegalArgumentException("caps.connIdle or caps.maxOpen makes no sense");
         }
-        Settings told = Options.parse(lines.toString());
-        boolean pushed = told.discovery() == Discovery.AUTOMATIC;
-        Settings parsed = hosted(told, pushed);
-        if (parsed.classes().stream().anyMatch(RequestClass::stream)) {
+        PolicySettings told = PolicySettingsParser.parse(lines.toString());
+        boolean pushed = told.discoveryMode() == DiscoveryMode.PUSHED;
+        PolicySettings parsed = hosted(told, pushed);
+        if (parsed.classes().stream().anyMatch(RequestClass::streaming)) {
             throw new IllegalArgumentException("streamed classes are not supported");
         }
         // Danger: without them a watch would last no time, and a connect would be given up as it
         // begins.
-        if (parsed.limits().askWithin() <= 0 || parsed.allowed().connectTimeout() <= 0) {
+        if (parsed.safetyLimits().pollIntervalNanos() <= 0
+                || parsed.capabilities().connectTimeoutNanos() <= 0) {
             throw new IllegalArgumentException(
                     "rules.askWithin or caps.connectTimeout makes no sense");
         }
-        return new Config(
+        return new SidecarConfig(
                 text(root, "name"),
                 address(text(root, "listen")),
                 address(text(root, "discovery")),
@@ -119,58 +120,58 @@
      * agent by a watch, as any other is; and this sidecar sends its peers nothing, which is allowed
      * and not demanded.
      */
-    private static Settings hosted(Settings told, boolean pushed) {
-        Allowed may = told.allowed();
-        Limits rules = told.limits();
-        return new Settings(
+    private static PolicySettings hosted(PolicySettings told, boolean pushed) {
+        Capabilities may = told.capabilities();
+        SafetyLimits rules = told.safetyLimits();
+        return new PolicySettings(
                 told.rank(),
                 told.replicas(),
                 told.zone(),
-                told.quantum(),
-                Discovery.SUBSCRIBE,
-                told.weights(),
+                told.clockGranularityNanos(),
+                DiscoveryMode.SUBSCRIBED,
+                told.weightKind(),
                 told.classes(),
                 told.tenants(),
-                new Allowed(
-                        may.cancel(),
-                        may.probes(),
+                new Capabilities(
+                        may.cancellation(),
+                        may.healthChecks(),
                         false,
-                        may.parallelTries(),
+                        may.hedging(),
                         may.retryAfter(),
-                        may.tryLimit(),
-                        may.maxRetryAfter(),
-                        may.connectTimeout()),
+                        may.maxAttempts(),
+                        may.maxRetryAfterNanos(),
+                        may.connectTimeoutNanos()),
                 pushed
-                        ? new Limits(
-                                rules.answerSlack(),
+                        ? new SafetyLimits(
+                                rules.answerSlackNanos(),
                                 AGENT_ASKED_WITHIN,
-                                rules.drainGrace(),
-                                rules.coldShare(),
-                                rules.rampTime(),
+                                rules.drainGraceNanos(),
+                                rules.slowStartMinFraction(),
+                                rules.slowStartWindowNanos(),
                                 rules.overloadFactor(),
-                                rules.tipAfter())
+                                rules.overloadWindowNanos())
                         : rules,
-                told.reportFields(),
-                told.valueByWork(),
-                told.overShareWorth());
+                told.loadReportFields(),
+                told.weightedByWork(),
+                told.overQuotaWeight());
     }
 
     /** The same with operators calling elsewhere. */
-    public Config withAdmin(InetSocketAddress other) {
-        return new Config(
+    public SidecarConfig withAdmin(InetSocketAddress other) {
+        return new SidecarConfig(
                 name, listen, discovery, seed, sockets, known, settings, pushed, classes, tenants,
                 zones, kinds, connIdle, maxOpen, other);
     }
 
     /** The same with clients connecting elsewhere. */
-    public Config listeningAt(InetSocketAddress other) {
-        return new Config(
+    public SidecarConfig listeningAt(InetSocketAddress other) {
+        return new SidecarConfig(
                 name, other, discovery, seed, sockets, known, settings, pushed, classes, tenants,
                 zones, kinds, connIdle, maxOpen, admin);
     }
 
     /** What differs in another configuration and can't be taken over while the sidecar runs. */
-    public List<String> fixedParts(Config other) {
+    public List<String> fixedParts(SidecarConfig other) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(other.name));
         same.put("listen", listen.equals(other.listen));
--- a/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
@@ -4,9 +4,9 @@
 import java.net.InetSocketAddress;
 
 /** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; never a name, for nothing is looked up. */
-record AddressKind() implements Kind<InetSocketAddress> {
+record AddressKind() implements ValueKind<InetSocketAddress> {
     @Override
-    public InetSocketAddress read(Cell cell) {
+    public InetSocketAddress read(SourceValue cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : "";
         InetSocketAddress address = Addresses.literal(text);
         if (address != null) {
--- a/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
@@ -22,7 +22,7 @@
                 case "--json" -> json = true;
                 default ->
                         throw new IllegalArgumentException(
-                                "unknown argument: " + Words.quoted(argument));
+                                "unknown argument: " + MessageText.quoted(argument));
             }
         }
         return new CheckArguments(config, operator, json);
--- a/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
@@ -66,7 +66,7 @@
             try {
                 summary = platform.read(config);
             } catch (IOException e) {
-                problem = firstLine(Words.unreadable(e));
+                problem = firstLine(MessageText.unreadable(e));
             } catch (IllegalArgumentException e) {
                 problem = firstLine(String.valueOf(e.getMessage()));
             }
--- a/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 
 /** One of an enum's constants: {@code BY_KEY} is written {@code "by-key"}. */
-record ChoiceKind<E extends Enum<E>>(Class<E> type) implements Kind<E> {
+record ChoiceKind<E extends Enum<E>>(Class<E> type) implements ValueKind<E> {
     @Override
-    public E read(Cell cell) {
+    public E read(SourceValue cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : "";
         for (E each : type.getEnumConstants()) {
             if (show(each).equals(text)) {
--- a/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
@@ -1,6 +1,6 @@
 package appleridge.config.operator;
 
-import appleridge.config.UsualValues;
+import appleridge.config.Defaults;
 import java.time.Duration;
 
 /**
@@ -16,9 +16,9 @@
     /** What holds where the file has no such section. */
     public static final ClientsSection USUAL =
             new ClientsSection(
-                    Duration.ofMillis(UsualValues.REQUEST_MILLIS),
-                    Duration.ofMillis(UsualValues.FIRST_REQUEST_MILLIS),
-                    Duration.ofMillis(UsualValues.IDLE_MILLIS));
+                    Duration.ofMillis(Defaults.REQUEST_MILLIS),
+                    Duration.ofMillis(Defaults.FIRST_REQUEST_MILLIS),
+                    Duration.ofMillis(Defaults.IDLE_MILLIS));
 
     private static final Duration LEAST = Duration.ofMillis(100);
 
@@ -26,17 +26,17 @@
         return new ClientsSection(
                 table.value(
                         "request-timeout",
-                        Kind.duration(LEAST, Duration.ofMinutes(1)),
+                        ValueKind.duration(LEAST, Duration.ofMinutes(1)),
                         USUAL.requestTimeout,
                         "how long a request may take to come in, from its first byte to its last"),
                 table.value(
                         "first-request-timeout",
-                        Kind.duration(LEAST, Duration.ofMinutes(10)),
+                        ValueKind.duration(LEAST, Duration.ofMinutes(10)),
                         USUAL.firstRequestTimeout,
                         "how long a new connection may be without a request"),
                 table.value(
                         "idle-timeout",
-                        Kind.duration(LEAST, Duration.ofHours(1)),
+                        ValueKind.duration(LEAST, Duration.ofHours(1)),
                         USUAL.idleTimeout,
                         "how long a connection is kept open between requests"));
     }
--- a/sidecar/src/main/java/appleridge/config/operator/FlagKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/FlagKind.java
@@ -1,9 +1,9 @@
 package appleridge.config.operator;
 
 /** Yes or no. */
-record FlagKind() implements Kind<Boolean> {
+record FlagKind() implements ValueKind<Boolean> {
     @Override
-    public Boolean read(Cell cell) {
+    public Boolean read(SourceValue cell) {
         if (!cell.node().isBoolean()) {
             cell.wrong("is neither true nor false");
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
@@ -1,9 +1,9 @@
 package appleridge.config.operator;
 
 /** A number within bounds; that it is none ({@code nan}) counts as out of them. */
-record FractionKind(double least, double most) implements Kind<Double> {
+record FractionKind(double least, double most) implements ValueKind<Double> {
     @Override
-    public Double read(Cell cell) {
+    public Double read(SourceValue cell) {
         if (!cell.node().isNumber()) {
             cell.wrong("is not a number");
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
@@ -44,8 +44,8 @@
     private static final int MILLION = 1_000_000;
 
     static LeasesSection read(Table table) {
-        Kind<List<InetSocketAddress>> servers =
-                Kind.list(Kind.address(), 1, MembershipSection.MOST_SERVERS);
+        ValueKind<List<InetSocketAddress>> servers =
+                ValueKind.list(ValueKind.address(), 1, MembershipSection.MOST_SERVERS);
         LeasesSection section =
                 new LeasesSection(
                         table.required(
@@ -65,47 +65,47 @@
                                 "the path that leases stand under"),
                         table.value(
                                 "session-timeout",
-                                Kind.duration(Duration.ofSeconds(2), Duration.ofMinutes(1)),
+                                ValueKind.duration(Duration.ofSeconds(2), Duration.ofMinutes(1)),
                                 Duration.ofSeconds(6),
                                 "after how much silence a place in the line ends"),
                         table.optional(
                                 "digest-file",
-                                Kind.text(MembershipSection.LONGEST),
+                                ValueKind.text(MembershipSection.LONGEST),
                                 "file that holds user:password"),
                         MembershipSection.Tls.read(table.table("tls")),
                         table.value(
                                 "term",
-                                Kind.duration(Duration.ofSeconds(1), Duration.ofMinutes(10)),
+                                ValueKind.duration(Duration.ofSeconds(1), Duration.ofMinutes(10)),
                                 Duration.ofSeconds(15),
                                 "how long a lease that is not renewed keeps others out"),
                         table.value(
                                 "drift",
-                                Kind.fraction(0, MOST_DRIFT),
+                                ValueKind.fraction(0, MOST_DRIFT),
                                 0.01,
                                 "how far a clock may be off true time, as a part of it"),
                         table.value(
                                 "guard",
-                                Kind.duration(Duration.ofMillis(50), Duration.ofMinutes(1)),
+                                ValueKind.duration(Duration.ofMillis(50), Duration.ofMinutes(1)),
                                 Duration.ofMillis(500),
                                 "how old the time may be by which something is judged"),
                         table.value(
                                 "renew-every",
-                                Kind.duration(Duration.ofMillis(100), Duration.ofMinutes(5)),
+                                ValueKind.duration(Duration.ofMillis(100), Duration.ofMinutes(5)),
                                 Duration.ofSeconds(3),
                                 "how often a lease is renewed"),
                         table.value(
                                 "longest-pause",
-                                Kind.duration(Duration.ZERO, Duration.ofMinutes(10)),
+                                ValueKind.duration(Duration.ZERO, Duration.ofMinutes(10)),
                                 Duration.ofSeconds(1),
                                 "the longest stand-still of what guards a command"),
                         table.value(
                                 "longest-act",
-                                Kind.duration(Duration.ZERO, Duration.ofMinutes(10)),
+                                ValueKind.duration(Duration.ZERO, Duration.ofMinutes(10)),
                                 Duration.ofSeconds(4),
                                 "how long ending a command may take"),
                         table.value(
                                 "kill-after",
-                                Kind.duration(Duration.ZERO, Duration.ofMinutes(5)),
+                                ValueKind.duration(Duration.ZERO, Duration.ofMinutes(5)),
                                 Duration.ofSeconds(3),
                                 "how long a command has from SIGTERM to SIGKILL"));
         if (table.sound() && section.root.equals("/") && section.chroot.isEmpty()) {
--- a/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
@@ -1,6 +1,6 @@
 package appleridge.config.operator;
 
-import appleridge.config.UsualValues;
+import appleridge.config.Defaults;
 import java.math.BigDecimal;
 
 /**
@@ -13,12 +13,12 @@
 public record LimitsSection(double clientsPart, double upstreamsPart) {
     /** What holds where the file has no such section. */
     public static final LimitsSection USUAL =
-            new LimitsSection(UsualValues.CLIENTS_PART, UsualValues.UPSTREAMS_PART);
+            new LimitsSection(Defaults.CLIENTS_PART, Defaults.UPSTREAMS_PART);
 
     private static final BigDecimal TOGETHER_BELOW = new BigDecimal("0.95");
 
     static LimitsSection read(Table table) {
-        Kind<Double> part = Kind.fraction(0.05, 0.9);
+        ValueKind<Double> part = ValueKind.fraction(0.05, 0.9);
         LimitsSection section =
                 new LimitsSection(
                         table.value(
--- a/sidecar/src/main/java/appleridge/config/operator/ListKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ListValueKind.java
@@ -5,9 +5,9 @@
 import java.util.stream.Collectors;
 
 /** A list of values of one kind. */
-record ListKind<T>(Kind<T> of, int least, int most) implements Kind<List<T>> {
+record ListValueKind<T>(ValueKind<T> of, int least, int most) implements ValueKind<List<T>> {
     @Override
-    public List<T> read(Cell cell) {
+    public List<T> read(SourceValue cell) {
         if (!cell.node().isArray()) {
             cell.wrong("is not a list");
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
@@ -59,7 +59,7 @@
             if (!table.present()) {
                 return Optional.empty();
             }
-            Kind<String> file = Kind.text(LONGEST);
+            ValueKind<String> file = ValueKind.text(LONGEST);
             Tls tls =
                     new Tls(
                             table.required(
@@ -74,7 +74,7 @@
                                     "key-password-file", file, "file that holds its password"),
                             table.value(
                                     "check-address",
-                                    Kind.flag(),
+                                    ValueKind.flag(),
                                     true,
                                     "whether a coordination server's certificate has to name its"
                                             + " address"));
@@ -91,12 +91,13 @@
     static final List<InetSocketAddress> NONE = List.of();
 
     static MembershipSection read(Table table) {
-        Kind<List<InetSocketAddress>> servers = Kind.list(Kind.address(), 1, MOST_SERVERS);
+        ValueKind<List<InetSocketAddress>> servers =
+                ValueKind.list(ValueKind.address(), 1, MOST_SERVERS);
         MembershipSection section =
                 new MembershipSection(
                         table.value(
                                 "source",
-                                Kind.choice(Source.class),
+                                ValueKind.choice(Source.class),
                                 Source.BOTH,
                                 "which sources make the list of servers"),
                         table.required("servers", servers, NONE, "the coordination servers"),
@@ -112,24 +113,26 @@
                                 "the path that the servers' nodes stand under"),
                         table.value(
                                 "shards",
-                                Kind.flag(),
+                                ValueKind.flag(),
                                 false,
                                 "whether they stand one level further down"),
                         table.value(
                                 "session-timeout",
-                                Kind.duration(Duration.ofSeconds(2), Duration.ofMinutes(1)),
+                                ValueKind.duration(Duration.ofSeconds(2), Duration.ofMinutes(1)),
                                 Duration.ofSeconds(6),
                                 "after how much silence a session ends"),
                         table.value(
                                 "read-only",
-                                Kind.flag(),
+                                ValueKind.flag(),
                                 false,
                                 "whether a coordination server that has lost the others will do"),
                         table.optional(
-                                "digest-file", Kind.text(LONGEST), "file that holds user:password"),
+                                "digest-file",
+                                ValueKind.text(LONGEST),
+                                "file that holds user:password"),
                         table.value(
                                 "answer-limit",
-                                Kind.size(MIB, 64 * MIB),
+                                ValueKind.size(MIB, 64 * MIB),
                                 4 * MIB,
                                 "the largest answer that is taken"),
                         Tls.read(table.table("tls")));
--- a/sidecar/src/main/java/appleridge/config/operator/Words.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MessageText.java
@@ -9,10 +9,10 @@
  * How keys and values of a file are put into messages: bounded, in one line, and harmless to a
  * terminal.
  */
-final class Words {
+final class MessageText {
     private static final int LONGEST = 60;
 
-    private Words() {}
+    private MessageText() {}
 
     /** The path of a key within the table at a path. */
     static String child(String path, String key) {
@@ -82,7 +82,7 @@
     }
 
     static boolean isBare(String key) {
-        return !key.isEmpty() && key.chars().allMatch(Words::isBare);
+        return !key.isEmpty() && key.chars().allMatch(MessageText::isBare);
     }
 
     static boolean isBare(int c) {
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
@@ -50,7 +50,7 @@
             return inspect(in.readNBytes(TomlText.MOST_BYTES + 1));
         } catch (IOException e) {
             Findings findings = new Findings();
-            findings.problem("", () -> Position.UNKNOWN, () -> Words.unreadable(e));
+            findings.problem("", () -> Position.UNKNOWN, () -> MessageText.unreadable(e));
             return new Reading(null, null, findings);
         }
     }
@@ -67,7 +67,7 @@
         int version =
                 top.required(
                         "version",
-                        Kind.whole(1, Integer.MAX_VALUE),
+                        ValueKind.whole(1, Integer.MAX_VALUE),
                         VERSION,
                         "version of this file's form");
         if (version != VERSION) {
--- a/sidecar/src/main/java/appleridge/config/operator/Positions.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Positions.java
@@ -83,7 +83,7 @@
                     listed.merge(path, 1, Integer::sum);
                 }
                 Integer count = listed.get(path);
-                path = count == null ? path : Words.item(path, count - 1);
+                path = count == null ? path : MessageText.item(path, count - 1);
                 first.putIfAbsent(path, start);
             }
         }
@@ -140,7 +140,7 @@
                 giveUp();
                 return;
             }
-            String item = path == null ? null : Words.item(path, i);
+            String item = path == null ? null : MessageText.item(path, i);
             if (item != null) {
                 first.putIfAbsent(item, here());
             }
@@ -200,7 +200,7 @@
             String name = text.substring(Math.min(start + 1, at), Math.max(start + 1, at - 1));
             return escapes && name.indexOf('\\') >= 0 ? null : name;
         }
-        while (Words.isBare(peek())) {
+        while (MessageText.isBare(peek())) {
             at++;
         }
         return text.substring(start, at);
@@ -235,7 +235,7 @@
         if (path == null || key == null || path.length() > LONGEST_PATH) {
             return null;
         }
-        return Words.child(path, key);
+        return MessageText.child(path, key);
     }
 
     private Position here() {
--- a/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
@@ -5,7 +5,8 @@
 
 /** A whole number with a unit behind it. */
 record QuantityKind<T extends Comparable<T>>(
-        Units units, LongFunction<T> of, ToLongFunction<T> in, T least, T most) implements Kind<T> {
+        Units units, LongFunction<T> of, ToLongFunction<T> in, T least, T most)
+        implements ValueKind<T> {
     static final Units DURATION =
             new Units(
                     "duration",
@@ -26,7 +27,7 @@
     record Units(String what, String examples, String[] names, long[] worth) {}
 
     @Override
-    public T read(Cell cell) {
+    public T read(SourceValue cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : "";
         int digits = 0;
         while (digits < text.length() && text.charAt(digits) >= '0' && text.charAt(digits) <= '9') {
--- a/sidecar/src/main/java/appleridge/config/operator/Table.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Table.java
@@ -39,12 +39,12 @@
      *
      * @param meaning what it is, in plain words
      */
-    <T> T value(String key, Kind<T> kind, T usual, String meaning) {
+    <T> T value(String key, ValueKind<T> kind, T usual, String meaning) {
         return read(key, kind, usual, kind.show(usual), meaning);
     }
 
     /** A value that the file may leave out, and then there is none. */
-    <T> Optional<T> optional(String key, Kind<T> kind, String meaning) {
+    <T> Optional<T> optional(String key, ValueKind<T> kind, String meaning) {
         return Optional.ofNullable(read(key, kind, null, "", meaning));
     }
 
@@ -54,7 +54,7 @@
      * @param standIn what to go on with where it doesn't, to find further problems; a file that
      *     gives just this counts as usual
      */
-    <T> T required(String key, Kind<T> kind, T standIn, String meaning) {
+    <T> T required(String key, ValueKind<T> kind, T standIn, String meaning) {
         if (!node.has(key)) {
             sound = false;
             findings.problem(child(key), () -> text.where(path), () -> "missing");
@@ -67,7 +67,7 @@
         known.add(key);
         JsonNode value = node.path(key);
         if (!value.isMissingNode() && !value.isObject()) {
-            wrong(key, Words.value(value) + " is not a table; write [" + child(key) + "]");
+            wrong(key, MessageText.value(value) + " is not a table; write [" + child(key) + "]");
         }
         return part(child(key), value.isObject() ? value : JsonNodeFactory.instance.missingNode());
     }
@@ -78,12 +78,12 @@
         JsonNode value = node.path(key);
         List<Table> tables = new ArrayList<>();
         for (int i = 0; i < value.size() && value.isArray() && value.get(i).isObject(); i++) {
-            tables.add(part(Words.item(child(key), i), value.get(i)));
+            tables.add(part(MessageText.item(child(key), i), value.get(i)));
         }
         if (!value.isMissingNode() && (!value.isArray() || tables.size() < value.size())) {
             wrong(
                     key,
-                    Words.value(value)
+                    MessageText.value(value)
                             + " is not a list of tables; write [["
                             + child(key)
                             + "]] before each");
@@ -130,11 +130,11 @@
         parts.forEach(Table::finish);
     }
 
-    private <T> T read(String key, Kind<T> kind, T usual, String usualShown, String meaning) {
+    private <T> T read(String key, ValueKind<T> kind, T usual, String usualShown, String meaning) {
         known.add(key);
         T value = usual;
         if (node.has(key)) {
-            T read = kind.read(new Cell(child(key), node.get(key), text, findings));
+            T read = kind.read(new SourceValue(child(key), node.get(key), text, findings));
             sound &= read != null;
             value = read == null ? usual : read;
         }
@@ -155,6 +155,6 @@
     }
 
     private String child(String key) {
-        return Words.child(path, key);
+        return MessageText.child(path, key);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/TextKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/TextKind.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 
 /** A text of one line. */
-record TextKind(int most) implements Kind<String> {
+record TextKind(int most) implements ValueKind<String> {
     @Override
-    public String read(Cell cell) {
+    public String read(SourceValue cell) {
         if (!cell.node().isTextual()) {
             cell.wrong("is not a text; put it in quotes");
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/Kind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ValueKind.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /** A kind of value: how it is read from a file, and how it is shown to a person. */
-interface Kind<T> {
+interface ValueKind<T> {
     /** The value; null if it makes no sense, which the cell has then been told. */
-    T read(Cell cell);
+    T read(SourceValue cell);
 
     /** As a person writes it, without quotes. */
     String show(T value);
@@ -16,48 +16,48 @@
      * A time in whole milliseconds with its unit, from {@code least} to {@code most}: {@code
      * "250ms"}.
      */
-    static Kind<Duration> duration(Duration least, Duration most) {
+    static ValueKind<Duration> duration(Duration least, Duration most) {
         return new QuantityKind<>(
                 QuantityKind.DURATION, Duration::ofMillis, Duration::toMillis, least, most);
     }
 
     /** A number of bytes with its unit, from {@code least} to {@code most}: {@code "16MiB"}. */
-    static Kind<Long> size(long least, long most) {
+    static ValueKind<Long> size(long least, long most) {
         return new QuantityKind<>(QuantityKind.SIZE, bytes -> bytes, bytes -> bytes, least, most);
     }
 
     /** A whole number from {@code least} to {@code most}. */
-    static Kind<Integer> whole(int least, int most) {
+    static ValueKind<Integer> whole(int least, int most) {
         return new WholeKind(least, most);
     }
 
     /** A number from {@code least} to {@code most}. */
-    static Kind<Double> fraction(double least, double most) {
+    static ValueKind<Double> fraction(double least, double most) {
         return new FractionKind(least, most);
     }
 
     /** {@code host:port} with a literal address. */
-    static Kind<InetSocketAddress> address() {
+    static ValueKind<InetSocketAddress> address() {
         return new AddressKind();
     }
 
     /** One of an enum's constants, written in lower case with dashes. */
-    static <E extends Enum<E>> Kind<E> choice(Class<E> type) {
+    static <E extends Enum<E>> ValueKind<E> choice(Class<E> type) {
         return new ChoiceKind<>(type);
     }
 
     /** Text of one line, of 1 to {@code most} characters. */
-    static Kind<String> text(int most) {
+    static ValueKind<String> text(int most) {
         return new TextKind(most);
     }
 
     /** {@code true} or {@code false}. */
-    static Kind<Boolean> flag() {
+    static ValueKind<Boolean> flag() {
         return new FlagKind();
     }
 
     /** A list of {@code least} to {@code most} values of a kind. */
-    static <T> Kind<List<T>> list(Kind<T> of, int least, int most) {
-        return new ListKind<>(of, least, most);
+    static <T> ValueKind<List<T>> list(ValueKind<T> of, int least, int most) {
+        return new ListValueKind<>(of, least, most);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/WholeKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/WholeKind.java
@@ -1,9 +1,9 @@
 package appleridge.config.operator;
 
 /** A whole number; 2.0 is none. */
-record WholeKind(int least, int most) implements Kind<Integer> {
+record WholeKind(int least, int most) implements ValueKind<Integer> {
     @Override
-    public Integer read(Cell cell) {
+    public Integer read(SourceValue cell) {
         if (!cell.node().isIntegralNumber()) {
             cell.wrong("is not a whole number");
             return null;
--- a/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
@@ -6,12 +6,12 @@
  * A path of ZooKeeper's: {@code /a/b}, of the characters that need no care anywhere; it may be
  * empty.
  */
-record ZooKeeperPathKind(boolean mayBeEmpty) implements Kind<String> {
+record ZooKeeperPathKind(boolean mayBeEmpty) implements ValueKind<String> {
     private static final Pattern PATH = Pattern.compile("/|(/[A-Za-z0-9_.:@-]{1,128}){1,16}");
     private static final Pattern DOTS = Pattern.compile(".*/\\.{1,2}(/.*|$)");
 
     @Override
-    public String read(Cell cell) {
+    public String read(SourceValue cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : null;
         if (text != null
                 && (mayBeEmpty && text.isEmpty()
--- a/sidecar/src/main/java/appleridge/daemon/OperatorsDesk.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -1,37 +1,38 @@
 package appleridge.daemon;
 
-import appleridge.admin.Answers;
-import appleridge.admin.Figures;
-import appleridge.admin.Maintenance;
-import appleridge.admin.protocol.OperatorsLine;
-import appleridge.config.Config;
-import appleridge.discovery.Directory;
-import appleridge.hotrestart.Word;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.admin.AdminCallHandler;
+import appleridge.admin.MaintenanceOverlay;
+import appleridge.admin.OpenMetricsReport;
+import appleridge.admin.protocol.AdminServer;
+import appleridge.config.SidecarConfig;
+import appleridge.discovery.EndpointTable;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** What operators may ask of one sidecar, put together; made only where they have a way to ask. */
-final class OperatorsDesk {
-    private final Loop loop;
-    private final Maintenance maintenance;
-    private final OperatorsLine line;
-    private final Consumer<Directory.News> told;
+final class AdminService {
+    private final SidecarEventLoop loop;
+    private final MaintenanceOverlay maintenance;
+    private final AdminServer line;
+    private final Consumer<EndpointTable.EndpointUpdate> told;
 
     /** With who is told what an operator's word makes of the list, and what keeps such words. */
-    OperatorsDesk(
-            Loop loop,
-            Sockets sockets,
-            Config config,
-            Service service,
-            Consumer<Directory.News> told,
+    AdminService(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            UpstreamCluster service,
+            Consumer<EndpointTable.EndpointUpdate> told,
             Consumer<Runnable> keeping) {
         this.loop = loop;
         this.told = told;
-        this.maintenance = new Maintenance(config.settings().limits().rampTime());
-        Figures figures =
-                new Figures(config.classes())
+        this.maintenance =
+                new MaintenanceOverlay(config.settings().safetyLimits().slowStartWindowNanos());
+        OpenMetricsReport figures =
+                new OpenMetricsReport(config.classes())
                         .gauge("requests_open", () -> service.exchanges.books().open())
                         .gauge("attempts_out", () -> service.exchanges.books().attempts())
                         .gauge("client_connections", service.server::connections)
@@ -47,14 +48,14 @@
                                 service.server.monitor()::longestLagMillis)
                         .gauge("client_checks_after_stalls", service.exchanges::clientChecks)
                         .gauge("accept_gate_changes", service.server::acceptGateChanges)
-                        .gauge("heap_used_bytes", OperatorsDesk::heapUsed);
+                        .gauge("heap_used_bytes", AdminService::heapUsed);
         service.exchanges.tally(figures);
         this.line =
-                new OperatorsLine(
+                new AdminServer(
                         loop,
                         sockets,
                         config.admin(),
-                        new Answers(
+                        new AdminCallHandler(
                                 service.server::ready,
                                 figures::text,
                                 this::suspend,
@@ -67,20 +68,20 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    Directory.News over(Directory.News news) {
+    EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
         return maintenance.over(news, loop.now());
     }
 
-    private Maintenance.Effect suspend(String id) {
+    private MaintenanceOverlay.Effect suspend(String id) {
         return carriedOut("suspended by an operator: " + id, maintenance.suspend(id, loop.now()));
     }
 
-    private Maintenance.Effect restore(String id) {
+    private MaintenanceOverlay.Effect restore(String id) {
         return carriedOut("restored by an operator: " + id, maintenance.restore(id, loop.now()));
     }
 
-    private Maintenance.Effect carriedOut(String what, Maintenance.Effect effect) {
-        if (effect instanceof Maintenance.Done done && done.news() != null) {
+    private MaintenanceOverlay.Effect carriedOut(String what, MaintenanceOverlay.Effect effect) {
+        if (effect instanceof MaintenanceOverlay.Done done && done.news() != null) {
             loop.log().news(what);
             told.accept(done.news());
         }
@@ -88,11 +89,11 @@
     }
 
     /** What operators have told another process of this sidecar. */
-    void hear(List<Word> words) {
+    void hear(List<MaintenanceDirective> words) {
         maintenance.hear(words, loop.now()).forEach(told);
     }
 
-    List<Word> words() {
+    List<MaintenanceDirective> words() {
         return maintenance.words();
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/Reload.java
+++ b/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
@@ -1,6 +1,6 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -12,14 +12,14 @@
  * New configurations while the sidecar runs. The file is read on the thread that brings the signal,
  * so that the loop does not wait for it; a file that can't be used changes nothing.
  */
-final class Reload {
+final class ConfigReloader {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
-    private Serve serve;
+    private ServeCommand serve;
     private Path file;
 
     /** What the sidecar runs with, but for the address of discovery. */
-    private Config started;
+    private SidecarConfig started;
 
     private InetSocketAddress discovery;
 
@@ -30,7 +30,7 @@
     private boolean early;
 
     /** From here on requests are carried out; one that came before is carried out now. */
-    synchronized void begin(Serve running, Path path, Config config) {
+    synchronized void begin(ServeCommand running, Path path, SidecarConfig config) {
         serve = running;
         file = path;
         started = config;
@@ -62,9 +62,9 @@
         if (operator != null && !Arrays.equals(operatorHeld, held(operator))) {
             LOG.log(System.Logger.Level.WARNING, "needs a restart to take effect: " + operator);
         }
-        Config next;
+        SidecarConfig next;
         try {
-            next = Serve.withAdmin(Config.parse(Files.readAllBytes(file)));
+            next = ServeCommand.withAdmin(SidecarConfig.parse(Files.readAllBytes(file)));
         } catch (IOException | RuntimeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
@@ -0,0 +1,38 @@
+package appleridge.daemon;
+
+import appleridge.config.SidecarConfig;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.discovery.registry.EndpointListParser;
+import appleridge.discovery.registry.RegistryDiscovery;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
+
+/** Makes the source of a sidecar's list. */
+public interface DiscoveryFactory {
+    /** Called on the loop; nothing is told before {@link EndpointDiscovery#begin} has returned. */
+    EndpointDiscovery make(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            DiscoveryListener sink);
+
+    /** The platform's registry. */
+    static EndpointDiscovery registry(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            DiscoveryListener sink) {
+        return new RegistryDiscovery(
+                loop,
+                sockets,
+                config.discovery(),
+                config.known(),
+                new EndpointListParser(config.zones(), config.kinds()),
+                sink,
+                config.pushed()
+                        ? RegistryDiscovery.PollPolicy.AGENT
+                        : RegistryDiscovery.PollPolicy.asked(
+                                config.settings().safetyLimits().pollIntervalNanos()));
+    }
+}
--- a/sidecar/src/main/java/appleridge/daemon/Handover.java
+++ b/sidecar/src/main/java/appleridge/daemon/HotRestart.java
@@ -1,11 +1,11 @@
 package appleridge.daemon;
 
-import appleridge.hotrestart.Overlap;
-import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.hotrestart.ProcessPhase;
 import appleridge.hotrestart.ProcessState;
-import appleridge.hotrestart.Word;
-import appleridge.hotrestart.file.Slots;
-import appleridge.transport.Loop;
+import appleridge.hotrestart.ResourceShare;
+import appleridge.hotrestart.file.ProcessSlots;
+import appleridge.transport.SidecarEventLoop;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
  * on a thread of their own, and come back to the loop; made only where the platform holds the
  * listening socket.
  */
-final class Handover {
+final class HotRestart {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     /** Between two looks, while there are others, and while there are none. */
@@ -29,7 +29,7 @@
 
     private static final String THERE = "another process of this sidecar is there";
 
-    private final Slots slots;
+    private final ProcessSlots slots;
     private final ExecutorService files =
             Executors.newSingleThreadExecutor(
                     work -> {
@@ -38,25 +38,26 @@
                         return thread;
                     });
     private List<ProcessState> others;
-    private Phase phase = Phase.STARTING;
-    private Overlap overlap;
-    private Loop loop;
-    private Node node;
+    private ProcessPhase phase = ProcessPhase.STARTING;
+    private ResourceShare overlap;
+    private SidecarEventLoop loop;
+    private Sidecar node;
 
-    private Handover(Slots slots, List<ProcessState> others) {
+    private HotRestart(ProcessSlots slots, List<ProcessState> others) {
         this.slots = slots;
         this.others = others;
-        this.overlap = Overlap.of(phase, phases());
+        this.overlap = ResourceShare.of(phase, phases());
     }
 
     /**
      * Looks for others and tells them of this process; null where the folder can't be used. Blocks.
      */
-    static Handover begin(Path folder) {
+    static HotRestart begin(Path folder) {
         try {
-            Slots slots = Slots.take(folder, line -> LOG.log(System.Logger.Level.WARNING, line));
-            slots.tell(new ProcessState(Phase.STARTING, List.of()));
-            return new Handover(slots, slots.others());
+            ProcessSlots slots =
+                    ProcessSlots.take(folder, line -> LOG.log(System.Logger.Level.WARNING, line));
+            slots.tell(new ProcessState(ProcessPhase.STARTING, List.of()));
+            return new HotRestart(slots, slots.others());
         } catch (IOException | RuntimeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
@@ -65,7 +66,7 @@
         }
     }
 
-    Overlap overlap() {
+    ResourceShare overlap() {
         return overlap;
     }
 
@@ -75,14 +76,14 @@
     }
 
     /** What operators have told the others. */
-    List<Word> words() {
-        List<Word> words = new ArrayList<>();
+    List<MaintenanceDirective> words() {
+        List<MaintenanceDirective> words = new ArrayList<>();
         others.forEach(other -> words.addAll(other.words()));
         return words;
     }
 
     /** From here on used on the loop alone. */
-    void attach(Loop its, Node sidecar) {
+    void attach(SidecarEventLoop its, Sidecar sidecar) {
         loop = its;
         node = sidecar;
         node.share(overlap);
@@ -115,12 +116,12 @@
         loop.after(isBesideAnother() ? SOON : SELDOM, this::look);
     }
 
-    private List<Phase> phases() {
+    private List<ProcessPhase> phases() {
         return others.stream().map(ProcessState::phase).toList();
     }
 
     private void settle() {
-        Overlap next = Overlap.of(phase, phases());
+        ResourceShare next = ResourceShare.of(phase, phases());
         if (!next.equals(overlap)) {
             overlap = next;
             node.share(overlap);
@@ -128,7 +129,7 @@
     }
 
     /** This process has come so far. */
-    void phase(Phase now) {
+    void phase(ProcessPhase now) {
         phase = now;
         settle();
         tell(() -> {});
--- a/sidecar/src/main/java/appleridge/daemon/Main.java
+++ b/sidecar/src/main/java/appleridge/daemon/Main.java
@@ -21,20 +21,20 @@
     public static void main(String[] args) {
         List<String> words = Arrays.asList(args);
         if (words.equals(List.of("serve"))) {
-            Serve.main(null);
+            ServeCommand.main(null);
         } else if (words.size() == 3
                 && words.subList(0, 2).equals(List.of("serve", "--operator"))) {
-            Serve.main(Path.of(args[2]));
+            ServeCommand.main(Path.of(args[2]));
         } else if (words.equals(List.of("warm-up"))) {
-            Serve.warmUp();
+            ServeCommand.warmUp();
         } else if (words.equals(List.of("adapter"))) {
-            appleridge.simulator.Main.main();
+            appleridge.simulator.SimulatorAdapter.main();
         } else if (!words.isEmpty() && words.get(0).equals("check-config")) {
-            System.exit(OperatorStart.check(words.subList(1, words.size())));
+            System.exit(OperatorFileStartup.check(words.subList(1, words.size())));
         } else if (!words.isEmpty() && words.get(0).equals("register")) {
-            System.exit(OperatorStart.register(words.subList(1, words.size())));
+            System.exit(OperatorFileStartup.register(words.subList(1, words.size())));
         } else if (!words.isEmpty() && words.get(0).equals("task")) {
-            System.exit(OperatorStart.task(words.subList(1, words.size())));
+            System.exit(OperatorFileStartup.task(words.subList(1, words.size())));
         } else if (!words.isEmpty() && words.get(0).equals("task-guard")) {
             System.exit(Guardian.run(words.subList(1, words.size())));
         } else {
--- a/sidecar/src/main/java/appleridge/daemon/NodeLists.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodeDiscoveryAdapter.java
@@ -1,13 +1,13 @@
 package appleridge.daemon;
 
-import appleridge.discovery.ListSink;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.Member;
-import appleridge.discovery.ephemeral.Merge;
-import appleridge.discovery.ephemeral.NodeMembership;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.request.Timers;
-import appleridge.transport.Loop;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.discovery.ephemeral.NodeDiscovery;
+import appleridge.discovery.ephemeral.SourceSelection;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.request.Scheduler;
+import appleridge.transport.SidecarEventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -20,8 +20,8 @@
  * answer; with two sources the news of one would end its asking of the other, so the registry is
  * asked again from here.
  */
-public final class NodeLists implements ListSource {
-    /** What talks to the coordination service, and tells {@link NodeMembership} on the loop. */
+public final class NodeDiscoveryAdapter implements EndpointDiscovery {
+    /** What talks to the coordination service, and tells {@link NodeDiscovery} on the loop. */
     public interface Client {
         /** Begins. */
         void start();
@@ -46,18 +46,18 @@
      */
     private static final long WAITED = TimeUnit.SECONDS.toNanos(1);
 
-    private final Loop loop;
-    private final Merge merge;
-    private final ListSink sink;
-    private final ListSource registry;
-    private final NodeMembership membership;
+    private final SidecarEventLoop loop;
+    private final SourceSelection merge;
+    private final DiscoveryListener sink;
+    private final EndpointDiscovery registry;
+    private final NodeDiscovery membership;
     private final Client client;
     private final long tick;
     private final long leastWait;
     private final long mostWait;
     private final SplittableRandom jitter;
-    private Timers.Timer ticks = () -> {};
-    private Timers.Timer again = () -> {};
+    private Scheduler.ScheduledTask ticks = () -> {};
+    private Scheduler.ScheduledTask again = () -> {};
     private long wait;
     private boolean begun;
     private boolean caughtUp = true;
@@ -71,15 +71,15 @@
      * @param askWithin nanoseconds in which the registry has to be asked at least once
      * @param seed for the jitter of asking again
      */
-    public NodeLists(
-            Loop loop,
-            Merge merge,
-            NodeMembership.Settings settings,
+    public NodeDiscoveryAdapter(
+            SidecarEventLoop loop,
+            SourceSelection merge,
+            NodeDiscovery.Settings settings,
             long askWithin,
             long seed,
-            ListSink sink,
-            Function<ListSink, ListSource> registry,
-            Function<NodeMembership, Client> client) {
+            DiscoveryListener sink,
+            Function<DiscoveryListener, EndpointDiscovery> registry,
+            Function<NodeDiscovery, Client> client) {
         this.loop = loop;
         this.merge = merge;
         this.sink = sink;
@@ -88,24 +88,24 @@
         this.mostWait = Math.max(leastWait, askWithin / 2);
         this.jitter = new SplittableRandom(seed);
         this.membership =
-                new NodeMembership(
+                new NodeDiscovery(
                         merge, settings, this::told, loop.log()::news, loop.log()::warning);
         this.registry = registry.apply(this::registryTold);
         this.client = client.apply(membership);
     }
 
     @Override
-    public List<Member> begin() {
-        List<Member> known = registry.begin();
-        membership.registry(loop.now(), ListKind.CACHED, known);
+    public List<DiscoveredEndpoint> begin() {
+        List<DiscoveredEndpoint> known = registry.begin();
+        membership.registry(loop.now(), UpdateKind.CACHED_SNAPSHOT, known);
         begun = true;
         client.start();
         ticks = loop.every(tick, () -> membership.tick(loop.now()));
         return known;
     }
 
-    private void registryTold(ListKind kind, List<Member> members) {
-        if (kind == ListKind.FAILED) {
+    private void registryTold(UpdateKind kind, List<DiscoveredEndpoint> members) {
+        if (kind == UpdateKind.FAILURE) {
             wait = Math.min(mostWait, Math.max(leastWait, 2 * wait));
             again.cancel();
             again =
@@ -119,8 +119,9 @@
         membership.registry(loop.now(), kind, members);
     }
 
-    private void told(ListKind kind, List<Member> members, String source, long toldAt) {
-        if (!begun || kind == ListKind.FAILED) {
+    private void told(
+            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt) {
+        if (!begun || kind == UpdateKind.FAILURE) {
             return;
         }
         long waited = loop.now() - toldAt;
@@ -143,14 +144,14 @@
 
     @Override
     public void subscribe(boolean on) {
-        if (merge == Merge.BOTH) {
+        if (merge == SourceSelection.BOTH) {
             registry.subscribe(on);
         }
     }
 
     @Override
     public void fetchList() {
-        if (merge == Merge.BOTH) {
+        if (merge == SourceSelection.BOTH) {
             registry.fetchList();
         }
     }
@@ -176,7 +177,7 @@
                 () -> {
                     if (mine == catchUps && !caughtUp) {
                         caughtUp = true;
-                        sink.told(ListKind.DELTA, List.of());
+                        sink.told(UpdateKind.DELTA, List.of());
                     }
                 });
     }
@@ -200,7 +201,7 @@
     }
 
     /** What the nodes and the registry come to. */
-    public NodeMembership membership() {
+    public NodeDiscovery membership() {
         return membership;
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/OperatorStart.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorFileStartup.java
@@ -1,6 +1,6 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import appleridge.config.operator.CheckConfig;
 import appleridge.config.operator.ClientsSection;
 import appleridge.config.operator.LeasesSection;
@@ -8,12 +8,12 @@
 import appleridge.config.operator.MembershipSection;
 import appleridge.config.operator.OperatorFile;
 import appleridge.config.operator.PlatformFile;
-import appleridge.discovery.ephemeral.Merge;
-import appleridge.discovery.registration.Register;
-import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.ephemeral.SourceSelection;
+import appleridge.discovery.registration.RegisterCommand;
+import appleridge.discovery.zookeeper.ZooKeeperClientFactory;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.http1.ClientTimes;
-import appleridge.lease.Terms;
+import appleridge.http1.ClientTimeouts;
+import appleridge.lease.LeaseParameters;
 import appleridge.lease.task.TaskCommand;
 import appleridge.lease.task.TaskSettings;
 import java.io.IOException;
@@ -26,33 +26,35 @@
 /**
  * All that has to do with the operator's file, in one class that is loaded only where there is one.
  */
-final class OperatorStart {
+final class OperatorFileStartup {
     /** Names of those who wait are all that is long, and there are few. */
     private static final int LEASE_ANSWER_BYTES = 1 << 20;
 
-    private OperatorStart() {}
+    private OperatorFileStartup() {}
 
     /**
      * What the file sets; what is wrong with it is told by an exception's message, of several
      * lines.
      */
-    static Tuning tuning(Path file) {
+    static RuntimeOptions tuning(Path file) {
         OperatorFile read = OperatorFile.read(file);
         ClientsSection clients = read.clients().orElse(ClientsSection.USUAL);
         LimitsSection limits = read.limits().orElse(LimitsSection.USUAL);
-        return new Tuning(
-                new ClientTimes(
+        return new RuntimeOptions(
+                new ClientTimeouts(
                         clients.requestTimeout().toMillis(),
                         clients.firstRequestTimeout().toMillis(),
                         clients.idleTimeout().toMillis()),
                 limits.clientsPart(),
                 limits.upstreamsPart(),
-                read.membership().map(OperatorStart::source).orElse(SourceFactory::registry));
+                read.membership()
+                        .map(OperatorFileStartup::source)
+                        .orElse(DiscoveryFactory::registry));
     }
 
     /** The command {@code register}; its exit status. */
     static int register(List<String> words) {
-        return Register.run(
+        return RegisterCommand.run(
                 words,
                 file ->
                         nodes(
@@ -91,13 +93,13 @@
                         false,
                         (int) section.sessionTimeout().toMillis(),
                         false,
-                        section.digestFile().map(OperatorStart::digest).orElse(null),
-                        section.tls().map(OperatorStart::tls).orElse(null),
+                        section.digestFile().map(OperatorFileStartup::digest).orElse(null),
+                        section.tls().map(OperatorFileStartup::tls).orElse(null),
                         LEASE_ANSWER_BYTES);
-        Clients.check(store);
+        ZooKeeperClientFactory.check(store);
         return new TaskSettings(
                 store,
-                Terms.timed(
+                LeaseParameters.timed(
                         section.term().toNanos(),
                         section.driftPpm(),
                         section.guard().toNanos(),
@@ -108,9 +110,11 @@
                 LeasesSection.TO_KILL.toNanos());
     }
 
-    private static SourceFactory source(MembershipSection section) {
-        return NodesStart.with(
-                section.source() == MembershipSection.Source.NODES ? Merge.NODES : Merge.BOTH,
+    private static DiscoveryFactory source(MembershipSection section) {
+        return ZooKeeperStartup.with(
+                section.source() == MembershipSection.Source.NODES
+                        ? SourceSelection.NODES
+                        : SourceSelection.BOTH,
                 nodes(section));
     }
 
@@ -124,19 +128,19 @@
                         section.shards(),
                         (int) section.sessionTimeout().toMillis(),
                         section.readOnly(),
-                        section.digestFile().map(OperatorStart::digest).orElse(null),
-                        section.tls().map(OperatorStart::tls).orElse(null),
+                        section.digestFile().map(OperatorFileStartup::digest).orElse(null),
+                        section.tls().map(OperatorFileStartup::tls).orElse(null),
                         (int) section.answerLimit());
-        Clients.check(settings);
+        ZooKeeperClientFactory.check(settings);
         return settings;
     }
 
     private static ZooKeeperSettings.Tls tls(MembershipSection.Tls tls) {
         return new ZooKeeperSettings.Tls(
                 file(tls.trustStore()),
-                tls.trustPasswordFile().map(OperatorStart::file).orElse(null),
-                tls.keyStore().map(OperatorStart::file).orElse(null),
-                tls.keyPasswordFile().map(OperatorStart::file).orElse(null),
+                tls.trustPasswordFile().map(OperatorFileStartup::file).orElse(null),
+                tls.keyStore().map(OperatorFileStartup::file).orElse(null),
+                tls.keyPasswordFile().map(OperatorFileStartup::file).orElse(null),
                 tls.checkAddress());
     }
 
@@ -162,12 +166,12 @@
 
     /** The command {@code check-config}; its exit status. */
     static int check(List<String> arguments) {
-        return new CheckConfig(OperatorStart::summary, System.out)
+        return new CheckConfig(OperatorFileStartup::summary, System.out)
                 .run(arguments, System.getenv("BALANCER_CONFIG"));
     }
 
     private static PlatformFile.Summary summary(Path file) throws IOException {
-        Config config = Config.parse(Files.readAllBytes(file));
+        SidecarConfig config = SidecarConfig.parse(Files.readAllBytes(file));
         Map<String, String> settings = new LinkedHashMap<>();
         settings.put("name", config.name());
         settings.put("listen", String.valueOf(config.listen()));
--- a/sidecar/src/main/java/appleridge/daemon/Serve.java
+++ b/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
@@ -1,12 +1,12 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.transport.HeldListener;
-import appleridge.transport.Loop;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.transport.InheritedListener;
 import appleridge.transport.NioEventLoopFactory;
-import appleridge.transport.NioSockets;
-import appleridge.transport.Sockets;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import io.netty.channel.ChannelFuture;
@@ -27,7 +27,7 @@
 /**
  * {@code java -jar appleridge.jar serve}: a sidecar as a process, with its thread and its signals.
  */
-final class Serve {
+final class ServeCommand {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     /** Longer than any client waits; what is still open then has no one to answer to. */
@@ -37,7 +37,7 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, eventLoops);
 
     /** Made on the loop and used there alone; null before. */
-    private Node node;
+    private Sidecar node;
 
     /** Used on the loop alone: the end was asked for, and nothing begins any more. */
     private boolean ending;
@@ -45,28 +45,28 @@
     private volatile boolean failed;
 
     /** A field, and in no lambda: its class is loaded only where there is one. */
-    private HeldListener held;
+    private InheritedListener held;
 
     /** As above. */
-    private Handover handover;
+    private HotRestart handover;
 
     private InetSocketAddress address;
 
-    private Serve() {}
+    private ServeCommand() {}
 
     /** With the operator's file, or null where there is none. */
     static void main(Path operator) {
         logging();
-        Reload reload = new Reload();
+        ConfigReloader reload = new ConfigReloader();
         boolean hearsHangup = HangupSignal.handle(reload::requested);
         Path file = Path.of(System.getenv().getOrDefault("BALANCER_CONFIG", ""));
-        Config config = configuration(file);
-        Tuning tuning = Tuning.USUAL;
+        SidecarConfig config = configuration(file);
+        RuntimeOptions tuning = RuntimeOptions.USUAL;
         if (operator != null) {
             reload.fixed(operator);
             tuning = tuning(operator);
         }
-        Serve serve = new Serve();
+        ServeCommand serve = new ServeCommand();
         // Danger: from when it listens on clients connect and ask, long before it says that it is
         // ready.
         Runtime.getRuntime().addShutdownHook(new Thread(serve::drainAndHalt, "drain"));
@@ -101,13 +101,14 @@
      */
     static void warmUp() {
         logging();
-        Config config = configuration(Path.of(System.getenv().getOrDefault("BALANCER_CONFIG", "")));
+        SidecarConfig config =
+                configuration(Path.of(System.getenv().getOrDefault("BALANCER_CONFIG", "")));
         try {
             // Danger: a fixed port is one that another build on the same machine may hold.
-            Serve serve = new Serve();
+            ServeCommand serve = new ServeCommand();
             serve.open(
                     config.listeningAt(new InetSocketAddress(config.listen().getAddress(), 0)),
-                    Tuning.USUAL);
+                    RuntimeOptions.USUAL);
             serve.follow(serve.address());
             serve.warm(config);
             serve.ready();
@@ -125,12 +126,12 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    private static Config configuration(Path file) {
+    private static SidecarConfig configuration(Path file) {
         try {
             if (file.toString().isEmpty()) {
                 throw new IllegalArgumentException("BALANCER_CONFIG is not set");
             }
-            return withAdmin(Config.parse(Files.readAllBytes(file)));
+            return withAdmin(SidecarConfig.parse(Files.readAllBytes(file)));
         } catch (IOException | IllegalArgumentException e) {
             System.err.println(
                     "appleridge: configuration: " + String.valueOf(e.getMessage()).split("\n")[0]);
@@ -140,15 +141,15 @@
     }
 
     /** Where operators call, if the platform tells it beside the configuration. */
-    static Config withAdmin(Config config) {
+    static SidecarConfig withAdmin(SidecarConfig config) {
         String told = System.getenv("BALANCER_ADMIN");
         boolean used = config.admin() == null && told != null && !told.isBlank();
-        return used ? config.withAdmin(Config.address(told.strip())) : config;
+        return used ? config.withAdmin(SidecarConfig.address(told.strip())) : config;
     }
 
-    private static Tuning tuning(Path operator) {
+    private static RuntimeOptions tuning(Path operator) {
         try {
-            return OperatorStart.tuning(operator);
+            return OperatorFileStartup.tuning(operator);
         } catch (IllegalArgumentException e) {
             System.err.println("appleridge: " + e.getMessage());
             System.exit(2);
@@ -156,15 +157,15 @@
         }
     }
 
-    static Serve start(Config config, Tuning tuning)
+    static ServeCommand start(SidecarConfig config, RuntimeOptions tuning)
             throws InterruptedException, ExecutionException {
-        Serve serve = new Serve();
+        ServeCommand serve = new ServeCommand();
         serve.begin(config, tuning);
         return serve;
     }
 
     /** The listening socket that the platform holds, where it says so, and who else has it. */
-    private void takeOver(Config config) throws IOException {
+    private void takeOver(SidecarConfig config) throws IOException {
         String descriptor = System.getenv("BALANCER_LISTEN_FD");
         if (descriptor == null || descriptor.isBlank()) {
             return;
@@ -172,12 +173,14 @@
         String folder = System.getenv("TMPDIR");
         if (folder != null && !folder.isBlank()) {
             String name = config.name().replaceAll("[^A-Za-z0-9]", "_");
-            handover = Handover.begin(Path.of(folder, "appleridge-" + name));
+            handover = HotRestart.begin(Path.of(folder, "appleridge-" + name));
         }
-        held = HeldListener.inherited(descriptor, handover != null && handover.isBesideAnother());
+        held =
+                InheritedListener.inherited(
+                        descriptor, handover != null && handover.isBesideAnother());
     }
 
-    private void begin(Config config, Tuning tuning)
+    private void begin(SidecarConfig config, RuntimeOptions tuning)
             throws InterruptedException, ExecutionException {
         open(config, tuning);
         warm(config);
@@ -185,32 +188,44 @@
     }
 
     /** It listens, but is not ready. */
-    private void open(Config config, Tuning tuning)
+    private void open(SidecarConfig config, RuntimeOptions tuning)
             throws InterruptedException, ExecutionException {
-        Loop loop = loop(group.next(), System.Logger.Level.INFO);
-        Sockets sockets = new NioSockets();
+        SidecarEventLoop loop = loop(group.next(), System.Logger.Level.INFO);
+        SocketFactory sockets = new NioSocketFactory();
         ChannelFuture listening = group.submit(() -> listen(loop, sockets, config, tuning)).get();
         address = (InetSocketAddress) listening.sync().channel().localAddress();
     }
 
-    private void warm(Config config) throws InterruptedException {
-        WarmUp.run(loop(group.next(), System.Logger.Level.DEBUG), new NioSockets(), config);
+    private void warm(SidecarConfig config) throws InterruptedException {
+        WarmUp.run(loop(group.next(), System.Logger.Level.DEBUG), new NioSocketFactory(), config);
     }
 
     private void ready() {
         group.execute(node::warm);
     }
 
-    private ChannelFuture listen(Loop loop, Sockets sockets, Config config, Tuning tuning) {
+    private ChannelFuture listen(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            RuntimeOptions tuning) {
         if (ending) {
             throw new IllegalStateException("ended before it began");
         }
-        node = new Node(loop, sockets, config, tuning, SymmetricRoundRobin::new, held, handover);
+        node =
+                new Sidecar(
+                        loop,
+                        sockets,
+                        config,
+                        tuning,
+                        SymmetricRoundRobinPolicy::new,
+                        held,
+                        handover);
         return node.listening();
     }
 
-    private Loop loop(EventLoop executor, System.Logger.Level level) {
-        return new Loop(
+    private SidecarEventLoop loop(EventLoop executor, System.Logger.Level level) {
+        return new SidecarEventLoop(
                 executor,
                 SystemTime.UNIX_MILLIS,
                 new SystemLog(executor.ticker()::nanoTime, level),
--- a/sidecar/src/main/java/appleridge/daemon/Node.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -1,17 +1,17 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.discovery.Directory;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.Member;
-import appleridge.hotrestart.Overlap;
-import appleridge.hotrestart.Phase;
-import appleridge.hotrestart.Word;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.request.Books;
-import appleridge.transport.HeldListener;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.config.SidecarConfig;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.discovery.EndpointTable;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.hotrestart.ProcessPhase;
+import appleridge.hotrestart.ResourceShare;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.request.InFlightCounts;
+import appleridge.transport.InheritedListener;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.channel.ChannelFuture;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -20,20 +20,25 @@
  * One real sidecar: its parts put together on one loop. To be called on that loop, but where told
  * otherwise.
  */
-public final class Node {
-    private final Service service;
-    private final Directory directory;
-    private final ListSource source;
+public final class Sidecar {
+    private final UpstreamCluster service;
+    private final EndpointTable directory;
+    private final EndpointDiscovery source;
     private final ChannelFuture listening;
 
     /** What operators may ask; null where they have no way to. */
-    private final OperatorsDesk operators;
+    private final AdminService operators;
 
     /** Null where the sidecar is one process. */
-    private final Handover handover;
+    private final HotRestart handover;
 
     /** Begins to listen and to follow the list; it is not ready before {@link #warm()}. */
-    public Node(Loop loop, Sockets sockets, Config config, Tuning tuning, ModuleFactory module) {
+    public Sidecar(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            RuntimeOptions tuning,
+            PolicyFactory module) {
         this(loop, sockets, config, tuning, module, null, null);
     }
 
@@ -41,35 +46,36 @@
      * The same; with the listening socket that the platform holds, and what is known of other
      * processes of this sidecar that have it. Null where it listens itself.
      */
-    Node(
-            Loop loop,
-            Sockets sockets,
-            Config config,
-            Tuning tuning,
-            ModuleFactory module,
-            HeldListener held,
-            Handover handover) {
+    Sidecar(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            RuntimeOptions tuning,
+            PolicyFactory module,
+            InheritedListener held,
+            HotRestart handover) {
         this.handover = handover;
         this.service =
-                new Service(
+                new UpstreamCluster(
                         loop,
                         sockets,
                         config,
-                        new Service.Size(
+                        new UpstreamCluster.Size(
                                 (int) (config.sockets() * tuning.clientsPart()),
                                 (int) (config.sockets() * tuning.upstreamsPart())),
                         tuning.times(),
                         module);
-        this.directory = new Directory(loop::place);
+        this.directory = new EndpointTable(loop::place);
         this.source = tuning.source().make(loop, sockets, config, this::told);
         this.operators =
                 config.admin() == null
                         ? null
-                        : new OperatorsDesk(loop, sockets, config, service, this::told, this::keep);
+                        : new AdminService(loop, sockets, config, service, this::told, this::keep);
         if (handover != null) {
             hear(handover.words());
         }
-        Directory.News known = over(directory.news(ListKind.CACHED, source.begin()));
+        EndpointTable.EndpointUpdate known =
+                over(directory.news(UpdateKind.CACHED_SNAPSHOT, source.begin()));
         service.exchanges.start(source, known.entries(), known.addresses());
         this.listening =
                 held == null
@@ -90,32 +96,32 @@
     }
 
     /** What it may use beside other processes of its sidecar. */
-    void share(Overlap overlap) {
+    void share(ResourceShare overlap) {
         service.server.share(overlap.accepts(), overlap.part());
         service.pool.share(overlap.part());
     }
 
     /** What operators have told others. */
-    void hear(List<Word> words) {
+    void hear(List<MaintenanceDirective> words) {
         if (operators != null) {
             operators.hear(words);
         }
     }
 
     /** What operators have told this one. */
-    List<Word> words() {
+    List<MaintenanceDirective> words() {
         return operators == null ? List.of() : operators.words();
     }
 
-    private void told(ListKind kind, List<Member> members) {
+    private void told(UpdateKind kind, List<DiscoveredEndpoint> members) {
         told(over(directory.news(kind, members)));
     }
 
-    private Directory.News over(Directory.News news) {
+    private EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
         return operators == null ? news : operators.over(news);
     }
 
-    private void told(Directory.News news) {
+    private void told(EndpointTable.EndpointUpdate news) {
         service.exchanges.listChanged(news.kind(), news.entries(), news.addresses());
     }
 
@@ -128,7 +134,7 @@
     public void warm() {
         service.server.warm();
         if (handover != null) {
-            handover.phase(Phase.SERVING);
+            handover.phase(ProcessPhase.SERVING);
         }
     }
 
@@ -137,7 +143,9 @@
         source.moveTo(otherDiscovery);
     }
 
-    /** Ends the service in order, from now on: see {@link appleridge.http1.ClientServer#drain}. */
+    /**
+     * Ends the service in order, from now on: see {@link appleridge.http1.ClientListener#drain}.
+     */
     public void drain(Runnable drained) {
         drain(0, drained);
     }
@@ -146,7 +154,7 @@
     void drain(long toldAgo, Runnable drained) {
         service.server.drain(toldAgo, drained);
         if (handover != null) {
-            handover.phase(Phase.ENDING);
+            handover.phase(ProcessPhase.ENDING);
         }
     }
 
@@ -160,7 +168,7 @@
     }
 
     /** What is open. */
-    public Books books() {
+    public InFlightCounts books() {
         return service.exchanges.books();
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/Service.java
+++ b/sidecar/src/main/java/appleridge/daemon/UpstreamCluster.java
@@ -1,22 +1,22 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.http1.ClientServer;
-import appleridge.http1.ClientTimes;
-import appleridge.http1.RequestReader;
-import appleridge.http1.UpstreamPool;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.request.Exchanges;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.config.SidecarConfig;
+import appleridge.http1.ClientListener;
+import appleridge.http1.ClientTimeouts;
+import appleridge.http1.RequestParser;
+import appleridge.http1.UpstreamConnectionPool;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.request.RequestCoordinator;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import java.util.concurrent.TimeUnit;
 
 /**
  * What one set of upstreams is served by: a decision module, its connections, and the clients'
  * front.
  */
-final class Service {
+final class UpstreamCluster {
     /**
      * A begun answer comes whole in moments; this part of the shortest aim leaves time for another.
      */
@@ -37,28 +37,28 @@
      */
     record Size(int clients, int upstreams) {}
 
-    final UpstreamPool pool;
-    final Exchanges exchanges;
-    final ClientServer server;
+    final UpstreamConnectionPool pool;
+    final RequestCoordinator exchanges;
+    final ClientListener server;
 
-    Service(
-            Loop loop,
-            Sockets sockets,
-            Config config,
+    UpstreamCluster(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
             Size size,
-            ClientTimes times,
-            ModuleFactory module) {
-        Settings settings = config.settings();
+            ClientTimeouts times,
+            PolicyFactory module) {
+        PolicySettings settings = config.settings();
         pool =
-                new UpstreamPool(
+                new UpstreamConnectionPool(
                         loop,
                         sockets,
-                        settings.allowed().connectTimeout(),
+                        settings.capabilities().connectTimeoutNanos(),
                         config.connIdle(),
                         stall(settings),
                         size.upstreams);
         exchanges =
-                new Exchanges(
+                new RequestCoordinator(
                         loop,
                         loop,
                         settings,
@@ -67,8 +67,8 @@
                         loop.log(),
                         actions -> module.make(settings, config.seed(), actions));
         server =
-                new ClientServer(
-                        loop, sockets, exchanges, new RequestReader(config), size.clients, times);
+                new ClientListener(
+                        loop, sockets, exchanges, new RequestParser(config), size.clients, times);
     }
 
     /**
@@ -77,8 +77,12 @@
      * for so long is late, but another attempt costs its server as much again, and is made for each
      * piece that is slow.
      */
-    static long stall(Settings settings) {
-        long aim = settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+    static long stall(PolicySettings settings) {
+        long aim =
+                settings.classes().stream()
+                        .mapToLong(RequestClass::latencyObjectiveNanos)
+                        .min()
+                        .orElseThrow();
         return Math.max(aim / STALL_PART, OUTLASTS_A_LOSS);
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/WarmUp.java
+++ b/sidecar/src/main/java/appleridge/daemon/WarmUp.java
@@ -1,15 +1,15 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.http1.ClientTimes;
+import appleridge.config.SidecarConfig;
+import appleridge.http1.ClientTimeouts;
 import appleridge.http1.Headers;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.request.Lists;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.loadbalancing.UpstreamHost;
+import appleridge.request.EndpointSubscription;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -58,9 +58,9 @@
     private static final int BODY = 256;
     private static final int LARGEST = 8192;
 
-    private final Loop loop;
-    private final Sockets sockets;
-    private final Config config;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
+    private final SidecarConfig config;
 
     /** Filled by the loop and by who waits for it. */
     private final Queue<Channel> channels = new ConcurrentLinkedQueue<>();
@@ -69,14 +69,15 @@
     private int sent;
     private int answered;
 
-    private WarmUp(Loop loop, Sockets sockets, Config config) {
+    private WarmUp(SidecarEventLoop loop, SocketFactory sockets, SidecarConfig config) {
         this.loop = loop;
         this.sockets = sockets;
         this.config = config;
     }
 
     /** Blocks until warm, so never to be called on the loop. */
-    static void run(Loop loop, Sockets sockets, Config config) throws InterruptedException {
+    static void run(SidecarEventLoop loop, SocketFactory sockets, SidecarConfig config)
+            throws InterruptedException {
         new WarmUp(loop, sockets, config).run();
     }
 
@@ -101,14 +102,14 @@
                         .bind(anyPort)
                         .sync()
                         .channel();
-        Service service =
-                new Service(
+        UpstreamCluster service =
+                new UpstreamCluster(
                         loop,
                         sockets,
                         config,
-                        new Service.Size(8 * AT_ONCE, 2 * AT_ONCE),
-                        ClientTimes.USUAL,
-                        SymmetricRoundRobin::new);
+                        new UpstreamCluster.Size(8 * AT_ONCE, 2 * AT_ONCE),
+                        ClientTimeouts.USUAL,
+                        SymmetricRoundRobinPolicy::new);
         InetSocketAddress to = (InetSocketAddress) upstream.localAddress();
         loop.soon(
                 () ->
@@ -151,14 +152,15 @@
                 .channel();
     }
 
-    private static Upstream upstream(long id) {
-        return new Upstream(id, 0, 0, 0, State.READY, 1, 0);
+    private static UpstreamHost upstream(long id) {
+        return new UpstreamHost(id, 0, 0, 0, HostState.READY, 1, 0);
     }
 
     private FullHttpRequest request() {
         int requestClass = sent % config.classes().size();
         boolean safe =
-                config.settings().classes().get(requestClass).semantics() == Semantics.REPEATABLE;
+                config.settings().classes().get(requestClass).idempotency()
+                        == Idempotency.IDEMPOTENT;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -210,14 +212,14 @@
                     .set(HttpHeaderNames.CONTENT_LENGTH, BODY)
                     .set(
                             Headers.LOAD,
-                            config.settings().reportFields().stream()
+                            config.settings().loadReportFields().stream()
                                     .map(field -> field + "=1")
                                     .collect(Collectors.joining(",")));
             ctx.writeAndFlush(answer);
         }
     }
 
-    private static final class NoLists implements Lists {
+    private static final class NoLists implements EndpointSubscription {
         @Override
         public void subscribe(boolean on) {}
 
--- a/sidecar/src/main/java/appleridge/daemon/NodesStart.java
+++ b/sidecar/src/main/java/appleridge/daemon/ZooKeeperStartup.java
@@ -1,55 +1,55 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.discovery.ListSink;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.ephemeral.Merge;
-import appleridge.discovery.ephemeral.NodeMembership;
-import appleridge.discovery.zookeeper.NodeJson;
+import appleridge.config.SidecarConfig;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.discovery.ephemeral.NodeDiscovery;
+import appleridge.discovery.ephemeral.SourceSelection;
+import appleridge.discovery.zookeeper.NodeJsonParser;
+import appleridge.discovery.zookeeper.ZooKeeperDiscovery;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.discovery.zookeeper.ZooKeeperSource;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 
 /** The list from nodes in ZooKeeper. Loaded only where the operator's file asks for it. */
-final class NodesStart {
+final class ZooKeeperStartup {
     /** So that what is drawn here is not what the decision module draws from the same seed. */
     private static final long OWN_CHANCE = 0x6e6f646573L;
 
-    private NodesStart() {}
+    private ZooKeeperStartup() {}
 
     /** Makes sources with these settings. */
-    static SourceFactory with(Merge merge, ZooKeeperSettings settings) {
+    static DiscoveryFactory with(SourceSelection merge, ZooKeeperSettings settings) {
         return (loop, sockets, config, sink) -> make(merge, settings, loop, sockets, config, sink);
     }
 
-    private static ListSource make(
-            Merge merge,
+    private static EndpointDiscovery make(
+            SourceSelection merge,
             ZooKeeperSettings settings,
-            Loop loop,
-            Sockets sockets,
-            Config config,
-            ListSink sink) {
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            DiscoveryListener sink) {
         long seed = config.seed() ^ OWN_CHANCE;
-        return new NodeLists(
+        return new NodeDiscoveryAdapter(
                 loop,
                 merge,
-                NodeMembership.Settings.USUAL,
-                config.settings().limits().askWithin(),
+                NodeDiscovery.Settings.USUAL,
+                config.settings().safetyLimits().pollIntervalNanos(),
                 seed,
                 sink,
-                told -> SourceFactory.registry(loop, sockets, config, told),
+                told -> DiscoveryFactory.registry(loop, sockets, config, told),
                 membership ->
                         new Client(
-                                new ZooKeeperSource(
+                                new ZooKeeperDiscovery(
                                         loop,
                                         settings,
                                         membership,
-                                        new NodeJson(config.zones(), config.kinds()),
+                                        new NodeJsonParser(config.zones(), config.kinds()),
                                         seed + 1)));
     }
 
-    private record Client(ZooKeeperSource source) implements NodeLists.Client {
+    private record Client(ZooKeeperDiscovery source) implements NodeDiscoveryAdapter.Client {
         @Override
         public void start() {
             source.start();
--- a/sidecar/src/main/java/appleridge/discovery/AddressHolders.java
+++ b/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
@@ -15,7 +15,7 @@
  * <p>Danger: a list may be older than the one before, and name a process again whose address a
  * later one has taken. So who held an address last is known for a while beyond its being listed.
  */
-public final class AddressHolders {
+public final class AddressOwnership {
     /** Addresses and upstreams that are remembered beyond being listed, the latest ones. */
     private static final int REMEMBERED = 4096;
 
--- a/sidecar/src/main/java/appleridge/discovery/Member.java
+++ b/sidecar/src/main/java/appleridge/discovery/DiscoveredEndpoint.java
@@ -1,6 +1,6 @@
 package appleridge.discovery;
 
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import java.net.InetSocketAddress;
 
 /**
@@ -11,17 +11,17 @@
  * @param weight its registered size
  * @param startedMillis Unix time in milliseconds at which it last started; 0 for long ago
  */
-public record Member(
+public record DiscoveredEndpoint(
         String id,
         InetSocketAddress address,
         int zone,
         int kind,
         int cell,
-        State state,
+        HostState state,
         float weight,
         long startedMillis) {
     /** The same in another state. */
-    public Member in(State other) {
-        return new Member(id, address, zone, kind, cell, other, weight, startedMillis);
+    public DiscoveredEndpoint in(HostState other) {
+        return new DiscoveredEndpoint(id, address, zone, kind, cell, other, weight, startedMillis);
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ListSource.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointDiscovery.java
@@ -1,13 +1,13 @@
 package appleridge.discovery;
 
-import appleridge.request.Lists;
+import appleridge.request.EndpointSubscription;
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Where one sidecar's list comes from; made with the {@link ListSink} that it tells. */
-public interface ListSource extends Lists {
+/** Where one sidecar's list comes from; made with the {@link DiscoveryListener} that it tells. */
+public interface EndpointDiscovery extends EndpointSubscription {
     /** The list as known before anything is asked; called once, first. */
-    List<Member> begin();
+    List<DiscoveredEndpoint> begin();
 
     /** Follows another registry from now on, where it follows one. */
     void moveTo(InetSocketAddress registry);
--- a/sidecar/src/main/java/appleridge/discovery/Directory.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
@@ -1,8 +1,8 @@
 package appleridge.discovery;
 
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,33 +19,33 @@
  * sidecar's clock for each start, one upstream at an address. Keeps nothing of who is listed no
  * more.
  */
-public final class Directory {
+public final class EndpointTable {
     /**
      * News of the list as the module takes it, where its upstreams listen, and their ids in the
      * list.
      */
-    public record News(
-            ListKind kind,
-            List<Upstream> entries,
+    public record EndpointUpdate(
+            UpdateKind kind,
+            List<UpstreamHost> entries,
             Map<Long, InetSocketAddress> addresses,
             Map<Long, String> ids) {}
 
-    private final UpstreamNumbers numbers = new UpstreamNumbers();
+    private final UpstreamIds numbers = new UpstreamIds();
     private final StartTimes starts;
-    private final AddressHolders holders = new AddressHolders();
+    private final AddressOwnership holders = new AddressOwnership();
 
     /** What is listed, as it was listed last. */
-    private final Map<String, Member> known = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> known = new HashMap<>();
 
     /** With what places a Unix time in milliseconds on the sidecar's clock. */
-    public Directory(LongUnaryOperator place) {
+    public EndpointTable(LongUnaryOperator place) {
         this.starts = new StartTimes(place);
     }
 
     /** Takes in news of the list; who is missing from a whole one is gone. */
-    public News news(ListKind kind, List<Member> told) {
-        Collection<Member> members = last(told);
-        if (kind == ListKind.FULL || kind == ListKind.CACHED) {
+    public EndpointUpdate news(UpdateKind kind, List<DiscoveredEndpoint> told) {
+        Collection<DiscoveredEndpoint> members = last(told);
+        if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             Set<String> listed = new HashSet<>();
             members.forEach(member -> listed.add(member.id()));
             numbers.retain(listed);
@@ -53,13 +53,13 @@
             holders.retain(listed);
             known.keySet().retainAll(listed);
         }
-        List<Upstream> entries = new ArrayList<>();
+        List<UpstreamHost> entries = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         Map<Long, String> ids = new HashMap<>();
-        for (Member member : settled(members).values()) {
+        for (DiscoveredEndpoint member : settled(members).values()) {
             long number = numbers.of(member.id());
             entries.add(
-                    new Upstream(
+                    new UpstreamHost(
                             number,
                             member.zone(),
                             member.kind(),
@@ -70,14 +70,14 @@
             addresses.put(number, member.address());
             ids.put(number, member.id());
         }
-        for (Member member : members) {
-            if (member.state() == State.GONE) {
+        for (DiscoveredEndpoint member : members) {
+            if (member.state() == HostState.GONE) {
                 numbers.forget(member.id());
                 starts.forget(member.id());
                 known.remove(member.id());
             }
         }
-        return new News(kind, entries, addresses, ids);
+        return new EndpointUpdate(kind, entries, addresses, ids);
     }
 
     /**
@@ -85,31 +85,31 @@
      * last call, gone and there again; forgotten for the first of them, it would be missing when
      * another one takes its address, and the news that tell of that would be lost whole.
      */
-    private static Collection<Member> last(List<Member> told) {
-        Map<String, Member> last = new LinkedHashMap<>();
+    private static Collection<DiscoveredEndpoint> last(List<DiscoveredEndpoint> told) {
+        Map<String, DiscoveredEndpoint> last = new LinkedHashMap<>();
         told.forEach(member -> last.put(member.id(), member));
         return last.values();
     }
 
     /** The members, and as gone those whose address another one has taken. */
-    private Map<String, Member> settled(Collection<Member> members) {
-        for (Member member : members) {
-            if (member.state() == State.GONE) {
+    private Map<String, DiscoveredEndpoint> settled(Collection<DiscoveredEndpoint> members) {
+        for (DiscoveredEndpoint member : members) {
+            if (member.state() == HostState.GONE) {
                 holders.forget(member.id());
             } else {
                 holders.moves(member.id(), member.address());
             }
         }
-        Map<String, Member> told = new LinkedHashMap<>();
-        for (Member member : members) {
+        Map<String, DiscoveredEndpoint> told = new LinkedHashMap<>();
+        for (DiscoveredEndpoint member : members) {
             told.put(member.id(), member);
             known.put(member.id(), member);
             String absent =
-                    member.state() == State.GONE
+                    member.state() == HostState.GONE
                             ? null
                             : holders.listed(member.id(), member.address(), member.startedMillis());
             if (absent != null) {
-                told.put(absent, known.get(absent).in(State.GONE));
+                told.put(absent, known.get(absent).in(HostState.GONE));
             }
         }
         return told;
--- a/sidecar/src/main/java/appleridge/discovery/UpstreamNumbers.java
+++ b/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
@@ -12,7 +12,7 @@
  * it. Of two ids that fall on one number, which takes an odd hundred million of them, the later one
  * here takes the next free number.
  */
-public final class UpstreamNumbers {
+public final class UpstreamIds {
     /** What the module's notes to its peers have room for. */
     private static final int BITS = 48;
 
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Candidate.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Candidate.java
@@ -1,6 +1,6 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
+import appleridge.discovery.DiscoveredEndpoint;
 import java.util.Comparator;
 
 /**
@@ -9,7 +9,7 @@
  * @param there whether a source has it now; one whose node has just vanished is still kept
  * @param czxid the transaction that made its node; 0 where it has none
  */
-record Candidate(Member member, boolean there, boolean fromNode, long czxid) {
+record Candidate(DiscoveredEndpoint member, boolean there, boolean fromNode, long czxid) {
     /**
      * Who is at an address comes first: one process can listen there, and it is the one that began
      * last. Of two that began together, the node speaks of the process itself, and the later node
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Merged.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,14 +17,14 @@
  * is to be told follows from what the sources have now, not from the order in which they came to
  * it.
  */
-final class Merged {
-    private final NodeBook nodes;
-    private final RegistryBook registry;
+final class MergedEndpoints {
+    private final NodeState nodes;
+    private final RegistryState registry;
     private final Map<String, Candidate> candidates = new HashMap<>();
     private final AddressIndex addresses = new AddressIndex();
-    private final Map<String, Member> told = new LinkedHashMap<>();
+    private final Map<String, DiscoveredEndpoint> told = new LinkedHashMap<>();
 
-    Merged(NodeBook nodes, RegistryBook registry) {
+    MergedEndpoints(NodeState nodes, RegistryState registry) {
         this.nodes = nodes;
         this.registry = registry;
     }
@@ -35,7 +35,7 @@
     }
 
     /** What has changed of these since it was told last; counts as told from now on. */
-    List<Member> changes(Collection<String> touched) {
+    List<DiscoveredEndpoint> changes(Collection<String> touched) {
         Set<String> affected = new LinkedHashSet<>();
         for (String id : touched) {
             affected.add(id);
@@ -50,13 +50,13 @@
                 affected.addAll(addresses.at(candidate.member().address()));
             }
         }
-        List<Member> gone = new ArrayList<>();
-        List<Member> changed = new ArrayList<>();
+        List<DiscoveredEndpoint> gone = new ArrayList<>();
+        List<DiscoveredEndpoint> changed = new ArrayList<>();
         for (String id : affected) {
-            Member next = listed(id);
-            Member before = next == null ? told.remove(id) : told.put(id, next);
+            DiscoveredEndpoint next = listed(id);
+            DiscoveredEndpoint before = next == null ? told.remove(id) : told.put(id, next);
             if (next == null && before != null) {
-                gone.add(before.in(State.GONE));
+                gone.add(before.in(HostState.GONE));
             } else if (next != null && !next.equals(before)) {
                 changed.add(next);
             }
@@ -67,7 +67,7 @@
     }
 
     /** All that is listed. */
-    List<Member> all() {
+    List<DiscoveredEndpoint> all() {
         return List.copyOf(told.values());
     }
 
@@ -84,9 +84,9 @@
         if (!isToldReady(id)) {
             return false;
         }
-        Member before = told.get(id);
+        DiscoveredEndpoint before = told.get(id);
         return next == null
-                || next.member().state() != State.READY
+                || next.member().state() != HostState.READY
                 || !next.member().address().equals(before.address())
                 || next.member().startedMillis() != before.startedMillis();
     }
@@ -103,9 +103,9 @@
                 continue;
             }
             for (String other : addresses.at(candidate.member().address())) {
-                Member there = told.get(other);
+                DiscoveredEndpoint there = told.get(other);
                 if (there != null && there.startedMillis() > candidate.member().startedMillis()) {
-                    nodes.of(id).forEach(KnownNode::displace);
+                    nodes.of(id).forEach(TrackedNode::displace);
                     registry.displace(id);
                     candidates.remove(id);
                     addresses.put(id, null);
@@ -116,11 +116,11 @@
     }
 
     private boolean isToldReady(String id) {
-        Member member = told.get(id);
-        return member != null && member.state() == State.READY;
+        DiscoveredEndpoint member = told.get(id);
+        return member != null && member.state() == HostState.READY;
     }
 
-    private Member listed(String id) {
+    private DiscoveredEndpoint listed(String id) {
         Candidate candidate = candidates.get(id);
         if (candidate == null) {
             return null;
@@ -135,8 +135,8 @@
     }
 
     private Candidate candidate(String id) {
-        KnownNode node = null;
-        for (KnownNode each : nodes.of(id)) {
+        TrackedNode node = null;
+        for (TrackedNode each : nodes.of(id)) {
             if (!each.isEnded()
                     && (node == null
                             || Candidate.FIRST_AT_ADDRESS.compare(candidate(each), candidate(node))
@@ -144,7 +144,7 @@
                 node = each;
             }
         }
-        Member listed = registry.of(id);
+        DiscoveredEndpoint listed = registry.of(id);
         if (node == null) {
             return listed == null ? null : new Candidate(listed, true, false, 0);
         }
@@ -155,14 +155,14 @@
         if (!node.isThere()) {
             return new Candidate(listed, true, false, 0);
         }
-        Member own = node.member();
-        boolean drains = own.state() != State.READY || listed.state() != State.READY;
-        Member last = listed.startedMillis() > own.startedMillis() ? listed : own;
+        DiscoveredEndpoint own = node.member();
+        boolean drains = own.state() != HostState.READY || listed.state() != HostState.READY;
+        DiscoveredEndpoint last = listed.startedMillis() > own.startedMillis() ? listed : own;
         return new Candidate(
-                last.in(drains ? State.DRAINING : State.READY), true, true, node.czxid);
+                last.in(drains ? HostState.DRAINING : HostState.READY), true, true, node.czxid);
     }
 
-    private static Candidate candidate(KnownNode node) {
+    private static Candidate candidate(TrackedNode node) {
         return new Candidate(node.member(), node.isThere(), true, node.czxid);
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
@@ -1,6 +1,6 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import java.net.InetSocketAddress;
 import java.util.Objects;
 
@@ -8,7 +8,7 @@
  * What a node says of its server.
  *
  * @param zone its place among the settings' zones, and so {@code kind} and {@code cell}
- * @param state {@link State#READY} or {@link State#DRAINING}
+ * @param state {@link LeaseState#READY} or {@link LeaseState#DRAINING}
  * @param weight its registered size
  * @param startedMillis Unix time in milliseconds at which its process started; 0 where the node has
  *     none
@@ -19,7 +19,7 @@
         int zone,
         int kind,
         int cell,
-        State state,
+        HostState state,
         float weight,
         long startedMillis,
         String uid) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeMembership.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.UpdateKind;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -15,7 +15,7 @@
  * believed at once; where nothing was told the last list stands. Everything comes in on one thread
  * with a time that never runs back.
  */
-public final class NodeMembership {
+public final class NodeDiscovery {
     /** Takes the list. */
     public interface Sink {
         /**
@@ -24,7 +24,7 @@
          * @param source the source that they came from
          * @param toldAt when they were told, on the loop's clock
          */
-        void told(ListKind kind, List<Member> members, String source, long toldAt);
+        void told(UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt);
     }
 
     /**
@@ -58,18 +58,18 @@
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    private final Merge merge;
+    private final SourceSelection merge;
     private final Settings settings;
     private final Sink sink;
     private final Consumer<String> news;
     private final Consumer<String> warning;
-    private final Unreadable unreadable;
-    private final NodeBook nodes;
-    private final RegistryBook registry;
-    private final Merged merged;
-    private final History history = new History();
-    private Session session = Session.CONNECTED;
-    private Doubt doubt = Doubt.NOT_CONNECTED;
+    private final UnreadableNodes unreadable;
+    private final NodeState nodes;
+    private final RegistryState registry;
+    private final MergedEndpoints merged;
+    private final TransactionHistory history = new TransactionHistory();
+    private SessionState session = SessionState.CONNECTED;
+    private StalenessCause doubt = StalenessCause.NOT_CONNECTED;
 
     /** The nodes have been read once. */
     private boolean known;
@@ -92,8 +92,8 @@
     private long lastToldAt = Long.MIN_VALUE;
 
     /** {@code news} and {@code warning}: for operators. */
-    public NodeMembership(
-            Merge merge,
+    public NodeDiscovery(
+            SourceSelection merge,
             Settings settings,
             Sink sink,
             Consumer<String> news,
@@ -103,16 +103,16 @@
         this.sink = sink;
         this.news = news;
         this.warning = warning;
-        this.unreadable = new Unreadable(warning);
-        this.registry = new RegistryBook(this::touch);
+        this.unreadable = new UnreadableNodes(warning);
+        this.registry = new RegistryState(this::touch);
         this.nodes =
-                new NodeBook(
+                new NodeState(
                         settings,
                         this::touch,
                         this::vanished,
                         node -> registry.nodeReturned(node.member()),
                         unreadable);
-        this.merged = new Merged(nodes, registry);
+        this.merged = new MergedEndpoints(nodes, registry);
     }
 
     // ---- the registry
@@ -121,12 +121,12 @@
      * The registry's list, where it is asked too; a failure passes through. What is known before
      * the start holds, where nodes alone are asked, until they are read.
      */
-    public void registry(long now, ListKind kind, List<Member> members) {
-        if (kind == ListKind.FAILED) {
+    public void registry(long now, UpdateKind kind, List<DiscoveredEndpoint> members) {
+        if (kind == UpdateKind.FAILURE) {
             sink.told(kind, List.of(), REGISTRY, now);
             return;
         }
-        if (merge == Merge.NODES && (kind != ListKind.CACHED || known)) {
+        if (merge == SourceSelection.NODES && (kind != UpdateKind.CACHED_SNAPSHOT || known)) {
             return;
         }
         if (known) {
@@ -140,12 +140,12 @@
                 ended ->
                         nodes.of(ended.id())
                                 .forEach(node -> node.registryEnds(ended.startedMillis())));
-        List<Member> changes = changes();
+        List<DiscoveredEndpoint> changes = changes();
         // Also where nothing has changed: it tells that the registry answers.
-        tell(now, kind, kind == ListKind.DELTA ? changes : merged.all(), REGISTRY, now);
+        tell(now, kind, kind == UpdateKind.DELTA ? changes : merged.all(), REGISTRY, now);
     }
 
-    private void vanished(KnownNode node) {
+    private void vanished(TrackedNode node) {
         if (node.wasRead()) {
             registry.nodeVanished(node.member());
         } else {
@@ -153,7 +153,7 @@
         }
     }
 
-    private void listedToo(KnownNode node) {
+    private void listedToo(TrackedNode node) {
         node.registryLists();
         if (!node.isThere()) {
             // Danger: the slower source may list what it has not heard the end of.
@@ -167,52 +167,52 @@
      * The state of the session has changed. After a connect, the next snapshot tells what was
      * missed.
      */
-    public void session(long now, Session state) {
+    public void session(long now, SessionState state) {
         session = state;
         switch (state) {
             case CONNECTED -> history.connected();
-            case READ_ONLY -> turn(Doubt.READ_ONLY);
-            case SUSPENDED -> turn(Doubt.NOT_CONNECTED);
+            case READ_ONLY -> turn(StalenessCause.READ_ONLY);
+            case SUSPENDED -> turn(StalenessCause.NOT_CONNECTED);
             case EXPIRED -> {
                 history.sessionEnded();
-                turn(Doubt.NOT_CONNECTED);
+                turn(StalenessCause.NOT_CONNECTED);
             }
             default -> throw new IllegalArgumentException("session " + state);
         }
     }
 
     /**
-     * The whole subtree. While {@link #doubt()} is {@link Doubt#OLDER} or {@link Doubt#WIPED} it is
-     * to be read again every few seconds.
+     * The whole subtree. While {@link #doubt()} is {@link StalenessCause#OLDER} or {@link
+     * StalenessCause#WIPED} it is to be read again every few seconds.
      *
      * @param asOf when its reading began: what an event told of a node since then may be newer
      * @param zxid the highest transaction in what was read; events of this connection count too
      * @param read all nodes by name
      */
     public void snapshot(long now, long asOf, long zxid, Map<String, NodeRead> read) {
-        if (session != Session.CONNECTED && (session != Session.READ_ONLY || known)) {
+        if (session != SessionState.CONNECTED && (session != SessionState.READ_ONLY || known)) {
             return;
         }
         boolean holdsEntries = read.values().stream().anyMatch(each -> each.data() != null);
-        History.Verdict verdict = history.weigh(now, zxid, holdsEntries);
-        if (verdict == History.Verdict.OLDER) {
-            turn(Doubt.OLDER);
+        TransactionHistory.Verdict verdict = history.weigh(now, zxid, holdsEntries);
+        if (verdict == TransactionHistory.Verdict.OLDER) {
+            turn(StalenessCause.OLDER);
             return;
         }
-        if (verdict == History.Verdict.LOST) {
-            turn(Doubt.WIPED);
+        if (verdict == TransactionHistory.Verdict.LOST) {
+            turn(StalenessCause.WIPED);
             return;
         }
         told = now;
-        if (verdict == History.Verdict.ANEW) {
+        if (verdict == TransactionHistory.Verdict.ANEW) {
             nodes.newHistory();
             oldHistoryUntil = now + COME_BACK_WITHIN;
             warning.accept(
                     "membership: the coordination service has begun anew; what it has not got yet"
                             + " is kept for a while");
         }
-        if (!known && merge == Merge.NODES) {
-            registry.take(ListKind.FULL, List.of(), none -> {}, none -> {});
+        if (!known && merge == SourceSelection.NODES) {
+            registry.take(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
         }
         nodes.snapshot(now, asOf, read);
         if (accepted) {
@@ -220,11 +220,11 @@
             nodes.endOldHistory(now);
         }
         int before = merged.size();
-        List<Member> changes = changes();
+        List<DiscoveredEndpoint> changes = changes();
         boolean first = !known;
         known = true;
-        if (session == Session.CONNECTED && doubt != Doubt.NONE) {
-            doubt = Doubt.NONE;
+        if (session == SessionState.CONNECTED && doubt != StalenessCause.NONE) {
+            doubt = StalenessCause.NONE;
             news.accept(
                     "membership: "
                             + doubt.words()
@@ -235,20 +235,20 @@
                             + " before");
         }
         if (first) {
-            tell(now, ListKind.FULL, merged.all(), NODES, told);
+            tell(now, UpdateKind.SNAPSHOT, merged.all(), NODES, told);
         } else if (!changes.isEmpty()) {
-            tell(now, ListKind.DELTA, changes, NODES, told);
+            tell(now, UpdateKind.DELTA, changes, NODES, told);
         }
     }
 
     /** A node was made or its data changed; what it holds is being read. */
     public void changed(long now, long toldAt, long zxid, String name) {
-        if (session == Session.READ_ONLY || doubt == Doubt.WIPED) {
+        if (session == SessionState.READ_ONLY || doubt == StalenessCause.WIPED) {
             return;
         }
         // Danger: a server that lags tells of the making of nodes whose end has long been told and
         // forgotten.
-        if (doubt != Doubt.NONE && history.isOld(zxid) && !nodes.has(name)) {
+        if (doubt != StalenessCause.NONE && history.isOld(zxid) && !nodes.has(name)) {
             return;
         }
         told = toldAt;
@@ -262,7 +262,7 @@
      * no more is {@link #gone}.
      */
     public void read(long now, long mzxid, String name, NodeRead data) {
-        if (session != Session.READ_ONLY && doubt != Doubt.WIPED) {
+        if (session != SessionState.READ_ONLY && doubt != StalenessCause.WIPED) {
             told = now;
             nodes.read(mzxid, name, data);
             flushIfPressing(now);
@@ -271,7 +271,7 @@
 
     /** A node is gone: believed in whatever doubt, unless a later making of it is known. */
     public void gone(long now, long toldAt, long zxid, String name) {
-        if (session != Session.READ_ONLY) {
+        if (session != SessionState.READ_ONLY) {
             told = toldAt;
             history.saw(zxid);
             // What a wiped ensemble counts can't be compared with what it counted before.
@@ -281,11 +281,11 @@
     }
 
     /** Why the nodes can't be read: the last list stands. */
-    public void doubt(long now, Doubt why) {
-        if (why == Doubt.WIPED) {
+    public void doubt(long now, StalenessCause why) {
+        if (why == StalenessCause.WIPED) {
             history.lose();
         }
-        if (why != Doubt.NONE) {
+        if (why != StalenessCause.NONE) {
             turn(why);
         }
     }
@@ -297,7 +297,7 @@
     public void accept(long now) {
         if (oldHistoryUntil != NEVER) {
             oldHistoryUntil = now;
-        } else if (doubt == Doubt.WIPED || doubt == Doubt.OLDER) {
+        } else if (doubt == StalenessCause.WIPED || doubt == StalenessCause.OLDER) {
             nodes.newHistory();
             history.forget();
             accepted = true;
@@ -308,7 +308,7 @@
                 "membership: what the coordination service has is taken for right, as was said");
     }
 
-    /** To be called every {@link Settings#tick}. */
+    /** To be called every {@link PolicySettings#tick}. */
     public void tick(long now) {
         told = now;
         nodes.tick(now);
@@ -349,7 +349,7 @@
             // Of the list from before the start; what else comes now is of one that isn't known
             // yet.
             untold.removeAll(pressing);
-            tell(now, ListKind.DELTA, merged.changes(pressing), NODES, told);
+            tell(now, UpdateKind.DELTA, merged.changes(pressing), NODES, told);
         } else if (!pressing.isEmpty() && now - settings.tick() >= lastToldAt) {
             flush(now);
         }
@@ -357,26 +357,31 @@
 
     private void flush(long now) {
         long since = Math.min(untoldSince, now);
-        List<Member> changes = changes();
+        List<DiscoveredEndpoint> changes = changes();
         if (!changes.isEmpty()) {
-            tell(now, ListKind.DELTA, changes, NODES, since);
+            tell(now, UpdateKind.DELTA, changes, NODES, since);
         }
     }
 
-    private List<Member> changes() {
+    private List<DiscoveredEndpoint> changes() {
         take();
-        List<Member> changes = merged.changes(untold);
+        List<DiscoveredEndpoint> changes = merged.changes(untold);
         untold.clear();
         untoldSince = NEVER;
         return changes;
     }
 
-    private void tell(long now, ListKind kind, List<Member> members, String source, long toldAt) {
+    private void tell(
+            long now,
+            UpdateKind kind,
+            List<DiscoveredEndpoint> members,
+            String source,
+            long toldAt) {
         lastToldAt = now;
         sink.told(kind, members, source, toldAt);
     }
 
-    private void turn(Doubt next) {
+    private void turn(StalenessCause next) {
         if (doubt != next) {
             doubt = next;
             warning.accept(
@@ -391,7 +396,7 @@
     // ---- what is known
 
     /** Why the last list stands. */
-    public Doubt doubt() {
+    public StalenessCause doubt() {
         return doubt;
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeBook.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /** All nodes: what is told of them in whatever order it comes, and what follows from time alone. */
-final class NodeBook {
+final class NodeState {
     private final long readWithin;
     private final long goneAfter;
 
@@ -19,23 +19,23 @@
     private final Consumer<String> touched;
 
     /** Told of each node that has vanished, before it is touched. */
-    private final Consumer<KnownNode> vanished;
+    private final Consumer<TrackedNode> vanished;
 
     /** Told of each one that is there for the first time, or again. */
-    private final Consumer<KnownNode> returned;
+    private final Consumer<TrackedNode> returned;
 
-    private final Unreadable unreadable;
-    private final Map<String, KnownNode> nodes = new LinkedHashMap<>();
-    private final Map<String, Set<KnownNode>> byId = new HashMap<>();
-    private final Set<KnownNode> awaited = new LinkedHashSet<>();
-    private final Set<KnownNode> ending = new LinkedHashSet<>();
+    private final UnreadableNodes unreadable;
+    private final Map<String, TrackedNode> nodes = new LinkedHashMap<>();
+    private final Map<String, Set<TrackedNode>> byId = new HashMap<>();
+    private final Set<TrackedNode> awaited = new LinkedHashSet<>();
+    private final Set<TrackedNode> ending = new LinkedHashSet<>();
 
-    NodeBook(
-            NodeMembership.Settings settings,
+    NodeState(
+            NodeDiscovery.Settings settings,
             Consumer<String> touched,
-            Consumer<KnownNode> vanished,
-            Consumer<KnownNode> returned,
-            Unreadable unreadable) {
+            Consumer<TrackedNode> vanished,
+            Consumer<TrackedNode> returned,
+            UnreadableNodes unreadable) {
         this.readWithin = settings.readWithin();
         this.goneAfter = settings.goneAfter();
         this.touched = touched;
@@ -44,7 +44,7 @@
         this.unreadable = unreadable;
     }
 
-    Collection<KnownNode> of(String id) {
+    Collection<TrackedNode> of(String id) {
         return byId.getOrDefault(id, Set.of());
     }
 
@@ -59,12 +59,12 @@
 
     /** Whether a node is there, or was told to have been made again. */
     boolean has(String name) {
-        KnownNode node = nodes.get(name);
+        TrackedNode node = nodes.get(name);
         return node != null && (node.isThere() || node.awaited);
     }
 
     void changed(long now, long told, long zxid, String name) {
-        KnownNode node = nodes.get(name);
+        TrackedNode node = nodes.get(name);
         if (node == null) {
             node = add(name);
         }
@@ -82,7 +82,7 @@
     }
 
     void read(long mzxid, String name, NodeRead read) {
-        KnownNode node = nodes.get(name);
+        TrackedNode node = nodes.get(name);
         if (node != null
                 && (node.isThere() || node.awaited)
                 && !isOfEnded(node, read)
@@ -92,17 +92,17 @@
     }
 
     /** A node that can't be read need not tell of its transactions either. */
-    private static boolean isLatest(KnownNode node, long mzxid, NodeRead read) {
+    private static boolean isLatest(TrackedNode node, long mzxid, NodeRead read) {
         return mzxid >= node.latestZxid() || read.data() == null && mzxid <= 0;
     }
 
     /** Whether that was read of a node which has ended since. */
-    private static boolean isOfEnded(KnownNode node, NodeRead read) {
+    private static boolean isOfEnded(TrackedNode node, NodeRead read) {
         return !node.isThere() && read.czxid() <= node.vanishedZxid;
     }
 
     void gone(long now, long zxid, String name) {
-        KnownNode node = nodes.get(name);
+        TrackedNode node = nodes.get(name);
         if (node == null) {
             // Danger: what was read of it before its end may still come.
             node = add(name);
@@ -123,7 +123,7 @@
     void snapshot(long now, long told, Map<String, NodeRead> read) {
         read.forEach(
                 (name, each) -> {
-                    KnownNode node = nodes.get(name);
+                    TrackedNode node = nodes.get(name);
                     if (node == null) {
                         node = add(name);
                     }
@@ -131,7 +131,7 @@
                         take(node, each);
                     }
                 });
-        for (KnownNode each : new ArrayList<>(nodes.values())) {
+        for (TrackedNode each : new ArrayList<>(nodes.values())) {
             if (!read.containsKey(each.name) && each.changedAt < told && !each.ofOldHistory) {
                 vanish(now, 0, each);
             }
@@ -140,7 +140,7 @@
 
     /** The ensemble counts anew: whatever it says of a node is newer than what it said before. */
     void newHistory() {
-        for (KnownNode each : nodes.values()) {
+        for (TrackedNode each : nodes.values()) {
             each.czxid = 0;
             each.mzxid = 0;
             each.awaitedZxid = 0;
@@ -152,7 +152,7 @@
 
     /** Who has not come back into the new history by now does not. */
     void endOldHistory(long now) {
-        for (KnownNode each : new ArrayList<>(nodes.values())) {
+        for (TrackedNode each : new ArrayList<>(nodes.values())) {
             if (each.ofOldHistory) {
                 vanish(now, 0, each);
             }
@@ -161,8 +161,8 @@
 
     void tick(long now) {
         awaited.forEach(node -> lateIfSo(now, node));
-        for (Iterator<KnownNode> all = ending.iterator(); all.hasNext(); ) {
-            KnownNode node = all.next();
+        for (Iterator<TrackedNode> all = ending.iterator(); all.hasNext(); ) {
+            TrackedNode node = all.next();
             if (node.isThere()) {
                 all.remove();
             } else if (!node.awaited && now - node.vanishedAt >= goneAfter) {
@@ -172,20 +172,20 @@
         }
     }
 
-    private KnownNode add(String name) {
-        KnownNode node = new KnownNode(name);
+    private TrackedNode add(String name) {
+        TrackedNode node = new TrackedNode(name);
         nodes.put(name, node);
         return node;
     }
 
-    private void lateIfSo(long now, KnownNode node) {
+    private void lateIfSo(long now, TrackedNode node) {
         if (!node.late && now - node.awaitedSince >= readWithin) {
             node.late = true;
             touch(node);
         }
     }
 
-    private void take(KnownNode node, NodeRead read) {
+    private void take(TrackedNode node, NodeRead read) {
         String before = node.id();
         boolean wasThere = before != null && node.isThere();
         node.take(read);
@@ -210,14 +210,14 @@
         touch(node);
     }
 
-    private void vanish(long now, long zxid, KnownNode node) {
+    private void vanish(long now, long zxid, TrackedNode node) {
         long ended = Math.max(zxid, node.latestZxid());
         node.awaited = false;
         awaited.remove(node);
         end(now, ended, node);
     }
 
-    private void end(long now, long zxid, KnownNode node) {
+    private void end(long now, long zxid, TrackedNode node) {
         node.vanishedZxid = Math.max(zxid, node.vanishedZxid);
         node.late = false;
         node.ofOldHistory = false;
@@ -230,7 +230,7 @@
         }
     }
 
-    private void forget(KnownNode node) {
+    private void forget(TrackedNode node) {
         nodes.remove(node.name);
         if (node.wasRead()) {
             remove(node.id(), node);
@@ -238,15 +238,15 @@
         }
     }
 
-    private void remove(String id, KnownNode node) {
-        Set<KnownNode> same = byId.get(id);
+    private void remove(String id, TrackedNode node) {
+        Set<TrackedNode> same = byId.get(id);
         same.remove(node);
         if (same.isEmpty()) {
             byId.remove(id);
         }
     }
 
-    private void touch(KnownNode node) {
+    private void touch(TrackedNode node) {
         if (node.wasRead()) {
             touched.accept(node.id());
         }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryBook.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
@@ -1,8 +1,8 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
  * process that began at its start: what begins later under the same id is another one, of which no
  * end has been told.
  */
-final class RegistryBook {
+final class RegistryState {
     /**
      * Two sources may name one process's start so far apart, in milliseconds. Danger: taken for
      * two, the end that one source tells would be undone by the other, slower one.
@@ -29,7 +29,7 @@
      * that.
      */
     private static final class Entry {
-        Member member;
+        DiscoveredEndpoint member;
 
         /** Latest start that has ended, by the end of a node; {@link Long#MIN_VALUE} for none. */
         long endedStart = Long.MIN_VALUE;
@@ -43,12 +43,12 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final AddressIndex addresses = new AddressIndex();
 
-    RegistryBook(Consumer<String> touched) {
+    RegistryState(Consumer<String> touched) {
         this.touched = touched;
     }
 
     /** What it lists of an id and has not ended; null for none. */
-    Member of(String id) {
+    DiscoveredEndpoint of(String id) {
         Entry entry = entries.get(id);
         return entry == null || entry.isEnded() ? null : entry.member;
     }
@@ -61,11 +61,11 @@
      * Takes a list over; told of each member that is listed, and of each that the registry ends.
      */
     void take(
-            ListKind kind,
-            Collection<Member> members,
-            Consumer<Member> listed,
-            Consumer<Member> ended) {
-        if (kind != ListKind.DELTA) {
+            UpdateKind kind,
+            Collection<DiscoveredEndpoint> members,
+            Consumer<DiscoveredEndpoint> listed,
+            Consumer<DiscoveredEndpoint> ended) {
+        if (kind != UpdateKind.DELTA) {
             Set<String> left = new HashSet<>();
             members.forEach(member -> left.add(member.id()));
             entries.values()
@@ -79,8 +79,8 @@
                                 return missing;
                             });
         }
-        for (Member member : members) {
-            if (member.state() == State.GONE) {
+        for (DiscoveredEndpoint member : members) {
+            if (member.state() == HostState.GONE) {
                 Entry entry = entries.remove(member.id());
                 addresses.put(member.id(), null);
                 end(entry == null ? member : entry.member, ended);
@@ -93,7 +93,7 @@
         }
     }
 
-    private void end(Member member, Consumer<Member> ended) {
+    private void end(DiscoveredEndpoint member, Consumer<DiscoveredEndpoint> ended) {
         ended.accept(member);
         touched.accept(member.id());
     }
@@ -101,9 +101,9 @@
     /**
      * The node of a server has vanished: what the registry has of that process is as good as gone.
      */
-    void nodeVanished(Member node) {
+    void nodeVanished(DiscoveredEndpoint node) {
         for (Entry each : speakingOf(node)) {
-            Member listed = each.member;
+            DiscoveredEndpoint listed = each.member;
             long until =
                     listed.id().equals(node.id())
                             ? node.startedMillis() + SAME_START
@@ -136,7 +136,7 @@
     }
 
     /** A server has its node again. */
-    void nodeReturned(Member node) {
+    void nodeReturned(DiscoveredEndpoint node) {
         for (Entry each : speakingOf(node)) {
             if (each.endedStart != Long.MIN_VALUE) {
                 each.endedStart = Long.MIN_VALUE;
@@ -146,7 +146,7 @@
     }
 
     /** One process may be listed under two ids; only one can listen at an address. */
-    private List<Entry> speakingOf(Member node) {
+    private List<Entry> speakingOf(DiscoveredEndpoint node) {
         List<Entry> same = new ArrayList<>();
         for (String id : addresses.at(node.address())) {
             same.add(entries.get(id));
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Session.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/SessionState.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.ephemeral;
 
 /** What is known of the session with the coordination service. */
-public enum Session {
+public enum SessionState {
     /** A server that takes part answers. */
     CONNECTED,
     /** A server answers that has lost the others: what it says may be old. */
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Merge.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/SourceSelection.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.ephemeral;
 
 /** Which sources make the list. */
-public enum Merge {
+public enum SourceSelection {
     /** Ephemeral nodes alone. */
     NODES,
     /** Ephemeral nodes and the registry. */
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Doubt.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.ephemeral;
 
 /** Why the last list stands although nothing new is known. */
-public enum Doubt {
+public enum StalenessCause {
     /** None: what the nodes say holds. */
     NONE("the coordination service is heard"),
     /** No server of the ensemble answers. */
@@ -21,7 +21,7 @@
 
     private final String words;
 
-    Doubt(String words) {
+    StalenessCause(String words) {
         this.words = words;
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/KnownNode.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
@@ -1,10 +1,10 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
 
 /** One node: what is known of it, and how sure that is. */
-final class KnownNode {
+final class TrackedNode {
     /** No such time. */
     static final long NEVER = Long.MAX_VALUE;
 
@@ -57,7 +57,7 @@
     /** Of a history that the ensemble has lost; it may come back. */
     boolean ofOldHistory;
 
-    KnownNode(String name) {
+    TrackedNode(String name) {
         this.name = name;
     }
 
@@ -88,7 +88,7 @@
         endedStart =
                 Math.max(
                         endedStart,
-                        comparable ? registryStart + RegistryBook.SAME_START : startedMillis);
+                        comparable ? registryStart + RegistryState.SAME_START : startedMillis);
     }
 
     void registryLists() {
@@ -151,9 +151,9 @@
     }
 
     /** Its server as the list is to have it. */
-    Member member() {
-        State state = isThere() && !late && !unreadable ? data.state() : State.DRAINING;
-        return new Member(
+    DiscoveredEndpoint member() {
+        HostState state = isThere() && !late && !unreadable ? data.state() : HostState.DRAINING;
+        return new DiscoveredEndpoint(
                 id(),
                 data.address(),
                 data.zone(),
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/History.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
@@ -6,7 +6,7 @@
  * What the ensemble's transactions tell of a state that was read: whether it is newer than what was
  * told before, older, or of an ensemble that has lost its past.
  */
-final class History {
+final class TransactionHistory {
     /** What a state that was read is to what was told before. */
     enum Verdict {
         /** No older: it holds, and so does what it leaves out. */
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Unreadable.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Nodes that can't be read: counted, and named once each as long as they are few. */
-final class Unreadable {
+final class UnreadableNodes {
     private static final int NAMED = 100;
 
     private final Consumer<String> warning;
@@ -13,7 +13,7 @@
     private final Set<String> named = new HashSet<>();
     private boolean saidMany;
 
-    Unreadable(Consumer<String> warning) {
+    UnreadableNodes(Consumer<String> warning) {
         this.warning = warning;
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeText.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
@@ -8,10 +8,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a server's node holds. */
-final class NodeText {
+final class NodeJsonWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private NodeText() {}
+    private NodeJsonWriter() {}
 
     static byte[] of(RegisterArguments server, boolean terminating, long startedMillis) {
         ObjectNode node = JSON.createObjectNode();
--- a/sidecar/src/main/java/appleridge/discovery/registration/Registration.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
@@ -1,6 +1,6 @@
 package appleridge.discovery.registration;
 
-import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperClientFactory;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import java.io.IOException;
 import java.util.Arrays;
@@ -20,7 +20,7 @@
  * Danger: a node that is there may belong to a session that is about to end, and would vanish with
  * it; so its owner is compared, and one of another session is deleted and made anew.
  */
-public final class Registration implements AutoCloseable {
+public final class NodeRegistration implements AutoCloseable {
     /** What to do, on the one thread that does it. */
     private enum Task {
         OPEN,
@@ -50,7 +50,7 @@
      *
      * @param startedMillis of two servers of one name, the one that started last has it
      */
-    public Registration(
+    public NodeRegistration(
             ZooKeeperSettings settings,
             String name,
             byte[] data,
@@ -118,12 +118,12 @@
 
     private void open() throws IOException {
         drop();
-        client = Clients.open(settings, this::heard);
+        client = ZooKeeperClientFactory.open(settings, this::heard);
     }
 
     private void drop() {
         if (client != null) {
-            Clients.close(client);
+            ZooKeeperClientFactory.close(client);
             client = null;
         }
     }
@@ -168,7 +168,7 @@
                 }
                 tell("registered as " + path);
                 return;
-            } else if (NodeText.started(there) > startedMillis) {
+            } else if (NodeJsonWriter.started(there) > startedMillis) {
                 tell("a server that started later has the name " + path + "; not registered");
                 return;
             } else {
@@ -190,7 +190,7 @@
 
     private void create(String path, byte[] holds) throws KeeperException, InterruptedException {
         try {
-            client.create(path, holds, Clients.acl(settings), CreateMode.EPHEMERAL);
+            client.create(path, holds, ZooKeeperClientFactory.acl(settings), CreateMode.EPHEMERAL);
         } catch (KeeperException.NodeExistsException e) {
             // Another one was faster: look who.
         } catch (KeeperException.NoNodeException e) {
@@ -204,7 +204,8 @@
 
     private void makeShard(String path) throws KeeperException, InterruptedException {
         try {
-            client.create(path, new byte[0], Clients.acl(settings), CreateMode.PERSISTENT);
+            client.create(
+                    path, new byte[0], ZooKeeperClientFactory.acl(settings), CreateMode.PERSISTENT);
         } catch (KeeperException.NodeExistsException e) {
             // Good.
         }
--- a/sidecar/src/main/java/appleridge/discovery/registration/Register.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
@@ -18,7 +18,7 @@
  * registers it once it answers, and ends with its status. On SIGTERM the node says so first; the
  * child is told a while later.
  */
-public final class Register {
+public final class RegisterCommand {
     /** Exit status where the command makes no sense. */
     public static final int SENSELESS = 2;
 
@@ -42,9 +42,9 @@
     private final CountDownLatch drained = new CountDownLatch(1);
     private Process child;
     private long startedMillis;
-    private Registration registration;
+    private NodeRegistration registration;
 
-    private Register(RegisterArguments server, ZooKeeperSettings settings) {
+    private RegisterCommand(RegisterArguments server, ZooKeeperSettings settings) {
         this.server = server;
         this.settings = settings;
     }
@@ -65,7 +65,7 @@
                                 ? "--shard is missing"
                                 : "--shard makes no sense without membership.shards");
             }
-            return new Register(arguments, settings).run();
+            return new RegisterCommand(arguments, settings).run();
         } catch (IllegalArgumentException e) {
             System.err.println("appleridge: " + e.getMessage());
             System.err.println(RegisterArguments.USAGE);
@@ -83,7 +83,7 @@
         }
         startedMillis = SystemTime.UNIX_MILLIS.getAsLong();
         registration =
-                new Registration(
+                new NodeRegistration(
                         settings,
                         server.shard() == null ? server.id() : server.shard() + "/" + server.id(),
                         text(false),
@@ -111,7 +111,7 @@
     }
 
     private byte[] text(boolean terminating) {
-        return NodeText.of(server, terminating, startedMillis);
+        return NodeJsonWriter.of(server, terminating, startedMillis);
     }
 
     /** On SIGTERM, and at any other end of this process. */
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryList.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/EndpointListParser.java
@@ -1,23 +1,23 @@
 package appleridge.discovery.registry;
 
-import appleridge.config.Config;
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.config.SidecarConfig;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Reads discovery's lists. */
-public final class RegistryList {
+public final class EndpointListParser {
     /** A list, whole or of changes alone, with its version. */
-    record Update(long revision, ListKind kind, List<Member> members) {}
+    record Update(long revision, UpdateKind kind, List<DiscoveredEndpoint> members) {}
 
     private final List<String> zones;
     private final List<String> kinds;
 
     /** With the names of zones and kinds of machine, in the order of their numbers. */
-    public RegistryList(List<String> zones, List<String> kinds) {
+    public EndpointListParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
@@ -30,31 +30,33 @@
         if (!revision.isIntegralNumber() || !all.isBoolean() || !targets.isArray()) {
             throw new IllegalArgumentException("not a list: rev, all or targets missing");
         }
-        List<Member> members = new ArrayList<>();
+        List<DiscoveredEndpoint> members = new ArrayList<>();
         targets.forEach(target -> members.add(member(target)));
         return new Update(
-                revision.asLong(), all.asBoolean() ? ListKind.FULL : ListKind.DELTA, members);
+                revision.asLong(),
+                all.asBoolean() ? UpdateKind.SNAPSHOT : UpdateKind.DELTA,
+                members);
     }
 
-    private Member member(JsonNode target) {
+    private DiscoveredEndpoint member(JsonNode target) {
         String uid = target.path("uid").asText("");
         if (uid.isEmpty()) {
             throw new IllegalArgumentException("target without uid");
         }
-        State state =
+        HostState state =
                 switch (target.path("state").asText()) {
-                    case "Ready" -> State.READY;
-                    case "Terminating" -> State.DRAINING;
-                    case "Gone" -> State.GONE;
+                    case "Ready" -> HostState.READY;
+                    case "Terminating" -> HostState.DRAINING;
+                    case "Gone" -> HostState.GONE;
                     default -> throw new IllegalArgumentException("unknown state of " + uid);
                 };
         long boot = target.path("boot_ms").asLong(0);
         if (boot < 0) {
             throw new IllegalArgumentException("senseless boot_ms of " + uid);
         }
-        return new Member(
+        return new DiscoveredEndpoint(
                 uid,
-                Config.address(target.path("endpoint").asText()),
+                SidecarConfig.address(target.path("endpoint").asText()),
                 position(zones, target.path("az"), uid),
                 position(kinds, target.path("model"), uid),
                 target.path("pod_group").asInt(0),
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -1,8 +1,8 @@
 package appleridge.discovery.registry;
 
 import appleridge.transport.Connector;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -35,7 +35,7 @@
     private static final int MAX_ANSWER = 4 << 20;
     private static final long CONNECT_TIMEOUT = TimeUnit.SECONDS.toNanos(1);
 
-    private final Sockets sockets;
+    private final SocketFactory sockets;
     private final InetSocketAddress address;
     private final Caller caller;
     private final Connector.Connecting connecting;
@@ -48,7 +48,11 @@
     private boolean dropped;
     private boolean kept = true;
 
-    RegistryConnection(Loop loop, Sockets sockets, InetSocketAddress address, Caller caller) {
+    RegistryConnection(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            InetSocketAddress address,
+            Caller caller) {
         this.sockets = sockets;
         this.address = address;
         this.caller = caller;
--- a/sidecar/src/main/java/appleridge/discovery/registry/Discovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -1,12 +1,12 @@
 package appleridge.discovery.registry;
 
-import appleridge.discovery.ListSink;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.request.Timers;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.request.Scheduler;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.buffer.ByteBufUtil;
@@ -20,7 +20,7 @@
  * Follows the list of upstreams: one watch after the other, one call at a time. When to ask again
  * after a failure is the module's to say: it is told of each and subscribes again.
  */
-public final class Discovery implements ListSource, RegistryConnection.Caller {
+public final class RegistryDiscovery implements EndpointDiscovery, RegistryConnection.Caller {
     /**
      * How long what is asked may take, in nanoseconds.
      *
@@ -31,14 +31,14 @@
      *     wait, and not by a watch
      * @param holds for so long after a call no more counts as told than what was written
      */
-    public record Pace(long watch, long late, long patience, boolean wholeAgain, long holds) {
+    public record PollPolicy(long watch, long late, long patience, boolean wholeAgain, long holds) {
         /**
          * Where an agent on the same machine has what is pushed. It answers at once or, while what
          * is behind it is down, not at all; and when it is back what it has counts as told, by
          * whatever call.
          */
-        public static final Pace AGENT =
-                new Pace(
+        public static final PollPolicy AGENT =
+                new PollPolicy(
                         TimeUnit.SECONDS.toNanos(1),
                         TimeUnit.MILLISECONDS.toNanos(250),
                         TimeUnit.MILLISECONDS.toNanos(150),
@@ -56,8 +56,8 @@
          *
          * @param within nanoseconds in which discovery has to be asked at least once
          */
-        public static Pace asked(long within) {
-            return new Pace(
+        public static PollPolicy asked(long within) {
+            return new PollPolicy(
                     Math.min(LONGEST_WATCH, within / 4),
                     TimeUnit.MILLISECONDS.toNanos(500),
                     TimeUnit.SECONDS.toNanos(3),
@@ -79,20 +79,20 @@
     /** A call that is out for less was made after a stand-still, and not before it. */
     private static final long JUST_ASKED = TimeUnit.MILLISECONDS.toNanos(100);
 
-    private final Loop loop;
-    private final Sockets sockets;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
     private InetSocketAddress address;
     private final JsonNode known;
-    private final RegistryList lists;
-    private final ListSink sink;
+    private final EndpointListParser lists;
+    private final DiscoveryListener sink;
     private final ObjectMapper json = new ObjectMapper();
-    private final Pace pace;
+    private final PollPolicy pace;
     private RegistryConnection connection;
 
     /** A watch whose answer is overdue: still listened to, while another one asks. */
     private RegistryConnection overdue;
 
-    private Timers.Timer timeout = () -> {};
+    private Scheduler.ScheduledTask timeout = () -> {};
     private boolean calling;
 
     /** When the watch that is out was asked; for a call that need not wait, 0. */
@@ -117,14 +117,14 @@
     private long overdueRevision = Long.MIN_VALUE;
 
     /** With the list that the sidecar was given, in discovery's form; may be null. */
-    public Discovery(
-            Loop loop,
-            Sockets sockets,
+    public RegistryDiscovery(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
             InetSocketAddress address,
             JsonNode known,
-            RegistryList lists,
-            ListSink sink,
-            Pace pace) {
+            EndpointListParser lists,
+            DiscoveryListener sink,
+            PollPolicy pace) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
@@ -138,10 +138,10 @@
     }
 
     @Override
-    public List<Member> begin() {
-        RegistryList.Update update =
+    public List<DiscoveredEndpoint> begin() {
+        EndpointListParser.Update update =
                 known == null || known.isNull()
-                        ? new RegistryList.Update(0, ListKind.CACHED, List.of())
+                        ? new EndpointListParser.Update(0, UpdateKind.CACHED_SNAPSHOT, List.of())
                         : lists.read(known);
         revision = update.revision();
         return update.members();
@@ -193,7 +193,7 @@
             if (!failing) {
                 // Danger: kept back for word of the list, requests would wait for a watch that has
                 // none.
-                sink.told(ListKind.DELTA, List.of());
+                sink.told(UpdateKind.DELTA, List.of());
             }
         } else if (behind && watching && !calling && !failing) {
             watch();
@@ -308,7 +308,7 @@
 
     /** The watch that another call was to make up for has its answer after all. */
     private void late(JsonNode list) {
-        RegistryList.Update update = lists.read(list);
+        EndpointListParser.Update update = lists.read(list);
         boolean old = update.revision() < revision && !wholeFirst;
         if (!wholeFirst && !old) {
             revision = update.revision();
@@ -334,7 +334,7 @@
             goOn();
             return;
         }
-        RegistryList.Update update = lists.read(list);
+        EndpointListParser.Update update = lists.read(list);
         if (update.revision() < revision && !wholeFirst) {
             // Danger: whoever answers with less than it has told may take back a drain. One that
             // began anew
@@ -348,7 +348,7 @@
         behind &= catchingUp || watchedAt > 0;
         boolean news = update.revision() != revision;
         revision = update.revision();
-        wholeFirst &= update.kind() != ListKind.FULL;
+        wholeFirst &= update.kind() != UpdateKind.SNAPSHOT;
         long rest = watchedAt + BETWEEN_WATCHES - loop.now();
         if (news || rest <= 0) {
             goOn();
@@ -368,7 +368,7 @@
         }
     }
 
-    private void told(RegistryList.Update update) {
+    private void told(EndpointListParser.Update update) {
         if (failing) {
             failing = false;
             loop.log().news("discovery answers again");
@@ -389,7 +389,7 @@
             failing = true;
             loop.log().warning("discovery fails: " + why);
         }
-        sink.told(ListKind.FAILED, List.of());
+        sink.told(UpdateKind.FAILURE, List.of());
     }
 
     /**
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -1,9 +1,9 @@
 package appleridge.discovery.zookeeper;
 
-import appleridge.discovery.ephemeral.Doubt;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
-import appleridge.transport.Loop;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
+import appleridge.transport.SidecarEventLoop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -47,21 +47,21 @@
 
     private record Part(Sort sort, Runnable tell, Map<String, Change> changes) {}
 
-    private final Loop loop;
-    private final Hearer hearer;
+    private final SidecarEventLoop loop;
+    private final SessionListener hearer;
     private Deque<Part> parts = new ArrayDeque<>();
     private boolean hopping;
 
-    Mailbox(Loop loop, Hearer hearer) {
+    Mailbox(SidecarEventLoop loop, SessionListener hearer) {
         this.loop = loop;
         this.hearer = hearer;
     }
 
-    void session(Session state) {
+    void session(SessionState state) {
         add(Sort.SESSION, () -> hearer.session(loop.now(), state));
     }
 
-    void doubt(Doubt why) {
+    void doubt(StalenessCause why) {
         add(Sort.DOUBT, () -> hearer.doubt(loop.now(), why));
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJson.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
@@ -3,7 +3,7 @@
 import appleridge.config.Addresses;
 import appleridge.discovery.ephemeral.NodeData;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -12,7 +12,7 @@
 import org.apache.zookeeper.data.Stat;
 
 /** Reads what a node holds. On any thread. */
-public final class NodeJson {
+public final class NodeJsonParser {
     private static final int LONGEST_ID = 253;
 
     /** The latest start in milliseconds that can be counted in nanoseconds. */
@@ -25,7 +25,7 @@
     private final List<String> kinds;
 
     /** With the names of zones and kinds of machine, in the order of their numbers. */
-    public NodeJson(List<String> zones, List<String> kinds) {
+    public NodeJsonParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
@@ -92,10 +92,10 @@
         return Math.max(0, at);
     }
 
-    private static State state(JsonNode state) {
+    private static HostState state(JsonNode state) {
         return switch (state.isMissingNode() ? "Ready" : state.asText()) {
-            case "Ready" -> State.READY;
-            case "Terminating" -> State.DRAINING;
+            case "Ready" -> HostState.READY;
+            case "Terminating" -> HostState.DRAINING;
             default -> throw new IllegalArgumentException("unknown state");
         };
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Hearer.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -1,14 +1,14 @@
 package appleridge.discovery.zookeeper;
 
-import appleridge.discovery.ephemeral.Doubt;
-import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeDiscovery;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
 import java.util.Map;
 
 /** Who is told, on the loop; times are those of the loop's clock. */
-interface Hearer {
-    void session(long now, Session state);
+interface SessionListener {
+    void session(long now, SessionState state);
 
     void snapshot(long now, long told, long zxid, Map<String, NodeRead> nodes);
 
@@ -18,18 +18,18 @@
 
     void gone(long now, long told, long zxid, String name);
 
-    void doubt(long now, Doubt why);
+    void doubt(long now, StalenessCause why);
 
     void accept(long now);
 
     /** What it makes of that. */
-    Doubt doubt();
+    StalenessCause doubt();
 
     /** The one that matters. */
-    static Hearer of(NodeMembership membership) {
-        return new Hearer() {
+    static SessionListener of(NodeDiscovery membership) {
+        return new SessionListener() {
             @Override
-            public void session(long now, Session state) {
+            public void session(long now, SessionState state) {
                 membership.session(now, state);
             }
 
@@ -54,7 +54,7 @@
             }
 
             @Override
-            public void doubt(long now, Doubt why) {
+            public void doubt(long now, StalenessCause why) {
                 membership.doubt(now, why);
             }
 
@@ -64,7 +64,7 @@
             }
 
             @Override
-            public Doubt doubt() {
+            public StalenessCause doubt() {
                 return membership.doubt();
             }
         };
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/LogBridge.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Slf4jBridge.java
@@ -20,7 +20,7 @@
  * attempts to connect with a trace, about one a second for as long as an outage lasts. Loaded by
  * SLF4J, by its name.
  */
-public final class LogBridge implements SLF4JServiceProvider {
+public final class Slf4jBridge implements SLF4JServiceProvider {
     private static final System.Logger LOG = System.getLogger("appleridge.zookeeper");
     private static final int MOST_SORTS = 32;
     private static final int LONGEST = 400;
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Subtree.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.zookeeper;
 
-import appleridge.discovery.ephemeral.Doubt;
 import appleridge.discovery.ephemeral.NodeRead;
+import appleridge.discovery.ephemeral.StalenessCause;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
  * questions open at once. Whatever the ensemble says comes on the handle's one thread, in the
  * ensemble's order: an answer that follows an event is no older than it.
  */
-final class Subtree {
+final class SubtreeWatcher {
     /** What comes of it. To take it in must not take long. */
     interface Listener {
         /**
@@ -47,8 +47,8 @@
         /** A node is gone. */
         void gone(long zxid, String name);
 
-        /** The subtree can't be read; {@link Subtree#begin} is to be called again. */
-        void doubt(Doubt why);
+        /** The subtree can't be read; {@link SubtreeWatcher#begin} is to be called again. */
+        void doubt(StalenessCause why);
 
         /** As {@link #doubt}, for a reason that there is no word for. */
         void trouble(Code code);
@@ -82,7 +82,7 @@
 
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
-    private final NodeJson json;
+    private final NodeJsonParser json;
     private final Listener listener;
 
     /** What each name waits for; whoever is not in here any more is not waited for. */
@@ -125,7 +125,8 @@
 
     private boolean closed;
 
-    Subtree(ZooKeeper client, ZooKeeperSettings settings, NodeJson json, Listener listener) {
+    SubtreeWatcher(
+            ZooKeeper client, ZooKeeperSettings settings, NodeJsonParser json, Listener listener) {
         this.client = client;
         this.settings = settings;
         this.json = json;
@@ -141,7 +142,7 @@
         forgetReading();
         if (lostListings >= LOST_LISTINGS) {
             lostListings = 0;
-            listener.doubt(Doubt.TOO_LARGE);
+            listener.doubt(StalenessCause.TOO_LARGE);
             return;
         }
         int mine = reading;
@@ -224,7 +225,7 @@
                             heard(data, stat);
                             if ((long) stat.getNumChildren() * LEAST_NAME
                                     > settings.answerBytes()) {
-                                listener.doubt(Doubt.TOO_LARGE);
+                                listener.doubt(StalenessCause.TOO_LARGE);
                             } else {
                                 list(mine);
                             }
@@ -322,7 +323,7 @@
                 begin(readsOnly);
             } else if (gone) {
                 forgetReading();
-                listener.doubt(Doubt.ROOT_MISSING);
+                listener.doubt(StalenessCause.ROOT_MISSING);
             }
             return;
         }
@@ -456,7 +457,7 @@
                 return;
             }
             read =
-                    NodeJson.unread(
+                    NodeJsonParser.unread(
                             code == Code.NOAUTH.intValue()
                                     ? "may not be read"
                                     : "can't be read: " + Code.get(code),
@@ -533,8 +534,8 @@
                 return true;
             }
             case CONNECTIONLOSS, SESSIONEXPIRED -> {}
-            case NONODE -> listener.doubt(Doubt.ROOT_MISSING);
-            case NOAUTH, AUTHFAILED -> listener.doubt(Doubt.ACCESS_DENIED);
+            case NONODE -> listener.doubt(StalenessCause.ROOT_MISSING);
+            case NOAUTH, AUTHFAILED -> listener.doubt(StalenessCause.ACCESS_DENIED);
             default -> listener.trouble(what);
         }
         return false;
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Clients.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
@@ -17,7 +17,7 @@
 /**
  * Makes the client's handles. Danger: to make or close one takes its time, so never on the loop.
  */
-public final class Clients {
+public final class ZooKeeperClientFactory {
     /** After this many milliseconds a handle that is closed waits for no answer any more. */
     private static final int LEAVE_MILLIS = 1000;
 
@@ -29,7 +29,7 @@
 
     private static final int EVERYTHING = 31;
 
-    private Clients() {}
+    private ZooKeeperClientFactory() {}
 
     /** Begins to connect; what becomes of that is told to the watcher. */
     public static ZooKeeper open(ZooKeeperSettings settings, Watcher watcher) throws IOException {
