--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSource.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -1,11 +1,11 @@
 package appleridge.discovery.zookeeper;
 
-import appleridge.discovery.ephemeral.Doubt;
-import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeDiscovery;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
-import appleridge.request.Timers;
-import appleridge.transport.Loop;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
+import appleridge.request.Scheduler;
+import appleridge.transport.SidecarEventLoop;
 import java.io.IOException;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -19,11 +19,11 @@
 import org.apache.zookeeper.ZooKeeper;
 
 /**
- * Follows ephemeral nodes in ZooKeeper and tells a {@link NodeMembership} of them, on the loop.
+ * Follows ephemeral nodes in ZooKeeper and tells a {@link NodeDiscovery} of them, on the loop.
  * Handles are made and closed on a thread of its own, for both take their time; what they tell is
  * read on theirs. To be made, started and closed on the loop.
  */
-public final class ZooKeeperSource implements AutoCloseable {
+public final class ZooKeeperDiscovery implements AutoCloseable {
     /**
      * After a handle's end the next one waits this long, and twice as long each time, up to the
      * most.
@@ -51,10 +51,10 @@
     private static final String MUTE =
             "a coordination server answers nothing; another one is asked";
 
-    private final Loop loop;
+    private final SidecarEventLoop loop;
     private final ZooKeeperSettings settings;
-    private final Hearer hearer;
-    private final NodeJson json;
+    private final SessionListener hearer;
+    private final NodeJsonParser json;
     private final SplittableRandom chance;
     private final Mailbox mailbox;
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
@@ -65,7 +65,7 @@
 
     private boolean first = true;
     private String lastTrouble = "";
-    private Timers.Timer pending = () -> {};
+    private Scheduler.ScheduledTask pending = () -> {};
 
     /** On the keeper's thread. */
     private Handle handle;
@@ -78,17 +78,21 @@
     private long highest;
 
     /** {@code seed}: for what is drawn, so that many sidecars don't ask at once. */
-    public ZooKeeperSource(
-            Loop loop,
+    public ZooKeeperDiscovery(
+            SidecarEventLoop loop,
             ZooKeeperSettings settings,
-            NodeMembership membership,
-            NodeJson json,
+            NodeDiscovery membership,
+            NodeJsonParser json,
             long seed) {
-        this(loop, settings, Hearer.of(membership), json, seed);
+        this(loop, settings, SessionListener.of(membership), json, seed);
     }
 
-    ZooKeeperSource(
-            Loop loop, ZooKeeperSettings settings, Hearer hearer, NodeJson json, long seed) {
+    ZooKeeperDiscovery(
+            SidecarEventLoop loop,
+            ZooKeeperSettings settings,
+            SessionListener hearer,
+            NodeJsonParser json,
+            long seed) {
         this.loop = loop;
         this.settings = settings;
         this.hearer = hearer;
@@ -164,7 +168,7 @@
                 } else if (handle != null) {
                     handle.look(++looks % PROBE_LOOKS == 0);
                     if (looks % LOG_LOOKS == 0) {
-                        LogBridge.again();
+                        Slf4jBridge.again();
                     }
                 }
             } catch (InterruptedException | RejectedExecutionException e) {
@@ -183,7 +187,7 @@
         Handle next = new Handle();
         handle = next;
         try {
-            next.begin(Clients.open(settings, next));
+            next.begin(ZooKeeperClientFactory.open(settings, next));
         } catch (IOException | RuntimeException e) {
             loop.soon(
                     () ->
@@ -216,12 +220,12 @@
     }
 
     /** One handle: a session, for as long as the ensemble keeps it. */
-    private final class Handle implements Watcher, Subtree.Listener {
+    private final class Handle implements Watcher, SubtreeWatcher.Listener {
         /** Danger: the client may tell that it is connected before its maker has it. */
         private final CountDownLatch made = new CountDownLatch(1);
 
         private volatile ZooKeeper client;
-        private volatile Subtree subtree;
+        private volatile SubtreeWatcher subtree;
         private volatile boolean closed;
         private volatile boolean readOnly;
         private volatile boolean connected;
@@ -231,7 +235,7 @@
 
         void begin(ZooKeeper opened) {
             client = opened;
-            subtree = new Subtree(opened, settings, json, this);
+            subtree = new SubtreeWatcher(opened, settings, json, this);
             made.countDown();
         }
 
@@ -251,28 +255,28 @@
                 return;
             }
             switch (event.getState()) {
-                case SyncConnected -> connected(Session.CONNECTED);
-                case ConnectedReadOnly -> connected(Session.READ_ONLY);
+                case SyncConnected -> connected(SessionState.CONNECTED);
+                case ConnectedReadOnly -> connected(SessionState.READ_ONLY);
                 case Disconnected -> {
                     connected = false;
                     subtree.lost();
-                    mailbox.session(Session.SUSPENDED);
+                    mailbox.session(SessionState.SUSPENDED);
                 }
                 case Expired -> {
-                    mailbox.session(Session.EXPIRED);
+                    mailbox.session(SessionState.EXPIRED);
                     end();
                 }
                 case AuthFailed -> {
-                    mailbox.doubt(Doubt.ACCESS_DENIED);
+                    mailbox.doubt(StalenessCause.ACCESS_DENIED);
                     end();
                 }
                 default -> {}
             }
         }
 
-        private void connected(Session state) {
+        private void connected(SessionState state) {
             connected = true;
-            readOnly = state == Session.READ_ONLY;
+            readOnly = state == SessionState.READ_ONLY;
             mailbox.session(state);
             loop.soon(
                     () -> {
@@ -321,7 +325,7 @@
             answered = now;
             if (silent >= SILENT_LOOKS) {
                 loop.soon(() -> loop.log().warning(MUTE));
-                mailbox.session(Session.SUSPENDED);
+                mailbox.session(SessionState.SUSPENDED);
                 connected = false;
                 ended(this);
             } else if (probe) {
@@ -334,7 +338,7 @@
          * that began anew turns it away each time, without end.
          */
         private void giveUp() {
-            mailbox.session(Session.EXPIRED);
+            mailbox.session(SessionState.EXPIRED);
             ended(this);
         }
 
@@ -342,14 +346,14 @@
             closed = true;
             if (subtree != null) {
                 subtree.close();
-                Clients.close(client);
+                ZooKeeperClientFactory.close(client);
             }
         }
 
         @Override
         public void root(long czxid, long latest, boolean accepted) {
             boolean wiped;
-            synchronized (ZooKeeperSource.this) {
+            synchronized (ZooKeeperDiscovery.this) {
                 wiped = rootMade != 0 && czxid != rootMade && latest < highest;
                 if (wiped) {
                     highest = latest;
@@ -357,7 +361,7 @@
                 rootMade = czxid;
             }
             if (wiped) {
-                mailbox.doubt(Doubt.WIPED);
+                mailbox.doubt(StalenessCause.WIPED);
             }
             if (accepted) {
                 mailbox.accept();
@@ -365,7 +369,7 @@
         }
 
         private void heard(long zxid) {
-            synchronized (ZooKeeperSource.this) {
+            synchronized (ZooKeeperDiscovery.this) {
                 highest = Math.max(highest, zxid);
             }
         }
@@ -379,7 +383,8 @@
                     nodes,
                     () -> {
                         lastTrouble = "";
-                        if (hearer.doubt() == Doubt.OLDER || hearer.doubt() == Doubt.WIPED) {
+                        if (hearer.doubt() == StalenessCause.OLDER
+                                || hearer.doubt() == StalenessCause.WIPED) {
                             readAfter(AGAIN_OLDER + chance.nextLong(AGAIN_OLDER));
                         }
                     });
@@ -403,9 +408,9 @@
         }
 
         @Override
-        public void doubt(Doubt why) {
+        public void doubt(StalenessCause why) {
             mailbox.doubt(why);
-            again(why == Doubt.TOO_LARGE ? AGAIN_TOO_LARGE : AGAIN);
+            again(why == StalenessCause.TOO_LARGE ? AGAIN_TOO_LARGE : AGAIN);
         }
 
         @Override
--- a/sidecar/src/main/java/appleridge/hotrestart/Word.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/MaintenanceDirective.java
@@ -8,4 +8,4 @@
  * @param out whether it was called out, or back
  * @param at when, in nanoseconds of Unix time
  */
-public record Word(String id, boolean out, long at) {}
+public record MaintenanceDirective(String id, boolean out, long at) {}
--- a/sidecar/src/main/java/appleridge/hotrestart/Phase.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
@@ -1,7 +1,7 @@
 package appleridge.hotrestart;
 
 /** How far a process is. */
-public enum Phase {
+public enum ProcessPhase {
     /** It can't serve yet. */
     STARTING("STARTING"),
     /** It serves. */
@@ -11,7 +11,7 @@
 
     private final String storedWord;
 
-    Phase(String storedWord) {
+    ProcessPhase(String storedWord) {
         this.storedWord = storedWord;
     }
 
@@ -25,8 +25,8 @@
      *
      * @throws IllegalArgumentException if no phase has this word
      */
-    public static Phase ofStoredWord(String word) {
-        for (Phase phase : values()) {
+    public static ProcessPhase ofStoredWord(String word) {
+        for (ProcessPhase phase : values()) {
             if (phase.storedWord.equals(word)) {
                 return phase;
             }
--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
@@ -7,7 +7,7 @@
  *
  * @param words what operators have said, one of an upstream at most
  */
-public record ProcessState(Phase phase, List<Word> words) {
+public record ProcessState(ProcessPhase phase, List<MaintenanceDirective> words) {
     /** Words that are told at most. */
     public static final int MOST_WORDS = 8192;
 
--- a/sidecar/src/main/java/appleridge/hotrestart/Overlap.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ResourceShare.java
@@ -10,18 +10,19 @@
  * @param accepts whether it takes new connections
  * @param part of the budgets of connections that it may use, above 0 and up to 1
  */
-public record Overlap(boolean accepts, double part) {
+public record ResourceShare(boolean accepts, double part) {
     /** For a process in a phase of its own, beside others. */
-    public static Overlap of(Phase own, Collection<Phase> others) {
-        double all = weight(own) + others.stream().mapToDouble(Overlap::weight).sum();
+    public static ResourceShare of(ProcessPhase own, Collection<ProcessPhase> others) {
+        double all = weight(own) + others.stream().mapToDouble(ResourceShare::weight).sum();
         // Danger: a cold process that takes from the queue what another could serve makes it late.
         boolean accepts =
-                own == Phase.SERVING || own == Phase.STARTING && !others.contains(Phase.SERVING);
-        return new Overlap(accepts, weight(own) / all);
+                own == ProcessPhase.SERVING
+                        || own == ProcessPhase.STARTING && !others.contains(ProcessPhase.SERVING);
+        return new ResourceShare(accepts, weight(own) / all);
     }
 
     /** Who starts needs a first list, the operators' line, and room for the first requests. */
-    private static double weight(Phase phase) {
-        return phase == Phase.STARTING ? 0.3 : 0.7;
+    private static double weight(ProcessPhase phase) {
+        return phase == ProcessPhase.STARTING ? 0.3 : 0.7;
     }
 }
--- a/sidecar/src/main/java/appleridge/hotrestart/file/Slots.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/ProcessSlots.java
@@ -21,7 +21,7 @@
  * <p>Danger: the system gives a process's lock back when the process closes any descriptor of that
  * file, so the own slot is never opened twice.
  */
-public final class Slots implements AutoCloseable {
+public final class ProcessSlots implements AutoCloseable {
     /**
      * More processes than ever are one sidecar: one that ends, one that serves, one that starts.
      */
@@ -33,7 +33,7 @@
     private final Consumer<String> warning;
     private boolean warned;
 
-    private Slots(Path folder, int own, FileLock lock, Consumer<String> warning) {
+    private ProcessSlots(Path folder, int own, FileLock lock, Consumer<String> warning) {
         this.folder = folder;
         this.own = own;
         this.lock = lock;
@@ -46,14 +46,14 @@
      * @param warning told what can't be used, once
      * @throws IOException where there is none, or the folder can't be used
      */
-    public static Slots take(Path folder, Consumer<String> warning) throws IOException {
+    public static ProcessSlots take(Path folder, Consumer<String> warning) throws IOException {
         Files.createDirectories(folder);
         for (int slot = 0; slot < SLOTS; slot++) {
             FileLock lock = lock(folder, slot);
             if (lock != null) {
                 // Whoever had it before is no more.
                 Files.deleteIfExists(state(folder, slot));
-                return new Slots(folder, slot, lock, warning);
+                return new ProcessSlots(folder, slot, lock, warning);
             }
         }
         throw new IOException("all slots are taken");
--- a/sidecar/src/main/java/appleridge/hotrestart/file/StateFile.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/StateFile.java
@@ -1,8 +1,8 @@
 package appleridge.hotrestart.file;
 
-import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.hotrestart.ProcessPhase;
 import appleridge.hotrestart.ProcessState;
-import appleridge.hotrestart.Word;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
 
     static byte[] write(ProcessState state) {
         StringBuilder body = new StringBuilder(state.phase().storedWord()).append('\n');
-        for (Word word : state.words()) {
+        for (MaintenanceDirective word : state.words()) {
             body.append(word.out() ? "out " : "back ")
                     .append(word.at())
                     .append(' ')
@@ -54,14 +54,16 @@
             throw new IOException("torn");
         }
         String[] lines = body.split("\n");
-        List<Word> words = new ArrayList<>();
+        List<MaintenanceDirective> words = new ArrayList<>();
         try {
             for (int i = 1; i < lines.length; i++) {
                 String[] parts = lines[i].split(" ", 3);
-                words.add(new Word(parts[2], parts[0].equals("out"), Long.parseLong(parts[1])));
+                words.add(
+                        new MaintenanceDirective(
+                                parts[2], parts[0].equals("out"), Long.parseLong(parts[1])));
             }
             return new ProcessState(
-                    Phase.ofStoredWord(lines[0]),
+                    ProcessPhase.ofStoredWord(lines[0]),
                     words.subList(0, Math.min(words.size(), ProcessState.MOST_WORDS)));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
             throw new IOException("unreadable: " + e.getMessage(), e);
--- a/sidecar/src/main/java/appleridge/http1/Backlog.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -1,7 +1,7 @@
 package appleridge.http1;
 
 import appleridge.request.LogEvent;
-import appleridge.transport.Loop;
+import appleridge.transport.SidecarEventLoop;
 import io.netty.channel.Channel;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -11,12 +11,13 @@
  * waits is taken in all the same: to be told that there is no room, or because accepting is about
  * to end.
  */
-final class Backlog {
+final class AcceptGate {
     /**
      * For so long connections wait where all there are have a request open; then they are told. A
      * bit longer than silent ones may hesitate, so that these make room first.
      */
-    private static final long PATIENCE = TimeUnit.MILLISECONDS.toNanos(ClientTimes.HESITATES + 50);
+    private static final long PATIENCE =
+            TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.HESITATES + 50);
 
     /** For so long, in nanoseconds, what waits is taken in at a time. */
     private static final long LOOK = TimeUnit.MILLISECONDS.toNanos(20);
@@ -29,7 +30,7 @@
 
     private static final int LEAST_TOLD = 4;
 
-    private final Loop loop;
+    private final SidecarEventLoop loop;
     private final int cap;
     private final BooleanSupplier room;
     private Channel listener;
@@ -44,7 +45,7 @@
     private long roomAt;
 
     /** With the most connections that are held, and what says whether there is room for another. */
-    Backlog(Loop loop, int cap, BooleanSupplier room) {
+    AcceptGate(SidecarEventLoop loop, int cap, BooleanSupplier room) {
         this.loop = loop;
         this.cap = cap;
         this.room = room;
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -1,10 +1,10 @@
 package appleridge.http1;
 
-import appleridge.http1.RequestReader.BadRequest;
+import appleridge.http1.RequestParser.BadRequest;
 import appleridge.request.ClientRequest;
-import appleridge.request.Flow;
-import appleridge.request.Front;
-import appleridge.request.Reply;
+import appleridge.request.ResponseSink;
+import appleridge.request.StreamedResponse;
+import appleridge.request.UpstreamResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -45,7 +45,7 @@
  * taken at once, for their time runs; the answers go out in the order of the requests.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
-        implements HttpFlow.Source {
+        implements StreamedBody.Source {
     private static final byte[] NO_BODY = {};
     private static final String READY_PATH = "/health/ready";
 
@@ -77,11 +77,11 @@
      */
     private static final long LONGEST_UNREAD = TimeUnit.SECONDS.toNanos(10);
 
-    private final ClientServer server;
+    private final ClientListener server;
     private final Channel channel;
-    private final InputWatch input;
+    private final ReadActivityHandler input;
     private final Decoder decoder;
-    private final OutputWatch output;
+    private final WriteBacklog output;
     private final ArrayDeque<Exchange> exchanges = new ArrayDeque<>();
     private HttpRequest head;
     private ByteBuf body;
@@ -119,17 +119,17 @@
     private int inOneTurn;
 
     private ClientConnection(
-            ClientServer server, Channel channel, InputWatch input, Decoder decoder) {
+            ClientListener server, Channel channel, ReadActivityHandler input, Decoder decoder) {
         this.server = server;
         this.channel = channel;
         this.input = input;
         this.decoder = decoder;
-        this.output = new OutputWatch(channel, server.loop());
+        this.output = new WriteBacklog(channel, server.loop());
         this.since = server.loop().now();
     }
 
-    static void install(Channel channel, ClientServer server) {
-        InputWatch input = new InputWatch();
+    static void install(Channel channel, ClientListener server) {
+        ReadActivityHandler input = new ReadActivityHandler();
         Decoder decoder = new Decoder();
         channel.pipeline()
                 .addLast(
@@ -160,7 +160,7 @@
             return;
         }
         if (message instanceof HttpRequest request) {
-            if (!Framing.isPlain(request)) {
+            if (!MessageFraming.isPlain(request)) {
                 reject(
                         HttpResponseStatus.BAD_REQUEST,
                         "the body's length can be read in more than one way");
@@ -172,7 +172,7 @@
             }
             head = request;
             body = Unpooled.buffer(256);
-            if (HttpUtil.getContentLength(request, 0L) > Framing.MOST_FLOWING) {
+            if (HttpUtil.getContentLength(request, 0L) > MessageFraming.MOST_FLOWING) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
                 return;
             }
@@ -187,7 +187,8 @@
         if (message instanceof HttpContent content && uploading != null) {
             upload(content);
         } else if (message instanceof HttpContent content && head != null) {
-            if (body.readableBytes() + content.content().readableBytes() > Framing.MAX_BODY) {
+            if (body.readableBytes() + content.content().readableBytes()
+                    > MessageFraming.MAX_BODY) {
                 goOnBeyondWhatIsHeld(content);
                 return;
             }
@@ -231,7 +232,7 @@
                         request.protocolVersion().equals(HttpVersion.HTTP_1_1));
         exchanges.add(exchange);
         exchange.upload =
-                new HttpFlow(request.headers(), HttpUtil.getContentLength(request, -1L), this);
+                new StreamedBody(request.headers(), HttpUtil.getContentLength(request, -1L), this);
         uploading = exchange;
         uploaded = body.readableBytes();
         try {
@@ -241,7 +242,7 @@
                     server.exchanges()
                             .accept(
                                     read.with(
-                                            ((OutgoingRequest) read.message())
+                                            ((HttpUpstreamRequest) read.message())
                                                     .with(exchange.upload)),
                                     exchange);
         } catch (BadRequest e) {
@@ -253,7 +254,7 @@
     private void upload(HttpContent content) {
         Exchange exchange = uploading;
         uploaded += content.content().readableBytes();
-        if (uploaded > Framing.MOST_FLOWING) {
+        if (uploaded > MessageFraming.MOST_FLOWING) {
             cutShort(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             return;
         }
@@ -401,7 +402,7 @@
                 continue;
             }
             // Danger: what a client asks for and doesn't read would pile up here.
-            if (output.bytes() > OutputWatch.MOST_BEHIND) {
+            if (output.bytes() > WriteBacklog.MOST_BEHIND) {
                 cutOff();
                 return;
             }
@@ -449,7 +450,7 @@
     private boolean passOn(Exchange exchange) {
         if (!exchange.begun) {
             exchange.begun = true;
-            HttpFlow flow = exchange.flow;
+            StreamedBody flow = exchange.flow;
             exchange.last =
                     !exchange.keepAlive
                             || !exchange.chunks && flow.length() < 0
@@ -472,7 +473,7 @@
             // Danger: the system's own buffer grows without being asked, and shows no progress for
             // seconds.
             channel.config().setOption(ChannelOption.SO_SNDBUF, FLOW_BUFFER);
-            channel.config().setWriteBufferWaterMark(HttpFlow.MARKS);
+            channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
             channel.write(start);
             flow.to(channel);
         }
@@ -495,7 +496,7 @@
         return true;
     }
 
-    private HttpFlow flowing() {
+    private StreamedBody flowing() {
         Exchange first = exchanges.peek();
         return first != null && first.begun && !first.flowed ? first.flow : null;
     }
@@ -504,7 +505,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         since = reading ? since : server.loop().now();
-        HttpFlow flow = flowing();
+        StreamedBody flow = flowing();
         if (flow != null) {
             progress = server.loop().now();
             flow.settle();
@@ -545,7 +546,7 @@
         output.cutOff();
     }
 
-    OutputWatch output() {
+    WriteBacklog output() {
         return output;
     }
 
@@ -640,9 +641,9 @@
      * answer that is never read, would use the descriptors up; what keeps sending a byte now and
      * then is no better.
      */
-    void expire(long now, ClientTimes times) {
+    void expire(long now, ClientTimeouts times) {
         long stood = TimeUnit.NANOSECONDS.toMillis(now - since);
-        if (output.waits(now, OutputWatch.LONGEST_WAIT)
+        if (output.waits(now, WriteBacklog.LONGEST_WAIT)
                 || flowing() != null && !channel.isWritable() && now - progress >= LONGEST_UNREAD) {
             cutOff();
         } else if (reading
@@ -660,7 +661,7 @@
      * A body may come as slowly as a bad line brings it, in its own time beside the head's; but
      * come.
      */
-    private boolean endless(long now, ClientTimes times, long ofBody) {
+    private boolean endless(long now, ClientTimeouts times, long ofBody) {
         return TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= times.request()
                 || TimeUnit.NANOSECONDS.toMillis(now - since)
                         >= times.request() + ofBody / SLOWEST_BODY;
@@ -673,7 +674,7 @@
      */
     int spare(long now) {
         long stood = TimeUnit.NANOSECONDS.toMillis(now - since);
-        boolean unread = output.waits(now, TimeUnit.MILLISECONDS.toNanos(ClientTimes.HESITATES));
+        boolean unread = output.waits(now, TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.HESITATES));
         boolean told = !turnedAway || stood >= TOLD_MILLIS;
         if (lingering && told || unread && exchanges.isEmpty()) {
             return 3;
@@ -684,7 +685,7 @@
         if (asked) {
             return 1;
         }
-        return stood >= ClientTimes.HESITATES ? 2 : 0;
+        return stood >= ClientTimeouts.HESITATES ? 2 : 0;
     }
 
     long since() {
@@ -717,7 +718,7 @@
     }
 
     /** One request and its answer to come. */
-    private final class Exchange implements Front {
+    private final class Exchange implements ResponseSink {
         private final boolean keepAlive;
 
         /** Whether the client knows chunks. */
@@ -726,10 +727,10 @@
         private FullHttpResponse response;
 
         /** The answer, where it is passed on in pieces; null else. */
-        private HttpFlow flow;
+        private StreamedBody flow;
 
         /** The request's body, where it is passed on in pieces; null else. */
-        private HttpFlow upload;
+        private StreamedBody upload;
 
         private boolean begun;
         private boolean flowed;
@@ -758,8 +759,8 @@
         }
 
         @Override
-        public void flows(Flow answer) {
-            flow = (HttpFlow) answer;
+        public void flows(StreamedResponse answer) {
+            flow = (StreamedBody) answer;
             progress = server.loop().now();
             flush();
         }
@@ -771,8 +772,8 @@
         }
 
         @Override
-        public void served(Reply reply) {
-            HttpReply answer = (HttpReply) reply;
+        public void served(UpstreamResponse reply) {
+            HttpUpstreamResponse answer = (HttpUpstreamResponse) reply;
             answer(
                     HttpResponseStatus.OK,
                     Headers.endToEnd(answer.headers()).remove(Headers.LOAD),
@@ -789,7 +790,7 @@
         }
 
         @Override
-        public void failed(Cause cause) {
+        public void failed(FailureCause cause) {
             HttpResponseStatus status =
                     switch (cause) {
                         case LATE -> HttpResponseStatus.GATEWAY_TIMEOUT;
@@ -805,7 +806,7 @@
                 // Nothing of it has gone out: the answers ahead of it are owed, and so is this one.
                 flow.end();
                 flow = null;
-                failed(Cause.UPSTREAM);
+                failed(FailureCause.UPSTREAM);
             } else if (flow != null && !chunks && flow.length() < 0) {
                 cutOff();
             } else {
@@ -839,17 +840,17 @@
 
     /** Reads strictly: what could be read in two ways might hide a second request. */
     private static final class Decoder extends HttpRequestDecoder {
-        private final HeadLines lines = new HeadLines(true);
+        private final HeadLineValidator lines = new HeadLineValidator(true);
 
         Decoder() {
-            super(Framing.strict());
+            super(MessageFraming.strict());
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
                 throws Exception {
             if (!lines.inOrder(in)) {
-                out.add(Framing.malformed(createInvalidMessage()));
+                out.add(MessageFraming.malformed(createInvalidMessage()));
                 in.skipBytes(in.readableBytes());
                 return;
             }
--- a/sidecar/src/main/java/appleridge/http1/ClientServer.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -1,14 +1,14 @@
 package appleridge.http1;
 
-import appleridge.request.Exchanges;
-import appleridge.request.Log;
+import appleridge.request.EventLog;
 import appleridge.request.LogEvent;
-import appleridge.request.Timers;
+import appleridge.request.RequestCoordinator;
+import appleridge.request.Scheduler;
 import appleridge.transport.AcceptFailures;
 import appleridge.transport.EventLoopMonitor;
-import appleridge.transport.HeldListener;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.InheritedListener;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The listening side: accepts the application's connections, and ends them in order. */
-public final class ClientServer {
+public final class ClientListener {
     private static final long SETTLE_MILLIS = 20;
 
     /**
@@ -59,16 +59,16 @@
 
     private static final int BACKLOG = 1024;
 
-    private final Loop loop;
-    private final Sockets sockets;
-    private final Exchanges exchanges;
-    private final RequestReader reader;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
+    private final RequestCoordinator exchanges;
+    private final RequestParser reader;
     private final int maxConnections;
-    private final ClientTimes times;
+    private final ClientTimeouts times;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    private final Timers.Timer sweeper;
-    private final Timers.Timer stallTicks;
-    private final Backlog backlog;
+    private final Scheduler.ScheduledTask sweeper;
+    private final Scheduler.ScheduledTask stallTicks;
+    private final AcceptGate backlog;
     private final EventLoopMonitor monitor;
 
     /** Of those, what it may hold now. */
@@ -90,13 +90,13 @@
     private Runnable drained;
 
     /** With the most connections that are held at once. */
-    public ClientServer(
-            Loop loop,
-            Sockets sockets,
-            Exchanges exchanges,
-            RequestReader reader,
+    public ClientListener(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            RequestCoordinator exchanges,
+            RequestParser reader,
             int maxConnections,
-            ClientTimes times) {
+            ClientTimeouts times) {
         this.times = times;
         this.loop = loop;
         this.sockets = sockets;
@@ -105,7 +105,7 @@
         this.maxConnections = maxConnections;
         this.most = maxConnections;
         this.monitor = new EventLoopMonitor(loop, millis(SWEEP_MILLIS), exchanges::events);
-        this.backlog = new Backlog(loop, maxConnections, this::hasRoom);
+        this.backlog = new AcceptGate(loop, maxConnections, this::hasRoom);
         this.sweeper = loop.every(millis(SWEEP_MILLIS), this::sweep);
         this.stallTicks = loop.every(millis(TICK_MILLIS), exchanges::tick);
     }
@@ -119,7 +119,7 @@
      * Accepts from a socket that the platform holds, which goes on when this server ends; at once,
      * or when it is told to by {@link #share}.
      */
-    public ChannelFuture listen(HeldListener socket, boolean now) {
+    public ChannelFuture listen(InheritedListener socket, boolean now) {
         held = true;
         backlog.waits(!now);
         return accept(socket.register(bootstrap()));
@@ -132,12 +132,12 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, HttpFlow.reads())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, StreamedBody.reads())
                 .childHandler(
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                ClientConnection.install(channel, ClientServer.this);
+                                ClientConnection.install(channel, ClientListener.this);
                             }
                         });
     }
@@ -181,15 +181,15 @@
         return warm && !draining && exchanges.hasUsableList();
     }
 
-    Loop loop() {
+    SidecarEventLoop loop() {
         return loop;
     }
 
-    Exchanges exchanges() {
+    RequestCoordinator exchanges() {
         return exchanges;
     }
 
-    RequestReader reader() {
+    RequestParser reader() {
         return reader;
     }
 
@@ -198,7 +198,7 @@
         sockets.readNow(channel);
     }
 
-    Log log() {
+    EventLog log() {
         return loop.log();
     }
 
@@ -265,10 +265,10 @@
         long unread = connections.stream().mapToLong(each -> each.output().bytes()).sum();
         while (unread > MOST_UNREAD) {
             // What flows is bounded by itself: there is little of each, and its source waits.
-            OutputWatch longest =
+            WriteBacklog longest =
                     connections.stream()
                             .map(ClientConnection::output)
-                            .filter(OutputWatch::waits)
+                            .filter(WriteBacklog::waits)
                             .min((a, b) -> Long.signum(a.since() - b.since()))
                             .orElse(null);
             if (longest == null) {
--- a/sidecar/src/main/java/appleridge/http1/ClientTimes.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.config.UsualValues;
+import appleridge.config.Defaults;
 
 /**
  * How long a client's connection may stay as it is, in milliseconds.
@@ -9,13 +9,11 @@
  * @param first from the connection's start to its first request's first byte
  * @param idle from an answer to the next request's first byte
  */
-public record ClientTimes(long request, long first, long idle) {
-    /** What {@link UsualValues} says, with the reasons. */
-    public static final ClientTimes USUAL =
-            new ClientTimes(
-                    UsualValues.REQUEST_MILLIS,
-                    UsualValues.FIRST_REQUEST_MILLIS,
-                    UsualValues.IDLE_MILLIS);
+public record ClientTimeouts(long request, long first, long idle) {
+    /** What {@link Defaults} says, with the reasons. */
+    public static final ClientTimeouts USUAL =
+            new ClientTimeouts(
+                    Defaults.REQUEST_MILLIS, Defaults.FIRST_REQUEST_MILLIS, Defaults.IDLE_MILLIS);
 
     /** A client that means to ask has done so long since. */
     static final long HESITATES = 250;
--- a/sidecar/src/main/java/appleridge/http1/LastByte.java
+++ b/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
@@ -13,13 +13,13 @@
  * room, however long that takes and without anyone being asked; the last byte is what makes an
  * upstream run the request. Leaves the pipeline when the message has gone, or its connection.
  */
-final class LastByte extends ChannelOutboundHandlerAdapter {
+final class FinalByteGate extends ChannelOutboundHandlerAdapter {
     private final BooleanSupplier mayGo;
     private ByteBuf kept;
     private ChannelPromise keptPromise;
     private Future<Void> before;
 
-    LastByte(BooleanSupplier mayGo) {
+    FinalByteGate(BooleanSupplier mayGo) {
         this.mayGo = mayGo;
     }
 
--- a/sidecar/src/main/java/appleridge/http1/HeadLines.java
+++ b/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
@@ -10,7 +10,7 @@
  * of the same bytes would read in another way: lines without a colon, lines folded into the one
  * before, control bytes ahead of the first line.
  */
-final class HeadLines {
+final class HeadLineValidator {
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
     /** Whether empty lines may stand ahead of a head, as they may ahead of a request's. */
@@ -19,7 +19,7 @@
     private boolean inHead = true;
     private boolean begun;
 
-    HeadLines(boolean emptyAhead) {
+    HeadLineValidator(boolean emptyAhead) {
         this.emptyAhead = emptyAhead;
     }
 
--- a/sidecar/src/main/java/appleridge/http1/OutgoingRequest.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamRequest.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.request.Outgoing;
+import appleridge.request.UpstreamRequest;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -22,16 +22,16 @@
  * @param body all of it; empty where it flows
  * @param flow the body, where it is too long to be held; null else
  */
-record OutgoingRequest(
-        HttpMethod method, String uri, HttpHeaders headers, byte[] body, HttpFlow flow)
-        implements Outgoing {
+record HttpUpstreamRequest(
+        HttpMethod method, String uri, HttpHeaders headers, byte[] body, StreamedBody flow)
+        implements UpstreamRequest {
 
-    OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
+    HttpUpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
         this(method, uri, headers, body, null);
     }
 
-    OutgoingRequest with(HttpFlow flowing) {
-        return new OutgoingRequest(method, uri, headers, body, flowing);
+    HttpUpstreamRequest with(StreamedBody flowing) {
+        return new HttpUpstreamRequest(method, uri, headers, body, flowing);
     }
 
     /** The message for an upstream, with the nanoseconds for which the answer is waited for. */
--- a/sidecar/src/main/java/appleridge/http1/HttpReply.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
@@ -1,12 +1,12 @@
 package appleridge.http1;
 
-import appleridge.request.Reply;
+import appleridge.request.UpstreamResponse;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Arrays;
 import java.util.List;
 
 /** An upstream's whole answer; its status is told by the outcome. */
-record HttpReply(HttpHeaders headers, byte[] body) implements Reply {
+record HttpUpstreamResponse(HttpHeaders headers, byte[] body) implements UpstreamResponse {
 
     /** The load report, in the order of the settings; empty if absent or malformed. */
     @Override
--- a/sidecar/src/main/java/appleridge/http1/Framing.java
+++ b/sidecar/src/main/java/appleridge/http1/MessageFraming.java
@@ -12,7 +12,7 @@
  * How messages are delimited, read strictly in both directions. Danger: a message that could be
  * read in two ways may hide another one in its body.
  */
-final class Framing {
+final class MessageFraming {
     /** The longest body that is held whole, in bytes; up to it requests can be sent again. */
     static final int MAX_BODY = 64 * 1024;
 
@@ -25,7 +25,7 @@
     /** More digits than any body has, and none that overflow. */
     private static final int MOST_DIGITS = 15;
 
-    private Framing() {}
+    private MessageFraming() {}
 
     static HttpDecoderConfig strict() {
         return new HttpDecoderConfig()
--- a/sidecar/src/main/java/appleridge/http1/InputWatch.java
+++ b/sidecar/src/main/java/appleridge/http1/ReadActivityHandler.java
@@ -10,7 +10,7 @@
  * whole and keeps what it has read of one to itself. Behind a message that is the last one read,
  * input is discarded here, at no cost for decoding.
  */
-final class InputWatch extends ChannelInboundHandlerAdapter {
+final class ReadActivityHandler extends ChannelInboundHandlerAdapter {
     /**
      * What is discarded for the sake of an orderly end; then the connection ends with input unread.
      */
--- a/sidecar/src/main/java/appleridge/http1/RequestReader.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestParser.java
@@ -1,8 +1,8 @@
 package appleridge.http1;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.RequestClass;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Turns what a client sent into a {@link ClientRequest}, or says what is wrong with it. */
-public final class RequestReader {
+public final class RequestParser {
     /** What a client sent makes no sense; answered at once, with nothing sent to an upstream. */
     static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
@@ -61,10 +61,10 @@
                     Headers.DEADLINE,
                     Headers.IDEMPOTENCY_KEY);
 
-    private final Config config;
+    private final SidecarConfig config;
 
     /** For the classes and tenants of a configuration. */
-    public RequestReader(Config config) {
+    public RequestParser(SidecarConfig config) {
         this.config = config;
     }
 
@@ -97,29 +97,32 @@
         }
         RequestClass kind = config.settings().classes().get(requestClass);
         HttpMethod method =
-                kind.semantics() == Semantics.REPEATABLE ? HttpMethod.GET : HttpMethod.POST;
+                kind.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!head.method().equals(method)) {
             throw new BadRequest(
                     HttpResponseStatus.METHOD_NOT_ALLOWED, "the class wants " + method, method);
         }
-        if (kind.semantics() == Semantics.BY_KEY
+        if (kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                 && headers.get(Headers.IDEMPOTENCY_KEY, "").isBlank()) {
             throw bad("Idempotency-Key missing");
         }
         double seconds = number(headers.get(Headers.DEADLINE));
         double longest =
-                Math.max(LONGEST_SECONDS, kind.deadline() / (double) TimeUnit.SECONDS.toNanos(1));
+                Math.max(
+                        LONGEST_SECONDS,
+                        kind.deadlineNanos() / (double) TimeUnit.SECONDS.toNanos(1));
         if (!(seconds > 0 && seconds <= longest)) {
             throw bad("X-Deadline missing or senseless");
         }
         // Danger: what is held for longer than its class's clients wait would hold its place for as
         // long,
         // and would outlive the end of the service, which waits for the longest class.
-        long patience = Math.min((long) (seconds * TimeUnit.SECONDS.toNanos(1)), kind.deadline());
+        long patience =
+                Math.min((long) (seconds * TimeUnit.SECONDS.toNanos(1)), kind.deadlineNanos());
         // Danger: one request with a guess without bounds would count for more work than all others
         // together.
         double hint = number(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
-        boolean guessed = hint > 0 && hint <= kind.deadline();
+        boolean guessed = hint > 0 && hint <= kind.deadlineNanos();
         return new ClientRequest(
                 name,
                 arrived,
@@ -129,7 +132,7 @@
                 key(headers.get(HttpHeaderNames.COOKIE)),
                 guessed ? (long) hint : 0,
                 "1".equals(headers.get(Headers.RETRY)),
-                new OutgoingRequest(head.method(), uri, headers, body));
+                new HttpUpstreamRequest(head.method(), uri, headers, body));
     }
 
     /**
--- a/sidecar/src/main/java/appleridge/http1/HttpFlow.java
+++ b/sidecar/src/main/java/appleridge/http1/StreamedBody.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.request.Flow;
+import appleridge.request.StreamedResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -15,7 +15,7 @@
  * who reads it is bounded: that connection says when it has enough, and the other is not read until
  * that has gone.
  */
-final class HttpFlow implements Flow {
+final class StreamedBody implements StreamedResponse {
     /** Told when the answer may go on, or has to wait. */
     interface Source {
         void pause();
@@ -51,7 +51,7 @@
      *
      * @param length of the whole in bytes, or below 0 where it is told by its end alone
      */
-    HttpFlow(HttpHeaders headers, long length, Source source) {
+    StreamedBody(HttpHeaders headers, long length, Source source) {
         this.headers = headers;
         this.length = length;
         this.source = source;
--- a/sidecar/src/main/java/appleridge/http1/UpstreamExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
@@ -1,28 +1,31 @@
 package appleridge.http1;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import appleridge.request.Endpoint;
-import appleridge.request.Upstreams;
-import appleridge.request.Window;
+import appleridge.request.SendDeadlines;
+import appleridge.request.UpstreamTransport;
 import appleridge.transport.Connector;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpRequest;
 
 /** One request on its way to an upstream: ends once, by a result or by being abandoned. */
-final class UpstreamExchange implements Upstreams.Sending {
+final class UpstreamCall implements UpstreamTransport.AttemptHandle {
     /** Nanoseconds. */
     private static final long SHORTEST = 1_000_000;
 
-    private final OutgoingRequest request;
-    private final Window window;
-    private final Upstreams.Listener listener;
+    private final HttpUpstreamRequest request;
+    private final SendDeadlines window;
+    private final UpstreamTransport.AttemptListener listener;
     private Connector.Connecting connecting;
     private Channel channel;
     private boolean written;
     private boolean over;
 
-    UpstreamExchange(OutgoingRequest request, Window window, Upstreams.Listener listener) {
+    UpstreamCall(
+            HttpUpstreamRequest request,
+            SendDeadlines window,
+            UpstreamTransport.AttemptListener listener) {
         this.request = request;
         this.window = window;
         this.listener = listener;
@@ -68,7 +71,7 @@
     }
 
     /** The body, where it is too long to be held; null else. */
-    HttpFlow flow() {
+    StreamedBody flow() {
         return request.flow();
     }
 
@@ -111,11 +114,11 @@
     }
 
     /** Whether an answer that is too long to be held is wanted. */
-    boolean begins(HttpFlow answer) {
+    boolean begins(StreamedBody answer) {
         return !over && listener.begins(answer);
     }
 
-    void end(Outcome outcome, HttpReply reply) {
+    void end(Outcome outcome, HttpUpstreamResponse reply) {
         if (!over) {
             over = true;
             listener.ended(outcome, reply);
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -1,8 +1,8 @@
 package appleridge.http1;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import appleridge.request.Endpoint;
-import appleridge.transport.Loop;
+import appleridge.transport.SidecarEventLoop;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -28,7 +28,7 @@
 
 /** One connection to an upstream and the answer being read on it. */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
-        implements HttpFlow.Source {
+        implements StreamedBody.Source {
     private static final byte[] NO_BODY = {};
 
     /**
@@ -40,18 +40,18 @@
     /** Nanoseconds in which an upstream takes some of what waits for it of a long request. */
     private static final long LONGEST_UNREAD = TimeUnit.SECONDS.toNanos(10);
 
-    private final UpstreamPool pool;
-    private final InputWatch input;
+    private final UpstreamConnectionPool pool;
+    private final ReadActivityHandler input;
     private final Decoder decoder;
     private final Channel channel;
     private final long stall;
-    private Loop.Timer stalled;
+    private SidecarEventLoop.ScheduledTask stalled;
     private Endpoint endpoint;
-    private UpstreamExchange exchange;
+    private UpstreamCall exchange;
     private HttpResponse head;
     private ByteBuf body;
     private Outcome result;
-    private HttpReply reply;
+    private HttpUpstreamResponse reply;
     private long idleSince;
 
     /**
@@ -62,18 +62,22 @@
     private boolean broken;
 
     /** The answer, where it is too long to be held; null else. */
-    private HttpFlow flow;
+    private StreamedBody flow;
 
     private long flowed;
 
     /** The request, where it is too long to be held; null else, and when its answer has come. */
-    private HttpFlow upload;
+    private StreamedBody upload;
 
-    private Loop.Timer unread;
+    private SidecarEventLoop.ScheduledTask unread;
     private boolean paused;
 
     private UpstreamConnection(
-            UpstreamPool pool, Channel channel, InputWatch input, Decoder decoder, long stall) {
+            UpstreamConnectionPool pool,
+            Channel channel,
+            ReadActivityHandler input,
+            Decoder decoder,
+            long stall) {
         this.pool = pool;
         this.channel = channel;
         this.input = input;
@@ -82,11 +86,11 @@
     }
 
     /** With the nanoseconds for which an answer may pause once it has begun. */
-    static void install(Channel channel, UpstreamPool pool, long stall) {
+    static void install(Channel channel, UpstreamConnectionPool pool, long stall) {
         // Danger: by itself a long answer's reads grow to 64 KiB each, held for as long as a client
         // is slow.
-        channel.config().setRecvByteBufAllocator(HttpFlow.reads());
-        InputWatch input = new InputWatch();
+        channel.config().setRecvByteBufAllocator(StreamedBody.reads());
+        ReadActivityHandler input = new ReadActivityHandler();
         Decoder decoder = new Decoder();
         channel.pipeline()
                 .addLast(
@@ -135,7 +139,7 @@
         pool.release(this);
     }
 
-    void carry(UpstreamExchange next) {
+    void carry(UpstreamCall next) {
         exchange = next;
         head = null;
         body = null;
@@ -144,13 +148,13 @@
         flow = null;
         flowed = 0;
         if (next.mustEndInTime()) {
-            channel.pipeline().addFirst(new LastByte(() -> next.mayEnd(pool.loop().now())));
+            channel.pipeline().addFirst(new FinalByteGate(() -> next.mayEnd(pool.loop().now())));
         }
         if (next.flow() == null) {
             follow(next, channel.writeAndFlush(next.begin(channel, endpoint, pool.loop().now())));
             return;
         }
-        channel.config().setWriteBufferWaterMark(HttpFlow.MARKS);
+        channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
         channel.write(next.start(channel, endpoint, pool.loop().now()));
         upload = next.flow();
         pool.loop().soon(next::tellLetGo);
@@ -160,7 +164,7 @@
                 () -> follow(next, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
     }
 
-    private void follow(UpstreamExchange next, ChannelFuture lastByte) {
+    private void follow(UpstreamCall next, ChannelFuture lastByte) {
         lastByte.addListener(
                 done -> {
                     if (done.isSuccess()) {
@@ -172,7 +176,7 @@
                         // Kept back, it is known not to have run; else what the connection's end
                         // says holds.
                         result =
-                                done.cause() instanceof LastByte.LateException
+                                done.cause() instanceof FinalByteGate.LateException
                                         ? Outcome.NEVER_SENT
                                         : result;
                         breakOff();
@@ -238,7 +242,7 @@
                 input.whole(decoder.holdsBytes());
                 result = outcome(head);
                 reply =
-                        new HttpReply(
+                        new HttpUpstreamResponse(
                                 head.headers(),
                                 flow != null ? NO_BODY : ByteBufUtil.getBytes(body));
             }
@@ -250,12 +254,13 @@
      * be.
      */
     private boolean take(ByteBuf piece) {
-        if (flow == null && body.readableBytes() + piece.readableBytes() <= Framing.MAX_BODY) {
+        if (flow == null
+                && body.readableBytes() + piece.readableBytes() <= MessageFraming.MAX_BODY) {
             body.writeBytes(piece);
             return true;
         }
         if (flow == null) {
-            flow = new HttpFlow(head.headers(), HttpUtil.getContentLength(head, -1L), this);
+            flow = new StreamedBody(head.headers(), HttpUtil.getContentLength(head, -1L), this);
             if (head.status().code() != 200 || !exchange.begins(flow)) {
                 flow = null;
                 return false;
@@ -264,7 +269,7 @@
             flow.write(body.retainedSlice());
         }
         flowed += piece.readableBytes();
-        if (flowed > Framing.MOST_FLOWING) {
+        if (flowed > MessageFraming.MOST_FLOWING) {
             return false;
         }
         flow.write(piece.retain());
@@ -301,8 +306,11 @@
      * answer's (RFC 9112, 6.3), and whatever else ends the connection breaks it off.
      */
     private static boolean canBeServed(HttpResponse response) {
-        long most = response.status().code() == 200 ? Framing.MOST_FLOWING : Framing.MAX_BODY;
-        return Framing.isPlain(response) && HttpUtil.getContentLength(response, 0L) <= most;
+        long most =
+                response.status().code() == 200
+                        ? MessageFraming.MOST_FLOWING
+                        : MessageFraming.MAX_BODY;
+        return MessageFraming.isPlain(response) && HttpUtil.getContentLength(response, 0L) <= most;
     }
 
     /** Danger: an answer cut short on an open connection would be waited for until the deadline. */
@@ -323,9 +331,9 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (result != null && exchange != null) {
-            UpstreamExchange done = exchange;
+            UpstreamCall done = exchange;
             Outcome outcome = result;
-            HttpReply told = reply;
+            HttpUpstreamResponse told = reply;
             boolean reusable = HttpUtil.isKeepAlive(head) && usable() && done.committed();
             exchange = null;
             head = null;
@@ -352,7 +360,7 @@
     /** Nothing more of it goes to this upstream, whether or not all of it has. */
     private void endUpload() {
         if (upload != null) {
-            HttpFlow ended = upload;
+            StreamedBody ended = upload;
             upload = null;
             watchForUnread();
             ended.end();
@@ -372,7 +380,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        UpstreamExchange broken = exchange;
+        UpstreamCall broken = exchange;
         exchange = null;
         endUpload();
         if (flow != null) {
@@ -417,17 +425,17 @@
 
     /** Reads answers strictly and tells whether bytes of a further one are waiting. */
     private static final class Decoder extends HttpResponseDecoder {
-        private final HeadLines lines = new HeadLines(false);
+        private final HeadLineValidator lines = new HeadLineValidator(false);
 
         Decoder() {
-            super(Framing.strict());
+            super(MessageFraming.strict());
         }
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
                 throws Exception {
             if (!lines.inOrder(in)) {
-                out.add(Framing.malformed(createInvalidMessage()));
+                out.add(MessageFraming.malformed(createInvalidMessage()));
                 in.skipBytes(in.readableBytes());
                 return;
             }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -1,14 +1,14 @@
 package appleridge.http1;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import appleridge.request.Endpoint;
-import appleridge.request.Log;
-import appleridge.request.Outgoing;
-import appleridge.request.Upstreams;
-import appleridge.request.Window;
+import appleridge.request.EventLog;
+import appleridge.request.SendDeadlines;
+import appleridge.request.UpstreamRequest;
+import appleridge.request.UpstreamTransport;
 import appleridge.transport.Connector;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import io.netty.channel.Channel;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -19,20 +19,20 @@
  * request is told as an {@link Outcome} that the socket proves; nothing is ever sent a second time
  * here.
  */
-public final class UpstreamPool implements Upstreams {
+public final class UpstreamConnectionPool implements UpstreamTransport {
     /**
      * Danger: a request written to a connection that the upstream is just closing ends as a reset
      * that may have run. Idle ones are closed after this part of the time that upstreams grant.
      */
     private static final double IDLE_PART = 0.6;
 
-    private final Loop loop;
-    private final Sockets sockets;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
     private final Connector connector;
     private final long maxIdle;
     private final int maxConnections;
     private final Map<Endpoint, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
-    private final Loop.Timer sweeper;
+    private final SidecarEventLoop.ScheduledTask sweeper;
 
     /** Of those, what it may hold now. */
     private int most;
@@ -46,9 +46,9 @@
      * @param stall for which an answer may pause once it has begun
      * @param maxConnections connections at once, to all upstreams together
      */
-    public UpstreamPool(
-            Loop loop,
-            Sockets sockets,
+    public UpstreamConnectionPool(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
             long connectTimeout,
             long connIdle,
             long stall,
@@ -72,8 +72,9 @@
      * left.
      */
     @Override
-    public Sending send(Endpoint to, Outgoing what, Window window, Listener listener) {
-        UpstreamExchange exchange = new UpstreamExchange((OutgoingRequest) what, window, listener);
+    public AttemptHandle send(
+            Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener) {
+        UpstreamCall exchange = new UpstreamCall((HttpUpstreamRequest) what, window, listener);
         UpstreamConnection pooled = takeIdle(to);
         if (pooled != null) {
             carry(pooled, exchange);
@@ -85,7 +86,7 @@
         return exchange;
     }
 
-    private void connect(Endpoint to, UpstreamExchange exchange) {
+    private void connect(Endpoint to, UpstreamCall exchange) {
         connections++;
         exchange.connecting(
                 connector.connect(
@@ -127,7 +128,7 @@
     }
 
     /** Danger: connecting took time, and what might be sent when it began may not be any more. */
-    private void carry(UpstreamConnection connection, UpstreamExchange exchange) {
+    private void carry(UpstreamConnection connection, UpstreamCall exchange) {
         if (exchange.mayBegin(loop.now())) {
             connection.carry(exchange);
         } else {
@@ -149,11 +150,11 @@
         return null;
     }
 
-    Loop loop() {
+    SidecarEventLoop loop() {
         return loop;
     }
 
-    Log log() {
+    EventLog log() {
         return loop.log();
     }
 
--- a/sidecar/src/main/java/appleridge/http1/OutputWatch.java
+++ b/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
@@ -1,6 +1,6 @@
 package appleridge.http1;
 
-import appleridge.request.Time;
+import appleridge.request.MonotonicClock;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
@@ -12,13 +12,13 @@
  * An answer mostly fits into the system's own buffers: what waits here is for a client that has not
  * read for long.
  */
-final class OutputWatch {
+final class WriteBacklog {
     /**
      * Bytes behind which no further answer is written. Clients ask one at a time and have read one
      * answer when the next is written; even one that asks ahead is not four of the largest answers
      * behind for long.
      */
-    static final long MOST_BEHIND = 4 * Framing.MAX_BODY;
+    static final long MOST_BEHIND = 4 * MessageFraming.MAX_BODY;
 
     /**
      * How long an answer may wait for the system to take it, in nanoseconds: as long as a request
@@ -27,11 +27,11 @@
     static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(2);
 
     private final Channel channel;
-    private final Time time;
+    private final MonotonicClock time;
     private int waiting;
     private long since;
 
-    OutputWatch(Channel channel, Time time) {
+    WriteBacklog(Channel channel, MonotonicClock time) {
         this.channel = channel;
         this.time = time;
     }
--- a/sidecar/src/main/java/appleridge/lease/Shares.java
+++ b/sidecar/src/main/java/appleridge/lease/BudgetShare.java
@@ -6,12 +6,12 @@
  * longest act is the time over which the budget is counted. What is smaller than one permit is
  * given by turn, never rounded up.
  */
-public final class Shares {
+public final class BudgetShare {
     private final long whole;
     private final Permits permits;
 
     /** With a whole in the smallest units in which it is spent. */
-    public Shares(long whole, Permits permits) {
+    public BudgetShare(long whole, Permits permits) {
         if (whole < 0 || whole > Long.MAX_VALUE / Permits.MOST) {
             throw new IllegalArgumentException("whole out of range: " + whole);
         }
--- a/sidecar/src/main/java/appleridge/lease/Lease.java
+++ b/sidecar/src/main/java/appleridge/lease/Lease.java
@@ -14,14 +14,14 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     /** An open question, or the last write; of a read there is no next record. */
-    private record Asked(long question, long at, Entry next) {}
+    private record Asked(long question, long at, VersionedLease next) {}
 
-    private final Terms terms;
+    private final LeaseParameters terms;
     private final String holder;
     private final String nonce;
     private final LeaseActions actions;
-    private State state = State.RELEASED;
-    private Why why = Why.NONE;
+    private LeaseState state = LeaseState.RELEASED;
+    private TransitionCause why = TransitionCause.NONE;
     private Grant grant;
     private boolean connected = true;
     private boolean inFront;
@@ -39,7 +39,7 @@
     private Asked lastWrite;
 
     /** The newest record known, and since when; null for none. */
-    private Entry seen;
+    private VersionedLease seen;
 
     private long seenSince;
 
@@ -58,7 +58,7 @@
     private long wakeAt = NEVER;
 
     /** With a nonce that no other lease has, of this process or another, now or ever. */
-    public Lease(Terms terms, String holder, String nonce, LeaseActions actions) {
+    public Lease(LeaseParameters terms, String holder, String nonce, LeaseActions actions) {
         this.terms = terms;
         this.holder = holder;
         this.nonce = nonce;
@@ -67,9 +67,9 @@
 
     /** Asks for the lease; without effect where it is asked for or held already. */
     public void seek(long now) {
-        if (state == State.RELEASED || state == State.LOST) {
-            state = State.SEEKING;
-            why = Why.NONE;
+        if (state == LeaseState.RELEASED || state == LeaseState.LOST) {
+            state = LeaseState.SEEKING;
+            why = TransitionCause.NONE;
             current = false;
             soughtAt = questions;
             actions.line(true);
@@ -81,7 +81,7 @@
      * The line says that it is this one's turn. That is believed for load alone, never for safety.
      */
     public void inFront(long now) {
-        inFront = state == State.SEEKING || state == State.REFUSING;
+        inFront = state == LeaseState.SEEKING || state == LeaseState.REFUSING;
         go(now);
     }
 
@@ -92,11 +92,11 @@
     }
 
     /** The record as it was at some time since the question; null for none. */
-    public void read(long now, long question, Entry orNull) {
+    public void read(long now, long question, VersionedLease orNull) {
         if (answers(question)) {
             current = true;
             if (orNull == null ? seen != null : isOlder(orNull)) {
-                refuse(now, orNull == null ? Why.WIPED : Why.RESTORED);
+                refuse(now, orNull == null ? TransitionCause.WIPED : TransitionCause.RESTORED);
             } else if (orNull != null) {
                 see(now, orNull);
             }
@@ -108,11 +108,11 @@
     public void written(long now, long question, long version) {
         Asked write = open;
         if (answers(question)) {
-            Entry next = write.next;
+            VersionedLease next = write.next;
             current = true;
             see(
                     now,
-                    new Entry(
+                    new VersionedLease(
                             version,
                             next.token(),
                             holder,
@@ -128,7 +128,7 @@
      */
     public void conflicted(long now, long question) {
         if (answers(question)) {
-            doubt(Why.UNKNOWN);
+            doubt(TransitionCause.UNKNOWN);
         }
         go(now);
     }
@@ -139,7 +139,7 @@
         if (answers(question)) {
             // Danger: a store that turns away at once would be asked without end.
             askAt = asked.at + terms.renewEvery() / 4;
-            doubt(Why.UNKNOWN);
+            doubt(TransitionCause.UNKNOWN);
         }
         go(now);
     }
@@ -148,7 +148,7 @@
     public void disconnected(long now) {
         connected = false;
         open = null;
-        doubt(Why.DISCONNECTED);
+        doubt(TransitionCause.DISCONNECTED);
         go(now);
     }
 
@@ -166,7 +166,7 @@
 
     /** The holder has ended all acts and begins no more: the next one may begin at once. */
     public void release(long now) {
-        leave(now, now, Why.RELEASED);
+        leave(now, now, TransitionCause.RELEASED);
     }
 
     /**
@@ -174,7 +174,7 @@
      * begin.
      */
     public void giveUp(long now) {
-        leave(now, now + terms.actsOut(), Why.RELEASED);
+        leave(now, now + terms.actsOut(), TransitionCause.RELEASED);
     }
 
     /** The holder has nothing to do: it gives up after that time, unless an act begins before. */
@@ -196,22 +196,22 @@
     }
 
     /** The right to begin an act at once; null if it may not begin. */
-    public Act begin(long now, long lasting) {
+    public Permission begin(long now, long lasting) {
         if (!mayBegin(now, lasting)) {
             return null;
         }
         idleAt = NEVER;
         return terms.fenced()
-                ? new Act.FencedAct(grant.token())
-                : new Act.TimedAct(grant.token(), grant.until());
+                ? new Permission.FencedPermission(grant.token())
+                : new Permission.TimedPermission(grant.token(), grant.until());
     }
 
-    public State state() {
+    public LeaseState state() {
         return state;
     }
 
     /** What the last change of state came from. */
-    public Why why() {
+    public TransitionCause why() {
         return why;
     }
 
@@ -221,7 +221,7 @@
     }
 
     /** The newest record known, for operators; null for none. */
-    public Entry seen() {
+    public VersionedLease seen() {
         return seen;
     }
 
@@ -241,7 +241,7 @@
      * Danger: in a store that was restored tokens would come twice. One with a higher token was
      * reset; after one that can't grow the next would run back.
      */
-    private boolean isOlder(Entry entry) {
+    private boolean isOlder(VersionedLease entry) {
         return entry.token() < 0
                 || entry.token() == Long.MAX_VALUE
                 || seen != null
@@ -251,22 +251,22 @@
                                                 || !process(entry).equals(process(seen))));
     }
 
-    private static String process(Entry entry) {
+    private static String process(VersionedLease entry) {
         return entry.nonce().substring(0, Math.max(0, entry.nonce().lastIndexOf('/')));
     }
 
-    private boolean isOurs(Entry entry) {
+    private boolean isOurs(VersionedLease entry) {
         return entry != null && process(entry).equals(nonce);
     }
 
-    private void see(long now, Entry entry) {
+    private void see(long now, VersionedLease entry) {
         if (!entry.equals(seen)) {
             seen = entry;
             seenSince = now;
         }
-        if (state == State.REFUSING) {
-            state = State.SEEKING;
-            why = Why.NONE;
+        if (state == LeaseState.REFUSING) {
+            state = LeaseState.SEEKING;
+            why = TransitionCause.NONE;
         }
         // Danger: what was written before a loss must not bring back a grant that was called off.
         boolean proven =
@@ -275,20 +275,20 @@
                         && entry.nonce().equals(lastWrite.next.nonce());
         if (entry.released()) {
             giving = giving && !isOurs(entry);
-        } else if (proven && !giving && (state == State.SEEKING || grant != null)) {
+        } else if (proven && !giving && (state == LeaseState.SEEKING || grant != null)) {
             grant(now);
         } else if (grant != null && isOurs(entry)) {
-            state = State.HELD;
-            why = Why.NONE;
+            state = LeaseState.HELD;
+            why = TransitionCause.NONE;
         }
         if (grant != null && (entry.released() || !isOurs(entry))) {
-            lose(Why.TAKEN);
+            lose(TransitionCause.TAKEN);
         }
     }
 
     private void grant(long now) {
         long until = lastWrite.at + terms.actFor();
-        boolean known = grant != null && until <= grant.until() && state == State.HELD;
+        boolean known = grant != null && until <= grant.until() && state == LeaseState.HELD;
         if (until <= now || known) {
             return;
         }
@@ -296,48 +296,48 @@
             inFront = false;
             actions.line(false);
         }
-        state = State.HELD;
-        why = Why.NONE;
+        state = LeaseState.HELD;
+        why = TransitionCause.NONE;
         grant = new Grant(lastWrite.next.token(), actFrom, until);
         actions.granted(grant);
     }
 
-    private void doubt(Why cause) {
+    private void doubt(TransitionCause cause) {
         current = false;
-        if (state == State.HELD) {
-            state = State.DOUBTFUL;
+        if (state == LeaseState.HELD) {
+            state = LeaseState.DOUBTFUL;
             why = cause;
         }
     }
 
-    private void lose(Why cause) {
-        state = State.LOST;
+    private void lose(TransitionCause cause) {
+        state = LeaseState.LOST;
         why = cause;
         grant = null;
         idleAt = NEVER;
         actions.stopNow(cause);
     }
 
-    private void refuse(long now, Why cause) {
+    private void refuse(long now, TransitionCause cause) {
         giving = false;
         if (grant != null) {
             lose(cause);
-            state = State.SEEKING;
+            state = LeaseState.SEEKING;
             actions.line(true);
         }
-        if (state != State.RELEASED && state != State.LOST) {
-            state = State.REFUSING;
+        if (state != LeaseState.RELEASED && state != LeaseState.LOST) {
+            state = LeaseState.REFUSING;
             why = cause;
             askAt = now + terms.term();
         }
     }
 
-    private void leave(long now, long notBefore, Why cause) {
-        if (state == State.SEEKING || state == State.REFUSING) {
+    private void leave(long now, long notBefore, TransitionCause cause) {
+        if (state == LeaseState.SEEKING || state == LeaseState.REFUSING) {
             actions.line(false);
         }
-        if (state != State.RELEASED) {
-            state = State.RELEASED;
+        if (state != LeaseState.RELEASED) {
+            state = LeaseState.RELEASED;
             why = cause;
             grant = null;
             inFront = false;
@@ -353,17 +353,17 @@
     /** Does what is due. */
     private void go(long now) {
         if (grant != null && now >= grant.until()) {
-            lose(Why.EXPIRED);
+            lose(TransitionCause.EXPIRED);
         }
         if (now >= idleAt) {
-            actions.stopNow(Why.IDLE);
+            actions.stopNow(TransitionCause.IDLE);
             idleAt = NEVER;
-            leave(now, now + terms.actsOut(), Why.IDLE);
+            leave(now, now + terms.actsOut(), TransitionCause.IDLE);
             return;
         }
         if (open != null && now >= open.at + terms.renewEvery()) {
             open = null;
-            doubt(Why.UNKNOWN);
+            doubt(TransitionCause.UNKNOWN);
         }
         long due = connected && open == null ? due() : NEVER;
         if (now >= due) {
@@ -380,11 +380,11 @@
     /** When to ask the store next. */
     private long due() {
         boolean holds = grant != null;
-        boolean seeks = state == State.SEEKING && inFront;
-        if (!giving && !holds && !seeks && state != State.REFUSING) {
+        boolean seeks = state == LeaseState.SEEKING && inFront;
+        if (!giving && !holds && !seeks && state != LeaseState.REFUSING) {
             return NEVER;
         }
-        if (!current || state == State.REFUSING) {
+        if (!current || state == LeaseState.REFUSING) {
             return askAt;
         }
         if (giving) {
@@ -404,7 +404,7 @@
     }
 
     private void ask(long now) {
-        if (!current || state == State.REFUSING) {
+        if (!current || state == LeaseState.REFUSING) {
             open = new Asked(++questions, now, null);
             actions.read(questions);
             return;
@@ -422,7 +422,8 @@
                 new Asked(
                         questions,
                         now,
-                        new Entry(0, token, holder, nonce + "/" + questions, terms.term(), giving));
+                        new VersionedLease(
+                                0, token, holder, nonce + "/" + questions, terms.term(), giving));
         lastWrite = open;
         actions.write(questions, seen == null ? -1 : seen.version(), open.next);
     }
--- a/sidecar/src/main/java/appleridge/lease/LeaseActions.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseActions.java
@@ -10,7 +10,7 @@
     void read(long question);
 
     /** Writes the record if its version is still the one expected; -1 creates it. */
-    void write(long question, long expectedVersion, Entry next);
+    void write(long question, long expectedVersion, VersionedLease next);
 
     /** The one time at which to call {@code time}, in place of the one before. */
     void wakeAt(long at);
@@ -19,7 +19,7 @@
     void granted(Grant grant);
 
     /** Nothing more may begin, and what is under way is called off. */
-    void stopNow(Why why);
+    void stopNow(TransitionCause why);
 
     /**
      * Joins the line of those who seek, or leaves it: a holder leaves, so that the next one watches
--- a/sidecar/src/main/java/appleridge/lease/Terms.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseParameters.java
@@ -15,7 +15,7 @@
  * @param fenced whether what is acted on refuses older tokens; if not, the two times above are
  *     waited out
  */
-public record Terms(
+public record LeaseParameters(
         long term,
         int driftPpm,
         long guard,
@@ -28,7 +28,7 @@
 
     private static final int MILLION = 1_000_000;
 
-    public Terms {
+    public LeaseParameters {
         if (term <= 0
                 || term > LONGEST
                 || longestPause < 0
@@ -47,19 +47,20 @@
     }
 
     /** For a task of which the thing acted on refuses older tokens: safe whatever the clocks do. */
-    public static Terms fenced(long term, int driftPpm, long guard, long renewEvery) {
-        return new Terms(term, driftPpm, guard, renewEvery, 0, 0, true);
+    public static LeaseParameters fenced(long term, int driftPpm, long guard, long renewEvery) {
+        return new LeaseParameters(term, driftPpm, guard, renewEvery, 0, 0, true);
     }
 
     /** For a task that nothing refuses: safe as long as the assumptions hold. */
-    public static Terms timed(
+    public static LeaseParameters timed(
             long term,
             int driftPpm,
             long guard,
             long renewEvery,
             long longestPause,
             long longestAct) {
-        return new Terms(term, driftPpm, guard, renewEvery, longestPause, longestAct, false);
+        return new LeaseParameters(
+                term, driftPpm, guard, renewEvery, longestPause, longestAct, false);
     }
 
     /**
--- a/sidecar/src/main/java/appleridge/lease/State.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseState.java
@@ -1,7 +1,7 @@
 package appleridge.lease;
 
 /** Where a holder is, and what may still be believed. */
-public enum State {
+public enum LeaseState {
     /** Wants the lease and has no grant: nothing may be done. */
     SEEKING,
     /** The store has answered lately: acts may begin that end within the grant. */
--- a/sidecar/src/main/java/appleridge/lease/Leases.java
+++ b/sidecar/src/main/java/appleridge/lease/Leases.java
@@ -57,6 +57,6 @@
     }
 
     private static boolean seeks(Lease lease) {
-        return lease.state() == State.SEEKING || lease.state() == State.REFUSING;
+        return lease.state() == LeaseState.SEEKING || lease.state() == LeaseState.REFUSING;
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/Permits.java
+++ b/sidecar/src/main/java/appleridge/lease/Permits.java
@@ -47,7 +47,8 @@
             }
         }
         for (Lease lease : leases) {
-            boolean seeks = lease.state() == State.SEEKING || lease.state() == State.REFUSING;
+            boolean seeks =
+                    lease.state() == LeaseState.SEEKING || lease.state() == LeaseState.REFUSING;
             if (held < wanted) {
                 lease.seek(now);
             } else if (seeks) {
--- a/sidecar/src/main/java/appleridge/lease/Why.java
+++ b/sidecar/src/main/java/appleridge/lease/TransitionCause.java
@@ -1,7 +1,7 @@
 package appleridge.lease;
 
 /** What the last change of state came from. */
-public enum Why {
+public enum TransitionCause {
     /** Nothing happened that an operator should know. */
     NONE,
     /** The grant's time went by without a renewal that the store answered. */
--- a/sidecar/src/main/java/appleridge/lease/Entry.java
+++ b/sidecar/src/main/java/appleridge/lease/VersionedLease.java
@@ -10,5 +10,5 @@
  * @param term how long the record keeps others out, in nanoseconds
  * @param released whether the holder has ended all acts and gives the lease away
  */
-public record Entry(
+public record VersionedLease(
         long version, long token, String holder, String nonce, long term, boolean released) {}
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
@@ -1,6 +1,6 @@
 package appleridge.lease.store;
 
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -20,7 +20,7 @@
      *
      * @param sinceMillis since when its holder holds, in Unix time; for operators alone
      */
-    static byte[] bytes(Entry entry, long sinceMillis) {
+    static byte[] bytes(VersionedLease entry, long sinceMillis) {
         return JSON.createObjectNode()
                 .put("holder", entry.holder())
                 .put("token", entry.token())
@@ -34,7 +34,7 @@
     }
 
     /** What is read; an exception's message tells what is wrong with it. */
-    static Entry entry(byte[] data, long version) {
+    static VersionedLease entry(byte[] data, long version) {
         JsonNode node;
         try {
             node = data == null ? null : JSON.readTree(data);
@@ -51,7 +51,7 @@
                 || !node.path("released").isBoolean()) {
             throw new IllegalArgumentException("the record is not one of a lease");
         }
-        return new Entry(
+        return new VersionedLease(
                 version,
                 node.path("token").longValue(),
                 node.path("holder").textValue(),
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
@@ -1,6 +1,6 @@
 package appleridge.lease.store;
 
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 
 /**
  * Where one lease's record is kept, and the line of those who wait for it. A record's writes are
@@ -18,7 +18,7 @@
         void disconnected();
 
         /** {@code orNull}: null if there is no record. */
-        void read(long question, Entry orNull);
+        void read(long question, VersionedLease orNull);
 
         void written(long question, long version);
 
@@ -46,7 +46,7 @@
     void read(long question);
 
     /** {@code expectedVersion}: -1 for no record there. */
-    void write(long question, long expectedVersion, Entry next);
+    void write(long question, long expectedVersion, VersionedLease next);
 
     /** Joins the line, or leaves it. */
     void line(boolean in);
--- a/sidecar/src/main/java/appleridge/lease/store/WaitingLine.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
@@ -1,6 +1,6 @@
 package appleridge.lease.store;
 
-import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperClientFactory;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
@@ -15,7 +15,7 @@
  * Each watches the one ahead alone, so that an end wakes one and not all. Of one handle, on its
  * keeper's thread.
  */
-final class WaitingLine {
+final class WaiterQueue {
     /** What the line asks of its handle. */
     interface Host {
         /** Whether a place is wanted and the service can be asked. */
@@ -48,7 +48,7 @@
     private boolean again;
     private boolean told;
 
-    WaitingLine(
+    WaiterQueue(
             ZooKeeper client,
             ZooKeeperSettings settings,
             String path,
@@ -149,7 +149,7 @@
         client.create(
                 path + "/" + nonce + "-",
                 holder.getBytes(StandardCharsets.UTF_8),
-                Clients.acl(settings),
+                ZooKeeperClientFactory.acl(settings),
                 CreateMode.EPHEMERAL_SEQUENTIAL,
                 (code, asked, context, name) ->
                         host.then(
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -1,8 +1,8 @@
 package appleridge.lease.store;
 
-import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperClientFactory;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 import appleridge.transport.SystemTime;
 import java.io.IOException;
 import java.util.Comparator;
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void write(long question, long expectedVersion, Entry next) {
+    public void write(long question, long expectedVersion, VersionedLease next) {
         tasks.add(
                 () -> {
                     if (asks(question)) {
@@ -185,9 +185,9 @@
         Handle next = new Handle();
         handle = next;
         try {
-            next.client = Clients.open(settings, next);
+            next.client = ZooKeeperClientFactory.open(settings, next);
             next.line =
-                    new WaitingLine(next.client, settings, folder + "/line", holder, nonce, next);
+                    new WaiterQueue(next.client, settings, folder + "/line", holder, nonce, next);
         } catch (IOException | RuntimeException e) {
             say("the coordination service's client can't start: " + e);
             handle = null;
@@ -233,7 +233,7 @@
             last.closed = true;
             last.apart();
             if (last.client != null) {
-                Clients.close(last.client);
+                ZooKeeperClientFactory.close(last.client);
             }
         }
         for (Long each : Map.copyOf(open).keySet()) {
@@ -276,7 +276,7 @@
         }
     }
 
-    private byte[] bytes(Entry next) {
+    private byte[] bytes(VersionedLease next) {
         if (next.token() != sinceToken) {
             sinceToken = next.token();
             sinceMillis = SystemTime.UNIX_MILLIS.getAsLong();
@@ -292,9 +292,9 @@
     }
 
     /** One handle: a session, for as long as the ensemble keeps it. */
-    private final class Handle implements Watcher, WaitingLine.Host {
+    private final class Handle implements Watcher, WaiterQueue.Host {
         private ZooKeeper client;
-        private WaitingLine line;
+        private WaiterQueue line;
         private boolean ready;
         private boolean closed;
 
@@ -356,7 +356,7 @@
             client.create(
                     path,
                     new byte[0],
-                    Clients.acl(settings),
+                    ZooKeeperClientFactory.acl(settings),
                     CreateMode.PERSISTENT,
                     (code, asked, context, name) ->
                             then(
@@ -436,7 +436,7 @@
                 answer(question, () -> events.read(question, null));
             } else if (code == Code.OK) {
                 try {
-                    Entry entry = LeaseRecord.entry(data, stat.getVersion());
+                    VersionedLease entry = LeaseRecord.entry(data, stat.getVersion());
                     made = stat.getCzxid();
                     answer(question, () -> events.read(question, entry));
                 } catch (IllegalArgumentException e) {
@@ -454,7 +454,7 @@
                 client.create(
                         record,
                         data,
-                        Clients.acl(settings),
+                        ZooKeeperClientFactory.acl(settings),
                         CreateMode.PERSISTENT,
                         (code, path, context, name, stat) ->
                                 then(
--- a/sidecar/src/main/java/appleridge/lease/task/Guarded.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A command under its guardian, seen from {@code task}. On one thread. */
-final class Guarded {
+final class GuardedProcess {
     private static final List<String> FLAGS =
             List.of(
                     "-Xmx24m",
@@ -37,7 +37,7 @@
      *
      * @param nonce marks what the command starts; never used before
      */
-    Guarded(
+    GuardedProcess(
             LeaseClock clock,
             TaskSettings settings,
             String nonce,
--- a/sidecar/src/main/java/appleridge/lease/task/Task.java
+++ b/sidecar/src/main/java/appleridge/lease/task/LeasedTask.java
@@ -1,11 +1,11 @@
 package appleridge.lease.task;
 
-import appleridge.lease.Entry;
 import appleridge.lease.Grant;
 import appleridge.lease.Lease;
 import appleridge.lease.LeaseActions;
-import appleridge.lease.State;
-import appleridge.lease.Why;
+import appleridge.lease.LeaseState;
+import appleridge.lease.TransitionCause;
+import appleridge.lease.VersionedLease;
 import appleridge.lease.store.LeaseClock;
 import appleridge.lease.store.LeaseStore;
 import java.io.IOException;
@@ -22,7 +22,7 @@
  * Seeks a lease and runs a command while it is held, again and again, until the command ends by
  * itself.
  */
-final class Task implements LeaseActions, LeaseStore.Events {
+final class LeasedTask implements LeaseActions, LeaseStore.Events {
     /** As the JVM has it for what nobody caught. */
     static final int FAILED = 1;
 
@@ -55,11 +55,11 @@
 
     private long wakeAt = Long.MAX_VALUE;
     private Grant grant;
-    private Guarded running;
+    private GuardedProcess running;
     private boolean began;
     private boolean terminating;
     private boolean broken;
-    private State toldState = State.RELEASED;
+    private LeaseState toldState = LeaseState.RELEASED;
     private String toldRecord = "";
     private volatile int status = RUNS_ON;
 
@@ -68,7 +68,7 @@
         LeaseStore make(LeaseStore.Events events, Executor executor);
     }
 
-    Task(
+    LeasedTask(
             TaskSettings settings,
             String name,
             String holder,
@@ -140,7 +140,9 @@
                 release();
                 lease.seek(now);
             } else if (grant != null) {
-                running = new Guarded(clock, settings, nonces.get(), name, grant.token(), command);
+                running =
+                        new GuardedProcess(
+                                clock, settings, nonces.get(), name, grant.token(), command);
                 began = false;
             } else {
                 // Without effect unless it was lost.
@@ -210,7 +212,7 @@
 
     /** A line for each change of the record's holder, and of the state. */
     private void say() {
-        Entry seen = lease.seen();
+        VersionedLease seen = lease.seen();
         String record =
                 seen == null
                         ? ""
@@ -224,7 +226,7 @@
             toldRecord = record;
             log.accept("lease " + name + ": record " + record);
         }
-        State state = lease.state();
+        LeaseState state = lease.state();
         if (state != toldState) {
             toldState = state;
             log.accept(
@@ -244,7 +246,7 @@
     }
 
     @Override
-    public void write(long question, long expectedVersion, Entry next) {
+    public void write(long question, long expectedVersion, VersionedLease next) {
         store.write(question, expectedVersion, next);
     }
 
@@ -262,7 +264,7 @@
     }
 
     @Override
-    public void stopNow(Why why) {
+    public void stopNow(TransitionCause why) {
         grant = null;
         if (running != null) {
             running.stop();
@@ -285,7 +287,7 @@
     }
 
     @Override
-    public void read(long question, Entry orNull) {
+    public void read(long question, VersionedLease orNull) {
         lease.read(clock.now(), question, orNull);
     }
 
@@ -317,6 +319,6 @@
     @Override
     public void broken(String why) {
         broken = true;
-        stopNow(Why.TAKEN);
+        stopNow(TransitionCause.TAKEN);
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
@@ -53,8 +53,8 @@
         SecureRandom chance = new SecureRandom();
         String holder = host() + "/" + ProcessHandle.current().pid();
         String place = nonce(chance);
-        Task task =
-                new Task(
+        LeasedTask task =
+                new LeasedTask(
                         settings,
                         arguments.lease(),
                         holder,
@@ -94,7 +94,7 @@
     }
 
     /** Danger: the JVM is ending already, and only its hook can still set the status. */
-    private static void terminate(Task task) {
+    private static void terminate(LeasedTask task) {
         try {
             Runtime.getRuntime().halt(task.terminate());
         } catch (InterruptedException e) {
--- a/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
@@ -1,7 +1,7 @@
 package appleridge.lease.task;
 
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.lease.Terms;
+import appleridge.lease.LeaseParameters;
 
 /**
  * What the operator's file says of tasks; times in nanoseconds.
@@ -10,7 +10,8 @@
  * @param killAfter how long a command has from SIGTERM to SIGKILL
  * @param toKill what is set aside beside it for ending all that a command has started
  */
-public record TaskSettings(ZooKeeperSettings store, Terms terms, long killAfter, long toKill) {
+public record TaskSettings(
+        ZooKeeperSettings store, LeaseParameters terms, long killAfter, long toKill) {
     /** How long before the lease's end the command is told to end. */
     long toEnd() {
         return killAfter + toKill;
--- a/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobin.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
@@ -21,7 +21,7 @@
 
 /**
  * Every decision of one sidecar. Interface, settings, events and actions are in {@code
- * Balancer.java}.
+ * LoadBalancingPolicy.java}.
  *
  * <p>The ordinary path is {@link Pattern#pick}: a randomly drawn fixed order over all ready
  * servers, the less busy of the pointed entry and the next by this sidecar's own in-flight counts.
@@ -29,12 +29,12 @@
  * {@link Admission}) or keeps the books ({@link Ledger}). {@code docs/design.md} says where each
  * departure acts and against what.
  */
-public final class SymmetricRoundRobin implements Balancer {
+public final class SymmetricRoundRobinPolicy implements LoadBalancingPolicy {
     /** No registered size counts for less than this part of the largest. */
     private static final double LEAST = 0.1;
 
-    private final Settings settings;
-    private final Actions actions;
+    private final PolicySettings settings;
+    private final PolicyActions actions;
     private final Random random;
     private final Pattern pattern;
     private final Ledger ledger = new Ledger();
@@ -44,7 +44,7 @@
     private final Alarms alarms = new Alarms();
 
     /** One instance a sidecar: the seed is its only source of chance. */
-    public SymmetricRoundRobin(Settings settings, long seed, Actions actions) {
+    public SymmetricRoundRobinPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
@@ -62,14 +62,14 @@
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
+    public void onEndpointUpdate(long now, UpdateKind kind, List<UpstreamHost> entries) {
         roster.listChanged(now, kind, entries);
         admission.drain(now);
         alarms.flush();
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, RequestInfo request) {
         if (request.requestClass() >= settings.classes().size()) {
             throw new IllegalArgumentException(
                     "request of unknown class " + request.requestClass());
@@ -80,11 +80,12 @@
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
+    public void onResponseStarted(
+            long now, long request, int attempt, long upstream, long elapsed) {
         Call call = ledger.calls.get(request);
         if (call != null && attempt < call.attempts.size()) {
             call.streaming = true;
-            if (!call.kind.stream()) {
+            if (!call.kind.streaming()) {
                 ledger.begun(now, call, call.attempts.get(attempt), elapsed >= 0);
                 admission.drain(now);
                 alarms.flush();
@@ -93,7 +94,7 @@
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -108,7 +109,7 @@
     }
 
     @Override
-    public void hangup(long now, long request) {
+    public void onClientDisconnected(long now, long request) {
         Call call = ledger.calls.get(request);
         if (call != null) {
             ledger.close(call);
@@ -116,12 +117,12 @@
     }
 
     @Override
-    public void peerMessage(long now, int from, byte[] message) {
+    public void onGossip(long now, int from, byte[] message) {
         health.heard(now, message);
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void onTimer(long now, long token) {
         alarms.ring(now, token);
         admission.drain(now);
         alarms.flush();
@@ -208,7 +209,7 @@
         private void divide() {
             List<Server> ready = roster.ready;
             roster.servers.values().stream()
-                    .filter(s -> s.entry.state() != State.READY)
+                    .filter(s -> s.entry.state() != HostState.READY)
                     .forEach(s -> s.near = false);
             int from = (int) (place * ready.size());
             for (int i = 0; i < ready.size(); i++) {
@@ -216,7 +217,7 @@
                 boolean was = server.near;
                 server.near = i < width;
                 if (was && !server.near && server.inFlight == 0) {
-                    actions.closeIdle(server.id);
+                    actions.closeIdleConnections(server.id);
                 }
             }
             near.over(order.stream().filter(server -> server.near).toList());
@@ -357,7 +358,7 @@
     /** What is known of one upstream. */
     private static final class Server {
         final long id;
-        Upstream entry;
+        UpstreamHost entry;
         int inFlight;
         long coldUntil;
         double coldCredit = Double.NaN;
@@ -383,7 +384,7 @@
         /** Among those that this sidecar usually asks. */
         boolean near;
 
-        Server(Upstream entry, long now, double window) {
+        Server(UpstreamHost entry, long now, double window) {
             this.trouble = new FadingSum(window);
             this.id = entry.id();
             this.entry = entry;
@@ -414,7 +415,7 @@
     }
 
     private static final class Call {
-        final Request request;
+        final RequestInfo request;
         final RequestClass kind;
         final long deadline;
         final long aim;
@@ -425,17 +426,19 @@
         boolean streaming;
         double expected;
 
-        Call(Request request, RequestClass kind, long now, long elapsed) {
+        Call(RequestInfo request, RequestClass kind, long now, long elapsed) {
             this.request = request;
             this.kind = kind;
-            this.deadline = now + request.timeLeft();
+            this.deadline = now + request.remainingNanos();
             // Where a late answer keeps half its worth or more, only the deadline makes it
             // worthless.
-            double stretched = kind.aim() + kind.aimStretch() * request.costHint();
-            boolean keeps = kind.lateShare() >= 0.5;
-            this.aim = (long) Math.min(stretched, kind.deadline());
-            long worthless = keeps ? kind.deadline() : aim;
-            this.aimAt = now - elapsed + Math.min(request.timeLeft() + elapsed, worthless);
+            double stretched =
+                    kind.latencyObjectiveNanos()
+                            + kind.objectiveStretch() * request.costHintNanos();
+            boolean keeps = kind.lateValueFraction() >= 0.5;
+            this.aim = (long) Math.min(stretched, kind.deadlineNanos());
+            long worthless = keeps ? kind.deadlineNanos() : aim;
+            this.aimAt = now - elapsed + Math.min(request.remainingNanos() + elapsed, worthless);
         }
 
         /** Whether the last attempt is out; there is never more than one. */
@@ -448,7 +451,7 @@
     private final class Ledger {
         private final Map<Long, Call> calls = new HashMap<>();
 
-        Call open(long now, Request request) {
+        Call open(long now, RequestInfo request) {
             Call call =
                     new Call(
                             request,
@@ -459,7 +462,7 @@
             call.expected =
                     Math.max(
                             call.aim / 1000.0,
-                            health.usual[request.requestClass()].expected(request.costHint()));
+                            health.usual[request.requestClass()].expected(request.costHintNanos()));
             calls.put(request.id(), call);
             roster.asked.add(now, call.expected);
             pattern.fit(now);
@@ -485,16 +488,18 @@
                     || call.streaming
                     || now >= call.deadline
                     || call.waiting()
-                    || call.attempts.size() >= settings.allowed().tryLimit()) {
+                    || call.attempts.size() >= settings.capabilities().maxAttempts()) {
                 return false;
             }
             Attempt doubt = firstDoubt(call);
             return doubt == null
-                    || switch (call.kind.semantics()) {
-                        case REPEATABLE -> true;
-                        case ONCE -> false;
+                    || switch (call.kind.idempotency()) {
+                        case IDEMPOTENT -> true;
+                        case NON_IDEMPOTENT -> false;
                         // One quantum is kept back: the send takes effect at the end of this batch.
-                        case BY_KEY -> now + settings.quantum() < doubt.sentAt + call.kind.keyTtl();
+                        case IDEMPOTENT_BY_KEY ->
+                                now + settings.clockGranularityNanos()
+                                        < doubt.sentAt + call.kind.idempotencyKeyTtlNanos();
                     };
         }
 
@@ -504,11 +509,11 @@
                 return false;
             }
             Attempt doubt = firstDoubt(call);
-            if (doubt == null || call.kind.semantics() != Semantics.BY_KEY) {
+            if (doubt == null || call.kind.idempotency() != Idempotency.IDEMPOTENT_BY_KEY) {
                 return true;
             }
-            Upstream first = doubt.server.entry;
-            return switch (call.kind.scope()) {
+            UpstreamHost first = doubt.server.entry;
+            return switch (call.kind.deduplicationScope()) {
                 case ALL -> true;
                 case ZONE -> first.zone() == server.entry.zone();
                 case CELL -> first.cell() == server.entry.cell();
@@ -523,7 +528,7 @@
             roster.charge(now, server, call);
             server.inFlight++;
             health.tried(now, server);
-            actions.send(call.request.id(), server.id, 0);
+            actions.sendAttempt(call.request.id(), server.id, 0);
             health.watch(call, attempt, health.lateAfter(call));
             health.watchCrowd(call, attempt);
         }
@@ -554,7 +559,7 @@
             }
             Attempt attempt = call.attempts.get(number);
             attempt.out = false;
-            attempt.mayHaveRun = !outcome.provesNeverRan();
+            attempt.mayHaveRun = !outcome.provesNotExecuted();
             Server server = attempt.server;
             if (attempt.begun) {
                 if (outcome == Outcome.RESET) {
@@ -590,7 +595,7 @@
         /** A connection beyond what lies near is used too seldom to keep its place. */
         private void closeIfFar(Server server) {
             if (server.inFlight == 0 && !server.near) {
-                actions.closeIdle(server.id);
+                actions.closeIdleConnections(server.id);
             }
         }
 
@@ -604,13 +609,15 @@
             }
             boolean harmless =
                     firstDoubt(call) == null
-                            || call.kind.semantics() == Semantics.REPEATABLE
-                            || call.kind.semantics() == Semantics.BY_KEY
-                                    && call.kind.scope() == Scope.ALL;
+                            || call.kind.idempotency() == Idempotency.IDEMPOTENT
+                            || call.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                    && call.kind.deduplicationScope() == DeduplicationScope.ALL;
             if (harmless) {
                 long longest =
-                        settings.allowed().retryAfter() ? settings.allowed().maxRetryAfter() : 0;
-                actions.refuse(call.request.id(), Math.min(longest, call.aim / 2));
+                        settings.capabilities().retryAfter()
+                                ? settings.capabilities().maxRetryAfterNanos()
+                                : 0;
+                actions.reject(call.request.id(), Math.min(longest, call.aim / 2));
             } else {
                 actions.fail(call.request.id());
             }
@@ -621,8 +628,11 @@
          * Nothing is sent for a closed request; its outstanding attempt still counts as in flight.
          */
         void close(Call call) {
-            if (!call.closed && call.waiting() && !call.streaming && settings.allowed().cancel()) {
-                actions.cancel(call.request.id(), call.attempts.size() - 1);
+            if (!call.closed
+                    && call.waiting()
+                    && !call.streaming
+                    && settings.capabilities().cancellation()) {
+                actions.cancelAttempt(call.request.id(), call.attempts.size() - 1);
             }
             call.closed = true;
             admission.release(call);
@@ -647,9 +657,11 @@
         private long asks;
 
         /** What was answered, and what was asked for, over about a ramp time. */
-        private final FadingSum served = new FadingSum(Math.max(1, settings.limits().rampTime()));
+        private final FadingSum served =
+                new FadingSum(Math.max(1, settings.safetyLimits().slowStartWindowNanos()));
 
-        private final FadingSum asked = new FadingSum(Math.max(1, settings.limits().rampTime()));
+        private final FadingSum asked =
+                new FadingSum(Math.max(1, settings.safetyLimits().slowStartWindowNanos()));
         private DoubleSummaryStatistics sizes = new DoubleSummaryStatistics();
         private long startedAt;
 
@@ -657,9 +669,9 @@
         private long warmFrom;
 
         void follow(long now) {
-            if (settings.discovery() == Discovery.SUBSCRIBE) {
+            if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBED) {
                 actions.subscribe(true);
-                followAgain(now + settings.limits().askWithin() / 2);
+                followAgain(now + settings.safetyLimits().pollIntervalNanos() / 2);
             }
         }
 
@@ -674,47 +686,57 @@
                     });
         }
 
-        void listChanged(long now, ListKind kind, List<Upstream> entries) {
-            if (kind == ListKind.FAILED) {
+        void listChanged(long now, UpdateKind kind, List<UpstreamHost> entries) {
+            if (kind == UpdateKind.FAILURE) {
                 // Danger: a broken subscription is silent from now on, and sidecars whose calls
                 // failed
                 // together would hammer discovery together: backs off, with jitter.
                 if (retryWait == 0) {
                     actions.log("list lost: the last one stays in force, asking again");
                 }
-                long base = Math.max(settings.quantum(), settings.limits().askWithin() / 40);
+                long base =
+                        Math.max(
+                                settings.clockGranularityNanos(),
+                                settings.safetyLimits().pollIntervalNanos() / 40);
                 retryWait =
-                        Math.max(base, Math.min(retryWait * 2, settings.limits().askWithin() / 2));
+                        Math.max(
+                                base,
+                                Math.min(
+                                        retryWait * 2,
+                                        settings.safetyLimits().pollIntervalNanos() / 2));
                 followAgain(now + retryWait / 2 + random.nextLong(retryWait / 2 + 1));
                 return;
             }
-            if (kind != ListKind.CACHED) {
+            if (kind != UpdateKind.CACHED_SNAPSHOT) {
                 asks++;
                 retryWait = 0;
             }
-            Set<Long> missing = new TreeSet<>(kind == ListKind.DELTA ? Set.of() : servers.keySet());
+            Set<Long> missing =
+                    new TreeSet<>(kind == UpdateKind.DELTA ? Set.of() : servers.keySet());
             boolean changed = false;
-            for (Upstream entry : entries) {
+            for (UpstreamHost entry : entries) {
                 missing.remove(entry.id());
                 changed |= update(now, entry);
             }
             for (long id : missing) {
                 Server server = servers.get(id);
-                changed |= server.entry.state() == State.READY;
-                server.entry = server.entry.gone();
+                changed |= server.entry.state() == HostState.READY;
+                server.entry = server.entry.asGone();
             }
             // Danger: upstreams are replaced as long as the sidecar runs; records of the gone would
             // pile up.
-            servers.values().removeIf(s -> s.entry.state() == State.GONE && s.inFlight == 0);
+            servers.values().removeIf(s -> s.entry.state() == HostState.GONE && s.inFlight == 0);
             if (changed) {
                 ready =
                         servers.values().stream()
-                                .filter(s -> s.entry.state() == State.READY)
+                                .filter(s -> s.entry.state() == HostState.READY)
                                 .toList();
                 warmFrom = ready.stream().mapToLong(s -> s.coldUntil).min().orElse(0);
                 // Live weights are load reports, which have no say in turns.
                 sizes =
-                        (settings.weights() == Weights.LIVE ? Stream.<Server>of() : ready.stream())
+                        (settings.weightKind() == WeightKind.LIVE
+                                        ? Stream.<Server>of()
+                                        : ready.stream())
                                 .mapToDouble(Server::size)
                                 .summaryStatistics();
                 ready.forEach(s -> s.turns = random.nextDouble());
@@ -723,22 +745,24 @@
         }
 
         /** Takes one line over; true if the set of ready servers changed. */
-        private boolean update(long now, Upstream entry) {
+        private boolean update(long now, UpstreamHost entry) {
             Server server = servers.get(entry.id());
-            boolean wasReady = server != null && server.entry.state() == State.READY;
+            boolean wasReady = server != null && server.entry.state() == HostState.READY;
             // A restarted process shares nothing with the one before: not its load, nor its faults.
-            boolean fresh = server == null || entry.startedAt() > server.entry.startedAt();
+            boolean fresh =
+                    server == null || entry.startedAtNanos() > server.entry.startedAtNanos();
             if (fresh) {
                 server = new Server(entry, now, health.window);
                 server.spareAt = now + (long) (pattern.place * spareInterval());
                 servers.put(entry.id(), server);
                 server.coldUntil =
-                        entry.startedAt() == 0
+                        entry.startedAtNanos() == 0
                                 ? 0
-                                : entry.startedAt() + settings.limits().rampTime();
+                                : entry.startedAtNanos()
+                                        + settings.safetyLimits().slowStartWindowNanos();
             }
             server.entry = entry;
-            boolean isReady = entry.state() == State.READY;
+            boolean isReady = entry.state() == HostState.READY;
             return wasReady != isReady || fresh && isReady;
         }
 
@@ -758,15 +782,18 @@
             if (!server.near && now >= warmFrom) {
                 return false;
             }
-            double passed = 1 - (server.coldUntil - now) / (double) settings.limits().rampTime();
-            double cold = settings.limits().coldShare();
+            double passed =
+                    1
+                            - (server.coldUntil - now)
+                                    / (double) settings.safetyLimits().slowStartWindowNanos();
+            double cold = settings.safetyLimits().slowStartMinFraction();
             double share = cold + (1 - cold) * Math.max(0, Math.min(1, passed));
-            double factor = Math.max(1, settings.limits().overloadFactor() / 2);
+            double factor = Math.max(1, settings.safetyLimits().overloadFactor() / 2);
             double rate = comparable(now, server) * share * factor;
             if (Double.isNaN(server.coldCredit)) {
                 server.coldCredit = -random.nextDouble() * call.expected;
             }
-            double most = rate * settings.limits().tipAfter() / 2;
+            double most = rate * settings.safetyLimits().overloadWindowNanos() / 2;
             server.coldCredit = Math.min(most, server.coldCredit + rate * (now - server.coldAt));
             server.coldAt = now;
             return server.coldCredit >= (own && random.nextDouble() < share ? -call.expected : 0)
@@ -793,7 +820,8 @@
          * sidecars.
          */
         private long spareInterval() {
-            return (long) (settings.replicas() * settings.limits().tipAfter() / SPARE);
+            return (long)
+                    (settings.replicas() * settings.safetyLimits().overloadWindowNanos() / SPARE);
         }
 
         /**
@@ -808,7 +836,7 @@
             // A fleet that is cold as a whole is asked as a whole: what lies near can't do all of
             // it.
             double part = now < warmFrom ? 1.0 / ready.size() : pattern.evenness() / pattern.size();
-            return all * part / settings.limits().rampTime() * size;
+            return all * part / settings.safetyLimits().slowStartWindowNanos() * size;
         }
 
         /**
@@ -922,18 +950,25 @@
         private final Usual[] usual = new Usual[settings.classes().size()];
 
         private final long firstBackoff =
-                settings.classes().stream().mapToLong(c -> c.aim()).min().orElse(1);
+                settings.classes().stream()
+                        .mapToLong(c -> c.latencyObjectiveNanos())
+                        .min()
+                        .orElse(1);
 
         /** Two of the longest aims: a late answer is still counted when the next ones come. */
         private final double window =
-                4.0 * settings.classes().stream().mapToLong(c -> c.aim()).max().orElse(1);
+                4.0
+                        * settings.classes().stream()
+                                .mapToLong(c -> c.latencyObjectiveNanos())
+                                .max()
+                                .orElse(1);
 
         private final FadingSum trouble = new FadingSum(window);
         private double noteTokens;
 
         Health() {
             for (int i = 0; i < usual.length; i++) {
-                usual[i] = new Usual(settings.classes().get(i).aim() / 10.0);
+                usual[i] = new Usual(settings.classes().get(i).latencyObjectiveNanos() / 10.0);
             }
         }
 
@@ -960,7 +995,7 @@
             Usual usual = this.usual[call.request.requestClass()];
             double late =
                     Math.max(LATE * call.aim, usual.calm <= usual.mean ? calms * calm(call) : 0);
-            return Math.max(Math.max(1, settings.quantum()), (long) late);
+            return Math.max(Math.max(1, settings.clockGranularityNanos()), (long) late);
         }
 
         private double calm(Call call) {
@@ -1005,10 +1040,10 @@
          */
         private void note(long now, Server server, int weight) {
             count(now, server, weight);
-            if (noteTokens >= 1 && settings.allowed().peers() && settings.replicas() > 1) {
+            if (noteTokens >= 1 && settings.capabilities().gossip() && settings.replicas() > 1) {
                 noteTokens--;
                 byte[] note = ByteBuffer.allocate(NOTE).putLong(server.id << 16 | weight).array();
-                actions.tell(Actions.ALL_PEERS, note);
+                actions.sendGossip(PolicyActions.ALL_PEERS, note);
             }
         }
 
@@ -1116,7 +1151,7 @@
             switch (outcome) {
                 case OK ->
                         usual[call.request.requestClass()].learn(
-                                now - attempt.sentAt, call.request.costHint());
+                                now - attempt.sentAt, call.request.costHintNanos());
                 case CONNECT_FAILED -> {
                     if (server.nextTrial == 0) {
                         actions.log("upstream " + server.id + " shut out: no connection");
@@ -1146,7 +1181,7 @@
         private long skippedAt;
 
         Share(Tenant tenant, double window, double longer) {
-            this.portion = tenant.portion();
+            this.portion = tenant.fairShare();
             this.quota = tenant.quotaPerSecond() > 0 ? tenant.quotaPerSecond() : 1;
             this.spent = new FadingSum(window);
             this.asked = new FadingSum(longer);
@@ -1212,7 +1247,9 @@
                 // Four aims: long against answers, short against a burst of some seconds.
                 shares[i] =
                         new Share(
-                                tenant, 4.0 * settings.classes().get(0).aim(), roster.asked.window);
+                                tenant,
+                                4.0 * settings.classes().get(0).latencyObjectiveNanos(),
+                                roster.asked.window);
             }
         }
 
@@ -1221,10 +1258,10 @@
          * deadline left, the commonest (until two of three differ); any other value tells the time
          * spent.
          */
-        long elapsed(Request request) {
+        long elapsed(RequestInfo request) {
             int kind = request.requestClass();
-            long left = request.timeLeft();
-            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.quantum()) {
+            long left = request.remainingNanos();
+            if (Math.abs(left - firstLeft[kind]) <= 2 * settings.clockGranularityNanos()) {
                 firstVotes[kind] = Math.min(firstVotes[kind] + 2, MANY_VOTES);
                 return 0;
             }
@@ -1233,7 +1270,7 @@
                 firstVotes[kind] = 0;
                 return 0;
             }
-            return Math.max(0, settings.classes().get(kind).deadline() - left);
+            return Math.max(0, settings.classes().get(kind).deadlineNanos() - left);
         }
 
         /** Sends a request now, or holds it while it can still be answered within its aim. */
@@ -1282,7 +1319,7 @@
             if (attempt.crowd == 0 && health.share(now, attempt.server) > 0.5) {
                 inTime = 0;
                 ease(now);
-                move(-CUT * Math.min(1, admitted) * (1 - call.kind.lateShare()));
+                move(-CUT * Math.min(1, admitted) * (1 - call.kind.lateValueFraction()));
             }
         }
 
@@ -1328,7 +1365,8 @@
             if (!drainSet) {
                 drainSet = true;
                 alarms.set(
-                        now + Math.max(settings.quantum(), call.aim / 50), at -> drainSet = false);
+                        now + Math.max(settings.clockGranularityNanos(), call.aim / 50),
+                        at -> drainSet = false);
             }
         }
 
@@ -1453,7 +1491,7 @@
         void flush() {
             if (!queue.isEmpty() && (timers.isEmpty() || queue.peek().at < timers.peek().at)) {
                 timers.push(new Timer(++lastToken, queue.peek().at));
-                actions.timer(lastToken, queue.peek().at);
+                actions.setTimer(lastToken, queue.peek().at);
             }
         }
 
--- a/sidecar/src/main/java/appleridge/loadbalancing/package-info.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions of a client-side load balancer: {@link appleridge.loadbalancing.Balancer} is the
- * interface.
+ * Decisions of a client-side load balancer: {@link appleridge.loadbalancing.LoadBalancingPolicy} is
+ * the interface.
  */
 package appleridge.loadbalancing;
--- a/sidecar/src/main/java/appleridge/request/Attempt.java
+++ b/sidecar/src/main/java/appleridge/request/Attempt.java
@@ -1,20 +1,20 @@
 package appleridge.request;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 
 /** One attempt of a request; its numbers count up from 0 within the request. */
 final class Attempt {
-    final Call call;
+    final PendingRequest call;
     final int number;
     final long upstream;
     final long sentAt;
-    final Window window;
-    Upstreams.Sending sending;
-    Timers.Timer timer;
+    final SendDeadlines window;
+    UpstreamTransport.AttemptHandle sending;
+    Scheduler.ScheduledTask timer;
     boolean done;
     private Outcome outcome;
 
-    Attempt(Call call, int number, long upstream, long sentAt, Window window) {
+    Attempt(PendingRequest call, int number, long upstream, long sentAt, SendDeadlines window) {
         this.call = call;
         this.number = number;
         this.upstream = upstream;
@@ -31,6 +31,6 @@
     }
 
     boolean mayHaveRun() {
-        return done ? !outcome.provesNeverRan() : sending != null && sending.committed();
+        return done ? !outcome.provesNotExecuted() : sending != null && sending.committed();
     }
 }
--- a/sidecar/src/main/java/appleridge/request/ClientRequest.java
+++ b/sidecar/src/main/java/appleridge/request/ClientRequest.java
@@ -20,9 +20,9 @@
         long key,
         long costHint,
         boolean retry,
-        Outgoing message) {
+        UpstreamRequest message) {
     /** The same with something else to be sent on. */
-    public ClientRequest with(Outgoing other) {
+    public ClientRequest with(UpstreamRequest other) {
         return new ClientRequest(
                 name, arrived, patience, requestClass, tenant, key, costHint, retry, other);
     }
--- a/sidecar/src/main/java/appleridge/request/Lists.java
+++ b/sidecar/src/main/java/appleridge/request/EndpointSubscription.java
@@ -2,9 +2,9 @@
 
 /**
  * What the decision module asks of the source of the list; answered by {@link
- * Exchanges#listChanged}.
+ * RequestCoordinator#listChanged}.
  */
-public interface Lists {
+public interface EndpointSubscription {
     /** Follows the list, or ends that. */
     void subscribe(boolean on);
 
--- a/sidecar/src/main/java/appleridge/request/Log.java
+++ b/sidecar/src/main/java/appleridge/request/EventLog.java
@@ -3,7 +3,7 @@
 import java.util.function.Supplier;
 
 /** Where a sidecar's life is written down. */
-public interface Log {
+public interface EventLog {
     /** A line for operators. */
     void news(String line);
 
--- a/sidecar/src/main/java/appleridge/request/Books.java
+++ b/sidecar/src/main/java/appleridge/request/InFlightCounts.java
@@ -8,4 +8,4 @@
  * @param calls requests of which anything is still kept
  * @param names ids under which a request is open
  */
-public record Books(int open, int attempts, int calls, int names) {}
+public record InFlightCounts(int open, int attempts, int calls, int names) {}
--- a/sidecar/src/main/java/appleridge/request/Time.java
+++ b/sidecar/src/main/java/appleridge/request/MonotonicClock.java
@@ -1,7 +1,7 @@
 package appleridge.request;
 
 /** The one clock of a sidecar. */
-public interface Time {
+public interface MonotonicClock {
     /** Nanoseconds on a clock that never runs back; its zero has no meaning. */
     long now();
 }
--- a/sidecar/src/main/java/appleridge/request/Call.java
+++ b/sidecar/src/main/java/appleridge/request/PendingRequest.java
@@ -1,17 +1,17 @@
 package appleridge.request;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A request that is held, or whose attempts are not all over. */
-final class Call {
+final class PendingRequest {
     final long id;
     final ClientRequest request;
-    final Front client;
+    final ResponseSink client;
     final long deadline;
     final List<Attempt> attempts = new ArrayList<>(2);
-    Timers.Timer backstop;
+    Scheduler.ScheduledTask backstop;
     Outcome last;
 
     /** The attempt whose answer is on the way to the client in pieces; null while there is none. */
@@ -23,7 +23,7 @@
     int out;
     boolean over;
 
-    Call(long id, ClientRequest request, Front client, long deadline) {
+    PendingRequest(long id, ClientRequest request, ResponseSink client, long deadline) {
         this.id = id;
         this.request = request;
         this.client = client;
--- a/sidecar/src/main/java/appleridge/request/Exchanges.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
@@ -1,15 +1,15 @@
 package appleridge.request;
 
-import appleridge.loadbalancing.Balancer;
-import appleridge.loadbalancing.Balancer.Actions;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.Request;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.LoadBalancingPolicy;
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.PolicyActions;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.loadbalancing.RequestInfo;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
  * final answer and the module one outcome for each send. Everything runs on one thread, and time
  * comes in from outside.
  */
-public final class Exchanges implements Actions {
+public final class RequestCoordinator implements PolicyActions {
     /**
      * For so long at most requests wait, after the thread stood still for longer than drains allow,
      * for word of what the list has come to meanwhile.
@@ -34,23 +34,23 @@
 
     private static final float[] NO_LOAD = {};
 
-    private final Time time;
-    private final Timers timers;
-    private final Settings settings;
+    private final MonotonicClock time;
+    private final Scheduler timers;
+    private final PolicySettings settings;
     private final int maxOpen;
     private final EventLoopStallGuard guard;
-    private final Upstreams upstreams;
-    private final Log log;
+    private final UpstreamTransport upstreams;
+    private final EventLog log;
     private final RequestLog requestLog;
-    private final Balancer balancer;
-    private final Map<Long, Call> calls = new HashMap<>();
+    private final LoadBalancingPolicy balancer;
+    private final Map<Long, PendingRequest> calls = new HashMap<>();
 
     /** The clients' own ids of the requests that are open. */
     private final Set<String> names = new HashSet<>();
 
     private final Map<Long, Endpoint> endpoints = new HashMap<>();
     private final Set<Long> ready = new HashSet<>();
-    private Lists lists;
+    private EndpointSubscription lists;
     private long lastId;
     private int open;
     private int out;
@@ -63,9 +63,9 @@
      */
     private List<Runnable> unheard;
 
-    private Timers.Timer listAwaited;
+    private Scheduler.ScheduledTask listAwaited;
     private long endsAt = Long.MAX_VALUE;
-    private Tally tally = Tally.NONE;
+    private RequestMetrics tally = RequestMetrics.NONE;
 
     /** Events from outside that have been handled. */
     private long events;
@@ -79,19 +79,19 @@
      * @param maxOpen requests that may be open at once
      * @param module given the actions, makes the decision module
      */
-    public Exchanges(
-            Time time,
-            Timers timers,
-            Settings settings,
+    public RequestCoordinator(
+            MonotonicClock time,
+            Scheduler timers,
+            PolicySettings settings,
             int maxOpen,
-            Upstreams upstreams,
-            Log log,
-            Function<Actions, Balancer> module) {
+            UpstreamTransport upstreams,
+            EventLog log,
+            Function<PolicyActions, LoadBalancingPolicy> module) {
         this.time = time;
         this.timers = timers;
         this.settings = settings;
         this.maxOpen = maxOpen;
-        this.guard = new EventLoopStallGuard(time.now(), settings.limits().drainGrace());
+        this.guard = new EventLoopStallGuard(time.now(), settings.safetyLimits().drainGraceNanos());
         this.upstreams = upstreams;
         this.log = log;
         this.requestLog = new RequestLog(time, log);
@@ -99,7 +99,10 @@
     }
 
     /** Begins with the list as last known. */
-    public void start(Lists source, List<Upstream> cached, Map<Long, InetSocketAddress> listed) {
+    public void start(
+            EndpointSubscription source,
+            List<UpstreamHost> cached,
+            Map<Long, InetSocketAddress> listed) {
         lists = source;
         if (!source.isCaughtUp()) {
             // Danger: what is known from before the start may be long out of date, and requests
@@ -107,14 +110,14 @@
             awaitList();
         }
         tell(() -> balancer.start(time.now()));
-        listChanged(ListKind.CACHED, cached, listed);
+        listChanged(UpdateKind.CACHED_SNAPSHOT, cached, listed);
     }
 
     /** News of the list, and where its upstreams listen. */
     public void listChanged(
-            ListKind kind, List<Upstream> entries, Map<Long, InetSocketAddress> listed) {
+            UpdateKind kind, List<UpstreamHost> entries, Map<Long, InetSocketAddress> listed) {
         Set<Long> noLonger = new HashSet<>();
-        if (kind == ListKind.FULL || kind == ListKind.CACHED) {
+        if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             noLonger.addAll(endpoints.keySet());
             noLonger.removeAll(listed.keySet());
         }
@@ -126,30 +129,30 @@
                         upstreams.closeIdle(before);
                     }
                 });
-        for (Upstream entry : entries) {
-            if (entry.state() == State.READY) {
+        for (UpstreamHost entry : entries) {
+            if (entry.state() == HostState.READY) {
                 ready.add(entry.id());
             } else {
                 ready.remove(entry.id());
-                closeIdle(entry.id());
+                closeIdleConnections(entry.id());
             }
-            if (entry.state() == State.GONE) {
+            if (entry.state() == HostState.GONE) {
                 noLonger.add(entry.id());
             }
         }
         // Danger: upstreams come and go as long as the sidecar runs; what is kept of them must not
         // pile up.
         for (long id : noLonger) {
-            closeIdle(id);
+            closeIdleConnections(id);
             ready.remove(id);
             endpoints.remove(id);
         }
         // Danger: what a tick takes in is newer than this, and would be told to the module ahead of
         // it.
-        tell(() -> balancer.listChanged(time.now(), kind, entries));
+        tell(() -> balancer.onEndpointUpdate(time.now(), kind, entries));
         callOffWhatHasNotBegun();
         reconcile();
-        if (kind != ListKind.FAILED && lists.isCaughtUp()) {
+        if (kind != UpdateKind.FAILURE && lists.isCaughtUp()) {
             hear();
         }
     }
@@ -160,7 +163,7 @@
      */
     private void callOffWhatHasNotBegun() {
         List<Attempt> late = new ArrayList<>();
-        for (Call call : calls.values()) {
+        for (PendingRequest call : calls.values()) {
             for (Attempt attempt : call.attempts) {
                 if (!attempt.done
                         && attempt.sending != null
@@ -188,7 +191,10 @@
 
     /** The longest that a client waits, in nanoseconds. */
     public long longestDeadline() {
-        return settings.classes().stream().mapToLong(RequestClass::deadline).max().orElseThrow();
+        return settings.classes().stream()
+                .mapToLong(RequestClass::deadlineNanos)
+                .max()
+                .orElseThrow();
     }
 
     /**
@@ -202,7 +208,7 @@
 
     /** Answers what is still open; what has begun to flow has to end by itself. */
     private void giveUpOpen() {
-        for (Call call : List.copyOf(calls.values())) {
+        for (PendingRequest call : List.copyOf(calls.values())) {
             if (!call.over && call.answering == null && !call.letGo) {
                 giveUp(call);
             }
@@ -210,12 +216,12 @@
     }
 
     /** From now on it is counted here what becomes of requests. */
-    public void tally(Tally counts) {
+    public void tally(RequestMetrics counts) {
         tally = counts;
     }
 
     /** Where it is counted. */
-    public Tally tally() {
+    public RequestMetrics tally() {
         return tally;
     }
 
@@ -230,8 +236,8 @@
     }
 
     /** What is open. */
-    public Books books() {
-        return new Books(open, out, calls.size(), names.size());
+    public InFlightCounts books() {
+        return new InFlightCounts(open, out, calls.size(), names.size());
     }
 
     /**
@@ -253,7 +259,7 @@
         events++;
         guard.observe(time.now());
         boolean stalled = guard.isStalled();
-        if (stalled && guard.gap() > settings.limits().drainGrace() && unheard == null) {
+        if (stalled && guard.gap() > settings.safetyLimits().drainGraceNanos() && unheard == null) {
             requestLog.deferred(true, open, guard.gap());
             awaitList();
         }
@@ -276,7 +282,7 @@
      */
     private void lookAfterClients() {
         clientChecks++;
-        for (Call call : List.copyOf(calls.values())) {
+        for (PendingRequest call : List.copyOf(calls.values())) {
             if (!call.over) {
                 call.client.look();
             }
@@ -298,26 +304,26 @@
     }
 
     /** Takes a request over; what is returned is to be run when its client leaves. */
-    public Runnable accept(ClientRequest request, Front client) {
+    public Runnable accept(ClientRequest request, ResponseSink client) {
         reconcile();
         tally.taken(request.requestClass());
         if (open >= maxOpen) {
             // Nothing was sent for it, so that a repeat is harmless.
-            tally.ended(request.requestClass(), Tally.End.REFUSED);
+            tally.ended(request.requestClass(), RequestMetrics.RequestEnd.REFUSED);
             client.refused(0);
             return () -> {};
         }
         // Danger: two requests under one id are one to an upstream, and an answer could go to
         // either.
         if (!names.add(request.name())) {
-            tally.ended(request.requestClass(), Tally.End.FAILED);
-            client.failed(Front.Cause.ID_IN_USE);
+            tally.ended(request.requestClass(), RequestMetrics.RequestEnd.FAILED);
+            client.failed(ResponseSink.FailureCause.ID_IN_USE);
             return () -> {};
         }
         // Time for the answer to reach the client before it gives up.
-        long margin = Math.min(settings.quantum(), request.patience() / 4);
-        Call call =
-                new Call(
+        long margin = Math.min(settings.clockGranularityNanos(), request.patience() / 4);
+        PendingRequest call =
+                new PendingRequest(
                         ++lastId,
                         request,
                         client,
@@ -326,7 +332,9 @@
         open++;
         // Danger: an error in the module must not keep a client waiting for ever.
         call.backstop =
-                timers.at(call.deadline + settings.limits().answerSlack() / 2, () -> giveUp(call));
+                timers.at(
+                        call.deadline + settings.safetyLimits().answerSlackNanos() / 2,
+                        () -> giveUp(call));
         if (unheard == null) {
             hear(call);
         } else {
@@ -351,15 +359,15 @@
         }
     }
 
-    private void hear(Call call) {
+    private void hear(PendingRequest call) {
         tell(
                 () -> {
                     if (!call.over) {
                         ClientRequest request = call.request;
                         long now = time.now();
-                        balancer.request(
+                        balancer.onRequest(
                                 now,
-                                new Request(
+                                new RequestInfo(
                                         call.id,
                                         request.requestClass(),
                                         request.tenant(),
@@ -373,21 +381,21 @@
     }
 
     /** The module has not answered in time: nothing more is to be done for it there either. */
-    private void giveUp(Call call) {
+    private void giveUp(PendingRequest call) {
         reconcile();
-        fail(call, Front.Cause.LATE);
+        fail(call, ResponseSink.FailureCause.LATE);
         callOffWhatNobodyWaitsFor(call);
         callOffWhatTheModuleLeaves(call);
-        tell(() -> balancer.hangup(time.now(), call.id));
+        tell(() -> balancer.onClientDisconnected(time.now(), call.id));
     }
 
-    private void hangUp(Call call) {
+    private void hangUp(PendingRequest call) {
         reconcile();
         if (!call.over) {
-            end(call, Tally.End.LEFT);
+            end(call, RequestMetrics.RequestEnd.LEFT);
             callOffWhatNobodyWaitsFor(call);
             callOffWhatTheModuleLeaves(call);
-            tell(() -> balancer.hangup(time.now(), call.id));
+            tell(() -> balancer.onClientDisconnected(time.now(), call.id));
         }
     }
 
@@ -412,8 +420,8 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
-        Call call = calls.get(request);
+    public void sendAttempt(long request, long upstream, long timeout) {
+        PendingRequest call = calls.get(request);
         if (call == null) {
             log.failure("the module sends for a request that is not held: " + request, null);
             return;
@@ -427,7 +435,8 @@
                         call.attempts.size(),
                         upstream,
                         now,
-                        new Window(Math.min(until, repeatableUntil), repeatableUntil, until));
+                        new SendDeadlines(
+                                Math.min(until, repeatableUntil), repeatableUntil, until));
         call.attempts.add(attempt);
         out++;
         call.out++;
@@ -435,7 +444,7 @@
         if (call.over
                 || until <= now
                 || endpoint == null
-                || attempt.number >= settings.allowed().tryLimit()) {
+                || attempt.number >= settings.capabilities().maxAttempts()) {
             timers.soon(() -> ended(attempt, Outcome.NEVER_SENT, null));
             return;
         }
@@ -445,7 +454,7 @@
                         endpoint,
                         call.request.message(),
                         attempt.window,
-                        new Upstreams.Listener() {
+                        new UpstreamTransport.AttemptListener() {
                             /**
                              * Danger: the thread was late, and behind this connection waits the end
                              * of its client, or word that its upstream drains: it would be sent all
@@ -457,7 +466,7 @@
                             }
 
                             @Override
-                            public boolean begins(Flow answer) {
+                            public boolean begins(StreamedResponse answer) {
                                 reconcile();
                                 return begun(attempt, answer);
                             }
@@ -465,7 +474,7 @@
                             @Override
                             public void letGo() {
                                 reconcile();
-                                Exchanges.this.letGo(attempt);
+                                RequestCoordinator.this.letGo(attempt);
                             }
 
                             @Override
@@ -475,9 +484,9 @@
                             }
 
                             @Override
-                            public void ended(Outcome outcome, Reply reply) {
+                            public void ended(Outcome outcome, UpstreamResponse reply) {
                                 reconcile();
-                                Exchanges.this.ended(attempt, outcome, reply);
+                                RequestCoordinator.this.ended(attempt, outcome, reply);
                             }
                         });
         watch(attempt);
@@ -488,12 +497,12 @@
      * of the first one that may have run are dropped. The module holds to it when it decides; this,
      * when bytes go.
      */
-    private long repeatableUntil(Call call) {
+    private long repeatableUntil(PendingRequest call) {
         RequestClass kind = settings.classes().get(call.request.requestClass());
-        if (kind.semantics() == Semantics.BY_KEY) {
+        if (kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
             for (Attempt attempt : call.attempts) {
                 if (attempt.mayHaveRun()) {
-                    return attempt.sentAt + kind.keyTtl();
+                    return attempt.sentAt + kind.idempotencyKeyTtlNanos();
                 }
             }
         }
@@ -501,7 +510,7 @@
     }
 
     private void watch(Attempt attempt) {
-        Window window = attempt.window;
+        SendDeadlines window = attempt.window;
         long next =
                 attempt.sending.committed()
                         ? window.until()
@@ -530,8 +539,8 @@
      * An answer that can't be held begins to go out. Danger: from here on the client has a part of
      * it, and no other answer, refusal or further attempt may follow, whatever happens to the rest.
      */
-    private boolean begun(Attempt attempt, Flow answer) {
-        Call call = attempt.call;
+    private boolean begun(Attempt attempt, StreamedResponse answer) {
+        PendingRequest call = attempt.call;
         if (attempt.done || call.over || call.answering != null) {
             return false;
         }
@@ -545,7 +554,7 @@
         return true;
     }
 
-    private static void timeStops(Call call, Attempt attempt) {
+    private static void timeStops(PendingRequest call, Attempt attempt) {
         call.backstop.cancel();
         if (attempt.timer != null) {
             attempt.timer.cancel();
@@ -553,10 +562,10 @@
     }
 
     /** The module is told of what can't be taken back: nothing else can be tried any more. */
-    private void tellBegun(Call call, Attempt attempt, long elapsed) {
+    private void tellBegun(PendingRequest call, Attempt attempt, long elapsed) {
         tell(
                 () ->
-                        balancer.firstByte(
+                        balancer.onResponseStarted(
                                 time.now(), call.id, attempt.number, attempt.upstream, elapsed));
     }
 
@@ -565,7 +574,7 @@
      * upstream.
      */
     private void letGo(Attempt attempt) {
-        Call call = attempt.call;
+        PendingRequest call = attempt.call;
         if (!call.over) {
             call.letGo = true;
             timeStops(call, attempt);
@@ -575,7 +584,7 @@
 
     /** All of it is with its upstream: from now on its client waits. */
     private void timeRuns(Attempt attempt) {
-        Call call = attempt.call;
+        PendingRequest call = attempt.call;
         if (!call.over && call.answering == null) {
             call.backstop =
                     timers.at(
@@ -585,41 +594,45 @@
     }
 
     /** An attempt has ended: told to the module once, also when its request is over. */
-    private void ended(Attempt attempt, Outcome outcome, Reply reply) {
+    private void ended(Attempt attempt, Outcome outcome, UpstreamResponse reply) {
         if (attempt.done) {
             return;
         }
         attempt.end(outcome);
         requestLog.ended(attempt, outcome);
-        Call call = attempt.call;
+        PendingRequest call = attempt.call;
         call.last = outcome;
         if (call.answering == attempt && !call.over) {
             boolean whole = outcome == Outcome.OK;
-            end(call, whole ? Tally.End.SERVED : Tally.End.FAILED);
+            end(call, whole ? RequestMetrics.RequestEnd.SERVED : RequestMetrics.RequestEnd.FAILED);
             give(call, whole ? call.client::flowed : call.client::abort);
         } else if (call.letGo && outcome != Outcome.OK && !call.over) {
             // Nothing is left to decide: what it was can't be sent again, and only what is proven
             // is said.
-            boolean neverRan = outcome.provesNeverRan();
-            end(call, neverRan ? Tally.End.REFUSED : Tally.End.FAILED);
+            boolean neverRan = outcome.provesNotExecuted();
+            end(
+                    call,
+                    neverRan
+                            ? RequestMetrics.RequestEnd.REFUSED
+                            : RequestMetrics.RequestEnd.FAILED);
             give(
                     call,
                     () -> {
                         if (neverRan) {
                             call.client.refused(0);
                         } else {
-                            call.client.failed(Front.Cause.UPSTREAM);
+                            call.client.failed(ResponseSink.FailureCause.UPSTREAM);
                         }
                     });
         } else if (outcome == Outcome.OK && !call.over) {
-            end(call, Tally.End.SERVED);
+            end(call, RequestMetrics.RequestEnd.SERVED);
             give(call, () -> call.client.served(reply));
         }
-        float[] load = reply == null ? NO_LOAD : reply.load(settings.reportFields());
+        float[] load = reply == null ? NO_LOAD : reply.load(settings.loadReportFields());
         tell(
                 () -> {
                     long now = time.now();
-                    balancer.outcome(
+                    balancer.onAttemptEnded(
                             now,
                             call.id,
                             attempt.number,
@@ -637,7 +650,7 @@
     /**
      * Danger: an answer that can't be given must not keep the module from hearing of what happened.
      */
-    private void give(Call call, Runnable answer) {
+    private void give(PendingRequest call, Runnable answer) {
         try {
             answer.run();
         } catch (RuntimeException e) {
@@ -646,15 +659,15 @@
         }
     }
 
-    private void fail(Call call, Front.Cause cause) {
+    private void fail(PendingRequest call, ResponseSink.FailureCause cause) {
         if (!call.over) {
-            end(call, Tally.End.FAILED);
+            end(call, RequestMetrics.RequestEnd.FAILED);
             give(call, () -> call.client.failed(cause));
         }
     }
 
     /** The request is over: nothing more is sent for it. */
-    private void end(Call call, Tally.End how) {
+    private void end(PendingRequest call, RequestMetrics.RequestEnd how) {
         call.over = true;
         requestLog.ended(call, how, guard.lastEvent());
         tally.ended(call.request.requestClass(), how);
@@ -664,34 +677,34 @@
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(PendingRequest call) {
         if (call.over && call.out == 0) {
             calls.remove(call.id);
         }
     }
 
     @Override
-    public void refuse(long request, long wait) {
-        Call call = calls.get(request);
+    public void reject(long request, long wait) {
+        PendingRequest call = calls.get(request);
         if (call != null && !call.over && call.answering == null && !call.letGo) {
-            end(call, Tally.End.REFUSED);
-            give(call, () -> call.client.refused(settings.allowed().retryAfter() ? wait : 0));
+            end(call, RequestMetrics.RequestEnd.REFUSED);
+            give(call, () -> call.client.refused(settings.capabilities().retryAfter() ? wait : 0));
         }
     }
 
     /** A failure says what is known of its cause; never what would invite a repeat. */
     @Override
     public void fail(long request) {
-        Call call = calls.get(request);
+        PendingRequest call = calls.get(request);
         if (call != null && call.answering == null && !call.letGo) {
             boolean late = call.last == Outcome.TIMEOUT || time.now() >= call.deadline;
-            fail(call, late ? Front.Cause.LATE : Front.Cause.UPSTREAM);
+            fail(call, late ? ResponseSink.FailureCause.LATE : ResponseSink.FailureCause.UPSTREAM);
         }
     }
 
     @Override
-    public void cancel(long request, int number) {
-        Call call = calls.get(request);
+    public void cancelAttempt(long request, int number) {
+        PendingRequest call = calls.get(request);
         if (call != null && number < call.attempts.size()) {
             callOff(call, call.attempts.get(number));
         }
@@ -703,7 +716,7 @@
      * gone out, so it ends as never sent, and takes no room at its upstream for work that might
      * still be done there.
      */
-    private void callOffWhatNobodyWaitsFor(Call call) {
+    private void callOffWhatNobodyWaitsFor(PendingRequest call) {
         for (Attempt attempt : call.attempts) {
             if (!attempt.done && attempt.sending != null && !attempt.sending.begun()) {
                 attempt.sending.abandon();
@@ -713,13 +726,13 @@
     }
 
     /** What has begun to go out is not the module's any more, and is not cancelled by it. */
-    private void callOffWhatTheModuleLeaves(Call call) {
+    private void callOffWhatTheModuleLeaves(PendingRequest call) {
         if (call.answering != null || call.letGo) {
             call.attempts.forEach(each -> callOff(call, each));
         }
     }
 
-    private void callOff(Call call, Attempt attempt) {
+    private void callOff(PendingRequest call, Attempt attempt) {
         if (!attempt.done && attempt.sending != null) {
             attempt.sending.abandon();
             timers.soon(() -> ended(attempt, Outcome.CANCELLED, null));
@@ -727,13 +740,13 @@
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         timers.at(
                 at,
                 () -> {
                     if (!closed) {
                         reconcile();
-                        tell(() -> balancer.timer(time.now(), token));
+                        tell(() -> balancer.onTimer(time.now(), token));
                     }
                 });
     }
@@ -744,7 +757,7 @@
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         Endpoint endpoint = endpoints.get(upstream);
         if (endpoint != null) {
             upstreams.closeIdle(endpoint);
@@ -752,12 +765,12 @@
     }
 
     @Override
-    public void probe(long upstream) {
+    public void sendHealthCheck(long upstream) {
         throw new UnsupportedOperationException("this sidecar sends no probes");
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         throw new UnsupportedOperationException("this sidecar has no peers");
     }
 
@@ -772,7 +785,7 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         lists.fetchList();
     }
 }
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -1,6 +1,6 @@
 package appleridge.request;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -8,10 +8,10 @@
  * took.
  */
 final class RequestLog {
-    private final Time time;
-    private final Log log;
+    private final MonotonicClock time;
+    private final EventLog log;
 
-    RequestLog(Time time, Log log) {
+    RequestLog(MonotonicClock time, EventLog log) {
         this.time = time;
         this.log = log;
     }
@@ -21,9 +21,9 @@
      *
      * @param now as of the event that ended it
      */
-    void ended(Call call, Tally.End how, long now) {
+    void ended(PendingRequest call, RequestMetrics.RequestEnd how, long now) {
         boolean late = now > call.request.arrived() + call.request.patience();
-        if (how != Tally.End.SERVED || late) {
+        if (how != RequestMetrics.RequestEnd.SERVED || late) {
             log.event(
                     LogEvent.REQUEST_ENDED,
                     () ->
--- a/sidecar/src/main/java/appleridge/request/Tally.java
+++ b/sidecar/src/main/java/appleridge/request/RequestMetrics.java
@@ -1,12 +1,12 @@
 package appleridge.request;
 
 /** Counts what becomes of requests; each thing is told in one place, once. */
-public interface Tally {
+public interface RequestMetrics {
     /** Where nobody asks. */
-    Tally NONE = new Tally() {};
+    RequestMetrics NONE = new RequestMetrics() {};
 
     /** How a request that was taken has ended. */
-    enum End {
+    enum RequestEnd {
         /** With an upstream's good answer. */
         SERVED("served"),
         /** Not done, and asking again is harmless. */
@@ -18,7 +18,7 @@
 
         private final String metricWord;
 
-        End(String metricWord) {
+        RequestEnd(String metricWord) {
             this.metricWord = metricWord;
         }
 
@@ -32,7 +32,7 @@
     default void taken(int requestClass) {}
 
     /** A request that was taken has ended. */
-    default void ended(int requestClass, End how) {}
+    default void ended(int requestClass, RequestEnd how) {}
 
     /** An attempt goes to an upstream; {@code further} where it is not the request's first. */
     default void sent(int requestClass, boolean further) {}
--- a/sidecar/src/main/java/appleridge/request/Front.java
+++ b/sidecar/src/main/java/appleridge/request/ResponseSink.java
@@ -1,7 +1,7 @@
 package appleridge.request;
 
 /** Takes a request's one final answer and words it as its protocol does. */
-public interface Front {
+public interface ResponseSink {
     /**
      * Takes in, before this returns, what its client has sent and whether it has left, as far as
      * either is there and was not read yet.
@@ -9,7 +9,7 @@
     void look();
 
     /** Why a request failed. */
-    enum Cause {
+    enum FailureCause {
         /** Its time was up. */
         LATE,
         /** An upstream's answer, or none that could be used. */
@@ -19,13 +19,13 @@
     }
 
     /** An upstream's good answer. */
-    void served(Reply reply);
+    void served(UpstreamResponse reply);
 
     /**
      * An upstream's good answer begins to go out. From here on no other answer can be given: it
      * ends by {@link #flowed} or {@link #abort}.
      */
-    void flows(Flow answer);
+    void flows(StreamedResponse answer);
 
     /** All of an answer that flows has come. */
     void flowed();
@@ -37,7 +37,7 @@
     void refused(long wait);
 
     /** Failed, with no promise about effects. */
-    void failed(Cause cause);
+    void failed(FailureCause cause);
 
     /**
      * No answer can be given any more, or no more of one that flows: the client is shown that by
--- a/sidecar/src/main/java/appleridge/request/Flow.java
+++ b/sidecar/src/main/java/appleridge/request/StreamedResponse.java
@@ -5,4 +5,4 @@
  * passed on as it comes, as fast as its client reads. How it is passed on is between the two sides'
  * protocols.
  */
-public interface Flow {}
+public interface StreamedResponse {}
--- a/sidecar/src/main/java/appleridge/request/Reply.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamResponse.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** An upstream's whole answer, in the form of the protocol that read it. */
-public interface Reply {
+public interface UpstreamResponse {
     /**
      * The load report that came with it, in the order of the fields; empty if there is none to be
      * read.
--- a/sidecar/src/main/java/appleridge/request/Upstreams.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
@@ -1,14 +1,14 @@
 package appleridge.request;
 
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 
 /** Sends to upstreams, each request once: nothing is ever sent a second time below this. */
-public interface Upstreams {
+public interface UpstreamTransport {
     /**
-     * Told once, and never inside a call to {@link Upstreams}, how an attempt ended that was not
-     * abandoned.
+     * Told once, and never inside a call to {@link UpstreamTransport}, how an attempt ended that
+     * was not abandoned.
      */
-    interface Listener {
+    interface AttemptListener {
         /**
          * Its connection has come up, and nothing is written yet: it may be abandoned from in here.
          */
@@ -21,7 +21,7 @@
          *
          * @return whether it is wanted; else the attempt is broken off
          */
-        default boolean begins(Flow answer) {
+        default boolean begins(StreamedResponse answer) {
             return false;
         }
 
@@ -36,11 +36,11 @@
         default void committed() {}
 
         /** With the answer where one was read, good or bad; else null. */
-        void ended(Outcome outcome, Reply reply);
+        void ended(Outcome outcome, UpstreamResponse reply);
     }
 
     /** An attempt on its way. */
-    interface Sending {
+    interface AttemptHandle {
         /** Whether any of the request's bytes may be with the socket. */
         boolean begun();
 
@@ -54,7 +54,8 @@
     }
 
     /** Sends a request to an upstream within a window. */
-    Sending send(Endpoint to, Outgoing what, Window window, Listener listener);
+    AttemptHandle send(
+            Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener);
 
     /** Closes the connections to an upstream on which nothing is open. */
     void closeIdle(Endpoint endpoint);
--- a/sidecar/src/main/java/appleridge/simulator/Cursor.java
+++ b/sidecar/src/main/java/appleridge/simulator/FrameReader.java
@@ -7,12 +7,12 @@
 /**
  * Reads little-endian fields of one frame's body and never runs past the end of the current record.
  */
-final class Cursor {
+final class FrameReader {
     private final ByteBuffer buffer;
     private int recordStart;
     private int recordEnd;
 
-    Cursor(byte[] bytes, int length) {
+    FrameReader(byte[] bytes, int length) {
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
@@ -20,12 +20,12 @@
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < 5) {
-            throw new WireException("record header cut short at byte " + recordStart);
+            throw new MalformedFrameException("record header cut short at byte " + recordStart);
         }
         int code = buffer.get() & 0xff;
         long length = buffer.getInt() & 0xffffffffL;
         if (length > buffer.remaining()) {
-            throw new WireException(
+            throw new MalformedFrameException(
                     "record at byte "
                             + recordStart
                             + " states "
@@ -53,7 +53,8 @@
 
     private void need(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
-            throw new WireException("field cut short in the record at byte " + recordStart);
+            throw new MalformedFrameException(
+                    "field cut short in the record at byte " + recordStart);
         }
     }
 
@@ -86,7 +87,8 @@
     long time(String field) {
         long value = i64();
         if (value < 0) {
-            throw new WireException(field + " out of range in the record at byte " + recordStart);
+            throw new MalformedFrameException(
+                    field + " out of range in the record at byte " + recordStart);
         }
         return value;
     }
@@ -111,7 +113,7 @@
     float[] report() {
         int count = u8();
         if (count == 0) {
-            return Replies.NO_REPORT;
+            return ReplyFrame.NO_REPORT;
         }
         float[] values = new float[count];
         for (int i = 0; i < count; i++) {
@@ -123,7 +125,7 @@
     /** The value an ordinal names, or an error saying which field was out of range. */
     <T> T choice(T[] values, int ordinal, String field) {
         if (ordinal >= values.length) {
-            throw new WireException(
+            throw new MalformedFrameException(
                     field + " " + ordinal + " out of range in the record at byte " + recordStart);
         }
         return values[ordinal];
--- a/sidecar/src/main/java/appleridge/simulator/WireException.java
+++ b/sidecar/src/main/java/appleridge/simulator/MalformedFrameException.java
@@ -1,10 +1,10 @@
 package appleridge.simulator;
 
 /** Input that breaks the wire's format; the message says what and where. */
-final class WireException extends IllegalArgumentException {
+final class MalformedFrameException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    MalformedFrameException(String message) {
         super(message);
     }
 }
--- a/sidecar/src/main/java/appleridge/simulator/Replies.java
+++ b/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
@@ -1,6 +1,6 @@
 package appleridge.simulator;
 
-import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.PolicyActions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /** Collects the actions of one batch as a reply frame; written whole or not at all. */
-final class Replies {
+final class ReplyFrame {
     static final float[] NO_REPORT = {};
     private static final int HEADER = 8;
 
@@ -17,12 +17,12 @@
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     private int count;
 
-    Replies() {
+    ReplyFrame() {
         clear();
     }
 
     /** A sink that writes actions in one sidecar's name. */
-    Actions sink(int sidecar) {
+    PolicyActions sink(int sidecar) {
         return new Sink(sidecar);
     }
 
@@ -49,7 +49,7 @@
         count++;
     }
 
-    private final class Sink implements Actions {
+    private final class Sink implements PolicyActions {
         private final int sidecar;
 
         Sink(int sidecar) {
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void send(long request, long upstream, long timeout) {
+        public void sendAttempt(long request, long upstream, long timeout) {
             begin(1, 20, sidecar);
             buffer.putInt((int) request);
             upstream(upstream);
@@ -73,7 +73,7 @@
         }
 
         @Override
-        public void refuse(long request, long wait) {
+        public void reject(long request, long wait) {
             begin(2, 14, sidecar);
             buffer.putInt((int) request).putLong(wait);
         }
@@ -85,31 +85,31 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             begin(4, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
-        public void timer(long token, long at) {
+        public void setTimer(long token, long at) {
             begin(5, 18, sidecar);
             buffer.putLong(token).putLong(at);
         }
 
         @Override
-        public void probe(long upstream) {
+        public void sendHealthCheck(long upstream) {
             begin(6, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
-        public void closeIdle(long upstream) {
+        public void closeIdleConnections(long upstream) {
             begin(7, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendGossip(int peer, byte[] message) {
             text(8, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpoints() {
             begin(12, 2, sidecar);
         }
     }
--- a/sidecar/src/main/java/appleridge/simulator/Main.java
+++ b/sidecar/src/main/java/appleridge/simulator/SimulatorAdapter.java
@@ -11,10 +11,10 @@
 import java.nio.ByteOrder;
 
 /** {@code java -jar appleridge.jar adapter}: plays the wire on standard input and output. */
-public final class Main {
+public final class SimulatorAdapter {
     private static final int HEADER = 16;
 
-    private Main() {}
+    private SimulatorAdapter() {}
 
     /**
      * Runs the adapter until input ends; a malformed frame ends it with a message and exit status
@@ -32,8 +32,8 @@
     }
 
     static void run(InputStream in, OutputStream out) throws IOException {
-        Replies replies = new Replies();
-        Host host = new Host(replies);
+        ReplyFrame replies = new ReplyFrame();
+        PolicyHost host = new PolicyHost(replies);
         byte[] header = new byte[HEADER];
         byte[] body = new byte[1 << 16];
         for (long frame = 0; ; frame++) {
@@ -42,7 +42,7 @@
                 return;
             }
             if (got < HEADER) {
-                throw new WireException(
+                throw new MalformedFrameException(
                         "frame " + frame + ": header cut short after " + got + " bytes");
             }
             ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
@@ -50,7 +50,8 @@
             long length = head.getInt() & 0xffffffffL;
             long records = head.getInt() & 0xffffffffL;
             if (now < 0 || length < HEADER || length > Integer.MAX_VALUE - 64) {
-                throw new WireException("frame " + frame + ": clock or length out of range");
+                throw new MalformedFrameException(
+                        "frame " + frame + ": clock or length out of range");
             }
             int size = (int) length - HEADER;
             if (body.length < size) {
@@ -58,7 +59,7 @@
             }
             got = in.readNBytes(body, 0, size);
             if (got < size) {
-                throw new WireException(
+                throw new MalformedFrameException(
                         "frame "
                                 + frame
                                 + ": states "
@@ -67,9 +68,9 @@
                                 + (got + HEADER));
             }
             try {
-                host.batch(now, records, new Cursor(body, size));
+                host.batch(now, records, new FrameReader(body, size));
             } catch (IllegalArgumentException e) {
-                throw new WireException("frame " + frame + ": " + e.getMessage());
+                throw new MalformedFrameException("frame " + frame + ": " + e.getMessage());
             }
             replies.writeTo(out);
         }
--- a/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
@@ -12,13 +12,13 @@
 public final class AcceptFailures extends ChannelInboundHandlerAdapter {
     private static final long APART = TimeUnit.SECONDS.toNanos(1);
 
-    private final Loop loop;
+    private final SidecarEventLoop loop;
     private final Runnable failed;
     private long told;
     private int untold;
 
     /** With what is to be done about it. */
-    public AcceptFailures(Loop loop, Runnable failed) {
+    public AcceptFailures(SidecarEventLoop loop, Runnable failed) {
         this.loop = loop;
         this.failed = failed;
         this.told = loop.now() - APART;
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -42,8 +42,8 @@
     /** Of what the system says of a network to which there is no way (ENETUNREACH). */
     private static final String UNREACHABLE = "unreachable";
 
-    private final Loop loop;
-    private final Sockets sockets;
+    private final SidecarEventLoop loop;
+    private final SocketFactory sockets;
     private final int timeoutMillis;
     private final ChannelHandler handler;
 
@@ -54,7 +54,11 @@
      *     least
      * @param initializer sets up the pipeline of each new channel
      */
-    public Connector(Loop loop, Sockets sockets, long timeout, Consumer<Channel> initializer) {
+    public Connector(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            long timeout,
+            Consumer<Channel> initializer) {
         this.loop = loop;
         this.sockets = sockets;
         // Danger: of more than an int holds a part is left that may be negative, and no connection
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -22,7 +22,7 @@
     /** An event takes a few turns: for the event itself, the tasks that follow, its timers. */
     private static final long TURNS_PER_EVENT = 10;
 
-    private final Loop loop;
+    private final SidecarEventLoop loop;
     private final long period;
     private final LongSupplier events;
     private boolean begun;
@@ -37,7 +37,7 @@
      * With the nanoseconds from one {@link #tick} to the next, and the number of events that have
      * been handled since the start.
      */
-    public EventLoopMonitor(Loop loop, long period, LongSupplier events) {
+    public EventLoopMonitor(SidecarEventLoop loop, long period, LongSupplier events) {
         this.loop = loop;
         this.period = period;
         this.events = events;
--- a/sidecar/src/main/java/appleridge/transport/HeldListener.java
+++ b/sidecar/src/main/java/appleridge/transport/InheritedListener.java
@@ -16,7 +16,7 @@
  *
  * <p>That it doesn't block belongs to the open socket, which all processes share that have it.
  */
-public final class HeldListener {
+public final class InheritedListener {
     /** The descriptor that the JVM can take over. */
     private static final String DESCRIPTOR = "0";
 
@@ -25,7 +25,7 @@
     /** What had connected before; owed an answer like all others. Null for none. */
     private SocketChannel first;
 
-    private HeldListener(ServerSocketChannel socket, SocketChannel first) {
+    private InheritedListener(ServerSocketChannel socket, SocketChannel first) {
         this.socket = socket;
         this.first = first;
     }
@@ -39,7 +39,8 @@
      * @throws IOException with a plain message where there is no listening TCP socket at that
      *     number
      */
-    public static HeldListener inherited(String descriptor, boolean proven) throws IOException {
+    public static InheritedListener inherited(String descriptor, boolean proven)
+            throws IOException {
         if (!descriptor.strip().equals(DESCRIPTOR)) {
             throw new IOException(
                     "the listening socket must be descriptor 0, not '" + descriptor + "'");
@@ -49,14 +50,14 @@
             throw new IOException("descriptor 0 is no TCP socket that listens");
         }
         inherited.configureBlocking(false);
-        return proven ? new HeldListener(inherited, null) : of(inherited);
+        return proven ? new InheritedListener(inherited, null) : of(inherited);
     }
 
     /** For a socket that is bound already; tells by an exception that it doesn't listen. */
-    public static HeldListener of(ServerSocketChannel socket) throws IOException {
+    public static InheritedListener of(ServerSocketChannel socket) throws IOException {
         try {
             // The JVM takes any unconnected socket for one that listens; only accepting tells.
-            return new HeldListener(socket, socket.accept());
+            return new InheritedListener(socket, socket.accept());
         } catch (IOException e) {
             throw new IOException(
                     "descriptor 0 is no TCP socket that listens: " + e.getMessage(), e);
--- a/sidecar/src/main/java/appleridge/transport/NioSockets.java
+++ b/sidecar/src/main/java/appleridge/transport/NioSocketFactory.java
@@ -5,7 +5,7 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /** The JVM's own sockets. */
-public final class NioSockets implements Sockets {
+public final class NioSocketFactory implements SocketFactory {
     @Override
     public Channel connecting() {
         return new UninterruptedSocketChannel();
--- a/sidecar/src/main/java/appleridge/transport/Clock.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarClock.java
@@ -8,12 +8,12 @@
  * The one clock of a sidecar: Unix time in nanoseconds as read once at the start, carried on by the
  * monotonic clock. It never runs back.
  */
-final class Clock {
+final class SidecarClock {
     private final Ticker ticker;
     private final LongSupplier unixMillis;
     private final long offset;
 
-    Clock(Ticker ticker, LongSupplier unixMillis) {
+    SidecarClock(Ticker ticker, LongSupplier unixMillis) {
         this.ticker = ticker;
         this.unixMillis = unixMillis;
         this.offset = TimeUnit.MILLISECONDS.toNanos(unixMillis.getAsLong()) - ticker.nanoTime();
--- a/sidecar/src/main/java/appleridge/transport/Loop.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
@@ -1,8 +1,8 @@
 package appleridge.transport;
 
-import appleridge.request.Log;
-import appleridge.request.Time;
-import appleridge.request.Timers;
+import appleridge.request.EventLog;
+import appleridge.request.MonotonicClock;
+import appleridge.request.Scheduler;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
@@ -12,27 +12,28 @@
  * The one thread that owns a sidecar's sockets, timers and module, and its time: all of it is the
  * event loop's ticker's, so that a loop on another ticker lives in another time.
  */
-public final class Loop implements Time, Timers {
+public final class SidecarEventLoop implements MonotonicClock, Scheduler {
     /** Nanoseconds between two runs of periodic work, at the least. */
     private static final long SHORTEST_PERIOD = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final EventLoop executor;
-    private final Clock clock;
-    private final Log log;
+    private final SidecarClock clock;
+    private final EventLog log;
     private final LongSupplier turns;
 
     /** With the wall clock's Unix time in milliseconds. */
-    public Loop(EventLoop executor, LongSupplier unixMillis, Log log) {
+    public SidecarEventLoop(EventLoop executor, LongSupplier unixMillis, EventLog log) {
         this(executor, unixMillis, log, () -> 0);
     }
 
     /**
      * The same; with what counts the turns of the event loop, each of which looks for events once.
      */
-    public Loop(EventLoop executor, LongSupplier unixMillis, Log log, LongSupplier turns) {
+    public SidecarEventLoop(
+            EventLoop executor, LongSupplier unixMillis, EventLog log, LongSupplier turns) {
         this.turns = turns;
         this.executor = executor;
-        this.clock = new Clock(executor.ticker(), unixMillis);
+        this.clock = new SidecarClock(executor.ticker(), unixMillis);
         this.log = log;
     }
 
@@ -42,7 +43,7 @@
     }
 
     /** Where what happens here is written down. */
-    public Log log() {
+    public EventLog log() {
         return log;
     }
 
@@ -57,7 +58,7 @@
     }
 
     @Override
-    public Timer at(long when, Runnable what) {
+    public ScheduledTask at(long when, Runnable what) {
         return after(Math.max(0, when - now()), what);
     }
 
@@ -67,7 +68,7 @@
     }
 
     /** Runs something so many nanoseconds from now. */
-    public Timer after(long nanos, Runnable what) {
+    public ScheduledTask after(long nanos, Runnable what) {
         return timer(executor.schedule(guarded(what), nanos, TimeUnit.NANOSECONDS));
     }
 
@@ -76,7 +77,7 @@
      * least. Shorter periods, as they come out of settings with short times, would leave the loop
      * no moment to wait.
      */
-    public Timer every(long nanos, Runnable what) {
+    public ScheduledTask every(long nanos, Runnable what) {
         long period = Math.max(SHORTEST_PERIOD, nanos);
         return timer(
                 executor.scheduleWithFixedDelay(
@@ -88,7 +89,7 @@
         executor.execute(guarded(what));
     }
 
-    private static Timer timer(Future<?> scheduled) {
+    private static ScheduledTask timer(Future<?> scheduled) {
         return () -> scheduled.cancel(false);
     }
 
--- a/sidecar/src/main/java/appleridge/transport/Sockets.java
+++ b/sidecar/src/main/java/appleridge/transport/SocketFactory.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ServerChannel;
 
 /** The kind of sockets that a loop's channels are made of. */
-public interface Sockets {
+public interface SocketFactory {
     /** A socket that connects; throws what the system says where none can be made. */
     Channel connecting();
 
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -1,8 +1,8 @@
 package appleridge.transport;
 
-import appleridge.request.Log;
+import appleridge.request.EventLog;
 import appleridge.request.LogEvent;
-import appleridge.request.Time;
+import appleridge.request.MonotonicClock;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -13,21 +13,21 @@
  * at most. Danger: a flood of bad clients or upstreams can bring about any number of them, and
  * writing them all would take the loop's time.
  */
-public final class SystemLog implements Log {
+public final class SystemLog implements EventLog {
     private static final System.Logger LOG = System.getLogger("appleridge");
     private static final long APART = TimeUnit.SECONDS.toNanos(1);
 
     /** The logging system has ended or is about to: lines go to the standard error as they are. */
     private static volatile boolean direct;
 
-    private final Time time;
+    private final MonotonicClock time;
     private final System.Logger.Level level;
     private final Sieve warnings;
     private final Sieve failures;
     private final Map<LogEvent, Sieve> events = new EnumMap<>(LogEvent.class);
 
     /** With the level of the ordinary lines. */
-    public SystemLog(Time time, System.Logger.Level level) {
+    public SystemLog(MonotonicClock time, System.Logger.Level level) {
         this.time = time;
         this.level = level;
         this.warnings = new Sieve();
--- a/sidecar/src/test/java/appleridge/admin/AnswersTest.java
+++ b/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Each call has its stated answer. */
-class AnswersTest {
+class AdminCallHandlerTest {
     private final List<String> effects = new ArrayList<>();
     private boolean serves = true;
-    private final Answers answers =
-            new Answers(
+    private final AdminCallHandler answers =
+            new AdminCallHandler(
                     () -> serves,
                     () -> "figures\n",
                     id -> effect("out " + id),
                     id -> effect("back " + id),
                     Runnable::run);
 
-    private Maintenance.Effect effect(String what) {
+    private MaintenanceOverlay.Effect effect(String what) {
         effects.add(what);
         return what.contains("nobody")
-                ? new Maintenance.Denied("unknown upstream")
-                : new Maintenance.Done(null);
+                ? new MaintenanceOverlay.Denied("unknown upstream")
+                : new MaintenanceOverlay.Done(null);
     }
 
     private String ask(String line) {
@@ -68,8 +68,8 @@
         assertEquals("NO METRICS takes no argument\n", ask("METRICS a"));
         assertEquals("NO not text\n", ask("SUSPEND s\u00e9"));
         assertEquals("NO not text\n", ask("\u0000"));
-        assertEquals("NO unknown call\n", ask("x".repeat(Call.MOST_BYTES)));
-        assertEquals("NO line too long\n", ask("x".repeat(Call.MOST_BYTES + 1)));
+        assertEquals("NO unknown call\n", ask("x".repeat(AdminCall.MOST_BYTES)));
+        assertEquals("NO line too long\n", ask("x".repeat(AdminCall.MOST_BYTES + 1)));
         assertEquals(List.of(), effects);
     }
 
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.discovery.Directory;
-import appleridge.discovery.Directory.News;
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.discovery.EndpointTable;
+import appleridge.discovery.EndpointTable.EndpointUpdate;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,58 +21,64 @@
 import org.junit.jupiter.api.Test;
 
 /** The operator's word over anything that the list may say. */
-class MaintenanceTest {
+class MaintenanceOverlayTest {
     private static final long RAMP = TimeUnit.SECONDS.toNanos(7);
     private static final long T0 = TimeUnit.SECONDS.toNanos(1_000_000);
 
-    private final Directory directory = new Directory(TimeUnit.MILLISECONDS::toNanos);
-    private final Maintenance maintenance = new Maintenance(RAMP);
+    private final EndpointTable directory = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
+    private final MaintenanceOverlay maintenance = new MaintenanceOverlay(RAMP);
     private long now = T0;
 
-    private static Member member(String id, int port, State state, long started) {
-        return new Member(id, new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, started);
+    private static DiscoveredEndpoint member(String id, int port, HostState state, long started) {
+        return new DiscoveredEndpoint(
+                id, new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, started);
     }
 
-    private News told(ListKind kind, Member... members) {
+    private EndpointUpdate told(UpdateKind kind, DiscoveredEndpoint... members) {
         return maintenance.over(directory.news(kind, List.of(members)), now);
     }
 
-    private static News news(Maintenance.Effect effect) {
-        return assertInstanceOf(Maintenance.Done.class, effect).news();
+    private static EndpointUpdate news(MaintenanceOverlay.Effect effect) {
+        return assertInstanceOf(MaintenanceOverlay.Done.class, effect).news();
     }
 
-    private static Upstream only(News news) {
+    private static UpstreamHost only(EndpointUpdate news) {
         assertEquals(1, news.entries().size());
         return news.entries().get(0);
     }
 
     @Test
     void whoIsOutDrainsFromTheYesOnAndIsColdWhenCalledBack() {
-        told(ListKind.FULL, member("a", 1, State.READY, 0), member("b", 2, State.READY, 0));
-        assertEquals(State.DRAINING, only(news(maintenance.suspend("a", now))).state());
+        told(
+                UpdateKind.SNAPSHOT,
+                member("a", 1, HostState.READY, 0),
+                member("b", 2, HostState.READY, 0));
+        assertEquals(HostState.DRAINING, only(news(maintenance.suspend("a", now))).state());
         assertNull(news(maintenance.suspend("a", now)), "nothing changes by a second call");
         now += RAMP;
-        Upstream back = only(news(maintenance.restore("a", now)));
-        assertEquals(State.READY, back.state());
-        assertEquals(now, back.startedAt());
+        UpstreamHost back = only(news(maintenance.restore("a", now)));
+        assertEquals(HostState.READY, back.state());
+        assertEquals(now, back.startedAtNanos());
     }
 
     /** Guards against a word that is forgotten when the list forgets whom it was about. */
     @Test
     void itHoldsOverAnythingThatDiscoverySays() {
-        told(ListKind.FULL, member("a", 1, State.READY, 0));
+        told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0));
         maintenance.suspend("a", now);
         assertEquals(
-                State.DRAINING, only(told(ListKind.FULL, member("a", 1, State.READY, 0))).state());
-        told(ListKind.DELTA, member("a", 1, State.GONE, 0));
+                HostState.DRAINING,
+                only(told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0))).state());
+        told(UpdateKind.DELTA, member("a", 1, HostState.GONE, 0));
         assertNull(news(maintenance.suspend("a", now)), "known, though not listed");
-        News again = told(ListKind.DELTA, member("a", 9, State.READY, 1_000_000_500));
-        assertEquals(State.DRAINING, only(again).state());
-        told(ListKind.FULL);
+        EndpointUpdate again =
+                told(UpdateKind.DELTA, member("a", 9, HostState.READY, 1_000_000_500));
+        assertEquals(HostState.DRAINING, only(again).state());
+        told(UpdateKind.SNAPSHOT);
         assertEquals(
-                State.DRAINING,
-                only(told(ListKind.CACHED, member("a", 3, State.READY, 0))).state());
-        News back = news(maintenance.restore("a", now));
+                HostState.DRAINING,
+                only(told(UpdateKind.CACHED_SNAPSHOT, member("a", 3, HostState.READY, 0))).state());
+        EndpointUpdate back = news(maintenance.restore("a", now));
         assertEquals(
                 3, back.addresses().get(only(back).id()).getPort(), "where the list has it now");
     }
@@ -83,59 +89,70 @@
      */
     @Test
     void aStartWithinTheTimeOutIsBelievedAndNoOther() {
-        told(ListKind.FULL, member("a", 1, State.READY, 999_000_000));
+        told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 999_000_000));
         maintenance.suspend("a", now);
         now += 3 * RAMP;
         long started = TimeUnit.NANOSECONDS.toMillis(now - 2 * RAMP);
-        told(ListKind.DELTA, member("a", 1, State.READY, started));
+        told(UpdateKind.DELTA, member("a", 1, HostState.READY, started));
         assertEquals(
                 TimeUnit.MILLISECONDS.toNanos(started),
-                only(news(maintenance.restore("a", now))).startedAt());
+                only(news(maintenance.restore("a", now))).startedAtNanos());
         maintenance.suspend("a", now);
         now += 3 * RAMP;
         long restored = now;
-        assertEquals(restored, only(news(maintenance.restore("a", now))).startedAt());
+        assertEquals(restored, only(news(maintenance.restore("a", now))).startedAtNanos());
         now += RAMP / 2;
         assertEquals(
                 restored,
-                only(told(ListKind.FULL, member("a", 1, State.READY, started))).startedAt(),
+                only(told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, started)))
+                        .startedAtNanos(),
                 "a start that moved back and forth would look like another one");
-        News flapped = told(ListKind.DELTA, member("a", 1, State.GONE, 0));
-        assertEquals(State.GONE, only(flapped).state());
+        EndpointUpdate flapped = told(UpdateKind.DELTA, member("a", 1, HostState.GONE, 0));
+        assertEquals(HostState.GONE, only(flapped).state());
         assertEquals(
                 restored,
-                only(told(ListKind.DELTA, member("a", 1, State.READY, started))).startedAt(),
+                only(told(UpdateKind.DELTA, member("a", 1, HostState.READY, started)))
+                        .startedAtNanos(),
                 "gone and back does not make it warm");
     }
 
     @Test
     void whoDrainsOrIsGoneByTheListStaysSoWhenCalledBack() {
-        told(ListKind.FULL, member("a", 1, State.READY, 0), member("b", 2, State.READY, 0));
+        told(
+                UpdateKind.SNAPSHOT,
+                member("a", 1, HostState.READY, 0),
+                member("b", 2, HostState.READY, 0));
         maintenance.suspend("a", now);
         maintenance.suspend("b", now);
-        told(ListKind.DELTA, member("a", 1, State.DRAINING, 0), member("b", 2, State.GONE, 0));
-        assertEquals(State.DRAINING, only(news(maintenance.restore("a", now))).state());
+        told(
+                UpdateKind.DELTA,
+                member("a", 1, HostState.DRAINING, 0),
+                member("b", 2, HostState.GONE, 0));
+        assertEquals(HostState.DRAINING, only(news(maintenance.restore("a", now))).state());
         assertNull(news(maintenance.restore("b", now)), "nobody is there to be told of");
         assertInstanceOf(
-                Maintenance.Denied.class, maintenance.restore("b", now), "and now nobody holds it");
+                MaintenanceOverlay.Denied.class,
+                maintenance.restore("b", now),
+                "and now nobody holds it");
     }
 
     @Test
     void idsThatNobodyHoldsAreDeniedAndWordsAreBounded() {
-        assertInstanceOf(Maintenance.Denied.class, maintenance.suspend("a", now));
-        assertInstanceOf(Maintenance.Denied.class, maintenance.restore("a", now));
-        Member[] many = new Member[Maintenance.MOST + 1];
+        assertInstanceOf(MaintenanceOverlay.Denied.class, maintenance.suspend("a", now));
+        assertInstanceOf(MaintenanceOverlay.Denied.class, maintenance.restore("a", now));
+        DiscoveredEndpoint[] many = new DiscoveredEndpoint[MaintenanceOverlay.MOST + 1];
         for (int i = 0; i < many.length; i++) {
-            many[i] = member("u" + i, i + 1, State.READY, 0);
+            many[i] = member("u" + i, i + 1, HostState.READY, 0);
         }
-        told(ListKind.FULL, many);
-        for (int i = 0; i < Maintenance.MOST; i++) {
+        told(UpdateKind.SNAPSHOT, many);
+        for (int i = 0; i < MaintenanceOverlay.MOST; i++) {
             news(maintenance.suspend("u" + i, now));
         }
         assertInstanceOf(
-                Maintenance.Denied.class, maintenance.suspend("u" + Maintenance.MOST, now));
+                MaintenanceOverlay.Denied.class,
+                maintenance.suspend("u" + MaintenanceOverlay.MOST, now));
         news(maintenance.restore("u0", now));
-        news(maintenance.suspend("u" + Maintenance.MOST, now));
+        news(maintenance.suspend("u" + MaintenanceOverlay.MOST, now));
     }
 
     /**
@@ -150,26 +167,26 @@
             Set<String> listed = new HashSet<>();
             Set<String> out = new HashSet<>();
             Set<Long> module = new HashSet<>();
-            Directory itsDirectory = new Directory(TimeUnit.MILLISECONDS::toNanos);
-            Maintenance its = new Maintenance(RAMP);
+            EndpointTable itsDirectory = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
+            MaintenanceOverlay its = new MaintenanceOverlay(RAMP);
             for (int i = 0; i < 120; i++) {
                 String id = "u" + random.nextInt(6);
-                News news = null;
+                EndpointUpdate news = null;
                 if (random.nextInt(4) == 0) {
                     boolean suspends = random.nextBoolean();
-                    Maintenance.Effect effect =
+                    MaintenanceOverlay.Effect effect =
                             suspends ? its.suspend(id, T0 + i) : its.restore(id, T0 + i);
                     boolean held = listed.contains(id) || out.contains(id);
-                    assertEquals(held, effect instanceof Maintenance.Done, "seed " + seed);
+                    assertEquals(held, effect instanceof MaintenanceOverlay.Done, "seed " + seed);
                     if (held && suspends) {
                         out.add(id);
                     } else {
                         out.remove(id);
                     }
-                    news = effect instanceof Maintenance.Done done ? done.news() : null;
+                    news = effect instanceof MaintenanceOverlay.Done done ? done.news() : null;
                 } else {
                     boolean whole = random.nextInt(4) == 0;
-                    List<Member> members = new ArrayList<>();
+                    List<DiscoveredEndpoint> members = new ArrayList<>();
                     if (whole) {
                         ready.clear();
                         listed.clear();
@@ -178,24 +195,24 @@
                     for (int u = 0; u < 6; u++) {
                         if (random.nextInt(3) == 0) {
                             String name = "u" + u;
-                            State state = State.values()[random.nextInt(3)];
+                            HostState state = HostState.values()[random.nextInt(3)];
                             ready.remove(name);
                             listed.remove(name);
-                            if (state != State.GONE) {
+                            if (state != HostState.GONE) {
                                 listed.add(name);
                             }
-                            if (state == State.READY) {
+                            if (state == HostState.READY) {
                                 ready.add(name);
                             }
                             members.add(member(name, u + 1, state, 0));
                         }
                     }
-                    ListKind kind = whole ? ListKind.FULL : ListKind.DELTA;
+                    UpdateKind kind = whole ? UpdateKind.SNAPSHOT : UpdateKind.DELTA;
                     news = its.over(itsDirectory.news(kind, members), T0 + i);
                 }
                 if (news != null) {
-                    for (Upstream entry : news.entries()) {
-                        if (entry.state() == State.READY) {
+                    for (UpstreamHost entry : news.entries()) {
+                        if (entry.state() == HostState.READY) {
                             module.add(entry.id());
                         } else {
                             module.remove(entry.id());
@@ -208,8 +225,7 @@
                         .forEach(
                                 each ->
                                         expected.add(
-                                                appleridge.discovery.UpstreamNumbers.natural(
-                                                        each)));
+                                                appleridge.discovery.UpstreamIds.natural(each)));
                 assertEquals(expected, module, "seed " + seed + " step " + i);
             }
             assertTrue(its.out().keySet().containsAll(out));
