--- a/sidecar/src/test/java/appleridge/config/ConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.daemon.LoopbackNode;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.DiscoveryMode;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.RequestClass;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -16,23 +16,23 @@
 import org.junit.jupiter.api.Test;
 
 /** The configuration and the small texts that the protocol has values in. */
-class ConfigTest {
+class SidecarConfigTest {
     private static final String GOOD =
             LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:8500");
 
-    private static Config parse(String json) throws Exception {
-        return Config.parse(new ObjectMapper().readTree(json));
+    private static SidecarConfig parse(String json) throws Exception {
+        return SidecarConfig.parse(new ObjectMapper().readTree(json));
     }
 
     @Test
     void nestedSettingsAreThoseOfTheWire() throws Exception {
-        Config config = parse(GOOD.replace("\"acme\"", "\"acme, and sons\""));
+        SidecarConfig config = parse(GOOD.replace("\"acme\"", "\"acme, and sons\""));
         assertEquals(List.of("read", "write", "hold", "pay", "slow"), config.classes());
         assertEquals(List.of("acme, and sons"), config.tenants());
         assertEquals(List.of("a", "b"), config.zones());
-        assertEquals(Semantics.ONCE, config.settings().classes().get(3).semantics());
-        assertEquals(List.of("rate", "q"), config.settings().reportFields());
-        assertEquals(Discovery.SUBSCRIBE, config.settings().discovery());
+        assertEquals(Idempotency.NON_IDEMPOTENT, config.settings().classes().get(3).idempotency());
+        assertEquals(List.of("rate", "q"), config.settings().loadReportFields());
+        assertEquals(DiscoveryMode.SUBSCRIBED, config.settings().discoveryMode());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
@@ -45,12 +45,14 @@
                 GOOD.replace("\"discovery\":\"subscribe\"", "\"discovery\":\"automatic\"")
                         .replace("\"askWithin\":1000000000,", "")
                         .replace("\"mayCancel\":true", "\"mayCancel\":true,\"peers\":true");
-        Config config = parse(pushed);
+        SidecarConfig config = parse(pushed);
         assertTrue(config.pushed());
         assertEquals(
-                Discovery.SUBSCRIBE, config.settings().discovery(), "the agent has to be asked");
-        assertFalse(config.settings().allowed().peers());
-        assertTrue(config.settings().allowed().cancel());
+                DiscoveryMode.SUBSCRIBED,
+                config.settings().discoveryMode(),
+                "the agent has to be asked");
+        assertFalse(config.settings().capabilities().gossip());
+        assertTrue(config.settings().capabilities().cancellation());
         assertFalse(parse(GOOD).pushed());
         assertEquals(List.of("settings"), parse(GOOD).fixedParts(config));
     }
@@ -62,9 +64,9 @@
                 parse(GOOD.replace("\"deadline\":3000000000", "\"deadline\":400000000"))
                         .settings()
                         .classes();
-        assertEquals(400_000_000, classes.get(0).aim());
-        assertEquals(400_000_000, classes.get(0).deadline());
-        assertEquals(1_000_000_000, classes.get(4).aim());
+        assertEquals(400_000_000, classes.get(0).latencyObjectiveNanos());
+        assertEquals(400_000_000, classes.get(0).deadlineNanos());
+        assertEquals(1_000_000_000, classes.get(4).latencyObjectiveNanos());
     }
 
     /**
@@ -74,8 +76,9 @@
     void aScopeIsReadOnlyWhereRepeatsAreDroppedByKey() throws Exception {
         String pay = "\"semantics\":\"once\"";
         for (String scope : List.of("\"none\"", "\"\"", "null")) {
-            Config config = parse(GOOD.replace(pay, pay + ",\"keyScope\":" + scope));
-            assertEquals(Semantics.ONCE, config.settings().classes().get(3).semantics());
+            SidecarConfig config = parse(GOOD.replace(pay, pay + ",\"keyScope\":" + scope));
+            assertEquals(
+                    Idempotency.NON_IDEMPOTENT, config.settings().classes().get(3).idempotency());
         }
         assertThrows(
                 IllegalArgumentException.class,
--- a/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
@@ -85,13 +85,13 @@
         node.properties()
                 .forEach(
                         each -> {
-                            String child = Words.child(path, each.getKey());
+                            String child = MessageText.child(path, each.getKey());
                             keys.put(child, each.getKey());
                             collect(child, each.getValue(), keys);
                         });
         for (int i = 0; node.isArray() && i < node.size(); i++) {
-            keys.put(Words.item(path, i), "");
-            collect(Words.item(path, i), node.get(i), keys);
+            keys.put(MessageText.item(path, i), "");
+            collect(MessageText.item(path, i), node.get(i), keys);
         }
     }
 
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -28,11 +28,11 @@
     }
 
     /** What a kind makes of a value; null if it is refused. */
-    private <T> T read(Kind<T> kind, String value) {
+    private <T> T read(ValueKind<T> kind, String value) {
         return table("key = " + value).optional("key", kind, "").orElse(null);
     }
 
-    private <T> void refuses(Kind<T> kind, String value, String problem) {
+    private <T> void refuses(ValueKind<T> kind, String value, String problem) {
         int before = findings.count();
         assertNull(read(kind, value), value);
         assertEquals(before + 1, findings.count(), value);
@@ -43,7 +43,7 @@
 
     @Test
     void durations() {
-        Kind<Duration> kind = Kind.duration(Duration.ofMillis(5), Duration.ofHours(2));
+        ValueKind<Duration> kind = ValueKind.duration(Duration.ofMillis(5), Duration.ofHours(2));
         assertEquals(Duration.ofMillis(250), read(kind, "\"250ms\""));
         assertEquals(Duration.ofSeconds(90), read(kind, "'90s'"));
         assertEquals(Duration.ofMinutes(3), read(kind, "\"3m\""));
@@ -73,7 +73,7 @@
 
     @Test
     void sizes() {
-        Kind<Long> kind = Kind.size(16, 4L << 30);
+        ValueKind<Long> kind = ValueKind.size(16, 4L << 30);
         assertEquals(16L << 20, read(kind, "\"16MiB\""));
         assertEquals(4L << 30, read(kind, "\"4GiB\""));
         assertEquals("1536KiB", kind.show(1536L << 10));
@@ -87,25 +87,28 @@
 
     @Test
     void numbers() {
-        assertEquals(0x10, read(Kind.whole(1, 20), "0x10"));
-        refuses(Kind.whole(1, 20), "2.0", "2.0 is not a whole number");
-        refuses(Kind.whole(1, 20), "21", "21 is out of range: from 1 to 20");
+        assertEquals(0x10, read(ValueKind.whole(1, 20), "0x10"));
+        refuses(ValueKind.whole(1, 20), "2.0", "2.0 is not a whole number");
+        refuses(ValueKind.whole(1, 20), "21", "21 is out of range: from 1 to 20");
         refuses(
-                Kind.whole(1, 20),
+                ValueKind.whole(1, 20),
                 "99999999999999999999",
                 "99999999999999999999 is out of range: from 1 to 20");
-        assertEquals(1, read(Kind.fraction(0, 1), "1"));
-        refuses(Kind.fraction(0, 1), "nan", "NaN is out of range: from 0 to 1");
-        refuses(Kind.fraction(0, 1), "inf", "Infinity is out of range: from 0 to 1");
-        refuses(Kind.fraction(0, 1), "1e999999999", "1E+999999999 is out of range: from 0 to 1");
-        refuses(Kind.fraction(0, 1), "true", "true is not a number");
-        assertTrue(read(Kind.flag(), "true"));
-        refuses(Kind.flag(), "1", "1 is neither true nor false");
+        assertEquals(1, read(ValueKind.fraction(0, 1), "1"));
+        refuses(ValueKind.fraction(0, 1), "nan", "NaN is out of range: from 0 to 1");
+        refuses(ValueKind.fraction(0, 1), "inf", "Infinity is out of range: from 0 to 1");
+        refuses(
+                ValueKind.fraction(0, 1),
+                "1e999999999",
+                "1E+999999999 is out of range: from 0 to 1");
+        refuses(ValueKind.fraction(0, 1), "true", "true is not a number");
+        assertTrue(read(ValueKind.flag(), "true"));
+        refuses(ValueKind.flag(), "1", "1 is neither true nor false");
     }
 
     @Test
     void addressesAreLiteralOnes() {
-        Kind<InetSocketAddress> kind = Kind.address();
+        ValueKind<InetSocketAddress> kind = ValueKind.address();
         assertEquals("192.0.2.1:80", kind.show(read(kind, "\"192.0.2.1:80\"")));
         assertEquals(
                 "[2001:db8:0:0:0:0:0:1]:65535", kind.show(read(kind, "\"[2001:db8::1]:65535\"")));
@@ -141,30 +144,30 @@
 
     @Test
     void textsAndChoices() {
-        assertEquals(Scope.SAME_CELL, read(Kind.choice(Scope.class), "\"same-cell\""));
+        assertEquals(Scope.SAME_CELL, read(ValueKind.choice(Scope.class), "\"same-cell\""));
         refuses(
-                Kind.choice(Scope.class),
+                ValueKind.choice(Scope.class),
                 "\"zones\"",
                 "\"zones\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"zone\"?");
         refuses(
-                Kind.choice(Scope.class),
+                ValueKind.choice(Scope.class),
                 "\"ALL\"",
                 "\"ALL\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"all\"?");
-        assertEquals("abc", read(Kind.text(3), "\"abc\""));
-        refuses(Kind.text(3), "\"abcd\"", "\"abcd\" has 4 characters, allowed are 1 to 3");
-        refuses(Kind.text(3), "\"\"", "\"\" has 0 characters, allowed are 1 to 3");
-        refuses(Kind.text(3), "\"a\\nb\"", "\"a\\u000ab\" holds a control character");
-        refuses(Kind.text(3), "\"\\ud800\"", "\"\\ud800\" holds half a character");
-        refuses(Kind.text(3), "1", "1 is not a text; put it in quotes");
+        assertEquals("abc", read(ValueKind.text(3), "\"abc\""));
+        refuses(ValueKind.text(3), "\"abcd\"", "\"abcd\" has 4 characters, allowed are 1 to 3");
+        refuses(ValueKind.text(3), "\"\"", "\"\" has 0 characters, allowed are 1 to 3");
+        refuses(ValueKind.text(3), "\"a\\nb\"", "\"a\\u000ab\" holds a control character");
+        refuses(ValueKind.text(3), "\"\\ud800\"", "\"\\ud800\" holds half a character");
+        refuses(ValueKind.text(3), "1", "1 is not a text; put it in quotes");
         refuses(
-                Kind.text(3),
+                ValueKind.text(3),
                 "\"" + "x".repeat(99) + "\"",
                 "\"" + "x".repeat(57) + "...\" has 99 characters, allowed are 1 to 3");
     }
 
     @Test
     void listsNameEachWrongItem() {
-        Kind<List<Integer>> kind = Kind.list(Kind.whole(0, 9), 1, 4);
+        ValueKind<List<Integer>> kind = ValueKind.list(ValueKind.whole(0, 9), 1, 4);
         assertEquals(List.of(1, 2), read(kind, "[1, 2]"));
         assertEquals("[1, 2]", kind.show(List.of(1, 2)));
         refuses(kind, "[]", "a list of 0, allowed are 1 to 4");
@@ -185,8 +188,8 @@
         Table top = table("[[route]]\nhost = 'a'\n[[route]]\nhots = 'b'\n");
         List<Table> routes = top.tables("route");
         assertEquals(2, routes.size());
-        assertEquals("a", routes.get(0).required("host", Kind.text(9), "x", ""));
-        assertEquals("x", routes.get(1).required("host", Kind.text(9), "x", ""));
+        assertEquals("a", routes.get(0).required("host", ValueKind.text(9), "x", ""));
+        assertEquals("x", routes.get(1).required("host", ValueKind.text(9), "x", ""));
         assertEquals(List.of(), top.tables("none"));
         top.finish();
         assertEquals(
@@ -212,9 +215,9 @@
     @Test
     void settingsTellWhatHoldsAndWhy() {
         Table top = table("a = 'x'\n[part]\nb = true");
-        top.value("a", Kind.text(9), "y", "first");
-        top.optional("c", Kind.text(9), "third");
-        top.table("part").value("b", Kind.flag(), true, "second");
+        top.value("a", ValueKind.text(9), "y", "first");
+        top.optional("c", ValueKind.text(9), "third");
+        top.table("part").value("b", ValueKind.flag(), true, "second");
         top.finish();
         assertEquals(
                 List.of(
--- a/sidecar/src/test/java/appleridge/daemon/OperatorsLineTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -22,7 +22,7 @@
  * The operators' line over loopback: what it does to a sidecar at work, and who may not take it.
  */
 @Timeout(120)
-class OperatorsLineTest {
+class AdminServerTest {
     private static final String GOOD = StubUpstream.answer("200 OK", "fine");
 
     private final InetSocketAddress admin = unused();
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.request.Books;
-import appleridge.transport.Loop;
-import appleridge.transport.NioSockets;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.request.InFlightCounts;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -48,7 +48,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Node node;
+    private Sidecar node;
     private InetSocketAddress address;
 
     private void end() throws Exception {
@@ -79,23 +79,23 @@
                         .replace(
                                 "\"stopSendingWithin\":2000000000",
                                 "\"stopSendingWithin\":250000000");
-        Config config =
-                Config.parse(new ObjectMapper().readTree(json))
+        SidecarConfig config =
+                SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time =
-                new Loop(
+        SidecarEventLoop time =
+                new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
         node =
                 loop.submit(
                                 () ->
-                                        new Node(
+                                        new Sidecar(
                                                 time,
-                                                new NioSockets(),
+                                                new NioSocketFactory(),
                                                 config,
-                                                Tuning.USUAL,
-                                                SymmetricRoundRobin::new))
+                                                RuntimeOptions.USUAL,
+                                                SymmetricRoundRobinPolicy::new))
                         .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    private Books books() {
+    private InFlightCounts books() {
         try {
             return loop.submit(() -> node.books()).get();
         } catch (Exception e) {
@@ -292,7 +292,7 @@
             CountDownLatch over = standStill();
             client.send(TestClient.request("read", "3.0"));
             over.countDown();
-            Books[] seen = new Books[1];
+            InFlightCounts[] seen = new InFlightCounts[1];
             await(
                     "read",
                     () -> {
--- a/sidecar/src/test/java/appleridge/daemon/ClientServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -7,7 +7,7 @@
 
 import appleridge.daemon.LoopbackNode.Figures;
 import appleridge.daemon.StubUpstream.Script;
-import appleridge.http1.ClientTimes;
+import appleridge.http1.ClientTimeouts;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -24,14 +24,14 @@
 
 /** The listening side: readiness, bad input, pipelining, the end of the service. */
 @Timeout(60)
-class ClientServerTest {
+class ClientListenerTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /** Guards against a request cut off because its body comes slowly, while it does come. */
     @Test
     void aBodyThatComesSlowlyIsTakenAndOneThatStopsIsNot() throws Exception {
-        ClientTimes times = new ClientTimes(300, 300, 15_000);
+        ClientTimeouts times = new ClientTimeouts(300, 300, 15_000);
         Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
                 LoopbackNode node =
@@ -236,7 +236,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
-                        new ClientTimes(200, 200, 200));
+                        new ClientTimeouts(200, 200, 200));
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(silent));
                 TestClient mute = host.client();
@@ -261,7 +261,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
-                        new ClientTimes(400, 60_000, 60_000));
+                        new ClientTimeouts(400, 60_000, 60_000));
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(upstream));
                 TestClient slow = host.client()) {
@@ -287,7 +287,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
-                        new ClientTimes(60_000, 60_000, 60_000));
+                        new ClientTimeouts(60_000, 60_000, 60_000));
         CountDownLatch release = new CountDownLatch(1);
         List<TestClient> silent = new ArrayList<>();
         try (StubUpstream upstream =
@@ -357,7 +357,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
-                        new ClientTimes(60_000, 60_000, 60_000));
+                        new ClientTimeouts(60_000, 60_000, 60_000));
         List<TestClient> keeping = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(crowd, LoopbackNode.targets(upstream))) {
@@ -477,7 +477,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
-                        new ClientTimes(60_000, 60_000, 60_000));
+                        new ClientTimeouts(60_000, 60_000, 60_000));
         CountDownLatch drained = new CountDownLatch(1);
         try (LoopbackNode host = new LoopbackNode(patient);
                 TestClient half = host.client();
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.transport.HeldListener;
-import appleridge.transport.Loop;
-import appleridge.transport.NioSockets;
-import appleridge.transport.Sockets;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.transport.InheritedListener;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -53,7 +53,7 @@
     private final EventLoop loop = group.next();
     private final CountDownLatch drained = new CountDownLatch(1);
     private StubUpstream discovery;
-    private Node node;
+    private Sidecar node;
     private InetSocketAddress address;
 
     /** Whether the system takes what is written to clients, and the connection accepted last. */
@@ -71,24 +71,24 @@
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
 
-    private Callable<Node> node(StubUpstream upstream, HeldListener held) throws Exception {
+    private Callable<Sidecar> node(StubUpstream upstream, InheritedListener held) throws Exception {
         String json =
                 LoopbackNode.json(
                                 LoopbackNode.Figures.USUAL,
                                 discovery.address(),
                                 LoopbackNode.targets(upstream))
                         .replaceAll("\"(slo|deadline)\":[0-9]+", "\"$1\":400000000");
-        Config config =
-                Config.parse(new ObjectMapper().readTree(json))
+        SidecarConfig config =
+                SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time =
-                new Loop(
+        SidecarEventLoop time =
+                new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        NioSockets usual = new NioSockets();
-        Sockets sockets =
-                new Sockets() {
+        NioSocketFactory usual = new NioSocketFactory();
+        SocketFactory sockets =
+                new SocketFactory() {
                     @Override
                     public Channel connecting() {
                         return usual.connecting();
@@ -105,7 +105,14 @@
                     }
                 };
         return () ->
-                new Node(time, sockets, config, Tuning.USUAL, SymmetricRoundRobin::new, held, null);
+                new Sidecar(
+                        time,
+                        sockets,
+                        config,
+                        RuntimeOptions.USUAL,
+                        SymmetricRoundRobinPolicy::new,
+                        held,
+                        null);
     }
 
     @AfterEach
@@ -266,7 +273,7 @@
                     .configureBlocking(false);
             try (TestClient client = new TestClient((InetSocketAddress) socket.getLocalAddress())) {
                 client.send(TestClient.request("pay", "0.4"));
-                Callable<Node> make = node(upstream, HeldListener.of(socket));
+                Callable<Sidecar> make = node(upstream, InheritedListener.of(socket));
                 onLoop(
                         () -> {
                             node = make.call();
--- a/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -62,7 +62,7 @@
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 DelayingProxy proxy =
                         new DelayingProxy(
-                                Config.address(upstream.address()),
+                                SidecarConfig.address(upstream.address()),
                                 7,
                                 TimeUnit.MILLISECONDS.toNanos(12))) {
             String target =
--- a/sidecar/src/test/java/appleridge/daemon/HeldListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.ProcessPhase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -25,7 +25,7 @@
  * The packaged jar with a listening socket that the platform holds; processes replaced under load.
  */
 @Timeout(180)
-class HeldListenerIT {
+class InheritedListenerIT {
     /** More of them are a measurement: -Dupgrades=50. */
     private static final int UPGRADES = Integer.getInteger("upgrades", 3);
 
@@ -257,7 +257,7 @@
             // Its last state is written a moment after it says so, and would take the noise's
             // place.
             Path state = platform.sharedFolder().resolve("slot-0.state");
-            while (!Files.readString(state).contains(Phase.SERVING.name())) {
+            while (!Files.readString(state).contains(ProcessPhase.SERVING.name())) {
                 Thread.sleep(10);
             }
             Files.writeString(state, "appleridge-state 9\nnoise");
--- a/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.Balancer;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.request.Books;
-import appleridge.transport.Loop;
-import appleridge.transport.NioSockets;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.LoadBalancingPolicy;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.request.InFlightCounts;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -69,7 +69,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Node node;
+    private Sidecar node;
     private InetSocketAddress address;
 
     /**
@@ -98,25 +98,25 @@
                 changed.apply(
                         LoopbackNode.json(
                                 LoopbackNode.Figures.USUAL, discovery.address(), targets));
-        Config config =
-                Config.parse(new ObjectMapper().readTree(json))
+        SidecarConfig config =
+                SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time =
-                new Loop(
+        SidecarEventLoop time =
+                new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
         node =
                 loop.submit(
                                 () ->
-                                        new Node(
+                                        new Sidecar(
                                                 time,
-                                                new NioSockets(),
+                                                new NioSocketFactory(),
                                                 config,
-                                                Tuning.USUAL,
+                                                RuntimeOptions.USUAL,
                                                 (settings, seed, actions) ->
                                                         slow(
-                                                                new SymmetricRoundRobin(
+                                                                new SymmetricRoundRobinPolicy(
                                                                         settings, seed, actions))))
                         .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
@@ -130,7 +130,7 @@
         }
     }
 
-    private Books books() {
+    private InFlightCounts books() {
         return onLoop(() -> node.books());
     }
 
@@ -635,13 +635,13 @@
     }
 
     /** A module that takes its time over each request, as one on a crowded machine does. */
-    private Balancer slow(Balancer module) {
-        return (Balancer)
+    private LoadBalancingPolicy slow(LoadBalancingPolicy module) {
+        return (LoadBalancingPolicy)
                 Proxy.newProxyInstance(
-                        Balancer.class.getClassLoader(),
-                        new Class<?>[] {Balancer.class},
+                        LoadBalancingPolicy.class.getClassLoader(),
+                        new Class<?>[] {LoadBalancingPolicy.class},
                         (proxy, method, arguments) -> {
-                            if (method.getName().equals("request") && turnGoesOn != null) {
+                            if (method.getName().equals("onRequest") && turnGoesOn != null) {
                                 turnBegun.countDown();
                                 stand(turnGoesOn, 90);
                             }
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -1,7 +1,7 @@
 package appleridge.daemon;
 
-import appleridge.config.Config;
-import appleridge.http1.ClientTimes;
+import appleridge.config.SidecarConfig;
+import appleridge.http1.ClientTimeouts;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -45,7 +45,7 @@
                "rampTime":7000000000,"overloadFactor":4.0,"tipAfter":1500000000}}
             """;
 
-    public final Serve node;
+    public final ServeCommand node;
 
     /** Answers that discovery gives to its calls in turn; once there are none, a call waits. */
     public final BlockingQueue<String> news = new LinkedBlockingQueue<>();
@@ -62,9 +62,9 @@
                     });
 
     /** Figures of the settings that tests vary. */
-    public record Figures(long connIdle, int maxOpen, long askWithin, ClientTimes times) {
+    public record Figures(long connIdle, int maxOpen, long askWithin, ClientTimeouts times) {
         public Figures(long connIdle, int maxOpen, long askWithin) {
-            this(connIdle, maxOpen, askWithin, ClientTimes.USUAL);
+            this(connIdle, maxOpen, askWithin, ClientTimeouts.USUAL);
         }
 
         public static final Figures USUAL =
@@ -93,11 +93,12 @@
             String... targets)
             throws Exception {
         String json = changed.apply(json(figures, discovery.address(), targets));
-        Config config = Config.parse(new ObjectMapper().readTree(json)).withAdmin(admin);
+        SidecarConfig config =
+                SidecarConfig.parse(new ObjectMapper().readTree(json)).withAdmin(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         node =
-                Serve.start(
-                        new Config(
+                ServeCommand.start(
+                        new SidecarConfig(
                                 config.name(),
                                 anyPort,
                                 config.discovery(),
@@ -113,7 +114,7 @@
                                 config.connIdle(),
                                 config.maxOpen(),
                                 config.admin()),
-                        Tuning.USUAL.with(figures.times));
+                        RuntimeOptions.USUAL.with(figures.times));
     }
 
     public static String json(Figures figures, String discovery, String... targets) {
--- a/sidecar/src/test/java/appleridge/daemon/NodeListsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
@@ -4,17 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.discovery.ListSink;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.Member;
-import appleridge.discovery.ephemeral.Merge;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
 import appleridge.discovery.ephemeral.NodeData;
-import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeDiscovery;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.transport.Loop;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.SourceSelection;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.net.InetAddress;
@@ -28,28 +28,28 @@
 /**
  * Nodes and the registry as one source, on an event loop whose time stands still until it is moved.
  */
-class NodeListsTest {
+class NodeDiscoveryAdapterTest {
     private static final long ASK_WITHIN = TimeUnit.SECONDS.toNanos(10);
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
-    private final Loop loop =
-            new Loop(
+    private final SidecarEventLoop loop =
+            new SidecarEventLoop(
                     channel.eventLoop(),
                     () -> 1_700_000_000_000L,
                     new SystemLog(() -> 0, System.Logger.Level.DEBUG));
-    private final List<ListKind> kinds = new ArrayList<>();
-    private final List<Member> members = new ArrayList<>();
+    private final List<UpdateKind> kinds = new ArrayList<>();
+    private final List<DiscoveredEndpoint> members = new ArrayList<>();
     private final Registry registry = new Registry();
     private final Client client = new Client();
-    private NodeLists lists;
+    private NodeDiscoveryAdapter lists;
 
-    private static final class Registry implements ListSource {
-        private ListSink sink;
+    private static final class Registry implements EndpointDiscovery {
+        private DiscoveryListener sink;
         private int asked;
         private boolean closed;
 
         @Override
-        public List<Member> begin() {
+        public List<DiscoveredEndpoint> begin() {
             return List.of(member("known", 1));
         }
 
@@ -75,8 +75,8 @@
         }
     }
 
-    private static final class Client implements NodeLists.Client {
-        private NodeMembership membership;
+    private static final class Client implements NodeDiscoveryAdapter.Client {
+        private NodeDiscovery membership;
         private boolean started;
         private boolean closed;
         private Runnable waiting = () -> {};
@@ -103,31 +103,31 @@
         }
     }
 
-    private static Member member(String id, int port) {
-        return new Member(
+    private static DiscoveredEndpoint member(String id, int port) {
+        return new DiscoveredEndpoint(
                 id,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 0,
                 0,
                 0,
-                State.READY,
+                HostState.READY,
                 1,
                 5);
     }
 
     private static NodeRead node(int port) {
-        Member as = member("", port);
+        DiscoveredEndpoint as = member("", port);
         return new NodeRead(
-                new NodeData(as.address(), 0, 0, 0, State.READY, 1, 5, null), null, 5, 1, 1);
+                new NodeData(as.address(), 0, 0, 0, HostState.READY, 1, 5, null), null, 5, 1, 1);
     }
 
-    private void begin(Merge merge) {
+    private void begin(SourceSelection merge) {
         channel.freezeTime();
         lists =
-                new NodeLists(
+                new NodeDiscoveryAdapter(
                         loop,
                         merge,
-                        NodeMembership.Settings.USUAL,
+                        NodeDiscovery.Settings.USUAL,
                         ASK_WITHIN,
                         7,
                         (kind, told) -> {
@@ -156,17 +156,17 @@
     }
 
     private void connected(int port) {
-        client.membership.session(loop.now(), Session.CONNECTED);
+        client.membership.session(loop.now(), SessionState.CONNECTED);
         client.membership.snapshot(loop.now(), loop.now(), 1, Map.of("n", node(port)));
     }
 
     @Test
     void nodesAloneAskNoRegistry() {
-        begin(Merge.NODES);
+        begin(SourceSelection.NODES);
         assertEquals(0, registry.asked);
         connected(2);
-        assertEquals(List.of(ListKind.FULL), kinds);
-        assertEquals(List.of("n"), members.stream().map(Member::id).toList());
+        assertEquals(List.of(UpdateKind.SNAPSHOT), kinds);
+        assertEquals(List.of("n"), members.stream().map(DiscoveredEndpoint::id).toList());
         lists.close();
         assertTrue(client.closed && registry.closed);
         pass(1000);
@@ -176,18 +176,18 @@
     /** Guards against a registry that is not asked again because the nodes tell on. */
     @Test
     void aRegistryThatFailsIsAskedAgainWhateverTheNodesTell() {
-        begin(Merge.BOTH);
+        begin(SourceSelection.BOTH);
         assertEquals(1, registry.asked);
         connected(2);
-        registry.sink.told(ListKind.FAILED, List.of());
-        assertFalse(kinds.contains(ListKind.FAILED), "the module would count on its own asking");
+        registry.sink.told(UpdateKind.FAILURE, List.of());
+        assertFalse(kinds.contains(UpdateKind.FAILURE), "the module would count on its own asking");
         pass(400);
         assertEquals(2, registry.asked);
-        registry.sink.told(ListKind.FAILED, List.of());
+        registry.sink.told(UpdateKind.FAILURE, List.of());
         pass(600);
         assertEquals(3, registry.asked);
-        registry.sink.told(ListKind.FAILED, List.of());
-        registry.sink.told(ListKind.DELTA, List.of());
+        registry.sink.told(UpdateKind.FAILURE, List.of());
+        registry.sink.told(UpdateKind.DELTA, List.of());
         pass(30_000);
         assertEquals(3, registry.asked);
     }
@@ -197,12 +197,12 @@
      */
     @Test
     void afterAStandStillItIsCaughtUpWhenTheServiceHasAnswered() {
-        begin(Merge.BOTH);
+        begin(SourceSelection.BOTH);
         connected(2);
         client.waiting = () -> client.membership.gone(loop.now(), loop.now(), 2, "n");
         pass(1000);
         lists.catchUp();
-        assertEquals(State.DRAINING, members.get(members.size() - 1).state(), "told at once");
+        assertEquals(HostState.DRAINING, members.get(members.size() - 1).state(), "told at once");
         assertFalse(lists.isCaughtUp());
         Runnable first = client.heard;
         lists.catchUp();
@@ -210,6 +210,6 @@
         assertFalse(lists.isCaughtUp(), "the answer to an earlier question");
         client.heard.run();
         assertTrue(lists.isCaughtUp());
-        assertEquals(ListKind.DELTA, kinds.get(kinds.size() - 1));
+        assertEquals(UpdateKind.DELTA, kinds.get(kinds.size() - 1));
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.SymmetricRoundRobin;
-import appleridge.request.Books;
-import appleridge.transport.Loop;
-import appleridge.transport.NioSockets;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.request.InFlightCounts;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -88,7 +88,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Node node;
+    private Sidecar node;
     private InetSocketAddress address;
 
     @AfterEach
@@ -107,28 +107,28 @@
                             .replace("\"keyTtl\":5000000000", "\"keyTtl\":100000000")
                             .replace("\"deadline\":3000000000", "\"deadline\":300000000");
         }
-        Config config =
-                Config.parse(new ObjectMapper().readTree(json))
+        SidecarConfig config =
+                SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .listeningAt(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Loop time =
-                new Loop(
+        SidecarEventLoop time =
+                new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.WARNING));
         node =
                 loop.submit(
                                 () ->
-                                        new Node(
+                                        new Sidecar(
                                                 time,
-                                                new NioSockets(),
+                                                new NioSocketFactory(),
                                                 config,
-                                                Tuning.USUAL,
-                                                SymmetricRoundRobin::new))
+                                                RuntimeOptions.USUAL,
+                                                SymmetricRoundRobinPolicy::new))
                         .get();
         address = (InetSocketAddress) node.listening().sync().channel().localAddress();
     }
 
-    private Books books() throws Exception {
+    private InFlightCounts books() throws Exception {
         return loop.submit(() -> node.books()).get();
     }
 
@@ -284,7 +284,7 @@
             calm = true;
             long until =
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
-            while (!books().equals(new Books(0, 0, 0, 0))) {
+            while (!books().equals(new InFlightCounts(0, 0, 0, 0))) {
                 assertTrue(System.nanoTime() < until, "left open: " + books());
                 Thread.sleep(5);
             }
--- a/sidecar/src/test/java/appleridge/daemon/DiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode.Figures;
 import java.io.IOException;
 import java.net.Socket;
@@ -18,7 +18,7 @@
 
 /** The list and what becomes of it, over loopback sockets. */
 @Timeout(60)
-class DiscoveryTest {
+class RegistryDiscoveryTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
@@ -172,7 +172,7 @@
             watchSince(host, 1);
             host.tell(LoopbackNode.list(7, true, LoopbackNode.targets(one)));
             watchSince(host, 7);
-            host.node.follow(Config.address(other.address()));
+            host.node.follow(SidecarConfig.address(other.address()));
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances HTTP"),
                     "the list first");
@@ -256,7 +256,7 @@
                     && host.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
                 Thread.onSpinWait();
             }
-            host.node.follow(Config.address(other.address()));
+            host.node.follow(SidecarConfig.address(other.address()));
             assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
             String second = other.nextRequest();
             assertTrue(second.startsWith("GET /registry/instances?since=5&"), second);
@@ -531,7 +531,7 @@
                                                 "\"discovery\":\"" + old.address() + "\""),
                                 LoopbackNode.targets(one, two))) {
             untilAsked(old, " HTTP");
-            host.node.follow(Config.address(silent.address()));
+            host.node.follow(SidecarConfig.address(silent.address()));
             untilAsked(silent, " HTTP");
             moved.countDown();
             // One is closed with the move, the other one when its answer has been read.
--- a/sidecar/src/test/java/appleridge/daemon/ServeIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
@@ -27,7 +27,7 @@
 
 /** The packaged jar as a sidecar process. */
 @Timeout(120)
-class ServeIT {
+class ServeCommandIT {
     @TempDir private Path folder;
 
     private Process serve(String config) throws IOException {
@@ -90,7 +90,7 @@
     void withoutAnOperatorsFileNothingOfItIsLoaded() throws Exception {
         String loaded = output("-Xlog:class+load", "-jar", "target/appleridge.jar", "warm-up");
         assertTrue(loaded.startsWith("status 0"), loaded);
-        assertTrue(loaded.contains("appleridge.daemon.Node "), "what is loaded is listed");
+        assertTrue(loaded.contains("appleridge.daemon.Sidecar "), "what is loaded is listed");
         assertFalse(loaded.contains("appleridge.config.operator"));
         assertFalse(loaded.contains("dataformat.toml"));
         for (String off :
@@ -98,15 +98,15 @@
                     "appleridge.discovery.ephemeral",
                     "appleridge.discovery.zookeeper",
                     "appleridge.discovery.registration",
-                    "appleridge.daemon.NodeLists",
-                    "appleridge.daemon.NodesStart",
+                    "appleridge.daemon.NodeDiscoveryAdapter",
+                    "appleridge.daemon.ZooKeeperStartup",
                     "zookeeper",
                     "org.slf4j",
-                    "appleridge.transport.HeldListener",
+                    "appleridge.transport.InheritedListener",
                     "appleridge.admin",
-                    "appleridge.daemon.OperatorsDesk",
+                    "appleridge.daemon.AdminService",
                     "appleridge.hotrestart",
-                    "appleridge.daemon.Handover"
+                    "appleridge.daemon.HotRestart"
                 }) {
             assertFalse(loaded.contains(off), off);
         }
@@ -116,7 +116,7 @@
     @Test
     void warmsUpWhereAnotherProcessHoldsTheAddressOfItsFile() throws Exception {
         JsonNode file = new ObjectMapper().readTree(Path.of("../deploy/warm-up.json").toFile());
-        InetSocketAddress address = Config.address(file.path("listen").asText());
+        InetSocketAddress address = SidecarConfig.address(file.path("listen").asText());
         try (ServerSocket held = new ServerSocket()) {
             held.setReuseAddress(true);
             held.bind(address);
--- a/sidecar/src/test/java/appleridge/daemon/NodeTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
@@ -16,7 +16,7 @@
 
 /** A request's life for each way in which an attempt can end, over loopback sockets. */
 @Timeout(60)
-class NodeTest {
+class SidecarTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
     /**
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
@@ -178,7 +178,7 @@
                 ClosedLoopClients clients =
                         new ClosedLoopClients(sidecar.address(), CLIENTS, 1, both)) {
             awaitMore(clients, ENOUGH / 4);
-            faults.breakConnectionsTo(Config.address(a.address()).getPort());
+            faults.breakConnectionsTo(SidecarConfig.address(a.address()).getPort());
             faults.fail(SystemFaults.Fault.BREAK, OFTEN / 3, errno);
             awaitMore(clients, ENOUGH);
             List<ClosedLoopClients.Asked> asked = clients.end();
--- a/sidecar/src/test/java/appleridge/daemon/ServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
 /** What a service's parts are set to. */
-class ServiceTest {
+class UpstreamClusterTest {
     /** The pause that is granted where the shortest aim is so long, both in milliseconds. */
     private static long stall(long aim) throws IOException {
         String json =
@@ -19,7 +19,8 @@
                                 "\"slo\":1000000000",
                                 "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
         return TimeUnit.NANOSECONDS.toMillis(
-                Service.stall(Config.parse(json.getBytes(StandardCharsets.UTF_8)).settings()));
+                UpstreamCluster.stall(
+                        SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)).settings()));
     }
 
     /**
--- a/sidecar/src/test/java/appleridge/discovery/AddressHoldersTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class AddressHoldersTest {
+class AddressOwnershipTest {
     private static final InetSocketAddress HERE =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final InetSocketAddress THERE =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 2);
 
-    private final AddressHolders holders = new AddressHolders();
+    private final AddressOwnership holders = new AddressOwnership();
 
     @Test
     void theOneThatStartedLastHoldsTheAddressWhicheverIsListedFirst() {
--- a/sidecar/src/test/java/appleridge/discovery/UpstreamNumbersTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class UpstreamNumbersTest {
+class UpstreamIdsTest {
     /** Guards against peers and next processes that mean different upstreams by one number. */
     @Test
     void aNumberDependsOnTheIdAloneAndComesBackWithIt() {
-        UpstreamNumbers here = new UpstreamNumbers();
-        UpstreamNumbers elsewhere = new UpstreamNumbers();
+        UpstreamIds here = new UpstreamIds();
+        UpstreamIds elsewhere = new UpstreamIds();
         long first = here.of("s-1");
         here.of("s-2");
         elsewhere.of("s-2");
@@ -23,12 +23,12 @@
         assertEquals(first, here.of("s-1"));
         here.retain(List.of("s-3"));
         assertEquals(first, here.of("s-1"));
-        assertEquals(UpstreamNumbers.natural("s-1"), first);
+        assertEquals(UpstreamIds.natural("s-1"), first);
     }
 
     @Test
     void numbersDifferAndFitTheModulesNotes() {
-        UpstreamNumbers numbers = new UpstreamNumbers();
+        UpstreamIds numbers = new UpstreamIds();
         Set<Long> seen = new HashSet<>();
         for (int i = 0; i < 20_000; i++) {
             long number = numbers.of("server-" + i);
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -12,15 +12,15 @@
 class BothSourcesTest {
     private static final long DAY = 1_700_000_000_000L;
 
-    private final Told told = new Told(Merge.BOTH);
+    private final Told told = new Told(SourceSelection.BOTH);
 
     /** One server in both, one in the registry alone and one with a node alone. */
     private void begin() {
         told.registry(
-                ListKind.FULL,
-                Told.member("both", 1, State.READY, DAY),
-                Told.member("listed", 2, State.READY, DAY));
-        told.session(Session.CONNECTED);
+                UpdateKind.SNAPSHOT,
+                Told.member("both", 1, HostState.READY, DAY),
+                Told.member("listed", 2, HostState.READY, DAY));
+        told.session(SessionState.CONNECTED);
         told.snapshot(10, Map.of("both", Told.ready(1, 1, DAY), "node", Told.ready(2, 3, DAY)));
         told.pass(200);
     }
@@ -29,49 +29,49 @@
     void whoIsInOneIsListedByItsWord() {
         begin();
         assertEquals(3, told.list.size());
-        assertTrue(told.list.values().stream().allMatch(each -> each.state() == State.READY));
+        assertTrue(told.list.values().stream().allMatch(each -> each.state() == HostState.READY));
     }
 
     @Test
     void theRegistryAloneIsEnoughToBegin() {
-        told.registry(ListKind.CACHED, Told.member("a", 1, State.READY, DAY));
-        assertEquals(ListKind.CACHED, told.events.get(0).kind());
+        told.registry(UpdateKind.CACHED_SNAPSHOT, Told.member("a", 1, HostState.READY, DAY));
+        assertEquals(UpdateKind.CACHED_SNAPSHOT, told.events.get(0).kind());
         assertTrue(told.membership.usable());
         told.pass(60_000);
-        told.registry(ListKind.FULL, Told.member("b", 2, State.READY, DAY));
-        assertEquals(State.GONE, told.state("a"));
-        assertEquals("registry", told.last("b", State.READY).source());
+        told.registry(UpdateKind.SNAPSHOT, Told.member("b", 2, HostState.READY, DAY));
+        assertEquals(HostState.GONE, told.state("a"));
+        assertEquals("registry", told.last("b", HostState.READY).source());
     }
 
     @Test
     void whoDrainsInEitherDrains() {
         begin();
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.DRAINING, DAY));
-        assertEquals(State.DRAINING, told.state("both"));
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY));
-        assertEquals(State.READY, told.state("both"));
-        told.put("both", Told.node(1, told.nextZxid(), Told.data(1, State.DRAINING, DAY)));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.DRAINING, DAY));
+        assertEquals(HostState.DRAINING, told.state("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY));
+        assertEquals(HostState.READY, told.state("both"));
+        told.put("both", Told.node(1, told.nextZxid(), Told.data(1, HostState.DRAINING, DAY)));
         told.pass(100);
-        assertEquals(State.DRAINING, told.state("both"));
+        assertEquals(HostState.DRAINING, told.state("both"));
     }
 
     @Test
     void whoseNodeHasVanishedIsGoneWhateverTheRegistryLists() {
         begin();
         told.gone(told.nextZxid(), "both");
-        assertEquals(State.DRAINING, told.state("both"));
+        assertEquals(HostState.DRAINING, told.state("both"));
         told.pass(2500);
-        assertEquals(State.GONE, told.state("both"));
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY));
+        assertEquals(HostState.GONE, told.state("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY));
         told.registry(
-                ListKind.FULL,
-                Told.member("both", 1, State.READY, DAY),
-                Told.member("listed", 2, State.READY, DAY));
+                UpdateKind.SNAPSHOT,
+                Told.member("both", 1, HostState.READY, DAY),
+                Told.member("listed", 2, HostState.READY, DAY));
         told.pass(600_000);
-        assertEquals(State.GONE, told.state("both"));
+        assertEquals(HostState.GONE, told.state("both"));
         told.put("both", Told.ready(told.nextZxid(), 1, DAY));
         told.pass(100);
-        assertEquals(State.READY, told.state("both"), "its node is back");
+        assertEquals(HostState.READY, told.state("both"), "its node is back");
     }
 
     /** Guards against the slower source, which lists what it has not heard the end of. */
@@ -79,10 +79,10 @@
     void whoIsListedForTheFirstTimeRightAfterItsNodeVanishedIsGone() {
         begin();
         told.gone(told.nextZxid(), "node");
-        told.registry(ListKind.DELTA, Told.member("node", 3, State.READY, DAY));
-        assertEquals(State.DRAINING, told.state("node"));
+        told.registry(UpdateKind.DELTA, Told.member("node", 3, HostState.READY, DAY));
+        assertEquals(HostState.DRAINING, told.state("node"));
         told.pass(5000);
-        assertEquals(State.GONE, told.state("node"));
+        assertEquals(HostState.GONE, told.state("node"));
     }
 
     /** A watch may tell of an end that came before the first reading. */
@@ -90,62 +90,62 @@
     void whoseEndIsToldWithoutHavingBeenSeenIsGone() {
         begin();
         told.gone(told.nextZxid(), "listed");
-        assertEquals(State.GONE, told.state("listed"));
-        told.registry(ListKind.DELTA, Told.member("listed", 2, State.READY, DAY));
-        assertEquals(State.GONE, told.state("listed"));
-        told.registry(ListKind.DELTA, Told.member("listed", 2, State.READY, DAY + 60_000));
-        assertEquals(State.READY, told.state("listed"));
+        assertEquals(HostState.GONE, told.state("listed"));
+        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY));
+        assertEquals(HostState.GONE, told.state("listed"));
+        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY + 60_000));
+        assertEquals(HostState.READY, told.state("listed"));
     }
 
     @Test
     void aLaterStartInTheRegistryIsAnotherProcess() {
         begin();
         told.gone(told.nextZxid(), "both");
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY + 4000));
-        assertEquals(State.DRAINING, told.state("both"), "as near as two clocks are");
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY + 60_000));
-        assertEquals(Told.member("both", 1, State.READY, DAY + 60_000), told.list.get("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 4000));
+        assertEquals(HostState.DRAINING, told.state("both"), "as near as two clocks are");
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        assertEquals(Told.member("both", 1, HostState.READY, DAY + 60_000), told.list.get("both"));
         told.pass(5000);
-        assertEquals(State.READY, told.state("both"));
+        assertEquals(HostState.READY, told.state("both"));
     }
 
     @Test
     void anOldNodeEndsNothingOfTheProcessAfterIt() {
         begin();
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY + 60_000));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
         told.gone(told.nextZxid(), "both");
         told.pass(5000);
-        assertEquals(State.READY, told.state("both"));
+        assertEquals(HostState.READY, told.state("both"));
     }
 
     @Test
     void addressAndStartAreOfTheOneThatBeganLater() {
         begin();
-        told.registry(ListKind.DELTA, Told.member("both", 5, State.READY, DAY + 60_000));
-        assertEquals(Told.member("both", 5, State.READY, DAY + 60_000), told.list.get("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 5, HostState.READY, DAY + 60_000));
+        assertEquals(Told.member("both", 5, HostState.READY, DAY + 60_000), told.list.get("both"));
         told.put("both", Told.ready(told.nextZxid(), 6, DAY + 60_000));
         told.pass(100);
         assertEquals(Told.at(6), told.list.get("both").address(), "equal: the node's");
-        told.registry(ListKind.DELTA, Told.member("both", 5, State.READY, 0));
+        told.registry(UpdateKind.DELTA, Told.member("both", 5, HostState.READY, 0));
         assertEquals(DAY + 60_000, told.list.get("both").startedMillis(), "long ago is before all");
     }
 
     @Test
     void whomTheRegistryEndsIsGoneThoughItsNodeIsThere() {
         begin();
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.GONE, DAY));
-        assertEquals(State.GONE, told.state("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.GONE, DAY));
+        assertEquals(HostState.GONE, told.state("both"));
         told.pass(60_000);
-        assertEquals(State.GONE, told.state("both"));
+        assertEquals(HostState.GONE, told.state("both"));
         told.put("both", Told.ready(told.nextZxid(), 1, DAY + 60_000));
         told.pass(100);
-        assertEquals(State.READY, told.state("both"), "another process");
-        told.registry(ListKind.FULL, Told.member("both", 1, State.READY, DAY + 60_000));
-        assertEquals(State.GONE, told.state("listed"));
-        told.registry(ListKind.FULL);
-        assertEquals(State.GONE, told.state("both"));
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.READY, DAY + 60_000));
-        assertEquals(State.READY, told.state("both"), "listed again");
+        assertEquals(HostState.READY, told.state("both"), "another process");
+        told.registry(UpdateKind.SNAPSHOT, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        assertEquals(HostState.GONE, told.state("listed"));
+        told.registry(UpdateKind.SNAPSHOT);
+        assertEquals(HostState.GONE, told.state("both"));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        assertEquals(HostState.READY, told.state("both"), "listed again");
     }
 
     /** Guards against an end that is undone by a node which names no start but its making. */
@@ -153,28 +153,28 @@
     void withoutAStartOfItsOwnANodeIsTheProcessThatTheRegistryEnds() {
         begin();
         told.put("both", Told.ready(told.nextZxid(), 1, 0));
-        told.registry(ListKind.DELTA, Told.member("both", 1, State.GONE, 0));
+        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.GONE, 0));
         told.pass(100);
-        assertEquals(State.GONE, told.state("both"));
+        assertEquals(HostState.GONE, told.state("both"));
         told.gone(told.nextZxid(), "both");
         told.put("both", Told.ready(told.nextZxid(), 1, 0));
         told.pass(100);
-        assertEquals(State.READY, told.state("both"), "made anew");
+        assertEquals(HostState.READY, told.state("both"), "made anew");
     }
 
     @Test
     void whileTheNodesAreInDoubtTheRegistryIsHeard() {
         begin();
-        told.session(Session.EXPIRED);
+        told.session(SessionState.EXPIRED);
         told.registry(
-                ListKind.DELTA,
-                Told.member("both", 1, State.DRAINING, DAY),
-                Told.member("new", 7, State.READY, DAY),
-                Told.member("listed", 2, State.GONE, DAY));
-        assertEquals(State.DRAINING, told.state("both"));
-        assertEquals(State.READY, told.state("new"));
-        assertEquals(State.GONE, told.state("listed"));
-        assertEquals(State.READY, told.state("node"));
+                UpdateKind.DELTA,
+                Told.member("both", 1, HostState.DRAINING, DAY),
+                Told.member("new", 7, HostState.READY, DAY),
+                Told.member("listed", 2, HostState.GONE, DAY));
+        assertEquals(HostState.DRAINING, told.state("both"));
+        assertEquals(HostState.READY, told.state("new"));
+        assertEquals(HostState.GONE, told.state("listed"));
+        assertEquals(HostState.READY, told.state("node"));
     }
 
     @Test
@@ -182,27 +182,27 @@
         begin();
         told.put("node-9", Told.ready(told.nextZxid(), 2, DAY));
         told.pass(100);
-        assertEquals(State.READY, told.state("node-9"));
+        assertEquals(HostState.READY, told.state("node-9"));
         assertEquals(
-                State.GONE,
+                HostState.GONE,
                 told.state("listed"),
                 "the node speaks for the process at that address");
         told.gone(told.nextZxid(), "node-9");
-        assertEquals(State.DRAINING, told.state("node-9"));
+        assertEquals(HostState.DRAINING, told.state("node-9"));
         told.pass(3000);
-        assertEquals(State.GONE, told.state("node-9"));
-        assertEquals(State.GONE, told.state("listed"), "and for its end");
-        told.registry(ListKind.DELTA, Told.member("listed", 2, State.READY, DAY + 1));
-        assertEquals(State.READY, told.state("listed"));
+        assertEquals(HostState.GONE, told.state("node-9"));
+        assertEquals(HostState.GONE, told.state("listed"), "and for its end");
+        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY + 1));
+        assertEquals(HostState.READY, told.state("listed"));
     }
 
     @Test
     void anAnswerThatChangesNothingStillTellsThatTheRegistryAnswers() {
         begin();
         int before = told.events.size();
-        told.registry(ListKind.DELTA);
+        told.registry(UpdateKind.DELTA);
         assertEquals(before + 1, told.events.size());
-        assertEquals(ListKind.DELTA, told.events.get(before).kind());
+        assertEquals(UpdateKind.DELTA, told.events.get(before).kind());
     }
 
     @Test
@@ -210,9 +210,9 @@
         begin();
         for (int i = 0; i < 1000; i++) {
             told.put("x" + i, Told.ready(told.nextZxid(), 100 + i, DAY));
-            told.registry(ListKind.DELTA, Told.member("x" + i, 100 + i, State.READY, DAY));
+            told.registry(UpdateKind.DELTA, Told.member("x" + i, 100 + i, HostState.READY, DAY));
             told.gone(told.nextZxid(), "x" + i);
-            told.registry(ListKind.DELTA, Told.member("x" + i, 100 + i, State.GONE, DAY));
+            told.registry(UpdateKind.DELTA, Told.member("x" + i, 100 + i, HostState.GONE, DAY));
         }
         told.pass(3000);
         assertEquals(3, told.membership.size());
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeMembershipTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -4,20 +4,20 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** What counts as told, and what stands where nothing was told: ephemeral nodes alone. */
-class NodeMembershipTest {
-    private final Told told = new Told(Merge.NODES);
+class NodeDiscoveryTest {
+    private final Told told = new Told(SourceSelection.NODES);
 
     /** Three servers, connected. */
     private void three() {
-        told.session(Session.CONNECTED);
+        told.session(SessionState.CONNECTED);
         told.snapshot(
                 10,
                 Map.of(
@@ -33,14 +33,14 @@
     @Test
     void theFirstSnapshotIsTheWholeList() {
         assertFalse(told.membership.usable());
-        assertEquals(Doubt.NOT_CONNECTED, told.membership.doubt());
+        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.doubt());
         three();
         assertEquals(1, told.events.size());
-        assertEquals(ListKind.FULL, told.events.get(0).kind());
+        assertEquals(UpdateKind.SNAPSHOT, told.events.get(0).kind());
         assertEquals(3, told.membership.size());
-        assertEquals(Doubt.NONE, told.membership.doubt());
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
         assertTrue(told.membership.usable());
-        assertEquals(Told.member("b", 2, State.READY, 600), told.list.get("b"));
+        assertEquals(Told.member("b", 2, HostState.READY, 600), told.list.get("b"));
     }
 
     /**
@@ -50,16 +50,16 @@
     @Test
     void whatWasKnownBeforeTheStartHoldsUntilItsEndIsToldOrTheNodesAreRead() {
         told.registry(
-                ListKind.CACHED,
-                Told.member("a", 1, State.READY, 500),
-                Told.member("old", 9, State.READY, 500));
-        told.session(Session.CONNECTED);
+                UpdateKind.CACHED_SNAPSHOT,
+                Told.member("a", 1, HostState.READY, 500),
+                Told.member("old", 9, HostState.READY, 500));
+        told.session(SessionState.CONNECTED);
         told.put("d", Told.ready(11, 4, 800));
         told.gone(12, "a");
-        assertEquals(State.GONE, told.state("a"));
+        assertEquals(HostState.GONE, told.state("a"));
         told.pass(5000);
-        assertEquals(State.READY, told.state("old"));
-        assertEquals(State.GONE, told.state("d"), "no list yet");
+        assertEquals(HostState.READY, told.state("old"));
+        assertEquals(HostState.GONE, told.state("d"), "no list yet");
         told.snapshot(12, Map.of("d", Told.ready(11, 4, 800), "b", Told.ready(2, 2, 600)));
         assertEquals(Set.of("b", "d"), told.list.keySet());
     }
@@ -70,13 +70,13 @@
     void whoseNodeVanishesIsToldAtOnceAndGoneLater() {
         three();
         told.gone(told.nextZxid(), "b");
-        assertEquals(State.DRAINING, told.state("b"));
-        assertEquals(told.now, told.last("b", State.DRAINING).toldAt());
-        assertEquals("nodes", told.last("b", State.DRAINING).source());
+        assertEquals(HostState.DRAINING, told.state("b"));
+        assertEquals(told.now, told.last("b", HostState.DRAINING).toldAt());
+        assertEquals("nodes", told.last("b", HostState.DRAINING).source());
         told.pass(1900);
-        assertEquals(State.DRAINING, told.state("b"));
+        assertEquals(HostState.DRAINING, told.state("b"));
         told.pass(200);
-        assertEquals(State.GONE, told.state("b"));
+        assertEquals(HostState.GONE, told.state("b"));
         assertEquals(2, told.membership.remembered());
     }
 
@@ -85,7 +85,10 @@
         three();
         told.snapshot(told.nextZxid(), Map.of());
         assertEquals(
-                0, told.list.values().stream().filter(each -> each.state() == State.READY).count());
+                0,
+                told.list.values().stream()
+                        .filter(each -> each.state() == HostState.READY)
+                        .count());
         told.pass(3000);
         assertEquals(0, told.list.size());
         assertEquals(0, told.membership.remembered());
@@ -103,18 +106,18 @@
         told.gone(told.nextZxid(), "c");
         told.pass(100);
         assertEquals(before + 2, told.events.size());
-        assertEquals(State.DRAINING, told.state("c"));
+        assertEquals(HostState.DRAINING, told.state("c"));
     }
 
     @Test
     void whoTerminatesIsToldAtOnceAndWhoComesWithTheTick() {
         three();
-        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, State.DRAINING, 500)));
-        assertEquals(State.DRAINING, told.state("a"));
+        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, HostState.DRAINING, 500)));
+        assertEquals(HostState.DRAINING, told.state("a"));
         told.put("d", Told.ready(told.nextZxid(), 4, 800));
-        assertEquals(State.GONE, told.state("d"));
+        assertEquals(HostState.GONE, told.state("d"));
         told.pass(100);
-        assertEquals(State.READY, told.state("d"));
+        assertEquals(HostState.READY, told.state("d"));
     }
 
     /**
@@ -124,7 +127,7 @@
     void theTimeOfBeingToldGoesAlong() {
         three();
         told.membership.gone(told.now * Told.MS, (told.now - 700) * Told.MS, told.nextZxid(), "a");
-        assertEquals(told.now - 700, told.last("a", State.DRAINING).toldAt());
+        assertEquals(told.now - 700, told.last("a", HostState.DRAINING).toldAt());
     }
 
     @Test
@@ -133,7 +136,7 @@
         told.put("a", Told.ready(told.nextZxid(), 1, 900));
         told.pass(100);
         told.gone(50, "a");
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
     }
 
     // ---- flaps
@@ -144,15 +147,15 @@
         for (int i = 0; i < 10; i++) {
             told.gone(told.nextZxid(), "a");
             told.pass(400);
-            assertEquals(State.DRAINING, told.state("a"));
+            assertEquals(HostState.DRAINING, told.state("a"));
             told.put("a", Told.ready(told.nextZxid(), 1, 500));
             told.pass(5600);
-            assertEquals(Told.member("a", 1, State.READY, 500), told.list.get("a"));
+            assertEquals(Told.member("a", 1, HostState.READY, 500), told.list.get("a"));
         }
         assertTrue(
                 told.events.stream()
                         .flatMap(each -> each.members().stream())
-                        .noneMatch(each -> each.state() == State.GONE),
+                        .noneMatch(each -> each.state() == HostState.GONE),
                 "its records are kept");
         assertEquals(3, told.membership.remembered());
     }
@@ -180,7 +183,7 @@
         told.pass(100);
         long start = told.list.get("c").startedMillis();
         assertTrue(start > 700, "started at " + start);
-        told.put("c", Told.node(103, told.nextZxid(), Told.data(3, State.READY, 650)));
+        told.put("c", Told.node(103, told.nextZxid(), Told.data(3, HostState.READY, 650)));
         told.pass(100);
         assertEquals(
                 start, told.list.get("c").startedMillis(), "what it says again is nothing new");
@@ -188,14 +191,14 @@
 
     @Test
     void aStartThatIsNotNamedIsTheNodesMaking() {
-        told.session(Session.CONNECTED);
+        told.session(SessionState.CONNECTED);
         told.snapshot(
                 10,
                 Map.of(
                         "a",
                         Told.ready(7, 1, 0),
                         "b",
-                        new NodeRead(Told.data(2, State.READY, 0), null, 0, 8, 8)));
+                        new NodeRead(Told.data(2, HostState.READY, 0), null, 0, 8, 8)));
         assertEquals(7000, told.list.get("a").startedMillis());
         assertTrue(told.list.get("b").startedMillis() > 0, "cold, and never long ago");
         told.gone(told.nextZxid(), "a");
@@ -209,10 +212,10 @@
         three();
         told.gone(told.nextZxid(), "a");
         told.pass(2500);
-        assertEquals(State.GONE, told.state("a"));
+        assertEquals(HostState.GONE, told.state("a"));
         told.put("a", Told.ready(told.nextZxid(), 1, 500));
         told.pass(100);
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
     }
 
     // ---- data
@@ -223,17 +226,17 @@
         long zxid = told.nextZxid();
         told.changed(zxid, "a");
         told.pass(900);
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
         told.pass(200);
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
         told.pass(60_000);
-        assertEquals(State.DRAINING, told.state("a"), "without end, and never gone");
-        told.read("a", Told.node(1, 1, Told.data(1, State.READY, 500)));
+        assertEquals(HostState.DRAINING, told.state("a"), "without end, and never gone");
+        told.read("a", Told.node(1, 1, Told.data(1, HostState.READY, 500)));
         told.pass(100);
-        assertEquals(State.DRAINING, told.state("a"), "older than the change");
-        told.read("a", Told.node(1, zxid, Told.data(1, State.READY, 500)));
+        assertEquals(HostState.DRAINING, told.state("a"), "older than the change");
+        told.read("a", Told.node(1, zxid, Told.data(1, HostState.READY, 500)));
         told.pass(100);
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
     }
 
     /** Guards against a second that begins anew with each of many changes. */
@@ -244,7 +247,7 @@
             told.changed(told.nextZxid(), "a");
             told.pass(100);
         }
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
@@ -253,13 +256,13 @@
         long first = told.nextZxid();
         long second = told.nextZxid();
         told.changed(first, "a");
-        told.read("a", Told.node(1, second, Told.data(1, State.DRAINING, 500)));
+        told.read("a", Told.node(1, second, Told.data(1, HostState.DRAINING, 500)));
         told.changed(second, "a");
         told.pass(1500);
-        assertEquals(State.DRAINING, told.state("a"));
-        told.read("a", Told.node(1, first, Told.data(1, State.READY, 500)));
+        assertEquals(HostState.DRAINING, told.state("a"));
+        told.read("a", Told.node(1, first, Told.data(1, HostState.READY, 500)));
         told.pass(100);
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     /**
@@ -276,24 +279,24 @@
         told.changed(told.nextZxid(), "a");
         told.read("a", Told.ready(1, 1, 500));
         told.pass(100);
-        assertEquals(State.GONE, told.state("d"));
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.GONE, told.state("d"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
     void whoCantBeReadIsLeftOutNamedOnceAndHarmsNobody() {
-        told.session(Session.CONNECTED);
+        told.session(SessionState.CONNECTED);
         told.snapshot(10, Map.of("a", Told.ready(1, 1, 500), "bad", Told.unreadable(2)));
         told.put("bad", Told.unreadable(told.nextZxid()));
         told.pass(300);
         assertEquals(1, told.list.size());
         assertEquals(1, told.membership.unreadable());
         assertEquals(1, told.warnings.size());
-        told.put("bad", Told.node(2, told.nextZxid(), Told.data(2, State.READY, 600)));
+        told.put("bad", Told.node(2, told.nextZxid(), Told.data(2, HostState.READY, 600)));
         told.put("a", new NodeRead(null, "garbage", 1000, told.nextZxid(), 1));
         told.pass(100);
-        assertEquals(State.READY, told.state("bad"));
-        assertEquals(State.DRAINING, told.state("a"), "what it says now may be that it ends");
+        assertEquals(HostState.READY, told.state("bad"));
+        assertEquals(HostState.DRAINING, told.state("a"), "what it says now may be that it ends");
         for (int i = 0; i < 300; i++) {
             told.put("x" + i, Told.unreadable(told.nextZxid()));
         }
@@ -316,7 +319,7 @@
                         Told.ready(2, 2, 600),
                         "c",
                         Told.ready(3, 3, 700)));
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     // ---- sessions
@@ -324,14 +327,14 @@
     @Test
     void withoutConnectionTheListStandsAndTheNextSnapshotTellsWhatWasMissed() {
         three();
-        told.session(Session.SUSPENDED);
-        told.session(Session.EXPIRED);
+        told.session(SessionState.SUSPENDED);
+        told.session(SessionState.EXPIRED);
         told.pass(3_600_000);
-        assertEquals(Doubt.NOT_CONNECTED, told.membership.doubt());
+        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.doubt());
         assertEquals(1, told.warnings.size(), "said once");
         assertEquals(1, told.events.size());
-        told.session(Session.CONNECTED);
-        assertEquals(Doubt.NOT_CONNECTED, told.membership.doubt());
+        told.session(SessionState.CONNECTED);
+        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.doubt());
         told.snapshot(
                 told.nextZxid(),
                 Map.of(
@@ -340,19 +343,23 @@
                         "d",
                         Told.ready(50, 4, 900),
                         "c",
-                        Told.node(3, 51, Told.data(3, State.DRAINING, 700))));
-        assertEquals(Doubt.NONE, told.membership.doubt());
-        assertEquals(State.READY, told.state("a"));
-        assertEquals(State.DRAINING, told.state("b"));
-        assertEquals(State.DRAINING, told.state("c"));
-        assertEquals(State.READY, told.state("d"));
+                        Told.node(3, 51, Told.data(3, HostState.DRAINING, 700))));
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
+        assertEquals(HostState.READY, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("b"));
+        assertEquals(HostState.DRAINING, told.state("c"));
+        assertEquals(HostState.READY, told.state("d"));
         assertEquals(2, told.news.size());
     }
 
     @Test
     void whatCantBeReadLeavesTheListAsItIs() {
         three();
-        for (Doubt each : List.of(Doubt.ROOT_MISSING, Doubt.ACCESS_DENIED, Doubt.TOO_LARGE)) {
+        for (StalenessCause each :
+                List.of(
+                        StalenessCause.ROOT_MISSING,
+                        StalenessCause.ACCESS_DENIED,
+                        StalenessCause.TOO_LARGE)) {
             told.membership.doubt(told.now * Told.MS, each);
             told.pass(10_000);
             assertEquals(each, told.membership.doubt());
@@ -365,32 +372,32 @@
     @Test
     void whatIsToldInSuchADoubtIsBelieved() {
         three();
-        told.membership.doubt(told.now * Told.MS, Doubt.ROOT_MISSING);
+        told.membership.doubt(told.now * Told.MS, StalenessCause.ROOT_MISSING);
         told.gone(told.nextZxid(), "a");
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
     void aServerThatHasLostTheOthersTakesNobodyAway() {
         three();
-        told.session(Session.READ_ONLY);
+        told.session(SessionState.READ_ONLY);
         told.snapshot(told.nextZxid(), Map.of());
         told.gone(told.nextZxid(), "a");
         told.put("d", Told.ready(told.nextZxid(), 4, 900));
         told.pass(5000);
-        assertEquals(Doubt.READ_ONLY, told.membership.doubt());
+        assertEquals(StalenessCause.READ_ONLY, told.membership.doubt());
         assertEquals(1, told.events.size());
-        told.session(Session.CONNECTED);
+        told.session(SessionState.CONNECTED);
         told.snapshot(told.nextZxid(), Map.of("b", Told.ready(2, 2, 600)));
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
     void butItIsBetterThanNoListAtAll() {
-        told.session(Session.READ_ONLY);
+        told.session(SessionState.READ_ONLY);
         told.snapshot(10, Map.of("a", Told.ready(1, 1, 500)));
-        assertEquals(State.READY, told.state("a"));
-        assertEquals(Doubt.READ_ONLY, told.membership.doubt());
+        assertEquals(HostState.READY, told.state("a"));
+        assertEquals(StalenessCause.READ_ONLY, told.membership.doubt());
     }
 
     // ---- transactions that run back
@@ -401,8 +408,8 @@
         told.gone(20, "a");
         told.put("d", Told.ready(30, 4, 900));
         told.pass(3000);
-        told.session(Session.SUSPENDED);
-        told.session(Session.CONNECTED);
+        told.session(SessionState.SUSPENDED);
+        told.session(SessionState.CONNECTED);
         told.snapshot(
                 10,
                 Map.of(
@@ -412,21 +419,21 @@
                         Told.ready(2, 2, 600),
                         "c",
                         Told.ready(3, 3, 700)));
-        assertEquals(Doubt.OLDER, told.membership.doubt());
+        assertEquals(StalenessCause.OLDER, told.membership.doubt());
         told.changed(2, "b");
         told.gone(16, "d");
         told.changed(17, "e");
         told.read("e", Told.ready(17, 5, 900));
         told.pass(3000);
-        assertEquals(State.GONE, told.state("e"));
-        assertEquals(State.GONE, told.state("a"));
-        assertEquals(State.READY, told.state("b"));
-        assertEquals(State.READY, told.state("d"));
+        assertEquals(HostState.GONE, told.state("e"));
+        assertEquals(HostState.GONE, told.state("a"));
+        assertEquals(HostState.READY, told.state("b"));
+        assertEquals(HostState.READY, told.state("d"));
         told.gone(31, "b");
-        assertEquals(State.DRAINING, told.state("b"), "newer than all");
+        assertEquals(HostState.DRAINING, told.state("b"), "newer than all");
         told.snapshot(31, Map.of("c", Told.ready(3, 3, 700), "d", Told.ready(30, 4, 900)));
-        assertEquals(Doubt.NONE, told.membership.doubt());
-        assertEquals(State.READY, told.state("d"));
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
+        assertEquals(HostState.READY, told.state("d"));
         told.pass(60_000);
         assertEquals(2, told.list.size());
     }
@@ -435,26 +442,26 @@
     @Test
     void withItsOldSessionItIsNeverWiped() {
         three();
-        told.session(Session.SUSPENDED);
-        told.session(Session.CONNECTED);
+        told.session(SessionState.SUSPENDED);
+        told.session(SessionState.CONNECTED);
         for (int i = 0; i < 100; i++) {
             told.snapshot(5, Map.of());
             told.pass(1000);
         }
-        assertEquals(Doubt.OLDER, told.membership.doubt());
+        assertEquals(StalenessCause.OLDER, told.membership.doubt());
         assertEquals(3, told.list.size());
     }
 
     /** The ensemble has lost its past: a new session, and every answer is lower than before. */
     private void wiped() {
         three();
-        told.session(Session.EXPIRED);
-        told.session(Session.CONNECTED);
+        told.session(SessionState.EXPIRED);
+        told.session(SessionState.CONNECTED);
         for (int i = 0; i < 10; i++) {
             told.snapshot(5, Map.of());
             told.pass(2000);
         }
-        assertEquals(Doubt.WIPED, told.membership.doubt());
+        assertEquals(StalenessCause.WIPED, told.membership.doubt());
         assertEquals(3, told.list.size());
     }
 
@@ -464,18 +471,18 @@
         told.changed(told.nextZxid(), "a");
         told.changed(told.nextZxid(), "d");
         told.pass(60_000);
-        assertEquals(State.READY, told.state("a"), "nothing is made of that");
+        assertEquals(HostState.READY, told.state("a"), "nothing is made of that");
         told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
-        assertEquals(Doubt.NONE, told.membership.doubt());
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
         told.pass(9000);
-        assertEquals(State.READY, told.state("a"), "it has time to come back");
+        assertEquals(HostState.READY, told.state("a"), "it has time to come back");
         told.put("a", Told.ready(7, 1, 500));
         told.pass(2000);
-        assertEquals(State.READY, told.state("a"));
-        assertEquals(State.READY, told.state("b"));
-        assertEquals(State.DRAINING, told.state("c"));
+        assertEquals(HostState.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("b"));
+        assertEquals(HostState.DRAINING, told.state("c"));
         told.gone(8, "b");
-        assertEquals(State.DRAINING, told.state("b"), "the new history is followed");
+        assertEquals(HostState.DRAINING, told.state("b"), "the new history is followed");
     }
 
     @Test
@@ -484,7 +491,7 @@
         told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
         told.put("a", Told.ready(7, 1, 500));
         told.gone(8, "a");
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     /**
@@ -496,16 +503,16 @@
         told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
         told.changed(7, "a");
         told.pass(12_000);
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
         told.snapshot(7, Map.of("b", Told.ready(6, 2, 600), "a", Told.ready(7, 1, 500)));
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
     }
 
     @Test
     void anEndIsAnEndAlsoInAWipedEnsemble() {
         wiped();
         told.gone(6, "a");
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
@@ -514,8 +521,8 @@
         told.membership.accept(told.now * Told.MS);
         assertEquals(3, told.list.size());
         told.snapshot(5, Map.of());
-        assertEquals(Doubt.NONE, told.membership.doubt());
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
+        assertEquals(HostState.DRAINING, told.state("a"));
         told.pass(3000);
         assertEquals(0, told.list.size());
     }
@@ -526,15 +533,15 @@
         told.membership.accept(told.now * Told.MS);
         assertEquals(1, told.events.size());
         told.snapshot(9, Map.of());
-        assertEquals(Doubt.OLDER, told.membership.doubt());
+        assertEquals(StalenessCause.OLDER, told.membership.doubt());
     }
 
     @Test
     void anEnsembleKnownToBeWipedByItsRootIsWipedAtOnce() {
         three();
-        told.membership.doubt(told.now * Told.MS, Doubt.WIPED);
+        told.membership.doubt(told.now * Told.MS, StalenessCause.WIPED);
         told.snapshot(1000, Map.of());
-        assertEquals(Doubt.WIPED, told.membership.doubt());
+        assertEquals(StalenessCause.WIPED, told.membership.doubt());
         assertEquals(3, told.list.size());
     }
 
@@ -548,7 +555,7 @@
         told.put("d", Told.ready(told.nextZxid(), 4, 800));
         told.changed(told.nextZxid(), "e");
         told.gone(told.nextZxid(), "a");
-        told.put("b", Told.node(2, told.nextZxid(), Told.data(2, State.DRAINING, 600)));
+        told.put("b", Told.node(2, told.nextZxid(), Told.data(2, HostState.DRAINING, 600)));
         told.pass(300);
         told.membership.snapshot(
                 told.now * Told.MS,
@@ -561,14 +568,14 @@
                         Told.ready(2, 2, 600),
                         "c",
                         Told.ready(3, 3, 700)));
-        assertEquals(State.DRAINING, told.state("a"));
-        assertEquals(State.DRAINING, told.state("b"));
-        assertEquals(State.READY, told.state("c"));
-        assertEquals(State.READY, told.state("d"));
+        assertEquals(HostState.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("b"));
+        assertEquals(HostState.READY, told.state("c"));
+        assertEquals(HostState.READY, told.state("d"));
         told.read("e", Told.ready(102, 5, 900));
         told.pass(100);
-        assertEquals(State.READY, told.state("e"));
-        assertEquals(Doubt.NONE, told.membership.doubt());
+        assertEquals(HostState.READY, told.state("e"));
+        assertEquals(StalenessCause.NONE, told.membership.doubt());
     }
 
     /** Ensembles before 3.9 don't tell the transaction of an event. */
@@ -576,14 +583,14 @@
     void whatIsToldWithoutATransactionIsBelievedInItsOrder() {
         three();
         told.gone(-1, "a");
-        assertEquals(State.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, told.state("a"));
         told.changed(-1, "a");
         told.read("a", Told.ready(1, 1, 500));
         told.pass(100);
-        assertEquals(State.DRAINING, told.state("a"), "of the node that has ended");
+        assertEquals(HostState.DRAINING, told.state("a"), "of the node that has ended");
         told.read("a", Told.ready(120, 1, 500));
         told.pass(100);
-        assertEquals(State.READY, told.state("a"));
+        assertEquals(HostState.READY, told.state("a"));
     }
 
     // ---- ids and addresses
@@ -591,34 +598,37 @@
     @Test
     void aServerMayHaveAnotherIdThanItsNode() {
         three();
-        NodeData named = new NodeData(Told.at(4), 0, 0, 0, State.READY, 1, 900, "server-4");
+        NodeData named = new NodeData(Told.at(4), 0, 0, 0, HostState.READY, 1, 900, "server-4");
         told.put("n4", Told.node(told.nextZxid(), 104, named));
         told.pass(100);
-        assertEquals(State.READY, told.state("server-4"));
+        assertEquals(HostState.READY, told.state("server-4"));
         told.put("n4-again", Told.node(105, 105, named));
         told.gone(106, "n4");
         told.pass(5000);
-        assertEquals(State.READY, told.state("server-4"), "two nodes of one server");
+        assertEquals(HostState.READY, told.state("server-4"), "two nodes of one server");
         told.gone(107, "n4-again");
-        assertEquals(State.DRAINING, told.state("server-4"));
+        assertEquals(HostState.DRAINING, told.state("server-4"));
         told.put(
                 "a",
-                Told.node(1, 108, new NodeData(Told.at(1), 0, 0, 0, State.READY, 1, 500, "other")));
+                Told.node(
+                        1,
+                        108,
+                        new NodeData(Told.at(1), 0, 0, 0, HostState.READY, 1, 500, "other")));
         told.pass(100);
-        assertEquals(State.GONE, told.state("a"));
-        assertEquals(State.READY, told.state("other"));
+        assertEquals(HostState.GONE, told.state("a"));
+        assertEquals(HostState.READY, told.state("other"));
     }
 
     @Test
     void whoTakesAnAddressBeforeTheOldNodeHasVanishedHasIt() {
         three();
         told.put("d", Told.ready(told.nextZxid(), 1, 900));
-        assertEquals(State.READY, told.state("d"), "at once");
-        assertEquals(State.GONE, told.state("a"));
+        assertEquals(HostState.READY, told.state("d"), "at once");
+        assertEquals(HostState.GONE, told.state("a"));
         told.gone(told.nextZxid(), "a");
         told.pass(5000);
-        assertEquals(State.READY, told.state("d"));
-        assertEquals(State.GONE, told.state("a"));
+        assertEquals(HostState.READY, told.state("d"));
+        assertEquals(HostState.GONE, told.state("a"));
         told.gone(told.nextZxid(), "d");
         told.pass(5000);
         assertEquals(2, told.membership.remembered());
@@ -631,11 +641,11 @@
         told.put("d", Told.ready(told.nextZxid(), 1, 900));
         told.gone(told.nextZxid(), "d");
         told.pass(5000);
-        assertEquals(State.GONE, told.state("d"));
-        assertEquals(State.GONE, told.state("a"));
+        assertEquals(HostState.GONE, told.state("d"));
+        assertEquals(HostState.GONE, told.state("a"));
         told.put("a", Told.ready(told.nextZxid(), 1, 500));
         told.pass(100);
-        assertEquals(State.READY, told.state("a"), "its node is made again");
+        assertEquals(HostState.READY, told.state("a"), "its node is made again");
     }
 
     /**
@@ -648,8 +658,8 @@
         told.gone(told.nextZxid(), "c");
         told.put("d", Told.ready(told.nextZxid(), 3, 650));
         told.pass(100);
-        assertEquals(State.READY, told.state("d"));
-        assertEquals(State.GONE, told.state("c"));
+        assertEquals(HostState.READY, told.state("d"));
+        assertEquals(HostState.GONE, told.state("c"));
     }
 
     // ---- bounds
@@ -676,13 +686,13 @@
     @Test
     void aChangeOfNothingIsNotTold() {
         three();
-        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, State.READY, 500)));
+        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, HostState.READY, 500)));
         told.pass(1000);
         told.snapshot(
                 told.nextZxid(),
                 Map.of(
                         "a",
-                        Told.node(1, 101, Told.data(1, State.READY, 500)),
+                        Told.node(1, 101, Told.data(1, HostState.READY, 500)),
                         "b",
                         Told.ready(2, 2, 600),
                         "c",
@@ -692,11 +702,11 @@
 
     @Test
     void aFailureOfTheRegistryPassesThroughAndItsListsDoNot() {
-        told.registry(ListKind.FAILED);
-        assertEquals(ListKind.FAILED, told.events.get(0).kind());
+        told.registry(UpdateKind.FAILURE);
+        assertEquals(UpdateKind.FAILURE, told.events.get(0).kind());
         three();
-        told.registry(ListKind.FULL, Told.member("r", 9, State.READY, 1));
+        told.registry(UpdateKind.SNAPSHOT, Told.member("r", 9, HostState.READY, 1));
         told.pass(1000);
-        assertEquals(State.GONE, told.state("r"));
+        assertEquals(HostState.GONE, told.state("r"));
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -67,10 +67,10 @@
             return isThere() || !changes.tailMap(end, false).isEmpty();
         }
 
-        State state(long now, State actual) {
+        HostState state(long now, HostState actual) {
             NodeRead last = last();
             if (last == null) {
-                return State.GONE;
+                return HostState.GONE;
             }
             long known = Math.max(last.mzxid(), end);
             Long first = null;
@@ -80,10 +80,11 @@
             if (!isThere()) {
                 // Whether one whose making was told but not yet read is still kept is of no
                 // interest.
-                boolean kept = now - endedAt < 2000 || first != null && actual == State.DRAINING;
-                return kept ? State.DRAINING : State.GONE;
+                boolean kept =
+                        now - endedAt < 2000 || first != null && actual == HostState.DRAINING;
+                return kept ? HostState.DRAINING : HostState.GONE;
             }
-            return first != null && now - first >= 1000 ? State.DRAINING : last.data().state();
+            return first != null && now - first >= 1000 ? HostState.DRAINING : last.data().state();
         }
     }
 
@@ -91,7 +92,7 @@
     private static final class Play {
         private final int seed;
         private final Random random;
-        private final Told told = new Told(Merge.NODES);
+        private final Told told = new Told(SourceSelection.NODES);
         private final Map<String, Facts> model = new LinkedHashMap<>();
 
         /** The ensemble's past: what it held after each transaction. */
@@ -132,7 +133,7 @@
                 String name = "n" + i;
                 NodeRead node = present().get(name);
                 assertEquals(
-                        node == null ? State.GONE : node.data().state(),
+                        node == null ? HostState.GONE : node.data().state(),
                         told.state(name),
                         "at the end of seed " + seed + " " + name);
             }
@@ -172,7 +173,7 @@
                 NodeData data =
                         Told.data(
                                 Integer.parseInt(name.substring(1)) + 1,
-                                random.nextInt(4) == 0 ? State.DRAINING : State.READY,
+                                random.nextInt(4) == 0 ? HostState.DRAINING : HostState.READY,
                                 began);
                 next.put(name, Told.node(node == null ? zxid : node.czxid(), zxid, data));
             }
@@ -201,7 +202,7 @@
                 } else {
                     // Told by a server that lags: of who is forgotten or never was, it is no news.
                     boolean news =
-                            told.membership.doubt() == Doubt.NONE
+                            told.membership.doubt() == StalenessCause.NONE
                                     || server >= highestTold
                                     || facts(name).isKnown();
                     told.changed(server, name);
@@ -257,7 +258,7 @@
                 connected = false;
                 watching = false;
                 answers.clear();
-                told.session(random.nextBoolean() ? Session.SUSPENDED : Session.EXPIRED);
+                told.session(random.nextBoolean() ? SessionState.SUSPENDED : SessionState.EXPIRED);
             } else if (what == 1 || !connected) {
                 int back = random.nextInt(3) == 0 ? random.nextInt(6) : 0;
                 connect(Math.max(0, past.size() - 1 - back));
@@ -268,13 +269,13 @@
 
         private void connect(int at) {
             if (connected) {
-                told.session(Session.SUSPENDED);
+                told.session(SessionState.SUSPENDED);
             }
             answers.clear();
             connected = true;
             watching = true;
             server = at;
-            told.session(Session.CONNECTED);
+            told.session(SessionState.CONNECTED);
         }
 
         private void snapshot() {
@@ -308,7 +309,7 @@
                         facts(name).state(told.now, told.state(name)),
                         told.state(name),
                         "seed " + seed + ", " + name + " at " + told.now);
-                Member member = told.list.get(name);
+                DiscoveredEndpoint member = told.list.get(name);
                 if (member != null) {
                     assertEquals(facts(name).last().data().startedMillis(), member.startedMillis());
                 }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/Told.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/Told.java
@@ -1,8 +1,8 @@
 package appleridge.discovery.ephemeral;
 
-import appleridge.discovery.Member;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.discovery.DiscoveredEndpoint;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.UpdateKind;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -15,29 +15,35 @@
     static final long MS = 1_000_000;
 
     /** One event that was told. */
-    record Event(long at, ListKind kind, List<Member> members, String source, long toldAt) {}
+    record Event(
+            long at,
+            UpdateKind kind,
+            List<DiscoveredEndpoint> members,
+            String source,
+            long toldAt) {}
 
     final List<Event> events = new ArrayList<>();
     final List<String> news = new ArrayList<>();
     final List<String> warnings = new ArrayList<>();
-    final Map<String, Member> list = new LinkedHashMap<>();
-    final NodeMembership membership;
+    final Map<String, DiscoveredEndpoint> list = new LinkedHashMap<>();
+    final NodeDiscovery membership;
     long now = 1000;
     private long zxid = 100;
 
-    Told(Merge merge) {
+    Told(SourceSelection merge) {
         membership =
-                new NodeMembership(
-                        merge, NodeMembership.Settings.USUAL, this::told, news::add, warnings::add);
+                new NodeDiscovery(
+                        merge, NodeDiscovery.Settings.USUAL, this::told, news::add, warnings::add);
     }
 
-    private void told(ListKind kind, List<Member> members, String source, long toldAt) {
+    private void told(
+            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt) {
         events.add(new Event(now, kind, members, source, toldAt / MS));
-        if (kind == ListKind.FULL || kind == ListKind.CACHED) {
+        if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             list.clear();
         }
-        for (Member each : members) {
-            if (each.state() == State.GONE) {
+        for (DiscoveredEndpoint each : members) {
+            if (each.state() == HostState.GONE) {
                 list.remove(each.id());
             } else {
                 list.put(each.id(), each);
@@ -49,12 +55,12 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    static NodeData data(int port, State state, long startedMillis) {
+    static NodeData data(int port, HostState state, long startedMillis) {
         return new NodeData(at(port), 0, 0, 0, state, 1, startedMillis, null);
     }
 
-    static Member member(String id, int port, State state, long startedMillis) {
-        return new Member(id, at(port), 0, 0, 0, state, 1, startedMillis);
+    static DiscoveredEndpoint member(String id, int port, HostState state, long startedMillis) {
+        return new DiscoveredEndpoint(id, at(port), 0, 0, 0, state, 1, startedMillis);
     }
 
     /** A node as it is read, made by one transaction and changed last by another. */
@@ -63,7 +69,7 @@
     }
 
     static NodeRead ready(long zxid, int port, long startedMillis) {
-        return node(zxid, zxid, data(port, State.READY, startedMillis));
+        return node(zxid, zxid, data(port, HostState.READY, startedMillis));
     }
 
     static NodeRead unreadable(long zxid) {
@@ -84,7 +90,7 @@
         now = end;
     }
 
-    void session(Session state) {
+    void session(SessionState state) {
         membership.session(now * MS, state);
     }
 
@@ -112,21 +118,21 @@
         membership.gone(now * MS, now * MS, zxid, name);
     }
 
-    void registry(ListKind kind, Member... members) {
+    void registry(UpdateKind kind, DiscoveredEndpoint... members) {
         membership.registry(now * MS, kind, List.of(members));
     }
 
-    /** What the list has of an id; {@link State#GONE} if nothing. */
-    State state(String id) {
-        Member member = list.get(id);
-        return member == null ? State.GONE : member.state();
+    /** What the list has of an id; {@link LeaseState#GONE} if nothing. */
+    HostState state(String id) {
+        DiscoveredEndpoint member = list.get(id);
+        return member == null ? HostState.GONE : member.state();
     }
 
     /** When an id was told in this state last. */
-    Event last(String id, State state) {
+    Event last(String id, HostState state) {
         Event found = null;
         for (Event each : events) {
-            for (Member member : each.members) {
+            for (DiscoveredEndpoint member : each.members) {
                 if (member.id().equals(id) && member.state() == state) {
                     found = each;
                 }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/Heard.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/Heard.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import appleridge.discovery.ephemeral.Doubt;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 
 /** Writes down what is told, and on which thread. */
-final class Heard implements Hearer {
+final class Heard implements SessionListener {
     final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    volatile Doubt doubt = Doubt.NONE;
+    volatile StalenessCause doubt = StalenessCause.NONE;
     volatile Map<String, NodeRead> last = Map.of();
     volatile long lastZxid;
     private final Supplier<Boolean> onLoop;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void session(long now, Session state) {
+    public void session(long now, SessionState state) {
         line("session " + state);
     }
 
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void doubt(long now, Doubt why) {
+    public void doubt(long now, StalenessCause why) {
         line("doubt " + why);
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public Doubt doubt() {
+    public StalenessCause doubt() {
         return doubt;
     }
 
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import appleridge.discovery.ephemeral.Doubt;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
-import appleridge.transport.Loop;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import io.netty.channel.DefaultEventLoop;
 import io.netty.channel.EventLoop;
@@ -19,8 +19,9 @@
 /** What waits for the loop: its order, and its bound. */
 class MailboxTest {
     private final EventLoop executor = new DefaultEventLoop();
-    private final Loop loop =
-            new Loop(executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
+    private final SidecarEventLoop loop =
+            new SidecarEventLoop(
+                    executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
     private final Heard heard = new Heard(executor::inEventLoop);
     private final Mailbox mailbox = new Mailbox(loop, heard);
 
@@ -44,7 +45,7 @@
 
     @Test
     void theOrderIsKeptAndOfANodeTheLastWord() throws Exception {
-        NodeRead unread = NodeJson.unread("x", 1);
+        NodeRead unread = NodeJsonParser.unread("x", 1);
         assertEquals(
                 List.of(
                         "gone a",
@@ -62,7 +63,7 @@
                             mailbox.changed(3, 3, "b");
                             mailbox.changed(4, 4, "a");
                             mailbox.read("a", unread);
-                            mailbox.session(Session.SUSPENDED);
+                            mailbox.session(SessionState.SUSPENDED);
                             mailbox.changed(5, 5, "a");
                             mailbox.gone(6, 6, "a");
                         }));
@@ -74,10 +75,10 @@
                 told(
                         () -> {
                             for (int i = 1; i <= 10_000; i++) {
-                                mailbox.session(Session.SUSPENDED);
+                                mailbox.session(SessionState.SUSPENDED);
                                 mailbox.gone(i, i, "a");
-                                mailbox.session(Session.CONNECTED);
-                                mailbox.doubt(Doubt.ROOT_MISSING);
+                                mailbox.session(SessionState.CONNECTED);
+                                mailbox.doubt(StalenessCause.ROOT_MISSING);
                                 mailbox.snapshot(i, i, Map.of(), () -> {});
                                 mailbox.changed(i, i, "a");
                             }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonParserTest.java
@@ -5,7 +5,7 @@
 
 import appleridge.discovery.ephemeral.NodeData;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node holds, and all that can be wrong with it. */
-class NodeJsonTest {
+class NodeJsonParserTest {
     private static final InetSocketAddress AT = new InetSocketAddress("192.0.2.1", 80);
-    private final NodeJson json = new NodeJson(List.of("a", "b"), List.of("m1"));
+    private final NodeJsonParser json = new NodeJsonParser(List.of("a", "b"), List.of("m1"));
 
     private NodeRead read(String name, String text) {
         Stat stat = new Stat();
@@ -36,7 +36,8 @@
                             + "\"uid\":\"u\",\"x\":[1]}");
         assertEquals(
                 new NodeRead(
-                        new NodeData(AT, 1, 0, 3, State.DRAINING, 2.5f, 1_700_000_000_000L, "u"),
+                        new NodeData(
+                                AT, 1, 0, 3, HostState.DRAINING, 2.5f, 1_700_000_000_000L, "u"),
                         null,
                         5,
                         7,
@@ -47,7 +48,7 @@
     @Test
     void whatIsLeftOutIsUsual() {
         assertEquals(
-                new NodeData(AT, 0, 0, 0, State.READY, 1, 0, null),
+                new NodeData(AT, 0, 0, 0, HostState.READY, 1, 0, null),
                 read("s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data());
         assertEquals(
                 "s1", read("x/s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data().uid());
--- a/sidecar/src/test/java/appleridge/hotrestart/file/SlotsTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.hotrestart.Phase;
+import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.hotrestart.ProcessPhase;
 import appleridge.hotrestart.ProcessState;
-import appleridge.hotrestart.Word;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,20 +23,21 @@
  * HeldListenerIT's.
  */
 @Timeout(60)
-class SlotsTest {
+class ProcessSlotsTest {
     private static final ProcessState STATE =
             new ProcessState(
-                    Phase.SERVING,
+                    ProcessPhase.SERVING,
                     List.of(
-                            new Word("s-5be2a07c", true, 1_700_000_000_000_000_000L),
-                            new Word("b", false, 7)));
+                            new MaintenanceDirective(
+                                    "s-5be2a07c", true, 1_700_000_000_000_000_000L),
+                            new MaintenanceDirective("b", false, 7)));
 
     @TempDir private Path folder;
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
         assertEquals(STATE, StateFile.read(StateFile.write(STATE)));
-        ProcessState empty = new ProcessState(Phase.STARTING, List.of());
+        ProcessState empty = new ProcessState(ProcessPhase.STARTING, List.of());
         assertEquals(empty, StateFile.read(StateFile.write(empty)));
     }
 
@@ -69,14 +70,14 @@
     @Test
     void aFolderWithForeignFilesIsNoHindranceAndIsToldOfOnce() throws Exception {
         List<String> warnings = new ArrayList<>();
-        try (Slots slots = Slots.take(folder, warnings::add)) {
+        try (ProcessSlots slots = ProcessSlots.take(folder, warnings::add)) {
             slots.tell(STATE);
             assertEquals(List.of(), slots.others(), "the own state is not another's");
             Files.writeString(folder.resolve("slot-2.state"), "noise");
             assertEquals(List.of(), slots.others(), "nobody holds that slot");
             assertEquals(List.of(), warnings);
         }
-        try (Slots again = Slots.take(folder, warnings::add)) {
+        try (ProcessSlots again = ProcessSlots.take(folder, warnings::add)) {
             assertEquals(List.of(), again.others());
             assertTrue(
                     Files.notExists(folder.resolve("slot-0.state")), "who had the slot is no more");
--- a/sidecar/src/test/java/appleridge/http1/LastByteTest.java
+++ b/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
@@ -18,7 +18,7 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-class LastByteTest {
+class FinalByteGateTest {
     /** A socket that takes what is written only when told to. */
     private static final class Slow extends ChannelOutboundHandlerAdapter {
         private record Waiting(Object message, ChannelPromise promise) {}
@@ -46,7 +46,8 @@
 
     private final Slow socket = new Slow();
     private boolean mayGo = true;
-    private final EmbeddedChannel channel = new EmbeddedChannel(socket, new LastByte(() -> mayGo));
+    private final EmbeddedChannel channel =
+            new EmbeddedChannel(socket, new FinalByteGate(() -> mayGo));
 
     private ChannelFuture write(String... parts) {
         ChannelFuture last = null;
@@ -72,7 +73,7 @@
         socket.takeAll();
         assertEquals("headbody", sent());
         assertTrue(done.isSuccess());
-        assertNull(channel.pipeline().get(LastByte.class));
+        assertNull(channel.pipeline().get(FinalByteGate.class));
     }
 
     /**
@@ -86,7 +87,7 @@
         socket.takeAll();
         assertEquals("headbod", sent());
         assertFalse(done.isSuccess());
-        assertInstanceOf(LastByte.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
     }
 
     @Test
@@ -95,9 +96,9 @@
         ChannelFuture done = write("x");
         socket.takeAll();
         assertEquals("", sent());
-        assertInstanceOf(LastByte.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
         ByteBuf never = Unpooled.copiedBuffer("never", StandardCharsets.US_ASCII);
-        EmbeddedChannel other = new EmbeddedChannel(new LastByte(() -> true));
+        EmbeddedChannel other = new EmbeddedChannel(new FinalByteGate(() -> true));
         other.write(never);
         other.close();
         other.releaseOutbound();
--- a/sidecar/src/test/java/appleridge/http1/HttpReplyTest.java
+++ b/sidecar/src/test/java/appleridge/http1/HttpUpstreamResponseTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HttpReplyTest {
+class HttpUpstreamResponseTest {
     @Test
     void malformedLoadReportsAreIgnored() {
         List<String> fields = List.of("rate", "q");
@@ -21,6 +21,6 @@
 
     private static float[] load(String text, List<String> fields) {
         HttpHeaders headers = new DefaultHttpHeaders().set(Headers.LOAD, text);
-        return new HttpReply(headers, new byte[0]).load(fields);
+        return new HttpUpstreamResponse(headers, new byte[0]).load(fields);
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/RequestReaderTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode;
-import appleridge.http1.RequestReader.BadRequest;
+import appleridge.http1.RequestParser.BadRequest;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a request's headers say, and what they may not say. */
-class RequestReaderTest {
+class RequestParserTest {
     private static final String TWO_TENANTS =
             "\"parties\":["
                     + "{\"name\":\"first\",\"portion\":0.5,\"quotaRps\":9},"
@@ -28,8 +28,8 @@
         String json =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replaceAll("\"parties\":\\[[^]]*]", parties);
-        RequestReader reader =
-                new RequestReader(Config.parse(json.getBytes(StandardCharsets.UTF_8)));
+        RequestParser reader =
+                new RequestParser(SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)));
         return reader.read(head, new byte[0], 0);
     }
 
@@ -107,8 +107,8 @@
         String patient =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
-        RequestReader reader =
-                new RequestReader(Config.parse(patient.getBytes(StandardCharsets.UTF_8)));
+        RequestParser reader =
+                new RequestParser(SidecarConfig.parse(patient.getBytes(StandardCharsets.UTF_8)));
         HttpRequest head = request();
         for (String deadline : new String[] {"75.5", "90"}) {
             head.headers().set(Headers.DEADLINE, deadline);
--- a/sidecar/src/test/java/appleridge/http1/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
+import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode;
 import appleridge.daemon.StubUpstream;
 import appleridge.daemon.StubUpstream.Script;
-import appleridge.loadbalancing.Balancer.Outcome;
+import appleridge.loadbalancing.Outcome;
 import appleridge.request.Endpoint;
-import appleridge.request.Window;
-import appleridge.transport.Loop;
-import appleridge.transport.NioSockets;
-import appleridge.transport.Sockets;
+import appleridge.request.SendDeadlines;
+import appleridge.transport.NioSocketFactory;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import io.netty.channel.Channel;
@@ -43,12 +43,13 @@
  * Connections kept, closed and given up, without the module, whose own orders close idle ones too.
  */
 @Timeout(60)
-class UpstreamPoolTest {
+class UpstreamConnectionPoolTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
-    private static final OutgoingRequest REQUEST =
-            new OutgoingRequest(HttpMethod.GET, "/", new DefaultHttpHeaders(), new byte[0]);
-    private static final Window ALWAYS = new Window(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
+    private static final HttpUpstreamRequest REQUEST =
+            new HttpUpstreamRequest(HttpMethod.GET, "/", new DefaultHttpHeaders(), new byte[0]);
+    private static final SendDeadlines ALWAYS =
+            new SendDeadlines(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
     /** The system may have a connection up at once or a moment later; here it is always at once. */
     private static final class ConnectsAtOnce extends NioSocketChannel {
@@ -64,13 +65,13 @@
         }
     }
 
-    private record Result(Outcome outcome, HttpReply reply) {}
+    private record Result(Outcome outcome, HttpUpstreamResponse reply) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Loop time =
-            new Loop(
+    private final SidecarEventLoop time =
+            new SidecarEventLoop(
                     loop,
                     SystemTime.UNIX_MILLIS,
                     new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
@@ -81,10 +82,10 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private UpstreamPool pool(long idleMillis, int connections) {
-        return new UpstreamPool(
+    private UpstreamConnectionPool pool(long idleMillis, int connections) {
+        return new UpstreamConnectionPool(
                 time,
-                new NioSockets(),
+                new NioSocketFactory(),
                 TimeUnit.SECONDS.toNanos(1),
                 TimeUnit.MILLISECONDS.toNanos(idleMillis),
                 TimeUnit.MILLISECONDS.toNanos(200),
@@ -92,19 +93,21 @@
     }
 
     private static Endpoint endpoint(long id, StubUpstream upstream) {
-        return new Endpoint(id, Config.address(upstream.address()));
+        return new Endpoint(id, SidecarConfig.address(upstream.address()));
     }
 
-    private UpstreamExchange send(UpstreamPool pool, Endpoint endpoint) {
-        return (UpstreamExchange)
+    private UpstreamCall send(UpstreamConnectionPool pool, Endpoint endpoint) {
+        return (UpstreamCall)
                 pool.send(
                         endpoint,
                         REQUEST,
                         ALWAYS,
-                        (outcome, reply) -> results.add(new Result(outcome, (HttpReply) reply)));
+                        (outcome, reply) ->
+                                results.add(new Result(outcome, (HttpUpstreamResponse) reply)));
     }
 
-    private UpstreamExchange start(UpstreamPool pool, StubUpstream upstream) throws Exception {
+    private UpstreamCall start(UpstreamConnectionPool pool, StubUpstream upstream)
+            throws Exception {
         Endpoint endpoint = endpoint(1, upstream);
         return loop.submit(() -> send(pool, endpoint)).get();
     }
@@ -115,7 +118,7 @@
         return result;
     }
 
-    private String ask(UpstreamPool pool, StubUpstream upstream) throws Exception {
+    private String ask(UpstreamConnectionPool pool, StubUpstream upstream) throws Exception {
         start(pool, upstream);
         Result result = next();
         assertEquals(Outcome.OK, result.outcome());
@@ -125,7 +128,7 @@
     @Test
     void connectionsAreReused() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 5; i++) {
                 ask(pool, upstream);
             }
@@ -141,7 +144,7 @@
     @Test
     void idleConnectionsAreClosedAheadOfTheUpstream() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
-            UpstreamPool pool = pool(2000, 10);
+            UpstreamConnectionPool pool = pool(2000, 10);
             ask(pool, upstream);
             long answered = System.nanoTime();
             upstream.awaitClosed();
@@ -159,7 +162,7 @@
                     return false;
                 };
         try (StubUpstream upstream = new StubUpstream(closing)) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 5; i++) {
                 ask(pool, upstream);
             }
@@ -180,7 +183,7 @@
             try (StubUpstream upstream =
                     new StubUpstream(
                             StubUpstream.firstThen(new CountDownLatch(1), doubled, next))) {
-                UpstreamPool pool = pool(10_000, 10);
+                UpstreamConnectionPool pool = pool(10_000, 10);
                 assertEquals("fine", ask(pool, upstream));
                 assertEquals("next", ask(pool, upstream));
                 assertEquals(2, upstream.accepted.size());
@@ -197,7 +200,7 @@
         Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
         try (StubUpstream upstream =
                 new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             assertEquals("fine", ask(pool, upstream));
             loop.submit(
                             () -> {
@@ -219,7 +222,7 @@
     @Test
     void anUpstreamDoesNotInheritAnothersConnections() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             ask(pool, upstream);
             loop.submit(() -> send(pool, endpoint(2, upstream))).get();
             assertEquals(Outcome.OK, next().outcome());
@@ -239,8 +242,8 @@
      */
     @Test
     void withNoSocketToBeHadNothingIsSentAndItIsToldOnTheLoop() throws Exception {
-        Sockets none =
-                new Sockets() {
+        SocketFactory none =
+                new SocketFactory() {
                     @Override
                     public Channel connecting() {
                         throw new ChannelException(
@@ -255,8 +258,8 @@
                     @Override
                     public void readNow(Channel channel) {}
                 };
-        UpstreamPool pool =
-                new UpstreamPool(
+        UpstreamConnectionPool pool =
+                new UpstreamConnectionPool(
                         time,
                         none,
                         TimeUnit.SECONDS.toNanos(1),
@@ -290,9 +293,9 @@
     @Test
     void whatIsClosedBeforeItIsToldOfCarriesNothing() throws Exception {
         BlockingQueue<Channel> made = new LinkedBlockingQueue<>();
-        NioSockets usual = new NioSockets();
-        Sockets watched =
-                new Sockets() {
+        NioSocketFactory usual = new NioSocketFactory();
+        SocketFactory watched =
+                new SocketFactory() {
                     @Override
                     public Channel connecting() {
                         Channel channel = new ConnectsAtOnce();
@@ -310,8 +313,8 @@
                         usual.readNow(channel);
                     }
                 };
-        UpstreamPool pool =
-                new UpstreamPool(
+        UpstreamConnectionPool pool =
+                new UpstreamConnectionPool(
                         time,
                         watched,
                         TimeUnit.SECONDS.toNanos(1),
@@ -350,10 +353,10 @@
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + length
                                             + "\r\n\r\nfine"))) {
-                UpstreamPool patient =
-                        new UpstreamPool(
+                UpstreamConnectionPool patient =
+                        new UpstreamConnectionPool(
                                 time,
-                                new NioSockets(),
+                                new NioSocketFactory(),
                                 TimeUnit.SECONDS.toNanos(1),
                                 TimeUnit.SECONDS.toNanos(10),
                                 TimeUnit.HOURS.toNanos(1),
@@ -372,12 +375,12 @@
     void anAnswerThatGrowsTooLongIsNotServedWithoutThePartThatWasTooMuch() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + chunk(Framing.MAX_BODY - 4)
+                        + chunk(MessageFraming.MAX_BODY - 4)
                         + chunk(10)
                         + chunk(3)
                         + "0\r\n\r\n";
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 10; i++) {
                 start(pool, upstream);
                 assertEquals(Outcome.RESET, next().outcome());
@@ -397,7 +400,7 @@
                         + "0\r\n\r\n"
                         + StubUpstream.answer("200 OK", "next");
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
-            UpstreamPool pool = pool(10_000, 10);
+            UpstreamConnectionPool pool = pool(10_000, 10);
             start(pool, upstream);
             assertEquals(Outcome.RESET, next().outcome());
         }
@@ -412,9 +415,9 @@
     void overTheCapNothingIsSentUnlessAnIdleConnectionCanGo() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream good = new StubUpstream(GOOD)) {
-            UpstreamPool pool = pool(10_000, 1);
+            UpstreamConnectionPool pool = pool(10_000, 1);
             ask(pool, good);
-            UpstreamExchange held = start(pool, silent);
+            UpstreamCall held = start(pool, silent);
             silent.nextRequest();
             good.awaitClosed();
             start(pool, good);
--- a/sidecar/src/test/java/appleridge/lease/LeaseTest.java
+++ b/sidecar/src/test/java/appleridge/lease/LeaseTest.java
@@ -18,10 +18,11 @@
     private static final long TERM = 10_000 * MS;
 
     /** One in a hundred, 100 ms of guard, a pause of 1 s, acts of 500 ms. */
-    private static final Terms TIMED =
-            Terms.timed(TERM, 10_000, 100 * MS, 3_000 * MS, 1_000 * MS, 500 * MS);
+    private static final LeaseParameters TIMED =
+            LeaseParameters.timed(TERM, 10_000, 100 * MS, 3_000 * MS, 1_000 * MS, 500 * MS);
 
-    private static final Terms FENCED = Terms.fenced(TERM, 10_000, 100 * MS, 3_000 * MS);
+    private static final LeaseParameters FENCED =
+            LeaseParameters.fenced(TERM, 10_000, 100 * MS, 3_000 * MS);
     private static final long ACTS_FOR = 9_800 * MS;
     private static final long KEPT_OUT = 10_200 * MS;
     private static final long ACTS_OUT = 1_515 * MS;
@@ -38,7 +39,7 @@
         a.reach(2 * MS).run();
         a.reach(700 * MS).run();
         assertEquals(new Grant(1, 2 * MS, 2 * MS + ACTS_FOR), a.lease.grant());
-        assertEquals(State.HELD, a.lease.state());
+        assertEquals(LeaseState.HELD, a.lease.state());
         assertFalse(a.inLine, "the next one watches");
     }
 
@@ -49,10 +50,10 @@
         assertFalse(a.lease.mayBegin(ACTS_FOR - 500 * MS + 1, 500 * MS));
         assertFalse(a.lease.mayBegin(0, 501 * MS), "longer than others wait for");
         assertFalse(a.lease.mayBegin(0, -1));
-        assertEquals(new Act.TimedAct(1, ACTS_FOR), a.lease.begin(MS, 0));
+        assertEquals(new Permission.TimedPermission(1, ACTS_FOR), a.lease.begin(MS, 0));
         assertNull(a.lease.begin(ACTS_FOR + 1, 0));
         Register fenced = new Register(new Register.Store(), FENCED, "f", "f").seek(0);
-        assertInstanceOf(Act.FencedAct.class, fenced.lease.begin(0, 8_000 * MS));
+        assertInstanceOf(Permission.FencedPermission.class, fenced.lease.begin(0, 8_000 * MS));
     }
 
     @Test
@@ -78,13 +79,13 @@
         a.seek(0);
         assertEquals(stands, a.lease.mayBegin(stop, 0));
         a.lease.time(stop);
-        assertEquals(stands ? State.HELD : State.LOST, a.lease.state());
+        assertEquals(stands ? LeaseState.HELD : LeaseState.LOST, a.lease.state());
 
         Register within = new Register(new Register.Store(), TIMED, "w", "w").seek(0);
         within.lease.time(3_000 * MS);
         within.reach(3_000 * MS + stop).run();
         assertEquals(stands, within.lease.mayBegin(3_000 * MS + stop, 0));
-        assertEquals(stands ? State.HELD : State.LOST, within.lease.state());
+        assertEquals(stands ? LeaseState.HELD : LeaseState.LOST, within.lease.state());
     }
 
     @ParameterizedTest
@@ -128,7 +129,7 @@
         new Register(store, FENCED, "x", "x").seek(0);
         Register next = new Register(store, FENCED, "y", "y").seek(0);
         next.settle(next.wakeAt);
-        assertEquals(new Act.FencedAct(2), next.lease.begin(KEPT_OUT, 0));
+        assertEquals(new Permission.FencedPermission(2), next.lease.begin(KEPT_OUT, 0));
     }
 
     /** By true time: a holder whose clock is as slow as may be, a waiter whose clock is as fast. */
@@ -179,12 +180,12 @@
     void givingUpWaitsForActsAndIdlenessGivesUp() {
         a.seek(0);
         a.lease.idle(0, 100 * MS);
-        assertInstanceOf(Act.class, a.lease.begin(50 * MS, 0));
+        assertInstanceOf(Permission.class, a.lease.begin(50 * MS, 0));
         a.settle(100 * MS);
-        assertEquals(State.HELD, a.lease.state());
+        assertEquals(LeaseState.HELD, a.lease.state());
         a.lease.idle(200 * MS, 100 * MS);
         a.settle(300 * MS);
-        assertEquals(Why.IDLE, a.lease.why());
+        assertEquals(TransitionCause.IDLE, a.lease.why());
         assertFalse(store.record.released());
         a.settle(300 * MS + ACTS_OUT);
         assertTrue(store.record.released());
@@ -196,10 +197,10 @@
         a.lease.time(3_000 * MS);
         a.reach(3_000 * MS);
         a.unknown(3_100 * MS);
-        assertEquals(State.DOUBTFUL, a.lease.state());
+        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
         assertEquals(ACTS_FOR, a.lease.grant().until());
         a.settle(a.wakeAt);
-        assertEquals(State.HELD, a.lease.state());
+        assertEquals(LeaseState.HELD, a.lease.state());
         assertEquals(3_000 * MS + ACTS_FOR, a.lease.grant().until());
     }
 
@@ -234,26 +235,26 @@
         a.lease.time(3_000 * MS);
         Runnable late = a.reach(6_100 * MS);
         a.lease.time(6_000 * MS);
-        assertEquals(State.DOUBTFUL, a.lease.state());
+        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
         late.run();
         assertEquals(
                 ACTS_FOR, a.lease.grant().until(), "an answer to a question that was given up");
         a.settle(6_200 * MS);
-        assertEquals(State.HELD, a.lease.state());
+        assertEquals(LeaseState.HELD, a.lease.state());
     }
 
     @Test
     void aDisconnectedHolderActsToTheEndOfItsGrant() {
         a.seek(0);
         a.lease.disconnected(1_000 * MS);
-        assertEquals(State.DOUBTFUL, a.lease.state());
+        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
         assertTrue(a.lease.mayBegin(9_000 * MS, 0));
         a.lease.time(4_000 * MS);
         assertFalse(a.asks());
         a.lease.time(ACTS_FOR);
-        assertEquals(List.of(Why.EXPIRED), a.stops);
+        assertEquals(List.of(TransitionCause.EXPIRED), a.stops);
         a.lease.connected(ACTS_FOR + MS);
-        assertEquals(State.LOST, a.lease.state());
+        assertEquals(LeaseState.LOST, a.lease.state());
     }
 
     @Test
@@ -263,7 +264,7 @@
         a.lease.connected(2 * MS);
         assertEquals(ACTS_FOR, a.lease.grant().until());
         a.settle(3 * MS);
-        assertEquals(State.HELD, a.lease.state());
+        assertEquals(LeaseState.HELD, a.lease.state());
         assertEquals(ACTS_FOR, a.lease.grant().until());
     }
 
@@ -306,8 +307,8 @@
         assertEquals(2, twin.lease.grant().token());
         a.lease.changed(ACTS_FOR - MS);
         a.settle(ACTS_FOR - MS);
-        assertEquals(State.LOST, a.lease.state());
-        assertEquals(Why.TAKEN, a.lease.why());
+        assertEquals(LeaseState.LOST, a.lease.state());
+        assertEquals(TransitionCause.TAKEN, a.lease.why());
     }
 
     @Test
@@ -315,12 +316,12 @@
         a.seek(0);
         store.record = null;
         a.settle(3_000 * MS);
-        assertEquals(State.REFUSING, a.lease.state());
-        assertEquals(Why.WIPED, a.lease.why());
-        assertEquals(List.of(Why.WIPED), a.stops);
+        assertEquals(LeaseState.REFUSING, a.lease.state());
+        assertEquals(TransitionCause.WIPED, a.lease.why());
+        assertEquals(List.of(TransitionCause.WIPED), a.stops);
         a.settle(a.wakeAt);
-        assertEquals(State.REFUSING, a.lease.state());
-        store.record = new Entry(0, 2, "operator", "", 0, true);
+        assertEquals(LeaseState.REFUSING, a.lease.state());
+        store.record = new VersionedLease(0, 2, "operator", "", 0, true);
         a.settle(a.wakeAt);
         a.lease.inFront(30_000 * MS);
         a.settle(30_000 * MS);
@@ -329,17 +330,17 @@
 
     @Test
     void aRestoredStoreIsRefused() {
-        Entry old = a.seek(0).store.record;
+        VersionedLease old = a.seek(0).store.record;
         a.lease.release(MS);
         a.settle(MS);
         b.seek(MS);
         store.record = old;
         b.settle(3_001 * MS);
-        assertEquals(Why.RESTORED, b.lease.why());
-        assertEquals(State.REFUSING, b.lease.state());
-        store.record = new Entry(90, 2, "c", "c/1", TERM, false);
+        assertEquals(TransitionCause.RESTORED, b.lease.why());
+        assertEquals(LeaseState.REFUSING, b.lease.state());
+        store.record = new VersionedLease(90, 2, "c", "c/1", TERM, false);
         b.settle(b.wakeAt);
-        assertEquals(State.REFUSING, b.lease.state(), "the same token in other hands");
+        assertEquals(LeaseState.REFUSING, b.lease.state(), "the same token in other hands");
     }
 
     @Test
@@ -347,19 +348,20 @@
         for (long renewEvery : new long[] {0, ACTS_FOR}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> Terms.fenced(TERM, 10_000, 100 * MS, renewEvery));
+                    () -> LeaseParameters.fenced(TERM, 10_000, 100 * MS, renewEvery));
         }
         assertEquals(KEPT_OUT, TIMED.keptOutFor(TERM));
         assertEquals(
-                Terms.LONGEST + Terms.LONGEST / 100 + 100 * MS, TIMED.keptOutFor(Long.MAX_VALUE));
+                LeaseParameters.LONGEST + LeaseParameters.LONGEST / 100 + 100 * MS,
+                TIMED.keptOutFor(Long.MAX_VALUE));
     }
 
     /** Guards against a token that runs back after the largest there is. */
     @Test
     void aTokenThatCanNotGrowIsNoLease() {
-        store.record = new Entry(0, Long.MAX_VALUE, "operator", "operator/0", 1, true);
+        store.record = new VersionedLease(0, Long.MAX_VALUE, "operator", "operator/0", 1, true);
         a.seek(0);
         assertNull(a.lease.grant());
-        assertEquals(State.REFUSING, a.lease.state());
+        assertEquals(LeaseState.REFUSING, a.lease.state());
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/PermitsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/PermitsTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 class PermitsTest {
-    private static final Terms TERMS = Terms.timed(1_000, 10_000, 10, 300, 0, 100);
+    private static final LeaseParameters TERMS =
+            LeaseParameters.timed(1_000, 10_000, 10, 300, 0, 100);
     private static final int COUNT = 4;
 
     private final List<Register.Store> stores =
@@ -24,7 +25,7 @@
     private final class Process {
         final List<Register> registers = new ArrayList<>();
         final Permits permits;
-        final Shares shares;
+        final BudgetShare shares;
 
         Process(String name, long whole) {
             permits =
@@ -34,7 +35,7 @@
                                 registers.add(new Register(stores.get(i), TERMS, name, name));
                                 return registers.get(i).lease;
                             });
-            shares = new Shares(whole, permits);
+            shares = new BudgetShare(whole, permits);
         }
 
         void settle(long now) {
@@ -104,7 +105,7 @@
         assertEquals(1, a.permits.usable(0, 0));
         assertThrows(
                 IllegalArgumentException.class, () -> new Permits(Permits.MOST + 1, i -> null));
-        assertThrows(IllegalArgumentException.class, () -> new Shares(-1, a.permits));
+        assertThrows(IllegalArgumentException.class, () -> new BudgetShare(-1, a.permits));
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/lease/Register.java
+++ b/sidecar/src/test/java/appleridge/lease/Register.java
@@ -7,21 +7,21 @@
 final class Register implements LeaseActions {
     /** The one record, for all who share it. */
     static final class Store {
-        Entry record;
+        VersionedLease record;
         long versions;
     }
 
-    private record Asked(long question, long expected, Entry next) {}
+    private record Asked(long question, long expected, VersionedLease next) {}
 
     final Store store;
     final Lease lease;
     final List<Grant> grants = new ArrayList<>();
-    final List<Why> stops = new ArrayList<>();
+    final List<TransitionCause> stops = new ArrayList<>();
     boolean inLine;
     long wakeAt = Long.MAX_VALUE;
     private Asked asked;
 
-    Register(Store store, Terms terms, String name, String nonce) {
+    Register(Store store, LeaseParameters terms, String name, String nonce) {
         this.store = store;
         this.lease = new Lease(terms, name, nonce, this);
     }
@@ -71,9 +71,9 @@
         if (its.expected != (store.record == null ? -1 : store.record.version())) {
             return null;
         }
-        Entry next = its.next;
+        VersionedLease next = its.next;
         store.record =
-                new Entry(
+                new VersionedLease(
                         store.versions++,
                         next.token(),
                         next.holder(),
@@ -90,7 +90,7 @@
     private void answer(long now, Asked its, Object done) {
         asked = asked == its ? null : asked;
         if (its.next == null) {
-            lease.read(now, its.question, (Entry) done);
+            lease.read(now, its.question, (VersionedLease) done);
         } else if (done == null) {
             lease.conflicted(now, its.question);
         } else {
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void write(long question, long expectedVersion, Entry next) {
+    public void write(long question, long expectedVersion, VersionedLease next) {
         asked = new Asked(question, expectedVersion, next);
     }
 
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void stopNow(Why why) {
+    public void stopNow(TransitionCause why) {
         stops.add(why);
     }
 
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,13 +13,14 @@
     @Test
     void whatIsWrittenIsReadAndCanBeReadByAPerson() {
         byte[] bytes =
-                LeaseRecord.bytes(new Entry(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
+                LeaseRecord.bytes(
+                        new VersionedLease(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
         assertEquals(
                 "{\"holder\":\"host-a/12\",\"token\":7,\"since\":\"1970-01-01T00:00:00Z\","
                         + "\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}",
                 new String(bytes, StandardCharsets.UTF_8));
         assertEquals(
-                new Entry(3, 7, "host-a/12", "ab", 2_001_000_000L, false),
+                new VersionedLease(3, 7, "host-a/12", "ab", 2_001_000_000L, false),
                 LeaseRecord.entry(bytes, 3));
     }
 
@@ -53,6 +54,6 @@
     void theLineIsInTheOrderOfItsNumbers() {
         assertEquals(
                 List.of("zz-0000000009", "aa-0000000010", "bb-0000000100"),
-                WaitingLine.order(List.of("bb-0000000100", "zz-0000000009", "aa-0000000010")));
+                WaiterQueue.order(List.of("bb-0000000100", "zz-0000000009", "aa-0000000010")));
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.lease.Terms;
+import appleridge.lease.LeaseParameters;
 import appleridge.lease.store.LeaseClock;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -32,10 +32,10 @@
     private final TaskSettings settings =
             new TaskSettings(
                     null,
-                    Terms.timed(10 * SECOND, 0, SECOND, SECOND, 0, 0),
+                    LeaseParameters.timed(10 * SECOND, 0, SECOND, SECOND, 0, 0),
                     300 * MILLI,
                     200 * MILLI);
-    private final List<Guarded> begun = new ArrayList<>();
+    private final List<GuardedProcess> begun = new ArrayList<>();
     private Path out;
     private String nonce;
 
@@ -47,23 +47,23 @@
 
     @AfterEach
     void end() {
-        for (Guarded each : begun) {
+        for (GuardedProcess each : begun) {
             new ProcessTree(nonce, each.guardian().toHandle()).kill();
             each.guardian().destroyForcibly();
         }
     }
 
-    private Guarded guarded(String script) throws Exception {
+    private GuardedProcess guarded(String script) throws Exception {
         return guarded(List.of("bash", "-c", script, "x", out.toString()));
     }
 
-    private Guarded guarded(List<String> command) throws Exception {
-        Guarded guarded = new Guarded(clock, settings, nonce, "nightly", 12, command);
+    private GuardedProcess guarded(List<String> command) throws Exception {
+        GuardedProcess guarded = new GuardedProcess(clock, settings, nonce, "nightly", 12, command);
         begun.add(guarded);
         return guarded;
     }
 
-    private static void stop(Guarded guarded) throws Exception {
+    private static void stop(GuardedProcess guarded) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-STOP", Long.toString(guarded.guardian().pid()))
@@ -71,7 +71,7 @@
                         .waitFor());
     }
 
-    private String last(Guarded guarded) throws Exception {
+    private String last(GuardedProcess guarded) throws Exception {
         String last = guarded.last(clock.now());
         while (last == null) {
             Thread.sleep(5);
@@ -90,7 +90,7 @@
 
     @Test
     void aCommandHasItsTokenAndEndsWithItsStatus() throws Exception {
-        Guarded guarded = guarded("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
+        GuardedProcess guarded = guarded("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
         assertNull(guarded.last(clock.now()));
         guarded.go(clock.now() + 20 * SECOND);
         assertEquals("ended 3", last(guarded));
@@ -99,7 +99,7 @@
 
     @Test
     void whatItLeavesBehindIsEndedWithIt() throws Exception {
-        Guarded guarded = guarded("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
+        GuardedProcess guarded = guarded("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
         guarded.go(clock.now() + 20 * SECOND);
         assertEquals("ended 0", last(guarded));
     }
@@ -119,7 +119,7 @@
                                 + "\"; sleep 50",
                         writes)) {
             Files.deleteIfExists(out);
-            Guarded guarded = guarded(script);
+            GuardedProcess guarded = guarded(script);
             guarded.go(clock.now() + 20 * SECOND);
             awaitOut();
             long byWall = System.currentTimeMillis() + 900;
@@ -132,7 +132,7 @@
 
     @Test
     void itIsToldToEndFirst() throws Exception {
-        Guarded guarded =
+        GuardedProcess guarded =
                 guarded(
                         "trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
                                 + " done");
@@ -146,7 +146,7 @@
     /** Guards against a guardian that waits for good beside a command that it has ended. */
     @Test
     void whatWasToldToEndStaysEndedThoughTheLeaseLastsLonger() throws Exception {
-        Guarded guarded =
+        GuardedProcess guarded =
                 guarded(
                         "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
                                 + " while :; do sleep 0.01; done");
@@ -162,11 +162,11 @@
 
     @Test
     void whatComesTooLateIsNotBegun() throws Exception {
-        Guarded guarded = guarded("echo 1 > $1");
+        GuardedProcess guarded = guarded("echo 1 > $1");
         guarded.go(clock.now() + 400 * MILLI);
         assertEquals("never", last(guarded));
         assertTrue(Files.notExists(out));
-        Guarded stopped = guarded("echo 1 > $1");
+        GuardedProcess stopped = guarded("echo 1 > $1");
         stopped.stop();
         assertEquals("never", last(stopped));
         assertTrue(Files.notExists(out));
@@ -174,7 +174,7 @@
 
     @Test
     void aCommandThatIsNotThereIsTold() throws Exception {
-        Guarded guarded = guarded(List.of("/no/such/command"));
+        GuardedProcess guarded = guarded(List.of("/no/such/command"));
         guarded.go(clock.now() + 20 * SECOND);
         assertEquals("no-command", last(guarded));
     }
@@ -182,7 +182,7 @@
     /** Guards against a guardian that is gone while its command goes on. */
     @Test
     void aKilledGuardiansCommandIsEndedByWhoAskedForIt() throws Exception {
-        Guarded guarded = guarded("echo 1 > $1; sleep 50");
+        GuardedProcess guarded = guarded("echo 1 > $1; sleep 50");
         guarded.go(clock.now() + 20 * SECOND);
         awaitOut();
         guarded.guardian().destroyForcibly().waitFor();
@@ -192,7 +192,7 @@
     /** Guards against a guardian that has lost its one thread, and ends nothing any more. */
     @Test
     void aLineThatMakesNoSenseEndsTheCommand() throws Exception {
-        Guarded guarded = guarded("echo 1 > $1; sleep 100");
+        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.go(clock.now() + 90 * SECOND);
         awaitOut();
         OutputStream in = guarded.guardian().getOutputStream();
@@ -204,7 +204,7 @@
     /** Guards against who waits for good for the last word of a guardian that is stopped. */
     @Test
     void aStoppedGuardianKeepsNobodyWaiting() throws Exception {
-        Guarded guarded = guarded("echo 1 > $1; sleep 100");
+        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.go(clock.now() + 90 * SECOND);
         awaitOut();
         stop(guarded);
@@ -217,7 +217,8 @@
     /** Guards against a command without its mark that goes on while its guardian stands still. */
     @Test
     void aStoppedGuardiansChildWithoutItsMarkIsEnded() throws Exception {
-        Guarded guarded = guarded("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
+        GuardedProcess guarded =
+                guarded("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
         guarded.go(clock.now() + 90 * SECOND);
         awaitOut();
         Path child = Path.of("/proc", Files.readString(out).strip(), "stat");
@@ -235,7 +236,7 @@
     /** Guards against a pipe that is full: who writes to it would see no lease end. */
     @Test
     void aStoppedGuardianDoesNotStopWhoTellsIt() throws Exception {
-        Guarded guarded = guarded("echo 1 > $1; sleep 100");
+        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.go(clock.now() + 90 * SECOND);
         awaitOut();
         stop(guarded);
--- a/sidecar/src/test/java/appleridge/lease/task/TaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.lease.Terms;
+import appleridge.lease.LeaseParameters;
 import appleridge.lease.store.LeaseClock;
 import appleridge.lease.store.LeaseStore;
 import java.nio.file.Files;
@@ -24,12 +24,13 @@
 
 /** Tasks with real guardians and commands, on a record in memory. */
 @Timeout(60)
-class TaskTest {
+class LeasedTaskTest {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final TaskSettings SETTINGS =
             new TaskSettings(
                     null,
-                    Terms.timed(4000 * MILLI, 0, 100 * MILLI, 200 * MILLI, 0, 700 * MILLI),
+                    LeaseParameters.timed(
+                            4000 * MILLI, 0, 100 * MILLI, 200 * MILLI, 0, 700 * MILLI),
                     200 * MILLI,
                     500 * MILLI);
 
@@ -41,9 +42,9 @@
 
     /** A task on a thread of its own. */
     private final class Run extends FutureTask<Integer> {
-        private final Task task;
+        private final LeasedTask task;
 
-        Run(Task task) {
+        Run(LeasedTask task) {
             super(task::run);
             this.task = task;
             Thread thread = new Thread(this);
@@ -63,7 +64,7 @@
 
     private Run task(String holder, String script, LeaseClock clock) {
         return new Run(
-                new Task(
+                new LeasedTask(
                         SETTINGS,
                         "nightly",
                         holder,
@@ -134,13 +135,13 @@
                         "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
                                 + " while :; do sleep 0.01; done");
         await("on");
-        assertEquals(Task.TERMINATED, run.task.terminate());
+        assertEquals(LeasedTask.TERMINATED, run.task.terminate());
         await("over");
         assertTrue(shared.entry().released());
         Run waiting = task("b", "sleep 50");
         Run behind = task("c", "sleep 50");
-        assertEquals(Task.TERMINATED, behind.task.terminate());
-        assertEquals(Task.TERMINATED, waiting.task.terminate());
+        assertEquals(LeasedTask.TERMINATED, behind.task.terminate());
+        assertEquals(LeasedTask.TERMINATED, waiting.task.terminate());
     }
 
     @Test
@@ -148,14 +149,14 @@
         Run run = task("a", "echo on >> $1; sleep 50");
         await("on");
         lastEvents.broken("made anew");
-        assertEquals(Task.BROKEN, run.get());
+        assertEquals(LeasedTask.BROKEN, run.get());
     }
 
     @Test
     void aCommandThatIsNotThereIsLeftToOthers() throws Exception {
         Run run =
                 new Run(
-                        new Task(
+                        new LeasedTask(
                                 SETTINGS,
                                 "nightly",
                                 "a",
@@ -164,7 +165,7 @@
                                 () -> "n" + nonces.incrementAndGet(),
                                 shared::store,
                                 log::add));
-        assertEquals(Task.NO_COMMAND, run.get());
+        assertEquals(LeasedTask.NO_COMMAND, run.get());
         assertTrue(shared.entry().released());
     }
 
@@ -174,7 +175,7 @@
         Run run = task("a", "echo on >> $1; sleep 100");
         await("on");
         stoppedGuardian();
-        assertEquals(Task.TERMINATED, run.task.terminate());
+        assertEquals(LeasedTask.TERMINATED, run.task.terminate());
         assertTrue(shared.entry().released());
     }
 
@@ -191,7 +192,7 @@
             Thread.sleep(1);
         }
         guardian.destroyForcibly();
-        assertEquals(Task.TERMINATED, terminated.get());
+        assertEquals(LeasedTask.TERMINATED, terminated.get());
         assertTrue(shared.entry().released());
     }
 
@@ -200,7 +201,7 @@
     void whoTellsAFailedTaskToEndIsToldSo() {
         Run run =
                 new Run(
-                        new Task(
+                        new LeasedTask(
                                 SETTINGS,
                                 "nightly",
                                 "a",
@@ -215,7 +216,7 @@
                                 shared::store,
                                 log::add));
         assertThrows(ExecutionException.class, run::get);
-        assertEquals(Task.FAILED, assertDoesNotThrow(run.task::terminate));
+        assertEquals(LeasedTask.FAILED, assertDoesNotThrow(run.task::terminate));
     }
 
     /** Guards against a grant from before a sleep that only the wall clock shows. */
--- a/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
+++ b/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
@@ -1,6 +1,6 @@
 package appleridge.lease.task;
 
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 import appleridge.lease.store.LeaseStore;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,9 +9,9 @@
 /** A record and a line in memory, of which each task has a store. */
 final class SharedRecord {
     private final List<Store> line = new ArrayList<>();
-    private Entry entry;
+    private VersionedLease entry;
 
-    synchronized Entry entry() {
+    synchronized VersionedLease entry() {
         return entry;
     }
 
@@ -49,12 +49,12 @@
 
         @Override
         public void read(long question) {
-            Entry now = entry();
+            VersionedLease now = entry();
             executor.execute(() -> events.read(question, now));
         }
 
         @Override
-        public void write(long question, long expectedVersion, Entry next) {
+        public void write(long question, long expectedVersion, VersionedLease next) {
             synchronized (SharedRecord.this) {
                 long version = entry == null ? -1 : entry.version();
                 if (version != expectedVersion) {
@@ -62,7 +62,7 @@
                     return;
                 }
                 entry =
-                        new Entry(
+                        new VersionedLease(
                                 version + 1,
                                 next.token(),
                                 next.holder(),
--- a/sidecar/src/test/java/appleridge/loadbalancing/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/EmbeddingExampleTest.java
@@ -3,11 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.Request;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -18,26 +13,27 @@
     void hostDrivesTheModule() {
         // The host's side: carries out what the module orders (here it only writes it down).
         Recorder host = new Recorder(Recorder.settings(Recorder.REPEATABLE), 42);
-        Balancer balancer = host.logic;
+        LoadBalancingPolicy balancer = host.logic;
         long now = host.now;
 
-        balancer.listChanged(
+        balancer.onEndpointUpdate(
                 now,
-                ListKind.CACHED,
+                UpdateKind.CACHED_SNAPSHOT,
                 List.of(
-                        new Upstream(1, 0, 0, 0, State.READY, 1, 0),
-                        new Upstream(2, 0, 0, 0, State.READY, 1, 0)));
-        balancer.request(now, new Request(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
+                        new UpstreamHost(1, 0, 0, 0, HostState.READY, 1, 0),
+                        new UpstreamHost(2, 0, 0, 0, HostState.READY, 1, 0)));
+        balancer.onRequest(now, new RequestInfo(100, 0, 0, 0, 1_000_000_000L, 0, false, false));
         Recorder.Sent sent = host.last();
         assertEquals(100, sent.request());
 
         now += 20_000_000;
-        balancer.outcome(now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
+        balancer.onAttemptEnded(
+                now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
         assertTrue(host.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
 
         // A restart: a new instance, a new seed, no memory.
         Recorder restarted = new Recorder(Recorder.settings(Recorder.REPEATABLE), 43);
-        restarted.logic.listChanged(now, ListKind.CACHED, List.of());
+        restarted.logic.onEndpointUpdate(now, UpdateKind.CACHED_SNAPSHOT, List.of());
         restarted.request(101, 0);
         assertEquals(List.of("refuse 101"), restarted.answers);
     }
--- a/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
@@ -4,13 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -31,7 +24,7 @@
                     Recorder.ONCE,
                     Recorder.BY_CELL,
                     Recorder.BY_ANY,
-                    Recorder.requestClass(Semantics.BY_KEY, Scope.ZONE));
+                    Recorder.requestClass(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ZONE));
 
     private static final class Book {
         final RequestClass kind;
@@ -47,12 +40,12 @@
 
         boolean mayHaveRun(int attempt) {
             Outcome outcome = ended.get(attempt);
-            return outcome == null || !outcome.provesNeverRan();
+            return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
     private final Map<Long, Book> books = new HashMap<>();
-    private final Map<Long, State> states = new HashMap<>();
+    private final Map<Long, HostState> states = new HashMap<>();
     private final Set<Integer> judgedSends = new HashSet<>();
     private int readLog;
     private Recorder host;
@@ -77,7 +70,7 @@
     private void judgeSend(Recorder.Sent sent) {
         Book book = books.get(sent.request());
         assertEquals(0, book.answers, "sent after its end: " + sent);
-        assertEquals(State.READY, states.get(sent.upstream()), "drain: " + sent);
+        assertEquals(HostState.READY, states.get(sent.upstream()), "drain: " + sent);
         assertTrue(book.sent.size() < 3, "try limit: " + sent);
         Recorder.Sent doubt = null;
         for (Recorder.Sent earlier : book.sent) {
@@ -86,12 +79,16 @@
             }
         }
         if (doubt != null) {
-            assertTrue(book.kind.semantics() != Semantics.ONCE, "once sent twice: " + sent);
-            if (book.kind.semantics() == Semantics.BY_KEY) {
-                assertTrue(sent.at() < doubt.at() + book.kind.keyTtl(), "key forgotten: " + sent);
+            assertTrue(
+                    book.kind.idempotency() != Idempotency.NON_IDEMPOTENT,
+                    "once sent twice: " + sent);
+            if (book.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+                assertTrue(
+                        sent.at() < doubt.at() + book.kind.idempotencyKeyTtlNanos(),
+                        "key forgotten: " + sent);
                 long a = doubt.upstream();
                 long b = sent.upstream();
-                switch (book.kind.scope()) {
+                switch (book.kind.deduplicationScope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
                     default -> {}
@@ -108,9 +105,9 @@
         boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
         boolean harmless =
                 !doubt
-                        || book.kind.semantics() == Semantics.REPEATABLE
-                        || book.kind.semantics() == Semantics.BY_KEY
-                                && book.kind.scope() == Scope.ALL;
+                        || book.kind.idempotency() == Idempotency.IDEMPOTENT
+                        || book.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                && book.kind.deduplicationScope() == DeduplicationScope.ALL;
         assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
     }
 
@@ -120,12 +117,12 @@
         Random random = new Random(seed);
         host = new Recorder(Recorder.settings(CLASSES.toArray(new RequestClass[0])), seed);
         int upstreams = 1 + random.nextInt(12);
-        List<Upstream> first = new ArrayList<>();
+        List<UpstreamHost> first = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
             first.add(Recorder.upstream(i));
-            states.put((long) i, State.READY);
+            states.put((long) i, HostState.READY);
         }
-        host.logic.listChanged(host.now, ListKind.CACHED, first);
+        host.logic.onEndpointUpdate(host.now, UpdateKind.CACHED_SNAPSHOT, first);
         List<Recorder.Sent> out = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
@@ -144,7 +141,7 @@
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
                 if (books.get(id).answers == 0) {
                     books.get(id).answers++;
-                    host.logic.hangup(host.now, id);
+                    host.logic.onClientDisconnected(host.now, id);
                 }
             } else {
                 tick(random.nextInt(8));
@@ -189,7 +186,7 @@
         if (outcome == Outcome.OK && !already) {
             book.answers++;
         }
-        host.logic.outcome(
+        host.logic.onAttemptEnded(
                 host.now,
                 sent.request(),
                 sent.attempt(),
@@ -203,12 +200,14 @@
 
     private void change(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
-        State state = State.values()[random.nextInt(3)];
+        HostState state = HostState.values()[random.nextInt(3)];
         long startedAt =
-                state == State.READY && states.get(id) == State.GONE ? host.now - 100 * MS : 0;
+                state == HostState.READY && states.get(id) == HostState.GONE
+                        ? host.now - 100 * MS
+                        : 0;
         states.put(id, state);
-        host.logic.listChanged(
-                host.now, ListKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.DELTA, List.of(Recorder.upstream(id, state, startedAt)));
         judge();
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/Recorder.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/Recorder.java
@@ -1,31 +1,20 @@
 package appleridge.loadbalancing;
 
-import appleridge.loadbalancing.Balancer.Actions;
-import appleridge.loadbalancing.Balancer.Allowed;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.Limits;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.Request;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Tenant;
-import appleridge.loadbalancing.Balancer.Upstream;
-import appleridge.loadbalancing.Balancer.Weights;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
 
 /** A host for tests: it keeps the clock, rings timers and writes down what the module orders. */
-final class Recorder implements Actions {
+final class Recorder implements PolicyActions {
     static final long MS = 1_000_000;
-    static final RequestClass REPEATABLE = requestClass(Semantics.REPEATABLE, Scope.ALL);
-    static final RequestClass ONCE = requestClass(Semantics.ONCE, Scope.ALL);
-    static final RequestClass BY_CELL = requestClass(Semantics.BY_KEY, Scope.CELL);
-    static final RequestClass BY_ANY = requestClass(Semantics.BY_KEY, Scope.ALL);
+    static final RequestClass REPEATABLE =
+            requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    static final RequestClass ONCE =
+            requestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+    static final RequestClass BY_CELL =
+            requestClass(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL);
+    static final RequestClass BY_ANY =
+            requestClass(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ALL);
 
     record Sent(long request, int attempt, long upstream, long at) {}
 
@@ -36,55 +25,55 @@
     final List<String> answers = new ArrayList<>();
     final List<byte[]> told = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    final SymmetricRoundRobin logic;
+    final SymmetricRoundRobinPolicy logic;
     long now = 1_000 * MS;
     int subscriptions;
 
-    Recorder(Settings settings, long seed) {
-        logic = new SymmetricRoundRobin(settings, seed, this);
+    Recorder(PolicySettings settings, long seed) {
+        logic = new SymmetricRoundRobinPolicy(settings, seed, this);
         logic.start(now);
     }
 
-    static RequestClass requestClass(Semantics semantics, Scope scope) {
+    static RequestClass requestClass(Idempotency semantics, DeduplicationScope scope) {
         return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
     }
 
-    static Settings settings(RequestClass... classes) {
-        return settings(Discovery.AUTOMATIC, classes);
+    static PolicySettings settings(RequestClass... classes) {
+        return settings(DiscoveryMode.PUSHED, classes);
     }
 
-    static Settings settings(Discovery discovery, RequestClass... classes) {
-        return new Settings(
+    static PolicySettings settings(DiscoveryMode discovery, RequestClass... classes) {
+        return new PolicySettings(
                 0,
                 3,
                 0,
                 5 * MS,
                 discovery,
-                Weights.SILENT,
+                WeightKind.SILENT,
                 List.of(classes),
                 List.<Tenant>of(),
-                new Allowed(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
-                new Limits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
+                new Capabilities(true, false, false, true, true, 3, 1_000 * MS, 250 * MS),
+                new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 0.3, 8_000 * MS, 3, 1_500 * MS),
                 List.of(),
                 false,
                 1);
     }
 
-    static Upstream upstream(long id) {
-        return upstream(id, State.READY, 0);
+    static UpstreamHost upstream(long id) {
+        return upstream(id, HostState.READY, 0);
     }
 
-    static Upstream upstream(long id, State state, long startedAt) {
-        return new Upstream(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
+    static UpstreamHost upstream(long id, HostState state, long startedAt) {
+        return new UpstreamHost(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
     /** Lists upstreams 0 to count - 1 as ready and long started. */
     Recorder withUpstreams(int count) {
-        List<Upstream> list = new ArrayList<>();
+        List<UpstreamHost> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(upstream(i));
         }
-        logic.listChanged(now, ListKind.CACHED, list);
+        logic.onEndpointUpdate(now, UpdateKind.CACHED_SNAPSHOT, list);
         return this;
     }
 
@@ -93,11 +82,11 @@
     }
 
     void request(long id, int requestClass, long left) {
-        logic.request(now, new Request(id, requestClass, 0, 0, left, 0, false, false));
+        logic.onRequest(now, new RequestInfo(id, requestClass, 0, 0, left, 0, false, false));
     }
 
     void outcome(Sent sent, Outcome outcome) {
-        logic.outcome(
+        logic.onAttemptEnded(
                 now,
                 sent.request,
                 sent.attempt,
@@ -114,7 +103,7 @@
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
-            logic.timer(now, timer.token);
+            logic.onTimer(now, timer.token);
         }
         now = end;
     }
@@ -150,13 +139,13 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
+    public void sendAttempt(long request, long upstream, long timeout) {
         log.add("send " + request + " " + upstream + " " + timeout);
         sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
     }
 
     @Override
-    public void refuse(long request, long wait) {
+    public void reject(long request, long wait) {
         log.add("refuse " + request + " " + wait);
         answers.add("refuse " + request);
     }
@@ -168,28 +157,28 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         log.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void timer(long token, long at) {
+    public void setTimer(long token, long at) {
         log.add("timer " + token + " " + at);
         timers.add(new Timer(at, token));
     }
 
     @Override
-    public void probe(long upstream) {
+    public void sendHealthCheck(long upstream) {
         log.add("probe " + upstream);
     }
 
     @Override
-    public void closeIdle(long upstream) {
+    public void closeIdleConnections(long upstream) {
         log.add("close " + upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendGossip(int peer, byte[] message) {
         log.add("tell " + peer);
         told.add(message);
     }
@@ -206,7 +195,7 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         log.add("fetch");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/SettingsUnlikeTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SettingsUnlikeTest.java
@@ -4,17 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.Allowed;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.Limits;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Weights;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -23,16 +12,16 @@
 
     /** A host that allows nothing but sending, with the given try limit. */
     private static Recorder bare(int tryLimit, RequestClass... classes) {
-        Allowed allowed = new Allowed(false, false, false, false, false, tryLimit, 0, 0);
-        Limits limits = new Limits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
+        Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
+        SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
         return new Recorder(
-                new Settings(
+                new PolicySettings(
                         0,
                         1,
                         0,
                         0,
-                        Discovery.AUTOMATIC,
-                        Weights.SILENT,
+                        DiscoveryMode.PUSHED,
+                        WeightKind.SILENT,
                         List.of(classes),
                         List.of(),
                         allowed,
@@ -79,7 +68,7 @@
         for (int i = 0; i < 40; i++) {
             host.request(i, i % 2);
         }
-        host.logic.hangup(host.now, host.last().request());
+        host.logic.onClientDisconnected(host.now, host.last().request());
         host.advance(3_000 * MS);
         assertTrue(
                 host.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")),
@@ -94,7 +83,7 @@
     void aListThatEmptiesAndRefillsStartsAfresh() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(4);
         host.serve(0, 20, 0, 10 * MS);
-        host.logic.listChanged(host.now, ListKind.FULL, List.of());
+        host.logic.onEndpointUpdate(host.now, UpdateKind.SNAPSHOT, List.of());
         host.request(100, 0);
         assertEquals(List.of("refuse 100"), host.answers, "nothing ready");
         host.withUpstreams(4);
@@ -112,9 +101,11 @@
             one.advance(MS);
             other.advance(MS);
             Recorder.Sent sent = one.last();
-            one.logic.outcome(one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
+            one.logic.onAttemptEnded(
+                    one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
             float[] report = {9, -1, 7e9f};
-            other.logic.outcome(other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
+            other.logic.onAttemptEnded(
+                    other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
         }
         assertEquals(one.log, other.log);
     }
@@ -123,12 +114,20 @@
     void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
         RequestClass stream =
                 new RequestClass(
-                        500 * MS, 0, 1_000 * MS, 1, 0, Semantics.REPEATABLE, Scope.ALL, 0, true);
+                        500 * MS,
+                        0,
+                        1_000 * MS,
+                        1,
+                        0,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        true);
         Recorder host = new Recorder(Recorder.settings(stream), 3).withUpstreams(3);
         host.request(1, 0);
         Recorder.Sent sent = host.last();
         host.advance(100 * MS);
-        host.logic.firstByte(host.now, 1, 0, sent.upstream(), 100 * MS);
+        host.logic.onResponseStarted(host.now, 1, 0, sent.upstream(), 100 * MS);
         host.advance(2_000 * MS);
         assertEquals(List.of(), host.answers);
         host.outcome(sent, Outcome.RESET);
@@ -152,12 +151,12 @@
     @Test
     void drainingEverywhereStopsAllNewWork() {
         Recorder host = bare(3, Recorder.REPEATABLE).withUpstreams(2);
-        host.logic.listChanged(
+        host.logic.onEndpointUpdate(
                 host.now,
-                ListKind.DELTA,
+                UpdateKind.DELTA,
                 List.of(
-                        Recorder.upstream(0, State.DRAINING, 0),
-                        Recorder.upstream(1, State.DRAINING, 0)));
+                        Recorder.upstream(0, HostState.DRAINING, 0),
+                        Recorder.upstream(1, HostState.DRAINING, 0)));
         host.request(1, 0);
         assertEquals(0, host.sends.size());
         assertEquals(List.of("refuse 1"), host.answers);
