--- a/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
@@ -13,10 +13,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.State;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -31,9 +27,9 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class SymmetricRoundRobinTest {
+class SymmetricRoundRobinPolicyTest {
 
-    private static Recorder host(Balancer.RequestClass... classes) {
+    private static Recorder host(RequestClass... classes) {
         return new Recorder(settings(classes), 7);
     }
 
@@ -98,7 +94,8 @@
             for (int i = 0; i < 40; i++) {
                 host.request(i, 0);
                 assertEquals(1, host.sendsOf(i).size(), "there is room for " + i);
-                host.logic.firstByte(host.now, i, 0, host.sendsOf(i).get(0).upstream(), elapsed);
+                host.logic.onResponseStarted(
+                        host.now, i, 0, host.sendsOf(i).get(0).upstream(), elapsed);
                 host.advance(5 * MS);
             }
             host.advance(60_000 * MS);
@@ -117,9 +114,10 @@
     void redrawnOnlyWhenTheReadySetChanges() {
         Recorder host = host(REPEATABLE).withUpstreams(6);
         List<Long> before = turn(host, 6, 0);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(3)));
+        host.logic.onEndpointUpdate(host.now, UpdateKind.DELTA, List.of(upstream(3)));
         assertEquals(before, turn(host, 6, 20));
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(3, State.GONE, 0)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.DELTA, List.of(upstream(3, HostState.GONE, 0)));
         List<Long> after = turn(host, 5, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
@@ -157,7 +155,7 @@
         host.request(1, 0);
         Recorder.Timer timer = host.timers.poll();
         host.now = timer.at() - 30;
-        host.logic.timer(host.now, timer.token());
+        host.logic.onTimer(host.now, timer.token());
         host.advance(2_000 * MS);
         assertEquals(List.of("fail 1"), host.answers);
     }
@@ -201,8 +199,9 @@
             Recorder host = host(ONCE).withUpstreams(4);
             host.request(1, 0);
             host.outcome(host.last(), outcome);
-            assertEquals(outcome.provesNeverRan() ? 2 : 1, host.sends.size(), outcome.toString());
-            if (!outcome.provesNeverRan()) {
+            assertEquals(
+                    outcome.provesNotExecuted() ? 2 : 1, host.sends.size(), outcome.toString());
+            if (!outcome.provesNotExecuted()) {
                 assertEquals(List.of("fail 1"), host.answers);
             }
         }
@@ -247,31 +246,35 @@
     @Test
     void drainingAndMissingUpstreamsGetNothingNew() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(2, State.DRAINING, 0)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.DELTA, List.of(upstream(2, HostState.DRAINING, 0)));
         assertFalse(turn(host, 12, 0).contains(2L));
-        host.logic.listChanged(host.now, ListKind.FULL, List.of(upstream(0), upstream(1)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.SNAPSHOT, List.of(upstream(0), upstream(1)));
         assertEquals(Set.of(0L, 1L), new HashSet<>(turn(host, 12, 20)));
     }
 
     @Test
     void failedSubscriptionKeepsTheListAndBacksOff() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host =
+                new Recorder(settings(DiscoveryMode.SUBSCRIBED, REPEATABLE), 7).withUpstreams(3);
         assertEquals(1, host.subscriptions);
         for (int i = 0; i < 8; i++) {
-            host.logic.listChanged(host.now, ListKind.FAILED, List.of());
+            host.logic.onEndpointUpdate(host.now, UpdateKind.FAILURE, List.of());
             host.advance(5_000 * MS);
             assertEquals(i + 2, host.subscriptions);
         }
         host.request(1, 0);
         assertEquals(1, host.sends.size());
-        host.logic.listChanged(host.now, ListKind.FAILED, List.of());
+        host.logic.onEndpointUpdate(host.now, UpdateKind.FAILURE, List.of());
         host.advance(2_000 * MS);
         assertEquals(9, host.subscriptions, "after eight failures it waits");
     }
 
     @Test
     void unansweredSubscriptionIsRepeated() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, REPEATABLE), 7).withUpstreams(3);
+        Recorder host =
+                new Recorder(settings(DiscoveryMode.SUBSCRIBED, REPEATABLE), 7).withUpstreams(3);
         host.advance(6_000 * MS);
         assertEquals(2, host.subscriptions);
     }
@@ -282,8 +285,8 @@
     void coldUpstreamGetsNoMoreThanItsShareOfAWarmOne() {
         Recorder host = host(REPEATABLE).withUpstreams(4);
         host.serve(0, 2_000, 0, 5 * MS);
-        host.logic.listChanged(
-                host.now, ListKind.DELTA, List.of(upstream(9, State.READY, host.now)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.DELTA, List.of(upstream(9, HostState.READY, host.now)));
         int before = host.sends.size();
         host.serve(5_000, 5_300, 0, 5 * MS);
         long cold = host.sentTo(9, before);
@@ -302,8 +305,8 @@
                 host.serve(id, id + 1, 0, 20 * MS);
                 host.advance(480 * MS);
             }
-            host.logic.listChanged(
-                    host.now, ListKind.DELTA, List.of(upstream(99, State.READY, host.now)));
+            host.logic.onEndpointUpdate(
+                    host.now, UpdateKind.DELTA, List.of(upstream(99, HostState.READY, host.now)));
             int before = host.sends.size();
             for (int id = 100; id < 103; id++) {
                 host.serve(id, id + 1, 0, 20 * MS);
@@ -319,31 +322,31 @@
 
     @Test
     void turnsFollowTheRegisteredSize() {
-        Balancer.Settings base = settings(REPEATABLE);
+        PolicySettings base = settings(REPEATABLE);
         Recorder host =
                 new Recorder(
-                        new Balancer.Settings(
+                        new PolicySettings(
                                 0,
                                 3,
                                 0,
                                 5 * MS,
-                                Discovery.AUTOMATIC,
-                                Balancer.Weights.ROUGH,
+                                DiscoveryMode.PUSHED,
+                                WeightKind.ROUGH,
                                 base.classes(),
                                 List.of(),
-                                base.allowed(),
-                                base.limits(),
+                                base.capabilities(),
+                                base.safetyLimits(),
                                 List.of(),
                                 false,
                                 1),
                         7);
-        host.logic.listChanged(
+        host.logic.onEndpointUpdate(
                 host.now,
-                ListKind.CACHED,
+                UpdateKind.CACHED_SNAPSHOT,
                 List.of(
-                        new Balancer.Upstream(0, 0, 0, 0, State.READY, 4, 0),
-                        new Balancer.Upstream(1, 0, 0, 0, State.READY, 2, 0),
-                        new Balancer.Upstream(2, 0, 0, 0, State.READY, 2, 0)));
+                        new UpstreamHost(0, 0, 0, 0, HostState.READY, 4, 0),
+                        new UpstreamHost(1, 0, 0, 0, HostState.READY, 2, 0),
+                        new UpstreamHost(2, 0, 0, 0, HostState.READY, 2, 0)));
         host.serve(0, 400, 0, 20 * MS);
         assertEquals(200, host.sentTo(0, 0), 2);
         assertEquals(100, host.sentTo(1, 0), 2);
@@ -352,30 +355,30 @@
     @Test
     void absurdWeightsDoNoHarm() {
         for (float weight : new float[] {0, -1, Float.NaN, Float.POSITIVE_INFINITY}) {
-            Balancer.Settings base = settings(REPEATABLE);
+            PolicySettings base = settings(REPEATABLE);
             Recorder host =
                     new Recorder(
-                            new Balancer.Settings(
+                            new PolicySettings(
                                     0,
                                     3,
                                     0,
                                     5 * MS,
-                                    Discovery.AUTOMATIC,
-                                    Balancer.Weights.NOMINAL,
+                                    DiscoveryMode.PUSHED,
+                                    WeightKind.NOMINAL,
                                     base.classes(),
                                     List.of(),
-                                    base.allowed(),
-                                    base.limits(),
+                                    base.capabilities(),
+                                    base.safetyLimits(),
                                     List.of(),
                                     false,
                                     1),
                             7);
-            host.logic.listChanged(
+            host.logic.onEndpointUpdate(
                     host.now,
-                    ListKind.CACHED,
+                    UpdateKind.CACHED_SNAPSHOT,
                     List.of(
-                            new Balancer.Upstream(0, 0, 0, 0, State.READY, weight, host.now - MS),
-                            new Balancer.Upstream(1, 0, 0, 0, State.READY, 1, 0)));
+                            new UpstreamHost(0, 0, 0, 0, HostState.READY, weight, host.now - MS),
+                            new UpstreamHost(1, 0, 0, 0, HostState.READY, 1, 0)));
             host.serve(0, 100, 0, 20 * MS);
             assertTrue(host.sentTo(1, 0) > 50, "weight " + weight);
             assertEquals(100, host.sends.size());
@@ -454,20 +457,20 @@
 
     /** A service of many sidecars that may tell each other. */
     private static Recorder peered(int replicas) {
-        Balancer.Settings base = settings(ONCE);
+        PolicySettings base = settings(ONCE);
         return new Recorder(
-                        new Balancer.Settings(
+                        new PolicySettings(
                                 0,
                                 replicas,
                                 0,
                                 5 * MS,
-                                Discovery.AUTOMATIC,
-                                Balancer.Weights.SILENT,
+                                DiscoveryMode.PUSHED,
+                                WeightKind.SILENT,
                                 base.classes(),
                                 List.of(),
-                                new Balancer.Allowed(
+                                new Capabilities(
                                         true, false, true, true, true, 3, 1_000 * MS, 250 * MS),
-                                base.limits(),
+                                base.safetyLimits(),
                                 List.of(),
                                 false,
                                 1),
@@ -487,7 +490,7 @@
                 "an attempt out for long is told once; the budget allows no more");
         Recorder other = peered(300);
         for (int i = 0; i < 12; i++) {
-            other.logic.peerMessage(other.now, 3, one.told.get(0));
+            other.logic.onGossip(other.now, 3, one.told.get(0));
         }
         other.serve(0, 100, 0, 5 * MS);
         long suspect = other.sentTo(one.sendsOf(100).get(0).upstream(), 0);
@@ -506,14 +509,14 @@
         Recorder host = peered(3);
         Recorder control = peered(3);
         for (byte[] note : new byte[][] {{}, {1, 2, 3}, new byte[256], {0, 0, 0, 0, 0, 77, 0, 1}}) {
-            host.logic.peerMessage(host.now, 2, note);
+            host.logic.onGossip(host.now, 2, note);
         }
         host.serve(0, 50, 0, 20 * MS);
         control.serve(0, 50, 0, 20 * MS);
         assertEquals(control.log, host.log);
         for (int i = 0; i < 5; i++) {
             for (int repeat = 0; repeat < 1_000; repeat++) {
-                host.logic.peerMessage(host.now, 2, new byte[] {0, 0, 0, 0, 0, (byte) i, -1, -1});
+                host.logic.onGossip(host.now, 2, new byte[] {0, 0, 0, 0, 0, (byte) i, -1, -1});
             }
         }
         int before = host.sends.size();
@@ -531,19 +534,19 @@
     }
 
     private static Recorder ofMany(int rank, int replicas, long seed) {
-        Balancer.Settings base = settings(REPEATABLE);
+        PolicySettings base = settings(REPEATABLE);
         return new Recorder(
-                new Balancer.Settings(
+                new PolicySettings(
                         rank,
                         replicas,
                         0,
                         5 * MS,
-                        Discovery.AUTOMATIC,
-                        base.weights(),
+                        DiscoveryMode.PUSHED,
+                        base.weightKind(),
                         base.classes(),
                         List.of(),
-                        base.allowed(),
-                        base.limits(),
+                        base.capabilities(),
+                        base.safetyLimits(),
                         List.of(),
                         false,
                         1),
@@ -606,11 +609,11 @@
         for (int tick = 0; tick < 4_000; tick++) {
             host.advance(6 * MS);
             if (tick == 2_700) {
-                List<Balancer.Upstream> fresh = new ArrayList<>();
+                List<UpstreamHost> fresh = new ArrayList<>();
                 for (int i = 0; i < 60; i++) {
-                    fresh.add(upstream(i, State.READY, host.now));
+                    fresh.add(upstream(i, HostState.READY, host.now));
                 }
-                host.logic.listChanged(host.now, ListKind.DELTA, fresh);
+                host.logic.onEndpointUpdate(host.now, UpdateKind.DELTA, fresh);
                 refusedBefore = host.answers.size();
             }
             for (;
@@ -629,19 +632,19 @@
      */
     @Test
     void whatPeersNoteOfTheWholeFleetStillTellsOfOneThatLiesNear() {
-        Balancer.Settings base = settings(REPEATABLE);
+        PolicySettings base = settings(REPEATABLE);
         Recorder host =
                 new Recorder(
-                                new Balancer.Settings(
+                                new PolicySettings(
                                         7,
                                         95,
                                         0,
                                         5 * MS,
-                                        Discovery.AUTOMATIC,
-                                        base.weights(),
+                                        DiscoveryMode.PUSHED,
+                                        base.weightKind(),
                                         base.classes(),
                                         List.of(),
-                                        new Balancer.Allowed(
+                                        new Capabilities(
                                                 true,
                                                 false,
                                                 true,
@@ -650,7 +653,7 @@
                                                 3,
                                                 1_000 * MS,
                                                 250 * MS),
-                                        base.limits(),
+                                        base.safetyLimits(),
                                         List.of(),
                                         false,
                                         1),
@@ -661,7 +664,7 @@
         for (int id = 0; id < 60; id++) {
             for (int i = 0; i < (id == slow ? 20 : 3); i++) {
                 byte[] note = ByteBuffer.allocate(8).putLong((long) id << 16 | 1).array();
-                host.logic.peerMessage(host.now, 3, note);
+                host.logic.onGossip(host.now, 3, note);
             }
         }
         int before = host.sends.size();
@@ -685,7 +688,8 @@
             }
         }
         Recorder.Sent far = host.last();
-        host.logic.firstByte(host.now, far.request(), far.attempt(), far.upstream(), 20 * MS);
+        host.logic.onResponseStarted(
+                host.now, far.request(), far.attempt(), far.upstream(), 20 * MS);
         host.advance(200 * MS);
         host.outcome(far, Outcome.OK);
         assertTrue(host.log.contains("close " + far.upstream()), "its connection stays idle");
@@ -822,11 +826,11 @@
     @Test
     void theOnlySiteIsNeverShutOut() {
         Recorder host = host(REPEATABLE);
-        List<Balancer.Upstream> list = new ArrayList<>();
+        List<UpstreamHost> list = new ArrayList<>();
         for (int id = 0; id < 16; id += 2) {
             list.add(upstream(id));
         }
-        host.logic.listChanged(host.now, ListKind.CACHED, list);
+        host.logic.onEndpointUpdate(host.now, UpdateKind.CACHED_SNAPSHOT, list);
         for (int i = 0; i < 40; i++) {
             host.request(i, 0);
             Recorder.Sent sent = host.last();
@@ -838,11 +842,11 @@
 
     @Test
     void anEmptyOrNeverArrivingListAnswersEveryRequest() {
-        Recorder host = new Recorder(settings(Discovery.SUBSCRIBE, ONCE, REPEATABLE), 7);
+        Recorder host = new Recorder(settings(DiscoveryMode.SUBSCRIBED, ONCE, REPEATABLE), 7);
         host.request(1, 0);
-        host.logic.listChanged(host.now, ListKind.CACHED, List.of());
+        host.logic.onEndpointUpdate(host.now, UpdateKind.CACHED_SNAPSHOT, List.of());
         host.request(2, 1);
-        host.logic.listChanged(host.now, ListKind.FAILED, List.of());
+        host.logic.onEndpointUpdate(host.now, UpdateKind.FAILURE, List.of());
         host.request(3, 0);
         assertEquals(List.of("refuse 1", "refuse 2", "refuse 3"), host.answers);
     }
@@ -856,8 +860,10 @@
         int sent = 0;
         for (int seed = 0; seed < 100; seed++) {
             Recorder host = ofMany(0, 1, seed);
-            host.logic.listChanged(
-                    host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
+            host.logic.onEndpointUpdate(
+                    host.now,
+                    UpdateKind.CACHED_SNAPSHOT,
+                    List.of(upstream(1, HostState.READY, host.now)));
             host.advance(300 * MS);
             host.burst(0, 6, 0);
             answerAtOnce(host, 1_000 * MS);
@@ -887,8 +893,10 @@
         long cold = 0;
         for (int sidecar = 0; sidecar < 100; sidecar++) {
             Recorder host = ofMany(sidecar, 100);
-            host.logic.listChanged(
-                    host.now, ListKind.CACHED, List.of(upstream(1, State.READY, host.now)));
+            host.logic.onEndpointUpdate(
+                    host.now,
+                    UpdateKind.CACHED_SNAPSHOT,
+                    List.of(upstream(1, HostState.READY, host.now)));
             int before = host.sends.size();
             for (int id = 0; id < 10; id++) {
                 host.request(id, 0);
@@ -903,11 +911,11 @@
     @Test
     void aFleetThatIsColdAsAWholeIsUsed() {
         Recorder host = host(REPEATABLE);
-        List<Balancer.Upstream> cold = new ArrayList<>();
+        List<UpstreamHost> cold = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            cold.add(upstream(i, State.READY, host.now - 100 * MS));
+            cold.add(upstream(i, HostState.READY, host.now - 100 * MS));
         }
-        host.logic.listChanged(host.now, ListKind.CACHED, cold);
+        host.logic.onEndpointUpdate(host.now, UpdateKind.CACHED_SNAPSHOT, cold);
         for (int id = 0; id < 20; id++) {
             host.request(id, 0);
             host.advance(100 * MS);
@@ -960,7 +968,7 @@
             host.request(i, 0);
             host.advance(10 * MS);
             if (i % 2 == 0) {
-                host.logic.hangup(host.now, i);
+                host.logic.onClientDisconnected(host.now, i);
             }
             assertTrue(
                     host.logic.held() <= 100, "more than can wait at once: " + host.logic.held());
@@ -978,12 +986,13 @@
         Recorder host = host(REPEATABLE).withUpstreams(2);
         host.request(1, 0);
         for (int id = 2; id < 100; id++) {
-            host.logic.listChanged(
-                    host.now, ListKind.FULL, List.of(upstream(id), upstream(id + 1)));
+            host.logic.onEndpointUpdate(
+                    host.now, UpdateKind.SNAPSHOT, List.of(upstream(id), upstream(id + 1)));
         }
         assertTrue(host.logic.known() <= 3, "the ready ones and the one that still has a request");
         host.outcome(host.last(), Outcome.OK);
-        host.logic.listChanged(host.now, ListKind.DELTA, List.of(upstream(100, State.GONE, 0)));
+        host.logic.onEndpointUpdate(
+                host.now, UpdateKind.DELTA, List.of(upstream(100, HostState.GONE, 0)));
         assertEquals(1, host.logic.known());
     }
 
@@ -1043,7 +1052,7 @@
                     .forEach(s -> host.outcome(s, Outcome.OK));
         }
         assertTrue(host.log.contains("log load shedding begins: answers come late everywhere"));
-        long evidence = 4 * settings(ONCE).classes().get(0).aim();
+        long evidence = 4 * settings(ONCE).classes().get(0).latencyObjectiveNanos();
         host.advance(4 * evidence);
         for (int id = 2_000; id < 2_020; id++) {
             int before = host.sends.size();
@@ -1137,22 +1146,20 @@
 
     @Test
     void aTenantBeyondItsPartIsShedFirst() {
-        Balancer.Settings base = settings(ONCE);
+        PolicySettings base = settings(ONCE);
         Recorder host =
                 new Recorder(
-                                new Balancer.Settings(
+                                new PolicySettings(
                                         0,
                                         1,
                                         0,
                                         5 * MS,
-                                        Discovery.AUTOMATIC,
-                                        Balancer.Weights.SILENT,
+                                        DiscoveryMode.PUSHED,
+                                        WeightKind.SILENT,
                                         base.classes(),
-                                        List.of(
-                                                new Balancer.Tenant(0.5, 10),
-                                                new Balancer.Tenant(0.5, 10)),
-                                        base.allowed(),
-                                        base.limits(),
+                                        List.of(new Tenant(0.5, 10), new Tenant(0.5, 10)),
+                                        base.capabilities(),
+                                        base.safetyLimits(),
                                         List.of(),
                                         false,
                                         0.1),
@@ -1165,8 +1172,8 @@
         for (int i = 1_000; i < 2_000; i++) {
             int tenant = i % 4 == 0 ? 1 : 0;
             int before = host.sends.size();
-            host.logic.request(
-                    host.now, new Balancer.Request(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
+            host.logic.onRequest(
+                    host.now, new RequestInfo(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
             asked[tenant]++;
             if (host.sends.size() > before) {
                 sent[tenant]++;
@@ -1249,15 +1256,15 @@
 
     @Test
     void lateAnswersThatKeepTheirWorthAreStillWaitedFor() {
-        Balancer.RequestClass late =
-                new Balancer.RequestClass(
+        RequestClass late =
+                new RequestClass(
                         100 * MS,
                         0,
                         1_000 * MS,
                         1,
                         0.9,
-                        Balancer.Semantics.ONCE,
-                        Balancer.Scope.ALL,
+                        Idempotency.NON_IDEMPOTENT,
+                        DeduplicationScope.ALL,
                         0,
                         false);
         Recorder host = host(late).withUpstreams(1);
@@ -1268,35 +1275,31 @@
 
     @Test
     void tenantThatHadLeastOfItsQuotaGoesFirst() {
-        Balancer.Settings base = settings(ONCE);
+        PolicySettings base = settings(ONCE);
         Recorder host =
                 new Recorder(
-                                new Balancer.Settings(
+                                new PolicySettings(
                                         0,
                                         1,
                                         0,
                                         5 * MS,
-                                        Discovery.AUTOMATIC,
-                                        Balancer.Weights.SILENT,
+                                        DiscoveryMode.PUSHED,
+                                        WeightKind.SILENT,
                                         base.classes(),
-                                        List.of(
-                                                new Balancer.Tenant(0.5, 10),
-                                                new Balancer.Tenant(0.5, 10)),
-                                        base.allowed(),
-                                        base.limits(),
+                                        List.of(new Tenant(0.5, 10), new Tenant(0.5, 10)),
+                                        base.capabilities(),
+                                        base.safetyLimits(),
                                         List.of(),
                                         false,
                                         0.1),
                                 7)
                         .withUpstreams(1);
         for (int i = 0; i < 4; i++) {
-            host.logic.request(
-                    host.now, new Balancer.Request(i, 0, 0, 0, 1_000 * MS, 0, false, false));
+            host.logic.onRequest(
+                    host.now, new RequestInfo(i, 0, 0, 0, 1_000 * MS, 0, false, false));
         }
-        host.logic.request(
-                host.now, new Balancer.Request(10, 0, 1, 0, 1_000 * MS, 0, false, false));
-        host.logic.request(
-                host.now, new Balancer.Request(11, 0, 0, 0, 1_000 * MS, 0, false, false));
+        host.logic.onRequest(host.now, new RequestInfo(10, 0, 1, 0, 1_000 * MS, 0, false, false));
+        host.logic.onRequest(host.now, new RequestInfo(11, 0, 0, 0, 1_000 * MS, 0, false, false));
         int out = host.sends.size();
         host.advance(10 * MS);
         host.outcome(host.sends.get(0), Outcome.OK);
@@ -1329,7 +1332,7 @@
         IllegalArgumentException e =
                 assertThrows(
                         IllegalArgumentException.class,
-                        () -> new Balancer.Limits(0, 0, 0, 1.5, 0, 3, 0));
+                        () -> new SafetyLimits(0, 0, 0, 1.5, 0, 3, 0));
         assertTrue(e.getMessage().contains("cold share"));
         assertThrows(IllegalArgumentException.class, () -> settings());
     }
@@ -1338,11 +1341,11 @@
     void eventsAboutNothingHeldArePassedOver() {
         Recorder host = host(REPEATABLE).withUpstreams(2);
         int before = host.log.size();
-        host.logic.hangup(host.now, 99);
-        host.logic.outcome(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
-        host.logic.firstByte(host.now, 99, 0, 1, 0);
-        host.logic.timer(host.now, 12345);
-        host.logic.peerMessage(host.now, 1, new byte[] {1});
+        host.logic.onClientDisconnected(host.now, 99);
+        host.logic.onAttemptEnded(host.now, 99, 0, 1, Outcome.OK, 0, true, new float[0]);
+        host.logic.onResponseStarted(host.now, 99, 0, 1, 0);
+        host.logic.onTimer(host.now, 12345);
+        host.logic.onGossip(host.now, 1, new byte[] {1});
         assertEquals(before, host.log.size());
     }
 
@@ -1350,7 +1353,8 @@
     void moduleStaysWithinItsSize() throws IOException {
         List<String> lines =
                 Files.readAllLines(
-                        Path.of("src/main/java/appleridge/loadbalancing/SymmetricRoundRobin.java"));
+                        Path.of(
+                                "src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java"));
         assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1_352);
         assertTrue(lines.stream().allMatch(line -> line.length() <= 100));
     }
--- a/sidecar/src/test/java/appleridge/request/ExchangesTest.java
+++ b/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
@@ -4,19 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer.Allowed;
-import appleridge.loadbalancing.Balancer.Discovery;
-import appleridge.loadbalancing.Balancer.Limits;
-import appleridge.loadbalancing.Balancer.ListKind;
-import appleridge.loadbalancing.Balancer.Outcome;
-import appleridge.loadbalancing.Balancer.RequestClass;
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
-import appleridge.loadbalancing.Balancer.State;
-import appleridge.loadbalancing.Balancer.Upstream;
-import appleridge.loadbalancing.Balancer.Weights;
-import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.loadbalancing.Capabilities;
+import appleridge.loadbalancing.DeduplicationScope;
+import appleridge.loadbalancing.DiscoveryMode;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.loadbalancing.SafetyLimits;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
+import appleridge.loadbalancing.WeightKind;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -26,16 +26,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A request's life on a clock and before upstreams that the test moves. */
-class ExchangesTest {
+class RequestCoordinatorTest {
     private static final long MS = 1_000_000;
     private static final InetSocketAddress ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    private static final Outgoing MESSAGE = new Outgoing() {};
+    private static final UpstreamRequest MESSAGE = new UpstreamRequest() {};
 
     /**
      * Time that stands until it is moved, and timers that ring on the way, the earlier made first.
      */
-    private static final class Hand implements Time, Timers {
+    private static final class Hand implements MonotonicClock, Scheduler {
         private record Alarm(long at, int serial, Runnable what) {}
 
         private final PriorityQueue<Alarm> alarms =
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public Timer at(long when, Runnable what) {
+        public ScheduledTask at(long when, Runnable what) {
             Alarm alarm = new Alarm(Math.max(now, when), serials++, what);
             alarms.add(alarm);
             return () -> alarms.remove(alarm);
@@ -81,15 +81,15 @@
     }
 
     /** Attempts as the upstreams' side sees them. */
-    private static final class Sent implements Upstreams.Sending {
+    private static final class Sent implements UpstreamTransport.AttemptHandle {
         final Endpoint to;
-        final Window window;
-        final Upstreams.Listener listener;
+        final SendDeadlines window;
+        final UpstreamTransport.AttemptListener listener;
         boolean begun;
         boolean committed;
         boolean abandoned;
 
-        Sent(Endpoint to, Window window, Upstreams.Listener listener) {
+        Sent(Endpoint to, SendDeadlines window, UpstreamTransport.AttemptListener listener) {
             this.to = to;
             this.window = window;
             this.listener = listener;
@@ -117,14 +117,14 @@
         }
     }
 
-    private static class Client implements Front {
+    private static class Client implements ResponseSink {
         final List<String> answers = new ArrayList<>();
 
         @Override
         public void look() {}
 
         @Override
-        public void served(Reply reply) {
+        public void served(UpstreamResponse reply) {
             answers.add("served");
         }
 
@@ -134,12 +134,12 @@
         }
 
         @Override
-        public void failed(Cause cause) {
+        public void failed(FailureCause cause) {
             answers.add("failed " + cause);
         }
 
         @Override
-        public void flows(Flow answer) {
+        public void flows(StreamedResponse answer) {
             answers.add("flows");
         }
 
@@ -158,18 +158,21 @@
     private final List<Sent> sent = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
     private final List<Runnable> unread = new ArrayList<>();
-    private final Exchanges exchanges = exchanges(2000 * MS);
+    private final RequestCoordinator exchanges = exchanges(2000 * MS);
 
-    private Exchanges exchanges(long drainGrace) {
-        return new Exchanges(
+    private RequestCoordinator exchanges(long drainGrace) {
+        return new RequestCoordinator(
                 hand,
                 hand,
                 settings(drainGrace),
                 100,
-                new Upstreams() {
+                new UpstreamTransport() {
                     @Override
-                    public Sending send(
-                            Endpoint to, Outgoing what, Window window, Listener listener) {
+                    public AttemptHandle send(
+                            Endpoint to,
+                            UpstreamRequest what,
+                            SendDeadlines window,
+                            AttemptListener listener) {
                         Sent next = new Sent(to, window, listener);
                         sent.add(next);
                         return next;
@@ -178,7 +181,7 @@
                     @Override
                     public void closeIdle(Endpoint endpoint) {}
                 },
-                new Log() {
+                new EventLog() {
                     @Override
                     public void news(String line) {}
 
@@ -190,10 +193,10 @@
                         failures.add(what + ": " + cause);
                     }
                 },
-                actions -> new SymmetricRoundRobin(settings(drainGrace), 7, actions));
+                actions -> new SymmetricRoundRobinPolicy(settings(drainGrace), 7, actions));
     }
 
-    private static Settings settings(long drainGrace) {
+    private static PolicySettings settings(long drainGrace) {
         RequestClass hold =
                 new RequestClass(
                         400 * MS,
@@ -201,28 +204,28 @@
                         1000 * MS,
                         1,
                         0,
-                        Semantics.BY_KEY,
-                        Scope.ALL,
+                        Idempotency.IDEMPOTENT_BY_KEY,
+                        DeduplicationScope.ALL,
                         1000 * MS,
                         false);
-        return new Settings(
+        return new PolicySettings(
                 0,
                 1,
                 0,
                 5 * MS,
-                Discovery.SUBSCRIBE,
-                Weights.SILENT,
+                DiscoveryMode.SUBSCRIBED,
+                WeightKind.SILENT,
                 List.of(hold),
                 List.of(),
-                new Allowed(true, false, false, false, true, 6, 750 * MS, 100 * MS),
-                new Limits(20 * MS, 10_000 * MS, drainGrace, 0.4, 7000 * MS, 4, 1500 * MS),
+                new Capabilities(true, false, false, false, true, 6, 750 * MS, 100 * MS),
+                new SafetyLimits(20 * MS, 10_000 * MS, drainGrace, 0.4, 7000 * MS, 4, 1500 * MS),
                 List.of(),
                 false,
                 1);
     }
 
-    private static Upstream upstream(long id, State state) {
-        return new Upstream(id, 0, 0, 0, state, 1, 0);
+    private static UpstreamHost upstream(long id, HostState state) {
+        return new UpstreamHost(id, 0, 0, 0, state, 1, 0);
     }
 
     private Runnable accept(Client client) {
@@ -236,7 +239,7 @@
     private Sent begins(Client client) {
         accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new Flow() {}));
+        assertTrue(first.listener.begins(new StreamedResponse() {}));
         assertEquals(List.of("flows"), client.answers);
         return first;
     }
@@ -253,7 +256,7 @@
         first.listener.ended(Outcome.OK, null);
         assertEquals(List.of("flows", "flowed"), whole.answers);
         hand.advance(10_000 * MS);
-        assertEquals(new Books(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
     }
 
     @Test
@@ -263,7 +266,7 @@
         hand.advance(10_000 * MS);
         assertEquals(List.of("flows", "abort"), client.answers);
         assertEquals(1, sent.size());
-        assertEquals(new Books(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
     }
 
     /** Guards against a server that goes on sending to nobody. */
@@ -272,11 +275,11 @@
         Client client = new Client();
         Runnable hangUp = accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new Flow() {}));
+        assertTrue(first.listener.begins(new StreamedResponse() {}));
         hangUp.run();
         hand.advance(1 * MS);
         assertTrue(first.abandoned);
-        assertEquals(new Books(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
     }
 
     @Test
@@ -285,17 +288,17 @@
         accept(client);
         Sent first = sent.get(0).write();
         hand.advance(1100 * MS);
-        assertFalse(first.listener.begins(new Flow() {}));
+        assertFalse(first.listener.begins(new StreamedResponse() {}));
         assertEquals(1, client.answers.size());
     }
 
-    ExchangesTest() {
+    RequestCoordinatorTest() {
         start(exchanges);
     }
 
-    private void start(Exchanges which) {
+    private void start(RequestCoordinator which) {
         which.start(
-                new Lists() {
+                new EndpointSubscription() {
                     @Override
                     public void subscribe(boolean on) {}
 
@@ -308,7 +311,7 @@
                         unread.clear();
                     }
                 },
-                List.of(upstream(1, State.READY), upstream(2, State.READY)),
+                List.of(upstream(1, HostState.READY), upstream(2, HostState.READY)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
     }
 
@@ -329,7 +332,7 @@
 
     private void drain(long id) {
         exchanges.listChanged(
-                ListKind.DELTA, List.of(upstream(id, State.DRAINING)), Map.of(id, ADDRESS));
+                UpdateKind.DELTA, List.of(upstream(id, HostState.DRAINING)), Map.of(id, ADDRESS));
     }
 
     @Test
@@ -477,14 +480,16 @@
      */
     @Test
     void whereDrainsAreToBeHeededSoonALessLongStandStillIsLookedAfter() {
-        Exchanges soon = exchanges(250 * MS);
+        RequestCoordinator soon = exchanges(250 * MS);
         start(soon);
         hand.standStill(200 * MS);
         unread.add(
                 () ->
                         soon.listChanged(
-                                ListKind.DELTA,
-                                List.of(upstream(1, State.DRAINING), upstream(2, State.DRAINING)),
+                                UpdateKind.DELTA,
+                                List.of(
+                                        upstream(1, HostState.DRAINING),
+                                        upstream(2, HostState.DRAINING)),
                                 Map.of(1L, ADDRESS, 2L, ADDRESS)));
         soon.accept(
                 new ClientRequest("a", hand.now(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
@@ -501,8 +506,8 @@
         hand.standStill(700 * MS);
         unread.add(() -> drain(1));
         exchanges.listChanged(
-                ListKind.DELTA,
-                List.of(upstream(1, State.READY), upstream(2, State.DRAINING)),
+                UpdateKind.DELTA,
+                List.of(upstream(1, HostState.READY), upstream(2, HostState.DRAINING)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
         ask("a", 2000 * MS);
         assertEquals(0, sent.size(), "both drain");
@@ -543,7 +548,7 @@
         hand.standStill(3000 * MS);
         pass(600 * MS);
         assertEquals(1, client.answers.size());
-        assertEquals(new Books(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
         assertEquals(List.of(), failures);
     }
 
@@ -580,7 +585,7 @@
         Client client =
                 new Client() {
                     @Override
-                    public void served(Reply reply) {
+                    public void served(UpstreamResponse reply) {
                         throw new IllegalStateException("no");
                     }
                 };
@@ -588,7 +593,7 @@
                 new ClientRequest("a", hand.now(), 900 * MS, 0, 0, 0, 0, false, MESSAGE), client);
         sent.get(0).write().listener.ended(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("abort"), client.answers);
-        assertEquals(new Books(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
         assertEquals(1, failures.size());
     }
 }
--- a/sidecar/src/test/java/appleridge/simulator/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/WireTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Options;
-import appleridge.loadbalancing.Balancer.Actions;
-import appleridge.loadbalancing.Balancer.Semantics;
-import appleridge.loadbalancing.Balancer.Settings;
+import appleridge.config.PolicySettingsParser;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.PolicyActions;
+import appleridge.loadbalancing.PolicySettings;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -123,12 +123,12 @@
 
     private static byte[] play(byte[]... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Main.run(new ByteArrayInputStream(join(frames)), out);
+        SimulatorAdapter.run(new ByteArrayInputStream(join(frames)), out);
         return out.toByteArray();
     }
 
     private static void fails(String part, byte[]... frames) {
-        WireException e = assertThrows(WireException.class, () -> play(frames));
+        MalformedFrameException e = assertThrows(MalformedFrameException.class, () -> play(frames));
         assertTrue(e.getMessage().contains(part), e.getMessage());
     }
 
@@ -211,10 +211,10 @@
 
     @Test
     void settingsAreReadAndMissingOnesNamed() {
-        Settings settings = Options.parse(OPTIONS);
-        assertEquals(Semantics.ONCE, settings.classes().get(0).semantics());
-        assertEquals(2.5, settings.classes().get(0).worth());
-        assertEquals(2, settings.reportFields().size());
+        PolicySettings settings = PolicySettingsParser.parse(OPTIONS);
+        assertEquals(Idempotency.NON_IDEMPOTENT, settings.classes().get(0).idempotency());
+        assertEquals(2.5, settings.classes().get(0).priorityWeight());
+        assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
         fails(
                 "setting missing: rules.rampTime",
@@ -232,16 +232,16 @@
 
     @Test
     void everyActionHasItsLayout() throws IOException {
-        Replies replies = new Replies();
-        Actions sink = replies.sink(2);
-        sink.refuse(1, 5);
+        ReplyFrame replies = new ReplyFrame();
+        PolicyActions sink = replies.sink(2);
+        sink.reject(1, 5);
         sink.fail(1);
-        sink.cancel(1, 3);
-        sink.probe(0x0000_0001_0050L);
-        sink.closeIdle(1);
-        sink.tell(Actions.ALL_PEERS, new byte[] {9});
+        sink.cancelAttempt(1, 3);
+        sink.sendHealthCheck(0x0000_0001_0050L);
+        sink.closeIdleConnections(1);
+        sink.sendGossip(PolicyActions.ALL_PEERS, new byte[] {9});
         sink.log("hi");
-        sink.fetchList();
+        sink.fetchEndpoints();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         replies.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
--- a/sidecar/src/test/java/appleridge/transport/ClockTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SidecarClockTest.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class ClockTest {
+class SidecarClockTest {
     private static final long S = 1_000_000_000;
     private long ticks = 7 * S;
     private long wall = 1_000_000;
-    private final Clock clock =
-            new Clock(
+    private final SidecarClock clock =
+            new SidecarClock(
                     new Ticker() {
                         @Override
                         public long initialNanoTime() {
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimLog.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimLog.java
@@ -1,11 +1,11 @@
 package appleridge.testbed.campaign;
 
-import appleridge.request.Log;
+import appleridge.request.EventLog;
 import appleridge.testbed.simnet.Simulation;
 import java.util.List;
 
 /** A process's log in the simulation: lines go into the trace, failures are kept for the judge. */
-record SimLog(Simulation simulation, String process, List<String> failures) implements Log {
+record SimLog(Simulation simulation, String process, List<String> failures) implements EventLog {
     private static final int LINE = 200;
     private static final int MOST = 20;
 
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
@@ -1,23 +1,24 @@
 package appleridge.testbed.campaign;
 
-import appleridge.config.Config;
-import appleridge.daemon.NodeLists;
-import appleridge.daemon.SourceFactory;
-import appleridge.discovery.ListSink;
-import appleridge.discovery.ListSource;
-import appleridge.discovery.ephemeral.Merge;
-import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.config.SidecarConfig;
+import appleridge.daemon.DiscoveryFactory;
+import appleridge.daemon.NodeDiscoveryAdapter;
+import appleridge.discovery.DiscoveryListener;
+import appleridge.discovery.EndpointDiscovery;
+import appleridge.discovery.ephemeral.NodeDiscovery;
+import appleridge.discovery.ephemeral.SourceSelection;
 import appleridge.testbed.simulation.Ensemble;
 import appleridge.testbed.simulation.EnsembleClient;
-import appleridge.transport.Loop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SidecarEventLoop;
+import appleridge.transport.SocketFactory;
 
 /**
  * The product's list from nodes, with the simulated world's coordination service in ZooKeeper's
  * place.
  */
-record SimNodes(Ensemble ensemble, String sidecar) implements SourceFactory {
-    private record Hearer(Loop loop, NodeMembership membership) implements EnsembleClient.Hearer {
+record SimNodes(Ensemble ensemble, String sidecar) implements DiscoveryFactory {
+    private record Hearer(SidecarEventLoop loop, NodeDiscovery membership)
+            implements EnsembleClient.Hearer {
         @Override
         public void soon(Runnable what) {
             loop.soon(what);
@@ -29,7 +30,7 @@
         }
     }
 
-    private record Client(EnsembleClient client) implements NodeLists.Client {
+    private record Client(EnsembleClient client) implements NodeDiscoveryAdapter.Client {
         @Override
         public void start() {
             client.start();
@@ -52,15 +53,19 @@
     }
 
     @Override
-    public ListSource make(Loop loop, Sockets sockets, Config config, ListSink sink) {
-        return new NodeLists(
+    public EndpointDiscovery make(
+            SidecarEventLoop loop,
+            SocketFactory sockets,
+            SidecarConfig config,
+            DiscoveryListener sink) {
+        return new NodeDiscoveryAdapter(
                 loop,
-                ensemble.isBoth() ? Merge.BOTH : Merge.NODES,
-                NodeMembership.Settings.USUAL,
-                config.settings().limits().askWithin(),
+                ensemble.isBoth() ? SourceSelection.BOTH : SourceSelection.NODES,
+                NodeDiscovery.Settings.USUAL,
+                config.settings().safetyLimits().pollIntervalNanos(),
                 config.seed(),
                 sink,
-                told -> SourceFactory.registry(loop, sockets, config, told),
+                told -> DiscoveryFactory.registry(loop, sockets, config, told),
                 membership -> new Client(ensemble.client(sidecar, new Hearer(loop, membership))));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -1,10 +1,10 @@
 package appleridge.testbed.campaign;
 
-import appleridge.config.Config;
-import appleridge.daemon.Node;
-import appleridge.daemon.Tuning;
-import appleridge.discovery.UpstreamNumbers;
-import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.config.SidecarConfig;
+import appleridge.daemon.RuntimeOptions;
+import appleridge.daemon.Sidecar;
+import appleridge.discovery.UpstreamIds;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
 import appleridge.testbed.invariants.Books;
 import appleridge.testbed.invariants.Evidence;
 import appleridge.testbed.invariants.Span;
@@ -13,7 +13,7 @@
 import appleridge.testbed.simulation.Ensemble;
 import appleridge.testbed.simulation.SidecarHost;
 import appleridge.testbed.simulation.Site;
-import appleridge.transport.Loop;
+import appleridge.transport.SidecarEventLoop;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -39,8 +39,8 @@
 
     private long wallOffset;
     private SimLoop loop;
-    private Node node;
-    private Config config;
+    private Sidecar node;
+    private SidecarConfig config;
     private Runnable ending;
 
     /** {@code ensemble}: the coordination service; null on a day without. */
@@ -52,7 +52,7 @@
 
     /** Discovery lists an upstream; the product's number for it follows from its id. */
     void listed(String uid) {
-        names.putIfAbsent(UpstreamNumbers.natural(uid), uid);
+        names.putIfAbsent(UpstreamIds.natural(uid), uid);
     }
 
     @Override
@@ -70,18 +70,18 @@
         SimLoop own = loop;
         loop.execute(
                 () -> {
-                    Loop time =
-                            new Loop(
+                    SidecarEventLoop time =
+                            new SidecarEventLoop(
                                     own,
                                     () -> Site.EPOCH_MILLIS + (own.localNow() + wallOffset) / MILLI,
                                     new SimLog(simulation, process.name(), escaped));
-                    Tuning tuning =
+                    RuntimeOptions tuning =
                             ensemble.get() == null
-                                    ? Tuning.USUAL
-                                    : Tuning.USUAL.with(
+                                    ? RuntimeOptions.USUAL
+                                    : RuntimeOptions.USUAL.with(
                                             new SimNodes(ensemble.get(), process.name()));
                     node =
-                            new Node(
+                            new Sidecar(
                                     time,
                                     new SimSockets(own),
                                     config,
@@ -100,7 +100,8 @@
                                                 evidence,
                                                 number -> names.getOrDefault(number, ""),
                                                 simulation,
-                                                new SymmetricRoundRobin(settings, seed, witnessed));
+                                                new SymmetricRoundRobinPolicy(
+                                                        settings, seed, witnessed));
                                     });
                     node.listening()
                             .addListener(
@@ -120,9 +121,9 @@
                 });
     }
 
-    private static Config parse(String text) {
+    private static SidecarConfig parse(String text) {
         try {
-            return Config.parse(text.getBytes(StandardCharsets.UTF_8));
+            return SidecarConfig.parse(text.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -179,7 +180,7 @@
         if (!loop.isDead()) {
             loop.escaped().forEach(each -> failures.add(String.valueOf(each)));
         }
-        appleridge.request.Books own = node.books();
+        appleridge.request.InFlightCounts own = node.books();
         return new Books(
                 own.open() + own.names() + own.calls(),
                 own.attempts(),
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSockets.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSockets.java
@@ -2,12 +2,12 @@
 
 import appleridge.testbed.simnet.SimChannel;
 import appleridge.testbed.simnet.SimLoop;
-import appleridge.transport.Sockets;
+import appleridge.transport.SocketFactory;
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
 
 /** Sockets of the simulated network. */
-record SimSockets(SimLoop loop) implements Sockets {
+record SimSockets(SimLoop loop) implements SocketFactory {
     @Override
     public Channel connecting() {
         return loop.socketFactory().newChannel();
--- a/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.campaign;
 
-import appleridge.loadbalancing.Balancer.Actions;
+import appleridge.loadbalancing.PolicyActions;
 import appleridge.testbed.invariants.Evidence;
 import java.util.function.LongFunction;
 
@@ -10,18 +10,22 @@
  * @param names the upstream's id for the number by which the module knows it
  */
 record WitnessedActions(
-        String sidecar, int life, Evidence evidence, LongFunction<String> names, Actions actions)
-        implements Actions {
+        String sidecar,
+        int life,
+        Evidence evidence,
+        LongFunction<String> names,
+        PolicyActions actions)
+        implements PolicyActions {
     @Override
-    public void send(long request, long upstream, long timeout) {
+    public void sendAttempt(long request, long upstream, long timeout) {
         evidence.moduleSends(sidecar, life, request, names.apply(upstream));
-        actions.send(request, upstream, timeout);
+        actions.sendAttempt(request, upstream, timeout);
     }
 
     @Override
-    public void refuse(long request, long wait) {
+    public void reject(long request, long wait) {
         evidence.moduleRefuses(sidecar, life, request);
-        actions.refuse(request, wait);
+        actions.reject(request, wait);
     }
 
     @Override
@@ -31,28 +35,28 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        actions.cancel(request, attempt);
+    public void cancelAttempt(long request, int attempt) {
+        actions.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void timer(long token, long at) {
-        actions.timer(token, at);
+    public void setTimer(long token, long at) {
+        actions.setTimer(token, at);
     }
 
     @Override
-    public void probe(long upstream) {
-        actions.probe(upstream);
+    public void sendHealthCheck(long upstream) {
+        actions.sendHealthCheck(upstream);
     }
 
     @Override
-    public void closeIdle(long upstream) {
-        actions.closeIdle(upstream);
+    public void closeIdleConnections(long upstream) {
+        actions.closeIdleConnections(upstream);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
-        actions.tell(peer, message);
+    public void sendGossip(int peer, byte[] message) {
+        actions.sendGossip(peer, message);
     }
 
     @Override
@@ -66,7 +70,7 @@
     }
 
     @Override
-    public void fetchList() {
-        actions.fetchList();
+    public void fetchEndpoints() {
+        actions.fetchEndpoints();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/campaign/WitnessedModule.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedModule.java
@@ -1,6 +1,11 @@
 package appleridge.testbed.campaign;
 
-import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.LoadBalancingPolicy;
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.RequestInfo;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import appleridge.testbed.invariants.Evidence;
 import appleridge.testbed.simnet.Simulation;
 import java.util.List;
@@ -9,13 +14,13 @@
 import java.util.function.LongFunction;
 
 /** Passes events on to a decision module, and tells of those that concern a request. */
-final class WitnessedModule implements Balancer {
+final class WitnessedModule implements LoadBalancingPolicy {
     private final String sidecar;
     private final int life;
     private final Evidence evidence;
     private final LongFunction<String> names;
     private final Simulation simulation;
-    private final Balancer module;
+    private final LoadBalancingPolicy module;
 
     /** Upstreams that are ready as it was told. */
     private final Set<Long> listed = new TreeSet<>();
@@ -27,7 +32,7 @@
             Evidence evidence,
             LongFunction<String> names,
             Simulation simulation,
-            Balancer module) {
+            LoadBalancingPolicy module) {
         this.sidecar = sidecar;
         this.life = life;
         this.evidence = evidence;
@@ -42,18 +47,20 @@
     }
 
     @Override
-    public void listChanged(long now, ListKind kind, List<Upstream> entries) {
-        boolean whole = kind == ListKind.FULL || kind == ListKind.CACHED;
+    public void onEndpointUpdate(long now, UpdateKind kind, List<UpstreamHost> entries) {
+        boolean whole = kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT;
         Set<Long> missing = new TreeSet<>(whole ? listed : Set.of());
-        for (Upstream each : entries) {
+        for (UpstreamHost each : entries) {
             missing.remove(each.id());
             listed(
                     each.id(),
-                    each.state() == State.READY,
-                    each.startedAt() == 0 ? 0 : simulation.now() - (now - each.startedAt()));
+                    each.state() == HostState.READY,
+                    each.startedAtNanos() == 0
+                            ? 0
+                            : simulation.now() - (now - each.startedAtNanos()));
         }
         missing.forEach(each -> listed(each, false, 0));
-        module.listChanged(now, kind, entries);
+        module.onEndpointUpdate(now, kind, entries);
     }
 
     private void listed(long upstream, boolean ready, long startedAt) {
@@ -66,7 +73,7 @@
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void onRequest(long now, RequestInfo request) {
         evidence.moduleTook(sidecar, life, request.id(), request.key());
         evidence.moduleHears(
                 sidecar,
@@ -74,16 +81,17 @@
                 request.requestClass(),
                 request.tenant(),
                 request.clientRetry());
-        module.request(now, request);
+        module.onRequest(now, request);
     }
 
     @Override
-    public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {
-        module.firstByte(now, request, attempt, upstream, elapsed);
+    public void onResponseStarted(
+            long now, long request, int attempt, long upstream, long elapsed) {
+        module.onResponseStarted(now, request, attempt, upstream, elapsed);
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long now,
             long request,
             int attempt,
@@ -93,16 +101,16 @@
             boolean ended,
             float[] load) {
         evidence.moduleOutcome(sidecar, life, request, attempt, outcome.name(), ended);
-        module.outcome(now, request, attempt, upstream, outcome, elapsed, ended, load);
+        module.onAttemptEnded(now, request, attempt, upstream, outcome, elapsed, ended, load);
     }
 
     @Override
-    public void hangup(long now, long request) {
-        module.hangup(now, request);
+    public void onClientDisconnected(long now, long request) {
+        module.onClientDisconnected(now, request);
     }
 
     @Override
-    public void timer(long now, long token) {
-        module.timer(now, token);
+    public void onTimer(long now, long token) {
+        module.onTimer(now, token);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -1,12 +1,12 @@
 package appleridge.testbed.coordination;
 
-import appleridge.discovery.ephemeral.Merge;
-import appleridge.discovery.ephemeral.NodeMembership;
-import appleridge.discovery.zookeeper.NodeJson;
+import appleridge.discovery.ephemeral.NodeDiscovery;
+import appleridge.discovery.ephemeral.SourceSelection;
+import appleridge.discovery.zookeeper.NodeJsonParser;
+import appleridge.discovery.zookeeper.ZooKeeperDiscovery;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.discovery.zookeeper.ZooKeeperSource;
 import appleridge.testbed.standin.RealTime;
-import appleridge.transport.Loop;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import io.netty.channel.EventLoop;
@@ -75,8 +75,8 @@
 
     /** One sidecar's source, and how many servers it knows. */
     private static final class Follower {
-        private ZooKeeperSource source;
-        private NodeMembership membership;
+        private ZooKeeperDiscovery source;
+        private NodeDiscovery membership;
         private volatile int size;
         private volatile long at;
     }
@@ -232,22 +232,22 @@
         followers.add(follower);
         executor.execute(
                 () -> {
-                    Loop loop =
-                            new Loop(
+                    SidecarEventLoop loop =
+                            new SidecarEventLoop(
                                     executor,
                                     SystemTime.UNIX_MILLIS,
                                     new SystemLog(
                                             executor.ticker()::nanoTime,
                                             System.Logger.Level.DEBUG));
                     follower.membership =
-                            new NodeMembership(
-                                    Merge.NODES,
-                                    NodeMembership.Settings.USUAL,
+                            new NodeDiscovery(
+                                    SourceSelection.NODES,
+                                    NodeDiscovery.Settings.USUAL,
                                     (kind, members, source, toldAt) -> {},
                                     any -> {},
                                     any -> {});
                     follower.source =
-                            new ZooKeeperSource(
+                            new ZooKeeperDiscovery(
                                     loop,
                                     new ZooKeeperSettings(
                                             List.of(server.address()),
@@ -260,11 +260,11 @@
                                             null,
                                             ANSWER_BYTES),
                                     follower.membership,
-                                    new NodeJson(List.of("z"), List.of("k")),
+                                    new NodeJsonParser(List.of("z"), List.of("k")),
                                     plan.seed() + number);
                     follower.source.start();
                     loop.every(
-                            NodeMembership.Settings.USUAL.tick(),
+                            NodeDiscovery.Settings.USUAL.tick(),
                             () -> {
                                 follower.membership.tick(loop.now());
                                 int size = follower.membership.size();
--- a/testbed/src/main/java/appleridge/testbed/lease/Holder.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Holder.java
@@ -1,10 +1,10 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Entry;
 import appleridge.lease.Grant;
 import appleridge.lease.Lease;
 import appleridge.lease.LeaseActions;
-import appleridge.lease.Why;
+import appleridge.lease.TransitionCause;
+import appleridge.lease.VersionedLease;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void write(long question, long expectedVersion, Entry next) {
+    public void write(long question, long expectedVersion, VersionedLease next) {
         sent.add(new Message(Message.Kind.WRITE, index, question, expectedVersion, next, false));
     }
 
@@ -87,7 +87,7 @@
 
     /** What has begun goes on to its end: the worst that a holder may do. */
     @Override
-    public void stopNow(Why why) {}
+    public void stopNow(TransitionCause why) {}
 
     @Override
     public void line(boolean in) {}
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Entry;
 import appleridge.lease.Lease;
+import appleridge.lease.VersionedLease;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
 import java.lang.reflect.Modifier;
@@ -76,7 +76,7 @@
         }
     }
 
-    void entry(Entry entry) {
+    void entry(VersionedLease entry) {
         if (entry == null) {
             key.append("- ");
             return;
@@ -107,7 +107,7 @@
     }
 
     private void value(int holder, String name, Object value) throws ReflectiveOperationException {
-        if (value instanceof Entry entry) {
+        if (value instanceof VersionedLease entry) {
             entry(entry);
         } else if (value instanceof Record) {
             for (Method part : PARTS.computeIfAbsent(value.getClass(), LeaseFields::parts)) {
--- a/testbed/src/main/java/appleridge/testbed/lease/Message.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Message.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 
 /**
  * Something on its way between a holder and the store; of what doesn't apply there is 0 or null.
@@ -8,7 +8,8 @@
  * @param version of a write: the one expected; of an answer: the one that was made
  * @param late whether time may go on before it arrives
  */
-record Message(Kind kind, int holder, long question, long version, Entry entry, boolean late) {
+record Message(
+        Kind kind, int holder, long question, long version, VersionedLease entry, boolean late) {
     enum Kind {
         READ,
         WRITE,
@@ -26,7 +27,7 @@
         return new Message(kind, holder, question, version, entry, true);
     }
 
-    Message answer(Kind answer, long made, Entry record) {
+    Message answer(Kind answer, long made, VersionedLease record) {
         return new Message(answer, holder, question, made, record, false);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/Parts.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Parts.java
@@ -1,20 +1,20 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Entry;
+import appleridge.lease.BudgetShare;
 import appleridge.lease.Grant;
 import appleridge.lease.Lease;
 import appleridge.lease.LeaseActions;
+import appleridge.lease.LeaseParameters;
 import appleridge.lease.Permits;
-import appleridge.lease.Shares;
-import appleridge.lease.Terms;
-import appleridge.lease.Why;
+import appleridge.lease.TransitionCause;
+import appleridge.lease.VersionedLease;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Gives the permits of a budget to two holders in every way, and adds up what they may spend. */
 final class Parts {
     static final String WORDS = "parts";
-    private static final Terms TERMS = Terms.fenced(100, 0, 0, 30);
+    private static final LeaseParameters TERMS = LeaseParameters.fenced(100, 0, 0, 30);
     private static final int MOST_PERMITS = 5;
     private static final int MOST_WHOLE = 12;
 
@@ -31,7 +31,7 @@
                 for (int whole = 0; whole <= MOST_WHOLE; whole++) {
                     long sum = 0;
                     for (Permits permits : holders) {
-                        sum += new Shares(whole, permits).part(1, 0);
+                        sum += new BudgetShare(whole, permits).part(1, 0);
                     }
                     if (sum > whole) {
                         return "broken: parts sum to "
@@ -74,7 +74,7 @@
         public void read(long question) {}
 
         @Override
-        public void write(long question, long expectedVersion, Entry next) {}
+        public void write(long question, long expectedVersion, VersionedLease next) {}
 
         @Override
         public void wakeAt(long at) {}
@@ -83,7 +83,7 @@
         public void granted(Grant grant) {}
 
         @Override
-        public void stopNow(Why why) {}
+        public void stopNow(TransitionCause why) {}
 
         @Override
         public void line(boolean in) {}
--- a/testbed/src/main/java/appleridge/testbed/lease/Scope.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Scope.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Terms;
+import appleridge.lease.LeaseParameters;
 import java.util.List;
 
 /**
@@ -86,9 +86,9 @@
     }
 
     /** The terms that hold here if a pause lasts no longer than a tick. */
-    Terms terms() {
+    LeaseParameters terms() {
         return fenced
-                ? Terms.fenced(TERM, QUARTER_PPM, OLD, 5)
-                : Terms.timed(TERM, QUARTER_PPM, OLD, 5, UNITS, ACT * UNITS);
+                ? LeaseParameters.fenced(TERM, QUARTER_PPM, OLD, 5)
+                : LeaseParameters.timed(TERM, QUARTER_PPM, OLD, 5, UNITS, ACT * UNITS);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/World.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/World.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.lease;
 
-import appleridge.lease.Act;
-import appleridge.lease.Entry;
-import appleridge.lease.State;
+import appleridge.lease.LeaseState;
+import appleridge.lease.Permission;
+import appleridge.lease.VersionedLease;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -50,7 +50,7 @@
     private final List<Message> messages;
     private final List<TakeOver> takeOvers;
     private int tick;
-    private Entry record;
+    private VersionedLease record;
     private int faults;
     private int leaves;
     private int again;
@@ -160,9 +160,9 @@
     }
 
     private void stepsOf(Holder holder, List<Step> steps) {
-        State state = holder.lease.state();
+        LeaseState state = holder.lease.state();
         boolean isIdle = holder.isIdle(tick);
-        boolean isAway = state == State.LOST || state == State.RELEASED;
+        boolean isAway = state == LeaseState.LOST || state == LeaseState.RELEASED;
         add(steps, Kind.WAKES, holder, now(holder) >= holder.wakeAt);
         add(
                 steps,
@@ -171,19 +171,22 @@
                 isIdle && readings(holder).anyMatch(at -> holder.lease.mayBegin(at, 0)));
         add(steps, Kind.BEGINS, holder, holder.checked != Holder.NONE);
         add(steps, Kind.REACHES, holder, holder.carried != Holder.NONE);
-        add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != State.RELEASED);
+        add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != LeaseState.RELEASED);
         add(
                 steps,
                 Kind.GIVES_UP,
                 holder,
-                leaves > 0 && !isIdle && state != State.RELEASED && holder.checked == Holder.NONE);
+                leaves > 0
+                        && !isIdle
+                        && state != LeaseState.RELEASED
+                        && holder.checked == Holder.NONE);
         add(steps, Kind.ASKS_AGAIN, holder, again > 0 && isAway);
-        Entry seen = holder.lease.seen();
+        VersionedLease seen = holder.lease.seen();
         add(
                 steps,
                 Kind.HEARS,
                 holder,
-                state == State.SEEKING && seen != null && !seen.equals(record));
+                state == LeaseState.SEEKING && seen != null && !seen.equals(record));
         add(
                 steps,
                 Kind.DISCONNECTS,
@@ -284,7 +287,7 @@
         if (request.version() != version && request.version() != WHATEVER) {
             return request.answer(Message.Kind.CONFLICT, 0, null);
         }
-        Entry next = request.entry();
+        VersionedLease next = request.entry();
         boolean isRenewal =
                 record != null
                         && record.token() == next.token()
@@ -293,7 +296,7 @@
             takeOvers.add(new TakeOver(request.holder(), next.token()));
         }
         record =
-                new Entry(
+                new VersionedLease(
                         version + 1,
                         next.token(),
                         next.holder(),
@@ -324,13 +327,13 @@
     }
 
     private void check(Holder holder) {
-        Act allowed =
+        Permission allowed =
                 readings(holder)
                         .mapToObj(reading -> holder.lease.begin(reading, 0))
                         .filter(Objects::nonNull)
                         .findFirst()
                         .orElseThrow();
-        if (allowed instanceof Act.FencedAct act) {
+        if (allowed instanceof Permission.FencedPermission act) {
             holder.carried = act.token();
         } else {
             holder.checked = tick;
--- a/testbed/src/main/java/appleridge/testbed/mutation/PackedSources.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/PackedSources.java
@@ -18,7 +18,10 @@
     private static final String DIRECTORY = "planted-sources";
     private static final String ENDING = ".java";
 
-    /** By path, which ends in the file's name: {@code appleridge/loadbalancing/Balancer.java}. */
+    /**
+     * By path, which ends in the file's name: {@code
+     * appleridge/loadbalancing/LoadBalancingPolicy.java}.
+     */
     private final Map<String, String> byPath;
 
     PackedSources(Map<String, String> byPath) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Classes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Classes.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.DeduplicationScope;
+import appleridge.loadbalancing.Idempotency;
 import java.util.List;
 
 /** The classes of request in the world, by their place in a sidecar's settings. */
@@ -16,8 +16,8 @@
      */
     public record Kind(
             String name,
-            Semantics semantics,
-            Scope scope,
+            Idempotency semantics,
+            DeduplicationScope scope,
             long keyTtl,
             long aim,
             long deadline,
@@ -27,7 +27,7 @@
             double worth) {
         /** Whether its requests carry a key by which a repeat is known. */
         public boolean keyed() {
-            return semantics == Semantics.BY_KEY;
+            return semantics == Idempotency.IDEMPOTENT_BY_KEY;
         }
     }
 
@@ -41,7 +41,7 @@
             List.of(
                     new Kind(
                             "stock-check",
-                            Semantics.REPEATABLE,
+                            Idempotency.IDEMPOTENT,
                             null,
                             0,
                             200 * MS,
@@ -52,8 +52,8 @@
                             1),
                     new Kind(
                             "stock-hold",
-                            Semantics.BY_KEY,
-                            Scope.ZONE,
+                            Idempotency.IDEMPOTENT_BY_KEY,
+                            DeduplicationScope.ZONE,
                             1000 * MS,
                             400 * MS,
                             1000 * MS,
@@ -63,8 +63,8 @@
                             3),
                     new Kind(
                             "order-confirm",
-                            Semantics.BY_KEY,
-                            Scope.ALL,
+                            Idempotency.IDEMPOTENT_BY_KEY,
+                            DeduplicationScope.ALL,
                             7500 * MS,
                             500 * MS,
                             LONGEST,
@@ -74,7 +74,7 @@
                             10),
                     new Kind(
                             "raise-invoice",
-                            Semantics.ONCE,
+                            Idempotency.NON_IDEMPOTENT,
                             null,
                             0,
                             500 * MS,
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simulation;
 
-import appleridge.discovery.ephemeral.Doubt;
-import appleridge.discovery.ephemeral.NodeMembership;
+import appleridge.discovery.ephemeral.NodeDiscovery;
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.Session;
+import appleridge.discovery.ephemeral.SessionState;
+import appleridge.discovery.ephemeral.StalenessCause;
 import appleridge.testbed.simnet.Chance;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
         long now();
 
         /** Who is told, in its tasks. */
-        NodeMembership membership();
+        NodeDiscovery membership();
     }
 
     /** What has arrived, and when. */
@@ -164,7 +164,7 @@
                 });
     }
 
-    private NodeMembership membership() {
+    private NodeDiscovery membership() {
         return hearer.membership();
     }
 
@@ -185,11 +185,11 @@
         if (newSession) {
             seen = 0;
             if (!first) {
-                deliver(() -> membership().session(hearer.now(), Session.EXPIRED));
+                deliver(() -> membership().session(hearer.now(), SessionState.EXPIRED));
             }
         }
         begin();
-        Session session = readOnly ? Session.READ_ONLY : Session.CONNECTED;
+        SessionState session = readOnly ? SessionState.READ_ONLY : SessionState.CONNECTED;
         deliver(() -> membership().session(hearer.now(), session));
         watching = !newSession;
         newSession = false;
@@ -267,7 +267,7 @@
             connection++;
             watching = false;
             reading = null;
-            deliver(() -> membership().session(hearer.now(), Session.SUSPENDED));
+            deliver(() -> membership().session(hearer.now(), SessionState.SUSPENDED));
             day.after(day.bounded(duration) + 1 + chance.nextLong(LONGEST_AGAIN), this::connect);
         }
     }
@@ -331,7 +331,7 @@
             seen = viewZxid;
             NodeRead read = node.read();
             note(read.mzxid(), () -> "data of " + name + ' ' + read.mzxid() + ' ' + read.data());
-            word.read(node, membership().doubt() == Doubt.NONE);
+            word.read(node, membership().doubt() == StalenessCause.NONE);
             deliver(() -> membership().read(hearer.now(), read.mzxid(), name, read));
         }
     }
@@ -351,7 +351,12 @@
                     if (isOn(mine) && reading == now) {
                         watching = true;
                         if (ensemble.root() == 0 && era == ensemble.era()) {
-                            deliver(() -> membership().doubt(hearer.now(), Doubt.ROOT_MISSING));
+                            deliver(
+                                    () ->
+                                            membership()
+                                                    .doubt(
+                                                            hearer.now(),
+                                                            StalenessCause.ROOT_MISSING));
                             again(mine);
                         } else {
                             rootIs(ensemble.root());
@@ -365,7 +370,7 @@
     private void rootIs(long made) {
         if (root != 0 && root != made && viewZxid < highest) {
             highest = viewZxid;
-            deliver(() -> membership().doubt(hearer.now(), Doubt.WIPED));
+            deliver(() -> membership().doubt(hearer.now(), StalenessCause.WIPED));
         }
         root = made;
     }
@@ -415,10 +420,10 @@
         deliver(
                 () -> {
                     membership().snapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
-                    Doubt doubt = membership().doubt();
-                    if (doubt == Doubt.NONE && of == era) {
+                    StalenessCause doubt = membership().doubt();
+                    if (doubt == StalenessCause.NONE && of == era) {
                         word.accepted(view);
-                    } else if (doubt == Doubt.OLDER || doubt == Doubt.WIPED) {
+                    } else if (doubt == StalenessCause.OLDER || doubt == StalenessCause.WIPED) {
                         again(mine);
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.DeduplicationScope;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -17,7 +17,7 @@
         for (int i = 0; i < repeats.length; i++) {
             Classes.Kind kind = Classes.of(i);
             if (kind.keyed()) {
-                boolean all = kind.scope() == Scope.ALL;
+                boolean all = kind.scope() == DeduplicationScope.ALL;
                 Repeats shared = new Repeats(plan.window(kind));
                 for (int zone = 0; zone < repeats[i].length; zone++) {
                     repeats[i][zone] = all ? shared : new Repeats(plan.window(kind));
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodesWord.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodesWord.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -124,7 +124,7 @@
     }
 
     private static String state(NodeRead read) {
-        return read.data() != null && read.data().state() == State.READY
+        return read.data() != null && read.data().state() == HostState.READY
                 ? Instances.READY
                 : Instances.TERMINATING;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.loadbalancing.Balancer.Scope;
+import appleridge.loadbalancing.DeduplicationScope;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.EnumMap;
@@ -156,7 +156,7 @@
 
     /** How long a keyed class's repeats are dropped. */
     long window(Classes.Kind kind) {
-        return kind.scope() == Scope.ALL ? kind.keyTtl() : size(Knob.KEY_WINDOW);
+        return kind.scope() == DeduplicationScope.ALL ? kind.keyTtl() : size(Knob.KEY_WINDOW);
     }
 
     /**
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.discovery.ephemeral.NodeData;
-import appleridge.loadbalancing.Balancer.State;
+import appleridge.loadbalancing.HostState;
 import appleridge.testbed.simnet.Chance;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -107,7 +107,7 @@
                 machine.zone(),
                 0,
                 machine.zone(),
-                server.drains ? State.DRAINING : State.READY,
+                server.drains ? HostState.DRAINING : HostState.READY,
                 1,
                 started,
                 null);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.loadbalancing.Balancer.Scope;
-import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.DeduplicationScope;
+import appleridge.loadbalancing.Idempotency;
 import java.net.InetSocketAddress;
 
 /** The configuration that a sidecar gets, as text. */
@@ -84,7 +84,7 @@
                     .append(",\"semantics\":\"")
                     .append(word(kind.semantics()))
                     .append('"');
-            if (kind.semantics() == Semantics.BY_KEY) {
+            if (kind.semantics() == Idempotency.IDEMPOTENT_BY_KEY) {
                 text.append(",\"keyScope\":\"")
                         .append(word(kind.scope()))
                         .append("\",\"keyTtl\":")
@@ -111,15 +111,15 @@
         text.append("],");
     }
 
-    private static String word(Semantics semantics) {
+    private static String word(Idempotency semantics) {
         return switch (semantics) {
-            case REPEATABLE -> "repeatable";
-            case BY_KEY -> "by_key";
-            case ONCE -> "once";
+            case IDEMPOTENT -> "repeatable";
+            case IDEMPOTENT_BY_KEY -> "by_key";
+            case NON_IDEMPOTENT -> "once";
         };
     }
 
-    private static String word(Scope scope) {
+    private static String word(DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> "all";
             case ZONE -> "zone";
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
@@ -7,7 +7,7 @@
 /**
  * The real sidecar behind one name, as the world handles its processes. Everything is called from
  * within the simulation's events. The world ends the sockets of a killed process itself ({@link
- * Host#die}), after {@link #kill}.
+ * PolicyHost#die}), after {@link #kill}.
  */
 public interface SidecarHost {
     /**
--- a/testbed/src/main/java/appleridge/testbed/simulation/Wish.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Wish.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.loadbalancing.Balancer.Semantics;
+import appleridge.loadbalancing.Idempotency;
 import appleridge.testbed.simnet.Chance;
 import java.util.List;
 
@@ -72,7 +72,7 @@
                         : null;
         boolean large = chance.hits(plan.part(Knob.LARGE_BODIES));
         int length =
-                kind.semantics() == Semantics.REPEATABLE
+                kind.semantics() == Idempotency.IDEMPOTENT
                         ? 0
                         : 1 + chance.nextInt(large ? plan.largestBody() : SMALL_BODY);
         Chance form = chance.stream("form");
@@ -119,11 +119,11 @@
     }
 
     String method() {
-        return kind.semantics() == Semantics.REPEATABLE ? "GET" : "POST";
+        return kind.semantics() == Idempotency.IDEMPOTENT ? "GET" : "POST";
     }
 
     /** Whether its client may ask again after a failure: one more run does no harm. */
     boolean mayFollowFailure() {
-        return kind.semantics() == Semantics.REPEATABLE;
+        return kind.semantics() == Idempotency.IDEMPOTENT;
     }
 }
--- a/testbed/src/test/java/appleridge/discovery/registration/RegistrationTest.java
+++ b/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
@@ -17,7 +17,7 @@
 
 /** One node, kept over whatever happens to its session. */
 @Timeout(60)
-class RegistrationTest {
+class NodeRegistrationTest {
     private static final String PATH = "/servers/s1";
 
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
@@ -27,12 +27,12 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private Registration registration(TestEnsemble ensemble, String text, long started) {
-        return new Registration(
+    private NodeRegistration registration(TestEnsemble ensemble, String text, long started) {
+        return new NodeRegistration(
                 ensemble.settings("/servers"), "s1", text(text, started), started, log::add);
     }
 
-    private static void end(Registration which) {
+    private static void end(NodeRegistration which) {
         which.close();
     }
 
@@ -54,7 +54,7 @@
     void theNodeIsThereUntilItIsClosed() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
-            Registration one = registration(ensemble, "one", 5);
+            NodeRegistration one = registration(ensemble, "one", 5);
             one.start();
             logged("registered as " + PATH);
             Stat stat = new Stat();
@@ -74,7 +74,7 @@
     void afterALostSessionItIsTheNewOnesAndThereIsOne() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
-            try (Registration one = registration(ensemble, "one", 5)) {
+            try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
                 logged("registered");
                 Stat before = new Stat();
@@ -97,7 +97,7 @@
             ensemble.persistent("/servers");
             ZooKeeper old = ensemble.client();
             TestEnsemble.server(old, PATH, new String(text("old", 4)));
-            try (Registration one = registration(ensemble, "one", 5)) {
+            try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
                 logged("registered");
                 Stat stat = new Stat();
@@ -105,7 +105,7 @@
                 assertFalse(stat.getEphemeralOwner() == old.getSessionId());
                 old.close();
                 assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
-                try (Registration late = registration(ensemble, "late", 3)) {
+                try (NodeRegistration late = registration(ensemble, "late", 3)) {
                     late.start();
                     logged("a server that started later has the name");
                     assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
@@ -121,7 +121,7 @@
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
             ensemble.stop();
-            try (Registration one = registration(ensemble, "one", 5)) {
+            try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
                 Thread.sleep(500);
                 ensemble.start();
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperSourceTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.discovery.ephemeral.Doubt;
-import appleridge.request.Log;
-import appleridge.transport.Loop;
+import appleridge.discovery.ephemeral.StalenessCause;
+import appleridge.request.EventLog;
+import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SystemTime;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -37,18 +37,18 @@
 
 /** The source against the coordination stand-in. */
 @Timeout(60)
-class ZooKeeperSourceTest {
+class ZooKeeperDiscoveryTest {
     private static final String ROOT = "/servers";
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop executor = group.next();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private final Loop loop =
-            new Loop(
+    private final SidecarEventLoop loop =
+            new SidecarEventLoop(
                     executor,
                     SystemTime.UNIX_MILLIS,
-                    new Log() {
+                    new EventLog() {
                         @Override
                         public void news(String line) {
                             log.add(line);
@@ -66,7 +66,7 @@
                     });
     private final Heard heard = new Heard(executor::inEventLoop);
     private TestEnsemble ensemble;
-    private ZooKeeperSource source;
+    private ZooKeeperDiscovery source;
 
     static String server(int port, String more) {
         return "{\"address\":\"127.0.0.1:"
@@ -93,8 +93,12 @@
 
     private void follow(ZooKeeperSettings settings) {
         source =
-                new ZooKeeperSource(
-                        loop, settings, heard, new NodeJson(List.of("a", "b"), List.of("m1")), 1);
+                new ZooKeeperDiscovery(
+                        loop,
+                        settings,
+                        heard,
+                        new NodeJsonParser(List.of("a", "b"), List.of("m1")),
+                        1);
         loop.soon(source::start);
     }
 
@@ -225,7 +229,7 @@
         ensemble.startWiped();
         heard.until("session EXPIRED");
         heard.until("doubt ROOT_MISSING");
-        heard.doubt = Doubt.WIPED;
+        heard.doubt = StalenessCause.WIPED;
         ensemble.persistent(ROOT);
         heard.until("doubt WIPED");
         heard.until("snapshot {}");
--- a/testbed/src/test/java/appleridge/testbed/campaign/Front.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/Front.java
@@ -1,24 +1,29 @@
 package appleridge.testbed.campaign;
 
-import appleridge.config.Config;
-import appleridge.http1.ClientServer;
-import appleridge.http1.ClientTimes;
-import appleridge.http1.RequestReader;
-import appleridge.loadbalancing.Balancer;
+import appleridge.config.SidecarConfig;
+import appleridge.http1.ClientListener;
+import appleridge.http1.ClientTimeouts;
+import appleridge.http1.RequestParser;
+import appleridge.loadbalancing.LoadBalancingPolicy;
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.PolicyActions;
+import appleridge.loadbalancing.RequestInfo;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
 import appleridge.request.Endpoint;
-import appleridge.request.Exchanges;
-import appleridge.request.Lists;
-import appleridge.request.Log;
-import appleridge.request.Outgoing;
-import appleridge.request.Upstreams;
-import appleridge.request.Window;
+import appleridge.request.EndpointSubscription;
+import appleridge.request.EventLog;
+import appleridge.request.RequestCoordinator;
+import appleridge.request.SendDeadlines;
+import appleridge.request.UpstreamRequest;
+import appleridge.request.UpstreamTransport;
 import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
 import appleridge.testbed.simnet.SimLoop;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
-import appleridge.transport.Loop;
+import appleridge.transport.SidecarEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -56,11 +61,11 @@
     final SimLoop loop;
     final List<String> failures = new ArrayList<>();
     final List<String> warnings = new ArrayList<>();
-    ClientServer server;
+    ClientListener server;
     private boolean refuses;
     private int names;
 
-    Front(long seed, int maxConnections, ClientTimes times) throws IOException {
+    Front(long seed, int maxConnections, ClientTimeouts times) throws IOException {
         Chance chance = new Chance(seed);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
@@ -72,12 +77,13 @@
                         sidecar,
                         chance.stream("sidecar"),
                         new SimLoop.Costs(10_000, 2_000, 100));
-        Config config = Config.parse(CONFIG.getBytes(StandardCharsets.UTF_8));
+        SidecarConfig config = SidecarConfig.parse(CONFIG.getBytes(StandardCharsets.UTF_8));
         loop.execute(
                 () -> {
-                    Loop time = new Loop(loop, () -> simulation.now() / MS, new Noting());
-                    Exchanges exchanges =
-                            new Exchanges(
+                    SidecarEventLoop time =
+                            new SidecarEventLoop(loop, () -> simulation.now() / MS, new Noting());
+                    RequestCoordinator exchanges =
+                            new RequestCoordinator(
                                     time,
                                     time,
                                     config.settings(),
@@ -87,11 +93,11 @@
                                     Module::new);
                     exchanges.start(new NoLists(), List.of(), Map.of());
                     server =
-                            new ClientServer(
+                            new ClientListener(
                                     time,
                                     new SimSockets(loop),
                                     exchanges,
-                                    new RequestReader(config),
+                                    new RequestParser(config),
                                     maxConnections,
                                     times);
                     server.listen(new InetSocketAddress(sidecar.address(), PORT));
@@ -237,7 +243,7 @@
         }
     }
 
-    private final class Noting implements Log {
+    private final class Noting implements EventLog {
         @Override
         public void news(String line) {}
 
@@ -252,10 +258,10 @@
         }
     }
 
-    private final class Module implements Balancer {
-        private final Actions actions;
+    private final class Module implements LoadBalancingPolicy {
+        private final PolicyActions actions;
 
-        Module(Actions actions) {
+        Module(PolicyActions actions) {
             this.actions = actions;
         }
 
@@ -263,20 +269,21 @@
         public void start(long now) {}
 
         @Override
-        public void listChanged(long now, ListKind kind, List<Upstream> entries) {}
+        public void onEndpointUpdate(long now, UpdateKind kind, List<UpstreamHost> entries) {}
 
         @Override
-        public void request(long now, Request request) {
+        public void onRequest(long now, RequestInfo request) {
             if (refuses) {
-                actions.refuse(request.id(), 0);
+                actions.reject(request.id(), 0);
             }
         }
 
         @Override
-        public void firstByte(long now, long request, int attempt, long upstream, long elapsed) {}
+        public void onResponseStarted(
+                long now, long request, int attempt, long upstream, long elapsed) {}
 
         @Override
-        public void outcome(
+        public void onAttemptEnded(
                 long now,
                 long request,
                 int attempt,
@@ -287,15 +294,16 @@
                 float[] load) {}
 
         @Override
-        public void hangup(long now, long request) {}
+        public void onClientDisconnected(long now, long request) {}
 
         @Override
-        public void timer(long now, long token) {}
+        public void onTimer(long now, long token) {}
     }
 
-    private static final class NoUpstreams implements Upstreams {
+    private static final class NoUpstreams implements UpstreamTransport {
         @Override
-        public Sending send(Endpoint to, Outgoing what, Window window, Listener listener) {
+        public AttemptHandle send(
+                Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener) {
             throw new IllegalStateException("nothing is sent on here");
         }
 
@@ -303,7 +311,7 @@
         public void closeIdle(Endpoint endpoint) {}
     }
 
-    private static final class NoLists implements Lists {
+    private static final class NoLists implements EndpointSubscription {
         @Override
         public void subscribe(boolean on) {}
 
--- a/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.http1.ClientTimes;
+import appleridge.http1.ClientTimeouts;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -20,7 +20,7 @@
     @Test
     void whatHasAskedUnreadIsNotClosedToMakeRoom() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 4, ClientTimes.USUAL)) {
+            try (Front front = new Front(seed, 4, ClientTimeouts.USUAL)) {
                 List<Front.Client> silent = front.clients(4);
                 front.run(300 * MS);
                 front.loop.pause(60 * MS);
@@ -46,7 +46,7 @@
     @Test
     void manyThatHaveAskedUnreadAreAnsweredAndThenMakeRoom() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 200, ClientTimes.USUAL)) {
+            try (Front front = new Front(seed, 200, ClientTimeouts.USUAL)) {
                 front.refuses();
                 List<Front.Client> silent = front.clients(200);
                 front.run(300 * MS);
@@ -75,7 +75,7 @@
     @Test
     void whatHasAskedUnreadIsNotClosedForItsSilence() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 50, ClientTimes.USUAL)) {
+            try (Front front = new Front(seed, 50, ClientTimeouts.USUAL)) {
                 List<Front.Client> silent = front.clients(3);
                 front.run(1_900 * MS);
                 front.loop.pause(300 * MS);
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.discovery.zookeeper.Clients;
+import appleridge.discovery.zookeeper.ZooKeeperClientFactory;
 import appleridge.discovery.zookeeper.ZooKeeperSettings;
-import appleridge.lease.Entry;
+import appleridge.lease.VersionedLease;
 import appleridge.lease.store.LeaseStore;
 import appleridge.lease.store.ZooKeeperLeaseStore;
 import appleridge.testbed.coordination.CoordinationServer;
@@ -36,12 +36,12 @@
     private static final String ROOT = "/leases";
     private static final String RECORD = ROOT + "/nightly/record";
     private static final int SESSION_MILLIS = 2000;
-    private static final List<ACL> OPEN = Clients.acl(settings());
+    private static final List<ACL> OPEN = ZooKeeperClientFactory.acl(settings());
 
     /** What was told, in words; a record's content beside. */
     private static final class Told implements LeaseStore.Events {
         private final BlockingQueue<String> words = new LinkedBlockingQueue<>();
-        private volatile Entry entry;
+        private volatile VersionedLease entry;
 
         @Override
         public void connected() {
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void read(long question, Entry orNull) {
+        public void read(long question, VersionedLease orNull) {
             entry = orNull;
             words.add("read " + question);
         }
@@ -167,8 +167,8 @@
         return operator;
     }
 
-    private static Entry entry(long token, String nonce, boolean released) {
-        return new Entry(0, token, "host", nonce, TimeUnit.SECONDS.toNanos(2), released);
+    private static VersionedLease entry(long token, String nonce, boolean released) {
+        return new VersionedLease(0, token, "host", nonce, TimeUnit.SECONDS.toNanos(2), released);
     }
 
     @Test
@@ -189,7 +189,8 @@
         store.read(6);
         told.await("read 6");
         assertEquals(
-                new Entry(1, 1, "host", "a/4", TimeUnit.SECONDS.toNanos(2), false), told.entry);
+                new VersionedLease(1, 1, "host", "a/4", TimeUnit.SECONDS.toNanos(2), false),
+                told.entry);
         String json =
                 new String(operator().getData(RECORD, false, new Stat()), StandardCharsets.UTF_8);
         assertTrue(json.startsWith("{\"holder\":\"host\",\"token\":1,\"since\":\"20"), json);
--- a/testbed/src/test/java/appleridge/testbed/lease/TaskIT.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeasedTaskIT.java
@@ -14,7 +14,7 @@
  * once.
  */
 @Timeout(60)
-class TaskIT {
+class LeasedTaskIT {
     private static final Path JAR = Path.of("..", "sidecar", "target", "appleridge.jar");
     private static final long LONGEST_MILLIS = 25_000;
     private static final int LONG_MILLIS = 6000;
--- a/testbed/src/test/java/appleridge/testbed/mutation/OneRequestDay.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/OneRequestDay.java
@@ -1,14 +1,27 @@
 package appleridge.testbed.mutation;
 
-import appleridge.loadbalancing.Balancer;
-import appleridge.loadbalancing.SymmetricRoundRobin;
+import appleridge.loadbalancing.Capabilities;
+import appleridge.loadbalancing.DiscoveryMode;
+import appleridge.loadbalancing.HostState;
+import appleridge.loadbalancing.Idempotency;
+import appleridge.loadbalancing.LoadBalancingPolicy;
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.PolicyActions;
+import appleridge.loadbalancing.PolicySettings;
+import appleridge.loadbalancing.RequestClass;
+import appleridge.loadbalancing.RequestInfo;
+import appleridge.loadbalancing.SafetyLimits;
+import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
+import appleridge.loadbalancing.UpdateKind;
+import appleridge.loadbalancing.UpstreamHost;
+import appleridge.loadbalancing.WeightKind;
 import java.util.List;
 
 /**
  * A day of one request, for want of a world: every third one's attempt is reset, and one must be
  * enough.
  */
-final class OneRequestDay implements Balancer.Actions {
+final class OneRequestDay implements PolicyActions {
     private static final long MILLI = 1_000_000;
     private static final long DAY_WITH_A_RESET = 3;
 
@@ -34,49 +47,49 @@
                                 .orElseThrow()
                                 .substring("seed ".length()));
         OneRequestDay day = new OneRequestDay();
-        Balancer module = new SymmetricRoundRobin(settings(), seed, day);
+        LoadBalancingPolicy module = new SymmetricRoundRobinPolicy(settings(), seed, day);
         module.start(0);
-        module.listChanged(0, Balancer.ListKind.CACHED, List.of(server(1), server(2)));
-        module.request(MILLI, new Balancer.Request(1, 0, 0, 0, 1000 * MILLI, 0, false, false));
+        module.onEndpointUpdate(0, UpdateKind.CACHED_SNAPSHOT, List.of(server(1), server(2)));
+        module.onRequest(MILLI, new RequestInfo(1, 0, 0, 0, 1000 * MILLI, 0, false, false));
         boolean served = seed % DAY_WITH_A_RESET != 0;
-        module.outcome(
+        module.onAttemptEnded(
                 2 * MILLI,
                 1,
                 0,
                 1,
-                served ? Balancer.Outcome.OK : Balancer.Outcome.RESET,
+                served ? Outcome.OK : Outcome.RESET,
                 MILLI,
                 served,
                 new float[0]);
         return day.sends > 1 ? "LATE at all\nDUPLICATE of " + day.sends + " sends" : "";
     }
 
-    private static Balancer.Upstream server(long id) {
-        return new Balancer.Upstream(id, 0, 0, 0, Balancer.State.READY, 1, 0);
+    private static UpstreamHost server(long id) {
+        return new UpstreamHost(id, 0, 0, 0, HostState.READY, 1, 0);
     }
 
-    private static Balancer.Settings settings() {
-        return new Balancer.Settings(
+    private static PolicySettings settings() {
+        return new PolicySettings(
                 0,
                 1,
                 0,
                 MILLI,
-                Balancer.Discovery.AUTOMATIC,
-                Balancer.Weights.SILENT,
+                DiscoveryMode.PUSHED,
+                WeightKind.SILENT,
                 List.of(
-                        new Balancer.RequestClass(
+                        new RequestClass(
                                 500 * MILLI,
                                 0,
                                 1000 * MILLI,
                                 1,
                                 0,
-                                Balancer.Semantics.ONCE,
+                                Idempotency.NON_IDEMPOTENT,
                                 null,
                                 0,
                                 false)),
                 List.of(),
-                new Balancer.Allowed(true, false, false, false, true, 6, 1000 * MILLI, MILLI),
-                new Balancer.Limits(
+                new Capabilities(true, false, false, false, true, 6, 1000 * MILLI, MILLI),
+                new SafetyLimits(
                         20 * MILLI,
                         10_000 * MILLI,
                         2000 * MILLI,
@@ -90,30 +103,30 @@
     }
 
     @Override
-    public void send(long request, long upstream, long timeout) {
+    public void sendAttempt(long request, long upstream, long timeout) {
         sends++;
     }
 
     @Override
-    public void refuse(long request, long wait) {}
+    public void reject(long request, long wait) {}
 
     @Override
     public void fail(long request) {}
 
     @Override
-    public void cancel(long request, int attempt) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
-    public void timer(long token, long at) {}
+    public void setTimer(long token, long at) {}
 
     @Override
-    public void probe(long upstream) {}
+    public void sendHealthCheck(long upstream) {}
 
     @Override
-    public void closeIdle(long upstream) {}
+    public void closeIdleConnections(long upstream) {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendGossip(int peer, byte[] message) {}
 
     @Override
     public void log(String line) {}
@@ -122,5 +135,5 @@
     public void subscribe(boolean on) {}
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpoints() {}
 }
--- a/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
@@ -13,7 +13,12 @@
     private static final String DAY = OneRequestDay.class.getName();
     private static final String RULE = "DUPLICATE";
     private static final PlantedFault RESENT =
-            fault("resent", RULE, "case ONCE -> false;", "case ONCE -> true;", null);
+            fault(
+                    "resent",
+                    RULE,
+                    "case NON_IDEMPOTENT -> false;",
+                    "case NON_IDEMPOTENT -> true;",
+                    null);
     private static final PlantedFault THROWS =
             fault(
                     "throws",
@@ -22,13 +27,23 @@
                     "roster.servers.get(0L).inFlight++;",
                     null);
     private static final PlantedFault HARMLESS =
-            fault("harmless", RULE, "case ONCE -> false;", "case ONCE -> 1 > 2;", null);
+            fault(
+                    "harmless",
+                    RULE,
+                    "case NON_IDEMPOTENT -> false;",
+                    "case NON_IDEMPOTENT -> 1 > 2;",
+                    null);
 
     @Test
     void searchPlaysUntilARuleOfTheFaultBreaksAndCutsTheDayDown() throws IOException {
         List<Finding> told = new ArrayList<>();
         PlantedFault other =
-                fault("other", "LEAK", "case ONCE -> false;", "case ONCE -> true;", null);
+                fault(
+                        "other",
+                        "LEAK",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> true;",
+                        null);
         List<Finding> found =
                 run(null).search(List.of(RESENT, other, HARMLESS, THROWS), 4, 10, told::add);
         assertEquals(
@@ -49,22 +64,22 @@
                 fault(
                         "r",
                         RULE,
-                        "case ONCE -> false;",
-                        "case ONCE -> true;",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> true;",
                         new PlantedFault.Seen(RULE, 9, 7));
         PlantedFault byHand =
                 fault(
                         "h",
                         RULE,
-                        "case ONCE -> false;",
-                        "case ONCE -> true;",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> true;",
                         new PlantedFault.Seen("LATE", 0, 0));
         PlantedFault other =
                 fault(
                         "o",
                         RULE,
-                        "case ONCE -> false;",
-                        "case ONCE -> true;",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> true;",
                         new PlantedFault.Seen("LEAK", 9, 7));
         List<PlantedFault> faults = List.of(recorded, byHand, other, RESENT);
         List<Finding> checked = run("seed 9\n").check(faults, finding -> {});
@@ -87,8 +102,8 @@
                 fault(
                         "r",
                         RULE,
-                        "case ONCE -> false;",
-                        "case ONCE -> true;",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> true;",
                         new PlantedFault.Seen(RULE, 9, 7));
         assertEquals(
                 List.of(
@@ -103,8 +118,8 @@
                 fault(
                         "r",
                         RULE,
-                        "case ONCE -> false;",
-                        "case ONCE -> 1 < 2;",
+                        "case NON_IDEMPOTENT -> false;",
+                        "case NON_IDEMPOTENT -> 1 < 2;",
                         new PlantedFault.Seen("threw", 0, 0));
         Finding finding = run("no seed").check(List.of(recorded), each -> {}).get(0);
         assertFalse(PlantedRun.isAsRecorded(finding));
@@ -120,7 +135,7 @@
         return new PlantedFault(
                 name,
                 "Something.",
-                List.of(new Edit("SymmetricRoundRobin", null, original, replacement)),
+                List.of(new Edit("SymmetricRoundRobinPolicy", null, original, replacement)),
                 List.of(rule),
                 null,
                 seen);
--- a/testbed/src/test/java/appleridge/testbed/mutation/PlanterTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/PlanterTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.loadbalancing.Balancer;
+import appleridge.loadbalancing.Outcome;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlanterTest {
-    private static final String OUTCOME = "appleridge.loadbalancing.Balancer$Outcome";
+    private static final String OUTCOME = "appleridge.loadbalancing.Outcome";
     private final Planter planter;
 
     PlanterTest() throws IOException {
@@ -42,23 +42,23 @@
 
     @Test
     void changedClassIsSeenThroughTheLoaderAlone() throws ReflectiveOperationException {
-        PlantedLoader loader = planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"));
+        PlantedLoader loader = planter.plant(fault("Outcome", "RESET(false),", "RESET(true),"));
         assertTrue(resetProvesNeverRan(loader));
-        assertFalse(Balancer.Outcome.RESET.provesNeverRan());
+        assertFalse(Outcome.RESET.provesNotExecuted());
     }
 
     @Test
     void projectIsLoadedAnewAndAllElseIsShared() throws ClassNotFoundException {
-        PlantedLoader loader = planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"));
-        Class<?> unchanged = loader.loadClass("appleridge.loadbalancing.SymmetricRoundRobin");
+        PlantedLoader loader = planter.plant(fault("Outcome", "RESET(false),", "RESET(true),"));
+        Class<?> unchanged = loader.loadClass("appleridge.loadbalancing.SymmetricRoundRobinPolicy");
         assertSame(loader, unchanged.getClassLoader());
         assertSame(
-                loader.loadClass("appleridge.loadbalancing.Balancer"),
+                loader.loadClass("appleridge.loadbalancing.LoadBalancingPolicy"),
                 unchanged.getInterfaces()[0]);
         assertSame(ByteBuf.class, loader.loadClass(ByteBuf.class.getName()));
         assertNotSame(
                 unchanged,
-                planter.plant(fault("Balancer", "RESET(false),", "RESET(true),"))
+                planter.plant(fault("Outcome", "RESET(false),", "RESET(true),"))
                         .loadClass(unchanged.getName()));
         assertThrows(ClassNotFoundException.class, () -> loader.loadClass("appleridge.Absent"));
     }
@@ -67,15 +67,14 @@
     void faultThatCannotBePlantedIsToldByName() {
         assertEquals("f: no file Absent", told(fault("Absent", "a", "b")));
         assertEquals(
-                "f: fragment not found in Balancer: RESET(maybe)",
-                told(fault("Balancer", "RESET(maybe)", "")));
+                "f: fragment not found in Outcome: RESET(maybe)",
+                told(fault("Outcome", "RESET(maybe)", "")));
         assertEquals(
-                "f: fragment more than once in Balancer: (true)",
-                told(fault("Balancer", "(true)", "(false)")));
+                "f: fragment more than once in Outcome: (true)",
+                told(fault("Outcome", "(true)", "(false)")));
         assertTrue(
-                told(fault("Balancer", "RESET(false),", "RESET(maybe),"))
-                        .startsWith(
-                                "f: appleridge/loadbalancing/Balancer.java does not compile: "));
+                told(fault("Outcome", "RESET(false),", "RESET(maybe),"))
+                        .startsWith("f: appleridge/loadbalancing/Outcome.java does not compile: "));
     }
 
     @Test
@@ -83,21 +82,24 @@
         PackedSources sources =
                 new PackedSources(
                         Map.of(
-                                "appleridge/loadbalancing/Balancer.java",
+                                "appleridge/loadbalancing/LoadBalancingPolicy.java",
                                 "here",
-                                "appleridge/testbed/mutation/Balancer.java",
+                                "appleridge/testbed/mutation/LoadBalancingPolicy.java",
                                 "a copy left behind by an earlier build"));
-        assertEquals("appleridge/loadbalancing/Balancer.java", sources.path("Balancer"));
+        assertEquals(
+                "appleridge/loadbalancing/LoadBalancingPolicy.java",
+                sources.path("LoadBalancingPolicy"));
         PackedSources two =
                 new PackedSources(
                         Map.of(
                                 "appleridge/testbed/Main.java",
                                 "",
-                                "appleridge/simulator/Main.java",
+                                "appleridge/daemon/Main.java",
                                 ""));
-        assertEquals("appleridge/simulator/Main.java", two.path("adapter/Main"));
+        assertEquals("appleridge/daemon/Main.java", two.path("daemon/Main"));
         assertEquals(
-                "more than one file: appleridge/simulator/Main.java, appleridge/testbed/Main.java",
+                "more than one file: appleridge/daemon/Main.java,"
+                        + " appleridge/testbed/Main.java",
                 assertThrows(IllegalStateException.class, () -> two.path("Main")).getMessage());
     }
 
@@ -109,7 +111,7 @@
             throws ReflectiveOperationException {
         Class<?> outcome = loader.loadClass(OUTCOME);
         Object reset = outcome.getField("RESET").get(null);
-        return (boolean) outcome.getMethod("provesNeverRan").invoke(reset);
+        return (boolean) outcome.getMethod("provesNotExecuted").invoke(reset);
     }
 
     private static PlantedFault fault(String file, String original, String replacement) {
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.config.Config;
-import appleridge.loadbalancing.Balancer;
+import appleridge.config.SidecarConfig;
+import appleridge.loadbalancing.DiscoveryMode;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
@@ -24,7 +24,7 @@
                             stage.registry.address(),
                             -5,
                             Instances.json(2, true, stage.instances.whole()));
-            Config config = Config.parse(text.getBytes(StandardCharsets.UTF_8));
+            SidecarConfig config = SidecarConfig.parse(text.getBytes(StandardCharsets.UTF_8));
             assertEquals("n1", config.name());
             assertEquals(stage.registry.address(), config.discovery());
             assertEquals(-5, config.seed());
@@ -32,19 +32,21 @@
             assertEquals(plan.size(Knob.CONN_IDLE), config.connIdle());
             assertEquals(plan.size(Knob.MAX_OPEN), config.maxOpen());
             assertEquals(Site.ZONES, config.zones());
-            Balancer.Settings settings = config.settings();
+            var settings = config.settings();
             assertEquals(9, settings.tenants().size());
-            assertEquals(Balancer.Discovery.SUBSCRIBE, settings.discovery());
-            assertEquals(plan.size(Knob.ASK_WITHIN), settings.limits().askWithin());
-            assertEquals(plan.size(Knob.RETRY_AFTER) > 0, settings.allowed().retryAfter());
-            assertFalse(settings.allowed().probes());
+            assertEquals(DiscoveryMode.SUBSCRIBED, settings.discoveryMode());
+            assertEquals(plan.size(Knob.ASK_WITHIN), settings.safetyLimits().pollIntervalNanos());
+            assertEquals(plan.size(Knob.RETRY_AFTER) > 0, settings.capabilities().retryAfter());
+            assertFalse(settings.capabilities().healthChecks());
             assertEquals(Classes.ALL.size(), settings.classes().size());
             for (int i = 0; i < Classes.ALL.size(); i++) {
-                assertEquals(Classes.of(i).semantics(), settings.classes().get(i).semantics());
+                assertEquals(Classes.of(i).semantics(), settings.classes().get(i).idempotency());
                 assertTrue(
                         !Classes.of(i).keyed()
-                                || Classes.of(i).scope() == settings.classes().get(i).scope());
-                assertEquals(plan.deadline(Classes.of(i)), settings.classes().get(i).deadline());
+                                || Classes.of(i).scope()
+                                        == settings.classes().get(i).deduplicationScope());
+                assertEquals(
+                        plan.deadline(Classes.of(i)), settings.classes().get(i).deadlineNanos());
             }
         }
     }
