--- a/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
+++ b/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
@@ -136,13 +136,15 @@
             MaintenanceDirective last = said.get(word.id());
             boolean fresh =
                     last == null
-                            ? word.out() ? out.size() < MOST : now - word.at() <= TOLD
-                            : word.at() > last.at();
+                            ? word.suspended()
+                                    ? out.size() < MOST
+                                    : now - word.issuedAtUnixNanos() <= TOLD
+                            : word.issuedAtUnixNanos() > last.issuedAtUnixNanos();
             if (fresh) {
                 EndpointUpdate news =
-                        word.out()
-                                ? suspended(word.id(), word.at())
-                                : restored(word.id(), word.at());
+                        word.suspended()
+                                ? suspended(word.id(), word.issuedAtUnixNanos())
+                                : restored(word.id(), word.issuedAtUnixNanos());
                 if (news != null) {
                     all.add(news);
                 }
@@ -162,7 +164,7 @@
      */
     private void forget(long now) {
         back.values().removeIf(at -> now - at > rampTime);
-        said.values().removeIf(word -> !word.out() && now - word.at() > TOLD);
+        said.values().removeIf(word -> !word.suspended() && now - word.issuedAtUnixNanos() > TOLD);
     }
 
     /** Who is out, and since when. */
--- a/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
+++ b/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
@@ -39,17 +39,17 @@
     }
 
     @Override
-    public void taken(int requestClass) {
+    public void onRequestAccepted(int requestClass) {
         taken[requestClass]++;
     }
 
     @Override
-    public void ended(int requestClass, RequestEnd how) {
+    public void onRequestEnded(int requestClass, RequestEnd how) {
         ended[how.ordinal()][requestClass]++;
     }
 
     @Override
-    public void sent(int requestClass, boolean again) {
+    public void onAttemptSent(int requestClass, boolean again) {
         attempts[requestClass]++;
         if (again) {
             further[requestClass]++;
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void malformed() {
+    public void onMalformedRequest() {
         malformed++;
     }
 
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
@@ -35,7 +35,7 @@
     AdminConnection(AdminServer line, Channel channel) {
         this.line = line;
         this.channel = channel;
-        this.since = line.loop().now();
+        this.since = line.loop().nanoTime();
     }
 
     long since() {
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
@@ -108,7 +108,7 @@
         if (closed) {
             channel.close();
         } else if (told) {
-            loop.log().news("operators' line at " + address);
+            loop.log().info("operators' line at " + address);
         }
     }
 
@@ -151,7 +151,7 @@
         }
         accept(false);
         AdminConnection oldest = callers.iterator().next();
-        long stood = loop.now() - oldest.since();
+        long stood = loop.nanoTime() - oldest.since();
         next.cancel();
         next =
                 loop.after(
--- a/sidecar/src/main/java/appleridge/config/SidecarConfig.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarConfig.java
@@ -20,33 +20,33 @@
  * What a sidecar is told at its start, validated.
  *
  * @param seed for the module's random numbers; new with each start
- * @param sockets file descriptors that the process may hold
- * @param known the list of upstreams as last had, in discovery's form; may be null
+ * @param maxDescriptors file descriptors that the process may hold
+ * @param cachedEndpoints the list of upstreams as last had, in discovery's form; may be null
  * @param settings as the module gets them: a pushed list is one to subscribe to, and no peer is
  *     told
  * @param pushed discovery is an agent on this machine, and what it has counts as told at once
- * @param classes names of the request classes, as clients send them
- * @param tenants names of the tenants, as clients send them
- * @param connIdle nanoseconds after which an upstream closes an idle connection
- * @param maxOpen requests that may be open at once
- * @param admin where operators call; null for nowhere
+ * @param requestClassNames names of the request classes, as clients send them
+ * @param tenantNames names of the tenants, as clients send them
+ * @param upstreamIdleTimeoutNanos nanoseconds after which an upstream closes an idle connection
+ * @param maxOpenRequests requests that may be open at once
+ * @param adminAddress where operators call; null for nowhere
  */
 public record SidecarConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
+        InetSocketAddress listenAddress,
+        InetSocketAddress registryAddress,
         long seed,
-        int sockets,
-        JsonNode known,
+        int maxDescriptors,
+        JsonNode cachedEndpoints,
         PolicySettings settings,
         boolean pushed,
-        List<String> classes,
-        List<String> tenants,
+        List<String> requestClassNames,
+        List<String> tenantNames,
         List<String> zones,
         List<String> kinds,
-        long connIdle,
-        int maxOpen,
-        InetSocketAddress admin) {
+        long upstreamIdleTimeoutNanos,
+        int maxOpenRequests,
+        InetSocketAddress adminAddress) {
     private static final int LEAST_SOCKETS = 64;
 
     /**
@@ -159,34 +159,60 @@
     /** The same with operators calling elsewhere. */
     public SidecarConfig withAdmin(InetSocketAddress other) {
         return new SidecarConfig(
-                name, listen, discovery, seed, sockets, known, settings, pushed, classes, tenants,
-                zones, kinds, connIdle, maxOpen, other);
+                name,
+                listenAddress,
+                registryAddress,
+                seed,
+                maxDescriptors,
+                cachedEndpoints,
+                settings,
+                pushed,
+                requestClassNames,
+                tenantNames,
+                zones,
+                kinds,
+                upstreamIdleTimeoutNanos,
+                maxOpenRequests,
+                other);
     }
 
     /** The same with clients connecting elsewhere. */
     public SidecarConfig listeningAt(InetSocketAddress other) {
         return new SidecarConfig(
-                name, other, discovery, seed, sockets, known, settings, pushed, classes, tenants,
-                zones, kinds, connIdle, maxOpen, admin);
+                name,
+                other,
+                registryAddress,
+                seed,
+                maxDescriptors,
+                cachedEndpoints,
+                settings,
+                pushed,
+                requestClassNames,
+                tenantNames,
+                zones,
+                kinds,
+                upstreamIdleTimeoutNanos,
+                maxOpenRequests,
+                adminAddress);
     }
 
     /** What differs in another configuration and can't be taken over while the sidecar runs. */
     public List<String> fixedParts(SidecarConfig other) {
         Map<String, Boolean> same = new LinkedHashMap<>();
         same.put("name", name.equals(other.name));
-        same.put("listen", listen.equals(other.listen));
-        same.put("admin", Objects.equals(admin, other.admin));
-        same.put("limits", sockets == other.sockets);
+        same.put("listen", listenAddress.equals(other.listenAddress));
+        same.put("admin", Objects.equals(adminAddress, other.adminAddress));
+        same.put("limits", maxDescriptors == other.maxDescriptors);
         same.put(
                 "settings",
                 settings.equals(other.settings)
                         && pushed == other.pushed
-                        && classes.equals(other.classes)
-                        && tenants.equals(other.tenants)
+                        && requestClassNames.equals(other.requestClassNames)
+                        && tenantNames.equals(other.tenantNames)
                         && zones.equals(other.zones)
                         && kinds.equals(other.kinds)
-                        && connIdle == other.connIdle
-                        && maxOpen == other.maxOpen);
+                        && upstreamIdleTimeoutNanos == other.upstreamIdleTimeoutNanos
+                        && maxOpenRequests == other.maxOpenRequests);
         return same.keySet().stream().filter(part -> !same.get(part)).toList();
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/AdminService.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -32,29 +32,33 @@
         this.maintenance =
                 new MaintenanceOverlay(config.settings().safetyLimits().slowStartWindowNanos());
         OpenMetricsReport figures =
-                new OpenMetricsReport(config.classes())
-                        .gauge("requests_open", () -> service.exchanges.books().open())
-                        .gauge("attempts_out", () -> service.exchanges.books().attempts())
+                new OpenMetricsReport(config.requestClassNames())
+                        .gauge(
+                                "requests_open",
+                                () -> service.exchanges.inFlightCounts().openRequests())
+                        .gauge(
+                                "attempts_out",
+                                () -> service.exchanges.inFlightCounts().openAttempts())
                         .gauge("client_connections", service.server::connections)
                         .gauge("upstream_connections", service.pool::connections)
-                        .gauge("upstreams_ready", service.exchanges::ready)
+                        .gauge("upstreams_ready", service.exchanges::readyHostCount)
                         .gauge("upstreams_suspended", () -> maintenance.out().size())
                         .gauge("event_loop_turns", loop::turns)
-                        .gauge("event_loop_events", service.exchanges::events)
+                        .gauge("event_loop_events", service.exchanges::eventCount)
                         .gauge("event_loop_stalls", service.server.monitor()::stalls)
                         .gauge("event_loop_spins", service.server.monitor()::spins)
                         .gauge(
                                 "event_loop_longest_lag_milliseconds",
                                 service.server.monitor()::longestLagMillis)
-                        .gauge("client_checks_after_stalls", service.exchanges::clientChecks)
+                        .gauge("client_checks_after_stalls", service.exchanges::clientCheckCount)
                         .gauge("accept_gate_changes", service.server::acceptGateChanges)
                         .gauge("heap_used_bytes", AdminService::heapUsed);
-        service.exchanges.tally(figures);
+        service.exchanges.metrics(figures);
         this.line =
                 new AdminServer(
                         loop,
                         sockets,
-                        config.admin(),
+                        config.adminAddress(),
                         new AdminCallHandler(
                                 service.server::ready,
                                 figures::text,
@@ -69,20 +73,22 @@
     }
 
     EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
-        return maintenance.over(news, loop.now());
+        return maintenance.over(news, loop.nanoTime());
     }
 
     private MaintenanceOverlay.Effect suspend(String id) {
-        return carriedOut("suspended by an operator: " + id, maintenance.suspend(id, loop.now()));
+        return carriedOut(
+                "suspended by an operator: " + id, maintenance.suspend(id, loop.nanoTime()));
     }
 
     private MaintenanceOverlay.Effect restore(String id) {
-        return carriedOut("restored by an operator: " + id, maintenance.restore(id, loop.now()));
+        return carriedOut(
+                "restored by an operator: " + id, maintenance.restore(id, loop.nanoTime()));
     }
 
     private MaintenanceOverlay.Effect carriedOut(String what, MaintenanceOverlay.Effect effect) {
         if (effect instanceof MaintenanceOverlay.Done done && done.news() != null) {
-            loop.log().news(what);
+            loop.log().info(what);
             told.accept(done.news());
         }
         return effect;
@@ -90,7 +96,7 @@
 
     /** What operators have told another process of this sidecar. */
     void hear(List<MaintenanceDirective> words) {
-        maintenance.hear(words, loop.now()).forEach(told);
+        maintenance.hear(words, loop.nanoTime()).forEach(told);
     }
 
     List<MaintenanceDirective> words() {
--- a/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
+++ b/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
@@ -34,7 +34,7 @@
         serve = running;
         file = path;
         started = config;
-        discovery = config.discovery();
+        discovery = config.registryAddress();
         if (early) {
             requested();
         }
@@ -77,8 +77,8 @@
                     System.Logger.Level.WARNING,
                     "needs a restart to take effect: " + String.join(", ", fixed));
         }
-        if (!next.discovery().equals(discovery)) {
-            discovery = next.discovery();
+        if (!next.registryAddress().equals(discovery)) {
+            discovery = next.registryAddress();
             LOG.log(System.Logger.Level.INFO, "discovery is now at " + discovery);
             serve.follow(discovery);
         }
--- a/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
@@ -10,7 +10,7 @@
 
 /** Makes the source of a sidecar's list. */
 public interface DiscoveryFactory {
-    /** Called on the loop; nothing is told before {@link EndpointDiscovery#begin} has returned. */
+    /** Called on the loop; nothing is told before {@link EndpointDiscovery#start} has returned. */
     EndpointDiscovery make(
             SidecarEventLoop loop,
             SocketFactory sockets,
@@ -26,8 +26,8 @@
         return new RegistryDiscovery(
                 loop,
                 sockets,
-                config.discovery(),
-                config.known(),
+                config.registryAddress(),
+                config.cachedEndpoints(),
                 new EndpointListParser(config.zones(), config.kinds()),
                 sink,
                 config.pushed()
--- a/sidecar/src/main/java/appleridge/daemon/HotRestart.java
+++ b/sidecar/src/main/java/appleridge/daemon/HotRestart.java
@@ -78,7 +78,7 @@
     /** What operators have told the others. */
     List<MaintenanceDirective> words() {
         List<MaintenanceDirective> words = new ArrayList<>();
-        others.forEach(other -> words.addAll(other.words()));
+        others.forEach(other -> words.addAll(other.directives()));
         return words;
     }
 
@@ -88,7 +88,7 @@
         node = sidecar;
         node.share(overlap);
         if (isBesideAnother()) {
-            loop.log().news(THERE);
+            loop.log().info(THERE);
         }
         loop.after(SOON, this::look);
     }
@@ -98,9 +98,9 @@
                 () -> {
                     try {
                         List<ProcessState> found = slots.others();
-                        loop.soon(() -> heard(found));
+                        loop.execute(() -> heard(found));
                     } catch (IOException | RuntimeException e) {
-                        loop.soon(() -> heard(List.of()));
+                        loop.execute(() -> heard(List.of()));
                     }
                 });
     }
@@ -109,7 +109,7 @@
         boolean before = isBesideAnother();
         others = found;
         if (before != isBesideAnother()) {
-            loop.log().news(before ? "alone again" : THERE);
+            loop.log().info(before ? "alone again" : THERE);
         }
         settle();
         node.hear(words());
@@ -157,14 +157,14 @@
                     try {
                         slots.tell(state);
                     } catch (IOException | RuntimeException e) {
-                        loop.soon(
+                        loop.execute(
                                 () ->
                                         loop.log()
                                                 .warning(
                                                         "the other process can't be told: "
                                                                 + e.getMessage()));
                     }
-                    loop.soon(then);
+                    loop.execute(then);
                 });
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/NodeDiscoveryAdapter.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodeDiscoveryAdapter.java
@@ -89,18 +89,18 @@
         this.jitter = new SplittableRandom(seed);
         this.membership =
                 new NodeDiscovery(
-                        merge, settings, this::told, loop.log()::news, loop.log()::warning);
+                        merge, settings, this::told, loop.log()::info, loop.log()::warning);
         this.registry = registry.apply(this::registryTold);
         this.client = client.apply(membership);
     }
 
     @Override
-    public List<DiscoveredEndpoint> begin() {
-        List<DiscoveredEndpoint> known = registry.begin();
-        membership.registry(loop.now(), UpdateKind.CACHED_SNAPSHOT, known);
+    public List<DiscoveredEndpoint> start() {
+        List<DiscoveredEndpoint> known = registry.start();
+        membership.registry(loop.nanoTime(), UpdateKind.CACHED_SNAPSHOT, known);
         begun = true;
         client.start();
-        ticks = loop.every(tick, () -> membership.tick(loop.now()));
+        ticks = loop.every(tick, () -> membership.tick(loop.nanoTime()));
         return known;
     }
 
@@ -116,7 +116,7 @@
             wait = 0;
             again.cancel();
         }
-        membership.registry(loop.now(), kind, members);
+        membership.registry(loop.nanoTime(), kind, members);
     }
 
     private void told(
@@ -124,7 +124,7 @@
         if (!begun || kind == UpdateKind.FAILURE) {
             return;
         }
-        long waited = loop.now() - toldAt;
+        long waited = loop.nanoTime() - toldAt;
         if (waited > WAITED) {
             loop.log()
                     .warning(
@@ -136,7 +136,7 @@
         }
         telling = true;
         try {
-            sink.told(kind, members);
+            sink.onUpdate(kind, members);
         } finally {
             telling = false;
         }
@@ -150,9 +150,9 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         if (merge == SourceSelection.BOTH) {
-            registry.fetchList();
+            registry.fetchEndpoints();
         }
     }
 
@@ -162,22 +162,22 @@
      * even to them, while the registry's news are here already.
      */
     @Override
-    public void catchUp() {
+    public void readPendingUpdates() {
         caughtUp = false;
         if (telling) {
             // Noticed in the middle of news: what comes now is to be taken in behind them.
-            loop.soon(this::catchUp);
+            loop.execute(this::readPendingUpdates);
             return;
         }
-        registry.catchUp();
+        registry.readPendingUpdates();
         client.catchUp();
-        membership.tick(loop.now());
+        membership.tick(loop.nanoTime());
         long mine = ++catchUps;
         client.confirm(
                 () -> {
                     if (mine == catchUps && !caughtUp) {
                         caughtUp = true;
-                        sink.told(UpdateKind.DELTA, List.of());
+                        sink.onUpdate(UpdateKind.DELTA, List.of());
                     }
                 });
     }
@@ -188,8 +188,8 @@
     }
 
     @Override
-    public void moveTo(InetSocketAddress address) {
-        registry.moveTo(address);
+    public void switchRegistry(InetSocketAddress address) {
+        registry.switchRegistry(address);
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/daemon/OperatorFileStartup.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorFileStartup.java
@@ -174,11 +174,11 @@
         SidecarConfig config = SidecarConfig.parse(Files.readAllBytes(file));
         Map<String, String> settings = new LinkedHashMap<>();
         settings.put("name", config.name());
-        settings.put("listen", String.valueOf(config.listen()));
-        settings.put("discovery", String.valueOf(config.discovery()));
-        settings.put("limits.sockets", String.valueOf(config.sockets()));
-        settings.put("classes", String.join(", ", config.classes()));
-        settings.put("caps.maxOpen", String.valueOf(config.maxOpen()));
-        return new PlatformFile.Summary(config.sockets(), settings);
+        settings.put("listen", String.valueOf(config.listenAddress()));
+        settings.put("discovery", String.valueOf(config.registryAddress()));
+        settings.put("limits.sockets", String.valueOf(config.maxDescriptors()));
+        settings.put("classes", String.join(", ", config.requestClassNames()));
+        settings.put("caps.maxOpen", String.valueOf(config.maxOpenRequests()));
+        return new PlatformFile.Summary(config.maxDescriptors(), settings);
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
+++ b/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
@@ -81,7 +81,9 @@
                         "SIGHUP is ignored by who started this process: a new "
                                 + "configuration needs a restart");
             }
-            LOG.log(System.Logger.Level.INFO, config.name() + " serves at " + config.listen());
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    config.name() + " serves at " + config.listenAddress());
             // Danger: clients come all at once when it says so. What a start has still to do then,
             // on
             // whichever thread, has the core while their requests wait unread.
@@ -107,7 +109,8 @@
             // Danger: a fixed port is one that another build on the same machine may hold.
             ServeCommand serve = new ServeCommand();
             serve.open(
-                    config.listeningAt(new InetSocketAddress(config.listen().getAddress(), 0)),
+                    config.listeningAt(
+                            new InetSocketAddress(config.listenAddress().getAddress(), 0)),
                     RuntimeOptions.USUAL);
             serve.follow(serve.address());
             serve.warm(config);
@@ -143,7 +146,7 @@
     /** Where operators call, if the platform tells it beside the configuration. */
     static SidecarConfig withAdmin(SidecarConfig config) {
         String told = System.getenv("BALANCER_ADMIN");
-        boolean used = config.admin() == null && told != null && !told.isBlank();
+        boolean used = config.adminAddress() == null && told != null && !told.isBlank();
         return used ? config.withAdmin(SidecarConfig.address(told.strip())) : config;
     }
 
@@ -273,7 +276,7 @@
         CountDownLatch drained = new CountDownLatch(1);
         drain(drained::countDown);
         // Behind that on the loop: who reads this line may count on the end having begun.
-        group.execute(() -> SystemLog.info("draining"));
+        group.execute(() -> SystemLog.logProcessEvent("draining"));
         try {
             drained.await(LONGEST_DRAIN_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
--- a/sidecar/src/main/java/appleridge/daemon/Sidecar.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -61,25 +61,25 @@
                         sockets,
                         config,
                         new UpstreamCluster.Size(
-                                (int) (config.sockets() * tuning.clientsPart()),
-                                (int) (config.sockets() * tuning.upstreamsPart())),
+                                (int) (config.maxDescriptors() * tuning.clientsPart()),
+                                (int) (config.maxDescriptors() * tuning.upstreamsPart())),
                         tuning.times(),
                         module);
         this.directory = new EndpointTable(loop::place);
         this.source = tuning.source().make(loop, sockets, config, this::told);
         this.operators =
-                config.admin() == null
+                config.adminAddress() == null
                         ? null
                         : new AdminService(loop, sockets, config, service, this::told, this::keep);
         if (handover != null) {
             hear(handover.words());
         }
         EndpointTable.EndpointUpdate known =
-                over(directory.news(UpdateKind.CACHED_SNAPSHOT, source.begin()));
+                over(directory.update(UpdateKind.CACHED_SNAPSHOT, source.start()));
         service.exchanges.start(source, known.entries(), known.addresses());
         this.listening =
                 held == null
-                        ? service.server.listen(config.listen())
+                        ? service.server.listen(config.listenAddress())
                         : service.server.listen(
                                 held, handover == null || handover.overlap().accepts());
         if (handover != null) {
@@ -97,8 +97,8 @@
 
     /** What it may use beside other processes of its sidecar. */
     void share(ResourceShare overlap) {
-        service.server.share(overlap.accepts(), overlap.part());
-        service.pool.share(overlap.part());
+        service.server.share(overlap.accepts(), overlap.fraction());
+        service.pool.share(overlap.fraction());
     }
 
     /** What operators have told others. */
@@ -114,7 +114,7 @@
     }
 
     private void told(UpdateKind kind, List<DiscoveredEndpoint> members) {
-        told(over(directory.news(kind, members)));
+        told(over(directory.update(kind, members)));
     }
 
     private EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
@@ -122,7 +122,7 @@
     }
 
     private void told(EndpointTable.EndpointUpdate news) {
-        service.exchanges.listChanged(news.kind(), news.entries(), news.addresses());
+        service.exchanges.onEndpointUpdate(news.kind(), news.entries(), news.addresses());
     }
 
     /** Done when it listens or can't. On any thread. */
@@ -140,7 +140,7 @@
 
     /** Goes over to another discovery; requests go on untouched. */
     public void follow(InetSocketAddress otherDiscovery) {
-        source.moveTo(otherDiscovery);
+        source.switchRegistry(otherDiscovery);
     }
 
     /**
@@ -154,7 +154,7 @@
     void drain(long toldAgo, Runnable drained) {
         service.server.drain(toldAgo, drained);
         if (handover != null) {
-            handover.phase(ProcessPhase.ENDING);
+            handover.phase(ProcessPhase.DRAINING);
         }
     }
 
@@ -169,7 +169,7 @@
 
     /** What is open. */
     public InFlightCounts books() {
-        return service.exchanges.books();
+        return service.exchanges.inFlightCounts();
     }
 
     /** Connections of clients that are open. */
--- a/sidecar/src/main/java/appleridge/daemon/UpstreamCluster.java
+++ b/sidecar/src/main/java/appleridge/daemon/UpstreamCluster.java
@@ -54,7 +54,7 @@
                         loop,
                         sockets,
                         settings.capabilities().connectTimeoutNanos(),
-                        config.connIdle(),
+                        config.upstreamIdleTimeoutNanos(),
                         stall(settings),
                         size.upstreams);
         exchanges =
@@ -62,7 +62,7 @@
                         loop,
                         loop,
                         settings,
-                        config.maxOpen(),
+                        config.maxOpenRequests(),
                         pool,
                         loop.log(),
                         actions -> module.make(settings, config.seed(), actions));
--- a/sidecar/src/main/java/appleridge/daemon/WarmUp.java
+++ b/sidecar/src/main/java/appleridge/daemon/WarmUp.java
@@ -82,7 +82,7 @@
     }
 
     private void run() throws InterruptedException {
-        InetSocketAddress anyPort = new InetSocketAddress(config.listen().getAddress(), 0);
+        InetSocketAddress anyPort = new InetSocketAddress(config.listenAddress().getAddress(), 0);
         Channel upstream =
                 new ServerBootstrap()
                         .group(loop.executor(), loop.executor())
@@ -111,7 +111,7 @@
                         ClientTimeouts.USUAL,
                         SymmetricRoundRobinPolicy::new);
         InetSocketAddress to = (InetSocketAddress) upstream.localAddress();
-        loop.soon(
+        loop.execute(
                 () ->
                         service.exchanges.start(
                                 new NoLists(),
@@ -123,7 +123,7 @@
             channels.add(client(address));
         }
         done.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
-        loop.soon(
+        loop.execute(
                 () -> {
                     sent = REQUESTS;
                     channels.forEach(Channel::close);
@@ -157,7 +157,7 @@
     }
 
     private FullHttpRequest request() {
-        int requestClass = sent % config.classes().size();
+        int requestClass = sent % config.requestClassNames().size();
         boolean safe =
                 config.settings().classes().get(requestClass).idempotency()
                         == Idempotency.IDEMPOTENT;
@@ -170,7 +170,7 @@
         request.headers()
                 .set(HttpHeaderNames.HOST, "warm-up")
                 .set(Headers.REQUEST_ID, "warm-up-" + sent)
-                .set(Headers.CLASS, config.classes().get(requestClass))
+                .set(Headers.CLASS, config.requestClassNames().get(requestClass))
                 .set(Headers.DEADLINE, "1.0")
                 .set(Headers.IDEMPOTENCY_KEY, sent)
                 .set(HttpHeaderNames.COOKIE, "user=7f3a9c21e0b4d655")
@@ -224,9 +224,9 @@
         public void subscribe(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpoints() {}
 
         @Override
-        public void catchUp() {}
+        public void readPendingUpdates() {}
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/DiscoveredEndpoint.java
+++ b/sidecar/src/main/java/appleridge/discovery/DiscoveredEndpoint.java
@@ -9,7 +9,7 @@
  * @param id the same at every sidecar, over restarts of the upstream's process, and in all sources
  * @param zone its place among the settings' zones, and so {@code kind} and {@code cell}
  * @param weight its registered size
- * @param startedMillis Unix time in milliseconds at which it last started; 0 for long ago
+ * @param startedAtUnixMillis Unix time in milliseconds at which it last started; 0 for long ago
  */
 public record DiscoveredEndpoint(
         String id,
@@ -19,9 +19,10 @@
         int cell,
         HostState state,
         float weight,
-        long startedMillis) {
+        long startedAtUnixMillis) {
     /** The same in another state. */
-    public DiscoveredEndpoint in(HostState other) {
-        return new DiscoveredEndpoint(id, address, zone, kind, cell, other, weight, startedMillis);
+    public DiscoveredEndpoint withState(HostState other) {
+        return new DiscoveredEndpoint(
+                id, address, zone, kind, cell, other, weight, startedAtUnixMillis);
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/DiscoveryListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/DiscoveryListener.java
@@ -6,5 +6,5 @@
 /** Takes what a source of the list has to tell, on the loop. */
 public interface DiscoveryListener {
     /** News of the list; none with {@link ListValueKind#FAILURE}. */
-    void told(UpdateKind kind, List<DiscoveredEndpoint> members);
+    void onUpdate(UpdateKind kind, List<DiscoveredEndpoint> members);
 }
--- a/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
@@ -43,7 +43,7 @@
     }
 
     /** Takes in news of the list; who is missing from a whole one is gone. */
-    public EndpointUpdate news(UpdateKind kind, List<DiscoveredEndpoint> told) {
+    public EndpointUpdate update(UpdateKind kind, List<DiscoveredEndpoint> told) {
         Collection<DiscoveredEndpoint> members = last(told);
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             Set<String> listed = new HashSet<>();
@@ -66,7 +66,7 @@
                             member.cell(),
                             member.state(),
                             member.weight(),
-                            starts.of(member.id(), member.startedMillis())));
+                            starts.of(member.id(), member.startedAtUnixMillis())));
             addresses.put(number, member.address());
             ids.put(number, member.id());
         }
@@ -107,9 +107,10 @@
             String absent =
                     member.state() == HostState.GONE
                             ? null
-                            : holders.listed(member.id(), member.address(), member.startedMillis());
+                            : holders.listed(
+                                    member.id(), member.address(), member.startedAtUnixMillis());
             if (absent != null) {
-                told.put(absent, known.get(absent).in(HostState.GONE));
+                told.put(absent, known.get(absent).withState(HostState.GONE));
             }
         }
         return told;
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Candidate.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Candidate.java
@@ -17,7 +17,7 @@
      */
     static final Comparator<Candidate> FIRST_AT_ADDRESS =
             Comparator.comparing(Candidate::there)
-                    .thenComparingLong(each -> each.member.startedMillis())
+                    .thenComparingLong(each -> each.member.startedAtUnixMillis())
                     .thenComparing(Candidate::fromNode)
                     .thenComparingLong(Candidate::czxid)
                     .reversed()
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
@@ -56,7 +56,7 @@
             DiscoveredEndpoint next = listed(id);
             DiscoveredEndpoint before = next == null ? told.remove(id) : told.put(id, next);
             if (next == null && before != null) {
-                gone.add(before.in(HostState.GONE));
+                gone.add(before.withState(HostState.GONE));
             } else if (next != null && !next.equals(before)) {
                 changed.add(next);
             }
@@ -88,7 +88,7 @@
         return next == null
                 || next.member().state() != HostState.READY
                 || !next.member().address().equals(before.address())
-                || next.member().startedMillis() != before.startedMillis();
+                || next.member().startedAtUnixMillis() != before.startedAtUnixMillis();
     }
 
     /**
@@ -104,7 +104,8 @@
             }
             for (String other : addresses.at(candidate.member().address())) {
                 DiscoveredEndpoint there = told.get(other);
-                if (there != null && there.startedMillis() > candidate.member().startedMillis()) {
+                if (there != null
+                        && there.startedAtUnixMillis() > candidate.member().startedAtUnixMillis()) {
                     nodes.of(id).forEach(TrackedNode::displace);
                     registry.displace(id);
                     candidates.remove(id);
@@ -157,9 +158,13 @@
         }
         DiscoveredEndpoint own = node.member();
         boolean drains = own.state() != HostState.READY || listed.state() != HostState.READY;
-        DiscoveredEndpoint last = listed.startedMillis() > own.startedMillis() ? listed : own;
+        DiscoveredEndpoint last =
+                listed.startedAtUnixMillis() > own.startedAtUnixMillis() ? listed : own;
         return new Candidate(
-                last.in(drains ? HostState.DRAINING : HostState.READY), true, true, node.czxid);
+                last.withState(drains ? HostState.DRAINING : HostState.READY),
+                true,
+                true,
+                node.czxid);
     }
 
     private static Candidate candidate(TrackedNode node) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -139,7 +139,7 @@
                 listed -> nodes.of(listed.id()).forEach(this::listedToo),
                 ended ->
                         nodes.of(ended.id())
-                                .forEach(node -> node.registryEnds(ended.startedMillis())));
+                                .forEach(node -> node.registryEnds(ended.startedAtUnixMillis())));
         List<DiscoveredEndpoint> changes = changes();
         // Also where nothing has changed: it tells that the registry answers.
         tell(now, kind, kind == UpdateKind.DELTA ? changes : merged.all(), REGISTRY, now);
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
@@ -35,7 +35,7 @@
         long endedStart = Long.MIN_VALUE;
 
         boolean isEnded() {
-            return endedStart >= member.startedMillis();
+            return endedStart >= member.startedAtUnixMillis();
         }
     }
 
@@ -106,9 +106,9 @@
             DiscoveredEndpoint listed = each.member;
             long until =
                     listed.id().equals(node.id())
-                            ? node.startedMillis() + SAME_START
-                            : node.startedMillis();
-            if (listed.startedMillis() <= until) {
+                            ? node.startedAtUnixMillis() + SAME_START
+                            : node.startedAtUnixMillis();
+            if (listed.startedAtUnixMillis() <= until) {
                 each.endedStart = Math.max(each.endedStart, until);
                 touched.accept(listed.id());
             }
@@ -122,7 +122,7 @@
         Entry entry = entries.get(name);
         if (entry != null) {
             entry.endedStart =
-                    Math.max(entry.endedStart, entry.member.startedMillis() + SAME_START);
+                    Math.max(entry.endedStart, entry.member.startedAtUnixMillis() + SAME_START);
             touched.accept(name);
         }
     }
@@ -131,7 +131,7 @@
     void displace(String id) {
         Entry entry = entries.get(id);
         if (entry != null) {
-            entry.endedStart = Math.max(entry.endedStart, entry.member.startedMillis());
+            entry.endedStart = Math.max(entry.endedStart, entry.member.startedAtUnixMillis());
         }
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public List<DiscoveredEndpoint> begin() {
+    public List<DiscoveredEndpoint> start() {
         EndpointListParser.Update update =
                 known == null || known.isNull()
                         ? new EndpointListParser.Update(0, UpdateKind.CACHED_SNAPSHOT, List.of())
@@ -157,7 +157,7 @@
 
     /** A whole list takes the place of a watch that is out; the watch goes on after it. */
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         drop();
         call(LIST, 0);
     }
@@ -169,8 +169,8 @@
      * there was nothing to tell.
      */
     @Override
-    public void catchUp() {
-        long now = loop.now();
+    public void readPendingUpdates() {
+        long now = loop.nanoTime();
         long asked = askedAt;
         boolean justAsked = now - asked < JUST_ASKED;
         boolean wasBehind = behind;
@@ -193,7 +193,7 @@
             if (!failing) {
                 // Danger: kept back for word of the list, requests would wait for a watch that has
                 // none.
-                sink.told(UpdateKind.DELTA, List.of());
+                sink.onUpdate(UpdateKind.DELTA, List.of());
             }
         } else if (behind && watching && !calling && !failing) {
             watch();
@@ -211,7 +211,7 @@
      * be on its way, so it is listened to until the new one answers.
      */
     @Override
-    public void moveTo(InetSocketAddress other) {
+    public void switchRegistry(InetSocketAddress other) {
         done();
         // Danger: of a watch that is overdue and the call beside it, the call is the one that is
         // answered.
@@ -258,7 +258,7 @@
         timeout.cancel();
         calling = true;
         askedBefore = askedAt;
-        askedAt = loop.now();
+        askedAt = loop.nanoTime();
         watchedAt = wait > 0 ? askedAt : 0;
         if (connection == null || !connection.usable()) {
             if (connection != null) {
@@ -349,7 +349,7 @@
         boolean news = update.revision() != revision;
         revision = update.revision();
         wholeFirst &= update.kind() != UpdateKind.SNAPSHOT;
-        long rest = watchedAt + BETWEEN_WATCHES - loop.now();
+        long rest = watchedAt + BETWEEN_WATCHES - loop.nanoTime();
         if (news || rest <= 0) {
             goOn();
         } else {
@@ -371,9 +371,9 @@
     private void told(EndpointListParser.Update update) {
         if (failing) {
             failing = false;
-            loop.log().news("discovery answers again");
+            loop.log().info("discovery answers again");
         }
-        sink.told(update.kind(), update.members());
+        sink.onUpdate(update.kind(), update.members());
     }
 
     @Override
@@ -389,7 +389,7 @@
             failing = true;
             loop.log().warning("discovery fails: " + why);
         }
-        sink.told(UpdateKind.FAILURE, List.of());
+        sink.onUpdate(UpdateKind.FAILURE, List.of());
     }
 
     /**
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -58,15 +58,15 @@
     }
 
     void session(SessionState state) {
-        add(Sort.SESSION, () -> hearer.session(loop.now(), state));
+        add(Sort.SESSION, () -> hearer.session(loop.nanoTime(), state));
     }
 
     void doubt(StalenessCause why) {
-        add(Sort.DOUBT, () -> hearer.doubt(loop.now(), why));
+        add(Sort.DOUBT, () -> hearer.doubt(loop.nanoTime(), why));
     }
 
     void accept() {
-        add(Sort.ACCEPT, () -> hearer.accept(loop.now()));
+        add(Sort.ACCEPT, () -> hearer.accept(loop.nanoTime()));
     }
 
     void confirmed(Runnable heard) {
@@ -77,7 +77,7 @@
         add(
                 Sort.SNAPSHOT,
                 () -> {
-                    hearer.snapshot(loop.now(), told, zxid, nodes);
+                    hearer.snapshot(loop.nanoTime(), told, zxid, nodes);
                     after.run();
                 });
     }
@@ -169,7 +169,7 @@
         if (!hopping) {
             hopping = true;
             try {
-                loop.soon(this::turn);
+                loop.execute(this::turn);
             } catch (RejectedExecutionException e) {
                 // The loop has ended; nobody is left to tell.
                 parts.clear();
@@ -223,13 +223,13 @@
 
     private void tell(String name, Change change) {
         if (change.gone != 0) {
-            hearer.gone(loop.now(), change.goneTold, change.gone, name);
+            hearer.gone(loop.nanoTime(), change.goneTold, change.gone, name);
         }
         if (change.changed != 0) {
-            hearer.changed(loop.now(), change.changedTold, change.changed, name);
+            hearer.changed(loop.nanoTime(), change.changedTold, change.changed, name);
         }
         if (change.read != null) {
-            hearer.read(loop.now(), name, change.read);
+            hearer.read(loop.nanoTime(), name, change.read);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -175,7 +175,8 @@
                 // Nobody is left to be told.
                 return;
             } catch (RuntimeException e) {
-                loop.soon(() -> loop.log().failure("the coordination service's client failed", e));
+                loop.execute(
+                        () -> loop.log().failure("the coordination service's client failed", e));
             }
         }
     }
@@ -189,7 +190,7 @@
         try {
             next.begin(ZooKeeperClientFactory.open(settings, next));
         } catch (IOException | RuntimeException e) {
-            loop.soon(
+            loop.execute(
                     () ->
                             loop.log()
                                     .warning(
@@ -204,7 +205,7 @@
             return;
         }
         drop();
-        loop.soon(
+        loop.execute(
                 () -> {
                     long wait = Math.min(MOST_BACKOFF, BACKOFF << Math.min(ended, 10));
                     ended++;
@@ -278,7 +279,7 @@
             connected = true;
             readOnly = state == SessionState.READ_ONLY;
             mailbox.session(state);
-            loop.soon(
+            loop.execute(
                     () -> {
                         ended = 0;
                         readAfter(first ? 0 : chance.nextLong(SPREAD));
@@ -324,7 +325,7 @@
             silent = subtree.waits() && now == answered ? silent + 1 : 0;
             answered = now;
             if (silent >= SILENT_LOOKS) {
-                loop.soon(() -> loop.log().warning(MUTE));
+                loop.execute(() -> loop.log().warning(MUTE));
                 mailbox.session(SessionState.SUSPENDED);
                 connected = false;
                 ended(this);
@@ -415,7 +416,7 @@
 
         @Override
         public void trouble(Code code) {
-            loop.soon(
+            loop.execute(
                     () -> {
                         String trouble = "the coordination service answers " + code;
                         if (!trouble.equals(lastTrouble)) {
@@ -427,12 +428,12 @@
         }
 
         private void again(long wait) {
-            loop.soon(() -> readAfter(wait + chance.nextLong(wait / 4)));
+            loop.execute(() -> readAfter(wait + chance.nextLong(wait / 4)));
         }
 
         @Override
         public long now() {
-            return loop.now();
+            return loop.nanoTime();
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/hotrestart/MaintenanceDirective.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/MaintenanceDirective.java
@@ -5,7 +5,7 @@
  * counts.
  *
  * @param id the upstream's, as the list has it
- * @param out whether it was called out, or back
- * @param at when, in nanoseconds of Unix time
+ * @param suspended whether it was called out, or back
+ * @param issuedAtUnixNanos when, in nanoseconds of Unix time
  */
-public record MaintenanceDirective(String id, boolean out, long at) {}
+public record MaintenanceDirective(String id, boolean suspended, long issuedAtUnixNanos) {}
--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
@@ -7,7 +7,7 @@
     /** It serves. */
     SERVING("SERVING"),
     /** It accepts no more, and answers what it holds. */
-    ENDING("ENDING");
+    DRAINING("ENDING");
 
     private final String storedWord;
 
--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
@@ -5,13 +5,13 @@
 /**
  * What one process tells the others of its sidecar.
  *
- * @param words what operators have said, one of an upstream at most
+ * @param directives what operators have said, one of an upstream at most
  */
-public record ProcessState(ProcessPhase phase, List<MaintenanceDirective> words) {
+public record ProcessState(ProcessPhase phase, List<MaintenanceDirective> directives) {
     /** Words that are told at most. */
     public static final int MOST_WORDS = 8192;
 
     public ProcessState {
-        words = List.copyOf(words);
+        directives = List.copyOf(directives);
     }
 }
--- a/sidecar/src/main/java/appleridge/hotrestart/ResourceShare.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ResourceShare.java
@@ -8,9 +8,9 @@
  * changes little at once.
  *
  * @param accepts whether it takes new connections
- * @param part of the budgets of connections that it may use, above 0 and up to 1
+ * @param fraction of the budgets of connections that it may use, above 0 and up to 1
  */
-public record ResourceShare(boolean accepts, double part) {
+public record ResourceShare(boolean accepts, double fraction) {
     /** For a process in a phase of its own, beside others. */
     public static ResourceShare of(ProcessPhase own, Collection<ProcessPhase> others) {
         double all = weight(own) + others.stream().mapToDouble(ResourceShare::weight).sum();
--- a/sidecar/src/main/java/appleridge/hotrestart/file/StateFile.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/StateFile.java
@@ -22,9 +22,9 @@
 
     static byte[] write(ProcessState state) {
         StringBuilder body = new StringBuilder(state.phase().storedWord()).append('\n');
-        for (MaintenanceDirective word : state.words()) {
-            body.append(word.out() ? "out " : "back ")
-                    .append(word.at())
+        for (MaintenanceDirective word : state.directives()) {
+            body.append(word.suspended() ? "out " : "back ")
+                    .append(word.issuedAtUnixNanos())
                     .append(' ')
                     .append(word.id())
                     .append('\n');
--- a/sidecar/src/main/java/appleridge/http1/AcceptGate.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -70,7 +70,7 @@
     /** To be called when connections have come or gone. */
     void changed() {
         if (room.getAsBoolean()) {
-            roomAt = loop.now();
+            roomAt = loop.nanoTime();
         }
         accept();
     }
@@ -125,7 +125,7 @@
      * nothing was sent on.
      */
     void tellWhoWaits() {
-        if (!room.getAsBoolean() && !ends && loop.now() - roomAt >= PATIENCE) {
+        if (!room.getAsBoolean() && !ends && loop.nanoTime() - roomAt >= PATIENCE) {
             look(() -> {});
         }
     }
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -125,7 +125,7 @@
         this.input = input;
         this.decoder = decoder;
         this.output = new WriteBacklog(channel, server.loop());
-        this.since = server.loop().now();
+        this.since = server.loop().nanoTime();
     }
 
     static void install(Channel channel, ClientListener server) {
@@ -225,7 +225,7 @@
         head = null;
         asked = true;
         reading = false;
-        since = server.loop().now();
+        since = server.loop().nanoTime();
         Exchange exchange =
                 new Exchange(
                         HttpUtil.isKeepAlive(request),
@@ -246,7 +246,7 @@
                                                     .with(exchange.upload)),
                                     exchange);
         } catch (BadRequest e) {
-            server.exchanges().tally().malformed();
+            server.exchanges().metrics().onMalformedRequest();
             exchange.say(e.status(), e.getMessage(), e.allowed());
         }
     }
@@ -261,7 +261,7 @@
         exchange.upload.write(content.content().retain());
         if (content instanceof LastHttpContent) {
             uploading = null;
-            since = server.loop().now();
+            since = server.loop().nanoTime();
             input.whole(decoder.holdsBytes());
             deafenBehind(exchange);
             exchange.upload.whole();
@@ -277,7 +277,7 @@
         uploading = null;
         deafen();
         exchange.upload.end();
-        server.exchanges().tally().malformed();
+        server.exchanges().metrics().onMalformedRequest();
         exchange.hangUp.run();
         exchange.hangUp = () -> {};
         if (exchange.begun) {
@@ -292,13 +292,13 @@
     /** The upstream has enough to read: the client's end is seen again when that has gone. */
     @Override
     public void pause() {
-        pausedAt = server.loop().now();
+        pausedAt = server.loop().nanoTime();
         channel.config().setAutoRead(false);
     }
 
     @Override
     public void resume() {
-        heardAt = server.loop().now();
+        heardAt = server.loop().nanoTime();
         since += heardAt - pausedAt;
         pausedAt = 0;
         channel.config().setAutoRead(true);
@@ -308,12 +308,12 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         inOneTurn = 0;
-        heardAt = server.loop().now();
+        heardAt = server.loop().nanoTime();
         if (uploading != null) {
             uploading.upload.flush();
         } else if (input.begun() && !reading) {
             reading = true;
-            since = server.loop().now();
+            since = server.loop().nanoTime();
         }
         ctx.fireChannelReadComplete();
     }
@@ -321,7 +321,7 @@
     private void take(HttpRequest request, byte[] content) {
         asked = true;
         reading = false;
-        since = server.loop().now();
+        since = server.loop().nanoTime();
         input.whole(decoder.holdsBytes());
         Exchange exchange =
                 new Exchange(
@@ -345,14 +345,15 @@
         }
         try {
             ClientRequest read =
-                    server.reader().read(request, content, server.exchanges().cameAt());
-            if (!seen || server.exchanges().mayHaveWaited()) {
-                server.loop().soon(() -> acceptIfThere(read, exchange));
+                    server.reader()
+                            .read(request, content, server.exchanges().earliestArrivalNanos());
+            if (!seen || server.exchanges().mayHaveWaitedUnread()) {
+                server.loop().execute(() -> acceptIfThere(read, exchange));
             } else {
                 exchange.hangUp = server.exchanges().accept(read, exchange);
             }
         } catch (BadRequest e) {
-            server.exchanges().tally().malformed();
+            server.exchanges().metrics().onMalformedRequest();
             exchange.say(e.status(), e.getMessage(), e.allowed());
         }
     }
@@ -383,7 +384,7 @@
     /** Answers what can't be read on from, after the answers still owed, and closes. */
     private void reject(HttpResponseStatus status, String why) {
         if (!turnedAway) {
-            server.exchanges().tally().malformed();
+            server.exchanges().metrics().onMalformedRequest();
         }
         server.logClosed("rejected status=" + status.code());
         deafen();
@@ -419,7 +420,7 @@
                             last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
             var written = channel.writeAndFlush(exchange.response);
             output.follow(written);
-            since = reading ? since : server.loop().now();
+            since = reading ? since : server.loop().nanoTime();
             if (cut) {
                 uploading = null;
                 exchange.upload.end();
@@ -483,7 +484,7 @@
         exchanges.poll();
         var written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         output.follow(written);
-        since = reading ? since : server.loop().now();
+        since = reading ? since : server.loop().nanoTime();
         if (exchange.last) {
             deafen();
             written.addListener(done -> linger());
@@ -504,10 +505,10 @@
     /** The client has read some, or more waits for it than should. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        since = reading ? since : server.loop().now();
+        since = reading ? since : server.loop().nanoTime();
         StreamedBody flow = flowing();
         if (flow != null) {
-            progress = server.loop().now();
+            progress = server.loop().nanoTime();
             flow.settle();
         }
         ctx.fireChannelWritabilityChanged();
@@ -652,7 +653,7 @@
             reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
         } else if (uploading != null && pausedAt == 0 && !deaf && endless(now, times, uploaded)) {
             cutShort(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
-        } else if (stood >= (asked ? times.idle() : times.first())) {
+        } else if (stood >= (asked ? times.idleMillis() : times.firstRequestMillis())) {
             closeIfIdle();
         }
     }
@@ -662,9 +663,9 @@
      * come.
      */
     private boolean endless(long now, ClientTimeouts times, long ofBody) {
-        return TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= times.request()
+        return TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= times.requestMillis()
                 || TimeUnit.NANOSECONDS.toMillis(now - since)
-                        >= times.request() + ofBody / SLOWEST_BODY;
+                        >= times.requestMillis() + ofBody / SLOWEST_BODY;
     }
 
     /**
@@ -748,7 +749,7 @@
         }
 
         @Override
-        public void look() {
+        public void readPendingInput() {
             if (channel.isActive() && channel.config().isAutoRead() && !input.delivering()) {
                 server.readNow(channel);
             }
@@ -759,20 +760,20 @@
         }
 
         @Override
-        public void flows(StreamedResponse answer) {
+        public void onResponseStreaming(StreamedResponse answer) {
             flow = (StreamedBody) answer;
-            progress = server.loop().now();
+            progress = server.loop().nanoTime();
             flush();
         }
 
         @Override
-        public void flowed() {
+        public void onResponseComplete() {
             flowed = true;
             flush();
         }
 
         @Override
-        public void served(UpstreamResponse reply) {
+        public void onServed(UpstreamResponse reply) {
             HttpUpstreamResponse answer = (HttpUpstreamResponse) reply;
             answer(
                     HttpResponseStatus.OK,
@@ -781,7 +782,7 @@
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRejected(long wait) {
             HttpHeaders headers = new DefaultHttpHeaders();
             if (wait > 0) {
                 headers.set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(wait));
@@ -790,10 +791,10 @@
         }
 
         @Override
-        public void failed(FailureCause cause) {
+        public void onFailed(FailureCause cause) {
             HttpResponseStatus status =
                     switch (cause) {
-                        case LATE -> HttpResponseStatus.GATEWAY_TIMEOUT;
+                        case DEADLINE_EXCEEDED -> HttpResponseStatus.GATEWAY_TIMEOUT;
                         case UPSTREAM -> HttpResponseStatus.BAD_GATEWAY;
                         case ID_IN_USE -> HttpResponseStatus.CONFLICT;
                     };
@@ -806,7 +807,7 @@
                 // Nothing of it has gone out: the answers ahead of it are owed, and so is this one.
                 flow.end();
                 flow = null;
-                failed(FailureCause.UPSTREAM);
+                onFailed(FailureCause.UPSTREAM);
             } else if (flow != null && !chunks && flow.length() < 0) {
                 cutOff();
             } else {
--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -104,7 +104,7 @@
         this.reader = reader;
         this.maxConnections = maxConnections;
         this.most = maxConnections;
-        this.monitor = new EventLoopMonitor(loop, millis(SWEEP_MILLIS), exchanges::events);
+        this.monitor = new EventLoopMonitor(loop, millis(SWEEP_MILLIS), exchanges::eventCount);
         this.backlog = new AcceptGate(loop, maxConnections, this::hasRoom);
         this.sweeper = loop.every(millis(SWEEP_MILLIS), this::sweep);
         this.stallTicks = loop.every(millis(TICK_MILLIS), exchanges::tick);
@@ -178,7 +178,7 @@
 
     /** Whether it can serve: warm, with a list to use, and not about to end. */
     public boolean ready() {
-        return warm && !draining && exchanges.hasUsableList();
+        return warm && !draining && exchanges.hasReadyHost();
     }
 
     SidecarEventLoop loop() {
@@ -330,7 +330,7 @@
 
     /** False if there is none to spare. */
     private boolean spareOne() {
-        long now = loop.now();
+        long now = loop.nanoTime();
         ClientConnection spared = null;
         int most = 0;
         for (ClientConnection each : connections) {
@@ -349,7 +349,7 @@
 
     private void sweep() {
         exchanges.tick();
-        long now = loop.now();
+        long now = loop.nanoTime();
         monitor.tick(now);
         for (ClientConnection each : List.copyOf(connections)) {
             each.expire(now, times);
@@ -370,9 +370,9 @@
     public void drain(long toldAgo, Runnable whenDrained) {
         draining = true;
         drained = whenDrained;
-        long toldAt = loop.now() - toldAgo;
-        DrainSchedule schedule = DrainSchedule.of(exchanges.longestDeadline());
-        exchanges.endBy(toldAt + schedule.end());
+        long toldAt = loop.nanoTime() - toldAgo;
+        DrainSchedule schedule = DrainSchedule.of(exchanges.longestDeadlineNanos());
+        exchanges.endRequestsBy(toldAt + schedule.end());
         logDrain(
                 "begun told_ago_ms="
                         + TimeUnit.NANOSECONDS.toMillis(toldAgo)
@@ -381,7 +381,7 @@
         if (held) {
             backlog.stop();
             lastCall = true;
-            loop.at(
+            loop.scheduleAt(
                     toldAt + millis(KEPT_AFTER_TERM_MILLIS),
                     () -> List.copyOf(connections).forEach(ClientConnection::endIfIdle));
         } else {
@@ -390,7 +390,7 @@
         // What is due at the end is answered at the end; what is still open then never ends, and is
         // not
         // waited for.
-        loop.at(
+        loop.scheduleAt(
                 toldAt + schedule.end() + millis(SETTLE_MILLIS),
                 () -> {
                     logDrain("ended");
@@ -408,8 +408,8 @@
      * cost more than it saves.
      */
     private void drainAlone(long toldAt, DrainSchedule schedule) {
-        loop.at(toldAt + schedule.acceptsUntil(), () -> backlog.end(this::endWhenDrained));
-        loop.at(
+        loop.scheduleAt(toldAt + schedule.acceptsUntil(), () -> backlog.end(this::endWhenDrained));
+        loop.scheduleAt(
                 toldAt + schedule.lastCall(),
                 () -> {
                     logDrain("last_call");
@@ -443,7 +443,7 @@
                                         + " connections="
                                         + connections.size()
                                         + " open="
-                                        + exchanges.books().open());
+                                        + exchanges.inFlightCounts().openRequests());
     }
 
     /** What is known of stalls and spins of the event loop. */
--- a/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
@@ -5,11 +5,11 @@
 /**
  * How long a client's connection may stay as it is, in milliseconds.
  *
- * @param request from a request's first byte to its last
- * @param first from the connection's start to its first request's first byte
- * @param idle from an answer to the next request's first byte
+ * @param requestMillis from a request's first byte to its last
+ * @param firstRequestMillis from the connection's start to its first request's first byte
+ * @param idleMillis from an answer to the next request's first byte
  */
-public record ClientTimeouts(long request, long first, long idle) {
+public record ClientTimeouts(long requestMillis, long firstRequestMillis, long idleMillis) {
     /** What {@link Defaults} says, with the reasons. */
     public static final ClientTimeouts USUAL =
             new ClientTimeouts(
--- a/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
@@ -10,7 +10,7 @@
 
     /** The load report, in the order of the settings; empty if absent or malformed. */
     @Override
-    public float[] load(List<String> fields) {
+    public float[] loadReport(List<String> fields) {
         String text = headers.get(Headers.LOAD);
         if (text == null || fields.isEmpty()) {
             return new float[0];
--- a/sidecar/src/main/java/appleridge/http1/RequestParser.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestParser.java
@@ -91,7 +91,7 @@
         if (name.isBlank()) {
             throw bad("X-Request-Id missing");
         }
-        int requestClass = position(config.classes(), headers.get(Headers.CLASS, ""));
+        int requestClass = position(config.requestClassNames(), headers.get(Headers.CLASS, ""));
         if (requestClass < 0) {
             throw bad("X-Class missing or unknown");
         }
@@ -140,9 +140,11 @@
      * for the first one, a name that nobody has would use up that one's quota.
      */
     private int tenant(String name) throws BadRequest {
-        int tenant = position(config.tenants(), name);
+        int tenant = position(config.tenantNames(), name);
         boolean named =
-                !name.isEmpty() && !config.tenants().isEmpty() && !config.tenants().contains("");
+                !name.isEmpty()
+                        && !config.tenantNames().isEmpty()
+                        && !config.tenantNames().contains("");
         if (tenant < 0 && named) {
             throw bad("X-Tenant unknown");
         }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
@@ -38,7 +38,7 @@
     /** Its connection has come up: whether it is still wanted, now that this is known. */
     boolean connected() {
         if (!over) {
-            listener.connected();
+            listener.onConnected();
         }
         return !over;
     }
@@ -48,7 +48,7 @@
      * what the protocol's three decimals tell, its upstream would be told of no time at all.
      */
     boolean mayBegin(long now) {
-        return now <= window.firstByteBy() && window.until() - now >= SHORTEST;
+        return now <= window.firstByteByNanos() && window.responseByNanos() - now >= SHORTEST;
     }
 
     /**
@@ -56,18 +56,18 @@
      * waited for.
      */
     boolean mustEndInTime() {
-        return window.lastByteBy() < Long.MAX_VALUE;
+        return window.lastByteByNanos() < Long.MAX_VALUE;
     }
 
     /** Whether its last byte may still go out. */
     boolean mayEnd(long now) {
-        return now <= window.lastByteBy() && !over;
+        return now <= window.lastByteByNanos() && !over;
     }
 
     /** The message to be written to a connection now; it tells the time that is left. */
     FullHttpRequest begin(Channel on, Endpoint endpoint, long now) {
         channel = on;
-        return request.message(endpoint.address(), window.until() - now);
+        return request.message(endpoint.address(), window.responseByNanos() - now);
     }
 
     /** The body, where it is too long to be held; null else. */
@@ -81,20 +81,20 @@
      */
     HttpRequest start(Channel on, Endpoint endpoint, long now) {
         channel = on;
-        return request.start(endpoint.address(), window.until() - now);
+        return request.start(endpoint.address(), window.responseByNanos() - now);
     }
 
     /** To be called once it has begun, and not inside the call that sends it. */
     void tellLetGo() {
         if (!over) {
-            listener.letGo();
+            listener.onRequestStreamingStarted();
         }
     }
 
     /** To be called behind {@link #tellLetGo} when its last byte is with the socket. */
     void tellCommitted() {
         if (!over) {
-            listener.committed();
+            listener.onRequestFullyWritten();
         }
     }
 
@@ -104,30 +104,30 @@
     }
 
     @Override
-    public boolean begun() {
+    public boolean hasStartedWriting() {
         return channel != null;
     }
 
     @Override
-    public boolean committed() {
+    public boolean isFullyWritten() {
         return written;
     }
 
     /** Whether an answer that is too long to be held is wanted. */
     boolean begins(StreamedBody answer) {
-        return !over && listener.begins(answer);
+        return !over && listener.onResponseStarted(answer);
     }
 
     void end(Outcome outcome, HttpUpstreamResponse reply) {
         if (!over) {
             over = true;
-            listener.ended(outcome, reply);
+            listener.onAttemptEnded(outcome, reply);
         }
     }
 
     /** Gives the exchange up; its connection is closed, for an answer to it may still come. */
     @Override
-    public void abandon() {
+    public void cancel() {
         if (!over) {
             over = true;
             if (channel != null) {
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -135,7 +135,7 @@
 
     /** Nothing is open on it: it is offered to the next request. */
     void keep() {
-        idleSince = pool.loop().now();
+        idleSince = pool.loop().nanoTime();
         pool.release(this);
     }
 
@@ -148,16 +148,19 @@
         flow = null;
         flowed = 0;
         if (next.mustEndInTime()) {
-            channel.pipeline().addFirst(new FinalByteGate(() -> next.mayEnd(pool.loop().now())));
+            channel.pipeline()
+                    .addFirst(new FinalByteGate(() -> next.mayEnd(pool.loop().nanoTime())));
         }
         if (next.flow() == null) {
-            follow(next, channel.writeAndFlush(next.begin(channel, endpoint, pool.loop().now())));
+            follow(
+                    next,
+                    channel.writeAndFlush(next.begin(channel, endpoint, pool.loop().nanoTime())));
             return;
         }
         channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
-        channel.write(next.start(channel, endpoint, pool.loop().now()));
+        channel.write(next.start(channel, endpoint, pool.loop().nanoTime()));
         upload = next.flow();
-        pool.loop().soon(next::tellLetGo);
+        pool.loop().execute(next::tellLetGo);
         watchForUnread();
         upload.to(
                 channel,
@@ -170,7 +173,7 @@
                     if (done.isSuccess()) {
                         next.lastByteWritten();
                         if (next.flow() != null) {
-                            pool.loop().soon(next::tellCommitted);
+                            pool.loop().execute(next::tellCommitted);
                         }
                     } else {
                         // Kept back, it is known not to have run; else what the connection's end
@@ -334,7 +337,7 @@
             UpstreamCall done = exchange;
             Outcome outcome = result;
             HttpUpstreamResponse told = reply;
-            boolean reusable = HttpUtil.isKeepAlive(head) && usable() && done.committed();
+            boolean reusable = HttpUtil.isKeepAlive(head) && usable() && done.isFullyWritten();
             exchange = null;
             head = null;
             body = null;
@@ -388,7 +391,7 @@
             flow = null;
         }
         if (broken != null) {
-            Outcome outcome = broken.committed() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            Outcome outcome = broken.isFullyWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
             broken.end(result != null ? result : outcome, reply);
         }
         pool.closed(this);
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -79,7 +79,7 @@
         if (pooled != null) {
             carry(pooled, exchange);
         } else if (connections >= most && !evictIdle()) {
-            loop.soon(() -> exchange.end(Outcome.NEVER_SENT, null));
+            loop.execute(() -> exchange.end(Outcome.NEVER_SENT, null));
         } else {
             connect(to, exchange);
         }
@@ -129,11 +129,11 @@
 
     /** Danger: connecting took time, and what might be sent when it began may not be any more. */
     private void carry(UpstreamConnection connection, UpstreamCall exchange) {
-        if (exchange.mayBegin(loop.now())) {
+        if (exchange.mayBegin(loop.nanoTime())) {
             connection.carry(exchange);
         } else {
             connection.keep();
-            loop.soon(() -> exchange.end(Outcome.NEVER_SENT, null));
+            loop.execute(() -> exchange.end(Outcome.NEVER_SENT, null));
         }
     }
 
@@ -142,7 +142,7 @@
         ArrayDeque<UpstreamConnection> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
             UpstreamConnection connection = all.pop();
-            if (connection.quiet() && loop.now() - connection.idleSince() < maxIdle) {
+            if (connection.quiet() && loop.nanoTime() - connection.idleSince() < maxIdle) {
                 return connection;
             }
             connection.close();
@@ -192,7 +192,7 @@
     }
 
     @Override
-    public void closeIdle(Endpoint endpoint) {
+    public void closeIdleConnections(Endpoint endpoint) {
         ArrayDeque<UpstreamConnection> all = idle.remove(endpoint);
         if (all != null) {
             all.forEach(UpstreamConnection::close);
@@ -207,7 +207,7 @@
     }
 
     private void closeStale() {
-        long now = loop.now();
+        long now = loop.nanoTime();
         idle.values()
                 .removeIf(
                         all -> {
--- a/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
+++ b/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
@@ -42,12 +42,12 @@
             return;
         }
         if (waiting++ == 0) {
-            since = time.now();
+            since = time.nanoTime();
         }
         written.addListener(
                 done -> {
                     waiting--;
-                    since = time.now();
+                    since = time.nanoTime();
                 });
     }
 
--- a/sidecar/src/main/java/appleridge/request/Attempt.java
+++ b/sidecar/src/main/java/appleridge/request/Attempt.java
@@ -31,6 +31,6 @@
     }
 
     boolean mayHaveRun() {
-        return done ? !outcome.provesNotExecuted() : sending != null && sending.committed();
+        return done ? !outcome.provesNotExecuted() : sending != null && sending.isFullyWritten();
     }
 }
--- a/sidecar/src/main/java/appleridge/request/EventLog.java
+++ b/sidecar/src/main/java/appleridge/request/EventLog.java
@@ -5,7 +5,7 @@
 /** Where a sidecar's life is written down. */
 public interface EventLog {
     /** A line for operators. */
-    void news(String line);
+    void info(String line);
 
     /** A line for operators about something that needs an eye. */
     void warning(String line);
--- a/sidecar/src/main/java/appleridge/request/MonotonicClock.java
+++ b/sidecar/src/main/java/appleridge/request/MonotonicClock.java
@@ -3,5 +3,5 @@
 /** The one clock of a sidecar. */
 public interface MonotonicClock {
     /** Nanoseconds on a clock that never runs back; its zero has no meaning. */
-    long now();
+    long nanoTime();
 }
--- a/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
@@ -49,7 +49,7 @@
     private final Set<String> names = new HashSet<>();
 
     private final Map<Long, Endpoint> endpoints = new HashMap<>();
-    private final Set<Long> ready = new HashSet<>();
+    private final Set<Long> readyHostCount = new HashSet<>();
     private EndpointSubscription lists;
     private long lastId;
     private int open;
@@ -65,13 +65,13 @@
 
     private Scheduler.ScheduledTask listAwaited;
     private long endsAt = Long.MAX_VALUE;
-    private RequestMetrics tally = RequestMetrics.NONE;
+    private RequestMetrics metrics = RequestMetrics.NONE;
 
     /** Events from outside that have been handled. */
-    private long events;
+    private long eventCount;
 
     /** Times that the clients of all open requests were looked at after a stall. */
-    private long clientChecks;
+    private long clientCheckCount;
 
     /**
      * Makes the module that it hosts.
@@ -91,7 +91,8 @@
         this.timers = timers;
         this.settings = settings;
         this.maxOpen = maxOpen;
-        this.guard = new EventLoopStallGuard(time.now(), settings.safetyLimits().drainGraceNanos());
+        this.guard =
+                new EventLoopStallGuard(time.nanoTime(), settings.safetyLimits().drainGraceNanos());
         this.upstreams = upstreams;
         this.log = log;
         this.requestLog = new RequestLog(time, log);
@@ -109,12 +110,12 @@
             // come at once.
             awaitList();
         }
-        tell(() -> balancer.start(time.now()));
-        listChanged(UpdateKind.CACHED_SNAPSHOT, cached, listed);
+        tell(() -> balancer.start(time.nanoTime()));
+        onEndpointUpdate(UpdateKind.CACHED_SNAPSHOT, cached, listed);
     }
 
     /** News of the list, and where its upstreams listen. */
-    public void listChanged(
+    public void onEndpointUpdate(
             UpdateKind kind, List<UpstreamHost> entries, Map<Long, InetSocketAddress> listed) {
         Set<Long> noLonger = new HashSet<>();
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
@@ -126,14 +127,14 @@
                     Endpoint endpoint = new Endpoint(id, address);
                     Endpoint before = endpoints.put(id, endpoint);
                     if (before != null && !before.equals(endpoint)) {
-                        upstreams.closeIdle(before);
+                        upstreams.closeIdleConnections(before);
                     }
                 });
         for (UpstreamHost entry : entries) {
             if (entry.state() == HostState.READY) {
-                ready.add(entry.id());
+                readyHostCount.add(entry.id());
             } else {
-                ready.remove(entry.id());
+                readyHostCount.remove(entry.id());
                 closeIdleConnections(entry.id());
             }
             if (entry.state() == HostState.GONE) {
@@ -144,12 +145,12 @@
         // pile up.
         for (long id : noLonger) {
             closeIdleConnections(id);
-            ready.remove(id);
+            readyHostCount.remove(id);
             endpoints.remove(id);
         }
         // Danger: what a tick takes in is newer than this, and would be told to the module ahead of
         // it.
-        tell(() -> balancer.onEndpointUpdate(time.now(), kind, entries));
+        tell(() -> balancer.onEndpointUpdate(time.nanoTime(), kind, entries));
         callOffWhatHasNotBegun();
         reconcile();
         if (kind != UpdateKind.FAILURE && lists.isCaughtUp()) {
@@ -167,30 +168,30 @@
             for (Attempt attempt : call.attempts) {
                 if (!attempt.done
                         && attempt.sending != null
-                        && !attempt.sending.begun()
-                        && !ready.contains(attempt.upstream)) {
+                        && !attempt.sending.hasStartedWriting()
+                        && !readyHostCount.contains(attempt.upstream)) {
                     late.add(attempt);
                 }
             }
         }
         for (Attempt attempt : late) {
-            attempt.sending.abandon();
+            attempt.sending.cancel();
             ended(attempt, Outcome.NEVER_SENT, null);
         }
     }
 
     /** Whether some upstream is ready as far as is known. */
-    public boolean hasUsableList() {
-        return !ready.isEmpty();
+    public boolean hasReadyHost() {
+        return !readyHostCount.isEmpty();
     }
 
     /** How many upstreams are ready as far as is known. */
-    public int ready() {
-        return ready.size();
+    public int readyHostCount() {
+        return readyHostCount.size();
     }
 
     /** The longest that a client waits, in nanoseconds. */
-    public long longestDeadline() {
+    public long longestDeadlineNanos() {
         return settings.classes().stream()
                 .mapToLong(RequestClass::deadlineNanos)
                 .max()
@@ -201,9 +202,9 @@
      * What is open, or is taken from now on, has its answer by then, however long its client would
      * wait.
      */
-    public void endBy(long at) {
+    public void endRequestsBy(long at) {
         endsAt = at;
-        timers.at(at, this::giveUpOpen);
+        timers.scheduleAt(at, this::giveUpOpen);
     }
 
     /** Answers what is still open; what has begun to flow has to end by itself. */
@@ -216,27 +217,27 @@
     }
 
     /** From now on it is counted here what becomes of requests. */
-    public void tally(RequestMetrics counts) {
-        tally = counts;
+    public void metrics(RequestMetrics counts) {
+        metrics = counts;
     }
 
     /** Where it is counted. */
-    public RequestMetrics tally() {
-        return tally;
+    public RequestMetrics metrics() {
+        return metrics;
     }
 
     /** Events from outside that have been handled since the start. */
-    public long events() {
-        return events;
+    public long eventCount() {
+        return eventCount;
     }
 
     /** Times since the start that the clients of all open requests were looked at after a stall. */
-    public long clientChecks() {
-        return clientChecks;
+    public long clientCheckCount() {
+        return clientCheckCount;
     }
 
     /** What is open. */
-    public InFlightCounts books() {
+    public InFlightCounts inFlightCounts() {
         return new InFlightCounts(open, out, calls.size(), names.size());
     }
 
@@ -256,8 +257,8 @@
      * read, and must find things as it knows them.
      */
     private void reconcile() {
-        events++;
-        guard.observe(time.now());
+        eventCount++;
+        guard.observe(time.nanoTime());
         boolean stalled = guard.isStalled();
         if (stalled && guard.gap() > settings.safetyLimits().drainGraceNanos() && unheard == null) {
             requestLog.deferred(true, open, guard.gap());
@@ -267,7 +268,7 @@
             catchingUp = true;
             try {
                 if (stalled) {
-                    lists.catchUp();
+                    lists.readPendingUpdates();
                 }
                 lookAfterClients();
             } finally {
@@ -281,10 +282,10 @@
      * answer that makes room or a connection that comes up, may be read ahead of their end.
      */
     private void lookAfterClients() {
-        clientChecks++;
+        clientCheckCount++;
         for (PendingRequest call : List.copyOf(calls.values())) {
             if (!call.over) {
-                call.client.look();
+                call.client.readPendingInput();
             }
         }
     }
@@ -292,13 +293,13 @@
     /**
      * Whether what is read from clients now may have waited unread, and its client have left since.
      */
-    public boolean mayHaveWaited() {
+    public boolean mayHaveWaitedUnread() {
         reconcile();
         return guard.mayHaveWaited();
     }
 
     /** Since when what is read from clients now may have been there. */
-    public long cameAt() {
+    public long earliestArrivalNanos() {
         reconcile();
         return guard.arrivedAt();
     }
@@ -306,33 +307,35 @@
     /** Takes a request over; what is returned is to be run when its client leaves. */
     public Runnable accept(ClientRequest request, ResponseSink client) {
         reconcile();
-        tally.taken(request.requestClass());
+        metrics.onRequestAccepted(request.requestClass());
         if (open >= maxOpen) {
             // Nothing was sent for it, so that a repeat is harmless.
-            tally.ended(request.requestClass(), RequestMetrics.RequestEnd.REFUSED);
-            client.refused(0);
+            metrics.onRequestEnded(request.requestClass(), RequestMetrics.RequestEnd.REJECTED);
+            client.onRejected(0);
             return () -> {};
         }
         // Danger: two requests under one id are one to an upstream, and an answer could go to
         // either.
-        if (!names.add(request.name())) {
-            tally.ended(request.requestClass(), RequestMetrics.RequestEnd.FAILED);
-            client.failed(ResponseSink.FailureCause.ID_IN_USE);
+        if (!names.add(request.id())) {
+            metrics.onRequestEnded(request.requestClass(), RequestMetrics.RequestEnd.FAILED);
+            client.onFailed(ResponseSink.FailureCause.ID_IN_USE);
             return () -> {};
         }
         // Time for the answer to reach the client before it gives up.
-        long margin = Math.min(settings.clockGranularityNanos(), request.patience() / 4);
+        long margin = Math.min(settings.clockGranularityNanos(), request.timeoutNanos() / 4);
         PendingRequest call =
                 new PendingRequest(
                         ++lastId,
                         request,
                         client,
-                        Math.min(endsAt, request.arrived() + request.patience() - margin));
+                        Math.min(
+                                endsAt,
+                                request.arrivedAtNanos() + request.timeoutNanos() - margin));
         calls.put(call.id, call);
         open++;
         // Danger: an error in the module must not keep a client waiting for ever.
         call.backstop =
-                timers.at(
+                timers.scheduleAt(
                         call.deadline + settings.safetyLimits().answerSlackNanos() / 2,
                         () -> giveUp(call));
         if (unheard == null) {
@@ -345,7 +348,7 @@
 
     private void awaitList() {
         unheard = new ArrayList<>();
-        listAwaited = timers.at(time.now() + LIST_AWAITED, this::hear);
+        listAwaited = timers.scheduleAt(time.nanoTime() + LIST_AWAITED, this::hear);
     }
 
     /** What has been kept from the module is told now. */
@@ -364,7 +367,7 @@
                 () -> {
                     if (!call.over) {
                         ClientRequest request = call.request;
-                        long now = time.now();
+                        long now = time.nanoTime();
                         balancer.onRequest(
                                 now,
                                 new RequestInfo(
@@ -373,8 +376,8 @@
                                         request.tenant(),
                                         request.key(),
                                         Math.max(0, call.deadline - now),
-                                        request.costHint(),
-                                        request.retry(),
+                                        request.costHintNanos(),
+                                        request.clientRetry(),
                                         false));
                     }
                 });
@@ -383,19 +386,19 @@
     /** The module has not answered in time: nothing more is to be done for it there either. */
     private void giveUp(PendingRequest call) {
         reconcile();
-        fail(call, ResponseSink.FailureCause.LATE);
+        fail(call, ResponseSink.FailureCause.DEADLINE_EXCEEDED);
         callOffWhatNobodyWaitsFor(call);
         callOffWhatTheModuleLeaves(call);
-        tell(() -> balancer.onClientDisconnected(time.now(), call.id));
+        tell(() -> balancer.onClientDisconnected(time.nanoTime(), call.id));
     }
 
     private void hangUp(PendingRequest call) {
         reconcile();
         if (!call.over) {
-            end(call, RequestMetrics.RequestEnd.LEFT);
+            end(call, RequestMetrics.RequestEnd.CLIENT_DISCONNECTED);
             callOffWhatNobodyWaitsFor(call);
             callOffWhatTheModuleLeaves(call);
-            tell(() -> balancer.onClientDisconnected(time.now(), call.id));
+            tell(() -> balancer.onClientDisconnected(time.nanoTime(), call.id));
         }
     }
 
@@ -406,7 +409,7 @@
      */
     private void tell(Runnable event) {
         if (inModule) {
-            timers.soon(() -> tell(event));
+            timers.execute(() -> tell(event));
             return;
         }
         inModule = true;
@@ -426,7 +429,7 @@
             log.failure("the module sends for a request that is not held: " + request, null);
             return;
         }
-        long now = time.now();
+        long now = time.nanoTime();
         long until = timeout == 0 ? call.deadline : Math.min(call.deadline, now + timeout);
         long repeatableUntil = repeatableUntil(call);
         Attempt attempt =
@@ -445,10 +448,10 @@
                 || until <= now
                 || endpoint == null
                 || attempt.number >= settings.capabilities().maxAttempts()) {
-            timers.soon(() -> ended(attempt, Outcome.NEVER_SENT, null));
+            timers.execute(() -> ended(attempt, Outcome.NEVER_SENT, null));
             return;
         }
-        tally.sent(call.request.requestClass(), attempt.number > 0);
+        metrics.onAttemptSent(call.request.requestClass(), attempt.number > 0);
         attempt.sending =
                 upstreams.send(
                         endpoint,
@@ -461,30 +464,30 @@
                              * the same.
                              */
                             @Override
-                            public void connected() {
+                            public void onConnected() {
                                 reconcile();
                             }
 
                             @Override
-                            public boolean begins(StreamedResponse answer) {
+                            public boolean onResponseStarted(StreamedResponse answer) {
                                 reconcile();
                                 return begun(attempt, answer);
                             }
 
                             @Override
-                            public void letGo() {
+                            public void onRequestStreamingStarted() {
                                 reconcile();
                                 RequestCoordinator.this.letGo(attempt);
                             }
 
                             @Override
-                            public void committed() {
+                            public void onRequestFullyWritten() {
                                 reconcile();
                                 timeRuns(attempt);
                             }
 
                             @Override
-                            public void ended(Outcome outcome, UpstreamResponse reply) {
+                            public void onAttemptEnded(Outcome outcome, UpstreamResponse reply) {
                                 reconcile();
                                 RequestCoordinator.this.ended(attempt, outcome, reply);
                             }
@@ -512,10 +515,10 @@
     private void watch(Attempt attempt) {
         SendDeadlines window = attempt.window;
         long next =
-                attempt.sending.committed()
-                        ? window.until()
-                        : Math.min(window.until(), window.lastByteBy());
-        attempt.timer = timers.at(next, () -> due(attempt));
+                attempt.sending.isFullyWritten()
+                        ? window.responseByNanos()
+                        : Math.min(window.responseByNanos(), window.lastByteByNanos());
+        attempt.timer = timers.scheduleAt(next, () -> due(attempt));
     }
 
     private void due(Attempt attempt) {
@@ -523,12 +526,12 @@
         if (attempt.done) {
             return;
         }
-        boolean committed = attempt.sending.committed();
-        if (committed && time.now() < attempt.window.until()) {
+        boolean committed = attempt.sending.isFullyWritten();
+        if (committed && time.nanoTime() < attempt.window.responseByNanos()) {
             watch(attempt);
             return;
         }
-        attempt.sending.abandon();
+        attempt.sending.cancel();
         // Danger: a request whose time is up while it connects tells nothing of the upstream, which
         // a failed
         // connect would shut out.
@@ -549,8 +552,8 @@
         call.attempts.stream()
                 .filter(other -> other != attempt)
                 .forEach(other -> callOff(call, other));
-        give(call, () -> call.client.flows(answer));
-        tellBegun(call, attempt, time.now() - attempt.sentAt);
+        give(call, () -> call.client.onResponseStreaming(answer));
+        tellBegun(call, attempt, time.nanoTime() - attempt.sentAt);
         return true;
     }
 
@@ -566,7 +569,11 @@
         tell(
                 () ->
                         balancer.onResponseStarted(
-                                time.now(), call.id, attempt.number, attempt.upstream, elapsed));
+                                time.nanoTime(),
+                                call.id,
+                                attempt.number,
+                                attempt.upstream,
+                                elapsed));
     }
 
     /**
@@ -587,8 +594,8 @@
         PendingRequest call = attempt.call;
         if (!call.over && call.answering == null) {
             call.backstop =
-                    timers.at(
-                            Math.min(endsAt, time.now() + call.request.patience()),
+                    timers.scheduleAt(
+                            Math.min(endsAt, time.nanoTime() + call.request.timeoutNanos()),
                             () -> giveUp(call));
         }
     }
@@ -605,7 +612,7 @@
         if (call.answering == attempt && !call.over) {
             boolean whole = outcome == Outcome.OK;
             end(call, whole ? RequestMetrics.RequestEnd.SERVED : RequestMetrics.RequestEnd.FAILED);
-            give(call, whole ? call.client::flowed : call.client::abort);
+            give(call, whole ? call.client::onResponseComplete : call.client::abort);
         } else if (call.letGo && outcome != Outcome.OK && !call.over) {
             // Nothing is left to decide: what it was can't be sent again, and only what is proven
             // is said.
@@ -613,25 +620,25 @@
             end(
                     call,
                     neverRan
-                            ? RequestMetrics.RequestEnd.REFUSED
+                            ? RequestMetrics.RequestEnd.REJECTED
                             : RequestMetrics.RequestEnd.FAILED);
             give(
                     call,
                     () -> {
                         if (neverRan) {
-                            call.client.refused(0);
+                            call.client.onRejected(0);
                         } else {
-                            call.client.failed(ResponseSink.FailureCause.UPSTREAM);
+                            call.client.onFailed(ResponseSink.FailureCause.UPSTREAM);
                         }
                     });
         } else if (outcome == Outcome.OK && !call.over) {
             end(call, RequestMetrics.RequestEnd.SERVED);
-            give(call, () -> call.client.served(reply));
+            give(call, () -> call.client.onServed(reply));
         }
-        float[] load = reply == null ? NO_LOAD : reply.load(settings.loadReportFields());
+        float[] load = reply == null ? NO_LOAD : reply.loadReport(settings.loadReportFields());
         tell(
                 () -> {
-                    long now = time.now();
+                    long now = time.nanoTime();
                     balancer.onAttemptEnded(
                             now,
                             call.id,
@@ -662,7 +669,7 @@
     private void fail(PendingRequest call, ResponseSink.FailureCause cause) {
         if (!call.over) {
             end(call, RequestMetrics.RequestEnd.FAILED);
-            give(call, () -> call.client.failed(cause));
+            give(call, () -> call.client.onFailed(cause));
         }
     }
 
@@ -670,8 +677,8 @@
     private void end(PendingRequest call, RequestMetrics.RequestEnd how) {
         call.over = true;
         requestLog.ended(call, how, guard.lastEvent());
-        tally.ended(call.request.requestClass(), how);
-        names.remove(call.request.name());
+        metrics.onRequestEnded(call.request.requestClass(), how);
+        names.remove(call.request.id());
         call.backstop.cancel();
         open--;
         forget(call);
@@ -687,8 +694,10 @@
     public void reject(long request, long wait) {
         PendingRequest call = calls.get(request);
         if (call != null && !call.over && call.answering == null && !call.letGo) {
-            end(call, RequestMetrics.RequestEnd.REFUSED);
-            give(call, () -> call.client.refused(settings.capabilities().retryAfter() ? wait : 0));
+            end(call, RequestMetrics.RequestEnd.REJECTED);
+            give(
+                    call,
+                    () -> call.client.onRejected(settings.capabilities().retryAfter() ? wait : 0));
         }
     }
 
@@ -697,8 +706,12 @@
     public void fail(long request) {
         PendingRequest call = calls.get(request);
         if (call != null && call.answering == null && !call.letGo) {
-            boolean late = call.last == Outcome.TIMEOUT || time.now() >= call.deadline;
-            fail(call, late ? ResponseSink.FailureCause.LATE : ResponseSink.FailureCause.UPSTREAM);
+            boolean late = call.last == Outcome.TIMEOUT || time.nanoTime() >= call.deadline;
+            fail(
+                    call,
+                    late
+                            ? ResponseSink.FailureCause.DEADLINE_EXCEEDED
+                            : ResponseSink.FailureCause.UPSTREAM);
         }
     }
 
@@ -718,9 +731,9 @@
      */
     private void callOffWhatNobodyWaitsFor(PendingRequest call) {
         for (Attempt attempt : call.attempts) {
-            if (!attempt.done && attempt.sending != null && !attempt.sending.begun()) {
-                attempt.sending.abandon();
-                timers.soon(() -> ended(attempt, Outcome.NEVER_SENT, null));
+            if (!attempt.done && attempt.sending != null && !attempt.sending.hasStartedWriting()) {
+                attempt.sending.cancel();
+                timers.execute(() -> ended(attempt, Outcome.NEVER_SENT, null));
             }
         }
     }
@@ -734,19 +747,19 @@
 
     private void callOff(PendingRequest call, Attempt attempt) {
         if (!attempt.done && attempt.sending != null) {
-            attempt.sending.abandon();
-            timers.soon(() -> ended(attempt, Outcome.CANCELLED, null));
+            attempt.sending.cancel();
+            timers.execute(() -> ended(attempt, Outcome.CANCELLED, null));
         }
     }
 
     @Override
     public void setTimer(long token, long at) {
-        timers.at(
+        timers.scheduleAt(
                 at,
                 () -> {
                     if (!closed) {
                         reconcile();
-                        tell(() -> balancer.onTimer(time.now(), token));
+                        tell(() -> balancer.onTimer(time.nanoTime(), token));
                     }
                 });
     }
@@ -760,7 +773,7 @@
     public void closeIdleConnections(long upstream) {
         Endpoint endpoint = endpoints.get(upstream);
         if (endpoint != null) {
-            upstreams.closeIdle(endpoint);
+            upstreams.closeIdleConnections(endpoint);
         }
     }
 
@@ -776,7 +789,7 @@
 
     @Override
     public void log(String line) {
-        log.news(line);
+        log.info(line);
     }
 
     @Override
@@ -786,6 +799,6 @@
 
     @Override
     public void fetchEndpoints() {
-        lists.fetchList();
+        lists.fetchEndpoints();
     }
 }
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -22,13 +22,13 @@
      * @param now as of the event that ended it
      */
     void ended(PendingRequest call, RequestMetrics.RequestEnd how, long now) {
-        boolean late = now > call.request.arrived() + call.request.patience();
+        boolean late = now > call.request.arrivedAtNanos() + call.request.timeoutNanos();
         if (how != RequestMetrics.RequestEnd.SERVED || late) {
             log.event(
                     LogEvent.REQUEST_ENDED,
                     () ->
                             "id="
-                                    + call.request.name()
+                                    + call.request.id()
                                     + " how="
                                     + how
                                     + " late="
@@ -36,9 +36,9 @@
                                     + " class="
                                     + call.request.requestClass()
                                     + " age_ms="
-                                    + millis(now - call.request.arrived())
+                                    + millis(now - call.request.arrivedAtNanos())
                                     + " waits_ms="
-                                    + millis(call.request.patience())
+                                    + millis(call.request.timeoutNanos())
                                     + " attempts="
                                     + call.attempts.size()
                                     + " out="
@@ -55,7 +55,7 @@
                     LogEvent.ATTEMPT_ENDED,
                     () ->
                             "id="
-                                    + attempt.call.request.name()
+                                    + attempt.call.request.id()
                                     + " number="
                                     + attempt.number
                                     + " upstream="
@@ -63,11 +63,13 @@
                                     + " outcome="
                                     + outcome
                                     + " age_ms="
-                                    + millis(time.now() - attempt.sentAt)
+                                    + millis(time.nanoTime() - attempt.sentAt)
                                     + " begun="
-                                    + (attempt.sending != null && attempt.sending.begun())
+                                    + (attempt.sending != null
+                                            && attempt.sending.hasStartedWriting())
                                     + " committed="
-                                    + (attempt.sending != null && attempt.sending.committed()));
+                                    + (attempt.sending != null
+                                            && attempt.sending.isFullyWritten()));
         }
     }
 
--- a/sidecar/src/main/java/appleridge/request/RequestMetrics.java
+++ b/sidecar/src/main/java/appleridge/request/RequestMetrics.java
@@ -10,11 +10,11 @@
         /** With an upstream's good answer. */
         SERVED("served"),
         /** Not done, and asking again is harmless. */
-        REFUSED("refused"),
+        REJECTED("refused"),
         /** With no promise about effects. */
         FAILED("failed"),
         /** Its client left first. */
-        LEFT("left");
+        CLIENT_DISCONNECTED("left");
 
         private final String metricWord;
 
@@ -29,14 +29,14 @@
     }
 
     /** A request has been taken. */
-    default void taken(int requestClass) {}
+    default void onRequestAccepted(int requestClass) {}
 
     /** A request that was taken has ended. */
-    default void ended(int requestClass, RequestEnd how) {}
+    default void onRequestEnded(int requestClass, RequestEnd how) {}
 
     /** An attempt goes to an upstream; {@code further} where it is not the request's first. */
-    default void sent(int requestClass, boolean further) {}
+    default void onAttemptSent(int requestClass, boolean further) {}
 
     /** What came made no sense and was turned away as that. */
-    default void malformed() {}
+    default void onMalformedRequest() {}
 }
--- a/sidecar/src/main/java/appleridge/request/Scheduler.java
+++ b/sidecar/src/main/java/appleridge/request/Scheduler.java
@@ -12,8 +12,8 @@
     }
 
     /** Runs something at or soon after a time of the {@link MonotonicClock}. */
-    ScheduledTask at(long when, Runnable what);
+    ScheduledTask scheduleAt(long when, Runnable what);
 
     /** Runs something as soon as what runs now is over. */
-    void soon(Runnable what);
+    void execute(Runnable what);
 }
--- a/sidecar/src/main/java/appleridge/request/UpstreamResponse.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamResponse.java
@@ -8,5 +8,5 @@
      * The load report that came with it, in the order of the fields; empty if there is none to be
      * read.
      */
-    float[] load(List<String> fields);
+    float[] loadReport(List<String> fields);
 }
--- a/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
@@ -12,7 +12,7 @@
         /**
          * Its connection has come up, and nothing is written yet: it may be abandoned from in here.
          */
-        default void connected() {}
+        default void onConnected() {}
 
         /**
          * A good answer is too long to be held, and begins to go out if that is wanted: then it
@@ -21,7 +21,7 @@
          *
          * @return whether it is wanted; else the attempt is broken off
          */
-        default boolean begins(StreamedResponse answer) {
+        default boolean onResponseStarted(StreamedResponse answer) {
             return false;
         }
 
@@ -30,27 +30,27 @@
          * again, and until {@link #committed} its client's time does not run. Told of such requests
          * alone.
          */
-        default void letGo() {}
+        default void onRequestStreamingStarted() {}
 
         /** The last byte of such a request is with the socket. */
-        default void committed() {}
+        default void onRequestFullyWritten() {}
 
         /** With the answer where one was read, good or bad; else null. */
-        void ended(Outcome outcome, UpstreamResponse reply);
+        void onAttemptEnded(Outcome outcome, UpstreamResponse reply);
     }
 
     /** An attempt on its way. */
     interface AttemptHandle {
         /** Whether any of the request's bytes may be with the socket. */
-        boolean begun();
+        boolean hasStartedWriting();
 
         /**
          * Whether the request's last byte is with the socket: from then on the upstream may run it.
          */
-        boolean committed();
+        boolean isFullyWritten();
 
         /** Gives it up: nothing more of it is written, nothing is told. */
-        void abandon();
+        void cancel();
     }
 
     /** Sends a request to an upstream within a window. */
@@ -58,5 +58,5 @@
             Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener);
 
     /** Closes the connections to an upstream on which nothing is open. */
-    void closeIdle(Endpoint endpoint);
+    void closeIdleConnections(Endpoint endpoint);
 }
--- a/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
@@ -21,12 +21,12 @@
     public AcceptFailures(SidecarEventLoop loop, Runnable failed) {
         this.loop = loop;
         this.failed = failed;
-        this.told = loop.now() - APART;
+        this.told = loop.nanoTime() - APART;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        long now = loop.now();
+        long now = loop.nanoTime();
         if (now - told >= APART) {
             loop.log()
                     .warning(
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -78,7 +78,7 @@
             channel = sockets.connecting();
         } catch (RuntimeException e) {
             // Danger: Netty's bootstrap would tell of this on a thread of its own.
-            loop.soon(() -> listener.noSocket(e));
+            loop.execute(() -> listener.noSocket(e));
             return () -> {};
         }
         channel.config().setOption(ChannelOption.TCP_NODELAY, true);
@@ -102,7 +102,7 @@
      */
     private void told(ChannelFuture connecting, Channel channel, Listener listener) {
         if (connecting.isSuccess()) {
-            loop.soon(() -> listener.connected(channel));
+            loop.execute(() -> listener.connected(channel));
             return;
         }
         if (connecting.isDone() && isLocal(connecting.cause())) {
@@ -121,12 +121,12 @@
 
     private void failed(Channel channel, Listener listener, Throwable cause) {
         channel.close();
-        loop.soon(() -> listener.failed(cause));
+        loop.execute(() -> listener.failed(cause));
     }
 
     private void noMeans(Channel channel, Listener listener, Throwable cause) {
         channel.close();
-        loop.soon(() -> listener.noSocket(cause));
+        loop.execute(() -> listener.noSocket(cause));
     }
 
     /**
--- a/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
@@ -53,13 +53,13 @@
     }
 
     @Override
-    public long now() {
+    public long nanoTime() {
         return clock.now();
     }
 
     @Override
-    public ScheduledTask at(long when, Runnable what) {
-        return after(Math.max(0, when - now()), what);
+    public ScheduledTask scheduleAt(long when, Runnable what) {
+        return after(Math.max(0, when - nanoTime()), what);
     }
 
     /** The place of a Unix time in milliseconds on this loop's clock; not later than now. */
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void soon(Runnable what) {
+    public void execute(Runnable what) {
         executor.execute(guarded(what));
     }
 
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -44,7 +44,7 @@
     }
 
     /** A line of the process as a whole. */
-    public static void info(String line) {
+    public static void logProcessEvent(String line) {
         write(System.Logger.Level.INFO, line, null);
     }
 
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void news(String line) {
+    public void info(String line) {
         write(level, line, null);
     }
 
@@ -88,11 +88,11 @@
 
     /** Logs, or counts what comes less than a second after a line that it has logged. */
     private final class Sieve {
-        private long last = time.now() - APART;
+        private long last = time.nanoTime() - APART;
         private int untold;
 
         void log(System.Logger.Level how, Supplier<String> what, Throwable cause) {
-            long now = time.now();
+            long now = time.nanoTime();
             if (now - last < APART) {
                 untold++;
                 return;
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -35,7 +35,7 @@
     }
 
     private EndpointUpdate told(UpdateKind kind, DiscoveredEndpoint... members) {
-        return maintenance.over(directory.news(kind, List.of(members)), now);
+        return maintenance.over(directory.update(kind, List.of(members)), now);
     }
 
     private static EndpointUpdate news(MaintenanceOverlay.Effect effect) {
@@ -208,7 +208,7 @@
                         }
                     }
                     UpdateKind kind = whole ? UpdateKind.SNAPSHOT : UpdateKind.DELTA;
-                    news = its.over(itsDirectory.news(kind, members), T0 + i);
+                    news = its.over(itsDirectory.update(kind, members), T0 + i);
                 }
                 if (news != null) {
                     for (UpstreamHost entry : news.entries()) {
--- a/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
@@ -27,8 +27,8 @@
     @Test
     void nestedSettingsAreThoseOfTheWire() throws Exception {
         SidecarConfig config = parse(GOOD.replace("\"acme\"", "\"acme, and sons\""));
-        assertEquals(List.of("read", "write", "hold", "pay", "slow"), config.classes());
-        assertEquals(List.of("acme, and sons"), config.tenants());
+        assertEquals(List.of("read", "write", "hold", "pay", "slow"), config.requestClassNames());
+        assertEquals(List.of("acme, and sons"), config.tenantNames());
         assertEquals(List.of("a", "b"), config.zones());
         assertEquals(Idempotency.NON_IDEMPOTENT, config.settings().classes().get(3).idempotency());
         assertEquals(List.of("rate", "q"), config.settings().loadReportFields());
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -218,8 +218,10 @@
                     each.send(TestClient.request("read", "3.0"));
                 }
                 over.countDown();
-                await("read", () -> books().open() == clients.size() || !one.requests.isEmpty());
-                assertEquals(0, books().attempts(), "sent before the list is known");
+                await(
+                        "read",
+                        () -> books().openRequests() == clients.size() || !one.requests.isEmpty());
+                assertEquals(0, books().openAttempts(), "sent before the list is known");
                 agent.holds(false);
                 for (TestClient each : clients) {
                     assertEquals(200, TestClient.status(each.read()));
@@ -263,8 +265,8 @@
         try (TestClient client = new TestClient(address)) {
             client.send(TestClient.request("read", "3.0"));
             if (heldBack) {
-                await("read", () -> books().open() == 1 || !drained.requests.isEmpty());
-                assertEquals(0, books().attempts(), "sent before the list is known");
+                await("read", () -> books().openRequests() == 1 || !drained.requests.isEmpty());
+                assertEquals(0, books().openAttempts(), "sent before the list is known");
                 agent.holds(false);
             }
             assertEquals(200, TestClient.status(client.read()));
@@ -297,9 +299,9 @@
                     "read",
                     () -> {
                         seen[0] = books();
-                        return seen[0].open() == 1;
+                        return seen[0].openRequests() == 1;
                     });
-            assertEquals(1, seen[0].attempts(), "sent in the turn in which it was read");
+            assertEquals(1, seen[0].openAttempts(), "sent in the turn in which it was read");
             gate.countDown();
             assertEquals(200, TestClient.status(client.read()));
             client.close();
--- a/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
@@ -187,10 +187,10 @@
                 upstream.nextRequest();
                 upstream.nextRequest();
                 List<TestClient> leaving = ask(way.clients, "read");
-                await("held", () -> books().open() == 2 + way.clients);
-                assertEquals(2, books().attempts());
+                await("held", () -> books().openRequests() == 2 + way.clients);
+                assertEquals(2, books().openAttempts());
                 way.leave(leaving);
-                await("gone", () -> books().open() == 2);
+                await("gone", () -> books().openRequests() == 2);
                 gate.countDown();
                 for (TestClient each : busy) {
                     assertEquals(200, TestClient.status(each.read()));
@@ -220,9 +220,9 @@
                 for (TestClient each : leaving) {
                     each.send(TestClient.request("read", "3.0"));
                 }
-                await("held", () -> books().open() == 1 + 2 * way.clients);
+                await("held", () -> books().openRequests() == 1 + 2 * way.clients);
                 way.leave(leaving);
-                await("gone", () -> books().open() == 1 && books().attempts() == 1);
+                await("gone", () -> books().openRequests() == 1 && books().openAttempts() == 1);
                 gate.countDown();
                 assertEquals(200, TestClient.status(busy.get(0).read()));
                 busy.get(0).close();
@@ -269,12 +269,12 @@
                     }
                 }
                 int open = busy.size() + 1;
-                assertEquals(open, books().attempts());
+                assertEquals(open, books().openAttempts());
                 int atFailing = failing.requests.size();
                 fails.countDown();
-                await("failed", () -> books().attempts() < open);
+                await("failed", () -> books().openAttempts() < open);
                 way.leave(List.of(leaves));
-                await("gone", () -> books().open() < open);
+                await("gone", () -> books().openRequests() < open);
                 gate.countDown();
                 for (TestClient each : busy) {
                     assertEquals(200, TestClient.status(each.read()));
@@ -317,7 +317,7 @@
                     await(
                             "its client has left, and it still connects",
                             () -> onLoop(() -> node.upstreams()) == 0);
-                    assertEquals(0, books().calls());
+                    assertEquals(0, books().trackedRequests());
                     for (Socket each : waiting) {
                         each.close();
                     }
@@ -549,7 +549,7 @@
             upstream.nextRequest();
             upstream.nextRequest();
             List<TestClient> leaving = ask(way.clients, "read");
-            await("held", () -> books().open() == 2 + way.clients);
+            await("held", () -> books().openRequests() == 2 + way.clients);
             CountDownLatch left = standStill(still);
             gate.countDown();
             assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
@@ -559,7 +559,7 @@
                 assertEquals(200, TestClient.status(each.read()));
                 each.close();
             }
-            await("gone", () -> books().open() == 0);
+            await("gone", () -> books().openRequests() == 0);
             nothingIsSentBefore("last", upstream);
             closeNode();
         }
@@ -602,8 +602,8 @@
                 await("sent", () -> upstream.requests.size() == many.size() + busy.size());
                 TestClient leaving = new TestClient(address);
                 leaving.send(TestClient.request("read", "3.0", "X-Name: gone"));
-                await("held", () -> books().open() == 3);
-                assertEquals(2, books().attempts());
+                await("held", () -> books().openRequests() == 3);
+                assertEquals(2, books().openAttempts());
                 turnBegun = new CountDownLatch(1);
                 turnGoesOn = new CountDownLatch(1);
                 CountDownLatch asked = standStill(0);
@@ -624,7 +624,7 @@
                     each.read();
                     each.close();
                 }
-                await("gone", () -> books().calls() == 0);
+                await("gone", () -> books().trackedRequests() == 0);
                 for (String each : upstream.requests) {
                     assertNotEquals("gone", StubUpstream.header(each, "x-name"), each);
                 }
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -101,19 +101,19 @@
                         new SidecarConfig(
                                 config.name(),
                                 anyPort,
-                                config.discovery(),
+                                config.registryAddress(),
                                 config.seed(),
-                                config.sockets(),
-                                config.known(),
+                                config.maxDescriptors(),
+                                config.cachedEndpoints(),
                                 config.settings(),
                                 config.pushed(),
-                                config.classes(),
-                                config.tenants(),
+                                config.requestClassNames(),
+                                config.tenantNames(),
                                 config.zones(),
                                 config.kinds(),
-                                config.connIdle(),
-                                config.maxOpen(),
-                                config.admin()),
+                                config.upstreamIdleTimeoutNanos(),
+                                config.maxOpenRequests(),
+                                config.adminAddress()),
                         RuntimeOptions.USUAL.with(figures.times));
     }
 
--- a/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
@@ -49,7 +49,7 @@
         private boolean closed;
 
         @Override
-        public List<DiscoveredEndpoint> begin() {
+        public List<DiscoveredEndpoint> start() {
             return List.of(member("known", 1));
         }
 
@@ -59,15 +59,15 @@
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpoints() {
             asked++;
         }
 
         @Override
-        public void catchUp() {}
+        public void readPendingUpdates() {}
 
         @Override
-        public void moveTo(InetSocketAddress other) {}
+        public void switchRegistry(InetSocketAddress other) {}
 
         @Override
         public void close() {
@@ -142,7 +142,7 @@
                             client.membership = membership;
                             return client;
                         });
-        assertEquals(List.of(member("known", 1)), lists.begin());
+        assertEquals(List.of(member("known", 1)), lists.start());
         assertTrue(kinds.isEmpty(), "told by what begin returns");
         assertTrue(client.started);
         lists.subscribe(true);
@@ -156,8 +156,8 @@
     }
 
     private void connected(int port) {
-        client.membership.session(loop.now(), SessionState.CONNECTED);
-        client.membership.snapshot(loop.now(), loop.now(), 1, Map.of("n", node(port)));
+        client.membership.session(loop.nanoTime(), SessionState.CONNECTED);
+        client.membership.snapshot(loop.nanoTime(), loop.nanoTime(), 1, Map.of("n", node(port)));
     }
 
     @Test
@@ -179,15 +179,15 @@
         begin(SourceSelection.BOTH);
         assertEquals(1, registry.asked);
         connected(2);
-        registry.sink.told(UpdateKind.FAILURE, List.of());
+        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
         assertFalse(kinds.contains(UpdateKind.FAILURE), "the module would count on its own asking");
         pass(400);
         assertEquals(2, registry.asked);
-        registry.sink.told(UpdateKind.FAILURE, List.of());
+        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
         pass(600);
         assertEquals(3, registry.asked);
-        registry.sink.told(UpdateKind.FAILURE, List.of());
-        registry.sink.told(UpdateKind.DELTA, List.of());
+        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
+        registry.sink.onUpdate(UpdateKind.DELTA, List.of());
         pass(30_000);
         assertEquals(3, registry.asked);
     }
@@ -199,13 +199,13 @@
     void afterAStandStillItIsCaughtUpWhenTheServiceHasAnswered() {
         begin(SourceSelection.BOTH);
         connected(2);
-        client.waiting = () -> client.membership.gone(loop.now(), loop.now(), 2, "n");
+        client.waiting = () -> client.membership.gone(loop.nanoTime(), loop.nanoTime(), 2, "n");
         pass(1000);
-        lists.catchUp();
+        lists.readPendingUpdates();
         assertEquals(HostState.DRAINING, members.get(members.size() - 1).state(), "told at once");
         assertFalse(lists.isCaughtUp());
         Runnable first = client.heard;
-        lists.catchUp();
+        lists.readPendingUpdates();
         first.run();
         assertFalse(lists.isCaughtUp(), "the answer to an earlier question");
         client.heard.run();
--- a/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
@@ -37,7 +37,7 @@
         if (kind == UpdateKind.SNAPSHOT) {
             module.clear();
         }
-        for (UpstreamHost each : directory.news(kind, members).entries()) {
+        for (UpstreamHost each : directory.update(kind, members).entries()) {
             if (each.state() == HostState.GONE) {
                 module.remove(each.id());
             } else {
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -127,7 +127,10 @@
         told.pass(100);
         assertEquals(Told.at(6), told.list.get("both").address(), "equal: the node's");
         told.registry(UpdateKind.DELTA, Told.member("both", 5, HostState.READY, 0));
-        assertEquals(DAY + 60_000, told.list.get("both").startedMillis(), "long ago is before all");
+        assertEquals(
+                DAY + 60_000,
+                told.list.get("both").startedAtUnixMillis(),
+                "long ago is before all");
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -170,7 +170,7 @@
             start += 1000;
             told.put("a", Told.ready(told.nextZxid(), 1, start));
             told.pass(5800);
-            assertEquals(start, told.list.get("a").startedMillis());
+            assertEquals(start, told.list.get("a").startedAtUnixMillis());
         }
     }
 
@@ -181,12 +181,14 @@
         told.gone(told.nextZxid(), "c");
         told.put("c", Told.ready(told.nextZxid(), 3, 650));
         told.pass(100);
-        long start = told.list.get("c").startedMillis();
+        long start = told.list.get("c").startedAtUnixMillis();
         assertTrue(start > 700, "started at " + start);
         told.put("c", Told.node(103, told.nextZxid(), Told.data(3, HostState.READY, 650)));
         told.pass(100);
         assertEquals(
-                start, told.list.get("c").startedMillis(), "what it says again is nothing new");
+                start,
+                told.list.get("c").startedAtUnixMillis(),
+                "what it says again is nothing new");
     }
 
     @Test
@@ -199,12 +201,12 @@
                         Told.ready(7, 1, 0),
                         "b",
                         new NodeRead(Told.data(2, HostState.READY, 0), null, 0, 8, 8)));
-        assertEquals(7000, told.list.get("a").startedMillis());
-        assertTrue(told.list.get("b").startedMillis() > 0, "cold, and never long ago");
+        assertEquals(7000, told.list.get("a").startedAtUnixMillis());
+        assertTrue(told.list.get("b").startedAtUnixMillis() > 0, "cold, and never long ago");
         told.gone(told.nextZxid(), "a");
         told.put("a", Told.ready(told.nextZxid(), 1, 0));
         told.pass(100);
-        assertTrue(told.list.get("a").startedMillis() > 7000);
+        assertTrue(told.list.get("a").startedAtUnixMillis() > 7000);
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -311,7 +311,9 @@
                         "seed " + seed + ", " + name + " at " + told.now);
                 DiscoveredEndpoint member = told.list.get(name);
                 if (member != null) {
-                    assertEquals(facts(name).last().data().startedMillis(), member.startedMillis());
+                    assertEquals(
+                            facts(name).last().data().startedMillis(),
+                            member.startedAtUnixMillis());
                 }
             }
         }
--- a/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
@@ -10,7 +10,7 @@
 /** What two processes may use together. */
 class ResourceShareTest {
     private static double part(ProcessPhase own, ProcessPhase... others) {
-        return ResourceShare.of(own, List.of(others)).part();
+        return ResourceShare.of(own, List.of(others)).fraction();
     }
 
     @Test
@@ -18,7 +18,7 @@
         assertEquals(
                 new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.STARTING, List.of()));
         assertEquals(new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.SERVING, List.of()));
-        assertFalse(ResourceShare.of(ProcessPhase.ENDING, List.of()).accepts());
+        assertFalse(ResourceShare.of(ProcessPhase.DRAINING, List.of()).accepts());
     }
 
     /** Guards against limits that hold for each and are broken by both. */
@@ -50,7 +50,7 @@
                         ResourceShare.of(one, List.of(other)).accepts()
                                 || ResourceShare.of(other, List.of(one)).accepts();
                 assertEquals(
-                        one != ProcessPhase.ENDING || other != ProcessPhase.ENDING,
+                        one != ProcessPhase.DRAINING || other != ProcessPhase.DRAINING,
                         accepted,
                         one + " " + other);
             }
@@ -59,7 +59,7 @@
                 ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.SERVING)).accepts(),
                 "it is cold");
         assertTrue(
-                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.ENDING)).accepts(),
+                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.DRAINING)).accepts(),
                 "nobody else does");
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/HttpUpstreamResponseTest.java
+++ b/sidecar/src/test/java/appleridge/http1/HttpUpstreamResponseTest.java
@@ -21,6 +21,6 @@
 
     private static float[] load(String text, List<String> fields) {
         HttpHeaders headers = new DefaultHttpHeaders().set(Headers.LOAD, text);
-        return new HttpUpstreamResponse(headers, new byte[0]).load(fields);
+        return new HttpUpstreamResponse(headers, new byte[0]).loadReport(fields);
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -71,7 +71,7 @@
         }
         HttpRequest free = request();
         free.headers().add("X-Extras", "a=1").add("X-Extras", "b=2");
-        assertEquals("id", read(free).name());
+        assertEquals("id", read(free).id());
     }
 
     /** Guards against a customer whose names have letters that a head's bytes are not read as. */
@@ -90,10 +90,10 @@
     @Test
     void noClientWaitsLongerThanItsClass() throws Exception {
         HttpRequest head = request();
-        assertEquals(500_000_000L, read(head).patience());
+        assertEquals(500_000_000L, read(head).timeoutNanos());
         for (String deadline : new String[] {"3", "3.0001", "60"}) {
             head.headers().set(Headers.DEADLINE, deadline);
-            assertEquals(3_000_000_000L, read(head).patience(), deadline);
+            assertEquals(3_000_000_000L, read(head).timeoutNanos(), deadline);
         }
         head.headers().set(Headers.DEADLINE, "60.1");
         assertBad(head);
@@ -114,7 +114,7 @@
             head.headers().set(Headers.DEADLINE, deadline);
             assertEquals(
                     (long) (Double.parseDouble(deadline) * 1e9),
-                    reader.read(head, new byte[0], 0).patience());
+                    reader.read(head, new byte[0], 0).timeoutNanos());
         }
         head.headers().set(Headers.DEADLINE, "90.1");
         assertThrows(BadRequest.class, () -> reader.read(head, new byte[0], 0));
@@ -129,12 +129,12 @@
         HttpRequest head = request();
         for (String hint : new String[] {"1200", "3000000"}) {
             head.headers().set(Headers.COST_HINT, hint);
-            assertEquals(Long.parseLong(hint) * 1000, read(head).costHint());
+            assertEquals(Long.parseLong(hint) * 1000, read(head).costHintNanos());
         }
         for (String hint :
                 new String[] {"3000001", "1e12", "1e300", "Infinity", "NaN", "-1", "much"}) {
             head.headers().set(Headers.COST_HINT, hint);
-            assertEquals(0, read(head).costHint(), hint);
+            assertEquals(0, read(head).costHintNanos(), hint);
         }
     }
 
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -133,7 +133,7 @@
                 ask(pool, upstream);
             }
             assertEquals(1, upstream.accepted.size());
-            loop.execute(() -> pool.closeIdle(endpoint(1, upstream)));
+            loop.execute(() -> pool.closeIdleConnections(endpoint(1, upstream)));
             upstream.awaitClosed();
             ask(pool, upstream);
             assertEquals(2, upstream.accepted.size());
@@ -227,7 +227,7 @@
             loop.submit(() -> send(pool, endpoint(2, upstream))).get();
             assertEquals(Outcome.OK, next().outcome());
             assertEquals(2, upstream.accepted.size());
-            loop.submit(() -> pool.closeIdle(endpoint(1, upstream))).get();
+            loop.submit(() -> pool.closeIdleConnections(endpoint(1, upstream))).get();
             upstream.awaitClosed();
             loop.submit(() -> send(pool, endpoint(2, upstream))).get();
             assertEquals(Outcome.OK, next().outcome());
@@ -422,7 +422,7 @@
             good.awaitClosed();
             start(pool, good);
             assertEquals(Outcome.NEVER_SENT, next().outcome());
-            loop.execute(held::abandon);
+            loop.execute(held::cancel);
             silent.awaitClosed();
             assertEquals("fine", ask(pool, good));
             assertEquals(0, results.size(), "nothing is told of what was abandoned");
--- a/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
+++ b/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
@@ -48,20 +48,20 @@
         private int serials;
 
         @Override
-        public long now() {
+        public long nanoTime() {
             return now;
         }
 
         @Override
-        public ScheduledTask at(long when, Runnable what) {
+        public ScheduledTask scheduleAt(long when, Runnable what) {
             Alarm alarm = new Alarm(Math.max(now, when), serials++, what);
             alarms.add(alarm);
             return () -> alarms.remove(alarm);
         }
 
         @Override
-        public void soon(Runnable what) {
-            at(now, what);
+        public void execute(Runnable what) {
+            scheduleAt(now, what);
         }
 
         void advance(long by) {
@@ -96,17 +96,17 @@
         }
 
         @Override
-        public boolean begun() {
+        public boolean hasStartedWriting() {
             return begun;
         }
 
         @Override
-        public boolean committed() {
+        public boolean isFullyWritten() {
             return committed;
         }
 
         @Override
-        public void abandon() {
+        public void cancel() {
             abandoned = true;
         }
 
@@ -121,30 +121,30 @@
         final List<String> answers = new ArrayList<>();
 
         @Override
-        public void look() {}
+        public void readPendingInput() {}
 
         @Override
-        public void served(UpstreamResponse reply) {
+        public void onServed(UpstreamResponse reply) {
             answers.add("served");
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRejected(long wait) {
             answers.add("refused");
         }
 
         @Override
-        public void failed(FailureCause cause) {
+        public void onFailed(FailureCause cause) {
             answers.add("failed " + cause);
         }
 
         @Override
-        public void flows(StreamedResponse answer) {
+        public void onResponseStreaming(StreamedResponse answer) {
             answers.add("flows");
         }
 
         @Override
-        public void flowed() {
+        public void onResponseComplete() {
             answers.add("flowed");
         }
 
@@ -179,11 +179,11 @@
                     }
 
                     @Override
-                    public void closeIdle(Endpoint endpoint) {}
+                    public void closeIdleConnections(Endpoint endpoint) {}
                 },
                 new EventLog() {
                     @Override
-                    public void news(String line) {}
+                    public void info(String line) {}
 
                     @Override
                     public void warning(String line) {}
@@ -230,7 +230,8 @@
 
     private Runnable accept(Client client) {
         return exchanges.accept(
-                new ClientRequest("a", hand.now(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE), client);
+                new ClientRequest("a", hand.nanoTime(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE),
+                client);
     }
 
     /**
@@ -239,7 +240,7 @@
     private Sent begins(Client client) {
         accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new StreamedResponse() {}));
+        assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
         assertEquals(List.of("flows"), client.answers);
         return first;
     }
@@ -253,20 +254,20 @@
         assertEquals(List.of("flows"), whole.answers, "its deadline no longer counts");
         assertEquals(1, sent.size());
         assertFalse(first.abandoned);
-        first.listener.ended(Outcome.OK, null);
+        first.listener.onAttemptEnded(Outcome.OK, null);
         assertEquals(List.of("flows", "flowed"), whole.answers);
         hand.advance(10_000 * MS);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
     }
 
     @Test
     void anAnswerThatBreaksOffIsNotTriedAgain() {
         Client client = new Client();
-        begins(client).listener.ended(Outcome.RESET, null);
+        begins(client).listener.onAttemptEnded(Outcome.RESET, null);
         hand.advance(10_000 * MS);
         assertEquals(List.of("flows", "abort"), client.answers);
         assertEquals(1, sent.size());
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
     }
 
     /** Guards against a server that goes on sending to nobody. */
@@ -275,11 +276,11 @@
         Client client = new Client();
         Runnable hangUp = accept(client);
         Sent first = sent.get(0).write();
-        assertTrue(first.listener.begins(new StreamedResponse() {}));
+        assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
         hangUp.run();
         hand.advance(1 * MS);
         assertTrue(first.abandoned);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
     }
 
     @Test
@@ -288,7 +289,7 @@
         accept(client);
         Sent first = sent.get(0).write();
         hand.advance(1100 * MS);
-        assertFalse(first.listener.begins(new StreamedResponse() {}));
+        assertFalse(first.listener.onResponseStarted(new StreamedResponse() {}));
         assertEquals(1, client.answers.size());
     }
 
@@ -303,10 +304,10 @@
                     public void subscribe(boolean on) {}
 
                     @Override
-                    public void fetchList() {}
+                    public void fetchEndpoints() {}
 
                     @Override
-                    public void catchUp() {
+                    public void readPendingUpdates() {
                         unread.forEach(Runnable::run);
                         unread.clear();
                     }
@@ -318,7 +319,8 @@
     private Client ask(String name, long patience) {
         Client client = new Client();
         exchanges.accept(
-                new ClientRequest(name, hand.now(), patience, 0, 0, 0, 0, false, MESSAGE), client);
+                new ClientRequest(name, hand.nanoTime(), patience, 0, 0, 0, 0, false, MESSAGE),
+                client);
         return client;
     }
 
@@ -331,7 +333,7 @@
     }
 
     private void drain(long id) {
-        exchanges.listChanged(
+        exchanges.onEndpointUpdate(
                 UpdateKind.DELTA, List.of(upstream(id, HostState.DRAINING)), Map.of(id, ADDRESS));
     }
 
@@ -343,7 +345,7 @@
         assertTrue(first.abandoned);
         assertEquals(2, sent.size(), "it never ran, and goes elsewhere");
         assertTrue(sent.get(1).to.upstream() != first.to.upstream());
-        sent.get(1).write().listener.ended(Outcome.OK, fields -> new float[0]);
+        sent.get(1).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.answers);
     }
 
@@ -353,7 +355,7 @@
         sent.get(0).write();
         drain(sent.get(0).to.upstream());
         assertEquals(1, sent.size());
-        sent.get(0).listener.ended(Outcome.OK, fields -> new float[0]);
+        sent.get(0).listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.answers);
     }
 
@@ -361,12 +363,12 @@
     @Test
     void aFurtherAttemptHasItsWindowFromTheFirstThatMayHaveRun() {
         ask("a", 900 * MS);
-        long first = hand.now();
-        assertEquals(Long.MAX_VALUE, sent.get(0).window.lastByteBy());
+        long first = hand.nanoTime();
+        assertEquals(Long.MAX_VALUE, sent.get(0).window.lastByteByNanos());
         hand.advance(50 * MS);
-        sent.get(0).write().listener.ended(Outcome.RESET, null);
-        assertEquals(first + 1000 * MS, sent.get(1).window.lastByteBy());
-        sent.get(1).listener.ended(Outcome.CONNECT_FAILED, null);
+        sent.get(0).write().listener.onAttemptEnded(Outcome.RESET, null);
+        assertEquals(first + 1000 * MS, sent.get(1).window.lastByteByNanos());
+        sent.get(1).listener.onAttemptEnded(Outcome.CONNECT_FAILED, null);
         assertEquals(2, sent.size());
     }
 
@@ -377,13 +379,13 @@
     @Test
     void whatMayHaveWaitedWhileTheThreadStoodStillIsKnownForAWhile() {
         pass(300 * MS);
-        assertFalse(exchanges.mayHaveWaited());
+        assertFalse(exchanges.mayHaveWaitedUnread());
         hand.standStill(3_600_000 * MS);
-        assertTrue(exchanges.mayHaveWaited());
+        assertTrue(exchanges.mayHaveWaitedUnread());
         pass(900 * MS);
-        assertTrue(exchanges.mayHaveWaited());
+        assertTrue(exchanges.mayHaveWaitedUnread());
         pass(200 * MS);
-        assertFalse(exchanges.mayHaveWaited(), "however long it was");
+        assertFalse(exchanges.mayHaveWaitedUnread(), "however long it was");
     }
 
     /**
@@ -393,15 +395,18 @@
     @Test
     void whatIsReadAfterTheThreadWasLateMayHaveComeWhileItWas() {
         pass(300 * MS);
-        long before = hand.now();
-        assertEquals(before, exchanges.cameAt(), "a thread in time");
+        long before = hand.nanoTime();
+        assertEquals(before, exchanges.earliestArrivalNanos(), "a thread in time");
         hand.standStill(400 * MS);
-        assertEquals(before, exchanges.cameAt());
-        assertEquals(before, exchanges.cameAt(), "the next one that is read in the same turn, too");
+        assertEquals(before, exchanges.earliestArrivalNanos());
+        assertEquals(
+                before,
+                exchanges.earliestArrivalNanos(),
+                "the next one that is read in the same turn, too");
         pass(100 * MS);
-        assertEquals(before, exchanges.cameAt(), "what it accepts one by one");
+        assertEquals(before, exchanges.earliestArrivalNanos(), "what it accepts one by one");
         pass(100 * MS);
-        assertEquals(hand.now(), exchanges.cameAt());
+        assertEquals(hand.nanoTime(), exchanges.earliestArrivalNanos());
     }
 
     /**
@@ -411,22 +416,22 @@
     @Test
     void whatWaitsBehindSeveralLateTurnsMayHaveComeBeforeTheFirst() {
         pass(300 * MS);
-        long before = hand.now();
+        long before = hand.nanoTime();
         for (int i = 0; i < 3; i++) {
             hand.standStill(200 * MS);
             exchanges.tick();
             pass(100 * MS);
         }
-        assertEquals(before, exchanges.cameAt());
+        assertEquals(before, exchanges.earliestArrivalNanos());
         pass(200 * MS);
-        assertEquals(hand.now(), exchanges.cameAt());
+        assertEquals(hand.nanoTime(), exchanges.earliestArrivalNanos());
         for (int i = 0; i < 20; i++) {
             hand.standStill(200 * MS);
             exchanges.tick();
         }
         assertEquals(
-                hand.now() - 200 * MS,
-                exchanges.cameAt(),
+                hand.nanoTime() - 200 * MS,
+                exchanges.earliestArrivalNanos(),
                 "a thread that is late for good serves on");
     }
 
@@ -440,10 +445,18 @@
             int before = sent.size();
             exchanges.accept(
                     new ClientRequest(
-                            "r" + i, exchanges.cameAt(), 770 * MS, 0, 0, 0, 0, false, MESSAGE),
+                            "r" + i,
+                            exchanges.earliestArrivalNanos(),
+                            770 * MS,
+                            0,
+                            0,
+                            0,
+                            0,
+                            false,
+                            MESSAGE),
                     client);
             if (sent.size() > before) {
-                sent.get(before).write().listener.ended(Outcome.OK, null);
+                sent.get(before).write().listener.onAttemptEnded(Outcome.OK, null);
             }
             served += client.answers.contains("served") ? 1 : 0;
             hand.advance(0);
@@ -485,14 +498,14 @@
         hand.standStill(200 * MS);
         unread.add(
                 () ->
-                        soon.listChanged(
+                        soon.onEndpointUpdate(
                                 UpdateKind.DELTA,
                                 List.of(
                                         upstream(1, HostState.DRAINING),
                                         upstream(2, HostState.DRAINING)),
                                 Map.of(1L, ADDRESS, 2L, ADDRESS)));
         soon.accept(
-                new ClientRequest("a", hand.now(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
+                new ClientRequest("a", hand.nanoTime(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
                 new Client());
         assertEquals(0, sent.size(), "both drain");
     }
@@ -505,7 +518,7 @@
     void whatAStandStillKeptIsToldBehindTheListThatIsBeingTold() {
         hand.standStill(700 * MS);
         unread.add(() -> drain(1));
-        exchanges.listChanged(
+        exchanges.onEndpointUpdate(
                 UpdateKind.DELTA,
                 List.of(upstream(1, HostState.READY), upstream(2, HostState.DRAINING)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
@@ -525,7 +538,7 @@
         assertEquals(0, sent.size());
         drain(1);
         assertEquals(2, sent.get(0).to.upstream());
-        sent.get(0).write().listener.ended(Outcome.OK, fields -> new float[0]);
+        sent.get(0).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.answers);
     }
 
@@ -548,7 +561,7 @@
         hand.standStill(3000 * MS);
         pass(600 * MS);
         assertEquals(1, client.answers.size());
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
         assertEquals(List.of(), failures);
     }
 
@@ -564,7 +577,10 @@
         assertEquals(List.of("refused"), late.answers);
         for (int i = 0; i < 8; i++) {
             ask("b" + i, 900 * MS);
-            sent.get(sent.size() - 1).write().listener.ended(Outcome.OK, fields -> new float[0]);
+            sent.get(sent.size() - 1)
+                    .write()
+                    .listener
+                    .onAttemptEnded(Outcome.OK, fields -> new float[0]);
         }
         assertEquals(
                 2,
@@ -585,15 +601,16 @@
         Client client =
                 new Client() {
                     @Override
-                    public void served(UpstreamResponse reply) {
+                    public void onServed(UpstreamResponse reply) {
                         throw new IllegalStateException("no");
                     }
                 };
         exchanges.accept(
-                new ClientRequest("a", hand.now(), 900 * MS, 0, 0, 0, 0, false, MESSAGE), client);
-        sent.get(0).write().listener.ended(Outcome.OK, fields -> new float[0]);
+                new ClientRequest("a", hand.nanoTime(), 900 * MS, 0, 0, 0, 0, false, MESSAGE),
+                client);
+        sent.get(0).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("abort"), client.answers);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.books());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
         assertEquals(1, failures.size());
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimLog.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimLog.java
@@ -10,13 +10,13 @@
     private static final int MOST = 20;
 
     @Override
-    public void news(String line) {
+    public void info(String line) {
         simulation.note(LINE, process + ": " + line);
     }
 
     @Override
     public void warning(String line) {
-        news(line);
+        info(line);
     }
 
     @Override
@@ -24,7 +24,7 @@
         if (failures.size() < MOST) {
             failures.add(cause == null ? what : what + ": " + cause + at(cause));
         }
-        news(what + ": " + cause);
+        info(what + ": " + cause);
     }
 
     private static String at(Throwable cause) {
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
@@ -21,12 +21,12 @@
             implements EnsembleClient.Hearer {
         @Override
         public void soon(Runnable what) {
-            loop.soon(what);
+            loop.execute(what);
         }
 
         @Override
         public long now() {
-            return loop.now();
+            return loop.nanoTime();
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -151,7 +151,7 @@
 
     @Override
     public void hup(String text) {
-        loop.execute(() -> node.follow(parse(text).discovery()));
+        loop.execute(() -> node.follow(parse(text).registryAddress()));
     }
 
     @Override
@@ -182,8 +182,8 @@
         }
         appleridge.request.InFlightCounts own = node.books();
         return new Books(
-                own.open() + own.names() + own.calls(),
-                own.attempts(),
+                own.openRequests() + own.requestIds() + own.trackedRequests(),
+                own.openAttempts(),
                 node.clients(),
                 node.upstreams(),
                 loop.pendingTimers(),
--- a/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -266,7 +266,7 @@
                     loop.every(
                             NodeDiscovery.Settings.USUAL.tick(),
                             () -> {
-                                follower.membership.tick(loop.now());
+                                follower.membership.tick(loop.nanoTime());
                                 int size = follower.membership.size();
                                 if (size != follower.size) {
                                     follower.size = size;
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -50,7 +50,7 @@
                     SystemTime.UNIX_MILLIS,
                     new EventLog() {
                         @Override
-                        public void news(String line) {
+                        public void info(String line) {
                             log.add(line);
                         }
 
@@ -84,7 +84,7 @@
     @AfterEach
     void end() throws Exception {
         if (source != null) {
-            loop.soon(source::close);
+            loop.execute(source::close);
         }
         ensemble.close();
         assertFalse(heard.elsewhere, "told on another thread than the loop's");
@@ -99,7 +99,7 @@
                         heard,
                         new NodeJsonParser(List.of("a", "b"), List.of("m1")),
                         1);
-        loop.soon(source::start);
+        loop.execute(source::start);
     }
 
     @Test
@@ -202,7 +202,7 @@
         follow(ensemble.settings(ROOT));
         heard.next("session CONNECTED");
         heard.next("doubt ACCESS_DENIED");
-        loop.soon(source::close);
+        loop.execute(source::close);
         ZooKeeperSettings open = ensemble.settings(ROOT);
         follow(
                 new ZooKeeperSettings(
@@ -284,7 +284,7 @@
         follow(ensemble.settings(ROOT));
         heard.until("snapshot 10000");
         assertNull(heard.last.get("order-server-with-a-long-name-7").problem());
-        loop.soon(source::close);
+        loop.execute(source::close);
         ZooKeeperSettings plain = ensemble.settings(ROOT);
         follow(
                 new ZooKeeperSettings(
@@ -323,7 +323,7 @@
         heard.until("snapshot {}");
         CountDownLatch still = new CountDownLatch(1);
         CountDownLatch stands = new CountDownLatch(1);
-        loop.soon(
+        loop.execute(
                 () -> {
                     stands.countDown();
                     try {
@@ -339,7 +339,7 @@
         }
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(99, ""));
         Thread.sleep(300);
-        loop.soon(source::tellNow);
+        loop.execute(source::tellNow);
         still.countDown();
         heard.next("gone s1");
         heard.next("changed s1");
--- a/testbed/src/test/java/appleridge/testbed/campaign/Front.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/Front.java
@@ -245,7 +245,7 @@
 
     private final class Noting implements EventLog {
         @Override
-        public void news(String line) {}
+        public void info(String line) {}
 
         @Override
         public void warning(String line) {
@@ -308,7 +308,7 @@
         }
 
         @Override
-        public void closeIdle(Endpoint endpoint) {}
+        public void closeIdleConnections(Endpoint endpoint) {}
     }
 
     private static final class NoLists implements EndpointSubscription {
@@ -316,9 +316,9 @@
         public void subscribe(boolean on) {}
 
         @Override
-        public void fetchList() {}
+        public void fetchEndpoints() {}
 
         @Override
-        public void catchUp() {}
+        public void readPendingUpdates() {}
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -26,11 +26,11 @@
                             Instances.json(2, true, stage.instances.whole()));
             SidecarConfig config = SidecarConfig.parse(text.getBytes(StandardCharsets.UTF_8));
             assertEquals("n1", config.name());
-            assertEquals(stage.registry.address(), config.discovery());
+            assertEquals(stage.registry.address(), config.registryAddress());
             assertEquals(-5, config.seed());
-            assertEquals(plan.size(Knob.SOCKETS), config.sockets());
-            assertEquals(plan.size(Knob.CONN_IDLE), config.connIdle());
-            assertEquals(plan.size(Knob.MAX_OPEN), config.maxOpen());
+            assertEquals(plan.size(Knob.SOCKETS), config.maxDescriptors());
+            assertEquals(plan.size(Knob.CONN_IDLE), config.upstreamIdleTimeoutNanos());
+            assertEquals(plan.size(Knob.MAX_OPEN), config.maxOpenRequests());
             assertEquals(Site.ZONES, config.zones());
             var settings = config.settings();
             assertEquals(9, settings.tenants().size());
