--- /dev/null
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptDispatcher.java
@@ -0,0 +1,36 @@
+package appleridge.loadbalancing;
+
+/** Sends attempts: the one place that does. */
+final class AttemptDispatcher {
+    private final TenantQueues queues;
+    private final SlowStartBudget slowStart;
+    private final ZoneHealth zones;
+    private final UnansweredAttemptMonitor monitor;
+    private final PolicyActions actions;
+
+    AttemptDispatcher(
+            TenantQueues queues,
+            SlowStartBudget slowStart,
+            ZoneHealth zones,
+            UnansweredAttemptMonitor monitor,
+            PolicyActions actions) {
+        this.queues = queues;
+        this.slowStart = slowStart;
+        this.zones = zones;
+        this.monitor = monitor;
+        this.actions = actions;
+    }
+
+    /** Takes the request off its queue and sends it; all rules must have allowed the host. */
+    void send(long now, TrackedRequest request, TrackedHost host) {
+        TrackedAttempt attempt = new TrackedAttempt(host, now);
+        request.addAttempt(attempt);
+        queues.remove(request);
+        slowStart.charge(now, host, request);
+        host.attemptSent();
+        zones.onAttemptSent(now, host);
+        actions.sendAttempt(request.info().id(), host.id(), 0);
+        monitor.watch(request, attempt);
+        queues.of(request).onSent(now, request);
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryPoller.java
@@ -0,0 +1,74 @@
+package appleridge.loadbalancing;
+
+import java.util.Random;
+
+/**
+ * Keeps the subscription to endpoint updates alive: subscribes again after a failure, and whenever
+ * no update has come for half a poll interval. A broken subscription is silent, so that only asking
+ * again can tell it from an unchanged list.
+ */
+final class DiscoveryPoller {
+    /** The first backoff is the poll interval divided by this. */
+    private static final int FIRST_BACKOFFS_PER_POLL_INTERVAL = 40;
+
+    private final PolicySettings settings;
+    private final Random random;
+    private final TimerQueue timers;
+    private final PolicyActions actions;
+    private long backoffNanos;
+    private long generation;
+
+    DiscoveryPoller(
+            PolicySettings settings, Random random, TimerQueue timers, PolicyActions actions) {
+        this.settings = settings;
+        this.random = random;
+        this.timers = timers;
+        this.actions = actions;
+    }
+
+    /** Subscribes where the host does not push updates by itself. */
+    void subscribe(long now) {
+        if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBED) {
+            actions.subscribe(true);
+            subscribeAgainAt(now + maxBackoffNanos());
+        }
+    }
+
+    /**
+     * The last endpoint list stays in force; subscribes again after a backoff with jitter, since
+     * sidecars whose calls failed together would otherwise hammer discovery together.
+     */
+    void onFailure(long now) {
+        if (backoffNanos == 0) {
+            actions.log("list lost: the last one stays in force, asking again");
+        }
+        long minBackoffNanos =
+                Math.max(
+                        settings.clockGranularityNanos(),
+                        settings.safetyLimits().pollIntervalNanos()
+                                / FIRST_BACKOFFS_PER_POLL_INTERVAL);
+        backoffNanos = Math.max(minBackoffNanos, Math.min(backoffNanos * 2, maxBackoffNanos()));
+        subscribeAgainAt(now + backoffNanos / 2 + random.nextLong(backoffNanos / 2 + 1));
+    }
+
+    /** An update has come from discovery itself: nothing is to be repeated. */
+    void onUpdate() {
+        generation++;
+        backoffNanos = 0;
+    }
+
+    private long maxBackoffNanos() {
+        return settings.safetyLimits().pollIntervalNanos() / 2;
+    }
+
+    private void subscribeAgainAt(long at) {
+        long scheduled = ++generation;
+        timers.schedule(
+                at,
+                now -> {
+                    if (scheduled == generation) {
+                        subscribe(now);
+                    }
+                });
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostRegistry.java
@@ -0,0 +1,81 @@
+package appleridge.loadbalancing;
+
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/** The endpoint table: all known hosts by id, and those that are ready for requests. */
+final class HostRegistry {
+    /** Makes the record of a new or restarted host. */
+    interface HostFactory {
+        TrackedHost create(long now, UpstreamHost endpoint);
+    }
+
+    private final HostFactory factory;
+    private final TreeMap<Long, TrackedHost> hosts = new TreeMap<>();
+    private List<TrackedHost> ready = List.of();
+
+    HostRegistry(HostFactory factory) {
+        this.factory = factory;
+    }
+
+    /** The ready hosts in the order of their ids. */
+    List<TrackedHost> ready() {
+        return ready;
+    }
+
+    /** All known hosts in the order of their ids. */
+    Collection<TrackedHost> hosts() {
+        return hosts.values();
+    }
+
+    Optional<TrackedHost> find(long id) {
+        return Optional.ofNullable(hosts.get(id));
+    }
+
+    /**
+     * Applies a snapshot or delta.
+     *
+     * @param kind not {@link UpdateKind#FAILURE}
+     * @return whether the set of ready hosts has changed, a restarted one counting as a new one
+     */
+    boolean apply(long now, UpdateKind kind, List<UpstreamHost> entries) {
+        Set<Long> missing = new TreeSet<>(kind == UpdateKind.DELTA ? Set.of() : hosts.keySet());
+        boolean changed = false;
+        for (UpstreamHost entry : entries) {
+            missing.remove(entry.id());
+            changed |= apply(now, entry);
+        }
+        for (long id : missing) {
+            TrackedHost host = hosts.get(id);
+            changed |= host.isReady();
+            host.update(host.endpoint().asGone());
+        }
+        // Hosts are replaced for as long as the sidecar runs: records of gone ones would pile up.
+        hosts.values()
+                .removeIf(
+                        host -> host.endpoint().state() == HostState.GONE && host.inFlight() == 0);
+        if (changed) {
+            ready =
+                    hosts.values().stream()
+                            .filter(host -> host.endpoint().state() == HostState.READY)
+                            .toList();
+        }
+        return changed;
+    }
+
+    private boolean apply(long now, UpstreamHost entry) {
+        TrackedHost host = hosts.get(entry.id());
+        boolean wasReady = host != null && host.isReady();
+        boolean fresh = host == null || entry.startedAtNanos() > host.endpoint().startedAtNanos();
+        if (fresh) {
+            host = factory.create(now, entry);
+            hosts.put(entry.id(), host);
+        }
+        host.update(entry);
+        return wasReady != host.isReady() || fresh && host.isReady();
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/loadbalancing/InFlightRequests.java
@@ -0,0 +1,99 @@
+package appleridge.loadbalancing;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * All requests from their arrival until they are answered and their last attempt has ended, and the
+ * one final answer of each.
+ */
+final class InFlightRequests {
+    private final PolicySettings settings;
+    private final TimerQueue timers;
+    private final TenantQueues queues;
+    private final LatencyThresholds thresholds;
+    private final RetryPolicy retryPolicy;
+    private final PolicyActions actions;
+    private final ElapsedTimeEstimator elapsedTime;
+    private final Map<Long, TrackedRequest> requests = new HashMap<>();
+
+    InFlightRequests(
+            PolicySettings settings,
+            TimerQueue timers,
+            TenantQueues queues,
+            LatencyThresholds thresholds,
+            RetryPolicy retryPolicy,
+            PolicyActions actions) {
+        this.settings = settings;
+        this.timers = timers;
+        this.queues = queues;
+        this.thresholds = thresholds;
+        this.retryPolicy = retryPolicy;
+        this.actions = actions;
+        this.elapsedTime = new ElapsedTimeEstimator(settings);
+    }
+
+    /** Tracks a new request, which is answered at its deadline unless its response has started. */
+    TrackedRequest open(long now, RequestInfo info) {
+        TrackedRequest request =
+                new TrackedRequest(
+                        info,
+                        settings.classes().get(info.requestClass()),
+                        now,
+                        elapsedTime.elapsedNanos(info),
+                        thresholds.expectedNanos(info));
+        requests.put(info.id(), request);
+        timers.schedule(
+                request.deadline(),
+                at -> {
+                    if (!request.isStreaming()) {
+                        answer(request);
+                    }
+                });
+        return request;
+    }
+
+    Optional<TrackedRequest> find(long id) {
+        return Optional.ofNullable(requests.get(id));
+    }
+
+    /**
+     * Gives the final answer unless there is one: rejected where a client's retry is known to be
+     * harmless, else failed.
+     */
+    void answer(TrackedRequest request) {
+        if (request.isClosed()) {
+            return;
+        }
+        long id = request.info().id();
+        if (retryPolicy.isClientRetrySafe(request)) {
+            Capabilities capabilities = settings.capabilities();
+            long maxRetryAfterNanos =
+                    capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0;
+            actions.reject(id, Math.min(maxRetryAfterNanos, request.objectiveNanos() / 2));
+        } else {
+            actions.fail(id);
+        }
+        close(request);
+    }
+
+    /**
+     * Ends a request that has its answer or whose client has left: nothing more is sent for it. An
+     * outstanding attempt is cancelled where the host allows it, and counts as in flight until its
+     * outcome comes.
+     */
+    void close(TrackedRequest request) {
+        if (!request.isClosed()
+                && request.isAttemptOutstanding()
+                && !request.isStreaming()
+                && settings.capabilities().cancellation()) {
+            actions.cancelAttempt(request.info().id(), request.attemptCount() - 1);
+        }
+        request.close();
+        queues.remove(request);
+        if (!request.isAttemptOutstanding()) {
+            requests.remove(request.info().id());
+        }
+    }
+}
--- a/sidecar/src/main/java/appleridge/loadbalancing/PolicySettings.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/PolicySettings.java
@@ -36,4 +36,14 @@
         tenants = List.copyOf(tenants);
         loadReportFields = List.copyOf(loadReportFields);
     }
+
+    /** The shortest latency objective of all classes. */
+    long shortestObjectiveNanos() {
+        return classes.stream().mapToLong(RequestClass::latencyObjectiveNanos).min().orElse(1);
+    }
+
+    /** The longest latency objective of all classes. */
+    long longestObjectiveNanos() {
+        return classes.stream().mapToLong(RequestClass::latencyObjectiveNanos).max().orElse(1);
+    }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
@@ -971,10 +971,11 @@
                 host.logic.onClientDisconnected(host.now, i);
             }
             assertTrue(
-                    host.logic.held() <= 100, "more than can wait at once: " + host.logic.held());
+                    host.logic.queuedRequests() <= 100,
+                    "more than can wait at once: " + host.logic.queuedRequests());
         }
         host.advance(1_000 * MS);
-        assertEquals(0, host.logic.held());
+        assertEquals(0, host.logic.queuedRequests());
     }
 
     /**
@@ -989,11 +990,13 @@
             host.logic.onEndpointUpdate(
                     host.now, UpdateKind.SNAPSHOT, List.of(upstream(id), upstream(id + 1)));
         }
-        assertTrue(host.logic.known() <= 3, "the ready ones and the one that still has a request");
+        assertTrue(
+                host.logic.knownHosts() <= 3,
+                "the ready ones and the one that still has a request");
         host.outcome(host.last(), Outcome.OK);
         host.logic.onEndpointUpdate(
                 host.now, UpdateKind.DELTA, List.of(upstream(100, HostState.GONE, 0)));
-        assertEquals(1, host.logic.known());
+        assertEquals(1, host.logic.knownHosts());
     }
 
     /**
--- a/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
@@ -16,22 +16,29 @@
             fault(
                     "resent",
                     RULE,
-                    "case NON_IDEMPOTENT -> false;",
-                    "case NON_IDEMPOTENT -> true;",
+                    "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                    "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                     null);
     private static final PlantedFault THROWS =
-            fault(
+            new PlantedFault(
                     "throws",
-                    RULE,
-                    "roster.follow(now);",
-                    "roster.servers.get(0L).inFlight++;",
+                    "Something.",
+                    List.of(
+                            new Edit(
+                                    "SymmetricRoundRobinPolicy",
+                                    null,
+                                    "discovery.subscribe(now);",
+                                    "registry.hosts().iterator().next().attemptSent();")),
+                    List.of(RULE),
+                    null,
                     null);
     private static final PlantedFault HARMLESS =
             fault(
                     "harmless",
                     RULE,
-                    "case NON_IDEMPOTENT -> false;",
-                    "case NON_IDEMPOTENT -> 1 > 2;",
+                    "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                    "case NON_IDEMPOTENT ->"
+                            + " 1 > 2 ? RetryDecision.ALLOWED : RetryDecision.NON_IDEMPOTENT;",
                     null);
 
     @Test
@@ -41,8 +48,8 @@
                 fault(
                         "other",
                         "LEAK",
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> true;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                         null);
         List<Finding> found =
                 run(null).search(List.of(RESENT, other, HARMLESS, THROWS), 4, 10, told::add);
@@ -64,22 +71,22 @@
                 fault(
                         "r",
                         RULE,
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> true;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                         new PlantedFault.Seen(RULE, 9, 7));
         PlantedFault byHand =
                 fault(
                         "h",
                         RULE,
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> true;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                         new PlantedFault.Seen("LATE", 0, 0));
         PlantedFault other =
                 fault(
                         "o",
                         RULE,
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> true;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                         new PlantedFault.Seen("LEAK", 9, 7));
         List<PlantedFault> faults = List.of(recorded, byHand, other, RESENT);
         List<Finding> checked = run("seed 9\n").check(faults, finding -> {});
@@ -102,8 +109,8 @@
                 fault(
                         "r",
                         RULE,
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> true;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT -> RetryDecision.ALLOWED;",
                         new PlantedFault.Seen(RULE, 9, 7));
         assertEquals(
                 List.of(
@@ -118,8 +125,9 @@
                 fault(
                         "r",
                         RULE,
-                        "case NON_IDEMPOTENT -> false;",
-                        "case NON_IDEMPOTENT -> 1 < 2;",
+                        "case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;",
+                        "case NON_IDEMPOTENT ->"
+                                + " 1 < 2 ? RetryDecision.ALLOWED : RetryDecision.NON_IDEMPOTENT;",
                         new PlantedFault.Seen("threw", 0, 0));
         Finding finding = run("no seed").check(List.of(recorded), each -> {}).get(0);
         assertFalse(PlantedRun.isAsRecorded(finding));
@@ -135,7 +143,7 @@
         return new PlantedFault(
                 name,
                 "Something.",
-                List.of(new Edit("SymmetricRoundRobinPolicy", null, original, replacement)),
+                List.of(new Edit("RetryPolicy", null, original, replacement)),
                 List.of(rule),
                 null,
                 seen);
