--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -211,7 +211,7 @@
         connections.add(connection);
         makeRoom();
         if (backlog.tells()) {
-            connection.turnAway();
+            connection.rejectForCapacity();
         }
         bound(connection);
     }
@@ -236,11 +236,15 @@
         int keptAtMost = (int) (most * KEPT_PART);
         if (connections.size() > keptAtMost && !closing) {
             List<ClientConnection> kept =
-                    connections.stream().filter(ClientConnection::kept).toList();
+                    connections.stream().filter(ClientConnection::isKeptIdle).toList();
             if (kept.size() > keptAtMost) {
                 closing(
                         kept.stream()
-                                        .min((a, b) -> Long.signum(a.since() - b.since()))
+                                        .min(
+                                                (a, b) ->
+                                                        Long.signum(
+                                                                a.stateSinceNanos()
+                                                                        - b.stateSinceNanos()))
                                         .orElseThrow()
                                 ::closeIfIdle);
             }
@@ -334,13 +338,16 @@
         ClientConnection spared = null;
         int most = 0;
         for (ClientConnection each : connections) {
-            int spare = each.spare(now);
-            if (spare > most || spare == most && spare > 0 && each.since() - spared.since() < 0) {
+            int spare = each.evictionPriority(now).ordinal();
+            if (spare > most
+                    || spare == most
+                            && spare > 0
+                            && each.stateSinceNanos() - spared.stateSinceNanos() < 0) {
                 spared = each;
                 most = spare;
             }
         }
-        if (spared != null && spared.spared()) {
+        if (spared != null && spared.evict()) {
             logClosed("evicted");
             connections.remove(spared);
         }
@@ -383,7 +390,7 @@
             lastCall = true;
             loop.scheduleAt(
                     toldAt + millis(KEPT_AFTER_TERM_MILLIS),
-                    () -> List.copyOf(connections).forEach(ClientConnection::endIfIdle));
+                    () -> List.copyOf(connections).forEach(ClientConnection::shutDownIfIdle));
         } else {
             drainAlone(toldAt, schedule);
         }
@@ -394,7 +401,7 @@
                 toldAt + schedule.end() + millis(SETTLE_MILLIS),
                 () -> {
                     logDrain("ended");
-                    List.copyOf(connections).forEach(ClientConnection::closeIfNothingIsOpen);
+                    List.copyOf(connections).forEach(ClientConnection::closeUnlessRequestOpen);
                 });
         endWhenDrained();
     }
--- a/sidecar/src/main/java/appleridge/http1/MessageFraming.java
+++ b/sidecar/src/main/java/appleridge/http1/MessageFraming.java
@@ -1,5 +1,6 @@
 package appleridge.http1;
 
+import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.DecoderResult;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -35,12 +36,23 @@
     }
 
     /** Marks a message whose head is not in order. */
-    static HttpMessage malformed(HttpMessage message) {
+    private static HttpMessage malformed(HttpMessage message) {
         message.setDecoderResult(
                 DecoderResult.failure(new IllegalArgumentException("malformed head")));
         return message;
     }
 
+    /** Passes a message on as malformed, and discards all that has been read behind it. */
+    static void rejectRest(ByteBuf in, List<Object> out, HttpMessage message) {
+        out.add(malformed(message));
+        in.skipBytes(in.readableBytes());
+    }
+
+    /** For a message with both a length and chunks, which could be read in two ways. */
+    static IllegalArgumentException lengthAndChunks() {
+        return new IllegalArgumentException("both a length and chunks");
+    }
+
     /**
      * Whether there is one way to tell where this message ends: one plain length, or chunks alone.
      */
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/http1/StrictRequestDecoder.java
@@ -0,0 +1,38 @@
+package appleridge.http1;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpRequestDecoder;
+import java.util.List;
+
+/** Reads requests strictly: what could be read in two ways might hide a second request. */
+final class StrictRequestDecoder extends HttpRequestDecoder {
+    private final HeadLineValidator headLines = new HeadLineValidator(true);
+
+    StrictRequestDecoder() {
+        super(MessageFraming.strict());
+    }
+
+    @Override
+    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
+            throws Exception {
+        if (headLines.inOrder(in)) {
+            int first = out.size();
+            super.decode(ctx, in, out);
+            headLines.decoded(out, first);
+        } else {
+            MessageFraming.rejectRest(in, out, createInvalidMessage());
+        }
+    }
+
+    /** Whether bytes of a further request have been read and not decoded. */
+    boolean hasBufferedBytes() {
+        return actualReadableBytes() > 0;
+    }
+
+    @Override
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
+        throw MessageFraming.lengthAndChunks();
+    }
+}
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -11,19 +11,16 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
 import java.util.concurrent.TimeUnit;
 
 /** One connection to an upstream and the answer being read on it. */
@@ -42,7 +39,7 @@
 
     private final UpstreamConnectionPool pool;
     private final ReadActivityHandler input;
-    private final Decoder decoder;
+    private final StrictResponseDecoder decoder;
     private final Channel channel;
     private final long stall;
     private SidecarEventLoop.ScheduledTask stalled;
@@ -76,7 +73,7 @@
             UpstreamConnectionPool pool,
             Channel channel,
             ReadActivityHandler input,
-            Decoder decoder,
+            StrictResponseDecoder decoder,
             long stall) {
         this.pool = pool;
         this.channel = channel;
@@ -91,7 +88,7 @@
         // is slow.
         channel.config().setRecvByteBufAllocator(StreamedBody.reads());
         ReadActivityHandler input = new ReadActivityHandler();
-        Decoder decoder = new Decoder();
+        StrictResponseDecoder decoder = new StrictResponseDecoder();
         channel.pipeline()
                 .addLast(
                         input,
@@ -234,7 +231,7 @@
         }
         if (head == null && message instanceof LastHttpContent) {
             // The end of an interim answer: the real one may take its time.
-            input.whole(decoder.holdsBytes());
+            input.whole(decoder.hasBufferedBytes());
         }
         if (message instanceof HttpContent content && head != null) {
             if (!take(content.content())) {
@@ -242,7 +239,7 @@
                 return;
             }
             if (message instanceof LastHttpContent) {
-                input.whole(decoder.holdsBytes());
+                input.whole(decoder.hasBufferedBytes());
                 result = outcome(head);
                 reply =
                         new HttpUpstreamResponse(
@@ -425,35 +422,4 @@
                     StandardCharsets.ISO_8859_1);
         }
     }
-
-    /** Reads answers strictly and tells whether bytes of a further one are waiting. */
-    private static final class Decoder extends HttpResponseDecoder {
-        private final HeadLineValidator lines = new HeadLineValidator(false);
-
-        Decoder() {
-            super(MessageFraming.strict());
-        }
-
-        @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
-                throws Exception {
-            if (!lines.inOrder(in)) {
-                out.add(MessageFraming.malformed(createInvalidMessage()));
-                in.skipBytes(in.readableBytes());
-                return;
-            }
-            int first = out.size();
-            super.decode(ctx, in, out);
-            lines.decoded(out, first);
-        }
-
-        boolean holdsBytes() {
-            return actualReadableBytes() > 0;
-        }
-
-        @Override
-        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both a length and chunks");
-        }
-    }
 }
