--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -1,5 +1,6 @@
 package appleridge.http1;
 
+import appleridge.transport.SidecarEventLoop;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -38,8 +39,8 @@
         this.listener = listener;
         this.channel = channel;
         this.readActivity = readActivity;
-        this.activity = new ClientActivity(listener.loop());
-        this.closing = new LingeringClose(channel, readActivity, listener.loop());
+        this.activity = new ClientActivity(loop());
+        this.closing = new LingeringClose(channel, readActivity, loop());
         this.responses =
                 new ResponsePipeline(this, listener, channel, readActivity, activity, closing);
         this.intake =
@@ -108,6 +109,10 @@
         channel.close();
     }
 
+    SidecarEventLoop loop() {
+        return listener.loop();
+    }
+
     ResponsePipeline responses() {
         return responses;
     }
--- a/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
@@ -44,7 +44,7 @@
         this.readActivity = readActivity;
         this.activity = activity;
         this.closing = closing;
-        this.backlog = new WriteBacklog(channel, listener.loop());
+        this.backlog = new WriteBacklog(channel, connection.loop());
     }
 
     /** A request has come; its response is owed behind all others. */
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -3,98 +3,75 @@
 import appleridge.loadbalancing.Outcome;
 import appleridge.request.Endpoint;
 import appleridge.transport.SidecarEventLoop;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpRequestEncoder;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to an upstream and the answer being read on it. */
+/**
+ * One connection to an upstream, which carries one request at a time: passes Netty's events to the
+ * writer of the request and the reader of its response, ends the attempt, and decides whether the
+ * connection is used again. Loop thread only.
+ */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
         implements StreamedBody.Source {
-    private static final byte[] NO_BODY = {};
-
     /**
-     * For so long, in nanoseconds, an answer that has begun to go out may pause: nothing else can
-     * be tried any more, and its client holds the beginning.
+     * For so long a streamed response may pause: nothing else can be tried any more, and its client
+     * holds the beginning.
      */
-    static final long LONGEST_PAUSE = TimeUnit.SECONDS.toNanos(5);
-
-    /** Nanoseconds in which an upstream takes some of what waits for it of a long request. */
-    private static final long LONGEST_UNREAD = TimeUnit.SECONDS.toNanos(10);
+    static final long MAX_STREAM_READ_STALL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final UpstreamConnectionPool pool;
-    private final ReadActivityHandler input;
-    private final StrictResponseDecoder decoder;
     private final Channel channel;
-    private final long stall;
-    private SidecarEventLoop.ScheduledTask stalled;
+    private final ReadActivityHandler readActivity;
+    private final RequestWriter writer;
+    private final ResponseReader reader;
+    private final long readStallNanos;
+    private SidecarEventLoop.ScheduledTask stallTimer;
     private Endpoint endpoint;
-    private UpstreamCall exchange;
-    private HttpResponse head;
-    private ByteBuf body;
-    private Outcome result;
-    private HttpUpstreamResponse reply;
-    private long idleSince;
+    private UpstreamCall call;
+    private long idleSinceNanos;
+    private boolean readPaused;
 
     /**
-     * What it carries can't be read on from: nothing that has been read with it, or comes yet,
-     * counts. Set ahead of each end of the connection but the upstream's orderly one, which alone
-     * may end an answer that has neither a length nor chunks.
+     * Nothing that has been read, or comes yet, counts. Set before each end of the connection but
+     * the upstream's orderly one, which alone may end a response with neither length nor chunks.
      */
     private boolean broken;
 
-    /** The answer, where it is too long to be held; null else. */
-    private StreamedBody flow;
-
-    private long flowed;
-
-    /** The request, where it is too long to be held; null else, and when its answer has come. */
-    private StreamedBody upload;
-
-    private SidecarEventLoop.ScheduledTask unread;
-    private boolean paused;
-
     private UpstreamConnection(
             UpstreamConnectionPool pool,
             Channel channel,
-            ReadActivityHandler input,
+            ReadActivityHandler readActivity,
             StrictResponseDecoder decoder,
-            long stall) {
+            long readStallNanos) {
         this.pool = pool;
         this.channel = channel;
-        this.input = input;
-        this.decoder = decoder;
-        this.stall = stall;
+        this.readActivity = readActivity;
+        this.writer = new RequestWriter(channel, pool.loop(), this::breakOff, this::onWriteFailed);
+        this.reader = new ResponseReader(readActivity, decoder, this);
+        this.readStallNanos = readStallNanos;
     }
 
-    /** With the nanoseconds for which an answer may pause once it has begun. */
-    static void install(Channel channel, UpstreamConnectionPool pool, long stall) {
-        // Danger: by itself a long answer's reads grow to 64 KiB each, held for as long as a client
-        // is slow.
+    /**
+     * Sets up the pipeline of a new connection.
+     *
+     * @param readStallNanos for which a response may pause once it has begun
+     */
+    static void install(Channel channel, UpstreamConnectionPool pool, long readStallNanos) {
+        // By itself a long response's reads grow to 64 KiB each, held while a client is slow.
         channel.config().setRecvByteBufAllocator(StreamedBody.reads());
-        ReadActivityHandler input = new ReadActivityHandler();
+        ReadActivityHandler readActivity = new ReadActivityHandler();
         StrictResponseDecoder decoder = new StrictResponseDecoder();
         channel.pipeline()
                 .addLast(
-                        input,
+                        readActivity,
                         decoder,
-                        new Encoder(),
-                        new UpstreamConnection(pool, channel, input, decoder, stall));
+                        new RequestLineEncoder(),
+                        new UpstreamConnection(
+                                pool, channel, readActivity, decoder, readStallNanos));
     }
 
     UpstreamConnection open(Endpoint to) {
@@ -106,24 +83,24 @@
         return endpoint;
     }
 
-    long idleSince() {
-        return idleSince;
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    private boolean usable() {
-        return channel.isActive() && !input.begun();
+    private boolean isUsable() {
+        return channel.isActive() && !readActivity.begun();
     }
 
     /**
-     * Whether nothing has come since the last answer. Danger: nothing in an answer tells which
-     * request it is for. A second copy that the system holds for us, unread, would be taken for the
+     * Whether nothing has come since the last response, as far as the system holds it. Nothing in a
+     * response tells which request it is for; a second copy of one, unread, would be taken for the
      * next request's.
      */
-    boolean quiet() {
+    boolean isQuiet() {
         if (channel.isActive()) {
             pool.readNow(channel);
         }
-        return usable();
+        return isUsable();
     }
 
     void close() {
@@ -132,264 +109,114 @@
 
     /** Nothing is open on it: it is offered to the next request. */
     void keep() {
-        idleSince = pool.loop().nanoTime();
+        idleSinceNanos = pool.loop().nanoTime();
         pool.release(this);
     }
 
-    void carry(UpstreamCall next) {
-        exchange = next;
-        head = null;
-        body = null;
-        result = null;
-        reply = null;
-        flow = null;
-        flowed = 0;
-        if (next.mustEndInTime()) {
-            channel.pipeline()
-                    .addFirst(new FinalByteGate(() -> next.mayEnd(pool.loop().nanoTime())));
-        }
-        if (next.flow() == null) {
-            follow(
-                    next,
-                    channel.writeAndFlush(next.begin(channel, endpoint, pool.loop().nanoTime())));
-            return;
-        }
-        channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
-        channel.write(next.start(channel, endpoint, pool.loop().nanoTime()));
-        upload = next.flow();
-        pool.loop().execute(next::tellLetGo);
-        watchForUnread();
-        upload.to(
-                channel,
-                () -> follow(next, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
+    /** Sends a request; to be called only while none is open. */
+    void send(UpstreamCall next) {
+        call = next;
+        reader.reset();
+        writer.write(next, endpoint);
     }
 
-    private void follow(UpstreamCall next, ChannelFuture lastByte) {
-        lastByte.addListener(
-                done -> {
-                    if (done.isSuccess()) {
-                        next.lastByteWritten();
-                        if (next.flow() != null) {
-                            pool.loop().execute(next::tellCommitted);
-                        }
-                    } else {
-                        // Kept back, it is known not to have run; else what the connection's end
-                        // says holds.
-                        result =
-                                done.cause() instanceof FinalByteGate.LateException
-                                        ? Outcome.NEVER_SENT
-                                        : result;
-                        breakOff();
-                    }
-                });
+    private void onWriteFailed(Throwable cause) {
+        reader.onWriteFailed(cause);
+        breakOff();
     }
 
-    /** The upstream has read some of a long request, or more waits for it than should. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (upload != null) {
-            watchForUnread();
-            upload.settle();
-        }
+        writer.onWritabilityChanged();
         ctx.fireChannelWritabilityChanged();
     }
 
-    /**
-     * Danger: an upstream that reads no more would hold its client's connection, unread, for good.
-     */
-    private void watchForUnread() {
-        if (unread != null) {
-            unread.cancel();
-            unread = null;
-        }
-        if (upload != null && !channel.isWritable()) {
-            unread = pool.loop().after(LONGEST_UNREAD, this::breakOff);
-        }
-    }
-
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (broken) {
             return;
         }
-        if (exchange == null || result != null || message.decoderResult().isFailure()) {
-            // Danger: bytes that belong to no request would be taken for the next one's answer.
+        // Bytes that belong to no request would be taken for the next one's response.
+        if (call == null || reader.hasOutcome() || message.decoderResult().isFailure()) {
+            breakOff();
+        } else if (!reader.onMessage(message, call)) {
             breakOff();
-            return;
-        }
-        if (message instanceof HttpResponse response) {
-            if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL
-                    && !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                return;
-            }
-            if (!canBeServed(response)) {
-                breakOff();
-                return;
-            }
-            head = response;
-            body = Unpooled.buffer(256);
-        }
-        if (head == null && message instanceof LastHttpContent) {
-            // The end of an interim answer: the real one may take its time.
-            input.whole(decoder.hasBufferedBytes());
-        }
-        if (message instanceof HttpContent content && head != null) {
-            if (!take(content.content())) {
-                breakOff();
-                return;
-            }
-            if (message instanceof LastHttpContent) {
-                input.whole(decoder.hasBufferedBytes());
-                result = outcome(head);
-                reply =
-                        new HttpUpstreamResponse(
-                                head.headers(),
-                                flow != null ? NO_BODY : ByteBufUtil.getBytes(body));
-            }
-        }
-    }
-
-    /**
-     * A piece of the body is held, or passed on where all would be too much; false if neither can
-     * be.
-     */
-    private boolean take(ByteBuf piece) {
-        if (flow == null
-                && body.readableBytes() + piece.readableBytes() <= MessageFraming.MAX_BODY) {
-            body.writeBytes(piece);
-            return true;
-        }
-        if (flow == null) {
-            flow = new StreamedBody(head.headers(), HttpUtil.getContentLength(head, -1L), this);
-            if (head.status().code() != 200 || !exchange.begins(flow)) {
-                flow = null;
-                return false;
-            }
-            flowed = body.readableBytes();
-            flow.write(body.retainedSlice());
-        }
-        flowed += piece.readableBytes();
-        if (flowed > MessageFraming.MOST_FLOWING) {
-            return false;
         }
-        flow.write(piece.retain());
-        return true;
     }
 
-    /** Nothing is read while the client has enough to read; it has its own time for that. */
+    /** The client has enough to read, and has its own time for that. */
     @Override
     public void pause() {
-        paused = true;
+        readPaused = true;
         channel.config().setAutoRead(false);
         watchForStall();
     }
 
     @Override
     public void resume() {
-        paused = false;
+        readPaused = false;
         channel.config().setAutoRead(true);
         watchForStall();
     }
 
     /**
-     * Danger: closing is heard of only after all that was read at once has been handed on. A part
-     * left out for its size, with a smaller one and the end right behind it, would go out as a
-     * whole answer with a hole.
+     * Closes the connection, and discards all that comes behind this. What was read at once is
+     * still handed on after a close; a part left out for its size, with a smaller one and the end
+     * right behind it, would be served as a complete response with a hole.
      */
     private void breakOff() {
         broken = true;
         channel.close();
     }
 
-    /**
-     * One length, chunks, or neither: then the upstream's orderly end of the connection is the
-     * answer's (RFC 9112, 6.3), and whatever else ends the connection breaks it off.
-     */
-    private static boolean canBeServed(HttpResponse response) {
-        long most =
-                response.status().code() == 200
-                        ? MessageFraming.MOST_FLOWING
-                        : MessageFraming.MAX_BODY;
-        return MessageFraming.isPlain(response) && HttpUtil.getContentLength(response, 0L) <= most;
-    }
-
-    /** Danger: an answer cut short on an open connection would be waited for until the deadline. */
+    /** Without this, a response cut short on an open connection would be waited for in vain. */
     private void watchForStall() {
-        if (stalled != null) {
-            stalled.cancel();
-            stalled = null;
+        if (stallTimer != null) {
+            stallTimer.cancel();
+            stallTimer = null;
         }
-        if (exchange != null && input.begun() && !paused) {
-            stalled = pool.loop().after(flow == null ? stall : LONGEST_PAUSE, this::breakOff);
+        if (call != null && readActivity.begun() && !readPaused) {
+            long nanos = reader.isStreaming() ? MAX_STREAM_READ_STALL_NANOS : readStallNanos;
+            stallTimer = pool.loop().after(nanos, this::breakOff);
         }
     }
 
     /**
-     * The answer is told, and the connection offered again, only when all that came with it has
-     * been read: noise behind an answer must not meet the next request.
+     * Ends the attempt, and offers the connection again, only when all that came with the response
+     * has been read: what follows a response must not meet the next request.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (result != null && exchange != null) {
-            UpstreamCall done = exchange;
-            Outcome outcome = result;
-            HttpUpstreamResponse told = reply;
-            boolean reusable = HttpUtil.isKeepAlive(head) && usable() && done.isFullyWritten();
-            exchange = null;
-            head = null;
-            body = null;
-            endUpload();
-            if (flow != null) {
-                flow.whole();
-                flow = null;
-            }
+        if (reader.hasOutcome() && call != null) {
+            UpstreamCall done = call;
+            Outcome outcome = reader.outcome();
+            HttpUpstreamResponse response = reader.response();
+            boolean reusable = reader.isKeepAlive() && isUsable() && done.isFullyWritten();
+            call = null;
+            reader.release();
+            writer.endUpload();
+            reader.completeStream();
             if (reusable) {
                 keep();
             } else {
                 channel.close();
             }
-            done.end(outcome, told);
-        }
-        if (flow != null) {
-            flow.flush();
+            done.end(outcome, response);
         }
+        reader.flushStream();
         watchForStall();
         ctx.fireChannelReadComplete();
     }
 
-    /** Nothing more of it goes to this upstream, whether or not all of it has. */
-    private void endUpload() {
-        if (upload != null) {
-            StreamedBody ended = upload;
-            upload = null;
-            watchForUnread();
-            ended.end();
-        }
-    }
-
-    /** What an answer proves: only the upstream's own word that it did not run counts as that. */
-    private static Outcome outcome(HttpResponse head) {
-        int status = head.status().code();
-        if (status == 200) {
-            return Outcome.OK;
-        }
-        boolean notRun =
-                (status == 503 || status == 504) && "1".equals(head.headers().get(Headers.NOT_RUN));
-        return notRun ? Outcome.REJECTED : Outcome.ERROR;
-    }
-
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        UpstreamCall broken = exchange;
-        exchange = null;
-        endUpload();
-        if (flow != null) {
-            flow.end();
-            flow = null;
-        }
-        if (broken != null) {
-            Outcome outcome = broken.isFullyWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
-            broken.end(result != null ? result : outcome, reply);
+        UpstreamCall cut = call;
+        call = null;
+        writer.endUpload();
+        reader.abortStream();
+        if (cut != null) {
+            Outcome outcome = OutcomeClassifier.ofClosedConnection(cut);
+            cut.end(reader.hasOutcome() ? reader.outcome() : outcome, reader.response());
         }
         pool.closed(this);
         ctx.fireChannelInactive();
@@ -403,23 +230,4 @@
         }
         breakOff();
     }
-
-    /** Writes requests as they came. */
-    private static final class Encoder extends HttpRequestEncoder {
-        /**
-         * Danger: a head is read with one letter a byte, and would be written with two for letters
-         * beyond ASCII: the server would get a path that no client sent.
-         */
-        @Override
-        protected void encodeInitialLine(ByteBuf out, HttpRequest request) {
-            out.writeCharSequence(
-                    request.method()
-                            + " "
-                            + request.uri()
-                            + " "
-                            + request.protocolVersion()
-                            + "\r\n",
-                    StandardCharsets.ISO_8859_1);
-        }
-    }
 }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -130,7 +130,7 @@
     /** Danger: connecting took time, and what might be sent when it began may not be any more. */
     private void carry(UpstreamConnection connection, UpstreamCall exchange) {
         if (exchange.mayBegin(loop.nanoTime())) {
-            connection.carry(exchange);
+            connection.send(exchange);
         } else {
             connection.keep();
             loop.execute(() -> exchange.end(Outcome.NEVER_SENT, null));
@@ -142,7 +142,7 @@
         ArrayDeque<UpstreamConnection> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
             UpstreamConnection connection = all.pop();
-            if (connection.quiet() && loop.nanoTime() - connection.idleSince() < maxIdle) {
+            if (connection.isQuiet() && loop.nanoTime() - connection.idleSinceNanos() < maxIdle) {
                 return connection;
             }
             connection.close();
@@ -211,7 +211,8 @@
         idle.values()
                 .removeIf(
                         all -> {
-                            while (!all.isEmpty() && now - all.peekLast().idleSince() >= maxIdle) {
+                            while (!all.isEmpty()
+                                    && now - all.peekLast().idleSinceNanos() >= maxIdle) {
                                 all.pollLast().close();
                             }
                             return all.isEmpty();
@@ -223,7 +224,8 @@
         UpstreamConnection oldest = null;
         for (ArrayDeque<UpstreamConnection> all : idle.values()) {
             UpstreamConnection last = all.peekLast();
-            if (last != null && (oldest == null || last.idleSince() - oldest.idleSince() < 0)) {
+            if (last != null
+                    && (oldest == null || last.idleSinceNanos() - oldest.idleSinceNanos() < 0)) {
                 oldest = last;
             }
         }
