--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -69,7 +69,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        listener.opened(this);
+        listener.onConnectionOpened(this);
         ctx.fireChannelActive();
     }
 
@@ -97,7 +97,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         closing.onChannelInactive();
         responses.onChannelInactive();
-        listener.closed(this);
+        listener.onConnectionClosed(this);
         ctx.fireChannelInactive();
     }
 
--- a/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
@@ -33,9 +33,9 @@
         }
         try {
             ClientRequest parsed =
-                    listener.reader()
-                            .read(request, content, listener.exchanges().earliestArrivalNanos());
-            if (!clientSeenPresent || listener.exchanges().mayHaveWaitedUnread()) {
+                    listener.requestParser()
+                            .read(request, content, listener.coordinator().earliestArrivalNanos());
+            if (!clientSeenPresent || listener.coordinator().mayHaveWaitedUnread()) {
                 listener.loop().execute(() -> acceptIfPresent(parsed, exchange));
             } else {
                 accept(parsed, exchange);
@@ -53,7 +53,7 @@
     void dispatchUpload(
             HttpRequest request, ByteBuf begun, ClientExchange exchange, long arrivedNanos) {
         try {
-            ClientRequest parsed = listener.reader().read(request, NO_BODY, arrivedNanos);
+            ClientRequest parsed = listener.requestParser().read(request, NO_BODY, arrivedNanos);
             exchange.upload().write(begun);
             HttpUpstreamRequest message = (HttpUpstreamRequest) parsed.message();
             accept(parsed.with(message.with(exchange.upload())), exchange);
@@ -76,7 +76,7 @@
     }
 
     private void accept(ClientRequest request, ClientExchange exchange) {
-        exchange.onCancel(listener.exchanges().accept(request, exchange));
+        exchange.onCancel(listener.coordinator().accept(request, exchange));
     }
 
     private void answerReadiness(HttpMethod method, ClientExchange exchange) {
@@ -98,6 +98,6 @@
 
     /** Counts a request that made no sense. */
     void onMalformedRequest() {
-        listener.exchanges().metrics().onMalformedRequest();
+        listener.coordinator().metrics().onMalformedRequest();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
@@ -75,9 +75,9 @@
             }
         }
         if (backlog.waits()) {
-            listener.unread();
+            listener.onResponseUnread();
         }
-        listener.answered(connection);
+        listener.onResponsesWritten();
     }
 
     /** Writes a response that is held whole; returns whether the next one may follow. */
@@ -103,7 +103,7 @@
         if (last) {
             endBehind(written);
             if (backlog.waits()) {
-                listener.unread();
+                listener.onResponseUnread();
             }
             return false;
         }
@@ -163,14 +163,14 @@
         }
         written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         if (exchanges.isEmpty()) {
-            listener.answered(connection);
+            listener.onResponsesWritten();
         }
         return true;
     }
 
     /** Whether the drain makes a response the last one, with so many open behind it. */
     private boolean endsForDrain(int openBehind) {
-        return listener.lastCall() && openBehind == 0 && !readActivity.begun();
+        return listener.isLastCall() && openBehind == 0 && !readActivity.begun();
     }
 
     private static void setConnectionHeader(HttpResponse response, boolean last) {
