--- a/sidecar/src/main/java/appleridge/request/Endpoint.java
+++ b/sidecar/src/main/java/appleridge/request/Endpoint.java
@@ -3,11 +3,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * An upstream and where it listens. Danger: one may take over the address of another that has gone,
- * and must not take over its connections.
+ * An upstream host and where it listens. A host is not its address: one that takes over the address
+ * of another that has gone must not be given the other's connections.
  */
 public record Endpoint(long upstream, InetSocketAddress address) {
-    /** Written out: what a record brings by itself the JVM makes at each start. */
+    /** Written out, because the JVM generates a record's own methods anew at each start. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Endpoint that
--- a/sidecar/src/main/java/appleridge/request/EndpointSubscription.java
+++ b/sidecar/src/main/java/appleridge/request/EndpointSubscription.java
@@ -1,21 +1,21 @@
 package appleridge.request;
 
 /**
- * What the decision module asks of the source of the list; answered by {@link
- * RequestCoordinator#onEndpointUpdate}.
+ * What the load-balancing policy asks of discovery; answered by {@link
+ * RequestCoordinator#onEndpointUpdate}. Event loop only.
  */
 public interface EndpointSubscription {
-    /** Follows the list, or ends that. */
+    /** Subscribes to endpoint updates, or ends that. */
     void subscribe(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Asks for one snapshot. */
     void fetchEndpoints();
 
-    /** Takes in, before this returns, what has been told and not yet been read. */
+    /** Handles, before this returns, the updates that have arrived and are unread. */
     void readPendingUpdates();
 
     /**
-     * Whether it is certain, after {@link #readPendingUpdates}, that nothing told before that is
+     * Whether it is certain, after {@link #readPendingUpdates}, that no update sent before that is
      * still to come.
      */
     default boolean isCaughtUp() {
--- a/sidecar/src/main/java/appleridge/request/EventLog.java
+++ b/sidecar/src/main/java/appleridge/request/EventLog.java
@@ -2,20 +2,20 @@
 
 import java.util.function.Supplier;
 
-/** Where a sidecar's life is written down. */
+/** The operators' log of one sidecar. Event loop only. */
 public interface EventLog {
     /** A line for operators. */
     void info(String line);
 
-    /** A line for operators about something that needs an eye. */
+    /** A line for operators about something that needs attention. */
     void warning(String line);
 
     /**
-     * An event with its fields in the form {@code key=value}. Of one kind only some a second are
-     * written, with a count of those left out, and the fields are asked for only then.
+     * An event with its fields in the form {@code key=value}. Each kind is rate-limited, with a
+     * count of those suppressed; fields are computed only for what is written.
      */
     default void event(LogEvent kind, Supplier<String> fields) {}
 
-    /** Something failed that must not stop the rest; the cause may be null. */
+    /** Something failed that must not stop the rest; {@code cause} may be null. */
     void failure(String what, Throwable cause);
 }
--- a/sidecar/src/main/java/appleridge/request/EventLoopStallGuard.java
+++ b/sidecar/src/main/java/appleridge/request/EventLoopStallGuard.java
@@ -3,128 +3,134 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Knows, from the times of events alone, how late the event loop is: how long nothing was handled,
- * and for how long what is read now may have waited unread. It decides what has to be looked at
- * again; who asks it looks.
+ * Derives from the times of events alone how late the event loop is: for how long nothing was
+ * handled, and for how long what is read now may have waited unread. It only answers; {@link
+ * StallReconciler} acts.
  *
  * <p>Invariant: what came while the loop was late is not handled as if it had just come. All times
- * are nanoseconds on the loop's own clock.
+ * are nanoseconds on the loop's own clock. Event loop only.
  */
 final class EventLoopStallGuard {
     /**
-     * The longest stall after which the list is not caught up with; half of what drains allow, if
-     * less.
+     * The longest gap between events after which discovery need not be caught up with; half of the
+     * drain grace, if that is less.
      */
-    private static final long LONGEST_UNCHECKED = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MAX_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     /**
-     * A gap of so much tells that the loop was late; for as long after, what is read may have come
-     * in it.
+     * After a gap of so much the loop counts as late; for as long afterwards, what is read may have
+     * come within the gap.
      */
-    private static final long LATE = TimeUnit.MILLISECONDS.toNanos(150);
+    private static final long LATE_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * From a gap of so much on, clients are looked at: no attempt may begin more than 0.1 s after
-     * its client has left. Twice as long as from one {@link #allRead} to the next, so that a quiet
-     * loop looks at nobody.
+     * For no longer may clients' input stay unread: no attempt may begin more than 0.1 s after its
+     * client has left. Twice the interval from one {@link #onAllInputRead} to the next, so that a
+     * quiet loop checks no clients.
      */
-    private static final long CLIENTS_UNSEEN = TimeUnit.MILLISECONDS.toNanos(80);
+    private static final long MAX_UNREAD_INPUT_NANOS = TimeUnit.MILLISECONDS.toNanos(80);
 
-    /** For so long after a stall, what is read may have waited since before. */
-    private static final long AFTERMATH = TimeUnit.SECONDS.toNanos(1);
+    /** For so long after a stall, what is read may have waited since before it. */
+    private static final long AFTER_STALL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final long stall;
-    private long lastEvent;
-    private long gap;
+    private final long stallThresholdNanos;
+    private long lastEventNanos;
+    private long gapNanos;
     private boolean stalled;
     private boolean clientsUnchecked;
-    private long stalledUntil;
+    private long lastStallNanos;
 
-    /** The last event before the loop was late, and the first one after. */
-    private long lateFrom;
+    /** The last event before the loop was late. */
+    private long lateFromNanos;
 
-    private long lateUntil;
+    /** The first event after the loop was late. */
+    private long lateUntilNanos;
 
-    /** The first event after the first of late turns in a row. */
-    private long lateSince;
+    /** The first event after the first of several late turns in a row. */
+    private long lateSinceNanos;
 
-    /** When all that was there had last been read, or clients had been looked at. */
-    private long allReadAt;
+    /** When all input had last been read, or all clients been checked. */
+    private long allReadAtNanos;
 
-    /** When clients were last looked at because the loop was late. */
-    private long lookedAt;
+    /** When all clients were last checked because the loop was late. */
+    private long clientsCheckedAtNanos;
 
     /**
      * Begins to watch.
      *
      * @param now the time
-     * @param drainGrace within which news of the list has to take effect
+     * @param drainGraceNanos within which a discovery update has to take effect
      */
-    EventLoopStallGuard(long now, long drainGrace) {
-        this.stall = Math.min(LONGEST_UNCHECKED, Math.max(LATE, drainGrace / 2));
-        this.lastEvent = now;
-        this.allReadAt = now;
-        this.stalledUntil = now - AFTERMATH;
-        this.lateUntil = now - AFTERMATH;
-        this.lookedAt = now - AFTERMATH;
+    EventLoopStallGuard(long now, long drainGraceNanos) {
+        this.stallThresholdNanos =
+                Math.min(MAX_GAP_NANOS, Math.max(LATE_GAP_NANOS, drainGraceNanos / 2));
+        this.lastEventNanos = now;
+        this.allReadAtNanos = now;
+        this.lastStallNanos = now - AFTER_STALL_NANOS;
+        this.lateUntilNanos = now - AFTER_STALL_NANOS;
+        this.clientsCheckedAtNanos = now - AFTER_STALL_NANOS;
     }
 
-    /** An event is about to be handled; to be asked about afterwards. */
+    /** An event is about to be handled; the other methods answer as of this event. */
     void observe(long now) {
-        gap = now - lastEvent;
-        stalled = gap > stall;
+        gapNanos = now - lastEventNanos;
+        stalled = gapNanos > stallThresholdNanos;
         if (stalled) {
-            stalledUntil = now;
+            lastStallNanos = now;
         }
-        if (gap > LATE) {
+        if (gapNanos > LATE_GAP_NANOS) {
             noteLate(now);
         }
-        // Danger: where much is read at once, one after the other, there is no gap, and yet what is
-        // read
-        // last has waited for as long as all of it took.
-        clientsUnchecked = gap > CLIENTS_UNSEEN || now - allReadAt > CLIENTS_UNSEEN;
+        // A long turn in which many events follow each other closely has no gap, and yet what is
+        // read last in it has waited for as long as all of it took.
+        clientsUnchecked =
+                gapNanos > MAX_UNREAD_INPUT_NANOS || now - allReadAtNanos > MAX_UNREAD_INPUT_NANOS;
         if (clientsUnchecked) {
-            lookedAt = now;
-            allReadAt = now;
+            clientsCheckedAtNanos = now;
+            allReadAtNanos = now;
         }
-        lastEvent = now;
+        lastEventNanos = now;
     }
 
     /**
-     * Danger: late again so soon, the loop has not come to the end of what came before: connections
-     * are accepted four at a time, and a new one's request is looked at one turn later. But one
-     * that is late for good has come to it, or all that is read would be too old.
+     * A loop that is late again soon after has not yet read all that came before: connections are
+     * accepted four at a time, and a new one's request is read one turn later. A loop that is late
+     * for good has read it; else all that it reads would count as too old.
      */
     private void noteLate(long now) {
-        boolean again = lastEvent - lateUntil < LATE;
-        lateSince = again ? lateSince : now;
-        lateFrom = again && now - lateSince < AFTERMATH ? lateFrom : lastEvent;
-        lateUntil = now;
+        boolean again = lastEventNanos - lateUntilNanos < LATE_GAP_NANOS;
+        if (!again) {
+            lateSinceNanos = now;
+        }
+        if (!again || now - lateSinceNanos >= AFTER_STALL_NANOS) {
+            lateFromNanos = lastEventNanos;
+        }
+        lateUntilNanos = now;
     }
 
-    /** A timer has come up, and all that was there before it has been read. */
-    void allRead() {
-        allReadAt = lastEvent;
+    /** A timer has fired, so all input that was there before it has been read. */
+    void onAllInputRead() {
+        allReadAtNanos = lastEventNanos;
     }
 
     /** The time of the last event. */
-    long lastEvent() {
-        return lastEvent;
+    long lastEventNanos() {
+        return lastEventNanos;
     }
 
-    /** Nanoseconds between the last event and the one before. */
-    long gap() {
-        return gap;
+    /** The time between the last event and the one before. */
+    long gapNanos() {
+        return gapNanos;
     }
 
-    /** Whether the last event came after a stall so long that the list has to be caught up with. */
+    /** Whether the last event came after a stall after which discovery has to be caught up with. */
     boolean isStalled() {
         return stalled;
     }
 
     /**
-     * Whether a client may have left unnoticed: clients are to be looked at before anything is
-     * sent.
+     * Whether a client may have left unnoticed, so that clients are to be checked before anything
+     * is sent.
      */
     boolean mayHaveMissedClients() {
         return clientsUnchecked;
@@ -134,16 +140,16 @@
      * Whether what is read from clients now may have waited unread, and its client have left since.
      */
     boolean mayHaveWaited() {
-        return lastEvent - stalledUntil < AFTERMATH || lastEvent - lookedAt < LATE;
+        return lastEventNanos - lastStallNanos < AFTER_STALL_NANOS
+                || lastEventNanos - clientsCheckedAtNanos < LATE_GAP_NANOS;
     }
 
     /**
-     * Since when what is read from clients now may have been there. Danger: counted from when the
-     * loop comes to read it, a request that waited is answered as much later than its client waits
-     * for it; so what is read soon after the loop was late counts as having come at the last event
-     * before.
+     * Since when what is read from clients now may have been there: soon after the loop was late,
+     * since the last event before that. Counted from its reading instead, a request that waited
+     * would be answered as much later than its client waits for it.
      */
-    long arrivedAt() {
-        return lastEvent - lateUntil < LATE ? lateFrom : lastEvent;
+    long earliestArrivalNanos() {
+        return lastEventNanos - lateUntilNanos < LATE_GAP_NANOS ? lateFromNanos : lastEventNanos;
     }
 }
--- a/sidecar/src/main/java/appleridge/request/InFlightCounts.java
+++ b/sidecar/src/main/java/appleridge/request/InFlightCounts.java
@@ -1,12 +1,12 @@
 package appleridge.request;
 
 /**
- * What is open: all zero once every request has its answer and every attempt its end.
+ * What is in flight: all zero once every request and every attempt has ended.
  *
- * @param openRequests requests without a final answer
- * @param openAttempts attempts that are out
- * @param trackedRequests requests of which anything is still kept
- * @param requestIds ids under which a request is open
+ * @param openRequests requests without a final response
+ * @param openAttempts attempts that have not ended
+ * @param trackedRequests requests that are open or have an open attempt
+ * @param requestIds clients' ids under which a request is open
  */
 public record InFlightCounts(
         int openRequests, int openAttempts, int trackedRequests, int requestIds) {}
--- a/sidecar/src/main/java/appleridge/request/MonotonicClock.java
+++ b/sidecar/src/main/java/appleridge/request/MonotonicClock.java
@@ -1,6 +1,6 @@
 package appleridge.request;
 
-/** The one clock of a sidecar. */
+/** The only clock of a sidecar. */
 public interface MonotonicClock {
     /** Nanoseconds on a clock that never runs back; its zero has no meaning. */
     long nanoTime();
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/request/PolicyActionExecutor.java
@@ -0,0 +1,145 @@
+package appleridge.request;
+
+import appleridge.loadbalancing.Outcome;
+import appleridge.loadbalancing.PolicyActions;
+import appleridge.loadbalancing.PolicySettings;
+
+/**
+ * Carries out what the load-balancing policy orders. Orders for requests that are not tracked any
+ * more are ignored; one that has ended, or whose streaming has begun, is not rejected or failed.
+ * Event loop only.
+ */
+final class PolicyActionExecutor implements PolicyActions {
+    private final MonotonicClock clock;
+    private final Scheduler scheduler;
+    private final PolicySettings settings;
+    private final EventLog log;
+    private final RequestAccounting accounting;
+    private final RequestCompletion completion;
+    private final EndpointDirectory endpoints;
+    private final AttemptTracker attempts;
+    private final StallReconciler reconciler;
+    private final PolicyInvoker policyInvoker;
+
+    /** Null before {@link #start}. */
+    private EndpointSubscription subscription;
+
+    private boolean closed;
+
+    PolicyActionExecutor(
+            MonotonicClock clock,
+            Scheduler scheduler,
+            PolicySettings settings,
+            EventLog log,
+            RequestAccounting accounting,
+            RequestCompletion completion,
+            EndpointDirectory endpoints,
+            AttemptTracker attempts,
+            StallReconciler reconciler,
+            PolicyInvoker policyInvoker) {
+        this.clock = clock;
+        this.scheduler = scheduler;
+        this.settings = settings;
+        this.log = log;
+        this.accounting = accounting;
+        this.completion = completion;
+        this.endpoints = endpoints;
+        this.attempts = attempts;
+        this.reconciler = reconciler;
+        this.policyInvoker = policyInvoker;
+    }
+
+    /** From here on the policy may ask the source of the endpoint list. */
+    void start(EndpointSubscription source) {
+        subscription = source;
+    }
+
+    /** From now on no timer reaches the policy any more. */
+    void close() {
+        closed = true;
+    }
+
+    @Override
+    public void sendAttempt(long id, long upstream, long timeoutNanos) {
+        PendingRequest request = accounting.find(id);
+        if (request == null) {
+            log.failure("the policy sends for a request that is not tracked: " + id, null);
+            return;
+        }
+        attempts.start(request, upstream, timeoutNanos);
+    }
+
+    @Override
+    public void reject(long id, long waitNanos) {
+        PendingRequest request = accounting.find(id);
+        if (request != null && request.isUncommitted()) {
+            completion.reject(
+                    request,
+                    EndReason.POLICY_REJECTED,
+                    settings.capabilities().retryAfter() ? waitNanos : 0);
+        }
+    }
+
+    /** The client learns what is known of the cause, and nothing that would invite a retry. */
+    @Override
+    public void fail(long id) {
+        PendingRequest request = accounting.find(id);
+        if (request != null && request.isUncommitted()) {
+            boolean timedOut =
+                    request.lastOutcome() == Outcome.TIMEOUT
+                            || clock.nanoTime() >= request.deadlineNanos();
+            completion.fail(
+                    request, timedOut ? EndReason.DEADLINE_EXCEEDED : EndReason.POLICY_FAILED);
+        }
+    }
+
+    @Override
+    public void cancelAttempt(long id, int number) {
+        PendingRequest request = accounting.find(id);
+        if (request != null && number < request.attempts().size()) {
+            attempts.cancel(request.attempts().get(number));
+        }
+    }
+
+    @Override
+    public void setTimer(long token, long at) {
+        scheduler.scheduleAt(
+                at,
+                () -> {
+                    if (!closed) {
+                        reconciler.reconcile();
+                        policyInvoker.notify(policy -> policy.onTimer(clock.nanoTime(), token));
+                    }
+                });
+    }
+
+    @Override
+    public void closeIdleConnections(long upstream) {
+        endpoints.closeIdleConnections(upstream);
+    }
+
+    @Override
+    public void sendHealthCheck(long upstream) {
+        throw new UnsupportedOperationException("this sidecar sends no health checks");
+    }
+
+    @Override
+    public void sendGossip(int peer, byte[] message) {
+        throw new UnsupportedOperationException("this sidecar has no peers");
+    }
+
+    @Override
+    public void log(String line) {
+        log.info(line);
+    }
+
+    @Override
+    public void subscribe(boolean on) {
+        subscription.subscribe(on);
+    }
+
+    @Override
+    public void fetchEndpoints() {
+        subscription.fetchEndpoints();
+    }
+}
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -4,86 +4,109 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Logs what became of requests and attempts that did not go as asked: which, why, and how long it
- * took.
+ * Logs requests and attempts that did not end well: which, by which rule, and after how long. Event
+ * loop only.
  */
 final class RequestLog {
-    private final MonotonicClock time;
+    private final MonotonicClock clock;
     private final EventLog log;
 
-    RequestLog(MonotonicClock time, EventLog log) {
-        this.time = time;
+    RequestLog(MonotonicClock clock, EventLog log) {
+        this.clock = clock;
         this.log = log;
     }
 
     /**
-     * A request has ended in another way than by an upstream's good answer, or after its time.
+     * A request has ended in another way than by an upstream's good response, or after its time.
      *
-     * @param now as of the event that ended it
+     * @param nowNanos as of the event that ended it
      */
-    void ended(PendingRequest call, RequestMetrics.RequestEnd how, long now) {
-        boolean late = now > call.request.arrivedAtNanos() + call.request.timeoutNanos();
-        if (how != RequestMetrics.RequestEnd.SERVED || late) {
+    void ended(PendingRequest request, EndReason reason, long nowNanos) {
+        if (isLogged(request.clientRequest(), reason, nowNanos)) {
             log.event(
                     LogEvent.REQUEST_ENDED,
                     () ->
-                            "id="
-                                    + call.request.id()
-                                    + " how="
-                                    + how
-                                    + " late="
-                                    + late
-                                    + " class="
-                                    + call.request.requestClass()
-                                    + " age_ms="
-                                    + millis(now - call.request.arrivedAtNanos())
-                                    + " waits_ms="
-                                    + millis(call.request.timeoutNanos())
+                            fields(request.clientRequest(), reason, nowNanos)
                                     + " attempts="
-                                    + call.attempts.size()
+                                    + request.attempts().size()
                                     + " out="
-                                    + call.out
+                                    + request.outstandingAttempts()
                                     + " last="
-                                    + call.last);
+                                    + request.lastOutcome());
         }
     }
 
-    /** An attempt has ended without a usable answer. */
+    /** The same of one that ended before anything was kept of it. */
+    void ended(ClientRequest request, EndReason reason, long nowNanos) {
+        log.event(
+                LogEvent.REQUEST_ENDED,
+                () -> fields(request, reason, nowNanos) + " attempts=0 out=0 last=null");
+    }
+
+    private static boolean isLogged(ClientRequest request, EndReason reason, long nowNanos) {
+        return reason != EndReason.SERVED || isLate(request, nowNanos);
+    }
+
+    private static boolean isLate(ClientRequest request, long nowNanos) {
+        return nowNanos > request.arrivedAtNanos() + request.timeoutNanos();
+    }
+
+    private static String fields(ClientRequest request, EndReason reason, long nowNanos) {
+        return "id="
+                + request.id()
+                + " how="
+                + reason.end()
+                + " reason="
+                + reason.label()
+                + " late="
+                + isLate(request, nowNanos)
+                + " class="
+                + request.requestClass()
+                + " age_ms="
+                + millis(nowNanos - request.arrivedAtNanos())
+                + " waits_ms="
+                + millis(request.timeoutNanos());
+    }
+
+    /** An attempt has ended without a usable response. */
     void ended(Attempt attempt, Outcome outcome) {
         if (outcome != Outcome.OK) {
             log.event(
                     LogEvent.ATTEMPT_ENDED,
                     () ->
                             "id="
-                                    + attempt.call.request.id()
+                                    + attempt.request().clientRequest().id()
                                     + " number="
-                                    + attempt.number
+                                    + attempt.number()
                                     + " upstream="
-                                    + attempt.upstream
+                                    + attempt.upstream()
                                     + " outcome="
                                     + outcome
                                     + " age_ms="
-                                    + millis(time.nanoTime() - attempt.sentAt)
+                                    + millis(clock.nanoTime() - attempt.sentAtNanos())
                                     + " begun="
-                                    + (attempt.sending != null
-                                            && attempt.sending.hasStartedWriting())
+                                    + attempt.hasStartedWriting()
                                     + " committed="
-                                    + (attempt.sending != null
-                                            && attempt.sending.isFullyWritten()));
+                                    + attempt.isFullyWritten());
         }
     }
 
-    /** Requests are deferred from now on, or the deferred ones are resumed. */
-    void deferred(boolean begins, int waiting, long stall) {
+    /** Requests are deferred from now on, after a stall. */
+    void deferred(int openRequests, long stallNanos) {
         log.event(
                 LogEvent.REQUESTS_DEFERRED,
                 () ->
-                        "state="
-                                + (begins ? "deferred" : "resumed")
-                                + " requests="
-                                + waiting
+                        "state=deferred requests="
+                                + openRequests
                                 + " stall_ms="
-                                + millis(stall));
+                                + millis(stallNanos));
+    }
+
+    /** The deferred requests go to the policy. */
+    void resumed(int requests) {
+        log.event(
+                LogEvent.REQUESTS_DEFERRED,
+                () -> "state=resumed requests=" + requests + " stall_ms=0");
     }
 
     private static long millis(long nanos) {
--- a/sidecar/src/main/java/appleridge/request/RequestMetrics.java
+++ b/sidecar/src/main/java/appleridge/request/RequestMetrics.java
@@ -1,17 +1,17 @@
 package appleridge.request;
 
-/** Counts what becomes of requests; each thing is told in one place, once. */
+/** Counts what becomes of requests; each is counted in one place, once. Event loop only. */
 public interface RequestMetrics {
-    /** Where nobody asks. */
+    /** Counts nothing. */
     RequestMetrics NONE = new RequestMetrics() {};
 
-    /** How a request that was taken has ended. */
+    /** How an accepted request has ended. */
     enum RequestEnd {
-        /** With an upstream's good answer. */
+        /** With an upstream's good response. */
         SERVED("served"),
-        /** Not done, and asking again is harmless. */
+        /** Not executed, so that a retry is harmless. */
         REJECTED("refused"),
-        /** With no promise about effects. */
+        /** It may have been executed. */
         FAILED("failed"),
         /** Its client left first. */
         CLIENT_DISCONNECTED("left");
@@ -22,21 +22,21 @@
             this.metricWord = metricWord;
         }
 
-        /** The word by which the metrics' names tell this end. */
+        /** The word that the names of metrics have for this end. */
         public String metricWord() {
             return metricWord;
         }
     }
 
-    /** A request has been taken. */
+    /** A request has arrived. */
     default void onRequestAccepted(int requestClass) {}
 
-    /** A request that was taken has ended. */
+    /** A request that had arrived has ended. */
     default void onRequestEnded(int requestClass, RequestEnd how) {}
 
-    /** An attempt goes to an upstream; {@code further} where it is not the request's first. */
+    /** An attempt is sent; {@code further} where it is not the request's first. */
     default void onAttemptSent(int requestClass, boolean further) {}
 
-    /** What came made no sense and was turned away as that. */
+    /** Input that is no valid request was rejected. */
     default void onMalformedRequest() {}
 }
--- a/sidecar/src/main/java/appleridge/request/ResponseSink.java
+++ b/sidecar/src/main/java/appleridge/request/ResponseSink.java
@@ -1,38 +1,41 @@
 package appleridge.request;
 
-/** Takes a request's one final answer and words it as its protocol does. */
+/**
+ * Takes a request's one final response and writes it in its client's protocol. Event loop only; an
+ * error thrown by a response closes the client's connection through {@link #abort}.
+ */
 public interface ResponseSink {
     /**
-     * Takes in, before this returns, what its client has sent and whether it has left, as far as
-     * either is there and was not read yet.
+     * Handles, before this returns, what its client has sent and whether it has disconnected, as
+     * far as either has arrived unread.
      */
     void readPendingInput();
 
     /** Why a request failed. */
     enum FailureCause {
-        /** Its time was up. */
+        /** Its deadline passed. */
         DEADLINE_EXCEEDED,
-        /** An upstream's answer, or none that could be used. */
+        /** An upstream's error response, or no usable response. */
         UPSTREAM,
         /** Another request is open under the same id. */
         ID_IN_USE
     }
 
-    /** An upstream's good answer. */
+    /** An upstream's good response. */
     void onServed(UpstreamResponse reply);
 
     /**
-     * An upstream's good answer begins to go out. From here on no other answer can be given: it
+     * An upstream's good response begins to be streamed. From here on no other can be given: it
      * ends by {@link #onResponseComplete} or {@link #abort}.
      */
     void onResponseStreaming(StreamedResponse answer);
 
-    /** All of an answer that flows has come. */
+    /** All of a streamed response has come. */
     void onResponseComplete();
 
     /**
-     * Not done, and asking again is harmless; in {@code wait} nanoseconds at the soonest, 0 for no
-     * guidance.
+     * Not executed, so that a retry is harmless, after {@code wait} nanoseconds at the soonest; 0
+     * for no guidance.
      */
     void onRejected(long wait);
 
@@ -40,8 +43,8 @@
     void onFailed(FailureCause cause);
 
     /**
-     * No answer can be given any more, or no more of one that flows: the client is shown that by
-     * the end of its connection.
+     * No response can be given any more, or the rest of a streamed one is missing: the client
+     * learns that by the end of its connection.
      */
     void abort();
 }
--- a/sidecar/src/main/java/appleridge/request/Scheduler.java
+++ b/sidecar/src/main/java/appleridge/request/Scheduler.java
@@ -1,19 +1,16 @@
 package appleridge.request;
 
-/**
- * Later moments on the thread that owns a sidecar; nothing given here runs inside the call that
- * gives it.
- */
+/** Runs tasks later on the event loop; never within the call that hands them in. */
 public interface Scheduler {
-    /** Something that was to happen. */
+    /** A task that was scheduled. */
     interface ScheduledTask {
-        /** Keeps it from happening, if it has not; any number of times. */
+        /** Cancels it, unless it has run; may be called any number of times. */
         void cancel();
     }
 
-    /** Runs something at or soon after a time of the {@link MonotonicClock}. */
+    /** Runs a task at or soon after a time of the {@link MonotonicClock}. */
     ScheduledTask scheduleAt(long when, Runnable what);
 
-    /** Runs something as soon as what runs now is over. */
+    /** Runs a task as soon as the current one is over. */
     void execute(Runnable what);
 }
--- a/sidecar/src/main/java/appleridge/request/StreamedResponse.java
+++ b/sidecar/src/main/java/appleridge/request/StreamedResponse.java
@@ -1,8 +1,7 @@
 package appleridge.request;
 
 /**
- * An upstream's good answer that is too long to be held: its beginning is here, and the rest is
- * passed on as it comes, as fast as its client reads. How it is passed on is between the two sides'
- * protocols.
+ * An upstream's good response that is too long to be buffered: its beginning is here, and the rest
+ * is forwarded as it comes, as fast as its client reads. Only the two protocols involved know how.
  */
 public interface StreamedResponse {}
--- a/sidecar/src/main/java/appleridge/request/UpstreamRequest.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamRequest.java
@@ -1,7 +1,4 @@
 package appleridge.request;
 
-/**
- * What a client asks of an upstream, in a protocol's own form; only the protocol that read it can
- * write it.
- */
+/** A client's request in the form of the protocol that read it; only that protocol can write it. */
 public interface UpstreamRequest {}
--- a/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
@@ -2,22 +2,20 @@
 
 import appleridge.loadbalancing.Outcome;
 
-/** Sends to upstreams, each request once: nothing is ever sent a second time below this. */
+/** Sends attempts to upstream hosts, each once: nothing below this retries. Event loop only. */
 public interface UpstreamTransport {
     /**
-     * Told once, and never inside a call to {@link UpstreamTransport}, how an attempt ended that
-     * was not abandoned.
+     * Notified of an attempt until it is cancelled, and never within a call to {@link
+     * UpstreamTransport}; of its end exactly once.
      */
     interface AttemptListener {
-        /**
-         * Its connection has come up, and nothing is written yet: it may be abandoned from in here.
-         */
+        /** Its connection is up, and nothing is written yet: it may be cancelled from in here. */
         default void onConnected() {}
 
         /**
-         * A good answer is too long to be held, and begins to go out if that is wanted: then it
-         * ends by {@link #ended}, as OK only when all of it has come, and the time for which the
-         * answer is waited for no longer counts.
+         * A good response is too long to be buffered, and is streamed if that is wanted: then it
+         * ends by {@link #onAttemptEnded}, as OK only when all of it has come, and {@link
+         * SendDeadlines#responseByNanos} no longer counts.
          *
          * @return whether it is wanted; else the attempt is broken off
          */
@@ -26,37 +24,38 @@
         }
 
         /**
-         * The first of a request that can't be held whole is let go: from here on it can't be sent
-         * again, and until {@link #committed} its client's time does not run. Told of such requests
-         * alone.
+         * A request that is too long to be buffered begins to be streamed: from here on it can't be
+         * sent again, and its client's timeout does not run until {@link #onRequestFullyWritten}.
+         * Only for such requests.
          */
         default void onRequestStreamingStarted() {}
 
-        /** The last byte of such a request is with the socket. */
+        /** The last byte of such a streamed request is with the socket. */
         default void onRequestFullyWritten() {}
 
-        /** With the answer where one was read, good or bad; else null. */
+        /** With the response where one was read, good or bad; else null. */
         void onAttemptEnded(Outcome outcome, UpstreamResponse reply);
     }
 
-    /** An attempt on its way. */
+    /** An attempt that has not ended. */
     interface AttemptHandle {
         /** Whether any of the request's bytes may be with the socket. */
         boolean hasStartedWriting();
 
         /**
-         * Whether the request's last byte is with the socket: from then on the upstream may run it.
+         * Whether the request's last byte is with the socket: from then on the upstream may execute
+         * it.
          */
         boolean isFullyWritten();
 
-        /** Gives it up: nothing more of it is written, nothing is told. */
+        /** Cancels it: nothing more is written, and its listener is not notified any more. */
         void cancel();
     }
 
-    /** Sends a request to an upstream within a window. */
+    /** Sends a request to a host within the deadlines. */
     AttemptHandle send(
             Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener);
 
-    /** Closes the connections to an upstream on which nothing is open. */
+    /** Closes the idle connections to a host. */
     void closeIdleConnections(Endpoint endpoint);
 }
--- a/sidecar/src/test/java/appleridge/request/EventLoopStallGuardTest.java
+++ b/sidecar/src/test/java/appleridge/request/EventLoopStallGuardTest.java
@@ -21,7 +21,7 @@
 
     private void tickAfter(long millis) {
         eventAfter(millis);
-        guard.allRead();
+        guard.onAllInputRead();
     }
 
     /** Guards against looks at every client in a loop that is only quiet. */
@@ -31,7 +31,7 @@
             tickAfter(TICK + i % 20);
             assertFalse(guard.mayHaveMissedClients());
             assertFalse(guard.mayHaveWaited());
-            assertEquals(now, guard.arrivedAt());
+            assertEquals(now, guard.earliestArrivalNanos());
         }
     }
 
@@ -68,15 +68,15 @@
         tickAfter(TICK);
         long before = now;
         eventAfter(120);
-        assertEquals(now, guard.arrivedAt());
+        assertEquals(now, guard.earliestArrivalNanos());
         tickAfter(TICK);
         before = now;
         eventAfter(300);
-        assertEquals(before, guard.arrivedAt());
+        assertEquals(before, guard.earliestArrivalNanos());
         assertFalse(guard.isStalled());
         tickAfter(TICK);
         eventAfter(600);
         assertTrue(guard.isStalled());
-        assertEquals(TimeUnit.MILLISECONDS.toNanos(600), guard.gap());
+        assertEquals(TimeUnit.MILLISECONDS.toNanos(600), guard.gapNanos());
     }
 }
