--- a/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
@@ -17,7 +17,7 @@
  */
 record Assumption(String name, String what, String scope, List<Edit> edits) {
     private static final String LEASE = "lease/Lease";
-    private static final String TERMS = "lease/Terms";
+    private static final String TERMS = "lease/LeaseParameters";
     private static final String STOPPED = "timed held 35 1 STOPS 0 0 1 ";
     private static final String LEAVING = "timed held 35 1 STOPS 1 1 1 ";
 
@@ -127,7 +127,7 @@
                             "what is left over is given to each",
                             Parts.WORDS,
                             in(
-                                    "lease/Shares",
+                                    "lease/BudgetShare",
                                     null,
                                     "whole * permits.usable(now, lasting)",
                                     "(whole * permits.usable(now, lasting) +"
