--- a/sidecar/src/main/java/appleridge/lease/BudgetShare.java
+++ b/sidecar/src/main/java/appleridge/lease/BudgetShare.java
@@ -1,37 +1,49 @@
 package appleridge.lease;
 
 /**
- * A part of a budget that the fleet shares, in whole permits: those of all together never make more
- * than the whole. A part that shrinks is waited out before another grows, as long as the terms'
- * longest act is the time over which the budget is counted. What is smaller than one permit is
- * given by turn, never rounded up.
+ * This process's share of a budget of the whole fleet, in whole permits: the shares of all
+ * processes never sum to more than the budget. A share that shrinks is waited out for the grace
+ * period before another grows, so {@link LeaseParameters#maxOperationNanos()} has to be the time
+ * over which the budget is counted. Less than one permit is given in turn, never rounded up.
+ *
+ * <p>Confined to the thread of its permits.
  */
 public final class BudgetShare {
-    private final long whole;
+    private final long total;
     private final Permits permits;
 
-    /** With a whole in the smallest units in which it is spent. */
-    public BudgetShare(long whole, Permits permits) {
-        if (whole < 0 || whole > Long.MAX_VALUE / Permits.MOST) {
-            throw new IllegalArgumentException("whole out of range: " + whole);
+    /**
+     * Creates a share of nothing.
+     *
+     * @param total the budget of the fleet, in the smallest units in which it is spent
+     * @param permits those into which it is divided
+     * @throws IllegalArgumentException if the total is negative or too large to be multiplied
+     */
+    public BudgetShare(long total, Permits permits) {
+        long max = Long.MAX_VALUE / Permits.MAX_PERMITS;
+        if (total < 0 || total > max) {
+            throw new IllegalArgumentException(
+                    "total budget is " + total + "; allowed: 0 to " + max);
         }
-        this.whole = whole;
+        this.total = total;
         this.permits = permits;
     }
 
     /**
-     * Wants so much from now on; of a little the permit that holds it, until something else is
-     * wanted.
+     * Sets how many units are wanted until this is called again. Any wanted amount above 0 asks for
+     * one permit at least, even if it is worth more.
      */
-    public void want(long now, long part) {
+    public void setWanted(long nowNanos, long units) {
+        permits.setWanted(nowNanos, units <= 0 || total == 0 ? 0 : permitsFor(units));
+    }
+
+    private int permitsFor(long units) {
         long count = permits.leases().size();
-        long wanted =
-                whole == 0 || part <= 0 ? 0 : Math.max(1, Math.min(part, whole) * count / whole);
-        permits.want(now, (int) wanted);
+        return (int) Math.max(1, Math.min(units, total) * count / total);
     }
 
-    /** What may be spent now on things that end within that time. */
-    public long part(long now, long lasting) {
-        return whole * permits.usable(now, lasting) / permits.leases().size();
+    /** The units that may be spent now on operations that end within that time. */
+    public long available(long nowNanos, long durationNanos) {
+        return total * permits.usable(nowNanos, durationNanos) / permits.leases().size();
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/Grant.java
+++ b/sidecar/src/main/java/appleridge/lease/Grant.java
@@ -1,10 +1,10 @@
 package appleridge.lease;
 
 /**
- * What a holder may do, by its own clock.
+ * The time in which a holder may run operations, in nanoseconds of its own clock.
  *
- * @param token goes with each act
- * @param from no act begins before; what a holder before may still be doing has ended then
- * @param until no act may last beyond
+ * @param token the fencing token that goes with each operation
+ * @param notBeforeNanos no operation starts before: those of the holder before have ended then
+ * @param expiresAtNanos every operation has ended by then
  */
-public record Grant(long token, long from, long until) {}
+public record Grant(long token, long notBeforeNanos, long expiresAtNanos) {}
--- a/sidecar/src/main/java/appleridge/lease/Lease.java
+++ b/sidecar/src/main/java/appleridge/lease/Lease.java
@@ -1,430 +1,422 @@
 package appleridge.lease;
 
 /**
- * One process's part in one lease: a state machine on one thread, told what happens with the time
- * of it, by a clock that also counts while the process or its machine stands still. Times never
- * fall by more than the guard of the terms, which is also how old they may be.
+ * One process's part in one lease: a state machine that takes events with their times in and hands
+ * requests out through {@link LeaseActions}. See {@link LeaseState} for its transitions.
  *
- * <p>Nothing rests on the store's sessions. A record in it says who holds; it is written only if
- * its version is still the one known. A write that was answered lets the holder act for a little
- * less than the term, from before its request; others take a record over only once they have seen
- * it unchanged for a little more.
+ * <p>Safety does not depend on ZooKeeper sessions. A record in the store names the holder, and is
+ * written only if its version is still the one known. A write that was answered grants the lease
+ * for slightly less than the term, counted from before the request was sent; others take a record
+ * over only after seeing it unchanged for slightly more than the term.
+ *
+ * <p>Confined to one thread. All times are nanoseconds of one clock that also counts while the
+ * process is stopped or the machine is suspended. A time passed in may be older than the true time,
+ * and than a time passed before, by at most {@link LeaseParameters#clockGuardNanos()}.
  */
 public final class Lease {
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** An open question, or the last write; of a read there is no next record. */
-    private record Asked(long question, long at, VersionedLease next) {}
+    /** The expected version of a write that creates the record. */
+    private static final long NO_VERSION = -1;
 
-    private final LeaseParameters terms;
+    private final LeaseParameters parameters;
     private final String holder;
-    private final String nonce;
+    private final String incarnation;
     private final LeaseActions actions;
-    private LeaseState state = LeaseState.RELEASED;
-    private TransitionCause why = TransitionCause.NONE;
-    private Grant grant;
-    private boolean connected = true;
-    private boolean inFront;
-    private long questions;
-
-    /** The last question before the lease was asked for. */
-    private long soughtAt;
+    private final StoreRequests requests = new StoreRequests();
+    private final ObservedRecord observed;
 
-    /**
-     * Null for none. There is one at most, so that no answer can tell of an older record than one
-     * before.
-     */
-    private Asked open;
-
-    private Asked lastWrite;
+    private LeaseState state = LeaseState.RELEASED;
+    private TransitionCause cause = TransitionCause.NONE;
 
-    /** The newest record known, and since when; null for none. */
-    private VersionedLease seen;
+    /** Null unless the lease is held. */
+    private Grant grant;
 
-    private long seenSince;
+    private boolean connected = true;
+    private boolean headOfQueue;
 
-    /** Whether the store has told so since anything happened that may have changed it. */
-    private boolean current;
+    /** The last request before the lease was acquired anew; writes up to it prove nothing. */
+    private long acquireRequestId;
 
-    /** No act of ours before: those of the holder before may go on until then. */
-    private long actFrom;
+    /** No operation starts before: those of the holder before may run until then. */
+    private long earliestStartNanos;
 
-    /** Whether a record of ours is to be marked as released, and not before when. */
-    private boolean giving;
+    /** Whether a record of our own has yet to be marked as released. */
+    private boolean releasePending;
 
-    private long giveAt;
-    private long askAt;
-    private long idleAt = NEVER;
-    private long wakeAt = NEVER;
+    private long releaseAtNanos;
+    private long requestAtNanos;
+    private long idleAtNanos = NEVER;
+    private long timerAtNanos = NEVER;
 
-    /** With a nonce that no other lease has, of this process or another, now or ever. */
-    public Lease(LeaseParameters terms, String holder, String nonce, LeaseActions actions) {
-        this.terms = terms;
+    /**
+     * Creates a lease that is not asked for.
+     *
+     * @param parameters the same for all who want this lease
+     * @param holder names this process to operators
+     * @param incarnation unique to this object: no other lease, of this process or another, now or
+     *     ever, has the same
+     * @param actions what the lease asks for
+     */
+    public Lease(
+            LeaseParameters parameters, String holder, String incarnation, LeaseActions actions) {
+        this.parameters = parameters;
         this.holder = holder;
-        this.nonce = nonce;
+        this.incarnation = incarnation;
         this.actions = actions;
+        this.observed = new ObservedRecord(incarnation);
     }
 
-    /** Asks for the lease; without effect where it is asked for or held already. */
-    public void seek(long now) {
+    /** Asks for the lease; without effect while it is asked for or held. */
+    public void acquire(long nowNanos) {
         if (state == LeaseState.RELEASED || state == LeaseState.LOST) {
-            state = LeaseState.SEEKING;
-            why = TransitionCause.NONE;
-            current = false;
-            soughtAt = questions;
-            actions.line(true);
+            transitionTo(LeaseState.SEEKING, TransitionCause.NONE);
+            observed.invalidate();
+            acquireRequestId = requests.lastRequestId();
+            actions.setQueued(true);
         }
-        go(now);
+        runDue(nowNanos);
     }
 
     /**
-     * The line says that it is this one's turn. That is believed for load alone, never for safety.
+     * Nobody waits ahead of this process. Only the load on the store depends on this being true,
+     * never safety.
      */
-    public void inFront(long now) {
-        inFront = state == LeaseState.SEEKING || state == LeaseState.REFUSING;
-        go(now);
+    public void onHeadOfQueue(long nowNanos) {
+        headOfQueue = state.isAcquiring();
+        runDue(nowNanos);
     }
 
-    /** The record may have changed: worth a read, and no more than that. */
-    public void changed(long now) {
-        current = false;
-        go(now);
+    /** The record may have changed: a read is due, nothing more is concluded. */
+    public void onRecordChanged(long nowNanos) {
+        observed.invalidate();
+        runDue(nowNanos);
     }
 
-    /** The record as it was at some time since the question; null for none. */
-    public void read(long now, long question, VersionedLease orNull) {
-        if (answers(question)) {
-            current = true;
-            if (orNull == null ? seen != null : isOlder(orNull)) {
-                refuse(now, orNull == null ? TransitionCause.WIPED : TransitionCause.RESTORED);
-            } else if (orNull != null) {
-                see(now, orNull);
+    /**
+     * Answers a read.
+     *
+     * @param recordOrNull the record as it was at some time after the request; null if there was
+     *     none
+     */
+    public void onRead(long nowNanos, long requestId, VersionedLease recordOrNull) {
+        if (requests.close(requestId)) {
+            observed.confirm();
+            if (observed.isRegression(recordOrNull)) {
+                distrustStore(
+                        nowNanos,
+                        recordOrNull == null
+                                ? TransitionCause.RECORD_MISSING
+                                : TransitionCause.RECORD_ROLLED_BACK);
+            } else if (recordOrNull != null) {
+                observe(nowNanos, recordOrNull);
             }
         }
-        go(now);
-    }
-
-    /** The write was done, and made this version. */
-    public void written(long now, long question, long version) {
-        Asked write = open;
-        if (answers(question)) {
-            VersionedLease next = write.next;
-            current = true;
-            see(
-                    now,
-                    new VersionedLease(
-                            version,
-                            next.token(),
-                            holder,
-                            next.nonce(),
-                            next.term(),
-                            next.released()));
+        runDue(nowNanos);
+    }
+
+    /** Answers a write that was done and made this version. */
+    public void onWritten(long nowNanos, long requestId, long version) {
+        StoreRequests.StoreRequest write = requests.open();
+        if (requests.close(requestId)) {
+            observed.confirm();
+            observe(nowNanos, write.next().withVersion(version));
         }
-        go(now);
+        runDue(nowNanos);
     }
 
     /**
-     * The version was another. Danger: it may be that the write itself, sent twice, had made it so.
+     * Answers a write that found another version. That proves no other holder: if the request was
+     * sent twice, its first copy may have made that version.
      */
-    public void conflicted(long now, long question) {
-        if (answers(question)) {
-            doubt(TransitionCause.UNKNOWN);
+    public void onConflict(long nowNanos, long requestId) {
+        if (requests.close(requestId)) {
+            markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
-        go(now);
+        runDue(nowNanos);
     }
 
-    /** Whether the question reached the store isn't known. */
-    public void unknown(long now, long question) {
-        Asked asked = open;
-        if (answers(question)) {
-            // Danger: a store that turns away at once would be asked without end.
-            askAt = asked.at + terms.renewEvery() / 4;
-            doubt(TransitionCause.UNKNOWN);
+    /** Answers a request of which it is unknown whether the store processed it. */
+    public void onOutcomeUnknown(long nowNanos, long requestId) {
+        StoreRequests.StoreRequest request = requests.open();
+        if (requests.close(requestId)) {
+            // A store that fails at once would be asked in a loop without this pause.
+            requestAtNanos = request.sentAtNanos() + parameters.renewalIntervalNanos() / 4;
+            markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
-        go(now);
+        runDue(nowNanos);
     }
 
-    /** Nothing can be asked until told otherwise, and what was asked may be done or not. */
-    public void disconnected(long now) {
+    /** No request can be sent until {@link #onConnected}; the open one may be done or not. */
+    public void onDisconnected(long nowNanos) {
         connected = false;
-        open = null;
-        doubt(TransitionCause.DISCONNECTED);
-        go(now);
+        requests.abandon();
+        markUnconfirmed(TransitionCause.DISCONNECTED);
+        runDue(nowNanos);
     }
 
-    /** The store can be asked again. That proves nothing of who holds. */
-    public void connected(long now) {
+    /** Requests can be sent again. That proves nothing about who holds the lease. */
+    public void onConnected(long nowNanos) {
         connected = true;
-        current = false;
-        go(now);
+        observed.invalidate();
+        runDue(nowNanos);
     }
 
-    /** The time asked for by {@code wakeAt}, or any other. */
-    public void time(long now) {
-        go(now);
+    /** The time asked for by {@link LeaseActions#setTimer}, or any other time. */
+    public void onTimer(long nowNanos) {
+        runDue(nowNanos);
     }
 
-    /** The holder has ended all acts and begins no more: the next one may begin at once. */
-    public void release(long now) {
-        leave(now, now, TransitionCause.RELEASED);
+    /** The holder has ended all its operations and starts none: the next one may start at once. */
+    public void release(long nowNanos) {
+        release(nowNanos, nowNanos, TransitionCause.RELEASED);
     }
 
-    /**
-     * The holder begins nothing more; acts that it has begun are waited out before another may
-     * begin.
-     */
-    public void giveUp(long now) {
-        leave(now, now + terms.actsOut(), TransitionCause.RELEASED);
+    /** The holder starts nothing more; the record is released once its operations have ended. */
+    public void releaseAfterGracePeriod(long nowNanos) {
+        release(nowNanos, nowNanos + parameters.gracePeriodNanos(), TransitionCause.RELEASED);
     }
 
-    /** The holder has nothing to do: it gives up after that time, unless an act begins before. */
-    public void idle(long now, long after) {
-        idleAt = grant == null ? NEVER : now + after;
-        go(now);
+    /** Releases after that time, unless an operation starts before; without effect if not held. */
+    public void releaseWhenIdle(long nowNanos, long idleNanos) {
+        idleAtNanos = grant == null ? NEVER : nowNanos + idleNanos;
+        runDue(nowNanos);
     }
 
     /**
-     * Whether an act may begin now that ends within that time. To be asked when it begins, not
-     * before.
+     * Whether an operation may start now that ends within that time. The answer holds for this
+     * moment: ask right before the operation starts.
      */
-    public boolean mayBegin(long now, long lasting) {
+    public boolean mayStart(long nowNanos, long durationNanos) {
         return grant != null
-                && now >= grant.from()
-                && lasting >= 0
-                && lasting <= grant.until() - now
-                && (terms.fenced() || lasting <= terms.longestAct());
+                && nowNanos >= grant.notBeforeNanos()
+                && durationNanos >= 0
+                && durationNanos <= grant.expiresAtNanos() - nowNanos
+                && (parameters.fenced() || durationNanos <= parameters.maxOperationNanos());
     }
 
-    /** The right to begin an act at once; null if it may not begin. */
-    public Permission begin(long now, long lasting) {
-        if (!mayBegin(now, lasting)) {
+    /**
+     * Permits an operation that starts at once and ends within that time; it also ends an idle
+     * time.
+     *
+     * @return null if it may not start
+     */
+    public Permission tryStart(long nowNanos, long durationNanos) {
+        if (!mayStart(nowNanos, durationNanos)) {
             return null;
         }
-        idleAt = NEVER;
-        return terms.fenced()
+        idleAtNanos = NEVER;
+        return parameters.fenced()
                 ? new Permission.FencedPermission(grant.token())
-                : new Permission.TimedPermission(grant.token(), grant.until());
+                : new Permission.TimedPermission(grant.token(), grant.expiresAtNanos());
     }
 
+    /** The current state. */
     public LeaseState state() {
         return state;
     }
 
     /** What the last change of state came from. */
-    public TransitionCause why() {
-        return why;
+    public TransitionCause cause() {
+        return cause;
     }
 
-    /** Null for none. */
+    /** The current grant; null if not held. */
     public Grant grant() {
         return grant;
     }
 
-    /** The newest record known, for operators; null for none. */
-    public VersionedLease seen() {
-        return seen;
+    /** The newest record seen, for operators; null for none. */
+    public VersionedLease latestRecord() {
+        return observed.record();
     }
 
-    /** Whether the store has yet to be told that the lease was given away. */
-    public boolean isGiving() {
-        return giving;
+    /** Whether the store has yet to learn that the lease was released. */
+    public boolean isReleasePending() {
+        return releasePending;
     }
 
-    /** Danger: the answer to a question that was given up tells of a time before other answers. */
-    private boolean answers(long question) {
-        boolean answers = open != null && open.question == question;
-        open = answers ? null : open;
-        return answers;
+    private void transitionTo(LeaseState next, TransitionCause why) {
+        assert state.canBecome(next) : state + " to " + next;
+        state = next;
+        cause = why;
     }
 
-    /**
-     * Danger: in a store that was restored tokens would come twice. One with a higher token was
-     * reset; after one that can't grow the next would run back.
-     */
-    private boolean isOlder(VersionedLease entry) {
-        return entry.token() < 0
-                || entry.token() == Long.MAX_VALUE
-                || seen != null
-                        && (entry.token() < seen.token()
-                                || entry.token() == seen.token()
-                                        && (entry.version() < seen.version()
-                                                || !process(entry).equals(process(seen))));
-    }
-
-    private static String process(VersionedLease entry) {
-        return entry.nonce().substring(0, Math.max(0, entry.nonce().lastIndexOf('/')));
-    }
-
-    private boolean isOurs(VersionedLease entry) {
-        return entry != null && process(entry).equals(nonce);
-    }
-
-    private void see(long now, VersionedLease entry) {
-        if (!entry.equals(seen)) {
-            seen = entry;
-            seenSince = now;
-        }
-        if (state == LeaseState.REFUSING) {
-            state = LeaseState.SEEKING;
-            why = TransitionCause.NONE;
+    private void observe(long nowNanos, VersionedLease record) {
+        observed.observe(nowNanos, record);
+        if (state == LeaseState.STORE_DISTRUSTED) {
+            transitionTo(LeaseState.SEEKING, TransitionCause.NONE);
         }
-        // Danger: what was written before a loss must not bring back a grant that was called off.
-        boolean proven =
-                lastWrite != null
-                        && lastWrite.question > soughtAt
-                        && entry.nonce().equals(lastWrite.next.nonce());
-        if (entry.released()) {
-            giving = giving && !isOurs(entry);
-        } else if (proven && !giving && (state == LeaseState.SEEKING || grant != null)) {
-            grant(now);
-        } else if (grant != null && isOurs(entry)) {
-            state = LeaseState.HELD;
-            why = TransitionCause.NONE;
+        // A write from before the lease was lost must not bring back a grant that had ended.
+        boolean proven = requests.wroteAfter(acquireRequestId, record);
+        if (record.released()) {
+            releasePending = releasePending && !observed.isOwn(record);
+        } else if (proven && !releasePending && (state == LeaseState.SEEKING || grant != null)) {
+            extendGrant(nowNanos);
+        } else if (grant != null && observed.isOwn(record)) {
+            transitionTo(LeaseState.HELD, TransitionCause.NONE);
         }
-        if (grant != null && (entry.released() || !isOurs(entry))) {
-            lose(TransitionCause.TAKEN);
+        if (grant != null && (record.released() || !observed.isOwn(record))) {
+            lose(TransitionCause.TAKEN_OVER);
         }
     }
 
-    private void grant(long now) {
-        long until = lastWrite.at + terms.actFor();
-        boolean known = grant != null && until <= grant.until() && state == LeaseState.HELD;
-        if (until <= now || known) {
+    /** Counts from before the request of the last write, which the store has. */
+    private void extendGrant(long nowNanos) {
+        StoreRequests.StoreRequest lastWrite = requests.lastWrite();
+        long expiresAtNanos = lastWrite.sentAtNanos() + parameters.grantNanos();
+        boolean isKnown =
+                grant != null
+                        && expiresAtNanos <= grant.expiresAtNanos()
+                        && state == LeaseState.HELD;
+        if (expiresAtNanos <= nowNanos || isKnown) {
             return;
         }
         if (grant == null) {
-            inFront = false;
-            actions.line(false);
+            headOfQueue = false;
+            actions.setQueued(false);
         }
-        state = LeaseState.HELD;
-        why = TransitionCause.NONE;
-        grant = new Grant(lastWrite.next.token(), actFrom, until);
-        actions.granted(grant);
+        transitionTo(LeaseState.HELD, TransitionCause.NONE);
+        grant = new Grant(lastWrite.next().token(), earliestStartNanos, expiresAtNanos);
+        actions.onGranted(grant);
     }
 
-    private void doubt(TransitionCause cause) {
-        current = false;
+    private void markUnconfirmed(TransitionCause why) {
+        observed.invalidate();
         if (state == LeaseState.HELD) {
-            state = LeaseState.DOUBTFUL;
-            why = cause;
+            transitionTo(LeaseState.UNCONFIRMED, why);
         }
     }
 
-    private void lose(TransitionCause cause) {
-        state = LeaseState.LOST;
-        why = cause;
+    private void lose(TransitionCause why) {
+        transitionTo(LeaseState.LOST, why);
         grant = null;
-        idleAt = NEVER;
-        actions.stopNow(cause);
+        idleAtNanos = NEVER;
+        actions.stopOperations(why);
     }
 
-    private void refuse(long now, TransitionCause cause) {
-        giving = false;
+    private void distrustStore(long nowNanos, TransitionCause why) {
+        releasePending = false;
         if (grant != null) {
-            lose(cause);
-            state = LeaseState.SEEKING;
-            actions.line(true);
+            lose(why);
+            transitionTo(LeaseState.SEEKING, why);
+            actions.setQueued(true);
         }
-        if (state != LeaseState.RELEASED && state != LeaseState.LOST) {
-            state = LeaseState.REFUSING;
-            why = cause;
-            askAt = now + terms.term();
+        if (state.isAcquiring()) {
+            transitionTo(LeaseState.STORE_DISTRUSTED, why);
+            requestAtNanos = nowNanos + parameters.termNanos();
         }
     }
 
-    private void leave(long now, long notBefore, TransitionCause cause) {
-        if (state == LeaseState.SEEKING || state == LeaseState.REFUSING) {
-            actions.line(false);
+    private void release(long nowNanos, long notBeforeNanos, TransitionCause why) {
+        if (state.isAcquiring()) {
+            actions.setQueued(false);
         }
         if (state != LeaseState.RELEASED) {
-            state = LeaseState.RELEASED;
-            why = cause;
+            transitionTo(LeaseState.RELEASED, why);
             grant = null;
-            inFront = false;
-            idleAt = NEVER;
-            giving = lastWrite != null;
-            // Danger: acts of the holder before may still go on; the next one wouldn't wait for
-            // them again.
-            giveAt = Math.max(notBefore, actFrom);
+            headOfQueue = false;
+            idleAtNanos = NEVER;
+            releasePending = requests.lastWrite() != null;
+            // The next holder waits for no operations after a release, so those of the holder
+            // before this one must have ended as well.
+            releaseAtNanos = Math.max(notBeforeNanos, earliestStartNanos);
         }
-        go(now);
+        runDue(nowNanos);
     }
 
-    /** Does what is due. */
-    private void go(long now) {
-        if (grant != null && now >= grant.until()) {
+    /** Does what is due now and sets the timer for what is due next. */
+    private void runDue(long nowNanos) {
+        if (grant != null && nowNanos >= grant.expiresAtNanos()) {
             lose(TransitionCause.EXPIRED);
         }
-        if (now >= idleAt) {
-            actions.stopNow(TransitionCause.IDLE);
-            idleAt = NEVER;
-            leave(now, now + terms.actsOut(), TransitionCause.IDLE);
+        if (nowNanos >= idleAtNanos) {
+            actions.stopOperations(TransitionCause.IDLE);
+            idleAtNanos = NEVER;
+            release(nowNanos, nowNanos + parameters.gracePeriodNanos(), TransitionCause.IDLE);
             return;
         }
-        if (open != null && now >= open.at + terms.renewEvery()) {
-            open = null;
-            doubt(TransitionCause.UNKNOWN);
+        if (requests.open() != null && nowNanos >= answerDueNanos()) {
+            requests.abandon();
+            markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
-        long due = connected && open == null ? due() : NEVER;
-        if (now >= due) {
-            ask(now);
+        long dueNanos = connected && requests.open() == null ? requestDueNanos() : NEVER;
+        if (nowNanos >= dueNanos) {
+            sendRequest(nowNanos);
         }
-        long next = Math.min(open == null ? due : open.at + terms.renewEvery(), idleAt);
-        next = grant == null ? next : Math.min(next, grant.until());
-        if (next != wakeAt) {
-            wakeAt = next;
-            actions.wakeAt(next);
+        long nextNanos =
+                Math.min(requests.open() == null ? dueNanos : answerDueNanos(), idleAtNanos);
+        nextNanos = grant == null ? nextNanos : Math.min(nextNanos, grant.expiresAtNanos());
+        if (nextNanos != timerAtNanos) {
+            timerAtNanos = nextNanos;
+            actions.setTimer(nextNanos);
         }
     }
 
-    /** When to ask the store next. */
-    private long due() {
-        boolean holds = grant != null;
-        boolean seeks = state == LeaseState.SEEKING && inFront;
-        if (!giving && !holds && !seeks && state != LeaseState.REFUSING) {
+    /** When the open request is no longer waited for. */
+    private long answerDueNanos() {
+        return requests.open().sentAtNanos() + parameters.renewalIntervalNanos();
+    }
+
+    /** When the next request is due; {@link #NEVER} for none. */
+    private long requestDueNanos() {
+        boolean acquires = state == LeaseState.SEEKING && headOfQueue;
+        if (!releasePending && grant == null && !acquires && state != LeaseState.STORE_DISTRUSTED) {
             return NEVER;
         }
-        if (!current || state == LeaseState.REFUSING) {
-            return askAt;
+        if (needsRead()) {
+            return requestAtNanos;
         }
-        if (giving) {
-            return isOurs(seen) ? Math.max(giveAt, askAt) : askAt;
+        if (releasePending) {
+            return observed.isOwn() ? Math.max(releaseAtNanos, requestAtNanos) : requestAtNanos;
         }
-        if (holds) {
-            return Math.max(grant.until() - terms.actFor() + terms.renewEvery(), askAt);
+        if (grant != null) {
+            long sentAtNanos = grant.expiresAtNanos() - parameters.grantNanos();
+            return Math.max(sentAtNanos + parameters.renewalIntervalNanos(), requestAtNanos);
         }
-        return isFree() ? askAt : Math.max(seenSince + terms.keptOutFor(seen.term()), askAt);
+        return observed.isFree() ? requestAtNanos : Math.max(takeOverAtNanos(), requestAtNanos);
     }
 
-    /**
-     * A record of our own that we no longer act on needs no wait for its end, only for its acts.
-     */
-    private boolean isFree() {
-        return seen == null || seen.released() || isOurs(seen);
+    private boolean needsRead() {
+        return !observed.isCurrent() || state == LeaseState.STORE_DISTRUSTED;
     }
 
-    private void ask(long now) {
-        if (!current || state == LeaseState.REFUSING) {
-            open = new Asked(++questions, now, null);
-            actions.read(questions);
-            return;
-        }
-        if (giving && !isOurs(seen)) {
-            giving = false;
-            return;
+    /** When another holder's record has been unchanged for long enough. */
+    private long takeOverAtNanos() {
+        return observed.unchangedSinceNanos()
+                + parameters.takeOverDelayNanos(observed.record().termNanos());
+    }
+
+    private void sendRequest(long nowNanos) {
+        if (needsRead()) {
+            actions.readRecord(requests.openRead(nowNanos).requestId());
+        } else if (releasePending && !observed.isOwn()) {
+            releasePending = false;
+        } else {
+            write(nowNanos);
         }
-        long token = seen == null ? 1 : seen.token() + (giving || grant != null ? 0 : 1);
-        if (!giving && grant == null) {
-            actFrom = now + (seen == null || seen.released() ? 0 : terms.actsOut());
+    }
+
+    /** Renews, releases or takes over; a take-over alone raises the fencing token. */
+    private void write(long nowNanos) {
+        VersionedLease seen = observed.record();
+        boolean takesOver = !releasePending && grant == null;
+        long token = seen == null ? 1 : seen.token() + (takesOver ? 1 : 0);
+        if (takesOver) {
+            boolean noneBefore = seen == null || seen.released();
+            earliestStartNanos = nowNanos + (noneBefore ? 0 : parameters.gracePeriodNanos());
         }
-        questions++;
-        open =
-                new Asked(
-                        questions,
-                        now,
+        StoreRequests.StoreRequest write =
+                requests.openWrite(
+                        nowNanos,
                         new VersionedLease(
-                                0, token, holder, nonce + "/" + questions, terms.term(), giving));
-        lastWrite = open;
-        actions.write(questions, seen == null ? -1 : seen.version(), open.next);
+                                0,
+                                token,
+                                holder,
+                                incarnation + "/" + requests.nextRequestId(),
+                                parameters.termNanos(),
+                                releasePending));
+        actions.writeRecord(
+                write.requestId(), seen == null ? NO_VERSION : seen.version(), write.next());
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/LeaseActions.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseActions.java
@@ -1,29 +1,38 @@
 package appleridge.lease;
 
 /**
- * What a lease wants done; nothing of it may call the lease back before it has returned. A question
- * is answered at most once, by {@code read}, {@code written}, {@code conflicted} or {@code
- * unknown}.
+ * What a {@link Lease} asks for. Called on the lease's thread from within its events; no method may
+ * call the lease back before it has returned. Each request gets at most one answer: {@link
+ * Lease#onRead}, {@link Lease#onWritten}, {@link Lease#onConflict} or {@link
+ * Lease#onOutcomeUnknown}.
  */
 public interface LeaseActions {
-    /** Asks for the record as of now: what a member that lags knows is no answer. */
-    void read(long question);
+    /** Reads the record as of now or later: a lagging replica's older state is no answer. */
+    void readRecord(long requestId);
 
-    /** Writes the record if its version is still the one expected; -1 creates it. */
-    void write(long question, long expectedVersion, VersionedLease next);
+    /**
+     * Writes the record if its version is still the expected one.
+     *
+     * @param expectedVersion -1 creates the record
+     */
+    void writeRecord(long requestId, long expectedVersion, VersionedLease next);
 
-    /** The one time at which to call {@code time}, in place of the one before. */
-    void wakeAt(long at);
+    /**
+     * Sets the one time at which to call {@link Lease#onTimer}, in place of the one before.
+     *
+     * @param atNanos {@link Long#MAX_VALUE} for never
+     */
+    void setTimer(long atNanos);
 
-    /** A first grant, and each extension of it. */
-    void granted(Grant grant);
+    /** A first grant, or its extension. */
+    void onGranted(Grant grant);
 
-    /** Nothing more may begin, and what is under way is called off. */
-    void stopNow(TransitionCause why);
+    /** Nothing more may start, and what runs is to be stopped. */
+    void stopOperations(TransitionCause why);
 
     /**
-     * Joins the line of those who seek, or leaves it: a holder leaves, so that the next one watches
-     * it.
+     * Joins the queue of those who want the lease, or leaves it. A holder leaves, so that the next
+     * one is at its head and watches the record.
      */
-    void line(boolean in);
+    void setQueued(boolean queued);
 }
--- a/sidecar/src/main/java/appleridge/lease/Leases.java
+++ b/sidecar/src/main/java/appleridge/lease/Leases.java
@@ -7,56 +7,67 @@
 import java.util.function.Supplier;
 
 /**
- * The leases of one process, by name. Danger: each costs the store writes for as long as it is
- * held.
+ * The leases of one process, by name. Their number is bounded because each costs the store writes
+ * for as long as it is held. Confined to one thread.
  */
 public final class Leases {
-    private final int most;
-    private final int mostSeeking;
+    private final int maxLeases;
+    private final int maxAcquiring;
     private final Map<String, Lease> byName = new LinkedHashMap<>();
 
-    /** With how many there may be, and how many of them may be asked for at once. */
-    public Leases(int most, int mostSeeking) {
-        this.most = most;
-        this.mostSeeking = mostSeeking;
+    /**
+     * Creates an empty collection.
+     *
+     * @param maxLeases how many there may be
+     * @param maxAcquiring how many of them may be asked for at once
+     */
+    public Leases(int maxLeases, int maxAcquiring) {
+        this.maxLeases = maxLeases;
+        this.maxAcquiring = maxAcquiring;
     }
 
-    /** The lease of that name, made if there is none; null if there are as many as there may be. */
-    public Lease open(String name, Supplier<Lease> made) {
+    /**
+     * The lease of that name, created if there is none.
+     *
+     * @return null if there is none and no more may be created
+     */
+    public Lease open(String name, Supplier<Lease> factory) {
         Lease known = byName.get(name);
-        if (known != null || byName.size() >= most) {
+        if (known != null || byName.size() >= maxLeases) {
             return known;
         }
-        Lease lease = made.get();
+        Lease lease = factory.get();
         byName.put(name, lease);
         return lease;
     }
 
-    /** Asks for it; false if there is none, or if as many wait already as may. */
-    public boolean seek(long now, String name) {
+    /** Asks for the lease; false if there is none, or if as many as may are asked for already. */
+    public boolean acquire(long nowNanos, String name) {
         Lease lease = byName.get(name);
-        if (lease == null
-                || lease.grant() == null
-                        && !seeks(lease)
-                        && byName.values().stream().filter(Leases::seeks).count() >= mostSeeking) {
+        if (lease == null || isInactive(lease) && countAcquiring() >= maxAcquiring) {
             return false;
         }
-        lease.seek(now);
+        lease.acquire(nowNanos);
         return true;
     }
 
-    /** Forgets one that was given away or lost; false while it is held or asked for. */
+    /** Forgets a lease that was released or lost; false while it is held or asked for. */
     public boolean close(String name) {
         Lease lease = byName.get(name);
-        boolean idle = lease != null && lease.grant() == null && !seeks(lease) && !lease.isGiving();
-        return idle && byName.remove(name, lease);
+        boolean isUnused = lease != null && isInactive(lease) && !lease.isReleasePending();
+        return isUnused && byName.remove(name, lease);
     }
 
+    /** All leases, in the order in which they were opened. */
     public Collection<Lease> all() {
         return List.copyOf(byName.values());
     }
 
-    private static boolean seeks(Lease lease) {
-        return lease.state() == LeaseState.SEEKING || lease.state() == LeaseState.REFUSING;
+    private static boolean isInactive(Lease lease) {
+        return lease.grant() == null && !lease.state().isAcquiring();
+    }
+
+    private long countAcquiring() {
+        return byName.values().stream().filter(lease -> lease.state().isAcquiring()).count();
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/Permission.java
+++ b/sidecar/src/main/java/appleridge/lease/Permission.java
@@ -1,13 +1,20 @@
 package appleridge.lease;
 
-/** The right to begin one thing at once; its type tells what it proves. */
+/** The right to start one operation at once; its type says what it rests on. */
 public sealed interface Permission permits Permission.FencedPermission, Permission.TimedPermission {
-    /** Goes with the token, which the thing acted on compares: safe whatever the clocks do. */
+    /**
+     * The resource operated on compares tokens: safe whatever clocks do.
+     *
+     * @param token the fencing token to send along
+     */
     record FencedPermission(long token) implements Permission {}
 
     /**
-     * Nothing refuses it: safe if it ends by its bound, and while the assumptions of the terms
-     * hold.
+     * The resource compares nothing: safe if the operation ends in time and the assumptions of
+     * {@link LeaseParameters} hold.
+     *
+     * @param token the fencing token
+     * @param expiresAtNanos when the operation has to have ended, by the holder's clock
      */
-    record TimedPermission(long token, long until) implements Permission {}
+    record TimedPermission(long token, long expiresAtNanos) implements Permission {}
 }
--- a/sidecar/src/main/java/appleridge/lease/Permits.java
+++ b/sidecar/src/main/java/appleridge/lease/Permits.java
@@ -5,61 +5,79 @@
 import java.util.stream.IntStream;
 
 /**
- * Up to so many permits of one name. Each is a record with a lease of its own, so that no more are
- * held in the fleet than there are records, whatever fails. Events go to the leases, and after each
- * of them {@code look} is called.
+ * A semaphore of the whole fleet. Each permit is a record with a lease of its own, so that no more
+ * are held than there are records, whatever fails.
+ *
+ * <p>Confined to one thread. Events go to the leases themselves; {@link #reconcile} is called after
+ * each of them.
  */
 public final class Permits {
-    /** Each permit is renewed by itself: a name with more would wear the store out. */
-    public static final int MOST = 64;
+    /** Each permit is renewed by a write of its own: more of one name would overload the store. */
+    public static final int MAX_PERMITS = 64;
 
     private final List<Lease> leases;
     private int wanted;
 
-    /** With what makes the lease of each permit, from 0 on. */
+    /**
+     * Creates permits of which none is wanted yet.
+     *
+     * @param count from 1 to {@value #MAX_PERMITS}
+     * @param lease creates the lease of each permit, numbered from 0
+     * @throws IllegalArgumentException if the count is out of range
+     */
     public Permits(int count, IntFunction<Lease> lease) {
-        if (count < 1 || count > MOST) {
-            throw new IllegalArgumentException("permits out of range: " + count);
+        if (count < 1 || count > MAX_PERMITS) {
+            throw new IllegalArgumentException(
+                    "number of permits is " + count + "; allowed: 1 to " + MAX_PERMITS);
         }
         leases = IntStream.range(0, count).mapToObj(lease).toList();
     }
 
-    /** All permits there are, each with its lease, held or not. */
+    /** The leases of all permits, held or not. */
     public List<Lease> leases() {
         return leases;
     }
 
-    /** Wants so many from now on. Those above are not used from now on, and given up. */
-    public void want(long now, int permits) {
+    /** Sets how many permits are wanted from now on; those held beyond are released at once. */
+    public void setWanted(long nowNanos, int permits) {
         wanted = Math.max(0, Math.min(permits, leases.size()));
-        look(now);
+        reconcile(nowNanos);
     }
 
-    /** Seeks what is missing, in all lines at once, for it isn't known which comes free next. */
-    public void look(long now) {
-        int held = 0;
+    /**
+     * Releases what is held beyond the wanted number. If permits are missing it asks for all that
+     * aren't held: which of them comes free next is unknown.
+     */
+    public void reconcile(long nowNanos) {
+        int held = releaseExcess(nowNanos);
         for (Lease lease : leases) {
-            boolean holds = lease.grant() != null;
-            if (holds && held < wanted) {
-                held++;
-            } else if (holds) {
-                lease.giveUp(now);
+            if (held < wanted) {
+                lease.acquire(nowNanos);
+            } else if (lease.state().isAcquiring()) {
+                lease.releaseAfterGracePeriod(nowNanos);
             }
         }
+    }
+
+    /** How many of the wanted permits are held. */
+    private int releaseExcess(long nowNanos) {
+        int held = 0;
         for (Lease lease : leases) {
-            boolean seeks =
-                    lease.state() == LeaseState.SEEKING || lease.state() == LeaseState.REFUSING;
-            if (held < wanted) {
-                lease.seek(now);
-            } else if (seeks) {
-                lease.giveUp(now);
+            if (lease.grant() != null && held < wanted) {
+                held++;
+            } else if (lease.grant() != null) {
+                lease.releaseAfterGracePeriod(nowNanos);
             }
         }
+        return held;
     }
 
-    /** How many may be used now for something that ends within that time. */
-    public int usable(long now, long lasting) {
+    /** How many permits may be used now for an operation that ends within that time. */
+    public int usable(long nowNanos, long durationNanos) {
         return (int)
-                leases.stream().filter(lease -> lease.mayBegin(now, lasting)).limit(wanted).count();
+                leases.stream()
+                        .filter(lease -> lease.mayStart(nowNanos, durationNanos))
+                        .limit(wanted)
+                        .count();
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/lease/StoreRequests.java
@@ -0,0 +1,81 @@
+package appleridge.lease;
+
+/**
+ * The requests that one lease sends to the store: at most one is open at a time, so that no answer
+ * can describe an older record than an answer before it. Confined to the lease's thread.
+ */
+final class StoreRequests {
+    /**
+     * One request.
+     *
+     * @param requestId counts up from 1
+     * @param sentAtNanos the lease's time just before it was sent
+     * @param next the record to be written; null for a read
+     */
+    record StoreRequest(long requestId, long sentAtNanos, VersionedLease next) {}
+
+    private long lastRequestId;
+
+    /** Null while no answer is waited for. */
+    private StoreRequest open;
+
+    /** The newest write that was sent, answered or not; null before the first. */
+    private StoreRequest lastWrite;
+
+    /** The number of the newest request; 0 before the first. */
+    long lastRequestId() {
+        return lastRequestId;
+    }
+
+    /** The number that the next request will have. */
+    long nextRequestId() {
+        return lastRequestId + 1;
+    }
+
+    /** The request that has no answer yet; null for none. */
+    StoreRequest open() {
+        return open;
+    }
+
+    /** The newest write; null for none. */
+    StoreRequest lastWrite() {
+        return lastWrite;
+    }
+
+    /** Opens a read. */
+    StoreRequest openRead(long nowNanos) {
+        open = new StoreRequest(++lastRequestId, nowNanos, null);
+        return open;
+    }
+
+    /** Opens a write of {@code next}. */
+    StoreRequest openWrite(long nowNanos, VersionedLease next) {
+        open = new StoreRequest(++lastRequestId, nowNanos, next);
+        lastWrite = open;
+        return open;
+    }
+
+    /**
+     * Closes the open request if it has this number. An answer to any other request is stale: it
+     * may describe the record from before an answer that was already used.
+     *
+     * @return whether the answer may be used
+     */
+    boolean close(long requestId) {
+        boolean isOpen = open != null && open.requestId == requestId;
+        open = isOpen ? null : open;
+        return isOpen;
+    }
+
+    /** Stops waiting for an answer; whether the request reached the store is unknown. */
+    void abandon() {
+        open = null;
+    }
+
+    /** Whether this record was written by a request that came after that number. */
+    boolean wroteAfter(long requestId, VersionedLease record) {
+        return lastWrite != null
+                && lastWrite.requestId > requestId
+                && record.nonce().equals(lastWrite.next.nonce());
+    }
+}
--- a/sidecar/src/main/java/appleridge/lease/VersionedLease.java
+++ b/sidecar/src/main/java/appleridge/lease/VersionedLease.java
@@ -1,14 +1,19 @@
 package appleridge.lease;
 
 /**
- * The record in the store, of which every write is conditional on the version before it.
+ * The record of a lease in the store; every write of it is conditional on the version before.
  *
- * @param version the store's count of writes; what it is in a record to be written has no meaning
- * @param token grows by one with each change of holder, and never falls
+ * @param version the store's count of writes; without meaning in a record that is to be written
+ * @param token the fencing token: grows by one with each change of holder and never falls
  * @param holder the holder's name, for operators
- * @param nonce tells this very write from all others, also from those of a process of the same name
- * @param term how long the record keeps others out, in nanoseconds
- * @param released whether the holder has ended all acts and gives the lease away
+ * @param nonce unique to this one write: the writer's incarnation, a slash, its request number
+ * @param termNanos how long the record keeps others out unless it is renewed
+ * @param released whether the holder has ended all operations and gives the lease up
  */
 public record VersionedLease(
-        long version, long token, String holder, String nonce, long term, boolean released) {}
+        long version, long token, String holder, String nonce, long termNanos, boolean released) {
+    /** The same record as the store has it after the write. */
+    public VersionedLease withVersion(long made) {
+        return new VersionedLease(made, token, holder, nonce, termNanos, released);
+    }
+}
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
@@ -17,7 +17,7 @@
  */
 public final class LeaseClock {
     /** What the source of a clock says where there is none. */
-    public static final long NONE = Long.MAX_VALUE;
+    public static final long NO_CLOCK = Long.MAX_VALUE;
 
     private static final Path UPTIME = Path.of("/proc/uptime");
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -35,9 +35,9 @@
     /**
      * A moment by both clocks, which all processes of a machine share.
      *
-     * @param uptime {@link #NONE} where there is no such clock
+     * @param uptime {@link #NO_CLOCK} where there is no such clock
      */
-    public record Moment(long nanos, long uptime) {}
+    public record Moment(long nanos, long uptimeNanos) {}
 
     /** The system's; without {@code /proc/uptime} it says so. */
     public static LeaseClock system(long mostJump, Consumer<String> log) {
@@ -58,7 +58,7 @@
         this.mostJump = mostJump;
         this.nanosFirst = nanos.getAsLong();
         this.uptimeFirst = uptime.getAsLong();
-        this.countsSleep = uptimeFirst != NONE;
+        this.countsSleep = uptimeFirst != NO_CLOCK;
         this.last = nanosFirst;
         this.wallLead = wallLead();
         if (!countsSleep) {
@@ -71,10 +71,10 @@
     }
 
     /** Now, in nanoseconds from anywhere. */
-    public synchronized long now() {
+    public synchronized long nanoTime() {
         long now = nanos.getAsLong();
-        long awake = countsSleep ? uptime.getAsLong() : NONE;
-        if (awake != NONE) {
+        long awake = countsSleep ? uptime.getAsLong() : NO_CLOCK;
+        if (awake != NO_CLOCK) {
             now = Math.max(now, nanosFirst + awake - uptimeFirst);
         }
         last = Math.max(last, now);
@@ -82,7 +82,7 @@
     }
 
     /** Whether the machine may have slept unseen since this was asked before. */
-    public synchronized boolean jumped() {
+    public synchronized boolean mayHaveSuspended() {
         long before = wallLead;
         wallLead = wallLead();
         return !countsSleep && Math.abs(wallLead - before) > mostJump;
@@ -90,16 +90,16 @@
 
     /** The moment at which this clock says {@code at}. */
     public synchronized Moment moment(long at) {
-        long left = at - now();
-        long awake = countsSleep ? uptime.getAsLong() : NONE;
-        return new Moment(nanos.getAsLong() + left, awake == NONE ? NONE : awake + left);
+        long left = at - nanoTime();
+        long awake = countsSleep ? uptime.getAsLong() : NO_CLOCK;
+        return new Moment(nanos.getAsLong() + left, awake == NO_CLOCK ? NO_CLOCK : awake + left);
     }
 
     /** How long it is until a moment, by the clock that says less. */
-    public long until(Moment moment) {
+    public long nanosUntil(Moment moment) {
         long left = moment.nanos - nanos.getAsLong();
-        long awake = moment.uptime == NONE ? NONE : uptime.getAsLong();
-        return awake == NONE ? left : Math.min(left, moment.uptime - awake);
+        long awake = moment.uptimeNanos == NO_CLOCK ? NO_CLOCK : uptime.getAsLong();
+        return awake == NO_CLOCK ? left : Math.min(left, moment.uptimeNanos - awake);
     }
 
     private long wallLead() {
@@ -110,7 +110,7 @@
         try {
             return parse(Files.readString(UPTIME));
         } catch (IOException e) {
-            return NONE;
+            return NO_CLOCK;
         }
     }
 
@@ -122,7 +122,7 @@
             return Long.parseLong(first.substring(0, point)) * SECOND
                     + Long.parseLong(first.substring(point + 1)) * (SECOND / 100);
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            return NONE;
+            return NO_CLOCK;
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
@@ -20,21 +20,21 @@
      *
      * @param sinceMillis since when its holder holds, in Unix time; for operators alone
      */
-    static byte[] bytes(VersionedLease entry, long sinceMillis) {
+    static byte[] encode(VersionedLease entry, long sinceMillis) {
         return JSON.createObjectNode()
                 .put("holder", entry.holder())
                 .put("token", entry.token())
                 .put("since", Instant.ofEpochMilli(sinceMillis).toString())
                 .put("nonce", entry.nonce())
                 // Rounded up, for too short a term would let others in.
-                .put("termMillis", (entry.term() + MILLI - 1) / MILLI)
+                .put("termMillis", (entry.termNanos() + MILLI - 1) / MILLI)
                 .put("released", entry.released())
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** What is read; an exception's message tells what is wrong with it. */
-    static VersionedLease entry(byte[] data, long version) {
+    static VersionedLease decode(byte[] data, long version) {
         JsonNode node;
         try {
             node = data == null ? null : JSON.readTree(data);
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
@@ -13,31 +13,31 @@
      * answer; {@code unknown} where it can't be known whether it was done.
      */
     interface Events {
-        void connected();
+        void onConnected();
 
-        void disconnected();
+        void onDisconnected();
 
         /** {@code orNull}: null if there is no record. */
-        void read(long question, VersionedLease orNull);
+        void onRead(long question, VersionedLease orNull);
 
-        void written(long question, long version);
+        void onWritten(long question, long version);
 
         /** Another version is there; nothing was written. */
-        void conflicted(long question);
+        void onConflict(long question);
 
-        void unknown(long question);
+        void onOutcomeUnknown(long question);
 
         /** The record that was read last may have changed. */
-        void changed();
+        void onRecordChanged();
 
         /** Nobody is ahead in the line. */
-        void inFront();
+        void onHeadOfQueue();
 
         /**
          * What was written has come upon a record that began anew: nothing may be believed any
          * more.
          */
-        void broken(String why);
+        void onRecordRecreated(String why);
     }
 
     /** Begins to connect. */
@@ -49,7 +49,7 @@
     void write(long question, long expectedVersion, VersionedLease next);
 
     /** Joins the line, or leaves it. */
-    void line(boolean in);
+    void setQueued(boolean in);
 
     @Override
     void close();
--- a/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
@@ -24,19 +24,19 @@
         /** Whether the service can be asked. */
         boolean isReady();
 
-        void front();
+        void onHeadOfQueue();
 
-        void trouble(String line);
+        void onFailure(String line);
 
         /** The line itself is not there. */
-        void gone();
+        void onQueueMissing();
 
         /** Does it on the keeper's thread, unless the handle is closed by then. */
-        void then(Runnable what);
+        void execute(Runnable what);
     }
 
     /** Nobody joins a longer line. */
-    static final int MOST = 2000;
+    static final int MAX_WAITERS = 2000;
 
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
@@ -64,12 +64,12 @@
     }
 
     /** The connection is down; where the place is has to be looked at anew. */
-    void apart() {
+    void onDisconnected() {
         told = false;
     }
 
     /** Takes, leaves or looks at the place, as is wanted now. */
-    void look() {
+    void reconcile() {
         if (asking) {
             again = true;
         } else if (host.isReady()) {
@@ -77,7 +77,8 @@
             client.getChildren(
                     path,
                     false,
-                    (code, asked, context, names) -> host.then(() -> names(Code.get(code), names)),
+                    (code, asked, context, names) ->
+                            host.execute(() -> names(Code.get(code), names)),
                     null);
         }
     }
@@ -86,7 +87,7 @@
         asking = false;
         if (again) {
             again = false;
-            look();
+            reconcile();
         }
     }
 
@@ -100,7 +101,7 @@
                 && code != Code.NONODE
                 && code != Code.CONNECTIONLOSS
                 && code != Code.SESSIONEXPIRED) {
-            host.trouble("the coordination service answers " + code + " for " + path);
+            host.onFailure("the coordination service answers " + code + " for " + path);
         }
         if (code != Code.OK) {
             done();
@@ -110,12 +111,12 @@
 
     private void names(Code code, List<String> names) {
         if (code == Code.NONODE) {
-            host.gone();
+            host.onQueueMissing();
         }
         if (!good(code)) {
             return;
         }
-        List<String> order = order(names);
+        List<String> order = inQueueOrder(names);
         List<String> ours = order.stream().filter(each -> each.startsWith(nonce + "-")).toList();
         if (!host.wantsPlace()) {
             told = false;
@@ -129,7 +130,7 @@
     }
 
     /** In the order of their numbers, which are the last ten digits. */
-    static List<String> order(List<String> names) {
+    static List<String> inQueueOrder(List<String> names) {
         return names.stream()
                 .sorted(Comparator.comparing(each -> each.substring(each.lastIndexOf('-') + 1)))
                 .toList();
@@ -141,8 +142,8 @@
 
     private void join(int length) {
         told = false;
-        if (length >= MOST) {
-            host.trouble("the line is full: " + length + " wait at " + path);
+        if (length >= MAX_WAITERS) {
+            host.onFailure("the line is full: " + length + " wait at " + path);
             done();
             return;
         }
@@ -152,7 +153,7 @@
                 ZooKeeperClientFactory.acl(settings),
                 CreateMode.EPHEMERAL_SEQUENTIAL,
                 (code, asked, context, name) ->
-                        host.then(
+                        host.execute(
                                 () -> {
                                     if (code == Code.NONODE.intValue() || good(Code.get(code))) {
                                         lookAgain();
@@ -170,7 +171,7 @@
                 path + "/" + mine,
                 false,
                 (code, asked, context, stat) ->
-                        host.then(
+                        host.execute(
                                 () -> {
                                     if (code == Code.NONODE.intValue()) {
                                         lookAgain();
@@ -189,7 +190,7 @@
         } else if (place == 0) {
             if (!told) {
                 told = true;
-                host.front();
+                host.onHeadOfQueue();
             }
             done();
         } else {
@@ -198,7 +199,7 @@
                     path + "/" + order.get(place - 1),
                     true,
                     (code, asked, context, ahead) ->
-                            host.then(
+                            host.execute(
                                     () -> {
                                         if (code == Code.NONODE.intValue()) {
                                             lookAgain();
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -122,15 +122,15 @@
     }
 
     @Override
-    public void line(boolean in) {
+    public void setQueued(boolean in) {
         tasks.add(
                 () -> {
                     inLine = in;
                     if (handle != null && handle.ready) {
                         // Danger: who leaves and joins at once would not be told again that it is
                         // its turn.
-                        handle.line.apart();
-                        handle.line.look();
+                        handle.line.onDisconnected();
+                        handle.line.reconcile();
                     }
                 });
     }
@@ -258,7 +258,7 @@
     }
 
     private void unknown(long question) {
-        answer(question, () -> events.unknown(question));
+        answer(question, () -> events.onOutcomeUnknown(question));
     }
 
     /**
@@ -281,7 +281,7 @@
             sinceToken = next.token();
             sinceMillis = SystemTime.UNIX_MILLIS.getAsLong();
         }
-        return LeaseRecord.bytes(next, sinceMillis);
+        return LeaseRecord.encode(next, sinceMillis);
     }
 
     private void say(String line) {
@@ -317,9 +317,9 @@
         private void heard(WatchedEvent event) {
             if (event.getType() != Event.EventType.None) {
                 if (!record.equals(event.getPath())) {
-                    line.look();
+                    line.reconcile();
                 } else if (writing == 0) {
-                    executor.execute(events::changed);
+                    executor.execute(events::onRecordChanged);
                 }
                 return;
             }
@@ -343,8 +343,8 @@
         private void apart() {
             if (ready) {
                 ready = false;
-                line.apart();
-                executor.execute(events::disconnected);
+                line.onDisconnected();
+                executor.execute(events::onDisconnected);
             }
         }
 
@@ -359,7 +359,7 @@
                     ZooKeeperClientFactory.acl(settings),
                     CreateMode.PERSISTENT,
                     (code, asked, context, name) ->
-                            then(
+                            execute(
                                     () -> {
                                         Code answer = Code.get(code);
                                         if (answer == Code.OK || answer == Code.NODEEXISTS) {
@@ -378,7 +378,7 @@
                                                                     + answer
                                                                     + " for "
                                                                     + path);
-                                            after(() -> then(() -> makeFolder(path)));
+                                            after(() -> execute(() -> makeFolder(path)));
                                         }
                                     }),
                     null);
@@ -388,13 +388,13 @@
             if (!ready && client.getState() == ZooKeeper.States.CONNECTED) {
                 ready = true;
                 told = "";
-                executor.execute(events::connected);
-                line.look();
+                executor.execute(events::onConnected);
+                line.reconcile();
             }
         }
 
         @Override
-        public void then(Runnable what) {
+        public void execute(Runnable what) {
             tasks.add(
                     () -> {
                         if (!closed) {
@@ -409,7 +409,7 @@
                     record,
                     (code, path, context) -> {
                         if (code != Code.OK.intValue() && code != Code.NONODE.intValue()) {
-                            then(() -> failed(question, Code.get(code)));
+                            execute(() -> failed(question, Code.get(code)));
                         }
                     },
                     null);
@@ -417,7 +417,7 @@
                     record,
                     true,
                     (code, path, context, data, stat) ->
-                            then(() -> read(question, Code.get(code), data, stat)),
+                            execute(() -> read(question, Code.get(code), data, stat)),
                     null);
         }
 
@@ -429,16 +429,16 @@
                         true,
                         (exists, path, context, found) -> {
                             if (exists == Code.OK.intValue()) {
-                                executor.execute(events::changed);
+                                executor.execute(events::onRecordChanged);
                             }
                         },
                         null);
-                answer(question, () -> events.read(question, null));
+                answer(question, () -> events.onRead(question, null));
             } else if (code == Code.OK) {
                 try {
-                    VersionedLease entry = LeaseRecord.entry(data, stat.getVersion());
+                    VersionedLease entry = LeaseRecord.decode(data, stat.getVersion());
                     made = stat.getCzxid();
-                    answer(question, () -> events.read(question, entry));
+                    answer(question, () -> events.onRead(question, entry));
                 } catch (IllegalArgumentException e) {
                     say(record + ": " + e.getMessage());
                     after(() -> unknown(question));
@@ -457,7 +457,7 @@
                         ZooKeeperClientFactory.acl(settings),
                         CreateMode.PERSISTENT,
                         (code, path, context, name, stat) ->
-                                then(
+                                execute(
                                         () -> {
                                             writing--;
                                             if (code == Code.OK.intValue()) {
@@ -473,7 +473,7 @@
                         data,
                         version,
                         (code, path, context, stat) ->
-                                then(
+                                execute(
                                         () -> {
                                             writing--;
                                             if (code == Code.OK.intValue()
@@ -496,11 +496,11 @@
 
         private void written(long question, Code code, int version) {
             switch (code) {
-                case OK -> answer(question, () -> events.written(question, version));
-                case BADVERSION, NODEEXISTS -> answer(question, () -> events.conflicted(question));
+                case OK -> answer(question, () -> events.onWritten(question, version));
+                case BADVERSION, NODEEXISTS -> answer(question, () -> events.onConflict(question));
                 case NONODE -> {
                     say(record + " is gone");
-                    answer(question, () -> events.conflicted(question));
+                    answer(question, () -> events.onConflict(question));
                 }
                 default -> failed(question, code);
             }
@@ -513,7 +513,7 @@
         private void again() {
             String why = record + " was deleted and made anew while it was held";
             say(why);
-            executor.execute(() -> events.broken(why));
+            executor.execute(() -> events.onRecordRecreated(why));
         }
 
         @Override
@@ -527,21 +527,21 @@
         }
 
         @Override
-        public void front() {
-            executor.execute(events::inFront);
+        public void onHeadOfQueue() {
+            executor.execute(events::onHeadOfQueue);
         }
 
         /** All of it is looked at, and made, with a new handle. */
         @Override
-        public void gone() {
+        public void onQueueMissing() {
             say(folder + "/line is gone");
             after(() -> replace(this));
         }
 
         @Override
-        public void trouble(String what) {
+        public void onFailure(String what) {
             say(what);
-            after(() -> then(line::look));
+            after(() -> execute(line::reconcile));
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
@@ -33,7 +33,7 @@
     private CompletableFuture<Void> telling = CompletableFuture.completedFuture(null);
 
     /**
-     * Starts a guardian, which waits for {@link #go}.
+     * Starts a guardian, which waits for {@link #extendUntil}.
      *
      * @param nonce marks what the command starts; never used before
      */
@@ -72,11 +72,11 @@
     }
 
     /** It may begin now, or run on; all of it has ended by {@code until}. */
-    void go(long mayRunUntil) {
+    void extendUntil(long mayRunUntil) {
         if (!stopped) {
             until = mayRunUntil;
             LeaseClock.Moment moment = clock.moment(mayRunUntil);
-            next = Guardian.GO + " " + moment.nanos() + " " + moment.uptime();
+            next = Guardian.GO + " " + moment.nanos() + " " + moment.uptimeNanos();
             tell();
         }
     }
@@ -85,7 +85,12 @@
     void stop() {
         if (!stopped) {
             stopped = true;
-            until = Math.min(until, clock.now() + settings.toEnd() + settings.toKill());
+            until =
+                    Math.min(
+                            until,
+                            clock.nanoTime()
+                                    + settings.terminationNanos()
+                                    + settings.killReserveNanos());
             next = Guardian.STOP;
             tell();
         }
@@ -118,7 +123,7 @@
      * could not say it. Danger: the guardian may be stopped or killed itself; then all that carries
      * the mark is ended here.
      */
-    String last(long now) throws IOException {
+    String pollReport(long now) throws IOException {
         try {
             return look(now);
         } catch (UncheckedIOException e) {
@@ -130,7 +135,7 @@
     private String look(long now) throws IOException {
         if (guardian.isAlive()) {
             tell();
-            if (now > until - settings.toKill()) {
+            if (now > until - settings.killReserveNanos()) {
                 tree.kill();
             }
             // Danger: one that is stopped never says its last word. What it guarded has had its
--- a/sidecar/src/main/java/appleridge/lease/task/Guardian.java
+++ b/sidecar/src/main/java/appleridge/lease/task/Guardian.java
@@ -91,9 +91,9 @@
                 nonce,
                 lease,
                 Long.toString(token),
-                Long.toString(settings.killAfter()),
-                Long.toString(settings.toKill()),
-                Long.toString(settings.terms().guard()),
+                Long.toString(settings.killAfterNanos()),
+                Long.toString(settings.killReserveNanos()),
+                Long.toString(settings.parameters().clockGuardNanos()),
                 report.toString());
     }
 
@@ -110,7 +110,7 @@
         // Danger: the first look takes many times as long as those that follow, when time may be
         // short.
         try {
-            tree.none();
+            tree.isEmpty();
         } catch (UncheckedIOException e) {
             // Nothing was begun yet; it is looked at again.
         }
@@ -172,8 +172,8 @@
 
     /** One look; the last word, or null if it goes on. */
     private String step() {
-        ending |= clock.jumped();
-        long left = until == null ? Long.MAX_VALUE : clock.until(until);
+        ending |= clock.mayHaveSuspended();
+        long left = until == null ? Long.MAX_VALUE : clock.nanosUntil(until);
         if (child == null) {
             return left <= 0 || ending ? NEVER : go && left > killAfter + toKill ? begin() : null;
         }
@@ -206,16 +206,16 @@
 
     /** Tells it to end, and later ends it. */
     private String end(long left) {
-        long now = clock.now();
+        long now = clock.nanoTime();
         if (!termed) {
             termed = true;
             termedAt = now;
-            tree.end();
+            tree.terminate();
         }
         boolean gone =
                 now - termedAt >= killAfter || left <= toKill
                         ? clean()
-                        : !child.isAlive() && tree.none();
+                        : !child.isAlive() && tree.isEmpty();
         return gone ? STOPPED + status() : null;
     }
 
@@ -225,9 +225,9 @@
             return !child.isAlive();
         }
         if (cleaning == 0) {
-            cleaning = clock.now();
-        } else if (clock.now() - cleaning > SAY_AGAIN) {
-            cleaning = clock.now();
+            cleaning = clock.nanoTime();
+        } else if (clock.nanoTime() - cleaning > SAY_AGAIN) {
+            cleaning = clock.nanoTime();
             say("what the command has started can't be ended");
         }
         return false;
--- a/sidecar/src/main/java/appleridge/lease/task/LeasedTask.java
+++ b/sidecar/src/main/java/appleridge/lease/task/LeasedTask.java
@@ -10,7 +10,6 @@
 import appleridge.lease.store.LeaseStore;
 import java.io.IOException;
 import java.util.List;
-import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -24,19 +23,19 @@
  */
 final class LeasedTask implements LeaseActions, LeaseStore.Events {
     /** As the JVM has it for what nobody caught. */
-    static final int FAILED = 1;
+    static final int EXIT_FAILED = 1;
 
     /** The command was to begin, and its guardian ended without a word. */
-    static final int NO_GUARDIAN = 70;
+    static final int EXIT_GUARDIAN_LOST = 70;
 
     /** The lease's record was made anew while it was held. */
-    static final int BROKEN = 76;
+    static final int EXIT_RECORD_RECREATED = 76;
 
     /** As shells have it for a command that can't be started. */
-    static final int NO_COMMAND = 127;
+    static final int EXIT_COMMAND_NOT_STARTED = 127;
 
     /** As shells have it for SIGTERM. */
-    static final int TERMINATED = 143;
+    static final int EXIT_TERMINATED = 143;
 
     private static final long LOOK = TimeUnit.MILLISECONDS.toNanos(50);
     private static final long LEAVE = TimeUnit.SECONDS.toNanos(2);
@@ -83,7 +82,7 @@
         this.clock = clock;
         this.nonces = nonces;
         this.log = log;
-        this.lease = new Lease(settings.terms(), holder, nonces.get(), this);
+        this.lease = new Lease(settings.parameters(), holder, nonces.get(), this);
         this.store = stores.make(this, tasks::add);
     }
 
@@ -91,7 +90,7 @@
     int run() throws InterruptedException, IOException {
         try {
             store.start();
-            lease.seek(clock.now());
+            lease.acquire(clock.nanoTime());
             while (status == RUNS_ON) {
                 step();
             }
@@ -99,17 +98,19 @@
             return status;
         } finally {
             // Danger: whoever was told to end it would wait for good.
-            status = status == RUNS_ON ? FAILED : status;
+            status = status == RUNS_ON ? EXIT_FAILED : status;
             over.countDown();
         }
     }
 
     private void step() throws InterruptedException, IOException {
         Runnable task =
-                tasks.poll(Math.max(0, Math.min(LOOK, wakeAt - clock.now())), TimeUnit.NANOSECONDS);
+                tasks.poll(
+                        Math.max(0, Math.min(LOOK, wakeAt - clock.nanoTime())),
+                        TimeUnit.NANOSECONDS);
         // Danger: after a stand-still, what waited tells of a time long ago; the lease's end comes
         // first.
-        lease.time(clock.now());
+        lease.onTimer(clock.nanoTime());
         if (task != null) {
             task.run();
         }
@@ -126,19 +127,19 @@
     }
 
     private void look() throws IOException {
-        long now = clock.now();
-        boolean jumped = clock.jumped();
+        long now = clock.nanoTime();
+        boolean jumped = clock.mayHaveSuspended();
         if (running == null) {
             if (terminating) {
-                status = TERMINATED;
+                status = EXIT_TERMINATED;
                 release();
             } else if (broken) {
-                status = BROKEN;
+                status = EXIT_RECORD_RECREATED;
             } else if (jumped) {
                 // Danger: what is granted counts by a clock that stood still, and a guardian would
                 // not know.
                 release();
-                lease.seek(now);
+                lease.acquire(now);
             } else if (grant != null) {
                 running =
                         new GuardedProcess(
@@ -146,18 +147,20 @@
                 began = false;
             } else {
                 // Without effect unless it was lost.
-                lease.seek(now);
+                lease.acquire(now);
             }
             return;
         }
         if (terminating || broken || jumped) {
             running.stop();
-        } else if (grant != null && !began && lease.begin(now, settings.toEnd()) != null) {
+        } else if (grant != null
+                && !began
+                && lease.tryStart(now, settings.terminationNanos()) != null) {
             began = true;
-            running.go(grant.until());
+            running.extendUntil(grant.expiresAtNanos());
             log.accept("lease " + name + ": the command begins, token=" + grant.token());
         }
-        String last = running.last(now);
+        String last = running.pollReport(now);
         if (last != null) {
             running = null;
             ended(last);
@@ -176,21 +179,21 @@
                 release();
             }
         } else if (last.equals(Guardian.NO_COMMAND)) {
-            status = NO_COMMAND;
+            status = EXIT_COMMAND_NOT_STARTED;
             release();
         } else if (last.isEmpty()) {
-            status = NO_GUARDIAN;
+            status = EXIT_GUARDIAN_LOST;
         } else if (!terminating && !broken) {
             // Its guardian may have ended it, as it had to, though the lease lasted: others come
             // first.
             release();
-            lease.seek(clock.now());
+            lease.acquire(clock.nanoTime());
         }
     }
 
     private void release() {
         grant = null;
-        lease.release(clock.now());
+        lease.release(clock.nanoTime());
     }
 
     /**
@@ -198,13 +201,15 @@
      * term.
      */
     private void leave() throws InterruptedException {
-        long by = clock.now() + LEAVE;
-        for (long now = clock.now(); lease.isGiving() && now < by; now = clock.now()) {
+        long by = clock.nanoTime() + LEAVE;
+        for (long now = clock.nanoTime();
+                lease.isReleasePending() && now < by;
+                now = clock.nanoTime()) {
             Runnable task = tasks.poll(Math.min(LOOK, by - now), TimeUnit.NANOSECONDS);
             if (task != null) {
                 task.run();
             }
-            lease.time(clock.now());
+            lease.onTimer(clock.nanoTime());
         }
         say();
         store.close();
@@ -212,7 +217,7 @@
 
     /** A line for each change of the record's holder, and of the state. */
     private void say() {
-        VersionedLease seen = lease.seen();
+        VersionedLease seen = lease.latestRecord();
         String record =
                 seen == null
                         ? ""
@@ -233,38 +238,38 @@
                     "lease "
                             + name
                             + ": state="
-                            + state.name().toLowerCase(Locale.ROOT)
+                            + state.logWord()
                             + " why="
-                            + lease.why().name().toLowerCase(Locale.ROOT)
+                            + lease.cause().logWord()
                             + (grant == null ? "" : " token=" + grant.token()));
         }
     }
 
     @Override
-    public void read(long question) {
+    public void readRecord(long question) {
         store.read(question);
     }
 
     @Override
-    public void write(long question, long expectedVersion, VersionedLease next) {
+    public void writeRecord(long question, long expectedVersion, VersionedLease next) {
         store.write(question, expectedVersion, next);
     }
 
     @Override
-    public void wakeAt(long at) {
+    public void setTimer(long at) {
         wakeAt = at;
     }
 
     @Override
-    public void granted(Grant next) {
+    public void onGranted(Grant next) {
         grant = next;
         if (running != null && began) {
-            running.go(next.until());
+            running.extendUntil(next.expiresAtNanos());
         }
     }
 
     @Override
-    public void stopNow(TransitionCause why) {
+    public void stopOperations(TransitionCause why) {
         grant = null;
         if (running != null) {
             running.stop();
@@ -272,53 +277,53 @@
     }
 
     @Override
-    public void line(boolean in) {
-        store.line(in);
+    public void setQueued(boolean in) {
+        store.setQueued(in);
     }
 
     @Override
-    public void connected() {
-        lease.connected(clock.now());
+    public void onConnected() {
+        lease.onConnected(clock.nanoTime());
     }
 
     @Override
-    public void disconnected() {
-        lease.disconnected(clock.now());
+    public void onDisconnected() {
+        lease.onDisconnected(clock.nanoTime());
     }
 
     @Override
-    public void read(long question, VersionedLease orNull) {
-        lease.read(clock.now(), question, orNull);
+    public void onRead(long question, VersionedLease orNull) {
+        lease.onRead(clock.nanoTime(), question, orNull);
     }
 
     @Override
-    public void written(long question, long version) {
-        lease.written(clock.now(), question, version);
+    public void onWritten(long question, long version) {
+        lease.onWritten(clock.nanoTime(), question, version);
     }
 
     @Override
-    public void conflicted(long question) {
-        lease.conflicted(clock.now(), question);
+    public void onConflict(long question) {
+        lease.onConflict(clock.nanoTime(), question);
     }
 
     @Override
-    public void unknown(long question) {
-        lease.unknown(clock.now(), question);
+    public void onOutcomeUnknown(long question) {
+        lease.onOutcomeUnknown(clock.nanoTime(), question);
     }
 
     @Override
-    public void changed() {
-        lease.changed(clock.now());
+    public void onRecordChanged() {
+        lease.onRecordChanged(clock.nanoTime());
     }
 
     @Override
-    public void inFront() {
-        lease.inFront(clock.now());
+    public void onHeadOfQueue() {
+        lease.onHeadOfQueue(clock.nanoTime());
     }
 
     @Override
-    public void broken(String why) {
+    public void onRecordRecreated(String why) {
         broken = true;
-        stopNow(TransitionCause.TAKEN);
+        stopOperations(TransitionCause.TAKEN_OVER);
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
+++ b/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
@@ -35,7 +35,7 @@
     }
 
     /** Tells all of them to end; how many there are. */
-    int end() {
+    int terminate() {
         Map<Long, ProcessHandle> living = living();
         living.values().forEach(ProcessHandle::destroy);
         return living.size();
@@ -49,7 +49,7 @@
     }
 
     /** Whether there is none. */
-    boolean none() {
+    boolean isEmpty() {
         return living().isEmpty();
     }
 
@@ -82,7 +82,7 @@
 
     private boolean marked(Path process) {
         try {
-            return holds(Files.readAllBytes(process.resolve("environ")), mark);
+            return containsEntry(Files.readAllBytes(process.resolve("environ")), mark);
         } catch (IOException e) {
             // Ended meanwhile, or another user's.
             return false;
@@ -90,7 +90,7 @@
     }
 
     /** Whether an environment holds an entry. */
-    static boolean holds(byte[] environment, byte[] entry) {
+    static boolean containsEntry(byte[] environment, byte[] entry) {
         for (int at = 0; at + entry.length <= environment.length; at++) {
             if ((at == 0 || environment[at - 1] == 0)
                     && Arrays.equals(environment, at, at + entry.length, entry, 0, entry.length)) {
--- a/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
@@ -15,7 +15,7 @@
 /** {@code java -jar appleridge.jar task --operator FILE --lease NAME -- COMMAND}. */
 public final class TaskCommand {
     /** Exit status where the command makes no sense. */
-    public static final int SENSELESS = 2;
+    public static final int EXIT_USAGE = 2;
 
     private static final Path HOST = Path.of("/proc/sys/kernel/hostname");
     private static final int NONCE_BYTES = 8;
@@ -38,7 +38,7 @@
         } catch (IllegalArgumentException e) {
             System.err.println("appleridge: " + e.getMessage());
             System.err.print(TaskArguments.usage());
-            return SENSELESS;
+            return EXIT_USAGE;
         }
         try {
             return run(arguments, settings);
@@ -59,7 +59,7 @@
                         arguments.lease(),
                         holder,
                         arguments.command(),
-                        LeaseClock.system(settings.terms().guard(), log),
+                        LeaseClock.system(settings.parameters().clockGuardNanos(), log),
                         () -> nonce(chance),
                         (events, executor) ->
                                 new ZooKeeperLeaseStore(
--- a/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
@@ -7,13 +7,16 @@
  * What the operator's file says of tasks; times in nanoseconds.
  *
  * @param store where leases are, with the path of all as its root
- * @param killAfter how long a command has from SIGTERM to SIGKILL
- * @param toKill what is set aside beside it for ending all that a command has started
+ * @param killAfterNanos how long a command has from SIGTERM to SIGKILL
+ * @param killReserveNanos what is set aside beside it for ending all that a command has started
  */
 public record TaskSettings(
-        ZooKeeperSettings store, LeaseParameters terms, long killAfter, long toKill) {
+        ZooKeeperSettings store,
+        LeaseParameters parameters,
+        long killAfterNanos,
+        long killReserveNanos) {
     /** How long before the lease's end the command is told to end. */
-    long toEnd() {
-        return killAfter + toKill;
+    long terminationNanos() {
+        return killAfterNanos + killReserveNanos;
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/LeaseTest.java
+++ b/sidecar/src/test/java/appleridge/lease/LeaseTest.java
@@ -33,9 +33,9 @@
 
     @Test
     void grantCountsFromBeforeItsRequestAndIsShortened() {
-        a.lease.seek(0);
+        a.lease.acquire(0);
         assertFalse(a.asks(), "not its turn");
-        a.lease.inFront(MS);
+        a.lease.onHeadOfQueue(MS);
         a.reach(2 * MS).run();
         a.reach(700 * MS).run();
         assertEquals(new Grant(1, 2 * MS, 2 * MS + ACTS_FOR), a.lease.grant());
@@ -46,25 +46,25 @@
     @Test
     void noActBeginsThatCouldLastBeyondTheEnd() {
         a.seek(0);
-        assertTrue(a.lease.mayBegin(ACTS_FOR - 500 * MS, 500 * MS));
-        assertFalse(a.lease.mayBegin(ACTS_FOR - 500 * MS + 1, 500 * MS));
-        assertFalse(a.lease.mayBegin(0, 501 * MS), "longer than others wait for");
-        assertFalse(a.lease.mayBegin(0, -1));
-        assertEquals(new Permission.TimedPermission(1, ACTS_FOR), a.lease.begin(MS, 0));
-        assertNull(a.lease.begin(ACTS_FOR + 1, 0));
+        assertTrue(a.lease.mayStart(ACTS_FOR - 500 * MS, 500 * MS));
+        assertFalse(a.lease.mayStart(ACTS_FOR - 500 * MS + 1, 500 * MS));
+        assertFalse(a.lease.mayStart(0, 501 * MS), "longer than others wait for");
+        assertFalse(a.lease.mayStart(0, -1));
+        assertEquals(new Permission.TimedPermission(1, ACTS_FOR), a.lease.tryStart(MS, 0));
+        assertNull(a.lease.tryStart(ACTS_FOR + 1, 0));
         Register fenced = new Register(new Register.Store(), FENCED, "f", "f").seek(0);
-        assertInstanceOf(Permission.FencedPermission.class, fenced.lease.begin(0, 8_000 * MS));
+        assertInstanceOf(Permission.FencedPermission.class, fenced.lease.tryStart(0, 8_000 * MS));
     }
 
     @Test
     void aRenewalExtendsOnlyOnceItIsAnswered() {
         a.seek(0);
         assertEquals(3_000 * MS, a.wakeAt);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         Runnable answer = a.reach(3_100 * MS);
-        assertEquals(ACTS_FOR, a.lease.grant().until());
+        assertEquals(ACTS_FOR, a.lease.grant().expiresAtNanos());
         answer.run();
-        assertEquals(3_000 * MS + ACTS_FOR, a.lease.grant().until());
+        assertEquals(3_000 * MS + ACTS_FOR, a.lease.grant().expiresAtNanos());
         assertEquals(1, a.lease.grant().token());
     }
 
@@ -77,14 +77,14 @@
         long stop = (long) (terms * TERM);
         boolean stands = stop < ACTS_FOR;
         a.seek(0);
-        assertEquals(stands, a.lease.mayBegin(stop, 0));
-        a.lease.time(stop);
+        assertEquals(stands, a.lease.mayStart(stop, 0));
+        a.lease.onTimer(stop);
         assertEquals(stands ? LeaseState.HELD : LeaseState.LOST, a.lease.state());
 
         Register within = new Register(new Register.Store(), TIMED, "w", "w").seek(0);
-        within.lease.time(3_000 * MS);
+        within.lease.onTimer(3_000 * MS);
         within.reach(3_000 * MS + stop).run();
-        assertEquals(stands, within.lease.mayBegin(3_000 * MS + stop, 0));
+        assertEquals(stands, within.lease.mayStart(3_000 * MS + stop, 0));
         assertEquals(stands ? LeaseState.HELD : LeaseState.LOST, within.lease.state());
     }
 
@@ -111,15 +111,15 @@
         long at = b.wakeAt;
         b.settle(at);
         assertEquals(new Grant(2, at + ACTS_OUT, at + ACTS_FOR), b.lease.grant());
-        assertFalse(b.lease.mayBegin(at + ACTS_OUT - 1, 0));
-        assertTrue(b.lease.mayBegin(at + ACTS_OUT, 0));
+        assertFalse(b.lease.mayStart(at + ACTS_OUT - 1, 0));
+        assertTrue(b.lease.mayStart(at + ACTS_OUT, 0));
     }
 
     @Test
     void aWaitCountsFromAfterItsAnswer() {
         a.seek(0);
-        b.lease.seek(0);
-        b.lease.inFront(0);
+        b.lease.acquire(0);
+        b.lease.onHeadOfQueue(0);
         b.reach(700 * MS).run();
         assertEquals(700 * MS + KEPT_OUT, b.wakeAt);
     }
@@ -129,7 +129,7 @@
         new Register(store, FENCED, "x", "x").seek(0);
         Register next = new Register(store, FENCED, "y", "y").seek(0);
         next.settle(next.wakeAt);
-        assertEquals(new Permission.FencedPermission(2), next.lease.begin(KEPT_OUT, 0));
+        assertEquals(new Permission.FencedPermission(2), next.lease.tryStart(KEPT_OUT, 0));
     }
 
     /** By true time: a holder whose clock is as slow as may be, a waiter whose clock is as fast. */
@@ -156,9 +156,9 @@
         a.seek(0);
         b.seek(0);
         a.lease.release(MS);
-        assertFalse(a.lease.mayBegin(MS, 0));
+        assertFalse(a.lease.mayStart(MS, 0));
         a.settle(MS);
-        b.lease.changed(2 * MS);
+        b.lease.onRecordChanged(2 * MS);
         b.settle(2 * MS);
         assertEquals(new Grant(2, 2 * MS, 2 * MS + ACTS_FOR), b.lease.grant());
     }
@@ -179,13 +179,13 @@
     @Test
     void givingUpWaitsForActsAndIdlenessGivesUp() {
         a.seek(0);
-        a.lease.idle(0, 100 * MS);
-        assertInstanceOf(Permission.class, a.lease.begin(50 * MS, 0));
+        a.lease.releaseWhenIdle(0, 100 * MS);
+        assertInstanceOf(Permission.class, a.lease.tryStart(50 * MS, 0));
         a.settle(100 * MS);
         assertEquals(LeaseState.HELD, a.lease.state());
-        a.lease.idle(200 * MS, 100 * MS);
+        a.lease.releaseWhenIdle(200 * MS, 100 * MS);
         a.settle(300 * MS);
-        assertEquals(TransitionCause.IDLE, a.lease.why());
+        assertEquals(TransitionCause.IDLE, a.lease.cause());
         assertFalse(store.record.released());
         a.settle(300 * MS + ACTS_OUT);
         assertTrue(store.record.released());
@@ -194,31 +194,31 @@
     @Test
     void anUnknownWriteThatWasDoneCountsFromBeforeItsRequest() {
         a.seek(0);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         a.reach(3_000 * MS);
         a.unknown(3_100 * MS);
-        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
-        assertEquals(ACTS_FOR, a.lease.grant().until());
+        assertEquals(LeaseState.UNCONFIRMED, a.lease.state());
+        assertEquals(ACTS_FOR, a.lease.grant().expiresAtNanos());
         a.settle(a.wakeAt);
         assertEquals(LeaseState.HELD, a.lease.state());
-        assertEquals(3_000 * MS + ACTS_FOR, a.lease.grant().until());
+        assertEquals(3_000 * MS + ACTS_FOR, a.lease.grant().expiresAtNanos());
     }
 
     @Test
     void anUnknownWriteThatWasNotDoneIsDoneAgain() {
         a.seek(0);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         a.unknown(3_100 * MS);
         long at = a.wakeAt;
         assertTrue(at > 3_100 * MS, "not without a pause");
         a.settle(at);
-        assertEquals(at + ACTS_FOR, a.lease.grant().until());
+        assertEquals(at + ACTS_FOR, a.lease.grant().expiresAtNanos());
     }
 
     @Test
     void aCreateOfWhichNothingIsKnownIsFoundByItsNonce() {
-        a.lease.seek(0);
-        a.lease.inFront(0);
+        a.lease.acquire(0);
+        a.lease.onHeadOfQueue(0);
         a.reach(0).run();
         a.reach(0);
         a.unknown(MS);
@@ -232,13 +232,15 @@
     @Test
     void aRenewalThatNobodyAnswersIsAskedForAgain() {
         a.seek(0);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         Runnable late = a.reach(6_100 * MS);
-        a.lease.time(6_000 * MS);
-        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
+        a.lease.onTimer(6_000 * MS);
+        assertEquals(LeaseState.UNCONFIRMED, a.lease.state());
         late.run();
         assertEquals(
-                ACTS_FOR, a.lease.grant().until(), "an answer to a question that was given up");
+                ACTS_FOR,
+                a.lease.grant().expiresAtNanos(),
+                "an answer to a question that was given up");
         a.settle(6_200 * MS);
         assertEquals(LeaseState.HELD, a.lease.state());
     }
@@ -246,40 +248,40 @@
     @Test
     void aDisconnectedHolderActsToTheEndOfItsGrant() {
         a.seek(0);
-        a.lease.disconnected(1_000 * MS);
-        assertEquals(LeaseState.DOUBTFUL, a.lease.state());
-        assertTrue(a.lease.mayBegin(9_000 * MS, 0));
-        a.lease.time(4_000 * MS);
+        a.lease.onDisconnected(1_000 * MS);
+        assertEquals(LeaseState.UNCONFIRMED, a.lease.state());
+        assertTrue(a.lease.mayStart(9_000 * MS, 0));
+        a.lease.onTimer(4_000 * MS);
         assertFalse(a.asks());
-        a.lease.time(ACTS_FOR);
+        a.lease.onTimer(ACTS_FOR);
         assertEquals(List.of(TransitionCause.EXPIRED), a.stops);
-        a.lease.connected(ACTS_FOR + MS);
+        a.lease.onConnected(ACTS_FOR + MS);
         assertEquals(LeaseState.LOST, a.lease.state());
     }
 
     @Test
     void aConnectionThatIsBackExtendsNothing() {
         a.seek(0);
-        a.lease.disconnected(MS);
-        a.lease.connected(2 * MS);
-        assertEquals(ACTS_FOR, a.lease.grant().until());
+        a.lease.onDisconnected(MS);
+        a.lease.onConnected(2 * MS);
+        assertEquals(ACTS_FOR, a.lease.grant().expiresAtNanos());
         a.settle(3 * MS);
         assertEquals(LeaseState.HELD, a.lease.state());
-        assertEquals(ACTS_FOR, a.lease.grant().until());
+        assertEquals(ACTS_FOR, a.lease.grant().expiresAtNanos());
     }
 
     @Test
     void aReleaseThatCrossesARenewalIsNotUndone() {
         a.seek(0);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         Runnable renewed = a.reach(3_010 * MS);
         a.lease.release(3_005 * MS);
-        a.lease.seek(3_006 * MS);
+        a.lease.acquire(3_006 * MS);
         renewed.run();
         assertNull(a.lease.grant());
         a.settle(3_020 * MS);
         assertTrue(store.record.released());
-        a.lease.inFront(3_030 * MS);
+        a.lease.onHeadOfQueue(3_030 * MS);
         a.settle(3_030 * MS);
         assertEquals(2, a.lease.grant().token(), "asked again at once");
     }
@@ -287,13 +289,13 @@
     @Test
     void whoAsksAgainAfterALossStartsAnew() {
         a.seek(0);
-        a.lease.time(3_000 * MS);
+        a.lease.onTimer(3_000 * MS);
         Runnable late = a.reach(12_000 * MS);
-        a.lease.time(ACTS_FOR);
-        a.lease.seek(11_900 * MS);
+        a.lease.onTimer(ACTS_FOR);
+        a.lease.acquire(11_900 * MS);
         late.run();
         assertNull(a.lease.grant());
-        a.lease.inFront(12_100 * MS);
+        a.lease.onHeadOfQueue(12_100 * MS);
         a.settle(12_100 * MS);
         assertEquals(new Grant(2, 12_100 * MS + ACTS_OUT, 12_100 * MS + ACTS_FOR), a.lease.grant());
     }
@@ -305,10 +307,10 @@
         assertNull(twin.lease.grant());
         twin.settle(twin.wakeAt);
         assertEquals(2, twin.lease.grant().token());
-        a.lease.changed(ACTS_FOR - MS);
+        a.lease.onRecordChanged(ACTS_FOR - MS);
         a.settle(ACTS_FOR - MS);
         assertEquals(LeaseState.LOST, a.lease.state());
-        assertEquals(TransitionCause.TAKEN, a.lease.why());
+        assertEquals(TransitionCause.TAKEN_OVER, a.lease.cause());
     }
 
     @Test
@@ -316,14 +318,14 @@
         a.seek(0);
         store.record = null;
         a.settle(3_000 * MS);
-        assertEquals(LeaseState.REFUSING, a.lease.state());
-        assertEquals(TransitionCause.WIPED, a.lease.why());
-        assertEquals(List.of(TransitionCause.WIPED), a.stops);
+        assertEquals(LeaseState.STORE_DISTRUSTED, a.lease.state());
+        assertEquals(TransitionCause.RECORD_MISSING, a.lease.cause());
+        assertEquals(List.of(TransitionCause.RECORD_MISSING), a.stops);
         a.settle(a.wakeAt);
-        assertEquals(LeaseState.REFUSING, a.lease.state());
+        assertEquals(LeaseState.STORE_DISTRUSTED, a.lease.state());
         store.record = new VersionedLease(0, 2, "operator", "", 0, true);
         a.settle(a.wakeAt);
-        a.lease.inFront(30_000 * MS);
+        a.lease.onHeadOfQueue(30_000 * MS);
         a.settle(30_000 * MS);
         assertEquals(3, a.lease.grant().token());
     }
@@ -336,11 +338,11 @@
         b.seek(MS);
         store.record = old;
         b.settle(3_001 * MS);
-        assertEquals(TransitionCause.RESTORED, b.lease.why());
-        assertEquals(LeaseState.REFUSING, b.lease.state());
+        assertEquals(TransitionCause.RECORD_ROLLED_BACK, b.lease.cause());
+        assertEquals(LeaseState.STORE_DISTRUSTED, b.lease.state());
         store.record = new VersionedLease(90, 2, "c", "c/1", TERM, false);
         b.settle(b.wakeAt);
-        assertEquals(LeaseState.REFUSING, b.lease.state(), "the same token in other hands");
+        assertEquals(LeaseState.STORE_DISTRUSTED, b.lease.state(), "the same token in other hands");
     }
 
     @Test
@@ -350,10 +352,10 @@
                     IllegalArgumentException.class,
                     () -> LeaseParameters.fenced(TERM, 10_000, 100 * MS, renewEvery));
         }
-        assertEquals(KEPT_OUT, TIMED.keptOutFor(TERM));
+        assertEquals(KEPT_OUT, TIMED.takeOverDelayNanos(TERM));
         assertEquals(
-                LeaseParameters.LONGEST + LeaseParameters.LONGEST / 100 + 100 * MS,
-                TIMED.keptOutFor(Long.MAX_VALUE));
+                LeaseParameters.MAX_NANOS + LeaseParameters.MAX_NANOS / 100 + 100 * MS,
+                TIMED.takeOverDelayNanos(Long.MAX_VALUE));
     }
 
     /** Guards against a token that runs back after the largest there is. */
@@ -362,6 +364,6 @@
         store.record = new VersionedLease(0, Long.MAX_VALUE, "operator", "operator/0", 1, true);
         a.seek(0);
         assertNull(a.lease.grant());
-        assertEquals(LeaseState.REFUSING, a.lease.state());
+        assertEquals(LeaseState.STORE_DISTRUSTED, a.lease.state());
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/PermitsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/PermitsTest.java
@@ -41,11 +41,11 @@
         void settle(long now) {
             for (Register register : registers) {
                 if (register.inLine) {
-                    register.lease.inFront(now);
+                    register.lease.onHeadOfQueue(now);
                 }
-                register.lease.changed(now);
+                register.lease.onRecordChanged(now);
                 register.settle(now);
-                permits.look(now);
+                permits.reconcile(now);
                 register.settle(now);
             }
         }
@@ -55,13 +55,13 @@
     void permitsAreSoughtAndGivenUpAfterTheirActs() {
         Process a = new Process("a", 8);
         Process b = new Process("b", 8);
-        a.permits.want(0, 3);
+        a.permits.setWanted(0, 3);
         a.settle(0);
         assertEquals(3, a.permits.usable(0, 0));
-        b.permits.want(0, COUNT);
+        b.permits.setWanted(0, COUNT);
         b.settle(0);
         assertEquals(1, b.permits.usable(0, 0));
-        a.permits.want(10, 1);
+        a.permits.setWanted(10, 1);
         a.settle(10);
         assertEquals(1, a.permits.usable(10, 0));
         b.settle(10);
@@ -82,14 +82,14 @@
         for (int now = 0; now < spent.length; now++) {
             for (Process process : all) {
                 if (random.nextInt(50) == 0) {
-                    process.shares.want(now, random.nextInt(12));
+                    process.shares.setWanted(now, random.nextInt(12));
                 }
                 if (random.nextInt(10) > 0) {
                     process.settle(now);
                 }
             }
             long at = now;
-            long sum = all.stream().mapToLong(process -> process.shares.part(at, 0)).sum();
+            long sum = all.stream().mapToLong(process -> process.shares.available(at, 0)).sum();
             assertTrue(sum <= whole, sum + " at " + now);
             grown += sum > whole / 2 ? 1 : 0;
         }
@@ -99,12 +99,13 @@
     @Test
     void littleIsGivenByTurnAndNotRoundedUp() {
         Process a = new Process("a", 3);
-        a.shares.want(0, 1);
+        a.shares.setWanted(0, 1);
         a.settle(0);
-        assertEquals(0, a.shares.part(0, 0), "a quarter of three");
+        assertEquals(0, a.shares.available(0, 0), "a quarter of three");
         assertEquals(1, a.permits.usable(0, 0));
         assertThrows(
-                IllegalArgumentException.class, () -> new Permits(Permits.MOST + 1, i -> null));
+                IllegalArgumentException.class,
+                () -> new Permits(Permits.MAX_PERMITS + 1, i -> null));
         assertThrows(IllegalArgumentException.class, () -> new BudgetShare(-1, a.permits));
     }
 
@@ -116,11 +117,11 @@
         assertNotNull(
                 leases.open("y", () -> new Register(new Register.Store(), TERMS, "a", "b").lease));
         assertNull(leases.open("z", () -> first.lease));
-        assertTrue(leases.seek(0, "x"));
-        assertFalse(leases.seek(0, "y"), "one waits already");
-        first.lease.inFront(0);
+        assertTrue(leases.acquire(0, "x"));
+        assertFalse(leases.acquire(0, "y"), "one waits already");
+        first.lease.onHeadOfQueue(0);
         first.settle(0);
-        assertTrue(leases.seek(0, "y"));
+        assertTrue(leases.acquire(0, "y"));
         assertFalse(leases.close("x"));
         first.lease.release(1);
         first.settle(1);
--- a/sidecar/src/test/java/appleridge/lease/Register.java
+++ b/sidecar/src/test/java/appleridge/lease/Register.java
@@ -29,7 +29,7 @@
     /** Does all that is asked at that time, until nothing more is. */
     void settle(long now) {
         if (wakeAt <= now) {
-            lease.time(now);
+            lease.onTimer(now);
         }
         while (asked != null) {
             answer(now, reach());
@@ -38,8 +38,8 @@
 
     /** Asks, is in front, and has what it asks answered. */
     Register seek(long now) {
-        lease.seek(now);
-        lease.inFront(now);
+        lease.acquire(now);
+        lease.onHeadOfQueue(now);
         settle(now);
         return this;
     }
@@ -78,7 +78,7 @@
                         next.token(),
                         next.holder(),
                         next.nonce(),
-                        next.term(),
+                        next.termNanos(),
                         next.released());
         return store.record.version();
     }
@@ -90,47 +90,47 @@
     private void answer(long now, Asked its, Object done) {
         asked = asked == its ? null : asked;
         if (its.next == null) {
-            lease.read(now, its.question, (VersionedLease) done);
+            lease.onRead(now, its.question, (VersionedLease) done);
         } else if (done == null) {
-            lease.conflicted(now, its.question);
+            lease.onConflict(now, its.question);
         } else {
-            lease.written(now, its.question, (Long) done);
+            lease.onWritten(now, its.question, (Long) done);
         }
     }
 
     void unknown(long now) {
         Asked its = asked;
         asked = null;
-        lease.unknown(now, its.question);
+        lease.onOutcomeUnknown(now, its.question);
     }
 
     @Override
-    public void read(long question) {
+    public void readRecord(long question) {
         asked = new Asked(question, 0, null);
     }
 
     @Override
-    public void write(long question, long expectedVersion, VersionedLease next) {
+    public void writeRecord(long question, long expectedVersion, VersionedLease next) {
         asked = new Asked(question, expectedVersion, next);
     }
 
     @Override
-    public void wakeAt(long at) {
+    public void setTimer(long at) {
         wakeAt = at;
     }
 
     @Override
-    public void granted(Grant grant) {
+    public void onGranted(Grant grant) {
         grants.add(grant);
     }
 
     @Override
-    public void stopNow(TransitionCause why) {
+    public void stopOperations(TransitionCause why) {
         stops.add(why);
     }
 
     @Override
-    public void line(boolean in) {
+    public void setQueued(boolean in) {
         inLine = in;
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
@@ -25,62 +25,63 @@
     @Test
     void theLargerProgressCounts() {
         LeaseClock clock = clock();
-        long begin = clock.now();
+        long begin = clock.nanoTime();
         nanos += 4 * SECOND;
         uptime += 3 * SECOND;
-        assertEquals(begin + 4 * SECOND, clock.now());
+        assertEquals(begin + 4 * SECOND, clock.nanoTime());
         uptime += 60 * SECOND;
-        assertEquals(begin + 63 * SECOND, clock.now(), "sleep counts");
+        assertEquals(begin + 63 * SECOND, clock.nanoTime(), "sleep counts");
         nanos += SECOND;
-        assertEquals(begin + 63 * SECOND, clock.now());
+        assertEquals(begin + 63 * SECOND, clock.nanoTime());
         uptime -= 10 * SECOND;
-        assertEquals(begin + 63 * SECOND, clock.now(), "it never runs back");
+        assertEquals(begin + 63 * SECOND, clock.nanoTime(), "it never runs back");
     }
 
     @Test
     void theWallClockHasNoSayWhereSleepIsCounted() {
         LeaseClock clock = clock();
         unixMillis += 3_600_000;
-        assertFalse(clock.jumped());
+        assertFalse(clock.mayHaveSuspended());
         assertEquals(List.of(), said);
     }
 
     /** Guards against a holder that sleeps for longer than its lease and never knows. */
     @Test
     void withoutIttheWallClocksJumpsAreNoticedOnceEach() {
-        uptime = LeaseClock.NONE;
+        uptime = LeaseClock.NO_CLOCK;
         LeaseClock clock = clock();
         assertEquals(1, said.size(), "said once");
         nanos += SECOND;
         unixMillis += 1000;
-        assertFalse(clock.jumped(), "both went on");
+        assertFalse(clock.mayHaveSuspended(), "both went on");
         unixMillis += 1001;
-        assertTrue(clock.jumped());
-        assertFalse(clock.jumped());
+        assertTrue(clock.mayHaveSuspended());
+        assertFalse(clock.mayHaveSuspended());
         unixMillis -= 5000;
-        assertTrue(clock.jumped(), "back as well");
-        assertEquals(nanos, clock.now());
+        assertTrue(clock.mayHaveSuspended(), "back as well");
+        assertEquals(nanos, clock.nanoTime());
         assertEquals(1, said.size());
     }
 
     @Test
     void aMomentIsReachedByWhicheverClockComesFirst() {
-        LeaseClock.Moment moment = clock().moment(clock().now() + 5 * SECOND);
+        LeaseClock.Moment moment = clock().moment(clock().nanoTime() + 5 * SECOND);
         LeaseClock other = clock();
-        assertEquals(5 * SECOND, other.until(moment));
+        assertEquals(5 * SECOND, other.nanosUntil(moment));
         nanos += SECOND;
-        assertEquals(4 * SECOND, other.until(moment));
+        assertEquals(4 * SECOND, other.nanosUntil(moment));
         uptime += 9 * SECOND;
-        assertEquals(-4 * SECOND, other.until(moment));
-        uptime = LeaseClock.NONE;
-        assertEquals(3 * SECOND, clock().until(clock().moment(clock().now() + 3 * SECOND)));
+        assertEquals(-4 * SECOND, other.nanosUntil(moment));
+        uptime = LeaseClock.NO_CLOCK;
+        assertEquals(
+                3 * SECOND, clock().nanosUntil(clock().moment(clock().nanoTime() + 3 * SECOND)));
     }
 
     @Test
     void theSystemsFileIsRead() {
         assertEquals(414 * SECOND + 710_000_000, LeaseClock.parse("414.71 1787.73\n"));
         for (String bad : new String[] {"", "x", "1 2", "1.x 2"}) {
-            assertEquals(LeaseClock.NONE, LeaseClock.parse(bad), bad);
+            assertEquals(LeaseClock.NO_CLOCK, LeaseClock.parse(bad), bad);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
@@ -13,7 +13,7 @@
     @Test
     void whatIsWrittenIsReadAndCanBeReadByAPerson() {
         byte[] bytes =
-                LeaseRecord.bytes(
+                LeaseRecord.encode(
                         new VersionedLease(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
         assertEquals(
                 "{\"holder\":\"host-a/12\",\"token\":7,\"since\":\"1970-01-01T00:00:00Z\","
@@ -21,7 +21,7 @@
                 new String(bytes, StandardCharsets.UTF_8));
         assertEquals(
                 new VersionedLease(3, 7, "host-a/12", "ab", 2_001_000_000L, false),
-                LeaseRecord.entry(bytes, 3));
+                LeaseRecord.decode(bytes, 3));
     }
 
     /** Guards against an operator's hand in the record that is taken for a free lease. */
@@ -29,7 +29,7 @@
     void whatIsNoRecordIsNotRead() {
         String good =
                 "{\"holder\":\"a\",\"token\":7,\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}";
-        assertEquals(7, LeaseRecord.entry(good.getBytes(StandardCharsets.UTF_8), 0).token());
+        assertEquals(7, LeaseRecord.decode(good.getBytes(StandardCharsets.UTF_8), 0).token());
         for (String bad :
                 List.of(
                         "",
@@ -44,16 +44,17 @@
                         good.replace("\"a\"", "null"))) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> LeaseRecord.entry(bad.getBytes(StandardCharsets.UTF_8), 0),
+                    () -> LeaseRecord.decode(bad.getBytes(StandardCharsets.UTF_8), 0),
                     bad);
         }
-        assertThrows(IllegalArgumentException.class, () -> LeaseRecord.entry(null, 0));
+        assertThrows(IllegalArgumentException.class, () -> LeaseRecord.decode(null, 0));
     }
 
     @Test
     void theLineIsInTheOrderOfItsNumbers() {
         assertEquals(
                 List.of("zz-0000000009", "aa-0000000010", "bb-0000000100"),
-                WaiterQueue.order(List.of("bb-0000000100", "zz-0000000009", "aa-0000000010")));
+                WaiterQueue.inQueueOrder(
+                        List.of("bb-0000000100", "zz-0000000009", "aa-0000000010")));
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -72,13 +72,14 @@
     }
 
     private String last(GuardedProcess guarded) throws Exception {
-        String last = guarded.last(clock.now());
+        String last = guarded.pollReport(clock.nanoTime());
         while (last == null) {
             Thread.sleep(5);
-            last = guarded.last(clock.now());
+            last = guarded.pollReport(clock.nanoTime());
         }
         assertTrue(
-                new ProcessTree(nonce, guarded.guardian().toHandle()).none(), "something is left");
+                new ProcessTree(nonce, guarded.guardian().toHandle()).isEmpty(),
+                "something is left");
         return last;
     }
 
@@ -91,8 +92,8 @@
     @Test
     void aCommandHasItsTokenAndEndsWithItsStatus() throws Exception {
         GuardedProcess guarded = guarded("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
-        assertNull(guarded.last(clock.now()));
-        guarded.go(clock.now() + 20 * SECOND);
+        assertNull(guarded.pollReport(clock.nanoTime()));
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertEquals("ended 3", last(guarded));
         assertEquals("nightly 12\n", Files.readString(out));
     }
@@ -100,7 +101,7 @@
     @Test
     void whatItLeavesBehindIsEndedWithIt() throws Exception {
         GuardedProcess guarded = guarded("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertEquals("ended 0", last(guarded));
     }
 
@@ -120,10 +121,10 @@
                         writes)) {
             Files.deleteIfExists(out);
             GuardedProcess guarded = guarded(script);
-            guarded.go(clock.now() + 20 * SECOND);
+            guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
             awaitOut();
             long byWall = System.currentTimeMillis() + 900;
-            guarded.go(clock.now() + 900 * MILLI);
+            guarded.extendUntil(clock.nanoTime() + 900 * MILLI);
             assertTrue(last(guarded).startsWith("stopped "), script);
             long late = Files.getLastModifiedTime(out).toMillis() - byWall;
             assertTrue(late < 0, script + " went on for " + late + " ms too long");
@@ -136,7 +137,7 @@
                 guarded(
                         "trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
                                 + " done");
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         awaitOut();
         guarded.stop();
         assertEquals("stopped 5", last(guarded));
@@ -150,20 +151,20 @@
                 guarded(
                         "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
                                 + " while :; do sleep 0.01; done");
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         awaitOut();
-        guarded.go(clock.now() + 400 * MILLI);
+        guarded.extendUntil(clock.nanoTime() + 400 * MILLI);
         while (!Files.readString(out).equals("term\n")) {
             Thread.sleep(1);
         }
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertTrue(last(guarded).startsWith("stopped "));
     }
 
     @Test
     void whatComesTooLateIsNotBegun() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1");
-        guarded.go(clock.now() + 400 * MILLI);
+        guarded.extendUntil(clock.nanoTime() + 400 * MILLI);
         assertEquals("never", last(guarded));
         assertTrue(Files.notExists(out));
         GuardedProcess stopped = guarded("echo 1 > $1");
@@ -175,7 +176,7 @@
     @Test
     void aCommandThatIsNotThereIsTold() throws Exception {
         GuardedProcess guarded = guarded(List.of("/no/such/command"));
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertEquals("no-command", last(guarded));
     }
 
@@ -183,7 +184,7 @@
     @Test
     void aKilledGuardiansCommandIsEndedByWhoAskedForIt() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 50");
-        guarded.go(clock.now() + 20 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         awaitOut();
         guarded.guardian().destroyForcibly().waitFor();
         assertEquals("", last(guarded));
@@ -193,7 +194,7 @@
     @Test
     void aLineThatMakesNoSenseEndsTheCommand() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.go(clock.now() + 90 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
         OutputStream in = guarded.guardian().getOutputStream();
         in.write("go 12\n".getBytes(StandardCharsets.US_ASCII));
@@ -205,12 +206,12 @@
     @Test
     void aStoppedGuardianKeepsNobodyWaiting() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.go(clock.now() + 90 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
         stop(guarded);
-        guarded.go(clock.now() + SECOND);
+        guarded.extendUntil(clock.nanoTime() + SECOND);
         guarded.stop();
-        guarded.go(clock.now() + 90 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         assertTrue(last(guarded).startsWith("stopped "));
     }
 
@@ -219,14 +220,14 @@
     void aStoppedGuardiansChildWithoutItsMarkIsEnded() throws Exception {
         GuardedProcess guarded =
                 guarded("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
-        guarded.go(clock.now() + 90 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
         Path child = Path.of("/proc", Files.readString(out).strip(), "stat");
         stop(guarded);
-        guarded.go(clock.now() + 500 * MILLI);
+        guarded.extendUntil(clock.nanoTime() + 500 * MILLI);
         // Its guardian, which stands still, does not ask for its status.
         while (Files.exists(child) && !Files.readString(child).contains(") Z ")) {
-            assertNull(guarded.last(clock.now()));
+            assertNull(guarded.pollReport(clock.nanoTime()));
             Thread.sleep(5);
         }
         guarded.stop();
@@ -237,14 +238,14 @@
     @Test
     void aStoppedGuardianDoesNotStopWhoTellsIt() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.go(clock.now() + 90 * SECOND);
+        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
         stop(guarded);
         assertTimeoutPreemptively(
                 Duration.ofSeconds(30),
                 () -> {
                     for (int i = 0; i < 5_000; i++) {
-                        guarded.go(clock.now() + 90 * SECOND);
+                        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
                     }
                 });
     }
--- a/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
@@ -135,21 +135,21 @@
                         "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
                                 + " while :; do sleep 0.01; done");
         await("on");
-        assertEquals(LeasedTask.TERMINATED, run.task.terminate());
+        assertEquals(LeasedTask.EXIT_TERMINATED, run.task.terminate());
         await("over");
         assertTrue(shared.entry().released());
         Run waiting = task("b", "sleep 50");
         Run behind = task("c", "sleep 50");
-        assertEquals(LeasedTask.TERMINATED, behind.task.terminate());
-        assertEquals(LeasedTask.TERMINATED, waiting.task.terminate());
+        assertEquals(LeasedTask.EXIT_TERMINATED, behind.task.terminate());
+        assertEquals(LeasedTask.EXIT_TERMINATED, waiting.task.terminate());
     }
 
     @Test
     void aRecordThatBeganAnewEndsEverything() throws Exception {
         Run run = task("a", "echo on >> $1; sleep 50");
         await("on");
-        lastEvents.broken("made anew");
-        assertEquals(LeasedTask.BROKEN, run.get());
+        lastEvents.onRecordRecreated("made anew");
+        assertEquals(LeasedTask.EXIT_RECORD_RECREATED, run.get());
     }
 
     @Test
@@ -165,7 +165,7 @@
                                 () -> "n" + nonces.incrementAndGet(),
                                 shared::store,
                                 log::add));
-        assertEquals(LeasedTask.NO_COMMAND, run.get());
+        assertEquals(LeasedTask.EXIT_COMMAND_NOT_STARTED, run.get());
         assertTrue(shared.entry().released());
     }
 
@@ -175,7 +175,7 @@
         Run run = task("a", "echo on >> $1; sleep 100");
         await("on");
         stoppedGuardian();
-        assertEquals(LeasedTask.TERMINATED, run.task.terminate());
+        assertEquals(LeasedTask.EXIT_TERMINATED, run.task.terminate());
         assertTrue(shared.entry().released());
     }
 
@@ -192,7 +192,7 @@
             Thread.sleep(1);
         }
         guardian.destroyForcibly();
-        assertEquals(LeasedTask.TERMINATED, terminated.get());
+        assertEquals(LeasedTask.EXIT_TERMINATED, terminated.get());
         assertTrue(shared.entry().released());
     }
 
@@ -216,7 +216,7 @@
                                 shared::store,
                                 log::add));
         assertThrows(ExecutionException.class, run::get);
-        assertEquals(LeasedTask.FAILED, assertDoesNotThrow(run.task::terminate));
+        assertEquals(LeasedTask.EXIT_FAILED, assertDoesNotThrow(run.task::terminate));
     }
 
     /** Guards against a grant from before a sleep that only the wall clock shows. */
@@ -225,7 +225,7 @@
         LeaseClock clock =
                 new LeaseClock(
                         System::nanoTime,
-                        () -> LeaseClock.NONE,
+                        () -> LeaseClock.NO_CLOCK,
                         () ->
                                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
                                         + (shared.entry() == null ? 0 : TimeUnit.HOURS.toMillis(1)),
--- a/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
@@ -18,11 +18,11 @@
     @Test
     void onlyAWholeEntryIsTheMark() {
         byte[] mark = bytes("APPLERIDGE_TASK=ab\0");
-        assertTrue(ProcessTree.holds(bytes("APPLERIDGE_TASK=ab\0"), mark));
-        assertTrue(ProcessTree.holds(bytes("A=1\0APPLERIDGE_TASK=ab\0B=2\0"), mark));
-        assertFalse(ProcessTree.holds(bytes("A=1\0APPLERIDGE_TASK=abc\0"), mark));
-        assertFalse(ProcessTree.holds(bytes("MY_APPLERIDGE_TASK=ab\0"), mark));
-        assertFalse(ProcessTree.holds(bytes(""), mark));
+        assertTrue(ProcessTree.containsEntry(bytes("APPLERIDGE_TASK=ab\0"), mark));
+        assertTrue(ProcessTree.containsEntry(bytes("A=1\0APPLERIDGE_TASK=ab\0B=2\0"), mark));
+        assertFalse(ProcessTree.containsEntry(bytes("A=1\0APPLERIDGE_TASK=abc\0"), mark));
+        assertFalse(ProcessTree.containsEntry(bytes("MY_APPLERIDGE_TASK=ab\0"), mark));
+        assertFalse(ProcessTree.containsEntry(bytes(""), mark));
     }
 
     /** Guards against a command's child that is nobody's child any more. */
@@ -36,10 +36,10 @@
         ProcessTree tree = new ProcessTree(nonce, ended.toHandle());
         ProcessTree another = new ProcessTree(nonce + "x", ended.toHandle());
         // Between its fork and its own program it is there already, with the same environment.
-        assertFalse(tree.none());
-        assertTrue(another.none());
+        assertFalse(tree.isEmpty());
+        assertTrue(another.isEmpty());
         assertEquals(1, tree.kill());
-        while (!tree.none()) {
+        while (!tree.isEmpty()) {
             Thread.onSpinWait();
         }
     }
--- a/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
+++ b/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
@@ -20,7 +20,7 @@
     }
 
     private synchronized void changed() {
-        line.forEach(each -> each.executor.execute(each.events::changed));
+        line.forEach(each -> each.executor.execute(each.events::onRecordChanged));
     }
 
     private synchronized void place(Store store, boolean in) {
@@ -29,7 +29,7 @@
             line.add(store);
         }
         if (!line.isEmpty()) {
-            line.get(0).executor.execute(line.get(0).events::inFront);
+            line.get(0).executor.execute(line.get(0).events::onHeadOfQueue);
         }
     }
 
@@ -44,13 +44,13 @@
 
         @Override
         public void start() {
-            executor.execute(events::connected);
+            executor.execute(events::onConnected);
         }
 
         @Override
         public void read(long question) {
             VersionedLease now = entry();
-            executor.execute(() -> events.read(question, now));
+            executor.execute(() -> events.onRead(question, now));
         }
 
         @Override
@@ -58,7 +58,7 @@
             synchronized (SharedRecord.this) {
                 long version = entry == null ? -1 : entry.version();
                 if (version != expectedVersion) {
-                    executor.execute(() -> events.conflicted(question));
+                    executor.execute(() -> events.onConflict(question));
                     return;
                 }
                 entry =
@@ -67,15 +67,15 @@
                                 next.token(),
                                 next.holder(),
                                 next.nonce(),
-                                next.term(),
+                                next.termNanos(),
                                 next.released());
-                executor.execute(() -> events.written(question, version + 1));
+                executor.execute(() -> events.onWritten(question, version + 1));
             }
             changed();
         }
 
         @Override
-        public void line(boolean in) {
+        public void setQueued(boolean in) {
             place(this, in);
         }
 
--- a/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
@@ -17,7 +17,8 @@
  */
 record Assumption(String name, String what, String scope, List<Edit> edits) {
     private static final String LEASE = "lease/Lease";
-    private static final String TERMS = "lease/LeaseParameters";
+    private static final String PARAMETERS = "lease/LeaseParameters";
+    private static final String REQUESTS = "lease/StoreRequests";
     private static final String STOPPED = "timed held 35 1 STOPS 0 0 1 ";
     private static final String LEAVING = "timed held 35 1 STOPS 1 1 1 ";
 
@@ -30,27 +31,32 @@
                             in(
                                     LEASE,
                                     null,
-                                    "lastWrite.at + terms.actFor()",
-                                    "now + terms.actFor()")),
+                                    "lastWrite.sentAtNanos() + parameters.grantNanos()",
+                                    "nowNanos + parameters.grantNanos()")),
                     of(
                             "no-guard",
                             "a holder's reading of its clock may be older than it allows for",
                             STOPPED + 30,
-                            in(TERMS, "public long actFor() {", " - guard", "")),
+                            in(PARAMETERS, "public long grantNanos() {", " - clockGuardNanos", "")),
                     of(
                             "no-guard-of-waiter",
                             "a waiter's reading may be older than it allows for",
                             STOPPED + 30,
-                            in(TERMS, "public long keptOutFor(long itsTerm) {", " + guard", "")),
+                            in(
+                                    PARAMETERS,
+                                    "public long takeOverDelayNanos(long recordTermNanos) {",
+                                    " + clockGuardNanos",
+                                    "")),
                     of(
                             "drift-ignored",
                             "all clocks are taken to run alike",
                             STOPPED + 30,
                             in(
-                                    TERMS,
-                                    "private static long drift(long time, int driftPpm) {",
-                                    "time / MILLION * driftPpm + (time % MILLION * driftPpm +"
-                                            + " MILLION - 1) / MILLION",
+                                    PARAMETERS,
+                                    "private static long drift(long nanos, int driftPpm) {",
+                                    "nanos / PARTS_PER_MILLION * driftPpm + (nanos %"
+                                            + " PARTS_PER_MILLION * driftPpm +"
+                                            + " PARTS_PER_MILLION - 1) / PARTS_PER_MILLION",
                                     "0")),
                     of(
                             "checked-when-queued",
@@ -67,29 +73,37 @@
                             in(
                                     LEASE,
                                     null,
-                                    "seen.released() ? 0 : terms.actsOut()",
-                                    "seen.released() ? 0 : 0")),
+                                    "noneBefore ? 0 : parameters.gracePeriodNanos()",
+                                    "noneBefore ? 0 : 0")),
                     of(
                             "take-over-passed-on",
                             "a new holder that leaves at once hides that acts of the old go on",
                             LEAVING + 24,
-                            in(LEASE, null, "Math.max(notBefore, actFrom)", "notBefore")),
+                            in(
+                                    LEASE,
+                                    null,
+                                    "Math.max(notBeforeNanos, earliestStartNanos)",
+                                    "notBeforeNanos")),
                     of(
                             "shrunk-at-once",
                             "a part that shrinks is given to another while acts under it go on",
                             "timed held 35 0 - 1 0 1 24",
-                            in(LEASE, "public void giveUp(long now) {", " + terms.actsOut()", "")),
+                            in(
+                                    LEASE,
+                                    "public void releaseAfterGracePeriod(long nowNanos) {",
+                                    " + parameters.gracePeriodNanos()",
+                                    "")),
                     of(
                             "doubt-taken-for-held",
                             "a renewal of which nothing is known extends the grant",
                             "timed held 35 2 LOST,STOPS 0 0 1 27",
                             in(
                                     LEASE,
-                                    "public void unknown(long now, long question) {",
-                                    "Asked asked = open;",
-                                    "Asked asked = open; if (grant != null && asked != null &&"
-                                        + " asked.next != null) { lastWrite = asked; grant(now);"
-                                        + " }")),
+                                    "public void onOutcomeUnknown(long nowNanos, long requestId) {",
+                                    "request = requests.open();",
+                                    "request = requests.open(); if (grant != null && request"
+                                            + " != null && request.next() != null) {"
+                                            + " extendGrant(nowNanos); }")),
                     of(
                             "renewed-by-pings",
                             "a connection that is there again extends the grant",
@@ -97,31 +111,31 @@
                             in(
                                     LEASE,
                                     null,
-                                    "connected = true;\n        current",
+                                    "connected = true;\n        observed",
                                     "connected = true; if (grant != null) { grant = new"
-                                            + " Grant(grant.token(), grant.from(), now +"
-                                            + " terms.actFor()); }\n"
-                                            + "        current")),
+                                            + " Grant(grant.token(), grant.notBeforeNanos(),"
+                                            + " nowNanos + parameters.grantNanos()); }\n"
+                                            + "        observed")),
                     of(
                             "token-repeats",
                             "a new holder goes on with the token of the old",
                             "fenced held 44 1 STOPS 0 0 1 24",
-                            in(LEASE, null, "(giving || grant != null ? 0 : 1)", "0")),
+                            in(LEASE, null, "(takesOver ? 1 : 0)", "0")),
                     of(
                             "release-undone",
                             "a late renewal undoes a release",
                             "timed held 35 0 - 1 1 1 18",
                             in(
-                                    LEASE,
+                                    REQUESTS,
                                     null,
-                                    "lastWrite.question > soughtAt",
-                                    "lastWrite.question > 0"),
-                            in(LEASE, null, "proven && !giving", "proven")),
+                                    "lastWrite.requestId > requestId",
+                                    "lastWrite.requestId > 0"),
+                            in(LEASE, null, "proven && !releasePending", "proven")),
                     of(
                             "written-whatever-the-version",
                             "a late write undoes what came after",
                             "timed held 35 1 DELAYED 1 1 1 18",
-                            in(LEASE, null, "seen == null ? -1 : seen.version()", "-2")),
+                            in(LEASE, null, "seen == null ? NO_VERSION : seen.version()", "-2")),
                     of(
                             "parts-rounded-up",
                             "what is left over is given to each",
@@ -129,8 +143,8 @@
                             in(
                                     "lease/BudgetShare",
                                     null,
-                                    "whole * permits.usable(now, lasting)",
-                                    "(whole * permits.usable(now, lasting) +"
+                                    "total * permits.usable(nowNanos, durationNanos)",
+                                    "(total * permits.usable(nowNanos, durationNanos) +"
                                             + " permits.leases().size() - 1)")));
 
     private static Assumption of(String name, String what, String scope, Edit... edits) {
--- a/testbed/src/main/java/appleridge/testbed/lease/Holder.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Holder.java
@@ -68,27 +68,27 @@
     }
 
     @Override
-    public void read(long question) {
+    public void readRecord(long question) {
         sent.add(new Message(Message.Kind.READ, index, question, 0, null, false));
     }
 
     @Override
-    public void write(long question, long expectedVersion, VersionedLease next) {
+    public void writeRecord(long question, long expectedVersion, VersionedLease next) {
         sent.add(new Message(Message.Kind.WRITE, index, question, expectedVersion, next, false));
     }
 
     @Override
-    public void wakeAt(long at) {
+    public void setTimer(long at) {
         wakeAt = at;
     }
 
     @Override
-    public void granted(Grant grant) {}
+    public void onGranted(Grant grant) {}
 
     /** What has begun goes on to its end: the worst that a holder may do. */
     @Override
-    public void stopNow(TransitionCause why) {}
+    public void stopOperations(TransitionCause why) {}
 
     @Override
-    public void line(boolean in) {}
+    public void setQueued(boolean in) {}
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
@@ -1,6 +1,8 @@
 package appleridge.testbed.lease;
 
 import appleridge.lease.Lease;
+import appleridge.lease.LeaseActions;
+import appleridge.lease.LeaseParameters;
 import appleridge.lease.VersionedLease;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
@@ -9,8 +11,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.stream.Stream;
 
 /**
  * Copies what a lease knows, and writes it down so that states come together which differ in
@@ -21,14 +25,51 @@
     /** What is longer ago can't be told apart by any wait of the terms, nor by sums of two. */
     private static final long LONG_AGO = -64;
 
-    private static final List<Field> FIELDS =
-            Arrays.stream(Lease.class.getDeclaredFields())
-                    .filter(
-                            field ->
-                                    !Modifier.isStatic(field.getModifiers())
-                                            && !Modifier.isFinal(field.getModifiers()))
-                    .peek(field -> field.setAccessible(true))
-                    .toList();
+    /** What a lease is made with, and never changes. */
+    private static final Set<Class<?>> CONSTANTS =
+            Set.of(String.class, LeaseParameters.class, LeaseActions.class);
+
+    private static final List<FieldPath> FIELDS = paths(Lease.class, List.of()).toList();
+
+    /** A field that changes: of the lease itself, or of an object that it owns. */
+    private record FieldPath(List<Field> owners, Field field) {
+        Object get(Lease lease) throws IllegalAccessException {
+            return field.get(owner(lease));
+        }
+
+        void set(Lease lease, Object value) throws IllegalAccessException {
+            field.set(owner(lease), value);
+        }
+
+        private Object owner(Lease lease) throws IllegalAccessException {
+            Object owner = lease;
+            for (Field each : owners) {
+                owner = each.get(owner);
+            }
+            return owner;
+        }
+    }
+
+    /**
+     * Every field that changes; a final one is either a constant or an object whose own fields are
+     * gone through, so that no part of a lease is left out of a state.
+     */
+    private static Stream<FieldPath> paths(Class<?> type, List<Field> owners) {
+        return Arrays.stream(type.getDeclaredFields())
+                .filter(field -> !Modifier.isStatic(field.getModifiers()))
+                .filter(field -> !CONSTANTS.contains(field.getType()))
+                .peek(field -> field.setAccessible(true))
+                .flatMap(
+                        field -> {
+                            if (!Modifier.isFinal(field.getModifiers())) {
+                                return Stream.of(new FieldPath(owners, field));
+                            }
+                            List<Field> inner =
+                                    Stream.concat(owners.stream(), Stream.of(field)).toList();
+                            return paths(field.getType(), inner);
+                        });
+    }
+
     private static final Map<Class<?>, Method[]> PARTS = new ConcurrentHashMap<>();
 
     private final StringBuilder key;
@@ -52,8 +93,8 @@
 
     static void copy(Lease from, Lease to) {
         try {
-            for (Field field : FIELDS) {
-                field.set(to, field.get(from));
+            for (FieldPath path : FIELDS) {
+                path.set(to, path.get(from));
             }
         } catch (IllegalAccessException e) {
             throw new IllegalStateException(e);
@@ -68,8 +109,8 @@
 
     void lease(int holder, Lease lease) {
         try {
-            for (Field field : FIELDS) {
-                value(holder, field.getName(), field.get(lease));
+            for (FieldPath path : FIELDS) {
+                value(holder, path.field().getName(), path.get(lease));
             }
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
@@ -116,7 +157,7 @@
         } else if (value instanceof Long number && name.startsWith("token")) {
             key.append(number).append(' ');
         } else if (value instanceof Long number
-                && (name.startsWith("question") || name.equals("soughtAt"))) {
+                && (name.equals("requestId") || name.endsWith("RequestId"))) {
             question(holder, number);
         } else if (value instanceof Long time) {
             key.append(time == Long.MAX_VALUE ? time : Math.max(LONG_AGO, time - now[holder]))
--- a/testbed/src/main/java/appleridge/testbed/lease/Parts.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/Parts.java
@@ -31,7 +31,7 @@
                 for (int whole = 0; whole <= MOST_WHOLE; whole++) {
                     long sum = 0;
                     for (Permits permits : holders) {
-                        sum += new BudgetShare(whole, permits).part(1, 0);
+                        sum += new BudgetShare(whole, permits).available(1, 0);
                     }
                     if (sum > whole) {
                         return "broken: parts sum to "
@@ -56,13 +56,13 @@
         }
         Permits permits =
                 new Permits(count, i -> new Lease(TERMS, "", owner + "-" + i, new Nothing()));
-        permits.want(0, count);
+        permits.setWanted(0, count);
         for (int i = 0; i < count; i++) {
             if (owners.get(i) == owner) {
                 Lease lease = permits.leases().get(i);
-                lease.inFront(0);
-                lease.read(0, 1, null);
-                lease.written(0, 2, 0);
+                lease.onHeadOfQueue(0);
+                lease.onRead(0, 1, null);
+                lease.onWritten(0, 2, 0);
             }
         }
         return permits;
@@ -71,21 +71,21 @@
     /** What a lease asks is known: first a read, then a write. */
     private static final class Nothing implements LeaseActions {
         @Override
-        public void read(long question) {}
+        public void readRecord(long question) {}
 
         @Override
-        public void write(long question, long expectedVersion, VersionedLease next) {}
+        public void writeRecord(long question, long expectedVersion, VersionedLease next) {}
 
         @Override
-        public void wakeAt(long at) {}
+        public void setTimer(long at) {}
 
         @Override
-        public void granted(Grant grant) {}
+        public void onGranted(Grant grant) {}
 
         @Override
-        public void stopNow(TransitionCause why) {}
+        public void stopOperations(TransitionCause why) {}
 
         @Override
-        public void line(boolean in) {}
+        public void setQueued(boolean in) {}
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/World.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/World.java
@@ -111,8 +111,8 @@
 
     /** The line isn't trusted: everyone is told at once to be in front. */
     private void seek(Holder holder) {
-        holder.lease.seek(now(holder));
-        holder.lease.inFront(now(holder));
+        holder.lease.acquire(now(holder));
+        holder.lease.onHeadOfQueue(now(holder));
         collect(holder);
     }
 
@@ -168,7 +168,7 @@
                 steps,
                 Kind.CHECKS,
                 holder,
-                isIdle && readings(holder).anyMatch(at -> holder.lease.mayBegin(at, 0)));
+                isIdle && readings(holder).anyMatch(at -> holder.lease.mayStart(at, 0)));
         add(steps, Kind.BEGINS, holder, holder.checked != Holder.NONE);
         add(steps, Kind.REACHES, holder, holder.carried != Holder.NONE);
         add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != LeaseState.RELEASED);
@@ -181,7 +181,7 @@
                         && state != LeaseState.RELEASED
                         && holder.checked == Holder.NONE);
         add(steps, Kind.ASKS_AGAIN, holder, again > 0 && isAway);
-        VersionedLease seen = holder.lease.seen();
+        VersionedLease seen = holder.lease.latestRecord();
         add(
                 steps,
                 Kind.HEARS,
@@ -234,7 +234,7 @@
                 messages.add(message.delayed());
                 messages.add(stored(message));
             }
-            case WAKES -> holder.lease.time(now(holder));
+            case WAKES -> holder.lease.onTimer(now(holder));
             case CHECKS -> check(holder);
             case BEGINS -> begin(holder);
             case REACHES -> reach(holder);
@@ -244,22 +244,22 @@
             }
             case GIVES_UP -> {
                 leaves--;
-                holder.lease.giveUp(now(holder));
+                holder.lease.releaseAfterGracePeriod(now(holder));
             }
             case ASKS_AGAIN -> {
                 again--;
                 seek(holder);
             }
-            case HEARS -> holder.lease.changed(now(holder));
+            case HEARS -> holder.lease.onRecordChanged(now(holder));
             case DISCONNECTS -> {
                 faults--;
                 holder.connected = false;
                 messages.removeIf(its -> its.holder() == holder.index && !its.isRequest());
-                holder.lease.disconnected(now(holder));
+                holder.lease.onDisconnected(now(holder));
             }
             case CONNECTS -> {
                 holder.connected = true;
-                holder.lease.connected(now(holder));
+                holder.lease.onConnected(now(holder));
             }
             case STOPS -> {
                 faults--;
@@ -301,7 +301,7 @@
                         next.token(),
                         next.holder(),
                         next.nonce(),
-                        next.term(),
+                        next.termNanos(),
                         next.released());
         return request.answer(Message.Kind.WRITTEN, record.version(), null);
     }
@@ -314,10 +314,10 @@
         long now = now(holder);
         long question = answer.question();
         switch (answer.kind()) {
-            case RECORD -> holder.lease.read(now - Scope.OLD, question, answer.entry());
-            case WRITTEN -> holder.lease.written(now, question, answer.version());
-            case CONFLICT -> holder.lease.conflicted(now, question);
-            default -> holder.lease.unknown(now, question);
+            case RECORD -> holder.lease.onRead(now - Scope.OLD, question, answer.entry());
+            case WRITTEN -> holder.lease.onWritten(now, question, answer.version());
+            case CONFLICT -> holder.lease.onConflict(now, question);
+            default -> holder.lease.onOutcomeUnknown(now, question);
         }
     }
 
@@ -329,7 +329,7 @@
     private void check(Holder holder) {
         Permission allowed =
                 readings(holder)
-                        .mapToObj(reading -> holder.lease.begin(reading, 0))
+                        .mapToObj(reading -> holder.lease.tryStart(reading, 0))
                         .filter(Objects::nonNull)
                         .findFirst()
                         .orElseThrow();
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -44,48 +44,48 @@
         private volatile VersionedLease entry;
 
         @Override
-        public void connected() {
+        public void onConnected() {
             words.add("connected");
         }
 
         @Override
-        public void disconnected() {
+        public void onDisconnected() {
             words.add("disconnected");
         }
 
         @Override
-        public void read(long question, VersionedLease orNull) {
+        public void onRead(long question, VersionedLease orNull) {
             entry = orNull;
             words.add("read " + question);
         }
 
         @Override
-        public void written(long question, long version) {
+        public void onWritten(long question, long version) {
             words.add("written " + question + " version " + version);
         }
 
         @Override
-        public void conflicted(long question) {
+        public void onConflict(long question) {
             words.add("conflicted " + question);
         }
 
         @Override
-        public void unknown(long question) {
+        public void onOutcomeUnknown(long question) {
             words.add("unknown " + question);
         }
 
         @Override
-        public void changed() {
+        public void onRecordChanged() {
             words.add("changed");
         }
 
         @Override
-        public void inFront() {
+        public void onHeadOfQueue() {
             words.add("front");
         }
 
         @Override
-        public void broken(String why) {
+        public void onRecordRecreated(String why) {
             words.add("broken");
         }
 
@@ -251,20 +251,20 @@
         LeaseStore[] stores = new LeaseStore[told.length];
         for (int i = 0; i < told.length; i++) {
             stores[i] = connected("n" + i, told[i]);
-            stores[i].line(true);
+            stores[i].setQueued(true);
             while (operator().getChildren(ROOT + "/nightly/line", false).size() <= i) {
                 Thread.onSpinWait();
             }
         }
         told[0].await("front");
-        stores[0].line(false);
+        stores[0].setQueued(false);
         told[1].await("front");
-        stores[1].line(false);
-        stores[1].line(true);
+        stores[1].setQueued(false);
+        stores[1].setQueued(true);
         told[1].await("front");
-        stores[1].line(false);
+        stores[1].setQueued(false);
         told[2].await("front");
-        stores[1].line(true);
+        stores[1].setQueued(true);
         stores[2].close();
         told[1].await("front");
         for (long session : server.sessions()) {
@@ -392,7 +392,7 @@
         Told told = new Told();
         LeaseStore store = connected("a", told);
         operator().delete(ROOT + "/nightly/line", -1);
-        store.line(true);
+        store.setQueued(true);
         told.await("front");
     }
 }
