--- a/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
@@ -9,104 +9,129 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock that leases are counted by; it never runs back. Danger: Java's monotonic clock goes on
- * while the process is stopped but not while the machine sleeps, and who wakes from that would take
- * its lease for young. So the larger progress counts of it and of {@code /proc/uptime}, which
- * counts sleep too, to 10 ms. Where there is no such file, a jump of the wall clock against the
- * monotonic one is taken for a sleep.
+ * The clock that leases are counted by; it never runs back.
+ *
+ * <p>Java's monotonic clock goes on while the process is stopped, but not while the machine is
+ * suspended: counted by it alone, a lease would look young after a resume. So the larger progress
+ * counts of it and of {@code /proc/uptime}, which includes suspension, to 10 ms. Where there is no
+ * such file, a jump of the wall clock against the monotonic one is taken for a suspension.
+ *
+ * <p>Thread-safe.
  */
 public final class LeaseClock {
-    /** What the source of a clock says where there is none. */
+    /** What the source of a clock returns where there is no such clock. */
     public static final long NO_CLOCK = Long.MAX_VALUE;
 
     private static final Path UPTIME = Path.of("/proc/uptime");
-    private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long HUNDREDTH_NANOS = SECOND_NANOS / 100;
 
     private final LongSupplier nanos;
-    private final LongSupplier uptime;
+    private final LongSupplier uptimeNanos;
     private final LongSupplier unixMillis;
-    private final long mostJump;
-    private final boolean countsSleep;
-    private final long nanosFirst;
-    private final long uptimeFirst;
-    private long wallLead;
-    private long last;
+    private final long maxJumpNanos;
+    private final boolean countsSuspension;
+    private final long firstNanos;
+    private final long firstUptimeNanos;
+    private long wallLeadNanos;
+    private long lastNanos;
 
     /**
      * A moment by both clocks, which all processes of a machine share.
      *
-     * @param uptime {@link #NO_CLOCK} where there is no such clock
+     * @param nanos by the monotonic clock
+     * @param uptimeNanos since the machine's start; {@link #NO_CLOCK} where there is no such clock
      */
     public record Moment(long nanos, long uptimeNanos) {}
 
-    /** The system's; without {@code /proc/uptime} it says so. */
-    public static LeaseClock system(long mostJump, Consumer<String> log) {
+    /**
+     * The system's clock.
+     *
+     * @param maxJumpNanos how far the wall clock may jump before that is taken for a suspension
+     * @param log receives one line if {@code /proc/uptime} can't be read
+     */
+    public static LeaseClock system(long maxJumpNanos, Consumer<String> log) {
         return new LeaseClock(
-                SystemTime.NANOS, LeaseClock::uptime, SystemTime.UNIX_MILLIS, mostJump, log);
+                SystemTime.NANOS,
+                LeaseClock::systemUptimeNanos,
+                SystemTime.UNIX_MILLIS,
+                maxJumpNanos,
+                log);
     }
 
-    /** By other clocks than the system's. */
+    /**
+     * A clock of other sources than the system's.
+     *
+     * @param nanos monotonic, without suspension
+     * @param uptimeNanos monotonic, with suspension; {@link #NO_CLOCK} for none
+     * @param unixMillis the wall clock
+     */
     public LeaseClock(
             LongSupplier nanos,
-            LongSupplier uptime,
+            LongSupplier uptimeNanos,
             LongSupplier unixMillis,
-            long mostJump,
+            long maxJumpNanos,
             Consumer<String> log) {
         this.nanos = nanos;
-        this.uptime = uptime;
+        this.uptimeNanos = uptimeNanos;
         this.unixMillis = unixMillis;
-        this.mostJump = mostJump;
-        this.nanosFirst = nanos.getAsLong();
-        this.uptimeFirst = uptime.getAsLong();
-        this.countsSleep = uptimeFirst != NO_CLOCK;
-        this.last = nanosFirst;
-        this.wallLead = wallLead();
-        if (!countsSleep) {
+        this.maxJumpNanos = maxJumpNanos;
+        this.firstNanos = nanos.getAsLong();
+        this.firstUptimeNanos = uptimeNanos.getAsLong();
+        this.countsSuspension = firstUptimeNanos != NO_CLOCK;
+        this.lastNanos = firstNanos;
+        this.wallLeadNanos = readWallLead();
+        if (!countsSuspension) {
             log.accept(
                     "no clock counts while the machine sleeps (/proc/uptime can't be read): a jump"
                             + " of the wall clock of more than "
-                            + TimeUnit.NANOSECONDS.toMillis(mostJump)
+                            + TimeUnit.NANOSECONDS.toMillis(maxJumpNanos)
                             + " ms ends what is done under a lease");
         }
     }
 
-    /** Now, in nanoseconds from anywhere. */
+    /** Now, in nanoseconds from an arbitrary origin. */
     public synchronized long nanoTime() {
         long now = nanos.getAsLong();
-        long awake = countsSleep ? uptime.getAsLong() : NO_CLOCK;
-        if (awake != NO_CLOCK) {
-            now = Math.max(now, nanosFirst + awake - uptimeFirst);
+        long uptime = readUptime();
+        if (uptime != NO_CLOCK) {
+            now = Math.max(now, firstNanos + uptime - firstUptimeNanos);
         }
-        last = Math.max(last, now);
-        return last;
+        lastNanos = Math.max(lastNanos, now);
+        return lastNanos;
     }
 
-    /** Whether the machine may have slept unseen since this was asked before. */
+    /** Whether the machine may have been suspended uncounted since this was called before. */
     public synchronized boolean mayHaveSuspended() {
-        long before = wallLead;
-        wallLead = wallLead();
-        return !countsSleep && Math.abs(wallLead - before) > mostJump;
+        long before = wallLeadNanos;
+        wallLeadNanos = readWallLead();
+        return !countsSuspension && Math.abs(wallLeadNanos - before) > maxJumpNanos;
     }
 
-    /** The moment at which this clock says {@code at}. */
-    public synchronized Moment moment(long at) {
-        long left = at - nanoTime();
-        long awake = countsSleep ? uptime.getAsLong() : NO_CLOCK;
-        return new Moment(nanos.getAsLong() + left, awake == NO_CLOCK ? NO_CLOCK : awake + left);
+    /** The moment at which {@link #nanoTime} is {@code atNanos}. */
+    public synchronized Moment moment(long atNanos) {
+        long left = atNanos - nanoTime();
+        long uptime = readUptime();
+        return new Moment(nanos.getAsLong() + left, uptime == NO_CLOCK ? NO_CLOCK : uptime + left);
     }
 
-    /** How long it is until a moment, by the clock that says less. */
+    /** The time left until a moment, by the clock that says less; negative once it has passed. */
     public long nanosUntil(Moment moment) {
         long left = moment.nanos - nanos.getAsLong();
-        long awake = moment.uptimeNanos == NO_CLOCK ? NO_CLOCK : uptime.getAsLong();
-        return awake == NO_CLOCK ? left : Math.min(left, moment.uptimeNanos - awake);
+        long uptime = moment.uptimeNanos == NO_CLOCK ? NO_CLOCK : uptimeNanos.getAsLong();
+        return uptime == NO_CLOCK ? left : Math.min(left, moment.uptimeNanos - uptime);
     }
 
-    private long wallLead() {
+    private long readUptime() {
+        return countsSuspension ? uptimeNanos.getAsLong() : NO_CLOCK;
+    }
+
+    /** How far the wall clock is ahead of the monotonic one. */
+    private long readWallLead() {
         return TimeUnit.MILLISECONDS.toNanos(unixMillis.getAsLong()) - nanos.getAsLong();
     }
 
-    private static long uptime() {
+    private static long systemUptimeNanos() {
         try {
             return parse(Files.readString(UPTIME));
         } catch (IOException e) {
@@ -114,13 +139,18 @@
         }
     }
 
-    /** Seconds since the machine's start, with their hundredths, and another number. */
+    /**
+     * Reads {@code /proc/uptime}: seconds since the machine's start, with two decimals, then
+     * another number.
+     *
+     * @return nanoseconds; {@link #NO_CLOCK} if the text has another form
+     */
     static long parse(String text) {
         try {
-            String first = text.substring(0, text.indexOf(' '));
-            int point = first.indexOf('.');
-            return Long.parseLong(first.substring(0, point)) * SECOND
-                    + Long.parseLong(first.substring(point + 1)) * (SECOND / 100);
+            String uptime = text.substring(0, text.indexOf(' '));
+            int point = uptime.indexOf('.');
+            return Long.parseLong(uptime.substring(0, point)) * SECOND_NANOS
+                    + Long.parseLong(uptime.substring(point + 1)) * HUNDREDTH_NANOS;
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             return NO_CLOCK;
         }
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
@@ -8,55 +8,79 @@
 import java.time.Instant;
 import java.util.concurrent.TimeUnit;
 
-/** A record as JSON, for the store and for operators' eyes. */
+/**
+ * The record of a lease as JSON, as it is stored; its keys are part of the stored form.
+ * Thread-safe.
+ */
 final class LeaseRecord {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+
+    private static final String HOLDER = "holder";
+    private static final String TOKEN = "token";
+    private static final String SINCE = "since";
+    private static final String NONCE = "nonce";
+    private static final String TERM_MILLIS = "termMillis";
+    private static final String RELEASED = "released";
 
     private LeaseRecord() {}
 
     /**
-     * What is written.
+     * The stored form. The term is rounded up to milliseconds, for a shorter one would let others
+     * in too early.
      *
-     * @param sinceMillis since when its holder holds, in Unix time; for operators alone
+     * @param sinceUnixMillis when its holder took the lease; for operators alone, never read back
      */
-    static byte[] encode(VersionedLease entry, long sinceMillis) {
+    static byte[] encode(VersionedLease record, long sinceUnixMillis) {
         return JSON.createObjectNode()
-                .put("holder", entry.holder())
-                .put("token", entry.token())
-                .put("since", Instant.ofEpochMilli(sinceMillis).toString())
-                .put("nonce", entry.nonce())
-                // Rounded up, for too short a term would let others in.
-                .put("termMillis", (entry.termNanos() + MILLI - 1) / MILLI)
-                .put("released", entry.released())
+                .put(HOLDER, record.holder())
+                .put(TOKEN, record.token())
+                .put(SINCE, Instant.ofEpochMilli(sinceUnixMillis).toString())
+                .put(NONCE, record.nonce())
+                .put(TERM_MILLIS, (record.termNanos() + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI)
+                .put(RELEASED, record.released())
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** What is read; an exception's message tells what is wrong with it. */
+    /**
+     * Reads the stored form; unknown keys are ignored.
+     *
+     * @param data null if the node has none
+     * @throws MalformedLeaseRecordException if a key is missing or has a value of another type
+     */
     static VersionedLease decode(byte[] data, long version) {
-        JsonNode node;
-        try {
-            node = data == null ? null : JSON.readTree(data);
-        } catch (IOException e) {
-            node = null;
-        }
-        if (node == null
-                || !node.path("token").canConvertToLong()
-                || !node.path("token").isIntegralNumber()
-                || !node.path("termMillis").isIntegralNumber()
-                || !node.path("termMillis").canConvertToInt()
-                || !node.path("holder").isTextual()
-                || !node.path("nonce").isTextual()
-                || !node.path("released").isBoolean()) {
-            throw new IllegalArgumentException("the record is not one of a lease");
+        JsonNode node = parse(data);
+        if (!isRecord(node)) {
+            throw new MalformedLeaseRecordException(null);
         }
         return new VersionedLease(
                 version,
-                node.path("token").longValue(),
-                node.path("holder").textValue(),
-                node.path("nonce").textValue(),
-                node.path("termMillis").longValue() * MILLI,
-                node.path("released").booleanValue());
+                node.path(TOKEN).longValue(),
+                node.path(HOLDER).textValue(),
+                node.path(NONCE).textValue(),
+                node.path(TERM_MILLIS).longValue() * NANOS_PER_MILLI,
+                node.path(RELEASED).booleanValue());
+    }
+
+    private static JsonNode parse(byte[] data) {
+        if (data == null) {
+            throw new MalformedLeaseRecordException(null);
+        }
+        try {
+            return JSON.readTree(data);
+        } catch (IOException e) {
+            throw new MalformedLeaseRecordException(e);
+        }
+    }
+
+    private static boolean isRecord(JsonNode node) {
+        return node.path(TOKEN).isIntegralNumber()
+                && node.path(TOKEN).canConvertToLong()
+                && node.path(TERM_MILLIS).isIntegralNumber()
+                && node.path(TERM_MILLIS).canConvertToInt()
+                && node.path(HOLDER).isTextual()
+                && node.path(NONCE).isTextual()
+                && node.path(RELEASED).isBoolean();
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseStore.java
@@ -3,54 +3,71 @@
 import appleridge.lease.VersionedLease;
 
 /**
- * Where one lease's record is kept, and the line of those who wait for it. A record's writes are
- * conditional on its version, and a read tells it as of after it was asked. Calls come from one
- * thread.
+ * Keeps one lease's record, and the queue of those who wait for it. Writes are conditional on the
+ * record's version, and a read returns the record as of a time after it was asked for.
+ *
+ * <p>Methods return at once. Calls come from one thread at a time.
  */
 public interface LeaseStore extends AutoCloseable {
     /**
-     * Told on the executor of who asks, never from within a call. Each question has at most one
-     * answer; {@code unknown} where it can't be known whether it was done.
+     * What happens in the store. Delivered on the caller's executor, never from within a call. Each
+     * request has at most one answer.
      */
     interface Events {
+        /** Requests can be sent. */
         void onConnected();
 
+        /** Requests can't be sent; open ones are answered or not. */
         void onDisconnected();
 
-        /** {@code orNull}: null if there is no record. */
-        void onRead(long question, VersionedLease orNull);
+        /**
+         * Answers a read.
+         *
+         * @param recordOrNull null if there is no record
+         */
+        void onRead(long requestId, VersionedLease recordOrNull);
 
-        void onWritten(long question, long version);
+        /** Answers a write that was done and made this version. */
+        void onWritten(long requestId, long version);
 
-        /** Another version is there; nothing was written. */
-        void onConflict(long question);
+        /** Answers a write that found another version; nothing was written by this answer. */
+        void onConflict(long requestId);
 
-        void onOutcomeUnknown(long question);
+        /** Answers a request of which it is unknown whether the store processed it. */
+        void onOutcomeUnknown(long requestId);
 
         /** The record that was read last may have changed. */
         void onRecordChanged();
 
-        /** Nobody is ahead in the line. */
+        /** Nobody is ahead in the queue. */
         void onHeadOfQueue();
 
         /**
-         * What was written has come upon a record that began anew: nothing may be believed any
-         * more.
+         * A write has hit a record that was deleted and created anew: no grant is to be believed
+         * any more.
+         *
+         * @param reason one line for a log
          */
-        void onRecordRecreated(String why);
+        void onRecordRecreated(String reason);
     }
 
-    /** Begins to connect. */
+    /** Starts to connect. */
     void start();
 
-    void read(long question);
+    /** Asks for the record. */
+    void read(long requestId);
 
-    /** {@code expectedVersion}: -1 for no record there. */
-    void write(long question, long expectedVersion, VersionedLease next);
+    /**
+     * Writes the record if its version is the expected one.
+     *
+     * @param expectedVersion -1 if there must be none
+     */
+    void write(long requestId, long expectedVersion, VersionedLease next);
 
-    /** Joins the line, or leaves it. */
-    void setQueued(boolean in);
+    /** Joins the queue, or leaves it. */
+    void setQueued(boolean queued);
 
+    /** Ends the connection and leaves the queue. */
     @Override
     void close();
 }
--- /dev/null
+++ b/sidecar/src/main/java/appleridge/lease/store/StoreLog.java
@@ -0,0 +1,25 @@
+package appleridge.lease.store;
+
+import java.util.function.Consumer;
+
+/** The log of one store, which leaves out a line that repeats the one before. On its thread. */
+final class StoreLog {
+    private final Consumer<String> log;
+    private String last = "";
+
+    StoreLog(Consumer<String> log) {
+        this.log = log;
+    }
+
+    void info(String line) {
+        if (!line.equals(last)) {
+            last = line;
+            log.accept(line);
+        }
+    }
+
+    /** The next line is logged even if it repeats the one before. */
+    void reset() {
+        last = "";
+    }
+}
--- a/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
@@ -5,209 +5,227 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.List;
+import org.apache.zookeeper.AsyncCallback.StatCallback;
 import org.apache.zookeeper.CreateMode;
 import org.apache.zookeeper.KeeperException.Code;
 import org.apache.zookeeper.ZooKeeper;
 import org.apache.zookeeper.data.Stat;
 
 /**
- * A place in the line of those who wait for a lease: an ephemeral node numbered by the service.
- * Each watches the one ahead alone, so that an end wakes one and not all. Of one handle, on its
- * keeper's thread.
+ * A place in the queue of those who wait for a lease: an ephemeral sequential node. Each watches
+ * only the one ahead, so that the end of one wakes one other and not all. Of one client handle, on
+ * the store's thread.
  */
 final class WaiterQueue {
-    /** What the line asks of its handle. */
+    /** The session that the place belongs to. */
     interface Host {
-        /** Whether a place is wanted and the service can be asked. */
+        /** Whether a place is wanted and requests can be sent. */
         boolean wantsPlace();
 
-        /** Whether the service can be asked. */
+        /** Whether requests can be sent. */
         boolean isReady();
 
+        /** Nobody is ahead. */
         void onHeadOfQueue();
 
+        /** Logs the line and calls {@link WaiterQueue#reconcile} after the retry delay. */
         void onFailure(String line);
 
-        /** The line itself is not there. */
+        /** The queue's own node is missing. */
         void onQueueMissing();
 
-        /** Does it on the keeper's thread, unless the handle is closed by then. */
-        void execute(Runnable what);
+        /** Runs it on the store's thread, unless the handle is closed by then. */
+        void execute(Runnable task);
     }
 
-    /** Nobody joins a longer line. */
+    /** Nobody joins a queue of this length: listing its nodes costs each waiter an answer. */
     static final int MAX_WAITERS = 2000;
 
+    private static final int ANY_VERSION = -1;
+
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
     private final String path;
     private final String holder;
-    private final String nonce;
+    private final String incarnation;
     private final Host host;
-    private boolean asking;
-    private boolean again;
-    private boolean told;
+
+    /** Whether answers are outstanding; the next round starts after them. */
+    private boolean reconciling;
+
+    private boolean reconcileAgain;
+    private boolean headReported;
 
     WaiterQueue(
             ZooKeeper client,
             ZooKeeperSettings settings,
             String path,
             String holder,
-            String nonce,
+            String incarnation,
             Host host) {
         this.client = client;
         this.settings = settings;
         this.path = path;
         this.holder = holder;
-        this.nonce = nonce;
+        this.incarnation = incarnation;
         this.host = host;
     }
 
-    /** The connection is down; where the place is has to be looked at anew. */
+    /** The head of the queue is reported anew once the place was looked at again. */
     void onDisconnected() {
-        told = false;
+        headReported = false;
     }
 
-    /** Takes, leaves or looks at the place, as is wanted now. */
+    /** Takes, leaves or checks the place, as is wanted now. */
     void reconcile() {
-        if (asking) {
-            again = true;
+        if (reconciling) {
+            reconcileAgain = true;
         } else if (host.isReady()) {
-            asking = true;
+            reconciling = true;
             client.getChildren(
                     path,
                     false,
                     (code, asked, context, names) ->
-                            host.execute(() -> names(Code.get(code), names)),
+                            host.execute(() -> onWaiters(Code.get(code), names)),
                     null);
         }
     }
 
-    private void done() {
-        asking = false;
-        if (again) {
-            again = false;
+    private void finish() {
+        reconciling = false;
+        if (reconcileAgain) {
+            reconcileAgain = false;
             reconcile();
         }
     }
 
-    private void lookAgain() {
-        again = true;
-        done();
+    private void restart() {
+        reconcileAgain = true;
+        finish();
     }
 
-    private boolean good(Code code) {
-        if (code != Code.OK
-                && code != Code.NONODE
-                && code != Code.CONNECTIONLOSS
-                && code != Code.SESSIONEXPIRED) {
-            host.onFailure("the coordination service answers " + code + " for " + path);
+    /** Ends the round on any error; one that a new connection doesn't cure is retried. */
+    private boolean succeeded(Code code) {
+        if (code == Code.OK) {
+            return true;
         }
-        if (code != Code.OK) {
-            done();
+        if (code != Code.NONODE && code != Code.CONNECTIONLOSS && code != Code.SESSIONEXPIRED) {
+            host.onFailure("the coordination service answers " + code + " for " + path);
         }
-        return code == Code.OK;
+        finish();
+        return false;
     }
 
-    private void names(Code code, List<String> names) {
+    private void onWaiters(Code code, List<String> names) {
         if (code == Code.NONODE) {
             host.onQueueMissing();
         }
-        if (!good(code)) {
+        if (!succeeded(code)) {
             return;
         }
-        List<String> order = inQueueOrder(names);
-        List<String> ours = order.stream().filter(each -> each.startsWith(nonce + "-")).toList();
+        List<String> queue = inQueueOrder(names);
+        List<String> own =
+                queue.stream().filter(name -> name.startsWith(incarnation + "-")).toList();
         if (!host.wantsPlace()) {
-            told = false;
-            ours.forEach(this::leave);
-            done();
-        } else if (ours.isEmpty()) {
-            join(order.size());
+            headReported = false;
+            own.forEach(this::delete);
+            finish();
+        } else if (own.isEmpty()) {
+            join(queue.size());
         } else {
-            check(order, ours.get(0));
+            checkPlace(queue, own.get(0));
         }
     }
 
-    /** In the order of their numbers, which are the last ten digits. */
+    /** By their sequence numbers, which follow the last hyphen and have ten digits each. */
     static List<String> inQueueOrder(List<String> names) {
         return names.stream()
-                .sorted(Comparator.comparing(each -> each.substring(each.lastIndexOf('-') + 1)))
+                .sorted(Comparator.comparing(name -> name.substring(name.lastIndexOf('-') + 1)))
                 .toList();
     }
 
-    private void leave(String name) {
-        client.delete(path + "/" + name, -1, (code, asked, context) -> {}, null);
+    private void delete(String name) {
+        client.delete(path + "/" + name, ANY_VERSION, (code, asked, context) -> {}, null);
     }
 
     private void join(int length) {
-        told = false;
+        headReported = false;
         if (length >= MAX_WAITERS) {
             host.onFailure("the line is full: " + length + " wait at " + path);
-            done();
+            finish();
             return;
         }
         client.create(
-                path + "/" + nonce + "-",
+                path + "/" + incarnation + "-",
                 holder.getBytes(StandardCharsets.UTF_8),
                 ZooKeeperClientFactory.acl(settings),
                 CreateMode.EPHEMERAL_SEQUENTIAL,
-                (code, asked, context, name) ->
-                        host.execute(
-                                () -> {
-                                    if (code == Code.NONODE.intValue() || good(Code.get(code))) {
-                                        lookAgain();
-                                    }
-                                }),
+                (code, asked, context, name) -> host.execute(() -> onJoined(Code.get(code))),
                 null);
     }
 
-    /**
-     * Danger: a place of a session of before ends with that one, and holds up all behind it until
-     * then.
-     */
-    private void check(List<String> order, String mine) {
-        client.exists(
-                path + "/" + mine,
+    private void onJoined(Code code) {
+        if (code == Code.NONODE || succeeded(code)) {
+            restart();
+        }
+    }
+
+    private void checkPlace(List<String> queue, String own) {
+        exists(
+                own,
                 false,
-                (code, asked, context, stat) ->
-                        host.execute(
-                                () -> {
-                                    if (code == Code.NONODE.intValue()) {
-                                        lookAgain();
-                                    } else if (good(Code.get(code))) {
-                                        checked(order, mine, stat);
-                                    }
-                                }),
-                null);
+                (code, stat) -> {
+                    if (code == Code.NONODE) {
+                        restart();
+                    } else if (succeeded(code)) {
+                        onOwnPlace(queue, own, stat);
+                    }
+                });
     }
 
-    private void checked(List<String> order, String mine, Stat stat) {
-        int place = order.indexOf(mine);
+    /**
+     * A place of an earlier session is given up: it ends with that session, and would hold up all
+     * behind it until then.
+     */
+    private void onOwnPlace(List<String> queue, String own, Stat stat) {
+        int position = queue.indexOf(own);
         if (stat.getEphemeralOwner() != client.getSessionId()) {
-            leave(mine);
-            lookAgain();
-        } else if (place == 0) {
-            if (!told) {
-                told = true;
+            delete(own);
+            restart();
+        } else if (position == 0) {
+            if (!headReported) {
+                headReported = true;
                 host.onHeadOfQueue();
             }
-            done();
+            finish();
         } else {
-            told = false;
-            client.exists(
-                    path + "/" + order.get(place - 1),
-                    true,
-                    (code, asked, context, ahead) ->
-                            host.execute(
-                                    () -> {
-                                        if (code == Code.NONODE.intValue()) {
-                                            lookAgain();
-                                        } else if (good(Code.get(code))) {
-                                            done();
-                                        }
-                                    }),
-                    null);
+            headReported = false;
+            watchAhead(queue.get(position - 1));
         }
     }
+
+    private void watchAhead(String ahead) {
+        exists(
+                ahead,
+                true,
+                (code, stat) -> {
+                    if (code == Code.NONODE) {
+                        restart();
+                    } else if (succeeded(code)) {
+                        finish();
+                    }
+                });
+    }
+
+    private interface ExistsCallback {
+        /** {@code stat} is null unless the code is OK. */
+        void onAnswer(Code code, Stat stat);
+    }
+
+    private void exists(String name, boolean watch, ExistsCallback callback) {
+        StatCallback onThread =
+                (code, asked, context, stat) ->
+                        host.execute(() -> callback.onAnswer(Code.get(code), stat));
+        client.exists(path + "/" + name, watch, onThread, null);
+    }
 }
