--- a/sidecar/src/main/java/appleridge/config/Addresses.java
+++ b/sidecar/src/main/java/appleridge/config/Addresses.java
@@ -3,51 +3,77 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
+import java.util.Optional;
 
 /**
- * Addresses as text. Danger: a name would be looked up, on the loop, in a place that has no DNS.
+ * Reads addresses from text without ever looking a name up: the event loop must not wait for DNS,
+ * and the machines that the sidecar runs on need not have any.
  */
 public final class Addresses {
-    private static final int LONGEST = 64;
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_CHARS = 64;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_BYTE = 255;
+    private static final int MAX_DIGITS = 5;
+    private static final int IPV4_BYTES = 4;
+    private static final int NOT_A_NUMBER = -1;
 
     private Addresses() {}
 
-    /** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; null for all else, names too. */
-    public static InetSocketAddress literal(String text) {
+    /** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; empty for all else, names included. */
+    public static Optional<InetSocketAddress> literal(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon <= 0 || text.length() > LONGEST) {
-            return null;
+        if (colon <= 0 || text.length() > MAX_CHARS) {
+            return Optional.empty();
         }
-        InetAddress host = host(text.substring(0, colon));
-        int port = number(text.substring(colon + 1), 1, MOST_PORT);
-        return host != null && port > 0 ? new InetSocketAddress(host, port) : null;
+        int port = number(text.substring(colon + 1), 1, MAX_PORT);
+        if (port == NOT_A_NUMBER) {
+            return Optional.empty();
+        }
+        return host(text.substring(0, colon)).map(host -> new InetSocketAddress(host, port));
+    }
+
+    /** As {@link #literal} reads it: an IPv6 address in brackets. */
+    public static String format(InetSocketAddress address) {
+        String host = address.getAddress().getHostAddress();
+        return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
     }
 
-    private static InetAddress host(String text) {
+    private static Optional<InetAddress> host(String text) {
         try {
-            if (text.startsWith("[") && text.endsWith("]")) {
-                // Danger: only what is in brackets and has no other characters is surely taken for
-                // a literal.
-                return text.chars().skip(1).limit(text.length() - 2L).allMatch(Addresses::isOfIpv6)
-                        ? InetAddress.getByName(text)
-                        : null;
-            }
-            String[] parts = text.split("\\.", -1);
-            byte[] bytes = new byte[4];
-            boolean sound = parts.length == bytes.length;
-            for (int i = 0; sound && i < bytes.length; i++) {
-                int part = number(parts[i], 0, 255);
-                sound = part >= 0;
-                bytes[i] = (byte) part;
-            }
-            return sound ? InetAddress.getByAddress(bytes) : null;
+            return text.startsWith("[") && text.endsWith("]") ? ipv6(text) : ipv4(text);
         } catch (UnknownHostException e) {
-            return null;
+            return Optional.empty();
+        }
+    }
+
+    /** In brackets and of an address's characters alone, for then the JDK resolves nothing. */
+    private static Optional<InetAddress> ipv6(String bracketed) throws UnknownHostException {
+        boolean literal =
+                bracketed
+                        .chars()
+                        .skip(1)
+                        .limit(bracketed.length() - 2L)
+                        .allMatch(Addresses::isIpv6Character);
+        return literal ? Optional.of(InetAddress.getByName(bracketed)) : Optional.empty();
+    }
+
+    private static Optional<InetAddress> ipv4(String text) throws UnknownHostException {
+        String[] parts = text.split("\\.", -1);
+        if (parts.length != IPV4_BYTES) {
+            return Optional.empty();
+        }
+        byte[] bytes = new byte[IPV4_BYTES];
+        for (int i = 0; i < bytes.length; i++) {
+            int part = number(parts[i], 0, MAX_BYTE);
+            if (part == NOT_A_NUMBER) {
+                return Optional.empty();
+            }
+            bytes[i] = (byte) part;
         }
+        return Optional.of(InetAddress.getByAddress(bytes));
     }
 
-    private static boolean isOfIpv6(int c) {
+    private static boolean isIpv6Character(int c) {
         return c >= '0' && c <= '9'
                 || c >= 'a' && c <= 'f'
                 || c >= 'A' && c <= 'F'
@@ -55,15 +81,15 @@
                 || c == '.';
     }
 
-    /** A decimal number without leading zeros, within bounds; -1 if it is none. */
-    private static int number(String text, int least, int most) {
+    /** A decimal number without leading zeros, within bounds; else {@link #NOT_A_NUMBER}. */
+    private static int number(String text, int min, int max) {
         if (text.isEmpty()
-                || text.length() > 5
+                || text.length() > MAX_DIGITS
                 || text.length() > 1 && text.charAt(0) == '0'
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            return -1;
+            return NOT_A_NUMBER;
         }
         int value = Integer.parseInt(text);
-        return value >= least && value <= most ? value : -1;
+        return value >= min && value <= max ? value : NOT_A_NUMBER;
     }
 }
--- a/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
+++ b/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
@@ -16,9 +16,55 @@
 import java.util.Map;
 
 /**
- * Turns the path=value lines of a provision event into {@link PolicySettings}; keys it does not
- * know are skipped. The real sidecar flattens its configuration to the same lines, so there is one
- * mapping.
+ * Turns the path=value lines of a provision event into {@link PolicySettings}. This is the one
+ * place where the platform's keys and words are mapped to the terms of the product; the sidecar's
+ * configuration file is flattened to the same lines. Unknown keys are skipped. Times are in
+ * nanoseconds, fractions from 0 to 1; N counts from 0.
+ *
+ * <table>
+ * <caption>Keys, their terms and defaults</caption>
+ * <tr><th>key<th>term<th>default
+ * <tr><td>{@code rank}, {@code replicasOfMe}<td>this sidecar's rank among its replicas<td>-1, 1
+ * <tr><td>{@code zone}<td>the sidecar's zone<td>0
+ * <tr><td>{@code quantum}<td>clock granularity<td>0
+ * <tr><td>{@code discovery}<td>{@link DiscoveryMode}: {@code automatic}, {@code
+ *     subscribe}<td>{@code automatic}
+ * <tr><td>{@code weights}<td>{@link WeightKind}: {@code silent}, {@code nominal}, {@code rough},
+ *     {@code live}<td>{@code silent}
+ * <tr><td>{@code report.fields}<td>load report fields, parted by commas<td>none
+ * <tr><td>{@code valueBy}<td>{@code work}: priority weights count per unit of work<td>per request
+ * <tr><td>{@code overShareWorth}<td>priority weight beyond a tenant's quota, a fraction<td>1
+ * <tr><td>{@code profiles.count}<td>number of request classes<td>required
+ * <tr><td>{@code profiles.N.slo}<td>latency objective, cut to the deadline<td>required
+ * <tr><td>{@code profiles.N.aimStretch}<td>objective stretch, a multiple of the work<td>0
+ * <tr><td>{@code profiles.N.deadline}<td>deadline<td>required
+ * <tr><td>{@code profiles.N.worth}<td>priority weight<td>1
+ * <tr><td>{@code profiles.N.lateShare}<td>late value fraction<td>0
+ * <tr><td>{@code profiles.N.semantics}<td>{@link Idempotency}: {@code repeatable}, {@code by_key},
+ *     {@code once}<td>required
+ * <tr><td>{@code profiles.N.keyScope}<td>{@link DeduplicationScope} of {@code by_key}: {@code all},
+ *     {@code zone}, {@code cell}<td>{@code cell}
+ * <tr><td>{@code profiles.N.keyTtl}<td>how long an idempotency key is remembered<td>0
+ * <tr><td>{@code profiles.N.stream}<td>streaming<td>false
+ * <tr><td>{@code parties.count}<td>number of tenants<td>0
+ * <tr><td>{@code parties.N.portion}<td>fair share<td>0
+ * <tr><td>{@code parties.N.quotaRps}<td>quota in requests per second<td>0
+ * <tr><td>{@code caps.mayCancel}<td>cancellation of attempts<td>false
+ * <tr><td>{@code caps.mayProbe}<td>active health checks<td>false
+ * <tr><td>{@code caps.peers}<td>gossip<td>false
+ * <tr><td>{@code caps.parallelTries}<td>hedging<td>false
+ * <tr><td>{@code caps.retryAfter}<td>Retry-After on rejections<td>false
+ * <tr><td>{@code caps.tryLimit}<td>maximum attempts of a request<td>1
+ * <tr><td>{@code caps.maxRetryAfter}<td>longest Retry-After<td>0
+ * <tr><td>{@code caps.connectTimeout}<td>connect time-out<td>0
+ * <tr><td>{@code rules.answerSlack}<td>answer slack beyond the deadline<td>required
+ * <tr><td>{@code rules.askWithin}<td>poll interval of discovery<td>0
+ * <tr><td>{@code rules.stopSendingWithin}<td>drain grace<td>required
+ * <tr><td>{@code rules.coldShare}<td>slow-start minimum fraction<td>required
+ * <tr><td>{@code rules.rampTime}<td>slow-start window<td>required
+ * <tr><td>{@code rules.overloadFactor}<td>overload factor<td>required
+ * <tr><td>{@code rules.tipAfter}<td>overload window<td>required
+ * </table>
  */
 public final class PolicySettingsParser {
     private static final Map<String, DiscoveryMode> DISCOVERY_WORDS =
@@ -36,17 +82,16 @@
                     "ONCE", Idempotency.NON_IDEMPOTENT);
     private static final Map<String, DeduplicationScope> SCOPE_WORDS =
             Map.of(
-                    "ALL",
-                    DeduplicationScope.ALL,
-                    "ZONE",
-                    DeduplicationScope.ZONE,
-                    "CELL",
-                    DeduplicationScope.CELL);
+                    "ALL", DeduplicationScope.ALL,
+                    "ZONE", DeduplicationScope.ZONE,
+                    "CELL", DeduplicationScope.CELL);
+
+    private static final String NUMBER_FORM = "a number";
 
     private final Map<String, String> values = new HashMap<>();
 
-    private PolicySettingsParser(String text) {
-        for (String line : text.split("\n")) {
+    private PolicySettingsParser(String lines) {
+        for (String line : lines.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
                 values.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
@@ -55,70 +100,80 @@
     }
 
     /**
-     * Reads path=value lines; what makes no sense is told by an {@link IllegalArgumentException}.
+     * Reads path=value lines.
+     *
+     * @throws ConfigException if a required value is missing, or one can't be read
+     * @throws IllegalArgumentException if a value is out of its range
      */
-    public static PolicySettings parse(String text) {
-        return new PolicySettingsParser(text).settings();
+    public static PolicySettings parse(String lines) {
+        return new PolicySettingsParser(lines).settings();
     }
 
     private PolicySettings settings() {
+        String fields = values.getOrDefault("report.fields", "");
+        return new PolicySettingsBuilder()
+                .classes(classes())
+                .tenants(tenants())
+                .rank((int) number("rank", -1))
+                .replicas((int) number("replicasOfMe", 1))
+                .zone((int) number("zone", 0))
+                .clockGranularityNanos((long) number("quantum", 0))
+                .discoveryMode(choice(DISCOVERY_WORDS, "discovery", DiscoveryMode.PUSHED))
+                .weightKind(choice(WEIGHTS_WORDS, "weights", WeightKind.SILENT))
+                .capabilities(capabilities())
+                .safetyLimits(safetyLimits())
+                .loadReportFields(fields.isEmpty() ? List.of() : List.of(fields.split(",")))
+                .weightedByWork("work".equals(values.get("valueBy")))
+                .overQuotaWeight(number("overShareWorth", 1))
+                .build();
+    }
+
+    private List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
-        int classCount = (int) required("profiles.count");
-        for (int i = 0; i < classCount; i++) {
+        int count = (int) requiredNumber("profiles.count");
+        for (int i = 0; i < count; i++) {
             classes.add(requestClass("profiles." + i + "."));
         }
+        return classes;
+    }
+
+    private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        int tenantCount = (int) number("parties.count", 0);
-        for (int i = 0; i < tenantCount; i++) {
+        int count = (int) number("parties.count", 0);
+        for (int i = 0; i < count; i++) {
             String path = "parties." + i + ".";
             tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
         }
-        String fields = values.getOrDefault("report.fields", "");
-        return new PolicySettings(
-                (int) number("rank", -1),
-                (int) number("replicasOfMe", 1),
-                (int) number("zone", 0),
-                (long) number("quantum", 0),
-                choice(DISCOVERY_WORDS, "discovery", DiscoveryMode.PUSHED),
-                choice(WEIGHTS_WORDS, "weights", WeightKind.SILENT),
-                classes,
-                tenants,
-                allowed(),
-                limits(),
-                fields.isEmpty() ? List.of() : List.of(fields.split(",")),
-                "work".equals(values.get("valueBy")),
-                number("overShareWorth", 1));
+        return tenants;
     }
 
     private RequestClass requestClass(String path) {
-        Idempotency semantics = choice(SEMANTICS_WORDS, path + "semantics", null);
-        long deadline = (long) required(path + "deadline");
-        // Danger: where a day's deadlines are short, an aim may lie beyond one. Nothing is earned
-        // after the
-        // deadline, so such an aim is the deadline; turned down, no sidecar would start on that
-        // day.
-        long aim = Math.min((long) required(path + "slo"), deadline);
-        // Danger: these say nothing of other classes, and a start must not fail for what stands
-        // there.
-        boolean byKey = semantics == Idempotency.IDEMPOTENT_BY_KEY;
+        Idempotency idempotency = requiredChoice(SEMANTICS_WORDS, path + "semantics");
+        long deadlineNanos = (long) requiredNumber(path + "deadline");
+        // A latency objective beyond the deadline means the deadline, for nothing is earned after
+        // it. Rejected, it would keep every sidecar of a site with short deadlines from starting.
+        long objectiveNanos = Math.min((long) requiredNumber(path + "slo"), deadlineNanos);
+        // Read for classes with an idempotency key alone: for others these keys have no meaning,
+        // and a start must not fail for what stands there.
+        boolean keyed = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
         DeduplicationScope scope =
-                byKey
+                keyed
                         ? choice(SCOPE_WORDS, path + "keyScope", DeduplicationScope.CELL)
                         : DeduplicationScope.CELL;
-        long keyTtl = byKey ? (long) number(path + "keyTtl", 0) : 0;
+        long keyTtlNanos = keyed ? (long) number(path + "keyTtl", 0) : 0;
         return new RequestClass(
-                aim,
+                objectiveNanos,
                 number(path + "aimStretch", 0),
-                deadline,
+                deadlineNanos,
                 number(path + "worth", 1),
                 number(path + "lateShare", 0),
-                semantics,
+                idempotency,
                 scope,
-                keyTtl,
+                keyTtlNanos,
                 flag(path + "stream"));
     }
 
-    private Capabilities allowed() {
+    private Capabilities capabilities() {
         return new Capabilities(
                 flag("caps.mayCancel"),
                 flag("caps.mayProbe"),
@@ -130,24 +185,24 @@
                 (long) number("caps.connectTimeout", 0));
     }
 
-    private SafetyLimits limits() {
+    private SafetyLimits safetyLimits() {
         return new SafetyLimits(
-                (long) required("rules.answerSlack"),
+                (long) requiredNumber("rules.answerSlack"),
                 (long) number("rules.askWithin", 0),
-                (long) required("rules.stopSendingWithin"),
-                required("rules.coldShare"),
-                (long) required("rules.rampTime"),
-                required("rules.overloadFactor"),
-                (long) required("rules.tipAfter"));
+                (long) requiredNumber("rules.stopSendingWithin"),
+                requiredNumber("rules.coldShare"),
+                (long) requiredNumber("rules.rampTime"),
+                requiredNumber("rules.overloadFactor"),
+                (long) requiredNumber("rules.tipAfter"));
     }
 
     private boolean flag(String key) {
         return "true".equals(values.get(key));
     }
 
-    private double required(String key) {
+    private double requiredNumber(String key) {
         if (!values.containsKey(key)) {
-            throw new IllegalArgumentException("setting missing: " + key);
+            throw ConfigException.missing(key, NUMBER_FORM);
         }
         return number(key, 0);
     }
@@ -163,24 +218,38 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, together with what parses but is no number.
+            throw ConfigException.notAllowed(key, text, NUMBER_FORM, e);
         }
-        throw new IllegalArgumentException("setting is not a number: " + key + "=" + text);
+        throw ConfigException.notAllowed(key, text, NUMBER_FORM);
+    }
+
+    private <E> E requiredChoice(Map<String, E> words, String key) {
+        if (!values.containsKey(key)) {
+            throw ConfigException.missing(key, oneOf(words));
+        }
+        return choice(words, key, null);
     }
 
-    /** An enum setting; {@code absent} null makes it required. */
     private <E> E choice(Map<String, E> words, String key, E absent) {
         String text = values.get(key);
         if (text == null) {
-            if (absent == null) {
-                throw new IllegalArgumentException("setting missing: " + key);
-            }
             return absent;
         }
         E value = words.get(text.toUpperCase(Locale.ROOT));
         if (value == null) {
-            throw new IllegalArgumentException("setting has an unknown value: " + key + "=" + text);
+            throw ConfigException.notAllowed(key, text, oneOf(words));
         }
         return value;
     }
+
+    /** Sorted, because a map of constants has no order of its own. */
+    private static String oneOf(Map<String, ?> words) {
+        return "one of "
+                + String.join(
+                        ", ",
+                        words.keySet().stream()
+                                .map(word -> word.toLowerCase(Locale.ROOT))
+                                .sorted()
+                                .toList());
+    }
 }
--- a/sidecar/src/main/java/appleridge/daemon/AdminService.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -58,7 +58,7 @@
                 new AdminServer(
                         loop,
                         sockets,
-                        config.adminAddress(),
+                        config.adminAddress().orElseThrow(),
                         new AdminCallHandler(
                                 service.server::ready,
                                 figures::text,
--- a/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
+++ b/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
@@ -146,7 +146,7 @@
     /** Where operators call, if the platform tells it beside the configuration. */
     static SidecarConfig withAdmin(SidecarConfig config) {
         String told = System.getenv("BALANCER_ADMIN");
-        boolean used = config.adminAddress() == null && told != null && !told.isBlank();
+        boolean used = config.adminAddress().isEmpty() && told != null && !told.isBlank();
         return used ? config.withAdmin(SidecarConfig.address(told.strip())) : config;
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/Sidecar.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -68,7 +68,7 @@
         this.directory = new EndpointTable(loop::place);
         this.source = tuning.source().make(loop, sockets, config, this::told);
         this.operators =
-                config.adminAddress() == null
+                config.adminAddress().isEmpty()
                         ? null
                         : new AdminService(loop, sockets, config, service, this::told, this::keep);
         if (handover != null) {
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
@@ -1,10 +1,10 @@
 package appleridge.discovery.registration;
 
+import appleridge.config.Addresses;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
 /** What a server's node holds. */
@@ -15,7 +15,7 @@
 
     static byte[] of(RegisterArguments server, boolean terminating, long startedMillis) {
         ObjectNode node = JSON.createObjectNode();
-        node.put("address", literal(server.address()));
+        node.put("address", Addresses.format(server.address()));
         if (server.zone() != null) {
             node.put("zone", server.zone());
         }
@@ -38,9 +38,4 @@
             return 0;
         }
     }
-
-    private static String literal(InetSocketAddress address) {
-        String host = address.getAddress().getHostAddress();
-        return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
-    }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
@@ -107,11 +107,9 @@
     }
 
     private static InetSocketAddress address(String text) {
-        InetSocketAddress address = Addresses.literal(text);
-        if (address == null) {
-            throw new IllegalArgumentException("--address is not like 192.0.2.1:8080");
-        }
-        return address;
+        return Addresses.literal(text)
+                .orElseThrow(
+                        () -> new IllegalArgumentException("--address is not like 192.0.2.1:8080"));
     }
 
     private static double number(
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -14,6 +14,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -82,7 +83,7 @@
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
     private InetSocketAddress address;
-    private final JsonNode known;
+    private final Optional<JsonNode> cachedEndpoints;
     private final EndpointListParser lists;
     private final DiscoveryListener sink;
     private final ObjectMapper json = new ObjectMapper();
@@ -116,19 +117,19 @@
     /** What the overdue watch has told; what was asked beside it may be older. */
     private long overdueRevision = Long.MIN_VALUE;
 
-    /** With the list that the sidecar was given, in discovery's form; may be null. */
+    /** {@code cachedEndpoints}: the list that the sidecar was given, in the registry's form. */
     public RegistryDiscovery(
             SidecarEventLoop loop,
             SocketFactory sockets,
             InetSocketAddress address,
-            JsonNode known,
+            Optional<JsonNode> cachedEndpoints,
             EndpointListParser lists,
             DiscoveryListener sink,
             PollPolicy pace) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
-        this.known = known;
+        this.cachedEndpoints = cachedEndpoints;
         this.lists = lists;
         this.sink = sink;
         this.pace = pace;
@@ -140,9 +141,12 @@
     @Override
     public List<DiscoveredEndpoint> start() {
         EndpointListParser.Update update =
-                known == null || known.isNull()
-                        ? new EndpointListParser.Update(0, UpdateKind.CACHED_SNAPSHOT, List.of())
-                        : lists.read(known);
+                cachedEndpoints
+                        .map(lists::read)
+                        .orElseGet(
+                                () ->
+                                        new EndpointListParser.Update(
+                                                0, UpdateKind.CACHED_SNAPSHOT, List.of()));
         revision = update.revision();
         return update.members();
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
@@ -9,6 +9,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import org.apache.zookeeper.data.Stat;
 
 /** Reads what a node holds. On any thread. */
@@ -73,11 +74,10 @@
     }
 
     private static InetSocketAddress address(JsonNode text) {
-        InetSocketAddress address = text.isTextual() ? Addresses.literal(text.textValue()) : null;
-        if (address == null) {
-            throw new IllegalArgumentException("address is not like \"192.0.2.1:8080\"");
-        }
-        return address;
+        Optional<InetSocketAddress> address =
+                text.isTextual() ? Addresses.literal(text.textValue()) : Optional.empty();
+        return address.orElseThrow(
+                () -> new IllegalArgumentException("address is not like \"192.0.2.1:8080\""));
     }
 
     /** Where there is but one, a node needn't say it. */
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
@@ -1,5 +1,6 @@
 package appleridge.discovery.zookeeper;
 
+import appleridge.config.Addresses;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -46,16 +47,9 @@
     /** The largest number of bytes that a node's data may have. */
     static final int NODE_BYTES = 64 * 1024;
 
-    /** What the client takes for the ensemble's addresses. */
+    /** The connect string that the client takes: addresses, parted by commas, and the chroot. */
     String connect() {
-        StringBuilder text = new StringBuilder();
-        for (InetSocketAddress each : servers) {
-            String host = each.getAddress().getHostAddress();
-            text.append(text.isEmpty() ? "" : ",")
-                    .append(host.indexOf(':') < 0 ? host : "[" + host + "]")
-                    .append(':')
-                    .append(each.getPort());
-        }
-        return text.append(chroot).toString();
+        List<String> addresses = servers.stream().map(Addresses::format).toList();
+        return String.join(",", addresses) + chroot;
     }
 }
--- a/sidecar/src/test/java/appleridge/config/AddressesTest.java
+++ b/sidecar/src/test/java/appleridge/config/AddressesTest.java
@@ -1,21 +1,24 @@
 package appleridge.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 class AddressesTest {
     @Test
-    void literalsAreRead() {
-        assertEquals("/10.1.0.18:3000", Addresses.literal("10.1.0.18:3000").toString());
-        assertEquals(80, Addresses.literal("[2001:db8::1]:80").getPort());
+    void literalAddressIsRead() {
+        assertEquals(
+                "/10.1.0.18:3000", Addresses.literal("10.1.0.18:3000").orElseThrow().toString());
+        assertEquals(80, Addresses.literal("[2001:db8::1]:80").orElseThrow().getPort());
     }
 
-    /** Guards against a name in a list that is looked up on the loop, which waits for it. */
+    /**
+     * Guards against a host name in a list that is looked up on the event loop, which would wait.
+     */
     @Test
-    void namesAndNonsenseAreNot() {
+    void nameOrMalformedAddressIsNotRead() {
         for (String text :
                 List.of(
                         "localhost:80",
@@ -33,7 +36,7 @@
                         "0x7f000001:80",
                         "1.2.3.4.5:80",
                         "")) {
-            assertNull(Addresses.literal(text), text);
+            assertEquals(Optional.empty(), Addresses.literal(text), text);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
@@ -4,18 +4,21 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import appleridge.daemon.LoopbackNode;
 import appleridge.loadbalancing.DiscoveryMode;
 import appleridge.loadbalancing.Idempotency;
 import appleridge.loadbalancing.RequestClass;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
-/** The configuration and the small texts that the protocol has values in. */
+/** The platform's configuration file, and the messages where it is not allowed. */
 class SidecarConfigTest {
     private static final String GOOD =
             LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:8500");
@@ -25,7 +28,7 @@
     }
 
     @Test
-    void nestedSettingsAreThoseOfTheWire() throws Exception {
+    void nestedSettingsAreReadAsThoseOfTheProvisionEvent() throws Exception {
         SidecarConfig config = parse(GOOD.replace("\"acme\"", "\"acme, and sons\""));
         assertEquals(List.of("read", "write", "hold", "pay", "slow"), config.requestClassNames());
         assertEquals(List.of("acme, and sons"), config.tenantNames());
@@ -36,11 +39,9 @@
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
-    /**
-     * Guards against a customer whose lists are pushed, or whose sidecars may speak to one another.
-     */
+    /** Guards against a site whose lists are pushed, or whose sidecars may gossip. */
     @Test
-    void pushedListsAreFollowedAndPeersLeftAlone() throws Exception {
+    void pushedListsArePolledAndGossipIsOff() throws Exception {
         String pushed =
                 GOOD.replace("\"discovery\":\"subscribe\"", "\"discovery\":\"automatic\"")
                         .replace("\"askWithin\":1000000000,", "")
@@ -57,9 +58,9 @@
         assertEquals(List.of("settings"), parse(GOOD).fixedParts(config));
     }
 
-    /** Guards against a day of short deadlines on which no sidecar starts. */
+    /** Guards against a site of short deadlines at which no sidecar starts. */
     @Test
-    void anAimBeyondTheDeadlineIsCutToIt() throws Exception {
+    void latencyObjectiveBeyondTheDeadlineIsCutToTheDeadline() throws Exception {
         List<RequestClass> classes =
                 parse(GOOD.replace("\"deadline\":3000000000", "\"deadline\":400000000"))
                         .settings()
@@ -73,7 +74,7 @@
      * Guards against a start that fails for what a class's other settings leave without meaning.
      */
     @Test
-    void aScopeIsReadOnlyWhereRepeatsAreDroppedByKey() throws Exception {
+    void keyScopeIsReadOnlyForClassesWithAnIdempotencyKey() throws Exception {
         String pay = "\"semantics\":\"once\"";
         for (String scope : List.of("\"none\"", "\"\"", "null")) {
             SidecarConfig config = parse(GOOD.replace(pay, pay + ",\"keyScope\":" + scope));
@@ -85,31 +86,65 @@
                 () -> parse(GOOD.replace("\"keyScope\":\"zone\"", "\"keyScope\":\"none\"")));
     }
 
-    @Test
-    void whatMakesNoSenseIsNamed() {
-        Map<String, String> spoilt =
-                new LinkedHashMap<>(
-                        Map.of(
-                                "\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"zz\"",
-                                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1\"",
-                                "\"discovery\":\"127.0.0.1:8500\"",
-                                        "\"discovery\":\"127.0.0.1:99999\"",
-                                "\"name\":\"n0\"", "\"name\":\"\"",
-                                "\"discovery\":\"subscribe\"", "\"discovery\":\"guessed\"",
-                                "\"sockets\":1024", "\"sockets\":3",
-                                "\"connIdle\":10000000000", "\"connIdle\":0",
-                                "\"coldShare\":0.4", "\"coldShare\":7",
-                                "\"semantics\":\"once\"", "\"semantics\":\"twice\""));
-        spoilt.put("\"askWithin\":1000000000", "\"askWithin\":0");
-        spoilt.put("\"askWithin\":1000000000,", "");
-        spoilt.put("\"connectTimeout\":500000000,", "");
-        spoilt.forEach(
-                (from, to) -> {
-                    assertTrue(GOOD.contains(from), from);
-                    String json = GOOD.replace(from, to);
-                    Exception e =
-                            assertThrows(IllegalArgumentException.class, () -> parse(json), to);
-                    assertEquals(1, e.getMessage().lines().count(), "one plain line");
-                });
+    @ParameterizedTest
+    @MethodSource("disallowedValues")
+    void disallowedValueIsNamedWithKeyAndAllowedRange(String from, String to, String message) {
+        assertTrue(GOOD.contains(from), from);
+        String json = GOOD.replace(from, to);
+        Exception e = assertThrows(IllegalArgumentException.class, () -> parse(json), to);
+        assertEquals(1, e.getMessage().lines().count(), "one plain line");
+        assertEquals(message, e.getMessage());
+    }
+
+    static Stream<Arguments> disallowedValues() {
+        String address = "allowed: a literal IP address and a port, like 192.0.2.1:80";
+        String nanos = "allowed: a whole number of nanoseconds greater than 0";
+        return Stream.of(
+                arguments(
+                        "\"seed\":\"8c1f30d27a5be964\"",
+                        "\"seed\":\"zz\"",
+                        "seed is \"zz\"; allowed: up to 16 hexadecimal digits"),
+                arguments(
+                        "\"listen\":\"127.0.0.1:1\"",
+                        "\"listen\":\"127.0.0.1\"",
+                        "listen is \"127.0.0.1\"; " + address),
+                arguments(
+                        "\"discovery\":\"127.0.0.1:8500\"",
+                        "\"discovery\":\"127.0.0.1:99999\"",
+                        "discovery is \"127.0.0.1:99999\"; " + address),
+                arguments(
+                        "\"name\":\"n0\"",
+                        "\"name\":\"\"",
+                        "name is missing; allowed: a text that is not empty"),
+                arguments(
+                        "\"discovery\":\"subscribe\"",
+                        "\"discovery\":\"guessed\"",
+                        "discovery is \"guessed\"; allowed: one of automatic, subscribe"),
+                arguments(
+                        "\"sockets\":1024",
+                        "\"sockets\":3",
+                        "limits.sockets is \"3\"; allowed: a whole number from 64"),
+                arguments(
+                        "\"connIdle\":10000000000",
+                        "\"connIdle\":0",
+                        "caps.connIdle is \"0\"; " + nanos),
+                arguments(
+                        "\"coldShare\":0.4",
+                        "\"coldShare\":7",
+                        "setting makes no sense: cold share"),
+                arguments(
+                        "\"semantics\":\"once\"",
+                        "\"semantics\":\"twice\"",
+                        "profiles.3.semantics is \"twice\"; allowed: one of by_key, once,"
+                                + " repeatable"),
+                arguments(
+                        "\"askWithin\":1000000000",
+                        "\"askWithin\":0",
+                        "rules.askWithin is \"0\"; " + nanos),
+                arguments("\"askWithin\":1000000000,", "", "rules.askWithin is \"0\"; " + nanos),
+                arguments(
+                        "\"connectTimeout\":500000000,",
+                        "",
+                        "caps.connectTimeout is \"0\"; " + nanos));
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -93,28 +93,12 @@
             String... targets)
             throws Exception {
         String json = changed.apply(json(figures, discovery.address(), targets));
-        SidecarConfig config =
-                SidecarConfig.parse(new ObjectMapper().readTree(json)).withAdmin(admin);
+        SidecarConfig parsed = SidecarConfig.parse(new ObjectMapper().readTree(json));
+        SidecarConfig config = admin == null ? parsed : parsed.withAdmin(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         node =
                 ServeCommand.start(
-                        new SidecarConfig(
-                                config.name(),
-                                anyPort,
-                                config.registryAddress(),
-                                config.seed(),
-                                config.maxDescriptors(),
-                                config.cachedEndpoints(),
-                                config.settings(),
-                                config.pushed(),
-                                config.requestClassNames(),
-                                config.tenantNames(),
-                                config.zones(),
-                                config.kinds(),
-                                config.upstreamIdleTimeoutNanos(),
-                                config.maxOpenRequests(),
-                                config.adminAddress()),
-                        RuntimeOptions.USUAL.with(figures.times));
+                        config.listeningAt(anyPort), RuntimeOptions.USUAL.with(figures.times));
     }
 
     public static String json(Figures figures, String discovery, String... targets) {
--- a/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -64,7 +64,7 @@
                         Arrays.copyOf(provision, provision.length - 3),
                         "unknown event code 99",
                         new WireTest.Frame().record(99).end().bytes(1),
-                        "setting missing: rules.rampTime",
+                        "rules.rampTime is missing; allowed: a number",
                         new WireTest.Frame()
                                 .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
                                 .bytes(1));
--- a/sidecar/src/test/java/appleridge/simulator/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/WireTest.java
@@ -217,13 +217,13 @@
         assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
         fails(
-                "setting missing: rules.rampTime",
+                "frame 0: rules.rampTime is missing; allowed: a number",
                 new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
         fails(
-                "not a number",
+                "rank is \"NaN\"; allowed: a number",
                 new Frame().provision(1, OPTIONS.replace("rank=1", "rank=NaN")).bytes(1));
         fails(
-                "not a number",
+                "profiles.0.slo is \"five00000000\"; allowed: a number",
                 new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
         fails(
                 "cold share",
