--- a/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
@@ -2,10 +2,9 @@
 
 import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 
-/** One of an enum's constants: {@code BY_KEY} is written {@code "by-key"}. */
-record ChoiceKind<E extends Enum<E>>(Class<E> type) implements ValueKind<E> {
+/** One of an enum's constants, by its {@link SettingWord}. */
+record ChoiceKind<E extends Enum<E> & SettingWord>(Class<E> type) implements ValueKind<E> {
     @Override
     public E read(SourceValue cell) {
         String text = cell.node().isTextual() ? cell.node().textValue() : "";
@@ -21,6 +20,6 @@
 
     @Override
     public String show(E value) {
-        return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return value.settingWord();
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 
 /**
- * {@code [membership]}: order servers as ephemeral nodes in ZooKeeper. Read once; a change needs a
+ * {@code [membership]}: upstream hosts as ephemeral nodes in ZooKeeper. Read once; a change needs a
  * restart.
  *
- * @param source which sources make the list
+ * @param source which sources make the endpoint list
  * @param servers the ensemble's servers
  * @param chroot the path that all others are under; empty for none
  * @param root the path that the servers' nodes stand under
  * @param shards whether they stand one level further down
- * @param sessionTimeout the session time-out to ask for
+ * @param sessionTimeout the session time-out to request
  * @param readOnly whether a coordination server that has lost the others will do
  * @param digestFile a file with {@code user:password}
- * @param answerLimit the largest answer in bytes that is taken from the ensemble
+ * @param answerLimit bytes of the largest answer that is taken from the ensemble
  * @param tls {@code [membership.tls]}; empty for plain TCP
  */
 public record MembershipSection(
@@ -31,18 +31,30 @@
         Optional<String> digestFile,
         long answerLimit,
         Optional<Tls> tls) {
-    /** Which sources make the list. */
-    public enum Source {
+    /** Which sources make the endpoint list. */
+    public enum Source implements SettingWord {
         /** Ephemeral nodes alone. */
-        NODES,
+        NODES("nodes"),
         /** Ephemeral nodes and the registry. */
-        BOTH
+        BOTH("both");
+
+        private final String settingWord;
+
+        Source(String settingWord) {
+            this.settingWord = settingWord;
+        }
+
+        @Override
+        public String settingWord() {
+            return settingWord;
+        }
     }
 
     /**
      * {@code [membership.tls]}, and {@code [leases.tls]}.
      *
-     * @param trustStore file of the certificates to believe: PEM, JKS or PKCS12, by its name's end
+     * @param trustStore file of the trusted certificates: PEM, JKS or PKCS12, by its name's
+     *     extension
      * @param trustPasswordFile file that holds its password
      * @param keyStore file of one's own certificate and key
      * @param keyPasswordFile file that holds its password
@@ -59,7 +71,7 @@
             if (!table.present()) {
                 return Optional.empty();
             }
-            ValueKind<String> file = ValueKind.text(LONGEST);
+            ValueKind<String> file = ValueKind.text(CoordinationKeys.MAX_FILE_NAME_CHARS);
             Tls tls =
                     new Tls(
                             table.required(
@@ -85,57 +97,25 @@
         }
     }
 
-    static final int MOST_SERVERS = 9;
-    static final int LONGEST = 1024;
     private static final long MIB = 1024 * 1024;
-    static final List<InetSocketAddress> NONE = List.of();
+    private static final String DEFAULT_ROOT = "/appleridge/servers";
+    private static final long DEFAULT_ANSWER_LIMIT_BYTES = 4 * MIB;
+    private static final long MAX_ANSWER_LIMIT_BYTES = 64 * MIB;
 
     static MembershipSection read(Table table) {
-        ValueKind<List<InetSocketAddress>> servers =
-                ValueKind.list(ValueKind.address(), 1, MOST_SERVERS);
+        CoordinationKeys keys = new CoordinationKeys(table);
         MembershipSection section =
                 new MembershipSection(
-                        table.value(
-                                "source",
-                                ValueKind.choice(Source.class),
-                                Source.BOTH,
-                                "which sources make the list of servers"),
-                        table.required("servers", servers, NONE, "the coordination servers"),
-                        table.value(
-                                "chroot",
-                                new ZooKeeperPathKind(true),
-                                "",
-                                "the path on them that all others are under"),
-                        table.value(
-                                "root",
-                                new ZooKeeperPathKind(false),
-                                "/appleridge/servers",
-                                "the path that the servers' nodes stand under"),
-                        table.value(
-                                "shards",
-                                ValueKind.flag(),
-                                false,
-                                "whether they stand one level further down"),
-                        table.value(
-                                "session-timeout",
-                                ValueKind.duration(Duration.ofSeconds(2), Duration.ofMinutes(1)),
-                                Duration.ofSeconds(6),
-                                "after how much silence a session ends"),
-                        table.value(
-                                "read-only",
-                                ValueKind.flag(),
-                                false,
-                                "whether a coordination server that has lost the others will do"),
-                        table.optional(
-                                "digest-file",
-                                ValueKind.text(LONGEST),
-                                "file that holds user:password"),
-                        table.value(
-                                "answer-limit",
-                                ValueKind.size(MIB, 64 * MIB),
-                                4 * MIB,
-                                "the largest answer that is taken"),
-                        Tls.read(table.table("tls")));
+                        source(table),
+                        keys.servers(),
+                        keys.chroot(),
+                        keys.root(DEFAULT_ROOT, "the path that the servers' nodes stand under"),
+                        shards(table),
+                        keys.sessionTimeout("after how much silence a session ends"),
+                        readOnly(table),
+                        keys.digestFile(),
+                        answerLimit(table),
+                        keys.tls());
         if (section.root.equals("/") && section.chroot.isEmpty() && table.sound()) {
             table.wrong(
                     "root", "is the path of everything; give the servers' nodes one of their own");
@@ -143,18 +123,40 @@
         return section;
     }
 
-    /** What it comes to, in plain words. */
+    private static Source source(Table table) {
+        return table.value(
+                "source",
+                ValueKind.choice(Source.class),
+                Source.BOTH,
+                "which sources make the list of servers");
+    }
+
+    private static boolean shards(Table table) {
+        return table.value(
+                "shards", ValueKind.flag(), false, "whether they stand one level further down");
+    }
+
+    private static boolean readOnly(Table table) {
+        return table.value(
+                "read-only",
+                ValueKind.flag(),
+                false,
+                "whether a coordination server that has lost the others will do");
+    }
+
+    private static long answerLimit(Table table) {
+        return table.value(
+                "answer-limit",
+                ValueKind.size(MIB, MAX_ANSWER_LIMIT_BYTES),
+                DEFAULT_ANSWER_LIMIT_BYTES,
+                "the largest answer that is taken");
+    }
+
+    /** What it means for the sidecar, for {@code check-config} to print. */
     List<String> consequences() {
         String where =
-                root
-                        + (shards ? "/SHARD" : "")
-                        + (chroot.isEmpty() ? "" : " under " + chroot)
-                        + " of "
-                        + (servers.size() == 1
-                                ? "one coordination server"
-                                : servers.size() + " coordination servers")
-                        + (tls.isPresent() ? ", over TLS" : "")
-                        + (digestFile.isPresent() ? ", as the user of digest-file" : "");
+                CoordinationKeys.describe(
+                        root + (shards ? "/SHARD" : ""), chroot, servers, tls, digestFile);
         return List.of(
                 source == Source.NODES
                         ? "the list of servers comes from the nodes at "
--- a/sidecar/src/main/java/appleridge/config/operator/ValueKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ValueKind.java
@@ -4,12 +4,12 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A kind of value: how it is read from a file, and how it is shown to a person. */
+/** A kind of value: how it is read from a file, and how it is shown to an operator. Immutable. */
 interface ValueKind<T> {
-    /** The value; null if it makes no sense, which the cell has then been told. */
+    /** The value; null if it is not allowed, which has then been noted at the cell. */
     T read(SourceValue cell);
 
-    /** As a person writes it, without quotes. */
+    /** As the file spells it, without quotes. */
     String show(T value);
 
     /**
@@ -41,8 +41,8 @@
         return new AddressKind();
     }
 
-    /** One of an enum's constants, written in lower case with dashes. */
-    static <E extends Enum<E>> ValueKind<E> choice(Class<E> type) {
+    /** One of an enum's constants, by its word. */
+    static <E extends Enum<E> & SettingWord> ValueKind<E> choice(Class<E> type) {
         return new ChoiceKind<>(type);
     }
 
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -16,10 +16,21 @@
 class TableTest {
     private final Findings findings = new Findings();
 
-    private enum Scope {
-        ZONE,
-        ALL,
-        SAME_CELL
+    private enum Scope implements SettingWord {
+        ZONE("zone"),
+        ALL("all"),
+        SAME_CELL("same-cell");
+
+        private final String settingWord;
+
+        Scope(String settingWord) {
+            this.settingWord = settingWord;
+        }
+
+        @Override
+        public String settingWord() {
+            return settingWord;
+        }
     }
 
     private Table table(String toml) {
