--- a/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
@@ -13,7 +13,7 @@
                         ? Addresses.literal(cell.node().textValue())
                         : Optional.empty();
         if (address.isEmpty()) {
-            cell.wrong(
+            cell.reject(
                     "is not an address; write a literal one with its port, like \"192.0.2.1:8080\""
                             + " or \"[2001:db8::1]:8080\" (names are not looked up)");
         }
--- a/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
@@ -44,7 +44,7 @@
             settings.addObject()
                     .put("path", each.path())
                     .put("value", each.value())
-                    .put("default", each.usual())
+                    .put("default", each.defaultValue())
                     .put("from", each.fromFile() ? "file" : "default")
                     .put("line", report.line(each))
                     .put("changed", each.isChanged())
--- a/sidecar/src/main/java/appleridge/config/operator/CheckText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckText.java
@@ -84,7 +84,8 @@
     }
 
     private static String instead(Setting setting) {
-        return " instead of " + (setting.usual().isEmpty() ? "nothing" : setting.usual());
+        return " instead of "
+                + (setting.defaultValue().isEmpty() ? "nothing" : setting.defaultValue());
     }
 
     private void paragraph(String heading, List<String> lines) {
--- a/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
@@ -14,7 +14,7 @@
             }
         }
         List<String> all = Arrays.stream(type.getEnumConstants()).map(this::show).toList();
-        cell.wrong("is none of \"" + String.join("\", \"", all) + "\"" + Nearest.hint(text, all));
+        cell.reject("is none of \"" + String.join("\", \"", all) + "\"" + Nearest.hint(text, all));
         return null;
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
@@ -20,23 +20,23 @@
                     Duration.ofMillis(Defaults.FIRST_REQUEST_MILLIS),
                     Duration.ofMillis(Defaults.IDLE_MILLIS));
 
-    private static final Duration LEAST = Duration.ofMillis(100);
+    private static final Duration MIN_TIMEOUT = Duration.ofMillis(100);
 
     static ClientsSection read(Table table) {
         return new ClientsSection(
                 table.value(
                         "request-timeout",
-                        ValueKind.duration(LEAST, Duration.ofMinutes(1)),
+                        ValueKind.duration(MIN_TIMEOUT, Duration.ofMinutes(1)),
                         USUAL.requestTimeout,
                         "how long a request may take to come in, from its first byte to its last"),
                 table.value(
                         "first-request-timeout",
-                        ValueKind.duration(LEAST, Duration.ofMinutes(10)),
+                        ValueKind.duration(MIN_TIMEOUT, Duration.ofMinutes(10)),
                         USUAL.firstRequestTimeout,
                         "how long a new connection may be without a request"),
                 table.value(
                         "idle-timeout",
-                        ValueKind.duration(LEAST, Duration.ofHours(1)),
+                        ValueKind.duration(MIN_TIMEOUT, Duration.ofHours(1)),
                         USUAL.idleTimeout,
                         "how long a connection is kept open between requests"));
     }
--- a/sidecar/src/main/java/appleridge/config/operator/Findings.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Findings.java
@@ -8,16 +8,16 @@
 /** What reading an operator's file has brought to light so far: its settings, and what is wrong. */
 final class Findings {
     /** Problems that are told; of more than these only the number is. */
-    static final int MOST = 20;
+    static final int MAX_REPORTED = 20;
 
     private final List<Problem> problems = new ArrayList<>();
     private final List<Setting> settings = new ArrayList<>();
-    private int untold;
+    private int omitted;
 
     /** Notes a problem; its text is made only if it is told. */
     void problem(String path, Supplier<Position> position, Supplier<String> text) {
-        if (problems.size() == MOST) {
-            untold++;
+        if (problems.size() == MAX_REPORTED) {
+            omitted++;
             return;
         }
         Position at = position.get();
@@ -29,7 +29,7 @@
     }
 
     int count() {
-        return problems.size() + untold;
+        return problems.size() + omitted;
     }
 
     /** In the order of the file; those without a place first. */
@@ -43,8 +43,8 @@
     List<String> lines() {
         List<String> lines = new ArrayList<>();
         problems().forEach(problem -> lines.add(problem.toString()));
-        if (untold > 0) {
-            lines.add("and " + untold + " more");
+        if (omitted > 0) {
+            lines.add("and " + omitted + " more");
         }
         return lines;
     }
--- a/sidecar/src/main/java/appleridge/config/operator/FlagKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/FlagKind.java
@@ -5,7 +5,7 @@
     @Override
     public Boolean read(SourceValue cell) {
         if (!cell.node().isBoolean()) {
-            cell.wrong("is neither true nor false");
+            cell.reject("is neither true nor false");
             return null;
         }
         return cell.node().booleanValue();
--- a/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/FractionKind.java
@@ -1,16 +1,16 @@
 package appleridge.config.operator;
 
 /** A number within bounds; that it is none ({@code nan}) counts as out of them. */
-record FractionKind(double least, double most) implements ValueKind<Double> {
+record FractionKind(double min, double max) implements ValueKind<Double> {
     @Override
     public Double read(SourceValue cell) {
         if (!cell.node().isNumber()) {
-            cell.wrong("is not a number");
+            cell.reject("is not a number");
             return null;
         }
         double value = cell.node().doubleValue();
-        if (!(value >= least && value <= most)) {
-            cell.wrong("is out of range: from " + show(least) + " to " + show(most));
+        if (!(value >= min && value <= max)) {
+            cell.reject("is out of range: from " + show(min) + " to " + show(max));
             return null;
         }
         return value;
--- a/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
@@ -127,18 +127,18 @@
 
     /** Notes which values are not allowed together; the first such problem hides the others. */
     private void check(Table table) {
-        if (table.sound() && root.equals("/") && chroot.isEmpty()) {
-            table.wrong("root", "is the path of everything; give the leases one of their own");
+        if (table.valid() && root.equals("/") && chroot.isEmpty()) {
+            table.reject("root", "is the path of everything; give the leases one of their own");
         }
-        if (table.sound() && timeToEnd().compareTo(longestAct) > 0) {
-            table.wrong(
+        if (table.valid() && timeToEnd().compareTo(longestAct) > 0) {
+            table.reject(
                     "longest-act",
                     "is shorter than kill-after and what it takes to kill, "
                             + timeToEnd().toMillis()
                             + "ms");
         }
-        if (table.sound() && shortestTerm().compareTo(term) > 0) {
-            table.wrong(
+        if (table.valid() && shortestTerm().compareTo(term) > 0) {
+            table.reject(
                     "term",
                     "is too short: with this guard, drift, kill-after and two times renew-every"
                             + " it takes "
--- a/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
@@ -15,7 +15,7 @@
     public static final LimitsSection USUAL =
             new LimitsSection(Defaults.CLIENTS_PART, Defaults.UPSTREAMS_PART);
 
-    private static final BigDecimal TOGETHER_BELOW = new BigDecimal("0.95");
+    private static final BigDecimal MAX_SUM_EXCLUSIVE = new BigDecimal("0.95");
 
     static LimitsSection read(Table table) {
         ValueKind<Double> part = ValueKind.fraction(0.05, 0.9);
@@ -36,8 +36,8 @@
         BigDecimal together =
                 BigDecimal.valueOf(section.clientsPart)
                         .add(BigDecimal.valueOf(section.upstreamsPart));
-        if (table.sound() && together.compareTo(TOGETHER_BELOW) >= 0) {
-            table.wrong(
+        if (table.valid() && together.compareTo(MAX_SUM_EXCLUSIVE) >= 0) {
+            table.reject(
                     "clients-part "
                             + section.clientsPart
                             + " and upstreams-part "
@@ -45,7 +45,7 @@
                             + " make "
                             + together.toPlainString()
                             + " together; less than "
-                            + TOGETHER_BELOW
+                            + MAX_SUM_EXCLUSIVE
                             + " is allowed, for the program needs the rest");
         }
         return section;
--- a/sidecar/src/main/java/appleridge/config/operator/ListValueKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ListValueKind.java
@@ -5,22 +5,23 @@
 import java.util.stream.Collectors;
 
 /** A list of values of one kind. */
-record ListValueKind<T>(ValueKind<T> of, int least, int most) implements ValueKind<List<T>> {
+record ListValueKind<T>(ValueKind<T> itemKind, int minSize, int maxSize)
+        implements ValueKind<List<T>> {
     @Override
     public List<T> read(SourceValue cell) {
         if (!cell.node().isArray()) {
-            cell.wrong("is not a list");
+            cell.reject("is not a list");
             return null;
         }
         int size = cell.node().size();
-        if (size < least || size > most) {
-            cell.wrong("of " + size + ", allowed are " + least + " to " + most);
+        if (size < minSize || size > maxSize) {
+            cell.reject("of " + size + ", allowed are " + minSize + " to " + maxSize);
             return null;
         }
         List<T> values = new ArrayList<>();
         boolean sound = true;
         for (int i = 0; i < size; i++) {
-            T value = of.read(cell.item(i));
+            T value = itemKind.read(cell.item(i));
             sound &= value != null;
             values.add(value);
         }
@@ -29,6 +30,6 @@
 
     @Override
     public String show(List<T> value) {
-        return value.stream().map(of::show).collect(Collectors.joining(", ", "[", "]"));
+        return value.stream().map(itemKind::show).collect(Collectors.joining(", ", "[", "]"));
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
@@ -90,8 +90,8 @@
                                     true,
                                     "whether a coordination server's certificate has to name its"
                                             + " address"));
-            if (table.sound() && tls.keyPasswordFile.isPresent() && tls.keyStore.isEmpty()) {
-                table.wrong("key-password-file", "makes no sense without key-store");
+            if (table.valid() && tls.keyPasswordFile.isPresent() && tls.keyStore.isEmpty()) {
+                table.reject("key-password-file", "makes no sense without key-store");
             }
             return Optional.of(tls);
         }
@@ -116,8 +116,8 @@
                         keys.digestFile(),
                         answerLimit(table),
                         keys.tls());
-        if (section.root.equals("/") && section.chroot.isEmpty() && table.sound()) {
-            table.wrong(
+        if (section.root.equals("/") && section.chroot.isEmpty() && table.valid()) {
+            table.reject(
                     "root", "is the path of everything; give the servers' nodes one of their own");
         }
         return section;
--- a/sidecar/src/main/java/appleridge/config/operator/Nearest.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Nearest.java
@@ -4,7 +4,7 @@
 
 /** Finds the word that somebody most likely meant. */
 final class Nearest {
-    private static final int LONGEST = 64;
+    private static final int MAX_WORD_CHARS = 64;
 
     private Nearest() {}
 
@@ -27,7 +27,7 @@
      * regardless of case; what is long is far.
      */
     private static int distance(String a, String b) {
-        if (a.length() > LONGEST || b.length() > LONGEST) {
+        if (a.length() > MAX_WORD_CHARS || b.length() > MAX_WORD_CHARS) {
             return Integer.MAX_VALUE;
         }
         int[][] distances = new int[a.length() + 1][b.length() + 1];
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
@@ -47,7 +47,7 @@
 
     static Reading inspect(Path file) {
         try (InputStream in = Files.newInputStream(file)) {
-            return inspect(in.readNBytes(TomlText.MOST_BYTES + 1));
+            return inspect(in.readNBytes(TomlText.MAX_BYTES + 1));
         } catch (IOException e) {
             Findings findings = new Findings();
             findings.problem("", () -> Position.UNKNOWN, () -> MessageText.unreadable(e));
@@ -71,7 +71,7 @@
                         VERSION,
                         "version of this file's form");
         if (version != VERSION) {
-            top.wrong("version", version + " is not known; this program reads version " + VERSION);
+            top.reject("version", version + " is not known; this program reads version " + VERSION);
             return null;
         }
         Table clients = top.table("clients");
@@ -86,7 +86,7 @@
                         : Optional.empty();
         Optional<LeasesSection> leasesSection =
                 leases.present() ? Optional.of(LeasesSection.read(leases)) : Optional.empty();
-        top.finish();
+        top.rejectUnknownKeys();
         return new OperatorFile(
                 clients.present() ? Optional.of(clientsSection) : Optional.empty(),
                 limits.present() ? Optional.of(limitsSection) : Optional.empty(),
--- a/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
@@ -5,7 +5,7 @@
 
 /** A whole number with a unit behind it. */
 record QuantityKind<T extends Comparable<T>>(
-        Units units, LongFunction<T> of, ToLongFunction<T> in, T least, T most)
+        Units units, LongFunction<T> of, ToLongFunction<T> in, T min, T max)
         implements ValueKind<T> {
     static final Units DURATION =
             new Units(
@@ -21,10 +21,10 @@
                     new long[] {1, 1L << 10, 1L << 20, 1L << 30});
 
     /** Digits that a number may have: fewer than could overflow with any unit. */
-    private static final int MOST_DIGITS = 9;
+    private static final int MAX_DIGITS = 9;
 
     /** Names of units and how many of the smallest each is, in rising order. */
-    record Units(String what, String examples, String[] names, long[] worth) {}
+    record Units(String what, String examples, String[] names, long[] factors) {}
 
     @Override
     public T read(SourceValue cell) {
@@ -33,14 +33,14 @@
         while (digits < text.length() && text.charAt(digits) >= '0' && text.charAt(digits) <= '9') {
             digits++;
         }
-        long worth = worth(text.substring(digits));
-        if (digits == 0 || digits > MOST_DIGITS || worth == 0) {
-            cell.wrong("is not a " + units.what + "; write one like " + units.examples);
+        long factor = factor(text.substring(digits));
+        if (digits == 0 || digits > MAX_DIGITS || factor == 0) {
+            cell.reject("is not a " + units.what + "; write one like " + units.examples);
             return null;
         }
-        T value = of.apply(Long.parseLong(text.substring(0, digits)) * worth);
-        if (value.compareTo(least) < 0 || value.compareTo(most) > 0) {
-            cell.wrong("is out of range: from " + show(least) + " to " + show(most));
+        T value = of.apply(Long.parseLong(text.substring(0, digits)) * factor);
+        if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
+            cell.reject("is out of range: from " + show(min) + " to " + show(max));
             return null;
         }
         return value;
@@ -49,17 +49,17 @@
     @Override
     public String show(T value) {
         long amount = in.applyAsLong(value);
-        int unit = units.worth.length - 1;
-        while (unit > 0 && (amount == 0 || amount % units.worth[unit] != 0)) {
+        int unit = units.factors.length - 1;
+        while (unit > 0 && (amount == 0 || amount % units.factors[unit] != 0)) {
             unit--;
         }
-        return amount / units.worth[unit] + units.names[unit];
+        return amount / units.factors[unit] + units.names[unit];
     }
 
-    private long worth(String unit) {
+    private long factor(String unit) {
         for (int i = 0; i < units.names.length; i++) {
             if (units.names[i].equals(unit)) {
-                return units.worth[i];
+                return units.factors[i];
             }
         }
         return 0;
--- a/sidecar/src/main/java/appleridge/config/operator/SourceValue.java
+++ b/sidecar/src/main/java/appleridge/config/operator/SourceValue.java
@@ -5,7 +5,7 @@
 /** A value as it stands in the file, and whom to tell if it makes no sense. */
 record SourceValue(String path, JsonNode node, TomlText text, Findings findings) {
     /** Notes that this value can't be taken; it is named in front of the reason. */
-    void wrong(String reason) {
+    void reject(String reason) {
         findings.problem(
                 path, () -> text.where(path), () -> MessageText.value(node) + " " + reason);
     }
--- a/sidecar/src/main/java/appleridge/config/operator/Table.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Table.java
@@ -10,9 +10,9 @@
 
 /**
  * A table of the file, from which a section takes its values. It remembers which keys were asked
- * for, so that {@link #finish} can name the others. A value that makes no sense is noted and its
- * usual value handed out, so that reading goes on to the next problem. A table that the file
- * doesn't have hands out usual values alone.
+ * for, so that {@link #rejectUnknownKeys} can name the others. A value that makes no sense is noted
+ * and its usual value handed out, so that reading goes on to the next problem. A table that the
+ * file doesn't have hands out usual values alone.
  */
 final class Table {
     private final String path;
@@ -21,7 +21,7 @@
     private final Findings findings;
     private final Set<String> known = new LinkedHashSet<>();
     private final List<Table> parts = new ArrayList<>();
-    private boolean sound = true;
+    private boolean valid = true;
 
     private Table(String path, JsonNode node, TomlText text, Findings findings) {
         this.path = path;
@@ -39,8 +39,8 @@
      *
      * @param meaning what it is, in plain words
      */
-    <T> T value(String key, ValueKind<T> kind, T usual, String meaning) {
-        return read(key, kind, usual, kind.show(usual), meaning);
+    <T> T value(String key, ValueKind<T> kind, T defaultValue, String meaning) {
+        return read(key, kind, defaultValue, kind.show(defaultValue), meaning);
     }
 
     /** A value that the file may leave out, and then there is none. */
@@ -54,12 +54,12 @@
      * @param standIn what to go on with where it doesn't, to find further problems; a file that
      *     gives just this counts as usual
      */
-    <T> T required(String key, ValueKind<T> kind, T standIn, String meaning) {
+    <T> T required(String key, ValueKind<T> kind, T placeholder, String meaning) {
         if (!node.has(key)) {
-            sound = false;
+            valid = false;
             findings.problem(child(key), () -> text.where(path), () -> "missing");
         }
-        return value(key, kind, standIn, meaning);
+        return value(key, kind, placeholder, meaning);
     }
 
     /** A table within this one. */
@@ -67,7 +67,7 @@
         known.add(key);
         JsonNode value = node.path(key);
         if (!value.isMissingNode() && !value.isObject()) {
-            wrong(key, MessageText.value(value) + " is not a table; write [" + child(key) + "]");
+            reject(key, MessageText.value(value) + " is not a table; write [" + child(key) + "]");
         }
         return part(child(key), value.isObject() ? value : JsonNodeFactory.instance.missingNode());
     }
@@ -81,7 +81,7 @@
             tables.add(part(MessageText.item(child(key), i), value.get(i)));
         }
         if (!value.isMissingNode() && (!value.isArray() || tables.size() < value.size())) {
-            wrong(
+            reject(
                     key,
                     MessageText.value(value)
                             + " is not a list of tables; write [["
@@ -97,26 +97,26 @@
     }
 
     /** Whether all that was taken from it so far, apart from tables within it, made sense. */
-    boolean sound() {
-        return sound;
+    boolean valid() {
+        return valid;
     }
 
     /** Notes that a key's value makes no sense together with what else the file says. */
-    void wrong(String key, String reason) {
-        sound = false;
+    void reject(String key, String reason) {
+        valid = false;
         findings.problem(child(key), () -> text.where(child(key)), () -> reason);
     }
 
     /** Notes that the table as a whole makes no sense. */
-    void wrong(String reason) {
-        sound = false;
+    void reject(String reason) {
+        valid = false;
         findings.problem(path, () -> text.where(path), () -> reason);
     }
 
     /**
      * To be called once all values are taken: names the keys that nobody asked for, at any depth.
      */
-    void finish() {
+    void rejectUnknownKeys() {
         node.fieldNames()
                 .forEachRemaining(
                         key -> {
@@ -127,23 +127,24 @@
                                         () -> "unknown key" + Nearest.hint(key, known));
                             }
                         });
-        parts.forEach(Table::finish);
+        parts.forEach(Table::rejectUnknownKeys);
     }
 
-    private <T> T read(String key, ValueKind<T> kind, T usual, String usualShown, String meaning) {
+    private <T> T read(
+            String key, ValueKind<T> kind, T defaultValue, String defaultShown, String meaning) {
         known.add(key);
-        T value = usual;
+        T value = defaultValue;
         if (node.has(key)) {
             T read = kind.read(new SourceValue(child(key), node.get(key), text, findings));
-            sound &= read != null;
-            value = read == null ? usual : read;
+            valid &= read != null;
+            value = read == null ? defaultValue : read;
         }
         findings.setting(
                 new Setting(
                         child(key),
                         meaning,
                         value == null ? "" : kind.show(value),
-                        usualShown,
+                        defaultShown,
                         node.has(key)));
         return value;
     }
--- a/sidecar/src/main/java/appleridge/config/operator/TomlText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/TomlText.java
@@ -16,7 +16,7 @@
 /** A TOML 1.0 text: its tree, and the places of its keys. */
 final class TomlText {
     /** Bytes that a file may have. */
-    static final int MOST_BYTES = 1 << 20;
+    static final int MAX_BYTES = 1 << 20;
 
     private final String text;
     private Positions positions;
@@ -27,7 +27,7 @@
 
     /** The text in a file's bytes; what can't be one is noted, and null returned. */
     static TomlText of(byte[] bytes, Findings findings) {
-        if (bytes.length > MOST_BYTES) {
+        if (bytes.length > MAX_BYTES) {
             findings.problem("", () -> Position.UNKNOWN, () -> "is larger than 1 MiB");
             return null;
         }
--- a/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
@@ -20,7 +20,7 @@
                                 && !(mayBeEmpty && text.equals("/")))) {
             return text;
         }
-        cell.wrong(
+        cell.reject(
                 "is not a path; write one like \"/site-a/servers\", of letters, digits and any of"
                         + " _.:@-");
         return null;
--- a/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
+++ b/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
@@ -17,22 +17,22 @@
  */
 public final class AddressOwnership {
     /** Addresses and upstreams that are remembered beyond being listed, the latest ones. */
-    private static final int REMEMBERED = 4096;
+    private static final int MAX_REMEMBERED = 4096;
 
     private record Holder(String id, long startedAt) {}
 
     /** Where an upstream was listed last. */
-    private record Place(InetSocketAddress address, long startedAt) {
+    private record Listing(InetSocketAddress address, long startedAt) {
         /** Instead of equals, which the JVM would have to make while the process starts. */
-        boolean same(Place before) {
+        boolean same(Listing before) {
             return before != null
                     && startedAt == before.startedAt
                     && address.equals(before.address);
         }
     }
 
-    private final Map<InetSocketAddress, Holder> formerly = latest();
-    private final Map<String, Place> places = latest();
+    private final Map<InetSocketAddress, Holder> lastHolders = boundedByUse();
+    private final Map<String, Listing> places = boundedByUse();
     private final Map<InetSocketAddress, Holder> holders = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
 
@@ -43,10 +43,10 @@
      * @return the id of the upstream that is not there (any more): another one's, or its own; null
      *     for none
      */
-    public String listed(String id, InetSocketAddress address, long startedAt) {
-        moves(id, address);
-        Place place = new Place(address, startedAt);
-        Holder last = formerly.get(address);
+    public String register(String id, InetSocketAddress address, long startedAt) {
+        releaseIfMoved(id, address);
+        Listing place = new Listing(address, startedAt);
+        Holder last = lastHolders.get(address);
         if (place.same(places.put(id, place))
                 && last != null
                 && !last.id.equals(id)
@@ -60,7 +60,7 @@
             return startedAt < holder.startedAt ? id : null;
         }
         holders.put(address, new Holder(id, startedAt));
-        formerly.put(address, new Holder(id, startedAt));
+        lastHolders.put(address, new Holder(id, startedAt));
         return holder == null || holder.id.equals(id) ? null : holder.id;
     }
 
@@ -68,7 +68,7 @@
      * An upstream is about to be listed at an address; to be called for all of a list before any is
      * listed. Danger: where two swap addresses in one list, each would find the other still there.
      */
-    public void moves(String id, InetSocketAddress address) {
+    public void releaseIfMoved(String id, InetSocketAddress address) {
         InetSocketAddress before = addresses.get(id);
         if (before != null && !before.equals(address)) {
             addresses.remove(id);
@@ -90,13 +90,13 @@
         holders.values().removeIf(holder -> !ids.contains(holder.id));
     }
 
-    private static <K, V> Map<K, V> latest() {
+    private static <K, V> Map<K, V> boundedByUse() {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-                return size() > REMEMBERED;
+                return size() > MAX_REMEMBERED;
             }
         };
     }
--- a/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
@@ -30,12 +30,12 @@
             Map<Long, InetSocketAddress> addresses,
             Map<Long, String> ids) {}
 
-    private final UpstreamIds numbers = new UpstreamIds();
+    private final UpstreamIds upstreamIds = new UpstreamIds();
     private final StartTimes starts;
-    private final AddressOwnership holders = new AddressOwnership();
+    private final AddressOwnership ownership = new AddressOwnership();
 
     /** What is listed, as it was listed last. */
-    private final Map<String, DiscoveredEndpoint> known = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> lastListed = new HashMap<>();
 
     /** With what places a Unix time in milliseconds on the sidecar's clock. */
     public EndpointTable(LongUnaryOperator place) {
@@ -44,20 +44,20 @@
 
     /** Takes in news of the list; who is missing from a whole one is gone. */
     public EndpointUpdate update(UpdateKind kind, List<DiscoveredEndpoint> told) {
-        Collection<DiscoveredEndpoint> members = last(told);
+        Collection<DiscoveredEndpoint> members = lastOfEach(told);
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             Set<String> listed = new HashSet<>();
             members.forEach(member -> listed.add(member.id()));
-            numbers.retain(listed);
+            upstreamIds.retain(listed);
             starts.retain(listed);
-            holders.retain(listed);
-            known.keySet().retainAll(listed);
+            ownership.retain(listed);
+            lastListed.keySet().retainAll(listed);
         }
         List<UpstreamHost> entries = new ArrayList<>();
         Map<Long, InetSocketAddress> addresses = new HashMap<>();
         Map<Long, String> ids = new HashMap<>();
-        for (DiscoveredEndpoint member : settled(members).values()) {
-            long number = numbers.of(member.id());
+        for (DiscoveredEndpoint member : withDisplacedAsGone(members).values()) {
+            long number = upstreamIds.number(member.id());
             entries.add(
                     new UpstreamHost(
                             number,
@@ -66,15 +66,15 @@
                             member.cell(),
                             member.state(),
                             member.weight(),
-                            starts.of(member.id(), member.startedAtUnixMillis())));
+                            starts.clockNanos(member.id(), member.startedAtUnixMillis())));
             addresses.put(number, member.address());
             ids.put(number, member.id());
         }
         for (DiscoveredEndpoint member : members) {
             if (member.state() == HostState.GONE) {
-                numbers.forget(member.id());
+                upstreamIds.forget(member.id());
                 starts.forget(member.id());
-                known.remove(member.id());
+                lastListed.remove(member.id());
             }
         }
         return new EndpointUpdate(kind, entries, addresses, ids);
@@ -85,34 +85,35 @@
      * last call, gone and there again; forgotten for the first of them, it would be missing when
      * another one takes its address, and the news that tell of that would be lost whole.
      */
-    private static Collection<DiscoveredEndpoint> last(List<DiscoveredEndpoint> told) {
+    private static Collection<DiscoveredEndpoint> lastOfEach(List<DiscoveredEndpoint> told) {
         Map<String, DiscoveredEndpoint> last = new LinkedHashMap<>();
         told.forEach(member -> last.put(member.id(), member));
         return last.values();
     }
 
     /** The members, and as gone those whose address another one has taken. */
-    private Map<String, DiscoveredEndpoint> settled(Collection<DiscoveredEndpoint> members) {
+    private Map<String, DiscoveredEndpoint> withDisplacedAsGone(
+            Collection<DiscoveredEndpoint> members) {
         for (DiscoveredEndpoint member : members) {
             if (member.state() == HostState.GONE) {
-                holders.forget(member.id());
+                ownership.forget(member.id());
             } else {
-                holders.moves(member.id(), member.address());
+                ownership.releaseIfMoved(member.id(), member.address());
             }
         }
-        Map<String, DiscoveredEndpoint> told = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> update = new LinkedHashMap<>();
         for (DiscoveredEndpoint member : members) {
-            told.put(member.id(), member);
-            known.put(member.id(), member);
+            update.put(member.id(), member);
+            lastListed.put(member.id(), member);
             String absent =
                     member.state() == HostState.GONE
                             ? null
-                            : holders.listed(
+                            : ownership.register(
                                     member.id(), member.address(), member.startedAtUnixMillis());
             if (absent != null) {
-                told.put(absent, known.get(absent).withState(HostState.GONE));
+                update.put(absent, lastListed.get(absent).withState(HostState.GONE));
             }
         }
-        return told;
+        return update;
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/StartTimes.java
+++ b/sidecar/src/main/java/appleridge/discovery/StartTimes.java
@@ -22,7 +22,7 @@
     }
 
     /** When an upstream started, from the Unix time that the list has; 0 for long ago. */
-    public long of(String id, long unixMillis) {
+    public long clockNanos(String id, long unixMillis) {
         if (unixMillis == 0) {
             starts.remove(id);
             return 0;
--- a/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
+++ b/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
@@ -33,7 +33,7 @@
     }
 
     /** The number of an upstream that is listed. */
-    public long of(String id) {
+    public long number(String id) {
         Long known = numbers.get(id);
         if (known != null) {
             return known;
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
@@ -22,7 +22,7 @@
     private final RegistryState registry;
     private final Map<String, Candidate> candidates = new HashMap<>();
     private final AddressIndex addresses = new AddressIndex();
-    private final Map<String, DiscoveredEndpoint> told = new LinkedHashMap<>();
+    private final Map<String, DiscoveredEndpoint> published = new LinkedHashMap<>();
 
     MergedEndpoints(NodeState nodes, RegistryState registry) {
         this.nodes = nodes;
@@ -31,7 +31,7 @@
 
     /** Upstreams that are listed. */
     int size() {
-        return told.size();
+        return published.size();
     }
 
     /** What has changed of these since it was told last; counts as told from now on. */
@@ -53,38 +53,39 @@
         List<DiscoveredEndpoint> gone = new ArrayList<>();
         List<DiscoveredEndpoint> changed = new ArrayList<>();
         for (String id : affected) {
-            DiscoveredEndpoint next = listed(id);
-            DiscoveredEndpoint before = next == null ? told.remove(id) : told.put(id, next);
+            DiscoveredEndpoint next = endpointToPublish(id);
+            DiscoveredEndpoint before =
+                    next == null ? published.remove(id) : published.put(id, next);
             if (next == null && before != null) {
                 gone.add(before.withState(HostState.GONE));
             } else if (next != null && !next.equals(before)) {
                 changed.add(next);
             }
         }
-        displace(affected);
+        markDisplaced(affected);
         gone.addAll(changed);
         return gone;
     }
 
     /** All that is listed. */
     List<DiscoveredEndpoint> all() {
-        return List.copyOf(told.values());
+        return List.copyOf(published.values());
     }
 
     /** Whether it would matter at once that this is told: work goes to where it should not. */
-    boolean isPressing(String id) {
+    boolean isUrgent(String id) {
         Candidate next = candidate(id);
         if (next != null) {
             for (String other : addresses.at(next.member().address())) {
-                if (!other.equals(id) && isToldReady(other)) {
+                if (!other.equals(id) && isPublishedReady(other)) {
                     return true;
                 }
             }
         }
-        if (!isToldReady(id)) {
+        if (!isPublishedReady(id)) {
             return false;
         }
-        DiscoveredEndpoint before = told.get(id);
+        DiscoveredEndpoint before = published.get(id);
         return next == null
                 || next.member().state() != HostState.READY
                 || !next.member().address().equals(before.address())
@@ -96,18 +97,18 @@
      * that one ends, and what is sent to it reaches the later one, that drains, or the one after
      * that.
      */
-    private void displace(Collection<String> affected) {
+    private void markDisplaced(Collection<String> affected) {
         for (String id : affected) {
             Candidate candidate = candidates.get(id);
-            if (candidate == null || told.containsKey(id)) {
+            if (candidate == null || published.containsKey(id)) {
                 continue;
             }
             for (String other : addresses.at(candidate.member().address())) {
-                DiscoveredEndpoint there = told.get(other);
+                DiscoveredEndpoint there = published.get(other);
                 if (there != null
                         && there.startedAtUnixMillis() > candidate.member().startedAtUnixMillis()) {
-                    nodes.of(id).forEach(TrackedNode::displace);
-                    registry.displace(id);
+                    nodes.byServerId(id).forEach(TrackedNode::markDisplaced);
+                    registry.markDisplaced(id);
                     candidates.remove(id);
                     addresses.put(id, null);
                     break;
@@ -116,12 +117,12 @@
         }
     }
 
-    private boolean isToldReady(String id) {
-        DiscoveredEndpoint member = told.get(id);
+    private boolean isPublishedReady(String id) {
+        DiscoveredEndpoint member = published.get(id);
         return member != null && member.state() == HostState.READY;
     }
 
-    private DiscoveredEndpoint listed(String id) {
+    private DiscoveredEndpoint endpointToPublish(String id) {
         Candidate candidate = candidates.get(id);
         if (candidate == null) {
             return null;
@@ -137,7 +138,7 @@
 
     private Candidate candidate(String id) {
         TrackedNode node = null;
-        for (TrackedNode each : nodes.of(id)) {
+        for (TrackedNode each : nodes.byServerId(id)) {
             if (!each.isEnded()
                     && (node == null
                             || Candidate.FIRST_AT_ADDRESS.compare(candidate(each), candidate(node))
@@ -145,7 +146,7 @@
                 node = each;
             }
         }
-        DiscoveredEndpoint listed = registry.of(id);
+        DiscoveredEndpoint listed = registry.liveEndpoint(id);
         if (node == null) {
             return listed == null ? null : new Candidate(listed, true, false, 0);
         }
@@ -153,10 +154,10 @@
             return candidate(node);
         }
         // What the registry lists in spite of a vanished node is another process.
-        if (!node.isThere()) {
+        if (!node.exists()) {
             return new Candidate(listed, true, false, 0);
         }
-        DiscoveredEndpoint own = node.member();
+        DiscoveredEndpoint own = node.endpoint();
         boolean drains = own.state() != HostState.READY || listed.state() != HostState.READY;
         DiscoveredEndpoint last =
                 listed.startedAtUnixMillis() > own.startedAtUnixMillis() ? listed : own;
@@ -168,6 +169,6 @@
     }
 
     private static Candidate candidate(TrackedNode node) {
-        return new Candidate(node.member(), node.isThere(), true, node.czxid);
+        return new Candidate(node.endpoint(), node.exists(), true, node.czxid);
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -54,15 +54,15 @@
      * What an ensemble that began anew has not got is kept for so long, for all who register find
      * out about it one after the other. Danger: the first that is back would be sent everything.
      */
-    private static final long COME_BACK_WITHIN = TimeUnit.SECONDS.toNanos(10);
+    private static final long REREGISTRATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final SourceSelection merge;
     private final Settings settings;
     private final Sink sink;
-    private final Consumer<String> news;
-    private final Consumer<String> warning;
+    private final Consumer<String> infoLog;
+    private final Consumer<String> warningLog;
     private final UnreadableNodes unreadable;
     private final NodeState nodes;
     private final RegistryState registry;
@@ -72,24 +72,24 @@
     private StalenessCause doubt = StalenessCause.NOT_CONNECTED;
 
     /** The nodes have been read once. */
-    private boolean known;
+    private boolean nodesRead;
 
     /** Of servers that came before the ensemble began anew. */
-    private long oldHistoryUntil = NEVER;
+    private long lostHistoryUntilNanos = NEVER;
 
     /** What the next snapshot leaves out is gone, whatever history it is of. */
     private boolean accepted;
 
     /** Ids of which something has changed and was not told. */
-    private final Set<String> untold = new LinkedHashSet<>();
+    private final Set<String> unpublished = new LinkedHashSet<>();
 
-    private long untoldSince = NEVER;
+    private long unpublishedSinceNanos = NEVER;
 
     /** Those of the present event, and when that was told. */
     private final List<String> touched = new ArrayList<>();
 
-    private long told;
-    private long lastToldAt = Long.MIN_VALUE;
+    private long notifiedAtNanos;
+    private long lastPublishedNanos = Long.MIN_VALUE;
 
     /** {@code news} and {@code warning}: for operators. */
     public NodeDiscovery(
@@ -101,16 +101,16 @@
         this.merge = merge;
         this.settings = settings;
         this.sink = sink;
-        this.news = news;
-        this.warning = warning;
+        this.infoLog = news;
+        this.warningLog = warning;
         this.unreadable = new UnreadableNodes(warning);
         this.registry = new RegistryState(this::touch);
         this.nodes =
                 new NodeState(
                         settings,
                         this::touch,
-                        this::vanished,
-                        node -> registry.nodeReturned(node.member()),
+                        this::onNodeDeleted,
+                        node -> registry.onNodeReturned(node.endpoint()),
                         unreadable);
         this.merged = new MergedEndpoints(nodes, registry);
     }
@@ -126,38 +126,38 @@
             sink.told(kind, List.of(), REGISTRY, now);
             return;
         }
-        if (merge == SourceSelection.NODES && (kind != UpdateKind.CACHED_SNAPSHOT || known)) {
+        if (merge == SourceSelection.NODES && (kind != UpdateKind.CACHED_SNAPSHOT || nodesRead)) {
             return;
         }
-        if (known) {
+        if (nodesRead) {
             flush(now);
         }
-        told = now;
-        registry.take(
+        notifiedAtNanos = now;
+        registry.update(
                 kind,
                 members,
-                listed -> nodes.of(listed.id()).forEach(this::listedToo),
+                listed -> nodes.byServerId(listed.id()).forEach(this::onRegistryListing),
                 ended ->
-                        nodes.of(ended.id())
-                                .forEach(node -> node.registryEnds(ended.startedAtUnixMillis())));
+                        nodes.byServerId(ended.id())
+                                .forEach(node -> node.onRegistryEnd(ended.startedAtUnixMillis())));
         List<DiscoveredEndpoint> changes = changes();
         // Also where nothing has changed: it tells that the registry answers.
-        tell(now, kind, kind == UpdateKind.DELTA ? changes : merged.all(), REGISTRY, now);
+        publish(now, kind, kind == UpdateKind.DELTA ? changes : merged.all(), REGISTRY, now);
     }
 
-    private void vanished(TrackedNode node) {
+    private void onNodeDeleted(TrackedNode node) {
         if (node.wasRead()) {
-            registry.nodeVanished(node.member());
+            registry.onNodeDeleted(node.endpoint());
         } else {
-            registry.nodeVanished(node.name);
+            registry.onNodeDeleted(node.name);
         }
     }
 
-    private void listedToo(TrackedNode node) {
-        node.registryLists();
-        if (!node.isThere()) {
+    private void onRegistryListing(TrackedNode node) {
+        node.onRegistryListing();
+        if (!node.exists()) {
             // Danger: the slower source may list what it has not heard the end of.
-            registry.nodeVanished(node.member());
+            registry.onNodeDeleted(node.endpoint());
         }
     }
 
@@ -170,12 +170,12 @@
     public void session(long now, SessionState state) {
         session = state;
         switch (state) {
-            case CONNECTED -> history.connected();
-            case READ_ONLY -> turn(StalenessCause.READ_ONLY);
-            case SUSPENDED -> turn(StalenessCause.NOT_CONNECTED);
+            case CONNECTED -> history.onConnected();
+            case READ_ONLY -> markStale(StalenessCause.READ_ONLY);
+            case SUSPENDED -> markStale(StalenessCause.NOT_CONNECTED);
             case EXPIRED -> {
-                history.sessionEnded();
-                turn(StalenessCause.NOT_CONNECTED);
+                history.onSessionExpired();
+                markStale(StalenessCause.NOT_CONNECTED);
             }
             default -> throw new IllegalArgumentException("session " + state);
         }
@@ -190,44 +190,44 @@
      * @param read all nodes by name
      */
     public void snapshot(long now, long asOf, long zxid, Map<String, NodeRead> read) {
-        if (session != SessionState.CONNECTED && (session != SessionState.READ_ONLY || known)) {
+        if (session != SessionState.CONNECTED && (session != SessionState.READ_ONLY || nodesRead)) {
             return;
         }
         boolean holdsEntries = read.values().stream().anyMatch(each -> each.data() != null);
-        TransactionHistory.Verdict verdict = history.weigh(now, zxid, holdsEntries);
+        TransactionHistory.Verdict verdict = history.classify(now, zxid, holdsEntries);
         if (verdict == TransactionHistory.Verdict.OLDER) {
-            turn(StalenessCause.OLDER);
+            markStale(StalenessCause.OLDER);
             return;
         }
         if (verdict == TransactionHistory.Verdict.LOST) {
-            turn(StalenessCause.WIPED);
+            markStale(StalenessCause.WIPED);
             return;
         }
-        told = now;
-        if (verdict == TransactionHistory.Verdict.ANEW) {
-            nodes.newHistory();
-            oldHistoryUntil = now + COME_BACK_WITHIN;
-            warning.accept(
+        notifiedAtNanos = now;
+        if (verdict == TransactionHistory.Verdict.RESTARTED) {
+            nodes.startNewHistory();
+            lostHistoryUntilNanos = now + REREGISTRATION_WINDOW_NANOS;
+            warningLog.accept(
                     "membership: the coordination service has begun anew; what it has not got yet"
                             + " is kept for a while");
         }
-        if (!known && merge == SourceSelection.NODES) {
-            registry.take(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
+        if (!nodesRead && merge == SourceSelection.NODES) {
+            registry.update(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
         }
-        nodes.snapshot(now, asOf, read);
+        nodes.onSnapshot(now, asOf, read);
         if (accepted) {
             accepted = false;
-            nodes.endOldHistory(now);
+            nodes.dropLostHistory(now);
         }
         int before = merged.size();
         List<DiscoveredEndpoint> changes = changes();
-        boolean first = !known;
-        known = true;
+        boolean first = !nodesRead;
+        nodesRead = true;
         if (session == SessionState.CONNECTED && doubt != StalenessCause.NONE) {
             doubt = StalenessCause.NONE;
-            news.accept(
+            infoLog.accept(
                     "membership: "
-                            + doubt.words()
+                            + doubt.description()
                             + ": "
                             + merged.size()
                             + " servers, "
@@ -235,9 +235,9 @@
                             + " before");
         }
         if (first) {
-            tell(now, UpdateKind.SNAPSHOT, merged.all(), NODES, told);
+            publish(now, UpdateKind.SNAPSHOT, merged.all(), NODES, notifiedAtNanos);
         } else if (!changes.isEmpty()) {
-            tell(now, UpdateKind.DELTA, changes, NODES, told);
+            publish(now, UpdateKind.DELTA, changes, NODES, notifiedAtNanos);
         }
     }
 
@@ -248,13 +248,13 @@
         }
         // Danger: a server that lags tells of the making of nodes whose end has long been told and
         // forgotten.
-        if (doubt != StalenessCause.NONE && history.isOld(zxid) && !nodes.has(name)) {
+        if (doubt != StalenessCause.NONE && history.mayPredate(zxid) && !nodes.isKnown(name)) {
             return;
         }
-        told = toldAt;
-        history.saw(zxid);
-        nodes.changed(now, toldAt, zxid, name);
-        flushIfPressing(now);
+        notifiedAtNanos = toldAt;
+        history.onEvent(zxid);
+        nodes.onChanged(now, toldAt, zxid, name);
+        flushIfUrgent(now);
     }
 
     /**
@@ -263,30 +263,30 @@
      */
     public void read(long now, long mzxid, String name, NodeRead data) {
         if (session != SessionState.READ_ONLY && doubt != StalenessCause.WIPED) {
-            told = now;
-            nodes.read(mzxid, name, data);
-            flushIfPressing(now);
+            notifiedAtNanos = now;
+            nodes.onRead(mzxid, name, data);
+            flushIfUrgent(now);
         }
     }
 
     /** A node is gone: believed in whatever doubt, unless a later making of it is known. */
     public void gone(long now, long toldAt, long zxid, String name) {
         if (session != SessionState.READ_ONLY) {
-            told = toldAt;
-            history.saw(zxid);
+            notifiedAtNanos = toldAt;
+            history.onEvent(zxid);
             // What a wiped ensemble counts can't be compared with what it counted before.
-            nodes.gone(now, history.isLost() ? 0 : zxid, name);
-            flushIfPressing(now);
+            nodes.onNodeDeleted(now, history.isLost() ? 0 : zxid, name);
+            flushIfUrgent(now);
         }
     }
 
     /** Why the nodes can't be read: the last list stands. */
     public void doubt(long now, StalenessCause why) {
         if (why == StalenessCause.WIPED) {
-            history.lose();
+            history.markLost();
         }
         if (why != StalenessCause.NONE) {
-            turn(why);
+            markStale(why);
         }
     }
 
@@ -295,29 +295,29 @@
      * next snapshot holds, with all that it leaves out.
      */
     public void accept(long now) {
-        if (oldHistoryUntil != NEVER) {
-            oldHistoryUntil = now;
+        if (lostHistoryUntilNanos != NEVER) {
+            lostHistoryUntilNanos = now;
         } else if (doubt == StalenessCause.WIPED || doubt == StalenessCause.OLDER) {
-            nodes.newHistory();
-            history.forget();
+            nodes.startNewHistory();
+            history.trustNext();
             accepted = true;
         } else {
             return;
         }
-        news.accept(
+        infoLog.accept(
                 "membership: what the coordination service has is taken for right, as was said");
     }
 
     /** To be called every {@link PolicySettings#tick}. */
     public void tick(long now) {
-        told = now;
+        notifiedAtNanos = now;
         nodes.tick(now);
-        if (now >= oldHistoryUntil) {
-            oldHistoryUntil = NEVER;
-            nodes.endOldHistory(now);
+        if (now >= lostHistoryUntilNanos) {
+            lostHistoryUntilNanos = NEVER;
+            nodes.dropLostHistory(now);
         }
-        take();
-        if (known) {
+        collectTouched();
+        if (nodesRead) {
             flush(now);
         }
     }
@@ -329,64 +329,64 @@
     }
 
     /** The present event is over: what it touched waits to be told. */
-    private void take() {
+    private void collectTouched() {
         if (!touched.isEmpty()) {
-            untold.addAll(touched);
-            untoldSince = Math.min(untoldSince, told);
+            unpublished.addAll(touched);
+            unpublishedSinceNanos = Math.min(unpublishedSinceNanos, notifiedAtNanos);
             touched.clear();
         }
     }
 
-    private void flushIfPressing(long now) {
-        List<String> pressing = new ArrayList<>();
+    private void flushIfUrgent(long now) {
+        List<String> urgent = new ArrayList<>();
         for (String id : touched) {
-            if (merged.isPressing(id)) {
-                pressing.add(id);
+            if (merged.isUrgent(id)) {
+                urgent.add(id);
             }
         }
-        take();
-        if (!known && !pressing.isEmpty()) {
+        collectTouched();
+        if (!nodesRead && !urgent.isEmpty()) {
             // Of the list from before the start; what else comes now is of one that isn't known
             // yet.
-            untold.removeAll(pressing);
-            tell(now, UpdateKind.DELTA, merged.changes(pressing), NODES, told);
-        } else if (!pressing.isEmpty() && now - settings.tick() >= lastToldAt) {
+            unpublished.removeAll(urgent);
+            publish(now, UpdateKind.DELTA, merged.changes(urgent), NODES, notifiedAtNanos);
+        } else if (!urgent.isEmpty() && now - settings.tick() >= lastPublishedNanos) {
             flush(now);
         }
     }
 
     private void flush(long now) {
-        long since = Math.min(untoldSince, now);
+        long since = Math.min(unpublishedSinceNanos, now);
         List<DiscoveredEndpoint> changes = changes();
         if (!changes.isEmpty()) {
-            tell(now, UpdateKind.DELTA, changes, NODES, since);
+            publish(now, UpdateKind.DELTA, changes, NODES, since);
         }
     }
 
     private List<DiscoveredEndpoint> changes() {
-        take();
-        List<DiscoveredEndpoint> changes = merged.changes(untold);
-        untold.clear();
-        untoldSince = NEVER;
+        collectTouched();
+        List<DiscoveredEndpoint> changes = merged.changes(unpublished);
+        unpublished.clear();
+        unpublishedSinceNanos = NEVER;
         return changes;
     }
 
-    private void tell(
+    private void publish(
             long now,
             UpdateKind kind,
             List<DiscoveredEndpoint> members,
             String source,
             long toldAt) {
-        lastToldAt = now;
+        lastPublishedNanos = now;
         sink.told(kind, members, source, toldAt);
     }
 
-    private void turn(StalenessCause next) {
+    private void markStale(StalenessCause next) {
         if (doubt != next) {
             doubt = next;
-            warning.accept(
+            warningLog.accept(
                     "membership: "
-                            + next.words()
+                            + next.description()
                             + ": the last list stands, "
                             + merged.size()
                             + " servers");
@@ -417,6 +417,6 @@
 
     /** Whether there is a list to go by. */
     public boolean usable() {
-        return known || merged.size() > 0;
+        return nodesRead || merged.size() > 0;
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
@@ -12,23 +12,23 @@
 
 /** All nodes: what is told of them in whatever order it comes, and what follows from time alone. */
 final class NodeState {
-    private final long readWithin;
-    private final long goneAfter;
+    private final long readTimeoutNanos;
+    private final long removalDelayNanos;
 
     /** Told the id of each server of which something has changed. */
-    private final Consumer<String> touched;
+    private final Consumer<String> onTouched;
 
     /** Told of each node that has vanished, before it is touched. */
-    private final Consumer<TrackedNode> vanished;
+    private final Consumer<TrackedNode> onDeleted;
 
     /** Told of each one that is there for the first time, or again. */
-    private final Consumer<TrackedNode> returned;
+    private final Consumer<TrackedNode> onReturned;
 
     private final UnreadableNodes unreadable;
     private final Map<String, TrackedNode> nodes = new LinkedHashMap<>();
-    private final Map<String, Set<TrackedNode>> byId = new HashMap<>();
-    private final Set<TrackedNode> awaited = new LinkedHashSet<>();
-    private final Set<TrackedNode> ending = new LinkedHashSet<>();
+    private final Map<String, Set<TrackedNode>> nodesByServerId = new HashMap<>();
+    private final Set<TrackedNode> pendingReads = new LinkedHashSet<>();
+    private final Set<TrackedNode> deleted = new LinkedHashSet<>();
 
     NodeState(
             NodeDiscovery.Settings settings,
@@ -36,20 +36,20 @@
             Consumer<TrackedNode> vanished,
             Consumer<TrackedNode> returned,
             UnreadableNodes unreadable) {
-        this.readWithin = settings.readWithin();
-        this.goneAfter = settings.goneAfter();
-        this.touched = touched;
-        this.vanished = vanished;
-        this.returned = returned;
+        this.readTimeoutNanos = settings.readWithin();
+        this.removalDelayNanos = settings.goneAfter();
+        this.onTouched = touched;
+        this.onDeleted = vanished;
+        this.onReturned = returned;
         this.unreadable = unreadable;
     }
 
-    Collection<TrackedNode> of(String id) {
-        return byId.getOrDefault(id, Set.of());
+    Collection<TrackedNode> byServerId(String id) {
+        return nodesByServerId.getOrDefault(id, Set.of());
     }
 
     Collection<String> ids() {
-        return byId.keySet();
+        return nodesByServerId.keySet();
     }
 
     /** Nodes that are remembered, whether or not they are there still. */
@@ -58,36 +58,36 @@
     }
 
     /** Whether a node is there, or was told to have been made again. */
-    boolean has(String name) {
+    boolean isKnown(String name) {
         TrackedNode node = nodes.get(name);
-        return node != null && (node.isThere() || node.awaited);
+        return node != null && (node.exists() || node.readPending);
     }
 
-    void changed(long now, long told, long zxid, String name) {
+    void onChanged(long nowNanos, long notifiedAtNanos, long zxid, String name) {
         TrackedNode node = nodes.get(name);
         if (node == null) {
             node = add(name);
         }
-        node.changedAt = told;
-        if (zxid > 0 && zxid <= (node.isThere() ? node.mzxid : node.vanishedZxid)) {
+        node.notifiedAtNanos = notifiedAtNanos;
+        if (zxid > 0 && zxid <= (node.exists() ? node.mzxid : node.deletedZxid)) {
             return;
         }
-        node.awaitedZxid = Math.max(zxid, node.awaited ? node.awaitedZxid : 0);
-        node.awaitedSince = node.awaited ? node.awaitedSince : told;
-        node.awaited = true;
+        node.pendingZxid = Math.max(zxid, node.readPending ? node.pendingZxid : 0);
+        node.pendingSinceNanos = node.readPending ? node.pendingSinceNanos : notifiedAtNanos;
+        node.readPending = true;
         // It has been made again, whatever its data will be.
-        node.ofOldHistory = false;
-        awaited.add(node);
-        lateIfSo(now, node);
+        node.fromLostHistory = false;
+        pendingReads.add(node);
+        markOverdueReads(nowNanos, node);
     }
 
-    void read(long mzxid, String name, NodeRead read) {
+    void onRead(long mzxid, String name, NodeRead read) {
         TrackedNode node = nodes.get(name);
         if (node != null
-                && (node.isThere() || node.awaited)
-                && !isOfEnded(node, read)
+                && (node.exists() || node.readPending)
+                && !isReadOfDeleted(node, read)
                 && isLatest(node, mzxid, read)) {
-            take(node, read);
+            update(node, read);
         }
     }
 
@@ -97,75 +97,77 @@
     }
 
     /** Whether that was read of a node which has ended since. */
-    private static boolean isOfEnded(TrackedNode node, NodeRead read) {
-        return !node.isThere() && read.czxid() <= node.vanishedZxid;
+    private static boolean isReadOfDeleted(TrackedNode node, NodeRead read) {
+        return !node.exists() && read.czxid() <= node.deletedZxid;
     }
 
-    void gone(long now, long zxid, String name) {
+    void onNodeDeleted(long nowNanos, long zxid, String name) {
         TrackedNode node = nodes.get(name);
         if (node == null) {
             // Danger: what was read of it before its end may still come.
             node = add(name);
         } else if (zxid > 0 && zxid < node.latestZxid()) {
             // Made again since, as was told; what is known of it is of the one that has ended.
-            if (node.awaited && zxid > Math.max(node.czxid, node.mzxid)) {
-                end(now, zxid, node);
+            if (node.readPending && zxid > Math.max(node.czxid, node.mzxid)) {
+                markDeleted(nowNanos, zxid, node);
             }
             return;
         }
-        vanish(now, zxid, node);
+        delete(nowNanos, zxid, node);
     }
 
     /**
      * The whole subtree as it was while {@code told} or later; what was told of since then may be
      * newer.
      */
-    void snapshot(long now, long told, Map<String, NodeRead> read) {
+    void onSnapshot(long nowNanos, long asOfNanos, Map<String, NodeRead> read) {
         read.forEach(
                 (name, each) -> {
                     TrackedNode node = nodes.get(name);
                     if (node == null) {
                         node = add(name);
                     }
-                    if (!isOfEnded(node, each) && isLatest(node, each.mzxid(), each)) {
-                        take(node, each);
+                    if (!isReadOfDeleted(node, each) && isLatest(node, each.mzxid(), each)) {
+                        update(node, each);
                     }
                 });
         for (TrackedNode each : new ArrayList<>(nodes.values())) {
-            if (!read.containsKey(each.name) && each.changedAt < told && !each.ofOldHistory) {
-                vanish(now, 0, each);
+            if (!read.containsKey(each.name)
+                    && each.notifiedAtNanos < asOfNanos
+                    && !each.fromLostHistory) {
+                delete(nowNanos, 0, each);
             }
         }
     }
 
     /** The ensemble counts anew: whatever it says of a node is newer than what it said before. */
-    void newHistory() {
+    void startNewHistory() {
         for (TrackedNode each : nodes.values()) {
             each.czxid = 0;
             each.mzxid = 0;
-            each.awaitedZxid = 0;
-            each.vanishedZxid = 0;
-            each.changedAt = Long.MIN_VALUE;
-            each.ofOldHistory = each.isThere();
+            each.pendingZxid = 0;
+            each.deletedZxid = 0;
+            each.notifiedAtNanos = Long.MIN_VALUE;
+            each.fromLostHistory = each.exists();
         }
     }
 
     /** Who has not come back into the new history by now does not. */
-    void endOldHistory(long now) {
+    void dropLostHistory(long nowNanos) {
         for (TrackedNode each : new ArrayList<>(nodes.values())) {
-            if (each.ofOldHistory) {
-                vanish(now, 0, each);
+            if (each.fromLostHistory) {
+                delete(nowNanos, 0, each);
             }
         }
     }
 
-    void tick(long now) {
-        awaited.forEach(node -> lateIfSo(now, node));
-        for (Iterator<TrackedNode> all = ending.iterator(); all.hasNext(); ) {
+    void tick(long nowNanos) {
+        pendingReads.forEach(node -> markOverdueReads(nowNanos, node));
+        for (Iterator<TrackedNode> all = deleted.iterator(); all.hasNext(); ) {
             TrackedNode node = all.next();
-            if (node.isThere()) {
+            if (node.exists()) {
                 all.remove();
-            } else if (!node.awaited && now - node.vanishedAt >= goneAfter) {
+            } else if (!node.readPending && nowNanos - node.deletedAtNanos >= removalDelayNanos) {
                 all.remove();
                 forget(node);
             }
@@ -178,54 +180,54 @@
         return node;
     }
 
-    private void lateIfSo(long now, TrackedNode node) {
-        if (!node.late && now - node.awaitedSince >= readWithin) {
-            node.late = true;
+    private void markOverdueReads(long nowNanos, TrackedNode node) {
+        if (!node.readOverdue && nowNanos - node.pendingSinceNanos >= readTimeoutNanos) {
+            node.readOverdue = true;
             touch(node);
         }
     }
 
-    private void take(TrackedNode node, NodeRead read) {
+    private void update(TrackedNode node, NodeRead read) {
         String before = node.id();
-        boolean wasThere = before != null && node.isThere();
-        node.take(read);
-        awaited.remove(node);
-        ending.remove(node);
+        boolean wasThere = before != null && node.exists();
+        node.update(read);
+        pendingReads.remove(node);
+        deleted.remove(node);
         if (read.data() == null) {
             unreadable.add(node.name, read.problem());
         } else {
-            unreadable.readable(node.name);
+            unreadable.remove(node.name);
         }
         String after = node.id();
         if (before != null && !before.equals(after)) {
             remove(before, node);
-            touched.accept(before);
+            onTouched.accept(before);
         }
         if (after != null && !after.equals(before)) {
-            byId.computeIfAbsent(after, id -> new LinkedHashSet<>()).add(node);
+            nodesByServerId.computeIfAbsent(after, id -> new LinkedHashSet<>()).add(node);
         }
         if (!wasThere && !node.unreadable) {
-            returned.accept(node);
+            onReturned.accept(node);
         }
         touch(node);
     }
 
-    private void vanish(long now, long zxid, TrackedNode node) {
+    private void delete(long nowNanos, long zxid, TrackedNode node) {
         long ended = Math.max(zxid, node.latestZxid());
-        node.awaited = false;
-        awaited.remove(node);
-        end(now, ended, node);
+        node.readPending = false;
+        pendingReads.remove(node);
+        markDeleted(nowNanos, ended, node);
     }
 
-    private void end(long now, long zxid, TrackedNode node) {
-        node.vanishedZxid = Math.max(zxid, node.vanishedZxid);
-        node.late = false;
-        node.ofOldHistory = false;
+    private void markDeleted(long nowNanos, long zxid, TrackedNode node) {
+        node.deletedZxid = Math.max(zxid, node.deletedZxid);
+        node.readOverdue = false;
+        node.fromLostHistory = false;
         unreadable.forget(node.name);
-        if (node.isThere()) {
-            node.vanishedAt = now;
-            ending.add(node);
-            vanished.accept(node);
+        if (node.exists()) {
+            node.deletedAtNanos = nowNanos;
+            deleted.add(node);
+            onDeleted.accept(node);
             touch(node);
         }
     }
@@ -239,16 +241,16 @@
     }
 
     private void remove(String id, TrackedNode node) {
-        Set<TrackedNode> same = byId.get(id);
+        Set<TrackedNode> same = nodesByServerId.get(id);
         same.remove(node);
         if (same.isEmpty()) {
-            byId.remove(id);
+            nodesByServerId.remove(id);
         }
     }
 
     private void touch(TrackedNode node) {
         if (node.wasRead()) {
-            touched.accept(node.id());
+            onTouched.accept(node.id());
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
@@ -22,35 +22,35 @@
      * Two sources may name one process's start so far apart, in milliseconds. Danger: taken for
      * two, the end that one source tells would be undone by the other, slower one.
      */
-    static final long SAME_START = 5000;
+    static final long SAME_START_TOLERANCE_MILLIS = 5000;
 
     /**
      * An upstream as the registry lists it, and whether an end told by its node stands against
      * that.
      */
     private static final class Entry {
-        DiscoveredEndpoint member;
+        DiscoveredEndpoint endpoint;
 
         /** Latest start that has ended, by the end of a node; {@link Long#MIN_VALUE} for none. */
-        long endedStart = Long.MIN_VALUE;
+        long endedStartMillis = Long.MIN_VALUE;
 
         boolean isEnded() {
-            return endedStart >= member.startedAtUnixMillis();
+            return endedStartMillis >= endpoint.startedAtUnixMillis();
         }
     }
 
-    private final Consumer<String> touched;
+    private final Consumer<String> onTouched;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final AddressIndex addresses = new AddressIndex();
 
     RegistryState(Consumer<String> touched) {
-        this.touched = touched;
+        this.onTouched = touched;
     }
 
     /** What it lists of an id and has not ended; null for none. */
-    DiscoveredEndpoint of(String id) {
+    DiscoveredEndpoint liveEndpoint(String id) {
         Entry entry = entries.get(id);
-        return entry == null || entry.isEnded() ? null : entry.member;
+        return entry == null || entry.isEnded() ? null : entry.endpoint;
     }
 
     Collection<String> ids() {
@@ -60,7 +60,7 @@
     /**
      * Takes a list over; told of each member that is listed, and of each that the registry ends.
      */
-    void take(
+    void update(
             UpdateKind kind,
             Collection<DiscoveredEndpoint> members,
             Consumer<DiscoveredEndpoint> listed,
@@ -71,10 +71,10 @@
             entries.values()
                     .removeIf(
                             entry -> {
-                                boolean missing = !left.contains(entry.member.id());
+                                boolean missing = !left.contains(entry.endpoint.id());
                                 if (missing) {
-                                    addresses.put(entry.member.id(), null);
-                                    end(entry.member, ended);
+                                    addresses.put(entry.endpoint.id(), null);
+                                    end(entry.endpoint, ended);
                                 }
                                 return missing;
                             });
@@ -83,34 +83,34 @@
             if (member.state() == HostState.GONE) {
                 Entry entry = entries.remove(member.id());
                 addresses.put(member.id(), null);
-                end(entry == null ? member : entry.member, ended);
+                end(entry == null ? member : entry.endpoint, ended);
             } else {
-                entries.computeIfAbsent(member.id(), id -> new Entry()).member = member;
+                entries.computeIfAbsent(member.id(), id -> new Entry()).endpoint = member;
                 addresses.put(member.id(), member.address());
                 listed.accept(member);
-                touched.accept(member.id());
+                onTouched.accept(member.id());
             }
         }
     }
 
     private void end(DiscoveredEndpoint member, Consumer<DiscoveredEndpoint> ended) {
         ended.accept(member);
-        touched.accept(member.id());
+        onTouched.accept(member.id());
     }
 
     /**
      * The node of a server has vanished: what the registry has of that process is as good as gone.
      */
-    void nodeVanished(DiscoveredEndpoint node) {
-        for (Entry each : speakingOf(node)) {
-            DiscoveredEndpoint listed = each.member;
-            long until =
+    void onNodeDeleted(DiscoveredEndpoint node) {
+        for (Entry each : entriesOfProcess(node)) {
+            DiscoveredEndpoint listed = each.endpoint;
+            long untilMillis =
                     listed.id().equals(node.id())
-                            ? node.startedAtUnixMillis() + SAME_START
+                            ? node.startedAtUnixMillis() + SAME_START_TOLERANCE_MILLIS
                             : node.startedAtUnixMillis();
-            if (listed.startedAtUnixMillis() <= until) {
-                each.endedStart = Math.max(each.endedStart, until);
-                touched.accept(listed.id());
+            if (listed.startedAtUnixMillis() <= untilMillis) {
+                each.endedStartMillis = Math.max(each.endedStartMillis, untilMillis);
+                onTouched.accept(listed.id());
             }
         }
     }
@@ -118,35 +118,38 @@
     /**
      * The same of a node that was never read: whatever process it stood for, it is the one listed.
      */
-    void nodeVanished(String name) {
+    void onNodeDeleted(String name) {
         Entry entry = entries.get(name);
         if (entry != null) {
-            entry.endedStart =
-                    Math.max(entry.endedStart, entry.member.startedAtUnixMillis() + SAME_START);
-            touched.accept(name);
+            entry.endedStartMillis =
+                    Math.max(
+                            entry.endedStartMillis,
+                            entry.endpoint.startedAtUnixMillis() + SAME_START_TOLERANCE_MILLIS);
+            onTouched.accept(name);
         }
     }
 
     /** A process that began later is listed at its address. */
-    void displace(String id) {
+    void markDisplaced(String id) {
         Entry entry = entries.get(id);
         if (entry != null) {
-            entry.endedStart = Math.max(entry.endedStart, entry.member.startedAtUnixMillis());
+            entry.endedStartMillis =
+                    Math.max(entry.endedStartMillis, entry.endpoint.startedAtUnixMillis());
         }
     }
 
     /** A server has its node again. */
-    void nodeReturned(DiscoveredEndpoint node) {
-        for (Entry each : speakingOf(node)) {
-            if (each.endedStart != Long.MIN_VALUE) {
-                each.endedStart = Long.MIN_VALUE;
-                touched.accept(each.member.id());
+    void onNodeReturned(DiscoveredEndpoint node) {
+        for (Entry each : entriesOfProcess(node)) {
+            if (each.endedStartMillis != Long.MIN_VALUE) {
+                each.endedStartMillis = Long.MIN_VALUE;
+                onTouched.accept(each.endpoint.id());
             }
         }
     }
 
     /** One process may be listed under two ids; only one can listen at an address. */
-    private List<Entry> speakingOf(DiscoveredEndpoint node) {
+    private List<Entry> entriesOfProcess(DiscoveredEndpoint node) {
         List<Entry> same = new ArrayList<>();
         for (String id : addresses.at(node.address())) {
             same.add(entries.get(id));
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
@@ -19,14 +19,14 @@
     /** The names are more than one answer may hold. */
     TOO_LARGE("the names of the nodes are more than one answer may hold");
 
-    private final String words;
+    private final String description;
 
     StalenessCause(String words) {
-        this.words = words;
+        this.description = words;
     }
 
     /** For operators. */
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
@@ -12,7 +12,7 @@
      * A start that nothing is known of is now, to who places it: never long ago, which would be
      * warm.
      */
-    private static final long LATEST_START = 7_258_118_400_000L;
+    private static final long MAX_START_UNIX_MILLIS = 7_258_118_400_000L;
 
     final String name;
 
@@ -22,32 +22,32 @@
     private long startedMillis;
 
     /** What it said of its start, before that was weighed. */
-    private long saidMillis;
+    private long statedStartMillis;
 
     long czxid;
     long mzxid;
 
     /** A change was told whose data has not come. */
-    boolean awaited;
+    boolean readPending;
 
-    long awaitedZxid;
-    long awaitedSince = NEVER;
+    long pendingZxid;
+    long pendingSinceNanos = NEVER;
 
     /** When it was told last that it was made or changed. */
-    long changedAt = Long.MIN_VALUE;
+    long notifiedAtNanos = Long.MIN_VALUE;
 
     /** The data is late, and there is no telling what it says. */
-    boolean late;
+    boolean readOverdue;
 
     boolean unreadable;
 
     /** When it vanished; {@link #NEVER} while it is there. */
-    long vanishedAt = NEVER;
+    long deletedAtNanos = NEVER;
 
-    long vanishedZxid;
+    long deletedZxid;
 
     /** Latest start that the registry has told the end of; {@link Long#MIN_VALUE} for none. */
-    private long endedStart = Long.MIN_VALUE;
+    private long endedStartMillis = Long.MIN_VALUE;
 
     /**
      * A process that began later has been listed at its address, and it can't be there any more.
@@ -55,14 +55,14 @@
     private boolean displaced;
 
     /** Of a history that the ensemble has lost; it may come back. */
-    boolean ofOldHistory;
+    boolean fromLostHistory;
 
     TrackedNode(String name) {
         this.name = name;
     }
 
-    boolean isThere() {
-        return vanishedAt == NEVER;
+    boolean exists() {
+        return deletedAtNanos == NEVER;
     }
 
     boolean wasRead() {
@@ -83,41 +83,43 @@
      * no start. Where the node names none either, its making tells nothing of which process is
      * meant.
      */
-    void registryEnds(long registryStart) {
-        boolean comparable = saidMillis > 0 && registryStart > 0;
-        endedStart =
+    void onRegistryEnd(long registryStart) {
+        boolean comparable = statedStartMillis > 0 && registryStart > 0;
+        endedStartMillis =
                 Math.max(
-                        endedStart,
-                        comparable ? registryStart + RegistryState.SAME_START : startedMillis);
+                        endedStartMillis,
+                        comparable
+                                ? registryStart + RegistryState.SAME_START_TOLERANCE_MILLIS
+                                : startedMillis);
     }
 
-    void registryLists() {
-        endedStart = Long.MIN_VALUE;
+    void onRegistryListing() {
+        endedStartMillis = Long.MIN_VALUE;
     }
 
-    void displace() {
+    void markDisplaced() {
         displaced = true;
     }
 
     /** Whether the process that it stands for can't be there, or the registry has told its end. */
     boolean isEnded() {
-        return displaced || endedStart >= startedMillis;
+        return displaced || endedStartMillis >= startedMillis;
     }
 
     /** The highest transaction that it is known by. */
     long latestZxid() {
-        return Math.max(Math.max(czxid, mzxid), awaited ? awaitedZxid : 0);
+        return Math.max(Math.max(czxid, mzxid), readPending ? pendingZxid : 0);
     }
 
     /** Takes over what was read. */
-    void take(NodeRead read) {
-        awaited = false;
-        late = false;
-        vanishedAt = NEVER;
-        ofOldHistory = false;
+    void update(NodeRead read) {
+        readPending = false;
+        readOverdue = false;
+        deletedAtNanos = NEVER;
+        fromLostHistory = false;
         if (read.czxid() > czxid) {
             // Made anew, by a process that is there.
-            endedStart = Long.MIN_VALUE;
+            endedStartMillis = Long.MIN_VALUE;
             displaced = false;
         }
         czxid = Math.max(czxid, read.czxid());
@@ -125,8 +127,8 @@
         unreadable = read.data() == null;
         if (!unreadable) {
             displaced &= data != null && data.address().equals(read.data().address());
-            startedMillis = start(read);
-            saidMillis = read.data().startedMillis();
+            startedMillis = resolveStartMillis(read);
+            statedStartMillis = read.data().startedMillis();
             data = read.data();
         }
     }
@@ -135,24 +137,27 @@
      * Danger: a process restarted under a clock that had stepped back names a start before the one
      * known, and would be taken for the old one; its node's making is then the better word.
      */
-    private long start(NodeRead read) {
-        long said = read.data().startedMillis();
-        long made =
+    private long resolveStartMillis(NodeRead read) {
+        long statedMillis = read.data().startedMillis();
+        long createdMillis =
                 read.createdMillis() > 0
-                        ? Math.min(read.createdMillis(), LATEST_START)
-                        : LATEST_START;
-        if (said <= 0) {
-            return made;
+                        ? Math.min(read.createdMillis(), MAX_START_UNIX_MILLIS)
+                        : MAX_START_UNIX_MILLIS;
+        if (statedMillis <= 0) {
+            return createdMillis;
         }
-        if (data == null || said > startedMillis) {
-            return Math.min(said, LATEST_START);
+        if (data == null || statedMillis > startedMillis) {
+            return Math.min(statedMillis, MAX_START_UNIX_MILLIS);
         }
-        return said == saidMillis ? startedMillis : Math.max(made, startedMillis + 1);
+        return statedMillis == statedStartMillis
+                ? startedMillis
+                : Math.max(createdMillis, startedMillis + 1);
     }
 
     /** Its server as the list is to have it. */
-    DiscoveredEndpoint member() {
-        HostState state = isThere() && !late && !unreadable ? data.state() : HostState.DRAINING;
+    DiscoveredEndpoint endpoint() {
+        HostState state =
+                exists() && !readOverdue && !unreadable ? data.state() : HostState.DRAINING;
         return new DiscoveredEndpoint(
                 id(),
                 data.address(),
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
@@ -10,64 +10,64 @@
     /** What a state that was read is to what was told before. */
     enum Verdict {
         /** No older: it holds, and so does what it leaves out. */
-        GOES_ON,
+        CURRENT,
         /** A server that lags. */
         OLDER,
         /** The past is lost, and nothing has come in its place. */
         LOST,
         /** The past is lost, and this has come in its place. */
-        ANEW
+        RESTARTED
     }
 
     /**
      * A server that lags for so long is no part of its ensemble any more. Danger: taken for a new
      * beginning, what it has not heard of yet would undo what was told.
      */
-    private static final long LONGEST_LAG = TimeUnit.SECONDS.toNanos(15);
+    private static final long MAX_REPLICA_LAG_NANOS = TimeUnit.SECONDS.toNanos(15);
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    private long seen;
+    private long highestZxid;
 
     /**
      * The highest that events of the present connection told of: no server runs back on one
      * connection.
      */
-    private long seenOnConnection;
+    private long connectionZxid;
 
-    private long olderSince = NEVER;
+    private long staleSinceNanos = NEVER;
     private boolean newSession;
     private boolean lost;
 
     /** Something was told of this transaction. */
-    void saw(long zxid) {
+    void onEvent(long zxid) {
         if (lost) {
             return;
         }
-        seen = Math.max(seen, zxid);
-        seenOnConnection = Math.max(seenOnConnection, zxid);
+        highestZxid = Math.max(highestZxid, zxid);
+        connectionZxid = Math.max(connectionZxid, zxid);
     }
 
     /** What comes now may come from another server. */
-    void connected() {
-        seenOnConnection = 0;
+    void onConnected() {
+        connectionZxid = 0;
     }
 
     /** Whether an event may be part of what was told long ago; also where nothing tells. */
-    boolean isOld(long zxid) {
-        return zxid < seen;
+    boolean mayPredate(long zxid) {
+        return zxid < highestZxid;
     }
 
     /**
      * The ensemble has ended the session: none of the handles to come knows how far it had come.
      */
-    void sessionEnded() {
+    void onSessionExpired() {
         newSession = true;
-        olderSince = NEVER;
+        staleSinceNanos = NEVER;
     }
 
     /** It is known otherwise that the past is lost. */
-    void lose() {
+    void markLost() {
         lost = true;
     }
 
@@ -76,36 +76,36 @@
     }
 
     /** Whatever comes next is right. */
-    void forget() {
-        seen = 0;
-        begin();
+    void trustNext() {
+        highestZxid = 0;
+        restart();
     }
 
-    Verdict weigh(long now, long read, boolean holdsEntries) {
-        long zxid = Math.max(read, seenOnConnection);
-        if (!lost && zxid >= seen) {
-            seen = zxid;
-            begin();
-            return Verdict.GOES_ON;
+    Verdict classify(long nowNanos, long snapshotZxid, boolean holdsEntries) {
+        long zxid = Math.max(snapshotZxid, connectionZxid);
+        if (!lost && zxid >= highestZxid) {
+            highestZxid = zxid;
+            restart();
+            return Verdict.CURRENT;
         }
-        olderSince = Math.min(olderSince, now);
+        staleSinceNanos = Math.min(staleSinceNanos, nowNanos);
         // A session that goes on proves that the ensemble has its past: servers refuse who has seen
         // more.
-        lost |= newSession && now - olderSince >= LONGEST_LAG;
+        lost |= newSession && nowNanos - staleSinceNanos >= MAX_REPLICA_LAG_NANOS;
         if (!lost) {
             return Verdict.OLDER;
         }
         if (!holdsEntries) {
             return Verdict.LOST;
         }
-        seen = zxid;
-        begin();
-        return Verdict.ANEW;
+        highestZxid = zxid;
+        restart();
+        return Verdict.RESTARTED;
     }
 
-    private void begin() {
+    private void restart() {
         lost = false;
         newSession = false;
-        olderSince = NEVER;
+        staleSinceNanos = NEVER;
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -6,46 +6,48 @@
 
 /** Nodes that can't be read: counted, and named once each as long as they are few. */
 final class UnreadableNodes {
-    private static final int NAMED = 100;
+    private static final int MAX_NAMED = 100;
 
     private final Consumer<String> warning;
-    private final Set<String> now = new HashSet<>();
+    private final Set<String> unreadable = new HashSet<>();
     private final Set<String> named = new HashSet<>();
-    private boolean saidMany;
+    private boolean reportedMany;
 
     UnreadableNodes(Consumer<String> warning) {
         this.warning = warning;
     }
 
     int count() {
-        return now.size();
+        return unreadable.size();
     }
 
     void add(String name, String problem) {
-        now.add(name);
+        unreadable.add(name);
         if (named.contains(name)) {
             return;
         }
-        if (named.size() < NAMED) {
+        if (named.size() < MAX_NAMED) {
             named.add(name);
             warning.accept(
                     "membership: node " + name + " can't be read and is left out: " + problem);
-        } else if (!saidMany) {
-            saidMany = true;
+        } else if (!reportedMany) {
+            reportedMany = true;
             warning.accept(
-                    "membership: more than " + NAMED + " nodes can't be read; no more are named");
+                    "membership: more than "
+                            + MAX_NAMED
+                            + " nodes can't be read; no more are named");
         }
     }
 
     /** It has been read; what is wrong with it later is not told again. */
-    void readable(String name) {
-        now.remove(name);
+    void remove(String name) {
+        unreadable.remove(name);
     }
 
     /** Its node is no more. */
     void forget(String name) {
-        now.remove(name);
+        unreadable.remove(name);
         named.remove(name);
-        saidMany &= !named.isEmpty();
+        reportedMany &= !named.isEmpty();
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
@@ -13,7 +13,7 @@
 
     private NodeJsonWriter() {}
 
-    static byte[] of(RegisterArguments server, boolean terminating, long startedMillis) {
+    static byte[] write(RegisterArguments server, boolean terminating, long startedMillis) {
         ObjectNode node = JSON.createObjectNode();
         node.put("address", Addresses.format(server.address()));
         if (server.zone() != null) {
@@ -30,7 +30,7 @@
     }
 
     /** When the server that a node tells of has started; 0 if it doesn't say. */
-    static long started(byte[] data) {
+    static long startedMillis(byte[] data) {
         try {
             JsonNode node = data == null ? null : JSON.readTree(data);
             return node == null ? 0 : node.path("started").asLong(0);
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
@@ -24,26 +24,26 @@
     /** What to do, on the one thread that does it. */
     private enum Task {
         OPEN,
-        KEEP,
-        END
+        ENSURE,
+        CLOSE
     }
 
-    private static final long AGAIN_MILLIS = 1000;
+    private static final long RETRY_MILLIS = 1000;
 
     /** The node is looked at this often although nothing was told. */
-    private static final long LOOK_MILLIS = 10_000;
+    private static final long CHECK_MILLIS = 10_000;
 
-    private static final int TRIES = 5;
+    private static final int MAX_ATTEMPTS = 5;
 
     private final ZooKeeperSettings settings;
     private final String name;
     private final long startedMillis;
     private final Consumer<String> log;
     private final LinkedBlockingQueue<Task> tasks = new LinkedBlockingQueue<>();
-    private final Thread keeper = new Thread(this::run, "registration");
+    private final Thread thread = new Thread(this::run, "registration");
     private volatile byte[] data;
     private volatile ZooKeeper client;
-    private String told = "";
+    private String lastLogged = "";
 
     /**
      * With the node's name under the settings' root.
@@ -61,27 +61,27 @@
         this.data = data;
         this.startedMillis = startedMillis;
         this.log = log;
-        keeper.setDaemon(true);
+        thread.setDaemon(true);
     }
 
     /** From now on the node is there whenever a coordination server can be had. */
     public void start() {
         tasks.add(Task.OPEN);
-        keeper.start();
+        thread.start();
     }
 
     /** Changes what the node holds. */
-    public void holds(byte[] other) {
+    public void setData(byte[] other) {
         data = other;
-        tasks.add(Task.KEEP);
+        tasks.add(Task.ENSURE);
     }
 
     /** Deletes the node by ending the session; waits for that for a moment. */
     @Override
     public void close() {
-        tasks.add(Task.END);
+        tasks.add(Task.CLOSE);
         try {
-            keeper.join(TimeUnit.SECONDS.toMillis(3));
+            thread.join(TimeUnit.SECONDS.toMillis(3));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -91,25 +91,25 @@
         boolean again = false;
         while (true) {
             try {
-                Task task = tasks.poll(again ? AGAIN_MILLIS : LOOK_MILLIS, TimeUnit.MILLISECONDS);
-                if (task == Task.END) {
+                Task task = tasks.poll(again ? RETRY_MILLIS : CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                if (task == Task.CLOSE) {
                     drop();
                     return;
                 }
                 if (task == Task.OPEN || client == null) {
                     open();
                 }
-                keep();
+                ensureRegistered();
                 again = false;
             } catch (KeeperException e) {
                 again = true;
                 if (e.code() != Code.CONNECTIONLOSS
                         || client.getState() == ZooKeeper.States.CONNECTED) {
-                    tell("can't register: " + e.code());
+                    logChange("can't register: " + e.code());
                 }
             } catch (IOException | RuntimeException e) {
                 again = true;
-                tell("can't register: " + e);
+                logChange("can't register: " + e);
             } catch (InterruptedException e) {
                 return;
             }
@@ -118,7 +118,7 @@
 
     private void open() throws IOException {
         drop();
-        client = ZooKeeperClientFactory.open(settings, this::heard);
+        client = ZooKeeperClientFactory.open(settings, this::onEvent);
     }
 
     private void drop() {
@@ -129,13 +129,13 @@
     }
 
     /** On the client's thread. */
-    private void heard(WatchedEvent event) {
+    private void onEvent(WatchedEvent event) {
         if (event.getType() != Watcher.Event.EventType.None) {
-            tasks.add(Task.KEEP);
+            tasks.add(Task.ENSURE);
             return;
         }
         switch (event.getState()) {
-            case SyncConnected -> tasks.add(Task.KEEP);
+            case SyncConnected -> tasks.add(Task.ENSURE);
             case Disconnected ->
                     log.accept(
                             "registration: no coordination server answers; the node stays"
@@ -151,25 +151,25 @@
         }
     }
 
-    private void keep() throws KeeperException, InterruptedException {
+    private void ensureRegistered() throws KeeperException, InterruptedException {
         if (client.getState() != ZooKeeper.States.CONNECTED) {
             return;
         }
         String path = settings.root() + "/" + name;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             byte[] wanted = data;
             Stat stat = new Stat();
-            byte[] there = look(path, stat);
+            byte[] there = read(path, stat);
             if (stat.getCzxid() == 0) {
                 create(path, wanted);
             } else if (stat.getEphemeralOwner() == client.getSessionId()) {
                 if (!Arrays.equals(there, wanted)) {
                     client.setData(path, wanted, stat.getVersion());
                 }
-                tell("registered as " + path);
+                logChange("registered as " + path);
                 return;
-            } else if (NodeJsonWriter.started(there) > startedMillis) {
-                tell("a server that started later has the name " + path + "; not registered");
+            } else if (NodeJsonWriter.startedMillis(there) > startedMillis) {
+                logChange("a server that started later has the name " + path + "; not registered");
                 return;
             } else {
                 delete(path, stat);
@@ -180,7 +180,7 @@
     /**
      * What the node holds, and the watch that tells of its end; a number of 0 if it is not there.
      */
-    private byte[] look(String path, Stat stat) throws KeeperException, InterruptedException {
+    private byte[] read(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
             return client.getData(path, true, stat);
         } catch (KeeperException.NoNodeException e) {
@@ -198,11 +198,11 @@
             if (shard < 0) {
                 throw e;
             }
-            makeShard(settings.root() + "/" + name.substring(0, shard));
+            createShard(settings.root() + "/" + name.substring(0, shard));
         }
     }
 
-    private void makeShard(String path) throws KeeperException, InterruptedException {
+    private void createShard(String path) throws KeeperException, InterruptedException {
         try {
             client.create(
                     path, new byte[0], ZooKeeperClientFactory.acl(settings), CreateMode.PERSISTENT);
@@ -223,9 +223,9 @@
         }
     }
 
-    private void tell(String line) {
-        if (!line.equals(told)) {
-            told = line;
+    private void logChange(String line) {
+        if (!line.equals(lastLogged)) {
+            lastLogged = line;
             log.accept("registration: " + line);
         }
     }
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
@@ -51,8 +51,8 @@
                     "--check",
                     "--drain-for");
     private static final String NAME = "[A-Za-z0-9_.:@-]{1,253}";
-    private static final long MOST_DRAIN = 600_000;
-    private static final double MOST_WEIGHT = 1e6;
+    private static final long MAX_DRAIN_MILLIS = 600_000;
+    private static final double MAX_WEIGHT = 1e6;
 
     /** Reads them; what makes no sense is told by an {@link IllegalArgumentException}. */
     static RegisterArguments parse(List<String> words) {
@@ -78,20 +78,20 @@
             throw new IllegalArgumentException("--check is not a path like /health/ready");
         }
         return new RegisterArguments(
-                Path.of(needed(given, "--operator")),
-                name("--id", needed(given, "--id")),
+                Path.of(required(given, "--operator")),
+                name("--id", required(given, "--id")),
                 given.containsKey("--shard") ? name("--shard", given.get("--shard")) : null,
-                address(needed(given, "--address")),
+                address(required(given, "--address")),
                 given.get("--zone"),
                 given.get("--kind"),
                 (int) number(given, "--cell", 0, 0, Integer.MAX_VALUE),
-                number(given, "--weight", 1, Double.MIN_VALUE, MOST_WEIGHT),
+                number(given, "--weight", 1, Double.MIN_VALUE, MAX_WEIGHT),
                 check,
-                (long) number(given, "--drain-for", 2000, 0, MOST_DRAIN),
+                (long) number(given, "--drain-for", 2000, 0, MAX_DRAIN_MILLIS),
                 List.copyOf(words.subList(end + 1, words.size())));
     }
 
-    private static String needed(Map<String, String> given, String name) {
+    private static String required(Map<String, String> given, String name) {
         String value = given.get(name);
         if (value == null || value.isEmpty()) {
             throw new IllegalArgumentException(name + " is missing");
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
@@ -20,19 +20,19 @@
  */
 public final class RegisterCommand {
     /** Exit status where the command makes no sense. */
-    public static final int SENSELESS = 2;
+    public static final int EXIT_USAGE = 2;
 
     /** As shells have it for a command that can't be started. */
-    private static final int NO_COMMAND = 127;
+    private static final int EXIT_COMMAND_NOT_FOUND = 127;
 
-    private static final int CONNECT_MILLIS = 250;
-    private static final int ANSWER_MILLIS = 1000;
-    private static final long LOOK_MILLIS = 100;
+    private static final int CONNECT_TIMEOUT_MILLIS = 250;
+    private static final int RESPONSE_TIMEOUT_MILLIS = 1000;
+    private static final long HEALTH_CHECK_MILLIS = 100;
 
     /**
      * For so long the session's end is waited for; without that the node ends with its time-out.
      */
-    private static final long LEAVE_MILLIS = 4000;
+    private static final long SESSION_CLOSE_MILLIS = 4000;
 
     private static final System.Logger LOG = System.getLogger("appleridge");
 
@@ -69,7 +69,7 @@
         } catch (IllegalArgumentException e) {
             System.err.println("appleridge: " + e.getMessage());
             System.err.println(RegisterArguments.USAGE);
-            return SENSELESS;
+            return EXIT_USAGE;
         }
     }
 
@@ -79,19 +79,19 @@
         } catch (IOException e) {
             System.err.println(
                     "appleridge: can't start " + server.command().get(0) + ": " + e.getMessage());
-            return NO_COMMAND;
+            return EXIT_COMMAND_NOT_FOUND;
         }
         startedMillis = SystemTime.UNIX_MILLIS.getAsLong();
         registration =
                 new NodeRegistration(
                         settings,
                         server.shard() == null ? server.id() : server.shard() + "/" + server.id(),
-                        text(false),
+                        nodeData(false),
                         startedMillis,
                         line -> LOG.log(System.Logger.Level.INFO, line));
         Runtime.getRuntime().addShutdownHook(new Thread(this::terminate, "terminate"));
         try {
-            boolean registered = awaitAnswer();
+            boolean registered = awaitHealthy();
             if (registered) {
                 registration.start();
             }
@@ -110,8 +110,8 @@
         }
     }
 
-    private byte[] text(boolean terminating) {
-        return NodeJsonWriter.of(server, terminating, startedMillis);
+    private byte[] nodeData(boolean terminating) {
+        return NodeJsonWriter.write(server, terminating, startedMillis);
     }
 
     /** On SIGTERM, and at any other end of this process. */
@@ -120,14 +120,14 @@
         try {
             if (child.isAlive()) {
                 LOG.log(System.Logger.Level.INFO, "registration: ending " + server.id());
-                registration.holds(text(true));
+                registration.setData(nodeData(true));
                 if (child.waitFor(server.drainMillis(), TimeUnit.MILLISECONDS)) {
                     LOG.log(System.Logger.Level.INFO, "registration: it ended by itself");
                 }
                 child.destroy();
             }
             int status = child.waitFor();
-            drained.await(LEAVE_MILLIS, TimeUnit.MILLISECONDS);
+            drained.await(SESSION_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
             Runtime.getRuntime().halt(status);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -135,23 +135,23 @@
     }
 
     /** Whether it answers; not if it ended before it did, or is to end. */
-    private boolean awaitAnswer() throws InterruptedException {
+    private boolean awaitHealthy() throws InterruptedException {
         while (child.isAlive() && ending.getCount() > 0) {
-            if (answers(server.address(), server.check())) {
+            if (isHealthy(server.address(), server.check())) {
                 return true;
             }
-            child.waitFor(LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            child.waitFor(HEALTH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         }
         return false;
     }
 
-    static boolean answers(InetSocketAddress address, String check) {
+    static boolean isHealthy(InetSocketAddress address, String check) {
         try (Socket socket = new Socket()) {
-            socket.connect(address, CONNECT_MILLIS);
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
             if (check == null) {
                 return true;
             }
-            socket.setSoTimeout(ANSWER_MILLIS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
             socket.getOutputStream()
                     .write(
                             ("GET "
@@ -160,13 +160,13 @@
                                             + address.getAddress().getHostAddress()
                                             + "\r\nConnection: close\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-            return good(socket.getInputStream());
+            return isSuccess(socket.getInputStream());
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static boolean good(InputStream in) throws IOException {
+    private static boolean isSuccess(InputStream in) throws IOException {
         return new String(in.readNBytes("HTTP/1.1 200".length()), StandardCharsets.US_ASCII)
                 .matches("HTTP/1\\.[01] 2\\d\\d");
     }
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -23,17 +23,17 @@
     /** Told once for each call, and never inside it, unless the connection was dropped. */
     interface Caller {
         /** With the answer, which is released when this returns. */
-        void answered(RegistryConnection by, FullHttpResponse answer);
+        void onResponse(RegistryConnection by, FullHttpResponse answer);
 
         /** There is no answer, and the connection is of no further use. */
-        void failed(RegistryConnection by, String why);
+        void onFailure(RegistryConnection by, String why);
 
         /** There is no socket to be had for it, as when descriptors are out. */
-        void noSocket(RegistryConnection by, String why);
+        void onNoSocket(RegistryConnection by, String why);
     }
 
-    private static final int MAX_ANSWER = 4 << 20;
-    private static final long CONNECT_TIMEOUT = TimeUnit.SECONDS.toNanos(1);
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final long CONNECT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final SocketFactory sockets;
     private final InetSocketAddress address;
@@ -46,7 +46,7 @@
 
     private boolean calling;
     private boolean dropped;
-    private boolean kept = true;
+    private boolean keepAlive = true;
 
     RegistryConnection(
             SidecarEventLoop loop,
@@ -60,13 +60,14 @@
                 new Connector(
                                 loop,
                                 sockets,
-                                CONNECT_TIMEOUT,
+                                CONNECT_TIMEOUT_NANOS,
                                 opened ->
                                         opened.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MAX_ANSWER),
-                                                        new Answers()))
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES),
+                                                        new ResponseHandler()))
                         .connect(
                                 address,
                                 new Connector.Listener() {
@@ -91,7 +92,7 @@
                                         calling = false;
                                         drop();
                                         if (told) {
-                                            caller.noSocket(
+                                            caller.onNoSocket(
                                                     RegistryConnection.this, cause.getMessage());
                                         }
                                     }
@@ -99,8 +100,8 @@
     }
 
     /** Whether the next call may go out on it. */
-    boolean usable() {
-        return !dropped && !calling && kept && (channel == null || channel.isActive());
+    boolean isUsable() {
+        return !dropped && !calling && keepAlive && (channel == null || channel.isActive());
     }
 
     void call(String uri) {
@@ -145,11 +146,11 @@
         calling = false;
         drop();
         if (told) {
-            caller.failed(this, why);
+            caller.onFailure(this, why);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             if (dropped || !calling) {
@@ -159,8 +160,8 @@
                 end("malformed HTTP");
             } else {
                 calling = false;
-                kept = HttpUtil.isKeepAlive(answer);
-                caller.answered(RegistryConnection.this, answer);
+                keepAlive = HttpUtil.isKeepAlive(answer);
+                caller.onResponse(RegistryConnection.this, answer);
             }
         }
 
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -26,13 +26,19 @@
      * How long what is asked may take, in nanoseconds.
      *
      * @param watch a watch without news
-     * @param late what a watch may take beyond that before discovery is asked beside it
+     * @param onOverdueResponse what a watch may take beyond that before discovery is asked beside
+     *     it
      * @param patience a call that need not wait
      * @param wholeAgain what has failed is followed by a call for the whole list, which need not
      *     wait, and not by a watch
      * @param holds for so long after a call no more counts as told than what was written
      */
-    public record PollPolicy(long watch, long late, long patience, boolean wholeAgain, long holds) {
+    public record PollPolicy(
+            long watchNanos,
+            long watchGraceNanos,
+            long callTimeoutNanos,
+            boolean snapshotAfterFailure,
+            long notificationDelayNanos) {
         /**
          * Where an agent on the same machine has what is pushed. It answers at once or, while what
          * is behind it is down, not at all; and when it is back what it has counts as told, by
@@ -47,7 +53,7 @@
                         0);
 
         /** The protocol's longest wait. */
-        private static final long LONGEST_WATCH = TimeUnit.SECONDS.toNanos(60);
+        private static final long MAX_WATCH_NANOS = TimeUnit.SECONDS.toNanos(60);
 
         /**
          * Where one service is asked by all, which gives a call up after two seconds itself.
@@ -59,7 +65,7 @@
          */
         public static PollPolicy asked(long within) {
             return new PollPolicy(
-                    Math.min(LONGEST_WATCH, within / 4),
+                    Math.min(MAX_WATCH_NANOS, within / 4),
                     TimeUnit.MILLISECONDS.toNanos(500),
                     TimeUnit.SECONDS.toNanos(3),
                     false,
@@ -67,7 +73,7 @@
         }
     }
 
-    private static final String LIST = "/registry/instances";
+    private static final String LIST_PATH = "/registry/instances";
 
     /**
      * From one watch to the next, where the first had no news. Invariant: nobody is asked without
@@ -75,32 +81,32 @@
      * than the 200 ms in which a watch goes on, and than the 250 ms in which drains may have to
      * take effect.
      */
-    private static final long BETWEEN_WATCHES = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MIN_WATCH_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /** A call that is out for less was made after a stand-still, and not before it. */
-    private static final long JUST_ASKED = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long JUST_SENT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
     private InetSocketAddress address;
     private final Optional<JsonNode> cachedEndpoints;
-    private final EndpointListParser lists;
-    private final DiscoveryListener sink;
+    private final EndpointListParser parser;
+    private final DiscoveryListener listener;
     private final ObjectMapper json = new ObjectMapper();
-    private final PollPolicy pace;
+    private final PollPolicy pollPolicy;
     private RegistryConnection connection;
 
     /** A watch whose answer is overdue: still listened to, while another one asks. */
-    private RegistryConnection overdue;
+    private RegistryConnection overdueWatch;
 
     private Scheduler.ScheduledTask timeout = () -> {};
     private boolean calling;
 
     /** When the watch that is out was asked; for a call that need not wait, 0. */
-    private long watchedAt;
+    private long watchSentAtNanos;
 
-    private long askedAt;
-    private long askedBefore;
+    private long sentAtNanos;
+    private long previousSentAtNanos;
 
     /** More may count as told than has come; the answer to a call for the whole list brings it. */
     private boolean behind;
@@ -110,7 +116,7 @@
     private boolean failing;
 
     /** Nothing that this discovery says builds on what another one said. */
-    private boolean wholeFirst;
+    private boolean snapshotRequired;
 
     private long revision;
 
@@ -130,19 +136,19 @@
         this.sockets = sockets;
         this.address = address;
         this.cachedEndpoints = cachedEndpoints;
-        this.lists = lists;
-        this.sink = sink;
-        this.pace = pace;
+        this.parser = lists;
+        this.listener = sink;
+        this.pollPolicy = pace;
         // Danger: where lists are pushed, what the agent has counts as told before a new process
         // has asked.
-        this.behind = pace.holds == 0;
+        this.behind = pace.notificationDelayNanos == 0;
     }
 
     @Override
     public List<DiscoveredEndpoint> start() {
         EndpointListParser.Update update =
                 cachedEndpoints
-                        .map(lists::read)
+                        .map(parser::read)
                         .orElseGet(
                                 () ->
                                         new EndpointListParser.Update(
@@ -162,8 +168,8 @@
     /** A whole list takes the place of a watch that is out; the watch goes on after it. */
     @Override
     public void fetchEndpoints() {
-        drop();
-        call(LIST, 0);
+        dropAll();
+        call(LIST_PATH, 0);
     }
 
     /**
@@ -175,29 +181,33 @@
     @Override
     public void readPendingUpdates() {
         long now = loop.nanoTime();
-        long asked = askedAt;
-        boolean justAsked = now - asked < JUST_ASKED;
+        long asked = sentAtNanos;
+        boolean justAsked = now - asked < JUST_SENT_NANOS;
         boolean wasBehind = behind;
-        behind |= now - (justAsked ? askedBefore : asked) > pace.holds;
+        behind |=
+                now - (justAsked ? previousSentAtNanos : asked) > pollPolicy.notificationDelayNanos;
         catchingUp = true;
-        if (overdue != null) {
-            overdue.readNow();
+        if (overdueWatch != null) {
+            overdueWatch.readNow();
         }
         if (connection != null) {
             connection.readNow();
         }
         catchingUp = false;
-        boolean watchIsOut = watching && calling && watchedAt > 0 && asked == askedAt;
-        if (watchIsOut && (behind && justAsked || now - watchedAt > pace.watch + pace.late)) {
+        boolean watchIsOut = watching && calling && watchSentAtNanos > 0 && asked == sentAtNanos;
+        if (watchIsOut
+                && (behind && justAsked
+                        || now - watchSentAtNanos
+                                > pollPolicy.watchNanos + pollPolicy.watchGraceNanos)) {
             behind = true;
             timeout.cancel();
-            askBeside();
+            pollBesideWatch();
         } else if (watchIsOut) {
             behind = wasBehind;
             if (!failing) {
                 // Danger: kept back for word of the list, requests would wait for a watch that has
                 // none.
-                sink.onUpdate(UpdateKind.DELTA, List.of());
+                listener.onUpdate(UpdateKind.DELTA, List.of());
             }
         } else if (behind && watching && !calling && !failing) {
             watch();
@@ -216,55 +226,55 @@
      */
     @Override
     public void switchRegistry(InetSocketAddress other) {
-        done();
+        endCall();
         // Danger: of a watch that is overdue and the call beside it, the call is the one that is
         // answered.
-        if (connection != null && !wholeFirst) {
+        if (connection != null && !snapshotRequired) {
             dropOverdue();
         }
-        if (overdue == null) {
-            overdue = connection;
+        if (overdueWatch == null) {
+            overdueWatch = connection;
         } else if (connection != null) {
             connection.drop();
         }
         connection = null;
         overdueRevision = Long.MIN_VALUE;
         address = other;
-        beginAnew();
+        requireSnapshot();
         if (watching) {
             watch();
         }
     }
 
     /** What is asked next is the whole list, and it is believed whatever its version. */
-    private void beginAnew() {
-        wholeFirst = true;
+    private void requireSnapshot() {
+        snapshotRequired = true;
     }
 
     @Override
     public void close() {
         watching = false;
-        drop();
+        dropAll();
     }
 
     private void watch() {
-        if (wholeFirst || behind || failing && pace.wholeAgain) {
-            call(LIST, 0);
+        if (snapshotRequired || behind || failing && pollPolicy.snapshotAfterFailure) {
+            call(LIST_PATH, 0);
             return;
         }
-        long millis = TimeUnit.NANOSECONDS.toMillis(pace.watch);
+        long millis = TimeUnit.NANOSECONDS.toMillis(pollPolicy.watchNanos);
         call(
-                LIST + "?since=" + revision + "&timeout_ms=" + millis,
+                LIST_PATH + "?since=" + revision + "&timeout_ms=" + millis,
                 TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     private void call(String uri, long wait) {
         timeout.cancel();
         calling = true;
-        askedBefore = askedAt;
-        askedAt = loop.nanoTime();
-        watchedAt = wait > 0 ? askedAt : 0;
-        if (connection == null || !connection.usable()) {
+        previousSentAtNanos = sentAtNanos;
+        sentAtNanos = loop.nanoTime();
+        watchSentAtNanos = wait > 0 ? sentAtNanos : 0;
+        if (connection == null || !connection.isUsable()) {
             if (connection != null) {
                 connection.drop();
             }
@@ -272,11 +282,13 @@
         }
         connection.call(uri);
         if (wait > 0) {
-            timeout = loop.after(wait + pace.late, this::askBeside);
+            timeout = loop.after(wait + pollPolicy.watchGraceNanos, this::pollBesideWatch);
         } else {
             // Danger: a machine that vanished says nothing, and would be waited for without end.
             timeout =
-                    loop.after(wait + pace.patience, () -> failed(connection, "no answer in time"));
+                    loop.after(
+                            wait + pollPolicy.callTimeoutNanos,
+                            () -> onFailure(connection, "no answer in time"));
         }
     }
 
@@ -285,36 +297,36 @@
      * whether or not the watch is lost; given up only when that is certain, it would be asked again
      * too late for drains.
      */
-    private void askBeside() {
+    private void pollBesideWatch() {
         dropOverdue();
-        overdue = connection;
+        overdueWatch = connection;
         connection = null;
-        call(LIST, 0);
+        call(LIST_PATH, 0);
     }
 
     @Override
-    public void answered(RegistryConnection by, FullHttpResponse answer) {
+    public void onResponse(RegistryConnection by, FullHttpResponse answer) {
         try {
             if (answer.status().code() != 200) {
-                failed(by, "answer " + answer.status().code());
+                onFailure(by, "answer " + answer.status().code());
                 return;
             }
             JsonNode list = json.readTree(ByteBufUtil.getBytes(answer.content()));
-            if (by == overdue) {
-                late(list);
+            if (by == overdueWatch) {
+                onOverdueResponse(list);
             } else {
-                inTime(list);
+                onTimelyResponse(list);
             }
         } catch (IOException | IllegalArgumentException e) {
-            failed(by, "malformed answer: " + e.getMessage());
+            onFailure(by, "malformed answer: " + e.getMessage());
         }
     }
 
     /** The watch that another call was to make up for has its answer after all. */
-    private void late(JsonNode list) {
-        EndpointListParser.Update update = lists.read(list);
-        boolean old = update.revision() < revision && !wholeFirst;
-        if (!wholeFirst && !old) {
+    private void onOverdueResponse(JsonNode list) {
+        EndpointListParser.Update update = parser.read(list);
+        boolean old = update.revision() < revision && !snapshotRequired;
+        if (!snapshotRequired && !old) {
             revision = update.revision();
             overdueRevision = revision;
         }
@@ -325,75 +337,75 @@
         // Danger: the module takes any news for a subscription that stands, and would not subscribe
         // again.
         if (!calling) {
-            goOn();
+            watchAgain();
         }
-        told(update);
+        publish(update);
     }
 
-    private void inTime(JsonNode list) {
+    private void onTimelyResponse(JsonNode list) {
         boolean old = list.path("rev").asLong() < overdueRevision;
         overdueRevision = Long.MIN_VALUE;
         if (old) {
-            done();
-            goOn();
+            endCall();
+            watchAgain();
             return;
         }
-        EndpointListParser.Update update = lists.read(list);
-        if (update.revision() < revision && !wholeFirst) {
+        EndpointListParser.Update update = parser.read(list);
+        if (update.revision() < revision && !snapshotRequired) {
             // Danger: whoever answers with less than it has told may take back a drain. One that
             // began anew
             // says so again when asked for all it has, and is believed then.
-            beginAnew();
-            failed(connection, "a list older than the last one: " + update.revision());
+            requireSnapshot();
+            onFailure(connection, "a list older than the last one: " + update.revision());
             return;
         }
-        done();
+        endCall();
         dropOverdue();
-        behind &= catchingUp || watchedAt > 0;
+        behind &= catchingUp || watchSentAtNanos > 0;
         boolean news = update.revision() != revision;
         revision = update.revision();
-        wholeFirst &= update.kind() != UpdateKind.SNAPSHOT;
-        long rest = watchedAt + BETWEEN_WATCHES - loop.nanoTime();
+        snapshotRequired &= update.kind() != UpdateKind.SNAPSHOT;
+        long rest = watchSentAtNanos + MIN_WATCH_INTERVAL_NANOS - loop.nanoTime();
         if (news || rest <= 0) {
-            goOn();
+            watchAgain();
         } else {
-            timeout = loop.after(rest, this::goOn);
+            timeout = loop.after(rest, this::watchAgain);
         }
-        told(update);
+        publish(update);
     }
 
     /**
      * At once: a watch goes on only if the next call comes soon, and news in between is not lost
      * so.
      */
-    private void goOn() {
+    private void watchAgain() {
         if (watching) {
             watch();
         }
     }
 
-    private void told(EndpointListParser.Update update) {
+    private void publish(EndpointListParser.Update update) {
         if (failing) {
             failing = false;
             loop.log().info("discovery answers again");
         }
-        sink.onUpdate(update.kind(), update.members());
+        listener.onUpdate(update.kind(), update.members());
     }
 
     @Override
-    public void failed(RegistryConnection by, String why) {
-        if (by == overdue) {
+    public void onFailure(RegistryConnection by, String why) {
+        if (by == overdueWatch) {
             dropOverdue();
             return;
         }
         // What is overdue may tell its news yet, and is all the more listened to.
-        done();
+        endCall();
         dropConnection();
         if (!failing) {
             failing = true;
             loop.log().warning("discovery fails: " + why);
         }
-        sink.onUpdate(UpdateKind.FAILURE, List.of());
+        listener.onUpdate(UpdateKind.FAILURE, List.of());
     }
 
     /**
@@ -401,26 +413,26 @@
      * make up for it finds none.
      */
     @Override
-    public void noSocket(RegistryConnection by, String why) {
-        if (by == connection && overdue != null) {
+    public void onNoSocket(RegistryConnection by, String why) {
+        if (by == connection && overdueWatch != null) {
             dropOverdue();
-            done();
+            endCall();
             connection = null;
-            call(LIST, 0);
+            call(LIST_PATH, 0);
         } else {
-            failed(by, "no socket: " + why);
+            onFailure(by, "no socket: " + why);
         }
     }
 
-    private void done() {
+    private void endCall() {
         calling = false;
         timeout.cancel();
     }
 
     private void dropOverdue() {
-        if (overdue != null) {
-            overdue.drop();
-            overdue = null;
+        if (overdueWatch != null) {
+            overdueWatch.drop();
+            overdueWatch = null;
         }
     }
 
@@ -431,8 +443,8 @@
         }
     }
 
-    private void drop() {
-        done();
+    private void dropAll() {
+        endCall();
         dropOverdue();
         dropConnection();
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -22,14 +22,14 @@
  */
 final class Mailbox {
     /** Changes of nodes that are told in one turn of the loop. */
-    private static final int TURN = 200;
+    private static final int MAX_CHANGES_PER_TURN = 200;
 
     /** Parts that are kept before older ones give way to newer ones of their sort. */
-    private static final int MOST_PARTS = 32;
+    private static final int MAX_PARTS = 32;
 
-    private enum Sort {
+    private enum PartKind {
         SESSION,
-        DOUBT,
+        STALE,
         SNAPSHOT,
         ACCEPT,
         CONFIRMED,
@@ -38,105 +38,106 @@
 
     /** What happened to one node; times are those of being told, and 0 where it did not happen. */
     private static final class Change {
-        long gone;
-        long goneTold;
-        long changed;
-        long changedTold;
+        long deletedZxid;
+        long deletionNotifiedNanos;
+        long changedZxid;
+        long changeNotifiedNanos;
         NodeRead read;
     }
 
-    private record Part(Sort sort, Runnable tell, Map<String, Change> changes) {}
+    private record Part(PartKind kind, Runnable delivery, Map<String, Change> changes) {}
 
     private final SidecarEventLoop loop;
-    private final SessionListener hearer;
+    private final SessionListener listener;
     private Deque<Part> parts = new ArrayDeque<>();
-    private boolean hopping;
+    private boolean scheduled;
 
     Mailbox(SidecarEventLoop loop, SessionListener hearer) {
         this.loop = loop;
-        this.hearer = hearer;
+        this.listener = hearer;
     }
 
     void session(SessionState state) {
-        add(Sort.SESSION, () -> hearer.session(loop.nanoTime(), state));
+        add(PartKind.SESSION, () -> listener.onSessionState(loop.nanoTime(), state));
     }
 
-    void doubt(StalenessCause why) {
-        add(Sort.DOUBT, () -> hearer.doubt(loop.nanoTime(), why));
+    void stale(StalenessCause why) {
+        add(PartKind.STALE, () -> listener.doubt(loop.nanoTime(), why));
     }
 
     void accept() {
-        add(Sort.ACCEPT, () -> hearer.accept(loop.nanoTime()));
+        add(PartKind.ACCEPT, () -> listener.onAccepted(loop.nanoTime()));
     }
 
     void confirmed(Runnable heard) {
-        add(Sort.CONFIRMED, heard);
+        add(PartKind.CONFIRMED, heard);
     }
 
     void snapshot(long told, long zxid, Map<String, NodeRead> nodes, Runnable after) {
         add(
-                Sort.SNAPSHOT,
+                PartKind.SNAPSHOT,
                 () -> {
-                    hearer.snapshot(loop.nanoTime(), told, zxid, nodes);
+                    listener.onSnapshot(loop.nanoTime(), told, zxid, nodes);
                     after.run();
                 });
     }
 
     synchronized void changed(long told, long zxid, String name) {
         Change change = change(name);
-        change.changedTold = change.changed == 0 ? told : change.changedTold;
-        change.changed = zxid;
-        hop();
+        change.changeNotifiedNanos = change.changedZxid == 0 ? told : change.changeNotifiedNanos;
+        change.changedZxid = zxid;
+        schedule();
     }
 
-    synchronized void gone(long told, long zxid, String name) {
+    synchronized void deleted(long told, long zxid, String name) {
         Change change = change(name);
-        change.goneTold = change.gone == 0 ? told : change.goneTold;
-        change.gone = zxid;
-        change.changed = 0;
+        change.deletionNotifiedNanos =
+                change.deletedZxid == 0 ? told : change.deletionNotifiedNanos;
+        change.deletedZxid = zxid;
+        change.changedZxid = 0;
         change.read = null;
-        hop();
+        schedule();
     }
 
     synchronized void read(String name, NodeRead read) {
         change(name).read = read;
-        hop();
+        schedule();
     }
 
     /** Tells all that waits, before this returns. On the loop. */
-    void tellNow() {
-        while (tell()) {
+    void deliverAll() {
+        while (deliver()) {
             // A part a turn.
         }
     }
 
     private Change change(String name) {
         Part last = parts.peekLast();
-        if (last == null || last.sort != Sort.NODES) {
-            last = new Part(Sort.NODES, null, new LinkedHashMap<>());
+        if (last == null || last.kind != PartKind.NODES) {
+            last = new Part(PartKind.NODES, null, new LinkedHashMap<>());
             parts.add(last);
         }
         return last.changes.computeIfAbsent(name, any -> new Change());
     }
 
-    private synchronized void add(Sort sort, Runnable tell) {
+    private synchronized void add(PartKind sort, Runnable tell) {
         parts.add(new Part(sort, tell, null));
-        if (parts.size() > MOST_PARTS) {
-            thin();
+        if (parts.size() > MAX_PARTS) {
+            compact();
         }
-        hop();
+        schedule();
     }
 
-    private void thin() {
-        Set<Sort> later = EnumSet.noneOf(Sort.class);
+    private void compact() {
+        Set<PartKind> later = EnumSet.noneOf(PartKind.class);
         Deque<Part> kept = new ArrayDeque<>();
         for (Iterator<Part> each = parts.descendingIterator(); each.hasNext(); ) {
             Part part = each.next();
-            if (part.sort != Sort.NODES) {
-                if (later.add(part.sort)) {
+            if (part.kind != PartKind.NODES) {
+                if (later.add(part.kind)) {
                     kept.addFirst(part);
                 }
-            } else if (!kept.isEmpty() && kept.peekFirst().sort == Sort.NODES) {
+            } else if (!kept.isEmpty() && kept.peekFirst().kind == PartKind.NODES) {
                 kept.addFirst(merged(part, kept.removeFirst()));
             } else {
                 kept.addFirst(part);
@@ -151,25 +152,25 @@
     }
 
     private static Change merged(Change first, Change then) {
-        if (then.gone == 0) {
-            then.gone = first.gone;
-            then.goneTold = first.goneTold;
-            if (first.changed != 0) {
-                then.changedTold = first.changedTold;
-                then.changed = Math.max(first.changed, then.changed);
+        if (then.deletedZxid == 0) {
+            then.deletedZxid = first.deletedZxid;
+            then.deletionNotifiedNanos = first.deletionNotifiedNanos;
+            if (first.changedZxid != 0) {
+                then.changeNotifiedNanos = first.changeNotifiedNanos;
+                then.changedZxid = Math.max(first.changedZxid, then.changedZxid);
             }
             then.read = then.read == null ? first.read : then.read;
-        } else if (first.gone != 0) {
-            then.goneTold = first.goneTold;
+        } else if (first.deletedZxid != 0) {
+            then.deletionNotifiedNanos = first.deletionNotifiedNanos;
         }
         return then;
     }
 
-    private void hop() {
-        if (!hopping) {
-            hopping = true;
+    private void schedule() {
+        if (!scheduled) {
+            scheduled = true;
             try {
-                loop.execute(this::turn);
+                loop.execute(this::runTurn);
             } catch (RejectedExecutionException e) {
                 // The loop has ended; nobody is left to tell.
                 parts.clear();
@@ -177,19 +178,19 @@
         }
     }
 
-    private void turn() {
+    private void runTurn() {
         synchronized (this) {
-            hopping = false;
+            scheduled = false;
         }
-        if (tell()) {
+        if (deliver()) {
             synchronized (this) {
-                hop();
+                schedule();
             }
         }
     }
 
     /** Tells what one turn of the loop has time for; whether more waits. */
-    private boolean tell() {
+    private boolean deliver() {
         Runnable tell = null;
         List<Map.Entry<String, Change>> changes = new ArrayList<>();
         synchronized (this) {
@@ -197,9 +198,9 @@
             if (first == null) {
                 return false;
             }
-            if (first.sort == Sort.NODES) {
+            if (first.kind == PartKind.NODES) {
                 Iterator<Map.Entry<String, Change>> each = first.changes.entrySet().iterator();
-                while (each.hasNext() && changes.size() < TURN) {
+                while (each.hasNext() && changes.size() < MAX_CHANGES_PER_TURN) {
                     Map.Entry<String, Change> next = each.next();
                     changes.add(Map.entry(next.getKey(), next.getValue()));
                     each.remove();
@@ -208,28 +209,30 @@
                     parts.removeFirst();
                 }
             } else {
-                tell = first.tell;
+                tell = first.delivery;
                 parts.removeFirst();
             }
         }
         if (tell != null) {
             tell.run();
         }
-        changes.forEach(each -> tell(each.getKey(), each.getValue()));
+        changes.forEach(each -> deliver(each.getKey(), each.getValue()));
         synchronized (this) {
             return !parts.isEmpty();
         }
     }
 
-    private void tell(String name, Change change) {
-        if (change.gone != 0) {
-            hearer.gone(loop.nanoTime(), change.goneTold, change.gone, name);
+    private void deliver(String name, Change change) {
+        if (change.deletedZxid != 0) {
+            listener.onNodeDeleted(
+                    loop.nanoTime(), change.deletionNotifiedNanos, change.deletedZxid, name);
         }
-        if (change.changed != 0) {
-            hearer.changed(loop.nanoTime(), change.changedTold, change.changed, name);
+        if (change.changedZxid != 0) {
+            listener.onNodeChanged(
+                    loop.nanoTime(), change.changeNotifiedNanos, change.changedZxid, name);
         }
         if (change.read != null) {
-            hearer.read(loop.nanoTime(), name, change.read);
+            listener.onNodeRead(loop.nanoTime(), name, change.read);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -8,19 +8,19 @@
 
 /** Who is told, on the loop; times are those of the loop's clock. */
 interface SessionListener {
-    void session(long now, SessionState state);
+    void onSessionState(long now, SessionState state);
 
-    void snapshot(long now, long told, long zxid, Map<String, NodeRead> nodes);
+    void onSnapshot(long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes);
 
-    void changed(long now, long told, long zxid, String name);
+    void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name);
 
-    void read(long now, String name, NodeRead read);
+    void onNodeRead(long now, String name, NodeRead read);
 
-    void gone(long now, long told, long zxid, String name);
+    void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name);
 
     void doubt(long now, StalenessCause why);
 
-    void accept(long now);
+    void onAccepted(long now);
 
     /** What it makes of that. */
     StalenessCause doubt();
@@ -29,27 +29,27 @@
     static SessionListener of(NodeDiscovery membership) {
         return new SessionListener() {
             @Override
-            public void session(long now, SessionState state) {
+            public void onSessionState(long now, SessionState state) {
                 membership.session(now, state);
             }
 
             @Override
-            public void snapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
+            public void onSnapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
                 membership.snapshot(now, told, zxid, nodes);
             }
 
             @Override
-            public void changed(long now, long told, long zxid, String name) {
+            public void onNodeChanged(long now, long told, long zxid, String name) {
                 membership.changed(now, told, zxid, name);
             }
 
             @Override
-            public void read(long now, String name, NodeRead read) {
+            public void onNodeRead(long now, String name, NodeRead read) {
                 membership.read(now, read.mzxid(), name, read);
             }
 
             @Override
-            public void gone(long now, long told, long zxid, String name) {
+            public void onNodeDeleted(long now, long told, long zxid, String name) {
                 membership.gone(now, told, zxid, name);
             }
 
@@ -59,7 +59,7 @@
             }
 
             @Override
-            public void accept(long now) {
+            public void onAccepted(long now) {
                 membership.accept(now);
             }
 
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -33,28 +33,28 @@
          * The path itself is there: which transaction made it, and the latest that touched what it
          * holds.
          */
-        void root(long made, long latest, boolean accepted);
+        void onRoot(long made, long latest, boolean accepted);
 
         /** The whole subtree as of the last event; {@code told}: when its names were heard. */
-        void whole(long told, long zxid, Map<String, NodeRead> nodes);
+        void onSnapshot(long told, long zxid, Map<String, NodeRead> nodes);
 
         /** A node was made, or its data changed. */
-        void changed(long zxid, String name);
+        void onNodeChanged(long zxid, String name);
 
         /** What a node of which a change was told holds. */
-        void read(String name, NodeRead read);
+        void onNodeRead(String name, NodeRead read);
 
         /** A node is gone. */
-        void gone(long zxid, String name);
+        void onNodeDeleted(long zxid, String name);
 
-        /** The subtree can't be read; {@link SubtreeWatcher#begin} is to be called again. */
-        void doubt(StalenessCause why);
+        /** The subtree can't be read; {@link SubtreeWatcher#readAll} is to be called again. */
+        void onStale(StalenessCause why);
 
         /** As {@link #doubt}, for a reason that there is no word for. */
-        void trouble(Code code);
+        void onUnexpectedCode(Code code);
 
         /** Now, on the loop's clock. */
-        long now();
+        long nanoTime();
     }
 
     /**
@@ -63,22 +63,22 @@
     static final String ACCEPT = "accept";
 
     /** Nodes that are asked for in one question, at most. */
-    private static final int BATCH = 64;
+    private static final int MAX_BATCH = 64;
 
     /** Questions for data that are open at once. */
-    private static final int QUESTIONS = 8;
+    private static final int MAX_OPEN_READS = 8;
 
     /** The least bytes that a name takes in an answer. */
-    private static final int LEAST_NAME = 8;
+    private static final int MIN_BYTES_PER_NAME = 8;
 
     /**
      * So often in a row may the connection be lost over a listing before that is taken for its
      * size.
      */
-    private static final int LOST_LISTINGS = 2;
+    private static final int MAX_LOST_LISTINGS = 2;
 
     /** A node whose data is asked for; a later event for it makes another one. */
-    private record Ask(String name, long zxid, boolean event) {}
+    private record NodeRequest(String name, long zxid, boolean event) {}
 
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
@@ -86,42 +86,42 @@
     private final Listener listener;
 
     /** What each name waits for; whoever is not in here any more is not waited for. */
-    private final Map<String, Ask> asks = new HashMap<>();
+    private final Map<String, NodeRequest> requests = new HashMap<>();
 
-    private final Deque<Ask> urgent = new ArrayDeque<>();
-    private final Deque<Ask> bulk = new ArrayDeque<>();
-    private int batch = BATCH;
-    private int questions;
+    private final Deque<NodeRequest> urgent = new ArrayDeque<>();
+    private final Deque<NodeRequest> bulk = new ArrayDeque<>();
+    private int batch = MAX_BATCH;
+    private int openReads;
 
     /**
      * Counts connections, and readings of the whole; answers that belong to earlier ones are passed
      * over.
      */
-    private int connection;
+    private int connectionEpoch;
 
-    private int reading;
+    private int readingEpoch;
     private boolean collecting;
     private Map<String, NodeRead> nodes = new LinkedHashMap<>();
-    private final Set<String> missing = new HashSet<>();
+    private final Set<String> unread = new HashSet<>();
     private final Deque<String> shards = new ArrayDeque<>();
-    private int unlisted;
+    private int openListings;
     private int lostListings;
-    private long told;
-    private long zxid;
+    private long listedAtNanos;
+    private long snapshotZxid;
 
     /** The latest transaction that this handle has heard of under the path. */
-    private long highest;
+    private long highestZxid;
 
     /**
      * Whether the ensemble says with each event which transaction it was; servers before 3.9 don't.
      */
-    private boolean numbered = true;
+    private boolean eventsCarryZxid = true;
 
-    private long asked;
-    private long answered;
+    private long sentCount;
+    private long answeredCount;
 
     /** The server has lost the others, and knows no {@code sync}. */
-    private boolean readsOnly;
+    private boolean readOnlyServer;
 
     private boolean closed;
 
@@ -134,27 +134,27 @@
     }
 
     /** Reads the whole from the start; the watch is there before the first question. */
-    synchronized void begin(boolean readOnly) {
+    synchronized void readAll(boolean readOnly) {
         if (closed) {
             return;
         }
-        readsOnly = readOnly;
+        readOnlyServer = readOnly;
         forgetReading();
-        if (lostListings >= LOST_LISTINGS) {
+        if (lostListings >= MAX_LOST_LISTINGS) {
             lostListings = 0;
-            listener.doubt(StalenessCause.TOO_LARGE);
+            listener.onStale(StalenessCause.TOO_LARGE);
             return;
         }
-        int mine = reading;
-        asked++;
+        int mine = readingEpoch;
+        sentCount++;
         client.addWatch(
                 settings.root(),
                 AddWatchMode.PERSISTENT_RECURSIVE,
                 (code, path, any) -> {
                     synchronized (this) {
-                        if (answers(mine, code)) {
+                        if (isCurrent(mine, code)) {
                             if (readOnly) {
-                                root(mine);
+                                readRoot(mine);
                             } else {
                                 sync(mine);
                             }
@@ -165,69 +165,69 @@
     }
 
     /** The connection is lost: what was asked is not answered any more. */
-    synchronized void lost() {
-        connection++;
-        questions = 0;
-        asks.clear();
+    synchronized void onConnectionLost() {
+        connectionEpoch++;
+        openReads = 0;
+        requests.clear();
         urgent.clear();
         forgetReading();
     }
 
     synchronized void close() {
-        lost();
+        onConnectionLost();
         closed = true;
     }
 
     /** Whether a question is open. */
-    synchronized boolean waits() {
-        return asked > answered;
+    synchronized boolean isWaiting() {
+        return sentCount > answeredCount;
     }
 
     /** Counts up with each answer. */
-    synchronized long answered() {
-        return answered;
+    synchronized long answeredCount() {
+        return answeredCount;
     }
 
     private void forgetReading() {
-        reading++;
+        readingEpoch++;
         collecting = false;
-        unlisted = 0;
+        openListings = 0;
         nodes = new LinkedHashMap<>();
-        missing.clear();
+        unread.clear();
         shards.clear();
         bulk.clear();
-        asks.values().removeIf(ask -> !ask.event);
+        requests.values().removeIf(ask -> !ask.event);
     }
 
     /** Danger: without this a server that lags tells an older state after a reconnect. */
     private void sync(int mine) {
-        asked++;
+        sentCount++;
         client.sync(
                 settings.root(),
                 (code, path, any) -> {
                     synchronized (this) {
-                        if (answers(mine, code)) {
-                            root(mine);
+                        if (isCurrent(mine, code)) {
+                            readRoot(mine);
                         }
                     }
                 },
                 null);
     }
 
-    private void root(int mine) {
-        asked++;
+    private void readRoot(int mine) {
+        sentCount++;
         client.getData(
                 settings.root(),
                 false,
                 (code, path, any, data, stat) -> {
                     synchronized (this) {
-                        if (answers(mine, code)) {
-                            heard(data, stat);
-                            if ((long) stat.getNumChildren() * LEAST_NAME
+                        if (isCurrent(mine, code)) {
+                            onRootRead(data, stat);
+                            if ((long) stat.getNumChildren() * MIN_BYTES_PER_NAME
                                     > settings.answerBytes()) {
-                                listener.doubt(StalenessCause.TOO_LARGE);
+                                listener.onStale(StalenessCause.TOO_LARGE);
                             } else {
-                                list(mine);
+                                listChildren(mine);
                             }
                         }
                     }
@@ -235,9 +235,9 @@
                 null);
     }
 
-    private void heard(byte[] data, Stat stat) {
-        highest = Math.max(highest, stat.getPzxid());
-        listener.root(
+    private void onRootRead(byte[] data, Stat stat) {
+        highestZxid = Math.max(highestZxid, stat.getPzxid());
+        listener.onRoot(
                 stat.getCzxid(),
                 Math.max(stat.getMzxid(), stat.getPzxid()),
                 data != null
@@ -245,8 +245,8 @@
                         && new String(data, StandardCharsets.UTF_8).strip().equals(ACCEPT));
     }
 
-    private void list(int mine) {
-        asked++;
+    private void listChildren(int mine) {
+        sentCount++;
         client.getChildren(
                 settings.root(),
                 false,
@@ -254,62 +254,62 @@
                     synchronized (this) {
                         lostListings =
                                 code == Code.CONNECTIONLOSS.intValue() ? lostListings + 1 : 0;
-                        if (answers(mine, code)) {
+                        if (isCurrent(mine, code)) {
                             collecting = true;
-                            told = listener.now();
-                            zxid = stat.getPzxid();
+                            listedAtNanos = listener.nanoTime();
+                            snapshotZxid = stat.getPzxid();
                             if (settings.shards()) {
                                 shards.addAll(names);
-                                unlisted = names.size();
-                                for (int i = 0; i < QUESTIONS; i++) {
-                                    shard(mine);
+                                openListings = names.size();
+                                for (int i = 0; i < MAX_OPEN_READS; i++) {
+                                    listNextShard(mine);
                                 }
                             } else {
-                                names.forEach(this::wanted);
+                                names.forEach(this::enqueue);
                             }
-                            goOn();
+                            sendReads();
                         }
                     }
                 },
                 null);
     }
 
-    private void shard(int mine) {
+    private void listNextShard(int mine) {
         String shard = shards.poll();
         if (shard == null) {
             return;
         }
-        asked++;
+        sentCount++;
         client.getChildren(
                 path(shard),
                 false,
                 (code, path, any, names, stat) -> {
                     synchronized (this) {
                         boolean gone = code == Code.NONODE.intValue();
-                        if (answers(mine, gone ? Code.OK.intValue() : code)) {
-                            unlisted--;
+                        if (isCurrent(mine, gone ? Code.OK.intValue() : code)) {
+                            openListings--;
                             if (!gone) {
-                                zxid = Math.max(zxid, stat.getPzxid());
-                                names.forEach(name -> wanted(shard + "/" + name));
+                                snapshotZxid = Math.max(snapshotZxid, stat.getPzxid());
+                                names.forEach(name -> enqueue(shard + "/" + name));
                             }
-                            shard(mine);
-                            goOn();
+                            listNextShard(mine);
+                            sendReads();
                         }
                     }
                 },
                 null);
     }
 
-    private void wanted(String name) {
-        if (!nodes.containsKey(name) && missing.add(name) && !asks.containsKey(name)) {
-            Ask ask = new Ask(name, 0, false);
-            asks.put(name, ask);
+    private void enqueue(String name) {
+        if (!nodes.containsKey(name) && unread.add(name) && !requests.containsKey(name)) {
+            NodeRequest ask = new NodeRequest(name, 0, false);
+            requests.put(name, ask);
             bulk.add(ask);
         }
     }
 
     /** What the watch tells. */
-    synchronized void event(WatchedEvent event) {
+    synchronized void onEvent(WatchedEvent event) {
         if (closed) {
             return;
         }
@@ -317,43 +317,43 @@
                 event.getType() == Watcher.Event.EventType.NodeCreated
                         || event.getType() == Watcher.Event.EventType.NodeDataChanged;
         boolean gone = event.getType() == Watcher.Event.EventType.NodeDeleted;
-        String name = name(event.getPath());
+        String name = serverName(event.getPath());
         if (event.getPath().equals(settings.root())) {
             if (made) {
-                begin(readsOnly);
+                readAll(readOnlyServer);
             } else if (gone) {
                 forgetReading();
-                listener.doubt(StalenessCause.ROOT_MISSING);
+                listener.onStale(StalenessCause.ROOT_MISSING);
             }
             return;
         }
-        numbered &= event.getZxid() > 0;
-        highest = Math.max(highest, event.getZxid());
-        zxid = Math.max(zxid, highest);
+        eventsCarryZxid &= event.getZxid() > 0;
+        highestZxid = Math.max(highestZxid, event.getZxid());
+        snapshotZxid = Math.max(snapshotZxid, highestZxid);
         // Where a server doesn't say which transaction it was, the order alone holds.
-        long at = Math.max(1, event.getZxid() > 0 ? event.getZxid() : highest);
+        long at = Math.max(1, event.getZxid() > 0 ? event.getZxid() : highestZxid);
         if (name == null) {
             return;
         }
         if (gone) {
-            asks.remove(name);
+            requests.remove(name);
             nodes.remove(name);
-            missing.remove(name);
-            listener.gone(at, name);
+            unread.remove(name);
+            listener.onNodeDeleted(at, name);
         } else if (made) {
-            listener.changed(at, name);
-            Ask ask = new Ask(name, event.getZxid(), true);
-            asks.put(name, ask);
+            listener.onNodeChanged(at, name);
+            NodeRequest ask = new NodeRequest(name, event.getZxid(), true);
+            requests.put(name, ask);
             urgent.add(ask);
             if (collecting && !nodes.containsKey(name)) {
-                missing.add(name);
+                unread.add(name);
             }
         }
-        goOn();
+        sendReads();
     }
 
     /** The name of a server's node as it is told; null for any other path. */
-    private String name(String path) {
+    private String serverName(String path) {
         String above = settings.root().equals("/") ? "/" : settings.root() + "/";
         if (!path.startsWith(above)) {
             return null;
@@ -369,91 +369,91 @@
         return (settings.root().equals("/") ? "/" : settings.root() + "/") + name;
     }
 
-    private void goOn() {
-        while (questions < QUESTIONS) {
-            List<Ask> next = next();
+    private void sendReads() {
+        while (openReads < MAX_OPEN_READS) {
+            List<NodeRequest> next = nextBatch();
             if (next.isEmpty()) {
                 break;
             }
-            askData(next);
+            sendBatch(next);
         }
-        if (collecting && unlisted == 0 && missing.isEmpty()) {
+        if (collecting && openListings == 0 && unread.isEmpty()) {
             collecting = false;
-            highest = Math.max(highest, zxid);
-            listener.whole(told, zxid, nodes);
+            highestZxid = Math.max(highestZxid, snapshotZxid);
+            listener.onSnapshot(listedAtNanos, snapshotZxid, nodes);
             nodes = new LinkedHashMap<>();
         }
     }
 
-    private List<Ask> next() {
-        List<Ask> next = new ArrayList<>();
+    private List<NodeRequest> nextBatch() {
+        List<NodeRequest> next = new ArrayList<>();
         while (next.size() < batch && !(urgent.isEmpty() && bulk.isEmpty())) {
-            Ask ask = urgent.isEmpty() ? bulk.poll() : urgent.poll();
-            if (asks.get(ask.name) == ask) {
+            NodeRequest ask = urgent.isEmpty() ? bulk.poll() : urgent.poll();
+            if (requests.get(ask.name) == ask) {
                 next.add(ask);
             }
         }
         return next;
     }
 
-    private void askData(List<Ask> of) {
-        int mine = connection;
-        questions++;
-        asked++;
+    private void sendBatch(List<NodeRequest> of) {
+        int mine = connectionEpoch;
+        openReads++;
+        sentCount++;
         client.multi(
                 of.stream().map(ask -> Op.getData(path(ask.name))).toList(),
                 (code, path, any, results) -> {
                     synchronized (this) {
-                        answered++;
+                        answeredCount++;
                         if (code == Code.CONNECTIONLOSS.intValue()) {
                             // Perhaps because the answer was larger than it may be.
                             batch = Math.max(1, batch / 2);
                         }
-                        if (mine == connection && !closed) {
-                            questions--;
-                            data(of, code, results);
-                            goOn();
+                        if (mine == connectionEpoch && !closed) {
+                            openReads--;
+                            onBatchRead(of, code, results);
+                            sendReads();
                         }
                     }
                 },
                 null);
     }
 
-    private void data(List<Ask> of, int code, List<OpResult> results) {
+    private void onBatchRead(List<NodeRequest> of, int code, List<OpResult> results) {
         if (results == null || results.size() != of.size()) {
-            of.forEach(ask -> asks.remove(ask.name, ask));
+            of.forEach(ask -> requests.remove(ask.name, ask));
             if (code != Code.CONNECTIONLOSS.intValue() && code != Code.SESSIONEXPIRED.intValue()) {
-                listener.trouble(Code.get(code));
+                listener.onUnexpectedCode(Code.get(code));
             }
             return;
         }
-        batch = Math.min(BATCH, 2 * batch);
+        batch = Math.min(MAX_BATCH, 2 * batch);
         for (int i = 0; i < of.size(); i++) {
-            Ask ask = of.get(i);
-            if (asks.get(ask.name) == ask) {
-                asks.remove(ask.name);
-                data(ask, results.get(i));
+            NodeRequest ask = of.get(i);
+            if (requests.get(ask.name) == ask) {
+                requests.remove(ask.name);
+                onBatchRead(ask, results.get(i));
             }
         }
     }
 
-    private void data(Ask ask, OpResult result) {
+    private void onBatchRead(NodeRequest ask, OpResult result) {
         NodeRead read;
         if (result instanceof OpResult.GetDataResult got) {
             if (got.getStat().getMzxid() < ask.zxid) {
                 // Danger: older than the event that asks for it.
-                Ask again = new Ask(ask.name, ask.zxid, ask.event);
-                asks.put(ask.name, again);
+                NodeRequest again = new NodeRequest(ask.name, ask.zxid, ask.event);
+                requests.put(ask.name, again);
                 urgent.add(again);
                 return;
             }
-            zxid = Math.max(zxid, got.getStat().getMzxid());
+            snapshotZxid = Math.max(snapshotZxid, got.getStat().getMzxid());
             read = json.read(ask.name, got.getData(), got.getStat());
         } else {
             int code = ((OpResult.ErrorResult) result).getErr();
             if (code == Code.NONODE.intValue()) {
                 // Gone meanwhile, which the watch tells.
-                missing.remove(ask.name);
+                unread.remove(ask.name);
                 return;
             }
             read =
@@ -465,10 +465,10 @@
         }
         if (collecting) {
             nodes.put(ask.name, read);
-            missing.remove(ask.name);
+            unread.remove(ask.name);
         }
         if (ask.event) {
-            listener.read(ask.name, read);
+            listener.onNodeRead(ask.name, read);
         }
     }
 
@@ -477,21 +477,21 @@
      * pings.
      */
     synchronized void probe() {
-        if (closed || collecting || waits()) {
+        if (closed || collecting || isWaiting()) {
             return;
         }
-        int mine = reading;
-        asked++;
+        int mine = readingEpoch;
+        sentCount++;
         client.getData(
                 settings.root(),
                 false,
                 (code, path, any, data, stat) -> {
                     synchronized (this) {
-                        long before = highest;
-                        if (answers(mine, code)) {
-                            heard(data, stat);
-                            if (numbered && stat.getPzxid() > before) {
-                                begin(readsOnly);
+                        long before = highestZxid;
+                        if (isCurrent(mine, code)) {
+                            onRootRead(data, stat);
+                            if (eventsCarryZxid && stat.getPzxid() > before) {
+                                readAll(readOnlyServer);
                             }
                         }
                     }
@@ -507,13 +507,13 @@
         if (closed) {
             return;
         }
-        asked++;
+        sentCount++;
         client.getData(
                 settings.root(),
                 false,
                 (code, path, any, data, stat) -> {
                     synchronized (this) {
-                        answered++;
+                        answeredCount++;
                     }
                     Code what = Code.get(code);
                     if (what == Code.OK || what == Code.NONODE || what == Code.NOAUTH) {
@@ -523,9 +523,9 @@
                 null);
     }
 
-    private boolean answers(int mine, int code) {
-        answered++;
-        if (closed || mine != reading) {
+    private boolean isCurrent(int mine, int code) {
+        answeredCount++;
+        if (closed || mine != readingEpoch) {
             return false;
         }
         Code what = Code.get(code);
@@ -534,9 +534,9 @@
                 return true;
             }
             case CONNECTIONLOSS, SESSIONEXPIRED -> {}
-            case NONODE -> listener.doubt(StalenessCause.ROOT_MISSING);
-            case NOAUTH, AUTHFAILED -> listener.doubt(StalenessCause.ACCESS_DENIED);
-            default -> listener.trouble(what);
+            case NONODE -> listener.onStale(StalenessCause.ROOT_MISSING);
+            case NOAUTH, AUTHFAILED -> listener.onStale(StalenessCause.ACCESS_DENIED);
+            default -> listener.onUnexpectedCode(what);
         }
         return false;
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -28,54 +28,54 @@
      * After a handle's end the next one waits this long, and twice as long each time, up to the
      * most.
      */
-    private static final long BACKOFF = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MIN_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    private static final long MOST_BACKOFF = TimeUnit.SECONDS.toNanos(30);
+    private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     /** Over so much time readings of the whole are spread, after the first one. */
-    private static final long SPREAD = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long REREAD_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    private static final long AGAIN = TimeUnit.SECONDS.toNanos(10);
-    private static final long AGAIN_TOO_LARGE = TimeUnit.SECONDS.toNanos(30);
-    private static final long AGAIN_OLDER = TimeUnit.SECONDS.toNanos(2);
+    private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long RETRY_TOO_LARGE_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long RETRY_OLDER_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     /** Looks, one a second, at which no answer may have come before a server is given up. */
-    private static final int SILENT_LOOKS = 4;
+    private static final int MAX_SILENT_CHECKS = 4;
 
     /** Looks between two questions to a server that has nothing to tell. */
-    private static final int PROBE_LOOKS = 5;
+    private static final int CHECKS_PER_PROBE = 5;
 
     /** Looks after which the client's log may say again what it has said. */
-    private static final int LOG_LOOKS = 300;
+    private static final int CHECKS_PER_LOG_RESET = 300;
 
-    private static final String MUTE =
+    private static final String UNRESPONSIVE =
             "a coordination server answers nothing; another one is asked";
 
     private final SidecarEventLoop loop;
     private final ZooKeeperSettings settings;
-    private final SessionListener hearer;
+    private final SessionListener listener;
     private final NodeJsonParser json;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Mailbox mailbox;
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
-    private final Thread keeper = new Thread(this::keep, "membership");
+    private final Thread thread = new Thread(this::runTasks, "membership");
 
     /** On the loop: handles that ended since one was connected. */
-    private int ended;
+    private int failedHandles;
 
     private boolean first = true;
-    private String lastTrouble = "";
-    private Scheduler.ScheduledTask pending = () -> {};
+    private String lastUnexpectedCode = "";
+    private Scheduler.ScheduledTask pendingRead = () -> {};
 
     /** On the keeper's thread. */
     private Handle handle;
 
-    private boolean over;
+    private boolean closed;
 
     /** What was heard of the path by any handle; guarded by this. */
-    private long rootMade;
+    private long rootCzxid;
 
-    private long highest;
+    private long highestZxid;
 
     /** {@code seed}: for what is drawn, so that many sidecars don't ask at once. */
     public ZooKeeperDiscovery(
@@ -95,22 +95,22 @@
             long seed) {
         this.loop = loop;
         this.settings = settings;
-        this.hearer = hearer;
+        this.listener = hearer;
         this.json = json;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         this.mailbox = new Mailbox(loop, hearer);
-        keeper.setDaemon(true);
+        thread.setDaemon(true);
     }
 
     /** Begins to connect. */
     public void start() {
-        keeper.start();
+        thread.start();
         tasks.add(this::open);
     }
 
     /** Tells all that has been heard, before this returns. */
     public void tellNow() {
-        mailbox.tellNow();
+        mailbox.deliverAll();
     }
 
     /**
@@ -140,11 +140,11 @@
      * on.
      */
     private void readAfter(long wait) {
-        pending.cancel();
+        pendingRead.cancel();
         if (wait == 0) {
             refresh();
         } else {
-            pending = loop.after(wait, this::refresh);
+            pendingRead = loop.after(wait, this::refresh);
         }
     }
 
@@ -153,21 +153,21 @@
     public void close() {
         tasks.add(
                 () -> {
-                    over = true;
+                    closed = true;
                     drop();
                 });
     }
 
-    private void keep() {
+    private void runTasks() {
         int looks = 0;
-        while (!over) {
+        while (!closed) {
             try {
                 Runnable task = tasks.poll(1, TimeUnit.SECONDS);
                 if (task != null) {
                     task.run();
                 } else if (handle != null) {
-                    handle.look(++looks % PROBE_LOOKS == 0);
-                    if (looks % LOG_LOOKS == 0) {
+                    handle.look(++looks % CHECKS_PER_PROBE == 0);
+                    if (looks % CHECKS_PER_LOG_RESET == 0) {
                         Slf4jBridge.again();
                     }
                 }
@@ -182,7 +182,7 @@
     }
 
     private void open() {
-        if (over || handle != null) {
+        if (closed || handle != null) {
             return;
         }
         Handle next = new Handle();
@@ -195,21 +195,24 @@
                             loop.log()
                                     .warning(
                                             "the coordination service's client can't start: " + e));
-            ended(next);
+            failedHandles(next);
         }
     }
 
     /** On the keeper's thread: a handle is of no use any more; another one follows. */
-    private void ended(Handle which) {
-        if (handle != which || over) {
+    private void failedHandles(Handle which) {
+        if (handle != which || closed) {
             return;
         }
         drop();
         loop.execute(
                 () -> {
-                    long wait = Math.min(MOST_BACKOFF, BACKOFF << Math.min(ended, 10));
-                    ended++;
-                    loop.after(wait / 2 + chance.nextLong(wait), () -> tasks.add(this::open));
+                    long wait =
+                            Math.min(
+                                    MAX_BACKOFF_NANOS,
+                                    MIN_BACKOFF_NANOS << Math.min(failedHandles, 10));
+                    failedHandles++;
+                    loop.after(wait / 2 + random.nextLong(wait), () -> tasks.add(this::open));
                 });
     }
 
@@ -252,7 +255,7 @@
                 return;
             }
             if (event.getType() != Event.EventType.None) {
-                subtree.event(event);
+                subtree.onEvent(event);
                 return;
             }
             switch (event.getState()) {
@@ -260,7 +263,7 @@
                 case ConnectedReadOnly -> connected(SessionState.READ_ONLY);
                 case Disconnected -> {
                     connected = false;
-                    subtree.lost();
+                    subtree.onConnectionLost();
                     mailbox.session(SessionState.SUSPENDED);
                 }
                 case Expired -> {
@@ -268,7 +271,7 @@
                     end();
                 }
                 case AuthFailed -> {
-                    mailbox.doubt(StalenessCause.ACCESS_DENIED);
+                    mailbox.stale(StalenessCause.ACCESS_DENIED);
                     end();
                 }
                 default -> {}
@@ -281,21 +284,21 @@
             mailbox.session(state);
             loop.execute(
                     () -> {
-                        ended = 0;
-                        readAfter(first ? 0 : chance.nextLong(SPREAD));
+                        failedHandles = 0;
+                        readAfter(first ? 0 : random.nextLong(REREAD_JITTER_NANOS));
                         first = false;
                     });
         }
 
         private void end() {
             connected = false;
-            tasks.add(() -> ended(this));
+            tasks.add(() -> failedHandles(this));
         }
 
         /** On the keeper's thread. */
         void read() {
             if (connected && !closed) {
-                subtree.begin(readOnly);
+                subtree.readAll(readOnly);
             }
         }
 
@@ -321,14 +324,14 @@
                 return;
             }
             apart = 0;
-            long now = subtree.answered();
-            silent = subtree.waits() && now == answered ? silent + 1 : 0;
+            long now = subtree.answeredCount();
+            silent = subtree.isWaiting() && now == answered ? silent + 1 : 0;
             answered = now;
-            if (silent >= SILENT_LOOKS) {
-                loop.execute(() -> loop.log().warning(MUTE));
+            if (silent >= MAX_SILENT_CHECKS) {
+                loop.execute(() -> loop.log().warning(UNRESPONSIVE));
                 mailbox.session(SessionState.SUSPENDED);
                 connected = false;
-                ended(this);
+                failedHandles(this);
             } else if (probe) {
                 subtree.probe();
             }
@@ -340,7 +343,7 @@
          */
         private void giveUp() {
             mailbox.session(SessionState.EXPIRED);
-            ended(this);
+            failedHandles(this);
         }
 
         void close() {
@@ -352,17 +355,17 @@
         }
 
         @Override
-        public void root(long czxid, long latest, boolean accepted) {
+        public void onRoot(long czxid, long latest, boolean accepted) {
             boolean wiped;
             synchronized (ZooKeeperDiscovery.this) {
-                wiped = rootMade != 0 && czxid != rootMade && latest < highest;
+                wiped = rootCzxid != 0 && czxid != rootCzxid && latest < highestZxid;
                 if (wiped) {
-                    highest = latest;
+                    highestZxid = latest;
                 }
-                rootMade = czxid;
+                rootCzxid = czxid;
             }
             if (wiped) {
-                mailbox.doubt(StalenessCause.WIPED);
+                mailbox.stale(StalenessCause.WIPED);
             }
             if (accepted) {
                 mailbox.accept();
@@ -371,68 +374,68 @@
 
         private void heard(long zxid) {
             synchronized (ZooKeeperDiscovery.this) {
-                highest = Math.max(highest, zxid);
+                highestZxid = Math.max(highestZxid, zxid);
             }
         }
 
         @Override
-        public void whole(long told, long zxid, Map<String, NodeRead> nodes) {
+        public void onSnapshot(long told, long zxid, Map<String, NodeRead> nodes) {
             heard(zxid);
             mailbox.snapshot(
                     told,
                     zxid,
                     nodes,
                     () -> {
-                        lastTrouble = "";
-                        if (hearer.doubt() == StalenessCause.OLDER
-                                || hearer.doubt() == StalenessCause.WIPED) {
-                            readAfter(AGAIN_OLDER + chance.nextLong(AGAIN_OLDER));
+                        lastUnexpectedCode = "";
+                        if (listener.doubt() == StalenessCause.OLDER
+                                || listener.doubt() == StalenessCause.WIPED) {
+                            readAfter(RETRY_OLDER_NANOS + random.nextLong(RETRY_OLDER_NANOS));
                         }
                     });
         }
 
         @Override
-        public void changed(long zxid, String name) {
+        public void onNodeChanged(long zxid, String name) {
             heard(zxid);
-            mailbox.changed(now(), zxid, name);
+            mailbox.changed(nanoTime(), zxid, name);
         }
 
         @Override
-        public void read(String name, NodeRead read) {
+        public void onNodeRead(String name, NodeRead read) {
             mailbox.read(name, read);
         }
 
         @Override
-        public void gone(long zxid, String name) {
+        public void onNodeDeleted(long zxid, String name) {
             heard(zxid);
-            mailbox.gone(now(), zxid, name);
+            mailbox.deleted(nanoTime(), zxid, name);
         }
 
         @Override
-        public void doubt(StalenessCause why) {
-            mailbox.doubt(why);
-            again(why == StalenessCause.TOO_LARGE ? AGAIN_TOO_LARGE : AGAIN);
+        public void onStale(StalenessCause why) {
+            mailbox.stale(why);
+            again(why == StalenessCause.TOO_LARGE ? RETRY_TOO_LARGE_NANOS : RETRY_NANOS);
         }
 
         @Override
-        public void trouble(Code code) {
+        public void onUnexpectedCode(Code code) {
             loop.execute(
                     () -> {
                         String trouble = "the coordination service answers " + code;
-                        if (!trouble.equals(lastTrouble)) {
-                            lastTrouble = trouble;
+                        if (!trouble.equals(lastUnexpectedCode)) {
+                            lastUnexpectedCode = trouble;
                             loop.log().warning(trouble);
                         }
                     });
-            again(AGAIN);
+            again(RETRY_NANOS);
         }
 
         private void again(long wait) {
-            loop.execute(() -> readAfter(wait + chance.nextLong(wait / 4)));
+            loop.execute(() -> readAfter(wait + random.nextLong(wait / 4)));
         }
 
         @Override
-        public long now() {
+        public long nanoTime() {
             return loop.nanoTime();
         }
     }
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
@@ -223,7 +223,7 @@
         assertEquals(latin + ": line 2: is not UTF-8", message(latin));
         Path cut = Files.write(directory.resolve("cut.toml"), new byte[] {'a', (byte) 0xc3});
         assertEquals(cut + ": line 1: is not UTF-8", message(cut));
-        String most = "version = 1\n" + "#".repeat(TomlText.MOST_BYTES - 12);
+        String most = "version = 1\n" + "#".repeat(TomlText.MAX_BYTES - 12);
         assertEquals(
                 new OperatorFile(
                         Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty()),
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -186,7 +186,7 @@
         refuses(kind, "{}", "a table is not a list");
         Table table = table("key = [1,\n 'a',\n 3, 10]");
         assertEquals(Optional.empty(), table.optional("key", kind, ""));
-        assertFalse(table.sound());
+        assertFalse(table.valid());
         assertEquals(
                 List.of(
                         "line 2, column 2: key[2]: \"a\" is not a whole number",
@@ -202,7 +202,7 @@
         assertEquals("a", routes.get(0).required("host", ValueKind.text(9), "x", ""));
         assertEquals("x", routes.get(1).required("host", ValueKind.text(9), "x", ""));
         assertEquals(List.of(), top.tables("none"));
-        top.finish();
+        top.rejectUnknownKeys();
         assertEquals(
                 List.of(
                         "line 3, column 1: route[2].host: missing",
@@ -229,7 +229,7 @@
         top.value("a", ValueKind.text(9), "y", "first");
         top.optional("c", ValueKind.text(9), "third");
         top.table("part").value("b", ValueKind.flag(), true, "second");
-        top.finish();
+        top.rejectUnknownKeys();
         assertEquals(
                 List.of(
                         new Setting("a", "first", "x", "y", true),
--- a/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
@@ -18,40 +18,40 @@
 
     @Test
     void theOneThatStartedLastHoldsTheAddressWhicheverIsListedFirst() {
-        assertNull(holders.listed("old", HERE, 5));
-        assertEquals("old", holders.listed("new", HERE, 9));
-        assertEquals("old", holders.listed("old", HERE, 5), "still listed, still not there");
-        assertNull(holders.listed("new", HERE, 9));
+        assertNull(holders.register("old", HERE, 5));
+        assertEquals("old", holders.register("new", HERE, 9));
+        assertEquals("old", holders.register("old", HERE, 5), "still listed, still not there");
+        assertNull(holders.register("new", HERE, 9));
     }
 
     @Test
     void whoCantBeToldApartIsLeftAlone() {
-        assertNull(holders.listed("one", HERE, 0));
-        assertNull(holders.listed("two", HERE, 0));
-        assertNull(holders.listed("one", HERE, 0));
+        assertNull(holders.register("one", HERE, 0));
+        assertNull(holders.register("two", HERE, 0));
+        assertNull(holders.register("one", HERE, 0));
     }
 
     /** Guards against a live upstream that is told as gone because two have swapped addresses. */
     @Test
     void whoSwapAddressesInOneListAreBothThere() {
-        holders.listed("one", HERE, 3);
-        holders.listed("two", THERE, 7);
-        holders.moves("one", THERE);
-        holders.moves("two", HERE);
-        assertNull(holders.listed("one", THERE, 3));
-        assertNull(holders.listed("two", HERE, 7));
+        holders.register("one", HERE, 3);
+        holders.register("two", THERE, 7);
+        holders.releaseIfMoved("one", THERE);
+        holders.releaseIfMoved("two", HERE);
+        assertNull(holders.register("one", THERE, 3));
+        assertNull(holders.register("two", HERE, 7));
     }
 
     @Test
     void anAddressThatWasLeftIsFree() {
-        assertNull(holders.listed("young", HERE, 9));
-        assertNull(holders.listed("young", THERE, 9));
-        assertNull(holders.listed("old", HERE, 5));
+        assertNull(holders.register("young", HERE, 9));
+        assertNull(holders.register("young", THERE, 9));
+        assertNull(holders.register("old", HERE, 5));
         holders.forget("young");
-        assertNull(holders.listed("old", THERE, 5));
-        assertNull(holders.listed("younger", HERE, 7));
+        assertNull(holders.register("old", THERE, 5));
+        assertNull(holders.register("younger", HERE, 7));
         holders.retain(List.of("old"));
-        assertNull(holders.listed("oldest", HERE, 1));
+        assertNull(holders.register("oldest", HERE, 1));
     }
 
     /**
@@ -60,22 +60,22 @@
      */
     @Test
     void whoWasReplacedIsNotBackBecauseAListSaysSo() {
-        assertNull(holders.listed("old", HERE, 5));
+        assertNull(holders.register("old", HERE, 5));
         holders.forget("old");
-        assertNull(holders.listed("new", HERE, 9));
+        assertNull(holders.register("new", HERE, 9));
         holders.retain(List.of());
-        assertEquals("old", holders.listed("old", HERE, 5));
-        assertNull(holders.listed("old", THERE, 5), "it has moved");
-        assertNull(holders.listed("new", HERE, 9));
+        assertEquals("old", holders.register("old", HERE, 5));
+        assertNull(holders.register("old", THERE, 5), "it has moved");
+        assertNull(holders.register("new", HERE, 9));
     }
 
     /** Guards against false clocks: a start alone doesn't tell who came later. */
     @Test
     void whoWasNeverListedThereIsThereWhateverItsStart() {
-        assertNull(holders.listed("new", HERE, 9));
+        assertNull(holders.register("new", HERE, 9));
         holders.forget("new");
-        assertNull(holders.listed("newer", HERE, 5));
+        assertNull(holders.register("newer", HERE, 5));
         holders.retain(List.of());
-        assertNull(holders.listed("newer", HERE, 5));
+        assertNull(holders.register("newer", HERE, 5));
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
@@ -14,15 +14,15 @@
     void aNumberDependsOnTheIdAloneAndComesBackWithIt() {
         UpstreamIds here = new UpstreamIds();
         UpstreamIds elsewhere = new UpstreamIds();
-        long first = here.of("s-1");
-        here.of("s-2");
-        elsewhere.of("s-2");
-        assertEquals(first, elsewhere.of("s-1"));
+        long first = here.number("s-1");
+        here.number("s-2");
+        elsewhere.number("s-2");
+        assertEquals(first, elsewhere.number("s-1"));
         here.forget("s-1");
-        here.of("s-3");
-        assertEquals(first, here.of("s-1"));
+        here.number("s-3");
+        assertEquals(first, here.number("s-1"));
         here.retain(List.of("s-3"));
-        assertEquals(first, here.of("s-1"));
+        assertEquals(first, here.number("s-1"));
         assertEquals(UpstreamIds.natural("s-1"), first);
     }
 
@@ -31,7 +31,7 @@
         UpstreamIds numbers = new UpstreamIds();
         Set<Long> seen = new HashSet<>();
         for (int i = 0; i < 20_000; i++) {
-            long number = numbers.of("server-" + i);
+            long number = numbers.number("server-" + i);
             assertTrue(number > 0 && number < 1L << 48);
             assertTrue(seen.add(number));
         }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -12,16 +12,22 @@
 class BothSourcesTest {
     private static final long DAY = 1_700_000_000_000L;
 
-    private final Told told = new Told(SourceSelection.BOTH);
+    private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.BOTH);
 
     /** One server in both, one in the registry alone and one with a node alone. */
     private void begin() {
         told.registry(
                 UpdateKind.SNAPSHOT,
-                Told.member("both", 1, HostState.READY, DAY),
-                Told.member("listed", 2, HostState.READY, DAY));
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY),
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
         told.session(SessionState.CONNECTED);
-        told.snapshot(10, Map.of("both", Told.ready(1, 1, DAY), "node", Told.ready(2, 3, DAY)));
+        told.snapshot(
+                10,
+                Map.of(
+                        "both",
+                        NodeDiscoveryFixture.ready(1, 1, DAY),
+                        "node",
+                        NodeDiscoveryFixture.ready(2, 3, DAY)));
         told.pass(200);
     }
 
@@ -34,11 +40,14 @@
 
     @Test
     void theRegistryAloneIsEnoughToBegin() {
-        told.registry(UpdateKind.CACHED_SNAPSHOT, Told.member("a", 1, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.CACHED_SNAPSHOT,
+                NodeDiscoveryFixture.member("a", 1, HostState.READY, DAY));
         assertEquals(UpdateKind.CACHED_SNAPSHOT, told.events.get(0).kind());
         assertTrue(told.membership.usable());
         told.pass(60_000);
-        told.registry(UpdateKind.SNAPSHOT, Told.member("b", 2, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("b", 2, HostState.READY, DAY));
         assertEquals(HostState.GONE, told.state("a"));
         assertEquals("registry", told.last("b", HostState.READY).source());
     }
@@ -46,11 +55,16 @@
     @Test
     void whoDrainsInEitherDrains() {
         begin();
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.DRAINING, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, DAY));
         assertEquals(HostState.DRAINING, told.state("both"));
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY));
         assertEquals(HostState.READY, told.state("both"));
-        told.put("both", Told.node(1, told.nextZxid(), Told.data(1, HostState.DRAINING, DAY)));
+        told.put(
+                "both",
+                NodeDiscoveryFixture.node(
+                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.DRAINING, DAY)));
         told.pass(100);
         assertEquals(HostState.DRAINING, told.state("both"));
     }
@@ -62,14 +76,15 @@
         assertEquals(HostState.DRAINING, told.state("both"));
         told.pass(2500);
         assertEquals(HostState.GONE, told.state("both"));
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY));
         told.registry(
                 UpdateKind.SNAPSHOT,
-                Told.member("both", 1, HostState.READY, DAY),
-                Told.member("listed", 2, HostState.READY, DAY));
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY),
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
         told.pass(600_000);
         assertEquals(HostState.GONE, told.state("both"));
-        told.put("both", Told.ready(told.nextZxid(), 1, DAY));
+        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, DAY));
         told.pass(100);
         assertEquals(HostState.READY, told.state("both"), "its node is back");
     }
@@ -79,7 +94,8 @@
     void whoIsListedForTheFirstTimeRightAfterItsNodeVanishedIsGone() {
         begin();
         told.gone(told.nextZxid(), "node");
-        told.registry(UpdateKind.DELTA, Told.member("node", 3, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("node", 3, HostState.READY, DAY));
         assertEquals(HostState.DRAINING, told.state("node"));
         told.pass(5000);
         assertEquals(HostState.GONE, told.state("node"));
@@ -91,9 +107,12 @@
         begin();
         told.gone(told.nextZxid(), "listed");
         assertEquals(HostState.GONE, told.state("listed"));
-        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
         assertEquals(HostState.GONE, told.state("listed"));
-        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY + 60_000));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY + 60_000));
         assertEquals(HostState.READY, told.state("listed"));
     }
 
@@ -101,10 +120,16 @@
     void aLaterStartInTheRegistryIsAnotherProcess() {
         begin();
         told.gone(told.nextZxid(), "both");
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 4000));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 4000));
         assertEquals(HostState.DRAINING, told.state("both"), "as near as two clocks are");
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
-        assertEquals(Told.member("both", 1, HostState.READY, DAY + 60_000), told.list.get("both"));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
+        assertEquals(
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000),
+                told.list.get("both"));
         told.pass(5000);
         assertEquals(HostState.READY, told.state("both"));
     }
@@ -112,7 +137,9 @@
     @Test
     void anOldNodeEndsNothingOfTheProcessAfterIt() {
         begin();
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
         told.gone(told.nextZxid(), "both");
         told.pass(5000);
         assertEquals(HostState.READY, told.state("both"));
@@ -121,12 +148,17 @@
     @Test
     void addressAndStartAreOfTheOneThatBeganLater() {
         begin();
-        told.registry(UpdateKind.DELTA, Told.member("both", 5, HostState.READY, DAY + 60_000));
-        assertEquals(Told.member("both", 5, HostState.READY, DAY + 60_000), told.list.get("both"));
-        told.put("both", Told.ready(told.nextZxid(), 6, DAY + 60_000));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 5, HostState.READY, DAY + 60_000));
+        assertEquals(
+                NodeDiscoveryFixture.member("both", 5, HostState.READY, DAY + 60_000),
+                told.list.get("both"));
+        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 6, DAY + 60_000));
         told.pass(100);
-        assertEquals(Told.at(6), told.list.get("both").address(), "equal: the node's");
-        told.registry(UpdateKind.DELTA, Told.member("both", 5, HostState.READY, 0));
+        assertEquals(
+                NodeDiscoveryFixture.at(6), told.list.get("both").address(), "equal: the node's");
+        told.registry(UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 5, HostState.READY, 0));
         assertEquals(
                 DAY + 60_000,
                 told.list.get("both").startedAtUnixMillis(),
@@ -136,18 +168,23 @@
     @Test
     void whomTheRegistryEndsIsGoneThoughItsNodeIsThere() {
         begin();
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.GONE, DAY));
+        told.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, DAY));
         assertEquals(HostState.GONE, told.state("both"));
         told.pass(60_000);
         assertEquals(HostState.GONE, told.state("both"));
-        told.put("both", Told.ready(told.nextZxid(), 1, DAY + 60_000));
+        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, DAY + 60_000));
         told.pass(100);
         assertEquals(HostState.READY, told.state("both"), "another process");
-        told.registry(UpdateKind.SNAPSHOT, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        told.registry(
+                UpdateKind.SNAPSHOT,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
         assertEquals(HostState.GONE, told.state("listed"));
         told.registry(UpdateKind.SNAPSHOT);
         assertEquals(HostState.GONE, told.state("both"));
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.READY, DAY + 60_000));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
         assertEquals(HostState.READY, told.state("both"), "listed again");
     }
 
@@ -155,12 +192,12 @@
     @Test
     void withoutAStartOfItsOwnANodeIsTheProcessThatTheRegistryEnds() {
         begin();
-        told.put("both", Told.ready(told.nextZxid(), 1, 0));
-        told.registry(UpdateKind.DELTA, Told.member("both", 1, HostState.GONE, 0));
+        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
+        told.registry(UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, 0));
         told.pass(100);
         assertEquals(HostState.GONE, told.state("both"));
         told.gone(told.nextZxid(), "both");
-        told.put("both", Told.ready(told.nextZxid(), 1, 0));
+        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
         told.pass(100);
         assertEquals(HostState.READY, told.state("both"), "made anew");
     }
@@ -171,9 +208,9 @@
         told.session(SessionState.EXPIRED);
         told.registry(
                 UpdateKind.DELTA,
-                Told.member("both", 1, HostState.DRAINING, DAY),
-                Told.member("new", 7, HostState.READY, DAY),
-                Told.member("listed", 2, HostState.GONE, DAY));
+                NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, DAY),
+                NodeDiscoveryFixture.member("new", 7, HostState.READY, DAY),
+                NodeDiscoveryFixture.member("listed", 2, HostState.GONE, DAY));
         assertEquals(HostState.DRAINING, told.state("both"));
         assertEquals(HostState.READY, told.state("new"));
         assertEquals(HostState.GONE, told.state("listed"));
@@ -183,7 +220,7 @@
     @Test
     void oneProcessUnderTwoIdsIsOneUpstream() {
         begin();
-        told.put("node-9", Told.ready(told.nextZxid(), 2, DAY));
+        told.put("node-9", NodeDiscoveryFixture.ready(told.nextZxid(), 2, DAY));
         told.pass(100);
         assertEquals(HostState.READY, told.state("node-9"));
         assertEquals(
@@ -195,7 +232,9 @@
         told.pass(3000);
         assertEquals(HostState.GONE, told.state("node-9"));
         assertEquals(HostState.GONE, told.state("listed"), "and for its end");
-        told.registry(UpdateKind.DELTA, Told.member("listed", 2, HostState.READY, DAY + 1));
+        told.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY + 1));
         assertEquals(HostState.READY, told.state("listed"));
     }
 
@@ -212,10 +251,14 @@
     void nothingIsKeptOfWhoIsInNeither() {
         begin();
         for (int i = 0; i < 1000; i++) {
-            told.put("x" + i, Told.ready(told.nextZxid(), 100 + i, DAY));
-            told.registry(UpdateKind.DELTA, Told.member("x" + i, 100 + i, HostState.READY, DAY));
+            told.put("x" + i, NodeDiscoveryFixture.ready(told.nextZxid(), 100 + i, DAY));
+            told.registry(
+                    UpdateKind.DELTA,
+                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.READY, DAY));
             told.gone(told.nextZxid(), "x" + i);
-            told.registry(UpdateKind.DELTA, Told.member("x" + i, 100 + i, HostState.GONE, DAY));
+            told.registry(
+                    UpdateKind.DELTA,
+                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.GONE, DAY));
         }
         told.pass(3000);
         assertEquals(3, told.membership.size());
