--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/Told.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** A membership on a clock of the test's, in milliseconds, and what it has told. */
-final class Told {
+final class NodeDiscoveryFixture {
     static final long MS = 1_000_000;
 
     /** One event that was told. */
@@ -30,7 +30,7 @@
     long now = 1000;
     private long zxid = 100;
 
-    Told(SourceSelection merge) {
+    NodeDiscoveryFixture(SourceSelection merge) {
         membership =
                 new NodeDiscovery(
                         merge, NodeDiscovery.Settings.USUAL, this::told, news::add, warnings::add);
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -13,7 +13,7 @@
 
 /** What counts as told, and what stands where nothing was told: ephemeral nodes alone. */
 class NodeDiscoveryTest {
-    private final Told told = new Told(SourceSelection.NODES);
+    private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.NODES);
 
     /** Three servers, connected. */
     private void three() {
@@ -22,11 +22,11 @@
                 10,
                 Map.of(
                         "a",
-                        Told.ready(1, 1, 500),
+                        NodeDiscoveryFixture.ready(1, 1, 500),
                         "b",
-                        Told.ready(2, 2, 600),
+                        NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
-                        Told.ready(3, 3, 700)));
+                        NodeDiscoveryFixture.ready(3, 3, 700)));
         told.pass(200);
     }
 
@@ -40,7 +40,7 @@
         assertEquals(3, told.membership.size());
         assertEquals(StalenessCause.NONE, told.membership.doubt());
         assertTrue(told.membership.usable());
-        assertEquals(Told.member("b", 2, HostState.READY, 600), told.list.get("b"));
+        assertEquals(NodeDiscoveryFixture.member("b", 2, HostState.READY, 600), told.list.get("b"));
     }
 
     /**
@@ -51,16 +51,22 @@
     void whatWasKnownBeforeTheStartHoldsUntilItsEndIsToldOrTheNodesAreRead() {
         told.registry(
                 UpdateKind.CACHED_SNAPSHOT,
-                Told.member("a", 1, HostState.READY, 500),
-                Told.member("old", 9, HostState.READY, 500));
+                NodeDiscoveryFixture.member("a", 1, HostState.READY, 500),
+                NodeDiscoveryFixture.member("old", 9, HostState.READY, 500));
         told.session(SessionState.CONNECTED);
-        told.put("d", Told.ready(11, 4, 800));
+        told.put("d", NodeDiscoveryFixture.ready(11, 4, 800));
         told.gone(12, "a");
         assertEquals(HostState.GONE, told.state("a"));
         told.pass(5000);
         assertEquals(HostState.READY, told.state("old"));
         assertEquals(HostState.GONE, told.state("d"), "no list yet");
-        told.snapshot(12, Map.of("d", Told.ready(11, 4, 800), "b", Told.ready(2, 2, 600)));
+        told.snapshot(
+                12,
+                Map.of(
+                        "d",
+                        NodeDiscoveryFixture.ready(11, 4, 800),
+                        "b",
+                        NodeDiscoveryFixture.ready(2, 2, 600)));
         assertEquals(Set.of("b", "d"), told.list.keySet());
     }
 
@@ -112,9 +118,12 @@
     @Test
     void whoTerminatesIsToldAtOnceAndWhoComesWithTheTick() {
         three();
-        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, HostState.DRAINING, 500)));
+        told.put(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.DRAINING, 500)));
         assertEquals(HostState.DRAINING, told.state("a"));
-        told.put("d", Told.ready(told.nextZxid(), 4, 800));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 800));
         assertEquals(HostState.GONE, told.state("d"));
         told.pass(100);
         assertEquals(HostState.READY, told.state("d"));
@@ -126,14 +135,18 @@
     @Test
     void theTimeOfBeingToldGoesAlong() {
         three();
-        told.membership.gone(told.now * Told.MS, (told.now - 700) * Told.MS, told.nextZxid(), "a");
+        told.membership.gone(
+                told.now * NodeDiscoveryFixture.MS,
+                (told.now - 700) * NodeDiscoveryFixture.MS,
+                told.nextZxid(),
+                "a");
         assertEquals(told.now - 700, told.last("a", HostState.DRAINING).toldAt());
     }
 
     @Test
     void anEndThatIsOlderThanTheNodeIsPassedOver() {
         three();
-        told.put("a", Told.ready(told.nextZxid(), 1, 900));
+        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         told.pass(100);
         told.gone(50, "a");
         assertEquals(HostState.READY, told.state("a"));
@@ -148,9 +161,10 @@
             told.gone(told.nextZxid(), "a");
             told.pass(400);
             assertEquals(HostState.DRAINING, told.state("a"));
-            told.put("a", Told.ready(told.nextZxid(), 1, 500));
+            told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
             told.pass(5600);
-            assertEquals(Told.member("a", 1, HostState.READY, 500), told.list.get("a"));
+            assertEquals(
+                    NodeDiscoveryFixture.member("a", 1, HostState.READY, 500), told.list.get("a"));
         }
         assertTrue(
                 told.events.stream()
@@ -168,7 +182,7 @@
             told.gone(told.nextZxid(), "a");
             told.pass(200);
             start += 1000;
-            told.put("a", Told.ready(told.nextZxid(), 1, start));
+            told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, start));
             told.pass(5800);
             assertEquals(start, told.list.get("a").startedAtUnixMillis());
         }
@@ -179,11 +193,14 @@
     void aRestartUnderAClockThatSteppedBackIsARestart() {
         three();
         told.gone(told.nextZxid(), "c");
-        told.put("c", Told.ready(told.nextZxid(), 3, 650));
+        told.put("c", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
         told.pass(100);
         long start = told.list.get("c").startedAtUnixMillis();
         assertTrue(start > 700, "started at " + start);
-        told.put("c", Told.node(103, told.nextZxid(), Told.data(3, HostState.READY, 650)));
+        told.put(
+                "c",
+                NodeDiscoveryFixture.node(
+                        103, told.nextZxid(), NodeDiscoveryFixture.data(3, HostState.READY, 650)));
         told.pass(100);
         assertEquals(
                 start,
@@ -198,13 +215,14 @@
                 10,
                 Map.of(
                         "a",
-                        Told.ready(7, 1, 0),
+                        NodeDiscoveryFixture.ready(7, 1, 0),
                         "b",
-                        new NodeRead(Told.data(2, HostState.READY, 0), null, 0, 8, 8)));
+                        new NodeRead(
+                                NodeDiscoveryFixture.data(2, HostState.READY, 0), null, 0, 8, 8)));
         assertEquals(7000, told.list.get("a").startedAtUnixMillis());
         assertTrue(told.list.get("b").startedAtUnixMillis() > 0, "cold, and never long ago");
         told.gone(told.nextZxid(), "a");
-        told.put("a", Told.ready(told.nextZxid(), 1, 0));
+        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
         told.pass(100);
         assertTrue(told.list.get("a").startedAtUnixMillis() > 7000);
     }
@@ -215,7 +233,7 @@
         told.gone(told.nextZxid(), "a");
         told.pass(2500);
         assertEquals(HostState.GONE, told.state("a"));
-        told.put("a", Told.ready(told.nextZxid(), 1, 500));
+        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
         told.pass(100);
         assertEquals(HostState.READY, told.state("a"));
     }
@@ -233,10 +251,16 @@
         assertEquals(HostState.DRAINING, told.state("a"));
         told.pass(60_000);
         assertEquals(HostState.DRAINING, told.state("a"), "without end, and never gone");
-        told.read("a", Told.node(1, 1, Told.data(1, HostState.READY, 500)));
+        told.read(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, 1, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
         told.pass(100);
         assertEquals(HostState.DRAINING, told.state("a"), "older than the change");
-        told.read("a", Told.node(1, zxid, Told.data(1, HostState.READY, 500)));
+        told.read(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, zxid, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
         told.pass(100);
         assertEquals(HostState.READY, told.state("a"));
     }
@@ -258,11 +282,17 @@
         long first = told.nextZxid();
         long second = told.nextZxid();
         told.changed(first, "a");
-        told.read("a", Told.node(1, second, Told.data(1, HostState.DRAINING, 500)));
+        told.read(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, second, NodeDiscoveryFixture.data(1, HostState.DRAINING, 500)));
         told.changed(second, "a");
         told.pass(1500);
         assertEquals(HostState.DRAINING, told.state("a"));
-        told.read("a", Told.node(1, first, Told.data(1, HostState.READY, 500)));
+        told.read(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, first, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
         told.pass(100);
         assertEquals(HostState.DRAINING, told.state("a"));
     }
@@ -275,11 +305,11 @@
         three();
         told.changed(told.nextZxid(), "d");
         told.gone(told.nextZxid(), "d");
-        told.read("d", Told.ready(101, 4, 800));
+        told.read("d", NodeDiscoveryFixture.ready(101, 4, 800));
         told.gone(told.nextZxid(), "a");
-        told.read("a", Told.ready(1, 1, 500));
+        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
         told.changed(told.nextZxid(), "a");
-        told.read("a", Told.ready(1, 1, 500));
+        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
         told.pass(100);
         assertEquals(HostState.GONE, told.state("d"));
         assertEquals(HostState.DRAINING, told.state("a"));
@@ -288,19 +318,28 @@
     @Test
     void whoCantBeReadIsLeftOutNamedOnceAndHarmsNobody() {
         told.session(SessionState.CONNECTED);
-        told.snapshot(10, Map.of("a", Told.ready(1, 1, 500), "bad", Told.unreadable(2)));
-        told.put("bad", Told.unreadable(told.nextZxid()));
+        told.snapshot(
+                10,
+                Map.of(
+                        "a",
+                        NodeDiscoveryFixture.ready(1, 1, 500),
+                        "bad",
+                        NodeDiscoveryFixture.unreadable(2)));
+        told.put("bad", NodeDiscoveryFixture.unreadable(told.nextZxid()));
         told.pass(300);
         assertEquals(1, told.list.size());
         assertEquals(1, told.membership.unreadable());
         assertEquals(1, told.warnings.size());
-        told.put("bad", Told.node(2, told.nextZxid(), Told.data(2, HostState.READY, 600)));
+        told.put(
+                "bad",
+                NodeDiscoveryFixture.node(
+                        2, told.nextZxid(), NodeDiscoveryFixture.data(2, HostState.READY, 600)));
         told.put("a", new NodeRead(null, "garbage", 1000, told.nextZxid(), 1));
         told.pass(100);
         assertEquals(HostState.READY, told.state("bad"));
         assertEquals(HostState.DRAINING, told.state("a"), "what it says now may be that it ends");
         for (int i = 0; i < 300; i++) {
-            told.put("x" + i, Told.unreadable(told.nextZxid()));
+            told.put("x" + i, NodeDiscoveryFixture.unreadable(told.nextZxid()));
         }
         assertEquals(301, told.membership.unreadable());
         assertEquals(101, told.warnings.size(), "named up to a bound");
@@ -318,9 +357,9 @@
                         "a",
                         new NodeRead(null, "may not be read", 0, 0, 0),
                         "b",
-                        Told.ready(2, 2, 600),
+                        NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
-                        Told.ready(3, 3, 700)));
+                        NodeDiscoveryFixture.ready(3, 3, 700)));
         assertEquals(HostState.DRAINING, told.state("a"));
     }
 
@@ -341,11 +380,12 @@
                 told.nextZxid(),
                 Map.of(
                         "a",
-                        Told.ready(1, 1, 500),
+                        NodeDiscoveryFixture.ready(1, 1, 500),
                         "d",
-                        Told.ready(50, 4, 900),
+                        NodeDiscoveryFixture.ready(50, 4, 900),
                         "c",
-                        Told.node(3, 51, Told.data(3, HostState.DRAINING, 700))));
+                        NodeDiscoveryFixture.node(
+                                3, 51, NodeDiscoveryFixture.data(3, HostState.DRAINING, 700))));
         assertEquals(StalenessCause.NONE, told.membership.doubt());
         assertEquals(HostState.READY, told.state("a"));
         assertEquals(HostState.DRAINING, told.state("b"));
@@ -362,7 +402,7 @@
                         StalenessCause.ROOT_MISSING,
                         StalenessCause.ACCESS_DENIED,
                         StalenessCause.TOO_LARGE)) {
-            told.membership.doubt(told.now * Told.MS, each);
+            told.membership.doubt(told.now * NodeDiscoveryFixture.MS, each);
             told.pass(10_000);
             assertEquals(each, told.membership.doubt());
         }
@@ -374,7 +414,7 @@
     @Test
     void whatIsToldInSuchADoubtIsBelieved() {
         three();
-        told.membership.doubt(told.now * Told.MS, StalenessCause.ROOT_MISSING);
+        told.membership.doubt(told.now * NodeDiscoveryFixture.MS, StalenessCause.ROOT_MISSING);
         told.gone(told.nextZxid(), "a");
         assertEquals(HostState.DRAINING, told.state("a"));
     }
@@ -385,19 +425,19 @@
         told.session(SessionState.READ_ONLY);
         told.snapshot(told.nextZxid(), Map.of());
         told.gone(told.nextZxid(), "a");
-        told.put("d", Told.ready(told.nextZxid(), 4, 900));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 900));
         told.pass(5000);
         assertEquals(StalenessCause.READ_ONLY, told.membership.doubt());
         assertEquals(1, told.events.size());
         told.session(SessionState.CONNECTED);
-        told.snapshot(told.nextZxid(), Map.of("b", Told.ready(2, 2, 600)));
+        told.snapshot(told.nextZxid(), Map.of("b", NodeDiscoveryFixture.ready(2, 2, 600)));
         assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
     void butItIsBetterThanNoListAtAll() {
         told.session(SessionState.READ_ONLY);
-        told.snapshot(10, Map.of("a", Told.ready(1, 1, 500)));
+        told.snapshot(10, Map.of("a", NodeDiscoveryFixture.ready(1, 1, 500)));
         assertEquals(HostState.READY, told.state("a"));
         assertEquals(StalenessCause.READ_ONLY, told.membership.doubt());
     }
@@ -408,7 +448,7 @@
     void anOlderStateIsPassedOverUntilTheServerHasCaughtUp() {
         three();
         told.gone(20, "a");
-        told.put("d", Told.ready(30, 4, 900));
+        told.put("d", NodeDiscoveryFixture.ready(30, 4, 900));
         told.pass(3000);
         told.session(SessionState.SUSPENDED);
         told.session(SessionState.CONNECTED);
@@ -416,16 +456,16 @@
                 10,
                 Map.of(
                         "a",
-                        Told.ready(1, 1, 500),
+                        NodeDiscoveryFixture.ready(1, 1, 500),
                         "b",
-                        Told.ready(2, 2, 600),
+                        NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
-                        Told.ready(3, 3, 700)));
+                        NodeDiscoveryFixture.ready(3, 3, 700)));
         assertEquals(StalenessCause.OLDER, told.membership.doubt());
         told.changed(2, "b");
         told.gone(16, "d");
         told.changed(17, "e");
-        told.read("e", Told.ready(17, 5, 900));
+        told.read("e", NodeDiscoveryFixture.ready(17, 5, 900));
         told.pass(3000);
         assertEquals(HostState.GONE, told.state("e"));
         assertEquals(HostState.GONE, told.state("a"));
@@ -433,7 +473,13 @@
         assertEquals(HostState.READY, told.state("d"));
         told.gone(31, "b");
         assertEquals(HostState.DRAINING, told.state("b"), "newer than all");
-        told.snapshot(31, Map.of("c", Told.ready(3, 3, 700), "d", Told.ready(30, 4, 900)));
+        told.snapshot(
+                31,
+                Map.of(
+                        "c",
+                        NodeDiscoveryFixture.ready(3, 3, 700),
+                        "d",
+                        NodeDiscoveryFixture.ready(30, 4, 900)));
         assertEquals(StalenessCause.NONE, told.membership.doubt());
         assertEquals(HostState.READY, told.state("d"));
         told.pass(60_000);
@@ -474,11 +520,11 @@
         told.changed(told.nextZxid(), "d");
         told.pass(60_000);
         assertEquals(HostState.READY, told.state("a"), "nothing is made of that");
-        told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
+        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
         assertEquals(StalenessCause.NONE, told.membership.doubt());
         told.pass(9000);
         assertEquals(HostState.READY, told.state("a"), "it has time to come back");
-        told.put("a", Told.ready(7, 1, 500));
+        told.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
         told.pass(2000);
         assertEquals(HostState.READY, told.state("a"));
         assertEquals(HostState.READY, told.state("b"));
@@ -490,8 +536,8 @@
     @Test
     void whatIsToldAnewIsAtOnceTrueAlsoOfTheOldHistory() {
         wiped();
-        told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
-        told.put("a", Told.ready(7, 1, 500));
+        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
+        told.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
         told.gone(8, "a");
         assertEquals(HostState.DRAINING, told.state("a"));
     }
@@ -502,11 +548,17 @@
     @Test
     void whoWasToldToHaveComeBackIsNotEndedWithTheOldHistory() {
         wiped();
-        told.snapshot(6, Map.of("b", Told.ready(6, 2, 600)));
+        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
         told.changed(7, "a");
         told.pass(12_000);
         assertEquals(HostState.DRAINING, told.state("a"));
-        told.snapshot(7, Map.of("b", Told.ready(6, 2, 600), "a", Told.ready(7, 1, 500)));
+        told.snapshot(
+                7,
+                Map.of(
+                        "b",
+                        NodeDiscoveryFixture.ready(6, 2, 600),
+                        "a",
+                        NodeDiscoveryFixture.ready(7, 1, 500)));
         assertEquals(HostState.READY, told.state("a"));
     }
 
@@ -520,7 +572,7 @@
     @Test
     void aWipedEnsembleIsRightIfAnOperatorSaysSo() {
         wiped();
-        told.membership.accept(told.now * Told.MS);
+        told.membership.accept(told.now * NodeDiscoveryFixture.MS);
         assertEquals(3, told.list.size());
         told.snapshot(5, Map.of());
         assertEquals(StalenessCause.NONE, told.membership.doubt());
@@ -532,7 +584,7 @@
     @Test
     void whatIsNotInDoubtNeedsNoAccepting() {
         three();
-        told.membership.accept(told.now * Told.MS);
+        told.membership.accept(told.now * NodeDiscoveryFixture.MS);
         assertEquals(1, told.events.size());
         told.snapshot(9, Map.of());
         assertEquals(StalenessCause.OLDER, told.membership.doubt());
@@ -541,7 +593,7 @@
     @Test
     void anEnsembleKnownToBeWipedByItsRootIsWipedAtOnce() {
         three();
-        told.membership.doubt(told.now * Told.MS, StalenessCause.WIPED);
+        told.membership.doubt(told.now * NodeDiscoveryFixture.MS, StalenessCause.WIPED);
         told.snapshot(1000, Map.of());
         assertEquals(StalenessCause.WIPED, told.membership.doubt());
         assertEquals(3, told.list.size());
@@ -552,29 +604,32 @@
     @Test
     void whatIsToldWhileASnapshotIsReadIsNewerThanIt() {
         three();
-        long asOf = told.now * Told.MS;
+        long asOf = told.now * NodeDiscoveryFixture.MS;
         told.pass(300);
-        told.put("d", Told.ready(told.nextZxid(), 4, 800));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 800));
         told.changed(told.nextZxid(), "e");
         told.gone(told.nextZxid(), "a");
-        told.put("b", Told.node(2, told.nextZxid(), Told.data(2, HostState.DRAINING, 600)));
+        told.put(
+                "b",
+                NodeDiscoveryFixture.node(
+                        2, told.nextZxid(), NodeDiscoveryFixture.data(2, HostState.DRAINING, 600)));
         told.pass(300);
         told.membership.snapshot(
-                told.now * Told.MS,
+                told.now * NodeDiscoveryFixture.MS,
                 asOf,
                 10,
                 Map.of(
                         "a",
-                        Told.ready(1, 1, 500),
+                        NodeDiscoveryFixture.ready(1, 1, 500),
                         "b",
-                        Told.ready(2, 2, 600),
+                        NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
-                        Told.ready(3, 3, 700)));
+                        NodeDiscoveryFixture.ready(3, 3, 700)));
         assertEquals(HostState.DRAINING, told.state("a"));
         assertEquals(HostState.DRAINING, told.state("b"));
         assertEquals(HostState.READY, told.state("c"));
         assertEquals(HostState.READY, told.state("d"));
-        told.read("e", Told.ready(102, 5, 900));
+        told.read("e", NodeDiscoveryFixture.ready(102, 5, 900));
         told.pass(100);
         assertEquals(HostState.READY, told.state("e"));
         assertEquals(StalenessCause.NONE, told.membership.doubt());
@@ -587,10 +642,10 @@
         told.gone(-1, "a");
         assertEquals(HostState.DRAINING, told.state("a"));
         told.changed(-1, "a");
-        told.read("a", Told.ready(1, 1, 500));
+        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
         told.pass(100);
         assertEquals(HostState.DRAINING, told.state("a"), "of the node that has ended");
-        told.read("a", Told.ready(120, 1, 500));
+        told.read("a", NodeDiscoveryFixture.ready(120, 1, 500));
         told.pass(100);
         assertEquals(HostState.READY, told.state("a"));
     }
@@ -600,11 +655,13 @@
     @Test
     void aServerMayHaveAnotherIdThanItsNode() {
         three();
-        NodeData named = new NodeData(Told.at(4), 0, 0, 0, HostState.READY, 1, 900, "server-4");
-        told.put("n4", Told.node(told.nextZxid(), 104, named));
+        NodeData named =
+                new NodeData(
+                        NodeDiscoveryFixture.at(4), 0, 0, 0, HostState.READY, 1, 900, "server-4");
+        told.put("n4", NodeDiscoveryFixture.node(told.nextZxid(), 104, named));
         told.pass(100);
         assertEquals(HostState.READY, told.state("server-4"));
-        told.put("n4-again", Told.node(105, 105, named));
+        told.put("n4-again", NodeDiscoveryFixture.node(105, 105, named));
         told.gone(106, "n4");
         told.pass(5000);
         assertEquals(HostState.READY, told.state("server-4"), "two nodes of one server");
@@ -612,10 +669,18 @@
         assertEquals(HostState.DRAINING, told.state("server-4"));
         told.put(
                 "a",
-                Told.node(
+                NodeDiscoveryFixture.node(
                         1,
                         108,
-                        new NodeData(Told.at(1), 0, 0, 0, HostState.READY, 1, 500, "other")));
+                        new NodeData(
+                                NodeDiscoveryFixture.at(1),
+                                0,
+                                0,
+                                0,
+                                HostState.READY,
+                                1,
+                                500,
+                                "other")));
         told.pass(100);
         assertEquals(HostState.GONE, told.state("a"));
         assertEquals(HostState.READY, told.state("other"));
@@ -624,7 +689,7 @@
     @Test
     void whoTakesAnAddressBeforeTheOldNodeHasVanishedHasIt() {
         three();
-        told.put("d", Told.ready(told.nextZxid(), 1, 900));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         assertEquals(HostState.READY, told.state("d"), "at once");
         assertEquals(HostState.GONE, told.state("a"));
         told.gone(told.nextZxid(), "a");
@@ -640,12 +705,12 @@
     @Test
     void whoHasLostItsAddressDoesNotGetItBackByTheEndOfTheOther() {
         three();
-        told.put("d", Told.ready(told.nextZxid(), 1, 900));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         told.gone(told.nextZxid(), "d");
         told.pass(5000);
         assertEquals(HostState.GONE, told.state("d"));
         assertEquals(HostState.GONE, told.state("a"));
-        told.put("a", Told.ready(told.nextZxid(), 1, 500));
+        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
         told.pass(100);
         assertEquals(HostState.READY, told.state("a"), "its node is made again");
     }
@@ -658,7 +723,7 @@
     void whoHasVanishedHoldsNoAddress() {
         three();
         told.gone(told.nextZxid(), "c");
-        told.put("d", Told.ready(told.nextZxid(), 3, 650));
+        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
         told.pass(100);
         assertEquals(HostState.READY, told.state("d"));
         assertEquals(HostState.GONE, told.state("c"));
@@ -674,8 +739,8 @@
             told.put(
                     name,
                     i % 3 == 0
-                            ? Told.unreadable(told.nextZxid())
-                            : Told.ready(told.nextZxid(), 10 + i, i));
+                            ? NodeDiscoveryFixture.unreadable(told.nextZxid())
+                            : NodeDiscoveryFixture.ready(told.nextZxid(), 10 + i, i));
             told.gone(told.nextZxid(), name);
             told.gone(told.nextZxid(), "never" + i);
         }
@@ -688,17 +753,21 @@
     @Test
     void aChangeOfNothingIsNotTold() {
         three();
-        told.put("a", Told.node(1, told.nextZxid(), Told.data(1, HostState.READY, 500)));
+        told.put(
+                "a",
+                NodeDiscoveryFixture.node(
+                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.READY, 500)));
         told.pass(1000);
         told.snapshot(
                 told.nextZxid(),
                 Map.of(
                         "a",
-                        Told.node(1, 101, Told.data(1, HostState.READY, 500)),
+                        NodeDiscoveryFixture.node(
+                                1, 101, NodeDiscoveryFixture.data(1, HostState.READY, 500)),
                         "b",
-                        Told.ready(2, 2, 600),
+                        NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
-                        Told.ready(3, 3, 700)));
+                        NodeDiscoveryFixture.ready(3, 3, 700)));
         assertEquals(1, told.events.size());
     }
 
@@ -707,7 +776,7 @@
         told.registry(UpdateKind.FAILURE);
         assertEquals(UpdateKind.FAILURE, told.events.get(0).kind());
         three();
-        told.registry(UpdateKind.SNAPSHOT, Told.member("r", 9, HostState.READY, 1));
+        told.registry(UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("r", 9, HostState.READY, 1));
         told.pass(1000);
         assertEquals(HostState.GONE, told.state("r"));
     }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -92,7 +92,7 @@
     private static final class Play {
         private final int seed;
         private final Random random;
-        private final Told told = new Told(SourceSelection.NODES);
+        private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.NODES);
         private final Map<String, Facts> model = new LinkedHashMap<>();
 
         /** The ensemble's past: what it held after each transaction. */
@@ -171,11 +171,13 @@
             } else {
                 long began = node == null ? ++start : node.data().startedMillis();
                 NodeData data =
-                        Told.data(
+                        NodeDiscoveryFixture.data(
                                 Integer.parseInt(name.substring(1)) + 1,
                                 random.nextInt(4) == 0 ? HostState.DRAINING : HostState.READY,
                                 began);
-                next.put(name, Told.node(node == null ? zxid : node.czxid(), zxid, data));
+                next.put(
+                        name,
+                        NodeDiscoveryFixture.node(node == null ? zxid : node.czxid(), zxid, data));
             }
             past.add(next);
         }
--- a/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
@@ -44,10 +44,10 @@
         assertEquals(
                 "{\"address\":\"[2001:db8:0:0:0:0:0:1]:80\",\"cell\":0,\"weight\":1.0,"
                         + "\"state\":\"Ready\",\"started\":7}",
-                new String(NodeJsonWriter.of(read, false, 7), StandardCharsets.UTF_8));
-        assertEquals(7, NodeJsonWriter.started(NodeJsonWriter.of(read, true, 7)));
-        assertEquals(0, NodeJsonWriter.started(null));
-        assertEquals(0, NodeJsonWriter.started("{".getBytes(StandardCharsets.UTF_8)));
+                new String(NodeJsonWriter.write(read, false, 7), StandardCharsets.UTF_8));
+        assertEquals(7, NodeJsonWriter.startedMillis(NodeJsonWriter.write(read, true, 7)));
+        assertEquals(0, NodeJsonWriter.startedMillis(null));
+        assertEquals(0, NodeJsonWriter.startedMillis("{".getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
@@ -22,7 +22,8 @@
     private final SidecarEventLoop loop =
             new SidecarEventLoop(
                     executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
-    private final Heard heard = new Heard(executor::inEventLoop);
+    private final RecordingSessionListener heard =
+            new RecordingSessionListener(executor::inEventLoop);
     private final Mailbox mailbox = new Mailbox(loop, heard);
 
     @AfterEach
@@ -35,7 +36,7 @@
         executor.submit(
                         () -> {
                             posts.run();
-                            mailbox.tellNow();
+                            mailbox.deliverAll();
                         })
                 .get();
         List<String> lines = new ArrayList<>();
@@ -58,14 +59,14 @@
                         () -> {
                             mailbox.changed(1, 1, "a");
                             mailbox.read("a", unread);
-                            mailbox.gone(2, 2, "a");
+                            mailbox.deleted(2, 2, "a");
                             mailbox.changed(3, 3, "a");
                             mailbox.changed(3, 3, "b");
                             mailbox.changed(4, 4, "a");
                             mailbox.read("a", unread);
                             mailbox.session(SessionState.SUSPENDED);
                             mailbox.changed(5, 5, "a");
-                            mailbox.gone(6, 6, "a");
+                            mailbox.deleted(6, 6, "a");
                         }));
     }
 
@@ -76,9 +77,9 @@
                         () -> {
                             for (int i = 1; i <= 10_000; i++) {
                                 mailbox.session(SessionState.SUSPENDED);
-                                mailbox.gone(i, i, "a");
+                                mailbox.deleted(i, i, "a");
                                 mailbox.session(SessionState.CONNECTED);
-                                mailbox.doubt(StalenessCause.ROOT_MISSING);
+                                mailbox.stale(StalenessCause.ROOT_MISSING);
                                 mailbox.snapshot(i, i, Map.of(), () -> {});
                                 mailbox.changed(i, i, "a");
                             }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/Heard.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 
 /** Writes down what is told, and on which thread. */
-final class Heard implements SessionListener {
+final class RecordingSessionListener implements SessionListener {
     final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
     volatile StalenessCause doubt = StalenessCause.NONE;
     volatile Map<String, NodeRead> last = Map.of();
@@ -21,7 +21,7 @@
     private final Supplier<Boolean> onLoop;
     volatile boolean elsewhere;
 
-    Heard(Supplier<Boolean> onLoop) {
+    RecordingSessionListener(Supplier<Boolean> onLoop) {
         this.onLoop = onLoop;
     }
 
@@ -37,12 +37,12 @@
     }
 
     @Override
-    public void session(long now, SessionState state) {
+    public void onSessionState(long now, SessionState state) {
         line("session " + state);
     }
 
     @Override
-    public void snapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
+    public void onSnapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
         last = nodes;
         lastZxid = zxid;
         Map<String, String> all = new TreeMap<>();
@@ -53,17 +53,17 @@
     }
 
     @Override
-    public void changed(long now, long told, long zxid, String name) {
+    public void onNodeChanged(long now, long told, long zxid, String name) {
         line("changed " + name);
     }
 
     @Override
-    public void read(long now, String name, NodeRead read) {
+    public void onNodeRead(long now, String name, NodeRead read) {
         line("read " + name + " " + what(read));
     }
 
     @Override
-    public void gone(long now, long told, long zxid, String name) {
+    public void onNodeDeleted(long now, long told, long zxid, String name) {
         line("gone " + name);
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void accept(long now) {
+    public void onAccepted(long now) {
         line("accept");
     }
 
--- a/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
+++ b/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
@@ -60,7 +60,7 @@
             Stat stat = new Stat();
             assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
             assertNotEquals(0, stat.getEphemeralOwner());
-            one.holds(text("ends", 5));
+            one.setData(text("ends", 5));
             while (!new String(text("ends", 5)).equals(holds(ensemble.operator(), stat))) {
                 Thread.sleep(10);
             }
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -64,7 +64,8 @@
                             log.add(what + cause);
                         }
                     });
-    private final Heard heard = new Heard(executor::inEventLoop);
+    private final RecordingSessionListener heard =
+            new RecordingSessionListener(executor::inEventLoop);
     private TestEnsemble ensemble;
     private ZooKeeperDiscovery source;
 
