--- /dev/null
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ConnectFailureEjectionTest.java
@@ -0,0 +1,45 @@
+package appleridge.loadbalancing;
+
+import static appleridge.loadbalancing.SidecarHarness.IDEMPOTENT;
+import static appleridge.loadbalancing.SidecarHarness.MS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Hosts that can't be connected to. */
+class ConnectFailureEjectionTest {
+    @Test
+    void ejectionIsIgnoredWhenEveryHostIsEjected() {
+        SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(2);
+        for (int i = 0; i < 4; i++) {
+            sidecar.request(i, 0);
+            sidecar.outcome(sidecar.last(), Outcome.CONNECT_FAILED);
+        }
+        int before = sidecar.sends.size();
+        sidecar.request(10, 0);
+        assertTrue(sidecar.sends.size() > before, "with every gate shut the pattern decides alone");
+    }
+
+    @Test
+    void ejectionAndReturnAreLoggedOnceEach() {
+        SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(2);
+        sidecar.serve(0, 10, 0, 20 * MS);
+        for (int i = 100; i < 400; i++) {
+            sidecar.request(i, 0);
+            boolean down = sidecar.last().upstream() == 1 && i < 300;
+            sidecar.advance(20 * MS);
+            sidecar.outcome(sidecar.last(), down ? Outcome.CONNECT_FAILED : Outcome.OK);
+            if (down && sidecar.last().request() == i && sidecar.sendsOf(i).size() > 1) {
+                sidecar.outcome(sidecar.last(), Outcome.OK);
+            }
+        }
+        sidecar.advance(5_000 * MS);
+        sidecar.serve(500, 520, 0, 20 * MS);
+        List<String> logged = sidecar.log.stream().filter(l -> l.startsWith("log ")).toList();
+        assertEquals(
+                List.of("log upstream 1 shut out: no connection", "log upstream 1 answers again"),
+                logged);
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
@@ -0,0 +1,209 @@
+package appleridge.loadbalancing;
+
+import static appleridge.loadbalancing.SidecarHarness.MS;
+import static appleridge.loadbalancing.SidecarHarness.NON_IDEMPOTENT;
+import static appleridge.loadbalancing.SidecarHarness.settings;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Load shedding. */
+class LoadShedderTest {
+    @Test
+    void latenessEverywhereShedsFirstAttemptsUntilAnswersAreInTime() {
+        SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(10);
+        sidecar.serve(0, 200, 0, 20 * MS);
+        for (int round = 0; round < 8; round++) {
+            sidecar.burst(1_000 + 10 * round, 1_010 + 10 * round, 0);
+            sidecar.advance(500 * MS);
+            List.copyOf(sidecar.sends).stream()
+                    .filter(s -> s.at() == sidecar.now - 500 * MS)
+                    .forEach(s -> sidecar.outcome(s, Outcome.OK));
+        }
+        int before = sidecar.sends.size();
+        serveAdmitted(sidecar, 2_000, 10);
+        int crowded = sidecar.sends.size() - before;
+        assertTrue(crowded >= 1 && crowded <= 5, "sent right after the pressure " + crowded);
+        assertTrue(sidecar.log.contains("log load shedding begins: answers come late everywhere"));
+        serveAdmitted(sidecar, 3_000, 200);
+        assertTrue(sidecar.log.contains("log load shedding ends"));
+        before = sidecar.sends.size();
+        serveAdmitted(sidecar, 4_000, 20);
+        assertEquals(20, sidecar.sends.size() - before, "all admitted again");
+    }
+
+    /**
+     * Guards against a sidecar with little traffic that refuses for minutes what idle servers could
+     * answer.
+     */
+    @Test
+    void sheddingEndsByTimeAloneWithoutNewLateness() {
+        SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(10);
+        sidecar.serve(0, 200, 0, 20 * MS);
+        for (int round = 0; round < 8; round++) {
+            sidecar.burst(1_000 + 10 * round, 1_010 + 10 * round, 0);
+            sidecar.advance(500 * MS);
+            List.copyOf(sidecar.sends).stream()
+                    .filter(s -> s.at() == sidecar.now - 500 * MS)
+                    .forEach(s -> sidecar.outcome(s, Outcome.OK));
+        }
+        assertTrue(sidecar.log.contains("log load shedding begins: answers come late everywhere"));
+        long evidence = 4 * settings(NON_IDEMPOTENT).classes().get(0).latencyObjectiveNanos();
+        sidecar.advance(4 * evidence);
+        for (int id = 2_000; id < 2_020; id++) {
+            int before = sidecar.sends.size();
+            sidecar.request(id, 0);
+            assertEquals(before + 1, sidecar.sends.size(), "admitted: " + id);
+            sidecar.advance(20 * MS);
+            sidecar.outcome(sidecar.last(), Outcome.OK);
+            sidecar.advance(evidence);
+        }
+        assertTrue(sidecar.log.contains("log load shedding ends"));
+    }
+
+    @Test
+    void serviceWhoseUnloadedAnswersTakeMostOfTheObjectiveIsNotShedForGood() {
+        SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(4);
+        for (int id = 0; id < 400; id++) {
+            int before = sidecar.sends.size();
+            sidecar.request(id, 0);
+            sidecar.advance(400 * MS);
+            if (sidecar.sends.size() > before) {
+                sidecar.outcome(sidecar.last(), Outcome.OK);
+            }
+        }
+        assertEquals(399, sidecar.last().request(), "the last ones are all admitted");
+        long begun =
+                sidecar.log.stream()
+                        .filter(line -> line.startsWith("log load shedding begins"))
+                        .count();
+        assertEquals(begun, sidecar.log.stream().filter("log load shedding ends"::equals).count());
+    }
+
+    /**
+     * Guards against a hundred sidecars that a second of a crowd shuts nearly for good, together:
+     * half of what is answered is late, and goes on to be; of what is asked a good part is still to
+     * be sent.
+     */
+    @Test
+    void halfOfTheAnswersLateLeavesAGoodPartAdmitted() {
+        SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(40);
+        sidecar.serve(0, 200, 0, 20 * MS);
+        int asked = 200;
+        List<SidecarHarness.Sent> waiting = new ArrayList<>();
+        int before = sidecar.sends.size();
+        for (int tick = 0; tick < 400; tick++) {
+            int sent = sidecar.sends.size();
+            sidecar.request(asked, 0);
+            asked++;
+            if (sidecar.sends.size() > sent) {
+                waiting.add(sidecar.last());
+            }
+            sidecar.advance(50 * MS);
+            for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+                boolean slow = each.request() % 2 == 0;
+                if (sidecar.now - each.at() >= (slow ? 450 : 50) * MS) {
+                    waiting.remove(each);
+                    sidecar.outcome(each, Outcome.OK);
+                }
+            }
+        }
+        double part = (sidecar.sends.size() - before) / 400.0;
+        assertTrue(part > 0.35 && part < 0.95, "sent of what was asked " + part);
+    }
+
+    /**
+     * Guards against a hundred sidecars that all wait for answers to be late before each admits
+     * less.
+     */
+    @Test
+    void smallerDelaysShowOverloadWhereManySidecarsShareAHost() {
+        for (int replicas : new int[] {3, 95}) {
+            SidecarHarness sidecar = SidecarHarness.ofMany(7, replicas).withHosts(60);
+            sidecar.serve(0, 200, 0, 80 * MS);
+            List<SidecarHarness.Sent> waiting = new ArrayList<>();
+            for (int id = 1_000; id < 1_200; id++) {
+                int before = sidecar.sends.size();
+                sidecar.request(id, 0);
+                waiting.addAll(sidecar.sends.subList(before, sidecar.sends.size()));
+                sidecar.advance(50 * MS);
+                for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+                    if (sidecar.now - each.at() >= 250 * MS) {
+                        waiting.remove(each);
+                        sidecar.outcome(each, Outcome.OK);
+                    }
+                }
+            }
+            boolean sheds =
+                    sidecar.log.stream()
+                            .anyMatch(line -> line.startsWith("log load shedding begins"));
+            assertEquals(replicas > 3, sheds, "of " + replicas);
+        }
+    }
+
+    @Test
+    void tenantBeyondItsFairShareIsShedFirst() {
+        SidecarHarness sidecar =
+                new SidecarHarness(
+                                TestSettings.of(NON_IDEMPOTENT)
+                                        .replicas(1)
+                                        .tenants(new Tenant(0.5, 10), new Tenant(0.5, 10))
+                                        .overQuotaWeight(0.1)
+                                        .build(),
+                                7)
+                        .withHosts(40);
+        sidecar.serve(0, 200, 0, 20 * MS);
+        int[] asked = new int[2];
+        int[] sent = new int[2];
+        List<SidecarHarness.Sent> waiting = new ArrayList<>();
+        for (int i = 1_000; i < 2_000; i++) {
+            int tenant = i % 4 == 0 ? 1 : 0;
+            int before = sidecar.sends.size();
+            sidecar.policy.onRequest(
+                    sidecar.now, new RequestInfo(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
+            asked[tenant]++;
+            if (sidecar.sends.size() > before) {
+                sent[tenant]++;
+                waiting.add(sidecar.last());
+            }
+            sidecar.advance(100 * MS);
+            for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+                if (sidecar.now - each.at() >= (each.request() % 5 != 0 ? 450 : 50) * MS) {
+                    waiting.remove(each);
+                    sidecar.outcome(each, Outcome.OK);
+                }
+            }
+        }
+        double flood = sent[0] / (double) asked[0];
+        double modest = sent[1] / (double) asked[1];
+        assertTrue(modest > 1.15 * flood, "of the modest " + modest + ", of the flood " + flood);
+    }
+
+    @Test
+    void fewCostlyAnswersDoNotShed() {
+        SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(11);
+        sidecar.serve(0, 220, 0, 20 * MS);
+        for (int i = 0; i < 20; i++) {
+            sidecar.serve(1_000 + 5 * i, 1_004 + 5 * i, 0, 20 * MS);
+            sidecar.serve(1_004 + 5 * i, 1_005 + 5 * i, 0, 190 * MS);
+        }
+        int before = sidecar.sends.size();
+        sidecar.burst(2_000, 2_015, 0);
+        assertEquals(15, sidecar.sends.size() - before, "one in five takes long, the rest is calm");
+    }
+
+    /** One by one, answered in 20 ms where the module sends them. */
+    private static void serveAdmitted(SidecarHarness sidecar, int from, int count) {
+        for (int id = from; id < from + count; id++) {
+            int before = sidecar.sends.size();
+            sidecar.request(id, 0);
+            sidecar.advance(20 * MS);
+            if (sidecar.sends.size() > before) {
+                sidecar.outcome(sidecar.last(), Outcome.OK);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/sidecar/src/test/java/appleridge/loadbalancing/UnusualSettingsTest.java
@@ -0,0 +1,167 @@
+package appleridge.loadbalancing;
+
+import static appleridge.loadbalancing.SidecarHarness.MS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Settings far from the three deployments: bare hosts, lone servers, large and vanishing lists. */
+class UnusualSettingsTest {
+
+    /** A host that allows nothing but sending, with the given try limit. */
+    private static SidecarHarness bare(int tryLimit, RequestClass... classes) {
+        Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
+        SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
+        return new SidecarHarness(
+                new PolicySettings(
+                        0,
+                        1,
+                        0,
+                        0,
+                        DiscoveryMode.PUSHED,
+                        WeightKind.SILENT,
+                        List.of(classes),
+                        List.of(),
+                        allowed,
+                        limits,
+                        List.of(),
+                        true,
+                        0),
+                5);
+    }
+
+    @Test
+    void oneServerTakesAllInTurnAndIsTriedAgainWhenItReturns() {
+        SidecarHarness sidecar = bare(3, SidecarHarness.NON_IDEMPOTENT).withHosts(1);
+        sidecar.serve(0, 50, 0, 10 * MS);
+        assertEquals(50, sidecar.sends.size());
+        sidecar.request(100, 0);
+        sidecar.outcome(sidecar.last(), Outcome.CONNECT_FAILED);
+        assertEquals(List.of("refuse 100"), sidecar.answers, "no other server, and it never ran");
+        sidecar.advance(2_000 * MS);
+        sidecar.request(101, 0);
+        assertEquals(101, sidecar.last().request());
+    }
+
+    @Test
+    void manyServersAllGetTheirTurn() {
+        SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(500);
+        sidecar.serve(0, 500, 0, MS);
+        assertEquals(
+                500,
+                sidecar.sends.stream().mapToLong(SidecarHarness.Sent::upstream).distinct().count());
+    }
+
+    @Test
+    void aTryLimitOfOneMeansNoFurtherAttempt() {
+        SidecarHarness sidecar = bare(1, SidecarHarness.IDEMPOTENT).withHosts(3);
+        sidecar.request(1, 0);
+        sidecar.outcome(sidecar.last(), Outcome.REJECTED);
+        assertEquals(1, sidecar.sends.size());
+        assertEquals(List.of("refuse 1"), sidecar.answers);
+    }
+
+    @Test
+    void whatTheHostDoesNotAllowIsNeverAskedFor() {
+        SidecarHarness sidecar =
+                bare(3, SidecarHarness.IDEMPOTENT, SidecarHarness.NON_IDEMPOTENT).withHosts(2);
+        for (int i = 0; i < 40; i++) {
+            sidecar.request(i, i % 2);
+        }
+        sidecar.policy.onClientDisconnected(sidecar.now, sidecar.last().request());
+        sidecar.advance(3_000 * MS);
+        assertTrue(
+                sidecar.log.stream().noneMatch(l -> l.matches("(cancel|probe|tell|close).*")),
+                "unasked");
+        assertTrue(sidecar.log.stream().anyMatch(l -> l.startsWith("refuse")));
+        assertTrue(
+                sidecar.log.stream().noneMatch(l -> l.matches("refuse \\d+ [1-9].*")),
+                "no wait is told");
+    }
+
+    @Test
+    void aListThatEmptiesAndRefillsStartsAfresh() {
+        SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(4);
+        sidecar.serve(0, 20, 0, 10 * MS);
+        sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.SNAPSHOT, List.of());
+        sidecar.request(100, 0);
+        assertEquals(List.of("refuse 100"), sidecar.answers, "nothing ready");
+        sidecar.withHosts(4);
+        sidecar.request(101, 0);
+        assertEquals(101, sidecar.last().request());
+    }
+
+    @Test
+    void aLoadReportIsNoPartOfThePick() {
+        SidecarHarness one = bare(3, SidecarHarness.IDEMPOTENT).withHosts(5);
+        SidecarHarness other = bare(3, SidecarHarness.IDEMPOTENT).withHosts(5);
+        for (int i = 0; i < 30; i++) {
+            one.request(i, 0);
+            other.request(i, 0);
+            one.advance(MS);
+            other.advance(MS);
+            SidecarHarness.Sent sent = one.last();
+            one.policy.onAttemptEnded(
+                    one.now, i, 0, sent.upstream(), Outcome.OK, MS, true, new float[0]);
+            float[] report = {9, -1, 7e9f};
+            other.policy.onAttemptEnded(
+                    other.now, i, 0, sent.upstream(), Outcome.OK, MS, true, report);
+        }
+        assertEquals(one.log, other.log);
+    }
+
+    @Test
+    void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
+        RequestClass stream =
+                new RequestClass(
+                        500 * MS,
+                        0,
+                        1_000 * MS,
+                        1,
+                        0,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        true);
+        SidecarHarness sidecar =
+                new SidecarHarness(SidecarHarness.settings(stream), 3).withHosts(3);
+        sidecar.request(1, 0);
+        SidecarHarness.Sent sent = sidecar.last();
+        sidecar.advance(100 * MS);
+        sidecar.policy.onResponseStarted(sidecar.now, 1, 0, sent.upstream(), 100 * MS);
+        sidecar.advance(2_000 * MS);
+        assertEquals(List.of(), sidecar.answers);
+        sidecar.outcome(sent, Outcome.RESET);
+        assertEquals(1, sidecar.sends.size());
+        assertEquals(
+                List.of("refuse 1"),
+                sidecar.answers,
+                "a repeatable request may be tried by its client");
+    }
+
+    @Test
+    void onceAloneIsNeverSentTwiceOnDoubt() {
+        SidecarHarness sidecar = bare(3, SidecarHarness.NON_IDEMPOTENT).withHosts(6);
+        for (Outcome doubt : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
+            sidecar.request(doubt.ordinal(), 0);
+            sidecar.outcome(sidecar.last(), doubt);
+            assertEquals(1, sidecar.sendsOf(doubt.ordinal()).size(), doubt.name());
+        }
+    }
+
+    @Test
+    void drainingEverywhereStopsAllNewWork() {
+        SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(2);
+        sidecar.policy.onEndpointUpdate(
+                sidecar.now,
+                UpdateKind.DELTA,
+                List.of(
+                        SidecarHarness.upstreamHost(0, HostState.DRAINING, 0),
+                        SidecarHarness.upstreamHost(1, HostState.DRAINING, 0)));
+        sidecar.request(1, 0);
+        assertEquals(0, sidecar.sends.size());
+        assertEquals(List.of("refuse 1"), sidecar.answers);
+    }
+}
