--- a/sidecar/src/main/java/appleridge/loadbalancing/Capabilities.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Capabilities.java
@@ -1,8 +1,17 @@
 package appleridge.loadbalancing;
 
 /**
- * What the host allows; a disallowed action is never asked for. {@link SymmetricRoundRobinPolicy}
- * makes no use of probes or parallel tries: no run has shown that they pay.
+ * What the host of a policy allows. The policy never asks for an action that is not allowed; {@link
+ * SymmetricRoundRobinPolicy} uses neither active health checks nor hedged requests.
+ *
+ * @param cancellation {@link PolicyActions#cancelAttempt}
+ * @param healthChecks {@link PolicyActions#sendHealthCheck}
+ * @param gossip {@link PolicyActions#sendGossip}
+ * @param hedging a further attempt while one is outstanding
+ * @param retryAfter {@link PolicyActions#reject} with a wait
+ * @param maxAttempts attempts per request, the first one included; 1 or more
+ * @param maxRetryAfterNanos longest wait that a rejection may ask for; 0 or more
+ * @param connectTimeoutNanos after which a connect counts as failed; 0 or more
  */
 public record Capabilities(
         boolean cancellation,
@@ -13,10 +22,14 @@
         int maxAttempts,
         long maxRetryAfterNanos,
         long connectTimeoutNanos) {
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the component that is out of range
+     */
     public Capabilities {
-        Preconditions.require(maxAttempts >= 1, "try limit");
-        Preconditions.require(
-                maxRetryAfterNanos >= 0 && connectTimeoutNanos >= 0,
-                "retry-after and connect time-out");
+        Preconditions.require(maxAttempts >= 1, "maxAttempts", maxAttempts, "1 or more");
+        Preconditions.requireNotNegative(maxRetryAfterNanos, "maxRetryAfterNanos");
+        Preconditions.requireNotNegative(connectTimeoutNanos, "connectTimeoutNanos");
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryMode.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryMode.java
@@ -1,7 +1,9 @@
 package appleridge.loadbalancing;
 
-/** Whether the list comes by itself or must be subscribed to. */
+/** How endpoint updates come to a policy. */
 public enum DiscoveryMode {
+    /** The host of the policy delivers them without being asked. */
     PUSHED,
+    /** They come after {@link PolicyActions#subscribe}, until a {@link UpdateKind#FAILURE}. */
     SUBSCRIBED
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/Outcome.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Outcome.java
@@ -2,27 +2,27 @@
 
 /** How an attempt ended. */
 public enum Outcome {
-    /** Served; the first one finishes the request. */
+    /** Served; the first one is the request's final answer. */
     OK(false),
-    /** The upstream answered with an error, perhaps after running the request. */
+    /** The host answered with an error, perhaps after executing the request. */
     ERROR(false),
-    /** Turned away unseen: queue full or draining. */
+    /** The host rejected it without executing it: its queue is full, or it drains. */
     REJECTED(true),
-    /** No answer in time; it may have run or may be running still. */
+    /** No answer in time; it may have executed, or may still do so. */
     TIMEOUT(false),
-    /** No connection in time: down, unreachable, or its connection table is full. */
+    /** No connection in time: the host is down, unreachable, or takes no more connections. */
     CONNECT_FAILED(true),
-    /** The connection broke while the attempt was out. */
+    /** The connection broke while the attempt was outstanding. */
     RESET(false),
-    /** Withdrawn by this balancer. */
+    /** Cancelled by this policy. */
     CANCELLED(false),
-    /** Never sent: the request had ended, or it had no attempt or time left. */
+    /** Never sent: the request had ended, or had no attempt or time left. */
     NEVER_SENT(true);
 
     private final boolean notExecuted;
 
-    Outcome(boolean neverRan) {
-        this.notExecuted = neverRan;
+    Outcome(boolean notExecuted) {
+        this.notExecuted = notExecuted;
     }
 
     /** Whether this outcome proves that the attempt had no effect. */
--- a/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
@@ -1,40 +1,56 @@
 package appleridge.loadbalancing;
 
-/** What an instance orders. The host carries each out at the time of the event being handled. */
+/**
+ * What a policy orders of its host. Called only during the policy's events and from their thread;
+ * each action takes effect at the time of the event. Times are nanoseconds on the events' clock.
+ */
 public interface PolicyActions {
-    /** Starts the request's next attempt; a time-out of 0 lasts until the client gives up. */
+    /** Stands for every peer in {@link #sendGossip}. */
+    int ALL_PEERS = 0xffff;
+
+    /**
+     * Sends the request's next attempt.
+     *
+     * @param timeout nanoseconds; 0 for until the client gives up
+     */
     void sendAttempt(long request, long upstream, long timeout);
 
-    /** Final answer: not done, a retry is harmless; {@code wait} 0 gives no guidance. */
+    /**
+     * Final answer: not executed, or safe to be sent again by the client.
+     *
+     * @param wait nanoseconds for Retry-After; 0 for none
+     */
     void reject(long request, long wait);
 
-    /** Final answer: failed, with no promise about effects. */
+    /** Final answer: failed, without a promise whether it was executed. */
     void fail(long request);
 
-    /** Stops waiting for one attempt. */
+    /** Cancels an outstanding attempt; its outcome still comes. */
     void cancelAttempt(long request, int attempt);
 
-    /** Asks for {@link LoadBalancingPolicy#onTimer} with this token at or after a time. */
+    /** Asks for {@link LoadBalancingPolicy#onTimer} with this token at or after {@code at}. */
     void setTimer(long token, long at);
 
-    /** Probes an upstream. */
+    /** Sends an active health check to a host. */
     void sendHealthCheck(long upstream);
 
-    /** Closes idle connections to an upstream. */
+    /** Closes the idle connections to a host. */
     void closeIdleConnections(long upstream);
 
-    /** Sends at most 256 bytes to a peer, or to every one if {@code peer} is {@link #ALL_PEERS}. */
+    /**
+     * Sends a message to a peer.
+     *
+     * @param peer its rank, or {@link #ALL_PEERS}
+     * @param message at most 256 bytes
+     */
     void sendGossip(int peer, byte[] message);
 
-    /** Writes a line for operators. */
+    /** Writes a line to the sidecar's log. */
     void log(String line);
 
-    /** Subscribes to list changes, or ends it; answered by one list event. */
+    /** Subscribes to endpoint updates, or ends that; answered by one endpoint update. */
     void subscribe(boolean on);
 
-    /** Asks for the whole list once; answered by one list event. */
+    /** Asks for one snapshot of all endpoints; answered by one endpoint update. */
     void fetchEndpoints();
-
-    /** Every peer. */
-    int ALL_PEERS = 0xffff;
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/Preconditions.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Preconditions.java
@@ -7,12 +7,20 @@
     /**
      * Throws unless a condition holds.
      *
-     * @param setting the name of the setting that the message tells
-     * @throws IllegalArgumentException if the condition does not hold
+     * @param setting name of the setting
+     * @param value its value
+     * @param allowed the allowed range, or what else it has to be
+     * @throws IllegalArgumentException if the condition does not hold; the message names all three
      */
-    static void require(boolean holds, String setting) {
+    static void require(boolean holds, String setting, Object value, String allowed) {
         if (!holds) {
-            throw new IllegalArgumentException("setting makes no sense: " + setting);
+            throw new IllegalArgumentException(
+                    "setting " + setting + " is " + value + ", must be " + allowed);
         }
     }
+
+    /** Throws unless a whole number is 0 or more. */
+    static void requireNotNegative(long value, String setting) {
+        require(value >= 0, setting, value, "0 or more");
+    }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RequestClass.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RequestClass.java
@@ -1,17 +1,21 @@
 package appleridge.loadbalancing;
 
 /**
- * A class of request; times in nanoseconds.
+ * A class of requests. Times in nanoseconds.
  *
- * @param latencyObjectiveNanos an answer within this time earns the full worth
- * @param objectiveStretch the aim grows by this many times the request's own work, up to the
+ * @param latencyObjectiveNanos an answer within this time has its full value; more than 0
+ * @param objectiveStretch the objective grows by this many times the request's own work, up to the
  *     deadline
- * @param deadlineNanos the longest a client waits over all its tries
- * @param lateValueFraction part of the worth earned between aim and deadline
- * @param idempotencyKeyTtlNanos for BY_KEY: how long repeats are dropped, from the first send that
- *     may have run
- * @param streaming the answer streams: {@link LoadBalancingPolicy#onResponseStarted} tells of its
- *     start
+ * @param deadlineNanos the longest that a client waits, over all its attempts; no shorter than the
+ *     objective
+ * @param priorityWeight value of an answer beside other classes; finite, 0 or more
+ * @param lateValueFraction part of the value that an answer between objective and deadline has
+ * @param deduplicationScope where idempotency keys are known; not null for {@link
+ *     Idempotency#IDEMPOTENT_BY_KEY}
+ * @param idempotencyKeyTtlNanos how long hosts know a key, from the first send that may have
+ *     executed; 0 or more for {@link Idempotency#IDEMPOTENT_BY_KEY}
+ * @param streaming the response is streamed: {@link LoadBalancingPolicy#onResponseStarted} marks
+ *     its start
  */
 public record RequestClass(
         long latencyObjectiveNanos,
@@ -23,14 +27,31 @@
         DeduplicationScope deduplicationScope,
         long idempotencyKeyTtlNanos,
         boolean streaming) {
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the component that is out of range
+     */
     public RequestClass {
-        Preconditions.require(latencyObjectiveNanos > 0, "class aim");
-        Preconditions.require(deadlineNanos >= latencyObjectiveNanos, "class deadline");
         Preconditions.require(
-                priorityWeight >= 0 && Double.isFinite(priorityWeight), "class worth");
+                latencyObjectiveNanos > 0,
+                "latencyObjectiveNanos",
+                latencyObjectiveNanos,
+                "more than 0");
         Preconditions.require(
-                idempotency != Idempotency.IDEMPOTENT_BY_KEY
-                        || idempotencyKeyTtlNanos >= 0 && deduplicationScope != null,
-                "class key scope and ttl");
+                deadlineNanos >= latencyObjectiveNanos,
+                "deadlineNanos",
+                deadlineNanos,
+                "at least latencyObjectiveNanos, " + latencyObjectiveNanos);
+        Preconditions.require(
+                priorityWeight >= 0 && Double.isFinite(priorityWeight),
+                "priorityWeight",
+                priorityWeight,
+                "finite and 0 or more");
+        if (idempotency == Idempotency.IDEMPOTENT_BY_KEY) {
+            Preconditions.requireNotNegative(idempotencyKeyTtlNanos, "idempotencyKeyTtlNanos");
+            Preconditions.require(
+                    deduplicationScope != null, "deduplicationScope", null, "ALL, ZONE or CELL");
+        }
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
@@ -3,9 +3,14 @@
 /**
  * A client's request.
  *
- * @param remainingNanos until the client gives this try up
- * @param costHintNanos rough work to expect in nanoseconds; 0 where unknown
- * @param clientRetry the client marked it as a repeat
+ * @param id never used twice
+ * @param requestClass index into {@link PolicySettings#classes()}
+ * @param tenant index into {@link PolicySettings#tenants()}; ignored where there are none
+ * @param key the idempotency key; 0 for none
+ * @param remainingNanos until the client gives this attempt of its own up
+ * @param costHintNanos rough work to expect, in nanoseconds; 0 where it is unknown
+ * @param clientRetry the client has marked it as a retry
+ * @param write it changes data
  */
 public record RequestInfo(
         long id,
--- a/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
@@ -1,6 +1,16 @@
 package appleridge.loadbalancing;
 
-/** The numbers behind the four rules; times in nanoseconds. */
+/**
+ * The limits that no decision may exceed. Times in nanoseconds.
+ *
+ * @param answerSlackNanos a final answer may come this much after the deadline; 0 or more
+ * @param pollIntervalNanos endpoint lists may be this old; 0 or more
+ * @param drainGraceNanos a draining host may get requests for this long; 0 or more
+ * @param slowStartMinFraction part of its capacity that a host has at its start; above 0, at most 1
+ * @param slowStartWindowNanos time in which a started host reaches its capacity; 0 or more
+ * @param overloadFactor multiple of its present capacity that overloads a warming host; 1 or more
+ * @param overloadWindowNanos for how long it has to last to overload the host; 0 or more
+ */
 public record SafetyLimits(
         long answerSlackNanos,
         long pollIntervalNanos,
@@ -9,13 +19,22 @@
         long slowStartWindowNanos,
         double overloadFactor,
         long overloadWindowNanos) {
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the component that is out of range
+     */
     public SafetyLimits {
+        Preconditions.requireNotNegative(answerSlackNanos, "answerSlackNanos");
+        Preconditions.requireNotNegative(pollIntervalNanos, "pollIntervalNanos");
+        Preconditions.requireNotNegative(drainGraceNanos, "drainGraceNanos");
         Preconditions.require(
-                answerSlackNanos >= 0 && pollIntervalNanos >= 0 && drainGraceNanos >= 0,
-                "rule times");
-        Preconditions.require(slowStartMinFraction > 0 && slowStartMinFraction <= 1, "cold share");
-        Preconditions.require(
-                slowStartWindowNanos >= 0 && overloadWindowNanos >= 0, "ramp and tip times");
-        Preconditions.require(overloadFactor >= 1, "overload factor");
+                slowStartMinFraction > 0 && slowStartMinFraction <= 1,
+                "slowStartMinFraction",
+                slowStartMinFraction,
+                "above 0 and at most 1");
+        Preconditions.requireNotNegative(slowStartWindowNanos, "slowStartWindowNanos");
+        Preconditions.require(overloadFactor >= 1, "overloadFactor", overloadFactor, "1 or more");
+        Preconditions.requireNotNegative(overloadWindowNanos, "overloadWindowNanos");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
@@ -6,7 +6,6 @@
 import static appleridge.loadbalancing.SidecarHarness.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -36,8 +35,11 @@
                 assertThrows(
                         IllegalArgumentException.class,
                         () -> new SafetyLimits(0, 0, 0, 1.5, 0, 3, 0));
-        assertTrue(e.getMessage().contains("cold share"));
-        assertThrows(IllegalArgumentException.class, () -> settings());
+        assertEquals(
+                "setting slowStartMinFraction is 1.5, must be above 0 and at most 1",
+                e.getMessage());
+        e = assertThrows(IllegalArgumentException.class, () -> settings());
+        assertEquals("setting classes is [], must be at least one", e.getMessage());
     }
 
     @Test
