--- a/sidecar/src/main/java/appleridge/http1/AcceptGate.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -7,160 +7,168 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The connections that wait in the system while there is no room for them here. Now and then what
- * waits is taken in all the same: to be told that there is no room, or because accepting is about
- * to end.
+ * Decides whether new connections are accepted, or left waiting in the system while there is no
+ * room. For a short window now and then they are accepted all the same: to be told that there is no
+ * room, or because accepting is about to end. Loop thread only.
  */
 final class AcceptGate {
     /**
-     * For so long connections wait where all there are have a request open; then they are told. A
-     * bit longer than silent ones may hesitate, so that these make room first.
+     * For so long connections wait where all open ones have a request open; then they are rejected.
+     * A bit longer than silent ones may hesitate, so that these make room first.
      */
-    private static final long PATIENCE =
-            TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.HESITATES + 50);
+    private static final long MAX_WAIT_NANOS =
+            TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.MAX_HESITATION_MILLIS + 50);
 
-    /** For so long, in nanoseconds, what waits is taken in at a time. */
-    private static final long LOOK = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long WINDOW_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-    /** The end of accepting is put off for so many looks, if each brings more. */
-    private static final int MOST_LOOKS = 10;
+    /** The end of accepting is put off by so many windows, if each brings more connections. */
+    private static final int MAX_FINAL_WINDOWS = 10;
 
-    /** Of the cap, for those told in one look: the process has some descriptors beyond the cap. */
-    private static final int TOLD_PART = 16;
+    /** The cap by this is what a window may reject: there are some descriptors beyond the cap. */
+    private static final int REJECTIONS_CAP_DIVISOR = 16;
 
-    private static final int LEAST_TOLD = 4;
+    private static final int MIN_REJECTIONS_PER_WINDOW = 4;
 
     private final SidecarEventLoop loop;
-    private final int cap;
-    private final BooleanSupplier room;
+    private final int maxConnections;
+    private final BooleanSupplier hasRoom;
     private Channel listener;
-    private boolean looking;
-    private int tells;
-    private boolean ends;
+    private boolean windowOpen;
+    private int rejectionsLeft;
+    private boolean ending;
     private boolean stopped;
-    private boolean waits;
-    private long accepted;
+    private boolean paused;
     private boolean accepting;
-    private long changes;
-    private long roomAt;
+    private long acceptedCount;
+    private long changeCount;
+    private long lastRoomNanos;
 
     /** With the most connections that are held, and what says whether there is room for another. */
-    AcceptGate(SidecarEventLoop loop, int cap, BooleanSupplier room) {
+    AcceptGate(SidecarEventLoop loop, int maxConnections, BooleanSupplier hasRoom) {
         this.loop = loop;
-        this.cap = cap;
-        this.room = room;
+        this.maxConnections = maxConnections;
+        this.hasRoom = hasRoom;
     }
 
-    void listener(Channel listens) {
-        listener = listens;
+    /** The listening channel; to be called before all else but {@link #pause}. */
+    void attachTo(Channel listening) {
+        listener = listening;
     }
 
     /**
-     * One has been accepted, and what could make room has done so; whether it must be told of none.
+     * A connection has been accepted, and what could make room for it has done so; returns whether
+     * it is to be rejected.
      */
-    boolean tells() {
-        accepted++;
-        boolean tell = looking && !room.getAsBoolean();
-        if (tell) {
-            tells--;
+    boolean onAccepted() {
+        acceptedCount++;
+        boolean rejects = windowOpen && !hasRoom.getAsBoolean();
+        if (rejects) {
+            rejectionsLeft--;
         }
-        return tell;
+        return rejects;
     }
 
-    /** To be called when connections have come or gone. */
-    void changed() {
-        if (room.getAsBoolean()) {
-            roomAt = loop.nanoTime();
+    /** Connections have come or gone. */
+    void onConnectionsChanged() {
+        if (hasRoom.getAsBoolean()) {
+            lastRoomNanos = loop.nanoTime();
         }
-        accept();
+        update();
     }
 
     /** Accepts if there is reason to, and else lets wait. */
-    void accept() {
-        boolean accepts = !stopped && !waits && (looking ? tells > 0 : room.getAsBoolean());
+    void update() {
+        boolean accepts =
+                !stopped && !paused && (windowOpen ? rejectionsLeft > 0 : hasRoom.getAsBoolean());
         if (accepts != accepting) {
             accepting = accepts;
-            changes++;
-            loop.log()
-                    .event(
-                            LogEvent.ACCEPT_GATE,
-                            () ->
-                                    "accepts="
-                                            + accepts
-                                            + " stopped="
-                                            + stopped
-                                            + " waits="
-                                            + waits
-                                            + " looking="
-                                            + looking
-                                            + " accepted="
-                                            + accepted);
+            changeCount++;
+            logChange(accepts);
         }
         listener.config().setAutoRead(accepts);
     }
 
+    private void logChange(boolean accepts) {
+        loop.log()
+                .event(
+                        LogEvent.ACCEPT_GATE,
+                        () ->
+                                "accepts="
+                                        + accepts
+                                        + " stopped="
+                                        + stopped
+                                        + " waits="
+                                        + paused
+                                        + " looking="
+                                        + windowOpen
+                                        + " accepted="
+                                        + acceptedCount);
+    }
+
     /** Times that accepting was paused or resumed. */
-    long changes() {
-        return changes;
+    long changeCount() {
+        return changeCount;
     }
 
-    /** Whether nothing is accepted for now, for another process does. */
-    void waits(boolean forNow) {
-        waits = forNow;
+    /** Sets whether nothing is accepted for now, because another process accepts. */
+    void pause(boolean whileOtherAccepts) {
+        paused = whileOtherAccepts;
     }
 
-    /**
-     * Accepts no more, and leaves the listening socket as it is: what waits there is another
-     * process's.
-     */
+    /** Accepts no more; what waits in the listening socket is another process's. */
     void stop() {
-        ends = true;
+        ending = true;
         stopped = true;
-        accept();
+        update();
     }
 
     /**
-     * Danger: where bad clients hold all connections there may be, those that wait would hear
-     * nothing, and find out by their own time limit. Told of it, they may ask again or elsewhere;
-     * nothing was sent on.
+     * Rejects connections that have waited too long, in a window. Where others hold all connections
+     * that there may be, a client would else find out by its own time limit; told, it may ask again
+     * or elsewhere.
      */
-    void tellWhoWaits() {
-        if (!room.getAsBoolean() && !ends && loop.nanoTime() - roomAt >= PATIENCE) {
-            look(() -> {});
+    void rejectLongWaiting() {
+        if (!hasRoom.getAsBoolean()
+                && !ending
+                && loop.nanoTime() - lastRoomNanos >= MAX_WAIT_NANOS) {
+            openWindow(() -> {});
         }
     }
 
     /**
-     * Ends accepting. Danger: what waits when the listening socket closes is reset, and may have
-     * asked; after the loop stood still, or at the cap, that is any number. So it closes when a
-     * look has brought no more.
+     * Ends accepting, when a window has brought no more connections: those that wait when the
+     * listening socket closes are reset, though they may have sent a request, and after a stall or
+     * at the cap that may be any number.
+     *
+     * @param closed run when the listening channel has closed
      */
     void end(Runnable closed) {
-        ends = true;
-        end(closed, MOST_LOOKS);
+        ending = true;
+        end(closed, MAX_FINAL_WINDOWS);
     }
 
-    private void end(Runnable closed, int looks) {
-        long before = accepted;
-        look(
+    private void end(Runnable closed, int windows) {
+        long before = acceptedCount;
+        openWindow(
                 () -> {
-                    if (accepted > before && looks > 1) {
-                        end(closed, looks - 1);
+                    if (acceptedCount > before && windows > 1) {
+                        end(closed, windows - 1);
                     } else {
                         listener.close().addListener(done -> closed.run());
                     }
                 });
     }
 
-    private void look(Runnable then) {
-        looking = true;
-        tells = Math.max(LEAST_TOLD, cap / TOLD_PART);
-        accept();
+    private void openWindow(Runnable then) {
+        windowOpen = true;
+        rejectionsLeft =
+                Math.max(MIN_REJECTIONS_PER_WINDOW, maxConnections / REJECTIONS_CAP_DIVISOR);
+        update();
         loop.after(
-                LOOK,
+                WINDOW_NANOS,
                 () -> {
-                    looking = false;
-                    accept();
+                    windowOpen = false;
+                    update();
                     then.run();
                 });
     }
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -118,7 +118,7 @@
     }
 
     /** What has been written and the system has not taken. */
-    WriteBacklog output() {
+    WriteBacklog writeBacklog() {
         return responses.backlog();
     }
 
@@ -137,7 +137,7 @@
 
     /** Reads what the system holds; returns whether the connection is still there. */
     boolean readPendingInput() {
-        if (channel.isActive() && channel.config().isAutoRead() && !readActivity.delivering()) {
+        if (channel.isActive() && channel.config().isAutoRead() && !readActivity.isDelivering()) {
             listener.readNow(channel);
         }
         return channel.isActive();
@@ -161,7 +161,7 @@
     void resetUnread() {
         listener.logClosed("not_read");
         closing.closeInput();
-        responses.backlog().cutOff();
+        responses.backlog().reset();
     }
 
     void close() {
@@ -195,7 +195,7 @@
      * lost.
      */
     boolean evict() {
-        if (isIdle() && channel.isActive() && !readActivity.delivering()) {
+        if (isIdle() && channel.isActive() && !readActivity.isDelivering()) {
             listener.readNow(channel);
             if (!isIdle()) {
                 return false;
@@ -212,9 +212,9 @@
 
     private boolean isIdle() {
         return responses.isEmpty()
-                && !readActivity.begun()
+                && !readActivity.hasPartialMessage()
                 && !closing.isInputClosed()
-                && !responses.backlog().waits();
+                && !responses.backlog().isPending();
     }
 
     /**
@@ -230,10 +230,10 @@
         if (!responses.isEmpty()) {
             return;
         }
-        if (channel.isActive() && !closing.isInputClosed() && readActivity.begun()) {
+        if (channel.isActive() && !closing.isInputClosed() && readActivity.hasPartialMessage()) {
             listener.logClosed("service_ends_in_request");
             reject("the service ends");
-        } else if (channel.isActive() && responses.backlog().waits()) {
+        } else if (channel.isActive() && responses.backlog().isPending()) {
             closeWhenFlushed();
         } else {
             channel.close();
@@ -254,7 +254,7 @@
      */
     void expire(long now, ClientTimeouts timeouts) {
         long idleMillis = activity.stateMillis(now);
-        if (responses.backlog().waits(now, WriteBacklog.LONGEST_WAIT)
+        if (responses.backlog().isPending(now, WriteBacklog.MAX_PENDING_NANOS)
                 || responses.isStreamStalled(now)) {
             resetUnread();
         } else if (!intake.rejectOverdue(now, timeouts) && idleMillis >= idleLimit(timeouts)) {
@@ -276,7 +276,10 @@
         boolean unread =
                 responses
                         .backlog()
-                        .waits(now, TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.HESITATES));
+                        .isPending(
+                                now,
+                                TimeUnit.MILLISECONDS.toNanos(
+                                        ClientTimeouts.MAX_HESITATION_MILLIS));
         boolean rejectionRead = !rejected || stateMillis >= MIN_REJECTION_LINGER_MILLIS;
         if (closing.isLingering() && rejectionRead || unread && responses.isEmpty()) {
             return EvictionPriority.ENDING;
@@ -287,7 +290,7 @@
         if (activity.hasReceivedRequest()) {
             return EvictionPriority.KEPT_IDLE;
         }
-        return stateMillis >= ClientTimeouts.HESITATES
+        return stateMillis >= ClientTimeouts.MAX_HESITATION_MILLIS
                 ? EvictionPriority.SILENT
                 : EvictionPriority.NEVER;
     }
--- a/sidecar/src/main/java/appleridge/http1/ClientConnectionRegistry.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnectionRegistry.java
@@ -159,20 +159,24 @@
      * Resets the connections that have waited longest for their clients to read, over the bound.
      */
     void boundUnread() {
-        long unreadBytes = connections.stream().mapToLong(each -> each.output().bytes()).sum();
+        long unreadBytes =
+                connections.stream().mapToLong(each -> each.writeBacklog().pendingBytes()).sum();
         while (unreadBytes > MAX_UNREAD_BYTES) {
             // Streamed responses are bounded by themselves: their sources wait.
             WriteBacklog longest =
                     connections.stream()
-                            .map(ClientConnection::output)
-                            .filter(WriteBacklog::waits)
-                            .min((a, b) -> Long.signum(a.since() - b.since()))
+                            .map(ClientConnection::writeBacklog)
+                            .filter(WriteBacklog::isPending)
+                            .min(
+                                    (a, b) ->
+                                            Long.signum(
+                                                    a.pendingSinceNanos() - b.pendingSinceNanos()))
                             .orElse(null);
             if (longest == null) {
                 return;
             }
-            unreadBytes -= longest.bytes();
-            longest.cutOff();
+            unreadBytes -= longest.pendingBytes();
+            longest.reset();
         }
     }
 
--- a/sidecar/src/main/java/appleridge/http1/ClientExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientExchange.java
@@ -70,7 +70,7 @@
 
     /** Whether some of a streamed request body has not arrived. */
     boolean isUploadIncomplete() {
-        return upload != null && !upload.isWhole();
+        return upload != null && !upload.isComplete();
     }
 
     boolean isKeepAlive() {
@@ -119,10 +119,10 @@
     void onConnectionClosed() {
         cancellation.run();
         if (responseStream != null) {
-            responseStream.end();
+            responseStream.discard();
         }
         if (upload != null) {
-            upload.end();
+            upload.discard();
         }
     }
 
@@ -181,7 +181,7 @@
     public void abort() {
         if (responseStream != null && !streamStarted) {
             // Nothing of it has been written: the client still gets a response, in its turn.
-            responseStream.end();
+            responseStream.discard();
             responseStream = null;
             onFailed(FailureCause.UPSTREAM);
         } else if (isDelimitedByClose()) {
--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -88,7 +88,7 @@
      */
     public ChannelFuture listen(InheritedListener socket, boolean now) {
         listenerInherited = true;
-        acceptGate.waits(!now);
+        acceptGate.pause(!now);
         return startAccepting(socket.register(bootstrap()));
     }
 
@@ -99,7 +99,7 @@
                 .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, StreamedBody.reads())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, StreamedBody.readAllocator())
                 .childHandler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -111,8 +111,8 @@
 
     private ChannelFuture startAccepting(ChannelFuture listening) {
         listener = listening.channel();
-        acceptGate.listener(listener);
-        acceptGate.accept();
+        acceptGate.attachTo(listener);
+        acceptGate.update();
         boolean failed = listening.isDone() && !listening.isSuccess();
         if (!failed) {
             listener.config()
@@ -135,8 +135,8 @@
      */
     public void share(boolean accepts, double part) {
         connections.limitTo(Math.max(1, (int) (maxConnections * part)));
-        acceptGate.waits(!accepts);
-        acceptGate.changed();
+        acceptGate.pause(!accepts);
+        acceptGate.onConnectionsChanged();
     }
 
     /** Whether it can serve: warm, with an upstream host to use, and not draining. */
@@ -173,17 +173,17 @@
     /** A connection has been accepted. */
     void onConnectionOpened(ClientConnection connection) {
         connections.add(connection);
-        if (acceptGate.tells()) {
+        if (acceptGate.onAccepted()) {
             connection.rejectForCapacity();
         }
-        acceptGate.changed();
+        acceptGate.onConnectionsChanged();
     }
 
     /** Responses have been written: the connection may be idle, and could make room. */
     void onResponsesWritten() {
         if (!connections.isWithinLimit()) {
             connections.makeRoom();
-            acceptGate.changed();
+            acceptGate.onConnectionsChanged();
         }
         connections.boundKeptIdle();
     }
@@ -196,7 +196,7 @@
     /** A connection has closed. */
     void onConnectionClosed(ClientConnection connection) {
         connections.remove(connection);
-        acceptGate.changed();
+        acceptGate.onConnectionsChanged();
         drain.endIfDrained();
     }
 
@@ -213,7 +213,7 @@
     private void onAcceptFailed() {
         listener.config().setAutoRead(false);
         connections.evictOne();
-        loop.after(ACCEPT_RETRY_NANOS, acceptGate::accept);
+        loop.after(ACCEPT_RETRY_NANOS, acceptGate::update);
     }
 
     private void maintain() {
@@ -222,7 +222,7 @@
         monitor.tick(now);
         connections.snapshot().forEach(each -> each.expire(now, timeouts));
         connections.makeRoom();
-        acceptGate.tellWhoWaits();
+        acceptGate.rejectLongWaiting();
     }
 
     /**
@@ -243,7 +243,7 @@
 
     /** Times since the start that accepting was paused or resumed. */
     public long acceptGateChanges() {
-        return acceptGate.changes();
+        return acceptGate.changeCount();
     }
 
     /** Connections of clients that are open. */
--- a/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
@@ -3,7 +3,7 @@
 import appleridge.config.Defaults;
 
 /**
- * How long a client's connection may stay as it is, in milliseconds.
+ * How long a client connection may stay as it is, in milliseconds.
  *
  * @param requestMillis from a request's first byte to its last
  * @param firstRequestMillis from the connection's start to its first request's first byte
@@ -15,6 +15,6 @@
             new ClientTimeouts(
                     Defaults.REQUEST_MILLIS, Defaults.FIRST_REQUEST_MILLIS, Defaults.IDLE_MILLIS);
 
-    /** A client that means to ask has done so long since. */
-    static final long HESITATES = 250;
+    /** A client that means to send a request has done so by then. */
+    static final long MAX_HESITATION_MILLIS = 250;
 }
--- a/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
+++ b/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
@@ -3,49 +3,50 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the steps of a service's end come, in nanoseconds after it was told to end. Pure arithmetic
- * on what the platform promises.
+ * When the steps of a drain come, in nanoseconds after SIGTERM. Pure arithmetic on what the
+ * platform promises.
  *
- * <p>Invariant: the service has ended before SIGKILL may come, however short deadlines are; what
- * SIGKILL finds unanswered is lost.
+ * <p>Invariant: the drain ends before SIGKILL may come, however short deadlines are; what SIGKILL
+ * finds unanswered is lost.
  *
- * @param acceptsUntil new connections are taken up to here
- * @param lastCall from here on each answer is the last one on its connection, and idle connections
- *     end
- * @param end nothing is open any more
+ * @param acceptUntilNanos new connections are accepted up to here
+ * @param lastCallNanos from here on each response is the last one on its connection, and idle
+ *     connections are closed
+ * @param endNanos nothing is open any more
  */
-record DrainSchedule(long acceptsUntil, long lastCall, long end) {
+record DrainSchedule(long acceptUntilNanos, long lastCallNanos, long endNanos) {
     /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline. */
-    private static final long GRACE = millis(700);
+    private static final long MIN_KILL_DELAY_NANOS = millis(700);
 
-    /** But of a deadline no more than this is waited for. */
-    private static final long LONGEST_WAITED = millis(3000);
+    /** No more than this of a deadline is waited for. */
+    private static final long MAX_AWAITED_DEADLINE_NANOS = millis(3000);
 
     /**
-     * Of the time up to SIGKILL, what is kept back: a process may be held up for 150 ms before it
-     * hears of SIGTERM and once more between reading its clock and writing, and waits for the core
-     * beside that.
+     * Of the time up to SIGKILL, what is kept in reserve: the process may stall before it sees
+     * SIGTERM, and again between reading its clock and writing.
      */
-    private static final long RESERVE = millis(400);
+    private static final long RESERVE_NANOS = millis(400);
 
-    /** Of the time up to SIGKILL no more than this part is kept back. */
-    private static final double RESERVE_AT_MOST = 0.5;
+    /** Of the time up to SIGKILL, the most that is kept in reserve. */
+    private static final double MAX_RESERVE_FRACTION = 0.5;
 
     /** New connections go on coming for up to 0.4 s after SIGTERM. */
-    private static final long NEW_CONNECTIONS = millis(600);
-
-    /** For the last requests and their answers. */
-    private static final long LAST_REQUESTS = millis(300);
-
-    /** Of the whole time no more than this part is for the last requests. */
-    private static final double LAST_REQUESTS_AT_MOST = 1.0 / 3;
-
-    /** With the longest that a client waits, in nanoseconds. */
-    static DrainSchedule of(long longestDeadline) {
-        long kill = Math.min(LONGEST_WAITED, longestDeadline) + GRACE;
-        long end = kill - Math.min(RESERVE, (long) (kill * RESERVE_AT_MOST));
-        long lastRequests = Math.min(LAST_REQUESTS, (long) (end * LAST_REQUESTS_AT_MOST));
-        return new DrainSchedule(Math.min(NEW_CONNECTIONS, end), end - lastRequests, end);
+    private static final long ACCEPT_NANOS = millis(600);
+
+    /** For the last requests and their responses. */
+    private static final long LAST_REQUESTS_NANOS = millis(300);
+
+    /** Of the whole time, the most that is for the last requests. */
+    private static final double MAX_LAST_REQUESTS_FRACTION = 1.0 / 3;
+
+    /** For the longest time that a client waits. */
+    static DrainSchedule of(long longestDeadlineNanos) {
+        long kill =
+                Math.min(MAX_AWAITED_DEADLINE_NANOS, longestDeadlineNanos) + MIN_KILL_DELAY_NANOS;
+        long end = kill - Math.min(RESERVE_NANOS, (long) (kill * MAX_RESERVE_FRACTION));
+        long lastRequests =
+                Math.min(LAST_REQUESTS_NANOS, (long) (end * MAX_LAST_REQUESTS_FRACTION));
+        return new DrainSchedule(Math.min(ACCEPT_NANOS, end), end - lastRequests, end);
     }
 
     private static long millis(long millis) {
--- a/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
+++ b/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
@@ -8,19 +8,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Keeps the last byte of one message back until all before it is with the socket, and asks then
- * whether it may go. Danger: a write that waits for its reader goes on by itself when there is
- * room, however long that takes and without anyone being asked; the last byte is what makes an
- * upstream run the request. Leaves the pipeline when the message has gone, or its connection.
+ * Holds the last byte of one message until all before it is with the socket, and asks then whether
+ * it may be written. Removes itself when the message has been written or its connection has closed.
+ *
+ * <p>Invariant: the last byte, which makes an upstream run the request, is not written after its
+ * deadline. Without the gate a write that waits for a slow reader would go on by itself, however
+ * late. Loop thread only.
  */
 final class FinalByteGate extends ChannelOutboundHandlerAdapter {
-    private final BooleanSupplier mayGo;
-    private ByteBuf kept;
-    private ChannelPromise keptPromise;
-    private Future<Void> before;
+    private final BooleanSupplier mayRelease;
+    private ByteBuf heldByte;
+    private ChannelPromise heldPromise;
+    private Future<Void> precedingWrite;
 
-    FinalByteGate(BooleanSupplier mayGo) {
-        this.mayGo = mayGo;
+    /** With what says whether the last byte may still be written. */
+    FinalByteGate(BooleanSupplier mayRelease) {
+        this.mayRelease = mayRelease;
     }
 
     @Override
@@ -30,31 +33,32 @@
             ctx.write(part, promise);
             return;
         }
-        if (kept != null) {
-            ctx.write(kept, keptPromise);
+        if (heldByte != null) {
+            ctx.write(heldByte, heldPromise);
         }
         int all = part.readableBytes();
-        kept = part.retainedSlice(part.readerIndex() + all - 1, 1);
-        keptPromise = promise;
-        before = ctx.write(part.writerIndex(part.writerIndex() - 1));
+        heldByte = part.retainedSlice(part.readerIndex() + all - 1, 1);
+        heldPromise = promise;
+        precedingWrite = ctx.write(part.writerIndex(part.writerIndex() - 1));
     }
 
     @Override
     public void flush(ChannelHandlerContext ctx) {
         ctx.flush();
-        if (kept == null) {
+        if (heldByte == null) {
             return;
         }
-        ByteBuf last = kept;
-        ChannelPromise promise = keptPromise;
-        kept = null;
-        before.addListener(
+        ByteBuf last = heldByte;
+        ChannelPromise promise = heldPromise;
+        heldByte = null;
+        precedingWrite.addListener(
                 done -> {
-                    if (done.isSuccess() && mayGo.getAsBoolean()) {
+                    if (done.isSuccess() && mayRelease.getAsBoolean()) {
                         ctx.writeAndFlush(last, promise);
                     } else {
                         last.release();
-                        promise.setFailure(done.isSuccess() ? new LateException() : done.cause());
+                        promise.setFailure(
+                                done.isSuccess() ? new TooLateException() : done.cause());
                     }
                     if (!ctx.isRemoved()) {
                         ctx.pipeline().remove(this);
@@ -64,18 +68,18 @@
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        if (kept != null) {
-            kept.release();
-            keptPromise.tryFailure(new LateException());
-            kept = null;
+        if (heldByte != null) {
+            heldByte.release();
+            heldPromise.tryFailure(new TooLateException());
+            heldByte = null;
         }
     }
 
-    /** The last byte may not go any more. */
-    static final class LateException extends Exception {
+    /** The deadline of the last byte has passed, and it was not written. */
+    static final class TooLateException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        LateException() {
+        TooLateException() {
             super("the request's window has passed", null, false, false);
         }
     }
--- a/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
+++ b/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
@@ -69,12 +69,12 @@
         onDrained = whenDrained;
         long signalledAt = loop.nanoTime() - signalledAgoNanos;
         DrainSchedule schedule = DrainSchedule.of(coordinator.longestDeadlineNanos());
-        coordinator.endRequestsBy(signalledAt + schedule.end());
+        coordinator.endRequestsBy(signalledAt + schedule.endNanos());
         logStep(
                 "begun told_ago_ms="
                         + TimeUnit.NANOSECONDS.toMillis(signalledAgoNanos)
                         + " end_ms="
-                        + TimeUnit.NANOSECONDS.toMillis(schedule.end()));
+                        + TimeUnit.NANOSECONDS.toMillis(schedule.endNanos()));
         if (listenerInherited) {
             acceptGate.stop();
             lastCall = true;
@@ -85,7 +85,7 @@
             drainAlone(signalledAt, schedule);
         }
         // What is due at the end is answered at the end; what is open after that is not waited for.
-        loop.scheduleAt(signalledAt + schedule.end() + SETTLE_NANOS, this::closeAll);
+        loop.scheduleAt(signalledAt + schedule.endNanos() + SETTLE_NANOS, this::closeAll);
         endIfDrained();
     }
 
@@ -97,9 +97,10 @@
      */
     private void drainAlone(long signalledAt, DrainSchedule schedule) {
         loop.scheduleAt(
-                signalledAt + schedule.acceptsUntil(), () -> acceptGate.end(this::endIfDrained));
+                signalledAt + schedule.acceptUntilNanos(),
+                () -> acceptGate.end(this::endIfDrained));
         loop.scheduleAt(
-                signalledAt + schedule.lastCall(),
+                signalledAt + schedule.lastCallNanos(),
                 () -> {
                     logStep("last_call");
                     lastCall = true;
--- a/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
+++ b/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
@@ -6,33 +6,33 @@
 import java.util.List;
 
 /**
- * Checks the lines of a head ahead of the decoder. Danger: the decoder forgives what another reader
- * of the same bytes would read in another way: lines without a colon, lines folded into the one
- * before, control bytes ahead of the first line.
+ * Checks the lines of a head before Netty's decoder, which accepts what another reader of the same
+ * bytes would read in another way: lines without a colon, folded lines, control bytes before the
+ * first line. One for each connection.
  */
 final class HeadLineValidator {
-    private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-    /** Whether empty lines may stand ahead of a head, as they may ahead of a request's. */
-    private final boolean emptyAhead;
+    /** Whether empty lines may stand before a head, as they may before a request's. */
+    private final boolean leadingEmptyLinesAllowed;
 
     private boolean inHead = true;
-    private boolean begun;
+    private boolean startLineSeen;
 
     HeadLineValidator(boolean emptyAhead) {
-        this.emptyAhead = emptyAhead;
+        this.leadingEmptyLinesAllowed = emptyAhead;
     }
 
     /**
-     * Whether all whole lines of a head that are there are in order. To be called before each step
-     * of the decoder, which takes all whole lines out.
+     * Whether all complete lines of a head are well formed. To be called before each step of the
+     * decoder, which takes all complete lines out.
      */
-    boolean inOrder(ByteBuf in) {
+    boolean areWellFormed(ByteBuf in) {
         if (!inHead) {
             return true;
         }
         int from = in.readerIndex();
-        if (!begun && from < in.writerIndex() && !mayBegin(in.getByte(from))) {
+        if (!startLineSeen && from < in.writerIndex() && !mayStartHead(in.getByte(from))) {
             return false;
         }
         while (true) {
@@ -41,46 +41,47 @@
                 return true;
             }
             int end = lf - 1;
-            if (lf == from && !begun && emptyAhead) {
+            if (lf == from && !startLineSeen && leadingEmptyLinesAllowed) {
                 // The decoder has taken the other half of this empty line.
                 end = from;
             } else if (lf == from || in.getByte(end) != '\r') {
                 return false;
             }
             if (end == from) {
-                if (begun) {
+                if (startLineSeen) {
                     return true;
                 }
-                if (!emptyAhead) {
+                if (!leadingEmptyLinesAllowed) {
                     return false;
                 }
-            } else if (begun ? !isField(in, from, end) : !isFirst(in, from, end)) {
+            } else if (startLineSeen ? !isField(in, from, end) : !isStartLine(in, from, end)) {
                 return false;
             } else {
-                begun = true;
+                startLineSeen = true;
             }
             from = lf + 1;
         }
     }
 
-    /** What the decoder made of a step: from the first new object in its list on. */
-    void decoded(List<Object> objects, int first) {
+    /** What the decoder made of a step: its list, from the index of the first new object on. */
+    void onDecoded(List<Object> objects, int first) {
         for (Object each : objects.subList(first, objects.size())) {
             if (each instanceof HttpMessage) {
                 inHead = false;
             }
             if (each instanceof LastHttpContent) {
                 inHead = true;
-                begun = false;
+                startLineSeen = false;
             }
         }
     }
 
-    private boolean mayBegin(byte first) {
-        return first > ' ' && first < 0x7f || emptyAhead && (first == '\r' || first == '\n');
+    private boolean mayStartHead(byte first) {
+        return first > ' ' && first < 0x7f
+                || leadingEmptyLinesAllowed && (first == '\r' || first == '\n');
     }
 
-    private static boolean isFirst(ByteBuf in, int from, int end) {
+    private static boolean isStartLine(ByteBuf in, int from, int end) {
         return mayBeText(in, from, end) && in.getByte(from) > ' ';
     }
 
@@ -96,7 +97,7 @@
                     c >= '0' && c <= '9'
                             || c >= 'a' && c <= 'z'
                             || c >= 'A' && c <= 'Z'
-                            || TOKEN_MARKS.indexOf(c) >= 0;
+                            || TOKEN_PUNCTUATION.indexOf(c) >= 0;
             if (!token) {
                 return false;
             }
--- a/sidecar/src/main/java/appleridge/http1/Headers.java
+++ b/sidecar/src/main/java/appleridge/http1/Headers.java
@@ -6,7 +6,7 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** Names of the protocol's own headers, and which headers end at a hop. */
+/** The protocol's own headers, and which headers are hop-by-hop. */
 public final class Headers {
     public static final AsciiString REQUEST_ID = AsciiString.cached("x-request-id");
     public static final AsciiString CLASS = AsciiString.cached("x-class");
@@ -34,7 +34,7 @@
 
     private Headers() {}
 
-    /** A copy without what concerns one connection only: the framing is made anew at each hop. */
+    /** A copy without hop-by-hop headers and framing, which are made anew at each hop. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders().set(headers);
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
@@ -48,7 +48,7 @@
         return copy;
     }
 
-    /** A duration in seconds as the protocol writes it. */
+    /** A duration in seconds as the protocol writes it, with three decimals; not below 0. */
     static String seconds(long nanos) {
         return Double.toString(Math.max(0, nanos / 1_000_000) / 1000.0);
     }
--- a/sidecar/src/main/java/appleridge/http1/HttpUpstreamRequest.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamRequest.java
@@ -16,56 +16,57 @@
 import java.net.InetSocketAddress;
 
 /**
- * A client's request as it is sent on.
+ * A client's request as it is forwarded. Immutable but for a streamed body.
  *
  * @param headers end-to-end headers
- * @param body all of it; empty where it flows
- * @param flow the body, where it is too long to be held; null else
+ * @param body all of it; empty where it is streamed
+ * @param streamedBody the body, where it is too long to be held whole; null else
  */
 record HttpUpstreamRequest(
-        HttpMethod method, String uri, HttpHeaders headers, byte[] body, StreamedBody flow)
+        HttpMethod method, String uri, HttpHeaders headers, byte[] body, StreamedBody streamedBody)
         implements UpstreamRequest {
 
     HttpUpstreamRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {
         this(method, uri, headers, body, null);
     }
 
-    HttpUpstreamRequest with(StreamedBody flowing) {
-        return new HttpUpstreamRequest(method, uri, headers, body, flowing);
+    /** The same request with a streamed body. */
+    HttpUpstreamRequest withStreamedBody(StreamedBody streamed) {
+        return new HttpUpstreamRequest(method, uri, headers, body, streamed);
     }
 
-    /** The message for an upstream, with the nanoseconds for which the answer is waited for. */
-    FullHttpRequest message(InetSocketAddress address, long timeLeft) {
-        HttpHeaders own = head(address, timeLeft);
-        if (body.length > 0 || own.contains(Headers.IDEMPOTENCY_KEY)) {
-            own.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+    /** The message for an upstream; the time left is its deadline. */
+    FullHttpRequest toFullRequest(InetSocketAddress address, long remainingNanos) {
+        HttpHeaders forwarded = forwardedHeaders(address, remainingNanos);
+        if (body.length > 0 || forwarded.contains(Headers.IDEMPOTENCY_KEY)) {
+            forwarded.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
         return new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 method,
                 uri,
                 Unpooled.wrappedBuffer(body),
-                own,
+                forwarded,
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** The head of a message whose body flows. */
-    HttpRequest start(InetSocketAddress address, long timeLeft) {
-        HttpHeaders own = head(address, timeLeft);
-        if (flow.length() >= 0) {
-            own.set(HttpHeaderNames.CONTENT_LENGTH, flow.length());
+    /** The head of a message whose body is streamed; the time left is its deadline. */
+    HttpRequest toRequestHead(InetSocketAddress address, long remainingNanos) {
+        HttpHeaders forwarded = forwardedHeaders(address, remainingNanos);
+        if (streamedBody.length() >= 0) {
+            forwarded.set(HttpHeaderNames.CONTENT_LENGTH, streamedBody.length());
         } else {
-            own.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            forwarded.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, own);
+        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, forwarded);
     }
 
-    private HttpHeaders head(InetSocketAddress address, long timeLeft) {
-        HttpHeaders own = new DefaultHttpHeaders().set(headers);
-        own.set(Headers.DEADLINE, Headers.seconds(timeLeft));
-        if (!own.contains(HttpHeaderNames.HOST)) {
-            own.set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+    private HttpHeaders forwardedHeaders(InetSocketAddress address, long remainingNanos) {
+        HttpHeaders forwarded = new DefaultHttpHeaders().set(headers);
+        forwarded.set(Headers.DEADLINE, Headers.seconds(remainingNanos));
+        if (!forwarded.contains(HttpHeaderNames.HOST)) {
+            forwarded.set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         }
-        return own;
+        return forwarded;
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
@@ -5,7 +5,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** An upstream's whole answer; its status is told by the outcome. */
+/**
+ * An upstream's response; its status is in the outcome, and the body is empty where it is streamed.
+ */
 record HttpUpstreamResponse(HttpHeaders headers, byte[] body) implements UpstreamResponse {
 
     /** The load report, in the order of the settings; empty if absent or malformed. */
--- a/sidecar/src/main/java/appleridge/http1/LingeringClose.java
+++ b/sidecar/src/main/java/appleridge/http1/LingeringClose.java
@@ -31,7 +31,7 @@
     /** Whatever comes from now on is discarded. */
     void closeInput() {
         inputClosed = true;
-        readActivity.discard();
+        readActivity.discardInput();
     }
 
     /** The connection is gone. */
--- a/sidecar/src/main/java/appleridge/http1/MessageFraming.java
+++ b/sidecar/src/main/java/appleridge/http1/MessageFraming.java
@@ -10,25 +10,22 @@
 import java.util.List;
 
 /**
- * How messages are delimited, read strictly in both directions. Danger: a message that could be
- * read in two ways may hide another one in its body.
+ * How messages are delimited, read strictly in both directions: a message that could be read in two
+ * ways may hide another one in its body. Stateless.
  */
 final class MessageFraming {
-    /** The longest body that is held whole, in bytes; up to it requests can be sent again. */
-    static final int MAX_BODY = 64 * 1024;
+    /** The longest body that is held whole; up to it requests can be retried. */
+    static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
-    /**
-     * The longest answer that is passed on in pieces, in bytes; what says that it is longer is
-     * spoilt.
-     */
-    static final long MOST_FLOWING = 32 << 20;
+    /** The longest body that is streamed; a message with a longer one is not taken. */
+    static final long MAX_STREAMED_BODY_BYTES = 32 << 20;
 
     /** More digits than any body has, and none that overflow. */
-    private static final int MOST_DIGITS = 15;
+    private static final int MAX_LENGTH_DIGITS = 15;
 
     private MessageFraming() {}
 
-    static HttpDecoderConfig strict() {
+    static HttpDecoderConfig strictDecoderConfig() {
         return new HttpDecoderConfig()
                 .setStrictLineParsing(true)
                 .setAllowDuplicateContentLengths(false)
@@ -54,9 +51,10 @@
     }
 
     /**
-     * Whether there is one way to tell where this message ends: one plain length, or chunks alone.
+     * Whether there is one way to tell where this message ends: one length, chunks alone, or
+     * neither.
      */
-    static boolean isPlain(HttpMessage message) {
+    static boolean hasUnambiguousLength(HttpMessage message) {
         HttpHeaders headers = message.headers();
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> encodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -71,7 +69,7 @@
 
     private static boolean isLength(String text) {
         return !text.isEmpty()
-                && text.length() <= MOST_DIGITS
+                && text.length() <= MAX_LENGTH_DIGITS
                 && text.chars().allMatch(c -> c >= '0' && c <= '9');
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
+++ b/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
@@ -42,6 +42,6 @@
      * @return null where nothing is known
      */
     static Outcome ofFailedWrite(Throwable cause, Outcome known) {
-        return cause instanceof FinalByteGate.LateException ? Outcome.NEVER_SENT : known;
+        return cause instanceof FinalByteGate.TooLateException ? Outcome.NEVER_SENT : known;
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/ReadActivityHandler.java
+++ b/sidecar/src/main/java/appleridge/http1/ReadActivityHandler.java
@@ -6,60 +6,61 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Sees a connection's bytes ahead of the decoder, which tells of a message only once its head is
- * whole and keeps what it has read of one to itself. Behind a message that is the last one read,
- * input is discarded here, at no cost for decoding.
+ * Sees a connection's bytes before the decoder, which reports a message only once its head is
+ * complete. Behind the last message that is read, input is discarded here without being decoded.
+ * Loop thread only.
  */
 final class ReadActivityHandler extends ChannelInboundHandlerAdapter {
-    /**
-     * What is discarded for the sake of an orderly end; then the connection ends with input unread.
-     */
-    private static final long MOST_DISCARDED = 1 << 20;
+    /** What is discarded for the sake of an orderly end; then the connection is closed. */
+    private static final long MAX_DISCARDED_BYTES = 1 << 20;
 
-    private boolean begun;
-    private boolean delivering;
+    private boolean hasPartialMessage;
+    private boolean isDelivering;
     private boolean discarding;
-    private long discarded;
+    private long discardedBytes;
 
-    /** Whether bytes have come that belong to no whole message yet. */
-    boolean begun() {
-        return begun;
+    /** Whether bytes have been read that belong to no complete message yet. */
+    boolean hasPartialMessage() {
+        return hasPartialMessage;
     }
 
     /**
-     * A message has been read whole; {@code more} tells whether bytes of a further one are there.
+     * A message has been read to its end.
+     *
+     * @param more whether bytes of a further one have been read
      */
-    void whole(boolean more) {
-        begun = more;
+    void onMessageComplete(boolean more) {
+        hasPartialMessage = more;
     }
 
-    /** Whether what has been read is just being handed on. */
-    boolean delivering() {
-        return delivering;
+    /** Whether what has been read is just being passed on. */
+    boolean isDelivering() {
+        return isDelivering;
     }
 
-    void discard() {
+    /** Discards all that is read from now on. */
+    void discardInput() {
         discarding = true;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        delivering = true;
+        isDelivering = true;
         if (discarding) {
-            discarded += ((ByteBuf) message).readableBytes();
+            discardedBytes += ((ByteBuf) message).readableBytes();
             ReferenceCountUtil.release(message);
-            if (discarded > MOST_DISCARDED) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 ctx.close();
             }
             return;
         }
-        begun = true;
+        hasPartialMessage = true;
         ctx.fireChannelRead(message);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        delivering = false;
+        isDelivering = false;
         ctx.fireChannelReadComplete();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
@@ -1,6 +1,5 @@
 package appleridge.http1;
 
-import appleridge.http1.RequestParser.BadRequest;
 import appleridge.request.ClientRequest;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -34,13 +33,13 @@
         try {
             ClientRequest parsed =
                     listener.requestParser()
-                            .read(request, content, listener.coordinator().earliestArrivalNanos());
+                            .parse(request, content, listener.coordinator().earliestArrivalNanos());
             if (!clientSeenPresent || listener.coordinator().mayHaveWaitedUnread()) {
                 listener.loop().execute(() -> acceptIfPresent(parsed, exchange));
             } else {
                 accept(parsed, exchange);
             }
-        } catch (BadRequest e) {
+        } catch (InvalidRequestException e) {
             answerMalformed(e, exchange);
         }
     }
@@ -53,11 +52,11 @@
     void dispatchUpload(
             HttpRequest request, ByteBuf begun, ClientExchange exchange, long arrivedNanos) {
         try {
-            ClientRequest parsed = listener.requestParser().read(request, NO_BODY, arrivedNanos);
+            ClientRequest parsed = listener.requestParser().parse(request, NO_BODY, arrivedNanos);
             exchange.upload().write(begun);
             HttpUpstreamRequest message = (HttpUpstreamRequest) parsed.message();
-            accept(parsed.with(message.with(exchange.upload())), exchange);
-        } catch (BadRequest e) {
+            accept(parsed.with(message.withStreamedBody(exchange.upload())), exchange);
+        } catch (InvalidRequestException e) {
             answerMalformed(e, exchange);
         }
     }
@@ -91,9 +90,9 @@
                 ready ? "ready" : "not ready");
     }
 
-    private void answerMalformed(BadRequest cause, ClientExchange exchange) {
+    private void answerMalformed(InvalidRequestException cause, ClientExchange exchange) {
         onMalformedRequest();
-        exchange.respondText(cause.status(), cause.getMessage(), cause.allowed());
+        exchange.respondText(cause.status(), cause.getMessage(), cause.allowedMethods());
     }
 
     /** Counts a request that made no sense. */
--- a/sidecar/src/main/java/appleridge/http1/RequestIntake.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestIntake.java
@@ -15,8 +15,8 @@
 
 /**
  * Assembles requests from what a client connection's decoder reads. A body up to {@link
- * MessageFraming#MAX_BODY} is held whole; a longer one with a known length is streamed. Loop thread
- * only.
+ * MessageFraming#MAX_BUFFERED_BODY_BYTES} is held whole; a longer one with a known length is
+ * streamed. Loop thread only.
  */
 final class RequestIntake implements StreamedBody.Source {
     /**
@@ -90,7 +90,7 @@
 
     /** Whether the request is taken, as far as its head tells; else it is rejected. */
     private boolean begin(HttpRequest request) {
-        if (!MessageFraming.isPlain(request)) {
+        if (!MessageFraming.hasUnambiguousLength(request)) {
             reject(
                     HttpResponseStatus.BAD_REQUEST,
                     "the body's length can be read in more than one way");
@@ -102,7 +102,7 @@
         }
         head = request;
         body = Unpooled.buffer(INITIAL_BODY_BYTES);
-        if (HttpUtil.getContentLength(request, 0L) > MessageFraming.MOST_FLOWING) {
+        if (HttpUtil.getContentLength(request, 0L) > MessageFraming.MAX_STREAMED_BODY_BYTES) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             return false;
         }
@@ -117,7 +117,8 @@
     }
 
     private void buffer(HttpContent content) {
-        if (body.readableBytes() + content.content().readableBytes() > MessageFraming.MAX_BODY) {
+        if (body.readableBytes() + content.content().readableBytes()
+                > MessageFraming.MAX_BUFFERED_BODY_BYTES) {
             streamInsteadOfBuffering(content);
             return;
         }
@@ -131,7 +132,7 @@
 
     private void onComplete(HttpRequest request, byte[] content) {
         activity.onRequestReceived();
-        readActivity.whole(decoder.hasBufferedBytes());
+        readActivity.onMessageComplete(decoder.hasBufferedBytes());
         ClientExchange exchange = newExchange(request);
         closeInputBehindLast(exchange);
         dispatcher.dispatch(request, content, exchange);
@@ -188,7 +189,7 @@
     private void upload(HttpContent content) {
         ClientExchange exchange = uploading;
         uploadedBytes += content.content().readableBytes();
-        if (uploadedBytes > MessageFraming.MOST_FLOWING) {
+        if (uploadedBytes > MessageFraming.MAX_STREAMED_BODY_BYTES) {
             cutUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             return;
         }
@@ -196,9 +197,9 @@
         if (content instanceof LastHttpContent) {
             uploading = null;
             activity.onUploadComplete();
-            readActivity.whole(decoder.hasBufferedBytes());
+            readActivity.onMessageComplete(decoder.hasBufferedBytes());
             closeInputBehindLast(exchange);
-            exchange.upload().whole();
+            exchange.upload().complete();
         }
     }
 
@@ -207,7 +208,7 @@
         ClientExchange exchange = uploading;
         uploading = null;
         closing.closeInput();
-        exchange.upload().end();
+        exchange.upload().discard();
         dispatcher.onMalformedRequest();
         exchange.cancel();
         if (exchange.isStreamStarted()) {
@@ -258,7 +259,7 @@
         activity.onReadComplete();
         if (uploading != null) {
             uploading.upload().flush();
-        } else if (readActivity.begun()) {
+        } else if (readActivity.hasPartialMessage()) {
             activity.onRequestStarted();
         }
     }
--- a/sidecar/src/main/java/appleridge/http1/RequestParser.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestParser.java
@@ -1,6 +1,7 @@
 package appleridge.http1;
 
 import appleridge.config.SidecarConfig;
+import appleridge.http1.InvalidRequestException.Problem;
 import appleridge.loadbalancing.Idempotency;
 import appleridge.loadbalancing.RequestClass;
 import appleridge.request.ClientRequest;
@@ -8,7 +9,6 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.cookie.Cookie;
 import io.netty.handler.codec.http.cookie.ServerCookieDecoder;
 import io.netty.util.AsciiString;
@@ -17,43 +17,27 @@
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
 
-/** Turns what a client sent into a {@link ClientRequest}, or says what is wrong with it. */
+/**
+ * Turns what a client sent into a {@link ClientRequest}, or says what is wrong with it. Holds no
+ * state but the configuration.
+ */
 public final class RequestParser {
-    /** What a client sent makes no sense; answered at once, with nothing sent to an upstream. */
-    static final class BadRequest extends Exception {
-        private static final long serialVersionUID = 1L;
-        private final transient HttpResponseStatus status;
-        private final transient HttpMethod[] allowed;
-
-        BadRequest(HttpResponseStatus status, String message, HttpMethod... allowed) {
-            super(message, null, false, false);
-            this.status = status;
-            this.allowed = allowed;
-        }
-
-        /** The methods that would have been right, if the method was wrong. */
-        HttpMethod[] allowed() {
-            return allowed;
-        }
-
-        HttpResponseStatus status() {
-            return status;
-        }
-    }
-
     private static final String PATH = "/api";
+    private static final String AFFINITY_COOKIE = "user";
+    private static final String RETRY_VALUE = "1";
+    private static final int HEXADECIMAL = 16;
 
     /**
-     * A larger deadline is no one's, unless its class's clients wait for longer; up to it one
-     * beyond the class's own is valid, and cut to that.
+     * The longest deadline that is valid, unless its class's own is longer. A valid one beyond its
+     * class's is cut to that.
      */
-    private static final double LONGEST_SECONDS = 60;
+    private static final double MAX_DEADLINE_SECONDS = 60;
 
     /**
-     * Headers that tell what a request is. Danger: of two lines only the first would be looked at
-     * here, while both are sent on, and who reads them next may go by the other.
+     * Headers that may stand once. Of two only the first would be read here, while both are
+     * forwarded, and an upstream may go by the second.
      */
-    private static final List<AsciiString> SAID_ONCE =
+    private static final List<AsciiString> SINGLE_HEADERS =
             List.of(
                     Headers.REQUEST_ID,
                     Headers.CLASS,
@@ -68,104 +52,142 @@
         this.config = config;
     }
 
-    ClientRequest read(HttpRequest head, byte[] body, long arrived) throws BadRequest {
-        String uri = head.uri();
+    /**
+     * The request of a head and its body.
+     *
+     * @param body empty where it is streamed
+     * @param arrivedNanos when it arrived, by the loop's clock
+     * @throws InvalidRequestException with what is wrong, checked in the order path, method,
+     *     headers
+     */
+    ClientRequest parse(HttpRequest head, byte[] body, long arrivedNanos)
+            throws InvalidRequestException {
+        checkPath(head.uri());
+        checkMethod(head.method());
+        HttpHeaders headers = Headers.endToEnd(head.headers());
+        checkSingleHeaders(headers);
+        String id = requestId(headers);
+        int classIndex = classIndex(headers);
+        RequestClass requestClass = config.settings().classes().get(classIndex);
+        checkClassRules(requestClass, head.method(), headers);
+        return new ClientRequest(
+                id,
+                arrivedNanos,
+                patienceNanos(headers, requestClass),
+                classIndex,
+                tenant(headers.get(Headers.TENANT, "").strip()),
+                affinityKey(headers.get(HttpHeaderNames.COOKIE)),
+                costHintNanos(headers, requestClass),
+                RETRY_VALUE.equals(headers.get(Headers.RETRY)),
+                new HttpUpstreamRequest(head.method(), head.uri(), headers, body));
+    }
+
+    private static void checkPath(String uri) throws InvalidRequestException {
         String path = uri.indexOf('?') < 0 ? uri : uri.substring(0, uri.indexOf('?'));
         if (!path.equals(PATH) && !path.startsWith(PATH + "/")) {
-            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such path");
+            throw InvalidRequestException.of(Problem.UNKNOWN_PATH, "no such path");
         }
-        if (!head.method().equals(HttpMethod.GET) && !head.method().equals(HttpMethod.POST)) {
-            throw new BadRequest(
-                    HttpResponseStatus.METHOD_NOT_ALLOWED,
-                    "method not allowed",
-                    HttpMethod.GET,
-                    HttpMethod.POST);
+    }
+
+    private static void checkMethod(HttpMethod method) throws InvalidRequestException {
+        if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
+            throw InvalidRequestException.methodNotAllowed(
+                    "method not allowed", HttpMethod.GET, HttpMethod.POST);
         }
-        HttpHeaders headers = Headers.endToEnd(head.headers());
-        for (AsciiString each : SAID_ONCE) {
+    }
+
+    private static void checkSingleHeaders(HttpHeaders headers) throws InvalidRequestException {
+        for (AsciiString each : SINGLE_HEADERS) {
             if (headers.getAll(each).size() > 1) {
-                throw bad(each + " more than once");
+                throw InvalidRequestException.of(Problem.REPEATED_HEADER, each + " more than once");
             }
         }
-        String name = headers.get(Headers.REQUEST_ID, "");
-        if (name.isBlank()) {
-            throw bad("X-Request-Id missing");
+    }
+
+    private static String requestId(HttpHeaders headers) throws InvalidRequestException {
+        String id = headers.get(Headers.REQUEST_ID, "");
+        if (id.isBlank()) {
+            throw InvalidRequestException.of(Problem.MISSING_HEADER, "X-Request-Id missing");
         }
-        int requestClass = position(config.requestClassNames(), headers.get(Headers.CLASS, ""));
-        if (requestClass < 0) {
-            throw bad("X-Class missing or unknown");
+        return id;
+    }
+
+    private int classIndex(HttpHeaders headers) throws InvalidRequestException {
+        int index = indexOf(config.requestClassNames(), headers.get(Headers.CLASS, ""));
+        if (index < 0) {
+            throw InvalidRequestException.of(
+                    Problem.UNKNOWN_HEADER_VALUE, "X-Class missing or unknown");
         }
-        RequestClass kind = config.settings().classes().get(requestClass);
-        HttpMethod method =
-                kind.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        if (!head.method().equals(method)) {
-            throw new BadRequest(
-                    HttpResponseStatus.METHOD_NOT_ALLOWED, "the class wants " + method, method);
+        return index;
+    }
+
+    private static void checkClassRules(
+            RequestClass requestClass, HttpMethod method, HttpHeaders headers)
+            throws InvalidRequestException {
+        Idempotency idempotency = requestClass.idempotency();
+        HttpMethod wanted =
+                idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        if (!method.equals(wanted)) {
+            throw InvalidRequestException.methodNotAllowed("the class wants " + wanted, wanted);
         }
-        if (kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+        if (idempotency == Idempotency.IDEMPOTENT_BY_KEY
                 && headers.get(Headers.IDEMPOTENCY_KEY, "").isBlank()) {
-            throw bad("Idempotency-Key missing");
+            throw InvalidRequestException.of(Problem.MISSING_HEADER, "Idempotency-Key missing");
         }
+    }
+
+    /**
+     * How long the client waits, cut to its class's deadline: held for longer, a request would hold
+     * its place for as long, and outlive the drain, which waits for the longest class.
+     */
+    private static long patienceNanos(HttpHeaders headers, RequestClass requestClass)
+            throws InvalidRequestException {
         double seconds = number(headers.get(Headers.DEADLINE));
-        double longest =
-                Math.max(
-                        LONGEST_SECONDS,
-                        kind.deadlineNanos() / (double) TimeUnit.SECONDS.toNanos(1));
-        if (!(seconds > 0 && seconds <= longest)) {
-            throw bad("X-Deadline missing or senseless");
+        double classSeconds = requestClass.deadlineNanos() / (double) TimeUnit.SECONDS.toNanos(1);
+        if (!(seconds > 0 && seconds <= Math.max(MAX_DEADLINE_SECONDS, classSeconds))) {
+            throw InvalidRequestException.of(
+                    Problem.HEADER_OUT_OF_RANGE, "X-Deadline missing or senseless");
         }
-        // Danger: what is held for longer than its class's clients wait would hold its place for as
-        // long,
-        // and would outlive the end of the service, which waits for the longest class.
-        long patience =
-                Math.min((long) (seconds * TimeUnit.SECONDS.toNanos(1)), kind.deadlineNanos());
-        // Danger: one request with a guess without bounds would count for more work than all others
-        // together.
-        double hint = number(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
-        boolean guessed = hint > 0 && hint <= kind.deadlineNanos();
-        return new ClientRequest(
-                name,
-                arrived,
-                patience,
-                requestClass,
-                tenant(headers.get(Headers.TENANT, "").strip()),
-                key(headers.get(HttpHeaderNames.COOKIE)),
-                guessed ? (long) hint : 0,
-                "1".equals(headers.get(Headers.RETRY)),
-                new HttpUpstreamRequest(head.method(), uri, headers, body));
+        return Math.min(
+                (long) (seconds * TimeUnit.SECONDS.toNanos(1)), requestClass.deadlineNanos());
     }
 
     /**
-     * The tenant's place in the settings; the first one's where a request names none. Danger: taken
-     * for the first one, a name that nobody has would use up that one's quota.
+     * The client's estimate of the work; 0 for none, and for one beyond the class's deadline, which
+     * would count for more work than all other requests together.
      */
-    private int tenant(String name) throws BadRequest {
-        int tenant = position(config.tenantNames(), name);
+    private static long costHintNanos(HttpHeaders headers, RequestClass requestClass) {
+        double nanos = number(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
+        return nanos > 0 && nanos <= requestClass.deadlineNanos() ? (long) nanos : 0;
+    }
+
+    /**
+     * The tenant's index in the settings; the first one's where a request names none. An unknown
+     * name is rejected, or it would use up the first tenant's quota.
+     */
+    private int tenant(String name) throws InvalidRequestException {
+        int tenant = indexOf(config.tenantNames(), name);
         boolean named =
                 !name.isEmpty()
                         && !config.tenantNames().isEmpty()
                         && !config.tenantNames().contains("");
         if (tenant < 0 && named) {
-            throw bad("X-Tenant unknown");
+            throw InvalidRequestException.of(Problem.UNKNOWN_HEADER_VALUE, "X-Tenant unknown");
         }
         return Math.max(0, tenant);
     }
 
-    /** Danger: bytes of a head are read as Latin-1, while the settings have a name's letters. */
-    private static int position(List<String> names, String told) {
-        int at = names.indexOf(told);
-        return at >= 0
-                ? at
+    /** The index of a header's value; a head is read as Latin-1, while the settings are UTF-8. */
+    private static int indexOf(List<String> names, String value) {
+        int index = names.indexOf(value);
+        return index >= 0
+                ? index
                 : names.indexOf(
                         new String(
-                                told.getBytes(StandardCharsets.ISO_8859_1),
+                                value.getBytes(StandardCharsets.ISO_8859_1),
                                 StandardCharsets.UTF_8));
     }
 
-    private static BadRequest bad(String message) {
-        return new BadRequest(HttpResponseStatus.BAD_REQUEST, message);
-    }
-
     private static double number(String text) {
         try {
             return text == null ? Double.NaN : Double.parseDouble(text);
@@ -174,15 +196,15 @@
         }
     }
 
-    /** What the request is about, as a number; 0 for nothing. */
-    private static long key(String cookies) {
+    /** The key of what the request is about; 0 for none. */
+    private static long affinityKey(String cookies) {
         if (cookies == null) {
             return 0;
         }
         for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-            if (cookie.name().equals("user")) {
+            if (cookie.name().equals(AFFINITY_COOKIE)) {
                 try {
-                    return Long.parseUnsignedLong(cookie.value(), 16);
+                    return Long.parseUnsignedLong(cookie.value(), HEXADECIMAL);
                 } catch (NumberFormatException e) {
                     return UUID.nameUUIDFromBytes(cookie.value().getBytes(StandardCharsets.UTF_8))
                             .getMostSignificantBits();
--- a/sidecar/src/main/java/appleridge/http1/RequestWriter.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestWriter.java
@@ -39,19 +39,22 @@
 
     /** Writes a request, or its head where the body is streamed. */
     void write(UpstreamCall call, Endpoint endpoint) {
-        if (call.mustEndInTime()) {
-            channel.pipeline().addFirst(new FinalByteGate(() -> call.mayEnd(loop.nanoTime())));
+        if (call.hasLastByteDeadline()) {
+            channel.pipeline()
+                    .addFirst(new FinalByteGate(() -> call.mayWriteLastByte(loop.nanoTime())));
         }
-        if (call.flow() == null) {
-            follow(call, channel.writeAndFlush(call.begin(channel, endpoint, loop.nanoTime())));
+        if (call.streamedBody() == null) {
+            follow(
+                    call,
+                    channel.writeAndFlush(call.startWhole(channel, endpoint, loop.nanoTime())));
             return;
         }
-        channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
-        channel.write(call.start(channel, endpoint, loop.nanoTime()));
-        upload = call.flow();
-        loop.execute(call::tellLetGo);
+        channel.config().setWriteBufferWaterMark(StreamedBody.WRITE_BUFFER_WATER_MARK);
+        channel.write(call.startStreamed(channel, endpoint, loop.nanoTime()));
+        upload = call.streamedBody();
+        loop.execute(call::notifyStreamingStarted);
         watchForStall();
-        upload.to(
+        upload.attachTo(
                 channel,
                 () -> follow(call, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
     }
@@ -63,9 +66,9 @@
                         onFailure.accept(done.cause());
                         return;
                     }
-                    call.lastByteWritten();
-                    if (call.flow() != null) {
-                        loop.execute(call::tellCommitted);
+                    call.onLastByteWritten();
+                    if (call.streamedBody() != null) {
+                        loop.execute(call::notifyFullyWritten);
                     }
                 });
     }
@@ -74,7 +77,7 @@
     void onWritabilityChanged() {
         if (upload != null) {
             watchForStall();
-            upload.settle();
+            upload.updateBackpressure();
         }
     }
 
@@ -95,7 +98,7 @@
             StreamedBody ended = upload;
             upload = null;
             watchForStall();
-            ended.end();
+            ended.discard();
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
@@ -74,7 +74,7 @@
                 return;
             }
         }
-        if (backlog.waits()) {
+        if (backlog.isPending()) {
             listener.onResponseUnread();
         }
         listener.onResponsesWritten();
@@ -82,7 +82,7 @@
 
     /** Writes a response that is held whole; returns whether the next one may follow. */
     private boolean writeWhole(ClientExchange exchange) {
-        if (backlog.bytes() > WriteBacklog.MOST_BEHIND) {
+        if (backlog.pendingBytes() > WriteBacklog.MAX_PENDING_BYTES) {
             // What a client asks for and doesn't read would pile up here.
             connection.resetUnread();
             return false;
@@ -94,15 +94,15 @@
         FullHttpResponse response = exchange.response();
         setConnectionHeader(response, last);
         ChannelFuture written = channel.writeAndFlush(response);
-        backlog.follow(written);
+        backlog.track(written);
         activity.onResponseActivity();
         if (uploadIncomplete) {
             connection.onUploadAbandoned();
-            exchange.upload().end();
+            exchange.upload().discard();
         }
         if (last) {
             endBehind(written);
-            if (backlog.waits()) {
+            if (backlog.isPending()) {
                 listener.onResponseUnread();
             }
             return false;
@@ -147,15 +147,15 @@
         // Left alone, the system's send buffer grows, and a slow client shows no progress for
         // seconds.
         channel.config().setOption(ChannelOption.SO_SNDBUF, STREAM_SEND_BUFFER_BYTES);
-        channel.config().setWriteBufferWaterMark(StreamedBody.MARKS);
+        channel.config().setWriteBufferWaterMark(StreamedBody.WRITE_BUFFER_WATER_MARK);
         channel.write(head);
-        body.to(channel);
+        body.attachTo(channel);
     }
 
     private boolean endStream(ClientExchange exchange) {
         exchanges.poll();
         ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        backlog.follow(written);
+        backlog.track(written);
         activity.onResponseActivity();
         if (exchange.isConnectionEndedByStream()) {
             endBehind(written);
@@ -170,7 +170,7 @@
 
     /** Whether the drain makes a response the last one, with so many open behind it. */
     private boolean endsForDrain(int openBehind) {
-        return listener.isLastCall() && openBehind == 0 && !readActivity.begun();
+        return listener.isLastCall() && openBehind == 0 && !readActivity.hasPartialMessage();
     }
 
     private static void setConnectionHeader(HttpResponse response, boolean last) {
@@ -191,7 +191,7 @@
         StreamedBody streaming = streaming();
         if (streaming != null) {
             activity.onStreamProgress();
-            streaming.settle();
+            streaming.updateBackpressure();
         }
     }
 
--- a/sidecar/src/main/java/appleridge/http1/ResponseReader.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponseReader.java
@@ -14,8 +14,8 @@
 
 /**
  * Assembles the response to the request that an upstream connection carries. A body up to {@link
- * MessageFraming#MAX_BODY} is held whole; a longer one of a good response is streamed. Loop thread
- * only.
+ * MessageFraming#MAX_BUFFERED_BODY_BYTES} is held whole; a longer one of a good response is
+ * streamed. Loop thread only.
  */
 final class ResponseReader {
     private static final byte[] NO_BODY = {};
@@ -69,7 +69,7 @@
         }
         if (head == null && message instanceof LastHttpContent) {
             // The end of an interim response: the final one may take its time.
-            readActivity.whole(decoder.hasBufferedBytes());
+            readActivity.onMessageComplete(decoder.hasBufferedBytes());
         }
         return !(message instanceof HttpContent content)
                 || head == null
@@ -81,7 +81,7 @@
             return false;
         }
         if (content instanceof LastHttpContent) {
-            readActivity.whole(decoder.hasBufferedBytes());
+            readActivity.onMessageComplete(decoder.hasBufferedBytes());
             outcome = OutcomeClassifier.ofResponse(head);
             byte[] held = stream != null ? NO_BODY : ByteBufUtil.getBytes(body);
             response = new HttpUpstreamResponse(head.headers(), held);
@@ -101,15 +101,17 @@
     private static boolean canBeServed(HttpResponse start) {
         long maxBytes =
                 start.status().code() == 200
-                        ? MessageFraming.MOST_FLOWING
-                        : MessageFraming.MAX_BODY;
-        return MessageFraming.isPlain(start) && HttpUtil.getContentLength(start, 0L) <= maxBytes;
+                        ? MessageFraming.MAX_STREAMED_BODY_BYTES
+                        : MessageFraming.MAX_BUFFERED_BODY_BYTES;
+        return MessageFraming.hasUnambiguousLength(start)
+                && HttpUtil.getContentLength(start, 0L) <= maxBytes;
     }
 
     /** Holds a piece of the body, or streams it; returns false where neither can be done. */
     private boolean take(ByteBuf piece, UpstreamCall call) {
         if (stream == null
-                && body.readableBytes() + piece.readableBytes() <= MessageFraming.MAX_BODY) {
+                && body.readableBytes() + piece.readableBytes()
+                        <= MessageFraming.MAX_BUFFERED_BODY_BYTES) {
             body.writeBytes(piece);
             return true;
         }
@@ -117,7 +119,7 @@
             return false;
         }
         streamedBytes += piece.readableBytes();
-        if (streamedBytes > MessageFraming.MOST_FLOWING) {
+        if (streamedBytes > MessageFraming.MAX_STREAMED_BODY_BYTES) {
             return false;
         }
         stream.write(piece.retain());
@@ -126,7 +128,7 @@
 
     private boolean startStream(UpstreamCall call) {
         stream = new StreamedBody(head.headers(), HttpUtil.getContentLength(head, -1L), source);
-        if (head.status().code() != 200 || !call.begins(stream)) {
+        if (head.status().code() != 200 || !call.startResponseStream(stream)) {
             stream = null;
             return false;
         }
@@ -174,7 +176,7 @@
     /** All of a streamed response has come. */
     void completeStream() {
         if (stream != null) {
-            stream.whole();
+            stream.complete();
             stream = null;
         }
     }
@@ -189,7 +191,7 @@
     /** No more of a streamed response will come. */
     void abortStream() {
         if (stream != null) {
-            stream.end();
+            stream.discard();
             stream = null;
         }
     }
--- a/sidecar/src/main/java/appleridge/http1/StreamedBody.java
+++ b/sidecar/src/main/java/appleridge/http1/StreamedBody.java
@@ -11,45 +11,46 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body on its way from one connection to another, an answer's or a request's. What waits for
- * who reads it is bounded: that connection says when it has enough, and the other is not read until
- * that has gone.
+ * A long body on its way from one connection to another, a response's or a request's, with
+ * backpressure: while the target has enough to write, the source is not read. Loop thread only.
  */
 final class StreamedBody implements StreamedResponse {
-    /** Told when the answer may go on, or has to wait. */
+    /** The connection that the body comes from. */
     interface Source {
+        /** The target has enough to write: nothing more is to be read. */
         void pause();
 
+        /** The target takes more. */
         void resume();
     }
 
-    /**
-     * Bytes that wait in the process for who reads it: at the second it is paused, at the first
-     * goes on.
-     */
-    static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16 << 10, 32 << 10);
+    /** Bytes that wait in the process for the target: above the second the source is paused. */
+    static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
+            new WriteBufferWaterMark(16 << 10, 32 << 10);
 
-    private static final int LEAST_READ = 64;
-    private static final int USUAL_READ = 2048;
-    private static final int MOST_READ = 32 << 10;
+    private static final int MIN_READ_BYTES = 64;
+    private static final int INITIAL_READ_BYTES = 2048;
+    private static final int MAX_READ_BYTES = 32 << 10;
 
     private final HttpHeaders headers;
     private final long length;
     private final Source source;
 
-    /** What came before that connection was free for it; little, for the source waits meanwhile. */
-    private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
+    /** What came before there was a target; little, for the source is paused meanwhile. */
+    private final ArrayDeque<ByteBuf> pendingPieces = new ArrayDeque<>();
 
-    private Channel sink;
+    private Channel target;
     private boolean paused;
-    private boolean whole;
-    private Runnable end = () -> {};
-    private boolean over;
+    private boolean complete;
+    private Runnable onComplete = () -> {};
+    private boolean discarded;
 
     /**
-     * With the head that it began with.
+     * For one body.
      *
-     * @param length of the whole in bytes, or below 0 where it is told by its end alone
+     * @param headers of the message
+     * @param length in bytes; below 0 where only its end tells
+     * @param source paused and resumed as the target takes it
      */
     StreamedBody(HttpHeaders headers, long length, Source source) {
         this.headers = headers;
@@ -57,11 +58,9 @@
         this.source = source;
     }
 
-    /**
-     * How connections are read on which a long body may come: bounded, for it is held meanwhile.
-     */
-    static RecvByteBufAllocator reads() {
-        return new AdaptiveRecvByteBufAllocator(LEAST_READ, USUAL_READ, MOST_READ);
+    /** How connections are read on which a long body may come: bounded, for reads are held. */
+    static RecvByteBufAllocator readAllocator() {
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 
     HttpHeaders headers() {
@@ -72,52 +71,52 @@
         return length;
     }
 
-    /** A piece has come; it is given away. */
+    /** The next piece, which is released here. */
     void write(ByteBuf piece) {
-        if (over) {
+        if (discarded) {
             piece.release();
-        } else if (sink == null) {
-            early.add(piece);
+        } else if (target == null) {
+            pendingPieces.add(piece);
         } else {
-            sink.write(new DefaultHttpContent(piece));
+            target.write(new DefaultHttpContent(piece));
         }
-        settle();
+        updateBackpressure();
     }
 
-    /** What has come for now goes out. */
+    /** Flushes what has been written. */
     void flush() {
-        if (sink != null && !over) {
-            sink.flush();
-            settle();
+        if (target != null && !discarded) {
+            target.flush();
+            updateBackpressure();
         }
     }
 
-    /** The connection that it goes to is free for it, its head is written. */
-    void to(Channel channel) {
-        to(channel, () -> {});
+    /** Sets the target, on which the head is written. */
+    void attachTo(Channel channel) {
+        attachTo(channel, () -> {});
     }
 
-    /** The same; with what is to be done once all of it has been written behind one another. */
-    void to(Channel channel, Runnable whenWhole) {
-        sink = channel;
-        end = whenWhole;
-        while (!early.isEmpty()) {
-            sink.write(new DefaultHttpContent(early.poll()));
+    /** The same; runs {@code whenComplete} once all of the body has been written. */
+    void attachTo(Channel channel, Runnable whenComplete) {
+        target = channel;
+        onComplete = whenComplete;
+        while (!pendingPieces.isEmpty()) {
+            target.write(new DefaultHttpContent(pendingPieces.poll()));
         }
         flush();
-        if (whole) {
-            end.run();
+        if (complete) {
+            onComplete.run();
         }
     }
 
     /** Whether all of it has come. */
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
-    /** The connection that it goes to may take more, or less, than before. */
-    void settle() {
-        boolean full = !over && !whole && (sink == null || !sink.isWritable());
+    /** Pauses or resumes the source, as the target takes more or less than before. */
+    void updateBackpressure() {
+        boolean full = !discarded && !complete && (target == null || !target.isWritable());
         if (full != paused) {
             paused = full;
             if (full) {
@@ -128,21 +127,21 @@
         }
     }
 
-    /** All of it has come; what waits yet goes out without the source. */
-    void whole() {
+    /** All of it has come; what waits goes out without the source. */
+    void complete() {
         flush();
-        whole = true;
-        settle();
-        if (sink != null && !over) {
-            end.run();
+        complete = true;
+        updateBackpressure();
+        if (target != null && !discarded) {
+            onComplete.run();
         }
     }
 
-    /** Nothing more is passed on. */
-    void end() {
-        over = true;
-        early.forEach(ByteBuf::release);
-        early.clear();
-        settle();
+    /** Releases what waits; nothing more is passed on. */
+    void discard() {
+        discarded = true;
+        pendingPieces.forEach(ByteBuf::release);
+        pendingPieces.clear();
+        updateBackpressure();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/StrictResponseDecoder.java
+++ b/sidecar/src/main/java/appleridge/http1/StrictResponseDecoder.java
@@ -11,16 +11,16 @@
     private final HeadLineValidator headLines = new HeadLineValidator(false);
 
     StrictResponseDecoder() {
-        super(MessageFraming.strict());
+        super(MessageFraming.strictDecoderConfig());
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
-        if (headLines.inOrder(in)) {
+        if (headLines.areWellFormed(in)) {
             int first = out.size();
             super.decode(ctx, in, out);
-            headLines.decoded(out, first);
+            headLines.onDecoded(out, first);
         } else {
             MessageFraming.rejectRest(in, out, createInvalidMessage());
         }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
@@ -9,98 +9,103 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpRequest;
 
-/** One request on its way to an upstream: ends once, by a result or by being abandoned. */
+/**
+ * One attempt of a request at an upstream: ends once, by an outcome or by being cancelled. Loop
+ * thread only.
+ */
 final class UpstreamCall implements UpstreamTransport.AttemptHandle {
-    /** Nanoseconds. */
-    private static final long SHORTEST = 1_000_000;
+    /** The least time left that the protocol's three decimals of a second can say. */
+    private static final long MIN_REMAINING_NANOS = 1_000_000;
 
     private final HttpUpstreamRequest request;
-    private final SendDeadlines window;
+    private final SendDeadlines deadlines;
     private final UpstreamTransport.AttemptListener listener;
     private Connector.Connecting connecting;
     private Channel channel;
-    private boolean written;
-    private boolean over;
+    private boolean fullyWritten;
+    private boolean ended;
 
     UpstreamCall(
             HttpUpstreamRequest request,
-            SendDeadlines window,
+            SendDeadlines deadlines,
             UpstreamTransport.AttemptListener listener) {
         this.request = request;
-        this.window = window;
+        this.deadlines = deadlines;
         this.listener = listener;
     }
 
+    /** The connection for it is being opened. */
     void connecting(Connector.Connecting on) {
         connecting = on;
     }
 
-    /** Its connection has come up: whether it is still wanted, now that this is known. */
-    boolean connected() {
-        if (!over) {
+    /** Its connection has come up; returns whether it is still wanted. */
+    boolean onConnected() {
+        if (!ended) {
             listener.onConnected();
         }
-        return !over;
+        return !ended;
     }
 
     /**
-     * Whether its first byte may still go out. Danger: with less than a millisecond left, which is
-     * what the protocol's three decimals tell, its upstream would be told of no time at all.
+     * Whether its first byte may still be written. With less than a millisecond left its upstream
+     * would read a deadline of zero.
      */
-    boolean mayBegin(long now) {
-        return now <= window.firstByteByNanos() && window.responseByNanos() - now >= SHORTEST;
+    boolean mayWriteFirstByte(long now) {
+        return now <= deadlines.firstByteByNanos()
+                && deadlines.responseByNanos() - now >= MIN_REMAINING_NANOS;
     }
 
     /**
-     * Whether there is a time after which its last byte must not go out, though its answer is
+     * Whether there is a time after which its last byte must not be written, though its response is
      * waited for.
      */
-    boolean mustEndInTime() {
-        return window.lastByteByNanos() < Long.MAX_VALUE;
+    boolean hasLastByteDeadline() {
+        return deadlines.lastByteByNanos() < Long.MAX_VALUE;
     }
 
-    /** Whether its last byte may still go out. */
-    boolean mayEnd(long now) {
-        return now <= window.lastByteByNanos() && !over;
+    /** Whether its last byte may still be written. */
+    boolean mayWriteLastByte(long now) {
+        return now <= deadlines.lastByteByNanos() && !ended;
     }
 
-    /** The message to be written to a connection now; it tells the time that is left. */
-    FullHttpRequest begin(Channel on, Endpoint endpoint, long now) {
+    /** The message to be written to a connection now; its deadline is the time that is left. */
+    FullHttpRequest startWhole(Channel on, Endpoint endpoint, long now) {
         channel = on;
-        return request.message(endpoint.address(), window.responseByNanos() - now);
+        return request.toFullRequest(endpoint.address(), deadlines.responseByNanos() - now);
     }
 
-    /** The body, where it is too long to be held; null else. */
-    StreamedBody flow() {
-        return request.flow();
+    /** The body where it is streamed; null where it is held whole. */
+    StreamedBody streamedBody() {
+        return request.streamedBody();
     }
 
     /**
-     * The head of a request whose body flows: it begins now, and can't be sent again. It tells the
-     * whole of its client's time, which runs from its last byte on.
+     * The head of a request whose body is streamed: it begins now, and can't be retried. Its
+     * deadline is the whole of its client's time, which runs from the last byte on.
      */
-    HttpRequest start(Channel on, Endpoint endpoint, long now) {
+    HttpRequest startStreamed(Channel on, Endpoint endpoint, long now) {
         channel = on;
-        return request.start(endpoint.address(), window.responseByNanos() - now);
+        return request.toRequestHead(endpoint.address(), deadlines.responseByNanos() - now);
     }
 
-    /** To be called once it has begun, and not inside the call that sends it. */
-    void tellLetGo() {
-        if (!over) {
+    /** Tells the listener that a streamed request has begun; not inside the call that sends it. */
+    void notifyStreamingStarted() {
+        if (!ended) {
             listener.onRequestStreamingStarted();
         }
     }
 
-    /** To be called behind {@link #tellLetGo} when its last byte is with the socket. */
-    void tellCommitted() {
-        if (!over) {
+    /** Tells the listener, after {@link #notifyStreamingStarted}, that its last byte is written. */
+    void notifyFullyWritten() {
+        if (!ended) {
             listener.onRequestFullyWritten();
         }
     }
 
     /** The request's last byte is with the socket: from now on the upstream may run it. */
-    void lastByteWritten() {
-        written = true;
+    void onLastByteWritten() {
+        fullyWritten = true;
     }
 
     @Override
@@ -110,29 +115,29 @@
 
     @Override
     public boolean isFullyWritten() {
-        return written;
+        return fullyWritten;
     }
 
-    /** Whether an answer that is too long to be held is wanted. */
-    boolean begins(StreamedBody answer) {
-        return !over && listener.onResponseStarted(answer);
+    /** Whether a response that is too long to be held is wanted. */
+    boolean startResponseStream(StreamedBody answer) {
+        return !ended && listener.onResponseStarted(answer);
     }
 
+    /** Ends it, unless it has ended; the response is null where there is none. */
     void end(Outcome outcome, HttpUpstreamResponse reply) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             listener.onAttemptEnded(outcome, reply);
         }
     }
 
-    /** Gives the exchange up; its connection is closed, for an answer to it may still come. */
+    /** Cancels it; its connection is closed, for a response to it may still come. */
     @Override
     public void cancel() {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             if (channel != null) {
-                // Danger: an end that looks like the upstream's would make a whole answer of a
-                // part.
+                // Closed as broken: an orderly end would make a complete response of a part.
                 channel.pipeline().get(UpstreamConnection.class).close();
             } else if (connecting != null) {
                 connecting.close();
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -62,7 +62,7 @@
      */
     static void install(Channel channel, UpstreamConnectionPool pool, long readStallNanos) {
         // By itself a long response's reads grow to 64 KiB each, held while a client is slow.
-        channel.config().setRecvByteBufAllocator(StreamedBody.reads());
+        channel.config().setRecvByteBufAllocator(StreamedBody.readAllocator());
         ReadActivityHandler readActivity = new ReadActivityHandler();
         StrictResponseDecoder decoder = new StrictResponseDecoder();
         channel.pipeline()
@@ -88,7 +88,7 @@
     }
 
     private boolean isUsable() {
-        return channel.isActive() && !readActivity.begun();
+        return channel.isActive() && !readActivity.hasPartialMessage();
     }
 
     /**
@@ -175,7 +175,7 @@
             stallTimer.cancel();
             stallTimer = null;
         }
-        if (call != null && readActivity.begun() && !readPaused) {
+        if (call != null && readActivity.hasPartialMessage() && !readPaused) {
             long nanos = reader.isStreaming() ? MAX_STREAM_READ_STALL_NANOS : readStallNanos;
             stallTimer = pool.loop().after(nanos, this::breakOff);
         }
@@ -218,7 +218,7 @@
             Outcome outcome = OutcomeClassifier.ofClosedConnection(cut);
             cut.end(reader.hasOutcome() ? reader.outcome() : outcome, reader.response());
         }
-        pool.closed(this);
+        pool.onClosed(this);
         ctx.fireChannelInactive();
     }
 
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -15,92 +15,94 @@
 import java.util.Map;
 
 /**
- * Keep-alive connections to the upstreams, one request at a time on each. What happened to a
- * request is told as an {@link Outcome} that the socket proves; nothing is ever sent a second time
- * here.
+ * Keep-alive connections to the upstreams, one request at a time on each. How an attempt ended is
+ * reported as the {@link Outcome} that the socket proves; nothing is ever retried here. Loop thread
+ * only.
  */
 public final class UpstreamConnectionPool implements UpstreamTransport {
     /**
-     * Danger: a request written to a connection that the upstream is just closing ends as a reset
-     * that may have run. Idle ones are closed after this part of the time that upstreams grant.
+     * Of the time after which upstreams close idle connections, the part after which they are
+     * closed here: a request written to one that is just being closed ends as a reset and may have
+     * run.
      */
-    private static final double IDLE_PART = 0.6;
+    private static final double USABLE_IDLE_FRACTION = 0.6;
 
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
     private final Connector connector;
-    private final long maxIdle;
+    private final long maxIdleNanos;
     private final int maxConnections;
     private final Map<Endpoint, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
-    private final SidecarEventLoop.ScheduledTask sweeper;
+    private final SidecarEventLoop.ScheduledTask staleCheck;
 
-    /** Of those, what it may hold now. */
-    private int most;
+    /** Of the cap, what it may hold beside another process. */
+    private int connectionLimit;
 
     private int connections;
 
     /**
-     * With times in nanoseconds.
+     * For one sidecar.
      *
-     * @param connIdle after which an upstream closes a connection on which nothing is open
-     * @param stall for which an answer may pause once it has begun
+     * @param connectTimeoutNanos after which a connect has failed
+     * @param hostIdleTimeoutNanos after which an upstream closes an idle connection
+     * @param readStallNanos for which a response may pause once it has begun
      * @param maxConnections connections at once, to all upstreams together
      */
     public UpstreamConnectionPool(
             SidecarEventLoop loop,
             SocketFactory sockets,
-            long connectTimeout,
-            long connIdle,
-            long stall,
+            long connectTimeoutNanos,
+            long hostIdleTimeoutNanos,
+            long readStallNanos,
             int maxConnections) {
         this.loop = loop;
         this.sockets = sockets;
-        this.maxIdle = (long) (connIdle * IDLE_PART);
+        this.maxIdleNanos = (long) (hostIdleTimeoutNanos * USABLE_IDLE_FRACTION);
         this.maxConnections = maxConnections;
-        this.most = maxConnections;
+        this.connectionLimit = maxConnections;
         this.connector =
                 new Connector(
                         loop,
                         sockets,
-                        connectTimeout,
-                        channel -> UpstreamConnection.install(channel, this, stall));
-        this.sweeper = loop.every(Math.max(1, maxIdle / 8), this::closeStale);
+                        connectTimeoutNanos,
+                        channel -> UpstreamConnection.install(channel, this, readStallNanos));
+        this.staleCheck = loop.every(Math.max(1, maxIdleNanos / 8), this::closeStale);
     }
 
     /**
-     * Sends a request; it is made when a connection is there, so that it can tell the time that is
-     * left.
+     * Sends a request; the message is made when there is a connection, with the time that is left
+     * then.
      */
     @Override
     public AttemptHandle send(
-            Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener) {
-        UpstreamCall exchange = new UpstreamCall((HttpUpstreamRequest) what, window, listener);
+            Endpoint to, UpstreamRequest what, SendDeadlines deadlines, AttemptListener listener) {
+        UpstreamCall call = new UpstreamCall((HttpUpstreamRequest) what, deadlines, listener);
         UpstreamConnection pooled = takeIdle(to);
         if (pooled != null) {
-            carry(pooled, exchange);
-        } else if (connections >= most && !evictIdle()) {
-            loop.execute(() -> exchange.end(Outcome.NEVER_SENT, null));
+            sendOn(pooled, call);
+        } else if (connections >= connectionLimit && !evictIdle()) {
+            loop.execute(() -> call.end(Outcome.NEVER_SENT, null));
         } else {
-            connect(to, exchange);
+            connect(to, call);
         }
-        return exchange;
+        return call;
     }
 
-    private void connect(Endpoint to, UpstreamCall exchange) {
+    private void connect(Endpoint to, UpstreamCall call) {
         connections++;
-        exchange.connecting(
+        call.connecting(
                 connector.connect(
                         to.address(),
                         new Connector.Listener() {
                             @Override
                             public void connected(Channel channel) {
                                 channel.closeFuture().addListener(closed -> connections--);
-                                if (exchange.connected()) {
-                                    carry(
+                                if (call.onConnected()) {
+                                    sendOn(
                                             channel.pipeline()
                                                     .get(UpstreamConnection.class)
                                                     .open(to),
-                                            exchange);
+                                            call);
                                 } else {
                                     channel.close();
                                 }
@@ -109,12 +111,12 @@
                             @Override
                             public void failed(Throwable cause) {
                                 connections--;
-                                exchange.end(Outcome.CONNECT_FAILED, null);
+                                call.end(Outcome.CONNECT_FAILED, null);
                             }
 
                             /**
-                             * Danger: told as a failed connect, it would shut a healthy upstream
-                             * out.
+                             * Not reported as a failed connect, which would eject a healthy
+                             * upstream.
                              */
                             @Override
                             public void noSocket(Throwable cause) {
@@ -122,27 +124,28 @@
                                 loop.log()
                                         .warning(
                                                 "no socket for an upstream: " + cause.getMessage());
-                                exchange.end(Outcome.NEVER_SENT, null);
+                                call.end(Outcome.NEVER_SENT, null);
                             }
                         }));
     }
 
-    /** Danger: connecting took time, and what might be sent when it began may not be any more. */
-    private void carry(UpstreamConnection connection, UpstreamCall exchange) {
-        if (exchange.mayBegin(loop.nanoTime())) {
-            connection.send(exchange);
+    /** Sends it unless its time has passed while the connection was opened. */
+    private void sendOn(UpstreamConnection connection, UpstreamCall call) {
+        if (call.mayWriteFirstByte(loop.nanoTime())) {
+            connection.send(call);
         } else {
             connection.keep();
-            loop.execute(() -> exchange.end(Outcome.NEVER_SENT, null));
+            loop.execute(() -> call.end(Outcome.NEVER_SENT, null));
         }
     }
 
-    /** The most recently used one: the others grow old and leave the upstream's table. */
+    /** The most recently used one, so that the others reach their idle timeout; null for none. */
     private UpstreamConnection takeIdle(Endpoint endpoint) {
         ArrayDeque<UpstreamConnection> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
             UpstreamConnection connection = all.pop();
-            if (connection.isQuiet() && loop.nanoTime() - connection.idleSinceNanos() < maxIdle) {
+            if (connection.isQuiet()
+                    && loop.nanoTime() - connection.idleSinceNanos() < maxIdleNanos) {
                 return connection;
             }
             connection.close();
@@ -164,27 +167,30 @@
     }
 
     /**
-     * What it may use beside another process of this sidecar, of the connections that it may hold
-     * alone.
+     * Sets what it may hold beside another process of this sidecar.
+     *
+     * @param part of the connections that it may hold alone
      */
     public void share(double part) {
-        most = Math.max(1, (int) (maxConnections * part));
-        while (connections > most && evictIdle()) {
+        connectionLimit = Math.max(1, (int) (maxConnections * part));
+        while (connections > connectionLimit && evictIdle()) {
             continue;
         }
     }
 
-    /** Connections there are or that are being opened. */
+    /** Connections that are open or being opened. */
     public int connections() {
         return connections;
     }
 
+    /** Offers an idle connection to the next request. */
     void release(UpstreamConnection connection) {
         idle.computeIfAbsent(connection.endpoint(), endpoint -> new ArrayDeque<>())
                 .push(connection);
     }
 
-    void closed(UpstreamConnection connection) {
+    /** A connection has closed, or is about to. */
+    void onClosed(UpstreamConnection connection) {
         ArrayDeque<UpstreamConnection> all = idle.get(connection.endpoint());
         if (all != null && all.remove(connection) && all.isEmpty()) {
             idle.remove(connection.endpoint());
@@ -199,9 +205,9 @@
         }
     }
 
-    /** Closes what is idle and stops looking after it. */
+    /** Closes idle connections and stops checking for stale ones. */
     public void close() {
-        sweeper.cancel();
+        staleCheck.cancel();
         idle.values().forEach(all -> all.forEach(UpstreamConnection::close));
         idle.clear();
     }
@@ -212,14 +218,14 @@
                 .removeIf(
                         all -> {
                             while (!all.isEmpty()
-                                    && now - all.peekLast().idleSinceNanos() >= maxIdle) {
+                                    && now - all.peekLast().idleSinceNanos() >= maxIdleNanos) {
                                 all.pollLast().close();
                             }
                             return all.isEmpty();
                         });
     }
 
-    /** Makes room under the socket limit; false if every connection is in use. */
+    /** Closes the longest idle connection; returns false if every one is in use. */
     private boolean evictIdle() {
         UpstreamConnection oldest = null;
         for (ArrayDeque<UpstreamConnection> all : idle.values()) {
@@ -232,7 +238,7 @@
         if (oldest == null) {
             return false;
         }
-        closed(oldest);
+        onClosed(oldest);
         oldest.close();
         return true;
     }
--- a/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
+++ b/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
@@ -8,75 +8,74 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sees how much of what is written towards a client the system has not taken yet, and for how long.
- * An answer mostly fits into the system's own buffers: what waits here is for a client that has not
- * read for long.
+ * How much of what is written to a client the system has not taken, and for how long. A response
+ * mostly fits into the system's buffers: what waits here is for a client that does not read. Loop
+ * thread only.
  */
 final class WriteBacklog {
     /**
-     * Bytes behind which no further answer is written. Clients ask one at a time and have read one
-     * answer when the next is written; even one that asks ahead is not four of the largest answers
-     * behind for long.
+     * Bytes behind which no further response is written: four of the largest. Even a client that
+     * pipelines is not so far behind for long.
      */
-    static final long MOST_BEHIND = 4 * MessageFraming.MAX_BODY;
+    static final long MAX_PENDING_BYTES = 4 * MessageFraming.MAX_BUFFERED_BODY_BYTES;
 
     /**
-     * How long an answer may wait for the system to take it, in nanoseconds: as long as a request
-     * may take to come in. Longer than any aim, and no client waits much longer for its answer.
+     * How long a response may wait for the system to take it: as long as a request may take to
+     * arrive, and longer than any latency objective.
      */
-    static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(2);
+    static final long MAX_PENDING_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private final Channel channel;
-    private final MonotonicClock time;
-    private int waiting;
-    private long since;
+    private final MonotonicClock clock;
+    private int pendingWrites;
+    private long pendingSinceNanos;
 
     WriteBacklog(Channel channel, MonotonicClock time) {
         this.channel = channel;
-        this.time = time;
+        this.clock = time;
     }
 
-    /** An answer is being written. */
-    void follow(ChannelFuture written) {
+    /** A response is being written. */
+    void track(ChannelFuture written) {
         if (written.isDone()) {
             return;
         }
-        if (waiting++ == 0) {
-            since = time.nanoTime();
+        if (pendingWrites++ == 0) {
+            pendingSinceNanos = clock.nanoTime();
         }
         written.addListener(
                 done -> {
-                    waiting--;
-                    since = time.nanoTime();
+                    pendingWrites--;
+                    pendingSinceNanos = clock.nanoTime();
                 });
     }
 
-    /** Whether an answer has not been taken by the system yet. */
-    boolean waits() {
-        return waiting > 0;
+    /** Whether the system has not taken some response yet. */
+    boolean isPending() {
+        return pendingWrites > 0;
     }
 
-    /** Whether one has not been taken for so many nanoseconds. */
-    boolean waits(long now, long atLeast) {
-        return waiting > 0 && now - since >= atLeast;
+    /** Whether it has not taken one for so many nanoseconds. */
+    boolean isPending(long now, long atLeastNanos) {
+        return pendingWrites > 0 && now - pendingSinceNanos >= atLeastNanos;
     }
 
-    /** Since when the oldest answer that waits may have been taken. */
-    long since() {
-        return since;
+    /** Since when the oldest response that waits could have been taken. */
+    long pendingSinceNanos() {
+        return pendingSinceNanos;
     }
 
-    /** Bytes that wait. */
-    long bytes() {
-        ChannelOutboundBuffer behind = channel.unsafe().outboundBuffer();
-        return behind == null ? 0 : behind.totalPendingWriteBytes();
+    /** Bytes that wait; 0 where the connection has closed. */
+    long pendingBytes() {
+        ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+        return buffer == null ? 0 : buffer.totalPendingWriteBytes();
     }
 
     /**
      * Closes the connection with a reset, so that the system keeps nothing for a client that won't
      * read.
      */
-    void cutOff() {
+    void reset() {
         if (channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             channel.close();
--- a/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
+++ b/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
@@ -18,11 +18,12 @@
             DrainSchedule schedule = DrainSchedule.of(millis(deadline));
             long kill = millis(700 + Math.min(3000, deadline));
             assertTrue(
-                    schedule.end() <= kill - millis(300), "deadline " + deadline + ": " + schedule);
+                    schedule.endNanos() <= kill - millis(300),
+                    "deadline " + deadline + ": " + schedule);
             assertTrue(
-                    schedule.lastCall() > 0 && schedule.lastCall() < schedule.end(),
+                    schedule.lastCallNanos() > 0 && schedule.lastCallNanos() < schedule.endNanos(),
                     schedule.toString());
-            assertTrue(schedule.acceptsUntil() <= schedule.end(), schedule.toString());
+            assertTrue(schedule.acceptUntilNanos() <= schedule.endNanos(), schedule.toString());
         }
     }
 
@@ -36,6 +37,6 @@
     /** Clients connect for up to 0.4 s after SIGTERM, wherever that is ahead of the end. */
     @Test
     void forShortDeadlinesItAcceptsWhileClientsConnect() {
-        assertTrue(DrainSchedule.of(millis(100)).acceptsUntil() >= millis(400));
+        assertTrue(DrainSchedule.of(millis(100)).acceptUntilNanos() >= millis(400));
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
+++ b/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
@@ -87,7 +87,7 @@
         socket.takeAll();
         assertEquals("headbod", sent());
         assertFalse(done.isSuccess());
-        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
     }
 
     @Test
@@ -96,7 +96,7 @@
         ChannelFuture done = write("x");
         socket.takeAll();
         assertEquals("", sent());
-        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
         ByteBuf never = Unpooled.copiedBuffer("never", StandardCharsets.US_ASCII);
         EmbeddedChannel other = new EmbeddedChannel(new FinalByteGate(() -> true));
         other.write(never);
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -5,7 +5,6 @@
 
 import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode;
-import appleridge.http1.RequestParser.BadRequest;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -24,16 +23,17 @@
                     + "{\"name\":\"acme\",\"portion\":0.5,\"quotaRps\":9}]";
 
     private static ClientRequest read(String parties, HttpRequest head)
-            throws IOException, BadRequest {
+            throws IOException, InvalidRequestException {
         String json =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replaceAll("\"parties\":\\[[^]]*]", parties);
         RequestParser reader =
                 new RequestParser(SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)));
-        return reader.read(head, new byte[0], 0);
+        return reader.parse(head, new byte[0], 0);
     }
 
-    private static ClientRequest read(HttpRequest head) throws IOException, BadRequest {
+    private static ClientRequest read(HttpRequest head)
+            throws IOException, InvalidRequestException {
         return read(TWO_TENANTS, head);
     }
 
@@ -48,7 +48,8 @@
     }
 
     private static void assertBad(HttpRequest head) {
-        BadRequest bad = assertThrows(BadRequest.class, () -> read(head), head.toString());
+        InvalidRequestException bad =
+                assertThrows(InvalidRequestException.class, () -> read(head), head.toString());
         assertEquals(HttpResponseStatus.BAD_REQUEST, bad.status());
     }
 
@@ -83,7 +84,7 @@
         head.headers().set("X-Tenant", new String(sent, StandardCharsets.ISO_8859_1));
         assertEquals(1, read(parties, head).tenant());
         head.headers().set("X-Tenant", "les m\u00eames");
-        assertThrows(BadRequest.class, () -> read(parties, head));
+        assertThrows(InvalidRequestException.class, () -> read(parties, head));
     }
 
     /** Guards against requests held beyond the time for which their class's clients wait. */
@@ -114,10 +115,10 @@
             head.headers().set(Headers.DEADLINE, deadline);
             assertEquals(
                     (long) (Double.parseDouble(deadline) * 1e9),
-                    reader.read(head, new byte[0], 0).timeoutNanos());
+                    reader.parse(head, new byte[0], 0).timeoutNanos());
         }
         head.headers().set(Headers.DEADLINE, "90.1");
-        assertThrows(BadRequest.class, () -> reader.read(head, new byte[0], 0));
+        assertThrows(InvalidRequestException.class, () -> reader.parse(head, new byte[0], 0));
     }
 
     /**
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -375,7 +375,7 @@
     void anAnswerThatGrowsTooLongIsNotServedWithoutThePartThatWasTooMuch() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + chunk(MessageFraming.MAX_BODY - 4)
+                        + chunk(MessageFraming.MAX_BUFFERED_BODY_BYTES - 4)
                         + chunk(10)
                         + chunk(3)
                         + "0\r\n\r\n";
