--- a/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailures.java
@@ -5,39 +5,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Hears on the listening channel that accepting failed. It goes no further: Netty's own part would
- * let all wait for a second and accept again then, whatever the cap, and log each failure with its
- * trace.
+ * Handles failures to accept on a listening channel, and passes them no further: Netty's own
+ * handler would pause accepting for a second whatever the cap, and log each failure with its trace.
+ * Loop thread only.
  */
 public final class AcceptFailures extends ChannelInboundHandlerAdapter {
-    private static final long APART = TimeUnit.SECONDS.toNanos(1);
+    private static final long MIN_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final SidecarEventLoop loop;
-    private final Runnable failed;
-    private long told;
-    private int untold;
+    private final Runnable onFailure;
+    private long lastLoggedNanos;
+    private int suppressedCount;
 
-    /** With what is to be done about it. */
+    /** With what is run for each failure. */
     public AcceptFailures(SidecarEventLoop loop, Runnable failed) {
         this.loop = loop;
-        this.failed = failed;
-        this.told = loop.nanoTime() - APART;
+        this.onFailure = failed;
+        this.lastLoggedNanos = loop.nanoTime() - MIN_LOG_INTERVAL_NANOS;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         long now = loop.nanoTime();
-        if (now - told >= APART) {
+        if (now - lastLoggedNanos >= MIN_LOG_INTERVAL_NANOS) {
             loop.log()
                     .warning(
                             "accepting fails: "
                                     + cause.getMessage()
-                                    + (untold == 0 ? "" : "; untold before it: " + untold));
-            told = now;
-            untold = 0;
+                                    + (suppressedCount == 0
+                                            ? ""
+                                            : "; untold before it: " + suppressedCount));
+            lastLoggedNanos = now;
+            suppressedCount = 0;
         } else {
-            untold++;
+            suppressedCount++;
         }
-        failed.run();
+        onFailure.run();
     }
 }
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -13,34 +13,31 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/**
- * Opens connections. Whatever becomes of one is told on the loop, and never inside the call that
- * asks.
- */
+/** Opens connections. The result is reported on the loop, and never inside {@link #connect}. */
 public final class Connector {
-    /** Told one of the two, once. */
+    /** Called once, with one of the results. */
     public interface Listener {
-        /** The connection is there. */
+        /** The connection is open. */
         void connected(Channel channel);
 
-        /** It can't be had, for want of an answer or a listener; its channel is closed. */
+        /** It can't be opened, for want of an answer or a listener; its channel is closed. */
         void failed(Throwable cause);
 
         /**
-         * This machine has no means for it, such as a descriptor, a local port or a buffer: nothing
-         * is known of the other side.
+         * This machine lacks something for it, such as a descriptor, a local port or a buffer:
+         * nothing is known of the other side.
          */
         void noSocket(Throwable cause);
     }
 
-    /** A connection on its way, or there. */
+    /** A connection that is being opened, or open. */
     public interface Connecting {
-        /** Closes it; what is not told yet is told as failed. */
+        /** Closes it; if no result has been reported, it is reported as failed. */
         void close();
     }
 
-    /** Of what the system says of a network to which there is no way (ENETUNREACH). */
-    private static final String UNREACHABLE = "unreachable";
+    /** Part of the system's text for ENETUNREACH, for which the JVM has no type of its own. */
+    private static final String UNREACHABLE_TEXT = "unreachable";
 
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
@@ -57,17 +54,16 @@
     public Connector(
             SidecarEventLoop loop,
             SocketFactory sockets,
-            long timeout,
+            long timeoutNanos,
             Consumer<Channel> initializer) {
         this.loop = loop;
         this.sockets = sockets;
-        // Danger: of more than an int holds a part is left that may be negative, and no connection
-        // is made.
+        // Cut to what an int holds: a cast alone may give a negative timeout, and no connection.
         this.timeoutMillis =
                 (int)
                         Math.min(
                                 Integer.MAX_VALUE,
-                                Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeout)));
+                                Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
         this.handler = new Initializer(initializer);
     }
 
@@ -77,7 +73,7 @@
         try {
             channel = sockets.connecting();
         } catch (RuntimeException e) {
-            // Danger: Netty's bootstrap would tell of this on a thread of its own.
+            // Reported on the loop; Netty's bootstrap would report it on a thread of its own.
             loop.execute(() -> listener.noSocket(e));
             return () -> {};
         }
@@ -89,24 +85,24 @@
                 .addListener(
                         registered -> {
                             if (registered.isSuccess()) {
-                                told(channel.connect(address), channel, listener);
+                                awaitConnect(channel.connect(address), channel, listener);
                             } else {
-                                noMeans(channel, listener, registered.cause());
+                                reportNoSocket(channel, listener, registered.cause());
                             }
                         });
         return channel::close;
     }
 
     /**
-     * On loopback a connection may be there at once; the caller is not prepared to hear of it yet.
+     * Reports the result; on loopback it may be known at once, which is reported in a later task.
      */
-    private void told(ChannelFuture connecting, Channel channel, Listener listener) {
+    private void awaitConnect(ChannelFuture connecting, Channel channel, Listener listener) {
         if (connecting.isSuccess()) {
             loop.execute(() -> listener.connected(channel));
             return;
         }
         if (connecting.isDone() && isLocal(connecting.cause())) {
-            noMeans(channel, listener, connecting.cause());
+            reportNoSocket(channel, listener, connecting.cause());
             return;
         }
         connecting.addListener(
@@ -124,16 +120,16 @@
         loop.execute(() -> listener.failed(cause));
     }
 
-    private void noMeans(Channel channel, Listener listener, Throwable cause) {
+    private void reportNoSocket(Channel channel, Listener listener, Throwable cause) {
         channel.close();
         loop.execute(() -> listener.noSocket(cause));
     }
 
     /**
      * Whether a connect that failed at once did so for want of something on this machine
-     * (EADDRNOTAVAIL, ENOBUFS, EAGAIN); what the other side causes, such as a reset, is told later.
-     * The JVM has types of its own for a refusal, for silence and for no route to the host, and
-     * none for a network that can't be reached, which is told by its text alone.
+     * (EADDRNOTAVAIL, ENOBUFS, EAGAIN); what the other side causes is reported later. The JVM has
+     * types for a refusal, a timeout and no route to the host; an unreachable network is known by
+     * its text.
      */
     private static boolean isLocal(Throwable cause) {
         return cause instanceof SocketException
@@ -141,7 +137,7 @@
                 && !(cause instanceof NoRouteToHostException)
                 && !String.valueOf(cause.getMessage())
                         .toLowerCase(Locale.ROOT)
-                        .contains(UNREACHABLE);
+                        .contains(UNREACHABLE_TEXT);
     }
 
     @ChannelHandler.Sharable
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -5,63 +5,65 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches an event loop from within: how late its periodic work comes (a stall), and whether it
- * turns without anything to do (a spin). Both are logged with what else is known of the interval,
- * and counted.
+ * Watches an event loop from within: how late its periodic work runs (a stall), and whether it
+ * turns without anything to do (a spin). Both are counted and logged. Loop thread only.
  */
 public final class EventLoopMonitor {
-    /** Nanoseconds of lag from which on a tick counts as a stall. */
-    private static final long STALL = TimeUnit.MILLISECONDS.toNanos(150);
+    /** Lag beyond which a tick counts as a stall. */
+    private static final long MIN_STALL_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * Turns in one interval from which on they may be a spin: some for each event of a busy
-     * interval.
+     * Turns in one interval beyond which they may be a spin; a busy interval has some for each
+     * event.
      */
-    private static final long MANY_TURNS = 2000;
+    private static final long MIN_SPIN_TURNS = 2000;
 
-    /** An event takes a few turns: for the event itself, the tasks that follow, its timers. */
-    private static final long TURNS_PER_EVENT = 10;
+    /** Turns that one event may take: for itself, the tasks that follow and its timers. */
+    private static final long MAX_TURNS_PER_EVENT = 10;
 
     private final SidecarEventLoop loop;
-    private final long period;
-    private final LongSupplier events;
-    private boolean begun;
-    private long lastTick;
+    private final long periodNanos;
+    private final LongSupplier eventCount;
+    private boolean hasTicked;
+    private long lastTickNanos;
     private long lastTurns;
     private long lastEvents;
     private long stalls;
     private long spins;
-    private long longestLag;
+    private long longestLagNanos;
 
     /**
-     * With the nanoseconds from one {@link #tick} to the next, and the number of events that have
-     * been handled since the start.
+     * For one loop.
+     *
+     * @param periodNanos from one {@link #tick} to the next
+     * @param eventCount of events that have been handled since the start
      */
     public EventLoopMonitor(SidecarEventLoop loop, long period, LongSupplier events) {
         this.loop = loop;
-        this.period = period;
-        this.events = events;
+        this.periodNanos = period;
+        this.eventCount = events;
     }
 
-    /** To be called by the loop's periodic work, with the time as of then. */
+    /** To be called by the loop's periodic work, with the loop's time. */
     public void tick(long now) {
         long turns = loop.turns();
-        long handled = events.getAsLong();
-        if (begun) {
-            look(now - lastTick - period, turns - lastTurns, handled - lastEvents);
+        long handled = eventCount.getAsLong();
+        if (hasTicked) {
+            checkInterval(
+                    now - lastTickNanos - periodNanos, turns - lastTurns, handled - lastEvents);
         }
-        begun = true;
-        lastTick = now;
+        hasTicked = true;
+        lastTickNanos = now;
         lastTurns = turns;
         lastEvents = handled;
     }
 
-    private void look(long lag, long turns, long handled) {
-        boolean stalled = lag > STALL;
-        boolean spun = turns > MANY_TURNS && turns > TURNS_PER_EVENT * handled;
+    private void checkInterval(long lagNanos, long turns, long handled) {
+        boolean stalled = lagNanos > MIN_STALL_LAG_NANOS;
+        boolean spun = turns > MIN_SPIN_TURNS && turns > MAX_TURNS_PER_EVENT * handled;
         if (stalled) {
             stalls++;
-            longestLag = Math.max(longestLag, lag);
+            longestLagNanos = Math.max(longestLagNanos, lagNanos);
         }
         if (spun) {
             spins++;
@@ -72,7 +74,7 @@
                             stalled ? LogEvent.EVENT_LOOP_STALL : LogEvent.EVENT_LOOP_SPIN,
                             () ->
                                     "lag_ms="
-                                            + TimeUnit.NANOSECONDS.toMillis(lag)
+                                            + TimeUnit.NANOSECONDS.toMillis(lagNanos)
                                             + " turns="
                                             + turns
                                             + " events="
@@ -92,6 +94,6 @@
 
     /** The longest lag of a tick since the start, in milliseconds. */
     public long longestLagMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(longestLag);
+        return TimeUnit.NANOSECONDS.toMillis(longestLagNanos);
     }
 }
--- a/sidecar/src/main/java/appleridge/transport/InheritedListener.java
+++ b/sidecar/src/main/java/appleridge/transport/InheritedListener.java
@@ -10,38 +10,38 @@
 
 /**
  * A listening socket that whoever started the process has opened, and keeps: it outlives this
- * process and may be listened on by another one at the same time. It is never bound, shut down or
- * closed here. Danger: the JVM ties descriptors 0 to 2 to it, and closing it would point them all
- * at nothing, and with them the log.
+ * process, and another process may accept from it at the same time.
  *
- * <p>That it doesn't block belongs to the open socket, which all processes share that have it.
+ * <p>Invariant: it is never bound, shut down or closed here. The JVM ties descriptors 0 to 2 to it;
+ * closing it would close them too, and with them the log. Its non-blocking mode belongs to the open
+ * socket, which all processes share.
  */
 public final class InheritedListener {
     /** The descriptor that the JVM can take over. */
-    private static final String DESCRIPTOR = "0";
+    private static final String SUPPORTED_DESCRIPTOR = "0";
 
     private final ServerSocketChannel socket;
 
-    /** What had connected before; owed an answer like all others. Null for none. */
-    private SocketChannel first;
+    /** A connection accepted while the socket was checked, to be served like others; else null. */
+    private SocketChannel pendingConnection;
 
     private InheritedListener(ServerSocketChannel socket, SocketChannel first) {
         this.socket = socket;
-        this.first = first;
+        this.pendingConnection = first;
     }
 
     /**
-     * Takes the socket over that the process was started with.
+     * Takes over the socket that the process was started with.
      *
-     * @param descriptor its number as the platform tells it; the JVM knows 0 alone
-     * @param proven whether another process is known to accept from it, so that nothing need be
-     *     taken here
+     * @param descriptor its number as the platform gives it; the JVM supports 0 alone
+     * @param proven whether another process is known to accept from it, so that it need not be
+     *     checked by accepting
      * @throws IOException with a plain message where there is no listening TCP socket at that
      *     number
      */
-    public static InheritedListener inherited(String descriptor, boolean proven)
+    public static InheritedListener inherited(String descriptor, boolean acceptedElsewhere)
             throws IOException {
-        if (!descriptor.strip().equals(DESCRIPTOR)) {
+        if (!descriptor.strip().equals(SUPPORTED_DESCRIPTOR)) {
             throw new IOException(
                     "the listening socket must be descriptor 0, not '" + descriptor + "'");
         }
@@ -50,10 +50,14 @@
             throw new IOException("descriptor 0 is no TCP socket that listens");
         }
         inherited.configureBlocking(false);
-        return proven ? new InheritedListener(inherited, null) : of(inherited);
+        return acceptedElsewhere ? new InheritedListener(inherited, null) : of(inherited);
     }
 
-    /** For a socket that is bound already; tells by an exception that it doesn't listen. */
+    /**
+     * For a socket that is bound already.
+     *
+     * @throws IOException where it does not listen
+     */
     public static InheritedListener of(ServerSocketChannel socket) throws IOException {
         try {
             // The JVM takes any unconnected socket for one that listens; only accepting tells.
@@ -73,19 +77,19 @@
                 bootstrap.channelFactory(() -> new ListeningChannel(socket)).register();
         registering.addListener(
                 done -> {
-                    if (done.isSuccess() && first != null) {
-                        // Danger: what takes connections over is itself put in place by a task,
-                        // which goes ahead.
+                    if (done.isSuccess() && pendingConnection != null) {
+                        // In a task, behind the one that adds Netty's acceptor to the pipeline.
                         Channel listener = registering.channel();
-                        listener.eventLoop().execute(() -> takeFirst(listener));
+                        listener.eventLoop().execute(() -> acceptPending(listener));
                     }
                 });
         return registering;
     }
 
-    private void takeFirst(Channel listener) {
-        listener.pipeline().fireChannelRead(new UninterruptedSocketChannel(listener, first));
+    private void acceptPending(Channel listener) {
+        listener.pipeline()
+                .fireChannelRead(new UninterruptedSocketChannel(listener, pendingConnection));
         listener.pipeline().fireChannelReadComplete();
-        first = null;
+        pendingConnection = null;
     }
 }
--- a/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
+++ b/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
@@ -7,10 +7,10 @@
 
 /** A listening socket of the JVM whose connections are {@link UninterruptedSocketChannel}s. */
 final class ListeningChannel extends NioServerSocketChannel {
-    /** One that is to be bound. */
+    /** A channel that is to be bound. */
     ListeningChannel() {}
 
-    /** One on a socket that listens already. */
+    /** A channel on a socket that listens already. */
     ListeningChannel(ServerSocketChannel socket) {
         super(socket);
     }
--- a/sidecar/src/main/java/appleridge/transport/NioEventLoopFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/NioEventLoopFactory.java
@@ -13,18 +13,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Makes the I/O part of one event loop on the JVM's sockets, which waits for its timers in whole
+ * Makes the I/O handler of one event loop on the JVM's sockets, which waits for timers in whole
  * milliseconds and counts its turns.
  *
  * <p>Invariant: a loop with nothing to do waits in the system. Netty's own handler rounds the time
- * to the next timer to the nearest millisecond and, where that is 0, looks for events over and over
- * until the time has come: half a millisecond of the core for each timer, and more where the clock
- * moves in steps. A process with a part of a core pays for that by stalling later, for up to
- * seconds, with its clients unread.
+ * to the next timer to the nearest millisecond and, where that is 0, polls until it is due; a
+ * process limited to a part of a core would be throttled for that, and stall.
  */
 public final class NioEventLoopFactory implements IoHandlerFactory, LongSupplier {
-    /** What the system can wait for, in nanoseconds; timers come up to as much late. */
-    private static final long RESOLUTION = TimeUnit.MILLISECONDS.toNanos(1);
+    /** The least that the system can wait for; timers run up to as much late. */
+    private static final long RESOLUTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandlerFactory nio = NioIoHandler.newFactory();
 
@@ -33,7 +31,8 @@
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new WaitingHandler(nio.newHandler(executor), ((EventExecutor) executor).ticker());
+        return new TurnCountingHandler(
+                nio.newHandler(executor), ((EventExecutor) executor).ticker());
     }
 
     /** Turns of the loop since its start. */
@@ -42,13 +41,13 @@
         return turns;
     }
 
-    private final class WaitingHandler implements IoHandler {
+    private final class TurnCountingHandler implements IoHandler {
         private final IoHandler handler;
-        private final WholeMilliseconds waits;
+        private final WholeMillisecondDelays waits;
 
-        WaitingHandler(IoHandler handler, Ticker ticker) {
+        TurnCountingHandler(IoHandler handler, Ticker ticker) {
             this.handler = handler;
-            this.waits = new WholeMilliseconds(ticker);
+            this.waits = new WholeMillisecondDelays(ticker);
         }
 
         @Override
@@ -90,14 +89,14 @@
     }
 
     /**
-     * The loop's own view of its timers, with each wait rounded up. It goes by the loop's ticker,
-     * as the timers do: by another clock a timer could be over that the loop does not run yet.
+     * The loop's delays to its next timer, rounded up. By the loop's ticker, as the timers are: by
+     * another clock a timer could seem due that the loop does not run yet.
      */
-    private static final class WholeMilliseconds implements IoHandlerContext {
+    private static final class WholeMillisecondDelays implements IoHandlerContext {
         private final Ticker ticker;
         private IoHandlerContext context;
 
-        WholeMilliseconds(Ticker ticker) {
+        WholeMillisecondDelays(Ticker ticker) {
             this.ticker = ticker;
         }
 
@@ -108,11 +107,12 @@
 
         @Override
         public long delayNanos(long now) {
-            // The context takes a time of the system's clock, which a ticker's time is ahead of by
-            // its first.
+            // The context takes the system's clock; a ticker's time is relative to its first.
             long delay = context.delayNanos(ticker.nanoTime() + ticker.initialNanoTime());
-            boolean none = delay > Long.MAX_VALUE - RESOLUTION;
-            return delay <= 0 || none ? delay : (delay + RESOLUTION - 1) / RESOLUTION * RESOLUTION;
+            boolean none = delay > Long.MAX_VALUE - RESOLUTION_NANOS;
+            return delay <= 0 || none
+                    ? delay
+                    : (delay + RESOLUTION_NANOS - 1) / RESOLUTION_NANOS * RESOLUTION_NANOS;
         }
 
         @Override
--- a/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
@@ -9,25 +9,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns a sidecar's sockets, timers and module, and its time: all of it is the
- * event loop's ticker's, so that a loop on another ticker lives in another time.
+ * The one thread that owns a sidecar's sockets, timers and load-balancing policy, and its time,
+ * which is that of the event loop's ticker. All but {@link #execute} is to be called on it, once it
+ * runs.
  */
 public final class SidecarEventLoop implements MonotonicClock, Scheduler {
-    /** Nanoseconds between two runs of periodic work, at the least. */
-    private static final long SHORTEST_PERIOD = TimeUnit.MILLISECONDS.toNanos(1);
+    /** The least time between two runs of periodic work. */
+    private static final long MIN_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final EventLoop executor;
     private final SidecarClock clock;
     private final EventLog log;
     private final LongSupplier turns;
 
-    /** With the wall clock's Unix time in milliseconds. */
+    /**
+     * On an event loop whose turns are not counted.
+     *
+     * @param unixMillis the wall clock's Unix time in milliseconds
+     */
     public SidecarEventLoop(EventLoop executor, LongSupplier unixMillis, EventLog log) {
         this(executor, unixMillis, log, () -> 0);
     }
 
     /**
-     * The same; with what counts the turns of the event loop, each of which looks for events once.
+     * On an event loop.
+     *
+     * @param unixMillis the wall clock's Unix time in milliseconds
+     * @param turns counts the turns of the loop, each of which looks for events once
      */
     public SidecarEventLoop(
             EventLoop executor, LongSupplier unixMillis, EventLog log, LongSupplier turns) {
@@ -37,12 +45,12 @@
         this.log = log;
     }
 
-    /** The event loop itself, to make channels on. */
+    /** Netty's event loop, to make channels on. */
     public EventLoop executor() {
         return executor;
     }
 
-    /** Where what happens here is written down. */
+    /** The log for what happens on this loop. */
     public EventLog log() {
         return log;
     }
@@ -62,39 +70,38 @@
         return after(Math.max(0, when - nanoTime()), what);
     }
 
-    /** The place of a Unix time in milliseconds on this loop's clock; not later than now. */
+    /** This loop's time, in nanoseconds, of a Unix time in milliseconds; not later than now. */
     public long place(long millis) {
-        return clock.place(millis);
+        return clock.nanosOfUnixMillis(millis);
     }
 
-    /** Runs something so many nanoseconds from now. */
+    /** Runs something once, so many nanoseconds from now. */
     public ScheduledTask after(long nanos, Runnable what) {
-        return timer(executor.schedule(guarded(what), nanos, TimeUnit.NANOSECONDS));
+        return timer(executor.schedule(logFailures(what), nanos, TimeUnit.NANOSECONDS));
     }
 
     /**
-     * Runs something over and over, so many nanoseconds after the last time; a millisecond at the
-     * least. Shorter periods, as they come out of settings with short times, would leave the loop
-     * no moment to wait.
+     * Runs something periodically, so many nanoseconds after the end of the last run; at least
+     * {@link #MIN_PERIOD_NANOS}, for shorter periods would leave the loop no time to wait.
      */
     public ScheduledTask every(long nanos, Runnable what) {
-        long period = Math.max(SHORTEST_PERIOD, nanos);
+        long period = Math.max(MIN_PERIOD_NANOS, nanos);
         return timer(
                 executor.scheduleWithFixedDelay(
-                        guarded(what), period, period, TimeUnit.NANOSECONDS));
+                        logFailures(what), period, period, TimeUnit.NANOSECONDS));
     }
 
     @Override
     public void execute(Runnable what) {
-        executor.execute(guarded(what));
+        executor.execute(logFailures(what));
     }
 
     private static ScheduledTask timer(Future<?> scheduled) {
         return () -> scheduled.cancel(false);
     }
 
-    /** Danger: an exception in a scheduled task ends up in a future that no one looks at. */
-    private Runnable guarded(Runnable what) {
+    /** Logs what a task throws, which would else end in a future that nobody reads. */
+    private Runnable logFailures(Runnable what) {
         return () -> {
             try {
                 what.run();
--- a/sidecar/src/main/java/appleridge/transport/SocketFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/SocketFactory.java
@@ -3,16 +3,24 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
 
-/** The kind of sockets that a loop's channels are made of. */
+/** Makes the sockets of a loop's channels. */
 public interface SocketFactory {
-    /** A socket that connects; throws what the system says where none can be made. */
+    /**
+     * A channel that is to connect.
+     *
+     * @throws RuntimeException with the system's error where there is no socket to be had
+     */
     Channel connecting();
 
-    /** A socket that listens; throws what the system says where none can be made. */
+    /**
+     * A channel that is to listen.
+     *
+     * @throws RuntimeException with the system's error where there is no socket to be had
+     */
     ServerChannel listening();
 
     /**
-     * Reads at once, before this returns, what the system holds for a channel, and hands it to the
+     * Reads, before this returns, what the system holds for a channel, and passes it to the
      * pipeline. To be called on the loop.
      */
     void readNow(Channel channel);
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -9,47 +9,46 @@
 import java.util.function.Supplier;
 
 /**
- * The process's log. Warnings and failures, the latter with their causes, are logged one a second
- * at most. Danger: a flood of bad clients or upstreams can bring about any number of them, and
- * writing them all would take the loop's time.
+ * The process's log. Of warnings, of failures and of each kind of event at most one a second is
+ * written: bad clients or upstreams can cause any number, and writing all would take the loop's
+ * time.
  */
 public final class SystemLog implements EventLog {
     private static final System.Logger LOG = System.getLogger("appleridge");
-    private static final long APART = TimeUnit.SECONDS.toNanos(1);
+    private static final long MIN_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** The logging system has ended or is about to: lines go to the standard error as they are. */
-    private static volatile boolean direct;
+    /** The JVM's logging has ended or is about to: lines go to the standard error. */
+    private static volatile boolean writesDirectly;
 
-    private final MonotonicClock time;
+    private final MonotonicClock clock;
     private final System.Logger.Level level;
-    private final Sieve warnings;
-    private final Sieve failures;
-    private final Map<LogEvent, Sieve> events = new EnumMap<>(LogEvent.class);
+    private final RateLimitedLine warnings;
+    private final RateLimitedLine failures;
+    private final Map<LogEvent, RateLimitedLine> events = new EnumMap<>(LogEvent.class);
 
-    /** With the level of the ordinary lines. */
+    /** With the level of lines that are neither warnings nor failures. */
     public SystemLog(MonotonicClock time, System.Logger.Level level) {
-        this.time = time;
+        this.clock = time;
         this.level = level;
-        this.warnings = new Sieve();
-        this.failures = new Sieve();
+        this.warnings = new RateLimitedLine();
+        this.failures = new RateLimitedLine();
     }
 
     /**
-     * To be called when the process begins to end. Danger: the logging system has a shutdown hook
-     * of its own that runs beside the service's, and what the service does from then on would be
-     * written nowhere.
+     * To be called when the process begins to end: the JVM's logging has a shutdown hook of its
+     * own, and what the drain logs from then on would be lost.
      */
     public static void writeDirectly() {
-        direct = true;
+        writesDirectly = true;
     }
 
-    /** A line of the process as a whole. */
+    /** Logs a line about the process as a whole, at the level INFO. */
     public static void logProcessEvent(String line) {
         write(System.Logger.Level.INFO, line, null);
     }
 
     private static void write(System.Logger.Level how, String line, Throwable cause) {
-        if (!direct) {
+        if (!writesDirectly) {
             LOG.log(how, line, cause);
         } else if (LOG.isLoggable(how)) {
             String why = cause == null ? "" : " (" + cause + ")";
@@ -70,14 +69,14 @@
         warnings.log(System.Logger.Level.WARNING, () -> line, null);
     }
 
-    /** Danger: one limit over all kinds would let a frequent kind hide a rare one. */
+    /** Limited for each kind by itself, so that a frequent kind does not hide a rare one. */
     @Override
     public void event(LogEvent kind, Supplier<String> fields) {
         if (kind.isAlwaysWritten()) {
             write(level, kind.label() + " " + fields.get(), null);
             return;
         }
-        events.computeIfAbsent(kind, each -> new Sieve())
+        events.computeIfAbsent(kind, each -> new RateLimitedLine())
                 .log(level, () -> kind.label() + " " + fields.get(), null);
     }
 
@@ -86,21 +85,24 @@
         failures.log(System.Logger.Level.ERROR, () -> what, cause);
     }
 
-    /** Logs, or counts what comes less than a second after a line that it has logged. */
-    private final class Sieve {
-        private long last = time.nanoTime() - APART;
-        private int untold;
+    /** Writes a line, or counts it where it comes too soon after the last one that was written. */
+    private final class RateLimitedLine {
+        private long lastLoggedNanos = clock.nanoTime() - MIN_INTERVAL_NANOS;
+        private int suppressedCount;
 
         void log(System.Logger.Level how, Supplier<String> what, Throwable cause) {
-            long now = time.nanoTime();
-            if (now - last < APART) {
-                untold++;
+            long now = clock.nanoTime();
+            if (now - lastLoggedNanos < MIN_INTERVAL_NANOS) {
+                suppressedCount++;
                 return;
             }
             String line = what.get();
-            write(how, untold == 0 ? line : line + "; untold before it: " + untold, cause);
-            last = now;
-            untold = 0;
+            write(
+                    how,
+                    suppressedCount == 0 ? line : line + "; untold before it: " + suppressedCount,
+                    cause);
+            lastLoggedNanos = now;
+            suppressedCount = 0;
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
+++ b/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
@@ -13,7 +13,7 @@
 
     /** Guards against an end that SIGKILL may come ahead of, for some deadline. */
     @Test
-    void forAnyDeadlineItEndsAheadOfSigkillAndStepsAreInOrder() {
+    void drainEndsBeforeSigkillWithStepsInOrderForAnyDeadline() {
         for (long deadline = 0; deadline <= 10_000; deadline += 10) {
             DrainSchedule schedule = DrainSchedule.of(millis(deadline));
             long kill = millis(700 + Math.min(3000, deadline));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void forALongDeadlineItServesUntilShortlyBeforeSigkill() {
+    void longDeadlineIsServedUntilShortlyBeforeSigkill() {
         assertEquals(
                 new DrainSchedule(millis(600), millis(3000), millis(3300)),
                 DrainSchedule.of(millis(6000)));
@@ -36,7 +36,7 @@
 
     /** Clients connect for up to 0.4 s after SIGTERM, wherever that is ahead of the end. */
     @Test
-    void forShortDeadlinesItAcceptsWhileClientsConnect() {
+    void shortDeadlineStillLeavesTimeToAcceptConnections() {
         assertTrue(DrainSchedule.of(millis(100)).acceptUntilNanos() >= millis(400));
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
+++ b/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theWholeMessageGoesWhileItMayAndTheHandlerLeaves() {
+    void completeMessageIsWrittenAndHandlerRemovesItself() {
         ChannelFuture done = write("head", "", "body");
         socket.takeAll();
         assertEquals("headbody", sent());
@@ -81,7 +81,7 @@
      * window.
      */
     @Test
-    void theLastByteStaysIfItsTimeHasPassedWhileTheRestWaited() {
+    void lastByteIsWithheldWhenDeadlinePassedWhileRestWaited() {
         ChannelFuture done = write("head", "body");
         mayGo = false;
         socket.takeAll();
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aMessageOfOneByteIsKeptTooAndNothingLeaks() {
+    void singleByteMessageIsWithheldAndNothingLeaks() {
         mayGo = false;
         ChannelFuture done = write("x");
         socket.takeAll();
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -55,7 +55,7 @@
 
     /** Guards against a check of the first line where an upstream goes by the second. */
     @Test
-    void whatARequestIsIsSaidOnce() throws Exception {
+    void repeatedHeaderIsRejected() throws Exception {
         String[][] lines = {
             {"X-Request-Id", "id"},
             {"X-Class", "write"},
@@ -77,7 +77,7 @@
 
     /** Guards against a customer whose names have letters that a head's bytes are not read as. */
     @Test
-    void namesOfClassesAndTenantsMayHaveAnyLetters() throws Exception {
+    void classAndTenantNamesMayContainNonAsciiLetters() throws Exception {
         String parties = TWO_TENANTS.replace("acme", "\u65ed\u5ddd, les m\u00eames");
         HttpRequest head = request();
         byte[] sent = "\u65ed\u5ddd, les m\u00eames".getBytes(StandardCharsets.UTF_8);
@@ -89,7 +89,7 @@
 
     /** Guards against requests held beyond the time for which their class's clients wait. */
     @Test
-    void noClientWaitsLongerThanItsClass() throws Exception {
+    void deadlineIsCutToDeadlineOfClass() throws Exception {
         HttpRequest head = request();
         assertEquals(500_000_000L, read(head).timeoutNanos());
         for (String deadline : new String[] {"3", "3.0001", "60"}) {
@@ -104,7 +104,7 @@
      * Guards against a customer whose every request is turned away, for its clients wait for long.
      */
     @Test
-    void aClassMayWaitForLongerThanAMinute() throws Exception {
+    void classDeadlineMayExceedOneMinute() throws Exception {
         String patient =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
@@ -126,7 +126,7 @@
      * sidecar allows a cold server, and whom it sheds, goes by the work that it was asked for.
      */
     @Test
-    void aGuessAtMoreWorkThanItsClientWaitsForIsNone() throws Exception {
+    void costHintBeyondClassDeadlineIsIgnored() throws Exception {
         HttpRequest head = request();
         for (String hint : new String[] {"1200", "3000000"}) {
             head.headers().set(Headers.COST_HINT, hint);
@@ -141,7 +141,7 @@
 
     /** Guards against the first tenant's quota used up under names that nobody has. */
     @Test
-    void aTenantThatIsNamedIsOneOfTheSettings() throws Exception {
+    void unknownTenantIsRejected() throws Exception {
         HttpRequest head = request();
         assertEquals(0, read(head).tenant(), "none is named");
         head.headers().set(Headers.TENANT, "");
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -142,7 +142,7 @@
 
     /** Guards against a request lost to a connection that its upstream is about to close. */
     @Test
-    void idleConnectionsAreClosedAheadOfTheUpstream() throws Exception {
+    void idleConnectionIsClosedBeforeUpstreamClosesIt() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(2000, 10);
             ask(pool, upstream);
@@ -154,7 +154,7 @@
 
     /** Guards against a request written to a connection whose end the upstream has announced. */
     @Test
-    void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
+    void connectionClosedByUpstreamIsNotReused() throws Exception {
         Script closing =
                 (socket, request) -> {
                     StubUpstream.write(
@@ -175,7 +175,7 @@
      * line.
      */
     @Test
-    void whatComesBehindAnAnswerDoesNotReachTheNextRequest() throws Exception {
+    void bytesBehindResponseAreNotTakenForNextResponse() throws Exception {
         String[] noise = {StubUpstream.answer("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
         for (String behind : noise) {
             Script doubled = StubUpstream.says(StubUpstream.answer("200 OK", "fine") + behind);
@@ -196,7 +196,7 @@
      * the next request's: it is written here while the loop is kept from reading.
      */
     @Test
-    void whatComesAfterAnAnswerWasReadDoesNotReachTheNextRequest() throws Exception {
+    void bytesAfterReadResponseAreNotTakenForNextResponse() throws Exception {
         Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
         try (StubUpstream upstream =
                 new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
@@ -220,7 +220,7 @@
      * address.
      */
     @Test
-    void anUpstreamDoesNotInheritAnothersConnections() throws Exception {
+    void connectionsAreNotSharedBetweenUpstreams() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             ask(pool, upstream);
@@ -241,7 +241,7 @@
      * good.
      */
     @Test
-    void withNoSocketToBeHadNothingIsSentAndItIsToldOnTheLoop() throws Exception {
+    void missingSocketIsReportedOnLoopAsNeverSent() throws Exception {
         SocketFactory none =
                 new SocketFactory() {
                     @Override
@@ -291,7 +291,7 @@
      * read in between here.
      */
     @Test
-    void whatIsClosedBeforeItIsToldOfCarriesNothing() throws Exception {
+    void connectionClosedBeforeConnectIsReportedIsNotUsed() throws Exception {
         BlockingQueue<Channel> made = new LinkedBlockingQueue<>();
         NioSocketFactory usual = new NioSocketFactory();
         SocketFactory watched =
@@ -344,7 +344,7 @@
      * for.
      */
     @Test
-    void anAnswerThatIsTooLongIsGivenUpByItsHead() throws Exception {
+    void responseWithTooLargeLengthIsBrokenOffAtItsHead() throws Exception {
         for (String length :
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
             try (StubUpstream upstream =
@@ -372,7 +372,7 @@
      * was read together with it, which fits again, would complete the rest.
      */
     @Test
-    void anAnswerThatGrowsTooLongIsNotServedWithoutThePartThatWasTooMuch() throws Exception {
+    void responseGrowingTooLargeIsNotServedWithAHole() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunk(MessageFraming.MAX_BUFFERED_BODY_BYTES - 4)
@@ -393,7 +393,7 @@
      * it.
      */
     @Test
-    void whatFollowsAHeadThatCantBeServedIsNotItsAnswer() throws Exception {
+    void bytesBehindUnservableHeadAreNotServed() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, chunked\r\n\r\n"
                         + chunk(4)
@@ -412,7 +412,7 @@
 
     /** Guards against running out of descriptors: what can't be sent has never been sent. */
     @Test
-    void overTheCapNothingIsSentUnlessAnIdleConnectionCanGo() throws Exception {
+    void nothingIsSentOverCapUnlessIdleConnectionIsEvicted() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream good = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(10_000, 1);
--- a/sidecar/src/test/java/appleridge/transport/NioEventLoopFactoryTest.java
+++ b/sidecar/src/test/java/appleridge/transport/NioEventLoopFactoryTest.java
@@ -52,7 +52,7 @@
      * awaited.
      */
     @Test
-    void timersBetweenMillisecondsAreAwaitedWithoutTurning() throws Exception {
+    void timerBetweenMillisecondsIsAwaitedWithoutSpinning() throws Exception {
         try (Group group = new Group(Ticker.systemTicker())) {
             int timers = 200;
             long turns = turnsFor(group.loop, timers, 3_400_000);
@@ -66,7 +66,7 @@
      * of the core's time.
      */
     @Test
-    void aClockThatMovesInStepsIsAwaitedWithoutTurning() throws Exception {
+    void coarseClockIsAwaitedWithoutSpinning() throws Exception {
         try (Group group = new Group(new SteppingTicker(TimeUnit.MILLISECONDS.toNanos(40)))) {
             int timers = 20;
             long turns = turnsFor(group.loop, timers, 400_000);
@@ -77,7 +77,7 @@
 
     /** Guards against the cure being worse: a timer comes soon after its time. */
     @Test
-    void timersStillComeWithinTwoMillisecondsOnTheMedian() throws Exception {
+    void medianTimerFiresWithinTwoMilliseconds() throws Exception {
         try (Group group = new Group(Ticker.systemTicker())) {
             long after = 3_400_000;
             long[] late = new long[101];
--- a/sidecar/src/test/java/appleridge/transport/SidecarClockTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SidecarClockTest.java
@@ -36,23 +36,26 @@
     }
 
     @Test
-    void aStartHasItsPlaceByTheWallClock() {
+    void startTimeIsPlacedByWallClock() {
         pass(10);
-        assertEquals(clock.now() - 3 * S, clock.place(wall - 3000));
-        assertEquals(clock.now() - 30 * S, clock.place(wall - 30_000));
+        assertEquals(clock.now() - 3 * S, clock.nanosOfUnixMillis(wall - 3000));
+        assertEquals(clock.now() - 30 * S, clock.nanosOfUnixMillis(wall - 30_000));
     }
 
     /** Guards against a cold upstream that is taken for warm, and pushed over. */
     @Test
-    void whereTheWallClockHasSteppedAStartIsTakenForTheYounger() {
+    void startTimeIsYoungerOfTwoWhenWallClockStepped() {
         pass(10);
         long bornNow = wall;
         wall += 20_000;
-        assertEquals(clock.now(), clock.place(bornNow), "by the wall it would be 20 s old");
+        assertEquals(
+                clock.now(), clock.nanosOfUnixMillis(bornNow), "by the wall it would be 20 s old");
         wall -= 60_000;
-        assertEquals(clock.now(), clock.place(bornNow), "and now in the future");
+        assertEquals(clock.now(), clock.nanosOfUnixMillis(bornNow), "and now in the future");
         long suspended = wall += 3_600_000;
         assertEquals(
-                clock.now(), clock.place(suspended), "after an hour that the ticker did not count");
+                clock.now(),
+                clock.nanosOfUnixMillis(suspended),
+                "after an hour that the ticker did not count");
     }
 }
--- a/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
@@ -14,7 +14,7 @@
      * Guards against a loop that writes logs in place of serving: a flood leaves a line a second.
      */
     @Test
-    void aFloodOfFailuresIsOneLine() {
+    void floodOfFailuresIsLoggedOnce() {
         List<String> lines = new ArrayList<>();
         Handler handler =
                 new Handler() {
