--- a/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
+++ b/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theWholeMessageGoesWhileItMayAndTheHandlerLeaves() {
+    void completeMessageIsWrittenAndHandlerRemovesItself() {
         ChannelFuture done = write("head", "", "body");
         socket.takeAll();
         assertEquals("headbody", sent());
@@ -81,22 +81,22 @@
      * window.
      */
     @Test
-    void theLastByteStaysIfItsTimeHasPassedWhileTheRestWaited() {
+    void lastByteIsWithheldWhenDeadlinePassedWhileRestWaited() {
         ChannelFuture done = write("head", "body");
         mayGo = false;
         socket.takeAll();
         assertEquals("headbod", sent());
         assertFalse(done.isSuccess());
-        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
     }
 
     @Test
-    void aMessageOfOneByteIsKeptTooAndNothingLeaks() {
+    void singleByteMessageIsWithheldAndNothingLeaks() {
         mayGo = false;
         ChannelFuture done = write("x");
         socket.takeAll();
         assertEquals("", sent());
-        assertInstanceOf(FinalByteGate.LateException.class, done.cause());
+        assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
         ByteBuf never = Unpooled.copiedBuffer("never", StandardCharsets.US_ASCII);
         EmbeddedChannel other = new EmbeddedChannel(new FinalByteGate(() -> true));
         other.write(never);
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -5,7 +5,6 @@
 
 import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode;
-import appleridge.http1.RequestParser.BadRequest;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -24,16 +23,17 @@
                     + "{\"name\":\"acme\",\"portion\":0.5,\"quotaRps\":9}]";
 
     private static ClientRequest read(String parties, HttpRequest head)
-            throws IOException, BadRequest {
+            throws IOException, InvalidRequestException {
         String json =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replaceAll("\"parties\":\\[[^]]*]", parties);
         RequestParser reader =
                 new RequestParser(SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)));
-        return reader.read(head, new byte[0], 0);
+        return reader.parse(head, new byte[0], 0);
     }
 
-    private static ClientRequest read(HttpRequest head) throws IOException, BadRequest {
+    private static ClientRequest read(HttpRequest head)
+            throws IOException, InvalidRequestException {
         return read(TWO_TENANTS, head);
     }
 
@@ -48,13 +48,14 @@
     }
 
     private static void assertBad(HttpRequest head) {
-        BadRequest bad = assertThrows(BadRequest.class, () -> read(head), head.toString());
+        InvalidRequestException bad =
+                assertThrows(InvalidRequestException.class, () -> read(head), head.toString());
         assertEquals(HttpResponseStatus.BAD_REQUEST, bad.status());
     }
 
     /** Guards against a check of the first line where an upstream goes by the second. */
     @Test
-    void whatARequestIsIsSaidOnce() throws Exception {
+    void repeatedHeaderIsRejected() throws Exception {
         String[][] lines = {
             {"X-Request-Id", "id"},
             {"X-Class", "write"},
@@ -76,19 +77,19 @@
 
     /** Guards against a customer whose names have letters that a head's bytes are not read as. */
     @Test
-    void namesOfClassesAndTenantsMayHaveAnyLetters() throws Exception {
+    void classAndTenantNamesMayContainNonAsciiLetters() throws Exception {
         String parties = TWO_TENANTS.replace("acme", "\u65ed\u5ddd, les m\u00eames");
         HttpRequest head = request();
         byte[] sent = "\u65ed\u5ddd, les m\u00eames".getBytes(StandardCharsets.UTF_8);
         head.headers().set("X-Tenant", new String(sent, StandardCharsets.ISO_8859_1));
         assertEquals(1, read(parties, head).tenant());
         head.headers().set("X-Tenant", "les m\u00eames");
-        assertThrows(BadRequest.class, () -> read(parties, head));
+        assertThrows(InvalidRequestException.class, () -> read(parties, head));
     }
 
     /** Guards against requests held beyond the time for which their class's clients wait. */
     @Test
-    void noClientWaitsLongerThanItsClass() throws Exception {
+    void deadlineIsCutToDeadlineOfClass() throws Exception {
         HttpRequest head = request();
         assertEquals(500_000_000L, read(head).timeoutNanos());
         for (String deadline : new String[] {"3", "3.0001", "60"}) {
@@ -103,7 +104,7 @@
      * Guards against a customer whose every request is turned away, for its clients wait for long.
      */
     @Test
-    void aClassMayWaitForLongerThanAMinute() throws Exception {
+    void classDeadlineMayExceedOneMinute() throws Exception {
         String patient =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
@@ -114,10 +115,10 @@
             head.headers().set(Headers.DEADLINE, deadline);
             assertEquals(
                     (long) (Double.parseDouble(deadline) * 1e9),
-                    reader.read(head, new byte[0], 0).timeoutNanos());
+                    reader.parse(head, new byte[0], 0).timeoutNanos());
         }
         head.headers().set(Headers.DEADLINE, "90.1");
-        assertThrows(BadRequest.class, () -> reader.read(head, new byte[0], 0));
+        assertThrows(InvalidRequestException.class, () -> reader.parse(head, new byte[0], 0));
     }
 
     /**
@@ -125,7 +126,7 @@
      * sidecar allows a cold server, and whom it sheds, goes by the work that it was asked for.
      */
     @Test
-    void aGuessAtMoreWorkThanItsClientWaitsForIsNone() throws Exception {
+    void costHintBeyondClassDeadlineIsIgnored() throws Exception {
         HttpRequest head = request();
         for (String hint : new String[] {"1200", "3000000"}) {
             head.headers().set(Headers.COST_HINT, hint);
@@ -140,7 +141,7 @@
 
     /** Guards against the first tenant's quota used up under names that nobody has. */
     @Test
-    void aTenantThatIsNamedIsOneOfTheSettings() throws Exception {
+    void unknownTenantIsRejected() throws Exception {
         HttpRequest head = request();
         assertEquals(0, read(head).tenant(), "none is named");
         head.headers().set(Headers.TENANT, "");
