--- a/sidecar/src/main/java/appleridge/admin/AdminCall.java
+++ b/sidecar/src/main/java/appleridge/admin/AdminCall.java
@@ -2,57 +2,57 @@
 
 import java.util.regex.Pattern;
 
-/** One call of an operator, as read from a line. */
+/** One call of an operator, as parsed from a line. */
 public sealed interface AdminCall {
-    /** Bytes that a line may have, without its end. */
-    int MOST_BYTES = 1024;
+    /** The longest line, without its end. */
+    int MAX_BYTES = 1024;
 
-    /** What an id may hold: what is printed and no space. */
+    /** A host id: printable ASCII without spaces. */
     Pattern ID = Pattern.compile("[!-~]{1,256}");
 
-    /** Whether it serves. */
+    /** Asks whether the sidecar is ready. */
     record Status() implements AdminCall {}
 
-    /** Its figures. */
+    /** Asks for the metrics. */
     record Metrics() implements AdminCall {}
 
-    /** An upstream gets nothing new. */
+    /** Suspends a host: it gets no new attempts. */
     record Suspend(String id) implements AdminCall {}
 
-    /** An upstream is back. */
+    /** Restores a suspended host. */
     record Restore(String id) implements AdminCall {}
 
-    /** No call: why, in a few words. */
-    record Unreadable(String why) implements AdminCall {}
+    /** Not a call; the reason in a few words. */
+    record Malformed(String reason) implements AdminCall {}
 
-    /** Reads a line without its end; anything can be read, be it as {@link UnreadableNodes}. */
-    static AdminCall read(byte[] line) {
-        if (line.length > MOST_BYTES) {
-            return new Unreadable("line too long");
+    /** Parses a line without its end; any line can be parsed, if only as {@link Malformed}. */
+    static AdminCall parse(byte[] line) {
+        if (line.length > MAX_BYTES) {
+            return new Malformed("line too long");
         }
         StringBuilder text = new StringBuilder(line.length);
         for (byte each : line) {
             if (each < ' ' && each != '\t' || each > '~') {
-                return new Unreadable("not text");
+                return new Malformed("not text");
             }
             text.append((char) each);
         }
         String[] words = text.toString().strip().split("[ \t]+");
         return switch (words[0]) {
             case "STATUS" ->
-                    words.length == 1 ? new Status() : new Unreadable("STATUS takes no argument");
+                    words.length == 1 ? new Status() : new Malformed("STATUS takes no argument");
             case "METRICS" ->
-                    words.length == 1 ? new Metrics() : new Unreadable("METRICS takes no argument");
+                    words.length == 1 ? new Metrics() : new Malformed("METRICS takes no argument");
             case "SUSPEND" ->
                     words.length == 2 && ID.matcher(words[1]).matches()
                             ? new Suspend(words[1])
-                            : new Unreadable("SUSPEND takes one id");
+                            : new Malformed("SUSPEND takes one id");
             case "RESTORE" ->
                     words.length == 2 && ID.matcher(words[1]).matches()
                             ? new Restore(words[1])
-                            : new Unreadable("RESTORE takes one id");
-            case "" -> new Unreadable("empty call");
-            default -> new Unreadable("unknown call");
+                            : new Malformed("RESTORE takes one id");
+            case "" -> new Malformed("empty call");
+            default -> new Malformed("unknown call");
         };
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/AdminCallHandler.java
+++ b/sidecar/src/main/java/appleridge/admin/AdminCallHandler.java
@@ -6,50 +6,49 @@
 import java.util.function.Supplier;
 
 /**
- * What an operator's call comes to, and what is answered.
+ * Carries out an operator's call and replies. Event loop only.
  *
- * @param serves whether the sidecar can really serve
- * @param figures its figures as text, with an end of line after each
- * @param suspend calls an upstream out; what it gives back has been carried out
- * @param restore calls it back
- * @param keeping runs what it is given when what was carried out is kept, also beyond this process
+ * @param ready whether the sidecar can serve
+ * @param metrics the metrics as text, with an end of line after each
+ * @param suspend suspends a host; what it returns has been carried out
+ * @param restore restores a host; likewise
+ * @param whenPublished runs a task when what was carried out is published to the other processes of
+ *     this sidecar
  */
 public record AdminCallHandler(
-        BooleanSupplier serves,
-        Supplier<String> figures,
-        Function<String, MaintenanceOverlay.Effect> suspend,
-        Function<String, MaintenanceOverlay.Effect> restore,
-        Consumer<Runnable> keeping) {
-    private static final String YES = "YES\n";
+        BooleanSupplier ready,
+        Supplier<String> metrics,
+        Function<String, MaintenanceOverlay.Result> suspend,
+        Function<String, MaintenanceOverlay.Result> restore,
+        Consumer<Runnable> whenPublished) {
+    private static final String POSITIVE = "YES\n";
 
-    /**
-     * Answers one line; its effect holds when this returns, and is kept when the answer is given.
-     */
-    public void to(byte[] line, Consumer<String> answer) {
-        AdminCall call = AdminCall.read(line);
+    /** Handles one line. Its effect holds on return, and is published when the reply is given. */
+    public void handle(byte[] line, Consumer<String> reply) {
+        AdminCall call = AdminCall.parse(line);
         if (call instanceof AdminCall.Status) {
-            answer.accept(serves.getAsBoolean() ? YES : no("not ready"));
+            reply.accept(ready.getAsBoolean() ? POSITIVE : negative("not ready"));
         } else if (call instanceof AdminCall.Metrics) {
-            answer.accept(figures.get());
+            reply.accept(metrics.get());
         } else if (call instanceof AdminCall.Suspend asked) {
-            told(suspend.apply(asked.id()), answer);
+            reply(suspend.apply(asked.id()), reply);
         } else if (call instanceof AdminCall.Restore asked) {
-            told(restore.apply(asked.id()), answer);
+            reply(restore.apply(asked.id()), reply);
         } else {
-            answer.accept(no(((AdminCall.Unreadable) call).why()));
+            reply.accept(negative(((AdminCall.Malformed) call).reason()));
         }
     }
 
-    /** No, with the reason in a few words. */
-    public static String no(String why) {
+    /** The reply that something was not done, with the reason in a few words. */
+    public static String negative(String why) {
         return "NO " + why + "\n";
     }
 
-    private void told(MaintenanceOverlay.Effect effect, Consumer<String> answer) {
-        if (effect instanceof MaintenanceOverlay.Denied denied) {
-            answer.accept(no(denied.why()));
+    private void reply(MaintenanceOverlay.Result effect, Consumer<String> reply) {
+        if (effect instanceof MaintenanceOverlay.Rejected denied) {
+            reply.accept(negative(denied.reason()));
         } else {
-            keeping.accept(() -> answer.accept(YES));
+            whenPublished.accept(() -> reply.accept(POSITIVE));
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
+++ b/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
@@ -14,190 +14,185 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lays the operator's word over the list. An upstream that is called out drains for the decision
- * module, whatever the list says of it: gone, listed again, with another start or address. Called
- * back, it is what the list says, but for its start. All news of the list goes through here, and
- * what an operator says comes out as news of its own, so that the module decides as ever.
+ * Applies operators' maintenance directives to discovery's updates. A suspended host drains for the
+ * load-balancing policy, whatever discovery says of it: gone, listed again, with another start or
+ * address. A restored one is what discovery says, except for its start. All discovery updates go
+ * through {@link #apply}; a directive results in an update of its own, so that the policy knows of
+ * no directives. Not thread-safe.
  *
- * <p>Times are nanoseconds on the clock on which upstreams' starts are placed.
+ * <p>Times are nanoseconds on the clock on which hosts' starts are placed.
  */
 public final class MaintenanceOverlay {
-    /**
-     * Upstreams that may be out at once; each is a word of an operator, and ids may be long gone.
-     */
-    static final int MOST = 4096;
+    /** Hosts that may be suspended at once: nothing else bounds their hostId. */
+    static final int MAX_SUSPENDED = 4096;
 
-    private record Listed(UpstreamHost entry, InetSocketAddress address) {}
+    private record DiscoveredHost(UpstreamHost host, InetSocketAddress address) {}
 
-    /** For so long a word that calls back is told to other processes, in nanoseconds. */
-    private static final long TOLD = TimeUnit.MINUTES.toNanos(1);
+    /** For so long the directive that restored a host is published to other processes. */
+    private static final long RESTORE_PUBLISHED_NANOS = TimeUnit.MINUTES.toNanos(1);
 
-    private final long rampTime;
+    private final long slowStartWindowNanos;
 
-    /** What the list says, by id. */
-    private final Map<String, Listed> listed = new HashMap<>();
+    /** What discovery says, by host id. */
+    private final Map<String, DiscoveredHost> discovered = new HashMap<>();
 
-    /** Who is out, and since when. */
-    private final Map<String, Long> out = new LinkedHashMap<>();
+    /** Which hosts are suspended, and since when. */
+    private final Map<String, Long> suspendedSince = new LinkedHashMap<>();
 
-    /** When who was called back, for as long as that can matter. */
-    private final Map<String, Long> back = new HashMap<>();
+    /** When which host was restored, for as long as that can matter. */
+    private final Map<String, Long> restoredAt = new HashMap<>();
 
-    /** The last word of each who is out, or was until lately. */
-    private final Map<String, MaintenanceDirective> said = new LinkedHashMap<>();
+    /** The last directive for each host that is suspended, or was until lately. */
+    private final Map<String, MaintenanceDirective> directives = new LinkedHashMap<>();
 
-    /** With the nanoseconds for which an upstream that has started is cold. */
-    public MaintenanceOverlay(long rampTime) {
-        this.rampTime = rampTime;
+    /** With the time for which a host that has started is in slow start. */
+    public MaintenanceOverlay(long slowStartWindowNanos) {
+        this.slowStartWindowNanos = slowStartWindowNanos;
     }
 
-    /** What an operator's word comes to. */
-    public sealed interface Effect permits Done, Denied {}
+    /** The result of an operator's call. */
+    public sealed interface Result permits Applied, Rejected {}
 
-    /**
-     * It holds from now on; the news are to be told before anything else is decided. Null for none.
-     */
-    public record Done(EndpointUpdate news) implements Effect {}
+    /** It holds from now on; the update has to reach the policy first. Null where there is none. */
+    public record Applied(EndpointUpdate update) implements Result {}
 
-    /** Nothing has changed. */
-    public record Denied(String why) implements Effect {}
+    /** Nothing has changed; the reason in a few words. */
+    public record Rejected(String reason) implements Result {}
 
-    /** News of the list, as they are with the operator's word laid over them. */
-    public EndpointUpdate over(EndpointUpdate news, long now) {
-        forget(now);
-        if (news.kind() == UpdateKind.SNAPSHOT || news.kind() == UpdateKind.CACHED_SNAPSHOT) {
-            listed.clear();
+    /** A discovery update with the directives applied to it. */
+    public EndpointUpdate apply(EndpointUpdate update, long now) {
+        forgetExpired(now);
+        if (update.kind() == UpdateKind.SNAPSHOT || update.kind() == UpdateKind.CACHED_SNAPSHOT) {
+            discovered.clear();
         }
-        List<UpstreamHost> entries = new ArrayList<>(news.entries().size());
-        for (UpstreamHost entry : news.entries()) {
-            String id = news.ids().get(entry.id());
-            if (entry.state() == HostState.GONE) {
-                listed.remove(id);
+        List<UpstreamHost> hosts = new ArrayList<>(update.entries().size());
+        for (UpstreamHost host : update.entries()) {
+            String id = update.ids().get(host.id());
+            if (host.state() == HostState.GONE) {
+                discovered.remove(id);
             } else {
-                listed.put(id, new Listed(entry, news.addresses().get(entry.id())));
+                discovered.put(id, new DiscoveredHost(host, update.addresses().get(host.id())));
             }
-            entries.add(over(id, entry));
+            hosts.add(apply(id, host));
         }
-        return new EndpointUpdate(news.kind(), entries, news.addresses(), news.ids());
+        return new EndpointUpdate(update.kind(), hosts, update.addresses(), update.ids());
     }
 
-    /**
-     * Calls an upstream out: nothing new goes to it. Calls on one that is out already change
-     * nothing.
-     */
-    public Effect suspend(String id, long now) {
-        Listed its = listed.get(id);
-        if (its == null && !out.containsKey(id)) {
-            return new Denied("unknown upstream");
+    /** Suspends a host: it gets no new attempts. Nothing changes for one that is suspended. */
+    public Result suspend(String id, long now) {
+        DiscoveredHost its = discovered.get(id);
+        if (its == null && !suspendedSince.containsKey(id)) {
+            return new Rejected("unknown upstream");
         }
-        if (out.size() >= MOST && !out.containsKey(id)) {
-            return new Denied("too many are out");
+        if (suspendedSince.size() >= MAX_SUSPENDED && !suspendedSince.containsKey(id)) {
+            return new Rejected("too many are out");
         }
-        return new Done(suspended(id, now));
+        return new Applied(applySuspension(id, now));
     }
 
-    private EndpointUpdate suspended(String id, long at) {
-        said.put(id, new MaintenanceDirective(id, true, at));
-        return out.putIfAbsent(id, at) == null ? news(id) : null;
+    private EndpointUpdate applySuspension(String id, long at) {
+        directives.put(id, new MaintenanceDirective(id, true, at));
+        return suspendedSince.putIfAbsent(id, at) == null ? update(id) : null;
     }
 
-    /** Calls an upstream back, however often it was called out. */
-    public Effect restore(String id, long now) {
-        forget(now);
-        boolean held = out.containsKey(id) || listed.containsKey(id);
-        return held ? new Done(restored(id, now)) : new Denied("unknown upstream");
+    /** Restores a host, however often it was suspended. */
+    public Result restore(String id, long now) {
+        forgetExpired(now);
+        boolean known = suspendedSince.containsKey(id) || discovered.containsKey(id);
+        return known ? new Applied(applyRestoration(id, now)) : new Rejected("unknown upstream");
     }
 
-    private EndpointUpdate restored(String id, long now) {
-        Long since = out.remove(id);
+    private EndpointUpdate applyRestoration(String id, long now) {
+        Long since = suspendedSince.remove(id);
         if (since == null) {
             return null;
         }
-        said.put(id, new MaintenanceDirective(id, false, now));
-        Listed its = listed.get(id);
-        // Danger: it may have been made anew meanwhile, and the list be late to tell. Only a start
-        // within the
-        // time in which it was out is certain to be the last one.
-        if (its == null || its.entry.startedAtNanos() < since) {
-            back.put(id, now);
+        directives.put(id, new MaintenanceDirective(id, false, now));
+        DiscoveredHost its = discovered.get(id);
+        // It may have been restarted meanwhile, and discovery be late to say so: only a start
+        // within
+        // the time in which it was suspended is certain to be its last one.
+        if (its == null || its.host.startedAtNanos() < since) {
+            restoredAt.put(id, now);
         }
-        return news(id);
+        return update(id);
     }
 
     /**
-     * What operators have told another process of this sidecar; of two words the later one counts.
+     * Merges the directives that operators have given to another process of this sidecar; of two
+     * for a host the later one holds.
      *
-     * @return the news that are to be told
+     * @return the resulting updates, for the policy
      */
-    public List<EndpointUpdate> hear(List<MaintenanceDirective> words, long now) {
-        forget(now);
+    public List<EndpointUpdate> merge(List<MaintenanceDirective> others, long now) {
+        forgetExpired(now);
         List<EndpointUpdate> all = new ArrayList<>();
-        for (MaintenanceDirective word : words) {
-            MaintenanceDirective last = said.get(word.id());
-            boolean fresh =
-                    last == null
-                            ? word.suspended()
-                                    ? out.size() < MOST
-                                    : now - word.issuedAtUnixNanos() <= TOLD
-                            : word.issuedAtUnixNanos() > last.issuedAtUnixNanos();
-            if (fresh) {
-                EndpointUpdate news =
-                        word.suspended()
-                                ? suspended(word.id(), word.issuedAtUnixNanos())
-                                : restored(word.id(), word.issuedAtUnixNanos());
-                if (news != null) {
-                    all.add(news);
+        for (MaintenanceDirective directive : others) {
+            if (isNew(directive, now)) {
+                EndpointUpdate update =
+                        directive.suspended()
+                                ? applySuspension(directive.id(), directive.issuedAtUnixNanos())
+                                : applyRestoration(directive.id(), directive.issuedAtUnixNanos());
+                if (update != null) {
+                    all.add(update);
                 }
             }
         }
         return all;
     }
 
-    /** What operators have said, for other processes of this sidecar. */
-    public List<MaintenanceDirective> words() {
-        return List.copyOf(said.values());
+    private boolean isNew(MaintenanceDirective directive, long now) {
+        MaintenanceDirective last = directives.get(directive.id());
+        if (last != null) {
+            return directive.issuedAtUnixNanos() > last.issuedAtUnixNanos();
+        }
+        return directive.suspended()
+                ? suspendedSince.size() < MAX_SUSPENDED
+                : now - directive.issuedAtUnixNanos() <= RESTORE_PUBLISHED_NANOS;
     }
 
-    /**
-     * Danger: words pile up as long as the sidecar runs; those that call back matter for a while
-     * only.
-     */
-    private void forget(long now) {
-        back.values().removeIf(at -> now - at > rampTime);
-        said.values().removeIf(word -> !word.suspended() && now - word.issuedAtUnixNanos() > TOLD);
+    /** The directives to be published to other processes of this sidecar. */
+    public List<MaintenanceDirective> publishedDirectives() {
+        return List.copyOf(directives.values());
+    }
+
+    /** Without this directives would pile up as long as the sidecar runs. */
+    private void forgetExpired(long now) {
+        restoredAt.values().removeIf(at -> now - at > slowStartWindowNanos);
+        directives
+                .values()
+                .removeIf(
+                        directive ->
+                                !directive.suspended()
+                                        && now - directive.issuedAtUnixNanos()
+                                                > RESTORE_PUBLISHED_NANOS);
     }
 
-    /** Who is out, and since when. */
-    public Map<String, Long> out() {
-        return Map.copyOf(out);
+    /** Which hosts are suspended, by id, and since when. */
+    public Map<String, Long> suspendedSince() {
+        return Map.copyOf(suspendedSince);
     }
 
-    private EndpointUpdate news(String id) {
-        Listed its = listed.get(id);
+    private EndpointUpdate update(String id) {
+        DiscoveredHost its = discovered.get(id);
         if (its == null) {
             return null;
         }
-        long number = its.entry.id();
+        long hostId = its.host.id();
         return new EndpointUpdate(
                 UpdateKind.DELTA,
-                List.of(over(id, its.entry)),
-                Map.of(number, its.address),
-                Map.of(number, id));
+                List.of(apply(id, its.host)),
+                Map.of(hostId, its.address),
+                Map.of(hostId, id));
     }
 
-    private UpstreamHost over(String id, UpstreamHost entry) {
+    private UpstreamHost apply(String id, UpstreamHost host) {
         HostState state =
-                entry.state() == HostState.READY && out.containsKey(id)
+                host.state() == HostState.READY && suspendedSince.containsKey(id)
                         ? HostState.DRAINING
-                        : entry.state();
-        long started = Math.max(entry.startedAtNanos(), back.getOrDefault(id, 0L));
+                        : host.state();
+        long started = Math.max(host.startedAtNanos(), restoredAt.getOrDefault(id, 0L));
         return new UpstreamHost(
-                entry.id(),
-                entry.zone(),
-                entry.kind(),
-                entry.cell(),
-                state,
-                entry.weight(),
-                started);
+                host.id(), host.zone(), host.kind(), host.cell(), state, host.weight(), started);
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
+++ b/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
@@ -8,31 +8,31 @@
 import java.util.function.LongSupplier;
 
 /**
- * The sidecar's figures: counts since its start, by class, and gauges as of now. Written in the
- * text form of OpenMetrics 1.0, which most collectors read. Danger: a figure that is counted in two
- * places is wrong in one.
+ * The sidecar's metrics in the text form of OpenMetrics 1.0: counters since its start, by request
+ * class, and gauges as of now. Each event is counted in one place only. Event loop only. Names of
+ * metrics stay as they are: operators' collectors know them.
  */
 public final class OpenMetricsReport implements RequestMetrics {
     private static final String PREFIX = "appleridge_";
 
     private final List<String> classes;
-    private final long[] taken;
+    private final long[] accepted;
     private final long[][] ended;
     private final long[] attempts;
-    private final long[] further;
+    private final long[] retries;
     private long malformed;
     private final Map<String, LongSupplier> gauges = new LinkedHashMap<>();
 
-    /** With the names of the request classes. */
+    /** With the names of the request classes, by their index. */
     public OpenMetricsReport(List<String> classes) {
         this.classes = List.copyOf(classes);
-        this.taken = new long[classes.size()];
+        this.accepted = new long[classes.size()];
         this.ended = new long[RequestEnd.values().length][classes.size()];
         this.attempts = new long[classes.size()];
-        this.further = new long[classes.size()];
+        this.retries = new long[classes.size()];
     }
 
-    /** One more value that is asked for whenever the figures are. */
+    /** Adds a gauge, asked for whenever the text is; returns this. */
     public OpenMetricsReport gauge(String name, LongSupplier value) {
         gauges.put(name, value);
         return this;
@@ -40,7 +40,7 @@
 
     @Override
     public void onRequestAccepted(int requestClass) {
-        taken[requestClass]++;
+        accepted[requestClass]++;
     }
 
     @Override
@@ -49,10 +49,10 @@
     }
 
     @Override
-    public void onAttemptSent(int requestClass, boolean again) {
+    public void onAttemptSent(int requestClass, boolean further) {
         attempts[requestClass]++;
-        if (again) {
-            further[requestClass]++;
+        if (further) {
+            retries[requestClass]++;
         }
     }
 
@@ -61,15 +61,15 @@
         malformed++;
     }
 
-    /** All of them. */
+    /** All metrics, with an end of line after each. */
     public String text() {
         List<String> lines = new ArrayList<>();
-        byClass(lines, "requests", taken);
+        byClass(lines, "requests", accepted);
         for (RequestEnd how : RequestEnd.values()) {
             byClass(lines, "requests_" + how.metricWord(), ended[how.ordinal()]);
         }
         byClass(lines, "attempts", attempts);
-        byClass(lines, "attempts_further", further);
+        byClass(lines, "attempts_further", retries);
         lines.add("# TYPE " + PREFIX + "malformed counter");
         lines.add(PREFIX + "malformed_total " + malformed);
         gauges.forEach(
--- a/sidecar/src/main/java/appleridge/admin/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/package-info.java
@@ -1,2 +1,5 @@
-/** What operators ask of a running sidecar, and what of their word is laid over the list; pure. */
+/**
+ * What operators may ask of a running sidecar: its status and metrics, and maintenance directives,
+ * which are applied to discovery's updates. Pure.
+ */
 package appleridge.admin;
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
@@ -15,42 +15,37 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/**
- * One connection of an operator: a line is read, answered, and whatever follows it is not looked
- * at.
- */
+/** One connection of an operator: one line is read and replied to, and the rest is ignored. */
 final class AdminConnection extends ChannelInboundHandlerAdapter {
-    /**
-     * For the caller to read the answer, before unread input of its own would reset the connection.
-     */
-    private static final long LINGER = TimeUnit.MILLISECONDS.toNanos(200);
+    /** For the operator to read the reply, before unread input of its own resets the connection. */
+    private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final AdminServer line;
+    private final AdminServer server;
     private final Channel channel;
-    private final ByteArrayOutputStream heard = new ByteArrayOutputStream(64);
-    private final long since;
-    private Scheduler.ScheduledTask limit = () -> {};
-    private boolean answered;
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream(64);
+    private final long openedAtNanos;
+    private Scheduler.ScheduledTask timeout = () -> {};
+    private boolean replied;
 
     AdminConnection(AdminServer line, Channel channel) {
-        this.line = line;
+        this.server = line;
         this.channel = channel;
-        this.since = line.loop().nanoTime();
+        this.openedAtNanos = line.loop().nanoTime();
     }
 
-    long since() {
-        return since;
+    long openedAtNanos() {
+        return openedAtNanos;
     }
 
-    void hangUpAfter(long nanos) {
-        limit = line.loop().after(nanos, this::late);
+    void closeAfter(long nanos) {
+        timeout = server.loop().after(nanos, this::timeOut);
     }
 
-    /** It has had its time; its place is free at once. */
-    void late() {
-        if (!answered) {
-            answered = true;
-            channel.writeAndFlush(text(AdminCallHandler.no("no call came in time")));
+    /** It has had its time: its place is free at once. */
+    void timeOut() {
+        if (!replied) {
+            replied = true;
+            channel.writeAndFlush(text(AdminCallHandler.negative("no call came in time")));
         }
         channel.close();
     }
@@ -65,7 +60,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        line.opened(this);
+        server.onConnectionOpened(this);
     }
 
     @Override
@@ -74,62 +69,62 @@
         try {
             int end = bytes.bytesBefore((byte) '\n');
             int length = end < 0 ? bytes.readableBytes() : end;
-            // One byte more than a line may have, and its end, tell that it is too long.
-            int room = Math.max(0, AdminCall.MOST_BYTES + 2 - heard.size());
-            byte[] part = new byte[Math.min(length, room)];
+            // One byte more than the longest line, and its end, show that it is too long.
+            int remaining = Math.max(0, AdminCall.MAX_BYTES + 2 - received.size());
+            byte[] part = new byte[Math.min(length, remaining)];
             bytes.readBytes(part);
-            heard.write(part, 0, part.length);
-            if (!answered && (end >= 0 || heard.size() > AdminCall.MOST_BYTES + 1)) {
-                answer();
+            received.write(part, 0, part.length);
+            if (!replied && (end >= 0 || received.size() > AdminCall.MAX_BYTES + 1)) {
+                handle();
             }
         } finally {
             bytes.release();
         }
     }
 
-    /** A caller that ends its side first has said what it has to say. */
+    /** An operator that ends its side of the connection has line all. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
-            if (!answered && heard.size() > 0) {
-                answer();
+            if (!replied && received.size() > 0) {
+                handle();
             } else {
                 channel.close();
             }
         }
     }
 
-    private void answer() {
-        byte[] said = heard.toByteArray();
+    private void handle() {
+        byte[] line = received.toByteArray();
         int length =
-                said.length > 0 && said[said.length - 1] == '\r' ? said.length - 1 : said.length;
+                line.length > 0 && line[line.length - 1] == '\r' ? line.length - 1 : line.length;
         byte[] text = new byte[length];
-        System.arraycopy(said, 0, text, 0, length);
-        answered = true;
-        line.answers().to(text, this::answer);
+        System.arraycopy(line, 0, text, 0, length);
+        replied = true;
+        server.handler().handle(text, this::reply);
     }
 
-    private void answer(String text) {
-        answered = true;
-        limit.cancel();
+    private void reply(String text) {
+        replied = true;
+        timeout.cancel();
         channel.writeAndFlush(text(text))
                 .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                 .addListener(done -> linger());
-        // Danger: an answer that is never read would hold its place for good.
-        limit = line.loop().after(TimeUnit.SECONDS.toNanos(1), channel::close);
+        // Else a reply that is never read would hold its place for ever.
+        timeout = server.loop().after(TimeUnit.SECONDS.toNanos(1), channel::close);
     }
 
     private void linger() {
         if (channel.isActive()) {
             ((DuplexChannel) channel).shutdownOutput();
-            line.loop().after(LINGER, channel::close);
+            server.loop().after(LINGER_NANOS, channel::close);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        limit.cancel();
-        line.closed(this);
+        timeout.cancel();
+        server.onConnectionClosed(this);
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
@@ -17,46 +17,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens for operators: one line a connection, one answer, the end. What is kept back for it is a
- * few descriptors and, at each turn of the loop, the time for a few callers. Danger: it is asked
- * most when all goes wrong, and who only connects must not keep out who asks.
+ * Listens for operators: one call and one reply a connection. It is needed most when all else goes
+ * wrong, so it has a few descriptors of its own and, at each turn of the event loop, time for a few
+ * connections; and one that only connects does not keep out one that calls. Event loop only.
  */
 public final class AdminServer {
-    /** Callers at once: of the descriptors that neither clients nor upstreams may use. */
-    static final int MOST_CALLERS = 12;
+    /** Open at once; of the descriptors that neither clients nor upstreams may use. */
+    static final int MAX_CONNECTIONS = 12;
 
-    /** So long a caller may hesitate, though others wait. */
-    private static final long HESITATES = TimeUnit.MILLISECONDS.toNanos(10);
+    /** So long a call may take though others wait. */
+    private static final long MIN_CALL_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /** So long one may take to make a call, where nobody waits. */
-    private static final long LONGEST = TimeUnit.SECONDS.toNanos(5);
+    /** So long a call may take where nobody waits. */
+    private static final long MAX_CALL_TIME_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    /** After listening failed, as where the sidecar before this one still does. */
-    private static final long LISTEN_AGAIN = TimeUnit.MILLISECONDS.toNanos(100);
+    /** After binding failed, as where the process before this one still listens. */
+    private static final long BIND_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    private static final int ACCEPTS_AT_ONCE = 4;
+    private static final int MAX_ACCEPTS_PER_TURN = 4;
     private static final int BACKLOG = 1024;
 
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
     private final InetSocketAddress address;
-    private final AdminCallHandler answers;
-    private final Set<AdminConnection> callers = new LinkedHashSet<>();
+    private final AdminCallHandler handler;
+    private final Set<AdminConnection> connections = new LinkedHashSet<>();
     private Channel listener;
-    private Scheduler.ScheduledTask next = () -> {};
-    private boolean told;
-    private boolean closed;
+    private Scheduler.ScheduledTask nextTask = () -> {};
+    private boolean bindFailureLogged;
+    private boolean onConnectionClosed;
 
     /** Made on the loop; listens from {@link #open} on. */
     public AdminServer(
             SidecarEventLoop loop,
             SocketFactory sockets,
             InetSocketAddress address,
-            AdminCallHandler answers) {
+            AdminCallHandler handler) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
-        this.answers = answers;
+        this.handler = handler;
     }
 
     /** Begins to listen, and goes on trying until it does. */
@@ -65,7 +65,7 @@
                 new ServerBootstrap()
                         .group(loop.executor(), loop.executor())
                         .channelFactory(sockets::listening)
-                        .handler(new AcceptFailures(loop, this::acceptFailed))
+                        .handler(new AcceptFailures(loop, this::onAcceptFailed))
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -84,10 +84,10 @@
         binding.addListener(
                 done -> {
                     if (done.isSuccess()) {
-                        listening(binding.channel());
-                    } else if (!closed) {
-                        if (!told) {
-                            told = true;
+                        onBound(binding.channel());
+                    } else if (!onConnectionClosed) {
+                        if (!bindFailureLogged) {
+                            bindFailureLogged = true;
                             loop.log()
                                     .warning(
                                             "no operators' line at "
@@ -95,83 +95,81 @@
                                                     + " yet: "
                                                     + done.cause().getMessage());
                         }
-                        next = loop.after(LISTEN_AGAIN, this::open);
+                        nextTask = loop.after(BIND_RETRY_NANOS, this::open);
                     }
                 });
     }
 
-    private void listening(Channel channel) {
+    private void onBound(Channel channel) {
         listener = channel;
         listener.config()
                 .<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
-                .maxMessagesPerRead(ACCEPTS_AT_ONCE);
-        if (closed) {
+                .maxMessagesPerRead(MAX_ACCEPTS_PER_TURN);
+        if (onConnectionClosed) {
             channel.close();
-        } else if (told) {
+        } else if (bindFailureLogged) {
             loop.log().info("operators' line at " + address);
         }
     }
 
-    /** Ends listening and all calls. */
+    /** Ends listening and closes all connections. */
     public void close() {
-        closed = true;
-        next.cancel();
+        onConnectionClosed = true;
+        nextTask.cancel();
         if (listener != null) {
             listener.close();
         }
-        Set.copyOf(callers).forEach(AdminConnection::close);
+        Set.copyOf(connections).forEach(AdminConnection::close);
     }
 
-    AdminCallHandler answers() {
-        return answers;
+    AdminCallHandler handler() {
+        return handler;
     }
 
     SidecarEventLoop loop() {
         return loop;
     }
 
-    void opened(AdminConnection caller) {
-        callers.add(caller);
-        caller.hangUpAfter(LONGEST);
-        bound();
+    void onConnectionOpened(AdminConnection connection) {
+        connections.add(connection);
+        connection.closeAfter(MAX_CALL_TIME_NANOS);
+        enforceLimit();
     }
 
-    void closed(AdminConnection caller) {
-        callers.remove(caller);
-        bound();
+    void onConnectionClosed(AdminConnection connection) {
+        connections.remove(connection);
+        enforceLimit();
     }
 
-    /**
-     * Where callers wait, who has said nothing for longest goes, as soon as it has had its moment.
-     */
-    private void bound() {
-        if (callers.size() < MOST_CALLERS) {
-            accept(true);
+    /** At the limit the connection that has been open for longest is closed, if it had its time. */
+    private void enforceLimit() {
+        if (connections.size() < MAX_CONNECTIONS) {
+            setAccepting(true);
             return;
         }
-        accept(false);
-        AdminConnection oldest = callers.iterator().next();
-        long stood = loop.nanoTime() - oldest.since();
-        next.cancel();
-        next =
+        setAccepting(false);
+        AdminConnection oldest = connections.iterator().next();
+        long openNanos = loop.nanoTime() - oldest.openedAtNanos();
+        nextTask.cancel();
+        nextTask =
                 loop.after(
-                        Math.max(0, HESITATES - stood),
+                        Math.max(0, MIN_CALL_TIME_NANOS - openNanos),
                         () -> {
-                            if (callers.size() >= MOST_CALLERS) {
-                                callers.iterator().next().late();
+                            if (connections.size() >= MAX_CONNECTIONS) {
+                                connections.iterator().next().timeOut();
                             }
                         });
     }
 
-    /** No descriptor was left; some soon are. */
-    private void acceptFailed() {
-        accept(false);
-        loop.after(LISTEN_AGAIN, this::bound);
+    /** No descriptor was left; soon some are. */
+    private void onAcceptFailed() {
+        setAccepting(false);
+        loop.after(BIND_RETRY_NANOS, this::enforceLimit);
     }
 
-    private void accept(boolean on) {
+    private void setAccepting(boolean on) {
         if (listener != null) {
-            listener.config().setAutoRead(on && !closed);
+            listener.config().setAutoRead(on && !onConnectionClosed);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/protocol/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** The front of the operators' calls: one line a connection. */
+/** The operators' line: listens for operators, one call and one reply a connection. */
 package appleridge.admin.protocol;
--- a/sidecar/src/main/java/appleridge/daemon/AdminService.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -7,103 +7,112 @@
 import appleridge.config.SidecarConfig;
 import appleridge.discovery.EndpointTable;
 import appleridge.hotrestart.MaintenanceDirective;
+import appleridge.request.RequestCoordinator;
+import appleridge.transport.EventLoopMonitor;
 import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SocketFactory;
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What operators may ask of one sidecar, put together; made only where they have a way to ask. */
+/**
+ * What operators may ask of one sidecar, put together; made only where an address for them is
+ * configured. Event loop only.
+ */
 final class AdminService {
     private final SidecarEventLoop loop;
     private final MaintenanceOverlay maintenance;
-    private final AdminServer line;
-    private final Consumer<EndpointTable.EndpointUpdate> told;
+    private final AdminServer server;
+    private final Consumer<EndpointTable.EndpointUpdate> updates;
 
-    /** With who is told what an operator's word makes of the list, and what keeps such words. */
+    /**
+     * Begins to listen for operators.
+     *
+     * @param updates takes the endpoint updates that directives result in
+     * @param whenPublished runs a task once directives are published to other processes
+     */
     AdminService(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
-            UpstreamCluster service,
-            Consumer<EndpointTable.EndpointUpdate> told,
-            Consumer<Runnable> keeping) {
+            UpstreamCluster cluster,
+            Consumer<EndpointTable.EndpointUpdate> updates,
+            Consumer<Runnable> whenPublished) {
         this.loop = loop;
-        this.told = told;
+        this.updates = updates;
         this.maintenance =
                 new MaintenanceOverlay(config.settings().safetyLimits().slowStartWindowNanos());
-        OpenMetricsReport figures =
-                new OpenMetricsReport(config.requestClassNames())
-                        .gauge(
-                                "requests_open",
-                                () -> service.exchanges.inFlightCounts().openRequests())
-                        .gauge(
-                                "attempts_out",
-                                () -> service.exchanges.inFlightCounts().openAttempts())
-                        .gauge("client_connections", service.server::connections)
-                        .gauge("upstream_connections", service.pool::connections)
-                        .gauge("upstreams_ready", service.exchanges::readyHostCount)
-                        .gauge("upstreams_suspended", () -> maintenance.out().size())
-                        .gauge("event_loop_turns", loop::turns)
-                        .gauge("event_loop_events", service.exchanges::eventCount)
-                        .gauge("event_loop_stalls", service.server.monitor()::stalls)
-                        .gauge("event_loop_spins", service.server.monitor()::spins)
-                        .gauge(
-                                "event_loop_longest_lag_milliseconds",
-                                service.server.monitor()::longestLagMillis)
-                        .gauge("client_checks_after_stalls", service.exchanges::clientCheckCount)
-                        .gauge("accept_gate_changes", service.server::acceptGateChanges)
-                        .gauge("heap_used_bytes", AdminService::heapUsed);
-        service.exchanges.metrics(figures);
-        this.line =
+        OpenMetricsReport metrics = metrics(config, cluster);
+        cluster.coordinator.metrics(metrics);
+        this.server =
                 new AdminServer(
                         loop,
                         sockets,
                         config.adminAddress(),
                         new AdminCallHandler(
-                                service.server::ready,
-                                figures::text,
+                                cluster.listener::ready,
+                                metrics::text,
                                 this::suspend,
                                 this::restore,
-                                keeping));
-        line.open();
+                                whenPublished));
+        server.open();
+    }
+
+    private OpenMetricsReport metrics(SidecarConfig config, UpstreamCluster cluster) {
+        RequestCoordinator coordinator = cluster.coordinator;
+        EventLoopMonitor monitor = cluster.listener.monitor();
+        return new OpenMetricsReport(config.requestClassNames())
+                .gauge("requests_open", () -> coordinator.inFlightCounts().openRequests())
+                .gauge("attempts_out", () -> coordinator.inFlightCounts().openAttempts())
+                .gauge("client_connections", cluster.listener::connections)
+                .gauge("upstream_connections", cluster.connectionPool::connections)
+                .gauge("upstreams_ready", coordinator::readyHostCount)
+                .gauge("upstreams_suspended", () -> maintenance.suspendedSince().size())
+                .gauge("event_loop_turns", loop::turns)
+                .gauge("event_loop_events", coordinator::eventCount)
+                .gauge("event_loop_stalls", monitor::stalls)
+                .gauge("event_loop_spins", monitor::spins)
+                .gauge("event_loop_longest_lag_milliseconds", monitor::longestLagMillis)
+                .gauge("client_checks_after_stalls", coordinator::clientCheckCount)
+                .gauge("accept_gate_changes", cluster.listener::acceptGateChanges)
+                .gauge("heap_used_bytes", AdminService::heapUsed);
     }
 
     private static long heapUsed() {
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
-        return maintenance.over(news, loop.nanoTime());
+    /** A discovery update with the directives applied to it. */
+    EndpointTable.EndpointUpdate applyMaintenance(EndpointTable.EndpointUpdate update) {
+        return maintenance.apply(update, loop.nanoTime());
     }
 
-    private MaintenanceOverlay.Effect suspend(String id) {
-        return carriedOut(
-                "suspended by an operator: " + id, maintenance.suspend(id, loop.nanoTime()));
+    private MaintenanceOverlay.Result suspend(String id) {
+        return publish("suspended by an operator: " + id, maintenance.suspend(id, loop.nanoTime()));
     }
 
-    private MaintenanceOverlay.Effect restore(String id) {
-        return carriedOut(
-                "restored by an operator: " + id, maintenance.restore(id, loop.nanoTime()));
+    private MaintenanceOverlay.Result restore(String id) {
+        return publish("restored by an operator: " + id, maintenance.restore(id, loop.nanoTime()));
     }
 
-    private MaintenanceOverlay.Effect carriedOut(String what, MaintenanceOverlay.Effect effect) {
-        if (effect instanceof MaintenanceOverlay.Done done && done.news() != null) {
+    private MaintenanceOverlay.Result publish(String what, MaintenanceOverlay.Result effect) {
+        if (effect instanceof MaintenanceOverlay.Applied done && done.update() != null) {
             loop.log().info(what);
-            told.accept(done.news());
+            updates.accept(done.update());
         }
         return effect;
     }
 
-    /** What operators have told another process of this sidecar. */
-    void hear(List<MaintenanceDirective> words) {
-        maintenance.hear(words, loop.nanoTime()).forEach(told);
+    /** Takes in what operators have told another process of this sidecar. */
+    void merge(List<MaintenanceDirective> others) {
+        maintenance.merge(others, loop.nanoTime()).forEach(updates);
     }
 
-    List<MaintenanceDirective> words() {
-        return maintenance.words();
+    /** What operators have told this process. */
+    List<MaintenanceDirective> directives() {
+        return maintenance.publishedDirectives();
     }
 
     void close() {
-        line.close();
+        server.close();
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
+++ b/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
@@ -9,13 +9,17 @@
 import java.util.List;
 
 /**
- * New configurations while the sidecar runs. The file is read on the thread that brings the signal,
- * so that the loop does not wait for it; a file that can't be used changes nothing.
+ * Reloads the configuration on SIGHUP. Only the address of discovery can change while the sidecar
+ * runs; other changes are logged as needing a restart, and a file that can't be used changes
+ * nothing. Files are read on the thread that brings the signal, so that the event loop does not
+ * wait for them. Thread-safe.
  */
 final class ConfigReloader {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
-    private ServeCommand serve;
+    /** Null before {@link #begin}. */
+    private SidecarRunner runner;
+
     private Path file;
 
     /** What the sidecar runs with, but for the address of discovery. */
@@ -24,29 +28,29 @@
     private InetSocketAddress discovery;
 
     /** The operator's file, and what it held at the start; null where there is none. */
-    private Path operator;
+    private Path operatorFile;
 
-    private byte[] operatorHeld;
-    private boolean early;
+    private byte[] operatorBytes;
+    private boolean requestedEarly;
 
-    /** From here on requests are carried out; one that came before is carried out now. */
-    synchronized void begin(ServeCommand running, Path path, SidecarConfig config) {
-        serve = running;
+    /** From here on reloads are carried out; one that was requested before is carried out now. */
+    synchronized void begin(SidecarRunner running, Path path, SidecarConfig config) {
+        runner = running;
         file = path;
         started = config;
         discovery = config.registryAddress();
-        if (early) {
+        if (requestedEarly) {
             requested();
         }
     }
 
-    /** There is an operator's file, which only a start reads. */
-    synchronized void fixed(Path operatorsFile) {
-        operator = operatorsFile;
-        operatorHeld = held(operatorsFile);
+    /** There is an operator's file, which only a start reads: a change of it is logged. */
+    synchronized void fixed(Path path) {
+        operatorFile = path;
+        operatorBytes = read(path);
     }
 
-    private static byte[] held(Path file) {
+    private static byte[] read(Path file) {
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
@@ -54,33 +58,37 @@
         }
     }
 
+    /** SIGHUP has come. */
     synchronized void requested() {
-        if (serve == null) {
-            early = true;
+        if (runner == null) {
+            requestedEarly = true;
             return;
         }
-        if (operator != null && !Arrays.equals(operatorHeld, held(operator))) {
-            LOG.log(System.Logger.Level.WARNING, "needs a restart to take effect: " + operator);
+        if (operatorFile != null && !Arrays.equals(operatorBytes, read(operatorFile))) {
+            logNeedsRestart(operatorFile.toString());
         }
-        SidecarConfig next;
         try {
-            next = ServeCommand.withAdmin(SidecarConfig.parse(Files.readAllBytes(file)));
+            reload(ServeCommand.withAdmin(SidecarConfig.parse(Files.readAllBytes(file))));
         } catch (IOException | RuntimeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "new configuration not used: " + String.valueOf(e.getMessage()).split("\n")[0]);
-            return;
         }
+    }
+
+    private void reload(SidecarConfig next) {
         List<String> fixed = started.fixedParts(next);
         if (!fixed.isEmpty()) {
-            LOG.log(
-                    System.Logger.Level.WARNING,
-                    "needs a restart to take effect: " + String.join(", ", fixed));
+            logNeedsRestart(String.join(", ", fixed));
         }
         if (!next.registryAddress().equals(discovery)) {
             discovery = next.registryAddress();
             LOG.log(System.Logger.Level.INFO, "discovery is now at " + discovery);
-            serve.follow(discovery);
+            runner.follow(discovery);
         }
     }
+
+    private static void logNeedsRestart(String what) {
+        LOG.log(System.Logger.Level.WARNING, "needs a restart to take effect: " + what);
+    }
 }
--- a/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
@@ -8,10 +8,14 @@
 import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SocketFactory;
 
-/** Makes the source of a sidecar's list. */
+/** Makes the source of a sidecar's endpoint list. */
 public interface DiscoveryFactory {
-    /** Called on the loop; nothing is told before {@link EndpointDiscovery#start} has returned. */
-    EndpointDiscovery make(
+    /**
+     * Event loop only.
+     *
+     * @param sink notified of updates once {@link EndpointDiscovery#start} has returned
+     */
+    EndpointDiscovery create(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
--- a/sidecar/src/main/java/appleridge/daemon/HangupSignal.java
+++ b/sidecar/src/main/java/appleridge/daemon/HangupSignal.java
@@ -3,17 +3,17 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which ends the JVM where no one handles it. The API for it is the JVM's own, supported
- * for want of another one, and used here alone; by reflection, since its use can't be compiled
- * without a warning.
+ * SIGHUP, which ends a JVM that does not handle it. The API for it is the JVM's own, supported for
+ * want of another, and used here alone; by reflection, for its use can't be compiled without a
+ * warning.
  */
 final class HangupSignal {
     private HangupSignal() {}
 
     /**
-     * Runs what is given on a thread of the JVM's at each SIGHUP, in place of ending. Danger: where
-     * whoever started the process ignores the signal, as {@code nohup} does, the JVM leaves it so
-     * without a word, and no signal ever arrives.
+     * Runs an action on a thread of the JVM's at each SIGHUP, instead of ending. Where the process
+     * that started this one ignores the signal, as {@code nohup} does, the JVM silently leaves it
+     * ignored, and none ever arrives.
      *
      * @return whether SIGHUP can arrive
      */
--- a/sidecar/src/main/java/appleridge/daemon/HotRestart.java
+++ b/sidecar/src/main/java/appleridge/daemon/HotRestart.java
@@ -15,49 +15,54 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps a process and the others of its sidecar informed of each other. Files are read and written
- * on a thread of their own, and come back to the loop; made only where the platform holds the
- * listening socket.
+ * Hot restart: lets the processes of one sidecar that share a listening socket know of each other,
+ * of their phase and of operators' directives, and limits what this one uses. Made only where the
+ * platform holds the listening socket. Files are read and written on a thread of their own, and
+ * results come back to the event loop. Event loop only from {@link #attach} on.
  */
 final class HotRestart {
     private static final System.Logger LOG = System.getLogger("appleridge");
 
-    /** Between two looks, while there are others, and while there are none. */
-    private static final long SOON = TimeUnit.MILLISECONDS.toNanos(25);
+    /** How often files of others are read while there are others. */
+    private static final long POLL_BESIDE_ANOTHER_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
-    private static final long SELDOM = TimeUnit.MILLISECONDS.toNanos(250);
+    /** How often while there are none. */
+    private static final long POLL_ALONE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    private static final String THERE = "another process of this sidecar is there";
+    private static final String ANOTHER_PROCESS = "another process of this sidecar is there";
 
     private final ProcessSlots slots;
-    private final ExecutorService files =
+    private final ExecutorService fileThread =
             Executors.newSingleThreadExecutor(
                     work -> {
-                        Thread thread = new Thread(work, "handover");
+                        Thread thread = new Thread(work, "hot-restart");
                         thread.setDaemon(true);
                         return thread;
                     });
     private List<ProcessState> others;
     private ProcessPhase phase = ProcessPhase.STARTING;
-    private ResourceShare overlap;
+    private ResourceShare share;
     private SidecarEventLoop loop;
-    private Sidecar node;
+    private Sidecar sidecar;
 
     private HotRestart(ProcessSlots slots, List<ProcessState> others) {
         this.slots = slots;
         this.others = others;
-        this.overlap = ResourceShare.of(phase, phases());
+        this.share = ResourceShare.of(phase, otherPhases());
     }
 
     /**
-     * Looks for others and tells them of this process; null where the folder can't be used. Blocks.
+     * Reads which others there are, and publishes this process. Blocks.
+     *
+     * @return null where the folder can't be used
      */
     static HotRestart begin(Path folder) {
         try {
             ProcessSlots slots =
-                    ProcessSlots.take(folder, line -> LOG.log(System.Logger.Level.WARNING, line));
-            slots.tell(new ProcessState(ProcessPhase.STARTING, List.of()));
-            return new HotRestart(slots, slots.others());
+                    ProcessSlots.acquire(
+                            folder, line -> LOG.log(System.Logger.Level.WARNING, line));
+            slots.publish(new ProcessState(ProcessPhase.STARTING, List.of()));
+            return new HotRestart(slots, slots.readOthers());
         } catch (IOException | RuntimeException e) {
             LOG.log(
                     System.Logger.Level.WARNING,
@@ -66,96 +71,97 @@
         }
     }
 
-    ResourceShare overlap() {
-        return overlap;
+    ResourceShare share() {
+        return share;
     }
 
-    /** Whether another process has been here before this one, and lives. */
+    /** Whether another process of this sidecar lives. */
     boolean isBesideAnother() {
         return !others.isEmpty();
     }
 
     /** What operators have told the others. */
-    List<MaintenanceDirective> words() {
-        List<MaintenanceDirective> words = new ArrayList<>();
-        others.forEach(other -> words.addAll(other.directives()));
-        return words;
+    List<MaintenanceDirective> directives() {
+        List<MaintenanceDirective> directives = new ArrayList<>();
+        others.forEach(other -> directives.addAll(other.directives()));
+        return directives;
     }
 
     /** From here on used on the loop alone. */
-    void attach(SidecarEventLoop its, Sidecar sidecar) {
-        loop = its;
-        node = sidecar;
-        node.share(overlap);
+    void attach(SidecarEventLoop itsLoop, Sidecar itsSidecar) {
+        loop = itsLoop;
+        sidecar = itsSidecar;
+        sidecar.share(share);
         if (isBesideAnother()) {
-            loop.log().info(THERE);
+            loop.log().info(ANOTHER_PROCESS);
         }
-        loop.after(SOON, this::look);
+        loop.after(POLL_BESIDE_ANOTHER_NANOS, this::readOthers);
     }
 
-    private void look() {
-        files.execute(
+    private void readOthers() {
+        fileThread.execute(
                 () -> {
                     try {
-                        List<ProcessState> found = slots.others();
-                        loop.execute(() -> heard(found));
+                        List<ProcessState> found = slots.readOthers();
+                        loop.execute(() -> onOthersRead(found));
                     } catch (IOException | RuntimeException e) {
-                        loop.execute(() -> heard(List.of()));
+                        loop.execute(() -> onOthersRead(List.of()));
                     }
                 });
     }
 
-    private void heard(List<ProcessState> found) {
+    private void onOthersRead(List<ProcessState> found) {
         boolean before = isBesideAnother();
         others = found;
         if (before != isBesideAnother()) {
-            loop.log().info(before ? "alone again" : THERE);
+            loop.log().info(before ? "alone again" : ANOTHER_PROCESS);
         }
-        settle();
-        node.hear(words());
-        loop.after(isBesideAnother() ? SOON : SELDOM, this::look);
+        updateShare();
+        sidecar.mergeDirectives(directives());
+        loop.after(
+                isBesideAnother() ? POLL_BESIDE_ANOTHER_NANOS : POLL_ALONE_NANOS, this::readOthers);
     }
 
-    private List<ProcessPhase> phases() {
+    private List<ProcessPhase> otherPhases() {
         return others.stream().map(ProcessState::phase).toList();
     }
 
-    private void settle() {
-        ResourceShare next = ResourceShare.of(phase, phases());
-        if (!next.equals(overlap)) {
-            overlap = next;
-            node.share(overlap);
+    private void updateShare() {
+        ResourceShare next = ResourceShare.of(phase, otherPhases());
+        if (!next.equals(share)) {
+            share = next;
+            sidecar.share(share);
         }
     }
 
-    /** This process has come so far. */
+    /** This process has entered a phase. */
     void phase(ProcessPhase now) {
         phase = now;
-        settle();
-        tell(() -> {});
+        updateShare();
+        publish(() -> {});
     }
 
     /**
-     * Runs something once what operators have said is where the others read it, and they have had
-     * the time to. Danger: a yes that only this process knows of is broken by the other one.
+     * Runs a task once what operators have said is published, and the others have had the time to
+     * read it. An operator's call that is confirmed before that would be broken by another process.
      */
-    void keep(Runnable then) {
-        tell(
+    void runWhenPublished(Runnable then) {
+        publish(
                 () -> {
                     if (isBesideAnother()) {
-                        loop.after(3 * SOON, then);
+                        loop.after(3 * POLL_BESIDE_ANOTHER_NANOS, then);
                     } else {
                         then.run();
                     }
                 });
     }
 
-    private void tell(Runnable then) {
-        ProcessState state = new ProcessState(phase, node.words());
-        files.execute(
+    private void publish(Runnable then) {
+        ProcessState state = new ProcessState(phase, sidecar.directives());
+        fileThread.execute(
                 () -> {
                     try {
-                        slots.tell(state);
+                        slots.publish(state);
                     } catch (IOException | RuntimeException e) {
                         loop.execute(
                                 () ->
--- a/sidecar/src/main/java/appleridge/daemon/Main.java
+++ b/sidecar/src/main/java/appleridge/daemon/Main.java
@@ -5,10 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/**
- * Entry point of the packaged jar: the real sidecar, what helps its operators, or the simulator's
- * adapter.
- */
+/** Entry point of the packaged jar: dispatches to the commands. */
 public final class Main {
     private static final String USAGE =
             "usage: java -jar appleridge.jar serve [--operator FILE] | warm-up"
@@ -17,26 +14,26 @@
 
     private Main() {}
 
-    /** Runs what the first argument names. */
+    /** Runs the command that the first argument names; status 2 where there is none such. */
     public static void main(String[] args) {
-        List<String> words = Arrays.asList(args);
-        if (words.equals(List.of("serve"))) {
+        List<String> arguments = Arrays.asList(args);
+        if (arguments.equals(List.of("serve"))) {
             ServeCommand.main(null);
-        } else if (words.size() == 3
-                && words.subList(0, 2).equals(List.of("serve", "--operator"))) {
+        } else if (arguments.size() == 3
+                && arguments.subList(0, 2).equals(List.of("serve", "--operator"))) {
             ServeCommand.main(Path.of(args[2]));
-        } else if (words.equals(List.of("warm-up"))) {
+        } else if (arguments.equals(List.of("warm-up"))) {
             ServeCommand.warmUp();
-        } else if (words.equals(List.of("adapter"))) {
+        } else if (arguments.equals(List.of("adapter"))) {
             appleridge.simulator.SimulatorAdapter.main();
-        } else if (!words.isEmpty() && words.get(0).equals("check-config")) {
-            System.exit(OperatorFileStartup.check(words.subList(1, words.size())));
-        } else if (!words.isEmpty() && words.get(0).equals("register")) {
-            System.exit(OperatorFileStartup.register(words.subList(1, words.size())));
-        } else if (!words.isEmpty() && words.get(0).equals("task")) {
-            System.exit(OperatorFileStartup.task(words.subList(1, words.size())));
-        } else if (!words.isEmpty() && words.get(0).equals("task-guard")) {
-            System.exit(Guardian.run(words.subList(1, words.size())));
+        } else if (!arguments.isEmpty() && arguments.get(0).equals("check-config")) {
+            System.exit(OperatorFileStartup.check(arguments.subList(1, arguments.size())));
+        } else if (!arguments.isEmpty() && arguments.get(0).equals("register")) {
+            System.exit(OperatorFileStartup.register(arguments.subList(1, arguments.size())));
+        } else if (!arguments.isEmpty() && arguments.get(0).equals("task")) {
+            System.exit(OperatorFileStartup.task(arguments.subList(1, arguments.size())));
+        } else if (!arguments.isEmpty() && arguments.get(0).equals("task-guard")) {
+            System.exit(Guardian.run(arguments.subList(1, arguments.size())));
         } else {
             System.err.println(USAGE);
             System.exit(2);
--- a/sidecar/src/main/java/appleridge/daemon/NodeDiscoveryAdapter.java
+++ b/sidecar/src/main/java/appleridge/daemon/NodeDiscoveryAdapter.java
@@ -15,36 +15,38 @@
 import java.util.function.Function;
 
 /**
- * The list from ephemeral nodes, alone or with the registry's. Loaded only where nodes are asked.
- * The decision module subscribes again when it is told of a failure, and takes any news for an
- * answer; with two sources the news of one would end its asking of the other, so the registry is
- * asked again from here.
+ * Endpoint discovery from ephemeral ZooKeeper nodes, alone or merged with the registry's. Loaded
+ * only where nodes are a source. Event loop only.
+ *
+ * <p>The registry's failed polls are repeated here: the load-balancing policy subscribes again when
+ * it is notified of a failure and takes any update for the answer, so an update from the nodes
+ * would end its polling of the registry.
  */
 public final class NodeDiscoveryAdapter implements EndpointDiscovery {
-    /** What talks to the coordination service, and tells {@link NodeDiscovery} on the loop. */
+    /** The ZooKeeper client, which notifies {@link NodeDiscovery} on the event loop. */
     public interface Client {
-        /** Begins. */
+        /** Begins to connect. */
         void start();
 
-        /** Tells, before this returns, what has come and was not told yet. */
+        /** Hands on, before this returns, what has come and was not handed on. */
         void catchUp();
 
         /**
-         * Asks the service for anything, and runs this on the loop when that is answered: all that
-         * it had told until then has been told on. Never where no server answers; a client that
-         * can't tell does nothing.
+         * Sends a request of its own and runs a task on the event loop when that is answered: all
+         * that the server had sent until then has been handed on. Never where no server answers; a
+         * client that can't confirm does nothing.
          */
-        default void confirm(Runnable heard) {}
+        default void confirm(Runnable whenConfirmed) {}
 
         /** Ends all that is open. */
         void close();
     }
 
-    /**
-     * News that waited for the loop for longer than this are worth a word: new work went on
-     * meanwhile.
-     */
-    private static final long WAITED = TimeUnit.SECONDS.toNanos(1);
+    /** Updates that waited longer for the event loop are logged: new work went on by old ones. */
+    private static final long SLOW_UPDATE_NANOS = TimeUnit.SECONDS.toNanos(1);
+
+    /** The first backoff is this part of the poll interval. */
+    private static final int MIN_BACKOFFS_PER_POLL_INTERVAL = 40;
 
     private final SidecarEventLoop loop;
     private final SourceSelection merge;
@@ -53,29 +55,31 @@
     private final NodeDiscovery membership;
     private final Client client;
     private final long tick;
-    private final long leastWait;
-    private final long mostWait;
+    private final long minBackoffNanos;
+    private final long maxBackoffNanos;
     private final SplittableRandom jitter;
     private Scheduler.ScheduledTask ticks = () -> {};
-    private Scheduler.ScheduledTask again = () -> {};
-    private long wait;
+    private Scheduler.ScheduledTask resubscription = () -> {};
+    private long backoffNanos;
     private boolean begun;
     private boolean caughtUp = true;
-    private boolean telling;
+    private boolean updating;
     private long catchUps;
 
     /**
-     * With the factories of the registry's source, which is followed where both are asked and else
-     * only knows the list before the start, and of the client.
+     * Makes both sources.
      *
-     * @param askWithin nanoseconds in which the registry has to be asked at least once
-     * @param seed for the jitter of asking again
+     * @param pollIntervalNanos within which the registry has to be polled at least once
+     * @param seed for the jitter of the backoff
+     * @param registry makes the registry's source; where only nodes are a source it only gives the
+     *     list that was cached before the start
+     * @param client makes the ZooKeeper client
      */
     public NodeDiscoveryAdapter(
             SidecarEventLoop loop,
             SourceSelection merge,
             NodeDiscovery.Settings settings,
-            long askWithin,
+            long pollIntervalNanos,
             long seed,
             DiscoveryListener sink,
             Function<DiscoveryListener, EndpointDiscovery> registry,
@@ -84,13 +88,17 @@
         this.merge = merge;
         this.sink = sink;
         this.tick = settings.tick();
-        this.leastWait = Math.max(tick, askWithin / 40);
-        this.mostWait = Math.max(leastWait, askWithin / 2);
+        this.minBackoffNanos = Math.max(tick, pollIntervalNanos / MIN_BACKOFFS_PER_POLL_INTERVAL);
+        this.maxBackoffNanos = Math.max(minBackoffNanos, pollIntervalNanos / 2);
         this.jitter = new SplittableRandom(seed);
         this.membership =
                 new NodeDiscovery(
-                        merge, settings, this::told, loop.log()::info, loop.log()::warning);
-        this.registry = registry.apply(this::registryTold);
+                        merge,
+                        settings,
+                        this::onNodesUpdate,
+                        loop.log()::info,
+                        loop.log()::warning);
+        this.registry = registry.apply(this::onRegistryUpdate);
         this.client = client.apply(membership);
     }
 
@@ -104,28 +112,28 @@
         return known;
     }
 
-    private void registryTold(UpdateKind kind, List<DiscoveredEndpoint> members) {
+    private void onRegistryUpdate(UpdateKind kind, List<DiscoveredEndpoint> members) {
         if (kind == UpdateKind.FAILURE) {
-            wait = Math.min(mostWait, Math.max(leastWait, 2 * wait));
-            again.cancel();
-            again =
+            backoffNanos = Math.min(maxBackoffNanos, Math.max(minBackoffNanos, 2 * backoffNanos));
+            resubscription.cancel();
+            resubscription =
                     loop.after(
-                            wait / 2 + jitter.nextLong(wait / 2 + 1),
+                            backoffNanos / 2 + jitter.nextLong(backoffNanos / 2 + 1),
                             () -> registry.subscribe(true));
         } else {
-            wait = 0;
-            again.cancel();
+            backoffNanos = 0;
+            resubscription.cancel();
         }
         membership.registry(loop.nanoTime(), kind, members);
     }
 
-    private void told(
-            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt) {
+    private void onNodesUpdate(
+            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long readAtNanos) {
         if (!begun || kind == UpdateKind.FAILURE) {
             return;
         }
-        long waited = loop.nanoTime() - toldAt;
-        if (waited > WAITED) {
+        long waited = loop.nanoTime() - readAtNanos;
+        if (waited > SLOW_UPDATE_NANOS) {
             loop.log()
                     .warning(
                             "membership: news of the "
@@ -134,11 +142,11 @@
                                     + waited / 1_000_000
                                     + " ms");
         }
-        telling = true;
+        updating = true;
         try {
             sink.onUpdate(kind, members);
         } finally {
-            telling = false;
+            updating = false;
         }
     }
 
@@ -157,15 +165,16 @@
     }
 
     /**
-     * After a stand-still nothing that was told waits for the next tick. Danger: what came to the
-     * client's threads may not have come to the loop, and where the whole process stood still not
-     * even to them, while the registry's news are here already.
+     * After a stall no update waits for the next tick. What came to the ZooKeeper client's threads
+     * may not have come to the event loop, and where the whole process was stopped not even to
+     * them, while the registry's updates are here already: so it is not caught up before the client
+     * has confirmed.
      */
     @Override
     public void readPendingUpdates() {
         caughtUp = false;
-        if (telling) {
-            // Noticed in the middle of news: what comes now is to be taken in behind them.
+        if (updating) {
+            // Within an update: what is read now has to be handled behind it.
             loop.execute(this::readPendingUpdates);
             return;
         }
@@ -195,12 +204,12 @@
     @Override
     public void close() {
         ticks.cancel();
-        again.cancel();
+        resubscription.cancel();
         client.close();
         registry.close();
     }
 
-    /** What the nodes and the registry come to. */
+    /** The merged state of both sources. */
     public NodeDiscovery membership() {
         return membership;
     }
--- a/sidecar/src/main/java/appleridge/daemon/OperatorFileStartup.java
+++ b/sidecar/src/main/java/appleridge/daemon/OperatorFileStartup.java
@@ -24,19 +24,21 @@
 import java.util.Map;
 
 /**
- * All that has to do with the operator's file, in one class that is loaded only where there is one.
+ * All that has to do with the operator's file. A class of its own because it is loaded only where
+ * there is such a file, or one of its commands runs.
  */
 final class OperatorFileStartup {
-    /** Names of those who wait are all that is long, and there are few. */
+    /** The longest answer of the lease store: a list of the names of those who wait. */
     private static final int LEASE_ANSWER_BYTES = 1 << 20;
 
     private OperatorFileStartup() {}
 
     /**
-     * What the file sets; what is wrong with it is told by an exception's message, of several
-     * lines.
+     * What the file sets.
+     *
+     * @throws IllegalArgumentException with all that is wrong with it, in several lines
      */
-    static RuntimeOptions tuning(Path file) {
+    static RuntimeOptions options(Path file) {
         OperatorFile read = OperatorFile.read(file);
         ClientsSection clients = read.clients().orElse(ClientsSection.USUAL);
         LimitsSection limits = read.limits().orElse(LimitsSection.USUAL);
@@ -118,7 +120,11 @@
                 nodes(section));
     }
 
-    /** Where the nodes are; a file that can't be read is told by an exception's message. */
+    /**
+     * Where the ephemeral nodes are.
+     *
+     * @throws IllegalArgumentException where a file can't be read
+     */
     private static ZooKeeperSettings nodes(MembershipSection section) {
         ZooKeeperSettings settings =
                 new ZooKeeperSettings(
--- a/sidecar/src/main/java/appleridge/daemon/PolicyFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/PolicyFactory.java
@@ -4,8 +4,13 @@
 import appleridge.loadbalancing.PolicyActions;
 import appleridge.loadbalancing.PolicySettings;
 
-/** Makes decision modules. */
+/** Makes load-balancing policies. */
 public interface PolicyFactory {
-    /** One for a service, with its only source of chance and what it acts through. */
-    LoadBalancingPolicy make(PolicySettings settings, long seed, PolicyActions actions);
+    /**
+     * Makes one.
+     *
+     * @param seed its only source of randomness
+     * @param actions what it acts through
+     */
+    LoadBalancingPolicy create(PolicySettings settings, long seed, PolicyActions actions);
 }
--- a/sidecar/src/main/java/appleridge/daemon/RuntimeOptions.java
+++ b/sidecar/src/main/java/appleridge/daemon/RuntimeOptions.java
@@ -4,12 +4,13 @@
 import appleridge.http1.ClientTimeouts;
 
 /**
- * What an operator may set of a sidecar; what nobody sets is as usual.
+ * What an operator may set of a sidecar.
  *
- * @param times how long a client's connection may stay as it is
- * @param clientsPart part of the process's descriptors for connections of clients
- * @param upstreamsPart part of them for connections to upstreams; the rest is the process's own
- * @param source makes the source of the list
+ * @param times timeouts of clients' connections
+ * @param clientsPart part of the process's descriptors for connections of clients, 0 to 1
+ * @param upstreamsPart part of them for connections to upstream hosts; the rest is the process's
+ *     own
+ * @param source makes the source of the endpoint list
  */
 public record RuntimeOptions(
         ClientTimeouts times, double clientsPart, double upstreamsPart, DiscoveryFactory source) {
@@ -21,11 +22,12 @@
                     Defaults.UPSTREAMS_PART,
                     DiscoveryFactory::registry);
 
+    /** The same with other timeouts. */
     RuntimeOptions with(ClientTimeouts other) {
         return new RuntimeOptions(other, clientsPart, upstreamsPart, source);
     }
 
-    /** The same with another source of the list. */
+    /** The same with another source of the endpoint list. */
     public RuntimeOptions with(DiscoveryFactory other) {
         return new RuntimeOptions(times, clientsPart, upstreamsPart, other);
     }
--- a/sidecar/src/main/java/appleridge/daemon/Sidecar.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -17,168 +17,185 @@
 import java.util.List;
 
 /**
- * One real sidecar: its parts put together on one loop. To be called on that loop, but where told
- * otherwise.
+ * One sidecar: discovery, upstream cluster and admin service put together on one event loop. Event
+ * loop only, except where a method says otherwise.
  */
 public final class Sidecar {
-    private final UpstreamCluster service;
-    private final EndpointTable directory;
-    private final EndpointDiscovery source;
+    private final UpstreamCluster cluster;
+    private final EndpointTable endpoints;
+    private final EndpointDiscovery discovery;
     private final ChannelFuture listening;
 
-    /** What operators may ask; null where they have no way to. */
-    private final AdminService operators;
+    /** Null where no address for operators is configured. */
+    private final AdminService admin;
 
     /** Null where the sidecar is one process. */
-    private final HotRestart handover;
+    private final HotRestart hotRestart;
 
-    /** Begins to listen and to follow the list; it is not ready before {@link #warm()}. */
+    /** Begins to listen and to follow discovery; it is not ready before {@link #warm()}. */
     public Sidecar(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
-            RuntimeOptions tuning,
-            PolicyFactory module) {
-        this(loop, sockets, config, tuning, module, null, null);
+            RuntimeOptions options,
+            PolicyFactory policyFactory) {
+        this(loop, sockets, config, options, policyFactory, null, null);
     }
 
     /**
-     * The same; with the listening socket that the platform holds, and what is known of other
-     * processes of this sidecar that have it. Null where it listens itself.
+     * The same beside other processes of this sidecar.
+     *
+     * @param inherited the listening socket that the platform holds; null where it listens itself
+     * @param hotRestart what is known of the other processes; null where it is the only one
      */
     Sidecar(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
-            RuntimeOptions tuning,
-            PolicyFactory module,
-            InheritedListener held,
-            HotRestart handover) {
-        this.handover = handover;
-        this.service =
+            RuntimeOptions options,
+            PolicyFactory policyFactory,
+            InheritedListener inherited,
+            HotRestart hotRestart) {
+        this.hotRestart = hotRestart;
+        this.cluster =
                 new UpstreamCluster(
                         loop,
                         sockets,
                         config,
-                        new UpstreamCluster.Size(
-                                (int) (config.maxDescriptors() * tuning.clientsPart()),
-                                (int) (config.maxDescriptors() * tuning.upstreamsPart())),
-                        tuning.times(),
-                        module);
-        this.directory = new EndpointTable(loop::place);
-        this.source = tuning.source().make(loop, sockets, config, this::told);
-        this.operators =
+                        connectionLimits(config, options),
+                        options.times(),
+                        policyFactory);
+        this.endpoints = new EndpointTable(loop::place);
+        this.discovery = options.source().create(loop, sockets, config, this::onUpdate);
+        this.admin =
                 config.adminAddress() == null
                         ? null
-                        : new AdminService(loop, sockets, config, service, this::told, this::keep);
-        if (handover != null) {
-            hear(handover.words());
+                        : new AdminService(
+                                loop,
+                                sockets,
+                                config,
+                                cluster,
+                                this::onUpdate,
+                                this::runWhenPublished);
+        if (hotRestart != null) {
+            mergeDirectives(hotRestart.directives());
         }
         EndpointTable.EndpointUpdate known =
-                over(directory.update(UpdateKind.CACHED_SNAPSHOT, source.start()));
-        service.exchanges.start(source, known.entries(), known.addresses());
-        this.listening =
-                held == null
-                        ? service.server.listen(config.listenAddress())
-                        : service.server.listen(
-                                held, handover == null || handover.overlap().accepts());
-        if (handover != null) {
-            handover.attach(loop, this);
+                applyMaintenance(endpoints.update(UpdateKind.CACHED_SNAPSHOT, discovery.start()));
+        cluster.coordinator.start(discovery, known.entries(), known.addresses());
+        this.listening = listen(config, inherited);
+        if (hotRestart != null) {
+            hotRestart.attach(loop, this);
         }
     }
 
-    private void keep(Runnable then) {
-        if (handover == null) {
+    private static UpstreamCluster.ConnectionLimits connectionLimits(
+            SidecarConfig config, RuntimeOptions options) {
+        return new UpstreamCluster.ConnectionLimits(
+                (int) (config.maxDescriptors() * options.clientsPart()),
+                (int) (config.maxDescriptors() * options.upstreamsPart()));
+    }
+
+    private ChannelFuture listen(SidecarConfig config, InheritedListener inherited) {
+        if (inherited == null) {
+            return cluster.listener.listen(config.listenAddress());
+        }
+        boolean accepts = hotRestart == null || hotRestart.share().acceptsConnections();
+        return cluster.listener.listen(inherited, accepts);
+    }
+
+    private void runWhenPublished(Runnable then) {
+        if (hotRestart == null) {
             then.run();
         } else {
-            handover.keep(then);
+            hotRestart.runWhenPublished(then);
         }
     }
 
-    /** What it may use beside other processes of its sidecar. */
-    void share(ResourceShare overlap) {
-        service.server.share(overlap.accepts(), overlap.fraction());
-        service.pool.share(overlap.fraction());
+    /** Limits what it uses beside other processes of its sidecar. */
+    void share(ResourceShare share) {
+        cluster.listener.share(share.acceptsConnections(), share.connectionFraction());
+        cluster.connectionPool.share(share.connectionFraction());
     }
 
-    /** What operators have told others. */
-    void hear(List<MaintenanceDirective> words) {
-        if (operators != null) {
-            operators.hear(words);
+    /** Takes in what operators have told other processes of this sidecar. */
+    void mergeDirectives(List<MaintenanceDirective> directives) {
+        if (admin != null) {
+            admin.merge(directives);
         }
     }
 
-    /** What operators have told this one. */
-    List<MaintenanceDirective> words() {
-        return operators == null ? List.of() : operators.words();
+    /** What operators have told this process. */
+    List<MaintenanceDirective> directives() {
+        return admin == null ? List.of() : admin.directives();
     }
 
-    private void told(UpdateKind kind, List<DiscoveredEndpoint> members) {
-        told(over(directory.update(kind, members)));
+    private void onUpdate(UpdateKind kind, List<DiscoveredEndpoint> discovered) {
+        onUpdate(applyMaintenance(endpoints.update(kind, discovered)));
     }
 
-    private EndpointTable.EndpointUpdate over(EndpointTable.EndpointUpdate news) {
-        return operators == null ? news : operators.over(news);
+    private EndpointTable.EndpointUpdate applyMaintenance(EndpointTable.EndpointUpdate update) {
+        return admin == null ? update : admin.applyMaintenance(update);
     }
 
-    private void told(EndpointTable.EndpointUpdate news) {
-        service.exchanges.onEndpointUpdate(news.kind(), news.entries(), news.addresses());
+    private void onUpdate(EndpointTable.EndpointUpdate update) {
+        cluster.coordinator.onEndpointUpdate(update.kind(), update.entries(), update.addresses());
     }
 
-    /** Done when it listens or can't. On any thread. */
+    /** Done when it listens, or failed when it can't. On any thread. */
     public ChannelFuture listening() {
         return listening;
     }
 
-    /** From now on it says that it is ready, if it has a list to use. */
+    /** From now on it says that it is ready, if some host is ready. */
     public void warm() {
-        service.server.warm();
-        if (handover != null) {
-            handover.phase(ProcessPhase.SERVING);
+        cluster.listener.warm();
+        if (hotRestart != null) {
+            hotRestart.phase(ProcessPhase.SERVING);
         }
     }
 
     /** Goes over to another discovery; requests go on untouched. */
     public void follow(InetSocketAddress otherDiscovery) {
-        source.switchRegistry(otherDiscovery);
+        discovery.switchRegistry(otherDiscovery);
     }
 
     /**
      * Ends the service in order, from now on: see {@link appleridge.http1.ClientListener#drain}.
      */
-    public void drain(Runnable drained) {
-        drain(0, drained);
+    public void drain(Runnable whenDrained) {
+        drain(0, whenDrained);
     }
 
-    /** The same, told so many nanoseconds ago. */
-    void drain(long toldAgo, Runnable drained) {
-        service.server.drain(toldAgo, drained);
-        if (handover != null) {
-            handover.phase(ProcessPhase.DRAINING);
+    /** The same, where it was asked for so many nanoseconds ago. */
+    void drain(long requestedAgoNanos, Runnable whenDrained) {
+        cluster.listener.drain(requestedAgoNanos, whenDrained);
+        if (hotRestart != null) {
+            hotRestart.phase(ProcessPhase.DRAINING);
         }
     }
 
     /** Ends at once, whatever is open. */
     public void close() {
-        if (operators != null) {
-            operators.close();
+        if (admin != null) {
+            admin.close();
         }
-        source.close();
-        service.close();
+        discovery.close();
+        cluster.close();
     }
 
-    /** What is open. */
+    /** What is in flight. */
     public InFlightCounts books() {
-        return service.exchanges.inFlightCounts();
+        return cluster.coordinator.inFlightCounts();
     }
 
     /** Connections of clients that are open. */
     public int clients() {
-        return service.server.connections();
+        return cluster.listener.connections();
     }
 
-    /** Connections to upstreams that are open or being opened. */
+    /** Connections to upstream hosts that are open or being opened. */
     public int upstreams() {
-        return service.pool.connections();
+        return cluster.connectionPool.connections();
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/UpstreamCluster.java
+++ b/sidecar/src/main/java/appleridge/daemon/UpstreamCluster.java
@@ -13,83 +13,85 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one set of upstreams is served by: a decision module, its connections, and the clients'
- * front.
+ * What serves one set of upstream hosts: the connections to them, the request coordinator with its
+ * policy, and the listener for clients. Event loop only.
  */
 final class UpstreamCluster {
-    /**
-     * A begun answer comes whole in moments; this part of the shortest aim leaves time for another.
-     */
-    private static final int STALL_PART = 5;
+    /** A response may pause for this part of the shortest latency objective. */
+    private static final int PAUSES_PER_OBJECTIVE = 5;
 
     /**
-     * TCP sends a lost segment again after 200 ms at the soonest, where nothing behind it tells of
-     * the loss. Danger: cut off before that, an answer that was on its way becomes a reset of our
-     * own making.
+     * TCP retransmits a lost segment after 200 ms at the soonest, where no later segment shows the
+     * loss. A response that is cut off before that was on its way, and its reset is of our making.
      */
-    private static final long OUTLASTS_A_LOSS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long MIN_RESPONSE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     /**
-     * How large it is made.
+     * How many connections it may have at once.
      *
-     * @param clients connections of clients at once
-     * @param upstreams connections to upstreams at once
+     * @param clients connections of clients
+     * @param upstreams connections to upstream hosts
      */
-    record Size(int clients, int upstreams) {}
+    record ConnectionLimits(int clients, int upstreams) {}
 
-    final UpstreamConnectionPool pool;
-    final RequestCoordinator exchanges;
-    final ClientListener server;
+    final UpstreamConnectionPool connectionPool;
+    final RequestCoordinator coordinator;
+    final ClientListener listener;
 
     UpstreamCluster(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
-            Size size,
-            ClientTimeouts times,
-            PolicyFactory module) {
+            ConnectionLimits limits,
+            ClientTimeouts timeouts,
+            PolicyFactory policyFactory) {
         PolicySettings settings = config.settings();
-        pool =
+        connectionPool =
                 new UpstreamConnectionPool(
                         loop,
                         sockets,
                         settings.capabilities().connectTimeoutNanos(),
                         config.upstreamIdleTimeoutNanos(),
-                        stall(settings),
-                        size.upstreams);
-        exchanges =
+                        maxResponsePauseNanos(settings),
+                        limits.upstreams);
+        coordinator =
                 new RequestCoordinator(
                         loop,
                         loop,
                         settings,
                         config.maxOpenRequests(),
-                        pool,
+                        connectionPool,
                         loop.log(),
-                        actions -> module.make(settings, config.seed(), actions));
-        server =
+                        actions -> policyFactory.create(settings, config.seed(), actions));
+        listener =
                 new ClientListener(
-                        loop, sockets, exchanges, new RequestParser(config), size.clients, times);
+                        loop,
+                        sockets,
+                        coordinator,
+                        new RequestParser(config),
+                        limits.clients,
+                        timeouts);
     }
 
     /**
-     * Nanoseconds for which an answer may pause once it has begun: long enough for a loss to be
-     * mended, and for a server that writes in pieces. Where aims are shorter an answer that pauses
-     * for so long is late, but another attempt costs its server as much again, and is made for each
-     * piece that is slow.
+     * For how long a response may pause once it has begun: long enough for a lost segment to be
+     * sent again, and for a host that writes in pieces. Where objectives are shorter, a response
+     * that pauses for so long is late; but another attempt would cost its host as much again, for
+     * each piece that is slow.
      */
-    static long stall(PolicySettings settings) {
-        long aim =
+    static long maxResponsePauseNanos(PolicySettings settings) {
+        long objectiveNanos =
                 settings.classes().stream()
                         .mapToLong(RequestClass::latencyObjectiveNanos)
                         .min()
                         .orElseThrow();
-        return Math.max(aim / STALL_PART, OUTLASTS_A_LOSS);
+        return Math.max(objectiveNanos / PAUSES_PER_OBJECTIVE, MIN_RESPONSE_PAUSE_NANOS);
     }
 
     /** Ends at once, whatever is open. */
     void close() {
-        exchanges.close();
-        server.close();
-        pool.close();
+        coordinator.close();
+        listener.close();
+        connectionPool.close();
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/WarmUp.java
+++ b/sidecar/src/main/java/appleridge/daemon/WarmUp.java
@@ -39,35 +39,32 @@
 
 /**
  * Sends requests of every class through a second set of the same parts, to an upstream of its own
- * inside this process, before the sidecar says that it is ready. Danger: the first requests of a
- * cold JVM take tens of milliseconds each, on a core that has none to spare. No real upstream and
- * no discovery is touched.
+ * inside this process, before the sidecar says that it is ready: the first requests of a cold JVM
+ * take tens of milliseconds each. No real upstream and no discovery is touched.
  */
 final class WarmUp {
-    /** Where the measured time of a request stops falling steeply. */
+    /** From here on further requests make the next one little faster. */
     private static final int REQUESTS = 250;
 
-    /** A slow core goes into service less warm, but soon: a restart is waited for. */
-    private static final long LONGEST_MILLIS = 1500;
+    /** A slow machine goes into service less warm, but soon: somebody waits for the restart. */
+    private static final long MAX_MILLIS = 1500;
 
-    /**
-     * Connections; few beside what may be open, for only a part of that is kept between requests.
-     */
-    private static final int AT_ONCE = 4;
+    /** Few beside what may be open, for only a part of that is kept between requests. */
+    private static final int CONNECTIONS = 4;
 
-    private static final int BODY = 256;
-    private static final int LARGEST = 8192;
+    private static final int RESPONSE_BYTES = 256;
+    private static final int MAX_MESSAGE_BYTES = 8192;
 
     private final SidecarEventLoop loop;
     private final SocketFactory sockets;
     private final SidecarConfig config;
 
-    /** Filled by the loop and by who waits for it. */
+    /** Filled by the event loop and by the thread that waits for it. */
     private final Queue<Channel> channels = new ConcurrentLinkedQueue<>();
 
     private final CountDownLatch done = new CountDownLatch(1);
     private int sent;
-    private int answered;
+    private int responses;
 
     private WarmUp(SidecarEventLoop loop, SocketFactory sockets, SidecarConfig config) {
         this.loop = loop;
@@ -75,7 +72,7 @@
         this.config = config;
     }
 
-    /** Blocks until warm, so never to be called on the loop. */
+    /** Blocks until warm, so never to be called on the event loop. */
     static void run(SidecarEventLoop loop, SocketFactory sockets, SidecarConfig config)
             throws InterruptedException {
         new WarmUp(loop, sockets, config).run();
@@ -83,56 +80,60 @@
 
     private void run() throws InterruptedException {
         InetSocketAddress anyPort = new InetSocketAddress(config.listenAddress().getAddress(), 0);
-        Channel upstream =
-                new ServerBootstrap()
-                        .group(loop.executor(), loop.executor())
-                        .channelFactory(sockets::listening)
-                        .childHandler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel channel) {
-                                        channels.add(channel);
-                                        channel.pipeline()
-                                                .addLast(
-                                                        new HttpServerCodec(),
-                                                        new HttpObjectAggregator(LARGEST),
-                                                        new Upstreams());
-                                    }
-                                })
-                        .bind(anyPort)
-                        .sync()
-                        .channel();
-        UpstreamCluster service =
+        Channel upstream = listenAsUpstream(anyPort);
+        UpstreamCluster cluster =
                 new UpstreamCluster(
                         loop,
                         sockets,
                         config,
-                        new UpstreamCluster.Size(8 * AT_ONCE, 2 * AT_ONCE),
+                        new UpstreamCluster.ConnectionLimits(8 * CONNECTIONS, 2 * CONNECTIONS),
                         ClientTimeouts.USUAL,
                         SymmetricRoundRobinPolicy::new);
         InetSocketAddress to = (InetSocketAddress) upstream.localAddress();
         loop.execute(
                 () ->
-                        service.exchanges.start(
-                                new NoLists(),
-                                List.of(upstream(1), upstream(2)),
+                        cluster.coordinator.start(
+                                new NoDiscovery(),
+                                List.of(readyHost(1), readyHost(2)),
                                 Map.of(1L, to, 2L, to)));
         InetSocketAddress address =
-                (InetSocketAddress) service.server.listen(anyPort).sync().channel().localAddress();
-        for (int i = 0; i < AT_ONCE; i++) {
-            channels.add(client(address));
+                (InetSocketAddress)
+                        cluster.listener.listen(anyPort).sync().channel().localAddress();
+        for (int i = 0; i < CONNECTIONS; i++) {
+            channels.add(connectAsClient(address));
         }
-        done.await(LONGEST_MILLIS, TimeUnit.MILLISECONDS);
+        done.await(MAX_MILLIS, TimeUnit.MILLISECONDS);
         loop.execute(
                 () -> {
                     sent = REQUESTS;
                     channels.forEach(Channel::close);
                     upstream.close();
-                    service.close();
+                    cluster.close();
                 });
     }
 
-    private Channel client(InetSocketAddress address) throws InterruptedException {
+    private Channel listenAsUpstream(InetSocketAddress anyPort) throws InterruptedException {
+        return new ServerBootstrap()
+                .group(loop.executor(), loop.executor())
+                .channelFactory(sockets::listening)
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channels.add(channel);
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpServerCodec(),
+                                                new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                                new UpstreamHandler());
+                            }
+                        })
+                .bind(anyPort)
+                .sync()
+                .channel();
+    }
+
+    private Channel connectAsClient(InetSocketAddress address) throws InterruptedException {
         return new Bootstrap()
                 .group(loop.executor())
                 .channelFactory(sockets::connecting)
@@ -143,8 +144,8 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(LARGEST),
-                                                new Clients());
+                                                new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                                new ClientHandler());
                             }
                         })
                 .connect(address)
@@ -152,19 +153,19 @@
                 .channel();
     }
 
-    private static UpstreamHost upstream(long id) {
+    private static UpstreamHost readyHost(long id) {
         return new UpstreamHost(id, 0, 0, 0, HostState.READY, 1, 0);
     }
 
     private FullHttpRequest request() {
         int requestClass = sent % config.requestClassNames().size();
-        boolean safe =
+        boolean idempotent =
                 config.settings().classes().get(requestClass).idempotency()
                         == Idempotency.IDEMPOTENT;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
-                        safe ? HttpMethod.GET : HttpMethod.POST,
+                        idempotent ? HttpMethod.GET : HttpMethod.POST,
                         "/api?warm-up",
                         Unpooled.EMPTY_BUFFER);
         request.headers()
@@ -178,21 +179,21 @@
         return request;
     }
 
-    private final class Clients extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            next(ctx);
+            sendNext(ctx);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (++answered >= REQUESTS) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (++responses >= REQUESTS) {
                 done.countDown();
             }
-            next(ctx);
+            sendNext(ctx);
         }
 
-        private void next(ChannelHandlerContext ctx) {
+        private void sendNext(ChannelHandlerContext ctx) {
             if (sent < REQUESTS) {
                 ctx.writeAndFlush(request());
                 sent++;
@@ -200,26 +201,26 @@
         }
     }
 
-    private final class Upstreams extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class UpstreamHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer =
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
                             HttpResponseStatus.OK,
-                            Unpooled.wrappedBuffer(new byte[BODY]));
-            answer.headers()
-                    .set(HttpHeaderNames.CONTENT_LENGTH, BODY)
+                            Unpooled.wrappedBuffer(new byte[RESPONSE_BYTES]));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, RESPONSE_BYTES)
                     .set(
                             Headers.LOAD,
                             config.settings().loadReportFields().stream()
                                     .map(field -> field + "=1")
                                     .collect(Collectors.joining(",")));
-            ctx.writeAndFlush(answer);
+            ctx.writeAndFlush(response);
         }
     }
 
-    private static final class NoLists implements EndpointSubscription {
+    private static final class NoDiscovery implements EndpointSubscription {
         @Override
         public void subscribe(boolean on) {}
 
--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
@@ -1,12 +1,12 @@
 package appleridge.hotrestart;
 
-/** How far a process is. */
+/** The phase of a process of a sidecar; in state files by its {@link #storedWord}. */
 public enum ProcessPhase {
-    /** It can't serve yet. */
+    /** It is not ready yet. */
     STARTING("STARTING"),
     /** It serves. */
     SERVING("SERVING"),
-    /** It accepts no more, and answers what it holds. */
+    /** It accepts no connections, and ends what is open. */
     DRAINING("ENDING");
 
     private final String storedWord;
--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessState.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What one process tells the others of its sidecar.
+ * What one process publishes to the others of its sidecar. Immutable.
  *
- * @param directives what operators have said, one of an upstream at most
+ * @param directives operators' maintenance directives, at most one for each host
  */
 public record ProcessState(ProcessPhase phase, List<MaintenanceDirective> directives) {
-    /** Words that are told at most. */
-    public static final int MOST_WORDS = 8192;
+    /** At most so many directives are read. */
+    public static final int MAX_DIRECTIVES = 8192;
 
     public ProcessState {
         directives = List.copyOf(directives);
--- a/sidecar/src/main/java/appleridge/hotrestart/file/ProcessSlots.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/ProcessSlots.java
@@ -13,50 +13,47 @@
 import java.util.function.Consumer;
 
 /**
- * The processes of one sidecar, by a folder that all of them have. Each holds the lock of a slot
- * for as long as it lives, which the system takes back however it ends, and writes its state beside
- * it, whole or not at all. Everything here blocks, if only for moments. Not to be used by two
- * threads at once.
+ * The processes of one sidecar, by a folder that they share. Each holds the lock of a slot for as
+ * long as it lives, which the system releases however it ends, and writes its state beside it,
+ * whole or not at all. Everything here blocks, if only for moments. Not thread-safe.
  *
- * <p>Danger: the system gives a process's lock back when the process closes any descriptor of that
- * file, so the own slot is never opened twice.
+ * <p>Invariant: a process never opens the lock file of its own slot a second time. The system
+ * releases a lock when its process closes any descriptor of that file.
  */
 public final class ProcessSlots implements AutoCloseable {
-    /**
-     * More processes than ever are one sidecar: one that ends, one that serves, one that starts.
-     */
-    private static final int SLOTS = 4;
+    /** More than there ever are: one that drains, one that serves, one that starts. */
+    private static final int MAX_PROCESSES = 4;
 
     private final Path folder;
-    private final int own;
+    private final int ownSlot;
     private final FileLock lock;
     private final Consumer<String> warning;
     private boolean warned;
 
     private ProcessSlots(Path folder, int own, FileLock lock, Consumer<String> warning) {
         this.folder = folder;
-        this.own = own;
+        this.ownSlot = own;
         this.lock = lock;
         this.warning = warning;
     }
 
     /**
-     * Takes a slot.
+     * Takes a free slot.
      *
-     * @param warning told what can't be used, once
-     * @throws IOException where there is none, or the folder can't be used
+     * @param warning told once of a state that can't be used
+     * @throws IOException where no slot is free, or the folder can't be used
      */
-    public static ProcessSlots take(Path folder, Consumer<String> warning) throws IOException {
+    public static ProcessSlots acquire(Path folder, Consumer<String> warning) throws IOException {
         Files.createDirectories(folder);
-        for (int slot = 0; slot < SLOTS; slot++) {
+        for (int slot = 0; slot < MAX_PROCESSES; slot++) {
             FileLock lock = lock(folder, slot);
             if (lock != null) {
-                // Whoever had it before is no more.
-                Files.deleteIfExists(state(folder, slot));
+                // Left behind by a process that has ended.
+                Files.deleteIfExists(stateFile(folder, slot));
                 return new ProcessSlots(folder, slot, lock, warning);
             }
         }
-        throw new IOException("all slots are taken");
+        throw new IOException("all " + MAX_PROCESSES + " slots of " + folder + " are taken");
     }
 
     private static FileLock lock(Path folder, int slot) throws IOException {
@@ -72,23 +69,33 @@
         return lock;
     }
 
-    private static Path state(Path folder, int slot) {
+    private static Path stateFile(Path folder, int slot) {
         return folder.resolve("slot-" + slot + ".state");
     }
 
-    /** Tells the others. Danger: a kill at any byte leaves what was there before. */
-    public void tell(ProcessState state) throws IOException {
-        Path next = folder.resolve("slot-" + own + ".next");
-        Files.write(next, StateFile.write(state));
-        Files.move(next, state(folder, own), StandardCopyOption.ATOMIC_MOVE);
+    /**
+     * Publishes this process's state. Written beside and then moved, so that a kill at any byte
+     * leaves the state of before.
+     *
+     * @throws IOException where it can't be written; the state of before stays
+     */
+    public void publish(ProcessState state) throws IOException {
+        Path next = folder.resolve("slot-" + ownSlot + ".next");
+        Files.write(next, ProcessStateCodec.write(state));
+        Files.move(next, stateFile(folder, ownSlot), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** What the others that live have told; one that has told nothing yet counts as none. */
-    public List<ProcessState> others() throws IOException {
+    /**
+     * The published states of the other processes that live; of one that has published none yet,
+     * none.
+     *
+     * @throws IOException where the folder can't be read
+     */
+    public List<ProcessState> readOthers() throws IOException {
         List<ProcessState> others = new ArrayList<>();
-        for (int slot = 0; slot < SLOTS; slot++) {
-            Path state = state(folder, slot);
-            if (slot == own || !Files.exists(state)) {
+        for (int slot = 0; slot < MAX_PROCESSES; slot++) {
+            Path state = stateFile(folder, slot);
+            if (slot == ownSlot || !Files.exists(state)) {
                 continue;
             }
             FileLock free = lock(folder, slot);
@@ -97,7 +104,7 @@
                 continue;
             }
             try {
-                others.add(StateFile.read(Files.readAllBytes(state)));
+                others.add(ProcessStateCodec.read(Files.readAllBytes(state)));
             } catch (IOException e) {
                 if (!warned) {
                     warned = true;
--- a/sidecar/src/main/java/appleridge/hotrestart/package-info.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Two processes that count as one sidecar: what each may use, and what they tell one another; pure.
+ * Hot restart: what several processes that are one sidecar may use each, and what they publish to
+ * one another. Pure.
  */
 package appleridge.hotrestart;
--- a/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
@@ -86,21 +86,24 @@
                         reconciler,
                         new AttemptEvents());
         this.policyInvoker = new PolicyInvoker(scheduler, log);
-        this.actions =
-                new PolicyActionExecutor(
-                        clock,
-                        scheduler,
-                        settings,
-                        log,
-                        accounting,
-                        completion,
-                        endpoints,
-                        attempts,
-                        reconciler,
-                        policyInvoker);
+        this.actions = newActions(scheduler, log);
         policyInvoker.host(policy.apply(actions));
     }
 
+    private PolicyActionExecutor newActions(Scheduler scheduler, EventLog log) {
+        return new PolicyActionExecutor(
+                clock,
+                scheduler,
+                settings,
+                log,
+                accounting,
+                completion,
+                endpoints,
+                attempts,
+                reconciler,
+                policyInvoker);
+    }
+
     /**
      * Begins with the endpoint list as last known. Requests are deferred until the source has
      * caught up: what is known from before the start may be long out of date.
--- a/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
+++ b/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
@@ -21,11 +21,11 @@
                     id -> effect("back " + id),
                     Runnable::run);
 
-    private MaintenanceOverlay.Effect effect(String what) {
+    private MaintenanceOverlay.Result effect(String what) {
         effects.add(what);
         return what.contains("nobody")
-                ? new MaintenanceOverlay.Denied("unknown upstream")
-                : new MaintenanceOverlay.Done(null);
+                ? new MaintenanceOverlay.Rejected("unknown upstream")
+                : new MaintenanceOverlay.Applied(null);
     }
 
     private String ask(String line) {
@@ -34,7 +34,7 @@
 
     private String to(byte[] line) {
         List<String> told = new ArrayList<>();
-        answers.to(line, told::add);
+        answers.handle(line, told::add);
         assertEquals(1, told.size());
         return told.get(0);
     }
@@ -68,8 +68,8 @@
         assertEquals("NO METRICS takes no argument\n", ask("METRICS a"));
         assertEquals("NO not text\n", ask("SUSPEND s\u00e9"));
         assertEquals("NO not text\n", ask("\u0000"));
-        assertEquals("NO unknown call\n", ask("x".repeat(AdminCall.MOST_BYTES)));
-        assertEquals("NO line too long\n", ask("x".repeat(AdminCall.MOST_BYTES + 1)));
+        assertEquals("NO unknown call\n", ask("x".repeat(AdminCall.MAX_BYTES)));
+        assertEquals("NO line too long\n", ask("x".repeat(AdminCall.MAX_BYTES + 1)));
         assertEquals(List.of(), effects);
     }
 
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -35,11 +35,11 @@
     }
 
     private EndpointUpdate told(UpdateKind kind, DiscoveredEndpoint... members) {
-        return maintenance.over(directory.update(kind, List.of(members)), now);
+        return maintenance.apply(directory.update(kind, List.of(members)), now);
     }
 
-    private static EndpointUpdate news(MaintenanceOverlay.Effect effect) {
-        return assertInstanceOf(MaintenanceOverlay.Done.class, effect).news();
+    private static EndpointUpdate news(MaintenanceOverlay.Result effect) {
+        return assertInstanceOf(MaintenanceOverlay.Applied.class, effect).update();
     }
 
     private static UpstreamHost only(EndpointUpdate news) {
@@ -131,28 +131,28 @@
         assertEquals(HostState.DRAINING, only(news(maintenance.restore("a", now))).state());
         assertNull(news(maintenance.restore("b", now)), "nobody is there to be told of");
         assertInstanceOf(
-                MaintenanceOverlay.Denied.class,
+                MaintenanceOverlay.Rejected.class,
                 maintenance.restore("b", now),
                 "and now nobody holds it");
     }
 
     @Test
     void idsThatNobodyHoldsAreDeniedAndWordsAreBounded() {
-        assertInstanceOf(MaintenanceOverlay.Denied.class, maintenance.suspend("a", now));
-        assertInstanceOf(MaintenanceOverlay.Denied.class, maintenance.restore("a", now));
-        DiscoveredEndpoint[] many = new DiscoveredEndpoint[MaintenanceOverlay.MOST + 1];
+        assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.suspend("a", now));
+        assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.restore("a", now));
+        DiscoveredEndpoint[] many = new DiscoveredEndpoint[MaintenanceOverlay.MAX_SUSPENDED + 1];
         for (int i = 0; i < many.length; i++) {
             many[i] = member("u" + i, i + 1, HostState.READY, 0);
         }
         told(UpdateKind.SNAPSHOT, many);
-        for (int i = 0; i < MaintenanceOverlay.MOST; i++) {
+        for (int i = 0; i < MaintenanceOverlay.MAX_SUSPENDED; i++) {
             news(maintenance.suspend("u" + i, now));
         }
         assertInstanceOf(
-                MaintenanceOverlay.Denied.class,
-                maintenance.suspend("u" + MaintenanceOverlay.MOST, now));
+                MaintenanceOverlay.Rejected.class,
+                maintenance.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
         news(maintenance.restore("u0", now));
-        news(maintenance.suspend("u" + MaintenanceOverlay.MOST, now));
+        news(maintenance.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
     }
 
     /**
@@ -174,16 +174,17 @@
                 EndpointUpdate news = null;
                 if (random.nextInt(4) == 0) {
                     boolean suspends = random.nextBoolean();
-                    MaintenanceOverlay.Effect effect =
+                    MaintenanceOverlay.Result effect =
                             suspends ? its.suspend(id, T0 + i) : its.restore(id, T0 + i);
                     boolean held = listed.contains(id) || out.contains(id);
-                    assertEquals(held, effect instanceof MaintenanceOverlay.Done, "seed " + seed);
+                    assertEquals(
+                            held, effect instanceof MaintenanceOverlay.Applied, "seed " + seed);
                     if (held && suspends) {
                         out.add(id);
                     } else {
                         out.remove(id);
                     }
-                    news = effect instanceof MaintenanceOverlay.Done done ? done.news() : null;
+                    news = effect instanceof MaintenanceOverlay.Applied done ? done.update() : null;
                 } else {
                     boolean whole = random.nextInt(4) == 0;
                     List<DiscoveredEndpoint> members = new ArrayList<>();
@@ -208,7 +209,7 @@
                         }
                     }
                     UpdateKind kind = whole ? UpdateKind.SNAPSHOT : UpdateKind.DELTA;
-                    news = its.over(itsDirectory.update(kind, members), T0 + i);
+                    news = its.apply(itsDirectory.update(kind, members), T0 + i);
                 }
                 if (news != null) {
                     for (UpstreamHost entry : news.entries()) {
@@ -228,7 +229,7 @@
                                                 appleridge.discovery.UpstreamIds.natural(each)));
                 assertEquals(expected, module, "seed " + seed + " step " + i);
             }
-            assertTrue(its.out().keySet().containsAll(out));
+            assertTrue(its.suspendedSince().keySet().containsAll(out));
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -485,7 +485,7 @@
             half.send("GET /api HTTP/1.1\r\n");
             mute.send("\r\n");
             assertEquals(503, TestClient.status(host.ask(READY)));
-            host.node.drain(drained::countDown);
+            host.node.shutdown().drain(drained::countDown);
             assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         }
     }
@@ -522,7 +522,7 @@
             assertEquals(200, TestClient.status(kept.ask(READY)));
             busy.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
-            host.node.drain(drained::countDown);
+            host.node.shutdown().drain(drained::countDown);
             try (TestClient late = host.client()) {
                 late.send(TestClient.request("pay", "3.0"));
                 upstream.nextRequest();
@@ -552,7 +552,7 @@
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent);
                 TestClient kept = host.client()) {
-            host.node.drain(drained::countDown);
+            host.node.shutdown().drain(drained::countDown);
             untilNothingIsAccepted(host);
             kept.send(TestClient.request("pay", "60.0"));
             String answer = kept.read();
@@ -577,7 +577,7 @@
                 TestClient client = host.client()) {
             client.send(TestClient.request(requestClass, "60.0"));
             silent.nextRequest();
-            host.node.drain(drained::countDown);
+            host.node.shutdown().drain(drained::countDown);
             long begun = System.nanoTime();
             assertEquals(504, TestClient.status(client.read()));
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
@@ -598,7 +598,7 @@
                 LoopbackNode host = new LoopbackNode(silent);
                 TestClient kept = host.client()) {
             long begun = System.nanoTime();
-            host.node.drain(drained::countDown);
+            host.node.shutdown().drain(drained::countDown);
             untilNothingIsAccepted(host);
             kept.send(TestClient.request("slow", "6.0"));
             silent.nextRequest();
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -45,7 +45,7 @@
                "rampTime":7000000000,"overloadFactor":4.0,"tipAfter":1500000000}}
             """;
 
-    public final ServeCommand node;
+    public final SidecarRunner node;
 
     /** Answers that discovery gives to its calls in turn; once there are none, a call waits. */
     public final BlockingQueue<String> news = new LinkedBlockingQueue<>();
@@ -97,7 +97,7 @@
                 SidecarConfig.parse(new ObjectMapper().readTree(json)).withAdmin(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         node =
-                ServeCommand.start(
+                SidecarRunner.start(
                         new SidecarConfig(
                                 config.name(),
                                 anyPort,
--- a/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
@@ -19,7 +19,7 @@
                                 "\"slo\":1000000000",
                                 "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
         return TimeUnit.NANOSECONDS.toMillis(
-                UpstreamCluster.stall(
+                UpstreamCluster.maxResponsePauseNanos(
                         SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)).settings()));
     }
 
--- a/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
@@ -10,7 +10,7 @@
 /** What two processes may use together. */
 class ResourceShareTest {
     private static double part(ProcessPhase own, ProcessPhase... others) {
-        return ResourceShare.of(own, List.of(others)).fraction();
+        return ResourceShare.of(own, List.of(others)).connectionFraction();
     }
 
     @Test
@@ -18,7 +18,7 @@
         assertEquals(
                 new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.STARTING, List.of()));
         assertEquals(new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.SERVING, List.of()));
-        assertFalse(ResourceShare.of(ProcessPhase.DRAINING, List.of()).accepts());
+        assertFalse(ResourceShare.of(ProcessPhase.DRAINING, List.of()).acceptsConnections());
     }
 
     /** Guards against limits that hold for each and are broken by both. */
@@ -47,8 +47,8 @@
         for (ProcessPhase one : ProcessPhase.values()) {
             for (ProcessPhase other : ProcessPhase.values()) {
                 boolean accepted =
-                        ResourceShare.of(one, List.of(other)).accepts()
-                                || ResourceShare.of(other, List.of(one)).accepts();
+                        ResourceShare.of(one, List.of(other)).acceptsConnections()
+                                || ResourceShare.of(other, List.of(one)).acceptsConnections();
                 assertEquals(
                         one != ProcessPhase.DRAINING || other != ProcessPhase.DRAINING,
                         accepted,
@@ -56,10 +56,12 @@
             }
         }
         assertFalse(
-                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.SERVING)).accepts(),
+                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.SERVING))
+                        .acceptsConnections(),
                 "it is cold");
         assertTrue(
-                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.DRAINING)).accepts(),
+                ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.DRAINING))
+                        .acceptsConnections(),
                 "nobody else does");
     }
 }
--- a/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
@@ -36,9 +36,9 @@
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        assertEquals(STATE, StateFile.read(StateFile.write(STATE)));
+        assertEquals(STATE, ProcessStateCodec.read(ProcessStateCodec.write(STATE)));
         ProcessState empty = new ProcessState(ProcessPhase.STARTING, List.of());
-        assertEquals(empty, StateFile.read(StateFile.write(empty)));
+        assertEquals(empty, ProcessStateCodec.read(ProcessStateCodec.write(empty)));
     }
 
     /**
@@ -47,38 +47,41 @@
      */
     @Test
     void whatIsTornOrForeignIsRefused() throws Exception {
-        byte[] whole = StateFile.write(STATE);
+        byte[] whole = ProcessStateCodec.write(STATE);
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> StateFile.read(torn), "cut at " + length);
+            assertThrows(IOException.class, () -> ProcessStateCodec.read(torn), "cut at " + length);
         }
         Random random = new Random(3);
         for (int i = 0; i < 2000; i++) {
             byte[] wrong = whole.clone();
             wrong[random.nextInt(wrong.length)] ^= (byte) (1 + random.nextInt(255));
             try {
-                assertEquals(STATE, StateFile.read(wrong), "only what says the same may be taken");
+                assertEquals(
+                        STATE,
+                        ProcessStateCodec.read(wrong),
+                        "only what says the same may be taken");
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
         }
         assertThrows(
                 IOException.class,
-                () -> StateFile.read("appleridge-state 2 0\nSERVING\n".getBytes()));
+                () -> ProcessStateCodec.read("appleridge-state 2 0\nSERVING\n".getBytes()));
     }
 
     @Test
     void aFolderWithForeignFilesIsNoHindranceAndIsToldOfOnce() throws Exception {
         List<String> warnings = new ArrayList<>();
-        try (ProcessSlots slots = ProcessSlots.take(folder, warnings::add)) {
-            slots.tell(STATE);
-            assertEquals(List.of(), slots.others(), "the own state is not another's");
+        try (ProcessSlots slots = ProcessSlots.acquire(folder, warnings::add)) {
+            slots.publish(STATE);
+            assertEquals(List.of(), slots.readOthers(), "the own state is not another's");
             Files.writeString(folder.resolve("slot-2.state"), "noise");
-            assertEquals(List.of(), slots.others(), "nobody holds that slot");
+            assertEquals(List.of(), slots.readOthers(), "nobody holds that slot");
             assertEquals(List.of(), warnings);
         }
-        try (ProcessSlots again = ProcessSlots.take(folder, warnings::add)) {
-            assertEquals(List.of(), again.others());
+        try (ProcessSlots again = ProcessSlots.acquire(folder, warnings::add)) {
+            assertEquals(List.of(), again.readOthers());
             assertTrue(
                     Files.notExists(folder.resolve("slot-0.state")), "who had the slot is no more");
         }
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public EndpointDiscovery make(
+    public EndpointDiscovery create(
             SidecarEventLoop loop,
             SocketFactory sockets,
             SidecarConfig config,
