--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonParserTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonParserTest.java
@@ -6,6 +6,8 @@
 import appleridge.discovery.ephemeral.NodeData;
 import appleridge.discovery.ephemeral.NodeRead;
 import appleridge.loadbalancing.HostState;
+import java.io.IOException;
+import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -45,6 +47,40 @@
                 read);
     }
 
+    /** Files that commit 4260e73 wrote with its registration. */
+    @Test
+    void storedNodesAreRead() throws IOException {
+        assertEquals(
+                new NodeData(AT, 1, 0, 2, HostState.READY, 1.5f, 1_700_000_000_000L, "s1"),
+                read("x/s1", stored("node-full.json")).data());
+        assertEquals(
+                new NodeData(AT, 1, 0, 2, HostState.DRAINING, 1.5f, 1_700_000_000_000L, "s1"),
+                read("x/s1", stored("node-terminating.json")).data());
+        NodeJsonParser oneZone = new NodeJsonParser(List.of("a"), List.of());
+        assertEquals(
+                new NodeData(
+                        new InetSocketAddress("2001:db8::1", 80),
+                        0,
+                        0,
+                        0,
+                        HostState.READY,
+                        1,
+                        7,
+                        null),
+                oneZone.read(
+                                "s1",
+                                stored("node-minimal.json").getBytes(StandardCharsets.UTF_8),
+                                new Stat())
+                        .data());
+    }
+
+    private static String stored(String name) throws IOException {
+        try (InputStream in =
+                NodeJsonParserTest.class.getResourceAsStream("/stored/4260e73/" + name)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
     @Test
     void whatIsLeftOutIsUsual() {
         assertEquals(
