--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -4,159 +4,102 @@
 import appleridge.discovery.ephemeral.StalenessCause;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import org.apache.zookeeper.AddWatchMode;
 import org.apache.zookeeper.KeeperException.Code;
-import org.apache.zookeeper.Op;
-import org.apache.zookeeper.OpResult;
 import org.apache.zookeeper.WatchedEvent;
 import org.apache.zookeeper.Watcher;
 import org.apache.zookeeper.ZooKeeper;
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Reads the nodes under a path by one handle, whole and then what changes, with a bounded number of
- * questions open at once. Whatever the ensemble says comes on the handle's one thread, in the
- * ensemble's order: an answer that follows an event is no older than it.
+ * Reads the nodes under a path by one handle: first all of them, then what changes. Events and
+ * responses come on the handle's one event thread, in the ensemble's order: a response that follows
+ * an event is no older than it. Thread-safe; the listener is called with this object's lock held.
  */
 final class SubtreeWatcher {
-    /** What comes of it. To take it in must not take long. */
-    interface Listener {
-        /**
-         * The path itself is there: which transaction made it, and the latest that touched what it
-         * holds.
-         */
-        void onRoot(long made, long latest, boolean accepted);
-
-        /** The whole subtree as of the last event; {@code told}: when its names were heard. */
-        void onSnapshot(long told, long zxid, Map<String, NodeRead> nodes);
-
-        /** A node was made, or its data changed. */
-        void onNodeChanged(long zxid, String name);
-
-        /** What a node of which a change was told holds. */
-        void onNodeRead(String name, NodeRead read);
-
-        /** A node is gone. */
-        void onNodeDeleted(long zxid, String name);
-
-        /** The subtree can't be read; {@link SubtreeWatcher#readAll} is to be called again. */
-        void onStale(StalenessCause why);
-
-        /** As {@link #doubt}, for a reason that there is no word for. */
-        void onUnexpectedCode(Code code);
-
-        /** Now, on the loop's clock. */
-        long nanoTime();
-    }
-
     /**
-     * What an operator writes into the path's own data where what a wiped ensemble has is right.
+     * What an operator writes into the root's own data where the state of an ensemble that was
+     * wiped is right.
      */
     static final String ACCEPT = "accept";
 
-    /** Nodes that are asked for in one question, at most. */
-    private static final int MAX_BATCH = 64;
-
-    /** Questions for data that are open at once. */
-    private static final int MAX_OPEN_READS = 8;
+    /** Listings of shards that are open at once, at most. */
+    private static final int MAX_OPEN_LISTINGS = 8;
 
-    /** The least bytes that a name takes in an answer. */
+    /** The fewest bytes that a name takes in a response. */
     private static final int MIN_BYTES_PER_NAME = 8;
 
     /**
-     * So often in a row may the connection be lost over a listing before that is taken for its
-     * size.
+     * Connections that may be lost over a listing, in a row, before the listing counts as too large
+     * for the client.
      */
     private static final int MAX_LOST_LISTINGS = 2;
 
-    /** A node whose data is asked for; a later event for it makes another one. */
-    private record NodeRequest(String name, long zxid, boolean event) {}
-
     private final ZooKeeper client;
     private final ZooKeeperSettings settings;
-    private final NodeJsonParser json;
-    private final Listener listener;
-
-    /** What each name waits for; whoever is not in here any more is not waited for. */
-    private final Map<String, NodeRequest> requests = new HashMap<>();
-
-    private final Deque<NodeRequest> urgent = new ArrayDeque<>();
-    private final Deque<NodeRequest> bulk = new ArrayDeque<>();
-    private int batch = MAX_BATCH;
-    private int openReads;
-
-    /**
-     * Counts connections, and readings of the whole; answers that belong to earlier ones are passed
-     * over.
-     */
-    private int connectionEpoch;
+    private final NodePaths paths;
+    private final SubtreeListener listener;
+    private final CallCounter calls = new CallCounter();
+    private final PendingSnapshot snapshot = new PendingSnapshot();
+    private final NodeReader reader;
+    private final Deque<String> unlistedShards = new ArrayDeque<>();
+    private int lostListings;
 
+    /** Counts readings of the whole; responses that belong to an earlier one are passed over. */
     private int readingEpoch;
-    private boolean collecting;
-    private Map<String, NodeRead> nodes = new LinkedHashMap<>();
-    private final Set<String> unread = new HashSet<>();
-    private final Deque<String> shards = new ArrayDeque<>();
-    private int openListings;
-    private int lostListings;
-    private long listedAtNanos;
+
+    /** The highest transaction in what is being read. */
     private long snapshotZxid;
 
-    /** The latest transaction that this handle has heard of under the path. */
+    /** The latest transaction under the path that this handle was told of. */
     private long highestZxid;
 
-    /**
-     * Whether the ensemble says with each event which transaction it was; servers before 3.9 don't.
-     */
+    /** Whether events name their transaction; servers before 3.9 send none. */
     private boolean eventsCarryZxid = true;
 
-    private long sentCount;
-    private long answeredCount;
-
-    /** The server has lost the others, and knows no {@code sync}. */
+    /** The server has lost its quorum, and has no {@code sync}. */
     private boolean readOnlyServer;
 
     private boolean closed;
 
     SubtreeWatcher(
-            ZooKeeper client, ZooKeeperSettings settings, NodeJsonParser json, Listener listener) {
+            ZooKeeper client,
+            ZooKeeperSettings settings,
+            NodeJsonParser json,
+            SubtreeListener listener) {
         this.client = client;
         this.settings = settings;
-        this.json = json;
+        this.paths = new NodePaths(settings.root(), settings.shards());
         this.listener = listener;
+        this.reader = new NodeReader(this, client, paths, json, calls, new ReadSink());
     }
 
-    /** Reads the whole from the start; the watch is there before the first question. */
+    /** Reads all nodes from the start; the watch is set before the first read. */
     synchronized void readAll(boolean readOnly) {
         if (closed) {
             return;
         }
         readOnlyServer = readOnly;
-        forgetReading();
+        dropReading();
         if (lostListings >= MAX_LOST_LISTINGS) {
             lostListings = 0;
             listener.onStale(StalenessCause.TOO_LARGE);
             return;
         }
-        int mine = readingEpoch;
-        sentCount++;
+        int epoch = readingEpoch;
+        calls.onSent();
         client.addWatch(
                 settings.root(),
                 AddWatchMode.PERSISTENT_RECURSIVE,
-                (code, path, any) -> {
+                (code, path, context) -> {
                     synchronized (this) {
-                        if (isCurrent(mine, code)) {
+                        if (isCurrent(epoch, code)) {
                             if (readOnly) {
-                                readRoot(mine);
+                                readRoot(epoch);
                             } else {
-                                sync(mine);
+                                sync(epoch);
                             }
                         }
                     }
@@ -164,13 +107,10 @@
                 null);
     }
 
-    /** The connection is lost: what was asked is not answered any more. */
+    /** The connection is lost: nothing that was sent will be answered any more. */
     synchronized void onConnectionLost() {
-        connectionEpoch++;
-        openReads = 0;
-        requests.clear();
-        urgent.clear();
-        forgetReading();
+        reader.onConnectionLost();
+        dropReading();
     }
 
     synchronized void close() {
@@ -178,56 +118,52 @@
         closed = true;
     }
 
-    /** Whether a question is open. */
+    /** Whether a call has no response yet. */
     synchronized boolean isWaiting() {
-        return sentCount > answeredCount;
+        return calls.isWaiting();
     }
 
-    /** Counts up with each answer. */
+    /** Responses so far. */
     synchronized long answeredCount() {
-        return answeredCount;
+        return calls.answered();
     }
 
-    private void forgetReading() {
+    private void dropReading() {
         readingEpoch++;
-        collecting = false;
-        openListings = 0;
-        nodes = new LinkedHashMap<>();
-        unread.clear();
-        shards.clear();
-        bulk.clear();
-        requests.values().removeIf(ask -> !ask.event);
+        snapshot.reset();
+        unlistedShards.clear();
+        reader.cancelListed();
     }
 
-    /** Danger: without this a server that lags tells an older state after a reconnect. */
-    private void sync(int mine) {
-        sentCount++;
+    /** Without it a server that lags would give an older state after a reconnect. */
+    private void sync(int epoch) {
+        calls.onSent();
         client.sync(
                 settings.root(),
-                (code, path, any) -> {
+                (code, path, context) -> {
                     synchronized (this) {
-                        if (isCurrent(mine, code)) {
-                            readRoot(mine);
+                        if (isCurrent(epoch, code)) {
+                            readRoot(epoch);
                         }
                     }
                 },
                 null);
     }
 
-    private void readRoot(int mine) {
-        sentCount++;
+    private void readRoot(int epoch) {
+        calls.onSent();
         client.getData(
                 settings.root(),
                 false,
-                (code, path, any, data, stat) -> {
+                (code, path, context, data, stat) -> {
                     synchronized (this) {
-                        if (isCurrent(mine, code)) {
+                        if (isCurrent(epoch, code)) {
                             onRootRead(data, stat);
                             if ((long) stat.getNumChildren() * MIN_BYTES_PER_NAME
                                     > settings.answerBytes()) {
                                 listener.onStale(StalenessCause.TOO_LARGE);
                             } else {
-                                listChildren(mine);
+                                listChildren(epoch);
                             }
                         }
                     }
@@ -245,54 +181,56 @@
                         && new String(data, StandardCharsets.UTF_8).strip().equals(ACCEPT));
     }
 
-    private void listChildren(int mine) {
-        sentCount++;
+    private void listChildren(int epoch) {
+        calls.onSent();
         client.getChildren(
                 settings.root(),
                 false,
-                (code, path, any, names, stat) -> {
+                (code, path, context, names, stat) -> {
                     synchronized (this) {
                         lostListings =
                                 code == Code.CONNECTIONLOSS.intValue() ? lostListings + 1 : 0;
-                        if (isCurrent(mine, code)) {
-                            collecting = true;
-                            listedAtNanos = listener.nanoTime();
-                            snapshotZxid = stat.getPzxid();
-                            if (settings.shards()) {
-                                shards.addAll(names);
-                                openListings = names.size();
-                                for (int i = 0; i < MAX_OPEN_READS; i++) {
-                                    listNextShard(mine);
-                                }
-                            } else {
-                                names.forEach(this::enqueue);
-                            }
-                            sendReads();
+                        if (isCurrent(epoch, code)) {
+                            onChildren(epoch, names, stat);
                         }
                     }
                 },
                 null);
     }
 
-    private void listNextShard(int mine) {
-        String shard = shards.poll();
+    private void onChildren(int epoch, List<String> names, Stat stat) {
+        snapshot.begin(listener.nanoTime(), settings.shards() ? names.size() : 0);
+        snapshotZxid = stat.getPzxid();
+        if (settings.shards()) {
+            unlistedShards.addAll(names);
+            for (int i = 0; i < MAX_OPEN_LISTINGS; i++) {
+                listNextShard(epoch);
+            }
+        } else {
+            names.forEach(this::enqueueListed);
+        }
+        sendReads();
+    }
+
+    private void listNextShard(int epoch) {
+        String shard = unlistedShards.poll();
         if (shard == null) {
             return;
         }
-        sentCount++;
+        calls.onSent();
         client.getChildren(
-                path(shard),
+                paths.path(shard),
                 false,
-                (code, path, any, names, stat) -> {
+                (code, path, context, names, stat) -> {
                     synchronized (this) {
                         boolean gone = code == Code.NONODE.intValue();
-                        if (isCurrent(mine, gone ? Code.OK.intValue() : code)) {
-                            openListings--;
+                        if (isCurrent(epoch, gone ? Code.OK.intValue() : code)) {
+                            snapshot.onShardListed();
                             if (!gone) {
                                 snapshotZxid = Math.max(snapshotZxid, stat.getPzxid());
-                                names.forEach(name -> enqueue(shard + "/" + name));
+                                names.forEach(name -> enqueueListed(shard + "/" + name));
                             }
-                            listNextShard(mine);
+                            listNextShard(epoch);
                             sendReads();
                         }
                     }
@@ -300,195 +238,82 @@
                 null);
     }
 
-    private void enqueue(String name) {
-        if (!nodes.containsKey(name) && unread.add(name) && !requests.containsKey(name)) {
-            NodeRequest ask = new NodeRequest(name, 0, false);
-            requests.put(name, ask);
-            bulk.add(ask);
+    private void enqueueListed(String name) {
+        if (snapshot.expect(name)) {
+            reader.enqueueListed(name);
         }
     }
 
-    /** What the watch tells. */
+    /** An event of the watch. */
     synchronized void onEvent(WatchedEvent event) {
         if (closed) {
             return;
         }
-        boolean made =
+        boolean changed =
                 event.getType() == Watcher.Event.EventType.NodeCreated
                         || event.getType() == Watcher.Event.EventType.NodeDataChanged;
-        boolean gone = event.getType() == Watcher.Event.EventType.NodeDeleted;
-        String name = serverName(event.getPath());
+        boolean deleted = event.getType() == Watcher.Event.EventType.NodeDeleted;
         if (event.getPath().equals(settings.root())) {
-            if (made) {
-                readAll(readOnlyServer);
-            } else if (gone) {
-                forgetReading();
-                listener.onStale(StalenessCause.ROOT_MISSING);
-            }
+            onRootEvent(changed, deleted);
             return;
         }
         eventsCarryZxid &= event.getZxid() > 0;
         highestZxid = Math.max(highestZxid, event.getZxid());
         snapshotZxid = Math.max(snapshotZxid, highestZxid);
-        // Where a server doesn't say which transaction it was, the order alone holds.
-        long at = Math.max(1, event.getZxid() > 0 ? event.getZxid() : highestZxid);
+        String name = paths.name(event.getPath());
         if (name == null) {
             return;
         }
-        if (gone) {
-            requests.remove(name);
-            nodes.remove(name);
-            unread.remove(name);
-            listener.onNodeDeleted(at, name);
-        } else if (made) {
-            listener.onNodeChanged(at, name);
-            NodeRequest ask = new NodeRequest(name, event.getZxid(), true);
-            requests.put(name, ask);
-            urgent.add(ask);
-            if (collecting && !nodes.containsKey(name)) {
-                unread.add(name);
+        // An event that names no transaction counts as the latest known: order alone holds then.
+        long zxid = Math.max(1, event.getZxid() > 0 ? event.getZxid() : highestZxid);
+        if (deleted) {
+            reader.cancel(name);
+            snapshot.remove(name);
+            listener.onNodeDeleted(zxid, name);
+        } else if (changed) {
+            listener.onNodeChanged(zxid, name);
+            reader.enqueueChanged(name, event.getZxid());
+            if (snapshot.isCollecting()) {
+                snapshot.expect(name);
             }
         }
         sendReads();
     }
 
-    /** The name of a server's node as it is told; null for any other path. */
-    private String serverName(String path) {
-        String above = settings.root().equals("/") ? "/" : settings.root() + "/";
-        if (!path.startsWith(above)) {
-            return null;
+    private void onRootEvent(boolean changed, boolean deleted) {
+        if (changed) {
+            readAll(readOnlyServer);
+        } else if (deleted) {
+            dropReading();
+            listener.onStale(StalenessCause.ROOT_MISSING);
         }
-        String name = path.substring(above.length());
-        int slash = name.indexOf('/');
-        boolean fits =
-                settings.shards() ? slash > 0 && name.indexOf('/', slash + 1) < 0 : slash < 0;
-        return fits && !name.isEmpty() ? name : null;
-    }
-
-    private String path(String name) {
-        return (settings.root().equals("/") ? "/" : settings.root() + "/") + name;
     }
 
     private void sendReads() {
-        while (openReads < MAX_OPEN_READS) {
-            List<NodeRequest> next = nextBatch();
-            if (next.isEmpty()) {
-                break;
-            }
-            sendBatch(next);
-        }
-        if (collecting && openListings == 0 && unread.isEmpty()) {
-            collecting = false;
+        reader.send();
+        if (snapshot.isComplete()) {
             highestZxid = Math.max(highestZxid, snapshotZxid);
-            listener.onSnapshot(listedAtNanos, snapshotZxid, nodes);
-            nodes = new LinkedHashMap<>();
-        }
-    }
-
-    private List<NodeRequest> nextBatch() {
-        List<NodeRequest> next = new ArrayList<>();
-        while (next.size() < batch && !(urgent.isEmpty() && bulk.isEmpty())) {
-            NodeRequest ask = urgent.isEmpty() ? bulk.poll() : urgent.poll();
-            if (requests.get(ask.name) == ask) {
-                next.add(ask);
-            }
-        }
-        return next;
-    }
-
-    private void sendBatch(List<NodeRequest> of) {
-        int mine = connectionEpoch;
-        openReads++;
-        sentCount++;
-        client.multi(
-                of.stream().map(ask -> Op.getData(path(ask.name))).toList(),
-                (code, path, any, results) -> {
-                    synchronized (this) {
-                        answeredCount++;
-                        if (code == Code.CONNECTIONLOSS.intValue()) {
-                            // Perhaps because the answer was larger than it may be.
-                            batch = Math.max(1, batch / 2);
-                        }
-                        if (mine == connectionEpoch && !closed) {
-                            openReads--;
-                            onBatchRead(of, code, results);
-                            sendReads();
-                        }
-                    }
-                },
-                null);
-    }
-
-    private void onBatchRead(List<NodeRequest> of, int code, List<OpResult> results) {
-        if (results == null || results.size() != of.size()) {
-            of.forEach(ask -> requests.remove(ask.name, ask));
-            if (code != Code.CONNECTIONLOSS.intValue() && code != Code.SESSIONEXPIRED.intValue()) {
-                listener.onUnexpectedCode(Code.get(code));
-            }
-            return;
-        }
-        batch = Math.min(MAX_BATCH, 2 * batch);
-        for (int i = 0; i < of.size(); i++) {
-            NodeRequest ask = of.get(i);
-            if (requests.get(ask.name) == ask) {
-                requests.remove(ask.name);
-                onBatchRead(ask, results.get(i));
-            }
-        }
-    }
-
-    private void onBatchRead(NodeRequest ask, OpResult result) {
-        NodeRead read;
-        if (result instanceof OpResult.GetDataResult got) {
-            if (got.getStat().getMzxid() < ask.zxid) {
-                // Danger: older than the event that asks for it.
-                NodeRequest again = new NodeRequest(ask.name, ask.zxid, ask.event);
-                requests.put(ask.name, again);
-                urgent.add(again);
-                return;
-            }
-            snapshotZxid = Math.max(snapshotZxid, got.getStat().getMzxid());
-            read = json.read(ask.name, got.getData(), got.getStat());
-        } else {
-            int code = ((OpResult.ErrorResult) result).getErr();
-            if (code == Code.NONODE.intValue()) {
-                // Gone meanwhile, which the watch tells.
-                unread.remove(ask.name);
-                return;
-            }
-            read =
-                    NodeJsonParser.unread(
-                            code == Code.NOAUTH.intValue()
-                                    ? "may not be read"
-                                    : "can't be read: " + Code.get(code),
-                            ask.zxid);
-        }
-        if (collecting) {
-            nodes.put(ask.name, read);
-            unread.remove(ask.name);
-        }
-        if (ask.event) {
-            listener.onNodeRead(ask.name, read);
+            listener.onSnapshot(snapshot.listedAtNanos(), snapshotZxid, snapshot.complete());
         }
     }
 
     /**
-     * Asks whether the path is as it was last heard of: a lost event, or a server that only answers
-     * pings.
+     * Reads the root, and all nodes if it has changed since it was read last: an event may be lost,
+     * and a server may answer pings and nothing else.
      */
     synchronized void probe() {
-        if (closed || collecting || isWaiting()) {
+        if (closed || snapshot.isCollecting() || calls.isWaiting()) {
             return;
         }
-        int mine = readingEpoch;
-        sentCount++;
+        int epoch = readingEpoch;
+        calls.onSent();
         client.getData(
                 settings.root(),
                 false,
-                (code, path, any, data, stat) -> {
+                (code, path, context, data, stat) -> {
                     synchronized (this) {
                         long before = highestZxid;
-                        if (isCurrent(mine, code)) {
+                        if (isCurrent(epoch, code)) {
                             onRootRead(data, stat);
                             if (eventsCarryZxid && stat.getPzxid() > before) {
                                 readAll(readOnlyServer);
@@ -500,44 +325,77 @@
     }
 
     /**
-     * Asks for anything, and tells when that is answered: by then all has come that was told
-     * before.
+     * Makes any call and runs this once that is answered: by then every earlier event has come. On
+     * the handle's event thread; never if no server answers.
      */
-    synchronized void confirm(Runnable heard) {
+    synchronized void confirm(Runnable confirmed) {
         if (closed) {
             return;
         }
-        sentCount++;
+        calls.onSent();
         client.getData(
                 settings.root(),
                 false,
-                (code, path, any, data, stat) -> {
+                (code, path, context, data, stat) -> {
                     synchronized (this) {
-                        answeredCount++;
+                        calls.onAnswered();
                     }
-                    Code what = Code.get(code);
-                    if (what == Code.OK || what == Code.NONODE || what == Code.NOAUTH) {
-                        heard.run();
+                    Code result = Code.get(code);
+                    if (result == Code.OK || result == Code.NONODE || result == Code.NOAUTH) {
+                        confirmed.run();
                     }
                 },
                 null);
     }
 
-    private boolean isCurrent(int mine, int code) {
-        answeredCount++;
-        if (closed || mine != readingEpoch) {
+    /** Counts a response; whether it is a good one to a call of the present reading. */
+    private boolean isCurrent(int epoch, int code) {
+        calls.onAnswered();
+        if (closed || epoch != readingEpoch) {
             return false;
         }
-        Code what = Code.get(code);
-        switch (what) {
+        Code result = Code.get(code);
+        switch (result) {
             case OK -> {
                 return true;
             }
             case CONNECTIONLOSS, SESSIONEXPIRED -> {}
             case NONODE -> listener.onStale(StalenessCause.ROOT_MISSING);
             case NOAUTH, AUTHFAILED -> listener.onStale(StalenessCause.ACCESS_DENIED);
-            default -> listener.onUnexpectedCode(what);
+            default -> listener.onUnexpectedCode(result);
         }
         return false;
     }
+
+    private final class ReadSink implements NodeReader.Sink {
+        @Override
+        public void onRead(String name, NodeRead read, boolean notified) {
+            if (snapshot.isCollecting()) {
+                snapshot.put(name, read);
+            }
+            if (notified) {
+                listener.onNodeRead(name, read);
+            }
+        }
+
+        @Override
+        public void onMissing(String name) {
+            snapshot.onMissing(name);
+        }
+
+        @Override
+        public void onZxid(long mzxid) {
+            snapshotZxid = Math.max(snapshotZxid, mzxid);
+        }
+
+        @Override
+        public void onUnexpectedCode(Code code) {
+            listener.onUnexpectedCode(code);
+        }
+
+        @Override
+        public void onBatchDone() {
+            sendReads();
+        }
+    }
 }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -1,51 +1,42 @@
 package appleridge.discovery.zookeeper;
 
 import appleridge.discovery.ephemeral.NodeDiscovery;
-import appleridge.discovery.ephemeral.NodeRead;
-import appleridge.discovery.ephemeral.SessionState;
 import appleridge.discovery.ephemeral.StalenessCause;
 import appleridge.request.Scheduler;
 import appleridge.transport.SidecarEventLoop;
 import java.io.IOException;
-import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import org.apache.zookeeper.KeeperException.Code;
-import org.apache.zookeeper.WatchedEvent;
-import org.apache.zookeeper.Watcher;
-import org.apache.zookeeper.ZooKeeper;
 
 /**
- * Follows ephemeral nodes in ZooKeeper and tells a {@link NodeDiscovery} of them, on the loop.
- * Handles are made and closed on a thread of its own, for both take their time; what they tell is
- * read on theirs. To be made, started and closed on the loop.
+ * Follows ephemeral nodes in ZooKeeper and notifies a {@link NodeDiscovery} of them, on the loop.
+ * Handles are opened and closed on a thread of its own, because both block; what they bring is read
+ * on their event thread. To be made, started and closed on the loop.
  */
 public final class ZooKeeperDiscovery implements AutoCloseable {
     /**
-     * After a handle's end the next one waits this long, and twice as long each time, up to the
-     * most.
+     * The first backoff after a handle's end; it doubles with each handle that ends without having
+     * been connected.
      */
     private static final long MIN_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    /** Over so much time readings of the whole are spread, after the first one. */
+    /** Readings after a reconnect are spread over this time, so that sidecars don't all read. */
     private static final long REREAD_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long RETRY_TOO_LARGE_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final long RETRY_OLDER_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** Looks, one a second, at which no answer may have come before a server is given up. */
-    private static final int MAX_SILENT_CHECKS = 4;
-
-    /** Looks between two questions to a server that has nothing to tell. */
+    /** Checks between two probes of a server that has nothing to tell. */
     private static final int CHECKS_PER_PROBE = 5;
 
-    /** Looks after which the client's log may say again what it has said. */
+    /** Checks after which the client's log may repeat a line. */
     private static final int CHECKS_PER_LOG_RESET = 300;
 
     private static final String UNRESPONSIVE =
@@ -57,48 +48,45 @@
     private final NodeJsonParser json;
     private final SplittableRandom random;
     private final Mailbox mailbox;
+    private final RootHistory rootHistory = new RootHistory();
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
     private final Thread thread = new Thread(this::runTasks, "membership");
 
-    /** On the loop: handles that ended since one was connected. */
+    /** Handles that ended since one was connected. On the loop, as the next three are. */
     private int failedHandles;
 
-    private boolean first = true;
+    private boolean firstConnection = true;
     private String lastUnexpectedCode = "";
     private Scheduler.ScheduledTask pendingRead = () -> {};
 
-    /** On the keeper's thread. */
-    private Handle handle;
+    /** On the own thread; null if none is open. */
+    private ClientHandle handle;
 
+    /** On the own thread. */
     private boolean closed;
 
-    /** What was heard of the path by any handle; guarded by this. */
-    private long rootCzxid;
-
-    private long highestZxid;
-
-    /** {@code seed}: for what is drawn, so that many sidecars don't ask at once. */
+    /** {@code seed}: for the jitter that keeps many sidecars from reading at once. */
     public ZooKeeperDiscovery(
             SidecarEventLoop loop,
             ZooKeeperSettings settings,
-            NodeDiscovery membership,
+            NodeDiscovery discovery,
             NodeJsonParser json,
             long seed) {
-        this(loop, settings, SessionListener.of(membership), json, seed);
+        this(loop, settings, SessionListener.of(discovery), json, seed);
     }
 
     ZooKeeperDiscovery(
             SidecarEventLoop loop,
             ZooKeeperSettings settings,
-            SessionListener hearer,
+            SessionListener listener,
             NodeJsonParser json,
             long seed) {
         this.loop = loop;
         this.settings = settings;
-        this.listener = hearer;
+        this.listener = listener;
         this.json = json;
         this.random = new SplittableRandom(seed);
-        this.mailbox = new Mailbox(loop, hearer);
+        this.mailbox = new Mailbox(loop, listener);
         thread.setDaemon(true);
     }
 
@@ -108,71 +96,67 @@
         tasks.add(this::open);
     }
 
-    /** Tells all that has been heard, before this returns. */
+    /** Delivers all that was received so far, before this returns. On the loop. */
     public void tellNow() {
         mailbox.deliverAll();
     }
 
     /**
-     * Runs this on the loop once a server has answered, and all that it told before has been told.
+     * Runs this on the loop once a server has answered a call and all that it notified before was
+     * delivered; never if no server answers. On any thread.
      */
-    public void confirm(Runnable heard) {
+    public void confirm(Runnable confirmed) {
         tasks.add(
                 () -> {
                     if (handle != null) {
-                        handle.confirm(heard);
+                        handle.confirm(confirmed);
                     }
                 });
     }
 
-    /** Reads everything again. On any thread. */
+    /** Reads all nodes again. On any thread. */
     public void refresh() {
         tasks.add(
                 () -> {
                     if (handle != null) {
-                        handle.read();
+                        handle.readAll();
                     }
                 });
     }
 
-    /**
-     * On the loop: reads everything again after a while, which takes the place of a wait that is
-     * on.
-     */
-    private void readAfter(long wait) {
-        pendingRead.cancel();
-        if (wait == 0) {
-            refresh();
-        } else {
-            pendingRead = loop.after(wait, this::refresh);
-        }
-    }
-
-    /** Ends; the session is closed if a server can still be told. */
+    /** Ends; the session is closed if a server can be reached. On any thread. */
     @Override
     public void close() {
         tasks.add(
                 () -> {
                     closed = true;
-                    drop();
+                    closeHandle();
                 });
     }
 
+    /** On the loop: reads all nodes again after a while, instead of at the time set before. */
+    private void readAfter(long waitNanos) {
+        pendingRead.cancel();
+        if (waitNanos == 0) {
+            refresh();
+        } else {
+            pendingRead = loop.after(waitNanos, this::refresh);
+        }
+    }
+
     private void runTasks() {
-        int looks = 0;
+        int checks = 0;
         while (!closed) {
             try {
-                Runnable task = tasks.poll(1, TimeUnit.SECONDS);
+                Runnable task = tasks.poll(ClientHandle.CHECK_MILLIS, TimeUnit.MILLISECONDS);
                 if (task != null) {
                     task.run();
                 } else if (handle != null) {
-                    handle.look(++looks % CHECKS_PER_PROBE == 0);
-                    if (looks % CHECKS_PER_LOG_RESET == 0) {
-                        Slf4jBridge.again();
-                    }
+                    checks++;
+                    check(checks);
                 }
             } catch (InterruptedException | RejectedExecutionException e) {
-                // Nobody is left to be told.
+                // The loop has ended; nobody is left to be notified.
                 return;
             } catch (RuntimeException e) {
                 loop.execute(
@@ -181,11 +165,21 @@
         }
     }
 
+    private void check(int checks) {
+        if (handle.check(checks % CHECKS_PER_PROBE == 0)) {
+            reopen(handle);
+        }
+        if (checks % CHECKS_PER_LOG_RESET == 0) {
+            Slf4jBridge.again();
+        }
+    }
+
     private void open() {
         if (closed || handle != null) {
             return;
         }
-        Handle next = new Handle();
+        ClientHandle next =
+                new ClientHandle(settings, json, mailbox, rootHistory, new HandleOwner());
         handle = next;
         try {
             next.begin(ZooKeeperClientFactory.open(settings, next));
@@ -195,243 +189,89 @@
                             loop.log()
                                     .warning(
                                             "the coordination service's client can't start: " + e));
-            failedHandles(next);
+            reopen(next);
         }
     }
 
-    /** On the keeper's thread: a handle is of no use any more; another one follows. */
-    private void failedHandles(Handle which) {
-        if (handle != which || closed) {
+    /** On the own thread: closes a handle that is of no use any more; another one follows. */
+    private void reopen(ClientHandle ended) {
+        if (handle != ended || closed) {
             return;
         }
-        drop();
+        closeHandle();
         loop.execute(
                 () -> {
-                    long wait =
-                            Math.min(
-                                    MAX_BACKOFF_NANOS,
-                                    MIN_BACKOFF_NANOS << Math.min(failedHandles, 10));
+                    long backoffNanos = backoffNanos();
                     failedHandles++;
-                    loop.after(wait / 2 + random.nextLong(wait), () -> tasks.add(this::open));
+                    loop.after(
+                            backoffNanos / 2 + random.nextLong(backoffNanos),
+                            () -> tasks.add(this::open));
                 });
     }
 
-    private void drop() {
+    private long backoffNanos() {
+        int doublings = Math.min(failedHandles, MAX_BACKOFF_DOUBLINGS);
+        return Math.min(MAX_BACKOFF_NANOS, MIN_BACKOFF_NANOS << doublings);
+    }
+
+    private void closeHandle() {
         if (handle != null) {
             handle.close();
             handle = null;
         }
     }
 
-    /** One handle: a session, for as long as the ensemble keeps it. */
-    private final class Handle implements Watcher, SubtreeWatcher.Listener {
-        /** Danger: the client may tell that it is connected before its maker has it. */
-        private final CountDownLatch made = new CountDownLatch(1);
-
-        private volatile ZooKeeper client;
-        private volatile SubtreeWatcher subtree;
-        private volatile boolean closed;
-        private volatile boolean readOnly;
-        private volatile boolean connected;
-        private long answered;
-        private int silent;
-        private int apart;
-
-        void begin(ZooKeeper opened) {
-            client = opened;
-            subtree = new SubtreeWatcher(opened, settings, json, this);
-            made.countDown();
-        }
-
+    /** Moves what handles report to the loop, or to the own thread. */
+    private final class HandleOwner implements ClientHandle.Owner {
         @Override
-        public void process(WatchedEvent event) {
-            try {
-                made.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-                return;
-            }
-            if (closed) {
-                return;
-            }
-            if (event.getType() != Event.EventType.None) {
-                subtree.onEvent(event);
-                return;
-            }
-            switch (event.getState()) {
-                case SyncConnected -> connected(SessionState.CONNECTED);
-                case ConnectedReadOnly -> connected(SessionState.READ_ONLY);
-                case Disconnected -> {
-                    connected = false;
-                    subtree.onConnectionLost();
-                    mailbox.session(SessionState.SUSPENDED);
-                }
-                case Expired -> {
-                    mailbox.session(SessionState.EXPIRED);
-                    end();
-                }
-                case AuthFailed -> {
-                    mailbox.stale(StalenessCause.ACCESS_DENIED);
-                    end();
-                }
-                default -> {}
-            }
-        }
-
-        private void connected(SessionState state) {
-            connected = true;
-            readOnly = state == SessionState.READ_ONLY;
-            mailbox.session(state);
+        public void onConnected() {
             loop.execute(
                     () -> {
                         failedHandles = 0;
-                        readAfter(first ? 0 : random.nextLong(REREAD_JITTER_NANOS));
-                        first = false;
+                        readAfter(firstConnection ? 0 : random.nextLong(REREAD_JITTER_NANOS));
+                        firstConnection = false;
                     });
         }
 
-        private void end() {
-            connected = false;
-            tasks.add(() -> failedHandles(this));
-        }
-
-        /** On the keeper's thread. */
-        void read() {
-            if (connected && !closed) {
-                subtree.readAll(readOnly);
-            }
-        }
-
-        /** On the keeper's thread. */
-        void confirm(Runnable heard) {
-            if (connected && !closed) {
-                subtree.confirm(() -> mailbox.confirmed(heard));
-            }
-        }
-
-        /**
-         * Danger: a server may answer pings and nothing else, which the client takes for a good
-         * connection. Looks are counted and not time, so that a machine that stood still gives up
-         * nothing.
-         */
-        void look(boolean probe) {
-            if (!connected) {
-                silent = 0;
-                apart++;
-                if (apart * 1000L > 2L * settings.sessionMillis()) {
-                    giveUp();
-                }
-                return;
-            }
-            apart = 0;
-            long now = subtree.answeredCount();
-            silent = subtree.isWaiting() && now == answered ? silent + 1 : 0;
-            answered = now;
-            if (silent >= MAX_SILENT_CHECKS) {
-                loop.execute(() -> loop.log().warning(UNRESPONSIVE));
-                mailbox.session(SessionState.SUSPENDED);
-                connected = false;
-                failedHandles(this);
-            } else if (probe) {
-                subtree.probe();
-            }
-        }
-
-        /**
-         * Danger: the client asks with the latest transaction that it has heard of, and an ensemble
-         * that began anew turns it away each time, without end.
-         */
-        private void giveUp() {
-            mailbox.session(SessionState.EXPIRED);
-            failedHandles(this);
-        }
-
-        void close() {
-            closed = true;
-            if (subtree != null) {
-                subtree.close();
-                ZooKeeperClientFactory.close(client);
-            }
-        }
-
-        @Override
-        public void onRoot(long czxid, long latest, boolean accepted) {
-            boolean wiped;
-            synchronized (ZooKeeperDiscovery.this) {
-                wiped = rootCzxid != 0 && czxid != rootCzxid && latest < highestZxid;
-                if (wiped) {
-                    highestZxid = latest;
-                }
-                rootCzxid = czxid;
-            }
-            if (wiped) {
-                mailbox.stale(StalenessCause.WIPED);
-            }
-            if (accepted) {
-                mailbox.accept();
-            }
-        }
-
-        private void heard(long zxid) {
-            synchronized (ZooKeeperDiscovery.this) {
-                highestZxid = Math.max(highestZxid, zxid);
-            }
-        }
-
         @Override
-        public void onSnapshot(long told, long zxid, Map<String, NodeRead> nodes) {
-            heard(zxid);
-            mailbox.snapshot(
-                    told,
-                    zxid,
-                    nodes,
-                    () -> {
-                        lastUnexpectedCode = "";
-                        if (listener.doubt() == StalenessCause.OLDER
-                                || listener.doubt() == StalenessCause.WIPED) {
-                            readAfter(RETRY_OLDER_NANOS + random.nextLong(RETRY_OLDER_NANOS));
-                        }
-                    });
+        public void onEnded(ClientHandle ended) {
+            tasks.add(() -> reopen(ended));
         }
 
         @Override
-        public void onNodeChanged(long zxid, String name) {
-            heard(zxid);
-            mailbox.changed(nanoTime(), zxid, name);
+        public void onUnresponsive() {
+            loop.execute(() -> loop.log().warning(UNRESPONSIVE));
         }
 
         @Override
-        public void onNodeRead(String name, NodeRead read) {
-            mailbox.read(name, read);
-        }
-
-        @Override
-        public void onNodeDeleted(long zxid, String name) {
-            heard(zxid);
-            mailbox.deleted(nanoTime(), zxid, name);
+        public void onSnapshotDelivered() {
+            lastUnexpectedCode = "";
+            StalenessCause cause = listener.doubt();
+            if (cause == StalenessCause.OLDER || cause == StalenessCause.WIPED) {
+                readAfter(RETRY_OLDER_NANOS + random.nextLong(RETRY_OLDER_NANOS));
+            }
         }
 
         @Override
-        public void onStale(StalenessCause why) {
-            mailbox.stale(why);
-            again(why == StalenessCause.TOO_LARGE ? RETRY_TOO_LARGE_NANOS : RETRY_NANOS);
+        public void onReadFailed(StalenessCause why) {
+            retry(why == StalenessCause.TOO_LARGE ? RETRY_TOO_LARGE_NANOS : RETRY_NANOS);
         }
 
         @Override
         public void onUnexpectedCode(Code code) {
             loop.execute(
                     () -> {
-                        String trouble = "the coordination service answers " + code;
-                        if (!trouble.equals(lastUnexpectedCode)) {
-                            lastUnexpectedCode = trouble;
-                            loop.log().warning(trouble);
+                        String line = "the coordination service answers " + code;
+                        if (!line.equals(lastUnexpectedCode)) {
+                            lastUnexpectedCode = line;
+                            loop.log().warning(line);
                         }
                     });
-            again(RETRY_NANOS);
+            retry(RETRY_NANOS);
         }
 
-        private void again(long wait) {
-            loop.execute(() -> readAfter(wait + random.nextLong(wait / 4)));
+        private void retry(long waitNanos) {
+            loop.execute(() -> readAfter(waitNanos + random.nextLong(waitNanos / 4)));
         }
 
         @Override
