--- a/sidecar/src/main/java/appleridge/http1/AcceptGate.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -8,8 +8,8 @@
 
 /**
  * Decides whether new connections are accepted, or left waiting in the system while there is no
- * room. For a short window now and then they are accepted all the same: to be told that there is no
- * room, or because accepting is about to end. Loop thread only.
+ * room. For a short window now and then they are accepted all the same, to be rejected, or because
+ * accepting is about to end. Loop thread only.
  */
 final class AcceptGate {
     /**
@@ -124,8 +124,8 @@
 
     /**
      * Rejects connections that have waited too long, in a window. Where others hold all connections
-     * that there may be, a client would else find out by its own time limit; told, it may ask again
-     * or elsewhere.
+     * that there may be, a client would else only reach its own timeout; rejected, it may retry
+     * here or elsewhere.
      */
     void rejectLongWaiting() {
         if (!hasRoom.getAsBoolean()
--- a/sidecar/src/main/java/appleridge/http1/ClientExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientExchange.java
@@ -39,7 +39,7 @@
      * For one request.
      *
      * @param keepAlive whether the client may use the connection for another request
-     * @param chunkedAllowed whether the client's HTTP version knows chunked bodies
+     * @param chunkedAllowed whether the client's HTTP version has chunked bodies
      */
     ClientExchange(ClientConnection connection, boolean keepAlive, boolean chunkedAllowed) {
         this.connection = connection;
--- a/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
@@ -7,7 +7,7 @@
  *
  * @param requestMillis from a request's first byte to its last
  * @param firstRequestMillis from the connection's start to its first request's first byte
- * @param idleMillis from an answer to the next request's first byte
+ * @param idleMillis from a response to the next request's first byte
  */
 public record ClientTimeouts(long requestMillis, long firstRequestMillis, long idleMillis) {
     /** What {@link Defaults} says, with the reasons. */
--- a/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
+++ b/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
@@ -80,7 +80,7 @@
         private static final long serialVersionUID = 1L;
 
         TooLateException() {
-            super("the request's window has passed", null, false, false);
+            super("the deadline for the request's last byte has passed", null, false, false);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
+++ b/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
@@ -14,7 +14,7 @@
 
     private OutcomeClassifier() {}
 
-    /** A complete response: only the upstream's own word proves that the request did not run. */
+    /** A complete response: only the upstream's {@code X-Not-Run} proves that it did not run. */
     static Outcome ofResponse(HttpResponse head) {
         int status = head.status().code();
         if (status == 200) {
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -20,7 +20,7 @@
         /** The connection is open. */
         void connected(Channel channel);
 
-        /** It can't be opened, for want of an answer or a listener; its channel is closed. */
+        /** It can't be opened: refused, timed out or unreachable; its channel is closed. */
         void failed(Throwable cause);
 
         /**
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Ticks that came late, since the start. */
+    /** Ticks that were late by more than a stall's lag, since the start. */
     public long stalls() {
         return stalls;
     }
--- a/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Runs something periodically, so many nanoseconds after the end of the last run; at least
-     * {@link #MIN_PERIOD_NANOS}, for shorter periods would leave the loop no time to wait.
+     * Runs something periodically, so many nanoseconds after the end of the last run; at least a
+     * millisecond, for shorter periods would leave the loop no time to wait.
      */
     public ScheduledTask every(long nanos, Runnable what) {
         long period = Math.max(MIN_PERIOD_NANOS, nanos);
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -5,6 +5,7 @@
 
 import appleridge.config.SidecarConfig;
 import appleridge.daemon.LoopbackNode;
+import appleridge.http1.InvalidRequestException.Problem;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -15,26 +16,26 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What a request's headers say, and what they may not say. */
+/** Which headers make a request, and which make it invalid. */
 class RequestParserTest {
     private static final String TWO_TENANTS =
             "\"parties\":["
                     + "{\"name\":\"first\",\"portion\":0.5,\"quotaRps\":9},"
                     + "{\"name\":\"acme\",\"portion\":0.5,\"quotaRps\":9}]";
 
-    private static ClientRequest read(String parties, HttpRequest head)
+    private static ClientRequest parse(String parties, HttpRequest head)
             throws IOException, InvalidRequestException {
         String json =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replaceAll("\"parties\":\\[[^]]*]", parties);
-        RequestParser reader =
+        RequestParser parser =
                 new RequestParser(SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)));
-        return reader.parse(head, new byte[0], 0);
+        return parser.parse(head, new byte[0], 0);
     }
 
-    private static ClientRequest read(HttpRequest head)
+    private static ClientRequest parse(HttpRequest head)
             throws IOException, InvalidRequestException {
-        return read(TWO_TENANTS, head);
+        return parse(TWO_TENANTS, head);
     }
 
     private static HttpRequest request() {
@@ -47,13 +48,14 @@
         return head;
     }
 
-    private static void assertBad(HttpRequest head) {
-        InvalidRequestException bad =
-                assertThrows(InvalidRequestException.class, () -> read(head), head.toString());
-        assertEquals(HttpResponseStatus.BAD_REQUEST, bad.status());
+    private static void assertInvalid(Problem problem, HttpRequest head) {
+        InvalidRequestException invalid =
+                assertThrows(InvalidRequestException.class, () -> parse(head), head.toString());
+        assertEquals(HttpResponseStatus.BAD_REQUEST, invalid.status());
+        assertEquals(problem, invalid.problem());
     }
 
-    /** Guards against a check of the first line where an upstream goes by the second. */
+    /** Guards against a check of the first header where an upstream goes by the second. */
     @Test
     void repeatedHeaderIsRejected() throws Exception {
         String[][] lines = {
@@ -67,12 +69,12 @@
             for (String second : new String[] {line[1], "other"}) {
                 HttpRequest head = request();
                 head.headers().set(line[0], line[1]).add(line[0].toLowerCase(), second);
-                assertBad(head);
+                assertInvalid(Problem.REPEATED_HEADER, head);
             }
         }
         HttpRequest free = request();
         free.headers().add("X-Extras", "a=1").add("X-Extras", "b=2");
-        assertEquals("id", read(free).id());
+        assertEquals("id", parse(free).id());
     }
 
     /** Guards against a customer whose names have letters that a head's bytes are not read as. */
@@ -82,60 +84,58 @@
         HttpRequest head = request();
         byte[] sent = "\u65ed\u5ddd, les m\u00eames".getBytes(StandardCharsets.UTF_8);
         head.headers().set("X-Tenant", new String(sent, StandardCharsets.ISO_8859_1));
-        assertEquals(1, read(parties, head).tenant());
+        assertEquals(1, parse(parties, head).tenant());
         head.headers().set("X-Tenant", "les m\u00eames");
-        assertThrows(InvalidRequestException.class, () -> read(parties, head));
+        assertThrows(InvalidRequestException.class, () -> parse(parties, head));
     }
 
     /** Guards against requests held beyond the time for which their class's clients wait. */
     @Test
     void deadlineIsCutToDeadlineOfClass() throws Exception {
         HttpRequest head = request();
-        assertEquals(500_000_000L, read(head).timeoutNanos());
+        assertEquals(500_000_000L, parse(head).timeoutNanos());
         for (String deadline : new String[] {"3", "3.0001", "60"}) {
             head.headers().set(Headers.DEADLINE, deadline);
-            assertEquals(3_000_000_000L, read(head).timeoutNanos(), deadline);
+            assertEquals(3_000_000_000L, parse(head).timeoutNanos(), deadline);
         }
         head.headers().set(Headers.DEADLINE, "60.1");
-        assertBad(head);
+        assertInvalid(Problem.HEADER_OUT_OF_RANGE, head);
     }
 
-    /**
-     * Guards against a customer whose every request is turned away, for its clients wait for long.
-     */
+    /** Guards against a customer whose every request is rejected, because its clients wait long. */
     @Test
     void classDeadlineMayExceedOneMinute() throws Exception {
         String patient =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
-        RequestParser reader =
+        RequestParser parser =
                 new RequestParser(SidecarConfig.parse(patient.getBytes(StandardCharsets.UTF_8)));
         HttpRequest head = request();
         for (String deadline : new String[] {"75.5", "90"}) {
             head.headers().set(Headers.DEADLINE, deadline);
             assertEquals(
                     (long) (Double.parseDouble(deadline) * 1e9),
-                    reader.parse(head, new byte[0], 0).timeoutNanos());
+                    parser.parse(head, new byte[0], 0).timeoutNanos());
         }
         head.headers().set(Headers.DEADLINE, "90.1");
-        assertThrows(InvalidRequestException.class, () -> reader.parse(head, new byte[0], 0));
+        assertThrows(InvalidRequestException.class, () -> parser.parse(head, new byte[0], 0));
     }
 
     /**
-     * Guards against one bad client whose request counts for more than all others together: what a
-     * sidecar allows a cold server, and whom it sheds, goes by the work that it was asked for.
+     * Guards against one bad client whose request counts for more than all others together: slow
+     * start and load shedding go by the estimated work.
      */
     @Test
     void costHintBeyondClassDeadlineIsIgnored() throws Exception {
         HttpRequest head = request();
         for (String hint : new String[] {"1200", "3000000"}) {
             head.headers().set(Headers.COST_HINT, hint);
-            assertEquals(Long.parseLong(hint) * 1000, read(head).costHintNanos());
+            assertEquals(Long.parseLong(hint) * 1000, parse(head).costHintNanos());
         }
         for (String hint :
                 new String[] {"3000001", "1e12", "1e300", "Infinity", "NaN", "-1", "much"}) {
             head.headers().set(Headers.COST_HINT, hint);
-            assertEquals(0, read(head).costHintNanos(), hint);
+            assertEquals(0, parse(head).costHintNanos(), hint);
         }
     }
 
@@ -143,17 +143,17 @@
     @Test
     void unknownTenantIsRejected() throws Exception {
         HttpRequest head = request();
-        assertEquals(0, read(head).tenant(), "none is named");
+        assertEquals(0, parse(head).tenant(), "none is named");
         head.headers().set(Headers.TENANT, "");
-        assertEquals(0, read(head).tenant(), "none is named");
+        assertEquals(0, parse(head).tenant(), "none is named");
         head.headers().set(Headers.TENANT, "acme");
-        assertEquals(1, read(head).tenant());
+        assertEquals(1, parse(head).tenant());
         head.headers().set(Headers.TENANT, "Acme");
-        assertBad(head);
-        assertEquals(0, read("\"parties\":[]", head).tenant(), "the settings have none");
+        assertInvalid(Problem.UNKNOWN_HEADER_VALUE, head);
+        assertEquals(0, parse("\"parties\":[]", head).tenant(), "the settings have none");
         assertEquals(
                 0,
-                read("\"parties\":[{\"portion\":1.0,\"quotaRps\":9}]", head).tenant(),
+                parse("\"parties\":[{\"portion\":1.0,\"quotaRps\":9}]", head).tenant(),
                 "the settings don't name theirs");
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -16,20 +16,14 @@
 import appleridge.transport.SystemLog;
 import appleridge.transport.SystemTime;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.ServerChannel;
 import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.nio.NioIoOps;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
@@ -39,9 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Connections kept, closed and given up, without the module, whose own orders close idle ones too.
- */
+/** Connections reused, closed and cancelled, without the policy, which closes idle ones too. */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
@@ -51,20 +43,6 @@
     private static final SendDeadlines ALWAYS =
             new SendDeadlines(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
-    /** The system may have a connection up at once or a moment later; here it is always at once. */
-    private static final class ConnectsAtOnce extends NioSocketChannel {
-        @Override
-        protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-            if (!super.doConnect(remote, local)) {
-                while (!javaChannel().finishConnect()) {
-                    Thread.onSpinWait();
-                }
-                removeAndSubmit(NioIoOps.CONNECT);
-            }
-            return true;
-        }
-    }
-
     private record Result(Outcome outcome, HttpUpstreamResponse reply) {}
 
     private final EventLoopGroup group =
@@ -83,9 +61,13 @@
     }
 
     private UpstreamConnectionPool pool(long idleMillis, int connections) {
+        return pool(new NioSocketFactory(), idleMillis, connections);
+    }
+
+    private UpstreamConnectionPool pool(SocketFactory sockets, long idleMillis, int connections) {
         return new UpstreamConnectionPool(
                 time,
-                new NioSocketFactory(),
+                sockets,
                 TimeUnit.SECONDS.toNanos(1),
                 TimeUnit.MILLISECONDS.toNanos(idleMillis),
                 TimeUnit.MILLISECONDS.toNanos(200),
@@ -171,8 +153,8 @@
     }
 
     /**
-     * Guards against noise behind one answer being read as the next one, also where it is no whole
-     * line.
+     * Guards against bytes behind one response being read as the next one, also where they are no
+     * complete line.
      */
     @Test
     void bytesBehindResponseAreNotTakenForNextResponse() throws Exception {
@@ -192,7 +174,7 @@
     }
 
     /**
-     * Guards against a second copy of one answer, which the system holds unread, being taken for
+     * Guards against a second copy of one response, which the system holds unread, being taken for
      * the next request's: it is written here while the loop is kept from reading.
      */
     @Test
@@ -236,40 +218,16 @@
     }
 
     /**
-     * Guards against a channel that can't be made, as when descriptors are out: Netty would tell of
-     * it on a thread of its own, where it meets the loop's, and the connection would be counted for
-     * good.
+     * Guards against a channel that can't be made, as when descriptors are out: Netty would report
+     * it on a thread of its own, and the connection would be counted for good.
      */
     @Test
     void missingSocketIsReportedOnLoopAsNeverSent() throws Exception {
-        SocketFactory none =
-                new SocketFactory() {
-                    @Override
-                    public Channel connecting() {
-                        throw new ChannelException(
-                                "Failed to open a socket.", new IOException("Too many open files"));
-                    }
-
-                    @Override
-                    public ServerChannel listening() {
-                        throw new ChannelException("Failed to open a socket.");
-                    }
-
-                    @Override
-                    public void readNow(Channel channel) {}
-                };
-        UpstreamConnectionPool pool =
-                new UpstreamConnectionPool(
-                        time,
-                        none,
-                        TimeUnit.SECONDS.toNanos(1),
-                        TimeUnit.SECONDS.toNanos(10),
-                        TimeUnit.MILLISECONDS.toNanos(200),
-                        2);
+        UpstreamConnectionPool pool = pool(new TestSockets.None(), 10_000, 2);
         Endpoint nowhere =
                 new Endpoint(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         for (int i = 0; i < 5; i++) {
-            BlockingQueue<String> told = new LinkedBlockingQueue<>();
+            BlockingQueue<String> reported = new LinkedBlockingQueue<>();
             loop.submit(
                             () ->
                                     pool.send(
@@ -277,58 +235,33 @@
                                             REQUEST,
                                             ALWAYS,
                                             (outcome, reply) ->
-                                                    told.add(outcome + " " + loop.inEventLoop())))
+                                                    reported.add(
+                                                            outcome + " " + loop.inEventLoop())))
                     .get();
             assertEquals(
-                    "NEVER_SENT true", told.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                    "NEVER_SENT true",
+                    reported.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, loop.submit(pool::connections).get());
         }
     }
 
     /**
      * Guards against a request given to a connection that its upstream has closed between the two
-     * moments in which it came up and was told of: nothing was ever heard of it again. The end is
-     * read in between here.
+     * moments in which it came up and was reported: the request never ended. The end is read in
+     * between here.
      */
     @Test
     void connectionClosedBeforeConnectIsReportedIsNotUsed() throws Exception {
-        BlockingQueue<Channel> made = new LinkedBlockingQueue<>();
-        NioSocketFactory usual = new NioSocketFactory();
-        SocketFactory watched =
-                new SocketFactory() {
-                    @Override
-                    public Channel connecting() {
-                        Channel channel = new ConnectsAtOnce();
-                        made.add(channel);
-                        return channel;
-                    }
-
-                    @Override
-                    public ServerChannel listening() {
-                        return usual.listening();
-                    }
-
-                    @Override
-                    public void readNow(Channel channel) {
-                        usual.readNow(channel);
-                    }
-                };
-        UpstreamConnectionPool pool =
-                new UpstreamConnectionPool(
-                        time,
-                        watched,
-                        TimeUnit.SECONDS.toNanos(1),
-                        TimeUnit.SECONDS.toNanos(10),
-                        TimeUnit.MILLISECONDS.toNanos(200),
-                        2);
+        TestSockets.ConnectedAtOnce sockets = new TestSockets.ConnectedAtOnce();
+        UpstreamConnectionPool pool = pool(sockets, 10_000, 2);
         try (StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
             loop.submit(
                             () -> {
                                 send(pool, endpoint(1, upstream));
                                 upstream.accepted.take().close();
-                                Channel channel = made.take();
+                                Channel channel = sockets.made.take();
                                 while (channel.isActive()) {
-                                    usual.readNow(channel);
+                                    sockets.readNow(channel);
                                 }
                                 return null;
                             })
@@ -340,7 +273,7 @@
     }
 
     /**
-     * Guards against time spent on an answer that can't be served: the rest of it is not waited
+     * Guards against time spent on a response that can't be served: the rest of it is not waited
      * for.
      */
     @Test
@@ -368,7 +301,7 @@
     }
 
     /**
-     * Guards against an answer with a hole: the part that makes it too long is left out, and what
+     * Guards against a response with a hole: the part that makes it too long is left out, and what
      * was read together with it, which fits again, would complete the rest.
      */
     @Test
@@ -389,8 +322,7 @@
     }
 
     /**
-     * Guards against a head that was turned down being followed by another one that is taken for
-     * it.
+     * Guards against a head that was rejected being followed by another one that is taken for it.
      */
     @Test
     void bytesBehindUnservableHeadAreNotServed() throws Exception {
@@ -425,7 +357,7 @@
             loop.execute(held::cancel);
             silent.awaitClosed();
             assertEquals("fine", ask(pool, good));
-            assertEquals(0, results.size(), "nothing is told of what was abandoned");
+            assertEquals(0, results.size(), "nothing is reported of what was cancelled");
         }
     }
 }
