--- a/sidecar/src/main/java/appleridge/lease/Grant.java
+++ b/sidecar/src/main/java/appleridge/lease/Grant.java
@@ -7,4 +7,11 @@
  * @param notBeforeNanos no operation starts before: those of the holder before have ended then
  * @param expiresAtNanos every operation has ended by then
  */
-public record Grant(long token, long notBeforeNanos, long expiresAtNanos) {}
+public record Grant(long token, long notBeforeNanos, long expiresAtNanos) {
+    /** Whether an operation that starts now and lasts so long stays within the grant. */
+    boolean covers(long nowNanos, long durationNanos) {
+        return nowNanos >= notBeforeNanos
+                && durationNanos >= 0
+                && durationNanos <= expiresAtNanos - nowNanos;
+    }
+}
--- a/sidecar/src/main/java/appleridge/lease/Lease.java
+++ b/sidecar/src/main/java/appleridge/lease/Lease.java
@@ -20,10 +20,8 @@
     private static final long NO_VERSION = -1;
 
     private final LeaseParameters parameters;
-    private final String holder;
-    private final String incarnation;
     private final LeaseActions actions;
-    private final StoreRequests requests = new StoreRequests();
+    private final StoreRequests requests;
     private final ObservedRecord observed;
 
     private LeaseState state = LeaseState.RELEASED;
@@ -61,10 +59,9 @@
     public Lease(
             LeaseParameters parameters, String holder, String incarnation, LeaseActions actions) {
         this.parameters = parameters;
-        this.holder = holder;
-        this.incarnation = incarnation;
         this.actions = actions;
-        this.observed = new ObservedRecord(incarnation);
+        requests = new StoreRequests(parameters, holder, incarnation);
+        observed = new ObservedRecord(incarnation);
     }
 
     /** Asks for the lease; without effect while it is asked for or held. */
@@ -78,10 +75,7 @@
         runDue(nowNanos);
     }
 
-    /**
-     * Nobody waits ahead of this process. Only the load on the store depends on this being true,
-     * never safety.
-     */
+    /** Nobody waits ahead. Only the load on the store depends on this being true, never safety. */
     public void onHeadOfQueue(long nowNanos) {
         headOfQueue = state.isAcquiring();
         runDue(nowNanos);
@@ -189,9 +183,7 @@
      */
     public boolean mayStart(long nowNanos, long durationNanos) {
         return grant != null
-                && nowNanos >= grant.notBeforeNanos()
-                && durationNanos >= 0
-                && durationNanos <= grant.expiresAtNanos() - nowNanos
+                && grant.covers(nowNanos, durationNanos)
                 && (parameters.fenced() || durationNanos <= parameters.maxOperationNanos());
     }
 
@@ -206,9 +198,7 @@
             return null;
         }
         idleAtNanos = NEVER;
-        return parameters.fenced()
-                ? new Permission.FencedPermission(grant.token())
-                : new Permission.TimedPermission(grant.token(), grant.expiresAtNanos());
+        return Permission.under(grant, parameters);
     }
 
     /** The current state. */
@@ -336,7 +326,7 @@
             release(nowNanos, nowNanos + parameters.gracePeriodNanos(), TransitionCause.IDLE);
             return;
         }
-        if (requests.open() != null && nowNanos >= answerDueNanos()) {
+        if (requests.open() != null && nowNanos >= requests.answerDueNanos()) {
             requests.abandon();
             markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
@@ -345,7 +335,9 @@
             sendRequest(nowNanos);
         }
         long nextNanos =
-                Math.min(requests.open() == null ? dueNanos : answerDueNanos(), idleAtNanos);
+                Math.min(
+                        requests.open() == null ? dueNanos : requests.answerDueNanos(),
+                        idleAtNanos);
         nextNanos = grant == null ? nextNanos : Math.min(nextNanos, grant.expiresAtNanos());
         if (nextNanos != timerAtNanos) {
             timerAtNanos = nextNanos;
@@ -353,15 +345,11 @@
         }
     }
 
-    /** When the open request is no longer waited for. */
-    private long answerDueNanos() {
-        return requests.open().sentAtNanos() + parameters.renewalIntervalNanos();
-    }
-
     /** When the next request is due; {@link #NEVER} for none. */
     private long requestDueNanos() {
         boolean acquires = state == LeaseState.SEEKING && headOfQueue;
-        if (!releasePending && grant == null && !acquires && state != LeaseState.STORE_DISTRUSTED) {
+        boolean distrusts = state == LeaseState.STORE_DISTRUSTED;
+        if (!releasePending && grant == null && !acquires && !distrusts) {
             return NEVER;
         }
         if (needsRead()) {
@@ -374,19 +362,15 @@
             long sentAtNanos = grant.expiresAtNanos() - parameters.grantNanos();
             return Math.max(sentAtNanos + parameters.renewalIntervalNanos(), requestAtNanos);
         }
-        return observed.isFree() ? requestAtNanos : Math.max(takeOverAtNanos(), requestAtNanos);
+        return observed.isFree()
+                ? requestAtNanos
+                : Math.max(observed.takeOverAtNanos(parameters), requestAtNanos);
     }
 
     private boolean needsRead() {
         return !observed.isCurrent() || state == LeaseState.STORE_DISTRUSTED;
     }
 
-    /** When another holder's record has been unchanged for long enough. */
-    private long takeOverAtNanos() {
-        return observed.unchangedSinceNanos()
-                + parameters.takeOverDelayNanos(observed.record().termNanos());
-    }
-
     private void sendRequest(long nowNanos) {
         if (needsRead()) {
             actions.readRecord(requests.openRead(nowNanos).requestId());
@@ -406,16 +390,7 @@
             boolean noneBefore = seen == null || seen.released();
             earliestStartNanos = nowNanos + (noneBefore ? 0 : parameters.gracePeriodNanos());
         }
-        StoreRequests.StoreRequest write =
-                requests.openWrite(
-                        nowNanos,
-                        new VersionedLease(
-                                0,
-                                token,
-                                holder,
-                                incarnation + "/" + requests.nextRequestId(),
-                                parameters.termNanos(),
-                                releasePending));
+        StoreRequests.StoreRequest write = requests.openWrite(nowNanos, token, releasePending);
         actions.writeRecord(
                 write.requestId(), seen == null ? NO_VERSION : seen.version(), write.next());
     }
--- a/sidecar/src/main/java/appleridge/lease/ObservedRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/ObservedRecord.java
@@ -25,8 +25,9 @@
         return record;
     }
 
-    long unchangedSinceNanos() {
-        return unchangedSinceNanos;
+    /** When the record of another holder has been unchanged for long enough to be taken over. */
+    long takeOverAtNanos(LeaseParameters parameters) {
+        return unchangedSinceNanos + parameters.takeOverDelayNanos(record.termNanos());
     }
 
     /** Whether no read is needed before the record is acted on. */
--- a/sidecar/src/main/java/appleridge/lease/Permission.java
+++ b/sidecar/src/main/java/appleridge/lease/Permission.java
@@ -2,6 +2,13 @@
 
 /** The right to start one operation at once; its type says what it rests on. */
 public sealed interface Permission permits Permission.FencedPermission, Permission.TimedPermission {
+    /** Under a grant, of the kind that the lease's parameters say. */
+    static Permission under(Grant grant, LeaseParameters parameters) {
+        return parameters.fenced()
+                ? new FencedPermission(grant.token())
+                : new TimedPermission(grant.token(), grant.expiresAtNanos());
+    }
+
     /**
      * The resource operated on compares tokens: safe whatever clocks do.
      *
--- a/sidecar/src/main/java/appleridge/lease/StoreRequests.java
+++ b/sidecar/src/main/java/appleridge/lease/StoreRequests.java
@@ -14,6 +14,9 @@
      */
     record StoreRequest(long requestId, long sentAtNanos, VersionedLease next) {}
 
+    private final LeaseParameters parameters;
+    private final String holder;
+    private final String incarnation;
     private long lastRequestId;
 
     /** Null while no answer is waited for. */
@@ -22,16 +25,18 @@
     /** The newest write that was sent, answered or not; null before the first. */
     private StoreRequest lastWrite;
 
+    /** See {@link Lease#Lease}. */
+    StoreRequests(LeaseParameters parameters, String holder, String incarnation) {
+        this.parameters = parameters;
+        this.holder = holder;
+        this.incarnation = incarnation;
+    }
+
     /** The number of the newest request; 0 before the first. */
     long lastRequestId() {
         return lastRequestId;
     }
 
-    /** The number that the next request will have. */
-    long nextRequestId() {
-        return lastRequestId + 1;
-    }
-
     /** The request that has no answer yet; null for none. */
     StoreRequest open() {
         return open;
@@ -48,13 +53,22 @@
         return open;
     }
 
-    /** Opens a write of {@code next}. */
-    StoreRequest openWrite(long nowNanos, VersionedLease next) {
-        open = new StoreRequest(++lastRequestId, nowNanos, next);
+    /** Opens a write of a record with this token, under a nonce that no other write has. */
+    StoreRequest openWrite(long nowNanos, long token, boolean released) {
+        lastRequestId++;
+        String nonce = incarnation + "/" + lastRequestId;
+        VersionedLease next =
+                new VersionedLease(0, token, holder, nonce, parameters.termNanos(), released);
+        open = new StoreRequest(lastRequestId, nowNanos, next);
         lastWrite = open;
         return open;
     }
 
+    /** When the open request is no longer waited for; there must be one. */
+    long answerDueNanos() {
+        return open.sentAtNanos + parameters.renewalIntervalNanos();
+    }
+
     /**
      * Closes the open request if it has this number. An answer to any other request is stale: it
      * may describe the record from before an answer that was already used.
--- a/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A command under its guardian, seen from {@code task}. On one thread. */
+/** A command under its {@link Guardian}, seen from {@code task}. Confined to the task's thread. */
 final class GuardedProcess {
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of(
                     "-Xmx24m",
                     "-Xss256k",
@@ -27,15 +27,23 @@
     private final ProcessTree tree;
     private final Path report;
     private final Process guardian;
-    private long until = Long.MAX_VALUE;
+
+    /** When all processes must have ended. */
+    private long deadlineNanos = Long.MAX_VALUE;
+
     private boolean stopped;
-    private String next;
-    private CompletableFuture<Void> telling = CompletableFuture.completedFuture(null);
+
+    /** Not sent yet; null for none. */
+    private String nextInstruction;
+
+    private CompletableFuture<Void> sending = CompletableFuture.completedFuture(null);
 
     /**
-     * Starts a guardian, which waits for {@link #extendUntil}.
+     * Starts a guardian, which waits for {@link #extendUntil} before it starts the command.
      *
-     * @param nonce marks what the command starts; never used before
+     * @param nonce marks all processes that the command starts; never used before
+     * @param token the fencing token that the command gets
+     * @throws IOException if the guardian can't be started
      */
     GuardedProcess(
             LeaseClock clock,
@@ -48,63 +56,77 @@
         this.clock = clock;
         this.settings = settings;
         this.report = Files.createTempFile("appleridge-task", "");
+        GuardianArguments arguments =
+                new GuardianArguments(
+                        nonce,
+                        lease,
+                        token,
+                        settings.killAfterNanos(),
+                        settings.killReserveNanos(),
+                        settings.parameters().clockGuardNanos(),
+                        report,
+                        command);
+        this.guardian =
+                new ProcessBuilder(commandLine(arguments))
+                        .redirectOutput(ProcessBuilder.Redirect.INHERIT)
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
+        this.tree = new ProcessTree(nonce, guardian.toHandle());
+    }
+
+    private static List<String> commandLine(GuardianArguments arguments) {
         List<String> words = new ArrayList<>();
         words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        words.addAll(FLAGS);
+        words.addAll(JVM_FLAGS);
         words.addAll(
                 List.of(
                         "-cp",
                         System.getProperty("java.class.path"),
                         "appleridge.daemon.Main",
                         "task-guard"));
-        words.addAll(Guardian.words(nonce, lease, token, settings, report));
-        words.addAll(command);
-        this.guardian =
-                new ProcessBuilder(words)
-                        .redirectOutput(ProcessBuilder.Redirect.INHERIT)
-                        .redirectError(ProcessBuilder.Redirect.INHERIT)
-                        .start();
-        this.tree = new ProcessTree(nonce, guardian.toHandle());
+        words.addAll(arguments.words());
+        return words;
     }
 
     Process guardian() {
         return guardian;
     }
 
-    /** It may begin now, or run on; all of it has ended by {@code until}. */
-    void extendUntil(long mayRunUntil) {
+    /**
+     * The command may start now, or run on; all of it has ended by then. Without effect after
+     * {@link #stop}.
+     */
+    void extendUntil(long newDeadlineNanos) {
         if (!stopped) {
-            until = mayRunUntil;
-            LeaseClock.Moment moment = clock.moment(mayRunUntil);
-            next = Guardian.GO + " " + moment.nanos() + " " + moment.uptimeNanos();
-            tell();
+            deadlineNanos = newDeadlineNanos;
+            send(GuardianInstruction.runUntil(clock.moment(newDeadlineNanos)));
         }
     }
 
-    /** It is to end now. */
+    /** The command is to end now. */
     void stop() {
         if (!stopped) {
             stopped = true;
-            until =
-                    Math.min(
-                            until,
-                            clock.nanoTime()
-                                    + settings.terminationNanos()
-                                    + settings.killReserveNanos());
-            next = Guardian.STOP;
-            tell();
+            long reserveNanos = settings.terminationNanos() + settings.killReserveNanos();
+            deadlineNanos = Math.min(deadlineNanos, clock.nanoTime() + reserveNanos);
+            send(GuardianInstruction.STOP);
         }
     }
 
+    private void send(String instruction) {
+        nextInstruction = instruction;
+        sendNext();
+    }
+
     /**
-     * The newest alone. Danger: a stopped guardian reads nothing, and who writes to it would stand
-     * still.
+     * Sends the newest instruction alone, from another thread and one at a time: a stopped guardian
+     * reads nothing, and a full pipe would block this thread past the lease's end.
      */
-    private void tell() {
-        if (next != null && telling.isDone()) {
-            String line = next;
-            next = null;
-            telling = CompletableFuture.runAsync(() -> write(line));
+    private void sendNext() {
+        if (nextInstruction != null && sending.isDone()) {
+            String line = nextInstruction;
+            nextInstruction = null;
+            sending = CompletableFuture.runAsync(() -> write(line));
         }
     }
 
@@ -114,44 +136,45 @@
             in.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             in.flush();
         } catch (IOException e) {
-            // It has ended, which is noticed.
+            // The guardian has ended, which the next poll sees.
         }
     }
 
     /**
-     * Its last word once nothing of the command is left; null before. Empty where the guardian
-     * could not say it. Danger: the guardian may be stopped or killed itself; then all that carries
-     * the mark is ended here.
+     * Looks after the command; to be called often. A guardian may itself be stopped or killed, so
+     * near the deadline all processes with the mark are killed from here.
+     *
+     * @return null until nothing of the command is left
+     * @throws IOException if the guardian's report can't be read
      */
-    String pollReport(long now) throws IOException {
+    GuardianReport pollReport(long nowNanos) throws IOException {
         try {
-            return look(now);
+            return guardian.isAlive() ? pollAlive(nowNanos) : pollEnded();
         } catch (UncheckedIOException e) {
-            // Danger: what can't be looked at for now is not gone.
+            // A process list that can't be read now proves nothing; the next poll tries again.
             return null;
         }
     }
 
-    private String look(long now) throws IOException {
-        if (guardian.isAlive()) {
-            tell();
-            if (now > until - settings.killReserveNanos()) {
-                tree.kill();
-            }
-            // Danger: one that is stopped never says its last word. What it guarded has had its
-            // SIGKILL.
-            if (stopped && now > until) {
-                guardian.destroyForcibly();
-            }
-            return null;
+    private GuardianReport pollAlive(long nowNanos) {
+        sendNext();
+        if (nowNanos > deadlineNanos - settings.killReserveNanos()) {
+            tree.kill();
         }
+        // A guardian that is itself stopped never reports; what it guarded has had its SIGKILL.
+        if (stopped && nowNanos > deadlineNanos) {
+            guardian.destroyForcibly();
+        }
+        return null;
+    }
+
+    private GuardianReport pollEnded() throws IOException {
         if (tree.kill() > 0) {
             return null;
         }
-        String word = Files.readString(report);
+        GuardianReport read = new GuardianReport(Files.readString(report));
         Files.delete(report);
-        // All of it was ended, as was asked; who ended the guardian before it could say so is all
-        // the same.
-        return word.isEmpty() && stopped ? Guardian.STOPPED : word;
+        // All was ended as was asked, even if the guardian was killed before it could report.
+        return read.isMissing() && stopped ? GuardianReport.STOPPED : read;
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
+++ b/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
@@ -15,12 +15,15 @@
 import java.util.Optional;
 
 /**
- * All that a command has started: what descends from it, and what carries its mark in the
- * environment with which it was started. Danger: a process that leaves its session and its parents
- * is nobody's child any more; only the mark still shows whose it is.
+ * All processes that a command has started: its descendants, and those with its mark in their
+ * environment. A process that leaves its session and its parents is nobody's child any more: only
+ * the mark still shows whose it is.
+ *
+ * <p>Each method lists the processes anew, and throws an {@link UncheckedIOException} if they can't
+ * be listed: then it is unknown what is left.
  */
 final class ProcessTree {
-    /** The variable that is the mark. */
+    /** The environment variable that is the mark. */
     static final String VARIABLE = "APPLERIDGE_TASK";
 
     private static final Path PROCESSES = Path.of("/proc");
@@ -28,68 +31,75 @@
     private final byte[] mark;
     private final ProcessHandle root;
 
-    /** {@code root}: all that descends from it counts, marked or not; it itself doesn't. */
+    /**
+     * For one run of a command.
+     *
+     * @param nonce the mark's value
+     * @param root all its descendants count, marked or not; it itself doesn't
+     */
     ProcessTree(String nonce, ProcessHandle root) {
         this.mark = (VARIABLE + "=" + nonce + "\0").getBytes(StandardCharsets.ISO_8859_1);
         this.root = root;
     }
 
-    /** Tells all of them to end; how many there are. */
+    /** Sends SIGTERM to all; returns how many there were. */
     int terminate() {
         Map<Long, ProcessHandle> living = living();
         living.values().forEach(ProcessHandle::destroy);
         return living.size();
     }
 
-    /** Ends all of them; how many there were. More may have been started meanwhile. */
+    /** Sends SIGKILL to all; returns how many there were. More may have started meanwhile. */
     int kill() {
         Map<Long, ProcessHandle> living = living();
         living.values().forEach(ProcessHandle::destroyForcibly);
         return living.size();
     }
 
-    /** Whether there is none. */
+    /** Whether there are none. */
     boolean isEmpty() {
         return living().isEmpty();
     }
 
     private Map<Long, ProcessHandle> living() {
         Map<Long, ProcessHandle> found = new LinkedHashMap<>();
-        root.descendants().forEach(each -> found.put(each.pid(), each));
-        long own = ProcessHandle.current().pid();
+        root.descendants().forEach(process -> found.put(process.pid(), process));
         try (DirectoryStream<Path> all = Files.newDirectoryStream(PROCESSES, "[0-9]*")) {
-            for (Path each : all) {
-                long pid = Long.parseLong(each.getFileName().toString());
-                // Danger: taken after the look at its mark, it could be another process of the same
-                // number.
-                Optional<ProcessHandle> handle =
-                        pid == own || found.containsKey(pid)
-                                ? Optional.empty()
-                                : ProcessHandle.of(pid);
-                handle.filter(there -> marked(each)).ifPresent(there -> found.put(pid, there));
-            }
+            all.forEach(process -> addIfMarked(process, found));
         } catch (NotDirectoryException | NoSuchFileException e) {
-            // No such folder on this system: what descends is all that can be found.
+            // No such folder on this system: only descendants can be found.
         } catch (DirectoryIteratorException e) {
             throw new UncheckedIOException(e.getCause());
         } catch (IOException e) {
-            // Danger: what can't be looked at for now is not gone.
             throw new UncheckedIOException(e);
         }
-        found.values().removeIf(each -> !each.isAlive());
+        found.values().removeIf(process -> !process.isAlive());
         return found;
     }
 
-    private boolean marked(Path process) {
+    /**
+     * The handle is taken before the mark is read: taken after it, it could be another process that
+     * got the same number in between.
+     */
+    private void addIfMarked(Path process, Map<Long, ProcessHandle> found) {
+        long pid = Long.parseLong(process.getFileName().toString());
+        if (pid == ProcessHandle.current().pid() || found.containsKey(pid)) {
+            return;
+        }
+        Optional<ProcessHandle> handle = ProcessHandle.of(pid);
+        handle.filter(there -> isMarked(process)).ifPresent(there -> found.put(pid, there));
+    }
+
+    private boolean isMarked(Path process) {
         try {
             return containsEntry(Files.readAllBytes(process.resolve("environ")), mark);
         } catch (IOException e) {
-            // Ended meanwhile, or another user's.
+            // It has ended meanwhile, or is another user's.
             return false;
         }
     }
 
-    /** Whether an environment holds an entry. */
+    /** Whether an environment has an entry; both end with a zero byte. */
     static boolean containsEntry(byte[] environment, byte[] entry) {
         for (int at = 0; at + entry.length <= environment.length; at++) {
             if ((at == 0 || environment[at - 1] == 0)
--- a/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The arguments of {@code task}. */
+/** The arguments of {@code task}. Not changed once parsed. */
 @Command(
         name = "task",
         sortOptions = false,
@@ -41,11 +41,15 @@
 
     private TaskArguments() {}
 
-    /** Reads them; what makes no sense is told by an {@link IllegalArgumentException}. */
+    /**
+     * Reads them.
+     *
+     * @throws IllegalArgumentException if they are wrong, with a message for the operator
+     */
     static TaskArguments parse(List<String> words) {
         TaskArguments arguments = new TaskArguments();
         try {
-            // Danger: a command's own "@file" or option is not ours to read.
+            // Without "--" an "@file" or option of the command would be read as one of task.
             if (!words.contains("--")) {
                 throw new IllegalArgumentException("no command after --");
             }
--- a/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
@@ -6,86 +6,86 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.SecureRandom;
+import java.time.Duration;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import java.util.function.Consumer;
 import java.util.function.Function;
 
 /** {@code java -jar appleridge.jar task --operator FILE --lease NAME -- COMMAND}. */
 public final class TaskCommand {
-    /** Exit status where the command makes no sense. */
-    public static final int EXIT_USAGE = 2;
-
-    private static final Path HOST = Path.of("/proc/sys/kernel/hostname");
+    private static final Path HOST_NAME = Path.of("/proc/sys/kernel/hostname");
     private static final int NONCE_BYTES = 8;
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     private TaskCommand() {}
 
     /**
-     * Runs the command; its exit status.
+     * Runs the command until its end.
      *
      * @param words what follows the command's name
-     * @param read reads what the operator's file says of tasks; throws what is wrong with it
+     * @param readSettings reads the operator's file; throws an {@link IllegalArgumentException}
+     *     with a message for the operator if it is wrong
+     * @return the exit status of the process
      */
-    public static int run(List<String> words, Function<Path, TaskSettings> read) {
+    public static int run(List<String> words, Function<Path, TaskSettings> readSettings) {
         TaskArguments arguments;
         TaskSettings settings;
         try {
             arguments = TaskArguments.parse(words);
-            settings = read.apply(arguments.operator());
+            settings = readSettings.apply(arguments.operator());
         } catch (IllegalArgumentException e) {
             System.err.println("appleridge: " + e.getMessage());
             System.err.print(TaskArguments.usage());
-            return EXIT_USAGE;
+            return TaskExitStatus.USAGE;
         }
+        LeaseClock clock =
+                LeaseClock.system(settings.parameters().clockGuardNanos(), TaskCommand::log);
+        long startedNanos = clock.nanoTime();
         try {
-            return run(arguments, settings);
+            return run(task(arguments, settings, clock));
         } catch (InterruptedException | IOException e) {
-            throw new IllegalStateException(e);
+            Duration after = Duration.ofNanos(clock.nanoTime() - startedNanos);
+            throw new TaskFailedException(arguments.lease(), after, e);
         }
     }
 
-    private static int run(TaskArguments arguments, TaskSettings settings)
-            throws InterruptedException, IOException {
-        Consumer<String> log = line -> LOG.log(System.Logger.Level.INFO, line);
-        SecureRandom chance = new SecureRandom();
-        String holder = host() + "/" + ProcessHandle.current().pid();
-        String place = nonce(chance);
-        LeasedTask task =
-                new LeasedTask(
-                        settings,
-                        arguments.lease(),
-                        holder,
-                        arguments.command(),
-                        LeaseClock.system(settings.parameters().clockGuardNanos(), log),
-                        () -> nonce(chance),
-                        (events, executor) ->
-                                new ZooKeeperLeaseStore(
-                                        settings.store(),
-                                        arguments.lease(),
-                                        holder,
-                                        place,
-                                        events,
-                                        executor,
-                                        line ->
-                                                log.accept(
-                                                        "lease "
-                                                                + arguments.lease()
-                                                                + ": "
-                                                                + line)),
-                        log);
+    private static LeasedTask task(
+            TaskArguments arguments, TaskSettings settings, LeaseClock clock) {
+        SecureRandom random = new SecureRandom();
+        String lease = arguments.lease();
+        String holder = hostName() + "/" + ProcessHandle.current().pid();
+        String queueIncarnation = nonce(random);
+        LeaseClient.StoreFactory stores =
+                (events, executor) ->
+                        new ZooKeeperLeaseStore(
+                                settings.store(),
+                                lease,
+                                holder,
+                                queueIncarnation,
+                                events,
+                                executor,
+                                line -> log("lease " + lease + ": " + line));
+        return new LeasedTask(
+                settings,
+                lease,
+                holder,
+                arguments.command(),
+                clock,
+                () -> nonce(random),
+                stores,
+                TaskCommand::log);
+    }
+
+    private static int run(LeasedTask task) throws InterruptedException, IOException {
         CountDownLatch ended = new CountDownLatch(1);
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    if (ended.getCount() > 0) {
-                                        terminate(task);
-                                    }
-                                },
-                                "terminate"));
+        Runnable onShutdown =
+                () -> {
+                    if (ended.getCount() > 0) {
+                        terminate(task);
+                    }
+                };
+        Runtime.getRuntime().addShutdownHook(new Thread(onShutdown, "terminate"));
         try {
             return task.run();
         } finally {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Danger: the JVM is ending already, and only its hook can still set the status. */
+    /** On SIGTERM. The JVM is ending already: only its shutdown hook can still set the status. */
     private static void terminate(LeasedTask task) {
         try {
             Runtime.getRuntime().halt(task.terminate());
@@ -102,15 +102,19 @@
         }
     }
 
-    private static String nonce(SecureRandom chance) {
+    private static void log(String line) {
+        LOG.log(System.Logger.Level.INFO, line);
+    }
+
+    private static String nonce(SecureRandom random) {
         byte[] bytes = new byte[NONCE_BYTES];
-        chance.nextBytes(bytes);
+        random.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
     }
 
-    private static String host() {
+    private static String hostName() {
         try {
-            return Files.readString(HOST).strip();
+            return Files.readString(HOST_NAME).strip();
         } catch (IOException e) {
             return "unknown";
         }
--- a/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskSettings.java
@@ -4,11 +4,12 @@
 import appleridge.lease.LeaseParameters;
 
 /**
- * What the operator's file says of tasks; times in nanoseconds.
+ * What the operator's file says of tasks.
  *
- * @param store where leases are, with the path of all as its root
+ * @param store where leases are kept, with the path of all as its root
+ * @param parameters of every lease
  * @param killAfterNanos how long a command has from SIGTERM to SIGKILL
- * @param killReserveNanos what is set aside beside it for ending all that a command has started
+ * @param killReserveNanos set aside beside it for ending all processes that a command has started
  */
 public record TaskSettings(
         ZooKeeperSettings store,
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -72,7 +72,7 @@
     }
 
     private String last(GuardedProcess guarded) throws Exception {
-        String last = guarded.pollReport(clock.nanoTime());
+        GuardianReport last = guarded.pollReport(clock.nanoTime());
         while (last == null) {
             Thread.sleep(5);
             last = guarded.pollReport(clock.nanoTime());
@@ -80,7 +80,7 @@
         assertTrue(
                 new ProcessTree(nonce, guarded.guardian().toHandle()).isEmpty(),
                 "something is left");
-        return last;
+        return last.text();
     }
 
     private void awaitOut() throws Exception {
--- a/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
@@ -135,13 +135,13 @@
                         "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
                                 + " while :; do sleep 0.01; done");
         await("on");
-        assertEquals(LeasedTask.EXIT_TERMINATED, run.task.terminate());
+        assertEquals(TaskExitStatus.TERMINATED, run.task.terminate());
         await("over");
         assertTrue(shared.entry().released());
         Run waiting = task("b", "sleep 50");
         Run behind = task("c", "sleep 50");
-        assertEquals(LeasedTask.EXIT_TERMINATED, behind.task.terminate());
-        assertEquals(LeasedTask.EXIT_TERMINATED, waiting.task.terminate());
+        assertEquals(TaskExitStatus.TERMINATED, behind.task.terminate());
+        assertEquals(TaskExitStatus.TERMINATED, waiting.task.terminate());
     }
 
     @Test
@@ -149,7 +149,7 @@
         Run run = task("a", "echo on >> $1; sleep 50");
         await("on");
         lastEvents.onRecordRecreated("made anew");
-        assertEquals(LeasedTask.EXIT_RECORD_RECREATED, run.get());
+        assertEquals(TaskExitStatus.RECORD_RECREATED, run.get());
     }
 
     @Test
@@ -165,7 +165,7 @@
                                 () -> "n" + nonces.incrementAndGet(),
                                 shared::store,
                                 log::add));
-        assertEquals(LeasedTask.EXIT_COMMAND_NOT_STARTED, run.get());
+        assertEquals(TaskExitStatus.COMMAND_NOT_STARTED, run.get());
         assertTrue(shared.entry().released());
     }
 
@@ -175,7 +175,7 @@
         Run run = task("a", "echo on >> $1; sleep 100");
         await("on");
         stoppedGuardian();
-        assertEquals(LeasedTask.EXIT_TERMINATED, run.task.terminate());
+        assertEquals(TaskExitStatus.TERMINATED, run.task.terminate());
         assertTrue(shared.entry().released());
     }
 
@@ -192,7 +192,7 @@
             Thread.sleep(1);
         }
         guardian.destroyForcibly();
-        assertEquals(LeasedTask.EXIT_TERMINATED, terminated.get());
+        assertEquals(TaskExitStatus.TERMINATED, terminated.get());
         assertTrue(shared.entry().released());
     }
 
@@ -216,7 +216,7 @@
                                 shared::store,
                                 log::add));
         assertThrows(ExecutionException.class, run::get);
-        assertEquals(LeasedTask.EXIT_FAILED, assertDoesNotThrow(run.task::terminate));
+        assertEquals(TaskExitStatus.FAILED, assertDoesNotThrow(run.task::terminate));
     }
 
     /** Guards against a grant from before a sleep that only the wall clock shows. */
