--- a/sidecar/src/main/java/appleridge/simulator/FrameReader.java
+++ b/sidecar/src/main/java/appleridge/simulator/FrameReader.java
@@ -6,6 +6,9 @@
 
 /**
  * Reads little-endian fields of one frame's body and never runs past the end of the current record.
+ * Methods named after a type read one number of it: {@code u16} an unsigned one of 16 bits. Each
+ * throws a {@link MalformedFrameException} where the record ends before the field does. Not
+ * thread-safe.
  */
 final class FrameReader {
     private final ByteBuffer buffer;
@@ -16,10 +19,10 @@
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Starts the next record and returns its code. */
+    /** Starts the next record and returns its code, one of the events of {@link WireCodes}. */
     int nextRecord() {
         recordStart = buffer.position();
-        if (buffer.remaining() < 5) {
+        if (buffer.remaining() < WireCodes.RECORD_HEADER_BYTES) {
             throw new MalformedFrameException("record header cut short at byte " + recordStart);
         }
         int code = buffer.get() & 0xff;
@@ -51,7 +54,7 @@
         return !buffer.hasRemaining();
     }
 
-    private void need(long bytes) {
+    private void requireBytes(long bytes) {
         if (bytes > recordEnd - buffer.position()) {
             throw new MalformedFrameException(
                     "field cut short in the record at byte " + recordStart);
@@ -59,31 +62,33 @@
     }
 
     int u8() {
-        need(1);
+        requireBytes(1);
         return buffer.get() & 0xff;
     }
 
     int u16() {
-        need(2);
+        requireBytes(2);
         return buffer.getShort() & 0xffff;
     }
 
     long u32() {
-        need(4);
+        requireBytes(4);
         return buffer.getInt() & 0xffffffffL;
     }
 
     long i64() {
-        need(8);
+        requireBytes(8);
         return buffer.getLong();
     }
 
     float f32() {
-        need(4);
+        requireBytes(4);
         return buffer.getFloat();
     }
 
-    /** A time: unsigned on the wire, but no clock or span reaches the top bit. */
+    /**
+     * A time in nanoseconds: unsigned on the wire, but no clock or duration reaches the top bit.
+     */
     long time(String field) {
         long value = i64();
         if (value < 0) {
@@ -93,14 +98,14 @@
         return value;
     }
 
-    /** An upstream: four address bytes and a port, packed as one opaque number. */
+    /** An upstream host: four address bytes and a port, packed as one opaque number. */
     long upstream() {
         long address = u32();
         return address << 16 | u16();
     }
 
     byte[] bytes(long count) {
-        need(count);
+        requireBytes(count);
         byte[] out = new byte[(int) count];
         buffer.get(out);
         return out;
@@ -110,6 +115,7 @@
         return new String(bytes(count), StandardCharsets.UTF_8);
     }
 
+    /** A load report: a count (1 byte) and so many values; an empty array for none. */
     float[] report() {
         int count = u8();
         if (count == 0) {
--- a/sidecar/src/main/java/appleridge/simulator/PolicyHost.java
+++ b/sidecar/src/main/java/appleridge/simulator/PolicyHost.java
@@ -1,9 +1,7 @@
 package appleridge.simulator;
 
 import appleridge.config.PolicySettingsParser;
-import appleridge.loadbalancing.HostState;
 import appleridge.loadbalancing.LoadBalancingPolicy;
-import appleridge.loadbalancing.Outcome;
 import appleridge.loadbalancing.PolicySettings;
 import appleridge.loadbalancing.RequestInfo;
 import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
@@ -15,30 +13,15 @@
 import java.util.Map;
 
 /**
- * Hands the events of a batch to the instances they name. It decides nothing and shares nothing
- * between them.
+ * Hands the events of a batch to the policy instances that they name, one for each simulated
+ * sidecar. It decides nothing and shares nothing between them. Not thread-safe.
  */
 final class PolicyHost {
+    /** Lists of endpoints that can be defined at a time; they are numbered from 0. */
     private static final int MAX_LISTS = 16;
-    private static final int FIRST_ENTRIES = 1024;
 
-    /** The outcomes, lists and states by their codes on the wire. */
-    private static final Outcome[] OUTCOMES = {
-        Outcome.OK,
-        Outcome.ERROR,
-        Outcome.REJECTED,
-        Outcome.TIMEOUT,
-        Outcome.CONNECT_FAILED,
-        Outcome.RESET,
-        Outcome.CANCELLED,
-        Outcome.NEVER_SENT
-    };
-
-    private static final UpdateKind[] KINDS = {
-        UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT, UpdateKind.FAILURE
-    };
-
-    private static final HostState[] STATES = {HostState.GONE, HostState.READY, HostState.DRAINING};
+    /** Entries for which room is made by what a frame states alone, without having read them. */
+    private static final int MAX_INITIAL_CAPACITY = 1024;
 
     private final Map<Integer, LoadBalancingPolicy> instances = new HashMap<>();
     private final List<List<UpstreamHost>> lists = new ArrayList<>();
@@ -51,6 +34,13 @@
         }
     }
 
+    /**
+     * Hands out the events of one frame.
+     *
+     * @param now the simulated clock, in nanoseconds
+     * @param records how many events the frame states
+     * @throws MalformedFrameException if the frame breaks the format
+     */
     void batch(long now, long records, FrameReader in) {
         for (long i = 0; i < records; i++) {
             event(now, in.nextRecord(), in);
@@ -64,37 +54,37 @@
 
     private void event(long now, int code, FrameReader in) {
         switch (code) {
-            case 1 -> provision(now, in);
-            case 2 -> membership(now, in);
-            case 3 -> submit(now, in);
-            case 4 ->
+            case WireCodes.PROVISION -> provision(now, in);
+            case WireCodes.ENDPOINT_UPDATE -> updateEndpoints(now, in);
+            case WireCodes.REQUEST -> request(now, in);
+            case WireCodes.RESPONSE_STARTED ->
                     instance(in)
                             .onResponseStarted(
                                     now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
-            case 5 ->
+            case WireCodes.ATTEMPT_ENDED ->
                     instance(in)
                             .onAttemptEnded(
                                     now,
                                     in.u32(),
                                     in.u8(),
                                     in.upstream(),
-                                    in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                    WireCodes.outcome(in),
                                     in.time("timeTaken"),
                                     in.u8() != 0,
                                     in.report());
-            case 6 -> instance(in).onClientDisconnected(now, in.u32());
-            case 7 -> instance(in).onTimer(now, in.i64());
-            case 8 ->
+            case WireCodes.CLIENT_DISCONNECTED -> instance(in).onClientDisconnected(now, in.u32());
+            case WireCodes.TIMER -> instance(in).onTimer(now, in.i64());
+            case WireCodes.HEALTH_CHECK_RESULT ->
                     instance(in)
                             .onHealthCheckResult(
                                     now,
                                     in.upstream(),
-                                    in.choice(OUTCOMES, in.u8(), "stateCode"),
+                                    WireCodes.outcome(in),
                                     in.time("timeTaken"),
                                     in.report());
-            case 9 -> instance(in).onGossip(now, in.u16(), in.bytes(in.u16()));
-            case 10 -> instances.remove(in.u16());
-            case 11 -> defineList(in);
+            case WireCodes.GOSSIP -> instance(in).onGossip(now, in.u16(), in.bytes(in.u16()));
+            case WireCodes.REMOVE -> instances.remove(in.u16());
+            case WireCodes.DEFINE_LIST -> defineList(in);
             default ->
                     throw new MalformedFrameException(
                             "unknown event code " + code + " at byte " + in.recordStart());
@@ -121,9 +111,9 @@
         instance.start(now);
     }
 
-    private void membership(long now, FrameReader in) {
+    private void updateEndpoints(long now, FrameReader in) {
         LoadBalancingPolicy instance = instance(in);
-        UpdateKind kind = in.choice(KINDS, in.u8(), "form");
+        UpdateKind kind = WireCodes.updateKind(in);
         in.i64();
         long number = in.u32();
         if (kind == UpdateKind.FAILURE) {
@@ -137,15 +127,15 @@
         instance.onEndpointUpdate(now, kind, lists.get((int) number));
     }
 
-    private void submit(long now, FrameReader in) {
+    private void request(long now, FrameReader in) {
         LoadBalancingPolicy instance = instance(in);
         long id = in.u32();
         int requestClass = in.u8();
         int tenant = in.u16();
         long key = in.i64();
-        long left = in.time("left");
-        long hint = in.time("costGuess");
-        int bits = in.u8();
+        long remainingNanos = in.time("left");
+        long costHintNanos = in.time("costGuess");
+        int flags = in.u8();
         instance.onRequest(
                 now,
                 new RequestInfo(
@@ -153,10 +143,10 @@
                         requestClass,
                         tenant,
                         key,
-                        left,
-                        (bits & 1) != 0 ? hint : 0,
-                        (bits & 2) != 0,
-                        (bits & 4) != 0));
+                        remainingNanos,
+                        (flags & WireCodes.HAS_COST_HINT) != 0 ? costHintNanos : 0,
+                        (flags & WireCodes.CLIENT_RETRY) != 0,
+                        (flags & WireCodes.WRITE) != 0));
     }
 
     private void defineList(FrameReader in) {
@@ -166,7 +156,7 @@
                     "list number " + number + " out of range at byte " + in.recordStart());
         }
         long count = in.u32();
-        List<UpstreamHost> entries = new ArrayList<>((int) Math.min(count, FIRST_ENTRIES));
+        List<UpstreamHost> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_CAPACITY));
         for (long i = 0; i < count; i++) {
             entries.add(
                     new UpstreamHost(
@@ -174,7 +164,7 @@
                             in.u8(),
                             in.u16(),
                             in.u16(),
-                            in.choice(STATES, in.u8(), "status"),
+                            WireCodes.hostState(in),
                             in.f32(),
                             in.time("lastStart")));
         }
--- a/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
+++ b/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
@@ -8,12 +8,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the actions of one batch as a reply frame; written whole or not at all. */
+/**
+ * Collects the actions of one batch as a reply frame: count of records (4 bytes), length of the
+ * frame (4 bytes), records. Written as a whole or not at all. Not thread-safe.
+ */
 final class ReplyFrame {
     static final float[] NO_REPORT = {};
-    private static final int HEADER = 8;
+    private static final int HEADER_BYTES = 8;
+    private static final int LENGTH_OFFSET = 4;
+    private static final int INITIAL_BYTES = 1 << 16;
 
-    private byte[] bytes = new byte[1 << 16];
+    private byte[] bytes = new byte[INITIAL_BYTES];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
     private int count;
 
@@ -26,23 +31,30 @@
         return new Sink(sidecar);
     }
 
+    /** Drops what was collected. */
     void clear() {
-        buffer.position(HEADER);
+        buffer.position(HEADER_BYTES);
         count = 0;
     }
 
+    /** Writes the frame and begins the next one. */
     void writeTo(OutputStream out) throws IOException {
         buffer.putInt(0, count);
-        buffer.putInt(4, buffer.position());
+        buffer.putInt(LENGTH_OFFSET, buffer.position());
         out.write(bytes, 0, buffer.position());
         out.flush();
         clear();
     }
 
     private void begin(int code, int fields, int sidecar) {
-        if (buffer.remaining() < fields + 5) {
+        if (buffer.remaining() < fields + WireCodes.RECORD_HEADER_BYTES) {
             int position = buffer.position();
-            bytes = Arrays.copyOf(bytes, Math.max(bytes.length * 2, position + fields + 5));
+            bytes =
+                    Arrays.copyOf(
+                            bytes,
+                            Math.max(
+                                    bytes.length * 2,
+                                    position + fields + WireCodes.RECORD_HEADER_BYTES));
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
         buffer.put((byte) code).putInt(fields).putShort((short) sidecar);
@@ -60,76 +72,76 @@
             buffer.putInt((int) (id >>> 16)).putShort((short) id);
         }
 
-        private void text(int code, int head, byte[] data) {
+        private void beginWithBytes(int code, int head, byte[] data) {
             begin(code, head + 2 + data.length, sidecar);
         }
 
         @Override
-        public void sendAttempt(long request, long upstream, long timeout) {
-            begin(1, 20, sidecar);
+        public void sendAttempt(long request, long upstream, long timeoutNanos) {
+            begin(WireCodes.SEND_ATTEMPT, 20, sidecar);
             buffer.putInt((int) request);
             upstream(upstream);
-            buffer.putLong(timeout);
+            buffer.putLong(timeoutNanos);
         }
 
         @Override
-        public void reject(long request, long wait) {
-            begin(2, 14, sidecar);
-            buffer.putInt((int) request).putLong(wait);
+        public void reject(long request, long retryAfterNanos) {
+            begin(WireCodes.REJECT, 14, sidecar);
+            buffer.putInt((int) request).putLong(retryAfterNanos);
         }
 
         @Override
         public void fail(long request) {
-            begin(3, 6, sidecar);
+            begin(WireCodes.FAIL, 6, sidecar);
             buffer.putInt((int) request);
         }
 
         @Override
         public void cancelAttempt(long request, int attempt) {
-            begin(4, 7, sidecar);
+            begin(WireCodes.CANCEL_ATTEMPT, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
-        public void setTimer(long token, long at) {
-            begin(5, 18, sidecar);
-            buffer.putLong(token).putLong(at);
+        public void setTimer(long token, long atNanos) {
+            begin(WireCodes.SET_TIMER, 18, sidecar);
+            buffer.putLong(token).putLong(atNanos);
         }
 
         @Override
         public void sendHealthCheck(long upstream) {
-            begin(6, 8, sidecar);
+            begin(WireCodes.SEND_HEALTH_CHECK, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
         public void closeIdleConnections(long upstream) {
-            begin(7, 8, sidecar);
+            begin(WireCodes.CLOSE_IDLE_CONNECTIONS, 8, sidecar);
             upstream(upstream);
         }
 
         @Override
         public void sendGossip(int peer, byte[] message) {
-            text(8, 4, message);
+            beginWithBytes(WireCodes.SEND_GOSSIP, 4, message);
             buffer.putShort((short) peer).putShort((short) message.length).put(message);
         }
 
         @Override
         public void log(String line) {
             byte[] data = line.getBytes(StandardCharsets.UTF_8);
-            text(9, 2, data);
+            beginWithBytes(WireCodes.LOG, 2, data);
             buffer.putShort((short) data.length).put(data);
         }
 
         @Override
         public void subscribe(boolean on) {
-            begin(11, 3, sidecar);
+            begin(WireCodes.SUBSCRIBE, 3, sidecar);
             buffer.put((byte) (on ? 1 : 0));
         }
 
         @Override
         public void fetchEndpoints() {
-            begin(12, 2, sidecar);
+            begin(WireCodes.FETCH_ENDPOINTS, 2, sidecar);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/appleridge/simulator/SimulatorAdapter.java
@@ -10,9 +10,21 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** {@code java -jar appleridge.jar adapter}: plays the wire on standard input and output. */
+/**
+ * {@code java -jar appleridge.jar adapter}: speaks the simulator's wire protocol on standard input
+ * and output.
+ */
 public final class SimulatorAdapter {
-    private static final int HEADER = 16;
+    /** Clock (8 bytes, nanoseconds), length of the frame and count of records (4 bytes each). */
+    private static final int HEADER_BYTES = 16;
+
+    private static final int INITIAL_BODY_BYTES = 1 << 16;
+    private static final int INPUT_BUFFER_BYTES = 1 << 16;
+
+    /** The largest array that every JVM makes, and so the largest frame. */
+    private static final long MAX_FRAME_BYTES = Integer.MAX_VALUE - 64;
+
+    private static final long UNSIGNED_INT = 0xffffffffL;
 
     private SimulatorAdapter() {}
 
@@ -23,7 +35,8 @@
     public static void main() {
         try {
             run(
-                    new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
+                    new BufferedInputStream(
+                            new FileInputStream(FileDescriptor.in), INPUT_BUFFER_BYTES),
                     new FileOutputStream(FileDescriptor.out));
         } catch (IllegalArgumentException | IOException e) {
             System.err.println("appleridge: " + e.getMessage());
@@ -31,42 +44,30 @@
         }
     }
 
+    /**
+     * Answers each event frame of {@code in} with an action frame on {@code out}, until input ends.
+     *
+     * @throws MalformedFrameException naming the frame, if one breaks the format
+     */
     static void run(InputStream in, OutputStream out) throws IOException {
         ReplyFrame replies = new ReplyFrame();
         PolicyHost host = new PolicyHost(replies);
-        byte[] header = new byte[HEADER];
-        byte[] body = new byte[1 << 16];
-        for (long frame = 0; ; frame++) {
-            int got = in.readNBytes(header, 0, HEADER);
-            if (got == 0) {
-                return;
-            }
-            if (got < HEADER) {
-                throw new MalformedFrameException(
-                        "frame " + frame + ": header cut short after " + got + " bytes");
-            }
-            ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-            long now = head.getLong();
-            long length = head.getInt() & 0xffffffffL;
-            long records = head.getInt() & 0xffffffffL;
-            if (now < 0 || length < HEADER || length > Integer.MAX_VALUE - 64) {
+        byte[] header = new byte[HEADER_BYTES];
+        byte[] body = new byte[INITIAL_BODY_BYTES];
+        for (long frame = 0; readHeader(in, header, frame); frame++) {
+            ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+            long now = fields.getLong();
+            long length = fields.getInt() & UNSIGNED_INT;
+            long records = fields.getInt() & UNSIGNED_INT;
+            if (now < 0 || length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
                 throw new MalformedFrameException(
                         "frame " + frame + ": clock or length out of range");
             }
-            int size = (int) length - HEADER;
+            int size = (int) length - HEADER_BYTES;
             if (body.length < size) {
                 body = new byte[size + size / 2];
             }
-            got = in.readNBytes(body, 0, size);
-            if (got < size) {
-                throw new MalformedFrameException(
-                        "frame "
-                                + frame
-                                + ": states "
-                                + length
-                                + " bytes, ends after "
-                                + (got + HEADER));
-            }
+            readBody(in, body, size, frame);
             try {
                 host.batch(now, records, new FrameReader(body, size));
             } catch (IllegalArgumentException e) {
@@ -75,4 +76,29 @@
             replies.writeTo(out);
         }
     }
+
+    /** Whether there is another frame; its header is read then. */
+    private static boolean readHeader(InputStream in, byte[] header, long frame)
+            throws IOException {
+        int read = in.readNBytes(header, 0, HEADER_BYTES);
+        if (read > 0 && read < HEADER_BYTES) {
+            throw new MalformedFrameException(
+                    "frame " + frame + ": header cut short after " + read + " bytes");
+        }
+        return read > 0;
+    }
+
+    private static void readBody(InputStream in, byte[] body, int size, long frame)
+            throws IOException {
+        int read = in.readNBytes(body, 0, size);
+        if (read < size) {
+            throw new MalformedFrameException(
+                    "frame "
+                            + frame
+                            + ": states "
+                            + (size + HEADER_BYTES)
+                            + " bytes, ends after "
+                            + (read + HEADER_BYTES));
+        }
+    }
 }
