--- a/sidecar/src/main/java/appleridge/config/operator/TomlText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/TomlText.java
@@ -65,7 +65,7 @@
         } catch (JacksonException e) {
             malformed(e, findings);
         } catch (DateTimeException e) {
-            // Danger: the parser lets through what java.time says of an impossible date, as it is.
+            // The parser hands on what java.time throws for an impossible date.
             findings.problem(
                     "",
                     () -> Position.UNKNOWN,
--- a/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
+++ b/sidecar/src/main/java/appleridge/daemon/DiscoveryFactory.java
@@ -4,6 +4,7 @@
 import appleridge.discovery.DiscoveryListener;
 import appleridge.discovery.EndpointDiscovery;
 import appleridge.discovery.registry.EndpointListParser;
+import appleridge.discovery.registry.PollPolicy;
 import appleridge.discovery.registry.RegistryDiscovery;
 import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SocketFactory;
@@ -31,8 +32,7 @@
                 new EndpointListParser(config.zones(), config.kinds()),
                 sink,
                 config.pushed()
-                        ? RegistryDiscovery.PollPolicy.AGENT
-                        : RegistryDiscovery.PollPolicy.asked(
-                                config.settings().safetyLimits().pollIntervalNanos()));
+                        ? PollPolicy.AGENT
+                        : PollPolicy.asked(config.settings().safetyLimits().pollIntervalNanos()));
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
+++ b/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * Which upstream holds which address. Danger: an upstream may take the address of one that has gone
- * before the list knows of that. What is sent to the old one reaches the new one: cold, or told to
- * drain, as it may be. Only one process can listen at an address, so of two that are listed there
- * the one that started last is there.
+ * Which upstream host holds which address. A host may take the address of one that has gone before
+ * the list knows of that, and what is sent to the old one reaches the new one. Only one process can
+ * listen at an address, so of two that are listed there the one that started last holds it.
  *
- * <p>Danger: a list may be older than the one before, and name a process again whose address a
- * later one has taken. So who held an address last is known for a while beyond its being listed.
+ * <p>A list may be older than the one before it and name a process again whose address a later one
+ * has taken; so the last holder of an address is remembered beyond its being listed. Not
+ * thread-safe.
  */
 public final class AddressOwnership {
-    /** Addresses and upstreams that are remembered beyond being listed, the latest ones. */
+    /** Addresses and hosts that are remembered beyond being listed, the latest ones. */
     private static final int MAX_REMEMBERED = 4096;
 
     private record Holder(String id, long startedAt) {}
 
-    /** Where an upstream was listed last. */
+    /** Where a host was listed last. */
     private record Listing(InetSocketAddress address, long startedAt) {
         /** Instead of equals, which the JVM would have to make while the process starts. */
         boolean same(Listing before) {
@@ -37,11 +37,11 @@
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
 
     /**
-     * An upstream is listed at an address.
+     * A host is listed at an address.
      *
      * @param startedAt when it started, on any clock that all starts are on; 0 for long ago
-     * @return the id of the upstream that is not there (any more): another one's, or its own; null
-     *     for none
+     * @return the id of the host that is not at the address (any more): another one, or this one;
+     *     null for none
      */
     public String register(String id, InetSocketAddress address, long startedAt) {
         releaseIfMoved(id, address);
@@ -65,8 +65,9 @@
     }
 
     /**
-     * An upstream is about to be listed at an address; to be called for all of a list before any is
-     * listed. Danger: where two swap addresses in one list, each would find the other still there.
+     * A host is about to be listed at an address. To be called for all of a list before any of it
+     * is registered: of two hosts that swap addresses in one list, each would else find the other
+     * one still there.
      */
     public void releaseIfMoved(String id, InetSocketAddress address) {
         InetSocketAddress before = addresses.get(id);
@@ -76,7 +77,7 @@
         }
     }
 
-    /** An upstream is listed no more. */
+    /** A host is listed no more. */
     public void forget(String id) {
         InetSocketAddress address = addresses.remove(id);
         if (address != null) {
--- a/sidecar/src/main/java/appleridge/discovery/DiscoveredEndpoint.java
+++ b/sidecar/src/main/java/appleridge/discovery/DiscoveredEndpoint.java
@@ -4,10 +4,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * An upstream as a source of the list has it.
+ * An upstream host as a source of the list has it.
  *
- * @param id the same at every sidecar, over restarts of the upstream's process, and in all sources
- * @param zone its place among the settings' zones, and so {@code kind} and {@code cell}
+ * @param id the same at every sidecar, over restarts of the host's process, and in all sources
+ * @param zone position of its zone among the configured ones
+ * @param kind position of its machine type among the configured ones
+ * @param cell number of its cell
  * @param weight its registered size
  * @param startedAtUnixMillis Unix time in milliseconds at which it last started; 0 for long ago
  */
--- a/sidecar/src/main/java/appleridge/discovery/DiscoveryListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/DiscoveryListener.java
@@ -3,8 +3,13 @@
 import appleridge.loadbalancing.UpdateKind;
 import java.util.List;
 
-/** Takes what a source of the list has to tell, on the loop. */
+/** Takes the updates of an {@link EndpointDiscovery}, on the event loop. */
 public interface DiscoveryListener {
-    /** News of the list; none with {@link ListValueKind#FAILURE}. */
+    /**
+     * An update of the endpoint list.
+     *
+     * @param kind whether {@code members} is a snapshot or a delta
+     * @param members the endpoints; empty with {@link UpdateKind#FAILURE}
+     */
     void onUpdate(UpdateKind kind, List<DiscoveredEndpoint> members);
 }
--- a/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
@@ -15,14 +15,16 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * What members of the list are to the decision module: a number for each, one place on the
- * sidecar's clock for each start, one upstream at an address. Keeps nothing of who is listed no
- * more.
+ * Turns discovery's endpoints into what the load-balancing policy knows: a number for each host,
+ * its start on the sidecar's clock, and one host at an address. Keeps nothing of hosts that are
+ * listed no more, but for {@link AddressOwnership}. Not thread-safe.
  */
 public final class EndpointTable {
     /**
-     * News of the list as the module takes it, where its upstreams listen, and their ids in the
-     * list.
+     * An update as the policy takes it.
+     *
+     * @param addresses where its hosts listen, by their numbers
+     * @param ids their ids in the list, by their numbers
      */
     public record EndpointUpdate(
             UpdateKind kind,
@@ -34,15 +36,15 @@
     private final StartTimes starts;
     private final AddressOwnership ownership = new AddressOwnership();
 
-    /** What is listed, as it was listed last. */
+    /** What is listed, as it was listed last, by id. */
     private final Map<String, DiscoveredEndpoint> lastListed = new HashMap<>();
 
-    /** With what places a Unix time in milliseconds on the sidecar's clock. */
+    /** {@code place}: from Unix time in milliseconds to nanoseconds on the sidecar's clock. */
     public EndpointTable(LongUnaryOperator place) {
         this.starts = new StartTimes(place);
     }
 
-    /** Takes in news of the list; who is missing from a whole one is gone. */
+    /** Takes an update in; hosts that a snapshot leaves out are gone. */
     public EndpointUpdate update(UpdateKind kind, List<DiscoveredEndpoint> told) {
         Collection<DiscoveredEndpoint> members = lastOfEach(told);
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
@@ -81,9 +83,9 @@
     }
 
     /**
-     * Of each the last word. Danger: a list of changes may have all that became of one since the
-     * last call, gone and there again; forgotten for the first of them, it would be missing when
-     * another one takes its address, and the news that tell of that would be lost whole.
+     * The last entry for each id. A delta may hold all that became of a host since the last call,
+     * gone and there again; were the first entry to count, the host would be unknown when another
+     * one takes its address, and that update would be lost.
      */
     private static Collection<DiscoveredEndpoint> lastOfEach(List<DiscoveredEndpoint> told) {
         Map<String, DiscoveredEndpoint> last = new LinkedHashMap<>();
@@ -91,7 +93,7 @@
         return last.values();
     }
 
-    /** The members, and as gone those whose address another one has taken. */
+    /** The endpoints, and as gone those whose address another one has taken. */
     private Map<String, DiscoveredEndpoint> withDisplacedAsGone(
             Collection<DiscoveredEndpoint> members) {
         for (DiscoveredEndpoint member : members) {
--- a/sidecar/src/main/java/appleridge/discovery/StartTimes.java
+++ b/sidecar/src/main/java/appleridge/discovery/StartTimes.java
@@ -6,9 +6,9 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * When upstreams last started, on the sidecar's own clock. Danger: an upstream whose start moved
- * between two lists would be taken for restarted, so a start keeps the place that it was given
- * first, also when the wall clock by which it was placed has stepped since.
+ * When upstream hosts last started, on the sidecar's own clock. A start keeps the place on that
+ * clock that it was given first, also when the wall clock has stepped since: a start that moved
+ * between two lists would be taken for a restart. Not thread-safe.
  */
 public final class StartTimes {
     private record Start(long unixMillis, long at) {}
@@ -16,12 +16,16 @@
     private final LongUnaryOperator place;
     private final Map<String, Start> starts = new HashMap<>();
 
-    /** With what places a Unix time in milliseconds on the sidecar's clock. */
+    /** {@code place}: from Unix time in milliseconds to nanoseconds on the sidecar's clock. */
     public StartTimes(LongUnaryOperator place) {
         this.place = place;
     }
 
-    /** When an upstream started, from the Unix time that the list has; 0 for long ago. */
+    /**
+     * When a host started, in nanoseconds on the sidecar's clock; 0 for long ago.
+     *
+     * @param unixMillis the start as the list has it; 0 for long ago
+     */
     public long clockNanos(String id, long unixMillis) {
         if (unixMillis == 0) {
             starts.remove(id);
--- a/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
+++ b/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * The numbers by which the decision module knows upstreams. A number follows from the upstream's id
- * alone, so that an upstream that comes back, a peer and a next process all mean the same one by
- * it. Of two ids that fall on one number, which takes an odd hundred million of them, the later one
- * here takes the next free number.
+ * The numbers by which the policy knows upstream hosts. A number follows from the host's id alone,
+ * so that a host that comes back, a peer and a next process all mean the same one by it. Of two ids
+ * with one hash, which takes about a hundred million of them, the later one takes the next free
+ * number. Not thread-safe.
  */
 public final class UpstreamIds {
-    /** What the module's notes to its peers have room for. */
+    /** Bits that a gossip message has for a number. */
     private static final int BITS = 48;
 
     private static final long MASK = (1L << BITS) - 1;
@@ -23,7 +23,7 @@
     private final Map<String, Long> numbers = new HashMap<>();
     private final Set<Long> taken = new HashSet<>();
 
-    /** The number that an id falls on: FNV-1a, folded to 48 bits, never 0. */
+    /** The hash of an id: FNV-1a, folded to 48 bits, never 0. */
     public static long natural(String id) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < id.length(); i++) {
@@ -32,7 +32,7 @@
         return Math.max(1, (hash ^ hash >>> BITS) & MASK);
     }
 
-    /** The number of an upstream that is listed. */
+    /** The number of a host that is listed. */
     public long number(String id) {
         Long known = numbers.get(id);
         if (known != null) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * The one list: each upstream as the sources together have it, and what of that has been told. What
- * is to be told follows from what the sources have now, not from the order in which they came to
- * it.
+ * The one endpoint list: each host as the sources together have it, and what of that was published.
+ * What is to be published follows from what the sources have now, not from the order in which they
+ * came to it. Not thread-safe.
  */
 final class MergedEndpoints {
     private final NodeState nodes;
@@ -34,7 +34,7 @@
         return published.size();
     }
 
-    /** What has changed of these since it was told last; counts as told from now on. */
+    /** What has changed of these ids since it was published; counts as published from now on. */
     List<DiscoveredEndpoint> changes(Collection<String> touched) {
         Set<String> affected = new LinkedHashSet<>();
         for (String id : touched) {
@@ -72,7 +72,7 @@
         return List.copyOf(published.values());
     }
 
-    /** Whether it would matter at once that this is told: work goes to where it should not. */
+    /** Whether publishing an id can't wait: requests go to a host that should get none. */
     boolean isUrgent(String id) {
         Candidate next = candidate(id);
         if (next != null) {
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Danger: who has lost its address to a process that began later would be back in the list when
-     * that one ends, and what is sent to it reaches the later one, that drains, or the one after
-     * that.
+     * Marks hosts that have lost their address to a process that began later. Without the mark they
+     * would be listed again when that process ends, and requests to them would reach it while it
+     * drains, or the process after it.
      */
     private void markDisplaced(Collection<String> affected) {
         for (String id : affected) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -3,26 +3,25 @@
 import appleridge.discovery.DiscoveredEndpoint;
 import appleridge.loadbalancing.UpdateKind;
 import java.util.ArrayList;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
 /**
- * Makes one list of what the nodes and, if it is asked too, the registry say. What was told is
- * believed at once; where nothing was told the last list stands. Everything comes in on one thread
- * with a time that never runs back.
+ * Makes one endpoint list of what the nodes and, if it is polled too, the registry say. What was
+ * notified is believed at once; where nothing new is known the last list stands, and {@link
+ * #doubt()} says why. To be called on one thread, with times in nanoseconds on the loop's clock
+ * that never run back.
  */
 public final class NodeDiscovery {
     /** Takes the list. */
     public interface Sink {
         /**
-         * News of the list.
+         * An update of the list.
          *
-         * @param source the source that they came from
-         * @param toldAt when they were told, on the loop's clock
+         * @param source {@link #NODES} or {@link #REGISTRY}
+         * @param toldAt when it was notified, on the loop's clock
          */
         void told(UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt);
     }
@@ -30,13 +29,14 @@
     /**
      * Times in nanoseconds.
      *
-     * @param readWithin a change whose data takes longer stops new work to its server
-     * @param goneAfter for so long a server whose node vanished is kept, in case that it comes back
-     * @param tick how often {@link #tick} is called; what is told in between waits for it, but for
-     *     the first word in such a while of a server that wants no new work
+     * @param readWithin a change whose data takes longer to read stops new requests to its server
+     * @param goneAfter how long a server whose node was deleted is remembered, in case that it
+     *     comes back
+     * @param tick how often {@link NodeDiscovery#tick} is called; what is notified in between is
+     *     published with it, but for the first change in such a time that stops requests to a host
      */
     public record Settings(long readWithin, long goneAfter, long tick) {
-        /** What nobody sets otherwise. */
+        /** The defaults of the product. */
         public static final Settings USUAL =
                 new Settings(
                         TimeUnit.SECONDS.toNanos(1),
@@ -44,15 +44,15 @@
                         TimeUnit.MILLISECONDS.toNanos(100));
     }
 
-    /** What the list's news are said to come from. */
+    /** Source of an update: ephemeral nodes. */
     public static final String NODES = "nodes";
 
-    /** The same. */
+    /** Source of an update: the registry. */
     public static final String REGISTRY = "registry";
 
     /**
-     * What an ensemble that began anew has not got is kept for so long, for all who register find
-     * out about it one after the other. Danger: the first that is back would be sent everything.
+     * How long servers that an ensemble which began anew has not got are kept: they register again
+     * one after the other, and the first one back would be sent all requests.
      */
     private static final long REREGISTRATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -80,18 +80,14 @@
     /** What the next snapshot leaves out is gone, whatever history it is of. */
     private boolean accepted;
 
-    /** Ids of which something has changed and was not told. */
-    private final Set<String> unpublished = new LinkedHashSet<>();
-
-    private long unpublishedSinceNanos = NEVER;
-
-    /** Those of the present event, and when that was told. */
-    private final List<String> touched = new ArrayList<>();
+    private final PendingChanges pending = new PendingChanges();
 
+    /** When the present event was notified. */
     private long notifiedAtNanos;
+
     private long lastPublishedNanos = Long.MIN_VALUE;
 
-    /** {@code news} and {@code warning}: for operators. */
+    /** {@code news} and {@code warning} take log lines for operators. */
     public NodeDiscovery(
             SourceSelection merge,
             Settings settings,
@@ -104,11 +100,11 @@
         this.infoLog = news;
         this.warningLog = warning;
         this.unreadable = new UnreadableNodes(warning);
-        this.registry = new RegistryState(this::touch);
+        this.registry = new RegistryState(pending::touch);
         this.nodes =
                 new NodeState(
                         settings,
-                        this::touch,
+                        pending::touch,
                         this::onNodeDeleted,
                         node -> registry.onNodeReturned(node.endpoint()),
                         unreadable);
@@ -156,7 +152,7 @@
     private void onRegistryListing(TrackedNode node) {
         node.onRegistryListing();
         if (!node.exists()) {
-            // Danger: the slower source may list what it has not heard the end of.
+            // The slower source may list a process whose end it was not notified of yet.
             registry.onNodeDeleted(node.endpoint());
         }
     }
@@ -190,20 +186,47 @@
      * @param read all nodes by name
      */
     public void snapshot(long now, long asOf, long zxid, Map<String, NodeRead> read) {
-        if (session != SessionState.CONNECTED && (session != SessionState.READ_ONLY || nodesRead)) {
+        if (!takesSnapshots() || !acceptsState(now, zxid, read)) {
             return;
         }
+        nodes.onSnapshot(now, asOf, read);
+        if (accepted) {
+            accepted = false;
+            nodes.dropLostHistory(now);
+        }
+        int sizeBefore = merged.size();
+        List<DiscoveredEndpoint> changes = changes();
+        boolean first = !nodesRead;
+        nodesRead = true;
+        endStaleness(sizeBefore);
+        if (first) {
+            publish(now, UpdateKind.SNAPSHOT, merged.all(), NODES, notifiedAtNanos);
+        } else if (!changes.isEmpty()) {
+            publish(now, UpdateKind.DELTA, changes, NODES, notifiedAtNanos);
+        }
+    }
+
+    /** A server without its quorum will do for the first snapshot alone. */
+    private boolean takesSnapshots() {
+        return session == SessionState.CONNECTED || session == SessionState.READ_ONLY && !nodesRead;
+    }
+
+    /** Whether a snapshot counts, by its transactions; prepares for it if so. */
+    private boolean acceptsState(long now, long zxid, Map<String, NodeRead> read) {
         boolean holdsEntries = read.values().stream().anyMatch(each -> each.data() != null);
         TransactionHistory.Verdict verdict = history.classify(now, zxid, holdsEntries);
-        if (verdict == TransactionHistory.Verdict.OLDER) {
-            markStale(StalenessCause.OLDER);
-            return;
-        }
-        if (verdict == TransactionHistory.Verdict.LOST) {
-            markStale(StalenessCause.WIPED);
-            return;
+        switch (verdict) {
+            case OLDER -> {
+                markStale(StalenessCause.OLDER);
+                return false;
+            }
+            case LOST -> {
+                markStale(StalenessCause.WIPED);
+                return false;
+            }
+            case CURRENT, RESTARTED -> notifiedAtNanos = now;
+            default -> throw new IllegalArgumentException("verdict " + verdict);
         }
-        notifiedAtNanos = now;
         if (verdict == TransactionHistory.Verdict.RESTARTED) {
             nodes.startNewHistory();
             lostHistoryUntilNanos = now + REREGISTRATION_WINDOW_NANOS;
@@ -214,15 +237,10 @@
         if (!nodesRead && merge == SourceSelection.NODES) {
             registry.update(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
         }
-        nodes.onSnapshot(now, asOf, read);
-        if (accepted) {
-            accepted = false;
-            nodes.dropLostHistory(now);
-        }
-        int before = merged.size();
-        List<DiscoveredEndpoint> changes = changes();
-        boolean first = !nodesRead;
-        nodesRead = true;
+        return true;
+    }
+
+    private void endStaleness(int sizeBefore) {
         if (session == SessionState.CONNECTED && doubt != StalenessCause.NONE) {
             doubt = StalenessCause.NONE;
             infoLog.accept(
@@ -231,14 +249,9 @@
                             + ": "
                             + merged.size()
                             + " servers, "
-                            + before
+                            + sizeBefore
                             + " before");
         }
-        if (first) {
-            publish(now, UpdateKind.SNAPSHOT, merged.all(), NODES, notifiedAtNanos);
-        } else if (!changes.isEmpty()) {
-            publish(now, UpdateKind.DELTA, changes, NODES, notifiedAtNanos);
-        }
     }
 
     /** A node was made or its data changed; what it holds is being read. */
@@ -246,8 +259,8 @@
         if (session == SessionState.READ_ONLY || doubt == StalenessCause.WIPED) {
             return;
         }
-        // Danger: a server that lags tells of the making of nodes whose end has long been told and
-        // forgotten.
+        // A server that lags notifies the creation of nodes whose deletion was notified and
+        // forgotten long before.
         if (doubt != StalenessCause.NONE && history.mayPredate(zxid) && !nodes.isKnown(name)) {
             return;
         }
@@ -316,39 +329,26 @@
             lostHistoryUntilNanos = NEVER;
             nodes.dropLostHistory(now);
         }
-        collectTouched();
+        pending.endEvent(notifiedAtNanos);
         if (nodesRead) {
             flush(now);
         }
     }
 
-    // ---- what is told
-
-    private void touch(String id) {
-        touched.add(id);
-    }
-
-    /** The present event is over: what it touched waits to be told. */
-    private void collectTouched() {
-        if (!touched.isEmpty()) {
-            unpublished.addAll(touched);
-            unpublishedSinceNanos = Math.min(unpublishedSinceNanos, notifiedAtNanos);
-            touched.clear();
-        }
-    }
+    // ---- what is published
 
     private void flushIfUrgent(long now) {
         List<String> urgent = new ArrayList<>();
-        for (String id : touched) {
+        for (String id : pending.touched()) {
             if (merged.isUrgent(id)) {
                 urgent.add(id);
             }
         }
-        collectTouched();
+        pending.endEvent(notifiedAtNanos);
         if (!nodesRead && !urgent.isEmpty()) {
             // Of the list from before the start; what else comes now is of one that isn't known
             // yet.
-            unpublished.removeAll(urgent);
+            pending.remove(urgent);
             publish(now, UpdateKind.DELTA, merged.changes(urgent), NODES, notifiedAtNanos);
         } else if (!urgent.isEmpty() && now - settings.tick() >= lastPublishedNanos) {
             flush(now);
@@ -356,19 +356,16 @@
     }
 
     private void flush(long now) {
-        long since = Math.min(unpublishedSinceNanos, now);
+        long sinceNanos = pending.sinceNanos(now);
         List<DiscoveredEndpoint> changes = changes();
         if (!changes.isEmpty()) {
-            publish(now, UpdateKind.DELTA, changes, NODES, since);
+            publish(now, UpdateKind.DELTA, changes, NODES, sinceNanos);
         }
     }
 
     private List<DiscoveredEndpoint> changes() {
-        collectTouched();
-        List<DiscoveredEndpoint> changes = merged.changes(unpublished);
-        unpublished.clear();
-        unpublishedSinceNanos = NEVER;
-        return changes;
+        pending.endEvent(notifiedAtNanos);
+        return merged.changes(pending.drain());
     }
 
     private void publish(
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
@@ -10,18 +10,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** All nodes: what is told of them in whatever order it comes, and what follows from time alone. */
+/**
+ * All nodes: takes what is notified and read of them in whatever order it comes, and what follows
+ * from time alone. Not thread-safe; times are nanoseconds on the loop's clock.
+ */
 final class NodeState {
     private final long readTimeoutNanos;
     private final long removalDelayNanos;
 
-    /** Told the id of each server of which something has changed. */
+    /** Takes the id of each server of which something has changed. */
     private final Consumer<String> onTouched;
 
-    /** Told of each node that has vanished, before it is touched. */
+    /** Takes each node that is deleted, before it is touched. */
     private final Consumer<TrackedNode> onDeleted;
 
-    /** Told of each one that is there for the first time, or again. */
+    /** Takes each node that is there for the first time, or again. */
     private final Consumer<TrackedNode> onReturned;
 
     private final UnreadableNodes unreadable;
@@ -104,7 +107,7 @@
     void onNodeDeleted(long nowNanos, long zxid, String name) {
         TrackedNode node = nodes.get(name);
         if (node == null) {
-            // Danger: what was read of it before its end may still come.
+            // Remembered, because what was read of it before its deletion may still come.
             node = add(name);
         } else if (zxid > 0 && zxid < node.latestZxid()) {
             // Made again since, as was told; what is known of it is of the one that has ended.
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
@@ -13,14 +13,14 @@
 import java.util.function.Consumer;
 
 /**
- * What the registry lists, and which of that a node's end has spoken of already. A server is the
- * process that began at its start: what begins later under the same id is another one, of which no
- * end has been told.
+ * What the registry lists, and which of that has ended by the deletion of a node. A server is the
+ * process that began at its start: what begins later under the same id is another one, whose end
+ * was not notified.
  */
 final class RegistryState {
     /**
-     * Two sources may name one process's start so far apart, in milliseconds. Danger: taken for
-     * two, the end that one source tells would be undone by the other, slower one.
+     * How far apart, in milliseconds, two sources may name one process's start. Taken for two
+     * processes, the end that one source notifies would be undone by the other, slower one.
      */
     static final long SAME_START_TOLERANCE_MILLIS = 5000;
 
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
@@ -1,8 +1,8 @@
 package appleridge.discovery.ephemeral;
 
-/** Why the last list stands although nothing new is known. */
+/** Why the list is stale: the last one stands although nothing new is known. */
 public enum StalenessCause {
-    /** None: what the nodes say holds. */
+    /** The list is not stale. */
     NONE("the coordination service is heard"),
     /** No server of the ensemble answers. */
     NOT_CONNECTED("the coordination service can't be reached"),
@@ -25,7 +25,7 @@
         this.description = words;
     }
 
-    /** For operators. */
+    /** For log lines that operators read. */
     public String description() {
         return description;
     }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
@@ -3,7 +3,7 @@
 import appleridge.discovery.DiscoveredEndpoint;
 import appleridge.loadbalancing.HostState;
 
-/** One node: what is known of it, and how sure that is. */
+/** One node: its data as read last, and what was notified of it since. Not thread-safe. */
 final class TrackedNode {
     /** No such time. */
     static final long NEVER = Long.MAX_VALUE;
@@ -16,7 +16,7 @@
 
     final String name;
 
-    /** As it was last read; null if it never was. */
+    /** As it was read last; null if it never was. */
     private NodeData data;
 
     private long startedMillis;
@@ -27,7 +27,7 @@
     long czxid;
     long mzxid;
 
-    /** A change was told whose data has not come. */
+    /** A change was notified whose data was not read yet. */
     boolean readPending;
 
     long pendingZxid;
@@ -36,7 +36,7 @@
     /** When it was told last that it was made or changed. */
     long notifiedAtNanos = Long.MIN_VALUE;
 
-    /** The data is late, and there is no telling what it says. */
+    /** The data is overdue: the node may be draining. */
     boolean readOverdue;
 
     boolean unreadable;
@@ -134,8 +134,9 @@
     }
 
     /**
-     * Danger: a process restarted under a clock that had stepped back names a start before the one
-     * known, and would be taken for the old one; its node's making is then the better word.
+     * The start to go by. A process that was restarted under a clock that had stepped back names a
+     * start before the known one, and would be taken for the old process; the node's creation
+     * counts then.
      */
     private long resolveStartMillis(NodeRead read) {
         long statedMillis = read.data().startedMillis();
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
@@ -3,13 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the ensemble's transactions tell of a state that was read: whether it is newer than what was
- * told before, older, or of an ensemble that has lost its past.
+ * Judges a state that was read by the ensemble's transaction numbers: newer than what was notified
+ * before, older, or of an ensemble that has lost its past. Not thread-safe; times are nanoseconds
+ * on the loop's clock.
  */
 final class TransactionHistory {
-    /** What a state that was read is to what was told before. */
+    /** What a state that was read is to what was notified before. */
     enum Verdict {
-        /** No older: it holds, and so does what it leaves out. */
+        /** No older: it holds, and what it leaves out is gone. */
         CURRENT,
         /** A server that lags. */
         OLDER,
@@ -20,8 +21,8 @@
     }
 
     /**
-     * A server that lags for so long is no part of its ensemble any more. Danger: taken for a new
-     * beginning, what it has not heard of yet would undo what was told.
+     * A server that lags for longer is no part of its ensemble any more. A shorter limit would take
+     * a lagging server's state for a new history, and undo changes that were notified.
      */
     private static final long MAX_REPLICA_LAG_NANOS = TimeUnit.SECONDS.toNanos(15);
 
@@ -39,7 +40,7 @@
     private boolean newSession;
     private boolean lost;
 
-    /** Something was told of this transaction. */
+    /** An event named this transaction. */
     void onEvent(long zxid) {
         if (lost) {
             return;
@@ -53,7 +54,7 @@
         connectionZxid = 0;
     }
 
-    /** Whether an event may be part of what was told long ago; also where nothing tells. */
+    /** Whether an event may be older than what was notified before. */
     boolean mayPredate(long zxid) {
         return zxid < highestZxid;
     }
@@ -66,7 +67,7 @@
         staleSinceNanos = NEVER;
     }
 
-    /** It is known otherwise that the past is lost. */
+    /** It is known from the root that the past is lost. */
     void markLost() {
         lost = true;
     }
@@ -75,7 +76,7 @@
         return lost;
     }
 
-    /** Whatever comes next is right. */
+    /** An operator says that whatever comes next is right. */
     void trustNext() {
         highestZxid = 0;
         restart();
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Nodes that can't be read: counted, and named once each as long as they are few. */
+/** Nodes whose data can't be read: counted, and up to a number of them logged once each. */
 final class UnreadableNodes {
     private static final int MAX_NAMED = 100;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** It has been read; what is wrong with it later is not told again. */
+    /** It was read; if it can't be read again later, that is not logged again. */
     void remove(String name) {
         unreadable.remove(name);
     }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The list of upstreams from ephemeral nodes of a coordination service, alone or merged with the
- * registry's: what counts as told, what is in doubt, and which source is believed where they
- * disagree. Pure; what talks to the service stands beside it.
+ * The endpoint list from ephemeral nodes of a coordination service, alone or merged with the
+ * registry's: when a change counts as notified, when the list is stale, and which source is
+ * believed where they disagree. Pure logic on one thread; what talks to the service stands beside
+ * it in {@code zookeeper}.
  */
 package appleridge.discovery.ephemeral;
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** What a server's node holds. */
+/** Writes the data of a server's node; {@code NodeJsonParser} reads it at the sidecars. */
 final class NodeJsonWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -29,7 +29,7 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** When the server that a node tells of has started; 0 if it doesn't say. */
+    /** Unix time in milliseconds at which a node's server started; 0 if it doesn't say. */
     static long startedMillis(byte[] data) {
         try {
             JsonNode node = data == null ? null : JSON.readTree(data);
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
@@ -16,9 +16,10 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Keeps one ephemeral node, over connections and sessions that are lost, until it is closed.
- * Danger: a node that is there may belong to a session that is about to end, and would vanish with
- * it; so its owner is compared, and one of another session is deleted and made anew.
+ * Keeps one ephemeral node, over lost connections and sessions, until it is closed. A node that is
+ * there may belong to a session that is about to end, and would vanish with it; so a node of
+ * another session is deleted and made anew. Methods may be called on any thread; the work is done
+ * on one of its own.
  */
 public final class NodeRegistration implements AutoCloseable {
     /** What to do, on the one thread that does it. */
@@ -30,7 +31,7 @@
 
     private static final long RETRY_MILLIS = 1000;
 
-    /** The node is looked at this often although nothing was told. */
+    /** How often the node is checked although no event came. */
     private static final long CHECK_MILLIS = 10_000;
 
     private static final int MAX_ATTEMPTS = 5;
@@ -212,8 +213,8 @@
     }
 
     /**
-     * Danger: a node made anew begins at version 0 again, so the version is no proof that it is
-     * still that one.
+     * Deletes a node of another session. A node made anew begins at version 0 again, so the version
+     * is no proof that it is still the same node; {@link #ensureRegistered} looks again.
      */
     private void delete(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
@@ -19,7 +19,7 @@
  * child is told a while later.
  */
 public final class RegisterCommand {
-    /** Exit status where the command makes no sense. */
+    /** Exit status where the arguments are not allowed. */
     public static final int EXIT_USAGE = 2;
 
     /** As shells have it for a command that can't be started. */
@@ -29,9 +29,7 @@
     private static final int RESPONSE_TIMEOUT_MILLIS = 1000;
     private static final long HEALTH_CHECK_MILLIS = 100;
 
-    /**
-     * For so long the session's end is waited for; without that the node ends with its time-out.
-     */
+    /** How long the session's end is waited for; later the node ends with the session time-out. */
     private static final long SESSION_CLOSE_MILLIS = 4000;
 
     private static final System.Logger LOG = System.getLogger("appleridge");
@@ -101,7 +99,7 @@
             }
             drained.countDown();
             if (ending.getCount() == 0) {
-                // Danger: the JVM is ending already, and only the hook can still set its status.
+                // The JVM is shutting down, and only the hook can still set its exit status.
                 new CountDownLatch(1).await();
             }
             return status;
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -18,9 +18,12 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to discovery, with one call at a time on it. */
+/**
+ * One connection to the registry, with one call at a time on it. All methods are to be called, and
+ * the caller is notified, on the event loop.
+ */
 final class RegistryConnection {
-    /** Told once for each call, and never inside it, unless the connection was dropped. */
+    /** Notified once for each call, and never inside it, unless the connection was dropped. */
     interface Caller {
         /** With the answer, which is released when this returns. */
         void onResponse(RegistryConnection by, FullHttpResponse answer);
@@ -68,35 +71,7 @@
                                                         new HttpObjectAggregator(
                                                                 MAX_RESPONSE_BYTES),
                                                         new ResponseHandler()))
-                        .connect(
-                                address,
-                                new Connector.Listener() {
-                                    @Override
-                                    public void connected(Channel opened) {
-                                        channel = opened;
-                                        if (dropped) {
-                                            opened.close();
-                                        } else if (pending != null) {
-                                            write(pending);
-                                        }
-                                    }
-
-                                    @Override
-                                    public void failed(Throwable cause) {
-                                        end("can't connect");
-                                    }
-
-                                    @Override
-                                    public void noSocket(Throwable cause) {
-                                        boolean told = calling && !dropped;
-                                        calling = false;
-                                        drop();
-                                        if (told) {
-                                            caller.onNoSocket(
-                                                    RegistryConnection.this, cause.getMessage());
-                                        }
-                                    }
-                                });
+                        .connect(address, new ConnectListener());
     }
 
     /** Whether the next call may go out on it. */
@@ -135,21 +110,48 @@
         }
     }
 
-    /** Closes it; nothing more is told. */
+    /** Closes it; the caller is not notified any more. */
     void drop() {
         dropped = true;
         connecting.close();
     }
 
     private void end(String why) {
-        boolean told = calling && !dropped;
+        boolean waiting = calling && !dropped;
         calling = false;
         drop();
-        if (told) {
+        if (waiting) {
             caller.onFailure(this, why);
         }
     }
 
+    private final class ConnectListener implements Connector.Listener {
+        @Override
+        public void connected(Channel opened) {
+            channel = opened;
+            if (dropped) {
+                opened.close();
+            } else if (pending != null) {
+                write(pending);
+            }
+        }
+
+        @Override
+        public void failed(Throwable cause) {
+            end("can't connect");
+        }
+
+        @Override
+        public void noSocket(Throwable cause) {
+            boolean waiting = calling && !dropped;
+            calling = false;
+            drop();
+            if (waiting) {
+                caller.onNoSocket(RegistryConnection.this, cause.getMessage());
+            }
+        }
+    }
+
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
@@ -172,8 +174,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Danger: closed alone, it would still take what was read with it, behind an answer too
-            // long.
+            // Ended, not closed alone: a closed channel would still hand on what was read with it,
+            // after a response that is too long.
             end("an answer that can't be read: " + cause.getMessage());
         }
     }
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -18,72 +18,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the list of upstreams: one watch after the other, one call at a time. When to ask again
- * after a failure is the module's to say: it is told of each and subscribes again.
+ * Follows the registry's endpoint list: one watch after the other, one call at a time. When to poll
+ * again after a failure is the policy's decision: it is notified of each failure and subscribes
+ * again. All methods are to be called on the event loop.
  */
 public final class RegistryDiscovery implements EndpointDiscovery, RegistryConnection.Caller {
-    /**
-     * How long what is asked may take, in nanoseconds.
-     *
-     * @param watch a watch without news
-     * @param onOverdueResponse what a watch may take beyond that before discovery is asked beside
-     *     it
-     * @param patience a call that need not wait
-     * @param wholeAgain what has failed is followed by a call for the whole list, which need not
-     *     wait, and not by a watch
-     * @param holds for so long after a call no more counts as told than what was written
-     */
-    public record PollPolicy(
-            long watchNanos,
-            long watchGraceNanos,
-            long callTimeoutNanos,
-            boolean snapshotAfterFailure,
-            long notificationDelayNanos) {
-        /**
-         * Where an agent on the same machine has what is pushed. It answers at once or, while what
-         * is behind it is down, not at all; and when it is back what it has counts as told, by
-         * whatever call.
-         */
-        public static final PollPolicy AGENT =
-                new PollPolicy(
-                        TimeUnit.SECONDS.toNanos(1),
-                        TimeUnit.MILLISECONDS.toNanos(250),
-                        TimeUnit.MILLISECONDS.toNanos(150),
-                        true,
-                        0);
-
-        /** The protocol's longest wait. */
-        private static final long MAX_WATCH_NANOS = TimeUnit.SECONDS.toNanos(60);
-
-        /**
-         * Where one service is asked by all, which gives a call up after two seconds itself.
-         * Danger: a watch that discovery has lost looks like one without news until its time is
-         * over, and all that is replaced meanwhile is missed. Short ones cost discovery a few calls
-         * more.
-         *
-         * @param within nanoseconds in which discovery has to be asked at least once
-         */
-        public static PollPolicy asked(long within) {
-            return new PollPolicy(
-                    Math.min(MAX_WATCH_NANOS, within / 4),
-                    TimeUnit.MILLISECONDS.toNanos(500),
-                    TimeUnit.SECONDS.toNanos(3),
-                    false,
-                    within);
-        }
-    }
-
     private static final String LIST_PATH = "/registry/instances";
 
     /**
-     * From one watch to the next, where the first had no news. Invariant: nobody is asked without
-     * rest, as an agent or a service would be that answers a watch at once with what it has. Less
-     * than the 200 ms in which a watch goes on, and than the 250 ms in which drains may have to
-     * take effect.
+     * The shortest time from one watch to the next, where the first had no news: an agent or a
+     * service that answers a watch at once must not be polled without rest. Below the 200 ms in
+     * which a watch is renewed, and the 250 ms in which a drain may have to take effect.
      */
     private static final long MIN_WATCH_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** A call that is out for less was made after a stand-still, and not before it. */
+    /** A call that is out for less was sent after an event-loop stall, not before it. */
     private static final long JUST_SENT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final SidecarEventLoop loop;
@@ -96,31 +45,33 @@
     private final PollPolicy pollPolicy;
     private RegistryConnection connection;
 
-    /** A watch whose answer is overdue: still listened to, while another one asks. */
+    /** A watch whose response is overdue: still listened to, while another call polls. */
     private RegistryConnection overdueWatch;
 
     private Scheduler.ScheduledTask timeout = () -> {};
     private boolean calling;
 
-    /** When the watch that is out was asked; for a call that need not wait, 0. */
+    /** When the open watch was sent; 0 while a call that need not wait is open. */
     private long watchSentAtNanos;
 
     private long sentAtNanos;
     private long previousSentAtNanos;
 
-    /** More may count as told than has come; the answer to a call for the whole list brings it. */
+    /** More may count as notified than was received; the next snapshot brings it. */
     private boolean behind;
 
     private boolean catchingUp;
     private boolean watching;
     private boolean failing;
 
-    /** Nothing that this discovery says builds on what another one said. */
+    /** The next call is for a snapshot, which is believed whatever its revision. */
     private boolean snapshotRequired;
 
     private long revision;
 
-    /** What the overdue watch has told; what was asked beside it may be older. */
+    /**
+     * The revision that the overdue watch brought; a call sent beside it may bring an older one.
+     */
     private long overdueRevision = Long.MIN_VALUE;
 
     /** {@code cachedEndpoints}: the list that the sidecar was given, in the registry's form. */
@@ -129,19 +80,18 @@
             SocketFactory sockets,
             InetSocketAddress address,
             Optional<JsonNode> cachedEndpoints,
-            EndpointListParser lists,
-            DiscoveryListener sink,
-            PollPolicy pace) {
+            EndpointListParser parser,
+            DiscoveryListener listener,
+            PollPolicy pollPolicy) {
         this.loop = loop;
         this.sockets = sockets;
         this.address = address;
         this.cachedEndpoints = cachedEndpoints;
-        this.parser = lists;
-        this.listener = sink;
-        this.pollPolicy = pace;
-        // Danger: where lists are pushed, what the agent has counts as told before a new process
-        // has asked.
-        this.behind = pace.notificationDelayNanos == 0;
+        this.parser = parser;
+        this.listener = listener;
+        this.pollPolicy = pollPolicy;
+        // What a local agent has counts as notified before a new process has polled it.
+        this.behind = pollPolicy.notificationDelayNanos() == 0;
     }
 
     @Override
@@ -165,7 +115,7 @@
         }
     }
 
-    /** A whole list takes the place of a watch that is out; the watch goes on after it. */
+    /** Polls a snapshot in place of the open watch; a watch follows it. */
     @Override
     public void fetchEndpoints() {
         dropAll();
@@ -173,10 +123,10 @@
     }
 
     /**
-     * Danger: a watch may have been answered long since, and what has come to discovery after that
-     * may count as told too; the old answer alone would let requests go on to who has drained
-     * meanwhile. So after one all is asked for, and that answer tells. Where a watch is still out
-     * there was nothing to tell.
+     * Reads what was received while the loop was stalled. The response to the open watch may be old
+     * by then, and what the registry learnt after it may count as notified too: taken alone, it
+     * would let requests go to hosts that began to drain meanwhile. So a snapshot is polled after
+     * it. Where the watch is still open there was nothing to notify.
      */
     @Override
     public void readPendingUpdates() {
@@ -185,7 +135,8 @@
         boolean justAsked = now - asked < JUST_SENT_NANOS;
         boolean wasBehind = behind;
         behind |=
-                now - (justAsked ? previousSentAtNanos : asked) > pollPolicy.notificationDelayNanos;
+                now - (justAsked ? previousSentAtNanos : asked)
+                        > pollPolicy.notificationDelayNanos();
         catchingUp = true;
         if (overdueWatch != null) {
             overdueWatch.readNow();
@@ -198,15 +149,14 @@
         if (watchIsOut
                 && (behind && justAsked
                         || now - watchSentAtNanos
-                                > pollPolicy.watchNanos + pollPolicy.watchGraceNanos)) {
+                                > pollPolicy.watchNanos() + pollPolicy.watchGraceNanos())) {
             behind = true;
             timeout.cancel();
             pollBesideWatch();
         } else if (watchIsOut) {
             behind = wasBehind;
             if (!failing) {
-                // Danger: kept back for word of the list, requests would wait for a watch that has
-                // none.
+                // Requests that wait for an update would wait for a watch that has none.
                 listener.onUpdate(UpdateKind.DELTA, List.of());
             }
         } else if (behind && watching && !calling && !failing) {
@@ -220,15 +170,14 @@
     }
 
     /**
-     * Follows another discovery from now on: first its whole list, whose versions need not go on
-     * from the old one's. A call that is out does not fail with that: what the old one has told may
-     * be on its way, so it is listened to until the new one answers.
+     * Follows another registry from now on, beginning with a snapshot, because its revisions need
+     * not go on from the old one's. A call that is open does not fail with that: what the old
+     * registry has notified may be on its way, so it is listened to until the new one answers.
      */
     @Override
     public void switchRegistry(InetSocketAddress other) {
         endCall();
-        // Danger: of a watch that is overdue and the call beside it, the call is the one that is
-        // answered.
+        // Of an overdue watch and the call beside it, the call is the one that is answered.
         if (connection != null && !snapshotRequired) {
             dropOverdue();
         }
@@ -246,7 +195,7 @@
         }
     }
 
-    /** What is asked next is the whole list, and it is believed whatever its version. */
+    /** The next call is for a snapshot, which is believed whatever its revision. */
     private void requireSnapshot() {
         snapshotRequired = true;
     }
@@ -258,11 +207,11 @@
     }
 
     private void watch() {
-        if (snapshotRequired || behind || failing && pollPolicy.snapshotAfterFailure) {
+        if (snapshotRequired || behind || failing && pollPolicy.snapshotAfterFailure()) {
             call(LIST_PATH, 0);
             return;
         }
-        long millis = TimeUnit.NANOSECONDS.toMillis(pollPolicy.watchNanos);
+        long millis = TimeUnit.NANOSECONDS.toMillis(pollPolicy.watchNanos());
         call(
                 LIST_PATH + "?since=" + revision + "&timeout_ms=" + millis,
                 TimeUnit.MILLISECONDS.toNanos(millis));
@@ -282,20 +231,21 @@
         }
         connection.call(uri);
         if (wait > 0) {
-            timeout = loop.after(wait + pollPolicy.watchGraceNanos, this::pollBesideWatch);
+            timeout = loop.after(wait + pollPolicy.watchGraceNanos(), this::pollBesideWatch);
         } else {
-            // Danger: a machine that vanished says nothing, and would be waited for without end.
+            // A machine that vanished sends nothing; without a time-out it would be waited for
+            // without end.
             timeout =
                     loop.after(
-                            wait + pollPolicy.callTimeoutNanos,
+                            wait + pollPolicy.callTimeoutNanos(),
                             () -> onFailure(connection, "no answer in time"));
         }
     }
 
     /**
-     * Danger: what discovery has to tell counts as told two seconds after a watch's time is over,
-     * whether or not the watch is lost; given up only when that is certain, it would be asked again
-     * too late for drains.
+     * Polls a snapshot beside a watch that is overdue. What the registry has counts as notified two
+     * seconds after a watch's time is over, whether or not the watch is lost; polled only once the
+     * loss is certain, it would come too late for drains.
      */
     private void pollBesideWatch() {
         dropOverdue();
@@ -322,7 +272,7 @@
         }
     }
 
-    /** The watch that another call was to make up for has its answer after all. */
+    /** The overdue watch, for which another call was sent, has its response after all. */
     private void onOverdueResponse(JsonNode list) {
         EndpointListParser.Update update = parser.read(list);
         boolean old = update.revision() < revision && !snapshotRequired;
@@ -334,8 +284,8 @@
         if (old) {
             return;
         }
-        // Danger: the module takes any news for a subscription that stands, and would not subscribe
-        // again.
+        // Before the update is published: the policy takes any update for a subscription that
+        // stands, and would not subscribe again.
         if (!calling) {
             watchAgain();
         }
@@ -352,9 +302,8 @@
         }
         EndpointListParser.Update update = parser.read(list);
         if (update.revision() < revision && !snapshotRequired) {
-            // Danger: whoever answers with less than it has told may take back a drain. One that
-            // began anew
-            // says so again when asked for all it has, and is believed then.
+            // An older list may take back a drain. A registry that began anew answers the same when
+            // polled for a snapshot, and is believed then.
             requireSnapshot();
             onFailure(connection, "a list older than the last one: " + update.revision());
             return;
@@ -375,8 +324,8 @@
     }
 
     /**
-     * At once: a watch goes on only if the next call comes soon, and news in between is not lost
-     * so.
+     * Watches again at once: the registry keeps a watch's place only if the next call comes soon,
+     * and no change in between is lost then.
      */
     private void watchAgain() {
         if (watching) {
@@ -398,7 +347,7 @@
             dropOverdue();
             return;
         }
-        // What is overdue may tell its news yet, and is all the more listened to.
+        // An overdue watch may still bring its update, and is listened to all the more.
         endCall();
         dropConnection();
         if (!failing) {
@@ -409,8 +358,8 @@
     }
 
     /**
-     * Danger: a lost watch would go on holding the one socket there is, while the call that is to
-     * make up for it finds none.
+     * Gives the overdue watch up for the call beside it: a lost watch would go on holding the only
+     * socket there is.
      */
     @Override
     public void onNoSocket(RegistryConnection by, String why) {
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -16,15 +16,15 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * What has been heard on the client's threads and not yet been told on the loop, in order. Bounded
- * however long the loop stands still: of a node the last word is kept, and that it was gone; of all
- * else the last of each sort, once there is much of it.
+ * Takes what came on the client's threads to the event loop, in order. Bounded however long the
+ * loop is stalled: of a node the last change is kept, and that it was deleted; of all else the last
+ * part of each kind, once there are many. Methods may be called on any thread.
  */
 final class Mailbox {
-    /** Changes of nodes that are told in one turn of the loop. */
+    /** Changes of nodes that are delivered in one turn of the loop. */
     private static final int MAX_CHANGES_PER_TURN = 200;
 
-    /** Parts that are kept before older ones give way to newer ones of their sort. */
+    /** Parts that are kept before older ones give way to newer ones of their kind. */
     private static final int MAX_PARTS = 32;
 
     private enum PartKind {
@@ -36,7 +36,7 @@
         NODES
     }
 
-    /** What happened to one node; times are those of being told, and 0 where it did not happen. */
+    /** What happened to one node: transactions and times of notification, 0 where it did not. */
     private static final class Change {
         long deletedZxid;
         long deletionNotifiedNanos;
@@ -52,9 +52,9 @@
     private Deque<Part> parts = new ArrayDeque<>();
     private boolean scheduled;
 
-    Mailbox(SidecarEventLoop loop, SessionListener hearer) {
+    Mailbox(SidecarEventLoop loop, SessionListener listener) {
         this.loop = loop;
-        this.listener = hearer;
+        this.listener = listener;
     }
 
     void session(SessionState state) {
@@ -62,7 +62,7 @@
     }
 
     void stale(StalenessCause why) {
-        add(PartKind.STALE, () -> listener.doubt(loop.nanoTime(), why));
+        add(PartKind.STALE, () -> listener.onStale(loop.nanoTime(), why));
     }
 
     void accept() {
@@ -104,7 +104,7 @@
         schedule();
     }
 
-    /** Tells all that waits, before this returns. On the loop. */
+    /** Delivers all that waits, before this returns. On the loop. */
     void deliverAll() {
         while (deliver()) {
             // A part a turn.
@@ -172,7 +172,7 @@
             try {
                 loop.execute(this::runTurn);
             } catch (RejectedExecutionException e) {
-                // The loop has ended; nobody is left to tell.
+                // The loop has ended; nobody is left to be notified.
                 parts.clear();
             }
         }
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Tells what one turn of the loop has time for; whether more waits. */
+    /** Delivers what one turn of the loop has time for; whether more waits. */
     private boolean deliver() {
         Runnable tell = null;
         List<Map.Entry<String, Change>> changes = new ArrayList<>();
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -6,66 +6,77 @@
 import appleridge.discovery.ephemeral.StalenessCause;
 import java.util.Map;
 
-/** Who is told, on the loop; times are those of the loop's clock. */
+/**
+ * Takes what the coordination service notified and what was read of it, on the event loop. {@code
+ * now}, and times {@code …Nanos}, are nanoseconds on the loop's clock.
+ */
 interface SessionListener {
+    /** The session's state has changed. */
     void onSessionState(long now, SessionState state);
 
+    /** The whole subtree, listed at {@code asOfNanos}; {@code zxid}: the highest in it. */
     void onSnapshot(long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes);
 
+    /** A node was made or changed; its data follows with {@link #onNodeRead}. */
     void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name);
 
+    /** The data of a node that had changed. */
     void onNodeRead(long now, String name, NodeRead read);
 
+    /** A node was deleted. */
     void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name);
 
-    void doubt(long now, StalenessCause why);
+    /** The subtree can't be read. */
+    void onStale(long now, StalenessCause why);
 
+    /** An operator says that the service's state is right although it runs back. */
     void onAccepted(long now);
 
-    /** What it makes of that. */
-    StalenessCause doubt();
+    /** Why the list is stale now. */
+    StalenessCause staleness();
 
-    /** The one that matters. */
-    static SessionListener of(NodeDiscovery membership) {
+    /** Hands all on to the list that is made of it. */
+    static SessionListener of(NodeDiscovery discovery) {
         return new SessionListener() {
             @Override
             public void onSessionState(long now, SessionState state) {
-                membership.session(now, state);
+                discovery.session(now, state);
             }
 
             @Override
-            public void onSnapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
-                membership.snapshot(now, told, zxid, nodes);
+            public void onSnapshot(
+                    long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes) {
+                discovery.snapshot(now, asOfNanos, zxid, nodes);
             }
 
             @Override
-            public void onNodeChanged(long now, long told, long zxid, String name) {
-                membership.changed(now, told, zxid, name);
+            public void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name) {
+                discovery.changed(now, notifiedAtNanos, zxid, name);
             }
 
             @Override
             public void onNodeRead(long now, String name, NodeRead read) {
-                membership.read(now, read.mzxid(), name, read);
+                discovery.read(now, read.mzxid(), name, read);
             }
 
             @Override
-            public void onNodeDeleted(long now, long told, long zxid, String name) {
-                membership.gone(now, told, zxid, name);
+            public void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name) {
+                discovery.gone(now, notifiedAtNanos, zxid, name);
             }
 
             @Override
-            public void doubt(long now, StalenessCause why) {
-                membership.doubt(now, why);
+            public void onStale(long now, StalenessCause why) {
+                discovery.doubt(now, why);
             }
 
             @Override
             public void onAccepted(long now) {
-                membership.accept(now);
+                discovery.accept(now);
             }
 
             @Override
-            public StalenessCause doubt() {
-                return membership.doubt();
+            public StalenessCause staleness() {
+                return discovery.doubt();
             }
         };
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Slf4jBridge.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Slf4jBridge.java
@@ -15,26 +15,25 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Takes what ZooKeeper's client logs, which it does through SLF4J: warnings and errors alone, each
- * sort once in some minutes, on one line with what caused it. Danger: the client logs each of its
- * attempts to connect with a trace, about one a second for as long as an outage lasts. Loaded by
- * SLF4J, by its name.
+ * Takes what ZooKeeper's client logs through SLF4J: warnings and errors alone, each kind once in
+ * some minutes, on one line with its first cause. The client logs each attempt to connect with a
+ * stack trace, about one a second for as long as an outage lasts. Loaded by SLF4J, by its name.
  */
 public final class Slf4jBridge implements SLF4JServiceProvider {
     private static final System.Logger LOG = System.getLogger("appleridge.zookeeper");
-    private static final int MOST_SORTS = 32;
-    private static final int LONGEST = 400;
+    private static final int MAX_KINDS = 32;
+    private static final int MAX_CHARS = 400;
 
-    /** Sorts of lines that were logged already. */
-    private static final Set<String> TOLD = ConcurrentHashMap.newKeySet();
+    /** Kinds of lines that were logged already: pattern and class of the first cause. */
+    private static final Set<String> LOGGED = ConcurrentHashMap.newKeySet();
 
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter context = new NOPMDCAdapter();
     private final ILoggerFactory loggers = Line::new;
 
-    /** From now on each sort of line is logged once more. */
-    static void again() {
-        TOLD.clear();
+    /** From now on each kind of line is logged once more. */
+    static void allowRepeats() {
+        LOGGED.clear();
     }
 
     @Override
@@ -70,10 +69,7 @@
         @Override
         protected void handleNormalizedLoggingCall(
                 Level level, Marker marker, String pattern, Object[] arguments, Throwable cause) {
-            Throwable first = cause;
-            while (first != null && first.getCause() != null) {
-                first = first.getCause();
-            }
+            Throwable first = firstCause(cause);
             if (!name.startsWith("org.apache.zookeeper")) {
                 System.getLogger(name)
                         .log(
@@ -84,8 +80,8 @@
                                 cause);
                 return;
             }
-            String sort = pattern + (first == null ? "" : first.getClass().getName());
-            if (TOLD.size() >= MOST_SORTS || !TOLD.add(sort)) {
+            String kind = pattern + (first == null ? "" : first.getClass().getName());
+            if (LOGGED.size() >= MAX_KINDS || !LOGGED.add(kind)) {
                 return;
             }
             String text =
@@ -94,7 +90,15 @@
                             .replaceAll("\\s+", " ");
             LOG.log(
                     level == Level.ERROR ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
-                    "ZooKeeper's client: " + text.substring(0, Math.min(LONGEST, text.length())));
+                    "ZooKeeper's client: " + text.substring(0, Math.min(MAX_CHARS, text.length())));
+        }
+
+        private static Throwable firstCause(Throwable cause) {
+            Throwable first = cause;
+            while (first != null && first.getCause() != null) {
+                first = first.getCause();
+            }
+            return first;
         }
 
         @Override
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
@@ -14,9 +14,7 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Id;
 
-/**
- * Makes the client's handles. Danger: to make or close one takes its time, so never on the loop.
- */
+/** Opens and closes the client's handles. Both block, so never on the event loop. */
 public final class ZooKeeperClientFactory {
     /** After this many milliseconds a handle that is closed waits for no answer any more. */
     private static final int LEAVE_MILLIS = 1000;
@@ -47,9 +45,10 @@
     }
 
     /**
-     * Looks whether the files for TLS can be used; what is wrong with them is told by an
-     * exception's message. Danger: the client finds out with each attempt to connect, about once a
-     * second, and Netty logs a trace each time.
+     * Checks whether the files for TLS can be used. The client would find out only as it connects,
+     * about once a second, with a stack trace of Netty's each time.
+     *
+     * @throws IllegalArgumentException naming what is wrong
      */
     public static void check(ZooKeeperSettings settings) {
         if (settings.tls() != null) {
@@ -66,8 +65,9 @@
     }
 
     /**
-     * Who has shown who it is may change a node, and everybody may read it. Danger: the client asks
-     * a list of these whether it holds null, which a list of {@code List.of} takes amiss.
+     * The access list of new nodes: an authenticated client may change them, anybody may read them.
+     * The client asks the list whether it holds null, which a list of {@code List.of} answers with
+     * an exception.
      */
     public static List<ACL> acl(ZooKeeperSettings settings) {
         ACL everybody =
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -170,7 +170,7 @@
             reopen(handle);
         }
         if (checks % CHECKS_PER_LOG_RESET == 0) {
-            Slf4jBridge.again();
+            Slf4jBridge.allowRepeats();
         }
     }
 
@@ -246,7 +246,7 @@
         @Override
         public void onSnapshotDelivered() {
             lastUnexpectedCode = "";
-            StalenessCause cause = listener.doubt();
+            StalenessCause cause = listener.staleness();
             if (cause == StalenessCause.OLDER || cause == StalenessCause.WIPED) {
                 readAfter(RETRY_OLDER_NANOS + random.nextLong(RETRY_OLDER_NANOS));
             }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Writes down what is told, and on which thread. */
+/** Writes down what is delivered, and on which thread. */
 final class RecordingSessionListener implements SessionListener {
     final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
     volatile StalenessCause doubt = StalenessCause.NONE;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void doubt(long now, StalenessCause why) {
+    public void onStale(long now, StalenessCause why) {
         line("doubt " + why);
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public StalenessCause doubt() {
+    public StalenessCause staleness() {
         return doubt;
     }
 
@@ -92,7 +92,7 @@
         String line;
         do {
             line = lines.poll(20, TimeUnit.SECONDS);
-            assertNotNull(line, "never told: " + expected);
+            assertNotNull(line, "never delivered: " + expected);
         } while (!line.equals(expected));
     }
 }
