--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptDispatcher.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptDispatcher.java
@@ -9,14 +9,13 @@
     private final PolicyActions actions;
 
     AttemptDispatcher(
+            HostRules hosts,
             TenantQueues queues,
-            SlowStartBudget slowStart,
-            ZoneHealth zones,
             UnansweredAttemptMonitor monitor,
             PolicyActions actions) {
+        this.slowStart = hosts.slowStart;
+        this.zones = hosts.zones;
         this.queues = queues;
-        this.slowStart = slowStart;
-        this.zones = zones;
         this.monitor = monitor;
         this.actions = actions;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
@@ -15,19 +15,17 @@
     private final InFlightRequests requests;
 
     AttemptResults(
+            HostRules hosts,
             HostHealth health,
             LoadShedder shedder,
-            HostConcurrencyLimit concurrency,
-            ReferenceThroughput throughput,
-            HostSubset subset,
             RetryPolicy retryPolicy,
             AdmissionController admission,
             InFlightRequests requests) {
+        this.concurrency = hosts.concurrency;
+        this.throughput = hosts.throughput;
+        this.subset = hosts.subset;
         this.health = health;
         this.shedder = shedder;
-        this.concurrency = concurrency;
-        this.throughput = throughput;
-        this.subset = subset;
         this.retryPolicy = retryPolicy;
         this.admission = admission;
         this.requests = requests;
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostHealth.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostHealth.java
@@ -8,16 +8,11 @@
     private final LatencyThresholds thresholds;
     private final UnansweredAttemptMonitor monitor;
 
-    HostHealth(
-            ConnectFailureEjection ejection,
-            ZoneHealth zones,
-            OutlierDetector outliers,
-            LatencyThresholds thresholds,
-            UnansweredAttemptMonitor monitor) {
-        this.ejection = ejection;
-        this.zones = zones;
-        this.outliers = outliers;
-        this.thresholds = thresholds;
+    HostHealth(HostRules hosts, UnansweredAttemptMonitor monitor) {
+        this.ejection = hosts.ejection;
+        this.zones = hosts.zones;
+        this.outliers = hosts.outliers;
+        this.thresholds = hosts.thresholds;
         this.monitor = monitor;
     }
 
--- a/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
@@ -56,20 +56,13 @@
     /** Admitted requests that have added up; starts at random, so that sidecars differ. */
     private double admissionCredit;
 
-    LoadShedder(
-            Random random,
-            double evidenceWindowNanos,
-            TenantQueues queues,
-            ReferenceThroughput throughput,
-            LatencyThresholds thresholds,
-            OutlierDetector outliers,
-            PolicyActions actions) {
+    LoadShedder(Random random, TenantQueues queues, HostRules hosts, PolicyActions actions) {
         this.admissionCredit = random.nextDouble();
-        this.recoveryNanos = RECOVERY_WINDOWS * evidenceWindowNanos;
+        this.recoveryNanos = RECOVERY_WINDOWS * hosts.outliers.windowNanos();
         this.queues = queues;
-        this.throughput = throughput;
-        this.thresholds = thresholds;
-        this.outliers = outliers;
+        this.throughput = hosts.throughput;
+        this.thresholds = hosts.thresholds;
+        this.outliers = hosts.outliers;
         this.actions = actions;
     }
 
--- a/sidecar/src/main/java/appleridge/loadbalancing/OutlierDetector.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/OutlierDetector.java
@@ -16,7 +16,7 @@
     /** Evidence against one host that may be chance. */
     private static final double EVIDENCE_BY_CHANCE = 1;
 
-    /** Evidence lasts for two of the longest objectives, so that a late answer still counts. */
+    /** Window of the decay: a late answer still counts when the next ones come. */
     private static final double OBJECTIVES_PER_WINDOW = 4.0;
 
     /** The evidence against one host. */
@@ -37,17 +37,17 @@
     private final DecayingSum subsetEvidence;
 
     OutlierDetector(
-            double windowNanos, HostRegistry registry, HostSubset subset, GossipNotes gossip) {
+            PolicySettings settings, HostRegistry registry, HostSubset subset, GossipNotes gossip) {
         this.registry = registry;
         this.subset = subset;
         this.gossip = gossip;
-        this.windowNanos = windowNanos;
+        this.windowNanos = OBJECTIVES_PER_WINDOW * settings.longestObjectiveNanos();
         this.subsetEvidence = new DecayingSum(windowNanos);
     }
 
     /** The time over which evidence decays. */
-    static double windowNanos(PolicySettings settings) {
-        return OBJECTIVES_PER_WINDOW * settings.longestObjectiveNanos();
+    double windowNanos() {
+        return windowNanos;
     }
 
     Evidence newEvidence() {
--- a/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
@@ -6,7 +6,7 @@
  * @param id never used twice
  * @param requestClass index into {@link PolicySettings#classes()}
  * @param tenant index into {@link PolicySettings#tenants()}; ignored where there are none
- * @param key the idempotency key; 0 for none
+ * @param key what the request is about, as a number; 0 for nothing
  * @param remainingNanos until the client gives this attempt of its own up
  * @param costHintNanos rough work to expect, in nanoseconds; 0 where it is unknown
  * @param clientRetry the client has marked it as a retry
--- a/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
@@ -4,8 +4,9 @@
  * The limits that no decision may exceed. Times in nanoseconds.
  *
  * @param answerSlackNanos a final answer may come this much after the deadline; 0 or more
- * @param pollIntervalNanos endpoint lists may be this old; 0 or more
- * @param drainGraceNanos a draining host may get requests for this long; 0 or more
+ * @param pollIntervalNanos discovery is polled at least this often; 0 or more
+ * @param drainGraceNanos after the update that a host drains, sends to it must stop within this
+ *     time; 0 or more
  * @param slowStartMinFraction part of its capacity that a host has at its start; above 0, at most 1
  * @param slowStartWindowNanos time in which a started host reaches its capacity; 0 or more
  * @param overloadFactor multiple of its present capacity that overloads a warming host; 1 or more
--- a/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
@@ -15,7 +15,7 @@
  *   <li>Whether again: {@link RetryPolicy} and {@link RetryBudget}; the result is a {@link
  *       RetryDecision}.
  *   <li>What is known of hosts: {@link HostRegistry} from discovery, {@link HostHealth} from
- *       attempts.
+ *       attempts; {@link HostRules} composes the rules behind both.
  * </ul>
  *
  * <p>{@code docs/design.md} says against what each rule acts.
@@ -23,16 +23,11 @@
 public final class SymmetricRoundRobinPolicy implements LoadBalancingPolicy {
     private final PolicySettings settings;
     private final TimerQueue timers;
-    private final HostRegistry registry = new HostRegistry(this::track);
     private final DiscoveryPoller discovery;
-    private final HostWeights weights;
-    private final ReferenceThroughput throughput;
-    private final SlowStartBudget slowStart;
-    private final GossipNotes gossip;
-    private final OutlierDetector outliers;
+    private final HostRules hosts;
+    private final TenantQueues queues;
     private final TurnWeighting turns;
     private final HostRing ring;
-    private final TenantQueues queues;
     private final RetryBudget retryBudget = new RetryBudget();
     private final InFlightRequests requests;
     private final AdmissionController admission;
@@ -49,45 +44,24 @@
         Random random = new Random(seed);
         timers = new TimerQueue(actions);
         discovery = new DiscoveryPoller(settings, random, timers, actions);
+        hosts = new HostRules(settings, seed, random, actions);
+        HostRegistry registry = hosts.registry;
 
-        HostSubset subset = new HostSubset(settings, seed, registry, actions);
-        weights = new HostWeights(settings.weightKind());
-        throughput =
-                new ReferenceThroughput(
-                        settings.safetyLimits().slowStartWindowNanos(), registry, subset, weights);
-        slowStart = new SlowStartBudget(settings, random, subset, throughput);
-        LatencyThresholds thresholds = new LatencyThresholds(settings, subset);
-
-        gossip = new GossipNotes(settings, actions);
-        double evidenceWindowNanos = OutlierDetector.windowNanos(settings);
-        outliers = new OutlierDetector(evidenceWindowNanos, registry, subset, gossip);
-        ConnectFailureEjection ejection = new ConnectFailureEjection(settings, actions);
-        ZoneHealth zones = new ZoneHealth(registry, ejection, actions);
-
-        queues = new TenantQueues(settings, throughput.windowNanos());
-        LoadShedder shedder =
-                new LoadShedder(
-                        random,
-                        evidenceWindowNanos,
-                        queues,
-                        throughput,
-                        thresholds,
-                        outliers,
-                        actions);
+        queues = new TenantQueues(settings, hosts.throughput.windowNanos());
+        LoadShedder shedder = new LoadShedder(random, queues, hosts, actions);
         UnansweredAttemptMonitor monitor =
-                new UnansweredAttemptMonitor(timers, thresholds, outliers, shedder);
-        HostHealth health = new HostHealth(ejection, zones, outliers, thresholds, monitor);
-        HostConcurrencyLimit concurrency = new HostConcurrencyLimit(thresholds);
-
-        RetryPolicy retryPolicy = new RetryPolicy(settings, registry, retryBudget);
-        HostGates gates = new HostGates(retryPolicy, concurrency, health, slowStart);
-        turns = new TurnWeighting(random, weights, outliers);
-        ring = new HostRing(random, registry, subset, gates, turns);
-        HostSelector selector = new HostSelector(ring, registry, health, retryPolicy);
-
-        AttemptDispatcher dispatcher =
-                new AttemptDispatcher(queues, slowStart, zones, monitor, actions);
-        requests = new InFlightRequests(settings, timers, queues, thresholds, retryPolicy, actions);
+                new UnansweredAttemptMonitor(timers, hosts.thresholds, hosts.outliers, shedder);
+        HostHealth health = new HostHealth(hosts, monitor);
+        RetryPolicy retries = new RetryPolicy(settings, registry, retryBudget);
+
+        HostGates gates = new HostGates(retries, hosts.concurrency, health, hosts.slowStart);
+        turns = new TurnWeighting(random, hosts.weights, hosts.outliers);
+        ring = new HostRing(random, registry, hosts.subset, gates, turns);
+        HostSelector selector = new HostSelector(ring, registry, health, retries);
+
+        AttemptDispatcher dispatcher = new AttemptDispatcher(hosts, queues, monitor, actions);
+        requests =
+                new InFlightRequests(settings, timers, queues, hosts.thresholds, retries, actions);
         admission =
                 new AdmissionController(
                         settings,
@@ -98,26 +72,12 @@
                         selector,
                         dispatcher,
                         requests);
-        results =
-                new AttemptResults(
-                        health,
-                        shedder,
-                        concurrency,
-                        throughput,
-                        subset,
-                        retryPolicy,
-                        admission,
-                        requests);
-    }
-
-    private TrackedHost track(long now, UpstreamHost endpoint) {
-        return new TrackedHost(
-                endpoint, outliers.newEvidence(), slowStart.newCredit(now, endpoint));
+        results = new AttemptResults(hosts, health, shedder, retries, admission, requests);
     }
 
     @Override
     public void start(long now) {
-        throughput.start(now);
+        hosts.throughput.start(now);
         discovery.subscribe(now);
         timers.armHostTimer();
     }
@@ -130,31 +90,26 @@
             if (kind != UpdateKind.CACHED_SNAPSHOT) {
                 discovery.onUpdate();
             }
-            if (registry.apply(now, kind, entries)) {
-                onReadyHostsChanged(registry.ready());
+            if (hosts.registry.apply(now, kind, entries)) {
+                hosts.onReadyHostsChanged(hosts.registry.ready());
+                turns.onReadyHostsChanged(hosts.registry.ready());
+                ring.redraw();
             }
         }
         drainAndArm(now);
     }
 
-    private void onReadyHostsChanged(List<TrackedHost> ready) {
-        slowStart.onReadyHostsChanged(ready);
-        weights.onReadyHostsChanged(ready);
-        turns.onReadyHostsChanged(ready);
-        ring.redraw();
-    }
-
     @Override
     public void onRequest(long now, RequestInfo info) {
         if (info.requestClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("request of unknown class " + info.requestClass());
         }
         TrackedRequest request = requests.open(now, info);
-        throughput.onRequest(now, request);
-        ring.resize(throughput.concurrentRequests(now));
+        hosts.throughput.onRequest(now, request);
+        ring.resize(hosts.throughput.concurrentRequests(now));
         queues.of(request).onRequest(now, request);
         retryBudget.onFirstAttempt();
-        gossip.onRequest();
+        hosts.gossip.onRequest();
         admission.admit(now, request);
         timers.armHostTimer();
     }
@@ -199,7 +154,7 @@
 
     @Override
     public void onGossip(long now, int from, byte[] message) {
-        outliers.onGossip(now, message);
+        hosts.outliers.onGossip(now, message);
     }
 
     @Override
@@ -215,7 +170,7 @@
 
     /** Number of host records: must not grow as hosts come and go. */
     int knownHosts() {
-        return registry.hosts().size();
+        return hosts.registry.hosts().size();
     }
 
     /** Number of requests that wait for capacity. */
--- a/sidecar/src/main/java/appleridge/loadbalancing/UpstreamHost.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/UpstreamHost.java
@@ -5,7 +5,7 @@
  *
  * @param id opaque; the same over restarts
  * @param zone its zone
- * @param kind its kind of machine
+ * @param kind index of its kind among the kinds that the settings name
  * @param cell the cell whose hosts share idempotency keys
  * @param weight as {@link WeightKind} says; may be absent (0) or absurd
  * @param startedAtNanos when it last started, on the events' clock; 0 for long ago
--- a/sidecar/src/test/java/appleridge/loadbalancing/AdmissionControllerTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/AdmissionControllerTest.java
@@ -61,7 +61,7 @@
         assertEquals(5, sidecar.sends.get(out).request());
     }
 
-    /** Guards against held requests that have ended and pile up below those that wait. */
+    /** Closed requests must not pile up below those that still wait. */
     @Test
     void closedRequestsLeaveTheQueue() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(1);
@@ -85,7 +85,8 @@
         sidecar.burst(0, 6, 0);
         int sent = sidecar.sends.size();
         sidecar.request(50, 0, 400 * MS);
-        assertEquals(List.of("refuse 50"), sidecar.answers, "600 ms of an aim of 500 are gone");
+        assertEquals(
+                List.of("refuse 50"), sidecar.answers, "600 ms of an objective of 500 are gone");
         assertEquals(sent, sidecar.sends.size());
     }
 
@@ -119,7 +120,9 @@
         SidecarHarness sidecar = SidecarHarness.of(late).withHosts(1);
         sidecar.burst(0, 3, 0);
         sidecar.advance(300 * MS);
-        assertTrue(sidecar.answers.isEmpty(), "held past its aim of 100 ms: " + sidecar.answers);
+        assertTrue(
+                sidecar.answers.isEmpty(),
+                "queued past its objective of 100 ms: " + sidecar.answers);
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/loadbalancing/AttemptResultsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/AttemptResultsTest.java
@@ -12,9 +12,8 @@
 /** Responses and requests too long to be buffered. */
 class AttemptResultsTest {
     /**
-     * Guards against servers that are closed to all by a few clients that read or send slowly:
-     * forty long bodies at two servers leave their room free, are no lateness, and nothing is tried
-     * again for them.
+     * A few clients that read or send slowly must not occupy the hosts: forty long bodies at two
+     * hosts take no capacity, are no evidence of lateness, and are not retried.
      */
     @Test
     void startedResponseOccupiesNoCapacityAndIsNeverRetried() {
--- a/sidecar/src/test/java/appleridge/loadbalancing/EmbeddingExampleTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/EmbeddingExampleTest.java
@@ -10,8 +10,8 @@
 class EmbeddingExampleTest {
 
     @Test
-    void hostDrivesTheModule() {
-        // The host's side: carries out what the module orders (here it only writes it down).
+    void hostDrivesThePolicy() {
+        // The host's side: carries out the policy's actions; here it only records them.
         SidecarHarness sidecar =
                 new SidecarHarness(SidecarHarness.settings(SidecarHarness.IDEMPOTENT), 42);
         LoadBalancingPolicy balancer = sidecar.policy;
@@ -31,7 +31,8 @@
         balancer.onAttemptEnded(
                 now, 100, 0, sent.upstream(), Outcome.OK, 20_000_000, true, new float[0]);
         assertTrue(
-                sidecar.answers.isEmpty(), "the host passed the answer on; nothing more is owed");
+                sidecar.answers.isEmpty(),
+                "the host has passed the answer on: no other one is due");
 
         // A restart: a new instance, a new seed, no memory.
         SidecarHarness restarted =
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostConcurrencyLimitTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostConcurrencyLimitTest.java
@@ -11,8 +11,7 @@
 /** Abandoned attempts that count against the limit. */
 class HostConcurrencyLimitTest {
     /**
-     * Guards against an upstream shut for a whole deadline by work given up that it has long since
-     * done.
+     * Abandoned work that a host has long since finished must not occupy it for a whole deadline.
      */
     @Test
     void abandonedAttemptsOccupyAHostForOneObjectiveAtMost() {
@@ -37,6 +36,6 @@
         sidecar.now += 1_000 * MS;
         out.forEach(sent -> sidecar.outcome(sent, Outcome.TIMEOUT));
         sidecar.request(3, 0, 900 * MS);
-        assertEquals(2, sidecar.sends.size(), "two ghosts fill the limit");
+        assertEquals(2, sidecar.sends.size(), "two abandoned attempts fill the limit");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostRegistryTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostRegistryTest.java
@@ -24,10 +24,7 @@
         assertEquals(Set.of(0L, 1L), new HashSet<>(sidecar.takeTurns(12, 20)));
     }
 
-    /**
-     * Guards against records of upstreams that have gone, as fleets are replaced for as long as it
-     * runs.
-     */
+    /** Hosts are replaced for as long as a sidecar runs: records of gone ones must not pile up. */
     @Test
     void goneHostsAreForgottenOnceNothingIsInFlight() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(2);
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostSubsetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostSubsetTest.java
@@ -32,12 +32,12 @@
             sidecar.serve(0, 30, 0, 20 * MS);
             sidecar.hostsSentTo(0).forEach(id -> askedBy[id.intValue()]++);
         }
-        // 95 times 6 over 60 are 9.5 each; parts drawn by chance would range from 3 to 18.
+        // 95 times 6 over 60 are 9.5 each; random positions would range from 3 to 18.
         assertTrue(Arrays.stream(askedBy).min().orElseThrow() >= 8, Arrays.toString(askedBy));
         assertTrue(Arrays.stream(askedBy).max().orElseThrow() <= 11, Arrays.toString(askedBy));
     }
 
-    /** Guards against a whole fleet on six servers where the platform tells no ranks. */
+    /** Without ranks, all sidecars must not end up on the same six hosts. */
     @Test
     void withoutRanksSubsetsAreDrawnAtRandom() {
         int[] askedBy = new int[60];
@@ -100,6 +100,6 @@
         assertTrue(served > 90, "served " + served);
         assertTrue(
                 sidecar.closedConnections() > 80,
-                "a connection beyond what lies near is not worth its place");
+                "an idle connection outside of the subset is closed");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
@@ -25,8 +25,8 @@
         }
         int before = sidecar.sends.size();
         serveAdmitted(sidecar, 2_000, 10);
-        int crowded = sidecar.sends.size() - before;
-        assertTrue(crowded >= 1 && crowded <= 5, "sent right after the pressure " + crowded);
+        int admitted = sidecar.sends.size() - before;
+        assertTrue(admitted >= 1 && admitted <= 5, "sent right after the pressure " + admitted);
         assertTrue(sidecar.log.contains("log load shedding begins: answers come late everywhere"));
         serveAdmitted(sidecar, 3_000, 200);
         assertTrue(sidecar.log.contains("log load shedding ends"));
@@ -35,10 +35,7 @@
         assertEquals(20, sidecar.sends.size() - before, "all admitted again");
     }
 
-    /**
-     * Guards against a sidecar with little traffic that refuses for minutes what idle servers could
-     * answer.
-     */
+    /** A sidecar with little traffic must not reject for minutes what idle hosts could answer. */
     @Test
     void sheddingEndsByTimeAloneWithoutNewLateness() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(10);
@@ -84,9 +81,8 @@
     }
 
     /**
-     * Guards against a hundred sidecars that a second of a crowd shuts nearly for good, together:
-     * half of what is answered is late, and goes on to be; of what is asked a good part is still to
-     * be sent.
+     * A second of overload must not shut many sidecars nearly for good, together: while half of the
+     * answers stay late, a good part of the requests is still sent.
      */
     @Test
     void halfOfTheAnswersLateLeavesAGoodPartAdmitted() {
@@ -115,10 +111,7 @@
         assertTrue(part > 0.35 && part < 0.95, "sent of what was asked " + part);
     }
 
-    /**
-     * Guards against a hundred sidecars that all wait for answers to be late before each admits
-     * less.
-     */
+    /** Many sidecars must not all wait for answers to be late before each of them admits less. */
     @Test
     void smallerDelaysShowOverloadWhereManySidecarsShareAHost() {
         for (int replicas : new int[] {3, 95}) {
@@ -195,7 +188,7 @@
         assertEquals(15, sidecar.sends.size() - before, "one in five takes long, the rest is calm");
     }
 
-    /** One by one, answered in 20 ms where the module sends them. */
+    /** One by one, answered in 20 ms where they are sent. */
     private static void serveAdmitted(SidecarHarness sidecar, int from, int count) {
         for (int id = from; id < from + count; id++) {
             int before = sidecar.sends.size();
--- a/sidecar/src/test/java/appleridge/loadbalancing/OutlierDetectorTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/OutlierDetectorTest.java
@@ -27,7 +27,7 @@
             }
         }
         long lost = sidecar.sentTo(2, before);
-        assertTrue(lost <= 4, "silent upstream got " + lost + " of 60");
+        assertTrue(lost <= 4, "silent host got " + lost + " of 60");
     }
 
     @Test
@@ -42,7 +42,7 @@
             sidecar.outcome(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
         long lost = sidecar.sentTo(2, before);
-        assertTrue(lost <= 10, "failing upstream got " + lost + " of 100");
+        assertTrue(lost <= 10, "failing host got " + lost + " of 100");
     }
 
     @Test
@@ -57,7 +57,7 @@
                 .subList(before, before + 40)
                 .forEach(s -> turns.merge(s.upstream(), 1, Integer::sum));
         turns.values().forEach(count -> assertEquals(10, count));
-        assertTrue(sidecar.answers.isEmpty(), "nothing refused: " + sidecar.answers);
+        assertTrue(sidecar.answers.isEmpty(), "nothing rejected: " + sidecar.answers);
     }
 
     @Test
@@ -69,15 +69,15 @@
         assertEquals(
                 1,
                 one.gossip.size(),
-                "an attempt out for long is told once; the budget allows no more");
+                "a long unanswered attempt is reported once; the budget allows no more");
         SidecarHarness other = peered(300);
         for (int i = 0; i < 12; i++) {
             other.policy.onGossip(other.now, 3, one.gossip.get(0));
         }
         other.serve(0, 100, 0, 5 * MS);
         long suspect = other.sentTo(one.sendsOf(100).get(0).upstream(), 0);
-        assertTrue(suspect <= 10, "noted server got " + suspect + " of 100");
-        assertTrue(other.gossip.isEmpty(), "hearsay is not passed on");
+        assertTrue(suspect <= 10, "reported host got " + suspect + " of 100");
+        assertTrue(other.gossip.isEmpty(), "gossip is not passed on");
         other.advance(10_000 * MS);
         int before = other.sends.size();
         other.serve(200, 300, 0, 5 * MS);
@@ -107,13 +107,11 @@
         assertEquals(
                 50,
                 sidecar.sends.size() - before,
-                "notes of every server leave the pattern as it was");
+                "evidence against every host leaves the turns as they were");
         assertEquals(10, sidecar.sentTo(2, before));
     }
 
-    /**
-     * Guards against notes of the whole fleet that are taken for notes of the few that lie near.
-     */
+    /** Evidence against the whole fleet must not be taken for evidence against the subset. */
     @Test
     void gossipOnTheWholeFleetStillShowsAnOutlierInTheSubset() {
         SidecarHarness sidecar =
@@ -133,7 +131,7 @@
         sidecar.serve(100, 200, 0, 5 * MS);
         assertTrue(
                 sidecar.sentTo(slow, before) <= 8,
-                "the noted one got " + sidecar.sentTo(slow, before));
+                "the reported host got " + sidecar.sentTo(slow, before));
     }
 
     @Test
@@ -149,10 +147,10 @@
         assertTrue(
                 sidecar.sends.subList(sidecar.sends.size() - 20, sidecar.sends.size()).stream()
                         .anyMatch(s -> s.upstream() == 1),
-                "it came back");
+                "it is tried again");
     }
 
-    /** A service of many sidecars that may tell each other. */
+    /** One of many sidecars that may send gossip to each other. */
     private static SidecarHarness peered(int replicas) {
         return new SidecarHarness(
                         TestSettings.of(NON_IDEMPOTENT).replicas(replicas).gossip().build(), 7)
--- a/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long random legal event sequences, judged by an observer with books of its own. */
+/** Long random legal event sequences, checked by an observer that keeps its own account. */
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
@@ -27,94 +27,96 @@
                     SidecarHarness.requestClass(
                             Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ZONE));
 
-    private static final class Book {
+    private static final class Account {
         final RequestClass kind;
         final long deadline;
         final List<SidecarHarness.Sent> sent = new ArrayList<>();
         final Map<Integer, Outcome> ended = new HashMap<>();
         int answers;
 
-        Book(RequestClass kind, long deadline) {
+        Account(RequestClass kind, long deadline) {
             this.kind = kind;
             this.deadline = deadline;
         }
 
-        boolean mayHaveRun(int attempt) {
+        boolean mayHaveExecuted(int attempt) {
             Outcome outcome = ended.get(attempt);
             return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
-    private final Map<Long, Book> books = new HashMap<>();
+    private final Map<Long, Account> accounts = new HashMap<>();
     private final Map<Long, HostState> states = new HashMap<>();
-    private final Set<Integer> judgedSends = new HashSet<>();
+    private final Set<Integer> checkedSends = new HashSet<>();
     private int readLog;
     private SidecarHarness sidecar;
 
     /** Reads the actions since the last event and checks each against the rules. */
-    private void judge() {
-        int sendsSeen = judgedSends.size();
+    private void checkActions() {
+        int sendsSeen = checkedSends.size();
         for (; readLog < sidecar.log.size(); readLog++) {
             String[] action = sidecar.log.get(readLog).split(" ");
             switch (action[0]) {
                 case "send" -> {
                     SidecarHarness.Sent sent = sidecar.sends.get(sendsSeen);
-                    judgedSends.add(sendsSeen++);
-                    judgeSend(sent);
+                    checkedSends.add(sendsSeen++);
+                    checkSend(sent);
                 }
-                case "refuse", "fail" -> judgeAnswer(action[0], Long.parseLong(action[1]));
+                case "refuse", "fail" -> checkAnswer(action[0], Long.parseLong(action[1]));
                 default -> {}
             }
         }
     }
 
-    private void judgeSend(SidecarHarness.Sent sent) {
-        Book book = books.get(sent.request());
-        assertEquals(0, book.answers, "sent after its end: " + sent);
+    private void checkSend(SidecarHarness.Sent sent) {
+        Account account = accounts.get(sent.request());
+        assertEquals(0, account.answers, "sent after its end: " + sent);
         assertEquals(HostState.READY, states.get(sent.upstream()), "drain: " + sent);
-        assertTrue(book.sent.size() < 3, "try limit: " + sent);
-        SidecarHarness.Sent doubt = null;
-        for (SidecarHarness.Sent earlier : book.sent) {
-            if (doubt == null && book.mayHaveRun(earlier.attempt())) {
-                doubt = earlier;
+        assertTrue(account.sent.size() < 3, "too many attempts: " + sent);
+        SidecarHarness.Sent first = null;
+        for (SidecarHarness.Sent earlier : account.sent) {
+            if (first == null && account.mayHaveExecuted(earlier.attempt())) {
+                first = earlier;
             }
         }
-        if (doubt != null) {
+        if (first != null) {
             assertTrue(
-                    book.kind.idempotency() != Idempotency.NON_IDEMPOTENT,
-                    "once sent twice: " + sent);
-            if (book.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+                    account.kind.idempotency() != Idempotency.NON_IDEMPOTENT,
+                    "non-idempotent request sent twice: " + sent);
+            if (account.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
                 assertTrue(
-                        sent.at() < doubt.at() + book.kind.idempotencyKeyTtlNanos(),
-                        "key forgotten: " + sent);
-                long a = doubt.upstream();
+                        sent.at() < first.at() + account.kind.idempotencyKeyTtlNanos(),
+                        "key expired: " + sent);
+                long a = first.upstream();
                 long b = sent.upstream();
-                switch (book.kind.deduplicationScope()) {
+                switch (account.kind.deduplicationScope()) {
                     case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
                     case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
                     default -> {}
                 }
             }
         }
-        book.sent.add(sent);
+        account.sent.add(sent);
     }
 
-    private void judgeAnswer(String answer, long id) {
-        Book book = books.get(id);
-        assertEquals(1, ++book.answers, "answered twice: " + id);
-        assertTrue(sidecar.now <= book.deadline + SLACK, "late answer: " + id);
-        boolean doubt = book.sent.stream().anyMatch(s -> book.mayHaveRun(s.attempt()));
+    private void checkAnswer(String answer, long id) {
+        Account account = accounts.get(id);
+        assertEquals(1, ++account.answers, "answered twice: " + id);
+        assertTrue(sidecar.now <= account.deadline + SLACK, "late answer: " + id);
+        boolean mayHaveExecuted =
+                account.sent.stream().anyMatch(s -> account.mayHaveExecuted(s.attempt()));
         boolean harmless =
-                !doubt
-                        || book.kind.idempotency() == Idempotency.IDEMPOTENT
-                        || book.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                                && book.kind.deduplicationScope() == DeduplicationScope.ALL;
-        assertTrue(answer.equals("fail") || harmless, "refused though it may have run: " + id);
+                !mayHaveExecuted
+                        || account.kind.idempotency() == Idempotency.IDEMPOTENT
+                        || account.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                && account.kind.deduplicationScope() == DeduplicationScope.ALL;
+        assertTrue(
+                answer.equals("fail") || harmless, "rejected though it may have executed: " + id);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void rulesHold(long seed) {
+    void safetyRulesHold(long seed) {
         Random random = new Random(seed);
         sidecar =
                 new SidecarHarness(
@@ -134,7 +136,7 @@
             if (what < 40) {
                 long left = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE;
                 int kind = random.nextInt(CLASSES.size());
-                books.put(nextId, new Book(CLASSES.get(kind), sidecar.now + left));
+                accounts.put(nextId, new Account(CLASSES.get(kind), sidecar.now + left));
                 sidecar.request(nextId++, kind, left);
             } else if (what < 70 && !out.isEmpty()) {
                 end(out.remove(random.nextInt(out.size())), random);
@@ -142,36 +144,36 @@
                 change(random, upstreams);
             } else if (what < 73 && nextId > 0) {
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
-                if (books.get(id).answers == 0) {
-                    books.get(id).answers++;
+                if (accounts.get(id).answers == 0) {
+                    accounts.get(id).answers++;
                     sidecar.policy.onClientDisconnected(sidecar.now, id);
                 }
             } else {
                 tick(random.nextInt(8));
             }
-            judge();
+            checkActions();
             while (collected < sidecar.sends.size()) {
                 out.add(sidecar.sends.get(collected++));
             }
             for (int i = out.size() - 1; i >= 0; i--) {
-                if (sidecar.now >= books.get(out.get(i).request()).deadline) {
+                if (sidecar.now >= accounts.get(out.get(i).request()).deadline) {
                     SidecarHarness.Sent sent = out.remove(i);
                     finish(sent, Outcome.TIMEOUT);
                 }
             }
-            judge();
+            checkActions();
         }
         tick(3_000);
-        judge();
-        books.forEach((id, book) -> assertEquals(1, book.answers, "answers of " + id));
+        checkActions();
+        accounts.forEach((id, account) -> assertEquals(1, account.answers, "answers of " + id));
         assertTrue(nextId > 2_000, "the sequence was long");
     }
 
-    /** A quantum at a time, as a host with a batch clock does. */
+    /** One clock granule at a time, as a host with a batch clock does. */
     private void tick(int millis) {
         for (int passed = 0; passed < millis; passed += 5) {
             sidecar.advance(5 * MS);
-            judge();
+            checkActions();
         }
     }
 
@@ -183,11 +185,11 @@
     }
 
     private void finish(SidecarHarness.Sent sent, Outcome outcome) {
-        Book book = books.get(sent.request());
-        boolean already = book.answers > 0;
-        book.ended.put(sent.attempt(), outcome);
+        Account account = accounts.get(sent.request());
+        boolean already = account.answers > 0;
+        account.ended.put(sent.attempt(), outcome);
         if (outcome == Outcome.OK && !already) {
-            book.answers++;
+            account.answers++;
         }
         sidecar.policy.onAttemptEnded(
                 sidecar.now,
@@ -198,7 +200,7 @@
                 sidecar.now - sent.at(),
                 already || outcome == Outcome.OK,
                 new float[0]);
-        judge();
+        checkActions();
     }
 
     private void change(Random random, int upstreams) {
@@ -213,6 +215,6 @@
                 sidecar.now,
                 UpdateKind.DELTA,
                 List.of(SidecarHarness.upstreamHost(id, state, startedAt)));
-        judge();
+        checkActions();
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
@@ -53,7 +53,7 @@
         assertEquals(cell, sidecar.last().upstream() / 3);
         sidecar.now += 699 * MS;
         sidecar.outcome(sidecar.last(), Outcome.ERROR);
-        assertEquals(2, sidecar.sends.size(), "the key is about to be forgotten");
+        assertEquals(2, sidecar.sends.size(), "the key is about to expire");
         assertEquals(List.of("fail 1"), sidecar.answers);
     }
 
@@ -86,10 +86,7 @@
         assertEquals(1, sidecar.sendsOf(100).size(), "one attempt at a time");
     }
 
-    /**
-     * Guards against a tenth of the attempts breaking, and no further ones left for a burst of
-     * them.
-     */
+    /** With a tenth of the attempts failing there must be retries left for a burst of failures. */
     @Test
     void retriesAreBoundedToAFifthOfFirstAttempts() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(4);
--- a/sidecar/src/test/java/appleridge/loadbalancing/SlowStartBudgetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SlowStartBudgetTest.java
@@ -24,16 +24,17 @@
                 List.of(upstreamHost(9, HostState.READY, sidecar.now)));
         int before = sidecar.sends.size();
         sidecar.serve(5_000, 5_300, 0, 5 * MS);
-        long cold = sidecar.sentTo(9, before);
-        // 1.5 s at 200 a second over 4 warm servers: 75 each; the cold share is 0.3 and has hardly
+        long warming = sidecar.sentTo(9, before);
+        // 1.5 s at 200 a second over 4 warm hosts: 75 each; the capacity at the start is 0.3 and
+        // has hardly
         // grown.
-        assertTrue(cold > 5 && cold < 40, "cold upstream got " + cold);
+        assertTrue(warming > 5 && warming < 40, "warming host got " + warming);
     }
 
     @Test
     void manyQuietSidecarsDoNotOverloadAWarmingHostTogether() {
         int sent = 0;
-        long cold = 0;
+        long warming = 0;
         for (int rank = 0; rank < 600; rank++) {
             SidecarHarness sidecar = SidecarHarness.ofMany(rank, 600).withHosts(10);
             for (int id = 0; id < 20; id++) {
@@ -50,19 +51,19 @@
                 sidecar.advance(480 * MS);
             }
             sent += sidecar.sends.size() - before;
-            cold += sidecar.sentTo(99, before);
+            warming += sidecar.sentTo(99, before);
         }
-        // 1800 requests in 1.5 s over 11 servers: 164 each; the cold share grows from 0.3 to 0.43.
+        // 1800 requests in 1.5 s over 11 hosts: 164 each; the capacity grows from 0.3 to 0.43.
         assertEquals(1_800, sent);
-        assertTrue(cold > 5 && cold < 70, "cold upstream got " + cold);
+        assertTrue(warming > 5 && warming < 70, "warming host got " + warming);
     }
 
-    /** Guards against a fleet that starts anew as a whole, of which only what lies near is used. */
+    /** Of a fleet that warms up as a whole more than the subset has to be used. */
     @Test
     void largeFleetWarmingUpAsAWholeIsUsedBeyondTheSubset() {
         SidecarHarness sidecar = SidecarHarness.ofMany(1, 3).withHosts(60);
         int seen = 0;
-        int refusedBefore = 0;
+        int rejectedBefore = 0;
         for (int tick = 0; tick < 4_000; tick++) {
             sidecar.advance(6 * MS);
             if (tick == 2_700) {
@@ -71,7 +72,7 @@
                     fresh.add(upstreamHost(i, HostState.READY, sidecar.now));
                 }
                 sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.DELTA, fresh);
-                refusedBefore = sidecar.answers.size();
+                rejectedBefore = sidecar.answers.size();
             }
             for (;
                     seen < sidecar.sends.size()
@@ -81,13 +82,13 @@
             }
             sidecar.request(tick, 0);
         }
-        int refused = sidecar.answers.size() - refusedBefore;
-        assertTrue(refused < 520, "refused " + refused + " of 1300");
+        int rejected = sidecar.answers.size() - rejectedBefore;
+        assertTrue(rejected < 520, "rejected " + rejected + " of 1300");
     }
 
     /**
-     * Guards against a process that is new before a server that is cold: its first answer was all
-     * that it knew of what a server can do, and everything else was refused for seconds.
+     * A new sidecar before a warming host: its first answer is all that it knows of what a host can
+     * do, and must not make it reject everything else for seconds.
      */
     @Test
     void newSidecarKeepsSendingToALoneWarmingHost() {
@@ -109,10 +110,10 @@
         assertTrue(sent >= 70, "the seventh request was sent in " + sent + " of 100");
     }
 
-    /** Guards against what a new process may send beyond the credit, which adds up over a fleet. */
+    /** What a new sidecar may send beyond the credit adds up over all sidecars. */
     @Test
     void extraRequestsOfManyNewSidecarsStayWithinTheBudgetsConstant() {
-        long cold = 0;
+        long warming = 0;
         for (int rank = 0; rank < 100; rank++) {
             SidecarHarness sidecar = SidecarHarness.ofMany(rank, 100);
             sidecar.policy.onEndpointUpdate(
@@ -124,20 +125,20 @@
                 sidecar.request(id, 0);
                 answerAtOnce(sidecar, 150 * MS);
             }
-            // What goes by the credit of a process that has served nothing is one request at most.
-            cold += Math.max(0, sidecar.sends.size() - before - 1);
+            // The credit of a sidecar that has served nothing allows one request at most.
+            warming += Math.max(0, sidecar.sends.size() - before - 1);
         }
-        assertTrue(cold <= 3, "beyond the credit: " + cold);
+        assertTrue(warming <= 3, "beyond the credit: " + warming);
     }
 
     @Test
     void fleetWarmingUpAsAWholeIsUsed() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT);
-        List<UpstreamHost> cold = new ArrayList<>();
+        List<UpstreamHost> warming = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            cold.add(upstreamHost(i, HostState.READY, sidecar.now - 100 * MS));
+            warming.add(upstreamHost(i, HostState.READY, sidecar.now - 100 * MS));
         }
-        sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.CACHED_SNAPSHOT, cold);
+        sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.CACHED_SNAPSHOT, warming);
         for (int id = 0; id < 20; id++) {
             sidecar.request(id, 0);
             sidecar.advance(100 * MS);
--- a/sidecar/src/test/java/appleridge/loadbalancing/UnusualSettingsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/UnusualSettingsTest.java
@@ -7,12 +7,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings far from the three deployments: bare hosts, lone servers, large and vanishing lists. */
+/**
+ * Settings far from the three deployments: bare platforms, lone hosts, large and vanishing fleets.
+ */
 class UnusualSettingsTest {
 
-    /** A host that allows nothing but sending, with the given try limit. */
-    private static SidecarHarness bare(int tryLimit, RequestClass... classes) {
-        Capabilities allowed = new Capabilities(false, false, false, false, false, tryLimit, 0, 0);
+    /** A platform that allows nothing but sending. */
+    private static SidecarHarness bare(int maxAttempts, RequestClass... classes) {
+        Capabilities allowed =
+                new Capabilities(false, false, false, false, false, maxAttempts, 0, 0);
         SafetyLimits limits = new SafetyLimits(20 * MS, 10_000 * MS, 250 * MS, 1, 0, 1, 0);
         return new SidecarHarness(
                 new PolicySettings(
@@ -33,20 +36,21 @@
     }
 
     @Test
-    void oneServerTakesAllInTurnAndIsTriedAgainWhenItReturns() {
+    void loneHostIsTriedAgainAfterAFailedConnect() {
         SidecarHarness sidecar = bare(3, SidecarHarness.NON_IDEMPOTENT).withHosts(1);
         sidecar.serve(0, 50, 0, 10 * MS);
         assertEquals(50, sidecar.sends.size());
         sidecar.request(100, 0);
         sidecar.outcome(sidecar.last(), Outcome.CONNECT_FAILED);
-        assertEquals(List.of("refuse 100"), sidecar.answers, "no other server, and it never ran");
+        assertEquals(
+                List.of("refuse 100"), sidecar.answers, "no other host, and it was not executed");
         sidecar.advance(2_000 * MS);
         sidecar.request(101, 0);
         assertEquals(101, sidecar.last().request());
     }
 
     @Test
-    void manyServersAllGetTheirTurn() {
+    void everyHostOfALargeFleetGetsItsTurn() {
         SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(500);
         sidecar.serve(0, 500, 0, MS);
         assertEquals(
@@ -55,7 +59,7 @@
     }
 
     @Test
-    void aTryLimitOfOneMeansNoFurtherAttempt() {
+    void maxAttemptsOfOneAllowsNoRetry() {
         SidecarHarness sidecar = bare(1, SidecarHarness.IDEMPOTENT).withHosts(3);
         sidecar.request(1, 0);
         sidecar.outcome(sidecar.last(), Outcome.REJECTED);
@@ -64,7 +68,7 @@
     }
 
     @Test
-    void whatTheHostDoesNotAllowIsNeverAskedFor() {
+    void actionsThatAreNotAllowedAreNeverAskedFor() {
         SidecarHarness sidecar =
                 bare(3, SidecarHarness.IDEMPOTENT, SidecarHarness.NON_IDEMPOTENT).withHosts(2);
         for (int i = 0; i < 40; i++) {
@@ -82,7 +86,7 @@
     }
 
     @Test
-    void aListThatEmptiesAndRefillsStartsAfresh() {
+    void emptiedAndRefilledEndpointListIsUsedAgain() {
         SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(4);
         sidecar.serve(0, 20, 0, 10 * MS);
         sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.SNAPSHOT, List.of());
@@ -94,7 +98,7 @@
     }
 
     @Test
-    void aLoadReportIsNoPartOfThePick() {
+    void loadReportsDoNotAffectThePick() {
         SidecarHarness one = bare(3, SidecarHarness.IDEMPOTENT).withHosts(5);
         SidecarHarness other = bare(3, SidecarHarness.IDEMPOTENT).withHosts(5);
         for (int i = 0; i < 30; i++) {
@@ -113,7 +117,7 @@
     }
 
     @Test
-    void aStreamThatHasBegunIsNeitherSentAgainNorCutAtTheDeadline() {
+    void startedStreamIsNeitherRetriedNorCutAtTheDeadline() {
         RequestClass stream =
                 new RequestClass(
                         500 * MS,
@@ -138,21 +142,21 @@
         assertEquals(
                 List.of("refuse 1"),
                 sidecar.answers,
-                "a repeatable request may be tried by its client");
+                "an idempotent request may be retried by its client");
     }
 
     @Test
-    void onceAloneIsNeverSentTwiceOnDoubt() {
+    void nonIdempotentRequestIsNeverRetriedAfterPossibleExecution() {
         SidecarHarness sidecar = bare(3, SidecarHarness.NON_IDEMPOTENT).withHosts(6);
-        for (Outcome doubt : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
-            sidecar.request(doubt.ordinal(), 0);
-            sidecar.outcome(sidecar.last(), doubt);
-            assertEquals(1, sidecar.sendsOf(doubt.ordinal()).size(), doubt.name());
+        for (Outcome outcome : List.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR)) {
+            sidecar.request(outcome.ordinal(), 0);
+            sidecar.outcome(sidecar.last(), outcome);
+            assertEquals(1, sidecar.sendsOf(outcome.ordinal()).size(), outcome.name());
         }
     }
 
     @Test
-    void drainingEverywhereStopsAllNewWork() {
+    void nothingIsSentWhileAllHostsDrain() {
         SidecarHarness sidecar = bare(3, SidecarHarness.IDEMPOTENT).withHosts(2);
         sidecar.policy.onEndpointUpdate(
                 sidecar.now,
--- a/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
@@ -12,20 +12,20 @@
 
 /** Zones that can't be connected to. */
 class ZoneHealthTest {
-    /** Guards against a hundred sidecars that each find out of each server of a lost site alone. */
+    /** Many sidecars must not each find out host by host that a zone is lost. */
     @Test
     void unreachableZoneIsProbedAsOneHost() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(40);
         sidecar.serve(0, 80, 0, 20 * MS);
         int tried = connectsInto(sidecar, 1, 100);
-        assertTrue(tried <= 4, "twenty servers, in some three seconds: " + tried);
+        assertTrue(tried <= 4, "twenty hosts, in some three seconds: " + tried);
         assertTrue(sidecar.log.contains("log site 1 shut out: no connection"));
         sidecar.advance(10_000 * MS);
         int before = sidecar.sends.size();
         sidecar.serve(5_000, 5_120, 0, 20 * MS);
         assertTrue(sidecar.log.contains("log site 1 answers again"));
         long back = sidecar.sends.stream().skip(before).filter(s -> s.upstream() % 2 == 1).count();
-        assertTrue(back >= 50, "its servers have their turns again: " + back);
+        assertTrue(back >= 50, "its hosts have their turns again: " + back);
     }
 
     @Test
@@ -45,7 +45,7 @@
         assertTrue(sidecar.sentTo(3, 0) > 15 && sidecar.sentTo(5, 0) > 15);
     }
 
-    /** Where there is one site alone, to shut it out would take every other gate away as well. */
+    /** To eject the only zone would leave nothing to send to. */
     @Test
     void onlyZoneIsNeverEjected() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT);
@@ -64,14 +64,16 @@
     }
 
     /**
-     * Sites are the ids' halves: a failed connect takes its time-out, and all of one site's fail.
+     * Sends requests while no host of a zone can be connected to; each failed connect takes 100 ms.
+     *
+     * @return attempts that went into the zone
      */
-    private static int connectsInto(SidecarHarness sidecar, int site, int requests) {
+    private static int connectsInto(SidecarHarness sidecar, int zone, int requests) {
         int before = sidecar.sends.size();
         for (int i = 0; i < requests; i++) {
             sidecar.request(1_000 + i, 0);
             while (sidecar.sendsOf(1_000 + i).stream().anyMatch(s -> s == sidecar.last())
-                    && sidecar.last().upstream() % 2 == site) {
+                    && sidecar.last().upstream() % 2 == zone) {
                 SidecarHarness.Sent cut = sidecar.last();
                 sidecar.advance(100 * MS);
                 sidecar.outcome(cut, Outcome.CONNECT_FAILED);
@@ -80,11 +82,11 @@
                 }
             }
             sidecar.advance(20 * MS);
-            if (sidecar.last().upstream() % 2 != site) {
+            if (sidecar.last().upstream() % 2 != zone) {
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
         return (int)
-                sidecar.sends.stream().skip(before).filter(s -> s.upstream() % 2 == site).count();
+                sidecar.sends.stream().skip(before).filter(s -> s.upstream() % 2 == zone).count();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/PlantedRunTest.java
@@ -28,7 +28,7 @@
                                     "SymmetricRoundRobinPolicy",
                                     null,
                                     "discovery.subscribe(now);",
-                                    "registry.hosts().iterator().next().attemptSent();")),
+                                    "hosts.registry.hosts().iterator().next().attemptSent();")),
                     List.of(RULE),
                     null,
                     null);
