--- a/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
+++ b/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void callsAreCarriedOutAndAnswered() {
+    void callsAreCarriedOutAndRepliedTo() {
         assertEquals("YES\n", ask("STATUS"));
         serves = false;
         assertEquals("NO not ready\n", ask(" STATUS\t"));
@@ -55,7 +55,7 @@
      * Guards against an effect of what was no call, and against an answer that nobody understands.
      */
     @Test
-    void whatIsNoCallIsANoWithAReasonAndHasNoEffect() {
+    void malformedCallIsRefusedWithAReasonAndHasNoEffect() {
         assertEquals("NO empty call\n", ask(""));
         assertEquals("NO empty call\n", ask("   "));
         for (String unknown : new String[] {"status", "HELLO", "SUSPENDED a", "SUSPEND\u000ba"}) {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anyBytesHaveOneLineOfAnAnswer() {
+    void anyBytesAreRepliedToWithOneLine() {
         Random random = new Random(7);
         for (int i = 0; i < 20_000; i++) {
             byte[] line = new byte[random.nextInt(40)];
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void whoIsOutDrainsFromTheYesOnAndIsColdWhenCalledBack() {
+    void suspendedHostDrainsAtOnceAndIsInSlowStartWhenRestored() {
         told(
                 UpdateKind.SNAPSHOT,
                 member("a", 1, HostState.READY, 0),
@@ -63,7 +63,7 @@
 
     /** Guards against a word that is forgotten when the list forgets whom it was about. */
     @Test
-    void itHoldsOverAnythingThatDiscoverySays() {
+    void suspensionHoldsWhateverDiscoverySays() {
         told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0));
         maintenance.suspend("a", now);
         assertEquals(
@@ -88,7 +88,7 @@
      * cold.
      */
     @Test
-    void aStartWithinTheTimeOutIsBelievedAndNoOther() {
+    void onlyAStartWithinTheSuspensionIsTakenAsTheLastStart() {
         told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 999_000_000));
         maintenance.suspend("a", now);
         now += 3 * RAMP;
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void whoDrainsOrIsGoneByTheListStaysSoWhenCalledBack() {
+    void restoredHostThatDiscoveryDrainsOrRemovedStaysSo() {
         told(
                 UpdateKind.SNAPSHOT,
                 member("a", 1, HostState.READY, 0),
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void idsThatNobodyHoldsAreDeniedAndWordsAreBounded() {
+    void unknownIdsAreRejectedAndSuspensionsAreBounded() {
         assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.suspend("a", now));
         assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.restore("a", now));
         DiscoveredEndpoint[] many = new DiscoveredEndpoint[MaintenanceOverlay.MAX_SUSPENDED + 1];
@@ -160,7 +160,7 @@
      * out.
      */
     @Test
-    void afterAnyEventsTheModuleSeesWhatAModelSees() {
+    void afterAnyEventsThePolicySeesWhatAModelSees() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             Set<String> ready = new HashSet<>();
--- a/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void whoIsSuspendedGetsNothingFromTheYesOnAndIsUsedAgainWhenRestored() throws Exception {
+    void suspendedHostGetsNoRequestsUntilItIsRestored() throws Exception {
         try (StubUpstream a = new StubUpstream(StubUpstream.says(GOOD));
                 StubUpstream b = new StubUpstream(StubUpstream.says(GOOD));
                 LoopbackNode node =
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void eachFormOfACallHasItsAnswer() throws Exception {
+    void eachFormOfACallHasItsReply() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
                 LoopbackNode node =
                         new LoopbackNode(
@@ -137,7 +137,7 @@
 
     /** Guards against callers that only connect, or flood, and so keep out who asks. */
     @Test
-    void whoSaysNothingDoesNotDelayWhoAsks() throws Exception {
+    void silentConnectionsDoNotDelayCalls() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
                 LoopbackNode node =
                         new LoopbackNode(
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void whoNeverMakesACallIsTold() throws Exception {
+    void connectionThatNeverMakesACallIsRefused() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
                 LoopbackNode node =
                         new LoopbackNode(
@@ -179,7 +179,7 @@
 
     /** Guards against figures that are counted twice, or not: a witness outside counts the same. */
     @Test
-    void figuresAreWhatAWitnessOutsideCounts() throws Exception {
+    void metricsAreWhatAnOutsideObserverCounts() throws Exception {
         AtomicInteger turn = new AtomicInteger();
         StubUpstream.Script script =
                 (socket, request) ->
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -194,7 +194,7 @@
      * pushed: what the agent has got after that counts as told, though no watch was open.
      */
     @Test
-    void afterAStandStillRequestsWaitForWhatThePushedListHasComeToSince() throws Exception {
+    void afterAStallRequestsAreDeferredUntilThePushedListHasCaughtUp() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             String first = LoopbackNode.target("u0", one.address(), "Ready");
@@ -237,7 +237,7 @@
      * the agent has counts as told from the first moment of a new process.
      */
     @Test
-    void aNewProcessHearsThePushedListBeforeItsFirstRequest() throws Exception {
+    void newProcessReadsThePushedListBeforeItsFirstRequest() throws Exception {
         // Once with an agent that answers at once, or classes that are yet to load may take all of
         // its wait.
         for (boolean heldBack : new boolean[] {false, true}) {
@@ -279,7 +279,7 @@
      * there is none: the watch is still out, and what is written to it would have been read.
      */
     @Test
-    void afterAStandStillNothingWaitsForAWatchThatHasNothingToTell() throws Exception {
+    void afterAStallRequestsDoNotWaitForAWatchWithoutAnUpdate() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
--- a/sidecar/src/test/java/appleridge/daemon/LeavingClientTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
@@ -41,7 +41,7 @@
  * loop that is held still.
  */
 @Timeout(60)
-class LeavingClientTest {
+class ClientDisconnectTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
@@ -177,7 +177,7 @@
 
     /** Guards against work in vain: what the module holds goes with its client. */
     @Test
-    void whatTheModuleHoldsIsNotSent() throws Exception {
+    void queuedRequestOfADisconnectedClientIsNotSent() throws Exception {
         for (Leaving way : WAYS) {
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -204,7 +204,7 @@
 
     /** Guards against a request of the same connection that waits behind one that is out. */
     @Test
-    void whatWaitsBehindAnEarlierRequestOfItsConnectionIsNotSent() throws Exception {
+    void pipelinedRequestOfADisconnectedClientIsNotSent() throws Exception {
         for (Leaving way : WAYS) {
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -237,7 +237,7 @@
      * room.
      */
     @Test
-    void whatWaitsBetweenTwoAttemptsIsNotSent() throws Exception {
+    void retryForADisconnectedClientIsNotSent() throws Exception {
         for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
             CountDownLatch gate = new CountDownLatch(1);
             CountDownLatch fails = new CountDownLatch(1);
@@ -292,7 +292,7 @@
      * has left: also where the settings allow no cancelling, for of this one nothing has gone out.
      */
     @Test
-    void whatWaitsForItsConnectionIsNotSent() throws Exception {
+    void connectingAttemptOfADisconnectedClientIsNotSent() throws Exception {
         for (String cancels : new String[] {"true", "false"}) {
             for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -332,15 +332,14 @@
      * end: a late loop looks for those who have left before it writes.
      */
     @Test
-    void whatWaitsForItsConnectionIsNotSentWhereThatCameUpWhileTheLoopStoodStill()
-            throws Exception {
+    void connectCompletingDuringAStallIsNotUsedForADisconnectedClient() throws Exception {
         for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 final List<Socket> waiting = fill(full);
                 begin(
                         discovery,
-                        LeavingClientTest::patient,
+                        ClientDisconnectTest::patient,
                         LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                 TestClient client = new TestClient(address);
                 client.send(TestClient.request("read", "60.0"));
@@ -360,7 +359,7 @@
      * connection.
      */
     @Test
-    void norIsItSentToWhoHasBegunToDrainMeanwhile() throws Exception {
+    void connectCompletingAfterDrainUpdateIsNotUsed() throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
         CountDownLatch told = new CountDownLatch(1);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -463,7 +462,7 @@
      * than half a second.
      */
     @Test
-    void whatWaitedUnreadWhileTheLoopStoodStillIsNotSent() throws Exception {
+    void requestReadAfterAStallIsNotSentForADisconnectedClient() throws Exception {
         for (long still : new long[] {130, 320, 700}) {
             for (Leaving way : WAYS) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -496,7 +495,7 @@
      * sent at once.
      */
     @Test
-    void whatComesAtOnceOnANewConnectionIsNotSentWhenItsClientHasGone() throws Exception {
+    void firstRequestOfADisconnectedClientIsNotSent() throws Exception {
         for (Leaving way : WAYS) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(GOOD)) {
@@ -525,7 +524,7 @@
      * come while the loop stands still, and then their clients leave.
      */
     @Test
-    void whatIsHeldIsNotSentWhereRoomCameWhileTheLoopStoodStill() throws Exception {
+    void queuedRequestIsNotSentWhenCapacityCameDuringAStall() throws Exception {
         for (long still : new long[] {130, 320}) {
             for (Leaving way : WAYS) {
                 roomComesWhileTheLoopStandsStill(still, way);
@@ -571,7 +570,7 @@
      * and the end of who waits for the room behind it.
      */
     @Test
-    void whatIsHeldIsNotSentWhereRoomCameLateInALongTurn() throws Exception {
+    void queuedRequestIsNotSentWhenCapacityCameLateInALongTurn() throws Exception {
         for (boolean resets : new boolean[] {false, true}) {
             CountDownLatch gate = new CountDownLatch(1);
             CountDownLatch answered = new CountDownLatch(2);
--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -30,7 +30,7 @@
 
     /** Guards against a request cut off because its body comes slowly, while it does come. */
     @Test
-    void aBodyThatComesSlowlyIsTakenAndOneThatStopsIsNot() throws Exception {
+    void slowBodyIsAcceptedAndStalledBodyIsNot() throws Exception {
         ClientTimeouts times = new ClientTimeouts(300, 300, 15_000);
         Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void readyOnlyWithAListToUse() throws Exception {
+    void readinessNeedsAReadyHost() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode();
                 TestClient client = host.client()) {
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void badInputIsAnsweredAtOnceAndGoesNowhere() throws Exception {
+    void malformedRequestIsAnsweredAtOnceAndNotForwarded() throws Exception {
         String good = TestClient.request("write", "2.0");
         Map<String, Integer> keeps = new LinkedHashMap<>();
         keeps.put(good.replaceAll("X-Request-Id: [^\r]*\r\n", ""), 400);
@@ -156,7 +156,7 @@
 
     /** Guards against a check of heads that depends on how the bytes arrive. */
     @Test
-    void requestsAreReadWhereverTheyAreCut() throws Exception {
+    void requestIsReadHoweverItIsSplit() throws Exception {
         String chunked =
                 TestClient.request("pay", "3.0")
                         .replace(
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aBodyOfTheGreatestSizeIsTaken() throws Exception {
+    void bodyOfTheMaximumSizeIsAccepted() throws Exception {
         String big = "x".repeat(64 * 1024);
         try (StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
@@ -202,7 +202,7 @@
      * Guards against answers swapped on a connection whose requests are answered in another order.
      */
     @Test
-    void pipelinedRequestsAreTakenAtOnceAndAnsweredInOrder() throws Exception {
+    void pipelinedRequestsAreAcceptedAtOnceAndAnsweredInOrder() throws Exception {
         CountDownLatch secondCame = new CountDownLatch(1);
         Script script =
                 (socket, request) -> {
@@ -230,7 +230,7 @@
 
     /** Guards against descriptors used up by clients that say nothing, or half of something. */
     @Test
-    void idleClientsAreLetGoButNotThoseThatWait() throws Exception {
+    void idleConnectionsAreClosedButNotThoseThatWaitForAResponse() throws Exception {
         Figures hasty =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
@@ -255,7 +255,7 @@
      * same.
      */
     @Test
-    void aRequestThatTricklesInIsEnded() throws Exception {
+    void requestThatArrivesTooSlowlyIsEnded() throws Exception {
         Figures hasty =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
@@ -281,7 +281,7 @@
      * Guards against silent connections that use the descriptors up and shut those out that ask.
      */
     @Test
-    void silentConnectionsMakeRoomForThoseThatAsk() throws Exception {
+    void silentConnectionsAreEvictedForThoseThatSendRequests() throws Exception {
         Figures patient =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
@@ -327,7 +327,7 @@
      * answer.
      */
     @Test
-    void clientsThatAskOnceAndKeepTheirConnectionsShutNoOneOut() throws Exception {
+    void idleConnectionsAfterOneRequestKeepNobodyOut() throws Exception {
         List<TestClient> keeping = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(upstream)) {
@@ -351,7 +351,7 @@
      * needs.
      */
     @Test
-    void whereManyAreKeptIdleTheLongestIdleAreLetGo() throws Exception {
+    void theLongestIdleConnectionIsEvictedFirst() throws Exception {
         Figures crowd =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
@@ -379,7 +379,7 @@
 
     /** Guards against answers that go to the wrong one of two requests under one id. */
     @Test
-    void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
+    void requestWithTheIdOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubUpstream upstream =
                         new StubUpstream(
@@ -406,7 +406,7 @@
      * answered.
      */
     @Test
-    void whatFollowsAClientsLastRequestIsNotSent() throws Exception {
+    void requestAfterConnectionCloseIsNotForwarded() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(upstream);
                 TestClient client = host.client()) {
@@ -429,7 +429,7 @@
      * seen.
      */
     @Test
-    void hundredsOfRequestsAtOnceEndTheConnection() throws Exception {
+    void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent);
                 TestClient client = host.client()) {
@@ -452,7 +452,7 @@
 
     /** Guards against memory filled by a client that asks on and on and reads nothing. */
     @Test
-    void aClientThatNeverReadsIsCutOff() throws Exception {
+    void clientThatNeverReadsIsDisconnected() throws Exception {
         byte[] many = READY.repeat(1000).getBytes(StandardCharsets.US_ASCII);
         try (LoopbackNode host = new LoopbackNode();
                 Socket hungry = new Socket()) {
@@ -471,7 +471,7 @@
 
     /** Guards against an end of the service that waits for a request which never ends. */
     @Test
-    void theEndOfTheServiceDoesNotWaitForHalfARequest() throws Exception {
+    void drainDoesNotWaitForAnIncompleteRequest() throws Exception {
         Figures patient =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
@@ -491,7 +491,7 @@
     }
 
     @Test
-    void aRefusalTellsWhenToComeBackWhereThatIsAllowed() throws Exception {
+    void rejectionHasRetryAfterWhereThatIsEnabled() throws Exception {
         String gone = LoopbackNode.target("u0", "127.0.0.1:9", "Terminating");
         try (LoopbackNode host = new LoopbackNode(LoopbackNode.Figures.USUAL, gone)) {
             String answer = host.ask(TestClient.request("pay", "2.0"));
@@ -506,7 +506,7 @@
      * connections kept from before.
      */
     @Test
-    void theEndOfTheServiceLosesNothing() throws Exception {
+    void drainLosesNoRequest() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         Script held =
@@ -547,7 +547,7 @@
 
     /** Guards against requests taken late that the end of the process finds unanswered. */
     @Test
-    void whatIsTakenAtTheEndOfTheServiceIsAnsweredBeforeIt() throws Exception {
+    void requestAcceptedLateInADrainIsAnsweredBeforeItsEnd() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent);
@@ -569,8 +569,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"pay", "slow"})
-    void whatWasTakenBeforeTheEndOfTheServiceIsAnsweredBeforeIt(String requestClass)
-            throws Exception {
+    void requestAcceptedBeforeADrainIsAnsweredBeforeItsEnd(String requestClass) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent);
@@ -592,7 +591,7 @@
      * than it is put off: no more than 3 s of the longest deadline, and 0.7 s.
      */
     @Test
-    void whatIsTakenAtTheEndIsAnsweredBeforeSigkillHoweverLongItsClientsWait() throws Exception {
+    void requestAcceptedLateInADrainIsAnsweredBeforeSigkillWhateverItsTimeout() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent);
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
@@ -148,7 +148,7 @@
      * Guards against requests that are taken late in a shutdown and found unanswered by SIGKILL.
      */
     @Test
-    void nothingIsOpenAtSigkillThoughAnUpstreamHangs() throws Exception {
+    void nothingIsOpenAtSigkillWhenAnUpstreamHangs() throws Exception {
         endsWithNothingOpen(LONGEST_DEADLINE_MILLIS);
     }
 
@@ -164,7 +164,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {3250, 3400, 3530})
-    void nothingIsOpenAtSigkillThoughTheProcessIsHeldUpTwice(long heldUpAt) throws Exception {
+    void nothingIsOpenAtSigkillWhenTheProcessStallsTwice(long heldUpAt) throws Exception {
         endsWithNothingOpen(LONGEST_DEADLINE_MILLIS, 0, heldUpAt);
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
@@ -141,7 +141,7 @@
      * request's rest is sent.
      */
     @Test
-    void aRequestThatLiesUnreadAtTheEndIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredAtTheEndOfADrain() throws Exception {
         CountDownLatch atTheEnd = new CountDownLatch(1);
         CountDownLatch whole = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
@@ -190,7 +190,7 @@
      * connection.
      */
     @Test
-    void halfARequestIsRefusedAtTheEndAndTheRestOfItResetsNothing() throws Exception {
+    void incompleteRequestIsRejectedAtTheEndOfADrainWithoutAReset() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             begin(upstream);
@@ -221,7 +221,7 @@
      * though the system had taken none of it yet, as where its client reads slowly.
      */
     @Test
-    void anAnswerThatTheSystemHasNotTakenAtTheEndGoesOutWhole() throws Exception {
+    void unwrittenResponseGoesOutWholeAtTheEndOfADrain() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             begin(upstream);
@@ -258,8 +258,7 @@
      * what had connected before is told to the loop behind the end, which saw no connection.
      */
     @Test
-    void whatHadConnectedBeforeTheSocketWasTakenOverIsAnsweredThoughTheEndCameAtOnce()
-            throws Exception {
+    void connectionInTheAcceptQueueIsAnsweredWhenADrainFollowsAtOnce() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch later = new CountDownLatch(1);
         StubUpstream.Script held =
--- a/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
@@ -56,7 +56,7 @@
      * timers at odd moments, and each one's last half millisecond would be spent turning.
      */
     @Test
-    void theEventLoopTurnsForEventsAndNotForTheTimeToPass() throws Exception {
+    void eventLoopDoesNotSpinBetweenEvents() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
--- a/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -112,7 +112,7 @@
      * takes over from the other; and against an end that waits though nothing is held.
      */
     @Test
-    void processesAreReplacedUnderLoadAndNoRequestMeetsAClosedDoor() throws Exception {
+    void hotRestartUnderLoadRefusesNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
@@ -148,7 +148,7 @@
      * Guards against a queue that is reset with the process: what comes while nobody accepts waits.
      */
     @Test
-    void whatConnectsWhileNobodyAcceptsIsServedByTheNextProcess() throws Exception {
+    void connectionsMadeWhileNoProcessAcceptsAreServedByTheNext() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
@@ -195,7 +195,7 @@
      * one only; also where that process is killed right after its yes.
      */
     @Test
-    void whatIsSuspendedStaysSoOverAnUpgradeWhicheverProcessWasTold() throws Exception {
+    void suspensionSurvivesAHotRestartWhicheverProcessWasAsked() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream a =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
@@ -247,7 +247,7 @@
      * Guards against a start that fails, or believes noise, because of what another one has left.
      */
     @Test
-    void aTornStateIsRefusedOnceAndTheStartGoesOn() throws Exception {
+    void tornStateFileIsRejectedOnceAndTheStartGoesOn() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
@@ -274,7 +274,7 @@
 
     /** Guards against an answer that is cut off because the process that owes it is told to end. */
     @Test
-    void whatIsHeldAtSigtermIsAnsweredAndToldToClose() throws Exception {
+    void openRequestAtSigtermIsAnsweredWithConnectionClose() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
@@ -305,7 +305,7 @@
 
     /** Guards against a start that serves nobody and says nothing. */
     @Test
-    void whatIsNoListeningSocketIsAClearErrorBeforeAnythingIsServed() throws Exception {
+    void descriptorThatDoesNotListenFailsTheStart() throws Exception {
         int stream = 1;
         int datagram = 2;
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
--- a/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void nodesAloneAskNoRegistry() {
+    void withNodesAloneTheRegistryIsNotPolled() {
         begin(SourceSelection.NODES);
         assertEquals(0, registry.asked);
         connected(2);
@@ -175,7 +175,7 @@
 
     /** Guards against a registry that is not asked again because the nodes tell on. */
     @Test
-    void aRegistryThatFailsIsAskedAgainWhateverTheNodesTell() {
+    void failedRegistryIsPolledAgainWhateverTheNodesReport() {
         begin(SourceSelection.BOTH);
         assertEquals(1, registry.asked);
         connected(2);
@@ -196,7 +196,7 @@
      * Guards against requests that go by the registry's news while the nodes' have not come yet.
      */
     @Test
-    void afterAStandStillItIsCaughtUpWhenTheServiceHasAnswered() {
+    void afterAStallItIsCaughtUpWhenTheClientHasConfirmed() {
         begin(SourceSelection.BOTH);
         connected(2);
         client.waiting = () -> client.membership.gone(loop.nanoTime(), loop.nanoTime(), 2, "n");
--- a/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -38,7 +38,7 @@
 
     /** Guards against connections kept to an upstream that gets nothing any more. */
     @Test
-    void idleConnectionsGoWithTheirUpstream() throws Exception {
+    void idleConnectionsAreClosedWhenTheirHostIsRemoved() throws Exception {
         StubUpstream.Script slow =
                 (socket, request) -> {
                     // Long enough that the module does not take the connection for one that is
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void changesBuildOnTheCachedListAndADrainingUpstreamGetsNothingNew() throws Exception {
+    void deltasApplyToTheCachedListAndADrainingHostGetsNoNewRequests() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 LoopbackNode host =
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whoIsMissingFromAWholeListIsGone() throws Exception {
+    void hostMissingFromASnapshotIsRemoved() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 LoopbackNode host =
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void anUpstreamMayMoveToAnotherAddress() throws Exception {
+    void hostMayMoveToAnotherAddress() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one))) {
@@ -118,7 +118,7 @@
 
     /** Guards against a list lost with the call that failed: the last one stays in force. */
     @Test
-    void afterAFailureTheListStaysAndDiscoveryIsAskedAgain() throws Exception {
+    void afterAFailureTheListStaysAndDiscoveryIsPolledAgain() throws Exception {
         String[] failures = {
             "",
             StubUpstream.answer("503 Service Unavailable", ""),
@@ -150,7 +150,7 @@
      * failure.
      */
     @Test
-    void anotherDiscoveryIsFollowedFromItsWholeListOn() throws Exception {
+    void switchedDiscoveryIsFollowedFromItsSnapshotOn() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 StubUpstream other =
@@ -190,7 +190,7 @@
      * in time for a drain.
      */
     @Test
-    void aWatchWithoutAnAnswerIsAskedBesideBeforeItsNewsCountAsTold() throws Exception {
+    void overdueWatchIsPolledBeforeItCountsAsCaughtUp() throws Exception {
         Figures shortWatch =
                 new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
@@ -220,7 +220,7 @@
      * Guards against a new discovery whose first list looks old beside what the old one told late.
      */
     @Test
-    void theNewDiscoverysFirstListIsHeededThoughTheOldOneToldLate() throws Exception {
+    void firstSnapshotOfTheNewDiscoveryIsUsedAfterALateUpdateOfTheOld() throws Exception {
         Figures shortWatch =
                 new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
@@ -320,7 +320,7 @@
      * asked for all it has, over and over; here five times before it is back.
      */
     @Test
-    void aPushedListIsWatchedAtTheAgentAndASilentAgentAskedUntilItIsBack() throws Exception {
+    void pushedListIsWatchedAtTheAgentAndASilentAgentIsPolled() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             Agent agent = new Agent();
@@ -365,7 +365,7 @@
      * it has.
      */
     @Test
-    void anOlderListIsNotHeededUnlessItIsAllThereIs() throws Exception {
+    void olderListIsIgnoredUnlessItIsTheOnlyOne() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 LoopbackNode host =
@@ -400,7 +400,7 @@
      * address.
      */
     @Test
-    void whatComesAndGoesWithinOneListOfChangesLosesNoNews() throws Exception {
+    void hostThatComesAndGoesWithinOneDeltaLosesNoUpdate() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             String gone = LoopbackNode.target("u0", one.address(), "Gone");
@@ -490,8 +490,7 @@
      * already as the sidecar is told to ask another one, which says nothing yet.
      */
     @Test
-    void whatTheOldDiscoveryAnswersBesideAnOverdueWatchIsHeededThoughTheNewOneIsSilent()
-            throws Exception {
+    void pollOfTheOldDiscoveryIsUsedWhileTheNewOneIsSilent() throws Exception {
         Figures shortWatch =
                 new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         CountDownLatch moved = new CountDownLatch(1);
@@ -546,7 +545,7 @@
      * size.
      */
     @Test
-    void aBadListIsNotHeededAtAllAndALongOneIs() throws Exception {
+    void malformedListIsIgnoredAndALongOneIsUsed() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 LoopbackNode host =
--- a/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aMissingOrSenselessConfigurationEndsWithOnePlainLine() throws Exception {
+    void missingOrInvalidConfigurationEndsWithOneLine() throws Exception {
         for (String config : new String[] {null, "{", "{}", "[]", "{\"settings\":{}}"}) {
             Process process = serve(config);
             String err =
@@ -87,7 +87,7 @@
 
     /** Guards against an operator's file that costs a start something where there is none. */
     @Test
-    void withoutAnOperatorsFileNothingOfItIsLoaded() throws Exception {
+    void classesOfOptionalPartsAreNotLoadedByDefault() throws Exception {
         String loaded = output("-Xlog:class+load", "-jar", "target/appleridge.jar", "warm-up");
         assertTrue(loaded.startsWith("status 0"), loaded);
         assertTrue(loaded.contains("appleridge.daemon.Sidecar "), "what is loaded is listed");
@@ -114,7 +114,7 @@
 
     /** Guards against two builds on one machine that fail each other, for both warm up. */
     @Test
-    void warmsUpWhereAnotherProcessHoldsTheAddressOfItsFile() throws Exception {
+    void warmUpWorksWhereTheConfiguredAddressIsInUse() throws Exception {
         JsonNode file = new ObjectMapper().readTree(Path.of("../deploy/warm-up.json").toFile());
         InetSocketAddress address = SidecarConfig.address(file.path("listen").asText());
         try (ServerSocket held = new ServerSocket()) {
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aBadOperatorsFileIsNamedAndNothingStarts() throws Exception {
+    void invalidOperatorFileIsReportedAndNothingStarts() throws Exception {
         Path file = folder.resolve("operator.toml");
         Files.writeString(
                 file,
@@ -153,7 +153,7 @@
      * 200.
      */
     @Test
-    void itIsReadyWhenNothingOfTheStartIsLeftToDo() throws Exception {
+    void readinessComesAfterTheLastStepOfTheStart() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void sigtermAnswersWhatIsHeldAndEndsWithStatusZero() throws Exception {
+    void sigtermAnswersOpenRequestsAndEndsWithStatusZero() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
@@ -228,7 +228,7 @@
      * Guards against answers as much too late as the process stood still with the request unread.
      */
     @Test
-    void whatWaitedUnreadIsAnsweredInItsClientsTime() throws Exception {
+    void requestReadAfterAStallIsAnsweredWithinItsTimeout() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
@@ -270,7 +270,7 @@
      * warm.
      */
     @Test
-    void sigtermWhileWarmingUpAnswersWhatIsHeld() throws Exception {
+    void sigtermDuringWarmUpAnswersOpenRequests() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
@@ -309,7 +309,7 @@
 
     /** Guards against a failed start that looks like an orderly end. */
     @Test
-    void anAddressInUseEndsTheStartWithStatusOne() throws Exception {
+    void addressInUseEndsTheStartWithStatusOne() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Process process =
                     serve(
@@ -328,7 +328,7 @@
      * Guards against the JVM's own way with SIGHUP, which is to end, and against unusable files.
      */
     @Test
-    void sighupBringsANewDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupSwitchesDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
@@ -391,7 +391,7 @@
 
     /** Guards against reloads that never happen, without a word, as under nohup. */
     @Test
-    void aStartThatCannotHearSighupSaysSo() throws Exception {
+    void ignoredSighupIsLogged() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
--- a/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBack() throws Exception {
+    void requestIsForwardedUnchangedAndItsResponseReturned() throws Exception {
         String binary = "\u00ff\u0000\u0001 body";
         Script script =
                 StubUpstream.says(StubUpstream.answer("200 OK", binary, "X-Load: rate=3,q=0"));
@@ -94,7 +94,7 @@
 
     /** Guards against a request that reaches a server as one that no client sent. */
     @Test
-    void aPathWithLettersBeyondAsciiGoesOnByteForByte() throws Exception {
+    void nonAsciiPathIsForwardedByteForByte() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
                 LoopbackNode host = new LoopbackNode(upstream)) {
             String path = "/api/caf\u00c3\u00a9?q=\u00e9\u0080\u00ff";
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void anErrorIsTriedAgainOnlyWhereTheClassAllowsIt() throws Exception {
+    void errorIsRetriedOnlyWhereTheClassAllowsIt() throws Exception {
         Script error = StubUpstream.says(StubUpstream.answer("500 Internal Server Error", ""));
         once(error, "read", 200, 2);
         once(error, "write", 200, 2);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aResetMayHaveRun() throws Exception {
+    void resetAttemptMayHaveExecuted() throws Exception {
         Script reset = (socket, request) -> StubUpstream.reset(socket);
         once(reset, "read", 200, 2);
         once(reset, "write", 200, 2);
@@ -123,19 +123,19 @@
     }
 
     @Test
-    void whatWasTurnedAwayUnseenMayBeSentAgainWhateverItsClass() throws Exception {
+    void rejectionByTheUpstreamIsRetriedForAnyClass() throws Exception {
         for (String status : new String[] {"503 Service Unavailable", "504 Gateway Timeout"}) {
             once(StubUpstream.says(StubUpstream.answer(status, "", "X-Not-Run: 1")), "pay", 200, 2);
         }
     }
 
     @Test
-    void a503WithoutTheUpstreamsWordMayHaveRun() throws Exception {
+    void plain503MayHaveExecuted() throws Exception {
         once(StubUpstream.says(StubUpstream.answer("503 Service Unavailable", "")), "pay", 502, 1);
     }
 
     @Test
-    void anAnswerCutShortIsNotServed() throws Exception {
+    void truncatedResponseIsNotServed() throws Exception {
         Script cut =
                 (socket, request) -> {
                     StubUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine");
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void anAnswerThatAResetEndsIsNotServed() throws Exception {
+    void responseEndedByAResetIsNotServed() throws Exception {
         Script reset =
                 (socket, request) -> {
                     StubUpstream.write(socket, "HTTP/1.1 200 OK\r\n\r\nfine");
@@ -157,12 +157,12 @@
     }
 
     @Test
-    void anAnswerThatCantBeReadIsNotServed() throws Exception {
+    void unreadableResponseIsNotServed() throws Exception {
         once(StubUpstream.says("\u0001\u0002 noise\r\n\r\n"), "pay", 502, 1);
     }
 
     @Test
-    void anUpstreamThatRefusesConnectionsIsPassedOver() throws Exception {
+    void hostThatRefusesConnectionsIsSkipped() throws Exception {
         int closedPort;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             closedPort = unused.getLocalPort();
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void silenceEndsAtTheDeadlineWithAFailureAndAClosedConnection() throws Exception {
+    void silentUpstreamFailsAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host = new LoopbackNode(silent)) {
             long start = System.nanoTime();
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void aHangUpEndsTheAttemptAndNothingMoreIsSent() throws Exception {
+    void clientDisconnectCancelsTheAttempt() throws Exception {
         try (Pair pair = new Pair(StubUpstream.SILENT, StubUpstream.SILENT)) {
             StubUpstream took = null;
             try (TestClient client = pair.host.client()) {
@@ -217,7 +217,7 @@
 
     /** Guards against an attempt that waits for the rest of an answer which never comes. */
     @Test
-    void anAnswerThatStopsIsGivenUpEarlyEnoughForAnother() throws Exception {
+    void stalledResponseIsCancelledInTimeForARetry() throws Exception {
         for (String cut :
                 new String[] {
                     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine",
@@ -237,7 +237,7 @@
 
     /** Guards against an answer served though no one can be sure what it says: it may have run. */
     @Test
-    void anAnswerWhoseHeadIsNotInOrderIsNotServed() throws Exception {
+    void responseWithAMalformedHeadIsNotServed() throws Exception {
         for (String head :
                 new String[] {
                     "no colon here\r\n",
@@ -264,7 +264,7 @@
 
     /** Guards against a good answer lost over a load report that no one can read. */
     @Test
-    void aLoadReportThatCantBeReadSpoilsNothing() throws Exception {
+    void unreadableLoadReportIsIgnored() throws Exception {
         for (String report :
                 new String[] {"%%%", "=,=", "{\"", "rate=1e999,q=NaN", "TEXT \u00ff", ""}) {
             once(
@@ -279,7 +279,7 @@
 
     /** Guards against memory spent on an answer that can't be served. */
     @Test
-    void anAnswerThatIsTooLongIsNotServed() throws Exception {
+    void oversizedResponseIsNotServed() throws Exception {
         for (String length :
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
             once(
@@ -292,7 +292,7 @@
     }
 
     @Test
-    void interimAnswersAreNotTheAnswer() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         Script script =
                 StubUpstream.says(
                         "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
@@ -302,7 +302,7 @@
 
     /** Guards against a full house: what finds no room was never sent, so a repeat is harmless. */
     @Test
-    void overTheLimitOfOpenRequestsIsRefused() throws Exception {
+    void requestOverTheOpenRequestLimitIsRejected() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 LoopbackNode host =
                         new LoopbackNode(
--- a/sidecar/src/test/java/appleridge/daemon/LongRequestsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
@@ -23,7 +23,7 @@
  * them.
  */
 @Timeout(120)
-class LongRequestsTest {
+class StreamedRequestsTest {
     private static final int HELD = 64 * 1024;
     private static final int LONGEST = 32 << 20;
 
@@ -147,8 +147,8 @@
     }
 
     @Test
-    void longRequestsArriveAsTheyAre() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum);
+    void longRequestsArriveUnchanged() throws Exception {
+        try (Reader reader = new Reader(StreamedRequestsTest::sum);
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             OutputStream out = client.socket.getOutputStream();
@@ -163,9 +163,9 @@
     }
 
     @Test
-    void severalAtOnceInOneConnectionsOrder() throws Exception {
+    void pipelinedLongRequestsAreAnsweredInOrder() throws Exception {
         byte[] body = body(100_000);
-        try (Reader reader = new Reader(LongRequestsTest::sum);
+        try (Reader reader = new Reader(StreamedRequestsTest::sum);
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             for (int i = 0; i < 3; i++) {
@@ -180,9 +180,9 @@
 
     /** Guards against a client's time that runs while it is still sending. */
     @Test
-    void aBodyMayComeMoreSlowlyThanItsDeadline() throws Exception {
+    void bodyMayArriveMoreSlowlyThanItsDeadline() throws Exception {
         byte[] body = body(400_000);
-        try (Reader reader = new Reader(LongRequestsTest::sum);
+        try (Reader reader = new Reader(StreamedRequestsTest::sum);
                 LoopbackNode node = node(reader);
                 TestClient client = new TestClient(node.node.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
@@ -199,7 +199,7 @@
      * there.
      */
     @Test
-    void aServerThatReadsAllAndSaysNothingIsGivenUpAtTheDeadline() throws Exception {
+    void silentUpstreamIsCancelledAtTheDeadline() throws Exception {
         byte[] body = body(200_000);
         try (Reader reader =
                         new Reader(
@@ -223,7 +223,7 @@
      * refusal.
      */
     @Test
-    void aBreakBeforeTheLastByteIsRefusedAndNothingIsSentAgain() throws Exception {
+    void resetBeforeTheLastByteIsRejectedAndNotRetried() throws Exception {
         byte[] body = body(3_000_000);
         try (Reader reader =
                         new Reader(
@@ -242,7 +242,7 @@
 
     /** Guards against what is sent here without end for a server that doesn't read. */
     @Test
-    void aServerThatDoesNotReadHoldsItsClientBackAndIsGivenUp() throws Exception {
+    void upstreamThatDoesNotReadExertsBackpressureAndIsCancelled() throws Exception {
         try (Reader reader =
                         new Reader((socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
                 LoopbackNode node = node(reader);
@@ -268,8 +268,8 @@
 
     /** Guards against servers held by clients that go or stop in the middle. */
     @Test
-    void whoStopsOrLeavesInTheMiddleHoldsNoServer() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum);
+    void clientThatStopsOrDisconnectsHoldsNoUpstream() throws Exception {
+        try (Reader reader = new Reader(StreamedRequestsTest::sum);
                 LoopbackNode node = node(reader)) {
             try (TestClient leaves = new TestClient(node.node.address())) {
                 leaves.send(head("pay", "3.0", "Content-Length: 1000000"));
@@ -289,7 +289,7 @@
 
     /** Guards against the rest of a body being taken for a request. */
     @Test
-    void anAnswerAheadOfTheBodysEndIsTheLastOnItsConnection() throws Exception {
+    void responseBeforeTheEndOfTheBodyIsTheLastOnItsConnection() throws Exception {
         try (Reader reader =
                         new Reader(
                                 (socket, head) -> {
@@ -314,7 +314,7 @@
      * stops.
      */
     @Test
-    void aBodyThatStopsBehindABegunAnswerEndsTheConnection() throws Exception {
+    void bodyThatStallsAfterTheResponseStartedEndsTheConnection() throws Exception {
         try (Reader reader =
                         new Reader(
                                 (socket, head) -> {
@@ -343,8 +343,8 @@
     }
 
     @Test
-    void whatIsLongerThanAnyOrMakesNoSenseIsRefusedAtOnce() throws Exception {
-        try (Reader reader = new Reader(LongRequestsTest::sum);
+    void oversizedOrMalformedLengthIsRejectedAtOnce() throws Exception {
+        try (Reader reader = new Reader(StreamedRequestsTest::sum);
                 LoopbackNode node = node(reader)) {
             assertEquals(
                     413,
--- a/sidecar/src/test/java/appleridge/daemon/LongAnswersTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedResponsesTest.java
@@ -22,7 +22,7 @@
  * Answers beyond what is held whole: passed on in pieces, and broken so that the client can tell.
  */
 @Timeout(120)
-class LongAnswersTest {
+class StreamedResponsesTest {
     private static final int HELD = 64 * 1024;
     private static final int LONG = 32 << 20;
     private static final String ASK = "read";
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void longAnswersArriveAsTheyAreAndTheClientsConnectionGoesOn() throws Exception {
+    void longResponsesArriveUnchangedAndTheConnectionIsReused() throws Exception {
         for (boolean chunked : new boolean[] {false, true}) {
             for (int length : new int[] {HELD, HELD + 1, 3 * HELD, 5_000_000}) {
                 byte[] body = body(length);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void answersAskedForAheadComeInTheirOrder() throws Exception {
+    void pipelinedResponsesComeInOrder() throws Exception {
         byte[] body = body(1_000_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, true));
                 LoopbackNode node = new LoopbackNode(upstream);
@@ -159,7 +159,7 @@
      * Guards against an answer that looks whole and isn't: cut one byte short, or in its chunks.
      */
     @Test
-    void anAnswerThatBreaksOffCanBeToldFromAWholeOne() throws Exception {
+    void truncatedResponseIsDistinguishableFromAWholeOne() throws Exception {
         byte[] body = body(300_000);
         for (boolean chunked : new boolean[] {false, true}) {
             StubUpstream.Script broken =
@@ -197,7 +197,7 @@
      * Guards against a begun answer that goes on for ever because its server says nothing any more.
      */
     @Test
-    void aServerThatStopsInTheMiddleIsGivenUpInTime() throws Exception {
+    void stalledResponseIsCancelledInTime() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         byte[] body = body(HELD + 1);
         try (StubUpstream upstream =
@@ -221,7 +221,7 @@
 
     /** Guards against answers that pile up here: a server waits while its client doesn't read. */
     @Test
-    void aClientThatDoesNotReadHoldsItsServerBackAndIsCutOffInTime() throws Exception {
+    void clientThatDoesNotReadExertsBackpressureAndIsDisconnectedInTime() throws Exception {
         AtomicLong written = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
         byte[] piece = body(16 << 10);
@@ -252,7 +252,7 @@
 
     /** Guards against a slow reader's answer being cut off at the deadline of its class. */
     @Test
-    void aSlowReaderGetsAllOfIt() throws Exception {
+    void slowReaderGetsTheWholeResponse() throws Exception {
         byte[] body = body(3_000_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, false));
                 LoopbackNode node = new LoopbackNode(upstream);
@@ -287,7 +287,7 @@
      * Guards against spoilt answers that are passed on where another attempt could still be made.
      */
     @Test
-    void anAnswerThatSaysItIsFarTooLongIsNotBegun() throws Exception {
+    void responseWithAnExcessiveContentLengthIsNotStreamed() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         StubUpstream.Script spoilt =
                 (socket, request) -> {
@@ -320,7 +320,7 @@
      * Guards against a client of HTTP/1.0 that is given chunks, or takes a broken answer for whole.
      */
     @Test
-    void aClientOfHttp10GetsTheBytesAloneAndTheEnd() throws Exception {
+    void http10ClientGetsTheBodyDelimitedByClose() throws Exception {
         byte[] body = body(500_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, true));
                 LoopbackNode node = new LoopbackNode(upstream);
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -91,7 +91,7 @@
      * Guards against a call that was only interrupted and is taken for the end of its connection.
      */
     @Test
-    void interruptedSystemCallsBreakNoConnectionAndNoConnect() throws Exception {
+    void interruptedSystemCallsFailNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream closes = new StubUpstream(CLOSES);
                 StubUpstream keeps = new StubUpstream(KEEPS);
@@ -137,7 +137,7 @@
      * Guards against connections that wait unaccepted, or break, because of a failure that passes.
      */
     @Test
-    void failedAcceptsAndSocketsAndShortReadsLoseNoRequest() throws Exception {
+    void failedAcceptsAndShortReadsLoseNoRequest() throws Exception {
         IntFunction<String> closing =
                 client -> TestClient.request("read", "2.0", "Connection: close");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -198,7 +198,7 @@
 
     /** Guards against a deadline, wait or slow start that goes by a clock that somebody sets. */
     @Test
-    void aWallClockThatStepsMovesNoDeadlineAndNoSlowStart() throws Exception {
+    void wallClockStepsMoveNoDeadlineAndNoSlowStart() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream a = new StubUpstream(KEEPS);
                 StubUpstream b = new StubUpstream(KEEPS);
--- a/sidecar/src/test/java/appleridge/daemon/UndelimitedAnswersTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
@@ -15,7 +15,7 @@
  * them.
  */
 @Timeout(60)
-class UndelimitedAnswersTest {
+class UndelimitedResponsesTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
     /** More than the sidecar holds whole. */
@@ -33,7 +33,7 @@
 
     /** The body, and that its own connection goes on; the client is told a length or chunks. */
     @Test
-    void anAnswerThatTheConnectionsOrderlyEndDelimitsIsServed() throws Exception {
+    void responseDelimitedByAnOrderlyCloseIsServed() throws Exception {
         for (String head :
                 new String[] {HEAD, "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"}) {
             try (StubUpstream upstream = new StubUpstream(ended(head, "fi", "ne"));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void anEmptyOneIsServed() throws Exception {
+    void emptyUndelimitedResponseIsServed() throws Exception {
         try (StubUpstream upstream = new StubUpstream(ended(HEAD));
                 LoopbackNode node = new LoopbackNode(upstream);
                 TestClient client = node.client()) {
@@ -62,7 +62,7 @@
 
     /** Guards against a part of an answer that is served as a whole one: a reset is no end. */
     @Test
-    void aResetIsNoEnd() throws Exception {
+    void resetDoesNotDelimitAResponse() throws Exception {
         StubUpstream.Script cut =
                 (socket, request) -> {
                     StubUpstream.write(socket, HEAD + "fi");
@@ -78,7 +78,7 @@
 
     /** Guards against the same where this side ends the connection, for the answer pauses. */
     @Test
-    void aPauseThatLastsIsNoEnd() throws Exception {
+    void pauseDoesNotDelimitAResponse() throws Exception {
         StubUpstream.Script paused =
                 (socket, request) -> {
                     StubUpstream.write(socket, HEAD + "fi");
@@ -93,7 +93,7 @@
 
     /** Guards against what proves that nothing ran being passed over for want of a length. */
     @Test
-    void anUndelimitedRejectionIsTriedElsewhere() throws Exception {
+    void undelimitedRejectionIsRetriedElsewhere() throws Exception {
         try (StubUpstream full =
                         new StubUpstream(
                                 ended(
@@ -112,7 +112,7 @@
 
     /** Guards against a long one that can't be told from one that breaks off. */
     @Test
-    void aLongOneIsPassedOnInChunksAndItsResetCanBeTold() throws Exception {
+    void longUndelimitedResponseIsForwardedInChunksAndItsResetIsVisible() throws Exception {
         String half = "x".repeat(LONG / 2);
         try (StubUpstream upstream = new StubUpstream(ended(HEAD, half, half));
                 LoopbackNode node = new LoopbackNode(upstream);
--- a/sidecar/src/test/java/appleridge/daemon/OddSettingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UnusualSettingsTest.java
@@ -14,7 +14,7 @@
  * Settings that are legal, though few customers have them: with each of them requests are served.
  */
 @Timeout(600)
-class OddSettingsTest {
+class UnusualSettingsTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void withOddSettingsRequestsAreServed() throws Exception {
+    void requestsAreServedWithUnusualSettings() throws Exception {
         List<String> wrong = new ArrayList<>();
         try (StubUpstream one = new StubUpstream(GOOD)) {
             for (Map.Entry<String, String> each : odd().entrySet()) {
--- a/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
@@ -27,7 +27,7 @@
      * Guards against a lost segment, or a server that writes in pieces, made a reset of our own.
      */
     @Test
-    void anAnswerMayPauseForALostSegment() throws Exception {
+    void responseMayPauseForALostSegment() throws Exception {
         for (long aim : new long[] {50, 200, 499, 500, 700, 1000, 3000}) {
             assertTrue(stall(aim) > 200, "TCP's least retransmission time; aim " + aim);
             assertTrue(
--- a/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void aloneItHasAll() {
+    void singleProcessHasTheWholeShare() {
         assertEquals(
                 new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.STARTING, List.of()));
         assertEquals(new ResourceShare(true, 1), ResourceShare.of(ProcessPhase.SERVING, List.of()));
@@ -23,7 +23,7 @@
 
     /** Guards against limits that hold for each and are broken by both. */
     @Test
-    void allTogetherNeverHaveMoreThanAll() {
+    void sharesNeverExceedTheWhole() {
         for (ProcessPhase one : ProcessPhase.values()) {
             for (ProcessPhase other : ProcessPhase.values()) {
                 assertTrue(part(one, other) + part(other, one) < 1.0001, one + " beside " + other);
@@ -43,7 +43,7 @@
      * does.
      */
     @Test
-    void someoneAcceptsUnlessAllAreEnding() {
+    void someProcessAcceptsUnlessAllDrain() {
         for (ProcessPhase one : ProcessPhase.values()) {
             for (ProcessPhase other : ProcessPhase.values()) {
                 boolean accepted =
--- a/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
@@ -35,7 +35,7 @@
     @TempDir private Path folder;
 
     @Test
-    void whatIsWrittenIsRead() throws Exception {
+    void writtenStateIsRead() throws Exception {
         assertEquals(STATE, ProcessStateCodec.read(ProcessStateCodec.write(STATE)));
         ProcessState empty = new ProcessState(ProcessPhase.STARTING, List.of());
         assertEquals(empty, ProcessStateCodec.read(ProcessStateCodec.write(empty)));
@@ -46,7 +46,7 @@
      * process.
      */
     @Test
-    void whatIsTornOrForeignIsRefused() throws Exception {
+    void tornOrForeignStateIsRejected() throws Exception {
         byte[] whole = ProcessStateCodec.write(STATE);
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = Arrays.copyOf(whole, length);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aFolderWithForeignFilesIsNoHindranceAndIsToldOfOnce() throws Exception {
+    void foreignFilesInTheFolderAreIgnored() throws Exception {
         List<String> warnings = new ArrayList<>();
         try (ProcessSlots slots = ProcessSlots.acquire(folder, warnings::add)) {
             slots.publish(STATE);
--- a/sidecar/src/test/java/appleridge/request/EventLoopStallGuardTest.java
+++ b/sidecar/src/test/java/appleridge/request/EventLoopStallGuardTest.java
@@ -24,9 +24,9 @@
         guard.onAllInputRead();
     }
 
-    /** Guards against looks at every client in a loop that is only quiet. */
+    /** Guards against checks of all clients by a loop that is only quiet. */
     @Test
-    void aLoopWhoseTicksComeInTimeLooksAtNobody() {
+    void clientsAreNotCheckedWhileTicksComeInTime() {
         for (int i = 0; i < 100; i++) {
             tickAfter(TICK + i % 20);
             assertFalse(guard.mayHaveMissedClients());
@@ -36,11 +36,10 @@
     }
 
     /**
-     * Guards against an attempt that begins more than 0.1 s after its client's end, which lies
-     * unread.
+     * Guards against an attempt that begins more than 0.1 s after its client has left unnoticed.
      */
     @Test
-    void clientsAreLookedAtBeforeTheirLeavingIsATenthOfASecondOld() {
+    void clientsAreCheckedWithinATenthOfASecondAfterAGap() {
         for (long gap = 81; gap <= 1000; gap += 7) {
             tickAfter(TICK);
             eventAfter(gap);
@@ -51,20 +50,21 @@
 
     /** The same for one long turn, in which each event comes soon after the one before. */
     @Test
-    void clientsAreLookedAtInALongTurnWithoutAGap() {
+    void clientsAreCheckedInALongTurnWithoutAGap() {
         tickAfter(TICK);
         long began = now;
         while (!guard.mayHaveMissedClients()) {
             eventAfter(5);
             assertTrue(
-                    now - began < TimeUnit.MILLISECONDS.toNanos(100), "a turn goes on unlooked at");
+                    now - began < TimeUnit.MILLISECONDS.toNanos(100),
+                    "clients stay unchecked in a long turn");
         }
         eventAfter(5);
-        assertFalse(guard.mayHaveMissedClients(), "they have just been looked at");
+        assertFalse(guard.mayHaveMissedClients(), "they have just been checked");
     }
 
     @Test
-    void onlyALongGapMovesArrivalsAndALongerOneTheList() {
+    void arrivalsMoveAfterALongGapAndDiscoveryIsReadAfterALongerOne() {
         tickAfter(TICK);
         long before = now;
         eventAfter(120);
--- a/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
+++ b/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
@@ -23,22 +23,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** A request's life on a clock and before upstreams that the test moves. */
+/** A request's life on a clock and with upstream hosts that the test moves. */
 class RequestCoordinatorTest {
     private static final long MS = 1_000_000;
+    private static final int MAX_OPEN_REQUESTS = 100;
     private static final InetSocketAddress ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final UpstreamRequest MESSAGE = new UpstreamRequest() {};
 
     /**
-     * Time that stands until it is moved, and timers that ring on the way, the earlier made first.
+     * Time that stands until it is moved, and timers that fire on the way, the earlier made first.
      */
-    private static final class Hand implements MonotonicClock, Scheduler {
-        private record Alarm(long at, int serial, Runnable what) {}
+    private static final class ManualClock implements MonotonicClock, Scheduler {
+        private record Timer(long at, int serial, Runnable what) {}
 
-        private final PriorityQueue<Alarm> alarms =
+        private final PriorityQueue<Timer> timers =
                 new PriorityQueue<>(
                         (a, b) ->
                                 a.at != b.at
@@ -54,9 +56,9 @@
 
         @Override
         public ScheduledTask scheduleAt(long when, Runnable what) {
-            Alarm alarm = new Alarm(Math.max(now, when), serials++, what);
-            alarms.add(alarm);
-            return () -> alarms.remove(alarm);
+            Timer alarm = new Timer(Math.max(now, when), serials++, what);
+            timers.add(alarm);
+            return () -> timers.remove(alarm);
         }
 
         @Override
@@ -66,106 +68,107 @@
 
         void advance(long by) {
             long end = now + by;
-            while (!alarms.isEmpty() && alarms.peek().at <= end) {
-                Alarm next = alarms.poll();
+            while (!timers.isEmpty() && timers.peek().at <= end) {
+                Timer next = timers.poll();
                 now = Math.max(now, next.at);
                 next.what.run();
             }
             now = end;
         }
 
-        /** The thread does nothing for so long; what was due rings only after. */
-        void standStill(long nanos) {
+        /** The event loop stalls for so long; timers that were due fire only afterwards. */
+        void stall(long nanos) {
             now += nanos;
         }
     }
 
-    /** Attempts as the upstreams' side sees them. */
-    private static final class Sent implements UpstreamTransport.AttemptHandle {
+    /** An attempt as the transport sees it. */
+    private static final class SentAttempt implements UpstreamTransport.AttemptHandle {
         final Endpoint to;
-        final SendDeadlines window;
+        final SendDeadlines deadlines;
         final UpstreamTransport.AttemptListener listener;
-        boolean begun;
-        boolean committed;
-        boolean abandoned;
+        boolean startedWriting;
+        boolean fullyWritten;
+        boolean cancelled;
 
-        Sent(Endpoint to, SendDeadlines window, UpstreamTransport.AttemptListener listener) {
+        SentAttempt(Endpoint to, SendDeadlines window, UpstreamTransport.AttemptListener listener) {
             this.to = to;
-            this.window = window;
+            this.deadlines = window;
             this.listener = listener;
         }
 
         @Override
         public boolean hasStartedWriting() {
-            return begun;
+            return startedWriting;
         }
 
         @Override
         public boolean isFullyWritten() {
-            return committed;
+            return fullyWritten;
         }
 
         @Override
         public void cancel() {
-            abandoned = true;
+            cancelled = true;
         }
 
-        Sent write() {
-            begun = true;
-            committed = true;
+        SentAttempt write() {
+            startedWriting = true;
+            fullyWritten = true;
             return this;
         }
     }
 
     private static class Client implements ResponseSink {
-        final List<String> answers = new ArrayList<>();
+        final List<String> responses = new ArrayList<>();
 
         @Override
         public void readPendingInput() {}
 
         @Override
         public void onServed(UpstreamResponse reply) {
-            answers.add("served");
+            responses.add("served");
         }
 
         @Override
         public void onRejected(long wait) {
-            answers.add("refused");
+            responses.add("refused");
         }
 
         @Override
         public void onFailed(FailureCause cause) {
-            answers.add("failed " + cause);
+            responses.add("failed " + cause);
         }
 
         @Override
         public void onResponseStreaming(StreamedResponse answer) {
-            answers.add("flows");
+            responses.add("flows");
         }
 
         @Override
         public void onResponseComplete() {
-            answers.add("flowed");
+            responses.add("flowed");
         }
 
         @Override
         public void abort() {
-            answers.add("abort");
+            responses.add("abort");
         }
     }
 
-    private final Hand hand = new Hand();
-    private final List<Sent> sent = new ArrayList<>();
+    private final ManualClock clock = new ManualClock();
+    private final List<SentAttempt> sent = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
-    private final List<Runnable> unread = new ArrayList<>();
-    private final RequestCoordinator exchanges = exchanges(2000 * MS);
+    private final List<Runnable> pendingUpdates = new ArrayList<>();
+    private final RequestCoordinator coordinator = coordinator(2000 * MS);
 
-    private RequestCoordinator exchanges(long drainGrace) {
+    private RequestCoordinator coordinator(long drainGrace) {
         return new RequestCoordinator(
-                hand,
-                hand,
+                clock,
+                clock,
                 settings(drainGrace),
-                100,
+                MAX_OPEN_REQUESTS,
                 new UpstreamTransport() {
                     @Override
                     public AttemptHandle send(
@@ -173,7 +176,7 @@
                             UpstreamRequest what,
                             SendDeadlines window,
                             AttemptListener listener) {
-                        Sent next = new Sent(to, window, listener);
+                        SentAttempt next = new SentAttempt(to, window, listener);
                         sent.add(next);
                         return next;
                     }
@@ -188,6 +191,11 @@
                     @Override
                     public void warning(String line) {}
 
+                    @Override
+                    public void event(LogEvent kind, Supplier<String> fields) {
+                        events.add(kind.label() + " " + fields.get());
+                    }
+
                     @Override
                     public void failure(String what, Throwable cause) {
                         failures.add(what + ": " + cause);
@@ -229,72 +237,72 @@
     }
 
     private Runnable accept(Client client) {
-        return exchanges.accept(
-                new ClientRequest("a", hand.nanoTime(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE),
+        return coordinator.accept(
+                new ClientRequest("a", clock.nanoTime(), 1000 * MS, 0, 0, 0, 0, false, MESSAGE),
                 client);
     }
 
     /**
-     * An answer that begins to go out, at the first attempt of a request that waits for a second.
+     * The first attempt of a request with a timeout of a second, whose response is being streamed.
      */
-    private Sent begins(Client client) {
+    private SentAttempt startStreaming(Client client) {
         accept(client);
-        Sent first = sent.get(0).write();
+        SentAttempt first = sent.get(0).write();
         assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
-        assertEquals(List.of("flows"), client.answers);
+        assertEquals(List.of("flows"), client.responses);
         return first;
     }
 
-    /** Guards against a second answer behind one that a client has a part of, whatever happens. */
+    /** Guards against a second response behind one that a client has a part of. */
     @Test
-    void onceAnAnswerHasBegunOnlyItsEndOrItsBreakFollows() {
+    void noOtherResponseFollowsAStreamedOne() {
         Client whole = new Client();
-        Sent first = begins(whole);
-        hand.advance(60_000 * MS);
-        assertEquals(List.of("flows"), whole.answers, "its deadline no longer counts");
+        SentAttempt first = startStreaming(whole);
+        clock.advance(60_000 * MS);
+        assertEquals(List.of("flows"), whole.responses, "its deadline no longer counts");
         assertEquals(1, sent.size());
-        assertFalse(first.abandoned);
+        assertFalse(first.cancelled);
         first.listener.onAttemptEnded(Outcome.OK, null);
-        assertEquals(List.of("flows", "flowed"), whole.answers);
-        hand.advance(10_000 * MS);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
+        assertEquals(List.of("flows", "flowed"), whole.responses);
+        clock.advance(10_000 * MS);
+        assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
     }
 
     @Test
-    void anAnswerThatBreaksOffIsNotTriedAgain() {
+    void brokenOffStreamedResponseIsNotRetried() {
         Client client = new Client();
-        begins(client).listener.onAttemptEnded(Outcome.RESET, null);
-        hand.advance(10_000 * MS);
-        assertEquals(List.of("flows", "abort"), client.answers);
+        startStreaming(client).listener.onAttemptEnded(Outcome.RESET, null);
+        clock.advance(10_000 * MS);
+        assertEquals(List.of("flows", "abort"), client.responses);
         assertEquals(1, sent.size());
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
     }
 
-    /** Guards against a server that goes on sending to nobody. */
+    /** Guards against an upstream that goes on sending to nobody. */
     @Test
-    void aClientThatLeavesInTheMiddleEndsTheAttempt() {
+    void clientDisconnectCancelsAStreamedResponse() {
         Client client = new Client();
         Runnable hangUp = accept(client);
-        Sent first = sent.get(0).write();
+        SentAttempt first = sent.get(0).write();
         assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
         hangUp.run();
-        hand.advance(1 * MS);
-        assertTrue(first.abandoned);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
+        clock.advance(1 * MS);
+        assertTrue(first.cancelled);
+        assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
     }
 
     @Test
-    void anAnswerThatComesTooLateIsNotBegun() {
+    void responseAfterTheDeadlineIsNotStreamed() {
         Client client = new Client();
         accept(client);
-        Sent first = sent.get(0).write();
-        hand.advance(1100 * MS);
+        SentAttempt first = sent.get(0).write();
+        clock.advance(1100 * MS);
         assertFalse(first.listener.onResponseStarted(new StreamedResponse() {}));
-        assertEquals(1, client.answers.size());
+        assertEquals(1, client.responses.size());
     }
 
     RequestCoordinatorTest() {
-        start(exchanges);
+        start(coordinator);
     }
 
     private void start(RequestCoordinator which) {
@@ -308,8 +316,8 @@
 
                     @Override
                     public void readPendingUpdates() {
-                        unread.forEach(Runnable::run);
-                        unread.clear();
+                        pendingUpdates.forEach(Runnable::run);
+                        pendingUpdates.clear();
                     }
                 },
                 List.of(upstream(1, HostState.READY), upstream(2, HostState.READY)),
@@ -318,135 +326,131 @@
 
     private Client ask(String name, long patience) {
         Client client = new Client();
-        exchanges.accept(
-                new ClientRequest(name, hand.nanoTime(), patience, 0, 0, 0, 0, false, MESSAGE),
+        coordinator.accept(
+                new ClientRequest(name, clock.nanoTime(), patience, 0, 0, 0, 0, false, MESSAGE),
                 client);
         return client;
     }
 
-    /** Ticks as the clients' side does. */
-    private void pass(long nanos) {
+    /** Time passes, with the listener's periodic ticks. */
+    private void advanceWithTicks(long nanos) {
         for (long left = nanos; left > 0; left -= 40 * MS) {
-            hand.advance(Math.min(left, 40 * MS));
-            exchanges.tick();
+            clock.advance(Math.min(left, 40 * MS));
+            coordinator.tick();
         }
     }
 
     private void drain(long id) {
-        exchanges.onEndpointUpdate(
+        coordinator.onEndpointUpdate(
                 UpdateKind.DELTA, List.of(upstream(id, HostState.DRAINING)), Map.of(id, ADDRESS));
     }
 
     @Test
-    void anAttemptThatWaitsForItsConnectionDoesNotReachAnUpstreamThatDrains() {
+    void connectingAttemptIsCancelledWhenItsHostDrains() {
         Client client = ask("a", 900 * MS);
-        Sent first = sent.get(0);
+        SentAttempt first = sent.get(0);
         drain(first.to.upstream());
-        assertTrue(first.abandoned);
-        assertEquals(2, sent.size(), "it never ran, and goes elsewhere");
+        assertTrue(first.cancelled);
+        assertEquals(2, sent.size(), "it was not executed, and goes elsewhere");
         assertTrue(sent.get(1).to.upstream() != first.to.upstream());
         sent.get(1).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
-        assertEquals(List.of("served"), client.answers);
+        assertEquals(List.of("served"), client.responses);
     }
 
     @Test
-    void whatIsWrittenToAnUpstreamThatDrainsIsItsToFinish() {
+    void writtenAttemptIsNotCancelledWhenItsHostDrains() {
         Client client = ask("a", 900 * MS);
         sent.get(0).write();
         drain(sent.get(0).to.upstream());
         assertEquals(1, sent.size());
         sent.get(0).listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
-        assertEquals(List.of("served"), client.answers);
+        assertEquals(List.of("served"), client.responses);
     }
 
-    /** Guards against a repeat that reaches an upstream after repeats have ceased to be dropped. */
+    /** Guards against a retry that arrives after its idempotency key has been forgotten. */
     @Test
-    void aFurtherAttemptHasItsWindowFromTheFirstThatMayHaveRun() {
+    void retryDeadlineCountsFromTheFirstPossiblyExecutedAttempt() {
         ask("a", 900 * MS);
-        long first = hand.nanoTime();
-        assertEquals(Long.MAX_VALUE, sent.get(0).window.lastByteByNanos());
-        hand.advance(50 * MS);
+        long first = clock.nanoTime();
+        assertEquals(Long.MAX_VALUE, sent.get(0).deadlines.lastByteByNanos());
+        clock.advance(50 * MS);
         sent.get(0).write().listener.onAttemptEnded(Outcome.RESET, null);
-        assertEquals(first + 1000 * MS, sent.get(1).window.lastByteByNanos());
+        assertEquals(first + 1000 * MS, sent.get(1).deadlines.lastByteByNanos());
         sent.get(1).listener.onAttemptEnded(Outcome.CONNECT_FAILED, null);
         assertEquals(2, sent.size());
     }
 
-    /**
-     * Guards against what waited unread while the thread stood still, and was sent as if it had
-     * just come.
-     */
+    /** Guards against input that waited unread during a stall and is taken for new. */
     @Test
-    void whatMayHaveWaitedWhileTheThreadStoodStillIsKnownForAWhile() {
-        pass(300 * MS);
-        assertFalse(exchanges.mayHaveWaitedUnread());
-        hand.standStill(3_600_000 * MS);
-        assertTrue(exchanges.mayHaveWaitedUnread());
-        pass(900 * MS);
-        assertTrue(exchanges.mayHaveWaitedUnread());
-        pass(200 * MS);
-        assertFalse(exchanges.mayHaveWaitedUnread(), "however long it was");
-    }
-
-    /**
-     * Guards against answers that come as much too late as the thread was late to read what was
-     * asked.
-     */
+    void inputMayHaveWaitedForAWhileAfterAStall() {
+        advanceWithTicks(300 * MS);
+        assertFalse(coordinator.mayHaveWaitedUnread());
+        clock.stall(3_600_000 * MS);
+        assertTrue(coordinator.mayHaveWaitedUnread());
+        advanceWithTicks(900 * MS);
+        assertTrue(coordinator.mayHaveWaitedUnread());
+        advanceWithTicks(200 * MS);
+        assertFalse(coordinator.mayHaveWaitedUnread(), "however long it was");
+    }
+
+    /** Guards against responses that are as late as the event loop was late to read the request. */
     @Test
-    void whatIsReadAfterTheThreadWasLateMayHaveComeWhileItWas() {
-        pass(300 * MS);
-        long before = hand.nanoTime();
-        assertEquals(before, exchanges.earliestArrivalNanos(), "a thread in time");
-        hand.standStill(400 * MS);
-        assertEquals(before, exchanges.earliestArrivalNanos());
+    void inputReadAfterALateTurnCountsFromBeforeIt() {
+        advanceWithTicks(300 * MS);
+        long before = clock.nanoTime();
+        assertEquals(before, coordinator.earliestArrivalNanos(), "no stall");
+        clock.stall(400 * MS);
+        assertEquals(before, coordinator.earliestArrivalNanos());
         assertEquals(
                 before,
-                exchanges.earliestArrivalNanos(),
-                "the next one that is read in the same turn, too");
-        pass(100 * MS);
-        assertEquals(before, exchanges.earliestArrivalNanos(), "what it accepts one by one");
-        pass(100 * MS);
-        assertEquals(hand.nanoTime(), exchanges.earliestArrivalNanos());
+                coordinator.earliestArrivalNanos(),
+                "also the next one that is read in the same turn");
+        advanceWithTicks(100 * MS);
+        assertEquals(
+                before,
+                coordinator.earliestArrivalNanos(),
+                "connections are accepted a few at a time");
+        advanceWithTicks(100 * MS);
+        assertEquals(clock.nanoTime(), coordinator.earliestArrivalNanos());
     }
 
     /**
-     * Guards against a start whose waits add up: none of them alone is as long as what waited
-     * behind all.
+     * Guards against a start whose stalls add up: none alone is as long as what waited behind all.
      */
     @Test
-    void whatWaitsBehindSeveralLateTurnsMayHaveComeBeforeTheFirst() {
-        pass(300 * MS);
-        long before = hand.nanoTime();
+    void inputReadAfterSeveralLateTurnsCountsFromBeforeTheFirst() {
+        advanceWithTicks(300 * MS);
+        long before = clock.nanoTime();
         for (int i = 0; i < 3; i++) {
-            hand.standStill(200 * MS);
-            exchanges.tick();
-            pass(100 * MS);
+            clock.stall(200 * MS);
+            coordinator.tick();
+            advanceWithTicks(100 * MS);
         }
-        assertEquals(before, exchanges.earliestArrivalNanos());
-        pass(200 * MS);
-        assertEquals(hand.nanoTime(), exchanges.earliestArrivalNanos());
+        assertEquals(before, coordinator.earliestArrivalNanos());
+        advanceWithTicks(200 * MS);
+        assertEquals(clock.nanoTime(), coordinator.earliestArrivalNanos());
         for (int i = 0; i < 20; i++) {
-            hand.standStill(200 * MS);
-            exchanges.tick();
+            clock.stall(200 * MS);
+            coordinator.tick();
         }
         assertEquals(
-                hand.nanoTime() - 200 * MS,
-                exchanges.earliestArrivalNanos(),
-                "a thread that is late for good serves on");
+                clock.nanoTime() - 200 * MS,
+                coordinator.earliestArrivalNanos(),
+                "a loop that is always late serves on");
     }
 
-    /** Guards against a slow machine that takes all that is read for too old. */
+    /** Guards against a slow machine that takes all input for too old. */
     @Test
-    void whereEachTurnIsLateRequestsOfLessThanASecondAreStillServed() {
+    void shortRequestsAreServedThoughEveryTurnIsLate() {
         int served = 0;
         for (int i = 0; i < 100; i++) {
-            hand.standStill(160 * MS);
+            clock.stall(160 * MS);
             Client client = new Client();
             int before = sent.size();
-            exchanges.accept(
+            coordinator.accept(
                     new ClientRequest(
                             "r" + i,
-                            exchanges.earliestArrivalNanos(),
+                            coordinator.earliestArrivalNanos(),
                             770 * MS,
                             0,
                             0,
@@ -458,45 +462,42 @@
             if (sent.size() > before) {
                 sent.get(before).write().listener.onAttemptEnded(Outcome.OK, null);
             }
-            served += client.answers.contains("served") ? 1 : 0;
-            hand.advance(0);
+            served += client.responses.contains("served") ? 1 : 0;
+            clock.advance(0);
         }
         assertTrue(served > 80, "served " + served + " of 100");
     }
 
-    /** Guards against a wait for the list that is cut short by the end of an earlier one. */
+    /** Guards against a deferral that is cut short by the end of an earlier one. */
     @Test
-    void aSecondWaitForTheListHasItsOwnEnd() {
-        hand.standStill(2500 * MS);
-        exchanges.tick();
+    void secondDeferralHasItsOwnEnd() {
+        clock.stall(2500 * MS);
+        coordinator.tick();
         drain(1);
-        hand.standStill(2500 * MS);
-        exchanges.tick();
+        clock.stall(2500 * MS);
+        coordinator.tick();
         ask("a", 900 * MS);
-        hand.advance(300 * MS);
+        clock.advance(300 * MS);
         assertEquals(0, sent.size());
-        hand.advance(300 * MS);
+        clock.advance(300 * MS);
         assertEquals(1, sent.size());
     }
 
     @Test
-    void whatDiscoveryToldMeanwhileIsReadBeforeAnythingIsDecided() {
-        hand.standStill(700 * MS);
-        unread.add(() -> drain(1));
+    void pendingUpdatesAreReadAfterAStallBeforeARequestIsSent() {
+        clock.stall(700 * MS);
+        pendingUpdates.add(() -> drain(1));
         ask("a", 2000 * MS);
         assertEquals(2, sent.get(0).to.upstream());
     }
 
-    /**
-     * Guards against who must stop sending in 250 ms and takes 200 ms in which nothing was read for
-     * nothing.
-     */
+    /** Guards against a drain grace of 250 ms of which a stall of 200 ms is ignored. */
     @Test
-    void whereDrainsAreToBeHeededSoonALessLongStandStillIsLookedAfter() {
-        RequestCoordinator soon = exchanges(250 * MS);
+    void shorterDrainGraceReconcilesAfterAShorterStall() {
+        RequestCoordinator soon = coordinator(250 * MS);
         start(soon);
-        hand.standStill(200 * MS);
-        unread.add(
+        clock.stall(200 * MS);
+        pendingUpdates.add(
                 () ->
                         soon.onEndpointUpdate(
                                 UpdateKind.DELTA,
@@ -505,20 +506,20 @@
                                         upstream(2, HostState.DRAINING)),
                                 Map.of(1L, ADDRESS, 2L, ADDRESS)));
         soon.accept(
-                new ClientRequest("a", hand.nanoTime(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
+                new ClientRequest("a", clock.nanoTime(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
                 new Client());
         assertEquals(0, sent.size(), "both drain");
     }
 
     /**
-     * Guards against a drain that is undone: what a stand-still kept is newer than the list being
-     * told.
+     * Guards against a drain that is undone: an update that lay unread during a stall is newer than
+     * the one that is being handled.
      */
     @Test
-    void whatAStandStillKeptIsToldBehindTheListThatIsBeingTold() {
-        hand.standStill(700 * MS);
-        unread.add(() -> drain(1));
-        exchanges.onEndpointUpdate(
+    void updateReadWithinAnUpdateReachesThePolicyBehindIt() {
+        clock.stall(700 * MS);
+        pendingUpdates.add(() -> drain(1));
+        coordinator.onEndpointUpdate(
                 UpdateKind.DELTA,
                 List.of(upstream(1, HostState.READY), upstream(2, HostState.DRAINING)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
@@ -527,54 +528,54 @@
     }
 
     /**
-     * Guards against sending to who may have drained long since, before discovery could be asked.
+     * Guards against sending to a host that may have drained long since, before discovery was read.
      */
     @Test
-    void afterLongerThanDrainsAllowRequestsWaitForWordOfTheList() {
-        hand.standStill(2500 * MS);
-        exchanges.tick();
-        hand.advance(350 * MS);
+    void requestsAreDeferredAfterAStallLongerThanTheDrainGrace() {
+        clock.stall(2500 * MS);
+        coordinator.tick();
+        clock.advance(350 * MS);
         Client client = ask("a", 900 * MS);
         assertEquals(0, sent.size());
         drain(1);
         assertEquals(2, sent.get(0).to.upstream());
         sent.get(0).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
-        assertEquals(List.of("served"), client.answers);
+        assertEquals(List.of("served"), client.responses);
     }
 
     @Test
-    void butNotForLongWhereThereIsNoWord() {
-        hand.standStill(2500 * MS);
-        exchanges.tick();
-        hand.advance(350 * MS);
+    void deferredRequestsResumeWithoutAnUpdateAfterAWhile() {
+        clock.stall(2500 * MS);
+        coordinator.tick();
+        clock.advance(350 * MS);
         ask("a", 900 * MS);
         assertEquals(0, sent.size());
-        pass(300 * MS);
+        advanceWithTicks(300 * MS);
         assertEquals(1, sent.size());
     }
 
-    /** Guards against a module that sends for a request that has been answered over its head. */
+    /** Guards against a policy that sends for a request that was expired without it. */
     @Test
-    void theBackstopsAnswerIsToldToTheModule() {
+    void policyIsNotifiedOfAnExpiredRequest() {
         Client client = ask("a", 900 * MS);
         sent.get(0).write();
-        hand.standStill(3000 * MS);
-        pass(600 * MS);
-        assertEquals(1, client.answers.size());
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
+        clock.stall(3000 * MS);
+        advanceWithTicks(600 * MS);
+        assertEquals(1, client.responses.size());
+        assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
         assertEquals(List.of(), failures);
     }
 
     /**
-     * Guards against a healthy upstream that is shut out because a request ran out of time on its
-     * way there.
+     * Guards against a healthy host that is ejected because a request ran out of time while
+     * connecting.
      */
     @Test
-    void aDeadlineThatPassesWhileConnectingTellsNothingOfTheUpstream() {
+    void deadlineWhileConnectingDoesNotEjectTheHost() {
         Client late = ask("a", 50 * MS);
-        pass(60 * MS);
-        assertTrue(sent.get(0).abandoned);
-        assertEquals(List.of("refused"), late.answers);
+        advanceWithTicks(60 * MS);
+        assertTrue(sent.get(0).cancelled);
+        assertEquals(List.of("refused"), late.responses);
         for (int i = 0; i < 8; i++) {
             ask("b" + i, 900 * MS);
             sent.get(sent.size() - 1)
@@ -585,19 +586,19 @@
         assertEquals(
                 2,
                 sent.stream().skip(1).map(each -> each.to.upstream()).distinct().count(),
-                "both still take their turns");
+                "both hosts still get attempts");
     }
 
-    /** Guards against a warm-up's module that goes on for the life of the process. */
+    /** Guards against a warm-up's policy that goes on for the life of the process. */
     @Test
-    void afterItsEndTheModuleIsLeftAlone() {
-        exchanges.close();
-        hand.advance(60_000 * MS);
-        assertTrue(hand.alarms.isEmpty(), hand.alarms.size() + " alarms left");
+    void policyGetsNoTimersAfterClose() {
+        coordinator.close();
+        clock.advance(60_000 * MS);
+        assertTrue(clock.timers.isEmpty(), clock.timers.size() + " timers left");
     }
 
     @Test
-    void anAnswerThatCantBeGivenClosesTheConnectionAndIsKnownToTheModule() {
+    void failingResponseAbortsTheConnectionAndReachesThePolicy() {
         Client client =
                 new Client() {
                     @Override
@@ -605,12 +606,44 @@
                         throw new IllegalStateException("no");
                     }
                 };
-        exchanges.accept(
-                new ClientRequest("a", hand.nanoTime(), 900 * MS, 0, 0, 0, 0, false, MESSAGE),
+        coordinator.accept(
+                new ClientRequest("a", clock.nanoTime(), 900 * MS, 0, 0, 0, 0, false, MESSAGE),
                 client);
         sent.get(0).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
-        assertEquals(List.of("abort"), client.answers);
-        assertEquals(new InFlightCounts(0, 0, 0, 0), exchanges.inFlightCounts());
+        assertEquals(List.of("abort"), client.responses);
+        assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
         assertEquals(1, failures.size());
     }
+
+    /** Guards against a rejected request of which no log says which rule rejected it. */
+    @Test
+    void requestRejectedOnArrivalIsLoggedWithItsReason() {
+        ask("a", 900 * MS);
+        Client duplicate = ask("a", 900 * MS);
+        for (int i = 1; i < MAX_OPEN_REQUESTS; i++) {
+            ask("b" + i, 900 * MS);
+        }
+        events.clear();
+        Client over = ask("c", 900 * MS);
+        assertEquals(List.of("failed ID_IN_USE"), duplicate.responses);
+        assertEquals(List.of("refused"), over.responses);
+        assertEquals(
+                List.of(
+                        "request.ended id=c how=REJECTED reason=open_request_limit late=false"
+                                + " class=0 age_ms=0 waits_ms=900 attempts=0 out=0 last=null"),
+                events);
+    }
+
+    @Test
+    void disconnectedClientsRequestIsLoggedWithItsReason() {
+        Runnable disconnect = accept(new Client());
+        clock.advance(20 * MS);
+        disconnect.run();
+        assertEquals(
+                List.of(
+                        "request.ended id=a how=CLIENT_DISCONNECTED reason=client_disconnected"
+                                + " late=false class=0 age_ms=20 waits_ms=1000 attempts=1 out=1"
+                                + " last=null"),
+                events);
+    }
 }
