--- a/sidecar/src/test/java/appleridge/lease/LeaseTest.java
+++ b/sidecar/src/test/java/appleridge/lease/LeaseTest.java
@@ -27,12 +27,12 @@
     private static final long KEPT_OUT = 10_200 * MS;
     private static final long ACTS_OUT = 1_515 * MS;
 
-    private final Register.Store store = new Register.Store();
-    private final Register a = new Register(store, TIMED, "a", "a");
-    private final Register b = new Register(store, TIMED, "b", "b");
+    private final SimulatedHolder.Store store = new SimulatedHolder.Store();
+    private final SimulatedHolder a = new SimulatedHolder(store, TIMED, "a", "a");
+    private final SimulatedHolder b = new SimulatedHolder(store, TIMED, "b", "b");
 
     @Test
-    void grantCountsFromBeforeItsRequestAndIsShortened() {
+    void grantIsCountedFromBeforeItsRequestAndIsShorterThanTheTerm() {
         a.lease.acquire(0);
         assertFalse(a.asks(), "not its turn");
         a.lease.onHeadOfQueue(MS);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void noActBeginsThatCouldLastBeyondTheEnd() {
+    void operationIsRefusedWhenItCouldOutlastTheGrant() {
         a.seek(0);
         assertTrue(a.lease.mayStart(ACTS_FOR - 500 * MS, 500 * MS));
         assertFalse(a.lease.mayStart(ACTS_FOR - 500 * MS + 1, 500 * MS));
@@ -52,12 +52,13 @@
         assertFalse(a.lease.mayStart(0, -1));
         assertEquals(new Permission.TimedPermission(1, ACTS_FOR), a.lease.tryStart(MS, 0));
         assertNull(a.lease.tryStart(ACTS_FOR + 1, 0));
-        Register fenced = new Register(new Register.Store(), FENCED, "f", "f").seek(0);
+        SimulatedHolder fenced =
+                new SimulatedHolder(new SimulatedHolder.Store(), FENCED, "f", "f").seek(0);
         assertInstanceOf(Permission.FencedPermission.class, fenced.lease.tryStart(0, 8_000 * MS));
     }
 
     @Test
-    void aRenewalExtendsOnlyOnceItIsAnswered() {
+    void renewalExtendsTheGrantOnlyOnceItIsAnswered() {
         a.seek(0);
         assertEquals(3_000 * MS, a.wakeAt);
         a.lease.onTimer(3_000 * MS);
@@ -73,7 +74,7 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 0.9, 1.1, 4})
-    void aStoppedHolderActsNoLongerThanItsGrant(double terms) {
+    void holderPausedBeyondItsGrantMayNotStartOperations(double terms) {
         long stop = (long) (terms * TERM);
         boolean stands = stop < ACTS_FOR;
         a.seek(0);
@@ -81,7 +82,8 @@
         a.lease.onTimer(stop);
         assertEquals(stands ? LeaseState.HELD : LeaseState.LOST, a.lease.state());
 
-        Register within = new Register(new Register.Store(), TIMED, "w", "w").seek(0);
+        SimulatedHolder within =
+                new SimulatedHolder(new SimulatedHolder.Store(), TIMED, "w", "w").seek(0);
         within.lease.onTimer(3_000 * MS);
         within.reach(3_000 * MS + stop).run();
         assertEquals(stands, within.lease.mayStart(3_000 * MS + stop, 0));
@@ -90,7 +92,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 0.9, 1.1, 4})
-    void nobodyElseActsWhileAStoppedHolderCould(double terms) {
+    void leaseIsNotTakenOverWhileAPausedHolderMayOperate(double terms) {
         a.seek(0);
         b.seek(100 * MS);
         long stop = (long) (terms * TERM);
@@ -102,7 +104,7 @@
     }
 
     @Test
-    void aTakeOverWaitsForTheTermThenForActs() {
+    void takeOverWaitsForTheTermAndThenForTheGracePeriod() {
         a.seek(0);
         b.seek(100 * MS);
         assertEquals(100 * MS + KEPT_OUT, b.wakeAt);
@@ -116,7 +118,7 @@
     }
 
     @Test
-    void aWaitCountsFromAfterItsAnswer() {
+    void takeOverDelayIsCountedFromAfterTheAnswer() {
         a.seek(0);
         b.lease.acquire(0);
         b.lease.onHeadOfQueue(0);
@@ -125,16 +127,16 @@
     }
 
     @Test
-    void aFencedTakeOverWaitsForNoActs() {
-        new Register(store, FENCED, "x", "x").seek(0);
-        Register next = new Register(store, FENCED, "y", "y").seek(0);
+    void fencedTakeOverHasNoGracePeriod() {
+        new SimulatedHolder(store, FENCED, "x", "x").seek(0);
+        SimulatedHolder next = new SimulatedHolder(store, FENCED, "y", "y").seek(0);
         next.settle(next.wakeAt);
         assertEquals(new Permission.FencedPermission(2), next.lease.tryStart(KEPT_OUT, 0));
     }
 
     /** By true time: a holder whose clock is as slow as may be, a waiter whose clock is as fast. */
     @Test
-    void clocksAtTheirBoundsLeaveNoOverlap() {
+    void grantAndTakeOverDontOverlapWithClocksAtTheirDriftBounds() {
         double heldFor = ACTS_FOR / 0.99;
         double waited = KEPT_OUT / 1.01;
         assertTrue(heldFor <= TERM && TERM <= waited, heldFor + " " + waited);
@@ -142,7 +144,7 @@
     }
 
     @Test
-    void aRenewedRecordIsWaitedForAnew() {
+    void renewalRestartsTheTakeOverDelay() {
         a.seek(0);
         b.seek(0);
         a.settle(3_000 * MS);
@@ -152,7 +154,7 @@
     }
 
     @Test
-    void aReleaseHandsOverAtOnce() {
+    void releaseLetsTheNextHolderStartAtOnce() {
         a.seek(0);
         b.seek(0);
         a.lease.release(MS);
@@ -164,7 +166,7 @@
     }
 
     @Test
-    void aTakeOverThatLeavesAtOnceDoesNotHideActsBefore() {
+    void releaseRightAfterTakeOverStillWaitsForOperationsOfTheFormerHolder() {
         a.seek(0);
         b.seek(0);
         long at = b.wakeAt;
@@ -177,7 +179,7 @@
     }
 
     @Test
-    void givingUpWaitsForActsAndIdlenessGivesUp() {
+    void idleLeaseIsReleasedAfterTheGracePeriod() {
         a.seek(0);
         a.lease.releaseWhenIdle(0, 100 * MS);
         assertInstanceOf(Permission.class, a.lease.tryStart(50 * MS, 0));
@@ -192,7 +194,7 @@
     }
 
     @Test
-    void anUnknownWriteThatWasDoneCountsFromBeforeItsRequest() {
+    void writeOfUnknownOutcomeThatWasDoneGrantsFromBeforeItsRequest() {
         a.seek(0);
         a.lease.onTimer(3_000 * MS);
         a.reach(3_000 * MS);
@@ -205,7 +207,7 @@
     }
 
     @Test
-    void anUnknownWriteThatWasNotDoneIsDoneAgain() {
+    void writeOfUnknownOutcomeThatWasNotDoneIsRetriedAfterABackoff() {
         a.seek(0);
         a.lease.onTimer(3_000 * MS);
         a.unknown(3_100 * MS);
@@ -216,7 +218,7 @@
     }
 
     @Test
-    void aCreateOfWhichNothingIsKnownIsFoundByItsNonce() {
+    void createOfUnknownOutcomeIsRecognizedByItsNonce() {
         a.lease.acquire(0);
         a.lease.onHeadOfQueue(0);
         a.reach(0).run();
@@ -230,7 +232,7 @@
     }
 
     @Test
-    void aRenewalThatNobodyAnswersIsAskedForAgain() {
+    void unansweredRenewalIsRetriedAndItsLateAnswerIgnored() {
         a.seek(0);
         a.lease.onTimer(3_000 * MS);
         Runnable late = a.reach(6_100 * MS);
@@ -246,7 +248,7 @@
     }
 
     @Test
-    void aDisconnectedHolderActsToTheEndOfItsGrant() {
+    void disconnectedHolderMayOperateUntilItsGrantExpires() {
         a.seek(0);
         a.lease.onDisconnected(1_000 * MS);
         assertEquals(LeaseState.UNCONFIRMED, a.lease.state());
@@ -260,7 +262,7 @@
     }
 
     @Test
-    void aConnectionThatIsBackExtendsNothing() {
+    void reconnectDoesNotExtendTheGrant() {
         a.seek(0);
         a.lease.onDisconnected(MS);
         a.lease.onConnected(2 * MS);
@@ -271,7 +273,7 @@
     }
 
     @Test
-    void aReleaseThatCrossesARenewalIsNotUndone() {
+    void renewalAnsweredAfterAReleaseDoesNotUndoIt() {
         a.seek(0);
         a.lease.onTimer(3_000 * MS);
         Runnable renewed = a.reach(3_010 * MS);
@@ -287,7 +289,7 @@
     }
 
     @Test
-    void whoAsksAgainAfterALossStartsAnew() {
+    void writeAnsweredAfterALossDoesNotRestoreTheGrant() {
         a.seek(0);
         a.lease.onTimer(3_000 * MS);
         Runnable late = a.reach(12_000 * MS);
@@ -301,9 +303,9 @@
     }
 
     @Test
-    void twoProcessesOfOneNameAreTwoHolders() {
+    void incarnationsOfOneHolderNameAreDifferentHolders() {
         a.seek(0);
-        Register twin = new Register(store, TIMED, "a", "another").seek(0);
+        SimulatedHolder twin = new SimulatedHolder(store, TIMED, "a", "another").seek(0);
         assertNull(twin.lease.grant());
         twin.settle(twin.wakeAt);
         assertEquals(2, twin.lease.grant().token());
@@ -314,7 +316,7 @@
     }
 
     @Test
-    void aWipedStoreIsRefusedUntilAReset() {
+    void missingRecordIsDistrustedUntilAnOperatorResetsIt() {
         a.seek(0);
         store.record = null;
         a.settle(3_000 * MS);
@@ -331,7 +333,7 @@
     }
 
     @Test
-    void aRestoredStoreIsRefused() {
+    void olderRecordIsDistrusted() {
         VersionedLease old = a.seek(0).store.record;
         a.lease.release(MS);
         a.settle(MS);
@@ -346,7 +348,7 @@
     }
 
     @Test
-    void termsThatCanNotHoldAreRefused() {
+    void parametersThatCannotBeSafeAreRejected() {
         for (long renewEvery : new long[] {0, ACTS_FOR}) {
             assertThrows(
                     IllegalArgumentException.class,
@@ -360,7 +362,7 @@
 
     /** Guards against a token that runs back after the largest there is. */
     @Test
-    void aTokenThatCanNotGrowIsNoLease() {
+    void recordWithTheLargestTokenIsDistrusted() {
         store.record = new VersionedLease(0, Long.MAX_VALUE, "operator", "operator/0", 1, true);
         a.seek(0);
         assertNull(a.lease.grant());
--- a/sidecar/src/test/java/appleridge/lease/PermitsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/PermitsTest.java
@@ -18,12 +18,12 @@
             LeaseParameters.timed(1_000, 10_000, 10, 300, 0, 100);
     private static final int COUNT = 4;
 
-    private final List<Register.Store> stores =
-            IntStream.range(0, COUNT).mapToObj(i -> new Register.Store()).toList();
+    private final List<SimulatedHolder.Store> stores =
+            IntStream.range(0, COUNT).mapToObj(i -> new SimulatedHolder.Store()).toList();
 
     /** A process with a lease for each permit. */
     private final class Process {
-        final List<Register> registers = new ArrayList<>();
+        final List<SimulatedHolder> registers = new ArrayList<>();
         final Permits permits;
         final BudgetShare shares;
 
@@ -32,14 +32,15 @@
                     new Permits(
                             COUNT,
                             i -> {
-                                registers.add(new Register(stores.get(i), TERMS, name, name));
+                                registers.add(
+                                        new SimulatedHolder(stores.get(i), TERMS, name, name));
                                 return registers.get(i).lease;
                             });
             shares = new BudgetShare(whole, permits);
         }
 
         void settle(long now) {
-            for (Register register : registers) {
+            for (SimulatedHolder register : registers) {
                 if (register.inLine) {
                     register.lease.onHeadOfQueue(now);
                 }
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void permitsAreSoughtAndGivenUpAfterTheirActs() {
+    void releasedPermitsBecomeUsableAfterTheGracePeriod() {
         Process a = new Process("a", 8);
         Process b = new Process("b", 8);
         a.permits.setWanted(0, 3);
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void sharesNeverSumToMoreThanTheWholeThroughEveryReshaping() {
+    void sharesNeverSumToMoreThanTheBudgetWhileTheyChange() {
         long whole = 10;
         List<Process> all =
                 List.of(new Process("a", whole), new Process("b", whole), new Process("c", whole));
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void littleIsGivenByTurnAndNotRoundedUp() {
+    void shareOfLessThanAPermitIsRoundedDown() {
         Process a = new Process("a", 3);
         a.shares.setWanted(0, 1);
         a.settle(0);
@@ -110,12 +111,16 @@
     }
 
     @Test
-    void leasesAreBounded() {
+    void numberOfLeasesIsBounded() {
         Leases leases = new Leases(2, 1);
-        Register first = new Register(new Register.Store(), TERMS, "a", "a");
+        SimulatedHolder first = new SimulatedHolder(new SimulatedHolder.Store(), TERMS, "a", "a");
         assertNotNull(leases.open("x", () -> first.lease));
         assertNotNull(
-                leases.open("y", () -> new Register(new Register.Store(), TERMS, "a", "b").lease));
+                leases.open(
+                        "y",
+                        () ->
+                                new SimulatedHolder(new SimulatedHolder.Store(), TERMS, "a", "b")
+                                        .lease));
         assertNull(leases.open("z", () -> first.lease));
         assertTrue(leases.acquire(0, "x"));
         assertFalse(leases.acquire(0, "y"), "one waits already");
--- a/sidecar/src/test/java/appleridge/lease/Register.java
+++ b/sidecar/src/test/java/appleridge/lease/SimulatedHolder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A holder with a store of its own making: what it asks waits until the test lets it happen. */
-final class Register implements LeaseActions {
+final class SimulatedHolder implements LeaseActions {
     /** The one record, for all who share it. */
     static final class Store {
         VersionedLease record;
@@ -21,7 +21,7 @@
     long wakeAt = Long.MAX_VALUE;
     private Asked asked;
 
-    Register(Store store, LeaseParameters terms, String name, String nonce) {
+    SimulatedHolder(Store store, LeaseParameters terms, String name, String nonce) {
         this.store = store;
         this.lease = new Lease(terms, name, nonce, this);
     }
@@ -37,7 +37,7 @@
     }
 
     /** Asks, is in front, and has what it asks answered. */
-    Register seek(long now) {
+    SimulatedHolder seek(long now) {
         lease.acquire(now);
         lease.onHeadOfQueue(now);
         settle(now);
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theLargerProgressCounts() {
+    void clockFollowsTheLargerProgressAndNeverRunsBack() {
         LeaseClock clock = clock();
         long begin = clock.nanoTime();
         nanos += 4 * SECOND;
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theWallClockHasNoSayWhereSleepIsCounted() {
+    void wallClockIsIgnoredWhereSuspensionIsCounted() {
         LeaseClock clock = clock();
         unixMillis += 3_600_000;
         assertFalse(clock.mayHaveSuspended());
@@ -47,7 +47,7 @@
 
     /** Guards against a holder that sleeps for longer than its lease and never knows. */
     @Test
-    void withoutIttheWallClocksJumpsAreNoticedOnceEach() {
+    void wallClockJumpIsReportedOnceWhereSuspensionIsNotCounted() {
         uptime = LeaseClock.NO_CLOCK;
         LeaseClock clock = clock();
         assertEquals(1, said.size(), "said once");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aMomentIsReachedByWhicheverClockComesFirst() {
+    void momentIsReachedByWhicheverClockComesFirst() {
         LeaseClock.Moment moment = clock().moment(clock().nanoTime() + 5 * SECOND);
         LeaseClock other = clock();
         assertEquals(5 * SECOND, other.nanosUntil(moment));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void theSystemsFileIsRead() {
+    void procUptimeIsParsed() {
         assertEquals(414 * SECOND + 710_000_000, LeaseClock.parse("414.71 1787.73\n"));
         for (String bad : new String[] {"", "x", "1 2", "1.x 2"}) {
             assertEquals(LeaseClock.NO_CLOCK, LeaseClock.parse(bad), bad);
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
@@ -11,7 +11,7 @@
 /** A lease's record as JSON, and the order of the line. */
 class LeaseRecordTest {
     @Test
-    void whatIsWrittenIsReadAndCanBeReadByAPerson() {
+    void encodedRecordIsReadableJsonAndDecodes() {
         byte[] bytes =
                 LeaseRecord.encode(
                         new VersionedLease(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
@@ -26,7 +26,7 @@
 
     /** Guards against an operator's hand in the record that is taken for a free lease. */
     @Test
-    void whatIsNoRecordIsNotRead() {
+    void malformedRecordIsRejected() {
         String good =
                 "{\"holder\":\"a\",\"token\":7,\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}";
         assertEquals(7, LeaseRecord.decode(good.getBytes(StandardCharsets.UTF_8), 0).token());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void theLineIsInTheOrderOfItsNumbers() {
+    void queueIsOrderedBySequenceNumber() {
         assertEquals(
                 List.of("zz-0000000009", "aa-0000000010", "bb-0000000100"),
                 WaiterQueue.inQueueOrder(
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aCommandHasItsTokenAndEndsWithItsStatus() throws Exception {
+    void commandGetsItsTokenAndItsExitStatusIsReported() throws Exception {
         GuardedProcess guarded = guarded("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
         assertNull(guarded.pollReport(clock.nanoTime()));
         guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void whatItLeavesBehindIsEndedWithIt() throws Exception {
+    void processesLeftByTheCommandAreKilled() throws Exception {
         GuardedProcess guarded = guarded("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
         guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertEquals("ended 0", last(guarded));
@@ -110,7 +110,7 @@
      * without.
      */
     @Test
-    void whatIgnoresItsEndIsKilledWithinItsTime() throws Exception {
+    void processesIgnoringSigtermAreKilledBeforeTheDeadline() throws Exception {
         String writes = "while :; do echo 1 >> $1; sleep 0.02; done";
         for (String script :
                 List.of(
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void itIsToldToEndFirst() throws Exception {
+    void commandGetsSigtermFirst() throws Exception {
         GuardedProcess guarded =
                 guarded(
                         "trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
@@ -146,7 +146,7 @@
 
     /** Guards against a guardian that waits for good beside a command that it has ended. */
     @Test
-    void whatWasToldToEndStaysEndedThoughTheLeaseLastsLonger() throws Exception {
+    void terminationGoesOnWhenTheDeadlineIsExtended() throws Exception {
         GuardedProcess guarded =
                 guarded(
                         "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void whatComesTooLateIsNotBegun() throws Exception {
+    void commandIsNotStartedWhenTheDeadlineIsTooClose() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1");
         guarded.extendUntil(clock.nanoTime() + 400 * MILLI);
         assertEquals("never", last(guarded));
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void aCommandThatIsNotThereIsTold() throws Exception {
+    void missingCommandIsReported() throws Exception {
         GuardedProcess guarded = guarded(List.of("/no/such/command"));
         guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         assertEquals("no-command", last(guarded));
@@ -182,7 +182,7 @@
 
     /** Guards against a guardian that is gone while its command goes on. */
     @Test
-    void aKilledGuardiansCommandIsEndedByWhoAskedForIt() throws Exception {
+    void commandOfAKilledGuardianIsKilledByTheTask() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 50");
         guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
         awaitOut();
@@ -192,7 +192,7 @@
 
     /** Guards against a guardian that has lost its one thread, and ends nothing any more. */
     @Test
-    void aLineThatMakesNoSenseEndsTheCommand() throws Exception {
+    void malformedInstructionEndsTheCommand() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
@@ -204,7 +204,7 @@
 
     /** Guards against who waits for good for the last word of a guardian that is stopped. */
     @Test
-    void aStoppedGuardianKeepsNobodyWaiting() throws Exception {
+    void stoppedGuardianIsKilledAfterTheDeadline() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
@@ -217,7 +217,7 @@
 
     /** Guards against a command without its mark that goes on while its guardian stands still. */
     @Test
-    void aStoppedGuardiansChildWithoutItsMarkIsEnded() throws Exception {
+    void unmarkedChildOfAStoppedGuardianIsKilled() throws Exception {
         GuardedProcess guarded =
                 guarded("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
         guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
@@ -236,7 +236,7 @@
 
     /** Guards against a pipe that is full: who writes to it would see no lease end. */
     @Test
-    void aStoppedGuardianDoesNotStopWhoTellsIt() throws Exception {
+    void stoppedGuardianDoesNotBlockTheTask() throws Exception {
         GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
         guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
         awaitOut();
--- a/sidecar/src/test/java/appleridge/lease/task/SharedRecord.java
+++ b/sidecar/src/test/java/appleridge/lease/task/InMemoryLeaseStore.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Executor;
 
 /** A record and a line in memory, of which each task has a store. */
-final class SharedRecord {
+final class InMemoryLeaseStore {
     private final List<Store> line = new ArrayList<>();
     private VersionedLease entry;
 
@@ -55,7 +55,7 @@
 
         @Override
         public void write(long question, long expectedVersion, VersionedLease next) {
-            synchronized (SharedRecord.this) {
+            synchronized (InMemoryLeaseStore.this) {
                 long version = entry == null ? -1 : entry.version();
                 if (version != expectedVersion) {
                     executor.execute(() -> events.onConflict(question));
--- a/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
@@ -35,7 +35,7 @@
                     500 * MILLI);
 
     @TempDir private Path folder;
-    private final SharedRecord shared = new SharedRecord();
+    private final InMemoryLeaseStore shared = new InMemoryLeaseStore();
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final AtomicInteger nonces = new AtomicInteger();
     private LeaseStore.Events lastEvents;
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aCommandThatEndsWellGivesTheLeaseToTheNextAtOnce() throws Exception {
+    void leaseIsReleasedWhenTheCommandExitsWithZero() throws Exception {
         Run first = task("a", "echo $0 $APPLERIDGE_TOKEN >> $1; sleep 0.5; exit 0");
         await("a 1");
         Run second = task("b", "echo $0 $APPLERIDGE_TOKEN >> $1; exit 4");
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void onSigtermTheCommandEndsAndTheLeaseIsFree() throws Exception {
+    void terminationStopsTheCommandAndReleasesTheLease() throws Exception {
         Run run =
                 task(
                         "a",
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aRecordThatBeganAnewEndsEverything() throws Exception {
+    void recreatedRecordEndsTheTask() throws Exception {
         Run run = task("a", "echo on >> $1; sleep 50");
         await("on");
         lastEvents.onRecordRecreated("made anew");
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aCommandThatIsNotThereIsLeftToOthers() throws Exception {
+    void leaseIsReleasedWhenTheCommandCannotBeStarted() throws Exception {
         Run run =
                 new Run(
                         new LeasedTask(
@@ -171,7 +171,7 @@
 
     /** Guards against a machine that can't be shut down, and a lease that is not given away. */
     @Test
-    void onSigtermAllEndsThoughTheGuardianIsStopped() throws Exception {
+    void terminationSucceedsWhileTheGuardianIsStopped() throws Exception {
         Run run = task("a", "echo on >> $1; sleep 100");
         await("on");
         stoppedGuardian();
@@ -181,7 +181,7 @@
 
     /** Guards against a SIGTERM to all of a group that is told as a guardian's failure. */
     @Test
-    void onSigtermItIsNoFailureThatTheGuardianWasEndedToo() throws Exception {
+    void guardianKilledDuringTerminationIsNoFailure() throws Exception {
         Run run = task("a", "sleep 100");
         ProcessHandle guardian = stoppedGuardian();
         FutureTask<Integer> terminated = new FutureTask<>(run.task::terminate);
@@ -198,7 +198,7 @@
 
     /** Guards against a shutdown that waits for good for a task that has failed. */
     @Test
-    void whoTellsAFailedTaskToEndIsToldSo() {
+    void terminationOfAFailedTaskReturnsItsStatus() {
         Run run =
                 new Run(
                         new LeasedTask(
@@ -221,7 +221,7 @@
 
     /** Guards against a grant from before a sleep that only the wall clock shows. */
     @Test
-    void aSleepBeforeTheGuardianIsStartedIsNoticed() throws Exception {
+    void grantFromBeforeASuspensionIsNotUsed() throws Exception {
         LeaseClock clock =
                 new LeaseClock(
                         System::nanoTime,
--- a/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void onlyAWholeEntryIsTheMark() {
+    void onlyAWholeEnvironmentEntryIsTheMark() {
         byte[] mark = bytes("APPLERIDGE_TASK=ab\0");
         assertTrue(ProcessTree.containsEntry(bytes("APPLERIDGE_TASK=ab\0"), mark));
         assertTrue(ProcessTree.containsEntry(bytes("A=1\0APPLERIDGE_TASK=ab\0B=2\0"), mark));
@@ -27,7 +27,7 @@
 
     /** Guards against a command's child that is nobody's child any more. */
     @Test
-    void aProcessWithoutParentsIsFoundAndEnded() throws Exception {
+    void orphanedProcessIsFoundByItsMarkAndKilled() throws Exception {
         String nonce = "t" + ProcessHandle.current().pid();
         ProcessBuilder builder = new ProcessBuilder("setsid", "--fork", "sleep", "60");
         builder.environment().put(ProcessTree.VARIABLE, nonce);
--- a/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void theCommandsOwnArgumentsAreItsOwn() {
+    void argumentsOfTheCommandAreNotInterpreted() {
         TaskArguments read =
                 parse("--lease nightly --operator o.toml -- run --lease x -- @file -v");
         assertEquals(Path.of("o.toml"), read.operator());
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void mistakesAreNamed() {
+    void wrongArgumentIsNamedInTheMessage() {
         for (String[] each :
                 new String[][] {
                     {"--lease a --operator o", "no command after --"},
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theUsageNamesAll() {
+    void usageNamesEveryOption() {
         String usage = TaskArguments.usage();
         assertTrue(
                 usage.startsWith(
--- a/testbed/src/main/java/appleridge/testbed/Main.java
+++ b/testbed/src/main/java/appleridge/testbed/Main.java
@@ -6,7 +6,7 @@
 import appleridge.testbed.coordination.Measure;
 import appleridge.testbed.demo.Demo;
 import appleridge.testbed.lease.CheckLeases;
-import appleridge.testbed.lease.LeasesCommand;
+import appleridge.testbed.lease.LeaseFaultsCommand;
 import appleridge.testbed.mutation.PlantedCommand;
 import java.io.IOException;
 import java.util.Arrays;
@@ -24,7 +24,7 @@
             case "shrink" -> System.exit(new Shrink(System.out, System.err).run(rest));
             case "planted" -> System.exit(new PlantedCommand(System.out).run(rest));
             case "check-leases" -> System.exit(new CheckLeases(System.out).run(rest));
-            case "leases" -> System.exit(new LeasesCommand(System.out, System.err).run(rest));
+            case "leases" -> System.exit(new LeaseFaultsCommand(System.out, System.err).run(rest));
             case "measure" -> System.exit(new Measure(System.out, System.err).run(rest));
             case "coordination" ->
                     System.exit(
--- a/testbed/src/main/java/appleridge/testbed/lease/Parts.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/BudgetShareModel.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /** Gives the permits of a budget to two holders in every way, and adds up what they may spend. */
-final class Parts {
+final class BudgetShareModel {
     static final String WORDS = "parts";
     private static final LeaseParameters TERMS = LeaseParameters.fenced(100, 0, 0, 30);
     private static final int MOST_PERMITS = 5;
@@ -21,7 +21,7 @@
     /** A permit is the first one's, the second one's, or nobody's. */
     private static final int OWNERS = 3;
 
-    private Parts() {}
+    private BudgetShareModel() {}
 
     static String explore() {
         int ways = 0;
--- a/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
@@ -51,7 +51,10 @@
         } catch (NumberFormatException e) {
             names.add(USAGE);
         }
-        if (!Assumption.ALL.stream().map(Assumption::name).toList().containsAll(names)) {
+        if (!SafetyAssumption.ALL.stream()
+                .map(SafetyAssumption::name)
+                .toList()
+                .containsAll(names)) {
             out.print(USAGE);
             return 2;
         }
@@ -59,24 +62,24 @@
         // What is found without an assumption says little unless nothing is found there with it.
         List<String> scopes =
                 Stream.concat(
-                                Assumption.ALL.stream()
+                                SafetyAssumption.ALL.stream()
                                         .filter(its -> !its.edits().isEmpty())
-                                        .map(Assumption::scope)
-                                        .filter(its -> !its.equals(Parts.WORDS)),
+                                        .map(SafetyAssumption::scope)
+                                        .filter(its -> !its.equals(BudgetShareModel.WORDS)),
                                 SOUND.stream())
                         .distinct()
                         .toList();
         for (String sound : scopes) {
-            Scope scope = Scope.of(sound);
-            String said = Explorer.explore(scope.withDepth(scope.depth() + deeper).words());
+            ExplorationScope scope = ExplorationScope.of(sound);
+            String said = StateExplorer.explore(scope.withDepth(scope.depth() + deeper).words());
             out.println(sound + ": " + said);
             asItShould &= said.startsWith("sound");
         }
-        String parts = Explorer.explore(Parts.WORDS);
-        out.println(Parts.WORDS + ": " + parts);
+        String parts = StateExplorer.explore(BudgetShareModel.WORDS);
+        out.println(BudgetShareModel.WORDS + ": " + parts);
         asItShould &= parts.startsWith("sound");
         Planter planter = new Planter();
-        for (Assumption assumption : Assumption.ALL) {
+        for (SafetyAssumption assumption : SafetyAssumption.ALL) {
             if (names.isEmpty() || names.contains(assumption.name())) {
                 String said = without(assumption, planter);
                 out.println(
@@ -91,11 +94,11 @@
         return asItShould ? 0 : 1;
     }
 
-    static String without(Assumption assumption, Planter planter) {
+    static String without(SafetyAssumption assumption, Planter planter) {
         try {
             ClassLoader loader = planter.plant(assumption.fault());
             return (String)
-                    loader.loadClass(Explorer.class.getName())
+                    loader.loadClass(StateExplorer.class.getName())
                             .getMethod("explore", String.class)
                             .invoke(null, assumption.scope());
         } catch (ReflectiveOperationException e) {
--- a/testbed/src/main/java/appleridge/testbed/lease/Scope.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ExplorationScope.java
@@ -19,7 +19,7 @@
  * @param pause ticks between a check and its act, at most
  * @param depth events in a row
  */
-record Scope(
+record ExplorationScope(
         boolean fenced,
         boolean held,
         String rates,
@@ -44,13 +44,13 @@
     static final int OLD = 5;
 
     /** From its own words. */
-    static Scope of(String words) {
+    static ExplorationScope of(String words) {
         String[] word = words.split(" ");
         int[] number = new int[word.length];
         for (int i = 5; i < word.length; i++) {
             number[i] = Integer.parseInt(word[i]);
         }
-        return new Scope(
+        return new ExplorationScope(
                 word[0].equals("fenced"),
                 word[1].equals("held"),
                 word[2],
@@ -76,11 +76,12 @@
                 "" + depth);
     }
 
-    Scope withDepth(int other) {
-        return new Scope(fenced, held, rates, faults, kinds, leaves, again, pause, other);
+    ExplorationScope withDepth(int other) {
+        return new ExplorationScope(
+                fenced, held, rates, faults, kinds, leaves, again, pause, other);
     }
 
-    boolean has(World.Kind fault, int holder) {
+    boolean has(LeaseModel.Kind fault, int holder) {
         return kinds.equals("all")
                 || holder == 0 && List.of(kinds.split(",")).contains(fault.name());
     }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseStrike.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFault.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** What is done to a holder, a waiter or the store; with it passes whatever time it takes. */
-enum LeaseStrike {
+enum LeaseFault {
     /** SIGSTOP of the holder's {@code task} for half a term: it may go on. */
     STOPPED_HALF(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() / 2);
         }
@@ -17,7 +17,7 @@
     /** For nine tenths of one: its command is ended, or just not. */
     STOPPED_NEARLY(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 9 / 10);
         }
@@ -25,7 +25,7 @@
     /** For a little more than one. */
     STOPPED_LONGER(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 11 / 10);
         }
@@ -33,7 +33,7 @@
     /** For four. */
     STOPPED_LONG(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 4);
         }
@@ -41,21 +41,21 @@
     /** SIGKILL of the holder's {@code task}. */
     KILLED(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
             fleet.tasks.get(holder).kill();
         }
     },
     /** SIGKILL of its guardian alone. */
     GUARDIAN_KILLED(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
             fleet.tasks.get(holder).guardian().ifPresent(ProcessHandle::destroyForcibly);
         }
     },
     /** Its guardian is stopped, and the holder cut off from the store. */
     GUARDIAN_STOPPED(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             ProcessHandle guardian = fleet.tasks.get(holder).guardian().orElse(null);
             if (guardian != null) {
@@ -70,7 +70,8 @@
     /** The holder reaches what it acts on, and not the store. */
     CUT_OFF(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws InterruptedException {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws InterruptedException {
             fleet.cut(holder, true);
             TimeUnit.MILLISECONDS.sleep(fleet.termMillis() + chance.nextInt(fleet.termMillis()));
             fleet.cut(holder, false);
@@ -79,21 +80,24 @@
     /** Of the store's next word to the holder only half arrives. */
     HALF(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws InterruptedException {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws InterruptedException {
             fleet.onLoop(fleet.relays.get(holder)::halves);
         }
     },
     /** Its connection to the store breaks. */
     RESET(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws InterruptedException {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws InterruptedException {
             fleet.onLoop(fleet.relays.get(holder)::reset);
         }
     },
     /** The store is late for all. */
     LATE(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) throws InterruptedException {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+                throws InterruptedException {
             delay(fleet, TimeUnit.MILLISECONDS.toNanos(50 + chance.nextInt(200)));
             TimeUnit.MILLISECONDS.sleep(fleet.termMillis());
             delay(fleet, 0);
@@ -102,7 +106,7 @@
     /** All sessions end. */
     EXPIRED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
             for (long session : fleet.server.sessions()) {
                 fleet.server.expire(session);
             }
@@ -111,7 +115,7 @@
     /** The store is away for a moment. */
     RESTARTED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             fleet.server.stop();
             TimeUnit.MILLISECONDS.sleep(chance.nextInt(500));
@@ -121,14 +125,14 @@
     /** A waiter is killed. */
     WAITER_KILLED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
             fleet.tasks.get(other(fleet, holder, chance)).kill();
         }
     },
     /** A waiter is stopped for half a term. */
     WAITER_STOPPED(false) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(other(fleet, holder, chance)), fleet.termMillis() / 2);
         }
@@ -136,27 +140,27 @@
     /** SIGTERM of the holder's {@code task}: it hands over. */
     TERMINATED(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
             fleet.tasks.get(holder).term();
         }
     },
     /** The command ends well. */
     DONE(true) {
         @Override
-        void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws IOException, InterruptedException {
             TaskProcess.signal(fleet.witness.pid(), "USR1");
         }
     };
 
     /** Whether another one has to hold after it. */
-    final boolean changes;
+    final boolean changesHolder;
 
-    LeaseStrike(boolean changes) {
-        this.changes = changes;
+    LeaseFault(boolean changes) {
+        this.changesHolder = changes;
     }
 
-    abstract void hit(TaskFleet fleet, int holder, SplittableRandom chance)
+    abstract void inject(TaskFleet fleet, int holder, SplittableRandom chance)
             throws IOException, InterruptedException;
 
     /** Whether the holder gives the lease away itself. */
--- a/testbed/src/main/java/appleridge/testbed/lease/LeasesCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFaultsCommand.java
@@ -19,7 +19,7 @@
  * The command {@code leases}: real {@code task} processes take over from one another, by a seed's
  * faults.
  */
-public final class LeasesCommand {
+public final class LeaseFaultsCommand {
     private static final String USAGE =
             "usage: java -jar testbed.jar leases [--changes 100] [--processes 8]"
                     + " [--seed 1] [--seconds 600] [--jar FILE]";
@@ -35,7 +35,7 @@
 
     private final PrintStream out;
     private final PrintStream err;
-    private final Map<LeaseStrike, Integer> strikes = new EnumMap<>(LeaseStrike.class);
+    private final Map<LeaseFault, Integer> strikes = new EnumMap<>(LeaseFault.class);
     private final Histogram handedOver = new Histogram(MOST_MILLIS, DIGITS);
     private final Histogram lost = new Histogram(MOST_MILLIS, DIGITS);
     private final List<String> late = new ArrayList<>();
@@ -43,7 +43,7 @@
     /** Changes of which the time is in a histogram. */
     private int counted;
 
-    public LeasesCommand(PrintStream out, PrintStream err) {
+    public LeaseFaultsCommand(PrintStream out, PrintStream err) {
         this.out = out;
         this.err = err;
     }
@@ -102,12 +102,12 @@
         if (!fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS)) {
             return false;
         }
-        LeaseStrike strike = LeaseStrike.values()[chance.nextInt(LeaseStrike.values().length)];
+        LeaseFault strike = LeaseFault.values()[chance.nextInt(LeaseFault.values().length)];
         long token = fleet.witness.token();
         strikes.merge(strike, 1, Integer::sum);
-        strike.hit(fleet, fleet.witness.holder(), chance);
+        strike.inject(fleet, fleet.witness.holder(), chance);
         boolean goesOn =
-                strike.changes
+                strike.changesHolder
                         ? fleet.witness.awaitAbove(token, LONGEST_MILLIS)
                         : fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS);
         for (TaskProcess each : fleet.tasks) {
@@ -115,9 +115,9 @@
                 each.start();
             }
         }
-        List<LeaseWitness.Change> all = fleet.witness.changes();
+        List<OperationWitness.Change> all = fleet.witness.changes();
         for (; counted < all.size(); counted++) {
-            LeaseWitness.Change each = all.get(counted);
+            OperationWitness.Change each = all.get(counted);
             long millis = TimeUnit.NANOSECONDS.toMillis(each.without());
             (strike.handsOver() ? handedOver : lost).recordValue(millis);
             if (millis > TaskFleet.promisedMillis(TaskFleet.SHORT_MILLIS)) {
@@ -193,7 +193,7 @@
     private static String besideOurs() {
         try {
             return Path.of(
-                            LeasesCommand.class
+                            LeaseFaultsCommand.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
--- a/testbed/src/main/java/appleridge/testbed/lease/World.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseModel.java
@@ -13,7 +13,7 @@
  * All of it at one moment: holders, the store's record, what is on its way. Not changed once it is
  * made.
  */
-final class World {
+final class LeaseModel {
     /** What a step does; in the order in which they are tried. */
     enum Kind {
         ARRIVES,
@@ -37,7 +37,7 @@
     }
 
     /** One event; the message is null where it is about none. */
-    record Step(Kind kind, int holder, Message message) {}
+    record Step(Kind kind, int holder, ModelMessage message) {}
 
     /** A write that changed the holder; the later, the newer. */
     private record TakeOver(int holder, long token) {}
@@ -45,9 +45,9 @@
     /** A version that no sound lease expects: the write is done whatever the store has. */
     private static final long WHATEVER = -2;
 
-    private final Scope scope;
-    private final Holder[] holders;
-    private final List<Message> messages;
+    private final ExplorationScope scope;
+    private final ModelHolder[] holders;
+    private final List<ModelMessage> messages;
     private final List<TakeOver> takeOvers;
     private int tick;
     private VersionedLease record;
@@ -58,22 +58,22 @@
     /** The newest that the fenced thing has taken: its token, and which take-over it came from. */
     private long taken;
 
-    private int takenFrom = Holder.NONE;
+    private int takenFrom = ModelHolder.NONE;
 
     /** What is broken; null for nothing. */
-    private String broken;
+    private String violation;
 
     /** All ask at once; the first one has the lease already where the scope says so. */
-    World(Scope scope) {
+    LeaseModel(ExplorationScope scope) {
         this.scope = scope;
-        holders = new Holder[scope.rates().length()];
+        holders = new ModelHolder[scope.rates().length()];
         messages = new ArrayList<>();
         takeOvers = new ArrayList<>();
         faults = scope.faults();
         leaves = scope.leaves();
         again = scope.again();
         for (int i = 0; i < holders.length; i++) {
-            holders[i] = new Holder(scope, i);
+            holders[i] = new ModelHolder(scope, i);
             seek(holders[i]);
         }
         while (scope.held() && holders[0].lease.grant() == null) {
@@ -84,7 +84,7 @@
         }
     }
 
-    private World(World before, int touched) {
+    private LeaseModel(LeaseModel before, int touched) {
         scope = before.scope;
         holders = before.holders.clone();
         messages = new ArrayList<>(before.messages);
@@ -101,22 +101,22 @@
         }
     }
 
-    String broken() {
-        return broken;
+    String violation() {
+        return violation;
     }
 
-    private long now(Holder holder) {
-        return Scope.START + (long) tick * holder.rate;
+    private long now(ModelHolder holder) {
+        return ExplorationScope.START + (long) tick * holder.rate;
     }
 
     /** The line isn't trusted: everyone is told at once to be in front. */
-    private void seek(Holder holder) {
+    private void seek(ModelHolder holder) {
         holder.lease.acquire(now(holder));
         holder.lease.onHeadOfQueue(now(holder));
         collect(holder);
     }
 
-    private void collect(Holder holder) {
+    private void collect(ModelHolder holder) {
         messages.addAll(holder.sent);
         holder.sent.clear();
     }
@@ -124,7 +124,7 @@
     List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         boolean canWait = true;
-        for (Message message : messages.stream().distinct().toList()) {
+        for (ModelMessage message : messages.stream().distinct().toList()) {
             if (message.isRequest() || !holders[message.holder()].stopped) {
                 canWait &= message.late();
                 steps.add(new Step(Kind.ARRIVES, message.holder(), message));
@@ -133,8 +133,10 @@
                 }
             }
         }
-        for (Holder holder : holders) {
-            canWait &= holder.checked == Holder.NONE || tick < holder.checked + scope.pause();
+        for (ModelHolder holder : holders) {
+            canWait &=
+                    holder.permittedAtTick == ModelHolder.NONE
+                            || tick < holder.permittedAtTick + scope.pause();
             if (holder.stopped) {
                 add(steps, Kind.GOES_ON, holder, true);
             } else {
@@ -143,12 +145,12 @@
             }
         }
         if (canWait) {
-            steps.add(new Step(Kind.TICK, Holder.NONE, null));
+            steps.add(new Step(Kind.TICK, ModelHolder.NONE, null));
         }
         return steps;
     }
 
-    private void faultsOf(Message message, List<Step> steps) {
+    private void faultsOf(ModelMessage message, List<Step> steps) {
         List<Kind> faults =
                 message.isRequest()
                         ? List.of(Kind.LOST, Kind.UNANSWERED, Kind.DELAYED, Kind.DOUBLED)
@@ -159,7 +161,7 @@
                 .forEach(fault -> steps.add(new Step(fault, holder, message)));
     }
 
-    private void stepsOf(Holder holder, List<Step> steps) {
+    private void stepsOf(ModelHolder holder, List<Step> steps) {
         LeaseState state = holder.lease.state();
         boolean isIdle = holder.isIdle(tick);
         boolean isAway = state == LeaseState.LOST || state == LeaseState.RELEASED;
@@ -169,8 +171,8 @@
                 Kind.CHECKS,
                 holder,
                 isIdle && readings(holder).anyMatch(at -> holder.lease.mayStart(at, 0)));
-        add(steps, Kind.BEGINS, holder, holder.checked != Holder.NONE);
-        add(steps, Kind.REACHES, holder, holder.carried != Holder.NONE);
+        add(steps, Kind.BEGINS, holder, holder.permittedAtTick != ModelHolder.NONE);
+        add(steps, Kind.REACHES, holder, holder.tokenInFlight != ModelHolder.NONE);
         add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != LeaseState.RELEASED);
         add(
                 steps,
@@ -179,7 +181,7 @@
                 leaves > 0
                         && !isIdle
                         && state != LeaseState.RELEASED
-                        && holder.checked == Holder.NONE);
+                        && holder.permittedAtTick == ModelHolder.NONE);
         add(steps, Kind.ASKS_AGAIN, holder, again > 0 && isAway);
         VersionedLease seen = holder.lease.latestRecord();
         add(
@@ -196,33 +198,33 @@
         add(steps, Kind.STOPS, holder, faults > 0 && scope.has(Kind.STOPS, holder.index));
     }
 
-    private static void add(List<Step> steps, Kind kind, Holder holder, boolean possible) {
+    private static void add(List<Step> steps, Kind kind, ModelHolder holder, boolean possible) {
         if (possible) {
             steps.add(new Step(kind, holder.index, null));
         }
     }
 
-    World after(Step step) {
-        World next = new World(this, step.holder);
+    LeaseModel after(Step step) {
+        LeaseModel next = new LeaseModel(this, step.holder);
         next.take(step.kind, step.holder < 0 ? null : next.holders[step.holder], step.message);
         return next;
     }
 
-    private void take(Kind kind, Holder holder, Message message) {
+    private void take(Kind kind, ModelHolder holder, ModelMessage message) {
         if (message != null) {
             messages.remove(message);
         }
         switch (kind) {
             case ARRIVES -> {
                 if (message.isRequest()) {
-                    messages.add(stored(message));
+                    messages.add(applyToStore(message));
                 } else {
-                    tell(holder, message);
+                    deliver(holder, message);
                 }
             }
             case LOST -> fault(message);
             case UNANSWERED -> {
-                stored(message);
+                applyToStore(message);
                 fault(message);
             }
             case DELAYED -> {
@@ -232,7 +234,7 @@
             case DOUBLED -> {
                 faults--;
                 messages.add(message.delayed());
-                messages.add(stored(message));
+                messages.add(applyToStore(message));
             }
             case WAKES -> holder.lease.onTimer(now(holder));
             case CHECKS -> check(holder);
@@ -273,19 +275,19 @@
         }
     }
 
-    private void fault(Message message) {
+    private void fault(ModelMessage message) {
         faults--;
-        messages.add(message.answer(Message.Kind.UNKNOWN, 0, null));
+        messages.add(message.answer(ModelMessage.Kind.UNKNOWN, 0, null));
     }
 
     /** What the store does of a request: one at a time, and at once. */
-    private Message stored(Message request) {
-        if (request.kind() == Message.Kind.READ) {
-            return request.answer(Message.Kind.RECORD, 0, record);
+    private ModelMessage applyToStore(ModelMessage request) {
+        if (request.kind() == ModelMessage.Kind.READ) {
+            return request.answer(ModelMessage.Kind.RECORD, 0, record);
         }
         long version = record == null ? -1 : record.version();
         if (request.version() != version && request.version() != WHATEVER) {
-            return request.answer(Message.Kind.CONFLICT, 0, null);
+            return request.answer(ModelMessage.Kind.CONFLICT, 0, null);
         }
         VersionedLease next = request.entry();
         boolean isRenewal =
@@ -303,18 +305,19 @@
                         next.nonce(),
                         next.termNanos(),
                         next.released());
-        return request.answer(Message.Kind.WRITTEN, record.version(), null);
+        return request.answer(ModelMessage.Kind.WRITTEN, record.version(), null);
     }
 
     /**
      * Danger: a holder that reads the time and then stands still believes that a record came long
      * ago.
      */
-    private void tell(Holder holder, Message answer) {
+    private void deliver(ModelHolder holder, ModelMessage answer) {
         long now = now(holder);
         long question = answer.question();
         switch (answer.kind()) {
-            case RECORD -> holder.lease.onRead(now - Scope.OLD, question, answer.entry());
+            case RECORD ->
+                    holder.lease.onRead(now - ExplorationScope.OLD, question, answer.entry());
             case WRITTEN -> holder.lease.onWritten(now, question, answer.version());
             case CONFLICT -> holder.lease.onConflict(now, question);
             default -> holder.lease.onOutcomeUnknown(now, question);
@@ -322,11 +325,11 @@
     }
 
     /** What a holder may take the time to be. */
-    private LongStream readings(Holder holder) {
-        return LongStream.of(now(holder), now(holder) - Scope.OLD);
+    private LongStream readings(ModelHolder holder) {
+        return LongStream.of(now(holder), now(holder) - ExplorationScope.OLD);
     }
 
-    private void check(Holder holder) {
+    private void check(ModelHolder holder) {
         Permission allowed =
                 readings(holder)
                         .mapToObj(reading -> holder.lease.tryStart(reading, 0))
@@ -334,39 +337,39 @@
                         .findFirst()
                         .orElseThrow();
         if (allowed instanceof Permission.FencedPermission act) {
-            holder.carried = act.token();
+            holder.tokenInFlight = act.token();
         } else {
-            holder.checked = tick;
+            holder.permittedAtTick = tick;
         }
     }
 
-    private void begin(Holder holder) {
-        holder.checked = Holder.NONE;
-        holder.begun = tick;
-        for (Holder other : holders) {
-            if (other != holder && other.acts(tick)) {
-                broken =
-                        Holder.name(holder.index)
+    private void begin(ModelHolder holder) {
+        holder.permittedAtTick = ModelHolder.NONE;
+        holder.startedAtTick = tick;
+        for (ModelHolder other : holders) {
+            if (other != holder && other.isOperating(tick)) {
+                violation =
+                        ModelHolder.name(holder.index)
                                 + " acts while "
-                                + Holder.name(other.index)
+                                + ModelHolder.name(other.index)
                                 + " does";
             }
         }
     }
 
-    private void reach(Holder holder) {
-        int from = takeOvers.lastIndexOf(new TakeOver(holder.index, holder.carried));
-        if (holder.carried >= taken) {
+    private void reach(ModelHolder holder) {
+        int from = takeOvers.lastIndexOf(new TakeOver(holder.index, holder.tokenInFlight));
+        if (holder.tokenInFlight >= taken) {
             if (from < takenFrom) {
-                broken =
+                violation =
                         "an act of "
-                                + Holder.name(holder.index)
+                                + ModelHolder.name(holder.index)
                                 + " is taken after one of a newer holder";
             }
-            taken = holder.carried;
+            taken = holder.tokenInFlight;
             takenFrom = from;
         }
-        holder.carried = Holder.NONE;
+        holder.tokenInFlight = ModelHolder.NONE;
     }
 
     /** The same for worlds that differ only in which of two like holders is which. */
@@ -393,15 +396,18 @@
         takeOvers.forEach(
                 its -> key.append(rank[its.holder]).append(':').append(its.token).append(' '));
         for (int place = 0; place < rank.length; place++) {
-            for (Holder holder : holders) {
+            for (ModelHolder holder : holders) {
                 if (rank[holder.index] == place) {
                     key.append(holder.connected)
                             .append(holder.stopped)
-                            .append(holder.carried)
+                            .append(holder.tokenInFlight)
                             .append(' ')
-                            .append(holder.checked == Holder.NONE ? 9 : holder.checked - tick)
+                            .append(
+                                    holder.permittedAtTick == ModelHolder.NONE
+                                            ? 9
+                                            : holder.permittedAtTick - tick)
                             .append(' ')
-                            .append(holder.acts(tick) ? holder.begun - tick : 9)
+                            .append(holder.isOperating(tick) ? holder.startedAtTick - tick : 9)
                             .append(' ');
                     fields.lease(holder.index, holder.lease);
                 }
@@ -409,7 +415,7 @@
         }
         int start = key.length();
         List<String> sent = new ArrayList<>();
-        for (Message message : messages) {
+        for (ModelMessage message : messages) {
             key.append(message.kind().ordinal())
                     .append(message.late())
                     .append(rank[message.holder()]);
@@ -424,9 +430,9 @@
     }
 
     /** A sentence for a story. */
-    String told(Step step) {
-        String who = step.holder < 0 ? "" : Holder.name(step.holder);
-        Message message = step.message;
+    String describe(Step step) {
+        String who = step.holder < 0 ? "" : ModelHolder.name(step.holder);
+        ModelMessage message = step.message;
         String what =
                 message == null
                         ? ""
--- a/testbed/src/main/java/appleridge/testbed/lease/Holder.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ModelHolder.java
@@ -9,16 +9,16 @@
 import java.util.List;
 
 /** A process with the product's own lease; not changed any more once its event is over. */
-final class Holder implements LeaseActions {
+final class ModelHolder implements LeaseActions {
     static final int NONE = -1;
 
     final int index;
     final int rate;
     final Lease lease;
-    private final Scope scope;
+    private final ExplorationScope scope;
 
     /** What the event under way has sent. */
-    final List<Message> sent = new ArrayList<>();
+    final List<ModelMessage> sent = new ArrayList<>();
 
     boolean connected = true;
 
@@ -26,16 +26,16 @@
     boolean stopped;
 
     /** When an act was found to be allowed, and when it began; {@link #NONE} for not. */
-    int checked = NONE;
+    int permittedAtTick = NONE;
 
-    int begun = NONE;
+    int startedAtTick = NONE;
 
     /** The token of a fenced act on its way. */
-    long carried = NONE;
+    long tokenInFlight = NONE;
 
     long wakeAt = Long.MAX_VALUE;
 
-    Holder(Scope scope, int index) {
+    ModelHolder(ExplorationScope scope, int index) {
         this.scope = scope;
         this.index = index;
         this.rate = scope.rates().charAt(index) - '0';
@@ -47,34 +47,36 @@
         return String.valueOf((char) ('a' + index));
     }
 
-    Holder copy() {
-        Holder copy = new Holder(scope, index);
+    ModelHolder copy() {
+        ModelHolder copy = new ModelHolder(scope, index);
         LeaseFields.copy(lease, copy.lease);
         copy.connected = connected;
         copy.stopped = stopped;
-        copy.checked = checked;
-        copy.begun = begun;
-        copy.carried = carried;
+        copy.permittedAtTick = permittedAtTick;
+        copy.startedAtTick = startedAtTick;
+        copy.tokenInFlight = tokenInFlight;
         copy.wakeAt = wakeAt;
         return copy;
     }
 
-    boolean acts(int tick) {
-        return begun != NONE && tick < begun + Scope.ACT;
+    boolean isOperating(int tick) {
+        return startedAtTick != NONE && tick < startedAtTick + ExplorationScope.ACT;
     }
 
     boolean isIdle(int tick) {
-        return checked == NONE && carried == NONE && !acts(tick);
+        return permittedAtTick == NONE && tokenInFlight == NONE && !isOperating(tick);
     }
 
     @Override
     public void readRecord(long question) {
-        sent.add(new Message(Message.Kind.READ, index, question, 0, null, false));
+        sent.add(new ModelMessage(ModelMessage.Kind.READ, index, question, 0, null, false));
     }
 
     @Override
     public void writeRecord(long question, long expectedVersion, VersionedLease next) {
-        sent.add(new Message(Message.Kind.WRITE, index, question, expectedVersion, next, false));
+        sent.add(
+                new ModelMessage(
+                        ModelMessage.Kind.WRITE, index, question, expectedVersion, next, false));
     }
 
     @Override
--- a/testbed/src/main/java/appleridge/testbed/lease/Message.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ModelMessage.java
@@ -8,7 +8,7 @@
  * @param version of a write: the one expected; of an answer: the one that was made
  * @param late whether time may go on before it arrives
  */
-record Message(
+record ModelMessage(
         Kind kind, int holder, long question, long version, VersionedLease entry, boolean late) {
     enum Kind {
         READ,
@@ -23,11 +23,11 @@
         return kind == Kind.READ || kind == Kind.WRITE;
     }
 
-    Message delayed() {
-        return new Message(kind, holder, question, version, entry, true);
+    ModelMessage delayed() {
+        return new ModelMessage(kind, holder, question, version, entry, true);
     }
 
-    Message answer(Kind answer, long made, VersionedLease record) {
-        return new Message(answer, holder, question, made, record, false);
+    ModelMessage answer(Kind answer, long made, VersionedLease record) {
+        return new ModelMessage(answer, holder, question, made, record, false);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseWitness.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/OperationWitness.java
@@ -19,7 +19,7 @@
  * own record, by its own clock, and refuses nothing. Datagrams of a machine come in the order of
  * their sending.
  */
-final class LeaseWitness implements AutoCloseable {
+final class OperationWitness implements AutoCloseable {
     /** From the last act under one token to the first under the next. */
     record Change(long token, long lastAct, long firstAct) {
         /** How long nobody acted, in nanoseconds. */
@@ -41,7 +41,7 @@
     private long last;
     private long acts;
 
-    LeaseWitness() throws SocketException {
+    OperationWitness() throws SocketException {
         socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         socket.setReceiveBufferSize(BUFFER);
         reader.setDaemon(true);
--- a/testbed/src/main/java/appleridge/testbed/lease/Assumption.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/SafetyAssumption.java
@@ -15,14 +15,14 @@
  * @param edits more than one place only where another line guards against the same; none for a
  *     conduct
  */
-record Assumption(String name, String what, String scope, List<Edit> edits) {
+record SafetyAssumption(String name, String what, String scope, List<Edit> edits) {
     private static final String LEASE = "lease/Lease";
     private static final String PARAMETERS = "lease/LeaseParameters";
     private static final String REQUESTS = "lease/StoreRequests";
     private static final String STOPPED = "timed held 35 1 STOPS 0 0 1 ";
     private static final String LEAVING = "timed held 35 1 STOPS 1 1 1 ";
 
-    static final List<Assumption> ALL =
+    static final List<SafetyAssumption> ALL =
             List.of(
                     of(
                             "counted-from-answer",
@@ -139,7 +139,7 @@
                     of(
                             "parts-rounded-up",
                             "what is left over is given to each",
-                            Parts.WORDS,
+                            BudgetShareModel.WORDS,
                             in(
                                     "lease/BudgetShare",
                                     null,
@@ -147,8 +147,8 @@
                                     "(total * permits.usable(nowNanos, durationNanos) +"
                                             + " permits.leases().size() - 1)")));
 
-    private static Assumption of(String name, String what, String scope, Edit... edits) {
-        return new Assumption(name, what, scope, Arrays.asList(edits));
+    private static SafetyAssumption of(String name, String what, String scope, Edit... edits) {
+        return new SafetyAssumption(name, what, scope, Arrays.asList(edits));
     }
 
     private static Edit in(String file, String within, String original, String replacement) {
--- a/testbed/src/main/java/appleridge/testbed/lease/Explorer.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/StateExplorer.java
@@ -10,11 +10,11 @@
  * 64 bits of their keys: of ten million, two would be taken for one with a chance of three in a
  * million.
  */
-public final class Explorer {
+public final class StateExplorer {
     /** The step that led here, and the state before. */
     private record Trace(Trace before, byte step) {}
 
-    private record Reached(World world, Trace trace, long key) {}
+    private record Reached(LeaseModel world, Trace trace, long key) {}
 
     /**
      * States of which the next ones are made side by side; they are looked at in order all the
@@ -22,11 +22,11 @@
      */
     private static final int BATCH = 4096;
 
-    private final Scope scope;
+    private final ExplorationScope scope;
     private final List<int[]> ranks = new ArrayList<>();
     private final LongSet known = new LongSet();
 
-    private Explorer(Scope scope) {
+    private StateExplorer(ExplorationScope scope) {
         this.scope = scope;
         permute(new int[scope.rates().length()], 0, 0);
     }
@@ -35,9 +35,9 @@
      * What came of it, in words that cross the border between loaders; a story if something broke.
      */
     public static String explore(String scope) {
-        return scope.equals(Parts.WORDS)
-                ? Parts.explore()
-                : new Explorer(Scope.of(scope)).explore();
+        return scope.equals(BudgetShareModel.WORDS)
+                ? BudgetShareModel.explore()
+                : new StateExplorer(ExplorationScope.of(scope)).explore();
     }
 
     /** Only holders whose clocks run alike can be taken for one another. */
@@ -55,7 +55,7 @@
     }
 
     private String explore() {
-        World start = new World(scope);
+        LeaseModel start = new LeaseModel(scope);
         List<Reached> level = List.of(new Reached(start, null, key(start)));
         known.add(key(start));
         int depth = 0;
@@ -65,8 +65,8 @@
             for (int from = 0; from < level.size(); from += BATCH) {
                 for (Reached reached :
                         after(level.subList(from, Math.min(level.size(), from + BATCH)))) {
-                    if (reached.world.broken() != null) {
-                        return story(reached.trace, reached.world.broken(), depth);
+                    if (reached.world.violation() != null) {
+                        return story(reached.trace, reached.world.violation(), depth);
                     }
                     if (known.add(reached.key)) {
                         next.add(reached);
@@ -86,11 +86,12 @@
         return batch.parallelStream()
                 .flatMap(
                         reached -> {
-                            List<World.Step> steps = reached.world.steps();
+                            List<LeaseModel.Step> steps = reached.world.steps();
                             return IntStream.range(0, steps.size())
                                     .mapToObj(
                                             i -> {
-                                                World world = reached.world.after(steps.get(i));
+                                                LeaseModel world =
+                                                        reached.world.after(steps.get(i));
                                                 return new Reached(
                                                         world,
                                                         new Trace(reached.trace, (byte) i),
@@ -100,7 +101,7 @@
                 .toList();
     }
 
-    private long key(World world) {
+    private long key(LeaseModel world) {
         String least = null;
         for (int[] rank : ranks) {
             String key = world.key(rank);
@@ -128,10 +129,10 @@
                                 + " after "
                                 + known.size()
                                 + " states\n");
-        World world = new World(scope);
+        LeaseModel world = new LeaseModel(scope);
         for (byte step : steps) {
-            World.Step taken = world.steps().get(step);
-            story.append("  ").append(world.told(taken)).append('\n');
+            LeaseModel.Step taken = world.steps().get(step);
+            story.append("  ").append(world.describe(taken)).append('\n');
             world = world.after(taken);
         }
         return story.toString();
--- a/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
@@ -70,7 +70,7 @@
     private static final int GONE_TRIES = 1000;
 
     final CoordinationServer server;
-    final LeaseWitness witness;
+    final OperationWitness witness;
     final List<TaskProcess> tasks = new ArrayList<>();
     final List<Relay> relays = new ArrayList<>();
     private final EventLoopGroup group =
@@ -88,7 +88,7 @@
         folder = Files.createTempDirectory("leases");
         lease = folder.getFileName().toString();
         server = CoordinationServer.alone(new CoordinationServer.Times(50, 2000, 60_000));
-        witness = new LeaseWitness();
+        witness = new OperationWitness();
         ground();
         Path script = Files.writeString(folder.resolve("acts.pl"), ACTS);
         for (int i = 0; i < size; i++) {
@@ -152,10 +152,10 @@
     /** Tasks end, and with them all that they have started; whether all has gone. */
     boolean end() throws IOException, InterruptedException {
         kill();
-        for (int i = 0; i < GONE_TRIES && LeaseWitness.anyOf(lease); i++) {
+        for (int i = 0; i < GONE_TRIES && OperationWitness.anyOf(lease); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        return !LeaseWitness.anyOf(lease);
+        return !OperationWitness.anyOf(lease);
     }
 
     /** A process that is stopped dies of it as well. */
--- a/testbed/src/test/java/appleridge/testbed/lease/CheckLeasesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/CheckLeasesTest.java
@@ -27,23 +27,23 @@
                     "parts-rounded-up");
 
     @Test
-    void theProductIsSoundInShort() {
+    void shortScopesFindNoViolation() {
         for (String scope :
                 List.of(
                         "timed asked 35 1 all 1 0 1 8",
                         "timed held 355 1 all 0 0 1 8",
                         "fenced held 44 1 STOPS 0 1 1 16")) {
-            String said = Explorer.explore(scope);
+            String said = StateExplorer.explore(scope);
             assertTrue(said.startsWith("sound"), scope + ": " + said);
         }
-        assertTrue(Explorer.explore(Parts.WORDS).startsWith("sound"));
+        assertTrue(StateExplorer.explore(BudgetShareModel.WORDS).startsWith("sound"));
     }
 
     @Test
-    void withoutAnAssumptionAStoryIsFound() throws IOException {
+    void violationIsFoundWithoutEachAssumption() throws IOException {
         Planter planter = new Planter();
         int found = 0;
-        for (Assumption assumption : Assumption.ALL) {
+        for (SafetyAssumption assumption : SafetyAssumption.ALL) {
             if (SHORT.contains(assumption.name())) {
                 String said = CheckLeases.without(assumption, planter);
                 assertTrue(said.startsWith("broken: "), assumption.name() + ": " + said);
@@ -55,17 +55,17 @@
 
     /** Holders with like clocks are merged, others are not. */
     @Test
-    void likeHoldersAreTakenForOneAnother() {
-        World two = new World(Scope.of("timed asked 44 0 - 0 0 1 9"));
-        World.Step first = two.steps().get(0);
-        World.Step second = two.steps().get(1);
+    void statesThatDifferInHoldersWithEqualClocksAreMerged() {
+        LeaseModel two = new LeaseModel(ExplorationScope.of("timed asked 44 0 - 0 0 1 9"));
+        LeaseModel.Step first = two.steps().get(0);
+        LeaseModel.Step second = two.steps().get(1);
         assertTrue(first.holder() != second.holder());
         assertEquals(two.after(first).key(0, 1), two.after(second).key(1, 0));
         assertTrue(!two.after(first).key(0, 1).equals(two.after(second).key(0, 1)));
     }
 
     @Test
-    void whatIsNotUnderstoodIsSaid() throws IOException {
+    void unknownArgumentPrintsTheUsage() throws IOException {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         assertEquals(2, new CheckLeases(new PrintStream(said)).run("no-such-assumption"));
         assertEquals(2, new CheckLeases(new PrintStream(said)).run("--deeper", "x"));
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aRecordIsMadeReadAndWrittenByItsVersion() throws Exception {
+    void writesAreConditionalOnTheVersion() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         store.read(1);
@@ -200,7 +200,7 @@
      * Guards against a write that was done and is taken for one that was not, and the other way.
      */
     @Test
-    void anAnswerThatIsLostLeavesItOpenWhetherItWasDone() throws Exception {
+    void lostAnswerIsReportedAsUnknownOutcome() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         for (boolean done : new boolean[] {false, true}) {
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void aChangeOfWhatWasReadIsHinted() throws Exception {
+    void changeOfTheRecordIsNotified() throws Exception {
         Told one = new Told();
         Told other = new Told();
         LeaseStore reads = connected("a", one);
@@ -246,7 +246,7 @@
 
     /** Guards against a herd, and against a place that ends with a session of before. */
     @Test
-    void theLineMovesUpOneByOneAndAnewAfterALostSession() throws Exception {
+    void queueMovesUpOneByOneAndIsRejoinedAfterSessionExpiry() throws Exception {
         Told[] told = {new Told(), new Told(), new Told()};
         LeaseStore[] stores = new LeaseStore[told.length];
         for (int i = 0; i < told.length; i++) {
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void aServerThatAnswersPingsAloneGivesWayToAnother() throws Exception {
+    void serverThatAnswersOnlyPingsIsReplaced() throws Exception {
         Told told = new Told();
         LeaseStore store = store("a", told, server.address(), all.members().get(1).address());
         told.await("connected");
@@ -293,7 +293,7 @@
 
     /** Guards against a member that lags and tells that a lease is free, or is as it was. */
     @Test
-    void aMemberThatLagsTellsNothingOldAndItsWritesConflict() throws Exception {
+    void laggingServerReadsNothingStaleAndItsWritesConflict() throws Exception {
         Told one = new Told();
         Told other = new Told();
         LeaseStore first = connected("a", one);
@@ -315,7 +315,7 @@
     }
 
     @Test
-    void withoutAQuorumNothingIsAnswered() throws Exception {
+    void writeWithoutAQuorumHasUnknownOutcome() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         all.cut(server);
@@ -332,7 +332,7 @@
      * Guards against a version that comes twice: whose record it overwrites would not know of it.
      */
     @Test
-    void aRecordThatWasMadeAnewUnderTheHolderBreaksIt() throws Exception {
+    void recordRecreatedAfterAReadIsReported() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         store.write(1, -1, entry(1, "a/1", false));
@@ -347,7 +347,7 @@
     }
 
     @Test
-    void anOperatorsHandInTheRecordIsNoFreeLease() throws Exception {
+    void malformedRecordIsNotTakenForAFreeLease() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         operator().create(RECORD, new byte[] {'x'}, OPEN, CreateMode.PERSISTENT);
@@ -358,7 +358,7 @@
 
     /** Guards against an ensemble that was wiped and is taken for one where nobody holds yet. */
     @Test
-    void thePathOfAllLeasesIsNeverMade() throws Exception {
+    void rootOfAllLeasesIsNeverCreated() throws Exception {
         operator().delete(ROOT, -1);
         Told told = new Told();
         LeaseStore store = store("a", told, server.address());
@@ -372,7 +372,7 @@
 
     /** As above, by a holder that made the record itself and has had no cause to read it. */
     @Test
-    void aRecordThatWasMadeAnewUnderItsMakerBreaksIt() throws Exception {
+    void recordRecreatedAfterItsCreationIsReported() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         store.write(1, -1, entry(1, "a/1", false));
@@ -388,7 +388,7 @@
      * Guards against who waits for good, and says nothing, at a line that an operator has deleted.
      */
     @Test
-    void aLineThatIsGoneIsMadeAgain() throws Exception {
+    void missingQueueNodeIsCreatedAgain() throws Exception {
         Told told = new Told();
         LeaseStore store = connected("a", told);
         operator().delete(ROOT + "/nightly/line", -1);
--- a/testbed/src/test/java/appleridge/testbed/lease/LeasedTaskIT.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeasedTaskIT.java
@@ -58,7 +58,7 @@
      * Guards against a command that goes on beside the next one because its parent can do nothing.
      */
     @Test
-    void aHolderThatIsStoppedForLongerThanItsLeaseHasNoCommand() throws Exception {
+    void commandOfAHolderStoppedBeyondItsLeaseIsEnded() throws Exception {
         try (TaskFleet fleet = fleet(2, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.PLAIN)) {
             fleet.tasks.get(0).signal("STOP");
             changes(fleet, 1);
@@ -72,7 +72,7 @@
 
     /** Guards against what a command does that ignores SIGTERM, and has a session of its own. */
     @Test
-    void whateverHappensToTheHolderItsCommandDies() throws Exception {
+    void commandIsEndedWhenItsHolderIsKilledOrCutOff() throws Exception {
         try (TaskFleet fleet =
                 fleet(
                         3,
@@ -99,8 +99,7 @@
      * Guards against a lease that rests on a session, and against tokens that are given out twice.
      */
     @Test
-    void aStoreThatStartsAgainWithoutSessionsEndsNoCommandAndAWipedOneIsNotBelieved()
-            throws Exception {
+    void sessionExpiryEndsNoCommandAndAWipedStoreIsDistrusted() throws Exception {
         try (TaskFleet fleet = fleet(2, LONG_MILLIS, TaskFleet.Manner.PLAIN)) {
             fleet.server.stop();
             fleet.server.start();
