--- a/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
+++ b/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
@@ -87,6 +87,9 @@
                     "CELL", DeduplicationScope.CELL);
 
     private static final String NUMBER_FORM = "a number";
+    private static final String NOT_NEGATIVE = "a number from 0";
+    private static final String FROM_ONE = "a number from 1";
+    private static final String ABOVE_ZERO = "a number above 0";
 
     private final Map<String, String> values = new HashMap<>();
 
@@ -102,8 +105,7 @@
     /**
      * Reads path=value lines.
      *
-     * @throws ConfigException if a required value is missing, or one can't be read
-     * @throws IllegalArgumentException if a value is out of its range
+     * @throws ConfigException if a required value is missing, can't be read or is out of its range
      */
     public static PolicySettings parse(String lines) {
         return new PolicySettingsParser(lines).settings();
@@ -115,9 +117,9 @@
                 .classes(classes())
                 .tenants(tenants())
                 .rank((int) number("rank", -1))
-                .replicas((int) number("replicasOfMe", 1))
+                .replicas((int) atLeast(1, FROM_ONE, "replicasOfMe", 1))
                 .zone((int) number("zone", 0))
-                .clockGranularityNanos((long) number("quantum", 0))
+                .clockGranularityNanos((long) notNegative("quantum", 0))
                 .discoveryMode(choice(DISCOVERY_WORDS, "discovery", DiscoveryMode.PUSHED))
                 .weightKind(choice(WEIGHTS_WORDS, "weights", WeightKind.SILENT))
                 .capabilities(capabilities())
@@ -131,6 +133,9 @@
     private List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
         int count = (int) requiredNumber("profiles.count");
+        if (count < 1) {
+            throw ConfigException.notAllowed("profiles.count", count, FROM_ONE);
+        }
         for (int i = 0; i < count; i++) {
             classes.add(requestClass("profiles." + i + "."));
         }
@@ -142,7 +147,9 @@
         int count = (int) number("parties.count", 0);
         for (int i = 0; i < count; i++) {
             String path = "parties." + i + ".";
-            tenants.add(new Tenant(number(path + "portion", 0), number(path + "quotaRps", 0)));
+            tenants.add(
+                    new Tenant(
+                            notNegative(path + "portion", 0), notNegative(path + "quotaRps", 0)));
         }
         return tenants;
     }
@@ -153,6 +160,10 @@
         // A latency objective beyond the deadline means the deadline, for nothing is earned after
         // it. Rejected, it would keep every sidecar of a site with short deadlines from starting.
         long objectiveNanos = Math.min((long) requiredNumber(path + "slo"), deadlineNanos);
+        if (objectiveNanos <= 0) {
+            String key = path + (deadlineNanos <= 0 ? "deadline" : "slo");
+            throw ConfigException.notAllowed(key, objectiveNanos, ABOVE_ZERO);
+        }
         // Read for classes with an idempotency key alone: for others these keys have no meaning,
         // and a start must not fail for what stands there.
         boolean keyed = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
@@ -160,12 +171,12 @@
                 keyed
                         ? choice(SCOPE_WORDS, path + "keyScope", DeduplicationScope.CELL)
                         : DeduplicationScope.CELL;
-        long keyTtlNanos = keyed ? (long) number(path + "keyTtl", 0) : 0;
+        long keyTtlNanos = keyed ? (long) notNegative(path + "keyTtl", 0) : 0;
         return new RequestClass(
                 objectiveNanos,
                 number(path + "aimStretch", 0),
                 deadlineNanos,
-                number(path + "worth", 1),
+                notNegative(path + "worth", 1),
                 number(path + "lateShare", 0),
                 idempotency,
                 scope,
@@ -180,20 +191,52 @@
                 flag("caps.peers"),
                 flag("caps.parallelTries"),
                 flag("caps.retryAfter"),
-                (int) number("caps.tryLimit", 1),
-                (long) number("caps.maxRetryAfter", 0),
-                (long) number("caps.connectTimeout", 0));
+                (int) atLeast(1, FROM_ONE, "caps.tryLimit", 1),
+                (long) notNegative("caps.maxRetryAfter", 0),
+                (long) notNegative("caps.connectTimeout", 0));
     }
 
     private SafetyLimits safetyLimits() {
         return new SafetyLimits(
-                (long) requiredNumber("rules.answerSlack"),
-                (long) number("rules.askWithin", 0),
-                (long) requiredNumber("rules.stopSendingWithin"),
-                requiredNumber("rules.coldShare"),
-                (long) requiredNumber("rules.rampTime"),
-                requiredNumber("rules.overloadFactor"),
-                (long) requiredNumber("rules.tipAfter"));
+                requiredNanos("rules.answerSlack"),
+                (long) notNegative("rules.askWithin", 0),
+                requiredNanos("rules.stopSendingWithin"),
+                slowStartMinFraction(),
+                requiredNanos("rules.rampTime"),
+                overloadFactor(),
+                requiredNanos("rules.tipAfter"));
+    }
+
+    private double slowStartMinFraction() {
+        String key = "rules.coldShare";
+        double fraction = requiredNumber(key);
+        if (fraction <= 0 || fraction > 1) {
+            throw ConfigException.notAllowed(
+                    key, values.get(key), "a number above 0 and at most 1");
+        }
+        return fraction;
+    }
+
+    private double overloadFactor() {
+        requiredNumber("rules.overloadFactor");
+        return atLeast(1, FROM_ONE, "rules.overloadFactor", 1);
+    }
+
+    private long requiredNanos(String key) {
+        requiredNumber(key);
+        return (long) notNegative(key, 0);
+    }
+
+    private double notNegative(String key, double absent) {
+        return atLeast(0, NOT_NEGATIVE, key, absent);
+    }
+
+    private double atLeast(double min, String allowed, String key, double absent) {
+        double value = number(key, absent);
+        if (value < min) {
+            throw ConfigException.notAllowed(key, values.get(key), allowed);
+        }
+        return value;
     }
 
     private boolean flag(String key) {
