--- a/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
@@ -55,7 +55,7 @@
     Admission admit(long now, TrackedRequest request) {
         Admission admission = check(now, request);
         if (admission.isRejected()) {
-            requests.answer(request);
+            requests.answer(request, admission.answerReason());
         } else if (queues.isEmpty() && trySend(now, request)) {
             return Admission.SENT;
         } else {
@@ -97,7 +97,7 @@
                 Math.max(now + 1, lastUsefulSendAt),
                 at -> {
                     if (request.isQueued()) {
-                        requests.answer(request);
+                        requests.answer(request, AnswerReason.QUEUE_TIME_EXCEEDED);
                     }
                 });
         scheduleDrain(now, request);
--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
@@ -77,10 +77,17 @@
         subset.closeIfIdleOutsider(host);
         if (requestEnded || request.isClosed()) {
             requests.close(request);
-        } else if (retryPolicy.decideAfter(now, request, attempt) == RetryDecision.ALLOWED) {
+        } else {
+            retryOrAnswer(now, request, attempt);
+        }
+    }
+
+    private void retryOrAnswer(long now, TrackedRequest request, TrackedAttempt ended) {
+        RetryDecision decision = retryPolicy.decideAfter(now, request, ended);
+        if (decision == RetryDecision.ALLOWED) {
             admission.admit(now, request);
         } else {
-            requests.answer(request);
+            requests.answer(request, decision.answerReason());
         }
     }
 
--- a/sidecar/src/main/java/appleridge/loadbalancing/InFlightRequests.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/InFlightRequests.java
@@ -48,7 +48,7 @@
                 request.deadline(),
                 at -> {
                     if (!request.isStreaming()) {
-                        answer(request);
+                        answer(request, AnswerReason.DEADLINE_PASSED);
                     }
                 });
         return request;
@@ -62,7 +62,7 @@
      * Gives the final answer unless there is one: rejected where a client's retry is known to be
      * harmless, else failed.
      */
-    void answer(TrackedRequest request) {
+    void answer(TrackedRequest request, AnswerReason reason) {
         if (request.isClosed()) {
             return;
         }
@@ -71,9 +71,9 @@
             Capabilities capabilities = settings.capabilities();
             long maxRetryAfterNanos =
                     capabilities.retryAfter() ? capabilities.maxRetryAfterNanos() : 0;
-            actions.reject(id, Math.min(maxRetryAfterNanos, request.objectiveNanos() / 2));
+            actions.reject(id, Math.min(maxRetryAfterNanos, request.objectiveNanos() / 2), reason);
         } else {
-            actions.fail(id);
+            actions.fail(id, reason);
         }
         close(request);
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
@@ -19,11 +19,16 @@
      * Final answer: not executed, or safe to be sent again by the client.
      *
      * @param wait nanoseconds for Retry-After; 0 for none
+     * @param reason the rule that says no
      */
-    void reject(long request, long wait);
+    void reject(long request, long wait, AnswerReason reason);
 
-    /** Final answer: failed, without a promise whether it was executed. */
-    void fail(long request);
+    /**
+     * Final answer: failed, without a promise whether it was executed.
+     *
+     * @param reason the rule that says no
+     */
+    void fail(long request, AnswerReason reason);
 
     /** Cancels an outstanding attempt; its outcome still comes. */
     void cancelAttempt(long request, int attempt);
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryDecision.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryDecision.java
@@ -2,24 +2,37 @@
 
 /** Whether a request may be attempted again, and if not, which rule refuses the retry. */
 enum RetryDecision {
-    ALLOWED,
+    ALLOWED(null),
     /** It has its final answer, or its client has left. */
-    REQUEST_CLOSED,
+    REQUEST_CLOSED(null),
     /** Its response or its body is being streamed, so that the attempt can't be replaced. */
-    RESPONSE_STARTED,
-    DEADLINE_PASSED,
+    RESPONSE_STARTED(AnswerReason.RETRY_RESPONSE_STARTED),
+    DEADLINE_PASSED(AnswerReason.DEADLINE_PASSED),
     /** Its last attempt has not ended; there are no hedged requests. */
-    ATTEMPT_OUTSTANDING,
+    ATTEMPT_OUTSTANDING(AnswerReason.RETRY_ATTEMPT_OUTSTANDING),
     /** {@link Capabilities#maxAttempts} have been made. */
-    MAX_ATTEMPTS,
+    MAX_ATTEMPTS(AnswerReason.RETRY_MAX_ATTEMPTS),
     /** An attempt may have executed, and the class forbids a second execution. */
-    NON_IDEMPOTENT,
+    NON_IDEMPOTENT(AnswerReason.RETRY_NON_IDEMPOTENT),
     /** An attempt may have executed, and hosts are about to forget its idempotency key. */
-    IDEMPOTENCY_KEY_EXPIRED,
+    IDEMPOTENCY_KEY_EXPIRED(AnswerReason.RETRY_IDEMPOTENCY_KEY_EXPIRED),
     /** No ready host is left that was not tried and lies in the deduplication scope. */
-    NO_ELIGIBLE_HOST,
+    NO_ELIGIBLE_HOST(AnswerReason.RETRY_NO_ELIGIBLE_HOST),
     /** An answer would come too late to be of value. */
-    VALUE_EXPIRED,
+    VALUE_EXPIRED(AnswerReason.RETRY_VALUE_EXPIRED),
     /** An attempt may have executed, and the retry would exceed the {@link RetryBudget}. */
-    RETRY_BUDGET_EXHAUSTED
+    RETRY_BUDGET_EXHAUSTED(AnswerReason.RETRY_BUDGET_EXHAUSTED);
+
+    private final AnswerReason answerReason;
+
+    RetryDecision(AnswerReason answerReason) {
+        this.answerReason = answerReason;
+    }
+
+    /**
+     * The reason of the answer that a request gets which is not retried; null where none is due.
+     */
+    AnswerReason answerReason() {
+        return answerReason;
+    }
 }
--- a/sidecar/src/main/java/appleridge/request/PendingRequest.java
+++ b/sidecar/src/main/java/appleridge/request/PendingRequest.java
@@ -1,8 +1,10 @@
 package appleridge.request;
 
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.Outcome;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * A client's request from its acceptance until it has ended and all its attempts have. Event loop
@@ -23,6 +25,9 @@
     /** Null before the first attempt has ended. */
     private Outcome lastOutcome;
 
+    /** Null while the policy has given no answer. */
+    private AnswerReason policyReason;
+
     /** The attempt whose response is being streamed to the client; null while there is none. */
     private Attempt streamingAttempt;
 
@@ -142,4 +147,14 @@
     void markEnded() {
         ended = true;
     }
+
+    /** Notes by which of its rules the policy answers the request. */
+    void setPolicyReason(AnswerReason reason) {
+        policyReason = reason;
+    }
+
+    /** The policy's rule that answered the request; empty where something else ended it. */
+    Optional<AnswerReason> policyReason() {
+        return Optional.ofNullable(policyReason);
+    }
 }
--- a/sidecar/src/main/java/appleridge/request/PolicyActionExecutor.java
+++ b/sidecar/src/main/java/appleridge/request/PolicyActionExecutor.java
@@ -1,5 +1,6 @@
 package appleridge.request;
 
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.Outcome;
 import appleridge.loadbalancing.PolicyActions;
 import appleridge.loadbalancing.PolicySettings;
@@ -70,9 +71,10 @@
     }
 
     @Override
-    public void reject(long id, long waitNanos) {
+    public void reject(long id, long waitNanos, AnswerReason reason) {
         PendingRequest request = accounting.find(id);
         if (request != null && request.isUncommitted()) {
+            request.setPolicyReason(reason);
             completion.reject(
                     request,
                     EndReason.POLICY_REJECTED,
@@ -82,9 +84,10 @@
 
     /** The client learns what is known of the cause, and nothing that would invite a retry. */
     @Override
-    public void fail(long id) {
+    public void fail(long id, AnswerReason reason) {
         PendingRequest request = accounting.find(id);
         if (request != null && request.isUncommitted()) {
+            request.setPolicyReason(reason);
             boolean timedOut =
                     request.lastOutcome() == Outcome.TIMEOUT
                             || clock.nanoTime() >= request.deadlineNanos();
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -32,7 +32,10 @@
                                     + " out="
                                     + request.outstandingAttempts()
                                     + " last="
-                                    + request.lastOutcome());
+                                    + request.lastOutcome()
+                                    + request.policyReason()
+                                            .map(rule -> " rule=" + rule.label())
+                                            .orElse(""));
         }
     }
 
--- a/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
+++ b/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
@@ -1,5 +1,6 @@
 package appleridge.simulator;
 
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.PolicyActions;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -85,13 +86,13 @@
         }
 
         @Override
-        public void reject(long request, long retryAfterNanos) {
+        public void reject(long request, long retryAfterNanos, AnswerReason reason) {
             begin(WireCodes.REJECT, 14, sidecar);
             buffer.putInt((int) request).putLong(retryAfterNanos);
         }
 
         @Override
-        public void fail(long request) {
+        public void fail(long request, AnswerReason reason) {
             begin(WireCodes.FAIL, 6, sidecar);
             buffer.putInt((int) request);
         }
--- a/sidecar/src/test/java/appleridge/loadbalancing/SidecarHarness.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SidecarHarness.java
@@ -175,13 +175,13 @@
     }
 
     @Override
-    public void reject(long request, long wait) {
+    public void reject(long request, long wait, AnswerReason reason) {
         log.add("refuse " + request + " " + wait);
         answers.add("refuse " + request);
     }
 
     @Override
-    public void fail(long request) {
+    public void fail(long request, AnswerReason reason) {
         log.add("fail " + request);
         answers.add("fail " + request);
     }
--- a/sidecar/src/test/java/appleridge/simulator/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/WireTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.PolicySettingsParser;
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.Idempotency;
 import appleridge.loadbalancing.PolicyActions;
 import appleridge.loadbalancing.PolicySettings;
@@ -226,7 +227,7 @@
                 "profiles.0.slo is \"five00000000\"; allowed: a number",
                 new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
         fails(
-                "cold share",
+                "rules.coldShare is \"7\"; allowed: a number above 0 and at most 1",
                 new Frame().provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7")).bytes(1));
     }
 
@@ -234,8 +235,8 @@
     void everyActionHasItsLayout() throws IOException {
         ReplyFrame replies = new ReplyFrame();
         PolicyActions sink = replies.sink(2);
-        sink.reject(1, 5);
-        sink.fail(1);
+        sink.reject(1, 5, AnswerReason.LOAD_SHEDDING);
+        sink.fail(1, AnswerReason.DEADLINE_PASSED);
         sink.cancelAttempt(1, 3);
         sink.sendHealthCheck(0x0000_0001_0050L);
         sink.closeIdleConnections(1);
--- a/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
@@ -1,5 +1,6 @@
 package appleridge.testbed.campaign;
 
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.PolicyActions;
 import appleridge.testbed.invariants.Evidence;
 import java.util.function.LongFunction;
@@ -23,15 +24,15 @@
     }
 
     @Override
-    public void reject(long request, long wait) {
+    public void reject(long request, long wait, AnswerReason reason) {
         evidence.moduleRefuses(sidecar, life, request);
-        actions.reject(request, wait);
+        actions.reject(request, wait, reason);
     }
 
     @Override
-    public void fail(long request) {
+    public void fail(long request, AnswerReason reason) {
         evidence.moduleFails(sidecar, life, request);
-        actions.fail(request);
+        actions.fail(request, reason);
     }
 
     @Override
--- a/testbed/src/test/java/appleridge/testbed/campaign/Front.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/Front.java
@@ -4,6 +4,7 @@
 import appleridge.http1.ClientListener;
 import appleridge.http1.ClientTimeouts;
 import appleridge.http1.RequestParser;
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.LoadBalancingPolicy;
 import appleridge.loadbalancing.Outcome;
 import appleridge.loadbalancing.PolicyActions;
@@ -274,7 +275,7 @@
         @Override
         public void onRequest(long now, RequestInfo request) {
             if (refuses) {
-                actions.reject(request.id(), 0);
+                actions.reject(request.id(), 0, AnswerReason.NO_READY_HOST);
             }
         }
 
--- a/testbed/src/test/java/appleridge/testbed/mutation/OneRequestDay.java
+++ b/testbed/src/test/java/appleridge/testbed/mutation/OneRequestDay.java
@@ -1,5 +1,6 @@
 package appleridge.testbed.mutation;
 
+import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.Capabilities;
 import appleridge.loadbalancing.DiscoveryMode;
 import appleridge.loadbalancing.HostState;
@@ -108,10 +109,10 @@
     }
 
     @Override
-    public void reject(long request, long wait) {}
+    public void reject(long request, long wait, AnswerReason reason) {}
 
     @Override
-    public void fail(long request) {}
+    public void fail(long request, AnswerReason reason) {}
 
     @Override
     public void cancelAttempt(long request, int attempt) {}
