--- a/sidecar/src/main/java/appleridge/daemon/ZooKeeperStartup.java
+++ b/sidecar/src/main/java/appleridge/daemon/ZooKeeperStartup.java
@@ -13,7 +13,10 @@
 
 /** The list from nodes in ZooKeeper. Loaded only where the operator's file asks for it. */
 final class ZooKeeperStartup {
-    /** So that what is drawn here is not what the decision module draws from the same seed. */
+    /**
+     * Keeps this seed's random draws apart from the load-balancing policy's, which has the same
+     * seed.
+     */
     private static final long OWN_CHANCE = 0x6e6f646573L;
 
     private ZooKeeperStartup() {}
@@ -38,7 +41,7 @@
                 config.settings().safetyLimits().pollIntervalNanos(),
                 seed,
                 sink,
-                told -> DiscoveryFactory.registry(loop, sockets, config, told),
+                listener -> DiscoveryFactory.registry(loop, sockets, config, listener),
                 membership ->
                         new Client(
                                 new ZooKeeperDiscovery(
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The operator's word over anything that the list may say. */
+/** Maintenance directives applied to any discovery updates. */
 class MaintenanceOverlayTest {
     private static final long RAMP = TimeUnit.SECONDS.toNanos(7);
     private static final long T0 = TimeUnit.SECONDS.toNanos(1_000_000);
@@ -61,7 +61,7 @@
         assertEquals(now, back.startedAtNanos());
     }
 
-    /** Guards against a word that is forgotten when the list forgets whom it was about. */
+    /** Guards against a directive that is forgotten when discovery removes its host. */
     @Test
     void suspensionHoldsWhateverDiscoverySays() {
         told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0));
--- a/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Guards against figures that are counted twice, or not: a witness outside counts the same. */
+    /** Guards against events counted twice or not at all: an outside observer counts the same. */
     @Test
     void metricsAreWhatAnOutsideObserverCounts() throws Exception {
         AtomicInteger turn = new AtomicInteger();
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Requests that are read ahead of what counts as told. The order is forced: the loop is held still
+ * Requests that are read ahead of a discovery update. The order is forced: the loop is held still
  * while the test's discovery and clients write, and discovery's next answer waits until a request
  * has had its chance.
  */
--- a/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
@@ -73,7 +73,7 @@
     private InetSocketAddress address;
 
     /**
-     * Where not null, each request costs the module some time, and the first one waits for this.
+     * Where not null, each request costs the policy some time, and the first one waits for this.
      */
     private volatile CountDownLatch turnGoesOn;
 
@@ -175,7 +175,7 @@
         };
     }
 
-    /** Guards against work in vain: what the module holds goes with its client. */
+    /** Guards against work in vain: a queued request ends with its client's connection. */
     @Test
     void queuedRequestOfADisconnectedClientIsNotSent() throws Exception {
         for (Leaving way : WAYS) {
@@ -633,7 +633,7 @@
         }
     }
 
-    /** A module that takes its time over each request, as one on a crowded machine does. */
+    /** A policy that takes its time over each request, as on an overloaded machine. */
     private LoadBalancingPolicy slow(LoadBalancingPolicy module) {
         return (LoadBalancingPolicy)
                 Proxy.newProxyInstance(
--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -425,7 +425,7 @@
     }
 
     /**
-     * Guards against one connection that holds requests without bound, or whose hang-up is not
+     * Guards against one connection that holds requests without bound, or whose disconnect is not
      * seen.
      */
     @Test
--- a/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
+++ b/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
@@ -109,12 +109,12 @@
         }
     }
 
-    /** The folder that all of them have to tell one another by. */
+    /** The folder of the state files of all processes. */
     Path sharedFolder() {
         return folder.resolve("appleridge-n0");
     }
 
-    /** Starts one with a configuration; the listening socket's number is told as given. */
+    /** Starts one with a configuration; the listening socket's descriptor is passed as given. */
     Sidecar start(String config, String descriptor) throws IOException {
         Path file = Files.createTempFile(folder, "config", ".json");
         Path log = Files.createTempFile(folder, "sidecar", ".log");
--- a/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -272,7 +272,7 @@
         }
     }
 
-    /** Guards against an answer that is cut off because the process that owes it is told to end. */
+    /** Guards against a response that is cut off because SIGTERM ends the process that owes it. */
     @Test
     void openRequestAtSigtermIsAnsweredWithConnectionClose() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
--- a/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
@@ -173,7 +173,7 @@
         assertEquals(0, channel.runScheduledPendingTasks() + 1, "no timer is left");
     }
 
-    /** Guards against a registry that is not asked again because the nodes tell on. */
+    /** Guards against a registry that is not polled again because the nodes bring updates. */
     @Test
     void failedRegistryIsPolledAgainWhateverTheNodesReport() {
         begin(SourceSelection.BOTH);
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -158,7 +158,7 @@
                             : Ending.values()[random.nextInt(Ending.values().length)];
             millis = random.nextInt(20);
         }
-        // Ahead of the word that says so, and of the next attempt that it allows.
+        // Ahead of the response that says so, and of the retry that it allows.
         mine.neverRan = ending == Ending.TURNED_AWAY;
         all.add(mine);
         Thread.sleep(millis);
--- a/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -389,7 +389,7 @@
         throw new AssertionError("never logged: " + text);
     }
 
-    /** Guards against reloads that never happen, without a word, as under nohup. */
+    /** Guards against reloads that silently never happen, as under nohup. */
     @Test
     void ignoredSighupIsLogged() throws Exception {
         int port;
--- a/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
@@ -85,7 +85,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** One of the figures that operators can ask for, by its name without the common prefix. */
+    /** One of the metrics, by its name without the common prefix. */
     long figure(String name) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
--- a/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
@@ -32,7 +32,7 @@
         void serve(Socket socket, String head) throws IOException, InterruptedException;
     }
 
-    /** An upstream that reads bodies as a script says; tells heads, and ends of connections. */
+    /** An upstream that reads bodies as a script says; records heads, and ends of connections. */
     private static final class Reader implements AutoCloseable {
         final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
@@ -335,7 +335,7 @@
             try {
                 read = client.socket.getInputStream().readAllBytes().length;
             } catch (SocketException e) {
-                // A reset tells it as well.
+                // A reset shows it as well.
             }
             assertTrue(read < 1_000_000, "it can be told that the answer is not whole");
             reader.awaitEnd();
--- a/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
+++ b/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
@@ -129,7 +129,7 @@
         return false;
     }
 
-    /** Never answers; tells by {@link #closed} when the other end gives up. */
+    /** Never answers; {@link #closed} says when the other end has closed. */
     public static final Script SILENT = (socket, request) -> true;
 
     /**
--- a/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
@@ -31,7 +31,7 @@
         };
     }
 
-    /** The body, and that its own connection goes on; the client is told a length or chunks. */
+    /** The body, and that its own connection goes on; the client gets a length or chunks. */
     @Test
     void responseDelimitedByAnOrderlyCloseIsServed() throws Exception {
         for (String head :
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Guards against a long one that can't be told from one that breaks off. */
+    /** Guards against a long one that looks the same as one that breaks off. */
     @Test
     void longUndelimitedResponseIsForwardedInChunksAndItsResetIsVisible() throws Exception {
         String half = "x".repeat(LONG / 2);
