--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/AddressIndex.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/AddressIndex.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which ids are listed at which address. */
+/** Which ids are listed at which address, in the order of their listing. Not thread-safe. */
 final class AddressIndex {
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<InetSocketAddress, Set<String>> ids = new HashMap<>();
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
@@ -5,10 +5,13 @@
 import java.util.Objects;
 
 /**
- * What a node says of its server.
+ * What a node's data says of its server.
  *
- * @param zone its place among the settings' zones, and so {@code kind} and {@code cell}
- * @param state {@link LeaseState#READY} or {@link LeaseState#DRAINING}
+ * @param address where the server listens; never null
+ * @param zone position of its zone among the configured ones
+ * @param kind position of its machine type among the configured ones
+ * @param cell number of its cell
+ * @param state {@link HostState#READY} or {@link HostState#DRAINING}; never null
  * @param weight its registered size
  * @param startedMillis Unix time in milliseconds at which its process started; 0 where the node has
  *     none
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -69,7 +69,7 @@
     private final MergedEndpoints merged;
     private final TransactionHistory history = new TransactionHistory();
     private SessionState session = SessionState.CONNECTED;
-    private StalenessCause doubt = StalenessCause.NOT_CONNECTED;
+    private final Staleness staleness;
 
     /** The nodes have been read once. */
     private boolean nodesRead;
@@ -100,6 +100,7 @@
         this.infoLog = news;
         this.warningLog = warning;
         this.unreadable = new UnreadableNodes(warning);
+        this.staleness = new Staleness(news, warning);
         this.registry = new RegistryState(pending::touch);
         this.nodes =
                 new NodeState(
@@ -111,8 +112,6 @@
         this.merged = new MergedEndpoints(nodes, registry);
     }
 
-    // ---- the registry
-
     /**
      * The registry's list, where it is asked too; a failure passes through. What is known before
      * the start holds, where nodes alone are asked, until they are read.
@@ -157,8 +156,6 @@
         }
     }
 
-    // ---- the nodes
-
     /**
      * The state of the session has changed. After a connect, the next snapshot tells what was
      * missed.
@@ -198,7 +195,9 @@
         List<DiscoveredEndpoint> changes = changes();
         boolean first = !nodesRead;
         nodesRead = true;
-        endStaleness(sizeBefore);
+        if (session == SessionState.CONNECTED) {
+            staleness.end(merged.size(), sizeBefore);
+        }
         if (first) {
             publish(now, UpdateKind.SNAPSHOT, merged.all(), NODES, notifiedAtNanos);
         } else if (!changes.isEmpty()) {
@@ -240,28 +239,16 @@
         return true;
     }
 
-    private void endStaleness(int sizeBefore) {
-        if (session == SessionState.CONNECTED && doubt != StalenessCause.NONE) {
-            doubt = StalenessCause.NONE;
-            infoLog.accept(
-                    "membership: "
-                            + doubt.description()
-                            + ": "
-                            + merged.size()
-                            + " servers, "
-                            + sizeBefore
-                            + " before");
-        }
-    }
-
     /** A node was made or its data changed; what it holds is being read. */
     public void changed(long now, long toldAt, long zxid, String name) {
-        if (session == SessionState.READ_ONLY || doubt == StalenessCause.WIPED) {
+        if (session == SessionState.READ_ONLY || staleness.cause() == StalenessCause.WIPED) {
             return;
         }
         // A server that lags notifies the creation of nodes whose deletion was notified and
         // forgotten long before.
-        if (doubt != StalenessCause.NONE && history.mayPredate(zxid) && !nodes.isKnown(name)) {
+        if (staleness.cause() != StalenessCause.NONE
+                && history.mayPredate(zxid)
+                && !nodes.isKnown(name)) {
             return;
         }
         notifiedAtNanos = toldAt;
@@ -275,14 +262,14 @@
      * no more is {@link #gone}.
      */
     public void read(long now, long mzxid, String name, NodeRead data) {
-        if (session != SessionState.READ_ONLY && doubt != StalenessCause.WIPED) {
+        if (session != SessionState.READ_ONLY && staleness.cause() != StalenessCause.WIPED) {
             notifiedAtNanos = now;
             nodes.onRead(mzxid, name, data);
             flushIfUrgent(now);
         }
     }
 
-    /** A node is gone: believed in whatever doubt, unless a later making of it is known. */
+    /** A node was deleted: believed even while stale, unless a later creation is known. */
     public void gone(long now, long toldAt, long zxid, String name) {
         if (session != SessionState.READ_ONLY) {
             notifiedAtNanos = toldAt;
@@ -310,7 +297,8 @@
     public void accept(long now) {
         if (lostHistoryUntilNanos != NEVER) {
             lostHistoryUntilNanos = now;
-        } else if (doubt == StalenessCause.WIPED || doubt == StalenessCause.OLDER) {
+        } else if (staleness.cause() == StalenessCause.WIPED
+                || staleness.cause() == StalenessCause.OLDER) {
             nodes.startNewHistory();
             history.trustNext();
             accepted = true;
@@ -321,7 +309,7 @@
                 "membership: what the coordination service has is taken for right, as was said");
     }
 
-    /** To be called every {@link PolicySettings#tick}. */
+    /** To be called every {@link Settings#tick()} nanoseconds. */
     public void tick(long now) {
         notifiedAtNanos = now;
         nodes.tick(now);
@@ -335,8 +323,6 @@
         }
     }
 
-    // ---- what is published
-
     private void flushIfUrgent(long now) {
         List<String> urgent = new ArrayList<>();
         for (String id : pending.touched()) {
@@ -378,23 +364,13 @@
         sink.told(kind, members, source, toldAt);
     }
 
-    private void markStale(StalenessCause next) {
-        if (doubt != next) {
-            doubt = next;
-            warningLog.accept(
-                    "membership: "
-                            + next.description()
-                            + ": the last list stands, "
-                            + merged.size()
-                            + " servers");
-        }
+    private void markStale(StalenessCause cause) {
+        staleness.begin(cause, merged.size());
     }
 
-    // ---- what is known
-
     /** Why the last list stands. */
     public StalenessCause doubt() {
-        return doubt;
+        return staleness.cause();
     }
 
     /** Servers that are listed. */
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -233,8 +233,7 @@
         if (wait > 0) {
             timeout = loop.after(wait + pollPolicy.watchGraceNanos(), this::pollBesideWatch);
         } else {
-            // A machine that vanished sends nothing; without a time-out it would be waited for
-            // without end.
+            // A machine that vanished sends nothing, and would be waited for without end.
             timeout =
                     loop.after(
                             wait + pollPolicy.callTimeoutNanos(),
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -31,10 +31,7 @@
     /** The fewest bytes that a name takes in a response. */
     private static final int MIN_BYTES_PER_NAME = 8;
 
-    /**
-     * Connections that may be lost over a listing, in a row, before the listing counts as too large
-     * for the client.
-     */
+    /** Connections lost over a listing, in a row, after which it counts as too large. */
     private static final int MAX_LOST_LISTINGS = 2;
 
     private final ZooKeeper client;
