--- a/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void bothFilesAndWhatFollows() throws Exception {
+    void reportNamesBothFilesAndConsequences() throws Exception {
         String config = file("config.json", "{}");
         String operator =
                 file(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void withoutFilesTheDefaultsAreTold() {
+    void defaultsAreReportedWithoutFiles() {
         assertEquals(CheckConfig.FINE, run(null));
         assertTrue(
                 said().startsWith(
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void problemsOfBothFilesAreTold() throws Exception {
+    void problemsOfBothFilesAreReported() throws Exception {
         String config = file("config.json", "");
         String operator = file("operator.toml", "version = 1\nlimit = 1\nclients = 1");
         assertEquals(CheckConfig.PROBLEMS, run(config, "--operator", operator));
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theSameAsJson() throws Exception {
+    void jsonReportHasTheSameContent() throws Exception {
         String operator = file("operator.toml", "version = 1\n[limits]\nclients-part = 0.3\n");
         assertEquals(
                 CheckConfig.FINE, run(file("config.json", "{}"), "--json", "--operator", operator));
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void senselessArgumentsAreNamed() {
+    void invalidArgumentsAreNamed() {
         String usage = "\nusage: check-config [--config FILE] [--operator FILE] [--json]\n";
         assertEquals(CheckConfig.PROBLEMS, run(null, "--operator"));
         assertEquals("--operator needs a file" + usage, said());
--- a/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void theExampleIsAtTheDefaults() {
+    void exampleFileHasTheDefaults() {
         OperatorFile.Reading reading = OperatorFile.inspect(EXAMPLE);
         assertEquals(List.of(), reading.findings().lines());
         for (Setting each : reading.findings().settings()) {
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void withoutTheSectionThereAreNone() {
+    void missingSectionIsEmpty() {
         assertTrue(read("version = 1").file().leases().isEmpty());
     }
 
     @Test
-    void mistakesAreNamedWithTheirPlace() {
+    void mistakesAreNamedWithTheirPosition() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("version = 1\n[leases]", "line 2, column 1: leases.servers: missing");
         mistakes.put(
--- a/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theExampleIsAtTheDefaultsAndSoAreThoseThatItLeavesOut() throws Exception {
+    void exampleFileAndOmittedKeysHaveTheDefaults() throws Exception {
         MembershipSection example = OperatorFile.read(EXAMPLE).membership().orElseThrow();
         assertEquals(3, example.servers().size());
         for (Setting each : OperatorFile.inspect(EXAMPLE).findings().settings()) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void everyMistakeIsNamedWithItsPlace() {
+    void everyMistakeIsNamedWithItsPosition() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("version = 1\n[membership]", "line 2, column 1: membership.servers: missing");
         mistakes.put(
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void whatItComesToIsTold() {
+    void consequencesAreReported() {
         String text =
                 CheckText.of(
                         new CheckReport(null, null, null, EXAMPLE, OperatorFile.inspect(EXAMPLE)));
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theExampleSaysEverythingAndChangesNothing() {
+    void exampleFileNamesEveryKeyAndHasTheDefaults() {
         assertEquals(
                 new OperatorFile(
                         Optional.of(ClientsSection.USUAL),
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void usualValuesAreThoseOfTheConstants() {
+    void defaultsAreThoseOfTheConstants() {
         assertEquals(
                 new ClientsSection(
                         Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(15)),
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void sectionsThatAreNotThereAreEmpty() throws Exception {
+    void missingSectionsAreEmpty() throws Exception {
         assertEquals(
                 new OperatorFile(
                         Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty()),
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void whatTheSectionLeavesOutIsAsUsual() throws Exception {
+    void omittedKeysHaveTheDefaults() throws Exception {
         OperatorFile read =
                 OperatorFile.read(file("version = 1\n[clients]\nidle-timeout = \"1h\"\n"));
         assertEquals(
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void everyMistakeIsNamedWithItsPlace() {
+    void everyMistakeIsNamedWithItsPosition() {
         Map<String, String> mistakes = new LinkedHashMap<>();
         mistakes.put("", "version: missing");
         mistakes.put(
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void allProblemsAreToldInTheOrderOfTheFile() {
+    void problemsAreReportedInTheOrderOfTheFile() {
         assertEquals(
                 List.of(
                         "version: missing",
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void ofManyProblemsTheFirstAreTold() {
+    void onlyTheFirstOfManyProblemsAreReported() {
         StringBuilder text = new StringBuilder("version = 1\n");
         for (int i = 0; i < 100; i++) {
             text.append("key").append(i).append(" = 0\n");
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void whatIsNoTextFileIsRefused() throws Exception {
+    void fileThatIsNoTextIsRejected() throws Exception {
         Path missing = directory.resolve("missing.toml");
         assertEquals(missing + ": no such file", message(missing));
         assertEquals(directory + ": Is a directory", message(directory));
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void whatIsNoListOfTablesIsNamed() {
+    void valueThatIsNoListOfTablesIsNamed() {
         table("route = 1").tables("route");
         table("route = [{}, 1]").tables("route");
         assertEquals(
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void settingsTellWhatHoldsAndWhy() {
+    void settingsReportValueDefaultAndSource() {
         Table top = table("a = 'x'\n[part]\nb = true");
         top.value("a", ValueKind.text(9), "y", "first");
         top.optional("c", ValueKind.text(9), "third");
--- a/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
@@ -17,7 +17,7 @@
     private final AddressOwnership holders = new AddressOwnership();
 
     @Test
-    void theOneThatStartedLastHoldsTheAddressWhicheverIsListedFirst() {
+    void hostThatStartedLastHoldsTheAddressInAnyListOrder() {
         assertNull(holders.register("old", HERE, 5));
         assertEquals("old", holders.register("new", HERE, 9));
         assertEquals("old", holders.register("old", HERE, 5), "still listed, still not there");
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whoCantBeToldApartIsLeftAlone() {
+    void hostsOfEqualStartAreNotDisplaced() {
         assertNull(holders.register("one", HERE, 0));
         assertNull(holders.register("two", HERE, 0));
         assertNull(holders.register("one", HERE, 0));
@@ -33,7 +33,7 @@
 
     /** Guards against a live upstream that is told as gone because two have swapped addresses. */
     @Test
-    void whoSwapAddressesInOneListAreBothThere() {
+    void hostsThatSwapAddressesInOneListAreBothListed() {
         holders.register("one", HERE, 3);
         holders.register("two", THERE, 7);
         holders.releaseIfMoved("one", THERE);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void anAddressThatWasLeftIsFree() {
+    void addressIsFreeAfterItsHostMoved() {
         assertNull(holders.register("young", HERE, 9));
         assertNull(holders.register("young", THERE, 9));
         assertNull(holders.register("old", HERE, 5));
@@ -59,7 +59,7 @@
      * one.
      */
     @Test
-    void whoWasReplacedIsNotBackBecauseAListSaysSo() {
+    void replacedHostDoesNotReturnByAnOlderList() {
         assertNull(holders.register("old", HERE, 5));
         holders.forget("old");
         assertNull(holders.register("new", HERE, 9));
@@ -71,7 +71,7 @@
 
     /** Guards against false clocks: a start alone doesn't tell who came later. */
     @Test
-    void whoWasNeverListedThereIsThereWhateverItsStart() {
+    void hostListedForTheFirstTimeHoldsItsAddressWhateverItsStart() {
         assertNull(holders.register("new", HERE, 9));
         holders.forget("new");
         assertNull(holders.register("newer", HERE, 5));
--- a/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
@@ -65,7 +65,7 @@
 
     /** Guards against a cold server that is sent the work of two. */
     @Test
-    void oneAddressUnderTwoIdsIsOneUpstreamWithOneColdBudget() {
+    void oneAddressUnderTwoIdsIsOneHostWithOneSlowStartBudget() {
         membership.registry(1, UpdateKind.SNAPSHOT, List.of(member("r", 1, RECENT)));
         membership.session(2, SessionState.CONNECTED);
         membership.snapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT)));
@@ -82,21 +82,21 @@
     }
 
     @Test
-    void aStartThatIsYetToComeIsNow() {
+    void startInTheFutureCountsAsNow() {
         membership.session(2, SessionState.CONNECTED);
         membership.snapshot(3, 3, 10, Map.of("n", node(1, 1, NOW + 60_000)));
         assertEquals(NOW * MS, module.get(UpstreamIds.natural("n")).startedAtNanos());
     }
 
     @Test
-    void aStartThatIsNotNamedIsNeverLongAgo() {
+    void missingStartNeverCountsAsLongAgo() {
         membership.session(2, SessionState.CONNECTED);
         membership.snapshot(3, 3, 10, Map.of("n", node(1, 1, 0)));
         assertEquals((NOW - 5000) * MS, module.get(UpstreamIds.natural("n")).startedAtNanos());
     }
 
     @Test
-    void whoFlapsKeepsItsNumberAndItsStart() {
+    void flappingHostKeepsItsNumberAndStart() {
         membership.session(2, SessionState.CONNECTED);
         membership.snapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT)));
         UpstreamHost before = module.get(UpstreamIds.natural("n"));
--- a/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
@@ -11,7 +11,7 @@
 class UpstreamIdsTest {
     /** Guards against peers and next processes that mean different upstreams by one number. */
     @Test
-    void aNumberDependsOnTheIdAloneAndComesBackWithIt() {
+    void numberDependsOnTheIdAloneAndReturnsWithIt() {
         UpstreamIds here = new UpstreamIds();
         UpstreamIds elsewhere = new UpstreamIds();
         long first = here.number("s-1");
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void numbersDifferAndFitTheModulesNotes() {
+    void numbersDifferAndFitGossipMessages() {
         UpstreamIds numbers = new UpstreamIds();
         Set<Long> seen = new HashSet<>();
         for (int i = 0; i < 20_000; i++) {
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -32,14 +32,14 @@
     }
 
     @Test
-    void whoIsInOneIsListedByItsWord() {
+    void hostInOneSourceIsListed() {
         begin();
         assertEquals(3, told.list.size());
         assertTrue(told.list.values().stream().allMatch(each -> each.state() == HostState.READY));
     }
 
     @Test
-    void theRegistryAloneIsEnoughToBegin() {
+    void registryAloneSufficesToBegin() {
         told.registry(
                 UpdateKind.CACHED_SNAPSHOT,
                 NodeDiscoveryFixture.member("a", 1, HostState.READY, DAY));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void whoDrainsInEitherDrains() {
+    void hostDrainingInEitherSourceIsDraining() {
         begin();
         told.registry(
                 UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, DAY));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void whoseNodeHasVanishedIsGoneWhateverTheRegistryLists() {
+    void hostIsGoneAfterItsNodeIsDeletedThoughTheRegistryListsIt() {
         begin();
         told.gone(told.nextZxid(), "both");
         assertEquals(HostState.DRAINING, told.state("both"));
@@ -91,7 +91,7 @@
 
     /** Guards against the slower source, which lists what it has not heard the end of. */
     @Test
-    void whoIsListedForTheFirstTimeRightAfterItsNodeVanishedIsGone() {
+    void hostListedFirstRightAfterItsNodeIsDeletedIsGone() {
         begin();
         told.gone(told.nextZxid(), "node");
         told.registry(
@@ -103,7 +103,7 @@
 
     /** A watch may tell of an end that came before the first reading. */
     @Test
-    void whoseEndIsToldWithoutHavingBeenSeenIsGone() {
+    void hostIsGoneAfterDeletionOfANodeThatWasNeverRead() {
         begin();
         told.gone(told.nextZxid(), "listed");
         assertEquals(HostState.GONE, told.state("listed"));
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void aLaterStartInTheRegistryIsAnotherProcess() {
+    void laterStartInTheRegistryIsAnotherProcess() {
         begin();
         told.gone(told.nextZxid(), "both");
         told.registry(
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void anOldNodeEndsNothingOfTheProcessAfterIt() {
+    void deletionOfAnOldNodeDoesNotEndTheNextProcess() {
         begin();
         told.registry(
                 UpdateKind.DELTA,
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void addressAndStartAreOfTheOneThatBeganLater() {
+    void addressAndStartComeFromTheLaterProcess() {
         begin();
         told.registry(
                 UpdateKind.DELTA,
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void whomTheRegistryEndsIsGoneThoughItsNodeIsThere() {
+    void hostEndedByTheRegistryIsGoneThoughItsNodeExists() {
         begin();
         told.registry(
                 UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, DAY));
@@ -190,7 +190,7 @@
 
     /** Guards against an end that is undone by a node which names no start but its making. */
     @Test
-    void withoutAStartOfItsOwnANodeIsTheProcessThatTheRegistryEnds() {
+    void nodeWithoutAStartIsTheProcessThatTheRegistryEnds() {
         begin();
         told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
         told.registry(UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, 0));
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void whileTheNodesAreInDoubtTheRegistryIsHeard() {
+    void registryUpdatesApplyWhileTheNodesAreStale() {
         begin();
         told.session(SessionState.EXPIRED);
         told.registry(
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void oneProcessUnderTwoIdsIsOneUpstream() {
+    void oneProcessUnderTwoIdsIsOneHost() {
         begin();
         told.put("node-9", NodeDiscoveryFixture.ready(told.nextZxid(), 2, DAY));
         told.pass(100);
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void anAnswerThatChangesNothingStillTellsThatTheRegistryAnswers() {
+    void registryUpdateWithoutChangesIsPublished() {
         begin();
         int before = told.events.size();
         told.registry(UpdateKind.DELTA);
@@ -248,7 +248,7 @@
     }
 
     @Test
-    void nothingIsKeptOfWhoIsInNeither() {
+    void nothingIsKeptOfHostsInNeitherSource() {
         begin();
         for (int i = 0; i < 1000; i++) {
             told.put("x" + i, NodeDiscoveryFixture.ready(told.nextZxid(), 100 + i, DAY));
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
@@ -122,7 +122,7 @@
         membership.registry(now * MS, kind, List.of(members));
     }
 
-    /** What the list has of an id; {@link LeaseState#GONE} if nothing. */
+    /** What the list has of an id; {@link HostState#GONE} if nothing. */
     HostState state(String id) {
         DiscoveredEndpoint member = list.get(id);
         return member == null ? HostState.GONE : member.state();
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theFirstSnapshotIsTheWholeList() {
+    void firstSnapshotIsPublishedAsSnapshot() {
         assertFalse(told.membership.usable());
         assertEquals(StalenessCause.NOT_CONNECTED, told.membership.doubt());
         three();
@@ -48,7 +48,7 @@
      * read.
      */
     @Test
-    void whatWasKnownBeforeTheStartHoldsUntilItsEndIsToldOrTheNodesAreRead() {
+    void cachedListHoldsUntilADeletionOrTheFirstSnapshot() {
         told.registry(
                 UpdateKind.CACHED_SNAPSHOT,
                 NodeDiscoveryFixture.member("a", 1, HostState.READY, 500),
@@ -73,7 +73,7 @@
     // ---- ends
 
     @Test
-    void whoseNodeVanishesIsToldAtOnceAndGoneLater() {
+    void deletedNodeDrainsAtOnceAndIsGoneLater() {
         three();
         told.gone(told.nextZxid(), "b");
         assertEquals(HostState.DRAINING, told.state("b"));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void allMayVanishForAllWereTold() {
+    void deletionOfAllNodesIsBelieved() {
         three();
         told.snapshot(told.nextZxid(), Map.of());
         assertEquals(
@@ -104,7 +104,7 @@
      * Guards against a flood of events, each of which costs the loop work that grows with the list.
      */
     @Test
-    void manyEndsInOneTickAreToldInTwoEvents() {
+    void manyDeletionsInOneTickArePublishedInTwoUpdates() {
         three();
         int before = told.events.size();
         told.gone(told.nextZxid(), "a");
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void whoTerminatesIsToldAtOnceAndWhoComesWithTheTick() {
+    void drainIsPublishedAtOnceAndANewHostWithTheTick() {
         three();
         told.put(
                 "a",
@@ -133,7 +133,7 @@
      * Guards against a drain whose time is counted from when it was read: a queue may have held it.
      */
     @Test
-    void theTimeOfBeingToldGoesAlong() {
+    void updateCarriesTheTimeOfNotification() {
         three();
         told.membership.gone(
                 told.now * NodeDiscoveryFixture.MS,
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void anEndThatIsOlderThanTheNodeIsPassedOver() {
+    void deletionOlderThanTheNodeIsIgnored() {
         three();
         told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         told.pass(100);
@@ -155,7 +155,7 @@
     // ---- flaps
 
     @Test
-    void whoFlapsWithItsStartIsTheSameProcess() {
+    void flappingNodeWithTheSameStartIsTheSameProcess() {
         three();
         for (int i = 0; i < 10; i++) {
             told.gone(told.nextZxid(), "a");
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void whoFlapsWithAnotherStartIsAnotherProcess() {
+    void flappingNodeWithAnotherStartIsAnotherProcess() {
         three();
         long start = 500;
         for (int i = 0; i < 10; i++) {
@@ -190,7 +190,7 @@
 
     /** Guards against a restarted, cold process that is taken for the old one. */
     @Test
-    void aRestartUnderAClockThatSteppedBackIsARestart() {
+    void restartUnderAClockThatSteppedBackIsARestart() {
         three();
         told.gone(told.nextZxid(), "c");
         told.put("c", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void aStartThatIsNotNamedIsTheNodesMaking() {
+    void missingStartIsTheNodesCreation() {
         told.session(SessionState.CONNECTED);
         told.snapshot(
                 10,
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void whoComesBackLaterThanThatBeginsAnew() {
+    void nodeReturningAfterRemovalIsAnotherProcess() {
         three();
         told.gone(told.nextZxid(), "a");
         told.pass(2500);
@@ -241,7 +241,7 @@
     // ---- data
 
     @Test
-    void aChangeWhoseDataIsLateStopsNewWorkUntilItComes() {
+    void overdueDataDrainsTheHostUntilItIsRead() {
         three();
         long zxid = told.nextZxid();
         told.changed(zxid, "a");
@@ -267,7 +267,7 @@
 
     /** Guards against a second that begins anew with each of many changes. */
     @Test
-    void itsTimeRunsFromTheFirstOfManyChanges() {
+    void readTimeoutRunsFromTheFirstOfManyChanges() {
         three();
         for (int i = 0; i < 12; i++) {
             told.changed(told.nextZxid(), "a");
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void aReadThatFindsAnotherChangeAlreadyIsTaken() {
+    void readOfALaterChangeIsTaken() {
         three();
         long first = told.nextZxid();
         long second = told.nextZxid();
@@ -301,7 +301,7 @@
      * Guards against one that comes back to life by an answer that was on its way when it ended.
      */
     @Test
-    void whatWasReadBeforeTheEndIsPassedOver() {
+    void readFromBeforeTheDeletionIsIgnored() {
         three();
         told.changed(told.nextZxid(), "d");
         told.gone(told.nextZxid(), "d");
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void whoCantBeReadIsLeftOutNamedOnceAndHarmsNobody() {
+    void unreadableNodeIsLeftOutAndLoggedOnce() {
         told.session(SessionState.CONNECTED);
         told.snapshot(
                 10,
@@ -349,7 +349,7 @@
      * What has no transaction, because the reading itself was refused, is no older than anything.
      */
     @Test
-    void whoMayNotBeReadAnyMoreGetsNoNewWork() {
+    void nodeThatBecomesUnreadableDrains() {
         three();
         told.snapshot(
                 told.nextZxid(),
@@ -366,7 +366,7 @@
     // ---- sessions
 
     @Test
-    void withoutConnectionTheListStandsAndTheNextSnapshotTellsWhatWasMissed() {
+    void listStandsWhileDisconnectedAndTheNextSnapshotBringsMissedChanges() {
         three();
         told.session(SessionState.SUSPENDED);
         told.session(SessionState.EXPIRED);
@@ -395,7 +395,7 @@
     }
 
     @Test
-    void whatCantBeReadLeavesTheListAsItIs() {
+    void listStandsWhileTheSubtreeCantBeRead() {
         three();
         for (StalenessCause each :
                 List.of(
@@ -412,7 +412,7 @@
 
     /** An end that was told counts, also where the root is gone by then. */
     @Test
-    void whatIsToldInSuchADoubtIsBelieved() {
+    void eventWhileStaleIsBelieved() {
         three();
         told.membership.doubt(told.now * NodeDiscoveryFixture.MS, StalenessCause.ROOT_MISSING);
         told.gone(told.nextZxid(), "a");
@@ -420,7 +420,7 @@
     }
 
     @Test
-    void aServerThatHasLostTheOthersTakesNobodyAway() {
+    void readOnlyServerRemovesNoHost() {
         three();
         told.session(SessionState.READ_ONLY);
         told.snapshot(told.nextZxid(), Map.of());
@@ -435,7 +435,7 @@
     }
 
     @Test
-    void butItIsBetterThanNoListAtAll() {
+    void readOnlyServerIsUsedForTheFirstSnapshot() {
         told.session(SessionState.READ_ONLY);
         told.snapshot(10, Map.of("a", NodeDiscoveryFixture.ready(1, 1, 500)));
         assertEquals(HostState.READY, told.state("a"));
@@ -445,7 +445,7 @@
     // ---- transactions that run back
 
     @Test
-    void anOlderStateIsPassedOverUntilTheServerHasCaughtUp() {
+    void olderStateIsIgnoredUntilTheServerHasCaughtUp() {
         three();
         told.gone(20, "a");
         told.put("d", NodeDiscoveryFixture.ready(30, 4, 900));
@@ -488,7 +488,7 @@
 
     /** A session that goes on proves that the ensemble has its past, so this is a lag for ever. */
     @Test
-    void withItsOldSessionItIsNeverWiped() {
+    void ensembleThatKeepsTheSessionIsNeverTakenForWiped() {
         three();
         told.session(SessionState.SUSPENDED);
         told.session(SessionState.CONNECTED);
@@ -514,7 +514,7 @@
     }
 
     @Test
-    void aWipedEnsembleLeavesTheListUntilItHoldsEntriesAgain() {
+    void wipedEnsembleLeavesTheListUntilItHoldsNodesAgain() {
         wiped();
         told.changed(told.nextZxid(), "a");
         told.changed(told.nextZxid(), "d");
@@ -534,7 +534,7 @@
     }
 
     @Test
-    void whatIsToldAnewIsAtOnceTrueAlsoOfTheOldHistory() {
+    void changeInANewHistoryAppliesToHostsOfTheLostOne() {
         wiped();
         told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
         told.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
@@ -546,7 +546,7 @@
      * Guards against a node that came back in time and is ended all the same, for want of its data.
      */
     @Test
-    void whoWasToldToHaveComeBackIsNotEndedWithTheOldHistory() {
+    void returnedNodeIsNotDroppedWithTheLostHistory() {
         wiped();
         told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
         told.changed(7, "a");
@@ -563,14 +563,14 @@
     }
 
     @Test
-    void anEndIsAnEndAlsoInAWipedEnsemble() {
+    void deletionIsBelievedInAWipedEnsemble() {
         wiped();
         told.gone(6, "a");
         assertEquals(HostState.DRAINING, told.state("a"));
     }
 
     @Test
-    void aWipedEnsembleIsRightIfAnOperatorSaysSo() {
+    void wipedEnsembleIsBelievedIfAnOperatorAcceptsIt() {
         wiped();
         told.membership.accept(told.now * NodeDiscoveryFixture.MS);
         assertEquals(3, told.list.size());
@@ -582,7 +582,7 @@
     }
 
     @Test
-    void whatIsNotInDoubtNeedsNoAccepting() {
+    void acceptHasNoEffectWhileTheListIsNotStale() {
         three();
         told.membership.accept(told.now * NodeDiscoveryFixture.MS);
         assertEquals(1, told.events.size());
@@ -591,7 +591,7 @@
     }
 
     @Test
-    void anEnsembleKnownToBeWipedByItsRootIsWipedAtOnce() {
+    void ensembleWipedByItsRootIsStaleAtOnce() {
         three();
         told.membership.doubt(told.now * NodeDiscoveryFixture.MS, StalenessCause.WIPED);
         told.snapshot(1000, Map.of());
@@ -602,7 +602,7 @@
     // ---- a snapshot beside events
 
     @Test
-    void whatIsToldWhileASnapshotIsReadIsNewerThanIt() {
+    void eventDuringASnapshotIsNewerThanIt() {
         three();
         long asOf = told.now * NodeDiscoveryFixture.MS;
         told.pass(300);
@@ -637,7 +637,7 @@
 
     /** Ensembles before 3.9 don't tell the transaction of an event. */
     @Test
-    void whatIsToldWithoutATransactionIsBelievedInItsOrder() {
+    void eventsWithoutATransactionAreBelievedInTheirOrder() {
         three();
         told.gone(-1, "a");
         assertEquals(HostState.DRAINING, told.state("a"));
@@ -653,7 +653,7 @@
     // ---- ids and addresses
 
     @Test
-    void aServerMayHaveAnotherIdThanItsNode() {
+    void hostMayHaveAnotherIdThanItsNode() {
         three();
         NodeData named =
                 new NodeData(
@@ -687,7 +687,7 @@
     }
 
     @Test
-    void whoTakesAnAddressBeforeTheOldNodeHasVanishedHasIt() {
+    void laterHostHoldsTheAddressBeforeTheOldNodeIsDeleted() {
         three();
         told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         assertEquals(HostState.READY, told.state("d"), "at once");
@@ -703,7 +703,7 @@
 
     /** Guards against an address that gets new work again when the one who took it over ends. */
     @Test
-    void whoHasLostItsAddressDoesNotGetItBackByTheEndOfTheOther() {
+    void displacedHostDoesNotReturnWhenTheLaterOneEnds() {
         three();
         told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
         told.gone(told.nextZxid(), "d");
@@ -720,7 +720,7 @@
      * gone.
      */
     @Test
-    void whoHasVanishedHoldsNoAddress() {
+    void hostOfADeletedNodeHoldsNoAddress() {
         three();
         told.gone(told.nextZxid(), "c");
         told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
@@ -732,7 +732,7 @@
     // ---- bounds
 
     @Test
-    void nothingIsKeptOfWhoIsInNoSource() {
+    void nothingIsKeptOfHostsInNoSource() {
         three();
         for (int i = 0; i < 10_000; i++) {
             String name = "n" + i;
@@ -751,7 +751,7 @@
     }
 
     @Test
-    void aChangeOfNothingIsNotTold() {
+    void changeWithoutEffectIsNotPublished() {
         three();
         told.put(
                 "a",
@@ -772,7 +772,7 @@
     }
 
     @Test
-    void aFailureOfTheRegistryPassesThroughAndItsListsDoNot() {
+    void registryFailurePassesThroughAndItsListsDoNot() {
         told.registry(UpdateKind.FAILURE);
         assertEquals(UpdateKind.FAILURE, told.events.get(0).kind());
         three();
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -25,7 +25,7 @@
     private static final int NAMES = 5;
 
     @Test
-    void theListIsWhatWasToldLast() {
+    void listIsWhatWasNotifiedLast() {
         for (int seed = 0; seed < SEEDS; seed++) {
             new Play(seed).run();
         }
--- a/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void everythingCanBeSaid() {
+    void allArgumentsAreRead() {
         assertEquals(
                 new RegisterArguments(
                         Path.of("o.toml"),
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void whatIsLeftOutIsUsual() {
+    void omittedArgumentsHaveDefaults() {
         RegisterArguments read = parse("--operator o --id s1 --address [2001:db8::1]:80 -- run");
         assertEquals(2000, read.drainMillis());
         assertEquals(
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void mistakesAreNamed() {
+    void invalidArgumentIsNamed() {
         for (String[] each :
                 new String[][] {
                     {"--id s1", "no command after --"},
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theOrderIsKeptAndOfANodeTheLastWord() throws Exception {
+    void orderIsKeptAndOfEachNodeTheLastChange() throws Exception {
         NodeRead unread = NodeJsonParser.unread("x", 1);
         assertEquals(
                 List.of(
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void whatAStandingLoopIsToldIsBounded() throws Exception {
+    void mailboxIsBoundedWhileTheLoopIsStalled() throws Exception {
         List<String> lines =
                 told(
                         () -> {
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void manyChangesAreToldInSeveralTurns() throws Exception {
+    void manyChangesAreDeliveredInSeveralTurns() throws Exception {
         for (int i = 0; i < 1000; i++) {
             mailbox.changed(1, 1, "s" + i);
         }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonParserTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/NodeJsonParserTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void everythingIsTakenAndTheUnknownPassedOver() {
+    void allFieldsAreReadAndUnknownOnesIgnored() {
         NodeRead read =
                 read(
                         "s1",
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void whatIsLeftOutIsUsual() {
+    void omittedFieldsHaveDefaults() {
         assertEquals(
                 new NodeData(AT, 0, 0, 0, HostState.READY, 1, 0, null),
                 read("s1", "{\"address\":\"192.0.2.1:80\",\"zone\":\"a\"}").data());
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void whatMakesNoSenseIsNamed() {
+    void invalidFieldIsNamed() {
         String good = "\"address\":\"192.0.2.1:80\",\"zone\":\"a\"";
         Map<String, String> mistakes =
                 Map.of(
--- a/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -47,14 +47,14 @@
     }
 
     @Test
-    void endOfInputIsAnOrderlyEnd() throws Exception {
+    void endOfInputExitsWithSuccess() throws Exception {
         Result result = run(new byte[0], "adapter");
         assertEquals(0, result.status);
         assertEquals(0, result.out.length);
     }
 
     @Test
-    void malformedInputEndsWithAMessageAndNoOutput() throws Exception {
+    void malformedInputExitsWithOneLineAndNoOutput() throws Exception {
         byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
         Map<String, byte[]> bad =
                 Map.of(
@@ -92,7 +92,7 @@
 
     /** Guards against what is off by default and costs something all the same. */
     @Test
-    void nothingOfLeasesIsLoadedWhereNoneAreAsked() throws Exception {
+    void classesOfLeasesAreNotLoadedWithoutLeases() throws Exception {
         for (String each : List.of("adapter", "warm-up")) {
             Path log = folder.resolve(each);
             ProcessBuilder builder =
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aTaskThatMakesNoSenseIsNotStarted() throws Exception {
+    void invalidTaskCommandIsNotStarted() throws Exception {
         Path file = Files.writeString(folder.resolve("operator.toml"), "version = 1\n");
         for (String[] each :
                 new String[][] {
--- a/sidecar/src/test/java/appleridge/simulator/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/WireTest.java
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void settingsAreReadAndMissingOnesNamed() {
+    void settingsAreReadAndMissingOrMalformedOnesNamed() {
         PolicySettings settings = PolicySettingsParser.parse(OPTIONS);
         assertEquals(Idempotency.NON_IDEMPOTENT, settings.classes().get(0).idempotency());
         assertEquals(2.5, settings.classes().get(0).priorityWeight());
--- a/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
+++ b/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void theNodeIsThereUntilItIsClosed() throws Exception {
+    void nodeExistsUntilRegistrationIsClosed() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
             NodeRegistration one = registration(ensemble, "one", 5);
@@ -71,7 +71,7 @@
 
     /** Guards against a node that vanishes later with the session that it belonged to. */
     @Test
-    void afterALostSessionItIsTheNewOnesAndThereIsOne() throws Exception {
+    void nodeBelongsToTheNewSessionAfterExpiry() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
             try (NodeRegistration one = registration(ensemble, "one", 5)) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void theOneThatStartedLastHasTheName() throws Exception {
+    void serverThatStartedLastHoldsTheName() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
             ZooKeeper old = ensemble.client();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void anEnsembleThatIsAwayIsWaitedForAndADeletedNodeMadeAgain() throws Exception {
+    void absentEnsembleIsAwaitedAndADeletedNodeRecreated() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
             ensemble.persistent("/servers");
             ensemble.stop();
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void whatIsThereIsToldAndThenEveryChange() throws Exception {
+    void existingNodesAreDeliveredAndThenEveryChange() throws Exception {
         ensemble.persistent(ROOT);
         ZooKeeper owner = ensemble.client();
         TestEnsemble.server(owner, ROOT + "/s1", server(1, ""));
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void whatWasMissedWhileTheConnectionWasAwayIsReadAfterIt() throws Exception {
+    void changesMissedWhileDisconnectedAreReadAfterReconnect() throws Exception {
         ensemble.persistent(ROOT);
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
         try (Relay relay = new Relay(ensemble.address())) {
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void anExpiredSessionIsFollowedByAnother() throws Exception {
+    void expiredSessionIsFollowedByAnother() throws Exception {
         ensemble.persistent(ROOT);
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
         follow(ensemble.settings(ROOT));
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aMissingRootIsADoubtUntilItIsMade() throws Exception {
+    void listIsStaleUntilTheRootIsMade() throws Exception {
         follow(ensemble.settings(ROOT));
         heard.next("session CONNECTED");
         heard.next("doubt ROOT_MISSING");
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void whoMayNotReadIsToldSoAndADigestOpensTheRoot() throws Exception {
+    void deniedAccessIsReportedAndADigestOpensTheRoot() throws Exception {
         ensemble.operator().addAuthInfo("digest", "reader:secret".getBytes());
         ensemble.persistent(ROOT);
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
@@ -221,7 +221,7 @@
 
     /** Guards against a list that a wiped ensemble empties, and against one that stays for ever. */
     @Test
-    void anEnsembleThatBeganAnewIsWipedUntilSomebodySaysOtherwise() throws Exception {
+    void restartedEnsembleIsWipedUntilAnOperatorAcceptsIt() throws Exception {
         ensemble.persistent(ROOT);
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
         follow(ensemble.settings(ROOT));
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void oneLevelFurtherDownUnderAChroot() throws Exception {
+    void shardsUnderAChrootAreRead() throws Exception {
         ensemble.persistent("/site");
         ensemble.persistent("/site" + ROOT);
         ensemble.persistent("/site" + ROOT + "/x");
@@ -268,7 +268,7 @@
     }
 
     @Test
-    void tenThousandNamesAreReadAndMoreThanAnAnswerHoldsIsADoubt() throws Exception {
+    void tenThousandNamesAreReadAndATooLargeListingIsStale() throws Exception {
         ensemble.persistent(ROOT);
         CountDownLatch made = new CountDownLatch(10_000);
         for (int i = 0; i < 10_000; i++) {
@@ -303,7 +303,7 @@
     }
 
     @Test
-    void nobodyAnswersAndThenSomebodyDoes() throws Exception {
+    void ensembleThatComesUpLaterIsRead() throws Exception {
         ensemble.persistent(ROOT);
         ensemble.stop();
         follow(ensemble.settings(ROOT));
@@ -318,7 +318,7 @@
      * wait.
      */
     @Test
-    void aLoopThatStandsStillHearsTheLastWordOfEach() throws Exception {
+    void stalledLoopReceivesTheLastChangeOfEachNode() throws Exception {
         ensemble.persistent(ROOT);
         follow(ensemble.settings(ROOT));
         heard.until("snapshot {}");
@@ -350,7 +350,7 @@
 
     /** Guards against a server whose pings are taken for an answer. */
     @Test
-    void aServerThatSaysNothingIsGivenUp() throws Exception {
+    void unresponsiveServerIsGivenUp() throws Exception {
         ensemble.persistent(ROOT);
         try (Relay relay = new Relay(ensemble.address())) {
             ZooKeeperSettings plain = ensemble.settings(ROOT);
