--- a/testbed/src/main/java/appleridge/testbed/invariants/Lists.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Lists.java
@@ -37,21 +37,21 @@
     }
 
     private static final class Client {
-        private final List<Told> lives = new ArrayList<>(2);
+        private final List<DeliveredUpdates> lives = new ArrayList<>(2);
         private final Map<Long, Call> calls = new HashMap<>();
         private final List<long[]> unreachable = new ArrayList<>(1);
 
         /** Since when no call is out. */
         private long silentSince;
 
-        private Told told() {
+        private DeliveredUpdates told() {
             return lives.get(lives.size() - 1);
         }
     }
 
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Alarms alarms;
-    private final Knowledge knowledge = new Knowledge();
+    private final DiscoveryHistory knowledge = new DiscoveryHistory();
     private final Map<String, Client> clients = new HashMap<>();
     private final List<Client> inOrder = new ArrayList<>();
 
@@ -61,7 +61,7 @@
     /** What nodes told is not in these books. */
     private boolean nodes;
 
-    Lists(Figures figures, Alarms alarms) {
+    Lists(InvariantBounds figures, Alarms alarms) {
         this.figures = figures;
         this.alarms = alarms;
     }
@@ -70,19 +70,19 @@
      * Since when the sidecar, at a moment, had been told that a server drains or is gone; or never.
      */
     long drainsSince(String sidecar, String server, long moment) {
-        Told told = at(client(sidecar), moment);
-        return told == null ? Asked.NEVER : told.drainsSince(server, moment);
+        DeliveredUpdates told = at(client(sidecar), moment);
+        return told == null ? AttemptRecord.NEVER : told.drainsSince(server, moment);
     }
 
     /** When the sidecar's process of a moment was told of a server's start, or never. */
     long toldOfStart(String sidecar, String server, long bornAt, long moment) {
-        Told told = at(client(sidecar), moment);
-        return told == null ? Asked.NEVER : told.toldOfStart(server, bornAt);
+        DeliveredUpdates told = at(client(sidecar), moment);
+        return told == null ? AttemptRecord.NEVER : told.toldOfStart(server, bornAt);
     }
 
     /** Whether the sidecar, at a moment, may have gone by a list with a ready server in it. */
     boolean mayHaveReady(String sidecar, long moment) {
-        Told told = at(client(sidecar), moment);
+        DeliveredUpdates told = at(client(sidecar), moment);
         return nodes
                 || told != null
                         && told.mayHaveReady(moment - figures.drainGrace() - figures.socketSlack());
@@ -90,17 +90,17 @@
 
     /** Since when the sidecar, at a moment, had been told that a server is ready; or never. */
     long readySince(String sidecar, String server, long moment) {
-        Told told = at(client(sidecar), moment);
-        return told == null ? Asked.NEVER : told.readySince(server, moment);
+        DeliveredUpdates told = at(client(sidecar), moment);
+        return told == null ? AttemptRecord.NEVER : told.readySince(server, moment);
     }
 
     /** The start of a server that it was told of last; 0 for long ago. */
     long lastStart(String sidecar, String server, long moment) {
-        Told told = at(client(sidecar), moment);
+        DeliveredUpdates told = at(client(sidecar), moment);
         return told == null ? 0 : told.lastStart(server);
     }
 
-    private static Told at(Client client, long moment) {
+    private static DeliveredUpdates at(Client client, long moment) {
         for (int i = client.lives.size() - 1; i >= 0; i--) {
             if (client.lives.get(i).since() <= moment) {
                 return client.lives.get(i);
@@ -113,7 +113,7 @@
         Client known = clients.get(sidecar);
         if (known == null) {
             known = new Client();
-            known.lives.add(new Told(knowledge, 0));
+            known.lives.add(new DeliveredUpdates(knowledge, 0));
             clients.put(sidecar, known);
             inOrder.add(known);
         }
@@ -123,7 +123,7 @@
     @Override
     public void sidecarStarted(String sidecar, int life) {
         Client client = client(sidecar);
-        client.lives.add(new Told(knowledge, alarms.now()));
+        client.lives.add(new DeliveredUpdates(knowledge, alarms.now()));
         client.calls.clear();
         silent(client);
     }
@@ -149,9 +149,9 @@
         if (!asked) {
             return;
         }
-        knowledge.add(new Knowledge.Entry(alarms.now(), uid, state, bornAt));
+        knowledge.add(new DiscoveryHistory.Entry(alarms.now(), uid, state, bornAt));
         for (Client each : inOrder) {
-            Told told = each.told();
+            DeliveredUpdates told = each.told();
             alarms.at(alarms.now() + figures.askWithin(), () -> lookAtSilence(each, told));
         }
     }
@@ -175,12 +175,12 @@
                         ? new Call(now, now + waitNanos, now + waitNanos + figures.waitTold())
                         : new Call(now, now, now + figures.answerTold());
         client.calls.put(callId, call);
-        Told told = client.told();
+        DeliveredUpdates told = client.told();
         alarms.at(call.due, () -> count(client, told, callId, call));
     }
 
     /** The call is due, or it turns out that it is due later. */
-    private void count(Client client, Told told, long callId, Call call) {
+    private void count(Client client, DeliveredUpdates told, long callId, Call call) {
         if (client.told() != told || client.calls.get(callId) != call) {
             return;
         }
@@ -205,7 +205,7 @@
         long end = due;
         for (long[] each : client.unreachable) {
             if (each[0] < end && each[1] > from) {
-                end = Math.max(end, Spans.plus(each[1], figures.answerTold()));
+                end = Math.max(end, TimeSpans.plus(each[1], figures.answerTold()));
             }
         }
         return end;
@@ -223,11 +223,11 @@
 
     private void silent(Client client) {
         client.silentSince = alarms.now();
-        Told told = client.told();
+        DeliveredUpdates told = client.told();
         alarms.at(alarms.now() + figures.askWithin(), () -> lookAtSilence(client, told));
     }
 
-    private void lookAtSilence(Client client, Told told) {
+    private void lookAtSilence(Client client, DeliveredUpdates told) {
         if (client.told() != told || !client.calls.isEmpty()) {
             return;
         }
@@ -249,11 +249,11 @@
         if (client.calls.isEmpty()) {
             silent(client);
         }
-        Told told = client.told();
+        DeliveredUpdates told = client.told();
         alarms.at(due, () -> countAfterHup(client, told, now, due));
     }
 
-    private void countAfterHup(Client client, Told told, long hupAt, long due) {
+    private void countAfterHup(Client client, DeliveredUpdates told, long hupAt, long due) {
         if (client.told() != told) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/LostRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LostRule.java
@@ -15,22 +15,22 @@
  * </ul>
  */
 final class LostRule implements Evidence {
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Shared shared;
 
-    LostRule(Figures figures, Shared shared) {
+    LostRule(InvariantBounds figures, Shared shared) {
         this.figures = figures;
         this.shared = shared;
     }
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
-        Asked request = shared.requests().find(id);
+        AttemptRecord request = shared.requests().find(id);
         if (request == null || !request.isOpen()) {
             return;
         }
         long now = shared.alarms().now();
-        Try asking = request.asking;
+        ClientAttempt asking = request.asking;
         if (shared.lives().isKilled(asking.sidecar(), request.life)
                 || shared.excuses().linkTroubled(asking, request.takenAt, now)
                 || now > request.takenAt + asking.deadlineNanos()
@@ -45,7 +45,7 @@
                         "its connection ended ("
                                 + how
                                 + ") "
-                                + Spans.text(now - request.takenAt)
+                                + TimeSpans.text(now - request.takenAt)
                                 + " after it was taken");
     }
 
@@ -55,10 +55,10 @@
      */
     @Override
     public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
-        Asked request = shared.requests().find(id);
+        AttemptRecord request = shared.requests().find(id);
         if (request != null
-                && request.stage == Asked.Stage.BROKEN
-                && request.takenAt != Asked.NEVER
+                && request.stage == AttemptRecord.Stage.BROKEN
+                && request.takenAt != AttemptRecord.NEVER
                 && request.sent.size() == 1
                 && firstByteSentAt < request.brokenAt - figures.link()
                 && !shared.lives().isKilled(sidecar, request.life)
@@ -76,12 +76,12 @@
     public void sidecarKilled(String sidecar, int life) {
         long now = shared.alarms().now();
         long term = shared.lives().termAt(sidecar, life);
-        if (term == Asked.NEVER
+        if (term == AttemptRecord.NEVER
                 || now < term + figures.longestDeadline() + figures.killAfter()
                 || shared.excuses().paused(sidecar, term, now)) {
             return;
         }
-        for (Asked each : shared.requests().open(sidecar, life)) {
+        for (AttemptRecord each : shared.requests().open(sidecar, life)) {
             if (each.takenAt <= now - figures.socketSlack() - figures.link()
                     && !shared.excuses().linkTroubled(each.asking, each.takenAt, now)) {
                 shared.findings()
@@ -89,7 +89,7 @@
                                 Rule.LOST,
                                 each.id(),
                                 "unanswered when SIGKILL came, "
-                                        + Spans.text(now - term)
+                                        + TimeSpans.text(now - term)
                                         + " after SIGTERM");
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/QuietRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/QuietRule.java
@@ -9,10 +9,10 @@
  * stands there for a moment only, as a socket that is just being closed, is looked at again.
  */
 final class QuietRule implements Evidence {
-    private static final long QUIET = 2 * Spans.SECOND;
+    private static final long QUIET = 2 * TimeSpans.SECOND;
 
     /** Between two looks; unlike one another, so that they meet no rhythm. */
-    private static final long[] AGAIN = {70 * Spans.MS, 190 * Spans.MS};
+    private static final long[] AGAIN = {70 * TimeSpans.MS, 190 * TimeSpans.MS};
 
     private final Shared shared;
     private final Ledger ledger;
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         if (openAt.put(asking.id(), asking.sidecar()) == null) {
             open.merge(asking.sidecar(), 1, Integer::sum);
         }
@@ -100,7 +100,7 @@
     }
 
     private String wrong(String sidecar) {
-        Books now = ledger.books(sidecar);
+        ResourceCounts now = ledger.books(sidecar);
         if (now == null) {
             return "";
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/ReadyRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ReadyRule.java
@@ -4,11 +4,11 @@
  * A process says that it is ready only while it has a ready server in its list, and is not to end.
  */
 final class ReadyRule implements Evidence {
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Lists lists;
     private final Shared shared;
 
-    ReadyRule(Figures figures, Lists lists, Shared shared) {
+    ReadyRule(InvariantBounds figures, Lists lists, Shared shared) {
         this.figures = figures;
         this.lists = lists;
         this.shared = shared;
@@ -22,7 +22,7 @@
         long term = shared.lives().termAt(sidecar, shared.lives().current(sidecar));
         // It may have been about to read the question, or behind its work.
         long heard = figures.quantum() + figures.loop() + figures.socketSlack();
-        if (term != Asked.NEVER
+        if (term != AttemptRecord.NEVER
                 && lastByteSentAt > term + heard
                 && !shared.excuses().paused(sidecar, term, lastByteSentAt)) {
             shared.findings()
@@ -30,7 +30,7 @@
                             Rule.READY,
                             sidecar,
                             "said that it was ready "
-                                    + Spans.text(lastByteSentAt - term)
+                                    + TimeSpans.text(lastByteSentAt - term)
                                     + " after SIGTERM");
         }
         if (!lists.mayHaveReady(sidecar, lastByteSentAt)) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
@@ -9,9 +9,9 @@
  * and whose time is up when the day ends, enough are served.
  */
 final class RecoveryRule implements Evidence {
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Shared shared;
-    private long over = Asked.NEVER;
+    private long over = AttemptRecord.NEVER;
 
     /** When those processes began that have not become ready yet, by their sidecars. */
     private final Map<String, Long> notReady = new TreeMap<>();
@@ -19,7 +19,7 @@
     private int could;
     private int served;
 
-    RecoveryRule(Figures figures, Shared shared) {
+    RecoveryRule(InvariantBounds figures, Shared shared) {
         this.figures = figures;
         this.shared = shared;
     }
@@ -41,12 +41,12 @@
 
     @Override
     public void dayEnds() {
-        if (over == Asked.NEVER) {
+        if (over == AttemptRecord.NEVER) {
             return;
         }
         long end = shared.alarms().now();
-        for (Asked each : shared.requests().all()) {
-            Try asking = each.asking;
+        for (AttemptRecord each : shared.requests().all()) {
+            ClientAttempt asking = each.asking;
             // A further try has what its wish has left, which may be less than the work takes.
             if (asking.number() == 0
                     && asking.askedAt() >= over + figures.recovery()
@@ -58,7 +58,7 @@
                                     asking.askedAt(),
                                     asking.askedAt() + asking.deadlineNanos())) {
                 could++;
-                served += each.stage == Asked.Stage.ANSWERED && each.status == 200 ? 1 : 0;
+                served += each.stage == AttemptRecord.Stage.ANSWERED && each.status == 200 ? 1 : 0;
             }
         }
         notReady.forEach(
@@ -69,7 +69,7 @@
                                         Rule.NOT_RECOVERED,
                                         sidecar,
                                         "began at "
-                                                + Spans.text(since)
+                                                + TimeSpans.text(since)
                                                 + " and has never been ready");
                     }
                 });
@@ -84,16 +84,16 @@
                                     + " of "
                                     + could
                                     + " requests served from "
-                                    + Spans.text(figures.recovery())
+                                    + TimeSpans.text(figures.recovery())
                                     + " after the last fault on");
         }
     }
 
     /** Danger: a client that leaves takes along what others have asked on its connection. */
-    private static boolean waited(Asked request) {
+    private static boolean waited(AttemptRecord request) {
         long deadline = request.asking.deadlineNanos();
         return request.asking.patienceNanos() >= deadline
-                && (request.stage != Asked.Stage.LEFT
+                && (request.stage != AttemptRecord.Stage.LEFT
                         || request.leftAt >= request.asking.askedAt() + deadline);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/Sent.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestCopy.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.invariants;
 
 /** One copy of a request that a server has begun to read. */
-final class Sent {
+final class RequestCopy {
     final String server;
     final int life;
     final long firstByteAt;
@@ -13,7 +13,7 @@
     /** The server has said that it never ran it. */
     boolean notRun;
 
-    Sent(String server, int life, long firstByteAt) {
+    RequestCopy(String server, int life, long firstByteAt) {
         this.server = server;
         this.life = life;
         this.firstByteAt = firstByteAt;
--- a/testbed/src/main/java/appleridge/testbed/invariants/Tally.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestCounts.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Counts what happens to the usual clients' requests, as the clients and servers see it. */
-public final class Tally implements Evidence {
+public final class RequestCounts implements Evidence {
     private final Set<String> open = new HashSet<>();
     private final Map<String, Integer> arrived = new HashMap<>();
     private long asked;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         if (arrived.putIfAbsent(asking.id(), 0) == null) {
             asked++;
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
@@ -14,27 +14,27 @@
     /** Ids that begin so are those of bad clients, which are judged by other rules. */
     private static final String BAD = "bad-";
 
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Shared shared;
-    private final Dues dues;
+    private final AnswerDeadlines dues;
     private final Map<String, Message> written = new HashMap<>();
-    private final Map<Long, Try> byKey = new HashMap<>();
+    private final Map<Long, ClientAttempt> byKey = new HashMap<>();
 
-    RequestRule(Figures figures, Shared shared) {
+    RequestRule(InvariantBounds figures, Shared shared) {
         this.figures = figures;
         this.shared = shared;
-        this.dues = new Dues(figures, shared);
+        this.dues = new AnswerDeadlines(figures, shared);
     }
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         byKey.put(asking.cookieKey(), asking);
     }
 
     @Override
     public void moduleHears(
             String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
-        Try asking = byKey.get(key);
+        ClientAttempt asking = byKey.get(key);
         if (asking != null
                 && (asking.requestClass() != requestClass
                         || asking.tenant() != tenant
@@ -89,13 +89,13 @@
         if (!unlike.isEmpty()) {
             add(id, server + " has read " + unlike);
         }
-        Asked request = shared.requests().find(id);
-        if (request != null && request.takenAt != Asked.NEVER) {
+        AttemptRecord request = shared.requests().find(id);
+        if (request != null && request.takenAt != AttemptRecord.NEVER) {
             compare(request, server, deadlineNanos, firstByteSentAt);
         }
     }
 
-    private void compare(Asked request, String server, long deadline, long sentAt) {
+    private void compare(AttemptRecord request, String server, long deadline, long sentAt) {
         long said = request.asking.deadlineNanos();
         long left = dues.patience(request) - sentAt;
         boolean lastMoments = request.takenAt + said - sentAt <= figures.answerSlack();
@@ -104,11 +104,11 @@
                     request.id(),
                     server
                             + " was told a deadline of "
-                            + Spans.text(deadline)
+                            + TimeSpans.text(deadline)
                             + " when "
-                            + Spans.text(left)
+                            + TimeSpans.text(left)
                             + " of "
-                            + Spans.text(said)
+                            + TimeSpans.text(said)
                             + " were left");
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -17,7 +17,7 @@
  * <p>Who waits for a state is told at once, in the middle of whatever brought it about: sockets may
  * be struck then and there, but to end or pause a process is to be planned as a step of its own.
  */
-public final class RequestStates implements Evidence, Tap, Wires {
+public final class RequestStates implements Evidence, Tap, SocketObserver {
     private final Map<String, String> sidecars = new HashMap<>();
     private final Map<String, String> servers = new HashMap<>();
     private final Map<String, Tracked> requests = new HashMap<>();
@@ -47,8 +47,8 @@
 
         private Tracked idle;
         private int count;
-        private long acceptedAt = Asked.NEVER;
-        private long closedAt = Asked.NEVER;
+        private long acceptedAt = AttemptRecord.NEVER;
+        private long closedAt = AttemptRecord.NEVER;
     }
 
     /** The requests on a connection to a server. */
@@ -152,7 +152,7 @@
     public long acceptedAt(String id) {
         Tracked request = requests.get(id);
         return request == null || request.client == null
-                ? Asked.NEVER
+                ? AttemptRecord.NEVER
                 : clientWires.get(request.client.id()).acceptedAt;
     }
 
@@ -160,7 +160,7 @@
     public long closedAt(String id) {
         Tracked request = requests.get(id);
         if (request == null || request.client == null) {
-            return Asked.NEVER;
+            return AttemptRecord.NEVER;
         }
         return clientWires.get(request.client.id()).closedAt;
     }
@@ -361,7 +361,7 @@
     // ---- what the stand-ins tell
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         Tracked request = new Tracked(asking);
         requests.put(asking.id(), request);
         current.put(asking.id(), request);
--- a/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
@@ -11,28 +11,28 @@
  * alone.
  */
 final class Requests {
-    private final Map<String, Asked> all = new LinkedHashMap<>();
+    private final Map<String, AttemptRecord> all = new LinkedHashMap<>();
     private final Alarms alarms;
-    private final Lives lives;
+    private final SidecarIncarnations lives;
 
-    Requests(Alarms alarms, Lives lives) {
+    Requests(Alarms alarms, SidecarIncarnations lives) {
         this.alarms = alarms;
         this.lives = lives;
     }
 
     /** Null for an id that no usual client has used. */
-    Asked find(String id) {
+    AttemptRecord find(String id) {
         return all.get(id);
     }
 
-    Collection<Asked> all() {
+    Collection<AttemptRecord> all() {
         return all.values();
     }
 
     /** Those that a life of a sidecar has taken and not answered. */
-    List<Asked> open(String sidecar, int life) {
-        List<Asked> open = new ArrayList<>();
-        for (Asked each : all.values()) {
+    List<AttemptRecord> open(String sidecar, int life) {
+        List<AttemptRecord> open = new ArrayList<>();
+        for (AttemptRecord each : all.values()) {
             if (each.isOpen() && each.life == life && each.asking.sidecar().equals(sidecar)) {
                 open.add(each);
             }
@@ -52,23 +52,23 @@
 
     private final class Opening implements Evidence {
         @Override
-        public void asks(Try asking) {
-            Asked before = all.get(asking.id());
+        public void asks(ClientAttempt asking) {
+            AttemptRecord before = all.get(asking.id());
             if (before == null) {
-                all.put(asking.id(), new Asked(asking));
+                all.put(asking.id(), new AttemptRecord(asking));
             } else {
                 // A client sends once more what has crossed the end of its connection.
-                before.stage = Asked.Stage.UNTAKEN;
-                before.takenAt = Asked.NEVER;
-                before.brokenAt = Asked.NEVER;
+                before.stage = AttemptRecord.Stage.UNTAKEN;
+                before.takenAt = AttemptRecord.NEVER;
+                before.brokenAt = AttemptRecord.NEVER;
             }
         }
 
         @Override
         public void asked(String id) {
-            Asked request = all.get(id);
-            if (request != null && request.stage == Asked.Stage.UNTAKEN) {
-                request.stage = Asked.Stage.TAKEN;
+            AttemptRecord request = all.get(id);
+            if (request != null && request.stage == AttemptRecord.Stage.UNTAKEN) {
+                request.stage = AttemptRecord.Stage.TAKEN;
                 request.takenAt = alarms.now();
                 request.life = lives.current(request.asking.sidecar());
             }
@@ -77,9 +77,9 @@
         @Override
         public void begun(
                 String server, int life, String sidecar, String id, long firstByteSentAt) {
-            Asked request = all.get(id);
+            AttemptRecord request = all.get(id);
             if (request != null) {
-                request.sent.add(new Sent(server, life, firstByteSentAt));
+                request.sent.add(new RequestCopy(server, life, firstByteSentAt));
             }
         }
 
@@ -92,12 +92,12 @@
                 long firstByteSentAt,
                 long lastByteSentAt,
                 long work) {
-            Asked request = all.get(id);
+            AttemptRecord request = all.get(id);
             if (request == null) {
                 return;
             }
-            Sent copy = null;
-            for (Sent each : request.sent) {
+            RequestCopy copy = null;
+            for (RequestCopy each : request.sent) {
                 if (!each.arrived
                         && each.life == life
                         && each.firstByteAt == firstByteSentAt
@@ -107,7 +107,7 @@
                 }
             }
             if (copy == null) {
-                copy = new Sent(server, life, firstByteSentAt);
+                copy = new RequestCopy(server, life, firstByteSentAt);
             } else {
                 request.sent.remove(copy);
             }
@@ -119,12 +119,12 @@
 
         @Override
         public void saysNotRun(String server, int life, String id) {
-            Asked request = all.get(id);
+            AttemptRecord request = all.get(id);
             if (request == null) {
                 return;
             }
             for (int i = request.sent.size() - 1; i >= 0; i--) {
-                Sent each = request.sent.get(i);
+                RequestCopy each = request.sent.get(i);
                 if (!each.notRun && each.life == life && each.server.equals(server)) {
                     each.notRun = true;
                     return;
@@ -134,7 +134,7 @@
 
         @Override
         public void made(String server, int life, String id, String body) {
-            Asked request = all.get(id);
+            AttemptRecord request = all.get(id);
             if (request != null) {
                 request.made.add(body);
             }
@@ -142,7 +142,7 @@
 
         @Override
         public void fault(String kind, String at, String id) {
-            Asked request = id == null ? null : all.get(id);
+            AttemptRecord request = id == null ? null : all.get(id);
             if (request != null) {
                 request.struck = true;
             }
@@ -153,9 +153,9 @@
         @Override
         public void answered(
                 String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-            Asked request = all.get(id);
-            if (request != null && request.stage != Asked.Stage.ANSWERED) {
-                request.stage = Asked.Stage.ANSWERED;
+            AttemptRecord request = all.get(id);
+            if (request != null && request.stage != AttemptRecord.Stage.ANSWERED) {
+                request.stage = AttemptRecord.Stage.ANSWERED;
                 request.status = status;
                 request.answeredAt = lastByteSentAt;
             }
@@ -163,18 +163,20 @@
 
         @Override
         public void answerBroken(String id, String how, boolean begun) {
-            Asked request = all.get(id);
-            if (request != null && (request.isOpen() || request.stage == Asked.Stage.UNTAKEN)) {
-                request.stage = Asked.Stage.BROKEN;
+            AttemptRecord request = all.get(id);
+            if (request != null
+                    && (request.isOpen() || request.stage == AttemptRecord.Stage.UNTAKEN)) {
+                request.stage = AttemptRecord.Stage.BROKEN;
                 request.brokenAt = alarms.now();
             }
         }
 
         @Override
         public void gaveUp(String id) {
-            Asked request = all.get(id);
-            if (request != null && (request.isOpen() || request.stage == Asked.Stage.UNTAKEN)) {
-                request.stage = Asked.Stage.LEFT;
+            AttemptRecord request = all.get(id);
+            if (request != null
+                    && (request.isOpen() || request.stage == AttemptRecord.Stage.UNTAKEN)) {
+                request.stage = AttemptRecord.Stage.LEFT;
                 request.leftAt = alarms.now();
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Books.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ResourceCounts.java
@@ -13,7 +13,7 @@
  * @param bufferBytes bytes of buffers that nobody has released
  * @param escaped exceptions that nobody caught
  */
-public record Books(
+public record ResourceCounts(
         int openCalls,
         int attempts,
         int clientConnections,
@@ -21,12 +21,12 @@
         int timers,
         long bufferBytes,
         List<String> escaped) {
-    public Books {
+    public ResourceCounts {
         escaped = List.copyOf(escaped);
     }
 
     /** With nothing in them. */
-    public static Books empty() {
-        return new Books(0, 0, 0, 0, 0, 0, List.of());
+    public static ResourceCounts empty() {
+        return new ResourceCounts(0, 0, 0, 0, 0, 0, List.of());
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
@@ -5,10 +5,10 @@
  * they do.
  */
 final class RetryAfterRule implements Evidence {
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Findings findings;
 
-    RetryAfterRule(Figures figures, Findings findings) {
+    RetryAfterRule(InvariantBounds figures, Findings findings) {
         this.figures = figures;
         this.findings = findings;
     }
@@ -26,9 +26,9 @@
                     Rule.RETRY_AFTER,
                     id,
                     "come again after "
-                            + Spans.text(retryAfterNanos)
+                            + TimeSpans.text(retryAfterNanos)
                             + ", allowed are "
-                            + Spans.text(figures.maxRetryAfter()));
+                            + TimeSpans.text(figures.maxRetryAfter()));
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/SameIdRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SameIdRule.java
@@ -13,7 +13,7 @@
 final class SameIdRule implements Evidence {
     private static final int CONFLICT = 409;
 
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Shared shared;
 
     /** Whose id it is, by the ids by which servers tell of what others ask under it. */
@@ -22,14 +22,14 @@
     /** When something else was sent under an id, by whose it is. */
     private final Map<String, List<Long>> sent = new HashMap<>();
 
-    SameIdRule(Figures figures, Shared shared) {
+    SameIdRule(InvariantBounds figures, Shared shared) {
         this.figures = figures;
         this.shared = shared;
     }
 
     @Override
     public void badTakesId(String name, String id, String owner) {
-        Asked request = shared.requests().find(owner);
+        AttemptRecord request = shared.requests().find(owner);
         if (request != null && request.isOpen() && shared.wires().wasRead(owner)) {
             owners.put(id, owner);
         }
@@ -42,8 +42,8 @@
             return;
         }
         sent.computeIfAbsent(owner, name -> new ArrayList<>()).add(firstByteSentAt);
-        Asked request = shared.requests().find(owner);
-        if (request != null && request.stage == Asked.Stage.ANSWERED) {
+        AttemptRecord request = shared.requests().find(owner);
+        if (request != null && request.stage == AttemptRecord.Stage.ANSWERED) {
             compare(request, request.status, request.answeredAt);
         }
     }
@@ -51,13 +51,13 @@
     @Override
     public void answered(
             String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-        Asked request = shared.requests().find(id);
+        AttemptRecord request = shared.requests().find(id);
         if (request != null && sent.containsKey(id)) {
             compare(request, status, lastByteSentAt);
         }
     }
 
-    private void compare(Asked request, int status, long answeredAt) {
+    private void compare(AttemptRecord request, int status, long answeredAt) {
         long surely = answeredAt - figures.link() - figures.loop();
         if (status != CONFLICT
                 && !shared.excuses().linkTroubled(request.asking, request.takenAt, answeredAt)
--- a/testbed/src/main/java/appleridge/testbed/invariants/SentAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SentAfterRule.java
@@ -5,26 +5,26 @@
  * connection was closed and the sidecar could have heard of it.
  */
 final class SentAfterRule implements Evidence {
-    private final Figures figures;
+    private final InvariantBounds figures;
     private final Shared shared;
 
-    SentAfterRule(Figures figures, Shared shared) {
+    SentAfterRule(InvariantBounds figures, Shared shared) {
         this.figures = figures;
         this.shared = shared;
     }
 
     @Override
     public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
-        Asked request = shared.requests().find(id);
+        AttemptRecord request = shared.requests().find(id);
         if (request == null) {
             return;
         }
-        if (request.stage == Asked.Stage.ANSWERED) {
+        if (request.stage == AttemptRecord.Stage.ANSWERED) {
             compare(request, server, firstByteSentAt, request.answeredAt);
             return;
         }
         long closed = shared.wires().closedAt(id);
-        if (closed != Asked.NEVER
+        if (closed != AttemptRecord.NEVER
                 && firstByteSentAt
                         > shared.excuses()
                                 .extended(
@@ -41,7 +41,7 @@
                             "sent to "
                                     + server
                                     + " "
-                                    + Spans.text(firstByteSentAt - closed)
+                                    + TimeSpans.text(firstByteSentAt - closed)
                                     + " after its client's connection was closed");
         }
     }
@@ -56,8 +56,8 @@
             long firstByteSentAt,
             long lastByteSentAt,
             long work) {
-        Asked request = shared.requests().find(id);
-        if (request != null && request.stage == Asked.Stage.ANSWERED) {
+        AttemptRecord request = shared.requests().find(id);
+        if (request != null && request.stage == AttemptRecord.Stage.ANSWERED) {
             compare(request, server, lastByteSentAt, request.answeredAt);
         }
     }
@@ -66,15 +66,15 @@
     @Override
     public void answered(
             String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-        Asked request = shared.requests().find(id);
-        if (request != null && request.stage != Asked.Stage.ANSWERED) {
-            for (Sent each : request.sent) {
+        AttemptRecord request = shared.requests().find(id);
+        if (request != null && request.stage != AttemptRecord.Stage.ANSWERED) {
+            for (RequestCopy each : request.sent) {
                 compare(request, each.server, each.firstByteAt, lastByteSentAt);
             }
         }
     }
 
-    private void compare(Asked request, String server, long sentAt, long answeredAt) {
+    private void compare(AttemptRecord request, String server, long sentAt, long answeredAt) {
         if (sentAt > answeredAt) {
             shared.findings()
                     .add(
@@ -83,7 +83,7 @@
                             "sent to "
                                     + server
                                     + " "
-                                    + Spans.text(sentAt - answeredAt)
+                                    + TimeSpans.text(sentAt - answeredAt)
                                     + " after its final answer");
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Lives.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SidecarIncarnations.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** Which process stands for each sidecar, and what became of it. */
-final class Lives implements Evidence {
+final class SidecarIncarnations implements Evidence {
     private static final class Life {
         private final int number;
         private boolean killed;
         private boolean exited;
-        private long termAt = Asked.NEVER;
-        private long readyAt = Asked.NEVER;
+        private long termAt = AttemptRecord.NEVER;
+        private long readyAt = AttemptRecord.NEVER;
 
         Life(int number) {
             this.number = number;
@@ -24,7 +24,7 @@
 
     private final Alarms alarms;
 
-    Lives(Alarms alarms) {
+    SidecarIncarnations(Alarms alarms) {
         this.alarms = alarms;
     }
 
@@ -52,7 +52,7 @@
     /** Whether it had said by then that it was ready. */
     boolean wasReady(String sidecar, int life, long moment) {
         Life asked = of(sidecar, life);
-        return asked.readyAt != Asked.NEVER && asked.readyAt <= moment;
+        return asked.readyAt != AttemptRecord.NEVER && asked.readyAt <= moment;
     }
 
     private List<Life> all(String sidecar) {
@@ -77,7 +77,7 @@
     @Override
     public void sidecarReady(String sidecar, int life) {
         Life ready = of(sidecar, life);
-        ready.readyAt = ready.readyAt == Asked.NEVER ? alarms.now() : ready.readyAt;
+        ready.readyAt = ready.readyAt == AttemptRecord.NEVER ? alarms.now() : ready.readyAt;
     }
 
     @Override
--- a/testbed/src/main/java/appleridge/testbed/invariants/Wires.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SocketObserver.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.invariants;
 
 /** What the sockets between clients and sidecars show, and no one tells. */
-public interface Wires {
+public interface SocketObserver {
     /** Which request on its connection it is: 1 for the first, 0 if that isn't known. */
     int place(String id);
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/Spans.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/TimeSpans.java
@@ -1,11 +1,11 @@
 package appleridge.testbed.invariants;
 
 /** Spans of time in nanoseconds, and how they are written. */
-final class Spans {
+final class TimeSpans {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000_000_000L;
 
-    private Spans() {}
+    private TimeSpans() {}
 
     /** Never past the end of time. */
     static long plus(long time, long more) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
@@ -4,7 +4,7 @@
 
 /** A request on its way, with the sockets it uses. */
 final class Tracked {
-    final Try asking;
+    final ClientAttempt asking;
     RequestState state = RequestState.ARRIVING;
     SimSocket client;
 
@@ -24,7 +24,7 @@
     SimSocket upstream;
     String server;
 
-    Tracked(Try asking) {
+    Tracked(ClientAttempt asking) {
         this.asking = asking;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/Verdict.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Verdict.java
@@ -12,7 +12,7 @@
 public record Verdict(
         long seed,
         long digest,
-        List<Broken> broken,
+        List<InvariantViolation> broken,
         Counts counts,
         Coverage coverage,
         long simulatedNanos) {
@@ -36,7 +36,7 @@
                 .append(counts)
                 .append(", digest ")
                 .append(Long.toHexString(digest));
-        for (Broken each : broken) {
+        for (InvariantViolation each : broken) {
             out.append("\n  ").append(each);
         }
         return out.toString();
--- a/testbed/src/main/java/appleridge/testbed/mutation/PlantedDay.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/PlantedDay.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.mutation;
 
 import appleridge.testbed.campaign.DayPlayer;
-import appleridge.testbed.invariants.Broken;
+import appleridge.testbed.invariants.InvariantViolation;
 import appleridge.testbed.invariants.Verdict;
 import appleridge.testbed.simulation.Plan;
 import java.util.stream.Collectors;
@@ -28,6 +28,8 @@
     }
 
     private static String told(Verdict verdict) {
-        return verdict.broken().stream().map(Broken::toString).collect(Collectors.joining("\n"));
+        return verdict.broken().stream()
+                .map(InvariantViolation::toString)
+                .collect(Collectors.joining("\n"));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
@@ -18,8 +18,8 @@
     private final Simulation simulation;
     private final SimSocket client;
     private final Host target;
-    private final Weather there;
-    private final Weather back;
+    private final NetworkConditions there;
+    private final NetworkConditions back;
     private SimSocket server;
     private SimListener listener;
     private Simulation.Event retry;
--- a/testbed/src/main/java/appleridge/testbed/simnet/Network.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Network.java
@@ -21,15 +21,15 @@
     private static final int ENDED = 6;
 
     private final Simulation simulation;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final List<Host> hosts = new ArrayList<>();
     private final Map<InetAddress, List<Host>> byAddress = new LinkedHashMap<>();
-    private final List<List<Weather>> weathers = new ArrayList<>();
+    private final List<List<NetworkConditions>> weathers = new ArrayList<>();
     private final List<Tap> taps = new ArrayList<>(2);
     private long ids;
     private long tapTime;
 
-    public Network(Simulation simulation, Chance chance) {
+    public Network(Simulation simulation, SeededRandom chance) {
         this.simulation = simulation;
         this.chance = chance;
     }
@@ -44,14 +44,14 @@
     }
 
     /** Of what goes from the one to the other; what follows is subject to it. */
-    public Weather weather(Host from, Host to) {
-        List<Weather> row = weathers.get(from.index());
+    public NetworkConditions weather(Host from, Host to) {
+        List<NetworkConditions> row = weathers.get(from.index());
         while (row.size() <= to.index()) {
             row.add(null);
         }
-        Weather weather = row.get(to.index());
+        NetworkConditions weather = row.get(to.index());
         if (weather == null) {
-            weather = new Weather();
+            weather = new NetworkConditions();
             row.set(to.index(), weather);
         }
         return weather;
@@ -77,7 +77,7 @@
         return simulation;
     }
 
-    Chance chance() {
+    SeededRandom chance() {
         return chance;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/Weather.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/NetworkConditions.java
@@ -4,7 +4,7 @@
  * What one direction between a pair of hosts does to bytes. Changed at any time; what leaves from
  * then on is subject to it. By itself: 200 us of delay, nothing else.
  */
-public final class Weather {
+public final class NetworkConditions {
     private static final int BUFFER = 64 * 1024;
     private static final int MOST = 1460;
 
@@ -56,11 +56,11 @@
     /** When the line is free again. */
     long free;
 
-    Weather() {}
+    NetworkConditions() {}
 
     /** Makes everything as it was at first. */
     public void calm() {
-        Weather first = new Weather();
+        NetworkConditions first = new NetworkConditions();
         delay = first.delay;
         jitter = first.jitter;
         bytesPerSecond = first.bytesPerSecond;
@@ -77,7 +77,7 @@
     }
 
     /** How much of `bytes` the next segment takes. */
-    int cut(int bytes, Chance chance) {
+    int cut(int bytes, SeededRandom chance) {
         int most = segment;
         if (most == 0) {
             most = MOST;
@@ -88,7 +88,7 @@
     }
 
     /** How long a segment takes that leaves now. */
-    long travel(Chance chance) {
+    long travel(SeededRandom chance) {
         long travel = delay;
         if (jitter > 0) {
             travel += chance.nextLong(jitter + 1);
--- a/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
@@ -16,11 +16,11 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     private final Simulation simulation;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final SimSocket from;
     private final SimSocket to;
-    private final Weather there;
-    private final Weather back;
+    private final NetworkConditions there;
+    private final NetworkConditions back;
     private final int sendLimit;
     private final int receiveLimit;
     private final ByteRing ring = new ByteRing();
--- a/testbed/src/main/java/appleridge/testbed/simnet/Chance.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SeededRandom.java
@@ -6,13 +6,13 @@
  * Seeded chance. Streams are split off by name, so that one more draw in one shifts nothing in
  * another: a stream depends on the seed and its name alone, never on what has been drawn so far.
  */
-public final class Chance {
+public final class SeededRandom {
     private static final long STEP = 0x9E3779B97F4A7C15L;
 
     private final long seed;
     private long state;
 
-    public Chance(long seed) {
+    public SeededRandom(long seed) {
         this.seed = seed;
         state = mix(seed);
     }
@@ -21,12 +21,12 @@
      * The stream of this name; the same however often it is asked for, from its beginning each
      * time.
      */
-    public Chance stream(String name) {
+    public SeededRandom stream(String name) {
         long hash = 0xCBF29CE484222325L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001B3L;
         }
-        return new Chance(mix(seed + STEP) ^ mix(hash));
+        return new SeededRandom(mix(seed + STEP) ^ mix(hash));
     }
 
     public long nextLong() {
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -53,9 +53,9 @@
 
     private final Simulation simulation;
     private final Host host;
-    private final Chance order;
-    private final Chance ties;
-    private final Chance prices;
+    private final SeededRandom order;
+    private final SeededRandom ties;
+    private final SeededRandom prices;
     private final Costs costs;
     private final Thread thread = Thread.currentThread();
     private final UnpooledByteBufAllocator memory = new UnpooledByteBufAllocator(false, true);
@@ -85,7 +85,7 @@
     private volatile Throwable trespass;
 
     /** Belongs to the thread that makes it, as the whole simulation does. */
-    public SimLoop(Simulation simulation, Host host, Chance chance, Costs costs) {
+    public SimLoop(Simulation simulation, Host host, SeededRandom chance, Costs costs) {
         this.simulation = simulation;
         this.host = host;
         this.costs = costs;
--- a/testbed/src/main/java/appleridge/testbed/simnet/Simulation.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Simulation.java
@@ -13,7 +13,7 @@
 public final class Simulation {
     private static final long SECOND = 1_000_000_000L;
 
-    private final Chance ties;
+    private final SeededRandom ties;
     private final List<Runnable> checks = new ArrayList<>(2);
     private final Heap<Event> heap = new Heap<>();
     private long now;
@@ -22,7 +22,7 @@
     private long digest;
     private Consumer<String> trace;
 
-    public Simulation(Chance ties) {
+    public Simulation(SeededRandom ties) {
         this.ties = ties;
     }
 
@@ -50,7 +50,7 @@
         heap.remove(next);
         now = next.due();
         steps++;
-        digest = Chance.mix(digest + now * 31 + next.serial());
+        digest = SeededRandom.mix(digest + now * 31 + next.serial());
         next.what.run();
         for (int i = 0; i < checks.size(); i++) {
             checks.get(i).run();
@@ -90,7 +90,9 @@
      */
     public void note(int kind, long a, long b, Supplier<String> text) {
         digest =
-                Chance.mix(digest + now + kind * 0x632BE59BD9B4E019L) + a * 0x9E3779B97F4A7C15L + b;
+                SeededRandom.mix(digest + now + kind * 0x632BE59BD9B4E019L)
+                        + a * 0x9E3779B97F4A7C15L
+                        + b;
         if (trace != null) {
             trace.accept(line(text.get()));
         }
@@ -101,7 +103,7 @@
         for (int i = 0; i < what.length(); i++) {
             hash = hash * 0x100000001B3L + what.charAt(i);
         }
-        digest = Chance.mix(digest + now) + hash;
+        digest = SeededRandom.mix(digest + now) + hash;
         if (trace != null) {
             trace.accept(line(what.toString()));
         }
@@ -109,7 +111,7 @@
 
     /** A hash over every event with its time, and every note. */
     public long digest() {
-        return Chance.mix(digest);
+        return SeededRandom.mix(digest);
     }
 
     /** From now on each note is a line of text for `sink`; null: no longer. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/Answers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Answers.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 
 /** How an order server words its answers: the good ones, the honest others, and the spoilt. */
 final class Answers {
@@ -13,10 +13,10 @@
     /** Nanoseconds from a body to the reset behind it. */
     private static final long RESET_AFTER = 5 * Site.MS;
 
-    private final Chance chance;
+    private final SeededRandom chance;
     private int failures;
 
-    Answers(Chance chance) {
+    Answers(SeededRandom chance) {
         this.chance = chance;
     }
 
@@ -34,7 +34,7 @@
 
     /** How a server fails: what was asked may have run, whatever else is said. */
     String failed(String headers) {
-        Chance how = chance.stream("failed" + ++failures);
+        SeededRandom how = chance.stream("failed" + ++failures);
         String status =
                 how.hits(0.5)
                         ? "500 Internal Server Error"
@@ -66,7 +66,7 @@
     }
 
     /** A good answer with something beside it. */
-    Script withExtra(Extra extra, String good) {
+    Script withExtra(ResponseExtra extra, String good) {
         return switch (extra) {
             case INTERIM -> Script.of((chance.hits(0.5) ? CONTINUE : HINTS) + good);
             case INTERIMS ->
@@ -80,7 +80,7 @@
     }
 
     /** An answer that can't be told from a whole one must not bear what a server made. */
-    Script spoilt(Spoil how, String body) {
+    Script spoilt(ResponseCorruption how, String body) {
         String head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n";
         String sized = "Content-Length: " + body.length() + "\r\n";
         int half = body.length() / 2;
--- a/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -19,7 +19,7 @@
 
     private final Day day;
     private final Application application;
-    private final Seat seat;
+    private final ProcessSlot seat;
     private final HttpReader reader = new HttpReader(true);
     private final ArrayDeque<Asking> open = new ArrayDeque<>(2);
 
@@ -38,14 +38,14 @@
     private boolean stalled;
     private boolean troubled;
 
-    AppConnection(Day day, Application application, Seat seat, Asking first) {
+    AppConnection(Day day, Application application, ProcessSlot seat, Asking first) {
         this.day = day;
         this.application = application;
         this.seat = seat;
         this.first = first;
     }
 
-    Seat seat() {
+    ProcessSlot seat() {
         return seat;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimSocket;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,16 +21,16 @@
     private final Day day;
     private final int index;
     private final Host host;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private final long[] works;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final List<AppConnection> connections = new ArrayList<>();
     private final ArrayDeque<AppConnection> free = new ArrayDeque<>();
-    private final ArrayDeque<Wish> waiting = new ArrayDeque<>();
+    private final ArrayDeque<RequestIntent> waiting = new ArrayDeque<>();
     private long wishes;
     private long tries;
 
-    Application(Day day, int index, Host host, Seats seats, long[] works) {
+    Application(Day day, int index, Host host, ProcessSlots seats, long[] works) {
         this.day = day;
         this.index = index;
         this.host = host;
@@ -47,8 +47,8 @@
     /** A client of a tenant wants something done. */
     void wish(int tenant) {
         long number = wishes++;
-        Wish wish =
-                new Wish(
+        RequestIntent wish =
+                new RequestIntent(
                         day,
                         "w" + index + "-" + number,
                         day.work("wish." + index + "." + number),
@@ -57,7 +57,7 @@
         ask(wish);
     }
 
-    private void ask(Wish wish) {
+    private void ask(RequestIntent wish) {
         if (wish.endsAt != 0 && wish.endsAt - day.now() < LEAST_LEFT) {
             return;
         }
@@ -66,13 +66,15 @@
             kept.ask(new Asking(day, this, wish, index * SERIALS + ++tries));
             return;
         }
-        Seat seat = seats.choose(index, chance);
+        ProcessSlot seat = seats.choose(index, chance);
         if (seat == null) {
             await(wish);
             return;
         }
         AppConnection behind =
-                wish.chance.hits(day.plan.part(Knob.PIPELINED)) ? busy(seat, wish) : null;
+                wish.chance.hits(day.plan.part(ScenarioParameter.PIPELINED))
+                        ? busy(seat, wish)
+                        : null;
         AppConnection connection = behind != null ? behind : free(seat);
         if (connection == null && seat.isFull() && !spare(seat)) {
             await(wish);
@@ -92,7 +94,7 @@
         }
     }
 
-    private void await(Wish wish) {
+    private void await(RequestIntent wish) {
         waiting.add(wish);
         day.after(WAITS, () -> waiting.remove(wish));
     }
@@ -105,11 +107,11 @@
 
     /** New connections go elsewhere; those that there are go on being used while they stay open. */
     private AppConnection keptOfOneThatEnds() {
-        Seat own = seats.all().get(index);
+        ProcessSlot own = seats.all().get(index);
         return own.isRunning() && !own.isUsable() ? free(own) : null;
     }
 
-    private AppConnection free(Seat seat) {
+    private AppConnection free(ProcessSlot seat) {
         for (AppConnection each : free) {
             if (each.seat() == seat && each.isFree()) {
                 free.remove(each);
@@ -119,7 +121,7 @@
         return null;
     }
 
-    private AppConnection busy(Seat seat, Wish wish) {
+    private AppConnection busy(ProcessSlot seat, RequestIntent wish) {
         if (wish.asksOnce || wish.slowReader) {
             return null;
         }
@@ -133,7 +135,7 @@
     }
 
     /** Makes room for another connection: one on which nothing is open goes. */
-    private boolean spare(Seat seat) {
+    private boolean spare(ProcessSlot seat) {
         for (AppConnection each : connections) {
             if (each.seat() == seat && (each.isFree() || each.isSpent())) {
                 each.leave();
@@ -166,7 +168,7 @@
 
     /** A try is over: its client is content, asks again, or leaves it at that. */
     void ended(Asking asking, Asking.Outcome outcome, long retryAfter) {
-        Wish wish = asking.wish;
+        RequestIntent wish = asking.wish;
         switch (outcome) {
             case SERVED, GAVE_UP -> {}
             case UNSENT -> again(wish, backoff(wish));
@@ -180,25 +182,25 @@
         }
     }
 
-    private boolean heeds(Wish wish, long retryAfter) {
+    private boolean heeds(RequestIntent wish, long retryAfter) {
         return retryAfter >= 0
                 && retryAfter < Long.MAX_VALUE
-                && wish.chance.hits(day.plan.part(Knob.HONOUR));
+                && wish.chance.hits(day.plan.part(ScenarioParameter.HONOUR));
     }
 
-    private long backoff(Wish wish) {
-        long longest = day.plan.size(Knob.BACKOFF) << Math.min(6, wish.tries);
+    private long backoff(RequestIntent wish) {
+        long longest = day.plan.size(ScenarioParameter.BACKOFF) << Math.min(6, wish.tries);
         return longest / 2 + wish.chance.nextLong(longest / 2 + 1);
     }
 
-    private void retry(Wish wish, long wait) {
+    private void retry(RequestIntent wish, long wait) {
         if (wish.retriesLeft > 0) {
             wish.retriesLeft--;
             again(wish, wait);
         }
     }
 
-    private void again(Wish wish, long wait) {
+    private void again(RequestIntent wish, long wait) {
         long at = day.now() + wait;
         if (wish.endsAt == 0 ? wish.tries < 20 : at + LEAST_LEFT < wish.endsAt) {
             day.after(wait, () -> ask(wish));
@@ -216,7 +218,7 @@
     }
 
     /** An id that is open just now at this sidecar, or null. */
-    String openId(Seat seat) {
+    String openId(ProcessSlot seat) {
         for (AppConnection each : connections) {
             String id = each.seat() == seat ? each.openId() : null;
             if (id != null) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
+import appleridge.testbed.invariants.ClientAttempt;
 import appleridge.testbed.invariants.Message;
-import appleridge.testbed.invariants.Try;
 import appleridge.testbed.simnet.Simulation;
 import java.nio.charset.StandardCharsets;
 
@@ -31,7 +31,7 @@
     private static final long LONGEST_PAUSE = 30 * Site.MS;
 
     final String id;
-    final Wish wish;
+    final RequestIntent wish;
     final long cookieKey;
     final long deadline;
     final long patience;
@@ -52,7 +52,7 @@
     /**
      * @param serial unlike that of any other try of the day
      */
-    Asking(Day day, Application application, Wish wish, long serial) {
+    Asking(Day day, Application application, RequestIntent wish, long serial) {
         this.day = day;
         this.application = application;
         this.wish = wish;
@@ -105,9 +105,9 @@
         }
         Message message =
                 Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
-        day.asked.add(id, new Asked.Form(wish.requestClass, message, wish.work));
+        day.asked.add(id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
         day.evidence.asks(
-                new Try(
+                new ClientAttempt(
                         id,
                         wish.origin,
                         number,
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -16,7 +16,7 @@
 
     private final Day day;
     private final Host host;
-    private final Seat seat;
+    private final ProcessSlot seat;
     private final BadKind kind;
     private final String name;
     private final Script script;
@@ -32,7 +32,7 @@
     BadClient(
             Day day,
             Host host,
-            Seat seat,
+            ProcessSlot seat,
             BadKind kind,
             String name,
             Script script,
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
-import appleridge.testbed.simnet.Weather;
+import appleridge.testbed.simnet.NetworkConditions;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.List;
 
 /** The machines from which bad clients come, and how they come. */
@@ -23,7 +23,7 @@
     /** From here come those that never read: little fits on the way to them. */
     private final Host mute;
 
-    private final Chance chance;
+    private final SeededRandom chance;
     private final BadRequests requests;
     private int clients;
 
@@ -41,14 +41,14 @@
     }
 
     /** To be called when the links of all others are made. */
-    void narrow(Seat seat) {
-        Weather back = day.network.weather(seat.host(), mute);
+    void narrow(ProcessSlot seat) {
+        NetworkConditions back = day.network.weather(seat.host(), mute);
         back.receiveBuffer = SMALL_BUFFER;
         back.sendBuffer = SMALL_BUFFER;
     }
 
     /** So many of a kind come within moments. */
-    void come(BadKind kind, Seat seat, long count) {
+    void come(BadKind kind, ProcessSlot seat, long count) {
         long all = kind == BadKind.CROWD ? CROWD_LEAST + chance.nextInt(CROWD_MORE) : count;
         for (long i = 0; i < all; i++) {
             day.after(
@@ -63,7 +63,7 @@
         }
     }
 
-    private void one(BadKind kind, Seat seat, int again) {
+    private void one(BadKind kind, ProcessSlot seat, int again) {
         String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clients;
         if (kind == BadKind.HIDDEN) {
             day.evidence.badHides(name, BadRequests.hiddenId(name));
@@ -77,7 +77,7 @@
     }
 
     /** Waits a little for a request that is open, and asks under its id. */
-    private void same(Seat seat, int looks) {
+    private void same(ProcessSlot seat, int looks) {
         for (Application each : applications) {
             String id = each.openId(seat);
             if (id != null) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 
 /** What bad clients send, by kind. */
 final class BadRequests {
@@ -13,9 +13,9 @@
     /** 60 MB are said; what is sent of them is bounded, for it is thrown away. */
     private static final int SAID = 60_000_000;
 
-    private final Chance chance;
+    private final SeededRandom chance;
 
-    BadRequests(Chance chance) {
+    BadRequests(SeededRandom chance) {
         this.chance = chance;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/TipWatch.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Whether a cold server has been sent more, within the rule's time, than it can bear. */
-final class TipWatch {
+final class ColdServerOverloadWatch {
     /**
      * Beyond the rule's limit, in nanoseconds of work, so that a judge's sums are not closer than
      * the server's.
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Faults of one connection or one answer: those aimed at a request. */
-final class ConnectionStrikes {
+final class ConnectionFaultInjector {
     /** No request and no answer is shorter. */
     private static final int SHORTEST = 30;
 
@@ -15,7 +15,7 @@
     private final List<Application> applications;
     private final RequestStates states;
 
-    ConnectionStrikes(Day day, List<Application> applications, RequestStates states) {
+    ConnectionFaultInjector(Day day, List<Application> applications, RequestStates states) {
         this.day = day;
         this.applications = applications;
         this.states = states;
@@ -78,7 +78,7 @@
      */
     private void cutRequest(Fault fault, InState request, SimSocket near) {
         int unsent = (int) (near.bytesWritten() - near.bytesLeft());
-        long bytes = fault.value(Param.BYTES);
+        long bytes = fault.value(FaultParameter.BYTES);
         if (unsent > 0) {
             cutAt(fault, near, near.bytesLeft() + bytes % unsent, near);
         } else if (!near.isEstablished()) {
@@ -103,7 +103,7 @@
             return;
         }
         int unsent = (int) (far.bytesWritten() - far.bytesLeft());
-        long bytes = fault.value(Param.BYTES);
+        long bytes = fault.value(FaultParameter.BYTES);
         cutAt(
                 fault,
                 far,
@@ -136,9 +136,9 @@
     private void answer(Fault fault, InState request) {
         tell(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
-            day.asked.spoil(request.id(), FaultKind.of(Spoil.class, fault.style()));
+            day.asked.spoil(request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
         } else {
-            day.asked.extra(request.id(), FaultKind.of(Extra.class, fault.style()));
+            day.asked.extra(request.id(), FaultKind.of(ResponseExtra.class, fault.style()));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodesWord.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoordinationUpdates.java
@@ -11,7 +11,7 @@
  * written. What comes from servers that lag, have lost the others or have lost their past is not
  * told, but for what the process may make of it.
  */
-final class NodesWord {
+final class CoordinationUpdates {
     /** Nothing can be said of that server. */
     static final String UNKNOWN = "Unknown";
 
@@ -33,7 +33,7 @@
     /** Counts beginnings; what was waited for in an earlier one is over. */
     private int beginnings;
 
-    NodesWord(Day day, String sidecar) {
+    CoordinationUpdates(Day day, String sidecar) {
         this.day = day;
         this.sidecar = sidecar;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.Evidence;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.Simulation;
 
 /** What all stand-ins of one day share. */
@@ -11,10 +11,10 @@
     final Simulation simulation;
     final Network network;
     final Evidence evidence;
-    final Asked asked = new Asked();
-    private final Chance chance;
+    final SentRequestRegistry asked = new SentRequestRegistry();
+    private final SeededRandom chance;
 
-    Day(Plan plan, Simulation simulation, Network network, Evidence evidence, Chance chance) {
+    Day(Plan plan, Simulation simulation, Network network, Evidence evidence, SeededRandom chance) {
         this.plan = plan;
         this.simulation = simulation;
         this.network = network;
@@ -23,17 +23,17 @@
     }
 
     /** Chance for one stand-in's work, which no fault and no other stand-in shifts. */
-    Chance work(String name) {
+    SeededRandom work(String name) {
         return chance.stream("work." + name);
     }
 
     /** Chance for what faults draw when they strike. */
-    Chance faults(String name) {
+    SeededRandom faults(String name) {
         return chance.stream("faults." + name);
     }
 
     /** Chance for one process's loop. */
-    Chance loops(String name) {
+    SeededRandom loops(String name) {
         return chance.stream("loops." + name);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Told.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /** What each sidecar has been told of the list, by whomever. */
-final class Told {
+final class DeliveredEndpointUpdates {
     private final Evidence evidence;
     private final Map<String, Map<String, Instances.Entry>> bySidecar = new LinkedHashMap<>();
 
-    Told(Evidence evidence) {
+    DeliveredEndpointUpdates(Evidence evidence) {
         this.evidence = evidence;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Discovery.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Discovery.java
@@ -5,13 +5,13 @@
 /** Discovery as a whole: the address at which it is to be found just now, and its moves. */
 final class Discovery {
     private final List<Registry> addresses;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private int current;
 
     /**
      * @param addresses where it will be, one after the other
      */
-    Discovery(List<Registry> addresses, Seats seats) {
+    Discovery(List<Registry> addresses, ProcessSlots seats) {
         this.addresses = addresses;
         this.seats = seats;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.discovery.ephemeral.NodeData;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
     private static final long MOST_WAIT = 500 * Site.MS;
 
     private final Day day;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final List<Change> past = new ArrayList<>();
     private final Map<String, Znode> present = new LinkedHashMap<>();
     private final Map<String, EnsembleClient> clients = new LinkedHashMap<>();
@@ -50,7 +50,7 @@
 
     /** Whether the registry is asked too. */
     public boolean isBoth() {
-        return day.plan.count(Knob.MEMBERSHIP) == 2;
+        return day.plan.count(ScenarioParameter.MEMBERSHIP) == 2;
     }
 
     /** The client of a process that begins; the one of the process before it hears no more. */
@@ -83,7 +83,7 @@
     }
 
     long timeout() {
-        return day.plan.size(Knob.SESSION_TIMEOUT);
+        return day.plan.size(ScenarioParameter.SESSION_TIMEOUT);
     }
 
     // ---- its nodes
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -4,7 +4,7 @@
 import appleridge.discovery.ephemeral.NodeRead;
 import appleridge.discovery.ephemeral.SessionState;
 import appleridge.discovery.ephemeral.StalenessCause;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -59,8 +59,8 @@
     private final Ensemble ensemble;
     private final String sidecar;
     private final Hearer hearer;
-    private final Chance chance;
-    private final NodesWord word;
+    private final SeededRandom chance;
+    private final CoordinationUpdates word;
     private final Deque<Mail> mail = new ArrayDeque<>();
     private long lastArrival;
 
@@ -93,13 +93,13 @@
     private long highest;
     private Reading reading;
 
-    EnsembleClient(Day day, Ensemble ensemble, String sidecar, Hearer hearer, Chance chance) {
+    EnsembleClient(Day day, Ensemble ensemble, String sidecar, Hearer hearer, SeededRandom chance) {
         this.day = day;
         this.ensemble = ensemble;
         this.sidecar = sidecar;
         this.hearer = hearer;
         this.chance = chance;
-        this.word = new NodesWord(day, sidecar);
+        this.word = new CoordinationUpdates(day, sidecar);
         this.era = ensemble.era();
     }
 
@@ -185,12 +185,12 @@
         if (newSession) {
             seen = 0;
             if (!first) {
-                deliver(() -> membership().session(hearer.now(), SessionState.EXPIRED));
+                deliver(() -> membership().onSessionState(hearer.now(), SessionState.EXPIRED));
             }
         }
         begin();
         SessionState session = readOnly ? SessionState.READ_ONLY : SessionState.CONNECTED;
-        deliver(() -> membership().session(hearer.now(), session));
+        deliver(() -> membership().onSessionState(hearer.now(), session));
         watching = !newSession;
         newSession = false;
         day.after(first ? 0 : chance.nextLong(SPREAD), () -> read(mine));
@@ -267,7 +267,7 @@
             connection++;
             watching = false;
             reading = null;
-            deliver(() -> membership().session(hearer.now(), SessionState.SUSPENDED));
+            deliver(() -> membership().onSessionState(hearer.now(), SessionState.SUSPENDED));
             day.after(day.bounded(duration) + 1 + chance.nextLong(LONGEST_AGAIN), this::connect);
         }
     }
@@ -289,11 +289,11 @@
                 reading.nodes.remove(name);
                 reading.missing.remove(name);
             }
-            deliver(() -> membership().gone(hearer.now(), toldAt(), zxid, name));
+            deliver(() -> membership().onNodeDeleted(hearer.now(), toldAt(), zxid, name));
             complete();
         } else {
             word.changed(zxid, name);
-            deliver(() -> membership().changed(hearer.now(), toldAt(), zxid, name));
+            deliver(() -> membership().onNodeChanged(hearer.now(), toldAt(), zxid, name));
             if (reading != null && reading.listed && !reading.nodes.containsKey(name)) {
                 reading.missing.add(name);
             }
@@ -332,7 +332,7 @@
             NodeRead read = node.read();
             note(read.mzxid(), () -> "data of " + name + ' ' + read.mzxid() + ' ' + read.data());
             word.read(node, membership().doubt() == StalenessCause.NONE);
-            deliver(() -> membership().read(hearer.now(), read.mzxid(), name, read));
+            deliver(() -> membership().onNodeRead(hearer.now(), read.mzxid(), name, read));
         }
     }
 
@@ -419,7 +419,7 @@
         }
         deliver(
                 () -> {
-                    membership().snapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
+                    membership().onSnapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
                     StalenessCause doubt = membership().doubt();
                     if (doubt == StalenessCause.NONE && of == era) {
                         word.accepted(view);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
@@ -11,8 +11,12 @@
  * @param values a figure for each that the kind has
  */
 public record Fault(
-        Trigger trigger, FaultKind kind, String who, String style, SortedMap<Param, Long> values) {
-    long value(Param param) {
+        FaultTrigger trigger,
+        FaultKind kind,
+        String who,
+        String style,
+        SortedMap<FaultParameter, Long> values) {
+    long value(FaultParameter param) {
         return values.get(param);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Strikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -3,21 +3,21 @@
 import appleridge.testbed.invariants.InState;
 
 /** Carries faults out, each by the part of the world that it concerns. */
-final class Strikes {
+final class FaultInjector {
     private final Day day;
-    private final ConnectionStrikes connections;
-    private final ServerStrikes servers;
-    private final ListStrikes lists;
-    private final SidecarStrikes sidecars;
-    private final NodeStrikes nodes;
+    private final ConnectionFaultInjector connections;
+    private final ServerFaultInjector servers;
+    private final ListFaultInjector lists;
+    private final SidecarFaultInjector sidecars;
+    private final NodeFaultInjector nodes;
 
-    Strikes(
+    FaultInjector(
             Day day,
-            ConnectionStrikes connections,
-            ServerStrikes servers,
-            ListStrikes lists,
-            SidecarStrikes sidecars,
-            NodeStrikes nodes) {
+            ConnectionFaultInjector connections,
+            ServerFaultInjector servers,
+            ListFaultInjector lists,
+            SidecarFaultInjector sidecars,
+            NodeFaultInjector nodes) {
         this.day = day;
         this.connections = connections;
         this.servers = servers;
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -19,13 +19,13 @@
     /** The server reads no more from it. */
     UP_STALL(Target.UPSTREAM),
     /** It breaks so many bytes further on in the request. */
-    UP_CUT_REQUEST(Target.UPSTREAM, Param.BYTES),
+    UP_CUT_REQUEST(Target.UPSTREAM, FaultParameter.BYTES),
     /** It breaks so many bytes further on in the answer. */
-    UP_CUT_ANSWER(Target.UPSTREAM, Param.BYTES),
+    UP_CUT_ANSWER(Target.UPSTREAM, FaultParameter.BYTES),
     /** The request's answer is spoilt. */
-    SPOIL(Target.ANSWER, Spoil.class),
+    SPOIL(Target.ANSWER, ResponseCorruption.class),
     /** The request's good answer brings more than belongs to it. */
-    EXTRA(Target.ANSWER, Extra.class),
+    EXTRA(Target.ANSWER, ResponseExtra.class),
 
     /** The client closes its connection. */
     CLIENT_CLOSE(Target.CLIENT),
@@ -42,105 +42,105 @@
     /** The client's connection falls silent for good. */
     DOWN_SILENT(Target.CLIENT),
     /** It breaks so many bytes further on in the answer. */
-    DOWN_CUT_ANSWER(Target.CLIENT, Param.BYTES),
+    DOWN_CUT_ANSWER(Target.CLIENT, FaultParameter.BYTES),
 
     /** New connections to a server take longer. */
-    CONNECT_SLOW(Target.SERVER, Param.FOR, Param.BY),
+    CONNECT_SLOW(Target.SERVER, FaultParameter.FOR, FaultParameter.BY),
     /** New connections to it are refused. */
-    CONNECT_REFUSED(Target.SERVER, Param.FOR),
+    CONNECT_REFUSED(Target.SERVER, FaultParameter.FOR),
     /** New connections to it never come up. */
-    CONNECT_SILENT(Target.SERVER, Param.FOR),
+    CONNECT_SILENT(Target.SERVER, FaultParameter.FOR),
     /** It accepts nothing, and its backlog fills. */
-    BACKLOG(Target.SERVER, Param.FOR),
+    BACKLOG(Target.SERVER, FaultParameter.FOR),
     /** It drains, ends, and a new one comes under a new id at its address. */
-    DRAIN(Target.SERVER, Param.DOWN),
+    DRAIN(Target.SERVER, FaultParameter.DOWN),
     /** Its process dies; a new one comes under a new id at its address. */
-    CRASH(Target.SERVER, Param.DOWN),
+    CRASH(Target.SERVER, FaultParameter.DOWN),
     /** Its process dies and starts again under its id. */
-    RESTART(Target.SERVER, Param.DOWN),
+    RESTART(Target.SERVER, FaultParameter.DOWN),
     /** Its machine says nothing for a while. */
-    VANISH(Target.SERVER, Param.FOR),
+    VANISH(Target.SERVER, FaultParameter.FOR),
     /** It accepts and reads, and answers nothing for a while. */
-    HANG(Target.SERVER, Param.FOR),
+    HANG(Target.SERVER, FaultParameter.FOR),
     /** It is slower. */
-    SLOW(Target.SERVER, Param.FOR, Param.FACTOR),
+    SLOW(Target.SERVER, FaultParameter.FOR, FaultParameter.FACTOR),
     /** So many of its answers in a thousand are errors. */
-    FAILING(Target.SERVER, Param.FOR, Param.COUNT),
+    FAILING(Target.SERVER, FaultParameter.FOR, FaultParameter.COUNT),
     /** It turns all away. */
-    FULL(Target.SERVER, Param.FOR),
+    FULL(Target.SERVER, FaultParameter.FOR),
     /** It closes its idle connections. */
     CLOSE_IDLE(Target.SERVER),
     /** Its load reports are late, wrong or unreadable. */
-    REPORTS(Target.SERVER, Report.class, Param.FOR),
+    REPORTS(Target.SERVER, Report.class, FaultParameter.FOR),
 
     /** Discovery's process is down: watches end, calls are refused. */
-    LIST_DOWN(Target.LIST, Param.FOR),
+    LIST_DOWN(Target.LIST, FaultParameter.FOR),
     /** Discovery's machine says nothing. */
-    LIST_SILENT(Target.LIST, Param.FOR),
+    LIST_SILENT(Target.LIST, FaultParameter.FOR),
     /** Discovery reads calls and answers none until then. */
-    LIST_HANG(Target.LIST, Param.FOR),
+    LIST_HANG(Target.LIST, FaultParameter.FOR),
     /** Discovery answers each call with 503. */
-    LIST_503(Target.LIST, Param.FOR),
+    LIST_503(Target.LIST, FaultParameter.FOR),
     /** Each call takes so much longer. */
-    LIST_SLOW(Target.LIST, Param.FOR, Param.BY),
+    LIST_SLOW(Target.LIST, FaultParameter.FOR, FaultParameter.BY),
     /** The watches that are out are forgotten: they will never be answered. */
     LIST_LOSES_WATCHES(Target.LIST),
     /** So many answers are cut in the middle. */
-    LIST_CUT(Target.LIST, Param.COUNT),
+    LIST_CUT(Target.LIST, FaultParameter.COUNT),
     /** So many answers can't be read. */
-    LIST_GARBLED(Target.LIST, Param.COUNT),
+    LIST_GARBLED(Target.LIST, FaultParameter.COUNT),
     /** Whole lists are so old, for a while. */
-    LIST_STALE(Target.LIST, Param.FOR, Param.BY),
+    LIST_STALE(Target.LIST, FaultParameter.FOR, FaultParameter.BY),
     /** A server's entry goes and comes so often, so long apart. */
-    LIST_FLAPS(Target.SERVER, Param.COUNT, Param.BY),
+    LIST_FLAPS(Target.SERVER, FaultParameter.COUNT, FaultParameter.BY),
 
     /** A sidecar is killed, and starts again. */
-    KILL(Target.SIDECAR, Param.DOWN),
+    KILL(Target.SIDECAR, FaultParameter.DOWN),
     /** A sidecar is restarted in order. */
-    TERM(Target.SIDECAR, Param.DOWN),
+    TERM(Target.SIDECAR, FaultParameter.DOWN),
     /** Discovery moves; all sidecars are told by SIGHUP. */
     MOVE(Target.LIST),
     /** A sidecar's loop stands still. */
-    PAUSE(Target.SIDECAR, Param.FOR),
+    PAUSE(Target.SIDECAR, FaultParameter.FOR),
     /** A sidecar can open only so many descriptors more. */
-    NO_DESCRIPTORS(Target.SIDECAR, Param.FOR, Param.COUNT),
+    NO_DESCRIPTORS(Target.SIDECAR, FaultParameter.FOR, FaultParameter.COUNT),
     /** A sidecar's wall clock steps. */
-    WALL_STEP(Target.SIDECAR, Param.BY),
+    WALL_STEP(Target.SIDECAR, FaultParameter.BY),
     /** What a sidecar sends and gets takes longer. */
-    LINK_LATE(Target.SIDECAR, Param.FOR, Param.BY),
+    LINK_LATE(Target.SIDECAR, FaultParameter.FOR, FaultParameter.BY),
     /** What it sends and gets comes in pieces of so many bytes at most. */
-    LINK_CHOPPED(Target.SIDECAR, Param.FOR, Param.COUNT),
+    LINK_CHOPPED(Target.SIDECAR, FaultParameter.FOR, FaultParameter.COUNT),
     /** No more than so many bytes a second pass. */
-    LINK_THIN(Target.SIDECAR, Param.FOR, Param.BYTES),
+    LINK_THIN(Target.SIDECAR, FaultParameter.FOR, FaultParameter.BYTES),
 
     /** A site is cut off from the others. */
-    ZONE_CUT(Target.ZONE, Param.FOR),
+    ZONE_CUT(Target.ZONE, FaultParameter.FOR),
     /** A tenant sends more by so many requests a second, through one sidecar. */
-    FLOOD(Target.SIDECAR, Param.FOR, Param.RATE),
+    FLOOD(Target.SIDECAR, FaultParameter.FOR, FaultParameter.RATE),
     /** So many bad clients come to a sidecar. */
-    BAD(Target.SIDECAR, BadKind.class, Param.COUNT),
+    BAD(Target.SIDECAR, BadKind.class, FaultParameter.COUNT),
 
     /** No server of the coordination service answers. */
-    NODES_DOWN(Target.NODES, Param.FOR),
+    NODES_DOWN(Target.NODES, FaultParameter.FOR),
     /** Those that answer have lost the others. */
-    NODES_READ_ONLY(Target.NODES, Param.FOR),
+    NODES_READ_ONLY(Target.NODES, FaultParameter.FOR),
     /** Those that answer are behind by so much. */
-    NODES_LAG(Target.NODES, Param.FOR, Param.BY),
+    NODES_LAG(Target.NODES, FaultParameter.FOR, FaultParameter.BY),
     /** Their answers take so much longer; what they tell by themselves does not. */
-    NODES_SLOW(Target.NODES, Param.FOR, Param.BY),
+    NODES_SLOW(Target.NODES, FaultParameter.FOR, FaultParameter.BY),
     /**
      * The coordination service has lost everything; the servers' nodes are there again within so
      * long.
      */
-    NODES_WIPED(Target.NODES, Param.DOWN),
+    NODES_WIPED(Target.NODES, FaultParameter.DOWN),
     /** A sidecar's connection to it is lost for so long; its session too, if it lives shorter. */
-    NODES_LOST(Target.SIDECAR, Param.FOR),
+    NODES_LOST(Target.SIDECAR, FaultParameter.FOR),
     /**
      * A server's session ends and is there again, so often and so long apart; its process goes on.
      */
-    NODE_FLAPS(Target.SERVER, Param.COUNT, Param.BY),
+    NODE_FLAPS(Target.SERVER, FaultParameter.COUNT, FaultParameter.BY),
     /** A server's node can't be read for a while. */
-    NODE_GARBLED(Target.SERVER, Param.FOR);
+    NODE_GARBLED(Target.SERVER, FaultParameter.FOR);
 
     /** What a fault is aimed at. */
     enum Target {
@@ -164,13 +164,13 @@
 
     private final Target target;
     private final Class<? extends Enum<?>> styles;
-    private final List<Param> params;
+    private final List<FaultParameter> params;
 
-    FaultKind(Target target, Param... params) {
+    FaultKind(Target target, FaultParameter... params) {
         this(target, null, params);
     }
 
-    FaultKind(Target target, Class<? extends Enum<?>> styles, Param... params) {
+    FaultKind(Target target, Class<? extends Enum<?>> styles, FaultParameter... params) {
         this.target = target;
         this.styles = styles;
         this.params = List.of(params);
@@ -197,7 +197,7 @@
     }
 
     /** The figures that it has; all of them are always given. */
-    List<Param> params() {
+    List<FaultParameter> params() {
         return params;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Meetings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -19,7 +19,7 @@
  * stand-still over a deadline, a drain's grace and a window at once. To be told of everything ahead
  * of the states.
  */
-final class Meetings implements Evidence {
+final class FaultOverlaps implements Evidence {
     /** A request is resent, and the time for that ends. */
     static final String WINDOW_CLOSES = "window-closes";
 
@@ -40,7 +40,7 @@
     private final List<Grace> graces = new ArrayList<>();
     private Day day;
 
-    Meetings(RequestStates states) {
+    FaultOverlaps(RequestStates states) {
         this.states = states;
     }
 
@@ -144,7 +144,7 @@
             long firstByteSentAt,
             long lastByteSentAt,
             long work) {
-        Asked.Form form = day.asked.form(id);
+        SentRequestRegistry.Form form = day.asked.form(id);
         if (form == null || form.key() == null || windows.containsKey(id)) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Param.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultParameter.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** A figure that a fault has. */
-public enum Param {
+public enum FaultParameter {
     /** How long it lasts. */
     FOR(Unit.TIME, 0, 4000 * Site.SECOND),
     /** How long what has ended stays away. */
@@ -11,9 +11,9 @@
     /** By how much something is moved or delayed. */
     BY(Unit.TIME, -86_400 * Site.SECOND, 86_400 * Site.SECOND),
     /** By how much something is slower. */
-    FACTOR(Unit.PART, Knob.part(1), Knob.part(1000)),
+    FACTOR(Unit.PART, ScenarioParameter.part(1), ScenarioParameter.part(1000)),
     /** How many a second. */
-    RATE(Unit.PART, 0, Knob.part(10_000)),
+    RATE(Unit.PART, 0, ScenarioParameter.part(10_000)),
     /** How many. */
     COUNT(Unit.COUNT, 0, 100_000),
     /** How many bytes on. */
@@ -23,7 +23,7 @@
     private final long least;
     private final long most;
 
-    Param(Unit unit, long least, long most) {
+    FaultParameter(Unit unit, long least, long most) {
         this.unit = unit;
         this.least = least;
         this.most = most;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Trigger.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultTrigger.java
@@ -11,9 +11,9 @@
  * @param state null for a time
  * @param nth from 1; 0 for a time
  */
-public record Trigger(long at, RequestState state, int nth) {
-    static Trigger time(long at) {
-        return new Trigger(at, null, 0);
+public record FaultTrigger(long at, RequestState state, int nth) {
+    static FaultTrigger time(long at) {
+        return new FaultTrigger(at, null, 0);
     }
 
     /** Whether it waits for a request. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
-import appleridge.testbed.simnet.Weather;
+import appleridge.testbed.simnet.NetworkConditions;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,9 +26,9 @@
 
     private final Day day;
     private final Network network;
-    private final Chance chance;
-    private final Map<Weather, Nature> natures = new LinkedHashMap<>();
-    private final Map<Host, List<Weather>> ofHost = new LinkedHashMap<>();
+    private final SeededRandom chance;
+    private final Map<NetworkConditions, Nature> natures = new LinkedHashMap<>();
+    private final Map<Host, List<NetworkConditions>> ofHost = new LinkedHashMap<>();
 
     Links(Day day) {
         this.day = day;
@@ -38,34 +38,39 @@
 
     /** A client and its sidecar are on one machine, or close. */
     void home(Host client, Host sidecar) {
-        both(client, sidecar, day.plan.size(Knob.CLIENT_DELAY), true);
+        both(client, sidecar, day.plan.size(ScenarioParameter.CLIENT_DELAY), true);
     }
 
     void join(Host one, Host other, boolean near) {
-        both(one, other, day.plan.size(near ? Knob.NEAR_DELAY : Knob.FAR_DELAY), false);
+        both(
+                one,
+                other,
+                day.plan.size(near ? ScenarioParameter.NEAR_DELAY : ScenarioParameter.FAR_DELAY),
+                false);
     }
 
     private void both(Host one, Host other, long delay, boolean home) {
-        boolean chopped = chance.hits(day.plan.part(Knob.CHOPPED));
+        boolean chopped = chance.hits(day.plan.part(ScenarioParameter.CHOPPED));
         int segment =
                 !chopped
                         ? 0
                         : chance.hits(BYTE_BY_BYTE)
                                 ? 1
                                 : -SMALLEST_PIECE - chance.nextInt(LARGEST_PIECE);
-        for (Weather each : List.of(network.weather(one, other), network.weather(other, one))) {
+        for (NetworkConditions each :
+                List.of(network.weather(one, other), network.weather(other, one))) {
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
-            each.jitter = (long) (each.delay * day.plan.part(Knob.JITTER));
+            each.jitter = (long) (each.delay * day.plan.part(ScenarioParameter.JITTER));
             each.segment = segment;
             int least = home ? Plan.LEAST_BUFFER_AT_HOME : 0;
-            each.sendBuffer = Math.max(least, day.plan.count(Knob.SEND_BUFFER));
-            each.receiveBuffer = Math.max(least, day.plan.count(Knob.RECEIVE_BUFFER));
+            each.sendBuffer = Math.max(least, day.plan.count(ScenarioParameter.SEND_BUFFER));
+            each.receiveBuffer = Math.max(least, day.plan.count(ScenarioParameter.RECEIVE_BUFFER));
             if (home) {
                 each.gap = GAP_AT_HOME;
             } else {
-                each.bytesPerSecond = day.plan.size(Knob.BANDWIDTH);
-                each.lossDelayProbability = day.plan.part(Knob.LOSS);
-                each.lossDelay = day.plan.size(Knob.LOSS_DELAY);
+                each.bytesPerSecond = day.plan.size(ScenarioParameter.BANDWIDTH);
+                each.lossDelayProbability = day.plan.part(ScenarioParameter.LOSS);
+                each.lossDelay = day.plan.size(ScenarioParameter.LOSS_DELAY);
             }
             natures.put(each, new Nature(each.delay, each.segment, each.bytesPerSecond));
             ofHost.computeIfAbsent(one, host -> new ArrayList<>()).add(each);
@@ -79,20 +84,20 @@
     }
 
     /** Changes all that goes to and from a host, for a while. */
-    void change(Host host, long duration, Consumer<Weather> how) {
-        List<Weather> all = ofHost.get(host);
+    void change(Host host, long duration, Consumer<NetworkConditions> how) {
+        List<NetworkConditions> all = ofHost.get(host);
         all.forEach(how);
         day.after(duration, () -> all.forEach(this::restore));
     }
 
     /** Changes what goes from one host to another, for a while. */
-    void change(Host from, Host to, long duration, Consumer<Weather> how) {
-        Weather weather = network.weather(from, to);
+    void change(Host from, Host to, long duration, Consumer<NetworkConditions> how) {
+        NetworkConditions weather = network.weather(from, to);
         how.accept(weather);
         day.after(duration, () -> restore(weather));
     }
 
-    private void restore(Weather weather) {
+    private void restore(NetworkConditions weather) {
         Nature nature = natures.get(weather);
         weather.delay = nature.delay();
         weather.segment = nature.segment();
--- a/testbed/src/main/java/appleridge/testbed/simulation/ListStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
@@ -3,12 +3,12 @@
 import appleridge.testbed.invariants.InState;
 
 /** Faults of discovery. */
-final class ListStrikes {
+final class ListFaultInjector {
     private final Day day;
     private final Discovery discovery;
-    private final Seats seats;
+    private final ProcessSlots seats;
 
-    ListStrikes(Day day, Discovery discovery, Seats seats) {
+    ListFaultInjector(Day day, Discovery discovery, ProcessSlots seats) {
         this.day = day;
         this.discovery = discovery;
         this.seats = seats;
@@ -18,7 +18,9 @@
         Registry registry = discovery.registry();
         day.evidence.fault(fault.kind().word(), null, request == null ? null : request.id());
         long duration =
-                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+                fault.kind().params().contains(FaultParameter.FOR)
+                        ? day.bounded(fault.value(FaultParameter.FOR))
+                        : 0;
         switch (fault.kind()) {
             case LIST_DOWN -> {
                 unreachable(duration);
@@ -36,18 +38,18 @@
                 unreachable(duration);
                 registry.failing(duration);
             }
-            case LIST_SLOW -> registry.slow(duration, fault.value(Param.BY));
+            case LIST_SLOW -> registry.slow(duration, fault.value(FaultParameter.BY));
             case LIST_LOSES_WATCHES -> registry.loseWatches();
-            case LIST_CUT -> registry.cut(fault.value(Param.COUNT));
-            case LIST_GARBLED -> registry.garble(fault.value(Param.COUNT));
-            case LIST_STALE -> registry.stale(duration, fault.value(Param.BY));
+            case LIST_CUT -> registry.cut(fault.value(FaultParameter.COUNT));
+            case LIST_GARBLED -> registry.garble(fault.value(FaultParameter.COUNT));
+            case LIST_STALE -> registry.stale(duration, fault.value(FaultParameter.BY));
             case MOVE -> discovery.move();
             default -> throw new IllegalArgumentException("no fault of discovery: " + fault.text());
         }
     }
 
     private void unreachable(long duration) {
-        for (Seat each : seats.all()) {
+        for (ProcessSlot each : seats.all()) {
             day.evidence.discoveryUnreachable(each.name(), day.now(), day.now() + duration);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -1,18 +1,18 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 
 /** The load report of one server, refreshed now and then. */
 final class LoadReport {
     private final long age;
-    private final Chance chance;
+    private final SeededRandom chance;
     private long since;
     private int answers;
     private int errors;
     private long served;
     private String text = "rate=0,lat_ms=0,fail_rate=0,q=0";
 
-    LoadReport(long age, Chance chance) {
+    LoadReport(long age, SeededRandom chance) {
         this.age = age;
         this.chance = chance;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.RequestStates;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SeededRandom;
 import java.net.InetSocketAddress;
 
 /** A machine on which one order server at a time runs; what comes after it has its address. */
@@ -16,7 +16,7 @@
     private final int zone;
     private final Host host;
     private final InetSocketAddress address;
-    private final Chance chance;
+    private final SeededRandom chance;
     private RequestStates states;
     private OrderServer server;
     private int uids;
@@ -90,7 +90,7 @@
                                 LINGER,
                                 () -> {
                                     if (server == leaving) {
-                                        end(day.plan.size(Knob.NOTICE));
+                                        end(day.plan.size(ScenarioParameter.NOTICE));
                                         follow(name + "." + ++uids, 0, down);
                                     }
                                 }));
@@ -104,7 +104,7 @@
         changing = true;
         String uid = sameId ? server.uid() : name + "." + ++uids;
         int life = sameId ? server.life() + 1 : 0;
-        end(day.plan.size(Knob.SILENT_NOTICE));
+        end(day.plan.size(ScenarioParameter.SILENT_NOTICE));
         follow(uid, life, down);
     }
 
@@ -113,7 +113,7 @@
      */
     void fell() {
         changing = true;
-        end(day.plan.size(Knob.SILENT_NOTICE));
+        end(day.plan.size(ScenarioParameter.SILENT_NOTICE));
         day.simulation.at(day.plan.faultsEnd(), () -> follow(name + "." + ++uids, 0, 0));
     }
 
@@ -132,7 +132,9 @@
                 () -> {
                     boot(uid, life, Math.max(1, day.now()));
                     fleet.instances()
-                            .change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
+                            .change(
+                                    entry(Instances.READY),
+                                    day.plan.size(ScenarioParameter.ADD_NOTICE));
                     changing = false;
                 });
     }
@@ -145,7 +147,7 @@
         host.vanish();
         long away = day.bounded(duration);
         OrderServer hidden = server;
-        long notice = day.plan.size(Knob.SILENT_NOTICE);
+        long notice = day.plan.size(ScenarioParameter.SILENT_NOTICE);
         boolean seen = away > notice;
         if (seen) {
             fleet.instances().change(entry(Instances.GONE), notice);
@@ -156,7 +158,9 @@
                     host.back();
                     if (seen && server == hidden && !hidden.isDraining()) {
                         fleet.instances()
-                                .change(entry(Instances.READY), day.plan.size(Knob.ADD_NOTICE));
+                                .change(
+                                        entry(Instances.READY),
+                                        day.plan.size(ScenarioParameter.ADD_NOTICE));
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Narrator.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
@@ -1,14 +1,14 @@
 package appleridge.testbed.simulation;
 
+import appleridge.testbed.invariants.ClientAttempt;
 import appleridge.testbed.invariants.Evidence;
 import appleridge.testbed.invariants.RequestState;
-import appleridge.testbed.invariants.Try;
 import appleridge.testbed.simnet.Simulation;
 import java.util.Map;
 import java.util.function.Supplier;
 
 /** Notes what the stand-ins tell, for the day's digest and for who reads its trace. */
-final class Narrator implements Evidence {
+final class NarratedLog implements Evidence {
     private static final int ASKS = 101;
     private static final int ANSWERED = 102;
     private static final int BROKEN = 103;
@@ -26,7 +26,7 @@
 
     private final Simulation simulation;
 
-    Narrator(Simulation simulation) {
+    NarratedLog(Simulation simulation) {
         this.simulation = simulation;
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         note(
                 ASKS,
                 asking.id(),
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodeStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
@@ -1,22 +1,27 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.InState;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 
 /**
  * Faults of the coordination service, of its nodes and of sidecars' sessions; none where it is not
  * asked.
  */
-final class NodeStrikes {
+final class NodeFaultInjector {
     private final Day day;
     private final Ensemble ensemble;
     private final Registrations registrations;
     private final Fleet fleet;
-    private final Seats seats;
-    private final Chance chance;
+    private final ProcessSlots seats;
+    private final SeededRandom chance;
 
     /** {@code ensemble} and {@code registrations} null: it is not asked. */
-    NodeStrikes(Day day, Ensemble ensemble, Registrations registrations, Fleet fleet, Seats seats) {
+    NodeFaultInjector(
+            Day day,
+            Ensemble ensemble,
+            Registrations registrations,
+            Fleet fleet,
+            ProcessSlots seats) {
         this.day = day;
         this.ensemble = ensemble;
         this.registrations = registrations;
@@ -30,7 +35,9 @@
             return;
         }
         long duration =
-                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+                fault.kind().params().contains(FaultParameter.FOR)
+                        ? day.bounded(fault.value(FaultParameter.FOR))
+                        : 0;
         String id = request == null ? null : request.id();
         switch (fault.kind()) {
             case NODE_FLAPS, NODE_GARBLED -> {
@@ -40,8 +47,8 @@
                     if (fault.kind() == FaultKind.NODE_FLAPS) {
                         registrations.flap(
                                 server.uid(),
-                                (int) fault.value(Param.COUNT),
-                                fault.value(Param.BY));
+                                (int) fault.value(FaultParameter.COUNT),
+                                fault.value(FaultParameter.BY));
                     } else {
                         registrations.garble(server.uid(), duration);
                     }
@@ -64,11 +71,11 @@
         switch (fault.kind()) {
             case NODES_DOWN -> ensemble.down(duration);
             case NODES_READ_ONLY -> ensemble.readOnly(duration);
-            case NODES_LAG -> ensemble.lag(duration, fault.value(Param.BY));
-            case NODES_SLOW -> ensemble.slow(duration, fault.value(Param.BY));
+            case NODES_LAG -> ensemble.lag(duration, fault.value(FaultParameter.BY));
+            case NODES_SLOW -> ensemble.slow(duration, fault.value(FaultParameter.BY));
             case NODES_WIPED -> {
                 ensemble.wipe();
-                registrations.again(day.bounded(fault.value(Param.DOWN)));
+                registrations.again(day.bounded(fault.value(FaultParameter.DOWN)));
             }
             default -> throw new IllegalArgumentException("no fault of nodes: " + fault.text());
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
@@ -18,8 +18,8 @@
         return ensemble;
     }
 
-    NodeStrikes strikes(Day day, Fleet fleet, Seats seats) {
-        return new NodeStrikes(day, ensemble, registrations, fleet, seats);
+    NodeFaultInjector strikes(Day day, Fleet fleet, ProcessSlots seats) {
+        return new NodeFaultInjector(day, ensemble, registrations, fleet, seats);
     }
 
     @Override
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimListener;
 import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
@@ -24,11 +24,11 @@
     private final String uid;
     private final int life;
     private final long bornAt;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final Answers answers;
     private final Engine engine;
     private final LoadReport load;
-    private final TipWatch tip = new TipWatch();
+    private final ColdServerOverloadWatch tip = new ColdServerOverloadWatch();
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
     private SimListener listener;
     private Runnable whenDrained;
@@ -52,7 +52,7 @@
             String uid,
             int life,
             long bornAt,
-            Chance chance) {
+            SeededRandom chance) {
         this.day = day;
         this.fleet = fleet;
         this.machine = machine;
@@ -61,8 +61,9 @@
         this.bornAt = bornAt;
         this.chance = chance;
         this.answers = new Answers(chance);
-        this.engine = new Engine(day.simulation, day.plan.count(Knob.CORES), this::speed);
-        this.load = new LoadReport(day.plan.size(Knob.REPORT_AGE), chance);
+        this.engine =
+                new Engine(day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
+        this.load = new LoadReport(day.plan.size(ScenarioParameter.REPORT_AGE), chance);
     }
 
     String uid() {
@@ -96,7 +97,8 @@
         }
         try {
             for (SimSocket next = listener.accept(); next != null; next = listener.accept()) {
-                boolean surplus = connections.size() >= day.plan.count(Knob.CONNECTIONS);
+                boolean surplus =
+                        connections.size() >= day.plan.count(ScenarioParameter.CONNECTIONS);
                 connections.add(new ServerConnection(day, this, next, surplus));
             }
         } catch (IOException e) {
@@ -135,13 +137,15 @@
     /** A request has come whole on this connection. */
     void take(ServerConnection on, ServerConnection.Received received) {
         String id = received.id();
-        Asked.Form form = day.asked.form(id);
+        SentRequestRegistry.Form form = day.asked.form(id);
         boolean fits = form != null && form.message().equals(received.message());
         long work =
                 !fits
                         ? 0
                         : (long) (form.work() * (0.7 + 0.6 * chance.nextDouble()))
-                                + (received.first() ? day.plan.size(Knob.HANDSHAKE) : 0);
+                                + (received.first()
+                                        ? day.plan.size(ScenarioParameter.HANDSHAKE)
+                                        : 0);
         on.tellArrived(received, work);
         if (!fits) {
             on.say(
@@ -151,7 +155,11 @@
             return;
         }
         if (share() < 1
-                && tip.tips(day.now(), work, on.sidecar(), share() * day.plan.count(Knob.CORES))) {
+                && tip.tips(
+                        day.now(),
+                        work,
+                        on.sidecar(),
+                        share() * day.plan.count(ScenarioParameter.CORES))) {
             day.evidence.fellOver(uid, life, tip.bySidecar());
             machine.fell();
             return;
@@ -174,11 +182,14 @@
     }
 
     private void admit(
-            ServerConnection on, ServerConnection.Received received, Asked.Form form, long work) {
+            ServerConnection on,
+            ServerConnection.Received received,
+            SentRequestRegistry.Form form,
+            long work) {
         if (isDraining()
                 || on.isSurplus()
                 || day.now() < fullUntil
-                || engine.waiting() >= Math.max(1, day.plan.count(Knob.QUEUE))) {
+                || engine.waiting() >= Math.max(1, day.plan.count(ScenarioParameter.QUEUE))) {
             turnAway(on, received.id(), isDraining() || on.isSurplus());
             return;
         }
@@ -192,7 +203,8 @@
                     public long begins() {
                         boolean late =
                                 day.now() > received.dueAt()
-                                        && chance.hits(day.plan.part(Knob.DROPS_EXPIRED));
+                                        && chance.hits(
+                                                day.plan.part(ScenarioParameter.DROPS_EXPIRED));
                         if (late && !repeat) {
                             if (repeats != null) {
                                 repeats.forget(form.key());
@@ -245,18 +257,20 @@
 
     private void answer(ServerConnection on, String id, long took) {
         boolean fails =
-                chance.hits(day.isTroubled() ? day.plan.part(Knob.ERRORS) : 0)
+                chance.hits(day.isTroubled() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
                         || day.now() < failingUntil && chance.hits(failing);
         load.answered(took, fails);
         if (!on.isOpen()) {
             endWhenDrained();
             return;
         }
-        Spoil spoil = day.asked.takeSpoil(id);
-        if (spoil == null && day.isTroubled() && chance.hits(day.plan.part(Knob.SPOILT))) {
-            spoil = chance.pick(List.of(Spoil.values()));
+        ResponseCorruption spoil = day.asked.takeSpoil(id);
+        if (spoil == null
+                && day.isTroubled()
+                && chance.hits(day.plan.part(ScenarioParameter.SPOILT))) {
+            spoil = chance.pick(List.of(ResponseCorruption.values()));
         }
-        if (spoil == Spoil.PAUSES) {
+        if (spoil == ResponseCorruption.PAUSES) {
             on.say(answers.pausing(answers.good(report(Report.GOOD), make(id), 0)));
         } else if (spoil != null) {
             on.say(answers.spoilt(spoil, "spoilt/" + uid + '/' + id));
@@ -269,15 +283,17 @@
     }
 
     private void sayGood(ServerConnection on, String id) {
-        Extra extra = day.asked.takeExtra(id);
-        if (extra == null && day.isTroubled() && chance.hits(day.plan.part(Knob.EXTRAS))) {
-            extra = chance.pick(List.of(Extra.values()));
+        ResponseExtra extra = day.asked.takeExtra(id);
+        if (extra == null
+                && day.isTroubled()
+                && chance.hits(day.plan.part(ScenarioParameter.EXTRAS))) {
+            extra = chance.pick(List.of(ResponseExtra.values()));
         }
         String headers =
-                report(extra == Extra.BAD_REPORT ? Report.UNREADABLE : Report.GOOD)
+                report(extra == ResponseExtra.BAD_REPORT ? Report.UNREADABLE : Report.GOOD)
                         + (isDraining() ? "Connection: close\r\n" : "");
-        String good = answers.good(headers, make(id), day.plan.part(Knob.CHUNKED));
-        boolean behind = extra == Extra.COPY || extra == Extra.NOISE;
+        String good = answers.good(headers, make(id), day.plan.part(ScenarioParameter.CHUNKED));
+        boolean behind = extra == ResponseExtra.COPY || extra == ResponseExtra.NOISE;
         if (extra == null || behind && !on.carriesAtOnce(2 * good.length())) {
             on.say(Script.of(good));
             on.mayRepeat(good);
@@ -289,7 +305,7 @@
     private String make(String id) {
         String token = uid + '/' + life + '/' + ++made + '/' + id;
         String body =
-                chance.hits(day.plan.part(Knob.LARGE_ANSWERS))
+                chance.hits(day.plan.part(ScenarioParameter.LARGE_ANSWERS))
                         ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.largestBody()))
                         : token;
         day.evidence.made(uid, life, id, body);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -23,13 +23,13 @@
     private static final int BUFFERS_IN_A_BODY = 20;
 
     private final long seed;
-    private final Map<Knob, Long> sizes;
+    private final Map<ScenarioParameter, Long> sizes;
     private final List<Fault> faults;
 
-    Plan(long seed, Map<Knob, Long> sizes, List<Fault> faults) {
+    Plan(long seed, Map<ScenarioParameter, Long> sizes, List<Fault> faults) {
         this.seed = seed;
-        EnumMap<Knob, Long> all = new EnumMap<>(Knob.class);
-        for (Knob each : Knob.values()) {
+        EnumMap<ScenarioParameter, Long> all = new EnumMap<>(ScenarioParameter.class);
+        for (ScenarioParameter each : ScenarioParameter.values()) {
             all.put(each, each.checked(sizes.getOrDefault(each, each.usual())));
         }
         this.sizes = Collections.unmodifiableMap(all);
@@ -66,8 +66,8 @@
     }
 
     /** The same day with another size. */
-    public Plan with(Knob knob, long value) {
-        EnumMap<Knob, Long> changed = new EnumMap<>(sizes);
+    public Plan with(ScenarioParameter knob, long value) {
+        EnumMap<ScenarioParameter, Long> changed = new EnumMap<>(sizes);
         changed.put(knob, value);
         return new Plan(seed, changed, faults);
     }
@@ -80,8 +80,8 @@
     }
 
     /** The sizes that are not as usual. */
-    public List<Knob> unusual() {
-        List<Knob> unusual = new ArrayList<>();
+    public List<ScenarioParameter> unusual() {
+        List<ScenarioParameter> unusual = new ArrayList<>();
         sizes.forEach(
                 (knob, value) -> {
                     if (value != knob.usual()) {
@@ -92,7 +92,7 @@
     }
 
     /** The same day with a size as usual. */
-    public Plan withUsual(Knob knob) {
+    public Plan withUsual(ScenarioParameter knob) {
         return with(knob, knob.usual());
     }
 
@@ -102,16 +102,16 @@
     }
 
     /** A size, in the smallest unit that it is kept in: nanoseconds, millionths or ones. */
-    public long size(Knob knob) {
+    public long size(ScenarioParameter knob) {
         return sizes.get(knob);
     }
 
     /** A part, as a fraction. */
-    double part(Knob knob) {
+    double part(ScenarioParameter knob) {
         return sizes.get(knob) / 1e6;
     }
 
-    int count(Knob knob) {
+    int count(ScenarioParameter knob) {
         return Math.toIntExact(sizes.get(knob));
     }
 
@@ -122,22 +122,22 @@
 
     /** When faults and unusual traffic have ended. */
     public long faultsEnd() {
-        return size(Knob.FAULTS_END);
+        return size(ScenarioParameter.FAULTS_END);
     }
 
     /** When the judge begins to measure what is served. */
     public long calmFrom() {
-        return faultsEnd() + size(Knob.RECOVERY);
+        return faultsEnd() + size(ScenarioParameter.RECOVERY);
     }
 
     /** When the last request is asked. */
     public long quietFrom() {
-        return calmFrom() + size(Knob.CALM);
+        return calmFrom() + size(ScenarioParameter.CALM);
     }
 
     /** When the day ends. */
     public long end() {
-        return quietFrom() + size(Knob.QUIET);
+        return quietFrom() + size(ScenarioParameter.QUIET);
     }
 
     /** What a client asks, or gets, has no longer body than this. */
@@ -146,17 +146,23 @@
                 Math.min(
                         LARGEST_BODY,
                         BUFFERS_IN_A_BODY
-                                * Math.min(size(Knob.SEND_BUFFER), size(Knob.RECEIVE_BUFFER)));
+                                * Math.min(
+                                        size(ScenarioParameter.SEND_BUFFER),
+                                        size(ScenarioParameter.RECEIVE_BUFFER)));
     }
 
     /** The longest that clients of a class wait. */
     long deadline(Classes.Kind kind) {
-        return kind.deadline() < Classes.LONGEST ? kind.deadline() : size(Knob.LONGEST_DEADLINE);
+        return kind.deadline() < Classes.LONGEST
+                ? kind.deadline()
+                : size(ScenarioParameter.LONGEST_DEADLINE);
     }
 
     /** How long a keyed class's repeats are dropped. */
     long window(Classes.Kind kind) {
-        return kind.scope() == DeduplicationScope.ALL ? kind.keyTtl() : size(Knob.KEY_WINDOW);
+        return kind.scope() == DeduplicationScope.ALL
+                ? kind.keyTtl()
+                : size(ScenarioParameter.KEY_WINDOW);
     }
 
     /**
@@ -164,14 +170,15 @@
      * told.
      */
     public long longestWay() {
-        double way = 1.2 * size(Knob.CLIENT_DELAY) * (1 + part(Knob.JITTER));
+        double way =
+                1.2 * size(ScenarioParameter.CLIENT_DELAY) * (1 + part(ScenarioParameter.JITTER));
         return (long) (way * (1 + 2.0 * BUFFERS_IN_A_BODY)) + 5 * Site.MS;
     }
 
     /** What work that waits in a sidecar's loop may add to all it does, in a time of no trouble. */
     public long longestWork() {
-        return 50 * (size(Knob.TASK_COST) + size(Knob.READ_COST))
-                + 300 * size(Knob.CLOCK_COST)
+        return 50 * (size(ScenarioParameter.TASK_COST) + size(ScenarioParameter.READ_COST))
+                + 300 * size(ScenarioParameter.CLOCK_COST)
                 + 5 * Site.MS;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.RequestState;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -58,19 +58,19 @@
     private static final double NODE_DAYS = 0;
 
     private final long seed;
-    private final Chance sizeChance;
-    private final Chance faultChance;
-    private final Map<Knob, Long> sizes = new EnumMap<>(Knob.class);
-    private final Chance stageChance;
-    private final Staging stage;
+    private final SeededRandom sizeChance;
+    private final SeededRandom faultChance;
+    private final Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
+    private final SeededRandom stageChance;
+    private final StagedCombination stage;
 
     PlanDraw(long seed) {
         this.seed = seed;
-        Chance all = new Chance(seed);
+        SeededRandom all = new SeededRandom(seed);
         this.sizeChance = all.stream("plan.sizes");
         this.faultChance = all.stream("plan.faults");
         this.stageChance = all.stream("plan.stage");
-        this.stage = Staging.draw(stageChance);
+        this.stage = StagedCombination.draw(stageChance);
     }
 
     Plan draw() {
@@ -90,108 +90,175 @@
     }
 
     private void drawDay() {
-        between(Knob.SIDECARS, 3, 3);
+        between(ScenarioParameter.SIDECARS, 3, 3);
         if (sizeChance.hits(0.1)) {
-            between(Knob.SIDECARS, 1, 5);
+            between(ScenarioParameter.SIDECARS, 1, 5);
         }
-        between(Knob.SERVERS, 6, 10);
-        between(Knob.FAULTS_END, 6 * S, 13 * S);
+        between(ScenarioParameter.SERVERS, 6, 10);
+        between(ScenarioParameter.FAULTS_END, 6 * S, 13 * S);
         stage.length(stageChance, sizes);
         double seconds =
-                (size(Knob.FAULTS_END) + Knob.RECOVERY.usual() + size(Knob.CALM)) / (double) S;
-        sizes.put(Knob.RATE, Knob.part((LEAST_REQUESTS + sizeChance.nextInt(140)) / seconds));
-        between(Knob.UNEVEN, Knob.part(0.15), Knob.part(1));
-        between(Knob.BURSTS, 0, Knob.part(0.6));
+                (size(ScenarioParameter.FAULTS_END)
+                                + ScenarioParameter.RECOVERY.usual()
+                                + size(ScenarioParameter.CALM))
+                        / (double) S;
+        sizes.put(
+                ScenarioParameter.RATE,
+                ScenarioParameter.part((LEAST_REQUESTS + sizeChance.nextInt(140)) / seconds));
+        between(ScenarioParameter.UNEVEN, ScenarioParameter.part(0.15), ScenarioParameter.part(1));
+        between(ScenarioParameter.BURSTS, 0, ScenarioParameter.part(0.6));
     }
 
     private void drawClients() {
-        between(Knob.RETRIES, 0, 2);
-        between(Knob.BACKOFF, 10 * MS, 80 * MS);
-        between(Knob.HONOUR, Knob.part(0.8), Knob.part(1));
-        seldom(Knob.IMPATIENT, 0.3, Knob.part(0.02), Knob.part(0.2));
-        seldom(Knob.SLOW_READERS, 0.3, Knob.part(0.02), Knob.part(0.2));
-        between(Knob.SLOW_WRITERS, Knob.part(0.1), Knob.part(0.4));
-        seldom(Knob.PIPELINED, 0.2, Knob.part(0.02), Knob.part(0.15));
-        seldom(Knob.ASK_ONCE, 0.2, Knob.part(0.05), Knob.part(0.5));
-        seldom(Knob.LARGE_BODIES, 0.3, Knob.part(0.02), Knob.part(0.2));
+        between(ScenarioParameter.RETRIES, 0, 2);
+        between(ScenarioParameter.BACKOFF, 10 * MS, 80 * MS);
+        between(ScenarioParameter.HONOUR, ScenarioParameter.part(0.8), ScenarioParameter.part(1));
+        seldom(
+                ScenarioParameter.IMPATIENT,
+                0.3,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.2));
+        seldom(
+                ScenarioParameter.SLOW_READERS,
+                0.3,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.2));
+        between(
+                ScenarioParameter.SLOW_WRITERS,
+                ScenarioParameter.part(0.1),
+                ScenarioParameter.part(0.4));
+        seldom(
+                ScenarioParameter.PIPELINED,
+                0.2,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.15));
+        seldom(
+                ScenarioParameter.ASK_ONCE,
+                0.2,
+                ScenarioParameter.part(0.05),
+                ScenarioParameter.part(0.5));
+        seldom(
+                ScenarioParameter.LARGE_BODIES,
+                0.3,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.2));
     }
 
     private void drawServers() {
-        between(Knob.CORES, 1, 3);
-        between(Knob.QUEUE, 9, 72);
-        seldom(Knob.QUEUE, 0.1, 0, 4);
-        between(Knob.CONNECTIONS, 360, 450);
-        seldom(Knob.CONNECTIONS, 0.1, 4, 20);
-        between(Knob.HANDSHAKE, 3100 * US, 6000 * US);
-        seldom(Knob.SERVER_IDLE, 0.15, 100 * MS, 3 * S);
-        seldom(Knob.DROPS_EXPIRED, 0.3, Knob.part(0.3), Knob.part(1));
-        seldom(Knob.CHUNKED, 0.3, Knob.part(0.2), Knob.part(1));
-        seldom(Knob.LARGE_ANSWERS, 0.3, Knob.part(0.02), Knob.part(0.2));
-        between(Knob.ERRORS, 0, Knob.part(0.003));
-        seldom(Knob.ERRORS, 0.15, Knob.part(0.02), Knob.part(0.3));
-        seldom(Knob.SPOILT, 0.2, Knob.part(0.01), Knob.part(0.15));
-        seldom(Knob.EXTRAS, 0.25, Knob.part(0.02), Knob.part(0.3));
-        between(Knob.REPORT_AGE, 49 * MS, 410 * MS);
+        between(ScenarioParameter.CORES, 1, 3);
+        between(ScenarioParameter.QUEUE, 9, 72);
+        seldom(ScenarioParameter.QUEUE, 0.1, 0, 4);
+        between(ScenarioParameter.CONNECTIONS, 360, 450);
+        seldom(ScenarioParameter.CONNECTIONS, 0.1, 4, 20);
+        between(ScenarioParameter.HANDSHAKE, 3100 * US, 6000 * US);
+        seldom(ScenarioParameter.SERVER_IDLE, 0.15, 100 * MS, 3 * S);
+        seldom(
+                ScenarioParameter.DROPS_EXPIRED,
+                0.3,
+                ScenarioParameter.part(0.3),
+                ScenarioParameter.part(1));
+        seldom(
+                ScenarioParameter.CHUNKED,
+                0.3,
+                ScenarioParameter.part(0.2),
+                ScenarioParameter.part(1));
+        seldom(
+                ScenarioParameter.LARGE_ANSWERS,
+                0.3,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.2));
+        between(ScenarioParameter.ERRORS, 0, ScenarioParameter.part(0.003));
+        seldom(
+                ScenarioParameter.ERRORS,
+                0.15,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.3));
+        seldom(
+                ScenarioParameter.SPOILT,
+                0.2,
+                ScenarioParameter.part(0.01),
+                ScenarioParameter.part(0.15));
+        seldom(
+                ScenarioParameter.EXTRAS,
+                0.25,
+                ScenarioParameter.part(0.02),
+                ScenarioParameter.part(0.3));
+        between(ScenarioParameter.REPORT_AGE, 49 * MS, 410 * MS);
     }
 
     private void drawLimits() {
-        between(Knob.SOCKETS, 256, 1024);
-        seldom(Knob.SOCKETS, 0.1, 64, 100);
-        seldom(Knob.MAX_OPEN, 0.1, 8, 24);
-        seldom(Knob.CONN_IDLE, 0.1, 300 * MS, 60 * S);
-        seldom(Knob.CONNECT_TIMEOUT, 0.15, 30 * MS, 1 * S);
-        seldom(Knob.RETRY_AFTER, 0.5, 0, 0);
-        seldom(Knob.ASK_WITHIN, 0.15, 4 * S, 20 * S);
-        seldom(Knob.KNOWN_AGE, 0.4, 1 * S, 600 * S);
-        between(Knob.START, 200 * MS, 1500 * MS);
+        between(ScenarioParameter.SOCKETS, 256, 1024);
+        seldom(ScenarioParameter.SOCKETS, 0.1, 64, 100);
+        seldom(ScenarioParameter.MAX_OPEN, 0.1, 8, 24);
+        seldom(ScenarioParameter.CONN_IDLE, 0.1, 300 * MS, 60 * S);
+        seldom(ScenarioParameter.CONNECT_TIMEOUT, 0.15, 30 * MS, 1 * S);
+        seldom(ScenarioParameter.RETRY_AFTER, 0.5, 0, 0);
+        seldom(ScenarioParameter.ASK_WITHIN, 0.15, 4 * S, 20 * S);
+        seldom(ScenarioParameter.KNOWN_AGE, 0.4, 1 * S, 600 * S);
+        between(ScenarioParameter.START, 200 * MS, 1500 * MS);
     }
 
     private void drawNetwork() {
-        between(Knob.CLIENT_DELAY, 40 * US, 100 * US);
-        between(Knob.NEAR_DELAY, 160 * US, 320 * US);
-        between(Knob.FAR_DELAY, 420 * US, 780 * US);
-        between(Knob.JITTER, Knob.part(0.069), Knob.part(0.35));
+        between(ScenarioParameter.CLIENT_DELAY, 40 * US, 100 * US);
+        between(ScenarioParameter.NEAR_DELAY, 160 * US, 320 * US);
+        between(ScenarioParameter.FAR_DELAY, 420 * US, 780 * US);
+        between(
+                ScenarioParameter.JITTER,
+                ScenarioParameter.part(0.069),
+                ScenarioParameter.part(0.35));
         boolean far = sizeChance.hits(0.1);
         if (far) {
-            between(Knob.FAR_DELAY, 2 * MS, 8 * MS);
+            between(ScenarioParameter.FAR_DELAY, 2 * MS, 8 * MS);
         } else {
-            seldom(Knob.JITTER, 0.1, Knob.part(1), Knob.part(5));
+            seldom(
+                    ScenarioParameter.JITTER,
+                    0.1,
+                    ScenarioParameter.part(1),
+                    ScenarioParameter.part(5));
         }
-        seldom(Knob.CHOPPED, 0.25, Knob.part(0.05), Knob.part(0.4));
-        seldom(Knob.LOSS, 0.15, Knob.part(0.001), Knob.part(0.01));
-        seldom(Knob.BANDWIDTH, 0.1, 1_000_000, 5_000_000);
+        seldom(
+                ScenarioParameter.CHOPPED,
+                0.25,
+                ScenarioParameter.part(0.05),
+                ScenarioParameter.part(0.4));
+        seldom(
+                ScenarioParameter.LOSS,
+                0.15,
+                ScenarioParameter.part(0.001),
+                ScenarioParameter.part(0.01));
+        seldom(ScenarioParameter.BANDWIDTH, 0.1, 1_000_000, 5_000_000);
         // Through small buffers and over a long way nothing large would come in time.
-        seldom(Knob.SEND_BUFFER, far ? 0 : 0.15, 256, 4096);
-        seldom(Knob.RECEIVE_BUFFER, far ? 0 : 0.15, 256, 4096);
+        seldom(ScenarioParameter.SEND_BUFFER, far ? 0 : 0.15, 256, 4096);
+        seldom(ScenarioParameter.RECEIVE_BUFFER, far ? 0 : 0.15, 256, 4096);
         if (!far && sizeChance.hits(0.55)) {
             // Together less than any request has: each is a while in being written.
-            between(Knob.SEND_BUFFER, 64, 120);
-            between(Knob.RECEIVE_BUFFER, 64, 120);
+            between(ScenarioParameter.SEND_BUFFER, 64, 120);
+            between(ScenarioParameter.RECEIVE_BUFFER, 64, 120);
         }
-        between(Knob.TASK_COST, 0, 60 * US);
-        between(Knob.READ_COST, 0, 30 * US);
-        between(Knob.CLOCK_COST, 0, 1 * US);
-        seldom(Knob.CLOCK_COST, 0.1, 10 * US, 200 * US);
-        seldom(Knob.TASK_COST, 0.05, 100 * US, 300 * US);
+        between(ScenarioParameter.TASK_COST, 0, 60 * US);
+        between(ScenarioParameter.READ_COST, 0, 30 * US);
+        between(ScenarioParameter.CLOCK_COST, 0, 1 * US);
+        seldom(ScenarioParameter.CLOCK_COST, 0.1, 10 * US, 200 * US);
+        seldom(ScenarioParameter.TASK_COST, 0.05, 100 * US, 300 * US);
     }
 
     private void drawDiscovery() {
-        between(Knob.NOTICE, 200 * MS, 3 * S);
-        between(Knob.SILENT_NOTICE, 2 * S, 6 * S);
-        between(Knob.ADD_NOTICE, 460 * MS, 2100 * MS);
-        between(Knob.CALL_COST, 5 * MS, 250 * MS);
+        between(ScenarioParameter.NOTICE, 200 * MS, 3 * S);
+        between(ScenarioParameter.SILENT_NOTICE, 2 * S, 6 * S);
+        between(ScenarioParameter.ADD_NOTICE, 460 * MS, 2100 * MS);
+        between(ScenarioParameter.CALL_COST, 5 * MS, 250 * MS);
     }
 
     private void drawWindow() {
-        Chance own = new Chance(seed).stream("plan.window");
+        SeededRandom own = new SeededRandom(seed).stream("plan.window");
         if (own.hits(0.3)) {
-            sizes.put(Knob.KEY_WINDOW, own.between(100 * MS, 900 * MS));
+            sizes.put(ScenarioParameter.KEY_WINDOW, own.between(100 * MS, 900 * MS));
         }
     }
 
     private void drawKnown() {
-        if (new Chance(seed).stream("plan.known").hits(0.1)) {
-            sizes.put(Knob.KNOWN, 0L);
+        if (new SeededRandom(seed).stream("plan.known").hits(0.1)) {
+            sizes.put(ScenarioParameter.KNOWN, 0L);
         }
     }
 
@@ -200,13 +267,13 @@
      * were.
      */
     private List<Fault> drawMembership() {
-        Chance own = new Chance(seed).stream("plan.membership");
+        SeededRandom own = new SeededRandom(seed).stream("plan.membership");
         List<Fault> faults = new ArrayList<>();
         if (!own.hits(NODE_DAYS)) {
             return faults;
         }
-        sizes.put(Knob.MEMBERSHIP, own.between(1, 2));
-        sizes.put(Knob.SESSION_TIMEOUT, millis(own.between(500 * MS, 4 * S)));
+        sizes.put(ScenarioParameter.MEMBERSHIP, own.between(1, 2));
+        sizes.put(ScenarioParameter.SESSION_TIMEOUT, millis(own.between(500 * MS, 4 * S)));
         boolean wiped = own.hits(0.35);
         List<FaultKind> kinds =
                 Arrays.stream(FaultKind.values())
@@ -214,7 +281,9 @@
                         .toList();
         int timed = own.nextInt(7);
         for (int i = 0; i < timed; i++) {
-            Trigger trigger = Trigger.time(millis(own.between(S, size(Knob.FAULTS_END) - S)));
+            FaultTrigger trigger =
+                    FaultTrigger.time(
+                            millis(own.between(S, size(ScenarioParameter.FAULTS_END) - S)));
             faults.add(fault(trigger, own.pick(kinds)));
         }
         int trapped = own.nextInt(6);
@@ -226,7 +295,7 @@
 
     /** Each kind is on or off for the day; what strikes is drawn from those that are on. */
     private List<Fault> drawFaults() {
-        Chance chance = faultChance;
+        SeededRandom chance = faultChance;
         double part = chance.pick(List.of(0.1, 0.25, 0.5, 1.0));
         List<FaultKind> on = new ArrayList<>();
         for (FaultKind each : FaultKind.values()) {
@@ -242,8 +311,8 @@
         for (int i = 0; i < timed; i++) {
             FaultKind kind = chance.pick(on);
             if (!kind.trappedOnly()) {
-                long latest = size(Knob.FAULTS_END) - S;
-                faults.add(fault(Trigger.time(millis(chance.between(S, latest))), kind));
+                long latest = size(ScenarioParameter.FAULTS_END) - S;
+                faults.add(fault(FaultTrigger.time(millis(chance.between(S, latest))), kind));
             }
         }
         int trapped = LEAST_TRAPS + chance.nextInt(MORE_TRAPS);
@@ -257,8 +326,8 @@
         return faults;
     }
 
-    private Trigger trap(RequestState state) {
-        Chance chance = faultChance;
+    private FaultTrigger trap(RequestState state) {
+        SeededRandom chance = faultChance;
         int most =
                 state.isResend()
                         ? RARE
@@ -272,13 +341,13 @@
                     case 1 -> chance.nextLong(100 * MS);
                     default -> 0;
                 };
-        return new Trigger(after - after % US, state, 1 + chance.nextInt(most));
+        return new FaultTrigger(after - after % US, state, 1 + chance.nextInt(most));
     }
 
-    private Fault fault(Trigger trigger, FaultKind kind) {
-        Chance chance = faultChance;
-        TreeMap<Param, Long> values = new TreeMap<>();
-        for (Param each : kind.params()) {
+    private Fault fault(FaultTrigger trigger, FaultKind kind) {
+        SeededRandom chance = faultChance;
+        TreeMap<FaultParameter, Long> values = new TreeMap<>();
+        for (FaultParameter each : kind.params()) {
             values.put(each, value(kind, each));
         }
         String style = kind.styles().isEmpty() ? null : chance.pick(kind.styles());
@@ -287,8 +356,9 @@
         if (!own) {
             who =
                     switch (kind.target()) {
-                        case SERVER -> "s" + chance.nextInt((int) size(Knob.SERVERS));
-                        case SIDECAR -> "n" + chance.nextInt((int) size(Knob.SIDECARS));
+                        case SERVER -> "s" + chance.nextInt((int) size(ScenarioParameter.SERVERS));
+                        case SIDECAR ->
+                                "n" + chance.nextInt((int) size(ScenarioParameter.SIDECARS));
                         case ZONE -> chance.pick(Site.ZONES);
                         default -> null;
                     };
@@ -296,8 +366,8 @@
         return new Fault(trigger, kind, who, style, values);
     }
 
-    private long value(FaultKind kind, Param param) {
-        Chance chance = faultChance;
+    private long value(FaultKind kind, FaultParameter param) {
+        SeededRandom chance = faultChance;
         return switch (param) {
             case FOR ->
                     switch (kind) {
@@ -317,8 +387,8 @@
                         case NODES_LAG, NODES_SLOW -> millis(chance.between(100 * MS, 4 * S));
                         default -> millis(chance.between(5 * MS, 300 * MS));
                     };
-            case FACTOR -> Knob.part(2 + chance.nextInt(80) / 10.0);
-            case RATE -> Knob.part(20 + chance.nextInt(60));
+            case FACTOR -> ScenarioParameter.part(2 + chance.nextInt(80) / 10.0);
+            case RATE -> ScenarioParameter.part(20 + chance.nextInt(60));
             case COUNT ->
                     switch (kind) {
                         case FAILING -> chance.between(50, 1000);
@@ -333,17 +403,17 @@
         };
     }
 
-    private void between(Knob knob, long low, long high) {
+    private void between(ScenarioParameter knob, long low, long high) {
         sizes.put(knob, sizeChance.between(low, high));
     }
 
-    private void seldom(Knob knob, double how, long low, long high) {
+    private void seldom(ScenarioParameter knob, double how, long low, long high) {
         if (sizeChance.hits(how)) {
             between(knob, low, high);
         }
     }
 
-    private long size(Knob knob) {
+    private long size(ScenarioParameter knob) {
         return sizes.getOrDefault(knob, knob.usual());
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
@@ -9,7 +9,7 @@
 
 /** Scenarios: plans as text, read strictly. */
 final class PlanText {
-    private final Map<Knob, Long> sizes = new EnumMap<>(Knob.class);
+    private final Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
     private final List<Fault> faults = new ArrayList<>();
 
     /** The number of the line that each fault stands in. */
@@ -23,7 +23,7 @@
                 "# One fault a line: at SECONDS KIND ..., or on STATE NTH [after SECONDS] KIND"
                         + " ...\n");
         text.append("seed ").append(plan.seed()).append('\n');
-        for (Knob each : Knob.values()) {
+        for (ScenarioParameter each : ScenarioParameter.values()) {
             if (plan.size(each) != each.usual()) {
                 text.append("set ")
                         .append(each.word())
@@ -68,8 +68,8 @@
         return plan;
     }
 
-    private static String words(List<Param> params) {
-        return String.join(", ", params.stream().map(Param::word).toList());
+    private static String words(List<FaultParameter> params) {
+        return String.join(", ", params.stream().map(FaultParameter::word).toList());
     }
 
     private void line(String[] words) {
@@ -81,14 +81,14 @@
             }
             case "set" -> {
                 require(words.length == 3, "set SIZE VALUE");
-                Knob knob = Knob.of(words[1]);
+                ScenarioParameter knob = ScenarioParameter.of(words[1]);
                 require(
                         sizes.put(knob, knob.checked(knob.unit().parse(words[2]))) == null,
                         words[1] + " is set twice");
             }
             case "at" -> {
                 require(words.length >= 3, "at SECONDS KIND ...");
-                faults.add(fault(Trigger.time(time(words[1])), words, 2));
+                faults.add(fault(FaultTrigger.time(time(words[1])), words, 2));
             }
             case "on" -> {
                 require(words.length >= 4, "on STATE NTH [after SECONDS] KIND ...");
@@ -99,7 +99,7 @@
                 require(!after || words.length >= 6, "after SECONDS KIND ...");
                 faults.add(
                         fault(
-                                new Trigger(after ? time(words[4]) : 0, state, (int) nth),
+                                new FaultTrigger(after ? time(words[4]) : 0, state, (int) nth),
                                 words,
                                 after ? 5 : 3));
             }
@@ -109,11 +109,11 @@
         }
     }
 
-    private static Fault fault(Trigger trigger, String[] words, int from) {
+    private static Fault fault(FaultTrigger trigger, String[] words, int from) {
         FaultKind kind = FaultKind.of(FaultKind.class, "fault", words[from]);
         String who = null;
         String style = null;
-        TreeMap<Param, Long> values = new TreeMap<>();
+        TreeMap<FaultParameter, Long> values = new TreeMap<>();
         for (int i = from + 1; i < words.length; i++) {
             int equals = words[i].indexOf('=');
             require(equals > 0, "not NAME=VALUE: " + words[i]);
@@ -130,7 +130,7 @@
                         Nearest.unknown("style of " + kind.word(), value, kind.styles()));
                 style = value;
             } else {
-                Param param = FaultKind.of(Param.class, "figure", name);
+                FaultParameter param = FaultKind.of(FaultParameter.class, "figure", name);
                 require(
                         kind.params().contains(param),
                         kind.word()
@@ -145,7 +145,7 @@
         require(
                 style != null || kind.styles().isEmpty(),
                 kind.word() + " needs a style: " + String.join(", ", kind.styles()));
-        for (Param each : kind.params()) {
+        for (FaultParameter each : kind.params()) {
             require(values.containsKey(each), kind.word() + " needs " + each.word());
         }
         require(
@@ -174,8 +174,8 @@
         if (fault.who() != null) {
             List<String> known =
                     switch (fault.kind().target()) {
-                        case SERVER -> numbered('s', plan.count(Knob.SERVERS));
-                        case SIDECAR -> numbered('n', plan.count(Knob.SIDECARS));
+                        case SERVER -> numbered('s', plan.count(ScenarioParameter.SERVERS));
+                        case SIDECAR -> numbered('n', plan.count(ScenarioParameter.SIDECARS));
                         default -> Site.ZONES;
                     };
             require(known.contains(fault.who()), Nearest.unknown("who", fault.who(), known));
--- a/testbed/src/main/java/appleridge/testbed/simulation/Seat.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -1,13 +1,13 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.Simulation;
 import java.net.InetSocketAddress;
 import java.util.List;
 
 /** The place of one sidecar: its processes come and go under one name and address. */
-final class Seat {
+final class ProcessSlot {
     /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline. */
     private static final long GRACE = 700 * Site.MS;
 
@@ -23,15 +23,15 @@
     private static final long FIRST_SECOND = Site.SECOND;
 
     private final Day day;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private final String name;
     private final int rank;
     private final Host host;
     private final InetSocketAddress address;
     private final SidecarHost process;
-    private final Told told;
+    private final DeliveredEndpointUpdates told;
     private final Instances instances;
-    private final Chance chance;
+    private final SeededRandom chance;
     private Registry discovery;
     private int life = -1;
     private boolean running;
@@ -44,14 +44,14 @@
     private Readiness readiness;
     private int connections;
 
-    Seat(
+    ProcessSlot(
             Day day,
-            Seats seats,
+            ProcessSlots seats,
             String name,
             int rank,
             Host host,
             SidecarHost process,
-            Told told,
+            DeliveredEndpointUpdates told,
             Instances instances) {
         this.day = day;
         this.seats = seats;
@@ -120,17 +120,17 @@
         hupDue = false;
         int mine = life;
         // The list that it is given at its start is as old as the plan says, or there is none.
-        boolean given = day.plan.size(Knob.KNOWN) > 0;
-        long version = instances.revisionAt(day.now() - day.plan.size(Knob.KNOWN_AGE));
+        boolean given = day.plan.size(ScenarioParameter.KNOWN) > 0;
+        long version = instances.revisionAt(day.now() - day.plan.size(ScenarioParameter.KNOWN_AGE));
         List<Instances.Entry> known = given ? instances.wholeAt(version) : List.of();
         day.evidence.sidecarStarted(name, life);
         told.restart(name, known);
         SidecarHost.Costs costs =
                 new SidecarHost.Costs(
-                        day.plan.size(Knob.TASK_COST),
-                        day.plan.size(Knob.READ_COST),
-                        day.plan.size(Knob.CLOCK_COST));
-        host.maxDescriptors(day.plan.count(Knob.SOCKETS));
+                        day.plan.size(ScenarioParameter.TASK_COST),
+                        day.plan.size(ScenarioParameter.READ_COST),
+                        day.plan.size(ScenarioParameter.CLOCK_COST));
+        host.maxDescriptors(day.plan.count(ScenarioParameter.SOCKETS));
         String list =
                 !given ? "null" : Instances.json(version + discovery.versionsFrom(), true, known);
         process.start(
@@ -187,7 +187,10 @@
                         ready = false;
                     }
                 });
-        long wait = day.plan.size(Knob.LONGEST_DEADLINE) + GRACE + chance.nextLong(500 * Site.MS);
+        long wait =
+                day.plan.size(ScenarioParameter.LONGEST_DEADLINE)
+                        + GRACE
+                        + chance.nextLong(500 * Site.MS);
         killing =
                 day.after(
                         wait,
@@ -216,7 +219,7 @@
 
     private void again(long down) {
         readiness.stop();
-        day.after(day.bounded(down) + day.plan.size(Knob.START), this::start);
+        day.after(day.bounded(down) + day.plan.size(ScenarioParameter.START), this::start);
     }
 
     /** Discovery has moved; it is told as soon as it may be. */
@@ -291,7 +294,7 @@
 
     /** Clients hold a third of its descriptors at most. */
     boolean isFull() {
-        return connections >= day.plan.count(Knob.SOCKETS) / 3;
+        return connections >= day.plan.count(ScenarioParameter.SOCKETS) / 3;
     }
 
     /** A client could not connect. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/Seats.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlots.java
@@ -1,21 +1,21 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The places of all sidecars. */
-final class Seats {
-    private final List<Seat> all = new ArrayList<>();
+final class ProcessSlots {
+    private final List<ProcessSlot> all = new ArrayList<>();
     private final List<Runnable> told = new ArrayList<>();
 
-    List<Seat> all() {
+    List<ProcessSlot> all() {
         return all;
     }
 
     /** Null if there is none of that name. */
-    Seat seat(String name) {
-        for (Seat each : all) {
+    ProcessSlot seat(String name) {
+        for (ProcessSlot each : all) {
             if (each.name().equals(name)) {
                 return each;
             }
@@ -33,11 +33,11 @@
     }
 
     /** The own one, another one if that isn't ready, or null. */
-    Seat choose(int own, Chance chance) {
+    ProcessSlot choose(int own, SeededRandom chance) {
         if (all.get(own).isUsable()) {
             return all.get(own);
         }
-        List<Seat> usable = new ArrayList<>(all);
+        List<ProcessSlot> usable = new ArrayList<>(all);
         usable.removeIf(seat -> !seat.isUsable());
         return usable.isEmpty() ? null : chance.pick(usable);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Readiness.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Readiness.java
@@ -19,11 +19,11 @@
 
     private final Day day;
     private final Host host;
-    private final Seat seat;
+    private final ProcessSlot seat;
     private Simulation.Event next;
     private Question question;
 
-    Readiness(Day day, Host host, Seat seat) {
+    Readiness(Day day, Host host, ProcessSlot seat) {
         this.day = day;
         this.host = host;
         this.seat = seat;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -2,7 +2,7 @@
 
 import appleridge.discovery.ephemeral.NodeData;
 import appleridge.loadbalancing.HostState;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -34,7 +34,7 @@
     private final Day day;
     private final Ensemble ensemble;
     private final Fleet fleet;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, Boolean> namesStart = new LinkedHashMap<>();
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimListener;
 import appleridge.testbed.simnet.SimSocket;
 import java.io.IOException;
@@ -48,14 +48,14 @@
 
     private final Day day;
     private final Instances instances;
-    private final Told told;
+    private final DeliveredEndpointUpdates told;
     private final Host host;
     private final InetSocketAddress address;
 
     /** What its versions begin with. */
     private final long offset;
 
-    private final Chance chance;
+    private final SeededRandom chance;
     private final Set<RegistryConnection> connections = new LinkedHashSet<>();
     private final List<Call> parked = new ArrayList<>();
     private SimListener listener;
@@ -71,7 +71,13 @@
     private long cuts;
     private long garbles;
 
-    Registry(Day day, Instances instances, Told told, Host host, int number, long versionsFrom) {
+    Registry(
+            Day day,
+            Instances instances,
+            DeliveredEndpointUpdates told,
+            Host host,
+            int number,
+            long versionsFrom) {
         this.day = day;
         this.instances = instances;
         this.told = told;
@@ -126,7 +132,8 @@
         Call call = new Call(++calls, from, since, wait, day.now());
         from.calls(call);
         day.evidence.listCall(from.sidecar(), call.id(), call.whole(), wait);
-        long cost = day.plan.size(Knob.CALL_COST) + (day.now() < slowUntil ? slowBy : 0);
+        long cost =
+                day.plan.size(ScenarioParameter.CALL_COST) + (day.now() < slowUntil ? slowBy : 0);
         freeAt = Math.max(day.now(), freeAt) + cost;
         day.simulation.at(freeAt, () -> turn(call));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
@@ -10,11 +10,11 @@
 /** Tells of each connection to discovery that a sidecar opens, and how many it has then. */
 final class RegistryTap implements Tap {
     private final Network network;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private final List<Host> discovery;
     private final Evidence evidence;
 
-    RegistryTap(Network network, Seats seats, List<Host> discovery, Evidence evidence) {
+    RegistryTap(Network network, ProcessSlots seats, List<Host> discovery, Evidence evidence) {
         this.network = network;
         this.seats = seats;
         this.discovery = discovery;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Wish.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
@@ -1,11 +1,11 @@
 package appleridge.testbed.simulation;
 
 import appleridge.loadbalancing.Idempotency;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.List;
 
 /** What a usual client wants done, in one try or several, and how that client is. */
-final class Wish {
+final class RequestIntent {
     private static final int SMALL_BODY = 60;
 
     /**
@@ -32,7 +32,7 @@
     final int tenant;
     final Classes.Kind kind;
     final long deadline;
-    final Chance chance;
+    final SeededRandom chance;
     final long work;
     final String key;
     final String uri;
@@ -54,7 +54,7 @@
     /**
      * @param works mean work of each class on this day
      */
-    Wish(Day day, String origin, Chance chance, long[] works, int tenant) {
+    RequestIntent(Day day, String origin, SeededRandom chance, long[] works, int tenant) {
         Plan plan = day.plan;
         this.origin = origin;
         this.chance = chance;
@@ -70,24 +70,24 @@
                 kind.keyed()
                         ? Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong())
                         : null;
-        boolean large = chance.hits(plan.part(Knob.LARGE_BODIES));
+        boolean large = chance.hits(plan.part(ScenarioParameter.LARGE_BODIES));
         int length =
                 kind.semantics() == Idempotency.IDEMPOTENT
                         ? 0
                         : 1 + chance.nextInt(large ? plan.largestBody() : SMALL_BODY);
-        Chance form = chance.stream("form");
+        SeededRandom form = chance.stream("form");
         this.uri = "/api/" + kind.name() + query(form);
         this.body = body(form.nextLong(), length);
-        this.slowReader = chance.hits(plan.part(Knob.SLOW_READERS));
-        this.slowWriter = chance.hits(plan.part(Knob.SLOW_WRITERS));
-        this.asksOnce = chance.hits(plan.part(Knob.ASK_ONCE));
-        this.impatient = chance.hits(plan.part(Knob.IMPATIENT));
+        this.slowReader = chance.hits(plan.part(ScenarioParameter.SLOW_READERS));
+        this.slowWriter = chance.hits(plan.part(ScenarioParameter.SLOW_WRITERS));
+        this.asksOnce = chance.hits(plan.part(ScenarioParameter.ASK_ONCE));
+        this.impatient = chance.hits(plan.part(ScenarioParameter.IMPATIENT));
         this.share = 0.7 + 0.3 * chance.nextDouble();
-        this.retriesLeft = plan.count(Knob.RETRIES);
+        this.retriesLeft = plan.count(ScenarioParameter.RETRIES);
     }
 
     /** Now and then none, else with what a careless hand would change: signs, marks, escapes. */
-    private static String query(Chance form) {
+    private static String query(SeededRandom form) {
         StringBuilder query = new StringBuilder(32);
         for (int i = form.nextInt(4); i > 0; i--) {
             query.append(query.length() == 0 ? '?' : '&')
@@ -108,7 +108,7 @@
         return bytes;
     }
 
-    private static int drawClass(Chance chance) {
+    private static int drawClass(SeededRandom chance) {
         double drawn = chance.nextDouble();
         int place = 0;
         while (place < Classes.ALL.size() - 1 && drawn >= Classes.of(place).share()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Spoil.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ResponseCorruption.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 /** How an answer can be spoilt. */
-enum Spoil {
+enum ResponseCorruption {
     /** Bytes that are no HTTP. */
     NOISE,
     /** A first line that can't be read. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/Extra.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ResponseExtra.java
@@ -4,7 +4,7 @@
  * What a good answer can bring beside what belongs to it. No second copy comes some time later:
  * where the next request crosses it, no reader could tell it from that one's answer.
  */
-enum Extra {
+enum ResponseExtra {
     /** An interim answer ahead of it. */
     INTERIM,
     /** Several interim answers ahead, some time apart. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/Knob.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ScenarioParameter.java
@@ -7,7 +7,7 @@
  * The sizes of a day; each with the value that a scenario has unless it says otherwise, and its
  * bounds.
  */
-public enum Knob {
+public enum ScenarioParameter {
     /** How many sidecars. */
     SIDECARS(Unit.COUNT, 3, 1, 5),
     /** How many machines with order servers. */
@@ -148,7 +148,7 @@
     private final long least;
     private final long most;
 
-    Knob(Unit unit, long usual, long least, long most) {
+    ScenarioParameter(Unit unit, long usual, long least, long most) {
         this.unit = unit;
         this.usual = usual;
         this.least = least;
@@ -176,14 +176,17 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    static Knob of(String word) {
-        for (Knob each : values()) {
+    static ScenarioParameter of(String word) {
+        for (ScenarioParameter each : values()) {
             if (each.word().equals(word)) {
                 return each;
             }
         }
         throw new IllegalArgumentException(
-                Nearest.unknown("size", word, Arrays.stream(values()).map(Knob::word).toList()));
+                Nearest.unknown(
+                        "size",
+                        word,
+                        Arrays.stream(values()).map(ScenarioParameter::word).toList()));
     }
 
     Unit unit() {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Asked.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
@@ -10,7 +10,7 @@
  * What the usual clients have asked, by id: from it servers know what a request is, and which are
  * none.
  */
-final class Asked {
+final class SentRequestRegistry {
     /**
      * One try's form.
      *
@@ -30,9 +30,9 @@
     private final Set<String> borrowed = new HashSet<>();
 
     /** What is to be done to the answers of some; by id. */
-    private final Map<String, Spoil> spoilt = new HashMap<>();
+    private final Map<String, ResponseCorruption> spoilt = new HashMap<>();
 
-    private final Map<String, Extra> extras = new HashMap<>();
+    private final Map<String, ResponseExtra> extras = new HashMap<>();
 
     void add(String id, Form form) {
         forms.put(id, form);
@@ -56,24 +56,24 @@
                 : id;
     }
 
-    void spoil(String id, Spoil how) {
+    void spoil(String id, ResponseCorruption how) {
         spoilt.put(id, how);
     }
 
-    void extra(String id, Extra what) {
+    void extra(String id, ResponseExtra what) {
         extras.put(id, what);
     }
 
     /** How this one's next answer is to be spoilt; told once. */
-    Spoil takeSpoil(String id) {
+    ResponseCorruption takeSpoil(String id) {
         return spoilt.isEmpty() ? null : spoilt.remove(id);
     }
 
-    Extra takeExtra(String id) {
+    ResponseExtra takeExtra(String id) {
         return extras.isEmpty() ? null : extras.remove(id);
     }
 
-    Extra extra(String id) {
+    ResponseExtra extra(String id) {
         return extras.isEmpty() ? null : extras.get(id);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.Message;
+import appleridge.testbed.simnet.NetworkConditions;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
-import appleridge.testbed.simnet.Weather;
 import java.io.IOException;
 
 /** A connection to an order server: one request at a time is read, and answered. */
@@ -173,7 +173,9 @@
 
     private void answerEarly() {
         String id = reader.header("x-request-id");
-        if (id != null && day.asked.extra(id) == Extra.EARLY && day.asked.form(id) != null) {
+        if (id != null
+                && day.asked.extra(id) == ResponseExtra.EARLY
+                && day.asked.form(id) != null) {
             day.asked.takeExtra(id);
             early = true;
             earlyRuns = server.answerEarly(this, id);
@@ -296,7 +298,7 @@
 
     /** Whether so many bytes reach the other end in one piece. */
     boolean carriesAtOnce(int bytes) {
-        Weather weather = day.network.weather(socket.host(), socket.peerHost());
+        NetworkConditions weather = day.network.weather(socket.host(), socket.peerHost());
         return bytes <= ONE_SEGMENT
                 && weather.segment == 0
                 && weather.bytesPerSecond == 0
@@ -308,10 +310,10 @@
     private void rest() {
         awake();
         if (isOpen() && !reader.begun()) {
-            long idle = day.plan.size(Knob.SERVER_IDLE);
+            long idle = day.plan.size(ScenarioParameter.SERVER_IDLE);
             // What sidecars are told of servers' patience holds when the faults have ended.
-            long least = day.isTroubled() ? 0 : day.plan.size(Knob.CONN_IDLE);
-            boolean asTold = Math.max(idle, least) >= day.plan.size(Knob.CONN_IDLE);
+            long least = day.isTroubled() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
+            boolean asTold = Math.max(idle, least) >= day.plan.size(ScenarioParameter.CONN_IDLE);
             boolean forgets = asTold && socket.id() % 2 == 0;
             idleEnd =
                     day.after(
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -1,20 +1,21 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.InState;
-import appleridge.testbed.simnet.Chance;
-import appleridge.testbed.simnet.Weather;
+import appleridge.testbed.simnet.NetworkConditions;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.function.Consumer;
 
 /** Faults of one order server, its machine, or the ways to it. */
-final class ServerStrikes {
+final class ServerFaultInjector {
     private final Day day;
     private final Fleet fleet;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private final Links links;
-    private final Meetings meetings;
-    private final Chance chance;
+    private final FaultOverlaps meetings;
+    private final SeededRandom chance;
 
-    ServerStrikes(Day day, Fleet fleet, Seats seats, Links links, Meetings meetings) {
+    ServerFaultInjector(
+            Day day, Fleet fleet, ProcessSlots seats, Links links, FaultOverlaps meetings) {
         this.day = day;
         this.fleet = fleet;
         this.seats = seats;
@@ -30,7 +31,9 @@
             return;
         }
         long duration =
-                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+                fault.kind().params().contains(FaultParameter.FOR)
+                        ? day.bounded(fault.value(FaultParameter.FOR))
+                        : 0;
         switch (fault.kind()) {
             case CONNECT_SLOW, CONNECT_REFUSED, CONNECT_SILENT, BACKLOG ->
                     meetings.connectsTo(machine, fault.kind(), duration);
@@ -46,23 +49,26 @@
         }
         switch (fault.kind()) {
             case CONNECT_SLOW ->
-                    ways(machine, duration, weather -> weather.delay += fault.value(Param.BY));
+                    ways(
+                            machine,
+                            duration,
+                            weather -> weather.delay += fault.value(FaultParameter.BY));
             case CONNECT_REFUSED -> ways(machine, duration, weather -> weather.refuse = true);
             case CONNECT_SILENT -> ways(machine, duration, weather -> weather.silentConnect = true);
             case DRAIN ->
                     machine.drain(
-                            fault.value(Param.DOWN),
-                            chance.hits(0.5) ? 0 : day.plan.size(Knob.NOTICE));
-            case CRASH -> machine.crash(fault.value(Param.DOWN), false);
-            case RESTART -> machine.crash(fault.value(Param.DOWN), true);
+                            fault.value(FaultParameter.DOWN),
+                            chance.hits(0.5) ? 0 : day.plan.size(ScenarioParameter.NOTICE));
+            case CRASH -> machine.crash(fault.value(FaultParameter.DOWN), false);
+            case RESTART -> machine.crash(fault.value(FaultParameter.DOWN), true);
             case VANISH -> machine.vanish(duration);
             case LIST_FLAPS ->
                     fleet.instances()
                             .flap(
                                     server.uid(),
                                     chance.hits(0.5) ? Instances.TERMINATING : Instances.GONE,
-                                    (int) fault.value(Param.COUNT),
-                                    fault.value(Param.BY));
+                                    (int) fault.value(FaultParameter.COUNT),
+                                    fault.value(FaultParameter.BY));
             default -> own(fault, server, duration);
         }
     }
@@ -71,16 +77,16 @@
         switch (fault.kind()) {
             case BACKLOG -> server.backlog(duration);
             case HANG -> server.hang(duration);
-            case SLOW -> server.slow(duration, fault.value(Param.FACTOR) / 1e6);
-            case FAILING -> server.fail(duration, fault.value(Param.COUNT) / 1e3);
+            case SLOW -> server.slow(duration, fault.value(FaultParameter.FACTOR) / 1e6);
+            case FAILING -> server.fail(duration, fault.value(FaultParameter.COUNT) / 1e3);
             case FULL -> server.full(duration);
             case REPORTS -> server.report(duration, FaultKind.of(Report.class, fault.style()));
             default -> throw new IllegalArgumentException("no fault of a server: " + fault.text());
         }
     }
 
-    private void ways(Machine machine, long duration, Consumer<Weather> how) {
-        for (Seat each : seats.all()) {
+    private void ways(Machine machine, long duration, Consumer<NetworkConditions> how) {
+        for (ProcessSlot each : seats.all()) {
             links.change(each.host(), machine.host(), duration, how);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -36,7 +36,7 @@
                 .append("\",\"seed\":\"")
                 .append(Long.toHexString(seed))
                 .append("\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":")
-                .append(plan.size(Knob.SOCKETS))
+                .append(plan.size(ScenarioParameter.SOCKETS))
                 .append("},\"known\":")
                 .append(known)
                 .append(",\"settings\":{");
@@ -51,7 +51,7 @@
                 .append("\"],\"rank\":")
                 .append(rank)
                 .append(",\"replicasOfMe\":")
-                .append(plan.size(Knob.SIDECARS))
+                .append(plan.size(ScenarioParameter.SIDECARS))
                 .append(",\"zone\":")
                 .append(rank % Site.ZONES.size())
                 .append(",\"quantum\":")
@@ -105,7 +105,7 @@
                     .append("\",\"portion\":")
                     .append(tenant.share())
                     .append(",\"quotaRps\":")
-                    .append(tenant.share() * QUOTA * plan.part(Knob.RATE))
+                    .append(tenant.share() * QUOTA * plan.part(ScenarioParameter.RATE))
                     .append('}');
         }
         text.append("],");
@@ -128,16 +128,16 @@
     }
 
     private static void caps(StringBuilder text, Plan plan) {
-        long retryAfter = plan.size(Knob.RETRY_AFTER);
+        long retryAfter = plan.size(ScenarioParameter.RETRY_AFTER);
         text.append("\"caps\":{\"mayCancel\":")
-                .append(plan.size(Knob.MAY_CANCEL) > 0)
+                .append(plan.size(ScenarioParameter.MAY_CANCEL) > 0)
                 .append(",\"mayProbe\":false,\"peers\":false,")
                 .append("\"parallelTries\":false,\"tryLimit\":6,\"connIdle\":")
-                .append(plan.size(Knob.CONN_IDLE))
+                .append(plan.size(ScenarioParameter.CONN_IDLE))
                 .append(",\"connectTimeout\":")
-                .append(plan.size(Knob.CONNECT_TIMEOUT))
+                .append(plan.size(ScenarioParameter.CONNECT_TIMEOUT))
                 .append(",\"maxOpen\":")
-                .append(plan.size(Knob.MAX_OPEN))
+                .append(plan.size(ScenarioParameter.MAX_OPEN))
                 .append(",\"maxRetryAfter\":")
                 .append(retryAfter)
                 .append(",\"retryAfter\":")
@@ -149,7 +149,7 @@
         text.append("\"rules\":{\"answerSlack\":")
                 .append(Site.ANSWER_SLACK)
                 .append(",\"askWithin\":")
-                .append(plan.size(Knob.ASK_WITHIN))
+                .append(plan.size(ScenarioParameter.ASK_WITHIN))
                 .append(",\"stopSendingWithin\":")
                 .append(Site.DRAIN_GRACE)
                 .append(",\"coldShare\":")
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarStrikes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -1,17 +1,17 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.InState;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.NetworkConditions;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimSocket;
-import appleridge.testbed.simnet.Weather;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
  * Faults of sidecars, of their links, of whole sites, and what too many or bad clients do to them.
  */
-final class SidecarStrikes {
+final class SidecarFaultInjector {
     /** What was held up goes on arriving for so long. */
     private static final long AFTERMATH = 1100 * Site.MS;
 
@@ -26,25 +26,25 @@
     private static final long LONGEST_REST = 300 * Site.MS;
 
     private final Day day;
-    private final Seats seats;
+    private final ProcessSlots seats;
     private final Fleet fleet;
     private final Discovery discovery;
     private final Links links;
     private final List<Traffic> traffic;
     private final BadClients badClients;
-    private final Meetings meetings;
-    private final Chance chance;
-    private final Chance copies;
+    private final FaultOverlaps meetings;
+    private final SeededRandom chance;
+    private final SeededRandom copies;
 
-    SidecarStrikes(
+    SidecarFaultInjector(
             Day day,
-            Seats seats,
+            ProcessSlots seats,
             Fleet fleet,
             Discovery discovery,
             Links links,
             List<Traffic> traffic,
             BadClients badClients,
-            Meetings meetings) {
+            FaultOverlaps meetings) {
         this.day = day;
         this.seats = seats;
         this.fleet = fleet;
@@ -62,10 +62,10 @@
         if (fault.kind() == FaultKind.ZONE_CUT) {
             String zone = fault.who() != null ? fault.who() : chance.pick(Site.ZONES);
             day.evidence.fault(fault.kind().word(), zone, id);
-            cut(Site.ZONES.indexOf(zone), day.bounded(fault.value(Param.FOR)));
+            cut(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
             return;
         }
-        Seat seat = seats.seat(fault.who() != null ? fault.who() : request.sidecar());
+        ProcessSlot seat = seats.seat(fault.who() != null ? fault.who() : request.sidecar());
         if (!seat.isRunning()) {
             return;
         }
@@ -73,41 +73,52 @@
             day.evidence.fault(fault.kind().word(), seat.name(), id);
         }
         long duration =
-                fault.kind().params().contains(Param.FOR) ? day.bounded(fault.value(Param.FOR)) : 0;
+                fault.kind().params().contains(FaultParameter.FOR)
+                        ? day.bounded(fault.value(FaultParameter.FOR))
+                        : 0;
         switch (fault.kind()) {
-            case KILL -> seat.kill(fault.value(Param.DOWN));
-            case TERM -> seat.term(fault.value(Param.DOWN));
+            case KILL -> seat.kill(fault.value(FaultParameter.DOWN));
+            case TERM -> seat.term(fault.value(FaultParameter.DOWN));
             case PAUSE -> pause(seat, duration);
-            case WALL_STEP -> seat.stepWall(fault.value(Param.BY));
+            case WALL_STEP -> seat.stepWall(fault.value(FaultParameter.BY));
             case NO_DESCRIPTORS -> {
                 // It can't accept meanwhile, and for a while after; its clients wait by no fault of
                 // its own.
                 troubled(seat, duration);
                 meetings.noDescriptors(seat.host(), duration);
                 seat.host()
-                        .maxDescriptors(seat.host().descriptors() + (int) fault.value(Param.COUNT));
-                day.after(duration, () -> seat.host().maxDescriptors(day.plan.count(Knob.SOCKETS)));
+                        .maxDescriptors(
+                                seat.host().descriptors()
+                                        + (int) fault.value(FaultParameter.COUNT));
+                day.after(
+                        duration,
+                        () ->
+                                seat.host()
+                                        .maxDescriptors(day.plan.count(ScenarioParameter.SOCKETS)));
             }
             case LINK_LATE ->
-                    link(seat, duration, weather -> weather.delay += fault.value(Param.BY));
+                    link(
+                            seat,
+                            duration,
+                            weather -> weather.delay += fault.value(FaultParameter.BY));
             case LINK_CHOPPED ->
                     link(
                             seat,
                             duration,
-                            weather -> weather.segment = -(int) fault.value(Param.COUNT));
+                            weather -> weather.segment = -(int) fault.value(FaultParameter.COUNT));
             case LINK_THIN ->
                     link(
                             seat,
                             duration,
-                            weather -> weather.bytesPerSecond = fault.value(Param.BYTES));
+                            weather -> weather.bytesPerSecond = fault.value(FaultParameter.BYTES));
             case FLOOD ->
                     traffic.get(seats.all().indexOf(seat))
-                            .flood(duration, fault.value(Param.RATE) / 1e6);
+                            .flood(duration, fault.value(FaultParameter.RATE) / 1e6);
             case BAD ->
                     badClients.come(
                             FaultKind.of(BadKind.class, fault.style()),
                             seat,
-                            fault.value(Param.COUNT));
+                            fault.value(FaultParameter.COUNT));
             default -> throw new IllegalArgumentException("no fault of a sidecar: " + fault.text());
         }
     }
@@ -116,7 +127,7 @@
      * While it stands still nothing that it asks can cross an answer: servers repeat theirs, and it
      * will find the copies unread.
      */
-    private void pause(Seat seat, long duration) {
+    private void pause(ProcessSlot seat, long duration) {
         seat.pause(duration);
         if (duration < LEAST_FOR_COPIES || !copies.hits(COPIES)) {
             return;
@@ -126,7 +137,7 @@
                 SETTLE,
                 () -> {
                     for (Machine each : fleet.machines()) {
-                        Weather way = day.network.weather(each.host(), seat.host());
+                        NetworkConditions way = day.network.weather(each.host(), seat.host());
                         boolean quick =
                                 way.delay + way.jitter < duration / 4
                                         && way.lossDelayProbability == 0
@@ -138,12 +149,12 @@
                 });
     }
 
-    private void troubled(Seat seat, long duration) {
+    private void troubled(ProcessSlot seat, long duration) {
         long until = day.now() + duration + AFTERMATH;
         day.evidence.clientLinkTroubled(seat.name(), null, day.now() - 1, until);
     }
 
-    private void link(Seat seat, long duration, Consumer<Weather> how) {
+    private void link(ProcessSlot seat, long duration, Consumer<NetworkConditions> how) {
         troubled(seat, duration);
         links.change(seat.host(), duration, how);
     }
@@ -153,7 +164,7 @@
      * reset.
      */
     private void cut(int zone, long duration) {
-        for (Seat seat : seats.all()) {
+        for (ProcessSlot seat : seats.all()) {
             boolean inside = seat.zone() == zone;
             for (Machine each : fleet.machines()) {
                 if (inside != (each.zone() == zone)) {
@@ -167,7 +178,7 @@
         }
     }
 
-    private void silence(Seat seat, Host other, long duration) {
+    private void silence(ProcessSlot seat, Host other, long duration) {
         links.change(seat.host(), other, duration, weather -> weather.blackHole = true);
         links.change(other, seat.host(), duration, weather -> weather.blackHole = true);
         if (chance.hits(0.5)) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.function.IntConsumer;
 
 /**
@@ -30,7 +30,7 @@
             int life,
             String config,
             Host host,
-            Chance chance,
+            SeededRandom chance,
             Costs costs,
             IntConsumer exited) {}
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
@@ -20,7 +20,7 @@
      * so.
      */
     public static int places(Plan plan) {
-        int places = Knob.values().length;
+        int places = ScenarioParameter.values().length;
         for (Fault each : plan.faults()) {
             places += numbers(each);
         }
@@ -40,7 +40,7 @@
             }
             left -= numbers(fault);
         }
-        Knob knob = Knob.values()[left];
+        ScenarioParameter knob = ScenarioParameter.values()[left];
         return plan.size(knob) == knob.usual()
                 ? List.of()
                 : rounder(plan.size(knob), value -> plan.with(knob, value));
@@ -52,11 +52,11 @@
     }
 
     private static List<Fault> ofFault(Fault fault, int number) {
-        Trigger trigger = fault.trigger();
+        FaultTrigger trigger = fault.trigger();
         if (number == 0) {
             List<Fault> simpler = new ArrayList<>();
             if (trigger.trap() && trigger.at() > 0) {
-                simpler.add(with(fault, new Trigger(0, trigger.state(), trigger.nth())));
+                simpler.add(with(fault, new FaultTrigger(0, trigger.state(), trigger.nth())));
             }
             simpler.addAll(
                     rounder(
@@ -64,25 +64,26 @@
                             value ->
                                     with(
                                             fault,
-                                            new Trigger(value, trigger.state(), trigger.nth()))));
+                                            new FaultTrigger(
+                                                    value, trigger.state(), trigger.nth()))));
             return simpler;
         }
         if (number == 1) {
             return trigger.nth() > 1
-                    ? List.of(with(fault, new Trigger(trigger.at(), trigger.state(), 1)))
+                    ? List.of(with(fault, new FaultTrigger(trigger.at(), trigger.state(), 1)))
                     : List.of();
         }
-        Param param = new ArrayList<>(fault.values().keySet()).get(number - 2);
+        FaultParameter param = new ArrayList<>(fault.values().keySet()).get(number - 2);
         return rounder(
                 fault.value(param),
                 value -> {
-                    TreeMap<Param, Long> values = new TreeMap<>(fault.values());
+                    TreeMap<FaultParameter, Long> values = new TreeMap<>(fault.values());
                     values.put(param, value);
                     return new Fault(trigger, fault.kind(), fault.who(), fault.style(), values);
                 });
     }
 
-    private static Fault with(Fault fault, Trigger trigger) {
+    private static Fault with(Fault fault, FaultTrigger trigger) {
         return new Fault(trigger, fault.kind(), fault.who(), fault.style(), fault.values());
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Staging.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StagedCombination.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.RequestState;
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * What must come together to matter, and by chance alone would too seldom: on some days sizes and
  * faults are drawn for it, beside all others.
  */
-enum Staging {
+enum StagedCombination {
     /** Nothing of that kind. */
     NONE(0),
     /** A sidecar stands still for an hour. */
@@ -45,14 +45,14 @@
 
     private final double part;
 
-    Staging(double part) {
+    StagedCombination(double part) {
         this.part = part;
     }
 
     /** The one of a seed's day. */
-    static Staging draw(Chance chance) {
+    static StagedCombination draw(SeededRandom chance) {
         double drawn = chance.nextDouble();
-        for (Staging each : values()) {
+        for (StagedCombination each : values()) {
             if (drawn < each.part) {
                 return each;
             }
@@ -62,78 +62,79 @@
     }
 
     /** How long the day is to be; ahead of all else that is drawn by its length. */
-    void length(Chance chance, Map<Knob, Long> sizes) {
+    void length(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
         switch (this) {
             case HOUR -> {
-                sizes.put(Knob.FAULTS_END, 3700 * S);
-                sizes.put(Knob.CALM, 60 * S);
+                sizes.put(ScenarioParameter.FAULTS_END, 3700 * S);
+                sizes.put(ScenarioParameter.CALM, 60 * S);
             }
             case MINUTES -> {
-                sizes.put(Knob.FAULTS_END, chance.between(60 * S, 135 * S));
-                sizes.put(Knob.CALM, 20 * S);
+                sizes.put(ScenarioParameter.FAULTS_END, chance.between(60 * S, 135 * S));
+                sizes.put(ScenarioParameter.CALM, 20 * S);
             }
             default -> {}
         }
     }
 
     /** What else is to be unlike what was drawn. */
-    void sizes(Chance chance, Map<Knob, Long> sizes) {
+    void sizes(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
         switch (this) {
             case DRAINS -> {
-                sizes.put(Knob.LONGEST_DEADLINE, chance.between(2800 * MS, 3 * S));
-                sizes.put(Knob.RATE, 2 * sizes.get(Knob.RATE));
-                sizes.put(Knob.QUIET, 6 * S);
-                sizes.put(Knob.CONNECT_TIMEOUT, chance.between(2300 * MS, 4 * S));
+                sizes.put(ScenarioParameter.LONGEST_DEADLINE, chance.between(2800 * MS, 3 * S));
+                sizes.put(ScenarioParameter.RATE, 2 * sizes.get(ScenarioParameter.RATE));
+                sizes.put(ScenarioParameter.QUIET, 6 * S);
+                sizes.put(ScenarioParameter.CONNECT_TIMEOUT, chance.between(2300 * MS, 4 * S));
                 quickNews(chance, sizes);
             }
             case STILL -> {
-                sizes.put(Knob.KEY_WINDOW, chance.between(80 * MS, 400 * MS));
+                sizes.put(ScenarioParameter.KEY_WINDOW, chance.between(80 * MS, 400 * MS));
                 // Through small buffers nothing large comes in time over a long way.
-                sizes.put(Knob.FAR_DELAY, Knob.FAR_DELAY.usual());
-                sizes.put(Knob.SEND_BUFFER, chance.between(64, 120));
-                sizes.put(Knob.RECEIVE_BUFFER, chance.between(64, 120));
+                sizes.put(ScenarioParameter.FAR_DELAY, ScenarioParameter.FAR_DELAY.usual());
+                sizes.put(ScenarioParameter.SEND_BUFFER, chance.between(64, 120));
+                sizes.put(ScenarioParameter.RECEIVE_BUFFER, chance.between(64, 120));
                 quickNews(chance, sizes);
             }
             case WINDOWS -> {
-                sizes.put(Knob.KEY_WINDOW, chance.between(50 * MS, 150 * MS));
-                sizes.put(Knob.NEAR_DELAY, chance.between(1 * MS, 3 * MS));
-                sizes.put(Knob.FAR_DELAY, chance.between(2 * MS, 4 * MS));
-                sizes.put(Knob.SEND_BUFFER, chance.between(64, 120));
-                sizes.put(Knob.RECEIVE_BUFFER, chance.between(64, 120));
-                sizes.put(Knob.LARGE_BODIES, Knob.part(0.25));
-                sizes.put(Knob.LARGE_ANSWERS, 0L);
+                sizes.put(ScenarioParameter.KEY_WINDOW, chance.between(50 * MS, 150 * MS));
+                sizes.put(ScenarioParameter.NEAR_DELAY, chance.between(1 * MS, 3 * MS));
+                sizes.put(ScenarioParameter.FAR_DELAY, chance.between(2 * MS, 4 * MS));
+                sizes.put(ScenarioParameter.SEND_BUFFER, chance.between(64, 120));
+                sizes.put(ScenarioParameter.RECEIVE_BUFFER, chance.between(64, 120));
+                sizes.put(ScenarioParameter.LARGE_BODIES, ScenarioParameter.part(0.25));
+                sizes.put(ScenarioParameter.LARGE_ANSWERS, 0L);
             }
             default -> {}
         }
     }
 
-    private static void quickNews(Chance chance, Map<Knob, Long> sizes) {
-        sizes.put(Knob.NOTICE, chance.between(0, 200 * MS));
-        sizes.put(Knob.CALL_COST, chance.between(5 * MS, 40 * MS));
+    private static void quickNews(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
+        sizes.put(ScenarioParameter.NOTICE, chance.between(0, 200 * MS));
+        sizes.put(ScenarioParameter.CALL_COST, chance.between(5 * MS, 40 * MS));
     }
 
     /** The faults that belong to it. */
-    List<Fault> faults(Chance chance, Map<Knob, Long> sizes) {
+    List<Fault> faults(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
         List<Fault> faults = new ArrayList<>();
-        long end = sizes.get(Knob.FAULTS_END);
-        int servers = Math.toIntExact(sizes.get(Knob.SERVERS));
-        String sidecar = "n" + chance.nextInt(Math.toIntExact(sizes.get(Knob.SIDECARS)));
+        long end = sizes.get(ScenarioParameter.FAULTS_END);
+        int servers = Math.toIntExact(sizes.get(ScenarioParameter.SERVERS));
+        String sidecar =
+                "n" + chance.nextInt(Math.toIntExact(sizes.get(ScenarioParameter.SIDECARS)));
         switch (this) {
             case HOUR ->
                     faults.add(
                             pause(
-                                    Trigger.time(millis(chance.between(2 * S, 60 * S))),
+                                    FaultTrigger.time(millis(chance.between(2 * S, 60 * S))),
                                     sidecar,
                                     3600 * S));
             case MINUTES -> {
                 faults.add(
                         pause(
-                                Trigger.time(millis(chance.between(2 * S, end / 2))),
+                                FaultTrigger.time(millis(chance.between(2 * S, end / 2))),
                                 sidecar,
                                 millis(chance.between(20 * S, 120 * S))));
                 faults.add(
                         pause(
-                                new Trigger(0, chance.pick(RESENT), 1 + chance.nextInt(3)),
+                                new FaultTrigger(0, chance.pick(RESENT), 1 + chance.nextInt(3)),
                                 null,
                                 millis(chance.between(10 * S, 60 * S))));
             }
@@ -152,10 +153,15 @@
                 for (RequestState each : RESENT) {
                     int nth = 1 + chance.nextInt(8);
                     faults.add(
-                            fault(new Trigger(0, each, nth), FaultKind.DRAIN, null, Param.DOWN, S));
+                            fault(
+                                    new FaultTrigger(0, each, nth),
+                                    FaultKind.DRAIN,
+                                    null,
+                                    FaultParameter.DOWN,
+                                    S));
                     faults.add(
                             pause(
-                                    new Trigger(0, each, nth),
+                                    new FaultTrigger(0, each, nth),
                                     null,
                                     millis(chance.between(3 * S, 5 * S))));
                 }
@@ -178,29 +184,34 @@
     }
 
     /** All connect anew, which takes longer than the grace, and meanwhile it drains. */
-    private static void drain(List<Fault> faults, String server, long at, Chance chance) {
+    private static void drain(List<Fault> faults, String server, long at, SeededRandom chance) {
         faults.add(
-                new Fault(Trigger.time(at), FaultKind.CLOSE_IDLE, server, null, new TreeMap<>()));
+                new Fault(
+                        FaultTrigger.time(at),
+                        FaultKind.CLOSE_IDLE,
+                        server,
+                        null,
+                        new TreeMap<>()));
         // What is written when the connection is up at last goes quickly: the server must not have
         // ended by
         // then.
         faults.add(slow(at, server, 2 * S, millis(chance.between(2200 * MS, 2600 * MS))));
         faults.add(
                 fault(
-                        Trigger.time(at + millis(chance.between(200 * MS, 900 * MS))),
+                        FaultTrigger.time(at + millis(chance.between(200 * MS, 900 * MS))),
                         FaultKind.DRAIN,
                         server,
-                        Param.DOWN,
+                        FaultParameter.DOWN,
                         S));
     }
 
-    private static void breaks(List<Fault> faults, Chance chance) {
+    private static void breaks(List<Fault> faults, SeededRandom chance) {
         for (int i = 0; i < BROKEN; i++) {
             // By then it has come, and no answer is on its way.
             long after = millis(chance.between(6 * MS, 15 * MS));
             faults.add(
                     new Fault(
-                            new Trigger(after, RequestState.WRITTEN, 1 + chance.nextInt(100)),
+                            new FaultTrigger(after, RequestState.WRITTEN, 1 + chance.nextInt(100)),
                             FaultKind.UP_RESET,
                             null,
                             null,
@@ -209,7 +220,7 @@
     }
 
     /** Idle connections are closed as they are taken, which needs one that was kept. */
-    private static void closes(List<Fault> faults, Chance chance) {
+    private static void closes(List<Fault> faults, SeededRandom chance) {
         for (RequestState each :
                 List.of(
                         RequestState.WRITTEN,
@@ -218,7 +229,7 @@
                         RequestState.RESEND_WRITTEN)) {
             faults.add(
                     new Fault(
-                            new Trigger(0, each, 1 + chance.nextInt(8)),
+                            new FaultTrigger(0, each, 1 + chance.nextInt(8)),
                             FaultKind.CLOSE_IDLE,
                             null,
                             null,
@@ -227,19 +238,19 @@
     }
 
     private static Fault slow(long at, String server, long duration, long by) {
-        TreeMap<Param, Long> values = new TreeMap<>();
-        values.put(Param.FOR, duration);
-        values.put(Param.BY, by);
-        return new Fault(Trigger.time(at), FaultKind.CONNECT_SLOW, server, null, values);
+        TreeMap<FaultParameter, Long> values = new TreeMap<>();
+        values.put(FaultParameter.FOR, duration);
+        values.put(FaultParameter.BY, by);
+        return new Fault(FaultTrigger.time(at), FaultKind.CONNECT_SLOW, server, null, values);
     }
 
-    private static Fault pause(Trigger trigger, String sidecar, long duration) {
-        return fault(trigger, FaultKind.PAUSE, sidecar, Param.FOR, duration);
+    private static Fault pause(FaultTrigger trigger, String sidecar, long duration) {
+        return fault(trigger, FaultKind.PAUSE, sidecar, FaultParameter.FOR, duration);
     }
 
     private static Fault fault(
-            Trigger trigger, FaultKind kind, String who, Param param, long value) {
-        TreeMap<Param, Long> values = new TreeMap<>();
+            FaultTrigger trigger, FaultKind kind, String who, FaultParameter param, long value) {
+        TreeMap<FaultParameter, Long> values = new TreeMap<>();
         values.put(param, value);
         return new Fault(trigger, kind, who, null, values);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Traps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -12,12 +12,12 @@
  * as a step of its own, the next request that stays there is struck; so is the next where a fault
  * would change nothing for that one.
  */
-final class Traps {
+final class StateTriggers {
     private final Day day;
-    private final Strikes strikes;
+    private final FaultInjector strikes;
     private final RequestStates states;
 
-    Traps(Day day, Strikes strikes, RequestStates states) {
+    StateTriggers(Day day, FaultInjector strikes, RequestStates states) {
         this.day = day;
         this.strikes = strikes;
         this.states = states;
@@ -52,7 +52,7 @@
      */
     private void spring(Fault fault, InState request, List<Fault> waiting) {
         long after = fault.trigger().at();
-        if (after == 0 && Strikes.atOnce(fault.kind())) {
+        if (after == 0 && FaultInjector.atOnce(fault.kind())) {
             strikes.strike(fault, request);
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 
 /**
  * When the usual clients of one application want something: at chance times, some of them in
@@ -16,8 +16,8 @@
     /** Requests a second. */
     private final double rate;
 
-    private final Chance chance;
-    private final Chance floods;
+    private final SeededRandom chance;
+    private final SeededRandom floods;
 
     Traffic(Day day, Application application, int index, double rate) {
         this.day = day;
@@ -38,7 +38,7 @@
         if (day.now() >= day.plan.quietFrom()) {
             return;
         }
-        double bursts = day.isTroubled() ? day.plan.part(Knob.BURSTS) : 0;
+        double bursts = day.isTroubled() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
         double mean = Site.SECOND / (rate * Math.max(0.01, 1 - bursts));
         day.after(
                 (long) chance.exponential(mean),
@@ -56,7 +56,11 @@
                 wait,
                 () -> {
                     if (day.isTroubled()) {
-                        double due = rate * day.plan.part(Knob.BURSTS) * BURST_EVERY / Site.SECOND;
+                        double due =
+                                rate
+                                        * day.plan.part(ScenarioParameter.BURSTS)
+                                        * BURST_EVERY
+                                        / Site.SECOND;
                         int many = (int) due + (chance.hits(due - (int) due) ? 1 : 0);
                         for (int i = 0; i < many; i++) {
                             day.after(
@@ -89,7 +93,7 @@
                 });
     }
 
-    private static int tenant(Chance from) {
+    private static int tenant(SeededRandom from) {
         double drawn = from.nextDouble();
         int place = 0;
         while (place < Tenants.ALL.size() - 1 && drawn >= Tenants.ALL.get(place).share()) {
