--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -1,11 +1,11 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.Evidence;
-import appleridge.testbed.invariants.Fan;
+import appleridge.testbed.invariants.EvidenceFanOut;
 import appleridge.testbed.invariants.RequestStates;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
 import java.net.InetSocketAddress;
@@ -52,7 +52,7 @@
     private final Network network;
     private final RequestStates states = new RequestStates();
     private final Day day;
-    private final Seats seats = new Seats();
+    private final ProcessSlots seats = new ProcessSlots();
     private final Nodes nodes = new Nodes();
     private final Fleet fleet;
     private final Links links;
@@ -64,26 +64,28 @@
     /** Makes the world as it is when the day begins. */
     public World(Plan plan, Sidecars sidecars, Watch watch) {
         this.plan = plan;
-        Chance chance = new Chance(plan.seed());
+        SeededRandom chance = new SeededRandom(plan.seed());
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
         network.tap(states);
-        Meetings meetings = new Meetings(states);
+        FaultOverlaps meetings = new FaultOverlaps(states);
         Evidence evidence =
-                new Fan(
+                new EvidenceFanOut(
                         List.of(
                                 meetings,
                                 states,
-                                new Narrator(simulation),
+                                new NarratedLog(simulation),
                                 nodes,
                                 watch.of(this, states, this::zoneOf)));
         day = new Day(plan, simulation, network, evidence, chance);
         meetings.begin(day);
-        evidence.listedBy(plan.count(Knob.MEMBERSHIP) != 1, plan.count(Knob.MEMBERSHIP) > 0);
+        evidence.listedBy(
+                plan.count(ScenarioParameter.MEMBERSHIP) != 1,
+                plan.count(ScenarioParameter.MEMBERSHIP) > 0);
         Instances instances = new Instances(day);
-        Told told = new Told(evidence);
+        DeliveredEndpointUpdates told = new DeliveredEndpointUpdates(evidence);
         fleet = new Fleet(plan, instances);
-        if (plan.count(Knob.MEMBERSHIP) > 0) {
+        if (plan.count(ScenarioParameter.MEMBERSHIP) > 0) {
             nodes.begin(day, fleet);
         }
         links = new Links(day);
@@ -98,16 +100,16 @@
         addSeats(sidecars, instances, told);
         BadClients badClients = new BadClients(day, applications);
         join(badClients);
-        Strikes strikes =
-                new Strikes(
+        FaultInjector strikes =
+                new FaultInjector(
                         day,
-                        new ConnectionStrikes(day, applications, states),
-                        new ServerStrikes(day, fleet, seats, links, meetings),
-                        new ListStrikes(day, discovery, seats),
-                        new SidecarStrikes(
+                        new ConnectionFaultInjector(day, applications, states),
+                        new ServerFaultInjector(day, fleet, seats, links, meetings),
+                        new ListFaultInjector(day, discovery, seats),
+                        new SidecarFaultInjector(
                                 day, seats, fleet, discovery, links, traffic, badClients, meetings),
                         nodes.strikes(day, fleet, seats));
-        new Traps(day, strikes, states).set(plan.faults());
+        new StateTriggers(day, strikes, states).set(plan.faults());
         for (Fault each : plan.faults()) {
             if (!each.trigger().trap()) {
                 simulation.at(each.trigger().at(), () -> strikes.strike(each, null));
@@ -115,7 +117,7 @@
         }
     }
 
-    private List<Registry> registries(Instances instances, Told told) {
+    private List<Registry> registries(Instances instances, DeliveredEndpointUpdates told) {
         List<Registry> registries = new ArrayList<>();
         for (int i = 0; i < DISCOVERY_ADDRESSES; i++) {
             Host host = network.host("discovery" + i, Site.address(4, 0, 1 + i), DESCRIPTORS);
@@ -132,7 +134,7 @@
     }
 
     private void addMachines() {
-        for (int i = 0; i < plan.count(Knob.SERVERS); i++) {
+        for (int i = 0; i < plan.count(ScenarioParameter.SERVERS); i++) {
             int zone = i % Site.ZONES.size();
             String name = "s" + i;
             Host host = network.host(name, Site.address(3, zone, 1 + i), DESCRIPTORS);
@@ -140,16 +142,18 @@
         }
     }
 
-    private void addSeats(Sidecars sidecars, Instances instances, Told told) {
-        int count = plan.count(Knob.SIDECARS);
+    private void addSeats(Sidecars sidecars, Instances instances, DeliveredEndpointUpdates told) {
+        int count = plan.count(ScenarioParameter.SIDECARS);
         long[] works = works();
         double[] shares = shares(count);
         for (int i = 0; i < count; i++) {
             String name = "n" + i;
-            Host host = network.host(name, Site.address(1, 0, 1 + i), plan.count(Knob.SOCKETS));
+            Host host =
+                    network.host(
+                            name, Site.address(1, 0, 1 + i), plan.count(ScenarioParameter.SOCKETS));
             states.sidecar(name, name);
-            Seat seat =
-                    new Seat(
+            ProcessSlot seat =
+                    new ProcessSlot(
                             day,
                             seats,
                             name,
@@ -165,20 +169,22 @@
             seats.all().get(i).readiness(new Readiness(day, host, seats.all().get(i)));
             Application application = new Application(day, i, host, seats, works);
             applications.add(application);
-            traffic.add(new Traffic(day, application, i, plan.part(Knob.RATE) * shares[i]));
+            traffic.add(
+                    new Traffic(
+                            day, application, i, plan.part(ScenarioParameter.RATE) * shares[i]));
         }
     }
 
     /** The mean work of each class on this day. */
     private long[] works() {
-        Chance chance = day.work("works");
+        SeededRandom chance = day.work("works");
         long[] works = new long[Classes.ALL.size()];
         for (int i = 0; i < works.length; i++) {
             Classes.Kind kind = Classes.of(i);
             works[i] =
                     (long)
                             (chance.between(kind.leastWork(), kind.mostWork())
-                                    * plan.part(Knob.WORK));
+                                    * plan.part(ScenarioParameter.WORK));
         }
         return works;
     }
@@ -187,7 +193,7 @@
      * Which part of the traffic comes to each sidecar; the first one named need not have the most.
      */
     private double[] shares(int count) {
-        Chance chance = day.work("shares");
+        SeededRandom chance = day.work("shares");
         double[] shares = new double[count];
         double sum = 0;
         double share = 1;
@@ -195,7 +201,7 @@
         for (int i = 0; i < count; i++) {
             shares[(first + i) % count] = share;
             sum += share;
-            share *= plan.part(Knob.UNEVEN);
+            share *= plan.part(ScenarioParameter.UNEVEN);
         }
         for (int i = 0; i < count; i++) {
             shares[i] /= sum;
@@ -204,7 +210,7 @@
     }
 
     private void join(BadClients badClients) {
-        for (Seat seat : seats.all()) {
+        for (ProcessSlot seat : seats.all()) {
             applications.forEach(each -> links.home(each.host(), seat.host()));
             badClients.hosts().forEach(each -> links.home(each, seat.host()));
             badClients.narrow(seat);
@@ -237,14 +243,14 @@
         discovery.registry().listen();
         seats.onReady(
                 () -> {
-                    if (seats.all().stream().allMatch(Seat::isUsable)) {
+                    if (seats.all().stream().allMatch(ProcessSlot::isUsable)) {
                         clientsCome();
                     }
                 });
         seats.all().forEach(seat -> seat.start(discovery.registry()));
         day.after(CLIENTS_COME, this::clientsCome);
         simulation.at(
-                plan.quietFrom() + plan.size(Knob.LONGEST_DEADLINE) + LAST_ANSWERS,
+                plan.quietFrom() + plan.size(ScenarioParameter.LONGEST_DEADLINE) + LAST_ANSWERS,
                 () -> applications.forEach(Application::goHome));
         simulation.at(
                 plan.faultsEnd(),
@@ -325,7 +331,7 @@
 
     /** Where a sidecar's processes run; null if there is none of that name. */
     public Host sidecarHost(String name) {
-        Seat seat = seats.seat(name);
+        ProcessSlot seat = seats.seat(name);
         return seat == null ? null : seat.host();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
@@ -33,12 +33,13 @@
     private final EventLoop loop;
     private final InetSocketAddress sidecar;
     private final long patience;
-    private final Witness witness;
+    private final StandInListener witness;
     private final Map<String, String> lines = new LinkedHashMap<>();
     private int open;
 
     /** With how long an error or a close may take, in nanoseconds. */
-    public BadClients(EventLoop loop, InetSocketAddress sidecar, long patience, Witness witness) {
+    public BadClients(
+            EventLoop loop, InetSocketAddress sidecar, long patience, StandInListener witness) {
         this.loop = loop;
         this.sidecar = sidecar;
         this.patience = patience;
--- a/testbed/src/main/java/appleridge/testbed/standin/ClientConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ClientConnection.java
@@ -19,7 +19,7 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
     private final LoopbackClient client;
     private final RealTime time;
-    private final Witness witness;
+    private final StandInListener witness;
     private final Channel channel;
     private LoopbackClient.Exchange exchange;
     private boolean written;
@@ -28,7 +28,8 @@
     private final StringBuilder body = new StringBuilder();
     private Future<?> patience;
 
-    ClientConnection(LoopbackClient client, RealTime time, Witness witness, Channel channel) {
+    ClientConnection(
+            LoopbackClient client, RealTime time, StandInListener witness, Channel channel) {
         this.client = client;
         this.time = time;
         this.witness = witness;
@@ -40,7 +41,7 @@
         written = false;
         head = null;
         body.setLength(0);
-        Witness.Ask ask = next.ask();
+        StandInListener.Ask ask = next.ask();
         channel.writeAndFlush(request(ask))
                 .addListener(
                         done -> {
@@ -58,14 +59,14 @@
                                     () ->
                                             end(
                                                     next.leaves() < next.listens()
-                                                            ? Witness.Ending.GAVE_UP
-                                                            : Witness.Ending.SILENT),
+                                                            ? StandInListener.Ending.GAVE_UP
+                                                            : StandInListener.Ending.SILENT),
                                     Math.min(next.leaves(), next.listens()),
                                     TimeUnit.NANOSECONDS);
         }
     }
 
-    private static ByteBuf request(Witness.Ask ask) {
+    private static ByteBuf request(StandInListener.Ask ask) {
         boolean safe = ask.kind().repeats() == RequestKind.Repeats.SAFE;
         StringBuilder text =
                 new StringBuilder(safe ? "GET " : "POST ")
@@ -140,7 +141,7 @@
     }
 
     /** Without an answer. */
-    private void end(Witness.Ending how) {
+    private void end(StandInListener.Ending how) {
         if (exchange != null) {
             LoopbackClient.Exchange ended = exchange;
             exchange = null;
@@ -165,9 +166,9 @@
             witness.sentAgain(again.ask().id(), time.nanos());
             client.askAnew(again);
         } else if (head != null) {
-            end(Witness.Ending.CUT);
+            end(StandInListener.Ending.CUT);
         } else {
-            end(written ? Witness.Ending.CLOSED_FIRST : Witness.Ending.NOT_TAKEN);
+            end(written ? StandInListener.Ending.CLOSED_FIRST : StandInListener.Ending.NOT_TAKEN);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackClient.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackClient.java
@@ -16,7 +16,7 @@
 final class LoopbackClient {
     private final RealTime time;
     private final LoopbackClients all;
-    private final Witness witness;
+    private final StandInListener witness;
     private final Bootstrap bootstrap;
     private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
@@ -25,7 +25,7 @@
             RealTime time,
             InetSocketAddress sidecar,
             LoopbackClients all,
-            Witness witness) {
+            StandInListener witness) {
         this.time = time;
         this.all = all;
         this.witness = witness;
@@ -53,7 +53,7 @@
     }
 
     /** Sends it; the client leaves after so many nanoseconds, or stops listening for the answer. */
-    void ask(Witness.Ask ask, long leaves, long listens) {
+    void ask(StandInListener.Ask ask, long leaves, long listens) {
         Exchange exchange = new Exchange(ask, leaves, listens);
         ClientConnection kept = idle.pollLast();
         if (kept != null) {
@@ -78,7 +78,7 @@
                             } else {
                                 witness.ended(
                                         exchange.ask().id(),
-                                        Witness.Ending.NOT_TAKEN,
+                                        StandInListener.Ending.NOT_TAKEN,
                                         time.nanos());
                                 over(exchange, false, 0);
                             }
@@ -102,5 +102,5 @@
     }
 
     /** A request and how long its client stays, in nanoseconds from its sending. */
-    record Exchange(Witness.Ask ask, long leaves, long listens) {}
+    record Exchange(StandInListener.Ask ask, long leaves, long listens) {}
 }
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackClients.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackClients.java
@@ -36,7 +36,7 @@
     private final RealTime time;
     private final Habits habits;
     private final SplittableRandom chance;
-    private final Witness witness;
+    private final StandInListener witness;
     private final List<LoopbackClient> clients = new ArrayList<>();
     private String flooding = "";
     private double flood = 1;
@@ -50,7 +50,7 @@
             InetSocketAddress sidecar,
             Habits habits,
             SplittableRandom chance,
-            Witness witness) {
+            StandInListener witness) {
         this.loop = loop;
         this.time = time;
         this.habits = habits;
@@ -108,10 +108,10 @@
     }
 
     private double weights() {
-        return Wholesaler.ALL.stream().mapToDouble(this::weight).sum();
+        return TenantShare.ALL.stream().mapToDouble(this::weight).sum();
     }
 
-    private double weight(Wholesaler wholesaler) {
+    private double weight(TenantShare wholesaler) {
         return wholesaler.share() * (wholesaler.name().equals(flooding) ? flood : 1);
     }
 
@@ -119,7 +119,7 @@
         String id = hex();
         RequestKind kind = kind();
         send(
-                new Witness.Ask(
+                new StandInListener.Ask(
                         id,
                         id,
                         kind,
@@ -130,7 +130,7 @@
                         kind.patience()));
     }
 
-    private void send(Witness.Ask ask) {
+    private void send(StandInListener.Ask ask) {
         open++;
         witness.asks(ask);
         long leaves =
@@ -142,7 +142,7 @@
     }
 
     /** A request is over; one that was refused is sent once more, if there is time. */
-    void over(Witness.Ask ask, boolean refused, long wait) {
+    void over(StandInListener.Ask ask, boolean refused, long wait) {
         open--;
         long pause = wait < 0 ? USUAL_WAIT : wait;
         long left = ask.patience() - (time.nanos() - ask.at()) - pause;
@@ -151,7 +151,7 @@
                     () -> {
                         if (asking) {
                             send(
-                                    new Witness.Ask(
+                                    new StandInListener.Ask(
                                             hex(),
                                             ask.wish(),
                                             ask.kind(),
@@ -180,13 +180,13 @@
 
     private String wholesaler() {
         double drawn = chance.nextDouble() * weights();
-        for (Wholesaler wholesaler : Wholesaler.ALL) {
+        for (TenantShare wholesaler : TenantShare.ALL) {
             drawn -= weight(wholesaler);
             if (drawn < 0) {
                 return wholesaler.name();
             }
         }
-        return Wholesaler.ALL.get(0).name();
+        return TenantShare.ALL.get(0).name();
     }
 
     private String hex() {
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackRegistry.java
@@ -52,7 +52,7 @@
 
     private final EventLoop loop;
     private final RealTime time;
-    private final Witness witness;
+    private final StandInListener witness;
     private final ObjectMapper json = new ObjectMapper();
     private final Map<String, Known> list = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
@@ -60,7 +60,7 @@
     private boolean away;
     private long revision;
 
-    public LoopbackRegistry(EventLoop loop, RealTime time, Witness witness) {
+    public LoopbackRegistry(EventLoop loop, RealTime time, StandInListener witness) {
         this.loop = loop;
         this.time = time;
         this.witness = witness;
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackServer.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackServer.java
@@ -43,9 +43,9 @@
     private final Identity identity;
     private final RepeatMemory memory;
     private final SplittableRandom chance;
-    private final Witness witness;
+    private final StandInListener witness;
     private final Listener listener;
-    private final Workshop workshop;
+    private final ServerCores workshop;
     private final ColdStart coldStart;
     private final LoadReport report = new LoadReport();
     private final long startedAt;
@@ -61,7 +61,7 @@
             Identity identity,
             RepeatMemory memory,
             SplittableRandom chance,
-            Witness witness) {
+            StandInListener witness) {
         this.time = time;
         this.identity = identity;
         this.memory = memory;
@@ -70,7 +70,7 @@
         this.startedAt = time.nanos();
         this.coldStart = new ColdStart(identity.figures(), identity.cold(), startedAt);
         this.workshop =
-                new Workshop(
+                new ServerCores(
                         loop,
                         identity.figures().cores(),
                         identity.queue(),
@@ -152,7 +152,7 @@
         double work = Math.min(drawn, MOST * kind.work()) + (firstOfConnection ? HANDSHAKE : 0);
         boolean full = workshop.full();
         witness.arrived(
-                new Witness.Arrival(
+                new StandInListener.Arrival(
                         identity.name(),
                         identity.zone(),
                         id,
--- a/testbed/src/main/java/appleridge/testbed/standin/Workshop.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ServerCores.java
@@ -8,7 +8,7 @@
 /**
  * A server's cores and the queue before them. Work is time that passes; no processor is kept busy.
  */
-final class Workshop {
+final class ServerCores {
     private record Job(double work, Runnable done) {}
 
     private final EventLoop loop;
@@ -20,7 +20,7 @@
     private boolean stopped;
 
     /** With how many may wait, and how fast each core is at a moment (1 is usual). */
-    Workshop(EventLoop loop, int cores, int places, DoubleSupplier speed) {
+    ServerCores(EventLoop loop, int cores, int places, DoubleSupplier speed) {
         this.loop = loop;
         this.cores = cores;
         this.places = places;
--- a/testbed/src/main/java/appleridge/testbed/standin/Witness.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/StandInListener.java
@@ -4,7 +4,7 @@
  * Told by stand-ins what they did and saw, as it happens, on their event loop. Times are those of
  * {@link RealTime#nanos()}.
  */
-public interface Witness {
+public interface StandInListener {
     /**
      * One try of a client.
      *
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -340,7 +340,7 @@
         }
         TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(99, ""));
         Thread.sleep(300);
-        loop.execute(source::tellNow);
+        loop.execute(source::deliverPending);
         still.countDown();
         heard.next("gone s1");
         heard.next("changed s1");
--- a/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
@@ -19,7 +19,7 @@
     /** Guards against a second without new connections, while others stand idle. */
     @Test
     void anIdleConnectionMakesPlace() throws Exception {
-        try (Front front = new Front(1, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(1, 50, ClientTimeouts.DEFAULT)) {
             List<Front.Client> idle = front.clients(5);
             for (Front.Client each : idle) {
                 each.send(Front.READY);
@@ -38,7 +38,7 @@
     /** Guards against a loop that does nothing but try, and against a log that fills with it. */
     @Test
     void whereAllAreInUseItIsTriedAgainNowAndThen() throws Exception {
-        try (Front front = new Front(2, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(2, 50, ClientTimeouts.DEFAULT)) {
             List<Front.Client> busy = front.clients(5);
             busy.forEach(each -> each.send(front.request()));
             front.run(10 * MS);
@@ -62,7 +62,7 @@
     /** Guards against a pause whose end opens the door whatever the cap. */
     @Test
     void theCapHoldsWhenItIsTriedAgain() throws Exception {
-        try (Front front = new Front(3, 4, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(3, 4, ClientTimeouts.DEFAULT)) {
             List<Front.Client> busy = front.clients(4);
             busy.forEach(each -> each.send(front.request()));
             front.run(10 * MS);
--- a/testbed/src/test/java/appleridge/testbed/campaign/Front.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/Front.java
@@ -18,9 +18,9 @@
 import appleridge.request.SendDeadlines;
 import appleridge.request.UpstreamRequest;
 import appleridge.request.UpstreamTransport;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimLoop;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
@@ -67,7 +67,7 @@
     private int names;
 
     Front(long seed, int maxConnections, ClientTimeouts times) throws IOException {
-        Chance chance = new Chance(seed);
+        SeededRandom chance = new SeededRandom(seed);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
         app = network.host("app", address(1), 10_000);
--- a/testbed/src/test/java/appleridge/testbed/campaign/ShrinkerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ShrinkerTest.java
@@ -5,8 +5,8 @@
 
 import appleridge.testbed.simulation.Fault;
 import appleridge.testbed.simulation.FaultKind;
-import appleridge.testbed.simulation.Knob;
 import appleridge.testbed.simulation.Plan;
+import appleridge.testbed.simulation.ScenarioParameter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -39,16 +39,19 @@
     @Test
     void sizesThatMatterStayUnusualAndAreMadeRounder() {
         Plan failing = Plan.draw(1845);
-        assertTrue(failing.size(Knob.CLOCK_COST) > 30_000 && failing.size(Knob.SIDECARS) == 2);
+        assertTrue(
+                failing.size(ScenarioParameter.CLOCK_COST) > 30_000
+                        && failing.size(ScenarioParameter.SIDECARS) == 2);
         Plan left =
                 new Shrinker(
                                 plan ->
-                                        plan.size(Knob.CLOCK_COST) > 30_000
-                                                && plan.size(Knob.SIDECARS) == 2,
+                                        plan.size(ScenarioParameter.CLOCK_COST) > 30_000
+                                                && plan.size(ScenarioParameter.SIDECARS) == 2,
                                 MANY)
                         .shrink(failing);
-        assertEquals(List.of(Knob.SIDECARS, Knob.CLOCK_COST), left.unusual());
-        assertEquals(0, left.size(Knob.CLOCK_COST) % 10_000);
+        assertEquals(
+                List.of(ScenarioParameter.SIDECARS, ScenarioParameter.CLOCK_COST), left.unusual());
+        assertEquals(0, left.size(ScenarioParameter.CLOCK_COST) % 10_000);
         assertEquals(List.of(), left.faults());
     }
 
--- a/testbed/src/test/java/appleridge/testbed/campaign/UnreadAnswersTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/UnreadAnswersTest.java
@@ -35,7 +35,7 @@
     /** Guards against a loop that is busy with one client for as long as that likes. */
     @Test
     void whoAsksMoreInOneTurnThanOthersCanWaitForIsCutShort() throws Exception {
-        try (Front front = new Front(5, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(5, 50, ClientTimeouts.DEFAULT)) {
             Front.Client greedy = front.client();
             greedy.send(Front.READY.repeat(1000));
             front.run(50 * MS);
@@ -50,7 +50,7 @@
     /** Guards against memory filled by one client that asks on and on and reads nothing. */
     @Test
     void whatOneClientDoesNotReadIsBounded() throws Exception {
-        try (Front front = new Front(1, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(1, 50, ClientTimeouts.DEFAULT)) {
             Front.Client hungry = front.client();
             hungry.readsNothing();
             long most = 0;
@@ -67,7 +67,7 @@
     /** Guards against memory filled by many of them, each within its own bound. */
     @Test
     void whatAllClientsTogetherDoNotReadIsBounded() throws Exception {
-        try (Front front = new Front(2, 400, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(2, 400, ClientTimeouts.DEFAULT)) {
             List<Front.Client> clients = front.clients(100);
             clients.forEach(Front.Client::readsNothing);
             long most = 0;
@@ -87,7 +87,7 @@
      */
     @Test
     void aLastAnswerThatIsNeverReadEndsTheConnection() throws Exception {
-        try (Front front = new Front(3, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(3, 50, ClientTimeouts.DEFAULT)) {
             Front.Client stuck = front.client();
             stuck.readsNothing();
             fill(front, stuck, 300);
@@ -104,7 +104,7 @@
     /** Guards against answers cut short where a client reads slowly, or not for a moment. */
     @Test
     void aClientThatReadsLateHasAllItsAnswers() throws Exception {
-        try (Front front = new Front(4, 50, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(4, 50, ClientTimeouts.DEFAULT)) {
             Front.Client late = front.client();
             late.readsNothing();
             fill(front, late, 300);
--- a/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
@@ -20,7 +20,7 @@
     @Test
     void whatHasAskedUnreadIsNotClosedToMakeRoom() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 4, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 4, ClientTimeouts.DEFAULT)) {
                 List<Front.Client> silent = front.clients(4);
                 front.run(300 * MS);
                 front.loop.pause(60 * MS);
@@ -46,7 +46,7 @@
     @Test
     void manyThatHaveAskedUnreadAreAnsweredAndThenMakeRoom() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 200, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 200, ClientTimeouts.DEFAULT)) {
                 front.refuses();
                 List<Front.Client> silent = front.clients(200);
                 front.run(300 * MS);
@@ -75,7 +75,7 @@
     @Test
     void whatHasAskedUnreadIsNotClosedForItsSilence() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 50, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 50, ClientTimeouts.DEFAULT)) {
                 List<Front.Client> silent = front.clients(3);
                 front.run(1_900 * MS);
                 front.loop.pause(300 * MS);
--- a/testbed/src/test/java/appleridge/testbed/campaign/WaitingConnectionsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/WaitingConnectionsTest.java
@@ -28,7 +28,7 @@
     @Test
     void atTheCapWithAllInUseThoseThatWaitAreToldSoon() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 4, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 4, ClientTimeouts.DEFAULT)) {
                 List<Front.Client> clients = ask(front, 4);
                 front.run(10 * MS);
                 clients.addAll(ask(front, 20));
@@ -57,7 +57,7 @@
     @Test
     void whereThereIsRoomSoonThoseThatWaitAreServed() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 40, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 40, ClientTimeouts.DEFAULT)) {
                 front.clients(40);
                 front.run(10 * MS);
                 List<Front.Client> late = ask(front, 30);
@@ -78,7 +78,7 @@
     @Test
     void whatCameWhileTheLoopStoodStillIsTakenBeforeAcceptingEnds() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 100, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 100, ClientTimeouts.DEFAULT)) {
                 drain(front);
                 front.run(350 * MS);
                 front.loop.pause(300 * MS);
@@ -97,7 +97,7 @@
     @Test
     void whatWaitsForRoomWhenAcceptingEndsIsTold() throws Exception {
         for (int seed = 0; seed < SEEDS; seed++) {
-            try (Front front = new Front(seed, 4, ClientTimeouts.USUAL)) {
+            try (Front front = new Front(seed, 4, ClientTimeouts.DEFAULT)) {
                 List<Front.Client> clients = new ArrayList<>(ask(front, 4));
                 drain(front);
                 front.run(400 * MS);
@@ -114,7 +114,7 @@
     /** Guards against an end of accepting that those put off for ever who go on connecting. */
     @Test
     void acceptingEndsThoughOthersGoOnConnecting() throws Exception {
-        try (Front front = new Front(1, 100, ClientTimeouts.USUAL)) {
+        try (Front front = new Front(1, 100, ClientTimeouts.DEFAULT)) {
             drain(front);
             front.run(550 * MS);
             int refused = 0;
--- a/testbed/src/test/java/appleridge/testbed/coordination/DrainBookTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/DrainBookTest.java
@@ -14,13 +14,13 @@
     private final DrainBook book = new DrainBook("/s", 20);
     private long zxid = 100;
 
-    private void tell(Heard.What what, String path, String data, long at, String... children) {
-        book.heard(new Heard(1, what, path, ++zxid, data, List.of(children)), at);
+    private void tell(NodeReply.What what, String path, String data, long at, String... children) {
+        book.heard(new NodeReply(1, what, path, ++zxid, data, List.of(children)), at);
     }
 
     private void holds(String name, String address, boolean ready, long at) {
         tell(
-                Heard.What.HOLDS,
+                NodeReply.What.HOLDS,
                 "/s/" + name,
                 new String(new ServerNode(address, "z", ready, 5).bytes(), StandardCharsets.UTF_8),
                 at);
@@ -29,7 +29,7 @@
     @Test
     void aRequestLongAfterItsServersEndIsLate() {
         holds("a", ADDRESS, true, 0);
-        tell(Heard.What.GONE, "/s/a", "", 100);
+        tell(NodeReply.What.GONE, "/s/a", "", 100);
         book.arrived(ADDRESS, "p", "early", 99);
         book.arrived(ADDRESS, "p", "allowed", 120);
         assertEquals(List.of(), book.late());
@@ -43,7 +43,7 @@
     @Test
     void oneThatIsBackMayGetRequestsAgain() {
         holds("a", ADDRESS, true, 0);
-        tell(Heard.What.GONE, "/s/a", "", 100);
+        tell(NodeReply.What.GONE, "/s/a", "", 100);
         holds("a", ADDRESS, true, 150);
         book.arrived(ADDRESS, "p", "back", 160);
         assertEquals(List.of(), book.late());
@@ -55,7 +55,7 @@
     void absenceFromTheListIsAnEnd() {
         holds("a", ADDRESS, true, 0);
         holds("b", "127.0.0.1:2", true, 0);
-        tell(Heard.What.CHILDREN, "/s", "", 50, "b", "c");
+        tell(NodeReply.What.CHILDREN, "/s", "", 50, "b", "c");
         assertFalse(book.there(ADDRESS));
         assertTrue(book.there("127.0.0.1:2"));
         assertEquals(50, book.ends().get(0).from);
@@ -64,7 +64,7 @@
     @Test
     void anOlderStateIsNoWord() {
         holds("a", ADDRESS, true, 0);
-        book.heard(new Heard(1, Heard.What.CHILDREN, "/s", zxid - 1, "", List.of()), 50);
+        book.heard(new NodeReply(1, NodeReply.What.CHILDREN, "/s", zxid - 1, "", List.of()), 50);
         assertTrue(book.there(ADDRESS));
     }
 
@@ -76,7 +76,7 @@
         holds("a", ADDRESS, true, 20);
         holds("a", "127.0.0.1:2", true, 30);
         assertFalse(book.there(ADDRESS));
-        tell(Heard.What.HOLDS, "/s/a", "{", 40);
+        tell(NodeReply.What.HOLDS, "/s/a", "{", 40);
         assertEquals(0, book.size());
         assertEquals(3, book.ends().size());
     }
@@ -85,9 +85,9 @@
     void anAddressOfTwoNodesEndsWithTheLast() {
         holds("old", ADDRESS, true, 0);
         holds("new", ADDRESS, true, 10);
-        tell(Heard.What.GONE, "/s/old", "", 20);
+        tell(NodeReply.What.GONE, "/s/old", "", 20);
         assertTrue(book.there(ADDRESS));
-        tell(Heard.What.GONE, "/s/new", "", 30);
+        tell(NodeReply.What.GONE, "/s/new", "", 30);
         assertEquals(30, book.ends().get(0).from);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimChannel;
 import appleridge.testbed.simnet.SimLoop;
 import appleridge.testbed.simnet.Simulation;
@@ -50,9 +50,9 @@
                     CoordinationServer.Times.QUICK, new Ensemble.Time(() -> now, at -> at / MS), 3);
 
     /** One client's end of a line, and what came over it. */
-    private final class Client implements Visit.Line {
+    private final class Client implements MemberConnection.Line {
         private final Member member;
-        private final Visit visit = new Visit(this);
+        private final MemberConnection visit = new MemberConnection(this);
         private final Queue<byte[]> answers = new ArrayDeque<>();
         private boolean closed;
         private int xid;
@@ -223,7 +223,7 @@
     /** Guards against a stand-in that can only be played on real sockets and real time. */
     @Test
     void onTheSimulatedLoopItIsTheSame() throws Exception {
-        Chance chance = new Chance(1);
+        SeededRandom chance = new SeededRandom(1);
         Simulation simulation = new Simulation(chance.stream("ties"));
         Network network = new Network(simulation, chance.stream("network"));
         SimLoop.Costs costs = new SimLoop.Costs(10_000, 2_000, 100);
--- a/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
@@ -22,14 +22,14 @@
 
     @Test
     void newWorkStopsWithinTwoSecondsOfTheWord() throws Exception {
-        Set<Strike> strikes =
+        Set<CoordinationFault> strikes =
                 EnumSet.of(
-                        Strike.CUT,
-                        Strike.RESET,
-                        Strike.HALF,
-                        Strike.LATE,
-                        Strike.EXPIRED,
-                        Strike.RESTART);
+                        CoordinationFault.CUT,
+                        CoordinationFault.RESET,
+                        CoordinationFault.HALF,
+                        CoordinationFault.LATE,
+                        CoordinationFault.EXPIRED,
+                        CoordinationFault.RESTART);
         DrainCheck.Result result =
                 new DrainCheck(
                                 new DrainCheck.Plan(
--- a/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
@@ -28,7 +28,7 @@
 class RelayTest {
     private static final int SESSION_MILLIS = 15_000;
 
-    private record Told(Heard what, long at) {}
+    private record Told(NodeReply what, long at) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -101,7 +101,7 @@
         assertEquals(wanted, next);
     }
 
-    private Heard heard(Heard.What what) throws InterruptedException {
+    private NodeReply heard(NodeReply.What what) throws InterruptedException {
         Told next = told.poll(20, TimeUnit.SECONDS);
         while (next != null && next.what.what() != what) {
             next = told.poll(20, TimeUnit.SECONDS);
@@ -122,21 +122,21 @@
         ZooKeeper client = connected();
         client.addWatch("/s", AddWatchMode.PERSISTENT_RECURSIVE);
         NodeWriter node = node("a");
-        Heard made = heard(Heard.What.MADE);
+        NodeReply made = heard(NodeReply.What.MADE);
         assertEquals("/s/a", made.path());
         assertEquals(client.getSessionId(), made.session());
         assertEquals(server.lastChange(), made.zxid());
         client.getData("/s/a", false, null);
-        assertEquals("127.0.0.1:1", ServerNode.read(heard(Heard.What.HOLDS).data()).address());
+        assertEquals("127.0.0.1:1", ServerNode.read(heard(NodeReply.What.HOLDS).data()).address());
         client.getChildren("/s", false);
-        assertEquals(List.of("a"), heard(Heard.What.CHILDREN).children());
+        assertEquals(List.of("a"), heard(NodeReply.What.CHILDREN).children());
         client.multi(List.of(Op.getData("/s/a"), Op.getData("/s/b")));
-        assertEquals("/s/a", heard(Heard.What.HOLDS).path());
-        assertEquals("/s/b", heard(Heard.What.GONE).path());
+        assertEquals("/s/a", heard(NodeReply.What.HOLDS).path());
+        assertEquals("/s/b", heard(NodeReply.What.GONE).path());
         node.change(new ServerNode("127.0.0.1:1", "z", false, 0));
-        assertEquals("/s/a", heard(Heard.What.CHANGED).path());
+        assertEquals("/s/a", heard(NodeReply.What.CHANGED).path());
         server.expire(node.session());
-        assertEquals("/s/a", heard(Heard.What.GONE).path());
+        assertEquals("/s/a", heard(NodeReply.What.GONE).path());
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/coordination/FiguresTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/SamplesTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FiguresTest {
+class SamplesTest {
     @Test
     void aPartOfAllIsNotAboveTheNumberThatIsSaid() {
-        Figures figures = new Figures(List.of(40L, 10L, 30L, 20L));
+        Samples figures = new Samples(List.of(40L, 10L, 30L, 20L));
         assertEquals(20, figures.median());
         assertEquals(40, figures.at(0.99));
         assertEquals(40, figures.most());
@@ -17,7 +17,7 @@
 
     @Test
     void equalNumbersCountOnceEach() {
-        Figures figures = new Figures(List.of(1L, 2L, 2L, 5L));
+        Samples figures = new Samples(List.of(1L, 2L, 2L, 5L));
         assertEquals(3, figures.upTo(2));
         assertEquals(3, figures.upTo(4));
         assertEquals(0, figures.upTo(0));
@@ -26,7 +26,7 @@
 
     @Test
     void ofNothingThereIsNothingToSay() {
-        assertEquals("none", new Figures(List.of()).millis());
-        assertEquals(0, new Figures(List.of()).most());
+        assertEquals("none", new Samples(List.of()).millis());
+        assertEquals(0, new Samples(List.of()).most());
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/demo/VerdictTest.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/VerdictTest.java
@@ -5,9 +5,9 @@
 
 import appleridge.testbed.standin.LoopbackRegistry.State;
 import appleridge.testbed.standin.RequestKind;
-import appleridge.testbed.standin.Witness.Arrival;
-import appleridge.testbed.standin.Witness.Ask;
-import appleridge.testbed.standin.Witness.Ending;
+import appleridge.testbed.standin.StandInListener.Arrival;
+import appleridge.testbed.standin.StandInListener.Ask;
+import appleridge.testbed.standin.StandInListener.Ending;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -80,7 +80,7 @@
     void aFaultStrikesWhomItIsAimedAtOrAllThatAreThere() throws IOException {
         Wire wire = new Wire();
         Coverage coverage = new Coverage();
-        Strikes strikes = new Strikes(wire.states, coverage);
+        FaultHitCounter strikes = new FaultHitCounter(wire.states, coverage);
         wire.states.sidecar("side-1-process", "side-1");
         wire.asks("r");
         wire.asks("s");
@@ -103,7 +103,7 @@
     @Test
     void whatLastsCountsWhomItMeets() throws IOException {
         Coverage coverage = new Coverage();
-        Strikes strikes = new Strikes(new Wire().states, coverage);
+        FaultHitCounter strikes = new FaultHitCounter(new Wire().states, coverage);
         strikes.faultSet("connect-slow", "a-1");
         assertTrue(coverage.text(Impossible.none()).contains("connect-slow"));
         assertEquals(0, coverage.total());
@@ -127,9 +127,9 @@
 
     @Test
     void aDayComesToAVerdict() {
-        Tally tally = new Tally();
+        RequestCounts tally = new RequestCounts();
         for (String id : List.of("a", "b", "c", "d", "e", "f", "g")) {
-            tally.asks(new Try(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
+            tally.asks(new ClientAttempt(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
         }
         tally.answered("a", 200, "", -1, 0);
         tally.answered("b", 503, "", -1, 0);
@@ -154,7 +154,7 @@
                 new Verdict(
                         7,
                         255,
-                        List.of(new Broken(Rule.LOST, 1_500_000_000L, "d", "why")),
+                        List.of(new InvariantViolation(Rule.LOST, 1_500_000_000L, "d", "why")),
                         counts,
                         new Coverage(),
                         20);
--- a/testbed/src/test/java/appleridge/testbed/invariants/JudgeTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class JudgeTest {
+class InvariantCheckerTest {
     private static final long MS = Scene.MS;
 
     @Test
@@ -72,7 +72,7 @@
                 (Evidence)
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(), new Class<?>[] {Evidence.class}, ear);
-        Fan fan = new Fan(List.of(listener, listener));
+        EvidenceFanOut fan = new EvidenceFanOut(List.of(listener, listener));
         for (Method each : Evidence.class.getMethods()) {
             Object[] arguments = new Object[each.getParameterCount()];
             for (int i = 0; i < arguments.length; i++) {
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -44,7 +44,8 @@
 
     @Test
     void whatWasNotTakenIsNotLost() {
-        scene.judge.asks(new Try("r", "r", 0, Scene.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
+        scene.judge.asks(
+                new ClientAttempt("r", "r", 0, Scene.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
         broken(false);
         assertKept();
     }
@@ -222,7 +223,8 @@
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.judge.asks(
-                new Try("other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
+                new ClientAttempt(
+                        "other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
         scene.judge.asked("other");
         scene.judge.sidecarTerm(Scene.SIDE, 2);
         scene.after(9 * S);
--- a/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -142,32 +142,32 @@
 
     @Test
     void emptyBooksAreFine() {
-        Books baseline = new Books(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.books(Scene.SIDE, new Books(0, 0, 1, 2, 9, 64, List.of()), baseline);
-        scene.judge.books("side-1", new Books(0, 0, 1, 2, 0, 0, List.of()), baseline);
+        ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
+        scene.judge.books(Scene.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
+        scene.judge.books("side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
         assertBroken();
     }
 
     @Test
     void connectionsThatAreNotCountedAreTold() {
-        Books baseline = new Books(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.books(Scene.SIDE, new Books(0, 0, 0, 2, 9, 64, List.of()), baseline);
-        scene.judge.books("side-1", new Books(0, 0, 1, 1, 9, 64, List.of()), baseline);
+        ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
+        scene.judge.books(Scene.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
+        scene.judge.books("side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
         assertBroken(Rule.BOOKS, Rule.BOOKS);
     }
 
     @Test
     void whateverIsLeftIsALeak() {
-        List<Books> leaks =
+        List<ResourceCounts> leaks =
                 List.of(
-                        new Books(1, 0, 0, 0, 0, 0, List.of()),
-                                new Books(0, 1, 0, 0, 0, 0, List.of()),
-                        new Books(0, 0, 1, 0, 0, 0, List.of()),
-                                new Books(0, 0, 0, 1, 0, 0, List.of()),
-                        new Books(0, 0, 0, 0, 1, 0, List.of()),
-                                new Books(0, 0, 0, 0, 0, 1, List.of()));
+                        new ResourceCounts(1, 0, 0, 0, 0, 0, List.of()),
+                                new ResourceCounts(0, 1, 0, 0, 0, 0, List.of()),
+                        new ResourceCounts(0, 0, 1, 0, 0, 0, List.of()),
+                                new ResourceCounts(0, 0, 0, 1, 0, 0, List.of()),
+                        new ResourceCounts(0, 0, 0, 0, 1, 0, List.of()),
+                                new ResourceCounts(0, 0, 0, 0, 0, 1, List.of()));
         for (int i = 0; i < leaks.size(); i++) {
-            scene.judge.books("side-" + i, leaks.get(i), Books.empty());
+            scene.judge.books("side-" + i, leaks.get(i), ResourceCounts.empty());
             assertEquals(i + 1, scene.rules().size());
             assertEquals(Rule.LEAK, scene.rules().get(i));
         }
@@ -175,8 +175,8 @@
 
     @Test
     void anExceptionThatEscapesIsACrash() {
-        Books now = new Books(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
-        scene.judge.books(Scene.SIDE, now, Books.empty());
+        ResourceCounts now = new ResourceCounts(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
+        scene.judge.books(Scene.SIDE, now, ResourceCounts.empty());
         assertBroken(Rule.CRASH);
         assertTrue(scene.judge.broken().get(0).what().contains("NullPointerException"));
     }
@@ -238,7 +238,7 @@
         scene.at(12 * S);
         for (int i = 0; i < 2; i++) {
             scene.judge.asks(
-                    new Try(
+                    new ClientAttempt(
                             "r" + i,
                             "r" + i,
                             0,
--- a/testbed/src/test/java/appleridge/testbed/invariants/QuietRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/QuietRuleTest.java
@@ -10,7 +10,7 @@
 class QuietRuleTest {
     private static final long MS = Scene.MS;
     private static final long S = Scene.S;
-    private static final Books SOUND = new Books(0, 0, 3, 2, 9, 100, List.of());
+    private static final ResourceCounts SOUND = new ResourceCounts(0, 0, 3, 2, 9, 100, List.of());
     private final Scene scene = new Scene();
 
     @BeforeEach
@@ -41,35 +41,35 @@
 
     @Test
     void whileSomethingIsOpenNobodyLooks() {
-        scene.books = new Books(1, 1, 0, 0, 9, 100, List.of());
+        scene.books = new ResourceCounts(1, 1, 0, 0, 9, 100, List.of());
         scene.after(10 * S);
         assertEquals(List.of(Rule.LATE), scene.rules());
     }
 
     @Test
     void anAttemptThatIsOut() {
-        scene.books = new Books(0, 1, 3, 2, 9, 100, List.of());
+        scene.books = new ResourceCounts(0, 1, 3, 2, 9, 100, List.of());
         quiet();
         assertFound("1 attempts where there are 0");
     }
 
     @Test
     void aCallThatStays() {
-        scene.books = new Books(1, 0, 3, 2, 9, 100, List.of());
+        scene.books = new ResourceCounts(1, 0, 3, 2, 9, 100, List.of());
         quiet();
         assertFound("1 calls where there are 0");
     }
 
     @Test
     void aConnectionThatNobodyCounts() {
-        scene.books = new Books(0, 0, 2, 2, 9, 100, List.of());
+        scene.books = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
         quiet();
         assertFound("2 connections of clients where there are 3");
     }
 
     @Test
     void orThatIsNoMore() {
-        scene.books = new Books(0, 0, 3, 3, 9, 100, List.of());
+        scene.books = new ResourceCounts(0, 0, 3, 3, 9, 100, List.of());
         quiet();
         assertFound("3 connections to servers where there are 2");
     }
@@ -77,7 +77,7 @@
     @Test
     void whatIsSoForAMomentIsLookedAtAgain() {
         scene.after(10 * MS).arrived("a-1", "r").served("a-1", "r");
-        scene.books = new Books(0, 0, 2, 2, 9, 100, List.of());
+        scene.books = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
         scene.after(2 * S + 100 * MS);
         scene.books = SOUND;
         scene.after(S);
@@ -95,7 +95,7 @@
     void whoStandsStillIsLookedAtLater() {
         scene.after(10 * MS).arrived("a-1", "r").served("a-1", "r");
         scene.judge.sidecarPaused(Scene.SIDE, scene.now, scene.now + 5 * S);
-        scene.books = new Books(0, 0, 2, 2, 9, 100, List.of());
+        scene.books = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
         scene.after(6 * S);
         assertEquals(List.of(), scene.rules());
         scene.after(2 * S);
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
@@ -40,13 +40,13 @@
 
     @Test
     void knowsWhenItsConnectionWasAccepted() throws IOException {
-        assertEquals(Asked.NEVER, states.acceptedAt("r"));
+        assertEquals(AttemptRecord.NEVER, states.acceptedAt("r"));
         long accepted = wire.simulation.now();
         wire.run();
         asked("r");
         assertEquals(accepted, states.acceptedAt("r"));
         wire.asks("s");
-        assertEquals(Asked.NEVER, states.acceptedAt("s"));
+        assertEquals(AttemptRecord.NEVER, states.acceptedAt("s"));
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/invariants/Scene.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/Scene.java
@@ -10,17 +10,17 @@
 /**
  * A judge with a clock set by hand and sockets that show what a test says; one sidecar that runs.
  */
-final class Scene implements Wires, Load, Ledger {
-    static final long MS = Spans.MS;
-    static final long S = Spans.SECOND;
+final class Scene implements SocketObserver, Load, Ledger {
+    static final long MS = TimeSpans.MS;
+    static final long S = TimeSpans.SECOND;
     static final String SIDE = "side-0";
     static final int STOCK_CHECK = 0;
     static final int STOCK_HOLD = 1;
     static final int ORDER_CONFIRM = 2;
     static final int RAISE_INVOICE = 3;
 
-    final Figures figures = Figures.usual();
-    final Judge judge;
+    final InvariantBounds figures = InvariantBounds.usual();
+    final InvariantChecker judge;
     final Set<String> unread = new HashSet<>();
     final Map<String, Integer> places = new HashMap<>();
     final Map<String, String> ahead = new HashMap<>();
@@ -29,7 +29,7 @@
     final List<Span> busy = new ArrayList<>();
 
     /** What the sidecar says of itself, and what is there; null: no process runs. */
-    Books books = Books.empty();
+    ResourceCounts books = ResourceCounts.empty();
 
     int clients;
     int upstreams;
@@ -38,7 +38,9 @@
 
     /** Servers named a-1, a-2, b-1 ...: their zones are their first letters. */
     Scene() {
-        judge = Judge.ofDay(figures, () -> now, server -> server.substring(0, 1), this, this, this);
+        judge =
+                InvariantChecker.ofDay(
+                        figures, () -> now, server -> server.substring(0, 1), this, this, this);
         judge.sidecarStarted(SIDE, 1);
         judge.sidecarReady(SIDE, 1);
     }
@@ -69,7 +71,7 @@
     }
 
     @Override
-    public Books books(String sidecar) {
+    public ResourceCounts books(String sidecar) {
         return books;
     }
 
@@ -109,7 +111,8 @@
 
     Scene taken(String id, int requestClass, long deadline, long patience) {
         judge.asks(
-                new Try(id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
+                new ClientAttempt(
+                        id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
         judge.asked(id);
         return this;
     }
@@ -162,6 +165,6 @@
     }
 
     List<Rule> rules() {
-        return judge.broken().stream().map(Broken::rule).toList();
+        return judge.broken().stream().map(InvariantViolation::rule).toList();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.invariants;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimListener;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
@@ -33,7 +33,7 @@
     private long keys;
 
     Wire() throws IOException {
-        Chance chance = new Chance(1);
+        SeededRandom chance = new SeededRandom(1);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
         app = host("app", 1);
@@ -71,7 +71,7 @@
 
     void asks(String id) {
         states.asks(
-                new Try(
+                new ClientAttempt(
                         id,
                         id,
                         0,
--- a/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
@@ -21,7 +21,7 @@
     private static long play(long seed) {
         Site site = new Site(seed, Site.COSTS);
         World world = site.world;
-        Chance chance = world.chance.stream("plan");
+        SeededRandom chance = world.chance.stream("plan");
         world.there().jitter = chance.between(0, 2 * World.MS);
         world.there().segment = (int) chance.between(-50, 3);
         world.back().segment = (int) chance.between(-50, 3);
--- a/testbed/src/test/java/appleridge/testbed/simnet/SimulationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/SimulationTest.java
@@ -14,9 +14,9 @@
 class SimulationTest {
     @Test
     void runsInTheOrderOfTime() {
-        Simulation simulation = new Simulation(new Chance(1));
+        Simulation simulation = new Simulation(new SeededRandom(1));
         List<Long> seen = new ArrayList<>();
-        Chance chance = new Chance(2);
+        SeededRandom chance = new SeededRandom(2);
         List<Simulation.Event> events = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             events.add(simulation.at(chance.nextInt(500), () -> seen.add(simulation.now())));
@@ -44,7 +44,7 @@
     }
 
     private static String ties(int seed) {
-        Simulation simulation = new Simulation(new Chance(seed));
+        Simulation simulation = new Simulation(new SeededRandom(seed));
         StringBuilder order = new StringBuilder();
         for (char each : "abc".toCharArray()) {
             simulation.at(5, () -> order.append(each));
@@ -61,7 +61,7 @@
     }
 
     private static long digest(long when, String what) {
-        Simulation simulation = new Simulation(new Chance(1));
+        Simulation simulation = new Simulation(new SeededRandom(1));
         simulation.at(when, () -> simulation.note(1, what));
         simulation.runUntil(10);
         return simulation.digest();
@@ -69,7 +69,7 @@
 
     @Test
     void tracesWhatIsNoted() {
-        Simulation simulation = new Simulation(new Chance(1));
+        Simulation simulation = new Simulation(new SeededRandom(1));
         List<String> lines = new ArrayList<>();
         simulation.trace(lines::add);
         simulation.at(12_345_678_901L, () -> simulation.note(1, 2, 3, () -> "it happens"));
@@ -79,7 +79,7 @@
 
     @Test
     void checksAfterEachStep() {
-        Simulation simulation = new Simulation(new Chance(1));
+        Simulation simulation = new Simulation(new SeededRandom(1));
         int[] checks = new int[1];
         simulation.afterEachStep(() -> checks[0]++);
         simulation.at(1, () -> {});
@@ -91,17 +91,17 @@
 
     @Test
     void streamsDependOnSeedAndNameAlone() {
-        Chance one = new Chance(7);
-        Chance other = new Chance(7);
+        SeededRandom one = new SeededRandom(7);
+        SeededRandom other = new SeededRandom(7);
         other.nextLong();
         assertEquals(one.stream("a").nextLong(), other.stream("a").nextLong());
         assertNotEquals(one.stream("a").nextLong(), one.stream("b").nextLong());
-        assertNotEquals(one.stream("a").nextLong(), new Chance(8).stream("a").nextLong());
+        assertNotEquals(one.stream("a").nextLong(), new SeededRandom(8).stream("a").nextLong());
     }
 
     @Test
     void chanceKeepsItsBounds() {
-        Chance chance = new Chance(9);
+        SeededRandom chance = new SeededRandom(9);
         double sum = 0;
         boolean[] seen = new boolean[3];
         for (int i = 0; i < 10_000; i++) {
--- a/testbed/src/test/java/appleridge/testbed/simnet/World.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/World.java
@@ -11,14 +11,14 @@
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
 
-    final Chance chance;
+    final SeededRandom chance;
     final Simulation simulation;
     final Network network;
     final Host a;
     final Host b;
 
     World(long seed) {
-        chance = new Chance(seed);
+        chance = new SeededRandom(seed);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
         a = network.host("a", address(1), 100);
@@ -37,11 +37,11 @@
         return new InetSocketAddress(address(last), port);
     }
 
-    Weather there() {
+    NetworkConditions there() {
         return network.weather(a, b);
     }
 
-    Weather back() {
+    NetworkConditions back() {
         return network.weather(b, a);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.testbed.invariants.Try;
+import appleridge.testbed.invariants.ClientAttempt;
 import appleridge.testbed.simnet.Host;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -27,7 +27,7 @@
                 Played.whole(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
         Set<Long> keys = new HashSet<>();
         Map<String, String> idempotency = new HashMap<>();
-        for (Try each : day.told.asks.values()) {
+        for (ClientAttempt each : day.told.asks.values()) {
             assertTrue(keys.add(each.cookieKey()));
             assertEquals(Classes.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
             String before =
@@ -100,7 +100,7 @@
     void aFloodIsOneTenants() {
         Played day = Played.whole(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
         List<Integer> tenants =
-                day.told.asks.values().stream().map(Try::tenant).distinct().toList();
+                day.told.asks.values().stream().map(ClientAttempt::tenant).distinct().toList();
         assertEquals(1, tenants.size());
         assertTrue(day.told.asks.size() > 60 && day.told.asks.size() < 140);
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.testbed.simnet.Chance;
+import appleridge.testbed.simnet.SeededRandom;
 import java.nio.charset.StandardCharsets;
 import java.util.EnumSet;
 import java.util.List;
@@ -74,7 +74,7 @@
 
     @Test
     void whatTheySendIsBadInItsOwnWay() {
-        BadRequests requests = new BadRequests(new Chance(1));
+        BadRequests requests = new BadRequests(new SeededRandom(1));
         assertTrue(text(requests, BadKind.HIDDEN).contains("Content-Length: "));
         assertTrue(text(requests, BadKind.HIDDEN).contains("Transfer-Encoding: chunked"));
         assertTrue(text(requests, BadKind.HIDDEN).contains(BadRequests.hiddenId("bad-1")));
--- a/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
@@ -216,13 +216,15 @@
 
     @Test
     void spoiltAnswersAreNoneThatAServerMade() {
-        for (Spoil each : Spoil.values()) {
+        for (ResponseCorruption each : ResponseCorruption.values()) {
             Stage stage = stage("");
             stage.day.asked.spoil("r1", each);
             Stage.Line line = stage.toServer(0).say(Stage.get("r1"));
             String answer = line.hear(Site.SECOND);
             assertEquals(
-                    each == Spoil.PAUSES, stage.told.made.containsKey(body(answer)), each.name());
+                    each == ResponseCorruption.PAUSES,
+                    stage.told.made.containsKey(body(answer)),
+                    each.name());
             assertFalse(answer.isEmpty(), each.name());
             stage.day.asked.takeSpoil("r1");
         }
@@ -230,8 +232,8 @@
 
     @Test
     void extrasComeWithAGoodAnswer() {
-        for (Extra each : Extra.values()) {
-            if (each == Extra.EARLY) {
+        for (ResponseExtra each : ResponseExtra.values()) {
+            if (each == ResponseExtra.EARLY) {
                 continue;
             }
             Stage stage = stage("");
@@ -240,19 +242,21 @@
             String answer = line.hear(Site.SECOND);
             assertTrue(answer.contains("s0.0/0/1/r1"), answer);
             assertEquals(
-                    each == Extra.INTERIM || each == Extra.INTERIMS,
+                    each == ResponseExtra.INTERIM || each == ResponseExtra.INTERIMS,
                     answer.startsWith("HTTP/1.1 10"),
                     each.name());
             assertEquals(
-                    each == Extra.COPY ? 3 : 2, answer.split("200 OK", -1).length, each.name());
-            assertEquals(each == Extra.CLOSES, line.isEnded(), each.name());
+                    each == ResponseExtra.COPY ? 3 : 2,
+                    answer.split("200 OK", -1).length,
+                    each.name());
+            assertEquals(each == ResponseExtra.CLOSES, line.isEnded(), each.name());
         }
     }
 
     @Test
     void anAnswerCanComeBeforeTheRequestHasComeWhole() {
         Stage stage = stage("");
-        stage.day.asked.extra("k1", Extra.EARLY);
+        stage.day.asked.extra("k1", ResponseExtra.EARLY);
         String request = Stage.post("k1", "key");
         Stage.Line line = stage.toServer(0).say(request.substring(0, request.length() - 2));
         assertTrue(line.hear(LONG).startsWith("HTTP/1.1 "));
--- a/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
@@ -41,7 +41,8 @@
             Plan plan = Plan.draw(seed);
             assertTrue(plan.end() >= 20 * Site.SECOND);
             assertTrue(
-                    plan.part(Knob.RATE) * plan.quietFrom() / Site.SECOND >= 399.9, "seed " + seed);
+                    plan.part(ScenarioParameter.RATE) * plan.quietFrom() / Site.SECOND >= 399.9,
+                    "seed " + seed);
             for (Fault each : plan.faults()) {
                 assertTrue(each.trigger().trap() || each.trigger().at() < plan.faultsEnd());
             }
@@ -99,16 +100,17 @@
                         """
                                 .replace("RESEND_CONNECTING", "resend-connecting"));
         assertEquals(-3, plan.seed());
-        assertEquals(2, plan.size(Knob.SERVERS));
-        assertEquals(0.25, plan.part(Knob.LOSS));
-        assertEquals(1, plan.size(Knob.CALL_COST));
-        assertEquals(Knob.SIDECARS.usual(), plan.size(Knob.SIDECARS));
+        assertEquals(2, plan.size(ScenarioParameter.SERVERS));
+        assertEquals(0.25, plan.part(ScenarioParameter.LOSS));
+        assertEquals(1, plan.size(ScenarioParameter.CALL_COST));
+        assertEquals(ScenarioParameter.SIDECARS.usual(), plan.size(ScenarioParameter.SIDECARS));
         Fault kill = plan.faults().get(0);
         assertEquals(3250 * Site.MS, kill.trigger().at());
         assertEquals("n1", kill.who());
         Fault drain = plan.faults().get(1);
-        assertEquals(new Trigger(2 * Site.MS, RequestState.RESEND_CONNECTING, 3), drain.trigger());
-        assertEquals(Site.SECOND, drain.value(Param.DOWN));
+        assertEquals(
+                new FaultTrigger(2 * Site.MS, RequestState.RESEND_CONNECTING, 3), drain.trigger());
+        assertEquals(Site.SECOND, drain.value(FaultParameter.DOWN));
         assertEquals("on resend-connecting 3 after 0.002 drain down=1", drain.text());
     }
 
@@ -120,7 +122,7 @@
         assertEquals("at 2 close-idle who=s1", less.faults().get(0).text());
         assertEquals(1, less.faults().size());
         assertNotEquals(plan, less);
-        assertEquals(3, plan.with(Knob.SERVERS, 3).size(Knob.SERVERS));
+        assertEquals(3, plan.with(ScenarioParameter.SERVERS, 3).size(ScenarioParameter.SERVERS));
     }
 
     private static void refused(String expected, String scenario) {
--- a/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simulation;
 
+import appleridge.testbed.invariants.ClientAttempt;
 import appleridge.testbed.invariants.Evidence;
 import appleridge.testbed.invariants.Message;
 import appleridge.testbed.invariants.RequestState;
-import appleridge.testbed.invariants.Try;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
 
 /** Keeps what the stand-ins tell, for tests to look at. */
 final class Recorded implements Evidence {
-    final Map<String, Try> asks = new LinkedHashMap<>();
+    final Map<String, ClientAttempt> asks = new LinkedHashMap<>();
     final Map<String, Message> written = new LinkedHashMap<>();
     final Map<String, Message> read = new LinkedHashMap<>();
     final Map<String, Long> deadlines = new LinkedHashMap<>();
@@ -41,7 +41,7 @@
     boolean ended;
 
     @Override
-    public void asks(Try asking) {
+    public void asks(ClientAttempt asking) {
         if (asks.put(asking.id(), asking) != null) {
             throw new AssertionError("an id came twice");
         }
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -28,15 +28,19 @@
             assertEquals("n1", config.name());
             assertEquals(stage.registry.address(), config.registryAddress());
             assertEquals(-5, config.seed());
-            assertEquals(plan.size(Knob.SOCKETS), config.maxDescriptors());
-            assertEquals(plan.size(Knob.CONN_IDLE), config.upstreamIdleTimeoutNanos());
-            assertEquals(plan.size(Knob.MAX_OPEN), config.maxOpenRequests());
+            assertEquals(plan.size(ScenarioParameter.SOCKETS), config.maxDescriptors());
+            assertEquals(plan.size(ScenarioParameter.CONN_IDLE), config.upstreamIdleTimeoutNanos());
+            assertEquals(plan.size(ScenarioParameter.MAX_OPEN), config.maxOpenRequests());
             assertEquals(Site.ZONES, config.zones());
             var settings = config.settings();
             assertEquals(9, settings.tenants().size());
             assertEquals(DiscoveryMode.SUBSCRIBED, settings.discoveryMode());
-            assertEquals(plan.size(Knob.ASK_WITHIN), settings.safetyLimits().pollIntervalNanos());
-            assertEquals(plan.size(Knob.RETRY_AFTER) > 0, settings.capabilities().retryAfter());
+            assertEquals(
+                    plan.size(ScenarioParameter.ASK_WITHIN),
+                    settings.safetyLimits().pollIntervalNanos());
+            assertEquals(
+                    plan.size(ScenarioParameter.RETRY_AFTER) > 0,
+                    settings.capabilities().retryAfter());
             assertFalse(settings.capabilities().healthChecks());
             assertEquals(Classes.ALL.size(), settings.classes().size());
             for (int i = 0; i < Classes.ALL.size(); i++) {
--- a/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
@@ -2,9 +2,9 @@
 
 import appleridge.testbed.invariants.Message;
 import appleridge.testbed.invariants.RequestStates;
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
@@ -14,8 +14,8 @@
 /** Some order servers and a discovery with nothing before them but the test. */
 final class Stage {
     final Recorded told = new Recorded();
-    final Simulation simulation = new Simulation(new Chance(1));
-    final Network network = new Network(simulation, new Chance(2));
+    final Simulation simulation = new Simulation(new SeededRandom(1));
+    final Network network = new Network(simulation, new SeededRandom(2));
     final Day day;
     final Instances instances;
     final Fleet fleet;
@@ -36,7 +36,7 @@
                         simulation,
                         network,
                         told,
-                        new Chance(3));
+                        new SeededRandom(3));
         instances = new Instances(day);
         fleet = new Fleet(day.plan, instances);
         for (int i = 0; i < 2; i++) {
@@ -49,7 +49,7 @@
                 new Registry(
                         day,
                         instances,
-                        new Told(told),
+                        new DeliveredEndpointUpdates(told),
                         network.host("d", Site.address(4, 0, 1), 1000),
                         0,
                         0);
@@ -65,7 +65,7 @@
         byte[] body = (requestClass == 0 ? "" : "abc").getBytes(StandardCharsets.ISO_8859_1);
         Message message =
                 Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
-        day.asked.add(id, new Asked.Form(requestClass, message, work));
+        day.asked.add(id, new SentRequestRegistry.Form(requestClass, message, work));
         return this;
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Wire.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.simnet.Chance;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
+import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.SimListener;
 import appleridge.testbed.simnet.SimSocket;
 import appleridge.testbed.simnet.Simulation;
@@ -11,8 +11,8 @@
 
 /** Two hosts and a connection between them. */
 final class Wire {
-    final Simulation simulation = new Simulation(new Chance(1));
-    final Network network = new Network(simulation, new Chance(2));
+    final Simulation simulation = new Simulation(new SeededRandom(1));
+    final Network network = new Network(simulation, new SeededRandom(2));
     private final Host one = network.host("one", Site.address(9, 0, 1), 100);
     private final Host other = network.host("other", Site.address(9, 0, 2), 100);
     private final SimSocket client;
--- a/testbed/src/test/java/appleridge/testbed/standin/Notes.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/Notes.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What stand-ins told, a line each. */
-final class Notes implements Witness {
+final class Notes implements StandInListener {
     final List<String> lines = new ArrayList<>();
 
     @Override
