--- a/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
@@ -58,8 +58,16 @@
             out.print(USAGE);
             return 2;
         }
-        boolean asItShould = true;
-        // What is found without an assumption says little unless nothing is found there with it.
+        boolean sound = exploreSound(deeper);
+        boolean broken = exploreWithoutAssumptions(names, stories);
+        return sound && broken ? 0 : 1;
+    }
+
+    /**
+     * The product as it is; also in the scopes of the assumptions, for what is found without one
+     * says little unless nothing is found there with it.
+     */
+    private boolean exploreSound(int deeper) {
         List<String> scopes =
                 Stream.concat(
                                 SafetyAssumption.ALL.stream()
@@ -69,29 +77,36 @@
                                 SOUND.stream())
                         .distinct()
                         .toList();
-        for (String sound : scopes) {
-            ExplorationScope scope = ExplorationScope.of(sound);
-            String said = StateExplorer.explore(scope.withDepth(scope.depth() + deeper).words());
-            out.println(sound + ": " + said);
-            asItShould &= said.startsWith("sound");
+        boolean sound = true;
+        for (String words : scopes) {
+            ExplorationScope scope = ExplorationScope.of(words);
+            String result = StateExplorer.explore(scope.withDepth(scope.depth() + deeper).words());
+            out.println(words + ": " + result);
+            sound &= result.startsWith("sound");
         }
-        String parts = StateExplorer.explore(BudgetShareModel.WORDS);
-        out.println(BudgetShareModel.WORDS + ": " + parts);
-        asItShould &= parts.startsWith("sound");
+        String shares = StateExplorer.explore(BudgetShareModel.WORDS);
+        out.println(BudgetShareModel.WORDS + ": " + shares);
+        return sound && shares.startsWith("sound");
+    }
+
+    /** The product without each of these assumptions, or of all: a violation must be found. */
+    private boolean exploreWithoutAssumptions(List<String> names, boolean stories)
+            throws IOException {
         Planter planter = new Planter();
+        boolean broken = true;
         for (SafetyAssumption assumption : SafetyAssumption.ALL) {
             if (names.isEmpty() || names.contains(assumption.name())) {
-                String said = without(assumption, planter);
+                String result = without(assumption, planter);
                 out.println(
                         assumption.name()
                                 + ": "
                                 + assumption.what()
                                 + ": "
-                                + (stories ? said : said.lines().findFirst().orElse("")));
-                asItShould &= said.startsWith("broken");
+                                + (stories ? result : result.lines().findFirst().orElse("")));
+                broken &= result.startsWith("broken");
             }
         }
-        return asItShould ? 0 : 1;
+        return broken;
     }
 
     static String without(SafetyAssumption assumption, Planter planter) {
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseModel.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseModel.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.Objects;
 import java.util.stream.LongStream;
 
@@ -42,6 +43,9 @@
     /** A write that changed the holder; the later, the newer. */
     private record TakeOver(int holder, long token) {}
 
+    /** Stands in a key for a tick that there is none of; no real one is ahead of now. */
+    private static final int ABSENT_TICKS = 9;
+
     /** A version that no sound lease expects: the write is done whatever the store has. */
     private static final long WHATEVER = -2;
 
@@ -213,7 +217,19 @@
     private void take(Kind kind, ModelHolder holder, ModelMessage message) {
         if (message != null) {
             messages.remove(message);
+            takeMessage(kind, holder, message);
+        } else if (holder != null) {
+            takeHolder(kind, holder);
+        } else {
+            tick++;
+        }
+        if (holder != null) {
+            collect(holder);
         }
+    }
+
+    /** An event of a message on its way. */
+    private void takeMessage(Kind kind, ModelHolder holder, ModelMessage message) {
         switch (kind) {
             case ARRIVES -> {
                 if (message.isRequest()) {
@@ -236,6 +252,13 @@
                 messages.add(message.delayed());
                 messages.add(applyToStore(message));
             }
+            default -> throw new IllegalArgumentException("not of a message: " + kind);
+        }
+    }
+
+    /** An event of a holder itself. */
+    private void takeHolder(Kind kind, ModelHolder holder) {
+        switch (kind) {
             case WAKES -> holder.lease.onTimer(now(holder));
             case CHECKS -> check(holder);
             case BEGINS -> begin(holder);
@@ -268,10 +291,7 @@
                 holder.stopped = true;
             }
             case GOES_ON -> holder.stopped = false;
-            default -> tick++;
-        }
-        if (holder != null) {
-            collect(holder);
+            default -> throw new IllegalArgumentException("not of a holder: " + kind);
         }
     }
 
@@ -308,10 +328,7 @@
         return request.answer(ModelMessage.Kind.WRITTEN, record.version(), null);
     }
 
-    /**
-     * Danger: a holder that reads the time and then stands still believes that a record came long
-     * ago.
-     */
+    /** A holder may pause after it reads its clock, so a record's time is told as old as may be. */
     private void deliver(ModelHolder holder, ModelMessage answer) {
         long now = now(holder);
         long question = answer.question();
@@ -398,21 +415,32 @@
         for (int place = 0; place < rank.length; place++) {
             for (ModelHolder holder : holders) {
                 if (rank[holder.index] == place) {
-                    key.append(holder.connected)
-                            .append(holder.stopped)
-                            .append(holder.tokenInFlight)
-                            .append(' ')
-                            .append(
-                                    holder.permittedAtTick == ModelHolder.NONE
-                                            ? 9
-                                            : holder.permittedAtTick - tick)
-                            .append(' ')
-                            .append(holder.isOperating(tick) ? holder.startedAtTick - tick : 9)
-                            .append(' ');
-                    fields.lease(holder.index, holder.lease);
+                    writeHolder(fields, key, holder);
                 }
             }
         }
+        writeMessages(fields, key, rank);
+    }
+
+    private void writeHolder(LeaseFields fields, StringBuilder key, ModelHolder holder) {
+        int permitted =
+                holder.permittedAtTick == ModelHolder.NONE
+                        ? ABSENT_TICKS
+                        : holder.permittedAtTick - tick;
+        int started = holder.isOperating(tick) ? holder.startedAtTick - tick : ABSENT_TICKS;
+        key.append(holder.connected)
+                .append(holder.stopped)
+                .append(holder.tokenInFlight)
+                .append(' ')
+                .append(permitted)
+                .append(' ')
+                .append(started)
+                .append(' ');
+        fields.lease(holder.index, holder.lease);
+    }
+
+    /** In an order of their own: the model's messages have none. */
+    private void writeMessages(LeaseFields fields, StringBuilder key, int... rank) {
         int start = key.length();
         List<String> sent = new ArrayList<>();
         for (ModelMessage message : messages) {
@@ -431,39 +459,21 @@
 
     /** A sentence for a story. */
     String describe(Step step) {
-        String who = step.holder < 0 ? "" : ModelHolder.name(step.holder);
-        ModelMessage message = step.message;
-        String what =
-                message == null
-                        ? ""
-                        : message.kind()
-                                + (message.entry() == null
-                                        ? ""
-                                        : " "
-                                                + message.entry().nonce()
-                                                + " token "
-                                                + message.entry().token()
-                                                + (message.entry().released() ? " released" : ""));
-        String clock =
-                step.holder < 0
-                        ? ""
-                        : " (its clock "
-                                + now(holders[step.holder])
-                                + ", "
-                                + holders[step.holder].lease.state()
-                                + ")";
+        if (step.kind == Kind.TICK) {
+            return "tick " + tick + ": time goes on";
+        }
+        ModelHolder holder = holders[step.holder];
+        String kind = step.kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         return "tick "
                 + tick
                 + ": "
-                + (step.kind == Kind.TICK
-                        ? "time goes on"
-                        : who
-                                + clock
-                                + " "
-                                + step.kind
-                                        .name()
-                                        .toLowerCase(java.util.Locale.ROOT)
-                                        .replace('_', ' ')
-                                + (what.isEmpty() ? "" : ": " + what));
+                + ModelHolder.name(step.holder)
+                + " (its clock "
+                + now(holder)
+                + ", "
+                + holder.lease.state()
+                + ") "
+                + kind
+                + (step.message == null ? "" : ": " + step.message.describe());
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/ModelMessage.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ModelMessage.java
@@ -23,6 +23,18 @@
         return kind == Kind.READ || kind == Kind.WRITE;
     }
 
+    /** Words for a story. */
+    String describe() {
+        return entry == null
+                ? kind.name()
+                : kind
+                        + " "
+                        + entry.nonce()
+                        + " token "
+                        + entry.token()
+                        + (entry.released() ? " released" : "");
+    }
+
     ModelMessage delayed() {
         return new ModelMessage(kind, holder, question, version, entry, true);
     }
