--- a/sidecar/src/test/java/appleridge/ArchitectureTest.java
+++ b/sidecar/src/test/java/appleridge/ArchitectureTest.java
@@ -7,6 +7,7 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.daemon.Main;
 import appleridge.transport.SystemTime;
@@ -23,11 +24,15 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
 import java.util.Random;
 import java.util.UUID;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
 /** The walls between packages, and the one source of time and chance. */
@@ -342,6 +347,26 @@
                                 .check(offender));
     }
 
+    /** A rule about a package that is not there holds for ever. */
+    @Test
+    void packagesAndClassesNamedInTheRulesExist() throws IOException {
+        String source = Files.readString(Path.of("src/test/java/appleridge/ArchitectureTest.java"));
+        List<String> names =
+                Pattern.compile("\"(appleridge[\\w.\\\\]*)")
+                        .matcher(source)
+                        .results()
+                        .map(found -> found.group(1).replace("\\\\", ""))
+                        .map(name -> name.replaceAll("\\.+$", ""))
+                        .toList();
+        assertTrue(names.size() > 50, "names are found");
+        for (String name : names) {
+            assertTrue(
+                    PRODUCT.stream()
+                            .anyMatch(each -> (each.getName() + ".").startsWith(name + ".")),
+                    name);
+        }
+    }
+
     private static final class Offender {
         final java.util.function.LongSupplier clock = System::nanoTime;
         final Random random = new Random();
--- a/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import appleridge.PackagedClasses;
 import appleridge.config.SidecarConfig;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -91,10 +92,10 @@
         String loaded = output("-Xlog:class+load", "-jar", "target/appleridge.jar", "warm-up");
         assertTrue(loaded.startsWith("status 0"), loaded);
         assertTrue(loaded.contains("appleridge.daemon.Sidecar "), "what is loaded is listed");
-        assertFalse(loaded.contains("appleridge.config.operator"));
-        assertFalse(loaded.contains("dataformat.toml"));
         for (String off :
                 new String[] {
+                    "appleridge.config.operator",
+                    "dataformat.toml",
                     "appleridge.discovery.ephemeral",
                     "appleridge.discovery.zookeeper",
                     "appleridge.discovery.registration",
@@ -108,6 +109,7 @@
                     "appleridge.hotrestart",
                     "appleridge.daemon.HotRestart"
                 }) {
+            PackagedClasses.assertPackaged(off);
             assertFalse(loaded.contains(off), off);
         }
     }
--- a/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import appleridge.PackagedClasses;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -115,6 +116,7 @@
                             "appleridge.lease",
                             "org.apache.zookeeper",
                             "appleridge.config.operator")) {
+                PackagedClasses.assertPackaged(off);
                 assertFalse(loaded.contains(" " + off), each + " loads of " + off);
             }
         }
