--- a/sidecar/src/main/java/appleridge/daemon/GracefulShutdown.java
+++ b/sidecar/src/main/java/appleridge/daemon/GracefulShutdown.java
@@ -23,14 +23,14 @@
  * <p>Each step on the event loop is logged as {@code drain.step}.
  */
 final class GracefulShutdown {
-    /** Longer than any client waits: what is still open then has nobody to answer to. */
+    /** Bounds streams that are still open; requests expire long before. */
     private static final long MAX_DRAIN_SECONDS = 10;
 
     /** How far the shutdown is. */
     enum Phase {
         /** No shutdown was asked for. */
         RUNNING,
-        /** Nothing begins any more, and what is open is answered. */
+        /** Not ready any more; open requests, and new ones while it accepts, are still answered. */
         DRAINING,
         /** Nothing is open: the process may end. */
         DRAINED
@@ -76,8 +76,8 @@
     }
 
     /** What is to be drained. Event loop only. */
-    void attach(Sidecar its) {
-        sidecar = its;
+    void attach(Sidecar sidecar) {
+        this.sidecar = sidecar;
     }
 
     /** The shutdown hook: an orderly end is no failure, so the status is 0 and not the signal's. */
@@ -89,7 +89,8 @@
         SystemLog.writeDirectly();
         CountDownLatch drained = new CountDownLatch(1);
         drain(drained::countDown);
-        // Behind that on the loop: whoever reads this line may count on the drain having begun.
+        // Runs on the loop after the drain's first step, so this line means that the drain has
+        // begun.
         eventLoop.execute(() -> SystemLog.logProcessEvent("draining"));
         try {
             drained.await(MAX_DRAIN_SECONDS, TimeUnit.SECONDS);
--- a/sidecar/src/main/java/appleridge/http1/AcceptGate.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -97,9 +97,9 @@
                                         + accepts
                                         + " stopped="
                                         + stopped
-                                        + " waits="
+                                        + " paused="
                                         + paused
-                                        + " looking="
+                                        + " window="
                                         + windowOpen
                                         + " accepted="
                                         + acceptedCount);
--- a/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
+++ b/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
@@ -12,13 +12,13 @@
  * @param acceptUntilNanos new connections are accepted up to here
  * @param lastCallNanos from here on each response is the last one on its connection, and idle
  *     connections are closed
- * @param endNanos nothing is open any more
+ * @param endNanos requests whose response has not begun expire; streams may go on
  */
 record DrainSchedule(long acceptUntilNanos, long lastCallNanos, long endNanos) {
-    /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline. */
+    /** SIGKILL comes no sooner than the longest deadline and this, counted from SIGTERM. */
     private static final long MIN_KILL_DELAY_NANOS = millis(700);
 
-    /** No more than this of a deadline is waited for. */
+    /** The platform waits for no more than this of a deadline before SIGKILL. */
     private static final long MAX_AWAITED_DEADLINE_NANOS = millis(3000);
 
     /**
@@ -30,7 +30,7 @@
     /** Of the time up to SIGKILL, the most that is kept in reserve. */
     private static final double MAX_RESERVE_FRACTION = 0.5;
 
-    /** New connections go on coming for up to 0.4 s after SIGTERM. */
+    /** New connections go on coming for up to 0.4 s after SIGTERM; the rest is margin. */
     private static final long ACCEPT_NANOS = millis(600);
 
     /** For the last requests and their responses. */
--- a/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
+++ b/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
@@ -71,7 +71,7 @@
         DrainSchedule schedule = DrainSchedule.of(coordinator.longestDeadlineNanos());
         coordinator.setShutdownDeadline(signalledAt + schedule.endNanos());
         logStep(
-                "begun told_ago_ms="
+                "begun signal_age_ms="
                         + TimeUnit.NANOSECONDS.toMillis(signalledAgoNanos)
                         + " end_ms="
                         + TimeUnit.NANOSECONDS.toMillis(schedule.endNanos()));
@@ -85,15 +85,15 @@
             drainAlone(signalledAt, schedule);
         }
         // What is due at the end is answered at the end; what is open after that is not waited for.
-        loop.scheduleAt(signalledAt + schedule.endNanos() + SETTLE_NANOS, this::closeAll);
+        loop.scheduleAt(signalledAt + schedule.endNanos() + SETTLE_NANOS, this::closeRemaining);
         endIfDrained();
     }
 
     /**
      * Drains where no other process accepts: accepting ends soon, but connections are served for as
-     * long as SIGKILL is known not to come, for the sidecar that takes them over may just be
-     * starting, and where both are away all requests fail. Holds only while SIGKILL comes no sooner
-     * than promised, and clients go elsewhere before the end.
+     * long as SIGKILL is known not to come, for the sidecar that takes them over may not be up yet,
+     * and with neither all requests fail. Holds only while SIGKILL comes no sooner than promised,
+     * and clients go elsewhere before the end.
      */
     private void drainAlone(long signalledAt, DrainSchedule schedule) {
         loop.scheduleAt(
@@ -109,8 +109,8 @@
                 });
     }
 
-    private void closeAll() {
-        logStep("ended");
+    private void closeRemaining() {
+        logStep("deadline");
         connections.snapshot().forEach(ClientConnection::closeUnlessRequestOpen);
     }
 
--- a/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
@@ -25,7 +25,7 @@
     private final AttemptDispatcher dispatcher;
     private final InFlightRequests requests;
     private long drainPass;
-    private long overloadedUntil;
+    private long recentlyQueuedUntil;
     private boolean drainScheduled;
 
     AdmissionController(
@@ -78,17 +78,17 @@
         if (shedder.shouldShed(now, request)) {
             return Admission.REJECTED_LOAD_SHEDDING;
         }
-        return now < overloadedUntil && isObjectiveOutOfReach(now, request)
+        return now < recentlyQueuedUntil && wouldAnswerTooLate(now, request)
                 ? Admission.REJECTED_OBJECTIVE_OUT_OF_REACH
                 : Admission.QUEUED;
     }
 
-    private static boolean isObjectiveOutOfReach(long now, TrackedRequest request) {
+    private static boolean wouldAnswerTooLate(long now, TrackedRequest request) {
         return now + request.expectedNanos() / 2 >= request.valueExpiresAt();
     }
 
     private void enqueue(long now, TrackedRequest request) {
-        overloadedUntil = now + request.objectiveNanos();
+        recentlyQueuedUntil = now + request.objectiveNanos();
         queues.add(request);
         long lastUsefulSendAt =
                 request.valueExpiresAt()
--- a/sidecar/src/main/java/appleridge/loadbalancing/AnswerReason.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AnswerReason.java
@@ -8,13 +8,13 @@
     NO_READY_HOST("no_ready_host"),
     /** Overload: answers come late all over the fleet ({@link LoadShedder}). */
     LOAD_SHEDDING("load_shedding"),
-    /** Requests were queued lately, and this one could not meet its latency objective. */
+    /** Requests were queued lately, and this one's answer would come too late to be of value. */
     OBJECTIVE_OUT_OF_REACH("objective_out_of_reach"),
     /** It was queued for capacity for so long that its answer would come too late. */
     QUEUE_TIME_EXCEEDED("queue_time_exceeded"),
     /** Its attempt failed, and {@link RetryPolicy} refuses a retry; see {@link RetryDecision}. */
     RETRY_ATTEMPT_OUTSTANDING("retry_attempt_outstanding"),
-    RETRY_RESPONSE_STARTED("retry_response_started"),
+    RETRY_STREAMING_STARTED("retry_response_started"),
     RETRY_MAX_ATTEMPTS("retry_max_attempts"),
     RETRY_NON_IDEMPOTENT("retry_non_idempotent"),
     RETRY_IDEMPOTENCY_KEY_EXPIRED("retry_idempotency_key_expired"),
--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
@@ -83,7 +83,7 @@
     }
 
     private void retryOrAnswer(long now, TrackedRequest request, TrackedAttempt ended) {
-        RetryDecision decision = retryPolicy.decideAfter(now, request, ended);
+        RetryDecision decision = retryPolicy.decideAndCharge(now, request, ended);
         if (decision == RetryDecision.ALLOWED) {
             admission.admit(now, request);
         } else {
--- a/sidecar/src/main/java/appleridge/loadbalancing/ConnectFailureEjection.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ConnectFailureEjection.java
@@ -32,7 +32,7 @@
     void onConnectFailed(long now, TrackedHost host) {
         Status status = host.connects;
         if (status.nextProbeAt == 0) {
-            actions.log("upstream " + host.id() + " shut out: no connection");
+            actions.log("upstream " + host.id() + " ejected: connect failed");
             status.backoffNanos = initialBackoffNanos();
         }
         status.backoffNanos = nextBackoffNanos(status.backoffNanos);
@@ -42,7 +42,7 @@
     /** The host has answered, be it with an error. */
     void onAnswered(TrackedHost host) {
         if (host.connects.nextProbeAt > 0) {
-            actions.log("upstream " + host.id() + " answers again");
+            actions.log("upstream " + host.id() + " reachable again");
         }
         host.connects.nextProbeAt = 0;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryPoller.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryPoller.java
@@ -40,7 +40,7 @@
      */
     void onFailure(long now) {
         if (backoffNanos == 0) {
-            actions.log("list lost: the last one stays in force, asking again");
+            actions.log("discovery failed: the last endpoint list stays in force, polling again");
         }
         long minBackoffNanos =
                 Math.max(
--- a/sidecar/src/main/java/appleridge/loadbalancing/LatencyThresholds.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LatencyThresholds.java
@@ -51,13 +51,15 @@
     }
 
     /**
-     * When an unanswered attempt is evidence against its host. At least half of {@link
-     * #TAIL_MULTIPLE} times the unloaded response time, or a service whose unloaded answers take
-     * most of the objective would shed for good.
+     * How long after its send an unanswered attempt is evidence against its host: the largest of
+     * {@link #LATE_OBJECTIVE_FRACTION} of the objective, half of {@link #TAIL_MULTIPLE} times the
+     * unloaded response time, the smaller of {@link #TAIL_MULTIPLE} times that time and {@link
+     * #MAX_TAIL_OBJECTIVE_FRACTION} of the objective, and one clock granule. Without the unloaded
+     * time, hosts whose ordinary answers take most of the objective would always count as late.
      */
     long hostEvidenceNanos(TrackedRequest request) {
         return Math.max(
-                after(request, TAIL_MULTIPLE / 2),
+                lateAfterNanos(request, TAIL_MULTIPLE / 2),
                 (long)
                         Math.min(
                                 TAIL_MULTIPLE * unloadedNanos(request),
@@ -70,10 +72,12 @@
      * by a smaller delay.
      */
     long overloadEvidenceNanos(TrackedRequest request) {
-        return subset.isSparse() ? after(request, SENSITIVE_MULTIPLE) : hostEvidenceNanos(request);
+        return subset.isSparse()
+                ? lateAfterNanos(request, SENSITIVE_MULTIPLE)
+                : hostEvidenceNanos(request);
     }
 
-    private long after(TrackedRequest request, double unloadedMultiple) {
+    private long lateAfterNanos(TrackedRequest request, double unloadedMultiple) {
         double late =
                 Math.max(
                         LATE_OBJECTIVE_FRACTION * request.objectiveNanos(),
--- a/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
@@ -5,7 +5,7 @@
 /**
  * Load shedding: the fraction of first attempts that is admitted while answers come late at hosts
  * all over the fleet. Where many sidecars each have a request here and there, no concurrency limit
- * per host ever binds, and together they would queue all work past its objective for good.
+ * per host ever binds, and together they would queue all work past its objective without end.
  *
  * <p>Each late attempt takes a step off the admitted fraction, each answer in time wins a part of
  * it back, and without new lateness the fraction recovers by itself.
@@ -13,7 +13,7 @@
 final class LoadShedder {
     /**
      * Part of the admitted fraction that one late attempt takes. A part and not a fixed amount: a
-     * second of overload would otherwise shut many sidecars nearly for good, together.
+     * second of overload would otherwise drive all sidecars to the minimum at once.
      */
     private static final double ADMISSION_DECREASE_STEP = 0.1;
 
@@ -28,7 +28,10 @@
 
     private static final double MIN_ADMITTED = ADMISSION_DECREASE_STEP / 4;
 
-    /** Shedding is logged from this admitted fraction on, until all is admitted again. */
+    /**
+     * Shedding is logged below this admitted fraction, until all is admitted again; requests are
+     * shed at any fraction below 1.
+     */
     private static final double LOG_BELOW_ADMITTED = 0.5;
 
     /**
@@ -49,7 +52,10 @@
     private final PolicyActions actions;
     private final double recoveryNanos;
     private double admitted = MAX_ADMITTED;
-    private boolean shedding;
+
+    /** Whether the log says that shedding goes on. */
+    private boolean loggedAsShedding;
+
     private long recoveredAt;
     private int answersInTime;
 
@@ -67,8 +73,10 @@
     }
 
     /**
-     * Whether to shed a request that has just arrived. Shedding is even over all requests, except
-     * that a tenant which asks for more than its fair share is shed first.
+     * Whether to shed a request that has just arrived. Each request adds the admitted fraction to a
+     * credit, and takes 1 off it when it is admitted, so that shedding is even over all requests. A
+     * tenant that asks for more than its fair share is shed first: its fraction is raised to the
+     * square of that excess.
      */
     boolean shouldShed(long now, TrackedRequest request) {
         recover(now);
@@ -79,7 +87,11 @@
                                 throughput.askedWork(now),
                                 REQUESTS_BY_CHANCE * request.expectedNanos());
         admissionCredit += admitted >= 1 ? admitted : Math.pow(admitted, excess * excess);
-        return admissionCredit < 1 || admissionCredit-- < 1;
+        if (admissionCredit < 1) {
+            return true;
+        }
+        admissionCredit--;
+        return false;
     }
 
     /** Not for failed connects, which say nothing of the fleet's load. */
@@ -94,9 +106,9 @@
     }
 
     /**
-     * Admits less after a late or rejected attempt, by the value that lateness takes. Only at a
-     * host that is no worse than others and had nothing else of this sidecar's: else the host or
-     * the sidecar's own requests explain it, and not the load of the fleet.
+     * Admits less after a late or rejected attempt, in proportion to the value a late answer loses.
+     * Only at a host that is no worse than others and had nothing else of this sidecar's: else the
+     * host or the sidecar's own requests explain it, and not the load of the fleet.
      */
     void onLateAttempt(long now, TrackedRequest request, TrackedAttempt attempt) {
         if (attempt.othersInFlight() == 0
@@ -121,11 +133,11 @@
 
     private void change(double by) {
         admitted = Math.max(MIN_ADMITTED, Math.min(MAX_ADMITTED, admitted + by));
-        if (shedding ? admitted >= 1 : admitted < LOG_BELOW_ADMITTED) {
-            shedding = !shedding;
+        if (loggedAsShedding ? admitted >= 1 : admitted < LOG_BELOW_ADMITTED) {
+            loggedAsShedding = !loggedAsShedding;
             actions.log(
                     "load shedding "
-                            + (shedding ? "begins: answers come late everywhere" : "ends"));
+                            + (loggedAsShedding ? "begins: answers are late fleet-wide" : "ends"));
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryBudget.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryBudget.java
@@ -1,19 +1,22 @@
 package appleridge.loadbalancing;
 
-/** Bounds the extra work of retries to a fifth of that of first attempts, and a short burst. */
+/**
+ * Bounds the extra work of retries: one retry for every five requests that arrive, and a burst of
+ * at most {@value #MAX_TOKENS}.
+ */
 final class RetryBudget {
-    /** Retries that one first attempt pays for. */
-    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2;
+    /** Retries that one arriving request pays for, whether or not it is admitted. */
+    private static final double TOKENS_PER_REQUEST = 0.2;
 
     private static final double MAX_TOKENS = 20;
 
-    /** A single retry: many sidecars start together. */
+    /** A fleet that starts at once must not begin with a burst of retries. */
     private static final double INITIAL_TOKENS = 1;
 
     private double tokens = INITIAL_TOKENS;
 
-    void onFirstAttempt() {
-        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
+    void onRequest() {
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     /** Takes one retry off the budget; false, with nothing taken, where it is exhausted. */
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryDecision.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryDecision.java
@@ -5,8 +5,8 @@
     ALLOWED(null),
     /** It has its final answer, or its client has left. */
     REQUEST_CLOSED(null),
-    /** Its response or its body is being streamed, so that the attempt can't be replaced. */
-    RESPONSE_STARTED(AnswerReason.RETRY_RESPONSE_STARTED),
+    /** Its response or its request body is being streamed: the attempt can't be replaced. */
+    STREAMING_STARTED(AnswerReason.RETRY_STREAMING_STARTED),
     DEADLINE_PASSED(AnswerReason.DEADLINE_PASSED),
     /** Its last attempt has not ended; there are no hedged requests. */
     ATTEMPT_OUTSTANDING(AnswerReason.RETRY_ATTEMPT_OUTSTANDING),
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryPolicy.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryPolicy.java
@@ -24,7 +24,7 @@
             return RetryDecision.REQUEST_CLOSED;
         }
         if (request.isStreaming()) {
-            return RetryDecision.RESPONSE_STARTED;
+            return RetryDecision.STREAMING_STARTED;
         }
         if (now >= request.deadline()) {
             return RetryDecision.DEADLINE_PASSED;
@@ -58,14 +58,14 @@
     /**
      * Whether to retry now that an attempt has ended without an answer. {@link
      * RetryDecision#ALLOWED} takes the retry off the budget if the attempt may have executed; an
-     * attempt that is proven not to have cost no work.
+     * attempt that is proven not executed is free.
      */
-    RetryDecision decideAfter(long now, TrackedRequest request, TrackedAttempt ended) {
+    RetryDecision decideAndCharge(long now, TrackedRequest request, TrackedAttempt ended) {
         RetryDecision decision = decide(now, request);
         if (decision != RetryDecision.ALLOWED) {
             return decision;
         }
-        // Queued with no host left to try, it would wait in vain.
+        // Queued with no host left to try, it would stay queued until it times out.
         if (registry.ready().stream()
                 .noneMatch(host -> eligibility(request, host) == HostEligibility.ELIGIBLE)) {
             return RetryDecision.NO_ELIGIBLE_HOST;
--- a/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
@@ -108,7 +108,7 @@
         hosts.throughput.onRequest(now, request);
         ring.resize(hosts.throughput.concurrentRequests(now));
         queues.of(request).onRequest(now, request);
-        retryBudget.onFirstAttempt();
+        retryBudget.onRequest();
         hosts.gossip.onRequest();
         admission.admit(now, request);
         timers.armHostTimer();
--- a/sidecar/src/main/java/appleridge/loadbalancing/ZoneHealth.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ZoneHealth.java
@@ -66,7 +66,7 @@
         }
         zone.lastUnreachable = host;
         if (++zone.unreachableHosts == UNREACHABLE_HOSTS_TO_EJECT) {
-            actions.log("site " + host.endpoint().zone() + " shut out: no connection");
+            actions.log("zone " + host.endpoint().zone() + " ejected: connect failed");
             zone.backoffNanos = ejection.initialBackoffNanos();
         }
         if (zone.isEjected()) {
@@ -79,7 +79,7 @@
     void onReached(long now, TrackedHost host) {
         Zone zone = zone(host);
         if (zone.isEjected()) {
-            actions.log("site " + host.endpoint().zone() + " answers again");
+            actions.log("zone " + host.endpoint().zone() + " reachable again");
             registry.ready().stream()
                     .filter(other -> zone(other) == zone)
                     .forEach(other -> ejection.probeNow(now, other));
--- a/sidecar/src/main/java/appleridge/request/EndReason.java
+++ b/sidecar/src/main/java/appleridge/request/EndReason.java
@@ -8,7 +8,10 @@
     SERVED("served", RequestEnd.SERVED),
     /** As many requests are open as may be at once. */
     OPEN_REQUEST_LIMIT("open_request_limit", RequestEnd.REJECTED),
-    /** The load-balancing policy shed it; the policy knows which of its rules did. */
+    /**
+     * The load-balancing policy rejected it: shed, refused a retry, or expired, and a retry by the
+     * client is safe. The log's {@code rule=} names the rule.
+     */
     POLICY_REJECTED("policy_rejected", RequestEnd.REJECTED),
     /** It was streamed, can't be sent again, and its attempt proves that it was not executed. */
     STREAMED_REQUEST_NOT_EXECUTED("streamed_request_not_executed", RequestEnd.REJECTED),
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -29,9 +29,9 @@
                             fields(request.clientRequest(), reason, nowNanos)
                                     + " attempts="
                                     + request.attempts().size()
-                                    + " out="
+                                    + " attempts_outstanding="
                                     + request.outstandingAttempts()
-                                    + " last="
+                                    + " last_outcome="
                                     + request.lastOutcome()
                                     + request.policyReason()
                                             .map(rule -> " rule=" + rule.label())
@@ -43,7 +43,9 @@
     void ended(ClientRequest request, EndReason reason, long nowNanos) {
         log.event(
                 LogEvent.REQUEST_ENDED,
-                () -> fields(request, reason, nowNanos) + " attempts=0 out=0 last=null");
+                () ->
+                        fields(request, reason, nowNanos)
+                                + " attempts=0 attempts_outstanding=0 last_outcome=null");
     }
 
     private static boolean isLogged(ClientRequest request, EndReason reason, long nowNanos) {
@@ -61,13 +63,13 @@
                 + reason.end()
                 + " reason="
                 + reason.label()
-                + " late="
+                + " past_deadline="
                 + isLate(request, nowNanos)
                 + " class="
                 + request.requestClass()
                 + " age_ms="
                 + millis(nowNanos - request.arrivedAtNanos())
-                + " waits_ms="
+                + " timeout_ms="
                 + millis(request.timeoutNanos());
     }
 
--- a/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
@@ -34,7 +34,7 @@
                                     + cause.getMessage()
                                     + (suppressedCount == 0
                                             ? ""
-                                            : "; untold before it: " + suppressedCount));
+                                            : "; suppressed before it: " + suppressedCount));
             lastLoggedNanos = now;
             suppressedCount = 0;
         } else {
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -99,7 +99,9 @@
             String line = what.get();
             write(
                     how,
-                    suppressedCount == 0 ? line : line + "; untold before it: " + suppressedCount,
+                    suppressedCount == 0
+                            ? line
+                            : line + "; suppressed before it: " + suppressedCount,
                     cause);
             lastLoggedNanos = now;
             suppressedCount = 0;
--- a/sidecar/src/test/java/appleridge/loadbalancing/ConnectFailureEjectionTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ConnectFailureEjectionTest.java
@@ -39,7 +39,7 @@
         sidecar.serve(500, 520, 0, 20 * MS);
         List<String> logged = sidecar.log.stream().filter(l -> l.startsWith("log ")).toList();
         assertEquals(
-                List.of("log upstream 1 shut out: no connection", "log upstream 1 answers again"),
+                List.of("log upstream 1 ejected: connect failed", "log upstream 1 reachable again"),
                 logged);
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
@@ -27,7 +27,7 @@
         serveAdmitted(sidecar, 2_000, 10);
         int admitted = sidecar.sends.size() - before;
         assertTrue(admitted >= 1 && admitted <= 5, "sent right after the pressure " + admitted);
-        assertTrue(sidecar.log.contains("log load shedding begins: answers come late everywhere"));
+        assertTrue(sidecar.log.contains("log load shedding begins: answers are late fleet-wide"));
         serveAdmitted(sidecar, 3_000, 200);
         assertTrue(sidecar.log.contains("log load shedding ends"));
         before = sidecar.sends.size();
@@ -47,7 +47,7 @@
                     .filter(s -> s.at() == sidecar.now - 500 * MS)
                     .forEach(s -> sidecar.outcome(s, Outcome.OK));
         }
-        assertTrue(sidecar.log.contains("log load shedding begins: answers come late everywhere"));
+        assertTrue(sidecar.log.contains("log load shedding begins: answers are late fleet-wide"));
         long evidence = 4 * settings(NON_IDEMPOTENT).classes().get(0).latencyObjectiveNanos();
         sidecar.advance(4 * evidence);
         for (int id = 2_000; id < 2_020; id++) {
--- a/sidecar/src/test/java/appleridge/loadbalancing/RetryBudgetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RetryBudgetTest.java
@@ -20,7 +20,7 @@
         assertEquals(1, retries(budget), "at the start");
         for (int i = 0; i < 5; i++) {
             assertEquals(0, retries(budget));
-            budget.onFirstAttempt();
+            budget.onRequest();
         }
         assertEquals(1, retries(budget));
     }
@@ -29,7 +29,7 @@
     void noMoreThanTwentyRetriesAreSavedUp() {
         RetryBudget budget = new RetryBudget();
         for (int i = 0; i < 1_000; i++) {
-            budget.onFirstAttempt();
+            budget.onRequest();
         }
         assertEquals(20, retries(budget));
     }
--- a/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
@@ -122,7 +122,8 @@
         TrackedAttempt attempt = new TrackedAttempt(registry.ready().get(0), NOW - 100 * MS);
         request.addAttempt(attempt);
         attempt.end(outcome);
-        return new RetryPolicy(settings(kind), registry, budget).decideAfter(NOW, request, attempt);
+        return new RetryPolicy(settings(kind), registry, budget)
+                .decideAndCharge(NOW, request, attempt);
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
@@ -19,11 +19,11 @@
         sidecar.serve(0, 80, 0, 20 * MS);
         int tried = connectsInto(sidecar, 1, 100);
         assertTrue(tried <= 4, "twenty hosts, in some three seconds: " + tried);
-        assertTrue(sidecar.log.contains("log site 1 shut out: no connection"));
+        assertTrue(sidecar.log.contains("log zone 1 ejected: connect failed"));
         sidecar.advance(10_000 * MS);
         int before = sidecar.sends.size();
         sidecar.serve(5_000, 5_120, 0, 20 * MS);
-        assertTrue(sidecar.log.contains("log site 1 answers again"));
+        assertTrue(sidecar.log.contains("log zone 1 reachable again"));
         long back = sidecar.sends.stream().skip(before).filter(s -> s.upstream() % 2 == 1).count();
         assertTrue(back >= 50, "its hosts have their turns again: " + back);
     }
@@ -40,8 +40,8 @@
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
-        assertTrue(sidecar.log.contains("log upstream 1 shut out: no connection"));
-        assertFalse(sidecar.log.contains("log site 1 shut out: no connection"));
+        assertTrue(sidecar.log.contains("log upstream 1 ejected: connect failed"));
+        assertFalse(sidecar.log.contains("log zone 1 ejected: connect failed"));
         assertTrue(sidecar.sentTo(3, 0) > 15 && sidecar.sentTo(5, 0) > 15);
     }
 
@@ -60,7 +60,7 @@
             sidecar.advance(20 * MS);
             sidecar.outcome(sent, sent.upstream() < 8 ? Outcome.CONNECT_FAILED : Outcome.OK);
         }
-        assertFalse(sidecar.log.contains("log site 0 shut out: no connection"));
+        assertFalse(sidecar.log.contains("log zone 0 ejected: connect failed"));
     }
 
     /**
--- a/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
+++ b/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
@@ -629,8 +629,9 @@
         assertEquals(List.of("refused"), over.responses);
         assertEquals(
                 List.of(
-                        "request.ended id=c how=REJECTED reason=open_request_limit late=false"
-                                + " class=0 age_ms=0 waits_ms=900 attempts=0 out=0 last=null"),
+                        "request.ended id=c how=REJECTED reason=open_request_limit"
+                                + " past_deadline=false class=0 age_ms=0 timeout_ms=900 attempts=0"
+                                + " attempts_outstanding=0 last_outcome=null"),
                 events);
     }
 
@@ -642,8 +643,8 @@
         assertEquals(
                 List.of(
                         "request.ended id=a how=CLIENT_DISCONNECTED reason=client_disconnected"
-                                + " late=false class=0 age_ms=20 waits_ms=1000 attempts=1 out=1"
-                                + " last=null"),
+                            + " past_deadline=false class=0 age_ms=20 timeout_ms=1000 attempts=1"
+                            + " attempts_outstanding=1 last_outcome=null"),
                 events);
     }
 }
--- a/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
@@ -42,7 +42,7 @@
             assertEquals(List.of("flood"), lines);
             now[0] = 1_000_000_000;
             log.failure("flood", null);
-            assertEquals("flood; untold before it: 999", lines.get(1));
+            assertEquals("flood; suppressed before it: 999", lines.get(1));
             log.warning("flood of warnings");
             log.warning("flood of warnings");
             assertEquals(3, lines.size());
