--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -11,7 +11,7 @@
 /**
  * Makes one endpoint list of what the nodes and, if it is polled too, the registry say. What was
  * notified is believed at once; where nothing new is known the last list stands, and {@link
- * #doubt()} says why. To be called on one thread, with times in nanoseconds on the loop's clock
+ * #staleness()} says why. To be called on one thread, with times in nanoseconds on the loop's clock
  * that never run back.
  */
 public final class NodeDiscovery {
@@ -176,7 +176,7 @@
     }
 
     /**
-     * The whole subtree. While {@link #doubt()} is {@link StalenessCause#OLDER} or {@link
+     * The whole subtree. While {@link #staleness()} is {@link StalenessCause#OLDER} or {@link
      * StalenessCause#WIPED} it is to be read again every few seconds.
      *
      * @param asOf when its reading began: what an event told of a node since then may be newer
@@ -283,7 +283,7 @@
     }
 
     /** Why the nodes can't be read: the last list stands. */
-    public void doubt(long now, StalenessCause why) {
+    public void markStale(long now, StalenessCause why) {
         if (why == StalenessCause.WIPED) {
             history.markLost();
         }
@@ -371,7 +371,7 @@
     }
 
     /** Why the last list stands. */
-    public StalenessCause doubt() {
+    public StalenessCause staleness() {
         return staleness.cause();
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -37,47 +37,6 @@
 
     /** Hands all on to the list that is made of it. */
     static SessionListener of(NodeDiscovery discovery) {
-        return new SessionListener() {
-            @Override
-            public void onSessionState(long now, SessionState state) {
-                discovery.onSessionState(now, state);
-            }
-
-            @Override
-            public void onSnapshot(
-                    long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes) {
-                discovery.onSnapshot(now, asOfNanos, zxid, nodes);
-            }
-
-            @Override
-            public void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name) {
-                discovery.onNodeChanged(now, notifiedAtNanos, zxid, name);
-            }
-
-            @Override
-            public void onNodeRead(long now, String name, NodeRead read) {
-                discovery.onNodeRead(now, read.mzxid(), name, read);
-            }
-
-            @Override
-            public void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name) {
-                discovery.onNodeDeleted(now, notifiedAtNanos, zxid, name);
-            }
-
-            @Override
-            public void onStale(long now, StalenessCause why) {
-                discovery.doubt(now, why);
-            }
-
-            @Override
-            public void onAccepted(long now) {
-                discovery.acceptState(now);
-            }
-
-            @Override
-            public StalenessCause staleness() {
-                return discovery.doubt();
-            }
-        };
+        return new ForwardingSessionListener(discovery);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -331,7 +331,7 @@
             seen = viewZxid;
             NodeRead read = node.read();
             note(read.mzxid(), () -> "data of " + name + ' ' + read.mzxid() + ' ' + read.data());
-            word.read(node, membership().doubt() == StalenessCause.NONE);
+            word.read(node, membership().staleness() == StalenessCause.NONE);
             deliver(() -> membership().onNodeRead(hearer.now(), read.mzxid(), name, read));
         }
     }
@@ -354,7 +354,7 @@
                             deliver(
                                     () ->
                                             membership()
-                                                    .doubt(
+                                                    .markStale(
                                                             hearer.now(),
                                                             StalenessCause.ROOT_MISSING));
                             again(mine);
@@ -370,7 +370,7 @@
     private void rootIs(long made) {
         if (root != 0 && root != made && viewZxid < highest) {
             highest = viewZxid;
-            deliver(() -> membership().doubt(hearer.now(), StalenessCause.WIPED));
+            deliver(() -> membership().markStale(hearer.now(), StalenessCause.WIPED));
         }
         root = made;
     }
@@ -420,7 +420,7 @@
         deliver(
                 () -> {
                     membership().onSnapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
-                    StalenessCause doubt = membership().doubt();
+                    StalenessCause doubt = membership().staleness();
                     if (doubt == StalenessCause.NONE && of == era) {
                         word.accepted(view);
                     } else if (doubt == StalenessCause.OLDER || doubt == StalenessCause.WIPED) {
