--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
@@ -41,7 +41,7 @@
 
     @Override
     public void onStale(long now, StalenessCause why) {
-        discovery.doubt(now, why);
+        discovery.markStale(now, why);
     }
 
     @Override
@@ -51,6 +51,6 @@
 
     @Override
     public StalenessCause staleness() {
-        return discovery.doubt();
+        return discovery.staleness();
     }
 }
