--- a/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
+++ b/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
@@ -66,7 +66,7 @@
         List<String> lines = new ArrayList<>();
         byClass(lines, "requests", accepted);
         for (RequestEnd how : RequestEnd.values()) {
-            byClass(lines, "requests_" + how.metricWord(), ended[how.ordinal()]);
+            byClass(lines, "requests_" + how.metricSuffix(), ended[how.ordinal()]);
         }
         byClass(lines, "attempts", attempts);
         byClass(lines, "attempts_further", retries);
--- a/sidecar/src/main/java/appleridge/daemon/AdminService.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -42,7 +42,7 @@
         this.maintenance =
                 new MaintenanceOverlay(config.settings().safetyLimits().slowStartWindowNanos());
         OpenMetricsReport metrics = metrics(config, cluster);
-        cluster.coordinator.metrics(metrics);
+        cluster.coordinator.setMetrics(metrics);
         this.server =
                 new AdminServer(
                         loop,
--- a/sidecar/src/main/java/appleridge/daemon/SidecarRunner.java
+++ b/sidecar/src/main/java/appleridge/daemon/SidecarRunner.java
@@ -3,7 +3,7 @@
 import appleridge.config.SidecarConfig;
 import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
 import appleridge.transport.InheritedListener;
-import appleridge.transport.NioEventLoopFactory;
+import appleridge.transport.NioIoHandlerFactory;
 import appleridge.transport.NioSocketFactory;
 import appleridge.transport.SidecarEventLoop;
 import appleridge.transport.SocketFactory;
@@ -25,7 +25,7 @@
  * runs on the loop.
  */
 final class SidecarRunner {
-    private final NioEventLoopFactory eventLoops = new NioEventLoopFactory();
+    private final NioIoHandlerFactory eventLoops = new NioIoHandlerFactory();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, eventLoops);
     private final GracefulShutdown shutdown = new GracefulShutdown(group);
 
--- a/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
@@ -55,7 +55,7 @@
             ClientRequest parsed = listener.requestParser().parse(request, NO_BODY, arrivedNanos);
             exchange.upload().write(begun);
             HttpUpstreamRequest message = (HttpUpstreamRequest) parsed.message();
-            accept(parsed.with(message.withStreamedBody(exchange.upload())), exchange);
+            accept(parsed.withMessage(message.withStreamedBody(exchange.upload())), exchange);
         } catch (InvalidRequestException e) {
             answerMalformed(e, exchange);
         }
--- a/sidecar/src/main/java/appleridge/request/ClientRequest.java
+++ b/sidecar/src/main/java/appleridge/request/ClientRequest.java
@@ -22,7 +22,7 @@
         boolean clientRetry,
         UpstreamRequest message) {
     /** The same with something else to be forwarded. */
-    public ClientRequest with(UpstreamRequest other) {
+    public ClientRequest withMessage(UpstreamRequest other) {
         return new ClientRequest(
                 id,
                 arrivedAtNanos,
--- a/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
@@ -162,7 +162,7 @@
     }
 
     /** From now on counts there what becomes of requests. */
-    public void metrics(RequestMetrics target) {
+    public void setMetrics(RequestMetrics target) {
         accounting.useMetrics(target);
     }
 
--- a/sidecar/src/main/java/appleridge/request/RequestMetrics.java
+++ b/sidecar/src/main/java/appleridge/request/RequestMetrics.java
@@ -16,15 +16,17 @@
         /** Its client left first. */
         CLIENT_DISCONNECTED("left");
 
-        private final String metricWord;
+        private final String metricSuffix;
 
-        RequestEnd(String metricWord) {
-            this.metricWord = metricWord;
+        RequestEnd(String metricSuffix) {
+            this.metricSuffix = metricSuffix;
         }
 
-        /** The word that the names of metrics have for this end. */
-        public String metricWord() {
-            return metricWord;
+        /**
+         * The suffix of the name of the metric that counts this end, as in {@code requests_served}.
+         */
+        public String metricSuffix() {
+            return metricSuffix;
         }
     }
 
--- a/sidecar/src/main/java/appleridge/transport/NioEventLoopFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/NioIoHandlerFactory.java
@@ -20,7 +20,7 @@
  * to the next timer to the nearest millisecond and, where that is 0, polls until it is due; a
  * process limited to a part of a core would be throttled for that, and stall.
  */
-public final class NioEventLoopFactory implements IoHandlerFactory, LongSupplier {
+public final class NioIoHandlerFactory implements IoHandlerFactory, LongSupplier {
     /** The least that the system can wait for; timers run up to as much late. */
     private static final long RESOLUTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
--- a/sidecar/src/test/java/appleridge/transport/NioEventLoopFactoryTest.java
+++ b/sidecar/src/test/java/appleridge/transport/NioIoHandlerFactoryTest.java
@@ -16,11 +16,11 @@
 
 /** How often an event loop turns while it waits for its timers. */
 @Timeout(60)
-class NioEventLoopFactoryTest {
+class NioIoHandlerFactoryTest {
     /** For the timer's own turn, those that come too early by the system's rounding, and tasks. */
     private static final int TURNS_PER_TIMER = 6;
 
-    private final NioEventLoopFactory factory = new NioEventLoopFactory();
+    private final NioIoHandlerFactory factory = new NioIoHandlerFactory();
 
     /**
      * Runs timers one after the other, each the given time after the last; the turns that this
