--- a/sidecar/src/main/java/appleridge/daemon/AdminService.java
+++ b/sidecar/src/main/java/appleridge/daemon/AdminService.java
@@ -63,7 +63,7 @@
         return new OpenMetricsReport(config.requestClassNames())
                 .gauge("requests_open", () -> coordinator.inFlightCounts().openRequests())
                 .gauge("attempts_out", () -> coordinator.inFlightCounts().openAttempts())
-                .gauge("client_connections", cluster.listener::connections)
+                .gauge("client_connections", cluster.listener::connectionCount)
                 .gauge("upstream_connections", cluster.connectionPool::connectionCount)
                 .gauge("upstreams_ready", coordinator::readyHostCount)
                 .gauge("upstreams_suspended", () -> maintenance.suspendedSince().size())
--- a/sidecar/src/main/java/appleridge/daemon/Sidecar.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -149,7 +149,7 @@
 
     /** From now on it says that it is ready, if some host is ready. */
     public void warm() {
-        cluster.listener.warm();
+        cluster.listener.markWarmedUp();
         if (hotRestart != null) {
             hotRestart.phase(ProcessPhase.SERVING);
         }
@@ -191,7 +191,7 @@
 
     /** Connections of clients that are open. */
     public int clientConnectionCount() {
-        return cluster.listener.connections();
+        return cluster.listener.connectionCount();
     }
 
     /** Connections to upstream hosts that are open or being opened. */
--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -122,8 +122,8 @@
         return listening;
     }
 
-    /** From now on it is ready if there is an upstream host to use. */
-    public void warm() {
+    /** Ends the warm-up: from now on {@link #isReady} may return true. */
+    public void markWarmedUp() {
         warm = true;
     }
 
@@ -246,8 +246,8 @@
         return acceptGate.changeCount();
     }
 
-    /** Connections of clients that are open. */
-    public int connections() {
+    /** The number of open client connections. */
+    public int connectionCount() {
         return connections.size();
     }
 
--- a/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
@@ -76,8 +76,8 @@
             long held = late.stream().filter(each -> each.statuses().isEmpty()).count();
             assertTrue(held <= 1 + 4, "held beside the three others: " + held);
             assertTrue(
-                    front.server.connections() <= 4 + 4,
-                    "connections: " + front.server.connections());
+                    front.server.connectionCount() <= 4 + 4,
+                    "connections: " + front.server.connectionCount());
         }
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/campaign/UnreadAnswersTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/UnreadAnswersTest.java
@@ -59,7 +59,7 @@
                 most = Math.max(most, front.loop.usedMemory());
             }
             assertTrue(most < KIB * KIB, "bytes held: " + most);
-            assertEquals(0, front.server.connections());
+            assertEquals(0, front.server.connectionCount());
             assertEquals(0, front.loop.usedMemory());
         }
     }
@@ -94,9 +94,9 @@
             stuck.send("what is this\r\n\r\n");
             front.run(500 * MS);
             assertTrue(front.loop.usedMemory() > 0, "its last answers wait");
-            assertEquals(1, front.server.connections());
+            assertEquals(1, front.server.connectionCount());
             front.run(20_000 * MS);
-            assertEquals(0, front.server.connections());
+            assertEquals(0, front.server.connectionCount());
             assertEquals(0, front.loop.usedMemory());
         }
     }
--- a/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/UnreadRequestsTest.java
@@ -62,7 +62,7 @@
                 for (Front.Client each : late) {
                     assertEquals(List.of(503), each.statuses(), "seed " + seed);
                 }
-                assertTrue(front.server.connections() <= 200);
+                assertTrue(front.server.connectionCount() <= 200);
                 assertEquals(List.of(), front.failures);
             }
         }
