--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
@@ -188,7 +188,7 @@
         disconnectedChecks++;
         boolean expired =
                 disconnectedChecks * CHECK_MILLIS
-                        > MAX_DISCONNECTED_SESSIONS * settings.sessionMillis();
+                        > MAX_DISCONNECTED_SESSIONS * settings.sessionTimeoutMillis();
         if (expired) {
             mailbox.session(SessionState.EXPIRED);
         }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -157,7 +157,7 @@
                         if (isCurrent(epoch, code)) {
                             onRootRead(data, stat);
                             if ((long) stat.getNumChildren() * MIN_BYTES_PER_NAME
-                                    > settings.answerBytes()) {
+                                    > settings.maxResponseBytes()) {
                                 listener.onStale(StalenessCause.TOO_LARGE);
                             } else {
                                 listChildren(epoch);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
@@ -34,7 +34,7 @@
         ZooKeeper client =
                 new ZooKeeper(
                         settings.connect(),
-                        settings.sessionMillis(),
+                        settings.sessionTimeoutMillis(),
                         watcher,
                         settings.readOnly(),
                         config(settings));
@@ -91,7 +91,7 @@
         config.setProperty(ZKClientConfig.ENABLE_CLIENT_SASL_KEY, "false");
         config.setProperty(
                 ZKClientConfig.ZOOKEEPER_REQUEST_TIMEOUT, Integer.toString(LEAVE_MILLIS));
-        config.setProperty(ZKConfig.JUTE_MAXBUFFER, Integer.toString(settings.answerBytes()));
+        config.setProperty(ZKConfig.JUTE_MAXBUFFER, Integer.toString(settings.maxResponseBytes()));
         ZooKeeperSettings.Tls tls = settings.tls();
         if (tls != null) {
             config.setProperty(ZKClientConfig.SECURE_CLIENT, "true");
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
@@ -12,22 +12,22 @@
  * @param chroot the path that all others are under, {@code /a/b}; empty for none
  * @param root the path that the nodes of servers stand under
  * @param shards whether they stand one level further down, under {@code root/SHARD/NAME}
- * @param sessionMillis the session time-out to ask for
+ * @param sessionTimeoutMillis the session time-out to ask for
  * @param readOnly whether a server that has lost the others will do
  * @param digest who to be, {@code user:password}; null for nobody
  * @param tls null for plain TCP
- * @param answerBytes the largest answer that is taken
+ * @param maxResponseBytes the largest answer that is taken
  */
 public record ZooKeeperSettings(
         List<InetSocketAddress> servers,
         String chroot,
         String root,
         boolean shards,
-        int sessionMillis,
+        int sessionTimeoutMillis,
         boolean readOnly,
         String digest,
         Tls tls,
-        int answerBytes) {
+        int maxResponseBytes) {
     /**
      * How to prove who one is, and who to believe.
      *
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -210,7 +210,8 @@
     }
 
     private long connectTimeoutNanos() {
-        return TimeUnit.MILLISECONDS.toNanos(CONNECT_TIMEOUT_SESSIONS * settings.sessionMillis());
+        return TimeUnit.MILLISECONDS.toNanos(
+                CONNECT_TIMEOUT_SESSIONS * settings.sessionTimeoutMillis());
     }
 
     private void onTaskFailed(RuntimeException e) {
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/MailboxTest.java
@@ -1,6 +1,7 @@
 package appleridge.discovery.zookeeper;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.discovery.ephemeral.NodeRead;
 import appleridge.discovery.ephemeral.SessionState;
@@ -16,23 +17,23 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What waits for the loop: its order, and its bound. */
+/** Order and bound of what waits in a mailbox for the event loop. */
 class MailboxTest {
     private final EventLoop executor = new DefaultEventLoop();
     private final SidecarEventLoop loop =
             new SidecarEventLoop(
                     executor, () -> 0, new SystemLog(() -> 0, System.Logger.Level.DEBUG));
-    private final RecordingSessionListener heard =
+    private final RecordingSessionListener listener =
             new RecordingSessionListener(executor::inEventLoop);
-    private final Mailbox mailbox = new Mailbox(loop, heard);
+    private final Mailbox mailbox = new Mailbox(loop, listener);
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         executor.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** What is told after all of this came while the loop stood. */
-    private List<String> told(Runnable posts) throws Exception {
+    /** The calls that are delivered after {@code posts} has run while the loop was stalled. */
+    private List<String> deliveredAfter(Runnable posts) throws Exception {
         executor.submit(
                         () -> {
                             posts.run();
@@ -40,22 +41,22 @@
                         })
                 .get();
         List<String> lines = new ArrayList<>();
-        heard.lines.drainTo(lines);
+        listener.lines.drainTo(lines);
         return lines;
     }
 
     @Test
-    void orderIsKeptAndOfEachNodeTheLastChange() throws Exception {
+    void orderIsKeptAndOnlyTheLastChangeOfEachNodeIsDelivered() throws Exception {
         NodeRead unread = NodeJsonParser.unread("x", 1);
         assertEquals(
                 List.of(
-                        "gone a",
+                        "deleted a",
                         "changed a",
                         "read a ?x",
                         "changed b",
                         "session SUSPENDED",
-                        "gone a"),
-                told(
+                        "deleted a"),
+                deliveredAfter(
                         () -> {
                             mailbox.changed(1, 1, "a");
                             mailbox.read("a", unread);
@@ -73,7 +74,7 @@
     @Test
     void mailboxIsBoundedWhileTheLoopIsStalled() throws Exception {
         List<String> lines =
-                told(
+                deliveredAfter(
                         () -> {
                             for (int i = 1; i <= 10_000; i++) {
                                 mailbox.session(SessionState.SUSPENDED);
@@ -86,8 +87,8 @@
                         });
         assertEquals(
                 List.of("snapshot {}", "changed a"), lines.subList(lines.size() - 2, lines.size()));
-        assertEquals(true, lines.size() < 80, lines.size() + " lines");
-        assertEquals("gone a", lines.get(0));
+        assertTrue(lines.size() < 80, lines.size() + " lines");
+        assertEquals("deleted a", lines.get(0));
     }
 
     @Test
@@ -96,7 +97,7 @@
             mailbox.changed(1, 1, "s" + i);
         }
         for (int i = 0; i < 1000; i++) {
-            heard.next("changed s" + i);
+            listener.next("changed s" + i);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
@@ -12,25 +12,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Writes down what is delivered, and on which thread. */
+/**
+ * Records each call as one line of text, and whether any call came on a thread other than the
+ * loop's.
+ */
 final class RecordingSessionListener implements SessionListener {
     final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    volatile StalenessCause doubt = StalenessCause.NONE;
+
+    /** What {@link #staleness()} returns. */
+    volatile StalenessCause staleness = StalenessCause.NONE;
+
+    /** The nodes of the last snapshot. */
     volatile Map<String, NodeRead> last = Map.of();
+
     volatile long lastZxid;
+    volatile boolean calledOffLoop;
     private final Supplier<Boolean> onLoop;
-    volatile boolean elsewhere;
 
     RecordingSessionListener(Supplier<Boolean> onLoop) {
         this.onLoop = onLoop;
     }
 
-    private void line(String line) {
-        elsewhere |= !onLoop.get();
+    private void record(String line) {
+        calledOffLoop |= !onLoop.get();
         lines.add(line);
     }
 
-    static String what(NodeRead read) {
+    private static String describe(NodeRead read) {
         return read.data() == null
                 ? "?" + read.problem()
                 : read.data().address().getPort() + "" + read.data().state();
@@ -38,61 +46,61 @@
 
     @Override
     public void onSessionState(long now, SessionState state) {
-        line("session " + state);
+        record("session " + state);
     }
 
     @Override
-    public void onSnapshot(long now, long told, long zxid, Map<String, NodeRead> nodes) {
+    public void onSnapshot(long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes) {
         last = nodes;
         lastZxid = zxid;
         Map<String, String> all = new TreeMap<>();
         if (nodes.size() <= 10) {
-            nodes.forEach((name, read) -> all.put(name, what(read)));
+            nodes.forEach((name, read) -> all.put(name, describe(read)));
         }
-        line("snapshot " + (all.size() == nodes.size() ? all : nodes.size()));
+        record("snapshot " + (all.size() == nodes.size() ? all : nodes.size()));
     }
 
     @Override
-    public void onNodeChanged(long now, long told, long zxid, String name) {
-        line("changed " + name);
+    public void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name) {
+        record("changed " + name);
     }
 
     @Override
     public void onNodeRead(long now, String name, NodeRead read) {
-        line("read " + name + " " + what(read));
+        record("read " + name + " " + describe(read));
     }
 
     @Override
-    public void onNodeDeleted(long now, long told, long zxid, String name) {
-        line("gone " + name);
+    public void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name) {
+        record("deleted " + name);
     }
 
     @Override
     public void onStale(long now, StalenessCause why) {
-        line("doubt " + why);
+        record("stale " + why);
     }
 
     @Override
     public void onAccepted(long now) {
-        line("accept");
+        record("accept");
     }
 
     @Override
     public StalenessCause staleness() {
-        return doubt;
+        return staleness;
     }
 
-    /** The next line, which has to be this. */
+    /** Waits for the next line and asserts that it is the expected one. */
     void next(String expected) throws InterruptedException {
         assertEquals(expected, lines.poll(20, TimeUnit.SECONDS));
     }
 
-    /** Passes over what comes before this line. */
+    /** Waits for this line and skips all lines before it. */
     void until(String expected) throws InterruptedException {
         String line;
         do {
             line = lines.poll(20, TimeUnit.SECONDS);
-            assertNotNull(line, "never delivered: " + expected);
+            assertNotNull(line, "not delivered within 20 s: " + expected);
         } while (!line.equals(expected));
     }
 }
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -88,7 +88,7 @@
             loop.execute(source::close);
         }
         ensemble.close();
-        assertFalse(heard.elsewhere, "told on another thread than the loop's");
+        assertFalse(heard.calledOffLoop, "told on another thread than the loop's");
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -123,7 +123,7 @@
         heard.next("changed s3");
         heard.next("read s3 3DRAINING");
         owner.delete(ROOT + "/s3", -1);
-        heard.next("gone s3");
+        heard.next("deleted s3");
         source.confirm(() -> heard.lines.add("confirmed"));
         heard.next("confirmed");
         ensemble.expire(owner.getSessionId());
@@ -132,7 +132,7 @@
             gone.add(heard.lines.poll(20, TimeUnit.SECONDS));
         }
         Collections.sort(gone);
-        assertEquals(List.of("gone bad", "gone s1", "gone s2"), gone);
+        assertEquals(List.of("deleted bad", "deleted s1", "deleted s2"), gone);
         owner.close();
     }
 
@@ -152,7 +152,7 @@
                             false,
                             null,
                             null,
-                            plain.answerBytes()));
+                            plain.maxResponseBytes()));
             heard.until("snapshot {s1=1READY}");
             long zxid = heard.lastZxid;
             relay.cut = true;
@@ -164,7 +164,7 @@
             heard.next("snapshot {s2=2READY}");
             assertTrue(heard.lastZxid > zxid);
             ensemble.operator().delete(ROOT + "/s2", -1);
-            heard.next("gone s2");
+            heard.next("deleted s2");
         }
     }
 
@@ -187,11 +187,11 @@
     void listIsStaleUntilTheRootIsMade() throws Exception {
         follow(ensemble.settings(ROOT));
         heard.next("session CONNECTED");
-        heard.next("doubt ROOT_MISSING");
+        heard.next("stale ROOT_MISSING");
         ensemble.persistent(ROOT);
         heard.until("snapshot {}");
         ensemble.operator().delete(ROOT, -1);
-        heard.next("doubt ROOT_MISSING");
+        heard.next("stale ROOT_MISSING");
     }
 
     @Test
@@ -202,7 +202,7 @@
         ensemble.operator().setACL(ROOT, Arrays.asList(new ACL(31, new Id("auth", ""))), -1);
         follow(ensemble.settings(ROOT));
         heard.next("session CONNECTED");
-        heard.next("doubt ACCESS_DENIED");
+        heard.next("stale ACCESS_DENIED");
         loop.execute(source::close);
         ZooKeeperSettings open = ensemble.settings(ROOT);
         follow(
@@ -211,11 +211,11 @@
                         "",
                         ROOT,
                         false,
-                        open.sessionMillis(),
+                        open.sessionTimeoutMillis(),
                         false,
                         "reader:secret",
                         null,
-                        open.answerBytes()));
+                        open.maxResponseBytes()));
         heard.until("snapshot {s1=1READY}");
     }
 
@@ -229,10 +229,10 @@
         ensemble.stop();
         ensemble.startWiped();
         heard.until("session EXPIRED");
-        heard.until("doubt ROOT_MISSING");
-        heard.doubt = StalenessCause.WIPED;
+        heard.until("stale ROOT_MISSING");
+        heard.staleness = StalenessCause.WIPED;
         ensemble.persistent(ROOT);
-        heard.until("doubt WIPED");
+        heard.until("stale WIPED");
         heard.until("snapshot {}");
         ensemble.operator().setData(ROOT, "accept".getBytes(), -1);
         heard.until("accept");
@@ -252,11 +252,11 @@
                         "/site",
                         ROOT,
                         true,
-                        plain.sessionMillis(),
+                        plain.sessionTimeoutMillis(),
                         false,
                         null,
                         null,
-                        plain.answerBytes()));
+                        plain.maxResponseBytes()));
         heard.until("snapshot {x/s1=1READY}");
         assertEquals("s1", heard.last.get("x/s1").data().uid());
         ensemble.persistent("/site" + ROOT + "/y");
@@ -264,7 +264,7 @@
         heard.next("changed y/s2");
         heard.next("read y/s2 2READY");
         ensemble.operator().delete("/site" + ROOT + "/y/s2", -1);
-        heard.next("gone y/s2");
+        heard.next("deleted y/s2");
     }
 
     @Test
@@ -293,12 +293,12 @@
                         "",
                         ROOT,
                         false,
-                        plain.sessionMillis(),
+                        plain.sessionTimeoutMillis(),
                         false,
                         null,
                         null,
                         200_000));
-        heard.until("doubt TOO_LARGE");
+        heard.until("stale TOO_LARGE");
         assertNull(heard.lines.poll(3, TimeUnit.SECONDS), "no endless reconnects");
     }
 
@@ -342,7 +342,7 @@
         Thread.sleep(300);
         loop.execute(source::deliverPending);
         still.countDown();
-        heard.next("gone s1");
+        heard.next("deleted s1");
         heard.next("changed s1");
         heard.next("read s1 99READY");
         assertNull(heard.lines.poll(200, TimeUnit.MILLISECONDS));
@@ -364,7 +364,7 @@
                             false,
                             null,
                             null,
-                            plain.answerBytes()));
+                            plain.maxResponseBytes()));
             heard.until("snapshot {}");
             relay.onlyPings = true;
             heard.until("session SUSPENDED");
