--- a/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ProcessPhase.java
@@ -1,36 +1,41 @@
 package appleridge.hotrestart;
 
-/** The phase of a process of a sidecar; in state files by its {@link #storedWord}. */
+/**
+ * The phase in the life of one process of a sidecar. State files contain its {@link #storedName}.
+ */
 public enum ProcessPhase {
-    /** It is not ready yet. */
+    /** The process is not ready yet. */
     STARTING("STARTING"),
-    /** It serves. */
+    /** The process is ready and accepts connections. */
     SERVING("SERVING"),
-    /** It accepts no connections, and ends what is open. */
+    /**
+     * The process accepts no new connections and finishes open requests. Stored as {@code ENDING},
+     * the name that other versions read.
+     */
     DRAINING("ENDING");
 
-    private final String storedWord;
+    private final String storedName;
 
-    ProcessPhase(String storedWord) {
-        this.storedWord = storedWord;
+    ProcessPhase(String storedName) {
+        this.storedName = storedName;
     }
 
-    /** The word by which a state file names this phase. */
-    public String storedWord() {
-        return storedWord;
+    /** The name of this phase in a state file. */
+    public String storedName() {
+        return storedName;
     }
 
     /**
-     * The phase that a state file names.
+     * Returns the phase with the given name in a state file.
      *
-     * @throws IllegalArgumentException if no phase has this word
+     * @throws IllegalArgumentException if no phase has this name
      */
-    public static ProcessPhase ofStoredWord(String word) {
+    public static ProcessPhase ofStoredName(String name) {
         for (ProcessPhase phase : values()) {
-            if (phase.storedWord.equals(word)) {
+            if (phase.storedName.equals(name)) {
                 return phase;
             }
         }
-        throw new IllegalArgumentException("unknown phase: " + word);
+        throw new IllegalArgumentException("unknown process phase: " + name);
     }
 }
--- a/sidecar/src/main/java/appleridge/hotrestart/ResourceShare.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/ResourceShare.java
@@ -3,26 +3,34 @@
 import java.util.Collection;
 
 /**
- * What a process may use while others of its sidecar live: all of them together stay within the
- * limits of one. Each learns the others' phase late, so a change of phase changes little at once.
+ * The resources that a process may use while other processes of its sidecar run: together they stay
+ * within the limits configured for one. A process learns of another's phase with a delay, so a
+ * change of phase moves only a part of the share at once.
  *
- * @param acceptsConnections whether it accepts new connections
- * @param connectionFraction of the limits of connections that it may use, above 0 and up to 1
+ * @param acceptsConnections whether the process accepts new connections
+ * @param connectionFraction the fraction of the connection limits that the process may use, above 0
+ *     and up to 1
  */
 public record ResourceShare(boolean acceptsConnections, double connectionFraction) {
-    /** Enough for discovery, operators' calls and the first requests. */
+    /** Covers discovery, admin calls and the first requests. */
     private static final double STARTING_WEIGHT = 0.3;
 
     private static final double SERVING_WEIGHT = 0.7;
 
-    /** The share of a process in a phase beside others. */
+    /**
+     * Computes the share of one process.
+     *
+     * @param own the phase of the process
+     * @param others the phases of the other processes of its sidecar
+     */
     public static ResourceShare of(ProcessPhase own, Collection<ProcessPhase> others) {
-        double all = weight(own) + others.stream().mapToDouble(ResourceShare::weight).sum();
-        // A cold process that accepts what a warm one could makes those requests late.
+        double totalWeight = weight(own) + others.stream().mapToDouble(ResourceShare::weight).sum();
+        // A starting process leaves new connections to a serving one: while it is cold, their
+        // requests would be late.
         boolean accepts =
                 own == ProcessPhase.SERVING
                         || own == ProcessPhase.STARTING && !others.contains(ProcessPhase.SERVING);
-        return new ResourceShare(accepts, weight(own) / all);
+        return new ResourceShare(accepts, weight(own) / totalWeight);
     }
 
     private static double weight(ProcessPhase phase) {
--- a/sidecar/src/main/java/appleridge/hotrestart/file/ProcessSlots.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/ProcessSlots.java
@@ -13,15 +13,16 @@
 import java.util.function.Consumer;
 
 /**
- * The processes of one sidecar, by a folder that they share. Each holds the lock of a slot for as
- * long as it lives, which the system releases however it ends, and writes its state beside it,
- * whole or not at all. Everything here blocks, if only for moments. Not thread-safe.
+ * The slots of the processes of one sidecar, in a folder that they share. A process holds the file
+ * lock of one slot as long as it runs; the operating system releases the lock however the process
+ * ends. It publishes its state in a file of that slot, which is replaced atomically. All methods do
+ * blocking file I/O. Not thread-safe.
  *
- * <p>Invariant: a process never opens the lock file of its own slot a second time. The system
- * releases a lock when its process closes any descriptor of that file.
+ * <p>Invariant: a process never opens the lock file of its own slot a second time, because the
+ * operating system releases a lock when its process closes any descriptor of the file.
  */
 public final class ProcessSlots implements AutoCloseable {
-    /** More than there ever are: one that drains, one that serves, one that starts. */
+    /** One process drains, one serves and one starts; a fourth slot is spare. */
     private static final int MAX_PROCESSES = 4;
 
     private final Path folder;
@@ -30,33 +31,36 @@
     private final Consumer<String> warning;
     private boolean warned;
 
-    private ProcessSlots(Path folder, int own, FileLock lock, Consumer<String> warning) {
+    private ProcessSlots(Path folder, int ownSlot, FileLock lock, Consumer<String> warning) {
         this.folder = folder;
-        this.ownSlot = own;
+        this.ownSlot = ownSlot;
         this.lock = lock;
         this.warning = warning;
     }
 
     /**
-     * Takes a free slot.
+     * Locks the first free slot, and deletes the state that its last owner left there.
      *
-     * @param warning told once of a state that can't be used
-     * @throws IOException where no slot is free, or the folder can't be used
+     * @param warning called with a log line the first time that another process's state can't be
+     *     read
+     * @throws IOException if no slot is free or the folder can't be used
      */
     public static ProcessSlots acquire(Path folder, Consumer<String> warning) throws IOException {
         Files.createDirectories(folder);
         for (int slot = 0; slot < MAX_PROCESSES; slot++) {
-            FileLock lock = lock(folder, slot);
+            FileLock lock = tryLock(folder, slot);
             if (lock != null) {
-                // Left behind by a process that has ended.
+                // The state is that of a process that has ended.
                 Files.deleteIfExists(stateFile(folder, slot));
                 return new ProcessSlots(folder, slot, lock, warning);
             }
         }
-        throw new IOException("all " + MAX_PROCESSES + " slots of " + folder + " are taken");
+        throw new IOException(
+                "all " + MAX_PROCESSES + " process slots in " + folder + " are locked");
     }
 
-    private static FileLock lock(Path folder, int slot) throws IOException {
+    /** Locks a slot; returns null if another process holds its lock. */
+    private static FileLock tryLock(Path folder, int slot) throws IOException {
         FileChannel channel =
                 FileChannel.open(
                         folder.resolve("slot-" + slot + ".lock"),
@@ -74,22 +78,22 @@
     }
 
     /**
-     * Publishes this process's state. Written beside and then moved, so that a kill at any byte
-     * leaves the state of before.
+     * Publishes this process's state. Writes a temporary file and renames it, so that a process
+     * killed while writing leaves the previous state.
      *
-     * @throws IOException where it can't be written; the state of before stays
+     * @throws IOException if the file can't be written; the previous state stays
      */
     public void publish(ProcessState state) throws IOException {
-        Path next = folder.resolve("slot-" + ownSlot + ".next");
-        Files.write(next, ProcessStateCodec.write(state));
-        Files.move(next, stateFile(folder, ownSlot), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = folder.resolve("slot-" + ownSlot + ".next");
+        Files.write(temporary, ProcessStateCodec.write(state));
+        Files.move(temporary, stateFile(folder, ownSlot), StandardCopyOption.ATOMIC_MOVE);
     }
 
     /**
-     * The published states of the other processes that live; of one that has published none yet,
-     * none.
+     * Reads the states of the other running processes. Leaves out a process that has published none
+     * yet, and one whose state can't be read.
      *
-     * @throws IOException where the folder can't be read
+     * @throws IOException if a slot can't be checked
      */
     public List<ProcessState> readOthers() throws IOException {
         List<ProcessState> others = new ArrayList<>();
@@ -98,9 +102,10 @@
             if (slot == ownSlot || !Files.exists(state)) {
                 continue;
             }
-            FileLock free = lock(folder, slot);
-            if (free != null) {
-                free.acquiredBy().close();
+            FileLock freeSlotLock = tryLock(folder, slot);
+            if (freeSlotLock != null) {
+                // No process holds this slot: the state is that of one that has ended.
+                freeSlotLock.acquiredBy().close();
                 continue;
             }
             try {
@@ -108,13 +113,18 @@
             } catch (IOException e) {
                 if (!warned) {
                     warned = true;
-                    warning.accept("another process's state is not used: " + e.getMessage());
+                    warning.accept(
+                            "another process's state is not used: "
+                                    + state
+                                    + ": "
+                                    + e.getMessage());
                 }
             }
         }
         return others;
     }
 
+    /** Releases the slot. */
     @Override
     public void close() throws IOException {
         lock.acquiredBy().close();
--- a/sidecar/src/main/java/appleridge/hotrestart/file/ProcessStateCodec.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/ProcessStateCodec.java
@@ -10,21 +10,22 @@
 import java.util.zip.CRC32;
 
 /**
- * A process's state as a state file, in text: a line with the version and the CRC-32 of all that
- * follows, a line with the phase, then a line for each directive. Processes of other versions read
- * it too, so it never changes. A file of another version, torn or too long is rejected whole.
+ * Encodes a process's state as a state file and decodes it. The file is UTF-8 text: a line with the
+ * format version and the CRC-32 of all following lines, a line with the phase, then one line for
+ * each directive. Processes of other versions read the file too, so the format must not change. A
+ * file that has another version, is incomplete or is too long is rejected whole.
  */
 final class ProcessStateCodec {
-    /** The longest state file that is read. */
+    /** The size limit of a state file that is read, in bytes. */
     static final int MAX_BYTES = 4 << 20;
 
     private static final String VERSION = "appleridge-state 1";
 
     private ProcessStateCodec() {}
 
-    /** The bytes of the state file. */
+    /** Encodes a state. */
     static byte[] write(ProcessState state) {
-        StringBuilder body = new StringBuilder(state.phase().storedWord()).append('\n');
+        StringBuilder body = new StringBuilder(state.phase().storedName()).append('\n');
         for (MaintenanceDirective directive : state.directives()) {
             body.append(directive.suspended() ? "out " : "back ")
                     .append(directive.issuedAtUnixNanos())
@@ -43,38 +44,40 @@
     }
 
     /**
-     * Reads a state file.
+     * Decodes a state. Ignores directives beyond {@link ProcessState#MAX_DIRECTIVES}.
      *
-     * @throws IOException where it can't be used, with the reason
+     * @throws IOException if the bytes are no valid state file; the message gives the reason
      */
     static ProcessState read(byte[] bytes) throws IOException {
         if (bytes.length > MAX_BYTES) {
-            throw new IOException("too long");
+            throw new IOException(
+                    "the state file has " + bytes.length + " bytes, more than " + MAX_BYTES);
         }
         String text = new String(bytes, StandardCharsets.UTF_8);
-        int end = text.indexOf('\n');
-        if (end < 0 || !text.startsWith(VERSION + " ")) {
-            throw new IOException("another version, or torn");
+        int headerEnd = text.indexOf('\n');
+        if (headerEnd < 0 || !text.startsWith(VERSION + " ")) {
+            throw new IOException(
+                    "the state file is truncated, or does not begin with \"" + VERSION + "\"");
         }
-        String body = text.substring(end + 1);
-        if (!text.substring(VERSION.length() + 1, end).equals(checksum(body))) {
-            throw new IOException("torn");
+        String body = text.substring(headerEnd + 1);
+        if (!text.substring(VERSION.length() + 1, headerEnd).equals(checksum(body))) {
+            throw new IOException("the checksum of the state file does not match");
         }
         String[] lines = body.split("\n");
         List<MaintenanceDirective> directives = new ArrayList<>();
         try {
             for (int i = 1; i < lines.length; i++) {
-                String[] parts = lines[i].split(" ", 3);
+                String[] fields = lines[i].split(" ", 3);
                 directives.add(
                         new MaintenanceDirective(
-                                parts[2], parts[0].equals("out"), Long.parseLong(parts[1])));
+                                fields[2], fields[0].equals("out"), Long.parseLong(fields[1])));
             }
             return new ProcessState(
-                    ProcessPhase.ofStoredWord(lines[0]),
+                    ProcessPhase.ofStoredName(lines[0]),
                     directives.subList(
                             0, Math.min(directives.size(), ProcessState.MAX_DIRECTIVES)));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new IOException("unreadable: " + e.getMessage(), e);
+            throw new IOException("malformed state file: " + e.getMessage(), e);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/hotrestart/file/package-info.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/file/package-info.java
@@ -1,5 +1,5 @@
 /**
- * State files in a folder that all processes of a sidecar share, by which they know of each other.
- * The form of the files is read by other versions and stays as it is.
+ * State files through which the processes of a sidecar exchange their state, in a folder that they
+ * share. Other versions read these files, so the format must not change.
  */
 package appleridge.hotrestart.file;
--- a/sidecar/src/main/java/appleridge/hotrestart/package-info.java
+++ b/sidecar/src/main/java/appleridge/hotrestart/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Hot restart: what several processes that are one sidecar may use each, and what they publish to
- * one another. Pure.
+ * Hot restart: the resource share of each of several processes that run as one sidecar, and the
+ * state that they publish to one another. Does no I/O.
  */
 package appleridge.hotrestart;
--- a/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/ResourceShareTest.java
@@ -7,9 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What two processes may use together. */
 class ResourceShareTest {
-    private static double part(ProcessPhase own, ProcessPhase... others) {
+    private static double fraction(ProcessPhase own, ProcessPhase... others) {
         return ResourceShare.of(own, List.of(others)).connectionFraction();
     }
 
@@ -21,47 +20,52 @@
         assertFalse(ResourceShare.of(ProcessPhase.DRAINING, List.of()).acceptsConnections());
     }
 
-    /** Guards against limits that hold for each and are broken by both. */
+    /**
+     * Guards against processes that each keep to their limits and exceed them together: the
+     * fractions of two or three processes add up to 1 at most, whatever their phases.
+     */
     @Test
     void sharesNeverExceedTheWhole() {
         for (ProcessPhase one : ProcessPhase.values()) {
             for (ProcessPhase other : ProcessPhase.values()) {
-                assertTrue(part(one, other) + part(other, one) < 1.0001, one + " beside " + other);
+                assertTrue(
+                        fraction(one, other) + fraction(other, one) < 1.0001,
+                        one + " and " + other);
                 for (ProcessPhase third : ProcessPhase.values()) {
-                    double all =
-                            part(one, other, third)
-                                    + part(other, one, third)
-                                    + part(third, one, other);
-                    assertTrue(all < 1.0001, "an upgrade within an upgrade: " + all);
+                    double total =
+                            fraction(one, other, third)
+                                    + fraction(other, one, third)
+                                    + fraction(third, one, other);
+                    assertTrue(total < 1.0001, one + ", " + other + " and " + third + ": " + total);
                 }
             }
         }
     }
 
     /**
-     * Guards against a door that nobody opens: whoever can serve accepts; if nobody can, who starts
-     * does.
+     * Guards against a listening socket from which no process accepts: a serving process does, and
+     * a starting one where none serves.
      */
     @Test
     void someProcessAcceptsUnlessAllDrain() {
         for (ProcessPhase one : ProcessPhase.values()) {
             for (ProcessPhase other : ProcessPhase.values()) {
-                boolean accepted =
+                boolean someAccepts =
                         ResourceShare.of(one, List.of(other)).acceptsConnections()
                                 || ResourceShare.of(other, List.of(one)).acceptsConnections();
                 assertEquals(
                         one != ProcessPhase.DRAINING || other != ProcessPhase.DRAINING,
-                        accepted,
-                        one + " " + other);
+                        someAccepts,
+                        one + " and " + other);
             }
         }
         assertFalse(
                 ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.SERVING))
                         .acceptsConnections(),
-                "it is cold");
+                "a starting process leaves connections to the serving one");
         assertTrue(
                 ResourceShare.of(ProcessPhase.STARTING, List.of(ProcessPhase.DRAINING))
                         .acceptsConnections(),
-                "nobody else does");
+                "a starting process accepts where none serves");
     }
 }
--- a/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/ProcessSlotsTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The folder by which processes know of each other; locks between real processes are
- * HeldListenerIT's.
+ * Tests the slots and the state files within one process; {@code InheritedListenerIT} tests the
+ * locks between processes.
  */
 @Timeout(60)
 class ProcessSlotsTest {
@@ -35,32 +35,35 @@
     @TempDir private Path folder;
 
     @Test
-    void writtenStateIsRead() throws Exception {
+    void writtenStateIsReadBack() throws Exception {
         assertEquals(STATE, ProcessStateCodec.read(ProcessStateCodec.write(STATE)));
         ProcessState empty = new ProcessState(ProcessPhase.STARTING, List.of());
         assertEquals(empty, ProcessStateCodec.read(ProcessStateCodec.write(empty)));
     }
 
     /**
-     * Guards against half a file, another version's or noise being taken for word of the other
-     * process.
+     * Guards against a truncated or corrupted file, or one of another version, being read as the
+     * state of another process.
      */
     @Test
-    void tornOrForeignStateIsRejected() throws Exception {
+    void truncatedCorruptedOrOtherVersionStateIsRejected() throws Exception {
         byte[] whole = ProcessStateCodec.write(STATE);
         for (int length = 0; length < whole.length; length++) {
-            byte[] torn = Arrays.copyOf(whole, length);
-            assertThrows(IOException.class, () -> ProcessStateCodec.read(torn), "cut at " + length);
+            byte[] truncated = Arrays.copyOf(whole, length);
+            assertThrows(
+                    IOException.class,
+                    () -> ProcessStateCodec.read(truncated),
+                    "truncated to " + length);
         }
         Random random = new Random(3);
         for (int i = 0; i < 2000; i++) {
-            byte[] wrong = whole.clone();
-            wrong[random.nextInt(wrong.length)] ^= (byte) (1 + random.nextInt(255));
+            byte[] corrupted = whole.clone();
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
             try {
                 assertEquals(
                         STATE,
-                        ProcessStateCodec.read(wrong),
-                        "only what says the same may be taken");
+                        ProcessStateCodec.read(corrupted),
+                        "a corrupted file is read only if its meaning is unchanged");
             } catch (IOException e) {
                 assertTrue(e.getMessage() != null);
             }
@@ -71,19 +74,20 @@
     }
 
     @Test
-    void foreignFilesInTheFolderAreIgnored() throws Exception {
+    void ownStateAndStatesOfFreeSlotsAreNotRead() throws Exception {
         List<String> warnings = new ArrayList<>();
         try (ProcessSlots slots = ProcessSlots.acquire(folder, warnings::add)) {
             slots.publish(STATE);
-            assertEquals(List.of(), slots.readOthers(), "the own state is not another's");
+            assertEquals(List.of(), slots.readOthers(), "a process does not read its own state");
             Files.writeString(folder.resolve("slot-2.state"), "noise");
-            assertEquals(List.of(), slots.readOthers(), "nobody holds that slot");
+            assertEquals(List.of(), slots.readOthers(), "no process holds slot 2");
             assertEquals(List.of(), warnings);
         }
         try (ProcessSlots again = ProcessSlots.acquire(folder, warnings::add)) {
             assertEquals(List.of(), again.readOthers());
             assertTrue(
-                    Files.notExists(folder.resolve("slot-0.state")), "who had the slot is no more");
+                    Files.notExists(folder.resolve("slot-0.state")),
+                    "acquiring a slot deletes the state of its last owner");
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/hotrestart/file/StoredStateFileTest.java
+++ b/sidecar/src/test/java/appleridge/hotrestart/file/StoredStateFileTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * State files as commit 4260e73 wrote them. A restart replaces one version by another, and both
- * read each other's file: neither names nor code may change a byte of it.
+ * Compares with state files that commit 4260e73 wrote. During a hot restart processes of two
+ * versions read each other's state files, so a change to code or names must not change a byte.
  */
 class StoredStateFileTest {
     private static final List<MaintenanceDirective> DIRECTIVES =
