--- a/sidecar/src/main/java/appleridge/request/Attempt.java
+++ b/sidecar/src/main/java/appleridge/request/Attempt.java
@@ -3,9 +3,8 @@
 import appleridge.loadbalancing.Outcome;
 
 /**
- * One attempt of a request; its numbers count up from 0 within the request. An attempt that could
- * not be handed to the transport has no handle and ends as {@link Outcome#NEVER_SENT}. Event loop
- * only.
+ * One attempt of a request; a request's attempts are numbered from 0. An attempt that is not handed
+ * to the transport has no handle and ends as {@link Outcome#NEVER_SENT}. Event loop only.
  */
 final class Attempt {
     private final PendingRequest request;
@@ -14,12 +13,13 @@
     private final long sentAtNanos;
     private final SendDeadlines deadlines;
 
-    /** Null where it was not handed to the transport. */
+    /** Null if the attempt was not handed to the transport. */
     private UpstreamTransport.AttemptHandle handle;
 
+    /** Null if the attempt was not handed to the transport. */
     private Scheduler.ScheduledTask timeout;
 
-    /** Null while it is outstanding. */
+    /** Null while the attempt is outstanding. */
     private Outcome outcome;
 
     Attempt(
@@ -43,12 +43,12 @@
         return number;
     }
 
-    /** The host that it goes to. */
+    /** The id of the upstream host that the attempt is sent to. */
     long upstream() {
         return upstream;
     }
 
-    /** When the policy ordered it. */
+    /** When the policy ordered the attempt, on the {@link MonotonicClock}. */
     long sentAtNanos() {
         return sentAtNanos;
     }
@@ -57,11 +57,12 @@
         return deadlines;
     }
 
-    void handedToTransport(UpstreamTransport.AttemptHandle its) {
-        handle = its;
+    /** Sets the transport's handle of this attempt. */
+    void setHandle(UpstreamTransport.AttemptHandle handle) {
+        this.handle = handle;
     }
 
-    /** Sets the task that times it out; cancelled with its end. */
+    /** Sets the task that times the attempt out; {@link #end} cancels it. */
     void setTimeout(Scheduler.ScheduledTask task) {
         timeout = task;
     }
@@ -72,8 +73,8 @@
         }
     }
 
-    void end(Outcome how) {
-        outcome = how;
+    void end(Outcome outcome) {
+        this.outcome = outcome;
         cancelTimeout();
     }
 
@@ -81,31 +82,40 @@
         return outcome != null;
     }
 
-    /** Whether it is with the transport and has not ended. */
+    /** Whether the attempt was handed to the transport and has not ended. */
     boolean isCancellable() {
         return outcome == null && handle != null;
     }
 
-    /** The same, and none of its bytes may be with the socket: it can't have been executed. */
+    /**
+     * Whether the attempt is cancellable and none of its bytes has been passed to the socket, so
+     * that the host can't have executed it.
+     */
     boolean isUnwritten() {
         return isCancellable() && !hasStartedWriting();
     }
 
-    /** Whether any of its bytes may be with the socket. */
+    /** Whether any byte of the attempt may have been passed to the socket. */
     boolean hasStartedWriting() {
         return handle != null && handle.hasStartedWriting();
     }
 
-    /** Whether its last byte is with the socket: from then on the upstream may execute it. */
+    /**
+     * Whether the last byte has been passed to the socket; from then on the host may execute the
+     * request.
+     */
     boolean isFullyWritten() {
         return handle != null && handle.isFullyWritten();
     }
 
-    /** Nothing more of it is written, and the transport reports nothing more. */
+    /**
+     * Stops the transport from writing more of the attempt and from reporting anything about it.
+     */
     void cancelTransport() {
         handle.cancel();
     }
 
+    /** Whether the host may have executed the request. */
     boolean mayHaveExecuted() {
         return hasEnded() ? !outcome.provesNotExecuted() : isFullyWritten();
     }
--- a/sidecar/src/main/java/appleridge/request/AttemptTracker.java
+++ b/sidecar/src/main/java/appleridge/request/AttemptTracker.java
@@ -8,27 +8,27 @@
 import java.util.List;
 
 /**
- * Starts, times out and cancels attempts. Each attempt that is started ends exactly once, and that
- * is reported to the {@link Listener}, never from within the call that started or cancelled it.
- * Event loop only.
+ * Starts, times out and cancels attempts. Each started attempt ends exactly once; its end is
+ * reported to the {@link Listener}, never from within the call that started or cancelled it. Event
+ * loop only.
  */
 final class AttemptTracker {
-    /** Notified of what happens to attempts, after the state has been reconciled. */
+    /** Receives the events of attempts, after {@link StallReconciler#reconcile}. */
     interface Listener {
         /**
-         * A good response begins that is too long to be buffered.
+         * The head of a successful response that is too long to be buffered has arrived.
          *
-         * @return whether it is wanted; else the attempt is broken off
+         * @return whether to stream the response; if false, the attempt is aborted
          */
         boolean onResponseStarted(Attempt attempt, StreamedResponse response);
 
-        /** A request too long to be buffered begins to go out. */
+        /** The first part of a request that is too long to be buffered is being sent. */
         void onRequestStreamingStarted(Attempt attempt);
 
-        /** The last byte of such a request is with the socket. */
+        /** The last byte of a streamed request has been passed to the socket. */
         void onRequestFullyWritten(Attempt attempt);
 
-        /** The attempt has ended; {@code response} is null where none was read. */
+        /** The attempt has ended; {@code response} is null if none was read. */
         void onAttemptEnded(Attempt attempt, Outcome outcome, UpstreamResponse response);
     }
 
@@ -61,26 +61,28 @@
     }
 
     /**
-     * Starts a request's next attempt. It ends as never sent where the request has ended, has no
-     * time or attempt left, or the host is not known.
+     * Starts a request's next attempt. The attempt ends as {@link Outcome#NEVER_SENT} if the
+     * request has ended, its deadline has passed, it has no attempt left or the host is unknown.
      *
-     * @param timeoutNanos how long the response is waited for; 0 for the request's deadline
+     * @param upstream the id of the upstream host
+     * @param timeoutNanos the timeout of the attempt; 0 if only the request's deadline limits it
      */
     void start(PendingRequest request, long upstream, long timeoutNanos) {
         long now = clock.nanoTime();
-        long until =
+        long responseByNanos =
                 timeoutNanos == 0
                         ? request.deadlineNanos()
                         : Math.min(request.deadlineNanos(), now + timeoutNanos);
-        long repeatableUntil = repeatableUntilNanos(request);
+        long retryByNanos = retryByNanos(request);
         SendDeadlines deadlines =
-                new SendDeadlines(Math.min(until, repeatableUntil), repeatableUntil, until);
+                new SendDeadlines(
+                        Math.min(responseByNanos, retryByNanos), retryByNanos, responseByNanos);
         int number = request.attempts().size();
         Attempt attempt = new Attempt(request, number, upstream, now, deadlines);
         accounting.attemptStarted(attempt);
         Endpoint endpoint = endpoints.find(upstream);
         if (!request.isOpen()
-                || until <= now
+                || responseByNanos <= now
                 || endpoint == null
                 || number >= settings.capabilities().maxAttempts()) {
             endLater(attempt, Outcome.NEVER_SENT);
@@ -88,7 +90,7 @@
         }
         ClientRequest clientRequest = request.clientRequest();
         accounting.metrics().onAttemptSent(clientRequest.requestClass(), number > 0);
-        attempt.handedToTransport(
+        attempt.setHandle(
                 transport.send(
                         endpoint,
                         clientRequest.message(),
@@ -98,16 +100,17 @@
     }
 
     /**
-     * Until when a further attempt of a request with an idempotency key may reach an upstream: for
-     * as long as upstreams drop repeats of its first attempt that may have executed. The policy
-     * holds to it when it decides, this when the bytes go.
+     * Returns the time until which a further attempt of a request with an idempotency key may reach
+     * a host: hosts drop duplicates for the key's time to live, counted from the first attempt that
+     * may have been executed. The policy checks this limit when it orders an attempt; the transport
+     * checks it again when it writes the bytes.
      */
-    private long repeatableUntilNanos(PendingRequest request) {
-        RequestClass kind = settings.classes().get(request.clientRequest().requestClass());
-        if (kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+    private long retryByNanos(PendingRequest request) {
+        RequestClass requestClass = settings.classes().get(request.clientRequest().requestClass());
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
             for (Attempt attempt : request.attempts()) {
                 if (attempt.mayHaveExecuted()) {
-                    return attempt.sentAtNanos() + kind.idempotencyKeyTtlNanos();
+                    return attempt.sentAtNanos() + requestClass.idempotencyKeyTtlNanos();
                 }
             }
         }
@@ -116,16 +119,17 @@
 
     private void scheduleTimeout(Attempt attempt) {
         SendDeadlines deadlines = attempt.deadlines();
-        long next =
+        long nextDeadline =
                 attempt.isFullyWritten()
                         ? deadlines.responseByNanos()
                         : Math.min(deadlines.responseByNanos(), deadlines.lastByteByNanos());
-        attempt.setTimeout(scheduler.scheduleAt(next, () -> timeOut(attempt)));
+        attempt.setTimeout(scheduler.scheduleAt(nextDeadline, () -> timeOut(attempt)));
     }
 
     /**
-     * An attempt whose time is up before it was written whole says nothing of its host, and ends as
-     * never sent: as a failed connect it would get a healthy host ejected.
+     * Times an attempt out. An attempt that was not fully written by then proves nothing about its
+     * host, so it ends as {@link Outcome#NEVER_SENT}: reported as a failed connect, it would get a
+     * healthy host ejected.
      */
     private void timeOut(Attempt attempt) {
         reconciler.reconcile();
@@ -141,7 +145,7 @@
         end(attempt, fullyWritten ? Outcome.TIMEOUT : Outcome.NEVER_SENT, null);
     }
 
-    /** Cancels an attempt, if it has not ended. */
+    /** Cancels an attempt that the transport has, unless it has ended. */
     void cancel(Attempt attempt) {
         if (attempt.isCancellable()) {
             attempt.cancelTransport();
@@ -150,9 +154,10 @@
     }
 
     /**
-     * Cancels a request's attempts of which nothing has been written, whether or not the policy may
-     * cancel. Else an attempt that waits for its connection would be sent when that is up, long
-     * after its client has left. It ends as never sent, and holds no capacity of its host.
+     * Cancels a request's attempts of which nothing has been written, whether or not the policy has
+     * the capability to cancel. An attempt that waits for its connection would otherwise be sent as
+     * soon as the connection is up, long after its client has disconnected. It ends as {@link
+     * Outcome#NEVER_SENT} and uses no capacity of its host.
      */
     void cancelUnwritten(PendingRequest request) {
         for (Attempt attempt : request.attempts()) {
@@ -164,8 +169,8 @@
     }
 
     /**
-     * Cancels all attempts that wait for a connection to a host that is not ready any more: it
-     * would get new work for as long as a connect takes. Nothing of them has been written, so they
+     * Cancels all attempts that wait for a connection to a host that is no longer ready: they would
+     * bring it new work for as long as connecting takes. Nothing of them has been written, so they
      * have not been executed.
      */
     void cancelUnwrittenToHostsNotReady() {
@@ -183,7 +188,7 @@
         }
     }
 
-    /** Ends an attempt as soon as the current event is over, if it has not ended by then. */
+    /** Ends an attempt after the current task of the event loop, unless it has ended by then. */
     void endLater(Attempt attempt, Outcome outcome) {
         scheduler.execute(() -> end(attempt, outcome, null));
     }
@@ -196,8 +201,8 @@
     }
 
     /**
-     * Passes the transport's events on. Each is reconciled first: behind it may lie, unread, the
-     * end of the client or a drain of the host.
+     * Forwards the transport's events, each after {@link StallReconciler#reconcile}: a disconnect
+     * of the client or a drain of the host may have arrived and not been read yet.
      */
     private final class TransportListener implements UpstreamTransport.AttemptListener {
         private final Attempt attempt;
@@ -206,7 +211,7 @@
             this.attempt = attempt;
         }
 
-        /** What is reconciled here may cancel the attempt before anything is written. */
+        /** Reconciling may cancel the attempt before anything is written. */
         @Override
         public void onConnected() {
             reconciler.reconcile();
--- a/sidecar/src/main/java/appleridge/request/ClientRequest.java
+++ b/sidecar/src/main/java/appleridge/request/ClientRequest.java
@@ -3,13 +3,16 @@
 /**
  * A client's request, read and validated.
  *
- * @param id the client's own id of it, in use by no other open request
- * @param arrivedAtNanos when its last byte may have come at the earliest
+ * @param id the id that the client gave the request, unique among open requests
+ * @param arrivedAtNanos the earliest time at which its last byte may have arrived, on the {@link
+ *     MonotonicClock}
  * @param timeoutNanos how long the client waits from then on, in nanoseconds
- * @param key hash of what the request is about; 0 for nothing
- * @param costHintNanos rough cost in nanoseconds of work; 0 where unknown
- * @param clientRetry whether the client marked it as a retry
- * @param message what is to be forwarded
+ * @param requestClass the index of the request class in the policy's settings
+ * @param tenant the index of the tenant
+ * @param key hash of the object that the request concerns; 0 if it names none
+ * @param costHintNanos the rough cost in nanoseconds of work; 0 if unknown
+ * @param clientRetry whether the client marked the request as a retry
+ * @param message the message to forward
  */
 public record ClientRequest(
         String id,
@@ -21,8 +24,8 @@
         long costHintNanos,
         boolean clientRetry,
         UpstreamRequest message) {
-    /** The same with something else to be forwarded. */
-    public ClientRequest withMessage(UpstreamRequest other) {
+    /** Returns a copy with another message to forward. */
+    public ClientRequest withMessage(UpstreamRequest replacement) {
         return new ClientRequest(
                 id,
                 arrivedAtNanos,
@@ -32,6 +35,6 @@
                 key,
                 costHintNanos,
                 clientRetry,
-                other);
+                replacement);
     }
 }
--- a/sidecar/src/main/java/appleridge/request/EndReason.java
+++ b/sidecar/src/main/java/appleridge/request/EndReason.java
@@ -2,30 +2,30 @@
 
 import appleridge.request.RequestMetrics.RequestEnd;
 
-/** Which rule ended a request; logged as {@code reason=} of {@link LogEvent#REQUEST_ENDED}. */
+/** Why a request ended; logged as {@code reason=} of {@link LogEvent#REQUEST_ENDED}. */
 enum EndReason {
-    /** An upstream's good response was given whole. */
+    /** The client was given the whole successful response of an upstream host. */
     SERVED("served", RequestEnd.SERVED),
-    /** As many requests are open as may be at once. */
+    /** The limit of open requests was reached. */
     OPEN_REQUEST_LIMIT("open_request_limit", RequestEnd.REJECTED),
     /**
-     * The load-balancing policy rejected it: shed, refused a retry, or expired, and a retry by the
-     * client is safe. The log's {@code rule=} names the rule.
+     * The load-balancing policy rejected the request: it shed load, refused a retry or found the
+     * deadline too close. A retry by the client is safe. The log's {@code rule=} names the rule.
      */
     POLICY_REJECTED("policy_rejected", RequestEnd.REJECTED),
-    /** It was streamed, can't be sent again, and its attempt proves that it was not executed. */
+    /** The request was streamed, so it can't be sent again; it was not executed for certain. */
     STREAMED_REQUEST_NOT_EXECUTED("streamed_request_not_executed", RequestEnd.REJECTED),
-    /** Another request is open under the same client's id. */
+    /** Another request with the same client's id is open. */
     ID_IN_USE("id_in_use", RequestEnd.FAILED),
-    /** Its deadline, or the shutdown deadline, passed. */
+    /** The deadline of the request, or the shutdown deadline, passed. */
     DEADLINE_EXCEEDED("deadline_exceeded", RequestEnd.FAILED),
-    /** The policy gave it up after an attempt that brought no usable response. */
+    /** The policy failed the request after an attempt without a usable response. */
     POLICY_FAILED("policy_failed", RequestEnd.FAILED),
-    /** It was streamed, can't be sent again, and may have been executed. */
+    /** The request was streamed, so it can't be sent again; it may have been executed. */
     STREAMED_REQUEST_FAILED("streamed_request_failed", RequestEnd.FAILED),
-    /** The upstream's response broke off after a part of it had gone to the client. */
+    /** The response broke off after a part of it had been sent to the client. */
     RESPONSE_BROKEN_OFF("response_broken_off", RequestEnd.FAILED),
-    /** The client left first. */
+    /** The client disconnected before it had its response. */
     CLIENT_DISCONNECTED("client_disconnected", RequestEnd.CLIENT_DISCONNECTED);
 
     private final String label;
@@ -36,26 +36,28 @@
         this.end = end;
     }
 
-    /** The word in the log. */
+    /** The reason as it is written to the log. */
     String label() {
         return label;
     }
 
     /**
-     * What the client of a failed request is told of the cause.
+     * Returns the cause that the client of a failed request is given.
      *
-     * @throws IllegalStateException where the request did not fail
+     * @throws IllegalStateException if a request that ends for this reason gets no failure response
      */
     ResponseSink.FailureCause failureCause() {
         return switch (this) {
             case ID_IN_USE -> ResponseSink.FailureCause.ID_IN_USE;
             case DEADLINE_EXCEEDED -> ResponseSink.FailureCause.DEADLINE_EXCEEDED;
             case POLICY_FAILED, STREAMED_REQUEST_FAILED -> ResponseSink.FailureCause.UPSTREAM;
-            default -> throw new IllegalStateException(this + " is no failure with a response");
+            default ->
+                    throw new IllegalStateException(
+                            "no failure response exists for end reason " + this);
         };
     }
 
-    /** The end as which the metrics count it. */
+    /** The end that the metrics count for this reason. */
     RequestEnd end() {
         return end;
     }
--- a/sidecar/src/main/java/appleridge/request/Endpoint.java
+++ b/sidecar/src/main/java/appleridge/request/Endpoint.java
@@ -3,11 +3,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * An upstream host and where it listens. A host is not its address: one that takes over the address
- * of another that has gone must not be given the other's connections.
+ * An upstream host and the address it listens on. The address alone does not identify a host: a
+ * host that takes over the address of another one must not get the other's connections.
+ *
+ * @param upstream the id of the host
+ * @param address where it listens
  */
 public record Endpoint(long upstream, InetSocketAddress address) {
-    /** Written out, because the JVM generates a record's own methods anew at each start. */
+    /** Written by hand, because the JVM generates a record's own methods anew at each start. */
     @Override
     public boolean equals(Object other) {
         return other instanceof Endpoint that
--- a/sidecar/src/main/java/appleridge/request/EndpointDirectory.java
+++ b/sidecar/src/main/java/appleridge/request/EndpointDirectory.java
@@ -12,7 +12,7 @@
 
 /**
  * The upstream hosts as last reported by discovery: where each listens and which are ready. Closes
- * the idle connections of hosts that are not ready any more, or have moved. Event loop only.
+ * the idle connections of hosts that are no longer ready or have another address. Event loop only.
  */
 final class EndpointDirectory {
     private final UpstreamTransport transport;
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Takes in a discovery update.
+     * Applies a discovery update.
      *
      * @param hosts the hosts of a snapshot, or those that a delta changes
      * @param addresses where hosts listen, by host id
@@ -42,7 +42,7 @@
                 removed.add(host.id());
             }
         }
-        // Hosts come and go as long as the sidecar runs: without this the tables grow for ever.
+        // Hosts come and go as long as the sidecar runs: the maps would grow without bound.
         for (long id : removed) {
             closeIdleConnections(id);
             readyHosts.remove(id);
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Where a host listens; null where it is not known. */
+    /** Returns where a host listens; null if the host is unknown. */
     Endpoint find(long host) {
         return endpoints.get(host);
     }
@@ -80,7 +80,7 @@
         return readyHosts.size();
     }
 
-    /** Closes a host's connections on which nothing is open; nothing happens for an unknown one. */
+    /** Closes a host's idle connections; does nothing for an unknown host. */
     void closeIdleConnections(long host) {
         Endpoint endpoint = endpoints.get(host);
         if (endpoint != null) {
--- a/sidecar/src/main/java/appleridge/request/EndpointSubscription.java
+++ b/sidecar/src/main/java/appleridge/request/EndpointSubscription.java
@@ -1,22 +1,22 @@
 package appleridge.request;
 
 /**
- * What the load-balancing policy asks of discovery; answered by {@link
- * RequestCoordinator#onEndpointUpdate}. Event loop only.
+ * The source of the endpoint list, as the load-balancing policy uses it. Updates arrive through
+ * {@link RequestCoordinator#onEndpointUpdate}. Event loop only.
  */
 public interface EndpointSubscription {
-    /** Subscribes to endpoint updates, or ends that. */
+    /** Subscribes to endpoint updates, or cancels the subscription. */
     void subscribe(boolean on);
 
-    /** Asks for one snapshot. */
+    /** Requests one snapshot. */
     void fetchEndpoints();
 
-    /** Handles, before this returns, the updates that have arrived and are unread. */
+    /** Handles all updates that have arrived unread, before it returns. */
     void readPendingUpdates();
 
     /**
-     * Whether it is certain, after {@link #readPendingUpdates}, that no update sent before that is
-     * still to come.
+     * Whether it is certain that every update sent before the last call of {@link
+     * #readPendingUpdates} has been handled.
      */
     default boolean isCaughtUp() {
         return true;
--- a/sidecar/src/main/java/appleridge/request/EventLog.java
+++ b/sidecar/src/main/java/appleridge/request/EventLog.java
@@ -2,20 +2,21 @@
 
 import java.util.function.Supplier;
 
-/** The operators' log of one sidecar. Event loop only. */
+/** The log of one sidecar, written for its operators. Event loop only. */
 public interface EventLog {
-    /** A line for operators. */
+    /** Logs a line. */
     void info(String line);
 
-    /** A line for operators about something that needs attention. */
+    /** Logs a line about a condition that needs an operator's attention. */
     void warning(String line);
 
     /**
-     * An event with its fields in the form {@code key=value}. Each kind is rate-limited, with a
-     * count of those suppressed; fields are computed only for what is written.
+     * Logs an event with its fields in the form {@code key=value}. Each kind is rate-limited, and
+     * the next line of that kind gives the number of suppressed ones. The fields are computed only
+     * for a line that is written.
      */
     default void event(LogEvent kind, Supplier<String> fields) {}
 
-    /** Something failed that must not stop the rest; {@code cause} may be null. */
+    /** Logs a failure that does not stop the sidecar; {@code cause} may be null. */
     void failure(String what, Throwable cause);
 }
--- a/sidecar/src/main/java/appleridge/request/EventLoopStallGuard.java
+++ b/sidecar/src/main/java/appleridge/request/EventLoopStallGuard.java
@@ -3,34 +3,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Derives from the times of events alone how late the event loop is: for how long nothing was
- * handled, and for how long what is read now may have waited unread. It only answers; {@link
- * StallReconciler} acts.
+ * Computes from the times of events how late the event loop is: for how long no event was handled,
+ * and for how long the input that is read now may have waited unread. It takes no action itself;
+ * {@link StallReconciler} acts on it.
  *
- * <p>Invariant: what came while the loop was late is not handled as if it had just come. All times
- * are nanoseconds on the loop's own clock. Event loop only.
+ * <p>Invariant: input that arrived while the loop was late is not handled as if it had just
+ * arrived. All times are nanoseconds on the loop's own clock. Event loop only.
  */
 final class EventLoopStallGuard {
     /**
-     * The longest gap between events after which discovery need not be caught up with; half of the
-     * drain grace, if that is less.
+     * The longest gap between events after which pending discovery updates need not be read; half
+     * of the drain grace, if that is less.
      */
     private static final long MAX_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     /**
-     * After a gap of so much the loop counts as late; for as long afterwards, what is read may have
-     * come within the gap.
+     * The loop is late after a longer gap between events. For the same time after the gap, input
+     * that is read may have arrived within the gap.
      */
     private static final long LATE_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * For no longer may clients' input stay unread: no attempt may begin more than 0.1 s after its
-     * client has left. Twice the interval from one {@link #onAllInputRead} to the next, so that a
-     * quiet loop checks no clients.
+     * The longest time that clients' input may stay unread: no attempt may begin more than 0.1 s
+     * after its client has disconnected. It is twice the interval between two calls of {@link
+     * #onAllInputRead}, so that an idle loop checks no clients.
      */
     private static final long MAX_UNREAD_INPUT_NANOS = TimeUnit.MILLISECONDS.toNanos(80);
 
-    /** For so long after a stall, what is read may have waited since before it. */
+    /** The time after a stall in which input that is read may have arrived before its end. */
     private static final long AFTER_STALL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final long stallThresholdNanos;
@@ -40,26 +40,26 @@
     private boolean clientsUnchecked;
     private long lastStallNanos;
 
-    /** The last event before the loop was late. */
-    private long lateFromNanos;
+    /** The last event before the loop was late: the start of the latest late span. */
+    private long lateStartNanos;
 
-    /** The first event after the loop was late. */
-    private long lateUntilNanos;
+    /** The first event after the loop was late: the end of the latest late turn. */
+    private long lateEndNanos;
 
-    /** The first event after the first of several late turns in a row. */
-    private long lateSinceNanos;
+    /** The end of the first of several late turns in a row. */
+    private long firstLateEndNanos;
 
-    /** When all input had last been read, or all clients been checked. */
+    /** When all input had been read, or all clients been checked, for the last time. */
     private long allReadAtNanos;
 
     /** When all clients were last checked because the loop was late. */
     private long clientsCheckedAtNanos;
 
     /**
-     * Begins to watch.
+     * Creates a guard that sees the loop as on time.
      *
-     * @param now the time
-     * @param drainGraceNanos within which a discovery update has to take effect
+     * @param now the current time
+     * @param drainGraceNanos the time within which a discovery update has to take effect
      */
     EventLoopStallGuard(long now, long drainGraceNanos) {
         this.stallThresholdNanos =
@@ -67,11 +67,11 @@
         this.lastEventNanos = now;
         this.allReadAtNanos = now;
         this.lastStallNanos = now - AFTER_STALL_NANOS;
-        this.lateUntilNanos = now - AFTER_STALL_NANOS;
+        this.lateEndNanos = now - AFTER_STALL_NANOS;
         this.clientsCheckedAtNanos = now - AFTER_STALL_NANOS;
     }
 
-    /** An event is about to be handled; the other methods answer as of this event. */
+    /** Records that an event is about to be handled; the other methods refer to this event. */
     void observe(long now) {
         gapNanos = now - lastEventNanos;
         stalled = gapNanos > stallThresholdNanos;
@@ -79,10 +79,10 @@
             lastStallNanos = now;
         }
         if (gapNanos > LATE_GAP_NANOS) {
-            noteLate(now);
+            recordLateTurn(now);
         }
-        // A long turn in which many events follow each other closely has no gap, and yet what is
-        // read last in it has waited for as long as all of it took.
+        // A long turn of many events in close succession has no gap, yet the input that it reads
+        // last has waited for the whole turn.
         clientsUnchecked =
                 gapNanos > MAX_UNREAD_INPUT_NANOS || now - allReadAtNanos > MAX_UNREAD_INPUT_NANOS;
         if (clientsUnchecked) {
@@ -93,22 +93,24 @@
     }
 
     /**
-     * A loop that is late again soon after has not yet read all that came before: connections are
-     * accepted four at a time, and a new one's request is read one turn later. A loop that is late
-     * for good has read it; else all that it reads would count as too old.
+     * Records that the loop was late up to now. A loop that is late again soon afterwards has not
+     * read all earlier input yet, because it accepts connections four at a time and reads a new
+     * connection's request one turn later; so the start of the late span stays. A loop that has
+     * been late for {@link #AFTER_STALL_NANOS} has read it, so the start moves on; otherwise
+     * everything that a permanently late loop reads would count as too old.
      */
-    private void noteLate(long now) {
-        boolean again = lastEventNanos - lateUntilNanos < LATE_GAP_NANOS;
-        if (!again) {
-            lateSinceNanos = now;
+    private void recordLateTurn(long now) {
+        boolean lateAgain = lastEventNanos - lateEndNanos < LATE_GAP_NANOS;
+        if (!lateAgain) {
+            firstLateEndNanos = now;
         }
-        if (!again || now - lateSinceNanos >= AFTER_STALL_NANOS) {
-            lateFromNanos = lastEventNanos;
+        if (!lateAgain || now - firstLateEndNanos >= AFTER_STALL_NANOS) {
+            lateStartNanos = lastEventNanos;
         }
-        lateUntilNanos = now;
+        lateEndNanos = now;
     }
 
-    /** A timer has fired, so all input that was there before it has been read. */
+    /** Records that a timer has fired, so that all input that arrived before it has been read. */
     void onAllInputRead() {
         allReadAtNanos = lastEventNanos;
     }
@@ -123,21 +125,22 @@
         return gapNanos;
     }
 
-    /** Whether the last event came after a stall after which discovery has to be caught up with. */
+    /** Whether the last event follows a stall that makes it necessary to read discovery updates. */
     boolean isStalled() {
         return stalled;
     }
 
     /**
-     * Whether a client may have left unnoticed, so that clients are to be checked before anything
-     * is sent.
+     * Whether a client may have disconnected unnoticed, so that clients have to be checked before
+     * anything is sent.
      */
     boolean mayHaveMissedClients() {
         return clientsUnchecked;
     }
 
     /**
-     * Whether what is read from clients now may have waited unread, and its client have left since.
+     * Whether input that is read from a client now may have waited unread, so that the client may
+     * have disconnected since.
      */
     boolean mayHaveWaited() {
         return lastEventNanos - lastStallNanos < AFTER_STALL_NANOS
@@ -145,11 +148,11 @@
     }
 
     /**
-     * Since when what is read from clients now may have been there: soon after the loop was late,
-     * since the last event before that. Counted from its reading instead, a request that waited
-     * would be answered as much later than its client waits for it.
+     * Returns the earliest time at which input that is read from clients now may have arrived: soon
+     * after the loop was late, that of the last event before. If the deadline of a request that
+     * waited unread were counted from its reading, its response would be late by that wait.
      */
     long earliestArrivalNanos() {
-        return lastEventNanos - lateUntilNanos < LATE_GAP_NANOS ? lateFromNanos : lastEventNanos;
+        return lastEventNanos - lateEndNanos < LATE_GAP_NANOS ? lateStartNanos : lastEventNanos;
     }
 }
--- a/sidecar/src/main/java/appleridge/request/InFlightCounts.java
+++ b/sidecar/src/main/java/appleridge/request/InFlightCounts.java
@@ -1,12 +1,12 @@
 package appleridge.request;
 
 /**
- * What is in flight: all zero once every request and every attempt has ended.
+ * Counts of open requests and attempts; all are zero once every request and attempt has ended.
  *
  * @param openRequests requests without a final response
  * @param openAttempts attempts that have not ended
  * @param trackedRequests requests that are open or have an open attempt
- * @param requestIds clients' ids under which a request is open
+ * @param requestIds ids, given by clients, of open requests
  */
 public record InFlightCounts(
         int openRequests, int openAttempts, int trackedRequests, int requestIds) {}
--- a/sidecar/src/main/java/appleridge/request/LogEvent.java
+++ b/sidecar/src/main/java/appleridge/request/LogEvent.java
@@ -1,22 +1,22 @@
 package appleridge.request;
 
-/** What is logged with a stable name and keyed fields; each kind has its own rate limit. */
+/** An event that is logged with a stable name and keyed fields; each has its own rate limit. */
 public enum LogEvent {
-    /** The event loop ran its periodic tick late: nothing was read or sent meanwhile. */
+    /** The event loop ran its periodic tick late and read and sent nothing meanwhile. */
     EVENT_LOOP_STALL("event_loop.stall"),
-    /** The event loop turned many times with nothing to do in most of its turns. */
+    /** The event loop turned many times, mostly without an event to handle. */
     EVENT_LOOP_SPIN("event_loop.spin"),
-    /** A request ended in another way than by an upstream's good response. */
+    /** A request ended without a successful response, or with one after its deadline. */
     REQUEST_ENDED("request.ended"),
     /** An attempt ended without a usable response. */
     ATTEMPT_ENDED("attempt.ended"),
-    /** Requests are deferred until discovery has caught up, or resumed. */
+    /** Requests are deferred until discovery has caught up, or deferred requests are resumed. */
     REQUESTS_DEFERRED("requests.deferred"),
-    /** A client's connection was closed from this side before the client had left. */
+    /** The sidecar closed a client's connection before the client did. */
     CLIENT_CONNECTION_CLOSED("client_connection.closed"),
-    /** New connections are accepted again, or left in the accept queue. */
+    /** The sidecar starts to accept new connections, or leaves them in the accept queue. */
     ACCEPT_GATE("accept_gate.changed"),
-    /** The graceful shutdown takes a step. */
+    /** The graceful shutdown reached its next step. */
     DRAIN("drain.step", true);
 
     private final String label;
@@ -31,14 +31,14 @@
         this.always = always;
     }
 
-    /** The name in the log. */
+    /** The name of the event in the log. */
     public String label() {
         return label;
     }
 
     /**
-     * Whether no rate limit applies: there are a few of them in a process's life, one soon after
-     * the other.
+     * Whether the event is exempt from the rate limit: a process logs only a few of them, in close
+     * succession.
      */
     public boolean isAlwaysWritten() {
         return always;
--- a/sidecar/src/main/java/appleridge/request/MonotonicClock.java
+++ b/sidecar/src/main/java/appleridge/request/MonotonicClock.java
@@ -1,7 +1,7 @@
 package appleridge.request;
 
-/** The only clock of a sidecar. */
+/** The clock of a sidecar, by which all its times are given. */
 public interface MonotonicClock {
-    /** Nanoseconds on a clock that never runs back; its zero has no meaning. */
+    /** Returns the time in nanoseconds since an arbitrary origin; it never decreases. */
     long nanoTime();
 }
--- a/sidecar/src/main/java/appleridge/request/PendingRequest.java
+++ b/sidecar/src/main/java/appleridge/request/PendingRequest.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * A client's request from its acceptance until it has ended and all its attempts have. Event loop
- * only.
+ * A client's request, from its acceptance until the request and all its attempts have ended. Event
+ * loop only.
  *
- * <p>It is <em>uncommitted</em> while any response can still be given and any attempt made; it is
- * committed once a part of it, or of its response, has been streamed and is not buffered here any
- * more.
+ * <p>The request is <em>uncommitted</em> while it is open and can still get any response and any
+ * further attempt. It is committed once a part of it, or of its response, has been streamed and is
+ * no longer buffered here.
  */
 final class PendingRequest {
     private final long id;
@@ -22,13 +22,13 @@
     private final List<Attempt> attempts = new ArrayList<>(2);
     private Scheduler.ScheduledTask expiry;
 
-    /** Null before the first attempt has ended. */
+    /** Null until the first attempt has ended. */
     private Outcome lastOutcome;
 
-    /** Null while the policy has given no answer. */
+    /** Null unless the policy has rejected or failed the request. */
     private AnswerReason policyReason;
 
-    /** The attempt whose response is being streamed to the client; null while there is none. */
+    /** The attempt whose response is being streamed to the client; null if there is none. */
     private Attempt streamingAttempt;
 
     private boolean requestStreaming;
@@ -42,7 +42,7 @@
         this.deadlineNanos = deadlineNanos;
     }
 
-    /** The id by which the policy knows it; never used twice. */
+    /** The id of the request for the policy; it is never reused. */
     long id() {
         return id;
     }
@@ -55,12 +55,12 @@
         return client;
     }
 
-    /** By when its response is needed, on the {@link MonotonicClock}. */
+    /** The time by which the request needs its response, on the {@link MonotonicClock}. */
     long deadlineNanos() {
         return deadlineNanos;
     }
 
-    /** In the order in which they were started; not to be changed by the caller. */
+    /** The attempts in the order in which they were started; callers must not modify the list. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -69,22 +69,22 @@
         return outstandingAttempts;
     }
 
-    /** The outcome of the attempt that ended last; null where none has. */
+    /** The outcome of the attempt that ended last; null if none has ended. */
     Outcome lastOutcome() {
         return lastOutcome;
     }
 
-    /** Whether it has no final response yet, and its client waits. */
+    /** Whether the request has no final response yet and its client is waiting. */
     boolean isOpen() {
         return !ended;
     }
 
-    /** Whether it is open and may still be rejected, failed or attempted again. */
+    /** Whether the request is open and may still be rejected, failed or attempted again. */
     boolean isUncommitted() {
         return !ended && !isStreaming();
     }
 
-    /** Whether a part of it or of its response has been streamed. */
+    /** Whether a part of the request or of its response has been streamed. */
     boolean isStreaming() {
         return streamingAttempt != null || requestStreaming;
     }
@@ -101,7 +101,7 @@
         return requestStreaming;
     }
 
-    /** Whether nothing is left to happen to it. */
+    /** Whether the request and all its attempts have ended. */
     boolean isDone() {
         return ended && outstandingAttempts == 0;
     }
@@ -119,13 +119,13 @@
         outstandingAttempts--;
     }
 
-    /** A part of it is not buffered here any more: no other attempt can be made. */
+    /** Records that a part of the request is no longer buffered: no other attempt can be made. */
     void requestStreamingStarted(Attempt attempt) {
         requestStreaming = true;
         stopTimeouts(attempt);
     }
 
-    /** A part of the response goes to the client: no other response can be given. */
+    /** Records that a part of the response is sent: no other response can be given. */
     void responseStreamingStarted(Attempt attempt) {
         streamingAttempt = attempt;
         stopTimeouts(attempt);
@@ -136,6 +136,7 @@
         attempt.cancelTimeout();
     }
 
+    /** Sets the task that expires the request. */
     void setExpiry(Scheduler.ScheduledTask task) {
         expiry = task;
     }
@@ -148,12 +149,12 @@
         ended = true;
     }
 
-    /** Notes by which of its rules the policy answers the request. */
+    /** Sets the rule by which the policy answers the request. */
     void setPolicyReason(AnswerReason reason) {
         policyReason = reason;
     }
 
-    /** The policy's rule that answered the request; empty where something else ended it. */
+    /** The rule by which the policy answered the request; empty if something else ended it. */
     Optional<AnswerReason> policyReason() {
         return Optional.ofNullable(policyReason);
     }
--- a/sidecar/src/main/java/appleridge/request/PolicyActionExecutor.java
+++ b/sidecar/src/main/java/appleridge/request/PolicyActionExecutor.java
@@ -6,9 +6,9 @@
 import appleridge.loadbalancing.PolicySettings;
 
 /**
- * Carries out what the load-balancing policy orders. Orders for requests that are not tracked any
- * more are ignored; one that has ended, or whose streaming has begun, is not rejected or failed.
- * Event loop only.
+ * Executes the actions of the load-balancing policy. Ignores actions for requests that are no
+ * longer tracked, and does not reject or fail a request that has ended or is being streamed. Event
+ * loop only.
  */
 final class PolicyActionExecutor implements PolicyActions {
     private final MonotonicClock clock;
@@ -50,12 +50,12 @@
         this.policyInvoker = policyInvoker;
     }
 
-    /** From here on the policy may ask the source of the endpoint list. */
+    /** Sets the source of the endpoint list; until then the policy must not request updates. */
     void start(EndpointSubscription source) {
         subscription = source;
     }
 
-    /** From now on no timer reaches the policy any more. */
+    /** From now on the policy's timers do nothing. */
     void close() {
         closed = true;
     }
@@ -64,7 +64,13 @@
     public void sendAttempt(long id, long upstream, long timeoutNanos) {
         PendingRequest request = accounting.find(id);
         if (request == null) {
-            log.failure("the policy sends for a request that is not tracked: " + id, null);
+            log.failure(
+                    "the policy ordered an attempt to host "
+                            + upstream
+                            + " of request "
+                            + id
+                            + ", which is not tracked",
+                    null);
             return;
         }
         attempts.start(request, upstream, timeoutNanos);
@@ -82,7 +88,7 @@
         }
     }
 
-    /** The client learns what is known of the cause, and nothing that would invite a retry. */
+    /** Gives the client the known cause and no hint to retry. */
     @Override
     public void fail(long id, AnswerReason reason) {
         PendingRequest request = accounting.find(id);
--- a/sidecar/src/main/java/appleridge/request/PolicyInvoker.java
+++ b/sidecar/src/main/java/appleridge/request/PolicyInvoker.java
@@ -4,15 +4,15 @@
 import java.util.function.Consumer;
 
 /**
- * Hands events to the load-balancing policy, one at a time. The policy is never entered again from
- * within one of its own actions: such an event runs as soon as the current one is over. An error in
- * the policy is logged and leaves the event loop running. Event loop only.
+ * Passes events to the load-balancing policy, one at a time. The policy is not re-entered: an event
+ * that arises within one of its own actions runs after the current event. An exception that the
+ * policy throws is logged and leaves the event loop running. Event loop only.
  */
 final class PolicyInvoker {
     private final Scheduler scheduler;
     private final EventLog log;
 
-    /** Null before {@link #host}. */
+    /** Null before {@link #setPolicy}. */
     private LoadBalancingPolicy policy;
 
     private boolean inPolicy;
@@ -22,12 +22,18 @@
         this.log = log;
     }
 
-    /** To be called once, before the first event: the policy is made with actions that use this. */
-    void host(LoadBalancingPolicy its) {
-        policy = its;
+    /**
+     * Sets the policy; to be called once, before the first event. It is no constructor parameter
+     * because the policy's actions depend on this invoker.
+     */
+    void setPolicy(LoadBalancingPolicy policy) {
+        this.policy = policy;
     }
 
-    /** Runs an event now, or after the one that runs now. Never throws what the policy throws. */
+    /**
+     * Runs an event now, or after the current event if there is one. Exceptions of the policy are
+     * not propagated.
+     */
     void notify(Consumer<LoadBalancingPolicy> event) {
         if (inPolicy) {
             scheduler.execute(() -> notify(event));
--- a/sidecar/src/main/java/appleridge/request/RequestAccounting.java
+++ b/sidecar/src/main/java/appleridge/request/RequestAccounting.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /**
- * Which requests are open, under which ids, and how many attempts are outstanding; counts and logs
- * how requests end. A request is tracked until it has ended and all its attempts have. Event loop
- * only.
+ * Tracks which requests are open, under which ids, and how many attempts are outstanding; counts
+ * and logs how requests end. A request is tracked until it and all its attempts have ended. Event
+ * loop only.
  */
 final class RequestAccounting {
     private final int maxOpenRequests;
     private final RequestLog log;
     private final Map<Long, PendingRequest> tracked = new HashMap<>();
 
-    /** The clients' own ids of the requests that are open. */
+    /** The ids that clients gave the open requests. */
     private final Set<String> clientIds = new HashSet<>();
 
     private RequestMetrics metrics = RequestMetrics.NONE;
@@ -29,31 +29,32 @@
         this.log = log;
     }
 
-    /** Counts from now on go there. */
-    void useMetrics(RequestMetrics target) {
-        metrics = target;
+    /** Sets where requests and attempts are counted from now on. */
+    void setMetrics(RequestMetrics metrics) {
+        this.metrics = metrics;
     }
 
     RequestMetrics metrics() {
         return metrics;
     }
 
+    /** Whether the limit of open requests is reached. */
     boolean isFull() {
         return openRequests >= maxOpenRequests;
     }
 
-    /** Takes a client's id for a request; false where a request is open under it. */
+    /** Reserves a client's id for a request; returns false if an open request has it. */
     boolean reserveId(String clientId) {
         return clientIds.add(clientId);
     }
 
-    /** Counts a request that ends before anything is kept of it. */
-    void requestRefused(ClientRequest request, EndReason reason, long nowNanos) {
+    /** Counts and logs a request that ends on its arrival, before it is tracked. */
+    void requestEndedOnArrival(ClientRequest request, EndReason reason, long nowNanos) {
         log.ended(request, reason, nowNanos);
         metrics.onRequestEnded(request.requestClass(), reason.end());
     }
 
-    /** Tracks a request whose id is reserved. */
+    /** Starts to track a request whose id is reserved. */
     PendingRequest open(ClientRequest request, ResponseSink client, long deadlineNanos) {
         PendingRequest pending = new PendingRequest(++lastId, request, client, deadlineNanos);
         tracked.put(pending.id(), pending);
@@ -62,9 +63,9 @@
     }
 
     /**
-     * The request is over: nothing more is sent for it.
+     * Ends a request: nothing more is sent for it.
      *
-     * @param nowNanos as of the event that ends it
+     * @param nowNanos the time of the event that ends it
      */
     void requestEnded(PendingRequest request, EndReason reason, long nowNanos) {
         request.markEnded();
@@ -93,12 +94,12 @@
         }
     }
 
-    /** The request that the policy names; null where nothing is kept of it. */
+    /** Returns the request with the id that the policy uses; null if it is not tracked. */
     PendingRequest find(long id) {
         return tracked.get(id);
     }
 
-    /** A copy, so that requests may end while it is gone through. */
+    /** The tracked requests, as a copy, so that requests may end while it is iterated. */
     List<PendingRequest> trackedRequests() {
         return List.copyOf(tracked.values());
     }
--- a/sidecar/src/main/java/appleridge/request/RequestCompletion.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCompletion.java
@@ -3,8 +3,8 @@
 import appleridge.loadbalancing.Outcome;
 
 /**
- * Gives requests their one final response: each ends in the accounts first, and then its client is
- * answered. Event loop only.
+ * Gives each request its one final response. The request is ended in {@link RequestAccounting}
+ * before the response is given to its client. Event loop only.
  */
 final class RequestCompletion {
     private final RequestAccounting accounting;
@@ -17,29 +17,33 @@
         this.log = log;
     }
 
-    /** Ends an open request to whose client nothing can be said any more. */
+    /** Ends an open request whose client has disconnected. */
     void clientDisconnected(PendingRequest request) {
         end(request, EndReason.CLIENT_DISCONNECTED);
     }
 
-    /** Ends an open request as not executed; a wait of 0 gives the client no guidance. */
+    /**
+     * Ends an open request as not executed.
+     *
+     * @param waitNanos the time after which the client may retry; 0 gives it no guidance
+     */
     void reject(PendingRequest request, EndReason reason, long waitNanos) {
         end(request, reason);
         respond(request, () -> request.client().onRejected(waitNanos));
     }
 
-    /** Ends an open request with no promise about effects. */
+    /** Ends an open request that may have been executed. */
     void fail(PendingRequest request, EndReason reason) {
         end(request, reason);
         respond(request, () -> request.client().onFailed(reason.failureCause()));
     }
 
-    /** The request's response begins to be streamed to its client. */
+    /** Starts to stream the response to the client. */
     void stream(PendingRequest request, StreamedResponse response) {
         respond(request, () -> request.client().onResponseStreaming(response));
     }
 
-    /** Ends an open request where this outcome leaves nothing for the policy to decide. */
+    /** Ends an open request if the outcome leaves the policy no decision to make. */
     void attemptEnded(Attempt attempt, Outcome outcome, UpstreamResponse response) {
         PendingRequest request = attempt.request();
         if (request.isResponseStreamingFrom(attempt)) {
@@ -62,7 +66,9 @@
         }
     }
 
-    /** It can't be sent again, and its client learns only what is proven. */
+    /**
+     * Ends a request that can't be sent again: as rejected only if it was not executed for certain.
+     */
     private void endStreamedRequest(PendingRequest request, Outcome outcome) {
         if (outcome.provesNotExecuted()) {
             reject(request, EndReason.STREAMED_REQUEST_NOT_EXECUTED, 0);
@@ -75,12 +81,14 @@
         accounting.requestEnded(request, reason, reconciler.lastEventNanos());
     }
 
-    /** A response that can't be given must not keep the policy from learning what happened. */
+    /** Gives a response. If that fails, the policy is still notified of what happened. */
     private void respond(PendingRequest request, Runnable response) {
         try {
             response.run();
         } catch (RuntimeException e) {
-            log.failure("a response can't be given", e);
+            log.failure(
+                    "writing the response to request " + request.clientRequest().id() + " failed",
+                    e);
             request.client().abort();
         }
     }
--- a/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCoordinator.java
@@ -13,20 +13,20 @@
 import java.util.function.Function;
 
 /**
- * Hosts the load-balancing policy: notifies it of what happens, carries out what it orders, and
- * owes each request one final response and the policy one outcome for each attempt. It forwards
- * each concern to its own class:
+ * Connects the load-balancing policy with clients, upstream hosts and discovery. It notifies the
+ * policy of events, executes the policy's actions, gives each request exactly one final response
+ * and reports exactly one outcome of each attempt to the policy. It delegates to:
  *
  * <ul>
- *   <li>{@link StallReconciler}: catches up with discovery and clients before each event
+ *   <li>{@link StallReconciler}: reads pending discovery updates and client input before each event
  *   <li>{@link DeferredRequests}: holds requests back until discovery has caught up
- *   <li>{@link EndpointDirectory}: which hosts there are
+ *   <li>{@link EndpointDirectory}: knows the upstream hosts
  *   <li>{@link AttemptTracker}: sends, times out and cancels attempts
  *   <li>{@link RequestDeadlines}: expires requests
- *   <li>{@link RequestAccounting}: what is open, and how requests ended
+ *   <li>{@link RequestAccounting}: tracks open requests and counts how requests end
  *   <li>{@link RequestCompletion}: gives requests their final response
- *   <li>{@link PolicyInvoker}: enters the policy
- *   <li>{@link PolicyActionExecutor}: carries out what the policy orders
+ *   <li>{@link PolicyInvoker}: passes events to the policy
+ *   <li>{@link PolicyActionExecutor}: executes the policy's actions
  * </ul>
  *
  * <p>Event loop only. Times are nanoseconds on the {@link MonotonicClock}.
@@ -51,10 +51,10 @@
     private EndpointSubscription subscription;
 
     /**
-     * Makes the policy that it hosts.
+     * Creates the coordinator and its policy.
      *
-     * @param maxOpenRequests requests that may be open at once
-     * @param policy given the actions, makes the policy
+     * @param maxOpenRequests the limit of open requests
+     * @param policy creates the policy with the actions that it may call
      */
     public RequestCoordinator(
             MonotonicClock clock,
@@ -87,7 +87,7 @@
                         new AttemptEvents());
         this.policyInvoker = new PolicyInvoker(scheduler, log);
         this.actions = newActions(scheduler, log);
-        policyInvoker.host(policy.apply(actions));
+        policyInvoker.setPolicy(policy.apply(actions));
     }
 
     private PolicyActionExecutor newActions(Scheduler scheduler, EventLog log) {
@@ -105,8 +105,12 @@
     }
 
     /**
-     * Begins with the endpoint list as last known. Requests are deferred until the source has
-     * caught up: what is known from before the start may be long out of date.
+     * Starts the policy with the last known endpoint list. Requests are deferred until the source
+     * has caught up, because a list from before the start may be long out of date.
+     *
+     * @param source the source of further updates
+     * @param cached the hosts of the last known list
+     * @param addresses where these hosts listen, by host id
      */
     public void start(
             EndpointSubscription source,
@@ -123,9 +127,9 @@
     }
 
     /**
-     * A discovery update; see {@link EndpointDirectory#apply}. The policy is notified before the
-     * state is reconciled: an update that is read by then is newer than this one, and must reach it
-     * behind this one.
+     * Handles a discovery update; see {@link EndpointDirectory#apply}. The policy is notified
+     * before {@link StallReconciler#reconcile}: an update that this reads is newer, and must reach
+     * the policy after this one.
      */
     public void onEndpointUpdate(
             UpdateKind kind, List<UpstreamHost> hosts, Map<Long, InetSocketAddress> addresses) {
@@ -138,12 +142,12 @@
         }
     }
 
-    /** Whether some host is ready as far as is known. */
+    /** Whether discovery last reported some host as ready. */
     public boolean hasReadyHost() {
         return readyHostCount() > 0;
     }
 
-    /** How many hosts are ready as far as is known. */
+    /** The number of hosts that discovery last reported as ready. */
     public int readyHostCount() {
         return endpoints.readyHostCount();
     }
@@ -154,76 +158,83 @@
     }
 
     /**
-     * Sets the shutdown deadline: what is open, or is accepted from now on, has its response by
-     * then, however long its client would wait. What is being streamed by then goes on.
+     * Sets the shutdown deadline: requests that are open, or are accepted from now on, get their
+     * response by then, however long their client's timeout is. A request or response that is being
+     * streamed at that time continues.
      */
     public void setShutdownDeadline(long atNanos) {
         deadlines.setShutdownDeadline(atNanos);
     }
 
-    /** From now on counts there what becomes of requests. */
-    public void setMetrics(RequestMetrics target) {
-        accounting.useMetrics(target);
+    /** Sets where requests and attempts are counted from now on. */
+    public void setMetrics(RequestMetrics metrics) {
+        accounting.setMetrics(metrics);
     }
 
-    /** Where it is counted; never null. */
+    /** Where requests and attempts are counted; never null. */
     public RequestMetrics metrics() {
         return accounting.metrics();
     }
 
-    /** Events from outside that have been handled since the start. */
+    /** The number of external events handled since the start. */
     public long eventCount() {
         return reconciler.eventCount();
     }
 
-    /** Times since the start that the clients of all open requests were read after a stall. */
+    /**
+     * How often since the start the pending input of all clients with open requests was read after
+     * a stall.
+     */
     public long clientCheckCount() {
         return reconciler.clientCheckCount();
     }
 
-    /** What is in flight. */
+    /** The counts of open requests and attempts. */
     public InFlightCounts inFlightCounts() {
         return accounting.inFlightCounts();
     }
 
     /**
-     * To be called by a periodic timer, several times within the shortest stall: all that was there
-     * has been read by then.
+     * Reconciles, and records that all input that arrived before has been read. To be called by a
+     * periodic timer with a period several times shorter than the shortest stall.
      */
     public void tick() {
         reconciler.tick();
     }
 
     /**
-     * Whether what is read from clients now may have waited unread, and its client have left since.
+     * Whether input that is read from a client now may have waited unread, so that the client may
+     * have disconnected since.
      */
     public boolean mayHaveWaitedUnread() {
         return reconciler.mayHaveWaitedUnread();
     }
 
-    /** Since when what is read from clients now may have been there. */
+    /** The earliest time at which input that is read from clients now may have arrived. */
     public long earliestArrivalNanos() {
         return reconciler.earliestArrivalNanos();
     }
 
     /**
-     * Accepts a request, or rejects it at once where too many are open or its id is in use.
+     * Accepts a request, or ends it at once if too many requests are open or its id is in use.
      *
-     * @return to be run when its client disconnects
+     * @return the callback to run when the client disconnects
      */
     public Runnable accept(ClientRequest request, ResponseSink client) {
         reconciler.reconcile();
         accounting.metrics().onRequestAccepted(request.requestClass());
         if (accounting.isFull()) {
-            // Nothing was sent for it, so that a retry is harmless.
-            accounting.requestRefused(
+            // Nothing has been sent for the request, so a retry is harmless.
+            accounting.requestEndedOnArrival(
                     request, EndReason.OPEN_REQUEST_LIMIT, reconciler.lastEventNanos());
             client.onRejected(0);
             return () -> {};
         }
-        // Two requests under one id are one to an upstream: a response could go to either client.
+        // An upstream host takes two requests with one id for the same request, so that a response
+        // could go to either client.
         if (!accounting.reserveId(request.id())) {
-            accounting.requestRefused(request, EndReason.ID_IN_USE, reconciler.lastEventNanos());
+            accounting.requestEndedOnArrival(
+                    request, EndReason.ID_IN_USE, reconciler.lastEventNanos());
             client.onFailed(ResponseSink.FailureCause.ID_IN_USE);
             return () -> {};
         }
@@ -260,7 +271,7 @@
                 false);
     }
 
-    /** The request's time is up, and the policy has not ended it. */
+    /** Expires a request whose time is up and which the policy has not ended. */
     private void expire(PendingRequest request) {
         reconciler.reconcile();
         if (request.isOpen()) {
@@ -280,7 +291,10 @@
         }
     }
 
-    /** The policy does not cancel attempts of what is being streamed, so that is done here. */
+    /**
+     * Cancels the unwritten attempts of a request that has ended, and all attempts of a streamed
+     * one, which the policy does not cancel.
+     */
     private void releaseAttempts(PendingRequest request) {
         attempts.cancelUnwritten(request);
         if (request.isStreaming()) {
@@ -288,16 +302,16 @@
         }
     }
 
-    /** From now on no timer reaches the policy any more. */
+    /** Stops the policy: its timers do nothing from now on. */
     public void close() {
         actions.close();
     }
 
-    /** What happens to attempts, turned into what becomes of their requests. */
+    /** Applies the events of attempts to their requests and passes them to the policy. */
     private final class AttemptEvents implements AttemptTracker.Listener {
         /**
-         * From here on the client has a part of this response: no other response and no further
-         * attempt may follow, whatever happens to the rest.
+         * From now on the client has a part of this response, so no other response and no further
+         * attempt may follow, even if the rest of it fails.
          */
         @Override
         public boolean onResponseStarted(Attempt attempt, StreamedResponse response) {
@@ -312,7 +326,7 @@
             return true;
         }
 
-        /** What has been streamed of a request can't be sent to another host. */
+        /** The streamed part of a request is not buffered and can't be sent to another host. */
         @Override
         public void onRequestStreamingStarted(Attempt attempt) {
             PendingRequest request = attempt.request();
@@ -322,7 +336,7 @@
             }
         }
 
-        /** Only from now on does its client wait. */
+        /** The client's timeout starts once its request is fully sent. */
         @Override
         public void onRequestFullyWritten(Attempt attempt) {
             PendingRequest request = attempt.request();
@@ -342,7 +356,7 @@
                                     elapsedNanos));
         }
 
-        /** The policy is notified once of each attempt, also when its request has ended. */
+        /** Notifies the policy of the end of each attempt once, even if the request has ended. */
         @Override
         public void onAttemptEnded(Attempt attempt, Outcome outcome, UpstreamResponse response) {
             requestLog.ended(attempt, outcome);
--- a/sidecar/src/main/java/appleridge/request/RequestDeadlines.java
+++ b/sidecar/src/main/java/appleridge/request/RequestDeadlines.java
@@ -5,11 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * When requests expire: by their client's own timeout, and in a graceful shutdown by the shutdown
- * deadline at the latest. Event loop only.
+ * Computes when requests expire, and expires them: by the timeout that the client gave, and in a
+ * graceful shutdown no later than the shutdown deadline. Event loop only.
  */
 final class RequestDeadlines {
-    /** A client's timeout is shortened by this part of it at most. */
+    /**
+     * The margin for the response's way to the client is at most this fraction (1/4) of the
+     * timeout.
+     */
     private static final int MAX_MARGIN_DIVISOR = 4;
 
     private final MonotonicClock clock;
@@ -19,7 +22,11 @@
     private final Consumer<PendingRequest> expire;
     private long shutdownDeadlineNanos = Long.MAX_VALUE;
 
-    /** With what expires a request; it must do nothing for one that has ended. */
+    /**
+     * Creates the deadlines.
+     *
+     * @param expire expires a request; it must do nothing for one that has ended
+     */
     RequestDeadlines(
             MonotonicClock clock,
             Scheduler scheduler,
@@ -41,7 +48,7 @@
                 .orElseThrow();
     }
 
-    /** By when a request needs its response, so that it reaches its client in time. */
+    /** Returns the time by which a request needs its response for the client to get it in time. */
     long deadlineNanos(ClientRequest request) {
         long margin =
                 Math.min(
@@ -52,8 +59,9 @@
     }
 
     /**
-     * Expires a request a little after its deadline. The policy ends it before that; without this
-     * backstop an error in the policy would keep a client waiting for ever.
+     * Schedules the expiry of a request a little after its deadline. The policy normally ends the
+     * request before; without this backstop an error in the policy would make its client wait
+     * forever.
      */
     void scheduleBackstop(PendingRequest request) {
         request.setExpiry(
@@ -62,7 +70,7 @@
                         () -> expire.accept(request)));
     }
 
-    /** A streamed request is with its upstream whole: its client's timeout runs from now. */
+    /** Schedules the expiry of a fully sent streamed request: its timeout starts now. */
     void scheduleAfterStreaming(PendingRequest request) {
         long timeoutNanos = request.clientRequest().timeoutNanos();
         request.setExpiry(
@@ -71,13 +79,13 @@
                         () -> expire.accept(request)));
     }
 
-    /** What is open at that time expires then, and what comes later has no later deadline. */
+    /** Expires uncommitted requests at that time, and caps the deadlines of later requests. */
     void setShutdownDeadline(long atNanos) {
         shutdownDeadlineNanos = atNanos;
         scheduler.scheduleAt(atNanos, this::expireUncommitted);
     }
 
-    /** What is being streamed has to end by itself. */
+    /** Expires all requests that are not being streamed; streams have to end by themselves. */
     private void expireUncommitted() {
         for (PendingRequest request : accounting.trackedRequests()) {
             if (request.isUncommitted()) {
--- a/sidecar/src/main/java/appleridge/request/RequestLog.java
+++ b/sidecar/src/main/java/appleridge/request/RequestLog.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Logs requests and attempts that did not end well: which, by which rule, and after how long. Event
- * loop only.
+ * Logs requests and attempts that ended without a usable response or late, with the reason and the
+ * time they took. Event loop only.
  */
 final class RequestLog {
     private final MonotonicClock clock;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * A request has ended in another way than by an upstream's good response, or after its time.
+     * Logs the end of a request, unless it got a successful response in time.
      *
-     * @param nowNanos as of the event that ended it
+     * @param nowNanos the time of the event that ended the request
      */
     void ended(PendingRequest request, EndReason reason, long nowNanos) {
         if (isLogged(request.clientRequest(), reason, nowNanos)) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The same of one that ended before anything was kept of it. */
+    /** Logs the end of a request that ended on its arrival. */
     void ended(ClientRequest request, EndReason reason, long nowNanos) {
         log.event(
                 LogEvent.REQUEST_ENDED,
@@ -73,7 +73,7 @@
                 + millis(request.timeoutNanos());
     }
 
-    /** An attempt has ended without a usable response. */
+    /** Logs the end of an attempt, unless it brought a usable response. */
     void ended(Attempt attempt, Outcome outcome) {
         if (outcome != Outcome.OK) {
             log.event(
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Requests are deferred from now on, after a stall. */
+    /** Logs that requests are deferred from now on, after a stall. */
     void deferred(int openRequests, long stallNanos) {
         log.event(
                 LogEvent.REQUESTS_DEFERRED,
@@ -107,7 +107,7 @@
                                 + millis(stallNanos));
     }
 
-    /** The deferred requests go to the policy. */
+    /** Logs that the deferred requests are passed to the policy. */
     void resumed(int requests) {
         log.event(
                 LogEvent.REQUESTS_DEFERRED,
--- a/sidecar/src/main/java/appleridge/request/RequestMetrics.java
+++ b/sidecar/src/main/java/appleridge/request/RequestMetrics.java
@@ -1,19 +1,19 @@
 package appleridge.request;
 
-/** Counts what becomes of requests; each is counted in one place, once. Event loop only. */
+/** Counts requests by their end, and attempts; each exactly once. Event loop only. */
 public interface RequestMetrics {
     /** Counts nothing. */
     RequestMetrics NONE = new RequestMetrics() {};
 
     /** How an accepted request has ended. */
     enum RequestEnd {
-        /** With an upstream's good response. */
+        /** With the successful response of an upstream host. */
         SERVED("served"),
         /** Not executed, so that a retry is harmless. */
         REJECTED("refused"),
-        /** It may have been executed. */
+        /** Without a successful response; it may have been executed. */
         FAILED("failed"),
-        /** Its client left first. */
+        /** The client disconnected first. */
         CLIENT_DISCONNECTED("left");
 
         private final String metricSuffix;
@@ -30,15 +30,15 @@
         }
     }
 
-    /** A request has arrived. */
+    /** Counts a request that has arrived. */
     default void onRequestAccepted(int requestClass) {}
 
-    /** A request that had arrived has ended. */
+    /** Counts the end of a request that was counted on its arrival. */
     default void onRequestEnded(int requestClass, RequestEnd how) {}
 
-    /** An attempt is sent; {@code further} where it is not the request's first. */
+    /** Counts a sent attempt; {@code further} if it is not the first of its request. */
     default void onAttemptSent(int requestClass, boolean further) {}
 
-    /** Input that is no valid request was rejected. */
+    /** Counts rejected input that is no valid request. */
     default void onMalformedRequest() {}
 }
--- a/sidecar/src/main/java/appleridge/request/ResponseSink.java
+++ b/sidecar/src/main/java/appleridge/request/ResponseSink.java
@@ -1,50 +1,52 @@
 package appleridge.request;
 
 /**
- * Takes a request's one final response and writes it in its client's protocol. Event loop only; an
- * error thrown by a response closes the client's connection through {@link #abort}.
+ * Receives the one final response of a request and writes it in the client's protocol. If a method
+ * throws while it gives a response, the client's connection is closed through {@link #abort}. Event
+ * loop only.
  */
 public interface ResponseSink {
     /**
-     * Handles, before this returns, what its client has sent and whether it has disconnected, as
-     * far as either has arrived unread.
+     * Handles all input of the client that has arrived unread, including its disconnect, before it
+     * returns.
      */
     void readPendingInput();
 
     /** Why a request failed. */
     enum FailureCause {
-        /** Its deadline passed. */
+        /** The deadline of the request passed. */
         DEADLINE_EXCEEDED,
-        /** An upstream's error response, or no usable response. */
+        /** The upstream host gave an error response or no usable one. */
         UPSTREAM,
-        /** Another request is open under the same id. */
+        /** Another open request has the same id. */
         ID_IN_USE
     }
 
-    /** An upstream's good response. */
-    void onServed(UpstreamResponse reply);
+    /** Gives the successful response of an upstream host. */
+    void onServed(UpstreamResponse response);
 
     /**
-     * An upstream's good response begins to be streamed. From here on no other can be given: it
-     * ends by {@link #onResponseComplete} or {@link #abort}.
+     * Starts to stream the successful response of an upstream host. From now on no other response
+     * can be given; this one ends by {@link #onResponseComplete} or {@link #abort}.
      */
-    void onResponseStreaming(StreamedResponse answer);
+    void onResponseStreaming(StreamedResponse response);
 
-    /** All of a streamed response has come. */
+    /** Completes a streamed response: its last byte has arrived from the host. */
     void onResponseComplete();
 
     /**
-     * Not executed, so that a retry is harmless, after {@code wait} nanoseconds at the soonest; 0
-     * for no guidance.
+     * Rejects the request. It was not executed, so a retry is harmless.
+     *
+     * @param retryAfterNanos the earliest time, from now, at which to retry; 0 for no guidance
      */
-    void onRejected(long wait);
+    void onRejected(long retryAfterNanos);
 
-    /** Failed, with no promise about effects. */
+    /** Fails the request, which may have been executed. */
     void onFailed(FailureCause cause);
 
     /**
-     * No response can be given any more, or the rest of a streamed one is missing: the client
-     * learns that by the end of its connection.
+     * Closes the client's connection, because no response can be given or the rest of a streamed
+     * one is missing.
      */
     void abort();
 }
--- a/sidecar/src/main/java/appleridge/request/Scheduler.java
+++ b/sidecar/src/main/java/appleridge/request/Scheduler.java
@@ -1,16 +1,16 @@
 package appleridge.request;
 
-/** Runs tasks later on the event loop; never within the call that hands them in. */
+/** Runs tasks later on the event loop, never within the call that submits them. */
 public interface Scheduler {
-    /** A task that was scheduled. */
+    /** A scheduled task. */
     interface ScheduledTask {
-        /** Cancels it, unless it has run; may be called any number of times. */
+        /** Cancels the task unless it has run; may be called more than once. */
         void cancel();
     }
 
-    /** Runs a task at or soon after a time of the {@link MonotonicClock}. */
-    ScheduledTask scheduleAt(long when, Runnable what);
+    /** Runs a task at or soon after a time on the {@link MonotonicClock}. */
+    ScheduledTask scheduleAt(long atNanos, Runnable task);
 
-    /** Runs a task as soon as the current one is over. */
-    void execute(Runnable what);
+    /** Runs a task after the current one. */
+    void execute(Runnable task);
 }
--- a/sidecar/src/main/java/appleridge/request/SendDeadlines.java
+++ b/sidecar/src/main/java/appleridge/request/SendDeadlines.java
@@ -1,13 +1,14 @@
 package appleridge.request;
 
 /**
- * When an attempt may reach its upstream, in nanoseconds of the {@link MonotonicClock}. They are
- * checked again when bytes go, because connecting takes time and a write may wait: what the policy
- * allowed when it decided may not be allowed any more.
+ * The deadlines of an attempt, in nanoseconds on the {@link MonotonicClock}. The transport checks
+ * them when it writes, because connecting takes time and a write may wait: an attempt that was in
+ * time when the policy ordered it may be too late by then.
  *
- * @param firstByteByNanos no byte is written later than this: the attempt then ends as never sent
- * @param lastByteByNanos the last byte is not written later than this: the attempt is then broken
- *     off before it; the largest number where only the answer's time counts
- * @param responseByNanos until when the response is waited for
+ * @param firstByteByNanos the latest time to write the first byte; later the attempt ends as never
+ *     sent
+ * @param lastByteByNanos the latest time to write the last byte; later the attempt is aborted
+ *     before it; {@link Long#MAX_VALUE} if only the response's deadline limits it
+ * @param responseByNanos the latest time for the response
  */
 public record SendDeadlines(long firstByteByNanos, long lastByteByNanos, long responseByNanos) {}
--- a/sidecar/src/main/java/appleridge/request/StallReconciler.java
+++ b/sidecar/src/main/java/appleridge/request/StallReconciler.java
@@ -1,12 +1,13 @@
 package appleridge.request;
 
 /**
- * Brings what the sidecar knows up to date before an event from outside is handled.
+ * Reads pending discovery updates and client input after a stall of the event loop, before an
+ * external event is handled.
  *
- * <p>Invariant: every event from outside begins with {@link #reconcile}, ahead of anything it
- * changes. After a stall of the event loop, discovery updates and client disconnects lie unread
- * behind the requests and responses that came with them; without this a request would be sent to a
- * host that drains, or for a client that has left. Event loop only.
+ * <p>Invariant: the handling of every external event calls {@link #reconcile} before it changes
+ * anything. After a stall, requests and responses may be read ahead of the discovery updates and
+ * client disconnects that arrived with them; without this a request would be sent to a draining
+ * host, or for a client that has disconnected. Event loop only.
  */
 final class StallReconciler {
     private final MonotonicClock clock;
@@ -34,15 +35,15 @@
         this.accounting = accounting;
     }
 
-    /** From here on discovery and clients are read after a stall. */
+    /** Sets the source of discovery updates; from now on pending input is read after a stall. */
     void start(EndpointSubscription source) {
         subscription = source;
     }
 
     /**
-     * An event from outside is about to be handled. After a stall reads pending discovery updates
-     * and then the pending input of all clients with open requests; an event that arises in there
-     * is not reconciled again.
+     * To be called before an external event is handled. After a stall it reads pending discovery
+     * updates and then the pending input of all clients with open requests. Events that arise while
+     * it reads do not make it read again.
      */
     void reconcile() {
         eventCount++;
@@ -65,7 +66,8 @@
     }
 
     /**
-     * A response or a connection that is read ahead of a disconnect would let its request go on.
+     * Reads the input of all clients with open requests. Otherwise a response or a connection that
+     * is read ahead of a disconnect would make the request continue.
      */
     private void readPendingClientInput() {
         clientCheckCount++;
@@ -76,19 +78,22 @@
         }
     }
 
-    /** The periodic tick of the event loop: all that was there before it has been read. */
+    /** Handles the periodic tick, before which all input that had arrived has been read. */
     void tick() {
         reconcile();
         guard.onAllInputRead();
     }
 
-    /** Whether what is read from clients now may have waited, and its client have left since. */
+    /**
+     * Whether input that is read from a client now may have waited unread, so that the client may
+     * have disconnected since.
+     */
     boolean mayHaveWaitedUnread() {
         reconcile();
         return guard.mayHaveWaited();
     }
 
-    /** Since when what is read from clients now may have been there. */
+    /** The earliest time at which input that is read from clients now may have arrived. */
     long earliestArrivalNanos() {
         reconcile();
         return guard.earliestArrivalNanos();
--- a/sidecar/src/main/java/appleridge/request/StreamedResponse.java
+++ b/sidecar/src/main/java/appleridge/request/StreamedResponse.java
@@ -1,7 +1,8 @@
 package appleridge.request;
 
 /**
- * An upstream's good response that is too long to be buffered: its beginning is here, and the rest
- * is forwarded as it comes, as fast as its client reads. Only the two protocols involved know how.
+ * A successful response that is too long to be buffered. Its first part has arrived; the rest is
+ * forwarded as it arrives, no faster than the client reads. Only the implementations of the two
+ * protocols involved know its contents.
  */
 public interface StreamedResponse {}
--- a/sidecar/src/main/java/appleridge/request/UpstreamRequest.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamRequest.java
@@ -1,4 +1,7 @@
 package appleridge.request;
 
-/** A client's request in the form of the protocol that read it; only that protocol can write it. */
+/**
+ * A client's request in the representation of the protocol that read it; only that protocol can
+ * write it.
+ */
 public interface UpstreamRequest {}
--- a/sidecar/src/main/java/appleridge/request/UpstreamResponse.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamResponse.java
@@ -2,11 +2,13 @@
 
 import java.util.List;
 
-/** An upstream's whole response, in the form of the protocol that read it. */
+/** A whole response of an upstream host, in the representation of the protocol that read it. */
 public interface UpstreamResponse {
     /**
-     * The load report that came with it, in the order of the fields; empty if there is none that
-     * can be read.
+     * Returns the load report in the response.
+     *
+     * @param fields the names of the fields to return, in this order
+     * @return the values of the fields; empty if there is no valid report
      */
     float[] loadReport(List<String> fields);
 }
--- a/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
+++ b/sidecar/src/main/java/appleridge/request/UpstreamTransport.java
@@ -2,59 +2,64 @@
 
 import appleridge.loadbalancing.Outcome;
 
-/** Sends attempts to upstream hosts, each once: nothing below this retries. Event loop only. */
+/** Sends each attempt to its upstream host once; a transport never retries. Event loop only. */
 public interface UpstreamTransport {
     /**
-     * Notified of an attempt until it is cancelled, and never within a call to {@link
-     * UpstreamTransport}; of its end exactly once.
+     * Receives the events of an attempt until the attempt is cancelled, never within a call to
+     * {@link UpstreamTransport}. The end of the attempt is reported exactly once.
      */
     interface AttemptListener {
-        /** Its connection is up, and nothing is written yet: it may be cancelled from in here. */
+        /**
+         * The connection is up and nothing is written yet; the attempt may be cancelled in here.
+         */
         default void onConnected() {}
 
         /**
-         * A good response is too long to be buffered, and is streamed if that is wanted: then it
-         * ends by {@link #onAttemptEnded}, as OK only when all of it has come, and {@link
-         * SendDeadlines#responseByNanos} no longer counts.
+         * The first part of a successful response that is too long to be buffered has arrived. If
+         * the response is streamed, {@link SendDeadlines#responseByNanos} no longer applies and
+         * {@link #onAttemptEnded} reports OK only after the last byte.
          *
-         * @return whether it is wanted; else the attempt is broken off
+         * @return whether to stream the response; if false, the attempt is aborted
          */
-        default boolean onResponseStarted(StreamedResponse answer) {
+        default boolean onResponseStarted(StreamedResponse response) {
             return false;
         }
 
         /**
-         * A request that is too long to be buffered begins to be streamed: from here on it can't be
-         * sent again, and its client's timeout does not run until {@link #onRequestFullyWritten}.
-         * Only for such requests.
+         * The first part of a request that is too long to be buffered is being sent. From now on
+         * the request can't be sent again, and its client's timeout is suspended until {@link
+         * #onRequestFullyWritten}. Called only for such requests.
          */
         default void onRequestStreamingStarted() {}
 
-        /** The last byte of such a streamed request is with the socket. */
+        /** The last byte of a streamed request has been passed to the socket. */
         default void onRequestFullyWritten() {}
 
-        /** With the response where one was read, good or bad; else null. */
-        void onAttemptEnded(Outcome outcome, UpstreamResponse reply);
+        /** The attempt has ended; {@code response} is null if none was read. */
+        void onAttemptEnded(Outcome outcome, UpstreamResponse response);
     }
 
     /** An attempt that has not ended. */
     interface AttemptHandle {
-        /** Whether any of the request's bytes may be with the socket. */
+        /** Whether any byte of the request may have been passed to the socket. */
         boolean hasStartedWriting();
 
         /**
-         * Whether the request's last byte is with the socket: from then on the upstream may execute
-         * it.
+         * Whether the last byte of the request has been passed to the socket; from then on the host
+         * may execute it.
          */
         boolean isFullyWritten();
 
-        /** Cancels it: nothing more is written, and its listener is not notified any more. */
+        /** Cancels the attempt: no more is written, and its listener is not called again. */
         void cancel();
     }
 
     /** Sends a request to a host within the deadlines. */
     AttemptHandle send(
-            Endpoint to, UpstreamRequest what, SendDeadlines window, AttemptListener listener);
+            Endpoint endpoint,
+            UpstreamRequest request,
+            SendDeadlines deadlines,
+            AttemptListener listener);
 
     /** Closes the idle connections to a host. */
     void closeIdleConnections(Endpoint endpoint);
