--- a/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Handles failures to accept on a listening channel, and passes them no further: Netty's own
- * handler would pause accepting for a second whatever the cap, and log each failure with its trace.
- * Loop thread only.
+ * Handles failures to accept on a listening channel and does not propagate them: Netty's own
+ * handler would stop accepting for a second, whatever the connection limit is, and log each failure
+ * with its stack trace. Event loop only.
  */
 public final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final long MIN_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -17,10 +17,14 @@
     private long lastLoggedNanos;
     private int suppressedCount;
 
-    /** With what is run for each failure. */
-    public AcceptFailureHandler(SidecarEventLoop loop, Runnable failed) {
+    /**
+     * Creates a handler for one listening channel.
+     *
+     * @param onFailure run after each failure
+     */
+    public AcceptFailureHandler(SidecarEventLoop loop, Runnable onFailure) {
         this.loop = loop;
-        this.onFailure = failed;
+        this.onFailure = onFailure;
         this.lastLoggedNanos = loop.nanoTime() - MIN_LOG_INTERVAL_NANOS;
     }
 
--- a/sidecar/src/main/java/appleridge/transport/Connector.java
+++ b/sidecar/src/main/java/appleridge/transport/Connector.java
@@ -13,30 +13,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Opens connections. The result is reported on the loop, and never inside {@link #connect}. */
+/** Opens connections. Reports results on the event loop, never from within {@link #connect}. */
 public final class Connector {
-    /** Called once, with one of the results. */
+    /** Receives the result of one attempt to connect: exactly one of its methods is called once. */
     public interface Listener {
         /** The connection is open. */
         void onConnected(Channel channel);
 
-        /** It can't be opened: refused, timed out or unreachable; its channel is closed. */
+        /** The connection was refused, timed out or is unreachable; its channel is closed. */
         void onConnectFailed(Throwable cause);
 
         /**
-         * This machine lacks something for it, such as a descriptor, a local port or a buffer:
-         * nothing is known of the other side.
+         * This machine lacks a resource for the connection, such as a descriptor, a local port or a
+         * buffer; nothing is known about the other side.
          */
         void onSocketUnavailable(Throwable cause);
     }
 
     /** A connection that is being opened, or open. */
     public interface ConnectAttempt {
-        /** Closes it; if no result has been reported, it is reported as failed. */
+        /** Closes the connection; if no result has been reported, the failure is reported. */
         void close();
     }
 
-    /** Part of the system's text for ENETUNREACH, for which the JVM has no type of its own. */
+    /** Part of the system's message for ENETUNREACH, for which the JVM has no exception type. */
     private static final String UNREACHABLE_TEXT = "unreachable";
 
     private final SidecarEventLoop loop;
@@ -45,10 +45,9 @@
     private final ChannelHandler handler;
 
     /**
-     * For connections of one kind.
+     * Creates a connector.
      *
-     * @param timeout nanoseconds after which a connection that is not there has failed; 1 ms at
-     *     least
+     * @param timeoutNanos the connect timeout in nanoseconds; raised to at least 1 ms
      * @param initializer sets up the pipeline of each new channel
      */
     public Connector(
@@ -58,7 +57,7 @@
             Consumer<Channel> initializer) {
         this.loop = loop;
         this.sockets = sockets;
-        // Cut to what an int holds: a cast alone may give a negative timeout, and no connection.
+        // Capped to the range of int: a mere cast could give a negative timeout, and no connection.
         this.timeoutMillis =
                 (int)
                         Math.min(
@@ -67,13 +66,13 @@
         this.handler = new Initializer(initializer);
     }
 
-    /** Opens one; to be called on the loop. */
+    /** Starts to open a connection; to be called on the event loop. */
     public ConnectAttempt connect(InetSocketAddress address, Listener listener) {
         Channel channel;
         try {
             channel = sockets.newChannel();
         } catch (RuntimeException e) {
-            // Reported on the loop; Netty's bootstrap would report it on a thread of its own.
+            // Netty's Bootstrap would report this on another thread.
             loop.execute(() -> listener.onSocketUnavailable(e));
             return () -> {};
         }
@@ -87,22 +86,23 @@
                             if (registered.isSuccess()) {
                                 awaitConnect(channel.connect(address), channel, listener);
                             } else {
-                                reportNoSocket(channel, listener, registered.cause());
+                                reportSocketUnavailable(channel, listener, registered.cause());
                             }
                         });
         return channel::close;
     }
 
     /**
-     * Reports the result; on loopback it may be known at once, which is reported in a later task.
+     * Reports the result of connecting. On loopback it may be known at once; it is then reported in
+     * a later task.
      */
     private void awaitConnect(ChannelFuture connecting, Channel channel, Listener listener) {
         if (connecting.isSuccess()) {
             loop.execute(() -> listener.onConnected(channel));
             return;
         }
-        if (connecting.isDone() && isLocal(connecting.cause())) {
-            reportNoSocket(channel, listener, connecting.cause());
+        if (connecting.isDone() && isLocalResourceFailure(connecting.cause())) {
+            reportSocketUnavailable(channel, listener, connecting.cause());
             return;
         }
         connecting.addListener(
@@ -110,28 +110,28 @@
                     if (done.isSuccess()) {
                         listener.onConnected(channel);
                     } else {
-                        failed(channel, listener, done.cause());
+                        reportConnectFailed(channel, listener, done.cause());
                     }
                 });
     }
 
-    private void failed(Channel channel, Listener listener, Throwable cause) {
+    private void reportConnectFailed(Channel channel, Listener listener, Throwable cause) {
         channel.close();
         loop.execute(() -> listener.onConnectFailed(cause));
     }
 
-    private void reportNoSocket(Channel channel, Listener listener, Throwable cause) {
+    private void reportSocketUnavailable(Channel channel, Listener listener, Throwable cause) {
         channel.close();
         loop.execute(() -> listener.onSocketUnavailable(cause));
     }
 
     /**
-     * Whether a connect that failed at once did so for want of something on this machine
-     * (EADDRNOTAVAIL, ENOBUFS, EAGAIN); what the other side causes is reported later. The JVM has
-     * types for a refusal, a timeout and no route to the host; an unreachable network is known by
-     * its text.
+     * Whether a connect that failed at once lacked a resource of this machine (EADDRNOTAVAIL,
+     * ENOBUFS, EAGAIN); failures caused by the other side are reported later. The JVM has exception
+     * types for a refusal, a timeout and no route to the host; an unreachable network is recognized
+     * by its message.
      */
-    private static boolean isLocal(Throwable cause) {
+    private static boolean isLocalResourceFailure(Throwable cause) {
         return cause instanceof SocketException
                 && !(cause instanceof ConnectException)
                 && !(cause instanceof NoRouteToHostException)
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -5,20 +5,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches an event loop from within: how late its periodic work runs (a stall), and whether it
- * turns without anything to do (a spin). Both are counted and logged. Loop thread only.
+ * Detects stalls and spins of an event loop, and counts and logs them. In a stall the periodic tick
+ * runs late; in a spin the loop turns without an event to handle. Event loop only.
  */
 public final class EventLoopMonitor {
-    /** Lag beyond which a tick counts as a stall. */
+    /** A tick that is late by more than this is a stall. */
     private static final long MIN_STALL_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * Turns in one interval beyond which they may be a spin; a busy interval has some for each
-     * event.
+     * An interval with more turns than this may be a spin; a busy interval also has many turns,
+     * several for each event.
      */
     private static final long MIN_SPIN_TURNS = 2000;
 
-    /** Turns that one event may take: for itself, the tasks that follow and its timers. */
+    /** Turns that one event may cause: for itself, its follow-up tasks and its timers. */
     private static final long MAX_TURNS_PER_EVENT = 10;
 
     private final SidecarEventLoop loop;
@@ -33,42 +33,42 @@
     private long longestLagNanos;
 
     /**
-     * For one loop.
+     * Creates a monitor of one event loop.
      *
-     * @param periodNanos from one {@link #tick} to the next
-     * @param eventCount of events that have been handled since the start
+     * @param periodNanos the time from one {@link #tick} to the next
+     * @param eventCount returns the number of events handled since the start
      */
-    public EventLoopMonitor(SidecarEventLoop loop, long period, LongSupplier events) {
+    public EventLoopMonitor(SidecarEventLoop loop, long periodNanos, LongSupplier eventCount) {
         this.loop = loop;
-        this.periodNanos = period;
-        this.eventCount = events;
+        this.periodNanos = periodNanos;
+        this.eventCount = eventCount;
     }
 
-    /** To be called by the loop's periodic work, with the loop's time. */
+    /** Checks the last interval; to be called periodically with the loop's time in nanoseconds. */
     public void tick(long now) {
         long turns = loop.turnCount();
-        long handled = eventCount.getAsLong();
+        long events = eventCount.getAsLong();
         if (hasTicked) {
             checkInterval(
-                    now - lastTickNanos - periodNanos, turns - lastTurns, handled - lastEvents);
+                    now - lastTickNanos - periodNanos, turns - lastTurns, events - lastEvents);
         }
         hasTicked = true;
         lastTickNanos = now;
         lastTurns = turns;
-        lastEvents = handled;
+        lastEvents = events;
     }
 
-    private void checkInterval(long lagNanos, long turns, long handled) {
+    private void checkInterval(long lagNanos, long turns, long events) {
         boolean stalled = lagNanos > MIN_STALL_LAG_NANOS;
-        boolean spun = turns > MIN_SPIN_TURNS && turns > MAX_TURNS_PER_EVENT * handled;
+        boolean spinning = turns > MIN_SPIN_TURNS && turns > MAX_TURNS_PER_EVENT * events;
         if (stalled) {
             stalls++;
             longestLagNanos = Math.max(longestLagNanos, lagNanos);
         }
-        if (spun) {
+        if (spinning) {
             spins++;
         }
-        if (stalled || spun) {
+        if (stalled || spinning) {
             loop.log()
                     .event(
                             stalled ? LogEvent.EVENT_LOOP_STALL : LogEvent.EVENT_LOOP_SPIN,
@@ -78,16 +78,16 @@
                                             + " turns="
                                             + turns
                                             + " events="
-                                            + handled);
+                                            + events);
         }
     }
 
-    /** Ticks that were late by more than a stall's lag, since the start. */
+    /** The number of stalls since the start. */
     public long stalls() {
         return stalls;
     }
 
-    /** Intervals in which the loop turned without anything to do, since the start. */
+    /** The number of intervals since the start in which the loop was spinning. */
     public long spins() {
         return spins;
     }
--- a/sidecar/src/main/java/appleridge/transport/InheritedListener.java
+++ b/sidecar/src/main/java/appleridge/transport/InheritedListener.java
@@ -9,35 +9,35 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket that whoever started the process has opened, and keeps: it outlives this
- * process, and another process may accept from it at the same time.
+ * A listening socket that this process inherited from its parent, which keeps it open. The socket
+ * outlives this process, and another process may accept from it at the same time.
  *
- * <p>Invariant: it is never bound, shut down or closed here. The JVM ties descriptors 0 to 2 to it;
- * closing it would close them too, and with them the log. Its non-blocking mode belongs to the open
- * socket, which all processes share.
+ * <p>Invariant: the socket is never bound, shut down or closed here. The JVM ties descriptors 0 to
+ * 2 to it, so closing it would close them too, and with them the log. The non-blocking mode is a
+ * property of the open socket and applies to all processes that share it.
  */
 public final class InheritedListener {
-    /** The descriptor that the JVM can take over. */
+    /** The only descriptor from which the JVM can inherit a socket. */
     private static final String SUPPORTED_DESCRIPTOR = "0";
 
     private final ServerSocketChannel socket;
 
-    /** A connection accepted while the socket was checked, to be served like others; else null. */
+    /** A connection that was accepted to check the socket and is not yet served; null if none. */
     private SocketChannel pendingConnection;
 
-    private InheritedListener(ServerSocketChannel socket, SocketChannel first) {
+    private InheritedListener(ServerSocketChannel socket, SocketChannel pendingConnection) {
         this.socket = socket;
-        this.pendingConnection = first;
+        this.pendingConnection = pendingConnection;
     }
 
     /**
-     * Takes over the socket that the process was started with.
+     * Returns the listening socket that the process was started with.
      *
-     * @param descriptor its number as the platform gives it; the JVM supports 0 alone
-     * @param proven whether another process is known to accept from it, so that it need not be
-     *     checked by accepting
-     * @throws IOException with a plain message where there is no listening TCP socket at that
-     *     number
+     * @param descriptor the number of its descriptor as the platform gives it; the JVM supports
+     *     only 0
+     * @param acceptedElsewhere whether another process is known to accept from the socket, so that
+     *     accepting need not prove that it listens
+     * @throws IOException if the descriptor is not a listening TCP socket
      */
     public static InheritedListener inherited(String descriptor, boolean acceptedElsewhere)
             throws IOException {
@@ -54,13 +54,13 @@
     }
 
     /**
-     * For a socket that is bound already.
+     * Wraps a non-blocking socket, and accepts once to check that it listens.
      *
-     * @throws IOException where it does not listen
+     * @throws IOException if the socket does not listen
      */
     public static InheritedListener of(ServerSocketChannel socket) throws IOException {
         try {
-            // The JVM takes any unconnected socket for one that listens; only accepting tells.
+            // The JVM takes any unconnected socket for a listening one; only accepting shows it.
             return new InheritedListener(socket, socket.accept());
         } catch (IOException e) {
             throw new IOException(
@@ -69,8 +69,9 @@
     }
 
     /**
-     * Begins to accept from it; to be called once, with a bootstrap that lacks nothing but its
-     * channel.
+     * Starts to accept connections; to be called once.
+     *
+     * @param bootstrap complete but for its channel factory, which is set here
      */
     public ChannelFuture register(ServerBootstrap bootstrap) {
         ChannelFuture registering =
@@ -78,7 +79,7 @@
         registering.addListener(
                 done -> {
                     if (done.isSuccess() && pendingConnection != null) {
-                        // In a task, behind the one that adds Netty's acceptor to the pipeline.
+                        // Runs after the task that adds Netty's acceptor to the pipeline.
                         Channel listener = registering.channel();
                         listener.eventLoop().execute(() -> acceptPending(listener));
                     }
--- a/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
+++ b/sidecar/src/main/java/appleridge/transport/ListeningChannel.java
@@ -5,17 +5,17 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listening socket of the JVM whose connections are {@link UninterruptedSocketChannel}s. */
+/** A listening NIO channel whose connections are {@link UninterruptedSocketChannel}s. */
 final class ListeningChannel extends NioServerSocketChannel {
-    /** A channel that is to be bound. */
+    /** Creates a channel that is not bound yet. */
     ListeningChannel() {}
 
-    /** A channel on a socket that listens already. */
+    /** Creates a channel on a listening socket. */
     ListeningChannel(ServerSocketChannel socket) {
         super(socket);
     }
 
-    /** Accepts one connection; returns how many there were, 0 or 1. */
+    /** Accepts one connection; returns the number of accepted ones, 0 or 1. */
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
         SocketChannel socket = javaChannel().accept();
@@ -26,7 +26,7 @@
             accepted.add(new UninterruptedSocketChannel(this, socket));
             return 1;
         } catch (RuntimeException e) {
-            // It broke before it could be set up; nothing of it was read.
+            // The connection broke before it was set up; nothing was read from it.
             socket.close();
             return 0;
         }
--- a/sidecar/src/main/java/appleridge/transport/NioIoHandlerFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/NioIoHandlerFactory.java
@@ -13,20 +13,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * Makes the I/O handler of one event loop on the JVM's sockets, which waits for timers in whole
- * milliseconds and counts its turns.
+ * Creates the NIO handler of one event loop. The handler waits for timers in whole milliseconds and
+ * counts the turns of the loop.
  *
- * <p>Invariant: a loop with nothing to do waits in the system. Netty's own handler rounds the time
- * to the next timer to the nearest millisecond and, where that is 0, polls until it is due; a
- * process limited to a part of a core would be throttled for that, and stall.
+ * <p>Invariant: a loop that has nothing to do blocks in the selector. Netty's own handler rounds
+ * the time to the next timer to the nearest millisecond and, if that is 0, polls until the timer is
+ * due; a process that is limited to a fraction of a core would be throttled for that, and stall.
  */
 public final class NioIoHandlerFactory implements IoHandlerFactory, LongSupplier {
-    /** The least that the system can wait for; timers run up to as much late. */
+    /** The shortest wait of the selector; timers run late by up to this time. */
     private static final long RESOLUTION_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandlerFactory nio = NioIoHandler.newFactory();
 
-    /** Written by the event loop's thread alone. */
+    /** Written only by the event loop's thread. */
     private volatile long turns;
 
     @Override
@@ -35,7 +35,7 @@
                 nio.newHandler(executor), ((EventExecutor) executor).ticker());
     }
 
-    /** Turns of the loop since its start. */
+    /** Returns the number of turns of the loop since its start. */
     @Override
     public long getAsLong() {
         return turns;
@@ -43,11 +43,11 @@
 
     private final class TurnCountingHandler implements IoHandler {
         private final IoHandler handler;
-        private final WholeMillisecondDelays waits;
+        private final WholeMillisecondDelays delays;
 
         TurnCountingHandler(IoHandler handler, Ticker ticker) {
             this.handler = handler;
-            this.waits = new WholeMillisecondDelays(ticker);
+            this.delays = new WholeMillisecondDelays(ticker);
         }
 
         @Override
@@ -58,8 +58,8 @@
         @Override
         public int run(IoHandlerContext context) {
             turns = turns + 1;
-            waits.context = context;
-            return handler.run(waits);
+            delays.context = context;
+            return handler.run(delays);
         }
 
         @Override
@@ -89,8 +89,9 @@
     }
 
     /**
-     * The loop's delays to its next timer, rounded up. By the loop's ticker, as the timers are: by
-     * another clock a timer could seem due that the loop does not run yet.
+     * Rounds the loop's delay to its next timer up to whole milliseconds. It uses the loop's
+     * ticker, as the timers do: by another clock a timer could seem due that the loop does not run
+     * yet.
      */
     private static final class WholeMillisecondDelays implements IoHandlerContext {
         private final Ticker ticker;
@@ -107,10 +108,10 @@
 
         @Override
         public long delayNanos(long now) {
-            // The context takes the system's clock; a ticker's time is relative to its first.
+            // The context expects system time; a ticker's time is relative to its initial time.
             long delay = context.delayNanos(ticker.nanoTime() + ticker.initialNanoTime());
-            boolean none = delay > Long.MAX_VALUE - RESOLUTION_NANOS;
-            return delay <= 0 || none
+            boolean noTimer = delay > Long.MAX_VALUE - RESOLUTION_NANOS;
+            return delay <= 0 || noTimer
                     ? delay
                     : (delay + RESOLUTION_NANOS - 1) / RESOLUTION_NANOS * RESOLUTION_NANOS;
         }
--- a/sidecar/src/main/java/appleridge/transport/NioSocketFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/NioSocketFactory.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ServerChannel;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/** The JVM's own sockets. */
+/** Creates NIO channels on sockets of the operating system. */
 public final class NioSocketFactory implements SocketFactory {
     @Override
     public Channel newChannel() {
--- a/sidecar/src/main/java/appleridge/transport/SidecarClock.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarClock.java
@@ -5,14 +5,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock of a sidecar: Unix time in nanoseconds as read once at the start, advanced by the
- * monotonic clock. It never runs back.
+ * The clock of a sidecar: the Unix time at its start, advanced by the monotonic clock. It never
+ * runs backwards.
  */
 final class SidecarClock {
     private final Ticker ticker;
     private final LongSupplier unixMillis;
     private final long offsetNanos;
 
+    /**
+     * Starts the clock.
+     *
+     * @param ticker the monotonic clock
+     * @param unixMillis the wall clock: Unix time in milliseconds
+     */
     SidecarClock(Ticker ticker, LongSupplier unixMillis) {
         this.ticker = ticker;
         this.unixMillis = unixMillis;
@@ -20,19 +26,19 @@
                 TimeUnit.MILLISECONDS.toNanos(unixMillis.getAsLong()) - ticker.nanoTime();
     }
 
-    /** Unix time in nanoseconds. */
+    /** The time in nanoseconds: Unix time, unless the wall clock has stepped since the start. */
     long now() {
         return ticker.nanoTime() + offsetNanos;
     }
 
     /**
-     * This clock's time of a host's start, never later than now.
+     * Converts the start time of a host to this clock; the result is never later than now.
      *
-     * <p>Where the wall clock has stepped, or the machine was suspended, the two clocks disagree;
-     * the later time of the two is taken, for a host that is taken for warm too early is
-     * overloaded.
+     * <p>If the wall clock has stepped or the machine was suspended, this clock and the wall clock
+     * disagree. The later of the two results is returned, because a host that is considered warm
+     * too early gets overloaded.
      *
-     * @param startedAtMillis Unix time
+     * @param startedAtMillis the start time, in milliseconds of Unix time
      */
     long nanosOfUnixMillis(long startedAtMillis) {
         long now = now();
--- a/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
+++ b/sidecar/src/main/java/appleridge/transport/SidecarEventLoop.java
@@ -9,13 +9,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread that owns a sidecar's sockets, timers and load-balancing policy, and its time,
- * which is that of the event loop's ticker. All but {@link #execute} is to be called on it, once it
- * runs.
+ * The single-threaded event loop that owns a sidecar's sockets, timers and load-balancing policy.
+ * Its time advances with the ticker of Netty's event loop. Once it runs, all methods but {@link
+ * #execute} must be called on its thread.
  */
 public final class SidecarEventLoop implements MonotonicClock, Scheduler {
-    /** The least time between two runs of periodic work. */
-    private static final long MIN_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** The shortest delay between two runs of a periodic task. */
+    private static final long MIN_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final EventLoop executor;
     private final SidecarClock clock;
@@ -23,7 +23,7 @@
     private final LongSupplier turnCount;
 
     /**
-     * On an event loop whose turns are not counted.
+     * Creates an instance that does not count the turns of the event loop.
      *
      * @param unixMillis the wall clock's Unix time in milliseconds
      */
@@ -32,20 +32,20 @@
     }
 
     /**
-     * On an event loop.
+     * Creates an instance on Netty's event loop.
      *
      * @param unixMillis the wall clock's Unix time in milliseconds
-     * @param turnCount counts the turns of the loop, each of which looks for events once
+     * @param turnCount returns the number of turns of the loop; each turn polls for events once
      */
     public SidecarEventLoop(
-            EventLoop executor, LongSupplier unixMillis, EventLog log, LongSupplier turns) {
-        this.turnCount = turns;
+            EventLoop executor, LongSupplier unixMillis, EventLog log, LongSupplier turnCount) {
+        this.turnCount = turnCount;
         this.executor = executor;
         this.clock = new SidecarClock(executor.ticker(), unixMillis);
         this.log = log;
     }
 
-    /** Netty's event loop, to make channels on. */
+    /** Netty's event loop, on which channels are registered. */
     public EventLoop executor() {
         return executor;
     }
@@ -55,7 +55,7 @@
         return log;
     }
 
-    /** Turns of the event loop since its start; always 0 where nothing counts them. */
+    /** The number of turns of the event loop since its start; 0 if they are not counted. */
     public long turnCount() {
         return turnCount.getAsLong();
     }
@@ -66,47 +66,47 @@
     }
 
     @Override
-    public ScheduledTask scheduleAt(long when, Runnable what) {
-        return schedule(Math.max(0, when - nanoTime()), what);
+    public ScheduledTask scheduleAt(long atNanos, Runnable task) {
+        return schedule(Math.max(0, atNanos - nanoTime()), task);
     }
 
-    /** This loop's time, in nanoseconds, of a Unix time in milliseconds; not later than now. */
+    /** Converts a Unix time in milliseconds to this loop's time in nanoseconds, at most now. */
     public long nanosOfUnixMillis(long millis) {
         return clock.nanosOfUnixMillis(millis);
     }
 
-    /** Runs something once, so many nanoseconds from now. */
-    public ScheduledTask schedule(long nanos, Runnable what) {
-        return timer(executor.schedule(logFailures(what), nanos, TimeUnit.NANOSECONDS));
+    /** Runs a task once after a delay. */
+    public ScheduledTask schedule(long delayNanos, Runnable task) {
+        return cancellable(executor.schedule(logFailures(task), delayNanos, TimeUnit.NANOSECONDS));
     }
 
     /**
-     * Runs something periodically, so many nanoseconds after the end of the last run; at least a
-     * millisecond, for shorter periods would leave the loop no time to wait.
+     * Runs a task periodically, each time after a delay from the end of the last run. The delay is
+     * raised to at least a millisecond, because shorter ones would leave the loop no time to block.
      */
-    public ScheduledTask scheduleAtFixedDelay(long nanos, Runnable what) {
-        long period = Math.max(MIN_PERIOD_NANOS, nanos);
-        return timer(
+    public ScheduledTask scheduleAtFixedDelay(long delayNanos, Runnable task) {
+        long delay = Math.max(MIN_DELAY_NANOS, delayNanos);
+        return cancellable(
                 executor.scheduleWithFixedDelay(
-                        logFailures(what), period, period, TimeUnit.NANOSECONDS));
+                        logFailures(task), delay, delay, TimeUnit.NANOSECONDS));
     }
 
     @Override
-    public void execute(Runnable what) {
-        executor.execute(logFailures(what));
+    public void execute(Runnable task) {
+        executor.execute(logFailures(task));
     }
 
-    private static ScheduledTask timer(Future<?> scheduled) {
+    private static ScheduledTask cancellable(Future<?> scheduled) {
         return () -> scheduled.cancel(false);
     }
 
-    /** Logs what a task throws, which would else end in a future that nobody reads. */
-    private Runnable logFailures(Runnable what) {
+    /** Logs what a task throws, which would otherwise be stored in a future that nobody reads. */
+    private Runnable logFailures(Runnable task) {
         return () -> {
             try {
-                what.run();
+                task.run();
             } catch (RuntimeException e) {
-                log.failure("a task of the loop failed", e);
+                log.failure("a task of the event loop failed", e);
             }
         };
     }
--- a/sidecar/src/main/java/appleridge/transport/SocketFactory.java
+++ b/sidecar/src/main/java/appleridge/transport/SocketFactory.java
@@ -3,25 +3,25 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
 
-/** Makes the sockets of a loop's channels. */
+/** Creates the channels of an event loop. */
 public interface SocketFactory {
     /**
-     * A channel that is to connect.
+     * Creates a channel for an outgoing connection.
      *
-     * @throws RuntimeException with the system's error where there is no socket to be had
+     * @throws RuntimeException with the system's error if no socket is available
      */
     Channel newChannel();
 
     /**
-     * A channel that is to listen.
+     * Creates a channel for a listening socket.
      *
-     * @throws RuntimeException with the system's error where there is no socket to be had
+     * @throws RuntimeException with the system's error if no socket is available
      */
     ServerChannel newServerChannel();
 
     /**
-     * Reads, before this returns, what the system holds for a channel, and passes it to the
-     * pipeline. To be called on the loop.
+     * Reads the bytes that the system has buffered for a channel and passes them to its pipeline,
+     * before it returns. To be called on the event loop.
      */
     void readNow(Channel channel);
 }
--- a/sidecar/src/main/java/appleridge/transport/SystemLog.java
+++ b/sidecar/src/main/java/appleridge/transport/SystemLog.java
@@ -9,15 +9,15 @@
 import java.util.function.Supplier;
 
 /**
- * The process's log. Of warnings, of failures and of each kind of event at most one a second is
- * written: bad clients or upstreams can cause any number, and writing all would take the loop's
- * time.
+ * Writes the log of the process. Warnings, failures and each kind of event are limited to one line
+ * a second each: faulty clients or hosts can cause any number, and writing all of them would take
+ * up the event loop's time.
  */
 public final class SystemLog implements EventLog {
     private static final System.Logger LOG = System.getLogger("appleridge");
     private static final long MIN_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** The JVM's logging has ended or is about to: lines go to the standard error. */
+    /** Whether lines go to standard error, because the JVM's logging shuts down. */
     private static volatile boolean writesDirectly;
 
     private final MonotonicClock clock;
@@ -26,36 +26,41 @@
     private final RateLimitedLine failures;
     private final Map<LogEvent, RateLimitedLine> events = new EnumMap<>(LogEvent.class);
 
-    /** With the level of lines that are neither warnings nor failures. */
-    public SystemLog(MonotonicClock time, System.Logger.Level level) {
-        this.clock = time;
+    /**
+     * Creates a log.
+     *
+     * @param level the level of lines that are neither warnings nor failures
+     */
+    public SystemLog(MonotonicClock clock, System.Logger.Level level) {
+        this.clock = clock;
         this.level = level;
         this.warnings = new RateLimitedLine();
         this.failures = new RateLimitedLine();
     }
 
     /**
-     * To be called when the process begins to end: the JVM's logging has a shutdown hook of its
-     * own, and what the drain logs from then on would be lost.
+     * Writes to standard error from now on. To be called when the shutdown of the process begins:
+     * the JVM's logging has a shutdown hook of its own, so that lines logged during the drain would
+     * be lost.
      */
     public static void writeDirectly() {
         writesDirectly = true;
     }
 
-    /** Logs a line about the process as a whole, at the level INFO. */
+    /** Logs a line about the process as a whole, at level INFO. */
     public static void logProcessEvent(String line) {
         write(System.Logger.Level.INFO, line, null);
     }
 
-    private static void write(System.Logger.Level how, String line, Throwable cause) {
+    private static void write(System.Logger.Level level, String line, Throwable cause) {
         if (!writesDirectly) {
-            LOG.log(how, line, cause);
-        } else if (LOG.isLoggable(how)) {
-            String why = cause == null ? "" : " (" + cause + ")";
+            LOG.log(level, line, cause);
+        } else if (LOG.isLoggable(level)) {
+            String suffix = cause == null ? "" : " (" + cause + ")";
             System.err.println(
                     String.format(
                             "%tT.%<tL %s %s%s",
-                            SystemTime.UNIX_MILLIS.getAsLong(), how.getName(), line, why));
+                            SystemTime.UNIX_MILLIS.getAsLong(), level.getName(), line, suffix));
         }
     }
 
@@ -69,7 +74,7 @@
         warnings.log(System.Logger.Level.WARNING, () -> line, null);
     }
 
-    /** Limited for each kind by itself, so that a frequent kind does not hide a rare one. */
+    /** Limits each kind separately, so that a frequent kind does not hide a rare one. */
     @Override
     public void event(LogEvent kind, Supplier<String> fields) {
         if (kind.isAlwaysWritten()) {
@@ -85,20 +90,20 @@
         failures.log(System.Logger.Level.ERROR, () -> what, cause);
     }
 
-    /** Writes a line, or counts it where it comes too soon after the last one that was written. */
+    /** Writes a line, or counts it if the last written one is too recent. */
     private final class RateLimitedLine {
         private long lastLoggedNanos = clock.nanoTime() - MIN_INTERVAL_NANOS;
         private int suppressedCount;
 
-        void log(System.Logger.Level how, Supplier<String> what, Throwable cause) {
+        void log(System.Logger.Level lineLevel, Supplier<String> message, Throwable cause) {
             long now = clock.nanoTime();
             if (now - lastLoggedNanos < MIN_INTERVAL_NANOS) {
                 suppressedCount++;
                 return;
             }
-            String line = what.get();
+            String line = message.get();
             write(
-                    how,
+                    lineLevel,
                     suppressedCount == 0
                             ? line
                             : line + "; suppressed before it: " + suppressedCount,
--- a/sidecar/src/main/java/appleridge/transport/UninterruptedSocketChannel.java
+++ b/sidecar/src/main/java/appleridge/transport/UninterruptedSocketChannel.java
@@ -7,28 +7,28 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection of the JVM that survives interrupted system calls (EINTR).
+ * An NIO TCP connection that survives interrupted system calls (EINTR).
  *
- * <p>Invariant: only the other side, or an error of the connection, ends it. The JVM returns an
+ * <p>Invariant: only the other side, or an error of the connection, ends it. The JVM reports an
  * interrupted non-blocking read as a negative count, which Netty takes for the end of the stream,
  * and an interrupted connect check as "not connected", which Netty takes for a failed connect.
  */
 final class UninterruptedSocketChannel extends NioSocketChannel {
-    /** What a read returns at the end of the stream; less means that it was interrupted. */
+    /** The result of a read at the end of the stream; a smaller one means an interrupted read. */
     private static final int END_OF_STREAM = -1;
 
-    /** Checks of one connect that may be interrupted in a row. */
+    /** The number of interrupted checks of one connect after which it fails. */
     private static final int MAX_CONNECT_CHECKS = 64;
 
-    /** A channel that is to connect. */
+    /** Creates a channel for an outgoing connection. */
     UninterruptedSocketChannel() {}
 
-    /** A channel that a listening channel has accepted. */
+    /** Creates a channel for an accepted connection. */
     UninterruptedSocketChannel(Channel listener, SocketChannel accepted) {
         super(listener, accepted);
     }
 
-    /** An interrupted read has read nothing: what the system holds is reported again. */
+    /** Treats an interrupted read as one of 0 bytes; the selector reports the data again. */
     @Override
     protected int doReadBytes(ByteBuf into) throws Exception {
         int read = super.doReadBytes(into);
@@ -43,6 +43,6 @@
             }
         }
         throw new IOException(
-                "a connect was interrupted " + MAX_CONNECT_CHECKS + " times in a row");
+                "the check of a connect was interrupted " + MAX_CONNECT_CHECKS + " times in a row");
     }
 }
--- a/sidecar/src/main/java/appleridge/transport/package-info.java
+++ b/sidecar/src/main/java/appleridge/transport/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Event loop, clocks, connecting, sockets and the process's log: moves bytes and time and decides
- * nothing. One event loop's thread runs all of a sidecar's code; system clocks are read here alone.
+ * Event loop, clocks, sockets, connecting and the log of the process; contains no decisions of load
+ * balancing. The thread of one event loop runs all code of a sidecar. Only this package reads the
+ * system clocks.
  */
 package appleridge.transport;
--- a/sidecar/src/test/java/appleridge/transport/NioIoHandlerFactoryTest.java
+++ b/sidecar/src/test/java/appleridge/transport/NioIoHandlerFactoryTest.java
@@ -14,33 +14,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How often an event loop turns while it waits for its timers. */
+/** Tests how often an event loop turns while it waits for its timers. */
 @Timeout(60)
 class NioIoHandlerFactoryTest {
-    /** For the timer's own turn, those that come too early by the system's rounding, and tasks. */
+    /**
+     * Bound of turns for each timer: its own turn, turns that end too early because the system
+     * rounds the wait, and turns for tasks.
+     */
     private static final int TURNS_PER_TIMER = 6;
 
     private final NioIoHandlerFactory factory = new NioIoHandlerFactory();
 
     /**
-     * Runs timers one after the other, each the given time after the last; the turns that this
-     * took.
+     * Runs timers one after another, each with the given delay, and returns how many turns of the
+     * loop they took.
      */
     private long turnsFor(SingleThreadIoEventLoop loop, int timers, long delayNanos)
             throws Exception {
         CountDownLatch done = new CountDownLatch(timers);
-        long before = loop.submit(factory::getAsLong).get();
-        loop.execute(() -> next(loop, done, delayNanos));
+        long turnsBefore = loop.submit(factory::getAsLong).get();
+        loop.execute(() -> scheduleNext(loop, done, delayNanos));
         done.await();
-        return loop.submit(factory::getAsLong).get() - before;
+        return loop.submit(factory::getAsLong).get() - turnsBefore;
     }
 
-    private static void next(SingleThreadIoEventLoop loop, CountDownLatch done, long delayNanos) {
+    private static void scheduleNext(
+            SingleThreadIoEventLoop loop, CountDownLatch done, long delayNanos) {
         loop.schedule(
                 () -> {
                     done.countDown();
                     if (done.getCount() > 0) {
-                        next(loop, done, delayNanos);
+                        scheduleNext(loop, done, delayNanos);
                     }
                 },
                 delayNanos,
@@ -48,11 +52,10 @@
     }
 
     /**
-     * Guards against a loop that uses its core up while the end of a timer's last millisecond is
-     * awaited.
+     * Guards against a loop that spins during the last, partial millisecond before a timer is due.
      */
     @Test
-    void timerBetweenMillisecondsIsAwaitedWithoutSpinning() throws Exception {
+    void timerBetweenWholeMillisecondsIsAwaitedWithoutSpinning() throws Exception {
         try (Group group = new Group(Ticker.systemTicker())) {
             int timers = 200;
             long turns = turnsFor(group.loop, timers, 3_400_000);
@@ -61,41 +64,44 @@
     }
 
     /**
-     * Guards against the same where the loop's ticker moves in steps: waits that go by another
-     * clock than the timers are over before a timer's time has come, and a timer costs a whole step
-     * of the core's time.
+     * Guards against a loop that spins when its ticker advances in steps: a wait that is computed
+     * by another clock than the timers ends before the timer is due, and the loop spins for the
+     * rest of the step.
      */
     @Test
-    void coarseClockIsAwaitedWithoutSpinning() throws Exception {
+    void timerOnASteppingTickerIsAwaitedWithoutSpinning() throws Exception {
         try (Group group = new Group(new SteppingTicker(TimeUnit.MILLISECONDS.toNanos(40)))) {
             int timers = 20;
             long turns = turnsFor(group.loop, timers, 400_000);
-            long mostWaits = timers * 50L;
-            assertTrue(turns <= mostWaits * TURNS_PER_TIMER, "turns: " + turns);
+            long maxWaits = timers * 50L;
+            assertTrue(turns <= maxWaits * TURNS_PER_TIMER, "turns: " + turns);
         }
     }
 
-    /** Guards against the cure being worse: a timer comes soon after its time. */
+    /** Guards against timers that the rounding to whole milliseconds makes too late. */
     @Test
     void medianTimerFiresWithinTwoMilliseconds() throws Exception {
         try (Group group = new Group(Ticker.systemTicker())) {
-            long after = 3_400_000;
-            long[] late = new long[101];
-            for (int i = 0; i < late.length; i++) {
-                long began = System.nanoTime();
-                CompletableFuture<Long> came = new CompletableFuture<>();
+            long delayNanos = 3_400_000;
+            long[] lateness = new long[101];
+            for (int i = 0; i < lateness.length; i++) {
+                long start = System.nanoTime();
+                CompletableFuture<Long> firedAt = new CompletableFuture<>();
                 group.loop.schedule(
-                        () -> came.complete(System.nanoTime()), after, TimeUnit.NANOSECONDS);
-                late[i] = came.get() - began - after;
+                        () -> firedAt.complete(System.nanoTime()),
+                        delayNanos,
+                        TimeUnit.NANOSECONDS);
+                lateness[i] = firedAt.get() - start - delayNanos;
             }
-            Arrays.sort(late);
-            assertTrue(late[0] >= 0, "never early: " + late[0]);
-            assertTrue(late[late.length / 2] < 2_000_000, "late by: " + late[late.length / 2]);
+            Arrays.sort(lateness);
+            assertTrue(lateness[0] >= 0, "a timer fired early: " + lateness[0] + " ns");
+            long median = lateness[lateness.length / 2];
+            assertTrue(median < 2_000_000, "median lateness: " + median + " ns");
         }
     }
 
-    /** A clock that stands still for a step and then moves by one. */
-    private record SteppingTicker(long step) implements Ticker {
+    /** A ticker that advances in steps of the given nanoseconds. */
+    private record SteppingTicker(long stepNanos) implements Ticker {
         @Override
         public long initialNanoTime() {
             return 0;
@@ -103,7 +109,7 @@
 
         @Override
         public long nanoTime() {
-            return System.nanoTime() / step * step;
+            return System.nanoTime() / stepNanos * stepNanos;
         }
 
         @Override
@@ -112,7 +118,7 @@
         }
     }
 
-    /** One event loop on a clock of its own. */
+    /** An event loop that uses the given ticker. */
     private final class Group implements AutoCloseable {
         private final IoEventLoopGroup parent = new MultiThreadIoEventLoopGroup(1, factory);
         private final SingleThreadIoEventLoop loop;
@@ -120,7 +126,7 @@
         Group(Ticker ticker) {
             loop =
                     new SingleThreadIoEventLoop(
-                            parent, new DefaultThreadFactory("stepping", true), factory) {
+                            parent, new DefaultThreadFactory("ticker-loop", true), factory) {
                         @Override
                         public Ticker ticker() {
                             return ticker;
--- a/sidecar/src/test/java/appleridge/transport/SidecarClockTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SidecarClockTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 class SidecarClockTest {
-    private static final long S = 1_000_000_000;
-    private long ticks = 7 * S;
-    private long wall = 1_000_000;
+    private static final long SECOND_NANOS = 1_000_000_000;
+    private long tickerNanos = 7 * SECOND_NANOS;
+    private long wallMillis = 1_000_000;
     private final SidecarClock clock =
             new SidecarClock(
                     new Ticker() {
@@ -20,7 +20,7 @@
 
                         @Override
                         public long nanoTime() {
-                            return ticks;
+                            return tickerNanos;
                         }
 
                         @Override
@@ -28,34 +28,39 @@
                             throw new UnsupportedOperationException();
                         }
                     },
-                    () -> wall);
+                    () -> wallMillis);
 
-    private void pass(long seconds) {
-        ticks += seconds * S;
-        wall += seconds * 1000;
+    private void advance(long seconds) {
+        tickerNanos += seconds * SECOND_NANOS;
+        wallMillis += seconds * 1000;
     }
 
     @Test
-    void startTimeIsPlacedByWallClock() {
-        pass(10);
-        assertEquals(clock.now() - 3 * S, clock.nanosOfUnixMillis(wall - 3000));
-        assertEquals(clock.now() - 30 * S, clock.nanosOfUnixMillis(wall - 30_000));
+    void startTimeIsConvertedByTheWallClock() {
+        advance(10);
+        assertEquals(clock.now() - 3 * SECOND_NANOS, clock.nanosOfUnixMillis(wallMillis - 3000));
+        assertEquals(clock.now() - 30 * SECOND_NANOS, clock.nanosOfUnixMillis(wallMillis - 30_000));
     }
 
-    /** Guards against a cold upstream that is taken for warm, and pushed over. */
+    /** Guards against a cold host that is considered warm and gets overloaded. */
     @Test
-    void startTimeIsYoungerOfTwoWhenWallClockStepped() {
-        pass(10);
-        long bornNow = wall;
-        wall += 20_000;
+    void laterStartTimeIsUsedWhenTheClocksDisagree() {
+        advance(10);
+        long startMillis = wallMillis;
+        wallMillis += 20_000;
         assertEquals(
-                clock.now(), clock.nanosOfUnixMillis(bornNow), "by the wall it would be 20 s old");
-        wall -= 60_000;
-        assertEquals(clock.now(), clock.nanosOfUnixMillis(bornNow), "and now in the future");
-        long suspended = wall += 3_600_000;
+                clock.now(),
+                clock.nanosOfUnixMillis(startMillis),
+                "wall clock stepped forward: by it the host started 20 s ago");
+        wallMillis -= 60_000;
+        assertEquals(
+                clock.now(),
+                clock.nanosOfUnixMillis(startMillis),
+                "wall clock stepped back: by it the host starts in the future");
+        long startAfterSuspend = wallMillis += 3_600_000;
         assertEquals(
                 clock.now(),
-                clock.nanosOfUnixMillis(suspended),
-                "after an hour that the ticker did not count");
+                clock.nanosOfUnixMillis(startAfterSuspend),
+                "the ticker did not count an hour of suspension");
     }
 }
--- a/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
+++ b/sidecar/src/test/java/appleridge/transport/SystemLogTest.java
@@ -11,17 +11,18 @@
 
 class SystemLogTest {
     /**
-     * Guards against a loop that writes logs in place of serving: a flood leaves a line a second.
+     * Guards against an event loop that spends its time on log lines: of many failures or warnings
+     * one line a second is written.
      */
     @Test
-    void floodOfFailuresIsLoggedOnce() {
+    void repeatedFailuresAndWarningsAreLoggedOncePerSecond() {
         List<String> lines = new ArrayList<>();
         Handler handler =
                 new Handler() {
                     @Override
-                    public void publish(LogRecord line) {
-                        if (line.getMessage().startsWith("flood")) {
-                            lines.add(line.getMessage());
+                    public void publish(LogRecord record) {
+                        if (record.getMessage().startsWith("flood")) {
+                            lines.add(record.getMessage());
                         }
                     }
 
