--- a/sidecar/src/test/java/appleridge/request/PolicyInvokerTest.java
+++ b/sidecar/src/test/java/appleridge/request/PolicyInvokerTest.java
@@ -16,13 +16,13 @@
             new PolicyInvoker(
                     new Scheduler() {
                         @Override
-                        public ScheduledTask scheduleAt(long when, Runnable what) {
-                            throw new AssertionError("nothing is to be timed");
+                        public ScheduledTask scheduleAt(long atNanos, Runnable task) {
+                            throw new AssertionError("PolicyInvoker must not schedule timers");
                         }
 
                         @Override
-                        public void execute(Runnable what) {
-                            tasks.add(what);
+                        public void execute(Runnable task) {
+                            tasks.add(task);
                         }
                     },
                     new EventLog() {
@@ -39,7 +39,7 @@
                     });
 
     @Test
-    void eventWithinAnEventRunsAfterIt() {
+    void eventRaisedWithinAnEventRunsAfterIt() {
         invoker.notify(
                 policy -> {
                     invoker.notify(inner -> events.add("inner"));
@@ -54,10 +54,10 @@
     void policyErrorIsLoggedAndLaterEventsStillReachIt() {
         invoker.notify(
                 policy -> {
-                    throw new IllegalStateException("no");
+                    throw new IllegalStateException("policy error");
                 });
         invoker.notify(policy -> events.add("next"));
-        assertEquals(List.of("no"), failures);
+        assertEquals(List.of("policy error"), failures);
         assertEquals(List.of("next"), events);
     }
 }
--- a/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
+++ b/sidecar/src/test/java/appleridge/request/RequestCoordinatorTest.java
@@ -26,7 +26,10 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** A request's life on a clock and with upstream hosts that the test moves. */
+/**
+ * Tests requests from acceptance to response, with a manual clock and a transport whose responses
+ * the test gives.
+ */
 class RequestCoordinatorTest {
     private static final long MS = 1_000_000;
     private static final int MAX_OPEN_REQUESTS = 100;
@@ -35,19 +38,20 @@
     private static final UpstreamRequest MESSAGE = new UpstreamRequest() {};
 
     /**
-     * Time that stands until it is moved, and timers that fire on the way, the earlier made first.
+     * A clock that only the test advances, and a scheduler that fires timers in order of time, then
+     * of creation.
      */
     private static final class ManualClock implements MonotonicClock, Scheduler {
-        private record Timer(long at, int serial, Runnable what) {}
+        private record Timer(long atNanos, int serial, Runnable task) {}
 
         private final PriorityQueue<Timer> timers =
                 new PriorityQueue<>(
                         (a, b) ->
-                                a.at != b.at
-                                        ? Long.compare(a.at, b.at)
+                                a.atNanos != b.atNanos
+                                        ? Long.compare(a.atNanos, b.atNanos)
                                         : Integer.compare(a.serial, b.serial));
         private long now = 1_000_000 * MS;
-        private int serials;
+        private int nextSerial;
 
         @Override
         public long nanoTime() {
@@ -55,45 +59,48 @@
         }
 
         @Override
-        public ScheduledTask scheduleAt(long when, Runnable what) {
-            Timer alarm = new Timer(Math.max(now, when), serials++, what);
-            timers.add(alarm);
-            return () -> timers.remove(alarm);
+        public ScheduledTask scheduleAt(long atNanos, Runnable task) {
+            Timer timer = new Timer(Math.max(now, atNanos), nextSerial++, task);
+            timers.add(timer);
+            return () -> timers.remove(timer);
         }
 
         @Override
-        public void execute(Runnable what) {
-            scheduleAt(now, what);
+        public void execute(Runnable task) {
+            scheduleAt(now, task);
         }
 
-        void advance(long by) {
-            long end = now + by;
-            while (!timers.isEmpty() && timers.peek().at <= end) {
+        void advance(long nanos) {
+            long end = now + nanos;
+            while (!timers.isEmpty() && timers.peek().atNanos <= end) {
                 Timer next = timers.poll();
-                now = Math.max(now, next.at);
-                next.what.run();
+                now = Math.max(now, next.atNanos);
+                next.task.run();
             }
             now = end;
         }
 
-        /** The event loop stalls for so long; timers that were due fire only afterwards. */
+        /** Advances the time without firing timers, as a stall of the event loop does. */
         void stall(long nanos) {
             now += nanos;
         }
     }
 
-    /** An attempt as the transport sees it. */
+    /** An attempt that was handed to the transport. */
     private static final class SentAttempt implements UpstreamTransport.AttemptHandle {
-        final Endpoint to;
+        final Endpoint endpoint;
         final SendDeadlines deadlines;
         final UpstreamTransport.AttemptListener listener;
         boolean startedWriting;
         boolean fullyWritten;
         boolean cancelled;
 
-        SentAttempt(Endpoint to, SendDeadlines window, UpstreamTransport.AttemptListener listener) {
-            this.to = to;
-            this.deadlines = window;
+        SentAttempt(
+                Endpoint endpoint,
+                SendDeadlines deadlines,
+                UpstreamTransport.AttemptListener listener) {
+            this.endpoint = endpoint;
+            this.deadlines = deadlines;
             this.listener = listener;
         }
 
@@ -112,6 +119,7 @@
             cancelled = true;
         }
 
+        /** Marks the request as fully written. */
         SentAttempt write() {
             startedWriting = true;
             fullyWritten = true;
@@ -119,6 +127,7 @@
         }
     }
 
+    /** Records the responses that the client is given. */
     private static class Client implements ResponseSink {
         final List<String> responses = new ArrayList<>();
 
@@ -126,13 +135,13 @@
         public void readPendingInput() {}
 
         @Override
-        public void onServed(UpstreamResponse reply) {
+        public void onServed(UpstreamResponse response) {
             responses.add("served");
         }
 
         @Override
-        public void onRejected(long wait) {
-            responses.add("refused");
+        public void onRejected(long retryAfterNanos) {
+            responses.add("rejected");
         }
 
         @Override
@@ -141,13 +150,13 @@
         }
 
         @Override
-        public void onResponseStreaming(StreamedResponse answer) {
-            responses.add("flows");
+        public void onResponseStreaming(StreamedResponse response) {
+            responses.add("streaming");
         }
 
         @Override
         public void onResponseComplete() {
-            responses.add("flowed");
+            responses.add("complete");
         }
 
         @Override
@@ -163,22 +172,22 @@
     private final List<Runnable> pendingUpdates = new ArrayList<>();
     private final RequestCoordinator coordinator = coordinator(2000 * MS);
 
-    private RequestCoordinator coordinator(long drainGrace) {
+    private RequestCoordinator coordinator(long drainGraceNanos) {
         return new RequestCoordinator(
                 clock,
                 clock,
-                settings(drainGrace),
+                settings(drainGraceNanos),
                 MAX_OPEN_REQUESTS,
                 new UpstreamTransport() {
                     @Override
                     public AttemptHandle send(
-                            Endpoint to,
-                            UpstreamRequest what,
-                            SendDeadlines window,
+                            Endpoint endpoint,
+                            UpstreamRequest request,
+                            SendDeadlines deadlines,
                             AttemptListener listener) {
-                        SentAttempt next = new SentAttempt(to, window, listener);
-                        sent.add(next);
-                        return next;
+                        SentAttempt attempt = new SentAttempt(endpoint, deadlines, listener);
+                        sent.add(attempt);
+                        return attempt;
                     }
 
                     @Override
@@ -201,11 +210,11 @@
                         failures.add(what + ": " + cause);
                     }
                 },
-                actions -> new SymmetricRoundRobinPolicy(settings(drainGrace), 7, actions));
+                actions -> new SymmetricRoundRobinPolicy(settings(drainGraceNanos), 7, actions));
     }
 
-    private static PolicySettings settings(long drainGrace) {
-        RequestClass hold =
+    private static PolicySettings settings(long drainGraceNanos) {
+        RequestClass idempotentByKey =
                 new RequestClass(
                         400 * MS,
                         0,
@@ -223,16 +232,17 @@
                 5 * MS,
                 DiscoveryMode.SUBSCRIBED,
                 WeightKind.SILENT,
-                List.of(hold),
+                List.of(idempotentByKey),
                 List.of(),
                 new Capabilities(true, false, false, false, true, 6, 750 * MS, 100 * MS),
-                new SafetyLimits(20 * MS, 10_000 * MS, drainGrace, 0.4, 7000 * MS, 4, 1500 * MS),
+                new SafetyLimits(
+                        20 * MS, 10_000 * MS, drainGraceNanos, 0.4, 7000 * MS, 4, 1500 * MS),
                 List.of(),
                 false,
                 1);
     }
 
-    private static UpstreamHost upstream(long id, HostState state) {
+    private static UpstreamHost host(long id, HostState state) {
         return new UpstreamHost(id, 0, 0, 0, state, 1, 0);
     }
 
@@ -243,27 +253,30 @@
     }
 
     /**
-     * The first attempt of a request with a timeout of a second, whose response is being streamed.
+     * Accepts a request with a timeout of 1 s and streams its response; returns its first attempt.
      */
     private SentAttempt startStreaming(Client client) {
         accept(client);
         SentAttempt first = sent.get(0).write();
         assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
-        assertEquals(List.of("flows"), client.responses);
+        assertEquals(List.of("streaming"), client.responses);
         return first;
     }
 
-    /** Guards against a second response behind one that a client has a part of. */
+    /** Guards against a second response to a client that has received a part of the first one. */
     @Test
     void noOtherResponseFollowsAStreamedOne() {
-        Client whole = new Client();
-        SentAttempt first = startStreaming(whole);
+        Client client = new Client();
+        SentAttempt first = startStreaming(client);
         clock.advance(60_000 * MS);
-        assertEquals(List.of("flows"), whole.responses, "its deadline no longer counts");
+        assertEquals(
+                List.of("streaming"),
+                client.responses,
+                "the deadline does not apply to a response that is being streamed");
         assertEquals(1, sent.size());
         assertFalse(first.cancelled);
         first.listener.onAttemptEnded(Outcome.OK, null);
-        assertEquals(List.of("flows", "flowed"), whole.responses);
+        assertEquals(List.of("streaming", "complete"), client.responses);
         clock.advance(10_000 * MS);
         assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
     }
@@ -273,19 +286,19 @@
         Client client = new Client();
         startStreaming(client).listener.onAttemptEnded(Outcome.RESET, null);
         clock.advance(10_000 * MS);
-        assertEquals(List.of("flows", "abort"), client.responses);
+        assertEquals(List.of("streaming", "abort"), client.responses);
         assertEquals(1, sent.size());
         assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
     }
 
-    /** Guards against an upstream that goes on sending to nobody. */
+    /** Guards against a host that keeps sending a response after the client has disconnected. */
     @Test
     void clientDisconnectCancelsAStreamedResponse() {
         Client client = new Client();
-        Runnable hangUp = accept(client);
+        Runnable disconnect = accept(client);
         SentAttempt first = sent.get(0).write();
         assertTrue(first.listener.onResponseStarted(new StreamedResponse() {}));
-        hangUp.run();
+        disconnect.run();
         clock.advance(1 * MS);
         assertTrue(first.cancelled);
         assertEquals(new InFlightCounts(0, 0, 0, 0), coordinator.inFlightCounts());
@@ -305,8 +318,8 @@
         start(coordinator);
     }
 
-    private void start(RequestCoordinator which) {
-        which.start(
+    private void start(RequestCoordinator started) {
+        started.start(
                 new EndpointSubscription() {
                     @Override
                     public void subscribe(boolean on) {}
@@ -320,19 +333,19 @@
                         pendingUpdates.clear();
                     }
                 },
-                List.of(upstream(1, HostState.READY), upstream(2, HostState.READY)),
+                List.of(host(1, HostState.READY), host(2, HostState.READY)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
     }
 
-    private Client ask(String name, long patience) {
+    private Client sendRequest(String id, long timeoutNanos) {
         Client client = new Client();
         coordinator.accept(
-                new ClientRequest(name, clock.nanoTime(), patience, 0, 0, 0, 0, false, MESSAGE),
+                new ClientRequest(id, clock.nanoTime(), timeoutNanos, 0, 0, 0, 0, false, MESSAGE),
                 client);
         return client;
     }
 
-    /** Time passes, with the listener's periodic ticks. */
+    /** Advances the time with the periodic ticks that the client listener makes. */
     private void advanceWithTicks(long nanos) {
         for (long left = nanos; left > 0; left -= 40 * MS) {
             clock.advance(Math.min(left, 40 * MS));
@@ -342,35 +355,39 @@
 
     private void drain(long id) {
         coordinator.onEndpointUpdate(
-                UpdateKind.DELTA, List.of(upstream(id, HostState.DRAINING)), Map.of(id, ADDRESS));
+                UpdateKind.DELTA, List.of(host(id, HostState.DRAINING)), Map.of(id, ADDRESS));
     }
 
     @Test
     void connectingAttemptIsCancelledWhenItsHostDrains() {
-        Client client = ask("a", 900 * MS);
+        Client client = sendRequest("a", 900 * MS);
         SentAttempt first = sent.get(0);
-        drain(first.to.upstream());
+        drain(first.endpoint.upstream());
         assertTrue(first.cancelled);
-        assertEquals(2, sent.size(), "it was not executed, and goes elsewhere");
-        assertTrue(sent.get(1).to.upstream() != first.to.upstream());
+        assertEquals(
+                2, sent.size(), "an attempt that was not executed is retried on the other host");
+        assertTrue(sent.get(1).endpoint.upstream() != first.endpoint.upstream());
         sent.get(1).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.responses);
     }
 
     @Test
     void writtenAttemptIsNotCancelledWhenItsHostDrains() {
-        Client client = ask("a", 900 * MS);
+        Client client = sendRequest("a", 900 * MS);
         sent.get(0).write();
-        drain(sent.get(0).to.upstream());
+        drain(sent.get(0).endpoint.upstream());
         assertEquals(1, sent.size());
         sent.get(0).listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.responses);
     }
 
-    /** Guards against a retry that arrives after its idempotency key has been forgotten. */
+    /**
+     * Guards against a duplicate execution: a retry must not reach a host after the host has
+     * forgotten the idempotency key, counted from the first attempt that may have been executed.
+     */
     @Test
     void retryDeadlineCountsFromTheFirstPossiblyExecutedAttempt() {
-        ask("a", 900 * MS);
+        sendRequest("a", 900 * MS);
         long first = clock.nanoTime();
         assertEquals(Long.MAX_VALUE, sent.get(0).deadlines.lastByteByNanos());
         clock.advance(50 * MS);
@@ -380,9 +397,9 @@
         assertEquals(2, sent.size());
     }
 
-    /** Guards against input that waited unread during a stall and is taken for new. */
+    /** Guards against input that waited unread during a stall and is handled as new. */
     @Test
-    void inputMayHaveWaitedForAWhileAfterAStall() {
+    void inputMayHaveWaitedUnreadForASecondAfterAStall() {
         advanceWithTicks(300 * MS);
         assertFalse(coordinator.mayHaveWaitedUnread());
         clock.stall(3_600_000 * MS);
@@ -390,32 +407,33 @@
         advanceWithTicks(900 * MS);
         assertTrue(coordinator.mayHaveWaitedUnread());
         advanceWithTicks(200 * MS);
-        assertFalse(coordinator.mayHaveWaitedUnread(), "however long it was");
+        assertFalse(coordinator.mayHaveWaitedUnread(), "1 s after a stall of any length");
     }
 
-    /** Guards against responses that are as late as the event loop was late to read the request. */
+    /** Guards against responses that are late by the time the request waited to be read. */
     @Test
     void inputReadAfterALateTurnCountsFromBeforeIt() {
         advanceWithTicks(300 * MS);
         long before = clock.nanoTime();
-        assertEquals(before, coordinator.earliestArrivalNanos(), "no stall");
+        assertEquals(before, coordinator.earliestArrivalNanos(), "without a stall");
         clock.stall(400 * MS);
         assertEquals(before, coordinator.earliestArrivalNanos());
         assertEquals(
                 before,
                 coordinator.earliestArrivalNanos(),
-                "also the next one that is read in the same turn");
+                "a second request that is read in the same turn");
         advanceWithTicks(100 * MS);
         assertEquals(
                 before,
                 coordinator.earliestArrivalNanos(),
-                "connections are accepted a few at a time");
+                "connections are accepted a few in each turn");
         advanceWithTicks(100 * MS);
         assertEquals(clock.nanoTime(), coordinator.earliestArrivalNanos());
     }
 
     /**
-     * Guards against a start whose stalls add up: none alone is as long as what waited behind all.
+     * Guards against several stalls that add up, as at a start: input that waited during all of
+     * them is older than any single stall.
      */
     @Test
     void inputReadAfterSeveralLateTurnsCountsFromBeforeTheFirst() {
@@ -436,17 +454,17 @@
         assertEquals(
                 clock.nanoTime() - 200 * MS,
                 coordinator.earliestArrivalNanos(),
-                "a loop that is always late serves on");
+                "on a loop that is always late, input counts from before the last turn");
     }
 
-    /** Guards against a slow machine that takes all input for too old. */
+    /** Guards against a slow machine on which all input counts as too old to be served. */
     @Test
     void shortRequestsAreServedThoughEveryTurnIsLate() {
         int served = 0;
         for (int i = 0; i < 100; i++) {
             clock.stall(160 * MS);
             Client client = new Client();
-            int before = sent.size();
+            int sentBefore = sent.size();
             coordinator.accept(
                     new ClientRequest(
                             "r" + i,
@@ -459,8 +477,8 @@
                             false,
                             MESSAGE),
                     client);
-            if (sent.size() > before) {
-                sent.get(before).write().listener.onAttemptEnded(Outcome.OK, null);
+            if (sent.size() > sentBefore) {
+                sent.get(sentBefore).write().listener.onAttemptEnded(Outcome.OK, null);
             }
             served += client.responses.contains("served") ? 1 : 0;
             clock.advance(0);
@@ -468,15 +486,15 @@
         assertTrue(served > 80, "served " + served + " of 100");
     }
 
-    /** Guards against a deferral that is cut short by the end of an earlier one. */
+    /** Guards against a deferral that the longest wait of an earlier deferral ends early. */
     @Test
-    void secondDeferralHasItsOwnEnd() {
+    void secondDeferralHasItsOwnLongestWait() {
         clock.stall(2500 * MS);
         coordinator.tick();
         drain(1);
         clock.stall(2500 * MS);
         coordinator.tick();
-        ask("a", 900 * MS);
+        sendRequest("a", 900 * MS);
         clock.advance(300 * MS);
         assertEquals(0, sent.size());
         clock.advance(300 * MS);
@@ -487,77 +505,79 @@
     void pendingUpdatesAreReadAfterAStallBeforeARequestIsSent() {
         clock.stall(700 * MS);
         pendingUpdates.add(() -> drain(1));
-        ask("a", 2000 * MS);
-        assertEquals(2, sent.get(0).to.upstream());
+        sendRequest("a", 2000 * MS);
+        assertEquals(2, sent.get(0).endpoint.upstream());
     }
 
-    /** Guards against a drain grace of 250 ms of which a stall of 200 ms is ignored. */
+    /**
+     * Guards against a stall threshold that ignores the drain grace: with a grace of 250 ms,
+     * updates are read after a stall of 200 ms.
+     */
     @Test
     void shorterDrainGraceReconcilesAfterAShorterStall() {
-        RequestCoordinator soon = coordinator(250 * MS);
-        start(soon);
+        RequestCoordinator shortGrace = coordinator(250 * MS);
+        start(shortGrace);
         clock.stall(200 * MS);
         pendingUpdates.add(
                 () ->
-                        soon.onEndpointUpdate(
+                        shortGrace.onEndpointUpdate(
                                 UpdateKind.DELTA,
-                                List.of(
-                                        upstream(1, HostState.DRAINING),
-                                        upstream(2, HostState.DRAINING)),
+                                List.of(host(1, HostState.DRAINING), host(2, HostState.DRAINING)),
                                 Map.of(1L, ADDRESS, 2L, ADDRESS)));
-        soon.accept(
+        shortGrace.accept(
                 new ClientRequest("a", clock.nanoTime(), 2000 * MS, 0, 0, 0, 0, false, MESSAGE),
                 new Client());
-        assertEquals(0, sent.size(), "both drain");
+        assertEquals(0, sent.size(), "both hosts are draining");
     }
 
     /**
-     * Guards against a drain that is undone: an update that lay unread during a stall is newer than
-     * the one that is being handled.
+     * Guards against a drain that is undone. An update that waited unread during a stall is read
+     * while an older one is being handled; the policy must get the older one first.
      */
     @Test
-    void updateReadWithinAnUpdateReachesThePolicyBehindIt() {
+    void updateReadWithinAnUpdateReachesThePolicyAfterIt() {
         clock.stall(700 * MS);
         pendingUpdates.add(() -> drain(1));
         coordinator.onEndpointUpdate(
                 UpdateKind.DELTA,
-                List.of(upstream(1, HostState.READY), upstream(2, HostState.DRAINING)),
+                List.of(host(1, HostState.READY), host(2, HostState.DRAINING)),
                 Map.of(1L, ADDRESS, 2L, ADDRESS));
-        ask("a", 2000 * MS);
-        assertEquals(0, sent.size(), "both drain");
+        sendRequest("a", 2000 * MS);
+        assertEquals(0, sent.size(), "both hosts are draining");
     }
 
     /**
-     * Guards against sending to a host that may have drained long since, before discovery was read.
+     * Guards against sending to a host that may have drained during a stall, before discovery has
+     * been read.
      */
     @Test
     void requestsAreDeferredAfterAStallLongerThanTheDrainGrace() {
         clock.stall(2500 * MS);
         coordinator.tick();
         clock.advance(350 * MS);
-        Client client = ask("a", 900 * MS);
+        Client client = sendRequest("a", 900 * MS);
         assertEquals(0, sent.size());
         drain(1);
-        assertEquals(2, sent.get(0).to.upstream());
+        assertEquals(2, sent.get(0).endpoint.upstream());
         sent.get(0).write().listener.onAttemptEnded(Outcome.OK, fields -> new float[0]);
         assertEquals(List.of("served"), client.responses);
     }
 
     @Test
-    void deferredRequestsResumeWithoutAnUpdateAfterAWhile() {
+    void deferredRequestsResumeAfterTheLongestWaitWithoutAnUpdate() {
         clock.stall(2500 * MS);
         coordinator.tick();
         clock.advance(350 * MS);
-        ask("a", 900 * MS);
+        sendRequest("a", 900 * MS);
         assertEquals(0, sent.size());
         advanceWithTicks(300 * MS);
         assertEquals(1, sent.size());
     }
 
-    /** Guards against a policy that sends for a request that was expired without it. */
+    /** Guards against a policy that orders attempts of a request that the backstop has expired. */
     @Test
     void policyIsNotifiedOfAnExpiredRequest() {
-        Client client = ask("a", 900 * MS);
+        Client client = sendRequest("a", 900 * MS);
         sent.get(0).write();
         clock.stall(3000 * MS);
         advanceWithTicks(600 * MS);
@@ -567,17 +587,17 @@
     }
 
     /**
-     * Guards against a healthy host that is ejected because a request ran out of time while
-     * connecting.
+     * Guards against the ejection of a healthy host because requests reached their deadline while
+     * connecting to it.
      */
     @Test
     void deadlineWhileConnectingDoesNotEjectTheHost() {
-        Client late = ask("a", 50 * MS);
+        Client late = sendRequest("a", 50 * MS);
         advanceWithTicks(60 * MS);
         assertTrue(sent.get(0).cancelled);
-        assertEquals(List.of("refused"), late.responses);
+        assertEquals(List.of("rejected"), late.responses);
         for (int i = 0; i < 8; i++) {
-            ask("b" + i, 900 * MS);
+            sendRequest("b" + i, 900 * MS);
             sent.get(sent.size() - 1)
                     .write()
                     .listener
@@ -585,11 +605,11 @@
         }
         assertEquals(
                 2,
-                sent.stream().skip(1).map(each -> each.to.upstream()).distinct().count(),
-                "both hosts still get attempts");
+                sent.stream().skip(1).map(each -> each.endpoint.upstream()).distinct().count(),
+                "both hosts must still get attempts");
     }
 
-    /** Guards against a warm-up's policy that goes on for the life of the process. */
+    /** Guards against a policy used for warm-up whose timers run as long as the process. */
     @Test
     void policyGetsNoTimersAfterClose() {
         coordinator.close();
@@ -602,8 +622,8 @@
         Client client =
                 new Client() {
                     @Override
-                    public void onServed(UpstreamResponse reply) {
-                        throw new IllegalStateException("no");
+                    public void onServed(UpstreamResponse response) {
+                        throw new IllegalStateException("response not writable");
                     }
                 };
         coordinator.accept(
@@ -615,18 +635,18 @@
         assertEquals(1, failures.size());
     }
 
-    /** Guards against a rejected request of which no log says which rule rejected it. */
+    /** Guards against requests that are rejected without a log line that gives the reason. */
     @Test
     void requestRejectedOnArrivalIsLoggedWithItsReason() {
-        ask("a", 900 * MS);
-        Client duplicate = ask("a", 900 * MS);
+        sendRequest("a", 900 * MS);
+        Client duplicate = sendRequest("a", 900 * MS);
         for (int i = 1; i < MAX_OPEN_REQUESTS; i++) {
-            ask("b" + i, 900 * MS);
+            sendRequest("b" + i, 900 * MS);
         }
         events.clear();
-        Client over = ask("c", 900 * MS);
+        Client overLimit = sendRequest("c", 900 * MS);
         assertEquals(List.of("failed ID_IN_USE"), duplicate.responses);
-        assertEquals(List.of("refused"), over.responses);
+        assertEquals(List.of("rejected"), overLimit.responses);
         assertEquals(
                 List.of(
                         "request.ended id=c how=REJECTED reason=open_request_limit"
