--- a/sidecar/src/main/java/appleridge/request/AttemptTracker.java
+++ b/sidecar/src/main/java/appleridge/request/AttemptTracker.java
@@ -145,7 +145,7 @@
         end(attempt, fullyWritten ? Outcome.TIMEOUT : Outcome.NEVER_SENT, null);
     }
 
-    /** Cancels an attempt that the transport has, unless it has ended. */
+    /** Cancels an attempt that was handed to the transport, unless it has ended. */
     void cancel(Attempt attempt) {
         if (attempt.isCancellable()) {
             attempt.cancelTransport();
--- a/sidecar/src/main/java/appleridge/request/EndReason.java
+++ b/sidecar/src/main/java/appleridge/request/EndReason.java
@@ -9,19 +9,20 @@
     /** The limit of open requests was reached. */
     OPEN_REQUEST_LIMIT("open_request_limit", RequestEnd.REJECTED),
     /**
-     * The load-balancing policy rejected the request: it shed load, refused a retry or found the
-     * deadline too close. A retry by the client is safe. The log's {@code rule=} names the rule.
+     * The load-balancing policy rejected the request because of load, because it allows no further
+     * attempt or because the request expired. A retry by the client is safe. The log's {@code
+     * rule=} names the rule.
      */
     POLICY_REJECTED("policy_rejected", RequestEnd.REJECTED),
-    /** The request was streamed, so it can't be sent again; it was not executed for certain. */
+    /** A streamed request, which can't be sent again, failed and was provably not executed. */
     STREAMED_REQUEST_NOT_EXECUTED("streamed_request_not_executed", RequestEnd.REJECTED),
-    /** Another request with the same client's id is open. */
+    /** Another open request has the same id. */
     ID_IN_USE("id_in_use", RequestEnd.FAILED),
     /** The deadline of the request, or the shutdown deadline, passed. */
     DEADLINE_EXCEEDED("deadline_exceeded", RequestEnd.FAILED),
     /** The policy failed the request after an attempt without a usable response. */
     POLICY_FAILED("policy_failed", RequestEnd.FAILED),
-    /** The request was streamed, so it can't be sent again; it may have been executed. */
+    /** A streamed request, which can't be sent again, failed and may have been executed. */
     STREAMED_REQUEST_FAILED("streamed_request_failed", RequestEnd.FAILED),
     /** The response broke off after a part of it had been sent to the client. */
     RESPONSE_BROKEN_OFF("response_broken_off", RequestEnd.FAILED),
--- a/sidecar/src/main/java/appleridge/request/RequestCompletion.java
+++ b/sidecar/src/main/java/appleridge/request/RequestCompletion.java
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Ends a request that can't be sent again: as rejected only if it was not executed for certain.
+     * Ends a request that can't be sent again: as rejected if the outcome proves that it was not
+     * executed, otherwise as failed.
      */
     private void endStreamedRequest(PendingRequest request, Outcome outcome) {
         if (outcome.provesNotExecuted()) {
--- a/sidecar/src/main/java/appleridge/request/RequestDeadlines.java
+++ b/sidecar/src/main/java/appleridge/request/RequestDeadlines.java
@@ -10,8 +10,7 @@
  */
 final class RequestDeadlines {
     /**
-     * The margin for the response's way to the client is at most this fraction (1/4) of the
-     * timeout.
+     * The margin by which a client's timeout is shortened is at most the timeout divided by this.
      */
     private static final int MAX_MARGIN_DIVISOR = 4;
 
