--- a/sidecar/src/main/java/appleridge/lease/BudgetShare.java
+++ b/sidecar/src/main/java/appleridge/lease/BudgetShare.java
@@ -1,10 +1,11 @@
 package appleridge.lease;
 
 /**
- * This process's share of a budget of the whole fleet, in whole permits: the shares of all
- * processes never sum to more than the budget. A share that shrinks is waited out for the grace
- * period before another grows, so {@link LeaseParameters#maxOperationNanos()} has to be the time
- * over which the budget is counted. Less than one permit is given in turn, never rounded up.
+ * This process's share of a fleet-wide budget, in whole permits: the shares of all processes never
+ * sum to more than the budget. After a share shrinks, the grace period passes before another one
+ * grows, so {@link LeaseParameters#maxOperationNanos()} has to be the time over which the budget is
+ * counted. Permits are never split or rounded up: processes with a share of less than one permit
+ * hold it in turn.
  *
  * <p>Confined to the thread of its permits.
  */
@@ -13,10 +14,10 @@
     private final Permits permits;
 
     /**
-     * Creates a share of nothing.
+     * Creates a share of which nothing is wanted yet.
      *
-     * @param total the budget of the fleet, in the smallest units in which it is spent
-     * @param permits those into which it is divided
+     * @param total the fleet's budget, in the smallest units in which it is spent
+     * @param permits the permits into which the budget is divided
      * @throws IllegalArgumentException if the total is negative or too large to be multiplied
      */
     public BudgetShare(long total, Permits permits) {
@@ -30,8 +31,8 @@
     }
 
     /**
-     * Sets how many units are wanted until this is called again. Any wanted amount above 0 asks for
-     * one permit at least, even if it is worth more.
+     * Sets how many units this process wants from now on. Any amount above 0 acquires at least one
+     * permit, even if a permit is worth more.
      */
     public void setWanted(long nowNanos, long units) {
         permits.setWanted(nowNanos, units <= 0 || total == 0 ? 0 : permitsFor(units));
@@ -42,7 +43,7 @@
         return (int) Math.max(1, Math.min(units, total) * count / total);
     }
 
-    /** The units that may be spent now on operations that end within that time. */
+    /** The units that may be spent now on operations that end within {@code durationNanos}. */
     public long available(long nowNanos, long durationNanos) {
         return total * permits.usable(nowNanos, durationNanos) / permits.leases().size();
     }
--- a/sidecar/src/main/java/appleridge/lease/InvalidLeaseParameterException.java
+++ b/sidecar/src/main/java/appleridge/lease/InvalidLeaseParameterException.java
@@ -5,10 +5,10 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * Names what is wrong.
+     * Creates the exception; its message names the parameter, the value and the allowed range.
      *
-     * @param parameter its name in the code
-     * @param value what was given
+     * @param parameter the parameter's name in the code
+     * @param value the rejected value
      * @param min the smallest allowed value
      * @param max the largest allowed value
      */
--- a/sidecar/src/main/java/appleridge/lease/Lease.java
+++ b/sidecar/src/main/java/appleridge/lease/Lease.java
@@ -1,17 +1,17 @@
 package appleridge.lease;
 
 /**
- * One process's part in one lease: a state machine that takes events with their times in and hands
- * requests out through {@link LeaseActions}. See {@link LeaseState} for its transitions.
+ * State machine of one process's part in one lease. Events come in with their times, and requests
+ * to the store go out through {@link LeaseActions}. {@link LeaseState} lists the transitions.
  *
  * <p>Safety does not depend on ZooKeeper sessions. A record in the store names the holder, and is
- * written only if its version is still the one known. A write that was answered grants the lease
- * for slightly less than the term, counted from before the request was sent; others take a record
- * over only after seeing it unchanged for slightly more than the term.
+ * written only if its version is still the last one seen. A confirmed write grants the lease for
+ * slightly less than the term, counted from before the request was sent; another process takes the
+ * record over only after it has seen it unchanged for slightly more than the term.
  *
- * <p>Confined to one thread. All times are nanoseconds of one clock that also counts while the
- * process is stopped or the machine is suspended. A time passed in may be older than the true time,
- * and than a time passed before, by at most {@link LeaseParameters#clockGuardNanos()}.
+ * <p>Confined to one thread. All times are nanoseconds of one clock that keeps counting while the
+ * process is stopped or the machine is suspended. A time passed in may lag behind the true time,
+ * and behind a time passed earlier, by at most {@link LeaseParameters#clockGuardNanos()}.
  */
 public final class Lease {
     private static final long NEVER = Long.MAX_VALUE;
@@ -33,13 +33,13 @@
     private boolean connected = true;
     private boolean headOfQueue;
 
-    /** The last request before the lease was acquired anew; writes up to it prove nothing. */
+    /** The last request before the current acquisition began; writes up to it prove no grant. */
     private long acquireRequestId;
 
-    /** No operation starts before: those of the holder before may run until then. */
+    /** The earliest start of an operation: those of the previous holder may run until then. */
     private long earliestStartNanos;
 
-    /** Whether a record of our own has yet to be marked as released. */
+    /** Whether this lease's own record has yet to be marked as released in the store. */
     private boolean releasePending;
 
     private long releaseAtNanos;
@@ -48,13 +48,13 @@
     private long timerAtNanos = NEVER;
 
     /**
-     * Creates a lease that is not asked for.
+     * Creates a lease that is not wanted yet.
      *
-     * @param parameters the same for all who want this lease
-     * @param holder names this process to operators
-     * @param incarnation unique to this object: no other lease, of this process or another, now or
-     *     ever, has the same
-     * @param actions what the lease asks for
+     * @param parameters the same in all processes that compete for this lease
+     * @param holder the name of this process, for operators
+     * @param incarnation unique to this object: no other lease object of any process ever has the
+     *     same
+     * @param actions receives the requests of this lease
      */
     public Lease(
             LeaseParameters parameters, String holder, String incarnation, LeaseActions actions) {
@@ -64,7 +64,7 @@
         observed = new ObservedRecord(incarnation);
     }
 
-    /** Asks for the lease; without effect while it is asked for or held. */
+    /** Starts to acquire the lease; no effect while it is being acquired or held. */
     public void acquire(long nowNanos) {
         if (state == LeaseState.RELEASED || state == LeaseState.LOST) {
             transitionTo(LeaseState.SEEKING, TransitionCause.NONE);
@@ -75,22 +75,22 @@
         runDue(nowNanos);
     }
 
-    /** Nobody waits ahead. Only the load on the store depends on this being true, never safety. */
+    /** This process is first in the queue. A false report loads the store but is never unsafe. */
     public void onHeadOfQueue(long nowNanos) {
         headOfQueue = state.isAcquiring();
         runDue(nowNanos);
     }
 
-    /** The record may have changed: a read is due, nothing more is concluded. */
+    /** The record may have changed. Only makes a read due; nothing else is concluded from it. */
     public void onRecordChanged(long nowNanos) {
         observed.invalidate();
         runDue(nowNanos);
     }
 
     /**
-     * Answers a read.
+     * Handles the result of a read.
      *
-     * @param recordOrNull the record as it was at some time after the request; null if there was
+     * @param recordOrNull the record as of some time after the request was sent; null if there was
      *     none
      */
     public void onRead(long nowNanos, long requestId, VersionedLease recordOrNull) {
@@ -109,7 +109,7 @@
         runDue(nowNanos);
     }
 
-    /** Answers a write that was done and made this version. */
+    /** Handles the result of a write that succeeded and produced this version. */
     public void onWritten(long nowNanos, long requestId, long version) {
         StoreRequests.StoreRequest write = requests.open();
         if (requests.close(requestId)) {
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Answers a write that found another version. That proves no other holder: if the request was
-     * sent twice, its first copy may have made that version.
+     * Handles the result of a write that found another version. This doesn't prove another holder:
+     * if the request was sent twice, its first copy may have produced that version.
      */
     public void onConflict(long nowNanos, long requestId) {
         if (requests.close(requestId)) {
@@ -130,18 +130,18 @@
         runDue(nowNanos);
     }
 
-    /** Answers a request of which it is unknown whether the store processed it. */
+    /** Handles a request of which it is unknown whether the store processed it. */
     public void onOutcomeUnknown(long nowNanos, long requestId) {
         StoreRequests.StoreRequest request = requests.open();
         if (requests.close(requestId)) {
-            // A store that fails at once would be asked in a loop without this pause.
+            // Without this delay, a store that fails at once would be queried in a busy loop.
             requestAtNanos = request.sentAtNanos() + parameters.renewalIntervalNanos() / 4;
             markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
         runDue(nowNanos);
     }
 
-    /** No request can be sent until {@link #onConnected}; the open one may be done or not. */
+    /** No request can be sent until {@link #onConnected}; the open one may have been processed. */
     public void onDisconnected(long nowNanos) {
         connected = false;
         requests.abandon();
@@ -149,37 +149,37 @@
         runDue(nowNanos);
     }
 
-    /** Requests can be sent again. That proves nothing about who holds the lease. */
+    /** Requests can be sent again. A connection proves nothing about who holds the lease. */
     public void onConnected(long nowNanos) {
         connected = true;
         observed.invalidate();
         runDue(nowNanos);
     }
 
-    /** The time asked for by {@link LeaseActions#setTimer}, or any other time. */
+    /** Does what is due: at the time set by {@link LeaseActions#setTimer}, or at any other. */
     public void onTimer(long nowNanos) {
         runDue(nowNanos);
     }
 
-    /** The holder has ended all its operations and starts none: the next one may start at once. */
+    /** Releases the lease after all operations have ended: the next holder may start at once. */
     public void release(long nowNanos) {
         release(nowNanos, nowNanos, TransitionCause.RELEASED);
     }
 
-    /** The holder starts nothing more; the record is released once its operations have ended. */
+    /** Starts no more operations, and releases the record once the running ones have ended. */
     public void releaseAfterGracePeriod(long nowNanos) {
         release(nowNanos, nowNanos + parameters.gracePeriodNanos(), TransitionCause.RELEASED);
     }
 
-    /** Releases after that time, unless an operation starts before; without effect if not held. */
+    /** Releases after that time unless an operation starts before; no effect if not held. */
     public void releaseWhenIdle(long nowNanos, long idleNanos) {
         idleAtNanos = grant == null ? NEVER : nowNanos + idleNanos;
         runDue(nowNanos);
     }
 
     /**
-     * Whether an operation may start now that ends within that time. The answer holds for this
-     * moment: ask right before the operation starts.
+     * Whether an operation may start now that ends within {@code durationNanos}. Valid only at this
+     * moment: call it right before the operation starts.
      */
     public boolean mayStart(long nowNanos, long durationNanos) {
         return grant != null
@@ -188,10 +188,10 @@
     }
 
     /**
-     * Permits an operation that starts at once and ends within that time; it also ends an idle
-     * time.
+     * Permits an operation that starts at once and ends within {@code durationNanos}; also cancels
+     * a pending {@link #releaseWhenIdle}.
      *
-     * @return null if it may not start
+     * @return null if the operation may not start
      */
     public Permission tryStart(long nowNanos, long durationNanos) {
         if (!mayStart(nowNanos, durationNanos)) {
@@ -206,28 +206,28 @@
         return state;
     }
 
-    /** What the last change of state came from. */
+    /** The cause of the last state transition. */
     public TransitionCause cause() {
         return cause;
     }
 
-    /** The current grant; null if not held. */
+    /** The current grant; null if the lease is not held. */
     public Grant grant() {
         return grant;
     }
 
-    /** The newest record seen, for operators; null for none. */
+    /** The newest record seen, for operators; null if none was seen. */
     public VersionedLease latestRecord() {
         return observed.record();
     }
 
-    /** Whether the store has yet to learn that the lease was released. */
+    /** Whether the release has yet to be written to the store. */
     public boolean isReleasePending() {
         return releasePending;
     }
 
     private void transitionTo(LeaseState next, TransitionCause why) {
-        assert state.canBecome(next) : state + " to " + next;
+        assert state.canBecome(next) : "invalid state transition: " + state + " to " + next;
         state = next;
         cause = why;
     }
@@ -237,7 +237,7 @@
         if (state == LeaseState.STORE_DISTRUSTED) {
             transitionTo(LeaseState.SEEKING, TransitionCause.NONE);
         }
-        // A write from before the lease was lost must not bring back a grant that had ended.
+        // A write sent before the lease was lost must not restore the grant that has ended.
         boolean proven = requests.wroteAfter(acquireRequestId, record);
         if (record.released()) {
             releasePending = releasePending && !observed.isOwn(record);
@@ -251,15 +251,15 @@
         }
     }
 
-    /** Counts from before the request of the last write, which the store has. */
+    /** Grants from the time before the last write was sent; the store is known to hold it. */
     private void extendGrant(long nowNanos) {
         StoreRequests.StoreRequest lastWrite = requests.lastWrite();
         long expiresAtNanos = lastWrite.sentAtNanos() + parameters.grantNanos();
-        boolean isKnown =
+        boolean isRedundant =
                 grant != null
                         && expiresAtNanos <= grant.expiresAtNanos()
                         && state == LeaseState.HELD;
-        if (expiresAtNanos <= nowNanos || isKnown) {
+        if (expiresAtNanos <= nowNanos || isRedundant) {
             return;
         }
         if (grant == null) {
@@ -308,14 +308,14 @@
             headOfQueue = false;
             idleAtNanos = NEVER;
             releasePending = requests.lastWrite() != null;
-            // The next holder waits for no operations after a release, so those of the holder
-            // before this one must have ended as well.
+            // The next holder doesn't wait after a release, so the operations of the previous
+            // holder must have ended as well.
             releaseAtNanos = Math.max(notBeforeNanos, earliestStartNanos);
         }
         runDue(nowNanos);
     }
 
-    /** Does what is due now and sets the timer for what is due next. */
+    /** Does everything that is due now and sets the timer for what is due next. */
     private void runDue(long nowNanos) {
         if (grant != null && nowNanos >= grant.expiresAtNanos()) {
             lose(TransitionCause.EXPIRED);
@@ -326,7 +326,7 @@
             release(nowNanos, nowNanos + parameters.gracePeriodNanos(), TransitionCause.IDLE);
             return;
         }
-        if (requests.open() != null && nowNanos >= requests.answerDueNanos()) {
+        if (requests.open() != null && nowNanos >= requests.responseDueNanos()) {
             requests.abandon();
             markUnconfirmed(TransitionCause.OUTCOME_UNKNOWN);
         }
@@ -336,7 +336,7 @@
         }
         long nextNanos =
                 Math.min(
-                        requests.open() == null ? dueNanos : requests.answerDueNanos(),
+                        requests.open() == null ? dueNanos : requests.responseDueNanos(),
                         idleAtNanos);
         nextNanos = grant == null ? nextNanos : Math.min(nextNanos, grant.expiresAtNanos());
         if (nextNanos != timerAtNanos) {
@@ -345,7 +345,7 @@
         }
     }
 
-    /** When the next request is due; {@link #NEVER} for none. */
+    /** The time at which the next request is due; {@link #NEVER} for none. */
     private long requestDueNanos() {
         boolean acquires = state == LeaseState.SEEKING && headOfQueue;
         boolean distrusts = state == LeaseState.STORE_DISTRUSTED;
@@ -381,7 +381,7 @@
         }
     }
 
-    /** Renews, releases or takes over; a take-over alone raises the fencing token. */
+    /** Writes a renewal, release or take-over; only a take-over increases the fencing token. */
     private void write(long nowNanos) {
         VersionedLease seen = observed.record();
         boolean takesOver = !releasePending && grant == null;
--- a/sidecar/src/main/java/appleridge/lease/LeaseActions.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseActions.java
@@ -1,13 +1,13 @@
 package appleridge.lease;
 
 /**
- * What a {@link Lease} asks for. Called on the lease's thread from within its events; no method may
- * call the lease back before it has returned. Each request gets at most one answer: {@link
- * Lease#onRead}, {@link Lease#onWritten}, {@link Lease#onConflict} or {@link
+ * The requests that a {@link Lease} makes. Methods are called on the lease's thread while it
+ * handles an event, and must not call the lease before they return. Each read or write has at most
+ * one result: {@link Lease#onRead}, {@link Lease#onWritten}, {@link Lease#onConflict} or {@link
  * Lease#onOutcomeUnknown}.
  */
 public interface LeaseActions {
-    /** Reads the record as of now or later: a lagging replica's older state is no answer. */
+    /** Reads the record as of now or later: the older state of a lagging replica is no result. */
     void readRecord(long requestId);
 
     /**
@@ -18,21 +18,21 @@
     void writeRecord(long requestId, long expectedVersion, VersionedLease next);
 
     /**
-     * Sets the one time at which to call {@link Lease#onTimer}, in place of the one before.
+     * Sets the time at which to call {@link Lease#onTimer}, replacing the previous one.
      *
      * @param atNanos {@link Long#MAX_VALUE} for never
      */
     void setTimer(long atNanos);
 
-    /** A first grant, or its extension. */
+    /** The lease was granted, or its grant was extended. */
     void onGranted(Grant grant);
 
-    /** Nothing more may start, and what runs is to be stopped. */
+    /** No operation may start any more, and the running ones have to be stopped. */
     void stopOperations(TransitionCause why);
 
     /**
-     * Joins the queue of those who want the lease, or leaves it. A holder leaves, so that the next
-     * one is at its head and watches the record.
+     * Joins or leaves the queue of the processes that want the lease. A holder leaves it, so that
+     * the next process is at its head and watches the record.
      */
     void setQueued(boolean queued);
 }
--- a/sidecar/src/main/java/appleridge/lease/LeaseParameters.java
+++ b/sidecar/src/main/java/appleridge/lease/LeaseParameters.java
@@ -3,18 +3,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What the safety of a lease rests on. All processes that want one lease must have the same.
+ * The times on which the safety of a lease depends. All processes that compete for one lease must
+ * use the same.
  *
- * @param termNanos how long a record that is not renewed keeps others out
- * @param driftPpm how far any clock may run off true time, in parts per million: two clocks may
- *     differ by twice that
- * @param clockGuardNanos how old the time may be that comes with an event or with the check before
- *     an operation
- * @param renewalIntervalNanos from a request to the next one
- * @param maxPauseNanos the longest time from the check to the start of its operation (assumed)
- * @param maxOperationNanos the longest time that an operation runs (assumed)
- * @param fenced whether the resource rejects older fencing tokens; if not, the two times above are
- *     waited for as a grace period before another holder starts
+ * @param termNanos how long a record that is not renewed keeps other processes out
+ * @param driftPpm how far any clock may deviate from true time, in parts per million; two clocks
+ *     may differ by twice that
+ * @param clockGuardNanos the maximum age of the time that is passed with an event or with the check
+ *     before an operation
+ * @param renewalIntervalNanos the time from one request to the next
+ * @param maxPauseNanos the assumed maximum time from the check to the start of its operation
+ * @param maxOperationNanos the assumed maximum duration of an operation
+ * @param fenced whether the resource rejects older fencing tokens; if not, the next holder waits
+ *     for the two times above as a grace period before it starts
  */
 public record LeaseParameters(
         long termNanos,
@@ -24,7 +25,7 @@
         long maxPauseNanos,
         long maxOperationNanos,
         boolean fenced) {
-    /** One hour, for each of the times: sums of them stay far from an overflow. */
+    /** The maximum of each time, one hour: sums of times stay far from an overflow. */
     static final long MAX_NANOS = TimeUnit.HOURS.toNanos(1);
 
     private static final int PARTS_PER_MILLION = 1_000_000;
@@ -33,7 +34,7 @@
      * Checks the ranges.
      *
      * @throws InvalidLeaseParameterException if a value is outside its range, or the first renewal
-     *     would come after the grant's end
+     *     would come after the end of the grant
      */
     public LeaseParameters {
         check("termNanos", termNanos, 1, MAX_NANOS);
@@ -45,14 +46,14 @@
         check("renewalIntervalNanos", renewalIntervalNanos, 1, grantNanos - 1);
     }
 
-    /** For a resource that rejects older fencing tokens: safe whatever clocks do. */
+    /** For a resource that rejects older fencing tokens: safe whatever the clocks do. */
     public static LeaseParameters fenced(
             long termNanos, int driftPpm, long clockGuardNanos, long renewalIntervalNanos) {
         return new LeaseParameters(
                 termNanos, driftPpm, clockGuardNanos, renewalIntervalNanos, 0, 0, true);
     }
 
-    /** For a resource that rejects nothing: safe as long as the assumptions hold. */
+    /** For a resource that doesn't check tokens: safe as long as the assumed times hold. */
     public static LeaseParameters timed(
             long termNanos,
             int driftPpm,
@@ -71,16 +72,16 @@
     }
 
     /**
-     * How long a grant lasts by the holder's clock, from before the request that the store has
-     * answered: the term, shortened by drift and guard.
+     * How long a grant lasts by the holder's clock, counted from before the request that the store
+     * has confirmed: the term, shortened by drift and guard.
      */
     public long grantNanos() {
         return minusDrift(termNanos, driftPpm) - clockGuardNanos;
     }
 
     /**
-     * How long a record of that term must stay unchanged, by the clock of who waits, before it is
-     * taken over: the term, lengthened by drift and guard.
+     * How long a record of that term must stay unchanged, by the waiter's clock, before it is taken
+     * over: the term, lengthened by drift and guard.
      */
     public long takeOverDelayNanos(long recordTermNanos) {
         return plusDrift(Math.max(0, Math.min(recordTermNanos, MAX_NANOS))) + clockGuardNanos;
@@ -105,7 +106,10 @@
         return nanos + drift(nanos, driftPpm);
     }
 
-    /** Rounded up. Whole millions are multiplied apart from the rest, so that nothing overflows. */
+    /**
+     * The drift over a time, rounded up. Whole millions are multiplied separately, so that nothing
+     * overflows.
+     */
     private static long drift(long nanos, int driftPpm) {
         return nanos / PARTS_PER_MILLION * driftPpm
                 + (nanos % PARTS_PER_MILLION * driftPpm + PARTS_PER_MILLION - 1)
--- a/sidecar/src/main/java/appleridge/lease/Leases.java
+++ b/sidecar/src/main/java/appleridge/lease/Leases.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 
 /**
- * The leases of one process, by name. Their number is bounded because each costs the store writes
- * for as long as it is held. Confined to one thread.
+ * The leases of one process, by name. Their number is bounded because each lease costs the store
+ * writes for as long as it is held. Confined to one thread.
  */
 public final class Leases {
     private final int maxLeases;
@@ -18,8 +18,8 @@
     /**
      * Creates an empty collection.
      *
-     * @param maxLeases how many there may be
-     * @param maxAcquiring how many of them may be asked for at once
+     * @param maxLeases the maximum number of leases
+     * @param maxAcquiring the maximum number of leases that are being acquired at the same time
      */
     public Leases(int maxLeases, int maxAcquiring) {
         this.maxLeases = maxLeases;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * The lease of that name, created if there is none.
+     * Returns the lease with that name, which is created if there is none.
      *
-     * @return null if there is none and no more may be created
+     * @return null if there is none and the maximum number of leases is reached
      */
     public Lease open(String name, Supplier<Lease> factory) {
         Lease known = byName.get(name);
@@ -41,7 +41,12 @@
         return lease;
     }
 
-    /** Asks for the lease; false if there is none, or if as many as may are asked for already. */
+    /**
+     * Starts to acquire a lease.
+     *
+     * @return false if there is none with that name, or the maximum number is being acquired
+     *     already
+     */
     public boolean acquire(long nowNanos, String name) {
         Lease lease = byName.get(name);
         if (lease == null || isInactive(lease) && countAcquiring() >= maxAcquiring) {
@@ -51,14 +56,18 @@
         return true;
     }
 
-    /** Forgets a lease that was released or lost; false while it is held or asked for. */
+    /**
+     * Removes a lease that was released or lost.
+     *
+     * @return false if there is none with that name, or it is held or being acquired
+     */
     public boolean close(String name) {
         Lease lease = byName.get(name);
         boolean isUnused = lease != null && isInactive(lease) && !lease.isReleasePending();
         return isUnused && byName.remove(name, lease);
     }
 
-    /** All leases, in the order in which they were opened. */
+    /** Returns all leases, in the order in which they were opened. */
     public Collection<Lease> all() {
         return List.copyOf(byName.values());
     }
--- a/sidecar/src/main/java/appleridge/lease/ObservedRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/ObservedRecord.java
@@ -1,51 +1,51 @@
 package appleridge.lease;
 
 /**
- * The newest record that one lease has seen in the store, and since when it is unchanged. Confined
- * to the lease's thread; times in nanoseconds of the lease's clock.
+ * The newest record that one lease has seen in the store, and the time since which it is unchanged.
+ * Confined to the lease's thread; times are nanoseconds of the lease's clock.
  */
 final class ObservedRecord {
     private final String incarnation;
 
-    /** Null until a record was seen. */
+    /** Null until a record has been seen. */
     private VersionedLease record;
 
     private long unchangedSinceNanos;
 
-    /** Whether the store has shown it since anything happened that may have changed it. */
+    /** Whether the store has shown the record since the last event that may have changed it. */
     private boolean current;
 
-    /** For the lease with that incarnation. */
+    /** Creates the object for the lease with that incarnation; no record has been seen yet. */
     ObservedRecord(String incarnation) {
         this.incarnation = incarnation;
     }
 
-    /** Null until a record was seen. */
+    /** The newest record; null until one has been seen. */
     VersionedLease record() {
         return record;
     }
 
-    /** When the record of another holder has been unchanged for long enough to be taken over. */
+    /** The time at which another holder's unchanged record may be taken over. */
     long takeOverAtNanos(LeaseParameters parameters) {
         return unchangedSinceNanos + parameters.takeOverDelayNanos(record.termNanos());
     }
 
-    /** Whether no read is needed before the record is acted on. */
+    /** Whether the record may be acted on without another read. */
     boolean isCurrent() {
         return current;
     }
 
-    /** The record may have changed: it has to be read again. */
+    /** Marks the record as possibly changed: it has to be read again. */
     void invalidate() {
         current = false;
     }
 
-    /** The store has just answered. */
+    /** Marks the record as current, because the store has just responded. */
     void confirm() {
         current = true;
     }
 
-    /** Takes in a record of the store; the time starts anew only if it differs. */
+    /** Stores a record read from the store; the unchanged time restarts only if it differs. */
     void observe(long nowNanos, VersionedLease next) {
         if (!next.equals(record)) {
             record = next;
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Tokens and versions of one store only grow: in a store restored from a backup, or after the
-     * largest token there is, tokens would be handed out twice. A record with a higher token is
+     * Tokens and versions of one store only increase. In a store restored from a backup, or after
+     * the largest possible token, tokens would be issued twice. A record with a higher token is
      * accepted whatever its version, as an operator's reset.
      */
     private boolean isOlder(VersionedLease next) {
@@ -86,14 +86,14 @@
     }
 
     /**
-     * Whether it can be taken over at once. A record of our own that nothing runs under any more
-     * needs no wait for its term, only for operations started under it.
+     * Whether the record can be taken over at once. The lease's own record, under which nothing
+     * runs any more, needs no wait for its term, only for operations started under it.
      */
     boolean isFree() {
         return record == null || record.released() || isOwn();
     }
 
-    /** The part of a nonce before its request number. */
+    /** The writer's incarnation: the part of the nonce before the request number. */
     private static String incarnationOf(VersionedLease record) {
         return record.nonce().substring(0, Math.max(0, record.nonce().lastIndexOf('/')));
     }
--- a/sidecar/src/main/java/appleridge/lease/Permission.java
+++ b/sidecar/src/main/java/appleridge/lease/Permission.java
@@ -1,8 +1,8 @@
 package appleridge.lease;
 
-/** The right to start one operation at once; its type says what it rests on. */
+/** The right to start one operation at once; its type says what its safety depends on. */
 public sealed interface Permission permits Permission.FencedPermission, Permission.TimedPermission {
-    /** Under a grant, of the kind that the lease's parameters say. */
+    /** Creates the permission under a grant, of the kind that the lease's parameters require. */
     static Permission under(Grant grant, LeaseParameters parameters) {
         return parameters.fenced()
                 ? new FencedPermission(grant.token())
@@ -10,18 +10,18 @@
     }
 
     /**
-     * The resource operated on compares tokens: safe whatever clocks do.
+     * For a resource that checks fencing tokens: safe whatever the clocks do.
      *
-     * @param token the fencing token to send along
+     * @param token the fencing token to send with the operation
      */
     record FencedPermission(long token) implements Permission {}
 
     /**
-     * The resource compares nothing: safe if the operation ends in time and the assumptions of
-     * {@link LeaseParameters} hold.
+     * For a resource that doesn't check tokens: safe if the operation ends in time and the
+     * assumptions of {@link LeaseParameters} hold.
      *
      * @param token the fencing token
-     * @param expiresAtNanos when the operation has to have ended, by the holder's clock
+     * @param expiresAtNanos the time by which the operation must have ended, by the holder's clock
      */
     record TimedPermission(long token, long expiresAtNanos) implements Permission {}
 }
--- a/sidecar/src/main/java/appleridge/lease/Permits.java
+++ b/sidecar/src/main/java/appleridge/lease/Permits.java
@@ -5,14 +5,14 @@
 import java.util.stream.IntStream;
 
 /**
- * A semaphore of the whole fleet. Each permit is a record with a lease of its own, so that no more
+ * A fleet-wide semaphore. Each permit is a record with a lease of its own, so that no more permits
  * are held than there are records, whatever fails.
  *
- * <p>Confined to one thread. Events go to the leases themselves; {@link #reconcile} is called after
- * each of them.
+ * <p>Confined to one thread. Events go to the leases directly; {@link #reconcile} has to be called
+ * after each of them.
  */
 public final class Permits {
-    /** Each permit is renewed by a write of its own: more of one name would overload the store. */
+    /** More permits under one name would overload the store: each is renewed by its own write. */
     public static final int MAX_PERMITS = 64;
 
     private final List<Lease> leases;
@@ -38,15 +38,18 @@
         return leases;
     }
 
-    /** Sets how many permits are wanted from now on; those held beyond are released at once. */
+    /**
+     * Sets how many permits are wanted from now on. Those held beyond that number may no longer be
+     * used, and are released after the grace period.
+     */
     public void setWanted(long nowNanos, int permits) {
         wanted = Math.max(0, Math.min(permits, leases.size()));
         reconcile(nowNanos);
     }
 
     /**
-     * Releases what is held beyond the wanted number. If permits are missing it asks for all that
-     * aren't held: which of them comes free next is unknown.
+     * Releases the permits held beyond the wanted number. While permits are missing, tries to
+     * acquire all that aren't held, because it is unknown which one becomes free next.
      */
     public void reconcile(long nowNanos) {
         int held = releaseExcess(nowNanos);
@@ -59,7 +62,7 @@
         }
     }
 
-    /** How many of the wanted permits are held. */
+    /** Releases the excess permits and returns how many of the wanted ones are held. */
     private int releaseExcess(long nowNanos) {
         int held = 0;
         for (Lease lease : leases) {
@@ -72,7 +75,7 @@
         return held;
     }
 
-    /** How many permits may be used now for an operation that ends within that time. */
+    /** How many permits may be used now for an operation that ends within that duration. */
     public int usable(long nowNanos, long durationNanos) {
         return (int)
                 leases.stream()
--- a/sidecar/src/main/java/appleridge/lease/StoreRequests.java
+++ b/sidecar/src/main/java/appleridge/lease/StoreRequests.java
@@ -1,8 +1,8 @@
 package appleridge.lease;
 
 /**
- * The requests that one lease sends to the store: at most one is open at a time, so that no answer
- * can describe an older record than an answer before it. Confined to the lease's thread.
+ * The requests that one lease sends to the store. At most one is open at a time, so that no
+ * response can describe an older record than an earlier response. Confined to the lease's thread.
  */
 final class StoreRequests {
     /**
@@ -19,13 +19,13 @@
     private final String incarnation;
     private long lastRequestId;
 
-    /** Null while no answer is waited for. */
+    /** Null while no response is awaited. */
     private StoreRequest open;
 
-    /** The newest write that was sent, answered or not; null before the first. */
+    /** The newest write that was sent, with or without a response; null before the first. */
     private StoreRequest lastWrite;
 
-    /** See {@link Lease#Lease}. */
+    /** Creates an empty history; for the parameters see {@link Lease#Lease}. */
     StoreRequests(LeaseParameters parameters, String holder, String incarnation) {
         this.parameters = parameters;
         this.holder = holder;
@@ -37,7 +37,7 @@
         return lastRequestId;
     }
 
-    /** The request that has no answer yet; null for none. */
+    /** The request that has no response yet; null for none. */
     StoreRequest open() {
         return open;
     }
@@ -53,7 +53,7 @@
         return open;
     }
 
-    /** Opens a write of a record with this token, under a nonce that no other write has. */
+    /** Opens a write of a record with this token and a nonce that no other write has. */
     StoreRequest openWrite(long nowNanos, long token, boolean released) {
         lastRequestId++;
         String nonce = incarnation + "/" + lastRequestId;
@@ -64,16 +64,16 @@
         return open;
     }
 
-    /** When the open request is no longer waited for; there must be one. */
-    long answerDueNanos() {
+    /** The time at which the open request is given up; there must be one. */
+    long responseDueNanos() {
         return open.sentAtNanos + parameters.renewalIntervalNanos();
     }
 
     /**
-     * Closes the open request if it has this number. An answer to any other request is stale: it
-     * may describe the record from before an answer that was already used.
+     * Closes the open request if it has this number. A response to any other request is stale: it
+     * may describe the record from before a response that was already used.
      *
-     * @return whether the answer may be used
+     * @return whether the response may be used
      */
     boolean close(long requestId) {
         boolean isOpen = open != null && open.requestId == requestId;
@@ -81,12 +81,12 @@
         return isOpen;
     }
 
-    /** Stops waiting for an answer; whether the request reached the store is unknown. */
+    /** Stops waiting for a response; whether the request reached the store is unknown. */
     void abandon() {
         open = null;
     }
 
-    /** Whether this record was written by a request that came after that number. */
+    /** Whether this record was written by a request with a higher number than that one. */
     boolean wroteAfter(long requestId, VersionedLease record) {
         return lastWrite != null
                 && lastWrite.requestId > requestId
--- a/sidecar/src/main/java/appleridge/lease/TransitionCause.java
+++ b/sidecar/src/main/java/appleridge/lease/TransitionCause.java
@@ -1,22 +1,22 @@
 package appleridge.lease;
 
-/** What the last change of a {@link LeaseState} came from. */
+/** The cause of the last transition of a {@link LeaseState}. */
 public enum TransitionCause {
-    /** Nothing that an operator has to know. */
+    /** A transition that needs no explanation to operators. */
     NONE("none"),
-    /** The grant ran out without a renewal that the store answered. */
+    /** The grant ended without a renewal that the store has confirmed. */
     EXPIRED("expired"),
     /** The record names another holder. */
     TAKEN_OVER("taken"),
     /** The connection to the store is down. */
     DISCONNECTED("disconnected"),
-    /** It is unknown whether a write was done, or it conflicted with another. */
+    /** It is unknown whether a write succeeded, or it conflicted with another. */
     OUTCOME_UNKNOWN("unknown"),
-    /** The holder itself released it. */
+    /** The holder released the lease. */
     RELEASED("released"),
-    /** The holder had nothing to do. */
+    /** The holder started no operation within its idle time. */
     IDLE("idle"),
-    /** The record is gone though it was seen. */
+    /** A record that was seen is missing. */
     RECORD_MISSING("wiped"),
     /** The record is older than one that was seen. */
     RECORD_ROLLED_BACK("restored");
@@ -27,7 +27,7 @@
         this.logWord = logWord;
     }
 
-    /** The word for it in log lines, which operators' scripts may match. */
+    /** The word for this cause in log lines, which operators' scripts may match. */
     public String logWord() {
         return logWord;
     }
--- a/sidecar/src/test/java/appleridge/lease/PermitsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/PermitsTest.java
@@ -14,40 +14,40 @@
 import org.junit.jupiter.api.Test;
 
 class PermitsTest {
-    private static final LeaseParameters TERMS =
+    private static final LeaseParameters PARAMETERS =
             LeaseParameters.timed(1_000, 10_000, 10, 300, 0, 100);
-    private static final int COUNT = 4;
+    private static final int PERMITS = 4;
 
     private final List<SimulatedHolder.Store> stores =
-            IntStream.range(0, COUNT).mapToObj(i -> new SimulatedHolder.Store()).toList();
+            IntStream.range(0, PERMITS).mapToObj(i -> new SimulatedHolder.Store()).toList();
 
-    /** A process with a lease for each permit. */
+    /** A process with a lease on each permit. */
     private final class Process {
-        final List<SimulatedHolder> registers = new ArrayList<>();
+        final List<SimulatedHolder> holders = new ArrayList<>();
         final Permits permits;
-        final BudgetShare shares;
+        final BudgetShare share;
 
-        Process(String name, long whole) {
+        Process(String name, long budget) {
             permits =
                     new Permits(
-                            COUNT,
+                            PERMITS,
                             i -> {
-                                registers.add(
-                                        new SimulatedHolder(stores.get(i), TERMS, name, name));
-                                return registers.get(i).lease;
+                                holders.add(
+                                        new SimulatedHolder(stores.get(i), PARAMETERS, name, name));
+                                return holders.get(i).lease;
                             });
-            shares = new BudgetShare(whole, permits);
+            share = new BudgetShare(budget, permits);
         }
 
         void settle(long now) {
-            for (SimulatedHolder register : registers) {
-                if (register.inLine) {
-                    register.lease.onHeadOfQueue(now);
+            for (SimulatedHolder holder : holders) {
+                if (holder.queued) {
+                    holder.lease.onHeadOfQueue(now);
                 }
-                register.lease.onRecordChanged(now);
-                register.settle(now);
+                holder.lease.onRecordChanged(now);
+                holder.settle(now);
                 permits.reconcile(now);
-                register.settle(now);
+                holder.settle(now);
             }
         }
     }
@@ -59,14 +59,14 @@
         a.permits.setWanted(0, 3);
         a.settle(0);
         assertEquals(3, a.permits.usable(0, 0));
-        b.permits.setWanted(0, COUNT);
+        b.permits.setWanted(0, PERMITS);
         b.settle(0);
         assertEquals(1, b.permits.usable(0, 0));
         a.permits.setWanted(10, 1);
         a.settle(10);
         assertEquals(1, a.permits.usable(10, 0));
         b.settle(10);
-        assertEquals(1, b.permits.usable(10, 0), "what has begun under them goes on");
+        assertEquals(1, b.permits.usable(10, 0), "operations of the former holder may still run");
         a.settle(111);
         b.settle(111);
         assertEquals(3, b.permits.usable(111, 0));
@@ -74,35 +74,41 @@
 
     @Test
     void sharesNeverSumToMoreThanTheBudgetWhileTheyChange() {
-        long whole = 10;
+        long budget = 10;
         List<Process> all =
-                List.of(new Process("a", whole), new Process("b", whole), new Process("c", whole));
+                List.of(
+                        new Process("a", budget),
+                        new Process("b", budget),
+                        new Process("c", budget));
         Random random = new Random(34);
-        int grown = 0;
+        int stepsAboveHalf = 0;
         long[] spent = new long[2_000];
         for (int now = 0; now < spent.length; now++) {
             for (Process process : all) {
                 if (random.nextInt(50) == 0) {
-                    process.shares.setWanted(now, random.nextInt(12));
+                    process.share.setWanted(now, random.nextInt(12));
                 }
                 if (random.nextInt(10) > 0) {
                     process.settle(now);
                 }
             }
             long at = now;
-            long sum = all.stream().mapToLong(process -> process.shares.available(at, 0)).sum();
-            assertTrue(sum <= whole, sum + " at " + now);
-            grown += sum > whole / 2 ? 1 : 0;
+            long sum = all.stream().mapToLong(process -> process.share.available(at, 0)).sum();
+            assertTrue(sum <= budget, sum + " at " + now);
+            stepsAboveHalf += sum > budget / 2 ? 1 : 0;
         }
-        assertTrue(grown > spent.length / 4, "hardly any was given: " + grown);
+        assertTrue(
+                stepsAboveHalf > spent.length / 4,
+                "at most half of the budget was available in most steps; more in "
+                        + stepsAboveHalf);
     }
 
     @Test
     void shareOfLessThanAPermitIsRoundedDown() {
         Process a = new Process("a", 3);
-        a.shares.setWanted(0, 1);
+        a.share.setWanted(0, 1);
         a.settle(0);
-        assertEquals(0, a.shares.available(0, 0), "a quarter of three");
+        assertEquals(0, a.share.available(0, 0), "a quarter of three is less than one unit");
         assertEquals(1, a.permits.usable(0, 0));
         assertThrows(
                 IllegalArgumentException.class,
@@ -113,17 +119,19 @@
     @Test
     void numberOfLeasesIsBounded() {
         Leases leases = new Leases(2, 1);
-        SimulatedHolder first = new SimulatedHolder(new SimulatedHolder.Store(), TERMS, "a", "a");
+        SimulatedHolder first =
+                new SimulatedHolder(new SimulatedHolder.Store(), PARAMETERS, "a", "a");
         assertNotNull(leases.open("x", () -> first.lease));
         assertNotNull(
                 leases.open(
                         "y",
                         () ->
-                                new SimulatedHolder(new SimulatedHolder.Store(), TERMS, "a", "b")
+                                new SimulatedHolder(
+                                                new SimulatedHolder.Store(), PARAMETERS, "a", "b")
                                         .lease));
         assertNull(leases.open("z", () -> first.lease));
         assertTrue(leases.acquire(0, "x"));
-        assertFalse(leases.acquire(0, "y"), "one waits already");
+        assertFalse(leases.acquire(0, "y"), "another one is being acquired");
         first.lease.onHeadOfQueue(0);
         first.settle(0);
         assertTrue(leases.acquire(0, "y"));
--- a/sidecar/src/test/java/appleridge/lease/SimulatedHolder.java
+++ b/sidecar/src/test/java/appleridge/lease/SimulatedHolder.java
@@ -3,75 +3,81 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A holder with a store of its own making: what it asks waits until the test lets it happen. */
+/**
+ * A process with a lease on a store in memory. Requests of the lease stay open until the test has
+ * them applied to the store and their results delivered.
+ */
 final class SimulatedHolder implements LeaseActions {
-    /** The one record, for all who share it. */
+    /** A store of one record, shared by all processes that compete for it. */
     static final class Store {
         VersionedLease record;
         long versions;
     }
 
-    private record Asked(long question, long expected, VersionedLease next) {}
+    /** A read or a write; the record to be written is null for a read. */
+    private record OpenRequest(long requestId, long expectedVersion, VersionedLease next) {}
 
     final Store store;
     final Lease lease;
     final List<Grant> grants = new ArrayList<>();
     final List<TransitionCause> stops = new ArrayList<>();
-    boolean inLine;
-    long wakeAt = Long.MAX_VALUE;
-    private Asked asked;
+    boolean queued;
+    long timerAt = Long.MAX_VALUE;
+    private OpenRequest open;
 
-    SimulatedHolder(Store store, LeaseParameters terms, String name, String nonce) {
+    SimulatedHolder(Store store, LeaseParameters parameters, String name, String incarnation) {
         this.store = store;
-        this.lease = new Lease(terms, name, nonce, this);
+        this.lease = new Lease(parameters, name, incarnation, this);
     }
 
-    /** Does all that is asked at that time, until nothing more is. */
+    /** Fires the timer if it is due, and completes requests at once until none is open. */
     void settle(long now) {
-        if (wakeAt <= now) {
+        if (timerAt <= now) {
             lease.onTimer(now);
         }
-        while (asked != null) {
-            answer(now, reach());
+        while (open != null) {
+            deliver(now, applyToStore());
         }
     }
 
-    /** Asks, is in front, and has what it asks answered. */
-    SimulatedHolder seek(long now) {
+    /** Acquires the lease at the head of the queue and completes all requests at once. */
+    SimulatedHolder acquire(long now) {
         lease.acquire(now);
         lease.onHeadOfQueue(now);
         settle(now);
         return this;
     }
 
-    boolean asks() {
-        return asked != null;
+    boolean hasOpenRequest() {
+        return open != null;
     }
 
     /**
-     * What was asked last happens in the store; whether it did, and the record, are kept for the
-     * answer.
+     * Applies the open request to the store now and leaves it open.
+     *
+     * @return delivers the result, at the given time of the lease
      */
-    Runnable reach(long now) {
-        Asked its = asked;
-        Object done = reach();
-        asked = its;
-        return () -> answer(now, its, done);
+    Runnable applyForDelivery(long deliveredAt) {
+        OpenRequest request = open;
+        Object result = applyToStore();
+        open = request;
+        return () -> deliver(deliveredAt, request, result);
     }
 
     /**
-     * It happens in the store; the answer is the record, or the version made, or null for a
-     * conflict.
+     * Applies the open request to the store.
+     *
+     * @return the record that was read, the version that was written, or null for a conflict
      */
-    private Object reach() {
-        Asked its = asked;
-        if (its.next == null) {
+    private Object applyToStore() {
+        OpenRequest request = open;
+        if (request.next == null) {
             return store.record;
         }
-        if (its.expected != (store.record == null ? -1 : store.record.version())) {
+        if (request.expectedVersion != (store.record == null ? -1 : store.record.version())) {
             return null;
         }
-        VersionedLease next = its.next;
+        VersionedLease next = request.next;
         store.record =
                 new VersionedLease(
                         store.versions++,
@@ -83,40 +89,41 @@
         return store.record.version();
     }
 
-    private void answer(long now, Object done) {
-        answer(now, asked, done);
+    private void deliver(long now, Object result) {
+        deliver(now, open, result);
     }
 
-    private void answer(long now, Asked its, Object done) {
-        asked = asked == its ? null : asked;
-        if (its.next == null) {
-            lease.onRead(now, its.question, (VersionedLease) done);
-        } else if (done == null) {
-            lease.onConflict(now, its.question);
+    private void deliver(long now, OpenRequest request, Object result) {
+        open = open == request ? null : open;
+        if (request.next == null) {
+            lease.onRead(now, request.requestId, (VersionedLease) result);
+        } else if (result == null) {
+            lease.onConflict(now, request.requestId);
         } else {
-            lease.onWritten(now, its.question, (Long) done);
+            lease.onWritten(now, request.requestId, (Long) result);
         }
     }
 
-    void unknown(long now) {
-        Asked its = asked;
-        asked = null;
-        lease.onOutcomeUnknown(now, its.question);
+    /** Completes the open request with an unknown outcome. */
+    void completeUnknown(long now) {
+        OpenRequest request = open;
+        open = null;
+        lease.onOutcomeUnknown(now, request.requestId);
     }
 
     @Override
-    public void readRecord(long question) {
-        asked = new Asked(question, 0, null);
+    public void readRecord(long requestId) {
+        open = new OpenRequest(requestId, 0, null);
     }
 
     @Override
-    public void writeRecord(long question, long expectedVersion, VersionedLease next) {
-        asked = new Asked(question, expectedVersion, next);
+    public void writeRecord(long requestId, long expectedVersion, VersionedLease next) {
+        open = new OpenRequest(requestId, expectedVersion, next);
     }
 
     @Override
-    public void setTimer(long at) {
-        wakeAt = at;
+    public void setTimer(long atNanos) {
+        timerAt = atNanos;
     }
 
     @Override
@@ -130,7 +137,7 @@
     }
 
     @Override
-    public void setQueued(boolean in) {
-        inLine = in;
+    public void setQueued(boolean queued) {
+        this.queued = queued;
     }
 }
