--- a/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseClock.java
@@ -9,17 +9,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock that leases are counted by; it never runs back.
+ * The clock by which lease times are measured; it never goes backwards.
  *
- * <p>Java's monotonic clock goes on while the process is stopped, but not while the machine is
- * suspended: counted by it alone, a lease would look young after a resume. So the larger progress
- * counts of it and of {@code /proc/uptime}, which includes suspension, to 10 ms. Where there is no
- * such file, a jump of the wall clock against the monotonic one is taken for a suspension.
+ * <p>Java's monotonic clock continues while the process is stopped, but not while the machine is
+ * suspended: measured by it alone, an expired lease would look valid after a resume. The clock
+ * therefore follows whichever has advanced further, the monotonic clock or {@code /proc/uptime},
+ * which includes suspension and has a resolution of 10 ms. Where there is no such file, a jump of
+ * the wall clock against the monotonic one is taken for a suspension.
  *
  * <p>Thread-safe.
  */
 public final class LeaseClock {
-    /** What the source of a clock returns where there is no such clock. */
+    /** Returned by the source of a clock that does not exist on this system. */
     public static final long NO_CLOCK = Long.MAX_VALUE;
 
     private static final Path UPTIME = Path.of("/proc/uptime");
@@ -33,21 +34,21 @@
     private final boolean countsSuspension;
     private final long firstNanos;
     private final long firstUptimeNanos;
-    private long wallLeadNanos;
+    private long wallClockLeadNanos;
     private long lastNanos;
 
     /**
-     * A moment by both clocks, which all processes of a machine share.
+     * A point in time on both clocks, which all processes of a machine share.
      *
-     * @param nanos by the monotonic clock
-     * @param uptimeNanos since the machine's start; {@link #NO_CLOCK} where there is no such clock
+     * @param nanos the time of the monotonic clock
+     * @param uptimeNanos the time since the machine's start; {@link #NO_CLOCK} if not available
      */
     public record Moment(long nanos, long uptimeNanos) {}
 
     /**
-     * The system's clock.
+     * Creates a clock that reads the system's clocks.
      *
-     * @param maxJumpNanos how far the wall clock may jump before that is taken for a suspension
+     * @param maxJumpNanos how far the wall clock may jump before the jump is taken for a suspension
      * @param log receives one line if {@code /proc/uptime} can't be read
      */
     public static LeaseClock system(long maxJumpNanos, Consumer<String> log) {
@@ -60,7 +61,7 @@
     }
 
     /**
-     * A clock of other sources than the system's.
+     * Creates a clock from the given sources.
      *
      * @param nanos monotonic, without suspension
      * @param uptimeNanos monotonic, with suspension; {@link #NO_CLOCK} for none
@@ -80,17 +81,17 @@
         this.firstUptimeNanos = uptimeNanos.getAsLong();
         this.countsSuspension = firstUptimeNanos != NO_CLOCK;
         this.lastNanos = firstNanos;
-        this.wallLeadNanos = readWallLead();
+        this.wallClockLeadNanos = readWallClockLead();
         if (!countsSuspension) {
             log.accept(
-                    "no clock counts while the machine sleeps (/proc/uptime can't be read): a jump"
+                    "can't read /proc/uptime, so the machine's suspension is not measured: a jump"
                             + " of the wall clock of more than "
                             + TimeUnit.NANOSECONDS.toMillis(maxJumpNanos)
-                            + " ms ends what is done under a lease");
+                            + " ms stops operations under a lease");
         }
     }
 
-    /** Now, in nanoseconds from an arbitrary origin. */
+    /** The current time, in nanoseconds from an arbitrary origin. */
     public synchronized long nanoTime() {
         long now = nanos.getAsLong();
         long uptime = readUptime();
@@ -101,21 +102,21 @@
         return lastNanos;
     }
 
-    /** Whether the machine may have been suspended uncounted since this was called before. */
+    /** Whether the machine may have been suspended, unmeasured, since the previous call. */
     public synchronized boolean mayHaveSuspended() {
-        long before = wallLeadNanos;
-        wallLeadNanos = readWallLead();
-        return !countsSuspension && Math.abs(wallLeadNanos - before) > maxJumpNanos;
+        long before = wallClockLeadNanos;
+        wallClockLeadNanos = readWallClockLead();
+        return !countsSuspension && Math.abs(wallClockLeadNanos - before) > maxJumpNanos;
     }
 
-    /** The moment at which {@link #nanoTime} is {@code atNanos}. */
+    /** The moment at which {@link #nanoTime} reaches {@code atNanos}. */
     public synchronized Moment moment(long atNanos) {
         long left = atNanos - nanoTime();
         long uptime = readUptime();
         return new Moment(nanos.getAsLong() + left, uptime == NO_CLOCK ? NO_CLOCK : uptime + left);
     }
 
-    /** The time left until a moment, by the clock that says less; negative once it has passed. */
+    /** The time left until a moment, by the clock with less left; negative once it has passed. */
     public long nanosUntil(Moment moment) {
         long left = moment.nanos - nanos.getAsLong();
         long uptime = moment.uptimeNanos == NO_CLOCK ? NO_CLOCK : uptimeNanos.getAsLong();
@@ -127,25 +128,25 @@
     }
 
     /** How far the wall clock is ahead of the monotonic one. */
-    private long readWallLead() {
+    private long readWallClockLead() {
         return TimeUnit.MILLISECONDS.toNanos(unixMillis.getAsLong()) - nanos.getAsLong();
     }
 
     private static long systemUptimeNanos() {
         try {
-            return parse(Files.readString(UPTIME));
+            return parseUptime(Files.readString(UPTIME));
         } catch (IOException e) {
             return NO_CLOCK;
         }
     }
 
     /**
-     * Reads {@code /proc/uptime}: seconds since the machine's start, with two decimals, then
-     * another number.
+     * Parses {@code /proc/uptime}: seconds since the machine's start, with two decimals, followed
+     * by another number.
      *
      * @return nanoseconds; {@link #NO_CLOCK} if the text has another form
      */
-    static long parse(String text) {
+    static long parseUptime(String text) {
         try {
             String uptime = text.substring(0, text.indexOf(' '));
             int point = uptime.indexOf('.');
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseRecord.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseRecordCodec.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The record of a lease as JSON, as it is stored; its keys are part of the stored form.
+ * Encodes the record of a lease as JSON and decodes it; the keys are part of the stored format.
  * Thread-safe.
  */
-final class LeaseRecord {
+final class LeaseRecordCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -23,13 +23,14 @@
     private static final String TERM_MILLIS = "termMillis";
     private static final String RELEASED = "released";
 
-    private LeaseRecord() {}
+    private LeaseRecordCodec() {}
 
     /**
-     * The stored form. The term is rounded up to milliseconds, for a shorter one would let others
-     * in too early.
+     * Encodes a record. The term is rounded up to milliseconds, because a shorter one would let
+     * others take the lease over too early.
      *
-     * @param sinceUnixMillis when its holder took the lease; for operators alone, never read back
+     * @param sinceUnixMillis when the holder acquired the lease; for operators only, never read
+     *     back
      */
     static byte[] encode(VersionedLease record, long sinceUnixMillis) {
         return JSON.createObjectNode()
@@ -44,9 +45,9 @@
     }
 
     /**
-     * Reads the stored form; unknown keys are ignored.
+     * Decodes a record; unknown keys are ignored.
      *
-     * @param data null if the node has none
+     * @param data the content of the node; null if it has none
      * @throws MalformedLeaseRecordException if a key is missing or has a value of another type
      */
     static VersionedLease decode(byte[] data, long version) {
--- a/sidecar/src/main/java/appleridge/lease/store/LeaseSession.java
+++ b/sidecar/src/main/java/appleridge/lease/store/LeaseSession.java
@@ -10,17 +10,17 @@
 import org.apache.zookeeper.ZooKeeper;
 
 /**
- * One client handle, which is one ZooKeeper session for as long as the ensemble keeps it: makes the
- * lease's own nodes, and has the record and the place in the queue looked after. On the store's
- * thread, except {@link #process}.
+ * One ZooKeeper client handle, with one session for as long as the ensemble keeps it. Creates the
+ * lease's own nodes, and owns the access to the record and the place in the queue. Confined to the
+ * store's thread, except {@link #process}.
  */
 final class LeaseSession implements Watcher, WaiterQueue.Host {
-    /** Who opens sessions and replaces them. */
+    /** Opens sessions and replaces them. */
     interface Owner {
-        /** The session has expired on the server. */
+        /** The server has expired the session. */
         void onSessionExpired(LeaseSession session);
 
-        /** The session is of no use any more: a new one is to be opened after the retry delay. */
+        /** Replaces a session that can't be used any more by a new one after the retry delay. */
         void replace(LeaseSession session);
 
         /** Whether a place in the queue is wanted. */
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Starts to connect.
+     * Starts connecting.
      *
-     * @param holder who waits, for operators
-     * @param incarnation begins the name of the node in the queue
+     * @param holder the name of the waiting process, for operators
+     * @param incarnation the prefix of the node's name in the queue
      * @throws IOException if the client can't be created
      */
     void open(String holder, String incarnation, RecordNode.Identity identity) throws IOException {
@@ -69,7 +69,7 @@
                         client, settings, paths.record(), identity, requests, log, this::execute);
     }
 
-    /** Ends the session if a server can be told. */
+    /** Closes the session, on a server as well if one is connected. */
     void close() {
         closed = true;
         onDisconnected();
@@ -82,11 +82,11 @@
         return record;
     }
 
-    /** Joins or leaves the queue as is wanted now, and tells anew who is at its head. */
+    /** Joins or leaves the queue as wanted now, and reports the head of the queue again. */
     void requeue() {
         if (ready) {
-            // Without this, leaving and joining in one go would not tell the head of the queue.
-            queue.onDisconnected();
+            // Without this, an immediate rejoin would not report the head of the queue again.
+            queue.resetHeadReport();
             queue.reconcile();
         }
     }
@@ -108,14 +108,14 @@
 
     private void onState(Event.KeeperState state) {
         switch (state) {
-            case SyncConnected -> createNode(paths.folder());
+            case SyncConnected -> createNode(paths.parent());
             case Disconnected -> onDisconnected();
             case Expired -> {
-                log.info("the session is over; another one begins");
+                log.info("the ZooKeeper session has expired; opening a new one");
                 owner.onSessionExpired(this);
             }
             case AuthFailed -> {
-                log.info("the coordination service does not take who this is");
+                log.info("ZooKeeper authentication failed");
                 owner.replace(this);
             }
             default -> {}
@@ -125,14 +125,14 @@
     private void onDisconnected() {
         if (ready) {
             ready = false;
-            queue.onDisconnected();
+            queue.resetHeadReport();
             requests.publish(LeaseStore.Events::onDisconnected);
         }
     }
 
     /**
-     * Creates one of the lease's own nodes, the folder before the queue in it. The root of all
-     * leases is never created: that would hide that the ensemble has lost its data.
+     * Creates one of the lease's own nodes; the parent is created before the queue. The root of all
+     * leases is never created, because that would hide that the ensemble has lost its data.
      */
     private void createNode(String path) {
         client.create(
@@ -140,27 +140,28 @@
                 new byte[0],
                 ZooKeeperClientFactory.acl(settings),
                 CreateMode.PERSISTENT,
-                (code, asked, context, name) -> execute(() -> onNodeCreated(path, Code.get(code))),
+                (code, nodePath, context, name) ->
+                        execute(() -> onNodeCreated(path, Code.get(code))),
                 null);
     }
 
     private void onNodeCreated(String path, Code code) {
         switch (code) {
             case OK, NODEEXISTS -> {
-                if (path.equals(paths.folder())) {
+                if (path.equals(paths.parent())) {
                     createNode(paths.queue());
                 } else {
                     onConnected();
                 }
             }
             case CONNECTIONLOSS -> {
-                // The next SyncConnected starts it again.
+                // The next SyncConnected event starts it again.
             }
             default -> {
                 log.info(
                         code == Code.NONODE
-                                ? "the path of the leases is not there: " + settings.root()
-                                : "the coordination service answers " + code + " for " + path);
+                                ? "the root path of the leases does not exist: " + settings.root()
+                                : "ZooKeeper returned " + code + " for " + path);
                 thread.retryLater(() -> execute(() -> createNode(path)));
             }
         }
@@ -200,10 +201,10 @@
         requests.publish(LeaseStore.Events::onHeadOfQueue);
     }
 
-    /** A new session creates the queue's node again. */
+    /** Replaces the session; the new one creates the queue's node again. */
     @Override
     public void onQueueMissing() {
-        log.info(paths.queue() + " is gone");
+        log.info(paths.queue() + " does not exist");
         thread.retryLater(() -> owner.replace(this));
     }
 
--- a/sidecar/src/main/java/appleridge/lease/store/MalformedLeaseRecordException.java
+++ b/sidecar/src/main/java/appleridge/lease/store/MalformedLeaseRecordException.java
@@ -1,10 +1,10 @@
 package appleridge.lease.store;
 
-/** What stands in a record's node can't be read as one. */
+/** The content of a record's node is not a valid lease record. */
 final class MalformedLeaseRecordException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
     MalformedLeaseRecordException(Throwable cause) {
-        super("the record is not one of a lease", cause);
+        super("not a valid lease record", cause);
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/RecordNode.java
+++ b/sidecar/src/main/java/appleridge/lease/store/RecordNode.java
@@ -9,7 +9,7 @@
 import org.apache.zookeeper.ZooKeeper;
 import org.apache.zookeeper.data.Stat;
 
-/** Reads and writes the record's node through one client handle. On the store's thread. */
+/** Reads and writes the record's node through one client handle. Confined to the store's thread. */
 final class RecordNode {
     /** The expected version of a write that creates the record. */
     private static final int CREATE = -1;
@@ -17,13 +17,14 @@
     private static final int FIRST_VERSION = 0;
 
     /**
-     * Which node the record is, over all handles of a store. A node that is deleted and created
-     * anew counts its versions from 0 again, so a version alone doesn't tell the two apart.
+     * The identity of the record's node, shared by all handles of a store. A node that is deleted
+     * and created again counts its versions from 0, so the version alone doesn't distinguish the
+     * two.
      */
     static final class Identity {
         private static final long UNKNOWN = 0;
 
-        /** The transaction that created the node that is known. */
+        /** The transaction that created the node that was last seen. */
         private long creationTransaction = UNKNOWN;
     }
 
@@ -36,7 +37,7 @@
     private final Executor thread;
     private int unansweredWrites;
 
-    /** {@code thread} runs what it is given on the store's thread unless the handle is closed. */
+    /** {@code thread} runs tasks on the store's thread unless the handle has been closed. */
     RecordNode(
             ZooKeeper client,
             ZooKeeperSettings settings,
@@ -55,8 +56,8 @@
     }
 
     /**
-     * A watch has fired. While a write has no answer it is left out: the answer tells of the
-     * change, be it its own or another's.
+     * Handles a watch event. It is ignored while a write has no response: that response shows the
+     * change, whether it is the write's own or another's.
      */
     void onWatchEvent() {
         if (unansweredWrites == 0) {
@@ -64,11 +65,11 @@
         }
     }
 
-    /** Syncs first: a lagging server would answer with an older record. */
+    /** Reads the record after a sync, because a lagging server would return an older one. */
     void read(long requestId) {
         client.sync(
                 path,
-                (code, asked, context) -> {
+                (code, nodePath, context) -> {
                     if (code != Code.OK.intValue() && code != Code.NONODE.intValue()) {
                         thread.execute(() -> requests.fail(requestId, Code.get(code)));
                     }
@@ -77,7 +78,7 @@
         client.getData(
                 path,
                 true,
-                (code, asked, context, data, stat) ->
+                (code, nodePath, context, data, stat) ->
                         thread.execute(() -> onRead(requestId, Code.get(code), data, stat)),
                 null);
     }
@@ -92,28 +93,28 @@
 
     private void onData(long requestId, byte[] data, Stat stat) {
         try {
-            VersionedLease record = LeaseRecord.decode(data, stat.getVersion());
+            VersionedLease record = LeaseRecordCodec.decode(data, stat.getVersion());
             identity.creationTransaction = stat.getCzxid();
-            requests.answer(requestId, to -> to.onRead(requestId, record));
+            requests.complete(requestId, to -> to.onRead(requestId, record));
         } catch (MalformedLeaseRecordException e) {
             log.info(path + ": " + e.getMessage());
-            requests.answerUnknownLater(requestId);
+            requests.completeUnknownLater(requestId);
         }
     }
 
-    /** Watches for the record's creation as well. */
+    /** Also watches for the record's creation. */
     private void onMissing(long requestId) {
         identity.creationTransaction = Identity.UNKNOWN;
         client.exists(
                 path,
                 true,
-                (code, asked, context, stat) -> {
+                (code, nodePath, context, stat) -> {
                     if (code == Code.OK.intValue()) {
                         requests.publish(LeaseStore.Events::onRecordChanged);
                     }
                 },
                 null);
-        requests.answer(requestId, to -> to.onRead(requestId, null));
+        requests.complete(requestId, to -> to.onRead(requestId, null));
     }
 
     /** Writes if the version is still the expected one; {@value #CREATE} creates the record. */
@@ -125,18 +126,18 @@
                     data,
                     ZooKeeperClientFactory.acl(settings),
                     CreateMode.PERSISTENT,
-                    (code, asked, context, name, stat) ->
+                    (code, nodePath, context, name, stat) ->
                             thread.execute(() -> onCreated(requestId, Code.get(code), stat)),
                     null);
         } else {
-            long createdBefore = identity.creationTransaction;
+            long expectedCreation = identity.creationTransaction;
             client.setData(
                     path,
                     data,
                     expectedVersion,
-                    (code, asked, context, stat) ->
+                    (code, nodePath, context, stat) ->
                             thread.execute(
-                                    () -> onSet(requestId, Code.get(code), stat, createdBefore)),
+                                    () -> onSet(requestId, Code.get(code), stat, expectedCreation)),
                     null);
         }
     }
@@ -149,11 +150,11 @@
         onWritten(requestId, code, FIRST_VERSION);
     }
 
-    private void onSet(long requestId, Code code, Stat stat, long createdBefore) {
+    private void onSet(long requestId, Code code, Stat stat, long expectedCreation) {
         unansweredWrites--;
         if (code == Code.OK
-                && createdBefore != Identity.UNKNOWN
-                && stat.getCzxid() != createdBefore) {
+                && expectedCreation != Identity.UNKNOWN
+                && stat.getCzxid() != expectedCreation) {
             requests.discard(requestId);
             onRecreated();
         } else {
@@ -163,23 +164,23 @@
 
     private void onWritten(long requestId, Code code, int version) {
         switch (code) {
-            case OK -> requests.answer(requestId, to -> to.onWritten(requestId, version));
+            case OK -> requests.complete(requestId, to -> to.onWritten(requestId, version));
             case BADVERSION, NODEEXISTS ->
-                    requests.answer(requestId, to -> to.onConflict(requestId));
+                    requests.complete(requestId, to -> to.onConflict(requestId));
             case NONODE -> {
-                log.info(path + " is gone");
-                requests.answer(requestId, to -> to.onConflict(requestId));
+                log.info(path + " does not exist");
+                requests.complete(requestId, to -> to.onConflict(requestId));
             }
             default -> requests.fail(requestId, code);
         }
     }
 
     /**
-     * The write went into another node that happened to have the expected version, possibly over
-     * another holder's record. Neither of the two may go on by it.
+     * The write changed another node that happened to have the expected version, and may have
+     * overwritten another holder's record. Neither holder may rely on its grant any more.
      */
     private void onRecreated() {
-        String reason = path + " was deleted and made anew while it was held";
+        String reason = path + " was deleted and created again while the lease was held";
         log.info(reason);
         requests.publish(to -> to.onRecordRecreated(reason));
     }
--- a/sidecar/src/main/java/appleridge/lease/store/StoreLog.java
+++ b/sidecar/src/main/java/appleridge/lease/store/StoreLog.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** The log of one store, which leaves out a line that repeats the one before. On its thread. */
+/** The log of one store; drops a line that repeats the previous one. Confined to its thread. */
 final class StoreLog {
     private final Consumer<String> log;
     private String last = "";
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The next line is logged even if it repeats the one before. */
+    /** The next line is logged even if it repeats the previous one. */
     void reset() {
         last = "";
     }
--- a/sidecar/src/main/java/appleridge/lease/store/StoreRequestTable.java
+++ b/sidecar/src/main/java/appleridge/lease/store/StoreRequestTable.java
@@ -10,23 +10,24 @@
 import org.apache.zookeeper.KeeperException.Code;
 
 /**
- * The requests that have no answer yet, and what is told to the caller: each request is answered at
- * most once. On the store's thread; the caller is told on its own executor.
+ * The requests that have no result yet. Delivers results and other events to the caller, at most
+ * one result for each request. Confined to the store's thread; the caller's events run on its
+ * executor.
  */
 final class StoreRequestTable {
-    /** A server that leaves a request unanswered for so long is replaced by another. */
-    private static final long SILENT_SERVER_NANOS = TimeUnit.SECONDS.toNanos(4);
+    /** A server that doesn't respond to a request for this long is replaced by another. */
+    private static final long RESPONSE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     private final Map<Long, Long> sentAtNanosById = new HashMap<>();
-    private final String folder;
+    private final String path;
     private final Events events;
     private final Executor executor;
     private final StoreThread thread;
     private final StoreLog log;
 
     StoreRequestTable(
-            String folder, Events events, Executor executor, StoreThread thread, StoreLog log) {
-        this.folder = folder;
+            String path, Events events, Executor executor, StoreThread thread, StoreLog log) {
+        this.path = path;
         this.events = events;
         this.executor = executor;
         this.thread = thread;
@@ -37,53 +38,54 @@
         sentAtNanosById.put(requestId, StoreThread.nanoTime());
     }
 
-    /** Tells the caller of something that answers no request. */
+    /** Delivers an event that is not the result of a request. */
     void publish(Consumer<Events> event) {
         executor.execute(() -> event.accept(events));
     }
 
-    /** Answers a request; without effect if it was answered before. */
-    void answer(long requestId, Consumer<Events> event) {
+    /** Delivers the result of a request; no effect if it already has one. */
+    void complete(long requestId, Consumer<Events> event) {
         if (sentAtNanosById.remove(requestId) != null) {
             publish(event);
         }
     }
 
-    /** The request gets no answer: what came of it is told otherwise. */
+    /** Drops a request without a result, because another event reports its outcome. */
     void discard(long requestId) {
         sentAtNanosById.remove(requestId);
     }
 
-    void answerUnknown(long requestId) {
-        answer(requestId, to -> to.onOutcomeUnknown(requestId));
+    void completeUnknown(long requestId) {
+        complete(requestId, to -> to.onOutcomeUnknown(requestId));
     }
 
-    void answerUnknownLater(long requestId) {
-        thread.retryLater(() -> answerUnknown(requestId));
+    void completeUnknownLater(long requestId) {
+        thread.retryLater(() -> completeUnknown(requestId));
     }
 
-    void answerAllUnknown() {
-        List.copyOf(sentAtNanosById.keySet()).forEach(this::answerUnknown);
+    void completeAllUnknown() {
+        List.copyOf(sentAtNanosById.keySet()).forEach(this::completeUnknown);
     }
 
     /**
-     * Answers a request that failed. Only after the loss of a connection it is answered at once:
-     * then a new one comes first, while any other error would be retried in a busy loop.
+     * Completes a request that failed. After the loss of a connection this happens at once, because
+     * the caller has to wait for a new connection before it retries; after any other error it
+     * happens after the retry delay, because the caller would retry in a busy loop.
      */
     void fail(long requestId, Code code) {
         if (code == Code.CONNECTIONLOSS
                 || code == Code.SESSIONEXPIRED
                 || code == Code.SESSIONMOVED) {
-            answerUnknown(requestId);
+            completeUnknown(requestId);
         } else {
-            log.info("the coordination service answers " + code + " for " + folder);
-            answerUnknownLater(requestId);
+            log.info("ZooKeeper returned " + code + " for " + path);
+            completeUnknownLater(requestId);
         }
     }
 
-    /** Whether the server leaves a request unanswered for too long. */
-    boolean hasSilentServer(long nowNanos) {
+    /** Whether the server has not responded to a request for too long. */
+    boolean hasOverdueRequest(long nowNanos) {
         return sentAtNanosById.values().stream()
-                .anyMatch(sentAt -> nowNanos - sentAt > SILENT_SERVER_NANOS);
+                .anyMatch(sentAt -> nowNanos - sentAt > RESPONSE_TIMEOUT_NANOS);
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/StoreThread.java
+++ b/sidecar/src/main/java/appleridge/lease/store/StoreThread.java
@@ -9,34 +9,35 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread on which all state of a store is read and written. {@link #execute} may be called
- * from any thread, all else on this one only.
+ * The thread on which all state of a store is read and written. {@link #execute} may be called from
+ * any thread, {@link #start} and {@link #join} from another one, and all other methods only on this
+ * thread.
  */
 final class StoreThread implements Executor {
-    /** From one call of the periodic check to the next, if nothing else is to be run. */
+    /** The interval of the periodic check while there is no task to run. */
     private static final long CHECK_INTERVAL_MILLIS = 250;
 
-    /** After this long a failed operation is retried, and a request that can't be sent answered. */
+    /** The delay before a failed operation is retried or a request that can't be sent completes. */
     private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    private record Delayed(long dueNanos, Runnable task) {}
+    private record DelayedTask(long dueNanos, Runnable task) {}
 
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
-    private final PriorityQueue<Delayed> delayed =
-            new PriorityQueue<>(Comparator.comparingLong(Delayed::dueNanos));
+    private final PriorityQueue<DelayedTask> delayed =
+            new PriorityQueue<>(Comparator.comparingLong(DelayedTask::dueNanos));
     private final Consumer<RuntimeException> onFailure;
-    private final Runnable check;
+    private final Runnable periodicCheck;
     private final Thread thread = new Thread(this::run, "lease");
     private boolean stopped;
 
     /**
      * Creates a thread that is not started.
      *
-     * @param check called after each task, and every {@value #CHECK_INTERVAL_MILLIS} ms
-     * @param onFailure told what a task has thrown; the thread goes on
+     * @param periodicCheck called after each task, and every {@value #CHECK_INTERVAL_MILLIS} ms
+     * @param onFailure receives the exceptions that tasks throw; the thread continues
      */
-    StoreThread(Runnable check, Consumer<RuntimeException> onFailure) {
-        this.check = check;
+    StoreThread(Runnable periodicCheck, Consumer<RuntimeException> onFailure) {
+        this.periodicCheck = periodicCheck;
         this.onFailure = onFailure;
         thread.setDaemon(true);
     }
@@ -50,12 +51,12 @@
         tasks.add(task);
     }
 
-    /** Runs it after {@link #RETRY_DELAY_NANOS}. */
+    /** Runs the task after {@link #RETRY_DELAY_NANOS}. */
     void retryLater(Runnable task) {
-        delayed.add(new Delayed(nanoTime() + RETRY_DELAY_NANOS, task));
+        delayed.add(new DelayedTask(nanoTime() + RETRY_DELAY_NANOS, task));
     }
 
-    /** Nothing more is run once the current task has returned. */
+    /** Runs no further task once the current one has returned. */
     void stop() {
         stopped = true;
     }
@@ -85,7 +86,7 @@
                     task.run();
                 }
                 runDelayed(nanoTime());
-                check.run();
+                periodicCheck.run();
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
--- a/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
+++ b/sidecar/src/main/java/appleridge/lease/store/WaiterQueue.java
@@ -12,9 +12,9 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * A place in the queue of those who wait for a lease: an ephemeral sequential node. Each watches
- * only the one ahead, so that the end of one wakes one other and not all. Of one client handle, on
- * the store's thread.
+ * A process's place in the queue of the waiters for a lease: an ephemeral sequential node. Each
+ * waiter watches only the node ahead of it, so that the end of one node wakes one waiter and not
+ * all. Belongs to one client handle; confined to the store's thread.
  */
 final class WaiterQueue {
     /** The session that the place belongs to. */
@@ -25,7 +25,7 @@
         /** Whether requests can be sent. */
         boolean isReady();
 
-        /** Nobody is ahead. */
+        /** The place is the first in the queue. */
         void onHeadOfQueue();
 
         /** Logs the line and calls {@link WaiterQueue#reconcile} after the retry delay. */
@@ -34,11 +34,11 @@
         /** The queue's own node is missing. */
         void onQueueMissing();
 
-        /** Runs it on the store's thread, unless the handle is closed by then. */
+        /** Runs the task on the store's thread, unless the handle has been closed by then. */
         void execute(Runnable task);
     }
 
-    /** Nobody joins a queue of this length: listing its nodes costs each waiter an answer. */
+    /** No process joins a queue of this length: every waiter reads the list of all its nodes. */
     static final int MAX_WAITERS = 2000;
 
     private static final int ANY_VERSION = -1;
@@ -50,7 +50,7 @@
     private final String incarnation;
     private final Host host;
 
-    /** Whether answers are outstanding; the next round starts after them. */
+    /** Whether responses are outstanding; the next round starts after them. */
     private boolean reconciling;
 
     private boolean reconcileAgain;
@@ -71,12 +71,12 @@
         this.host = host;
     }
 
-    /** The head of the queue is reported anew once the place was looked at again. */
-    void onDisconnected() {
+    /** The head of the queue is reported again once the place has been checked again. */
+    void resetHeadReport() {
         headReported = false;
     }
 
-    /** Takes, leaves or checks the place, as is wanted now. */
+    /** Takes, leaves or checks the place, as wanted now. */
     void reconcile() {
         if (reconciling) {
             reconcileAgain = true;
@@ -85,7 +85,7 @@
             client.getChildren(
                     path,
                     false,
-                    (code, asked, context, names) ->
+                    (code, nodePath, context, names) ->
                             host.execute(() -> onWaiters(Code.get(code), names)),
                     null);
         }
@@ -104,13 +104,13 @@
         finish();
     }
 
-    /** Ends the round on any error; one that a new connection doesn't cure is retried. */
+    /** Ends the round on any error; retries it if a new connection won't resolve the error. */
     private boolean succeeded(Code code) {
         if (code == Code.OK) {
             return true;
         }
         if (code != Code.NONODE && code != Code.CONNECTIONLOSS && code != Code.SESSIONEXPIRED) {
-            host.onFailure("the coordination service answers " + code + " for " + path);
+            host.onFailure("ZooKeeper returned " + code + " for " + path);
         }
         finish();
         return false;
@@ -137,7 +137,7 @@
         }
     }
 
-    /** By their sequence numbers, which follow the last hyphen and have ten digits each. */
+    /** Sorts node names by their sequence numbers: the ten digits after the last hyphen. */
     static List<String> inQueueOrder(List<String> names) {
         return names.stream()
                 .sorted(Comparator.comparing(name -> name.substring(name.lastIndexOf('-') + 1)))
@@ -145,13 +145,13 @@
     }
 
     private void delete(String name) {
-        client.delete(path + "/" + name, ANY_VERSION, (code, asked, context) -> {}, null);
+        client.delete(path + "/" + name, ANY_VERSION, (code, nodePath, context) -> {}, null);
     }
 
     private void join(int length) {
         headReported = false;
         if (length >= MAX_WAITERS) {
-            host.onFailure("the line is full: " + length + " wait at " + path);
+            host.onFailure("the queue is full: " + length + " processes wait at " + path);
             finish();
             return;
         }
@@ -160,7 +160,7 @@
                 holder.getBytes(StandardCharsets.UTF_8),
                 ZooKeeperClientFactory.acl(settings),
                 CreateMode.EPHEMERAL_SEQUENTIAL,
-                (code, asked, context, name) -> host.execute(() -> onJoined(Code.get(code))),
+                (code, nodePath, context, name) -> host.execute(() -> onJoined(Code.get(code))),
                 null);
     }
 
@@ -184,8 +184,8 @@
     }
 
     /**
-     * A place of an earlier session is given up: it ends with that session, and would hold up all
-     * behind it until then.
+     * Gives up a place of an earlier session: it ends with that session, and would block all
+     * waiters behind it until then.
      */
     private void onOwnPlace(List<String> queue, String own, Stat stat) {
         int position = queue.indexOf(own);
@@ -224,7 +224,7 @@
 
     private void exists(String name, boolean watch, ExistsCallback callback) {
         StatCallback onThread =
-                (code, asked, context, stat) ->
+                (code, nodePath, context, stat) ->
                         host.execute(() -> callback.onAnswer(Code.get(code), stat));
         client.exists(path + "/" + name, watch, onThread, null);
     }
--- a/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
+++ b/sidecar/src/main/java/appleridge/lease/store/ZooKeeperLeaseStore.java
@@ -9,16 +9,17 @@
 import java.util.function.Consumer;
 
 /**
- * A lease in ZooKeeper: {@code ROOT/NAME/record}, a persistent node that is written by its version,
- * and {@code ROOT/NAME/line}, the queue of those who wait. Only the queue depends on sessions.
+ * A lease in ZooKeeper: {@code ROOT/NAME/record}, a persistent node that is written conditionally
+ * on its version, and {@code ROOT/NAME/line}, the queue of the waiters. Only the queue depends on
+ * sessions.
  *
- * <p>Methods may be called from any thread. All state is confined to one thread of the store's own,
- * and events are delivered on the caller's executor.
+ * <p>Methods may be called from any thread. All state is confined to the store's own thread; events
+ * are delivered on the caller's executor.
  */
 public final class ZooKeeperLeaseStore implements LeaseStore {
     private static final long CLOSE_WAIT_MILLIS = TimeUnit.SECONDS.toMillis(2);
 
-    /** A session that does not connect within so many session time-outs is replaced. */
+    /** A session that does not connect within this many session time-outs is replaced. */
     private static final long CONNECT_TIMEOUT_SESSIONS = 2;
 
     private final ZooKeeperSettings settings;
@@ -30,27 +31,27 @@
     private final StoreRequestTable requests;
     private final RecordNode.Identity identity = new RecordNode.Identity();
 
-    /** Null while there is none and the next one waits for its retry. */
+    /** Null while no session is open and the next one waits for the retry delay. */
     private LeaseSession session;
 
     private boolean queueWanted;
 
-    /** The token of the record written last, and when it was written first. */
+    /** The token of the record written last, and the time of its first write. */
     private long heldToken = -1;
 
     private long heldSinceUnixMillis;
 
-    /** Since when there was no connection; the last check if there is one. */
+    /** The time since which there is no connection; the last check while there is one. */
     private long disconnectedSinceNanos = StoreThread.nanoTime();
 
     /**
      * Creates a store that is not started.
      *
-     * @param settings with the path of all leases as their root
-     * @param name the lease's, which becomes a node's name
-     * @param holder who waits, for operators
-     * @param incarnation unique to this process, of characters that a node's name may hold
-     * @param events what happens, delivered on {@code executor}
+     * @param settings the connection, with the path of all leases as its root
+     * @param name the lease's name, which becomes a node's name
+     * @param holder the name of the waiting process, for operators
+     * @param incarnation unique to this process, of characters allowed in a node's name
+     * @param events receives the events, on {@code executor}
      * @param executor runs tasks one at a time, in order
      * @param log receives one line at a time, from the store's thread
      */
@@ -68,7 +69,7 @@
         this.incarnation = incarnation;
         this.log = new StoreLog(log);
         this.thread = new StoreThread(this::checkSession, this::onTaskFailed);
-        this.requests = new StoreRequestTable(paths.folder(), events, executor, thread, this.log);
+        this.requests = new StoreRequestTable(paths.parent(), events, executor, thread, this.log);
     }
 
     @Override
@@ -81,7 +82,7 @@
     public void read(long requestId) {
         thread.execute(
                 () -> {
-                    if (open(requestId)) {
+                    if (openRequest(requestId)) {
                         session.record().read(requestId);
                     }
                 });
@@ -91,8 +92,8 @@
     public void write(long requestId, long expectedVersion, VersionedLease next) {
         thread.execute(
                 () -> {
-                    if (open(requestId)) {
-                        byte[] data = LeaseRecord.encode(next, heldSince(next.token()));
+                    if (openRequest(requestId)) {
+                        byte[] data = LeaseRecordCodec.encode(next, heldSince(next.token()));
                         session.record().write(requestId, (int) expectedVersion, data);
                     }
                 });
@@ -109,7 +110,7 @@
                 });
     }
 
-    /** Ends the session if a server can be told, and waits for that for up to two seconds. */
+    /** Closes the session, on a server as well if one is connected; waits up to two seconds. */
     @Override
     public void close() {
         thread.execute(
@@ -120,14 +121,14 @@
         thread.join(CLOSE_WAIT_MILLIS);
     }
 
-    /** What a session asks of its store, on the store's thread. */
+    /** The callbacks of a session, on the store's thread. */
     private final class SessionOwner implements LeaseSession.Owner {
         @Override
         public boolean isQueueWanted() {
             return queueWanted;
         }
 
-        /** Opens the next one at once, for leases are short; only its retries wait. */
+        /** Opens the next session at once, because leases are short; only retries are delayed. */
         @Override
         public void onSessionExpired(LeaseSession expired) {
             closeSession();
@@ -147,12 +148,12 @@
         }
     }
 
-    /** Whether the request can be sent; if not, it is answered after the retry delay. */
-    private boolean open(long requestId) {
+    /** Whether the request can be sent; if not, it completes after the retry delay. */
+    private boolean openRequest(long requestId) {
         requests.open(requestId);
         boolean isReady = session != null && session.isReady();
         if (!isReady) {
-            requests.answerUnknownLater(requestId);
+            requests.completeUnknownLater(requestId);
         }
         return isReady;
     }
@@ -173,7 +174,7 @@
         try {
             session.open(holder, incarnation, identity);
         } catch (IOException | RuntimeException e) {
-            log.info("the coordination service's client can't start: " + e);
+            log.info("can't start the ZooKeeper client: " + e);
             session = null;
             thread.retryLater(this::openSession);
         }
@@ -185,12 +186,13 @@
         if (last != null) {
             last.close();
         }
-        requests.answerAllUnknown();
+        requests.completeAllUnknown();
     }
 
     /**
-     * Replaces a session that is of no use, which the client itself does not notice: the ensemble
-     * began anew and refuses to resume the session, or a server answers pings and nothing else.
+     * Replaces a session that can't be used, in cases that the client itself does not detect: the
+     * ensemble was set up anew and refuses to resume the session, or a server responds to pings and
+     * nothing else.
      */
     private void checkSession() {
         long nowNanos = StoreThread.nanoTime();
@@ -203,8 +205,8 @@
             disconnectedSinceNanos = nowNanos;
             replaceSession(session);
         }
-        if (session != null && session.isReady() && requests.hasSilentServer(nowNanos)) {
-            log.info("a coordination server answers nothing; another one is asked");
+        if (session != null && session.isReady() && requests.hasOverdueRequest(nowNanos)) {
+            log.info("a ZooKeeper server does not respond; connecting to another one");
             replaceSession(session);
         }
     }
@@ -214,6 +216,6 @@
     }
 
     private void onTaskFailed(RuntimeException e) {
-        log.info("the coordination service's client failed: " + e);
+        log.info("a task of the lease store failed: " + e);
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/store/package-info.java
+++ b/sidecar/src/main/java/appleridge/lease/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where leases are kept: the record and the queue of each in ZooKeeper, and the clock that counts
- * while a process is stopped or a machine suspended.
+ * The storage of leases, with a record and a waiter queue for each in ZooKeeper, and the clock that
+ * keeps counting while a process is stopped or a machine is suspended.
  */
 package appleridge.lease.store;
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseClockTest.java
@@ -9,32 +9,32 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The clock of leases, through sleep, jumps and systems that can't tell of sleep. */
+/** The clock of leases across suspensions, clock jumps and systems without an uptime clock. */
 class LeaseClockTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final List<String> said = new ArrayList<>();
+    private final List<String> logged = new ArrayList<>();
     private long nanos = 7;
     private long uptime = 100 * SECOND;
     private long unixMillis = 1000;
 
     private LeaseClock clock() {
-        return new LeaseClock(() -> nanos, () -> uptime, () -> unixMillis, SECOND, said::add);
+        return new LeaseClock(() -> nanos, () -> uptime, () -> unixMillis, SECOND, logged::add);
     }
 
     @Test
     void clockFollowsTheLargerProgressAndNeverRunsBack() {
         LeaseClock clock = clock();
-        long begin = clock.nanoTime();
+        long start = clock.nanoTime();
         nanos += 4 * SECOND;
         uptime += 3 * SECOND;
-        assertEquals(begin + 4 * SECOND, clock.nanoTime());
+        assertEquals(start + 4 * SECOND, clock.nanoTime());
         uptime += 60 * SECOND;
-        assertEquals(begin + 63 * SECOND, clock.nanoTime(), "sleep counts");
+        assertEquals(start + 63 * SECOND, clock.nanoTime(), "suspension is counted");
         nanos += SECOND;
-        assertEquals(begin + 63 * SECOND, clock.nanoTime());
+        assertEquals(start + 63 * SECOND, clock.nanoTime());
         uptime -= 10 * SECOND;
-        assertEquals(begin + 63 * SECOND, clock.nanoTime(), "it never runs back");
+        assertEquals(start + 63 * SECOND, clock.nanoTime(), "the clock went backwards");
     }
 
     @Test
@@ -42,36 +42,36 @@
         LeaseClock clock = clock();
         unixMillis += 3_600_000;
         assertFalse(clock.mayHaveSuspended());
-        assertEquals(List.of(), said);
+        assertEquals(List.of(), logged);
     }
 
-    /** Guards against a holder that sleeps for longer than its lease and never knows. */
+    /** Guards against a holder that is suspended beyond its lease and does not notice. */
     @Test
     void wallClockJumpIsReportedOnceWhereSuspensionIsNotCounted() {
         uptime = LeaseClock.NO_CLOCK;
         LeaseClock clock = clock();
-        assertEquals(1, said.size(), "said once");
+        assertEquals(1, logged.size(), "logged once");
         nanos += SECOND;
         unixMillis += 1000;
-        assertFalse(clock.mayHaveSuspended(), "both went on");
+        assertFalse(clock.mayHaveSuspended(), "both clocks advanced alike");
         unixMillis += 1001;
         assertTrue(clock.mayHaveSuspended());
         assertFalse(clock.mayHaveSuspended());
         unixMillis -= 5000;
-        assertTrue(clock.mayHaveSuspended(), "back as well");
+        assertTrue(clock.mayHaveSuspended(), "a jump backwards");
         assertEquals(nanos, clock.nanoTime());
-        assertEquals(1, said.size());
+        assertEquals(1, logged.size());
     }
 
     @Test
     void momentIsReachedByWhicheverClockComesFirst() {
         LeaseClock.Moment moment = clock().moment(clock().nanoTime() + 5 * SECOND);
-        LeaseClock other = clock();
-        assertEquals(5 * SECOND, other.nanosUntil(moment));
+        LeaseClock otherClock = clock();
+        assertEquals(5 * SECOND, otherClock.nanosUntil(moment));
         nanos += SECOND;
-        assertEquals(4 * SECOND, other.nanosUntil(moment));
+        assertEquals(4 * SECOND, otherClock.nanosUntil(moment));
         uptime += 9 * SECOND;
-        assertEquals(-4 * SECOND, other.nanosUntil(moment));
+        assertEquals(-4 * SECOND, otherClock.nanosUntil(moment));
         uptime = LeaseClock.NO_CLOCK;
         assertEquals(
                 3 * SECOND, clock().nanosUntil(clock().moment(clock().nanoTime() + 3 * SECOND)));
@@ -79,9 +79,9 @@
 
     @Test
     void procUptimeIsParsed() {
-        assertEquals(414 * SECOND + 710_000_000, LeaseClock.parse("414.71 1787.73\n"));
-        for (String bad : new String[] {"", "x", "1 2", "1.x 2"}) {
-            assertEquals(LeaseClock.NO_CLOCK, LeaseClock.parse(bad), bad);
+        assertEquals(414 * SECOND + 710_000_000, LeaseClock.parseUptime("414.71 1787.73\n"));
+        for (String malformed : new String[] {"", "x", "1 2", "1.x 2"}) {
+            assertEquals(LeaseClock.NO_CLOCK, LeaseClock.parseUptime(malformed), malformed);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/store/LeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/LeaseRecordCodecTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A lease's record as JSON, and the order of the line. */
-class LeaseRecordTest {
+/** The JSON format of a lease's record, and the order of the waiter queue. */
+class LeaseRecordCodecTest {
     @Test
     void encodedRecordIsReadableJsonAndDecodes() {
         byte[] bytes =
-                LeaseRecord.encode(
+                LeaseRecordCodec.encode(
                         new VersionedLease(0, 7, "host-a/12", "ab", 2_000_000_001L, false), 0);
         assertEquals(
                 "{\"holder\":\"host-a/12\",\"token\":7,\"since\":\"1970-01-01T00:00:00Z\","
@@ -21,33 +21,33 @@
                 new String(bytes, StandardCharsets.UTF_8));
         assertEquals(
                 new VersionedLease(3, 7, "host-a/12", "ab", 2_001_000_000L, false),
-                LeaseRecord.decode(bytes, 3));
+                LeaseRecordCodec.decode(bytes, 3));
     }
 
-    /** Guards against an operator's hand in the record that is taken for a free lease. */
+    /** Guards against a record edited by an operator that is taken for a free lease. */
     @Test
     void malformedRecordIsRejected() {
-        String good =
+        String valid =
                 "{\"holder\":\"a\",\"token\":7,\"nonce\":\"ab\",\"termMillis\":2001,\"released\":false}";
-        assertEquals(7, LeaseRecord.decode(good.getBytes(StandardCharsets.UTF_8), 0).token());
-        for (String bad :
+        assertEquals(7, LeaseRecordCodec.decode(valid.getBytes(StandardCharsets.UTF_8), 0).token());
+        for (String malformed :
                 List.of(
                         "",
                         "{",
                         "[]",
                         "null",
-                        good.replace("7", "7.5"),
-                        good.replace("7", "\"7\""),
-                        good.replace("2001", "1e30"),
-                        good.replace("false", "0"),
-                        good.replace("\"ab\"", "1"),
-                        good.replace("\"a\"", "null"))) {
+                        valid.replace("7", "7.5"),
+                        valid.replace("7", "\"7\""),
+                        valid.replace("2001", "1e30"),
+                        valid.replace("false", "0"),
+                        valid.replace("\"ab\"", "1"),
+                        valid.replace("\"a\"", "null"))) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> LeaseRecord.decode(bad.getBytes(StandardCharsets.UTF_8), 0),
-                    bad);
+                    () -> LeaseRecordCodec.decode(malformed.getBytes(StandardCharsets.UTF_8), 0),
+                    malformed);
         }
-        assertThrows(IllegalArgumentException.class, () -> LeaseRecord.decode(null, 0));
+        assertThrows(IllegalArgumentException.class, () -> LeaseRecordCodec.decode(null, 0));
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/lease/store/StoredLeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/StoredLeaseRecordTest.java
@@ -10,7 +10,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Records that commit 4260e73 wrote: processes of it and of this one share a lease. */
+/** Records written by commit 4260e73: processes of both versions may compete for a lease. */
 class StoredLeaseRecordTest {
     private static final String FOLDER = "/stored/4260e73/";
     private static final int VERSION = 5;
@@ -20,7 +20,7 @@
                     VERSION, 7, "host-a/4121", "9f86d081884c7d65/3", 10_000_000_000L, false);
     private static final Instant HELD_SINCE = Instant.parse("2025-12-03T09:34:22.123Z");
 
-    /** Its term was written from 2,000,000,001 ns, rounded up to milliseconds. */
+    /** The term is 2,000,000,001 ns rounded up to milliseconds. */
     private static final VersionedLease RELEASED =
             new VersionedLease(
                     VERSION, 8, "höst-b/\"12\"", "60303ae22b998861/12", 2_001_000_000L, true);
@@ -36,25 +36,26 @@
 
     @Test
     void recordsWrittenBy4260e73AreRead() throws IOException {
-        assertEquals(HELD, LeaseRecord.decode(stored("lease-record-held.json"), VERSION));
-        assertEquals(RELEASED, LeaseRecord.decode(stored("lease-record-released.json"), VERSION));
+        assertEquals(HELD, LeaseRecordCodec.decode(stored("lease-record-held.json"), VERSION));
+        assertEquals(
+                RELEASED, LeaseRecordCodec.decode(stored("lease-record-released.json"), VERSION));
     }
 
     @Test
     void recordsAreWrittenByteForByteAsBy4260e73() throws IOException {
         assertArrayEquals(
                 stored("lease-record-held.json"),
-                LeaseRecord.encode(HELD, HELD_SINCE.toEpochMilli()));
+                LeaseRecordCodec.encode(HELD, HELD_SINCE.toEpochMilli()));
         assertArrayEquals(
                 stored("lease-record-released.json"),
-                LeaseRecord.encode(
+                LeaseRecordCodec.encode(
                         new VersionedLease(
                                 0, 8, RELEASED.holder(), RELEASED.nonce(), 2_000_000_001L, true),
                         RELEASED_SINCE.toEpochMilli()));
     }
 
     @Test
-    void nodesOfALeaseStandWhere4260e73HasThem() {
+    void nodePathsAreTheSameAsIn4260e73() {
         assertEquals(
                 new LeasePaths(
                         "/appleridge/leases/nightly",
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -353,7 +353,7 @@
         operator().create(RECORD, new byte[] {'x'}, OPEN, CreateMode.PERSISTENT);
         store.read(1);
         told.await("unknown 1");
-        assertTrue(log.contains(RECORD + ": the record is not one of a lease"), log::toString);
+        assertTrue(log.contains(RECORD + ": not a valid lease record"), log::toString);
     }
 
     /** Guards against an ensemble that was wiped and is taken for one where nobody holds yet. */
@@ -365,7 +365,8 @@
         store.read(1);
         told.await("unknown 1");
         assertEquals(
-                "the path of the leases is not there: " + ROOT, log.poll(20, TimeUnit.SECONDS));
+                "the root path of the leases does not exist: " + ROOT,
+                log.poll(20, TimeUnit.SECONDS));
         operator.create(ROOT, new byte[0], OPEN, CreateMode.PERSISTENT);
         told.await("connected");
     }
