--- a/sidecar/src/main/java/appleridge/lease/task/GuardedCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardedCommand.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The command itself, and all processes that it has started. On the guardian's one thread. */
+/** A command and all processes that it has started. Confined to the guardian's main thread. */
 final class GuardedCommand {
     private static final long SURVIVORS_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -19,7 +19,7 @@
     /** Null until SIGTERM was sent. */
     private Long terminatedAtNanos;
 
-    /** Null until a process survived SIGKILL; then when that was logged last. */
+    /** Null until a process survived SIGKILL; then the time of that or of the last log line. */
     private Long survivorsSinceNanos;
 
     GuardedCommand(LeaseClock clock, ProcessTree tree, Consumer<String> log) {
@@ -40,12 +40,12 @@
         return process.isAlive();
     }
 
-    /** Of a command that is not alive. */
+    /** The exit status of a command that has ended. */
     int exitStatus() {
         return process.exitValue();
     }
 
-    /** Starts it with its lease, token and mark in the environment; false if that is impossible. */
+    /** Starts it with lease, token and mark in its environment; false if it can't be started. */
     boolean start(GuardianArguments arguments) {
         List<String> command = arguments.command();
         ProcessBuilder builder =
@@ -55,7 +55,7 @@
                         .redirectError(ProcessBuilder.Redirect.INHERIT);
         builder.environment().put("APPLERIDGE_LEASE", arguments.lease());
         builder.environment().put("APPLERIDGE_TOKEN", Long.toString(arguments.token()));
-        builder.environment().put(ProcessTree.VARIABLE, arguments.nonce());
+        builder.environment().put(ProcessTree.MARK_VARIABLE, arguments.nonce());
         try {
             process = builder.start();
             return true;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** How long ago SIGTERM was sent. */
+    /** The time since SIGTERM was sent. */
     long nanosSinceTerminated(long nowNanos) {
         return nowNanos - terminatedAtNanos;
     }
@@ -83,7 +83,7 @@
         return !process.isAlive() && tree.isEmpty();
     }
 
-    /** Sends SIGKILL to all processes that are left; whether there were none. */
+    /** Sends SIGKILL to all remaining processes; returns whether there were none. */
     boolean kill() {
         if (tree.kill() == 0) {
             return !process.isAlive();
@@ -93,7 +93,7 @@
             survivorsSinceNanos = nowNanos;
         } else if (nowNanos - survivorsSinceNanos > SURVIVORS_LOG_INTERVAL_NANOS) {
             survivorsSinceNanos = nowNanos;
-            log.accept("what the command has started can't be ended");
+            log.accept("processes of the command have survived SIGKILL");
         }
         return false;
     }
--- a/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardedProcess.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A command under its {@link Guardian}, seen from {@code task}. Confined to the task's thread. */
+/**
+ * The {@code task} process's handle on a command under a {@link Guardian}. Confined to the task's
+ * thread.
+ */
 final class GuardedProcess {
     private static final List<String> JVM_FLAGS =
             List.of(
@@ -28,13 +31,13 @@
     private final Path report;
     private final Process guardian;
 
-    /** When all processes must have ended. */
+    /** The time by which all processes must have ended. */
     private long deadlineNanos = Long.MAX_VALUE;
 
     private boolean stopped;
 
-    /** Not sent yet; null for none. */
-    private String nextInstruction;
+    /** The instruction that is not sent yet; null for none. */
+    private String pendingInstruction;
 
     private CompletableFuture<Void> sending = CompletableFuture.completedFuture(null);
 
@@ -42,7 +45,7 @@
      * Starts a guardian, which waits for {@link #extendUntil} before it starts the command.
      *
      * @param nonce marks all processes that the command starts; never used before
-     * @param token the fencing token that the command gets
+     * @param token the fencing token that is passed to the command
      * @throws IOException if the guardian can't be started
      */
     GuardedProcess(
@@ -93,8 +96,8 @@
     }
 
     /**
-     * The command may start now, or run on; all of it has ended by then. Without effect after
-     * {@link #stop}.
+     * Lets the command start, or continue; all its processes will have ended by the new deadline.
+     * No effect after {@link #stop}.
      */
     void extendUntil(long newDeadlineNanos) {
         if (!stopped) {
@@ -103,7 +106,7 @@
         }
     }
 
-    /** The command is to end now. */
+    /** Has the guardian end the command now. */
     void stop() {
         if (!stopped) {
             stopped = true;
@@ -114,18 +117,19 @@
     }
 
     private void send(String instruction) {
-        nextInstruction = instruction;
-        sendNext();
+        pendingInstruction = instruction;
+        sendPending();
     }
 
     /**
-     * Sends the newest instruction alone, from another thread and one at a time: a stopped guardian
-     * reads nothing, and a full pipe would block this thread past the lease's end.
+     * Sends only the newest instruction, on another thread and one at a time: a stopped guardian
+     * reads nothing, and writing to a full pipe would block this thread beyond the end of the
+     * lease.
      */
-    private void sendNext() {
-        if (nextInstruction != null && sending.isDone()) {
-            String line = nextInstruction;
-            nextInstruction = null;
+    private void sendPending() {
+        if (pendingInstruction != null && sending.isDone()) {
+            String line = pendingInstruction;
+            pendingInstruction = null;
             sending = CompletableFuture.runAsync(() -> write(line));
         }
     }
@@ -136,32 +140,32 @@
             in.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             in.flush();
         } catch (IOException e) {
-            // The guardian has ended, which the next poll sees.
+            // The guardian has ended; the next poll detects it.
         }
     }
 
     /**
-     * Looks after the command; to be called often. A guardian may itself be stopped or killed, so
-     * near the deadline all processes with the mark are killed from here.
+     * Monitors the command; has to be called often. The guardian itself may be stopped or killed,
+     * so near the deadline this method kills all processes of the command.
      *
-     * @return null until nothing of the command is left
+     * @return null until no process of the command is left
      * @throws IOException if the guardian's report can't be read
      */
     GuardianReport pollReport(long nowNanos) throws IOException {
         try {
             return guardian.isAlive() ? pollAlive(nowNanos) : pollEnded();
         } catch (UncheckedIOException e) {
-            // A process list that can't be read now proves nothing; the next poll tries again.
+            // Without a process list it is unknown what is left; the next poll tries again.
             return null;
         }
     }
 
     private GuardianReport pollAlive(long nowNanos) {
-        sendNext();
+        sendPending();
         if (nowNanos > deadlineNanos - settings.killReserveNanos()) {
             tree.kill();
         }
-        // A guardian that is itself stopped never reports; what it guarded has had its SIGKILL.
+        // A stopped guardian never reports; the command's processes have been sent SIGKILL above.
         if (stopped && nowNanos > deadlineNanos) {
             guardian.destroyForcibly();
         }
@@ -174,7 +178,8 @@
         }
         GuardianReport read = new GuardianReport(Files.readString(report));
         Files.delete(report);
-        // All was ended as was asked, even if the guardian was killed before it could report.
+        // All processes have ended as requested, even if the guardian was killed before it could
+        // report.
         return read.isMissing() && stopped ? GuardianReport.STOPPED : read;
     }
 }
--- a/sidecar/src/main/java/appleridge/lease/task/Guardian.java
+++ b/sidecar/src/main/java/appleridge/lease/task/Guardian.java
@@ -13,31 +13,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * {@code task-guard}: the process that runs a task's command. It gets deadlines on its standard
- * input, and ends the command and all its processes before the last deadline whatever has become of
- * the task: a {@code task} that is stopped or killed could end nothing, and its command would go on
- * beside the next holder's.
+ * {@code task-guard}: the process that runs a task's command. It reads deadlines from its standard
+ * input, and ends the command and all its processes before the latest deadline, whatever has
+ * happened to the task: a {@code task} process that is stopped or killed can't end anything, and
+ * its command would continue beside the next holder's.
  *
  * <p>Started by {@link GuardedProcess}; see {@link GuardianArguments}, {@link GuardianInstruction}
- * and {@link GuardianReport} for what passes between the two.
+ * and {@link GuardianReport} for the protocol between the two.
  */
 public final class Guardian {
-    private static final long STEP_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final GuardianArguments arguments;
     private final LeaseClock clock;
     private final ProcessTree tree;
     private final GuardedCommand command;
     private final LinkedBlockingQueue<String> input = new LinkedBlockingQueue<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
 
-    /** When all processes must have ended; null until it is known. */
+    /** The time by which all processes must have ended; null until it is known. */
     private LeaseClock.Moment deadline;
 
     private boolean mayStart;
-    private boolean ending;
+    private boolean terminating;
 
-    /** The task is gone: nobody reads a report. */
+    /** Whether the task's process has gone, so that nothing reads the report. */
     private boolean orphaned;
 
     private int exitStatus;
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Guards one command until all its processes have ended.
+     * Runs one command until all its processes have ended.
      *
      * @param words the {@link GuardianArguments}
      * @return the exit status of the process
@@ -63,32 +63,35 @@
         Thread reader = new Thread(this::readInput, "reader");
         reader.setDaemon(true);
         reader.start();
-        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
-        listProcessesOnce();
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "terminate"));
+        warmUpProcessList();
         GuardianReport report = null;
         while (report == null) {
             try {
-                takeInput();
+                readInstructions();
                 report = step();
             } catch (InterruptedException | RuntimeException e) {
-                // Without this thread nothing would end the command any more, so it goes on.
-                if (!ending) {
-                    log("ends the command: " + e);
+                // Only this thread can end the command, so it continues after any failure.
+                if (!terminating) {
+                    log("terminating the command after a failure: " + e);
                 }
-                ending = true;
+                terminating = true;
             }
         }
         write(report);
-        over.countDown();
+        finished.countDown();
         return exitStatus;
     }
 
-    /** The first listing loads classes and takes far longer than later ones near a deadline. */
-    private void listProcessesOnce() {
+    /**
+     * Loads classes in advance: the first listing takes far longer than later ones, which may come
+     * near a deadline.
+     */
+    private void warmUpProcessList() {
         try {
             tree.isEmpty();
         } catch (UncheckedIOException e) {
-            // Nothing was started yet; later listings report a failure.
+            // Nothing has been started yet; later listings report the failure.
         }
     }
 
@@ -99,7 +102,7 @@
                 input.add(line);
             }
         } catch (IOException e) {
-            // The same as the end of the input.
+            // Treated like the end of the input.
         }
         input.add(GuardianInstruction.TASK_GONE);
     }
@@ -108,66 +111,66 @@
     private void shutDown() {
         input.add(GuardianInstruction.STOP);
         try {
-            over.await();
+            finished.await();
             Runtime.getRuntime().halt(exitStatus);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void takeInput() throws InterruptedException {
-        String line = input.poll(STEP_MILLIS, TimeUnit.MILLISECONDS);
+    private void readInstructions() throws InterruptedException {
+        String line = input.poll(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         while (line != null) {
-            take(line);
+            apply(line);
             line = input.poll();
         }
     }
 
-    private void take(String line) {
-        if (GuardianInstruction.isEnd(line)) {
-            ending = true;
+    private void apply(String line) {
+        if (GuardianInstruction.requiresEnd(line)) {
+            terminating = true;
             orphaned |= GuardianInstruction.isTaskGone(line);
             return;
         }
         deadline = GuardianInstruction.deadline(line);
-        mayStart |= GuardianInstruction.isRun(line);
+        mayStart |= GuardianInstruction.allowsStart(line);
     }
 
-    /** Does what is due now; null until all is over. */
+    /** Does what is due now; returns null until all processes have ended. */
     private GuardianReport step() {
-        ending |= clock.mayHaveSuspended();
+        terminating |= clock.mayHaveSuspended();
         long leftNanos = deadline == null ? Long.MAX_VALUE : clock.nanosUntil(deadline);
         if (!command.isStarted()) {
             return stepBeforeStart(leftNanos);
         }
         if (!command.isAlive() && !command.isTerminated()) {
-            return command.kill() ? GuardianReport.ended(takeExitStatus()) : null;
+            return command.kill() ? GuardianReport.ended(saveExitStatus()) : null;
         }
-        // Once begun, an ending goes on even if the deadline moves: SIGTERM was sent already.
-        ending |= leftNanos <= arguments.terminationNanos();
-        return ending ? end(leftNanos) : null;
+        // Termination continues even if the deadline is extended: SIGTERM was sent already.
+        terminating |= leftNanos <= arguments.terminationNanos();
+        return terminating ? terminate(leftNanos) : null;
     }
 
     private GuardianReport stepBeforeStart(long leftNanos) {
-        if (leftNanos <= 0 || ending) {
+        if (leftNanos <= 0 || terminating) {
             return GuardianReport.NOT_STARTED;
         }
         boolean starts = mayStart && leftNanos > arguments.terminationNanos();
         return starts && !command.start(arguments) ? GuardianReport.COMMAND_NOT_FOUND : null;
     }
 
-    /** SIGTERM first, SIGKILL when the time for that is over. */
-    private GuardianReport end(long leftNanos) {
+    /** Sends SIGTERM first, and SIGKILL once the time to react to it has passed. */
+    private GuardianReport terminate(long leftNanos) {
         long nowNanos = clock.nanoTime();
         command.terminate(nowNanos);
         boolean kills =
                 command.nanosSinceTerminated(nowNanos) >= arguments.killAfterNanos()
                         || leftNanos <= arguments.killReserveNanos();
         boolean gone = kills ? command.kill() : command.isGone();
-        return gone ? GuardianReport.stopped(takeExitStatus()) : null;
+        return gone ? GuardianReport.stopped(saveExitStatus()) : null;
     }
 
-    private int takeExitStatus() {
+    private int saveExitStatus() {
         exitStatus = command.exitStatus();
         return exitStatus;
     }
--- a/sidecar/src/main/java/appleridge/lease/task/GuardianArguments.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardianArguments.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * What a guardian is started with. Both sides may be of different versions while a jar is replaced,
- * so the order of the words stays as it is.
+ * The command line of a guardian. While a jar is being replaced, both sides may run different
+ * versions, so the order of the words must not change.
  *
  * @param nonce marks all processes that the command starts; never used before
  * @param lease the lease's name
  * @param token the fencing token of the grant
- * @param killAfterNanos from SIGTERM to SIGKILL
- * @param killReserveNanos set aside for ending all processes after SIGKILL
+ * @param killAfterNanos the time from SIGTERM to SIGKILL
+ * @param killReserveNanos the time reserved for ending all processes with SIGKILL
  * @param maxClockJumpNanos see {@link appleridge.lease.store.LeaseClock#system}
- * @param report the file that takes its {@link GuardianReport}
- * @param command what to run, and its arguments
+ * @param report the file that receives the {@link GuardianReport}
+ * @param command the command to run, and its arguments
  */
 record GuardianArguments(
         String nonce,
@@ -28,7 +28,7 @@
         List<String> command) {
     private static final int COMMAND_INDEX = 7;
 
-    /** Reads them from a command line. */
+    /** Parses the words of a command line. */
     static GuardianArguments parse(List<String> words) {
         return new GuardianArguments(
                 words.get(0),
@@ -41,7 +41,7 @@
                 words.subList(COMMAND_INDEX, words.size()));
     }
 
-    /** Writes them for a command line. */
+    /** Returns the words for a command line. */
     List<String> words() {
         List<String> words =
                 new ArrayList<>(
@@ -57,7 +57,7 @@
         return words;
     }
 
-    /** How long before the deadline the command is told to end. */
+    /** How long before the deadline the command gets SIGTERM. */
     long terminationNanos() {
         return killAfterNanos + killReserveNanos;
     }
--- a/sidecar/src/main/java/appleridge/lease/task/GuardianReport.java
+++ b/sidecar/src/main/java/appleridge/lease/task/GuardianReport.java
@@ -1,19 +1,19 @@
 package appleridge.lease.task;
 
 /**
- * What became of a guarded command, as its guardian leaves it in a file. Both sides may be of
- * different versions while a jar is replaced, so the texts stay as they are.
+ * The outcome of a guarded command, which its guardian writes to a file. While a jar is being
+ * replaced, both sides may run different versions, so the texts must not change.
  *
  * @param text the content of the file; empty if the guardian was killed before it could report
  */
 record GuardianReport(String text) {
-    /** Nothing was started. */
+    /** The command was not started. */
     static final GuardianReport NOT_STARTED = new GuardianReport("never");
 
     /** The command can't be started. */
     static final GuardianReport COMMAND_NOT_FOUND = new GuardianReport("no-command");
 
-    /** All was ended as was asked, and the command's exit status is unknown. */
+    /** All processes were ended as requested; the command's exit status is unknown. */
     static final GuardianReport STOPPED = new GuardianReport("stopped ");
 
     private static final String ENDED_PREFIX = "ended ";
@@ -28,7 +28,7 @@
         return new GuardianReport(STOPPED.text + exitStatus);
     }
 
-    /** Whether the command ended by itself; only then it has an {@link #exitStatus}. */
+    /** Whether the command ended by itself; only then is there an {@link #exitStatus}. */
     boolean isEnded() {
         return text.startsWith(ENDED_PREFIX);
     }
@@ -43,7 +43,7 @@
         return text.isEmpty();
     }
 
-    /** Of a command that ended by itself. */
+    /** The exit status of a command that ended by itself. */
     int exitStatus() {
         return Integer.parseInt(text.substring(ENDED_PREFIX.length()));
     }
--- a/sidecar/src/main/java/appleridge/lease/task/LeaseClient.java
+++ b/sidecar/src/main/java/appleridge/lease/task/LeaseClient.java
@@ -12,19 +12,19 @@
 
 /**
  * Connects a {@link Lease} with its {@link LeaseStore} and a clock. Confined to one thread, which
- * runs the executor's tasks; its owner calls {@link Lease#onTimer} at {@link #timerAtNanos} or
- * before.
+ * runs the executor's tasks. The owner has to call {@link Lease#onTimer} no later than at {@link
+ * #timerAtNanos}.
  */
 final class LeaseClient implements LeaseActions, LeaseStore.Events {
-    /** What the owner of the lease has to act on. */
+    /** Events that the owner of the lease has to act on. */
     interface Listener {
-        /** A first grant, or its extension. */
+        /** The lease was granted, or its grant was extended. */
         void onGranted(Grant grant);
 
-        /** Nothing more may start, and what runs is to be stopped. */
+        /** No operation may start any more, and the running ones have to be stopped. */
         void onStopRequired();
 
-        /** The record was deleted and created anew; {@link #onStopRequired} follows. */
+        /** The record was deleted and created again; {@link #onStopRequired} follows. */
         void onRecordRecreated();
     }
 
@@ -57,7 +57,7 @@
         return lease;
     }
 
-    /** When the lease has something to do; {@link Long#MAX_VALUE} for never. */
+    /** When {@link Lease#onTimer} has to be called; {@link Long#MAX_VALUE} for never. */
     long timerAtNanos() {
         return timerAtNanos;
     }
--- a/sidecar/src/main/java/appleridge/lease/task/LeaseLog.java
+++ b/sidecar/src/main/java/appleridge/lease/task/LeaseLog.java
@@ -25,7 +25,7 @@
         log.accept(prefix + line);
     }
 
-    /** Logs what differs from the time before; {@code grantOrNull} is the task's. */
+    /** Logs what has changed since the last call; {@code grantOrNull} is the task's grant. */
     void logChanges(Lease lease, Grant grantOrNull) {
         String record = describe(lease.latestRecord());
         if (!record.equals(loggedRecord)) {
--- a/sidecar/src/main/java/appleridge/lease/task/LeasedTask.java
+++ b/sidecar/src/main/java/appleridge/lease/task/LeasedTask.java
@@ -12,17 +12,17 @@
 import java.util.function.Supplier;
 
 /**
- * Acquires a lease and runs a command while it is held, again and again, until the command ends by
- * itself. All state is confined to the thread of {@link #run}, except where said otherwise.
+ * Acquires a lease and runs a command while it is held, repeatedly, until the command ends by
+ * itself. All state is confined to the thread of {@link #run} unless stated otherwise.
  */
 final class LeasedTask implements LeaseClient.Listener {
-    /** From one look at the command to the next, at most. */
-    private static final long STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    /** The longest time from one poll of the command to the next. */
+    private static final long MAX_POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** How long the task waits for the store to learn of a release. */
+    /** How long the task waits for a release to reach the store. */
     private static final long RELEASE_WAIT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** The status of a task that goes on. */
+    /** The status of a task that has not ended. */
     private static final int RUNNING = -1;
 
     private final TaskSettings settings;
@@ -32,7 +32,7 @@
     private final Supplier<String> nonces;
     private final LeaseLog log;
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
     private final LeaseClient client;
     private final Lease lease;
 
@@ -42,7 +42,7 @@
     /** Null between two runs of the command. */
     private GuardedProcess process;
 
-    /** Whether the guardian was allowed to start the command. */
+    /** Whether the guardian has been allowed to start the command. */
     private boolean started;
 
     private boolean terminating;
@@ -52,13 +52,13 @@
     private volatile int status = RUNNING;
 
     /**
-     * Creates a task that has not begun.
+     * Creates a task that is not running.
      *
-     * @param name the lease's
-     * @param holder names this process to operators
-     * @param command what to run, and its arguments
-     * @param nonces never the same twice, of any process; the first is the lease's incarnation,
-     *     each further one marks the processes of one run
+     * @param name the lease's name
+     * @param holder the name of this process, for operators
+     * @param command the command to run, and its arguments
+     * @param nonces supplies values that no process has used before: the first is the lease's
+     *     incarnation, each further one marks the processes of one run
      */
     LeasedTask(
             TaskSettings settings,
@@ -91,7 +91,7 @@
      * Runs until the command has ended by itself or {@link #terminate} was called.
      *
      * @return the exit status of the process; see {@link TaskExitStatus}
-     * @throws IOException if a guardian can't be started or its report not read
+     * @throws IOException if a guardian can't be started or its report can't be read
      */
     int run() throws InterruptedException, IOException {
         try {
@@ -100,23 +100,24 @@
             while (status == RUNNING) {
                 step();
             }
-            leave();
+            awaitRelease();
             return status;
         } finally {
-            // Callers of terminate would wait for good otherwise.
+            // Callers of terminate would wait forever otherwise.
             status = status == RUNNING ? TaskExitStatus.FAILED : status;
-            over.countDown();
+            finished.countDown();
         }
     }
 
     /**
-     * Ends the command, releases the lease and waits for the end of {@link #run}. From any thread.
+     * Ends the command, releases the lease and waits for the end of {@link #run}. May be called
+     * from any thread.
      *
      * @return the exit status of the process
      */
     int terminate() throws InterruptedException {
         tasks.add(() -> terminating = true);
-        over.await();
+        finished.await();
         return status;
     }
 
@@ -124,8 +125,10 @@
         long untilTimerNanos = client.timerAtNanos() - clock.nanoTime();
         Runnable task =
                 tasks.poll(
-                        Math.max(0, Math.min(STEP_NANOS, untilTimerNanos)), TimeUnit.NANOSECONDS);
-        // After a pause of this process queued events are old news: first the lease may have ended.
+                        Math.max(0, Math.min(MAX_POLL_INTERVAL_NANOS, untilTimerNanos)),
+                        TimeUnit.NANOSECONDS);
+        // The lease may have expired during a pause of this process. That is handled before the
+        // events that were queued meanwhile.
         lease.onTimer(clock.nanoTime());
         if (task != null) {
             task.run();
@@ -152,7 +155,7 @@
         } else if (recordRecreated) {
             status = TaskExitStatus.RECORD_RECREATED;
         } else if (suspended) {
-            // The grant is counted by a clock that stood still, which a new guardian can't know.
+            // The grant was measured by a clock that stood still; a new guardian can't detect that.
             release();
             lease.acquire(nowNanos);
         } else if (grant != null) {
@@ -160,7 +163,7 @@
                     new GuardedProcess(clock, settings, nonces.get(), name, grant.token(), command);
             started = false;
         } else {
-            // Without effect unless the lease was lost.
+            // No effect unless the lease was lost.
             lease.acquire(nowNanos);
         }
     }
@@ -173,18 +176,18 @@
                 && lease.tryStart(nowNanos, settings.terminationNanos()) != null) {
             started = true;
             process.extendUntil(grant.expiresAtNanos());
-            log.info("the command begins, token=" + grant.token());
+            log.info("starting the command, token=" + grant.token());
         }
         GuardianReport report = process.pollReport(nowNanos);
         if (report != null) {
             process = null;
-            onCommandOver(report);
+            onCommandEnded(report);
         }
     }
 
-    private void onCommandOver(GuardianReport report) {
+    private void onCommandEnded(GuardianReport report) {
         log.info(
-                "the command is over, "
+                "command result: "
                         + (report.isMissing() ? "its guardian was killed" : report.text()));
         if (report.isEnded()) {
             status = report.exitStatus();
@@ -197,7 +200,7 @@
         } else if (report.isMissing()) {
             status = TaskExitStatus.GUARDIAN_LOST;
         } else if (!terminating && !recordRecreated) {
-            // The guardian had to stop the command though the lease lasted: others come first.
+            // The guardian stopped the command while the lease was held: other waiters come first.
             release();
             lease.acquire(clock.nanoTime());
         }
@@ -208,14 +211,15 @@
         lease.release(clock.nanoTime());
     }
 
-    /** Waits for the store to learn of a release, as the next holder would wait for the term. */
-    private void leave() throws InterruptedException {
+    /** Waits for a release to reach the store; the next holder would otherwise wait a term. */
+    private void awaitRelease() throws InterruptedException {
         long deadlineNanos = clock.nanoTime() + RELEASE_WAIT_NANOS;
         long nowNanos = clock.nanoTime();
         while (lease.isReleasePending() && nowNanos < deadlineNanos) {
             Runnable task =
                     tasks.poll(
-                            Math.min(STEP_NANOS, deadlineNanos - nowNanos), TimeUnit.NANOSECONDS);
+                            Math.min(MAX_POLL_INTERVAL_NANOS, deadlineNanos - nowNanos),
+                            TimeUnit.NANOSECONDS);
             if (task != null) {
                 task.run();
             }
--- a/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
+++ b/sidecar/src/main/java/appleridge/lease/task/ProcessTree.java
@@ -16,15 +16,15 @@
 
 /**
  * All processes that a command has started: its descendants, and those with its mark in their
- * environment. A process that leaves its session and its parents is nobody's child any more: only
- * the mark still shows whose it is.
+ * environment. A process in a session of its own whose parents have ended is no descendant any
+ * more; only the mark still identifies it.
  *
- * <p>Each method lists the processes anew, and throws an {@link UncheckedIOException} if they can't
- * be listed: then it is unknown what is left.
+ * <p>Each method lists the processes again, and throws an {@link UncheckedIOException} if they
+ * can't be listed, because it is then unknown what is left.
  */
 final class ProcessTree {
-    /** The environment variable that is the mark. */
-    static final String VARIABLE = "APPLERIDGE_TASK";
+    /** The environment variable that holds the mark. */
+    static final String MARK_VARIABLE = "APPLERIDGE_TASK";
 
     private static final Path PROCESSES = Path.of("/proc");
 
@@ -32,42 +32,42 @@
     private final ProcessHandle root;
 
     /**
-     * For one run of a command.
+     * Creates the tree of one run of a command.
      *
      * @param nonce the mark's value
-     * @param root all its descendants count, marked or not; it itself doesn't
+     * @param root a process whose descendants belong to the tree, marked or not; it doesn't itself
      */
     ProcessTree(String nonce, ProcessHandle root) {
-        this.mark = (VARIABLE + "=" + nonce + "\0").getBytes(StandardCharsets.ISO_8859_1);
+        this.mark = (MARK_VARIABLE + "=" + nonce + "\0").getBytes(StandardCharsets.ISO_8859_1);
         this.root = root;
     }
 
-    /** Sends SIGTERM to all; returns how many there were. */
+    /** Sends SIGTERM to all processes; returns how many there were. */
     int terminate() {
-        Map<Long, ProcessHandle> living = living();
-        living.values().forEach(ProcessHandle::destroy);
-        return living.size();
+        Map<Long, ProcessHandle> alive = findAlive();
+        alive.values().forEach(ProcessHandle::destroy);
+        return alive.size();
     }
 
-    /** Sends SIGKILL to all; returns how many there were. More may have started meanwhile. */
+    /** Sends SIGKILL to all processes; returns how many there were. More may start meanwhile. */
     int kill() {
-        Map<Long, ProcessHandle> living = living();
-        living.values().forEach(ProcessHandle::destroyForcibly);
-        return living.size();
+        Map<Long, ProcessHandle> alive = findAlive();
+        alive.values().forEach(ProcessHandle::destroyForcibly);
+        return alive.size();
     }
 
-    /** Whether there are none. */
+    /** Whether no process is left. */
     boolean isEmpty() {
-        return living().isEmpty();
+        return findAlive().isEmpty();
     }
 
-    private Map<Long, ProcessHandle> living() {
+    private Map<Long, ProcessHandle> findAlive() {
         Map<Long, ProcessHandle> found = new LinkedHashMap<>();
         root.descendants().forEach(process -> found.put(process.pid(), process));
         try (DirectoryStream<Path> all = Files.newDirectoryStream(PROCESSES, "[0-9]*")) {
             all.forEach(process -> addIfMarked(process, found));
         } catch (NotDirectoryException | NoSuchFileException e) {
-            // No such folder on this system: only descendants can be found.
+            // This system has no such directory: only descendants can be found.
         } catch (DirectoryIteratorException e) {
             throw new UncheckedIOException(e.getCause());
         } catch (IOException e) {
@@ -78,8 +78,8 @@
     }
 
     /**
-     * The handle is taken before the mark is read: taken after it, it could be another process that
-     * got the same number in between.
+     * Obtains the handle before it reads the mark: a handle obtained afterwards could be that of
+     * another process that got the same process ID in between.
      */
     private void addIfMarked(Path process, Map<Long, ProcessHandle> found) {
         long pid = Long.parseLong(process.getFileName().toString());
@@ -87,19 +87,20 @@
             return;
         }
         Optional<ProcessHandle> handle = ProcessHandle.of(pid);
-        handle.filter(there -> isMarked(process)).ifPresent(there -> found.put(pid, there));
+        handle.filter(candidate -> isMarked(process))
+                .ifPresent(candidate -> found.put(pid, candidate));
     }
 
     private boolean isMarked(Path process) {
         try {
             return containsEntry(Files.readAllBytes(process.resolve("environ")), mark);
         } catch (IOException e) {
-            // It has ended meanwhile, or is another user's.
+            // The process has ended meanwhile, or belongs to another user.
             return false;
         }
     }
 
-    /** Whether an environment has an entry; both end with a zero byte. */
+    /** Whether an environment contains an entry; each entry ends with a zero byte. */
     static boolean containsEntry(byte[] environment, byte[] entry) {
         for (int at = 0; at + entry.length <= environment.length; at++) {
             if ((at == 0 || environment[at - 1] == 0)
--- a/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskArguments.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The arguments of {@code task}. Not changed once parsed. */
+/** The command-line arguments of {@code task}; immutable once parsed. */
 @Command(
         name = "task",
         sortOptions = false,
@@ -28,7 +28,7 @@
             names = "--operator",
             required = true,
             paramLabel = "FILE",
-            description = "The operator's file; its section [leases] says where leases are.")
+            description = "The operator's file; its section [leases] configures the leases.")
     private Path operator;
 
     private String lease;
@@ -36,28 +36,28 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "COMMAND",
-            description = "What to run, and its arguments.")
+            description = "The command to run, and its arguments.")
     private List<String> command;
 
     private TaskArguments() {}
 
     /**
-     * Reads them.
+     * Parses the arguments.
      *
-     * @throws IllegalArgumentException if they are wrong, with a message for the operator
+     * @throws IllegalArgumentException if they are invalid, with a message for the operator
      */
     static TaskArguments parse(List<String> words) {
         TaskArguments arguments = new TaskArguments();
         try {
-            // Without "--" an "@file" or option of the command would be read as one of task.
+            // Without "--", an "@file" or an option of the command would be parsed as one of task.
             if (!words.contains("--")) {
                 throw new IllegalArgumentException("no command after --");
             }
             new CommandLine(arguments)
                     .setExpandAtFiles(false)
                     .parseArgs(words.toArray(new String[0]));
-            int own = words.size() - words.indexOf("--") - 1;
-            if (arguments.command.size() > own) {
+            int commandWords = words.size() - words.indexOf("--") - 1;
+            if (arguments.command.size() > commandWords) {
                 throw new IllegalArgumentException("unknown argument: " + arguments.command.get(0));
             }
         } catch (ParameterException e) {
--- a/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
+++ b/sidecar/src/main/java/appleridge/lease/task/TaskCommand.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Function;
 
-/** {@code java -jar appleridge.jar task --operator FILE --lease NAME -- COMMAND}. */
+/** Runs {@code java -jar appleridge.jar task --operator FILE --lease NAME -- COMMAND}. */
 public final class TaskCommand {
     private static final Path HOST_NAME = Path.of("/proc/sys/kernel/hostname");
     private static final int NONCE_BYTES = 8;
@@ -23,9 +23,9 @@
     /**
      * Runs the command until its end.
      *
-     * @param words what follows the command's name
+     * @param words the arguments after {@code task}
      * @param readSettings reads the operator's file; throws an {@link IllegalArgumentException}
-     *     with a message for the operator if it is wrong
+     *     with a message for the operator if the file is invalid
      * @return the exit status of the process
      */
     public static int run(List<String> words, Function<Path, TaskSettings> readSettings) {
@@ -45,8 +45,8 @@
         try {
             return run(task(arguments, settings, clock));
         } catch (InterruptedException | IOException e) {
-            Duration after = Duration.ofNanos(clock.nanoTime() - startedNanos);
-            throw new TaskFailedException(arguments.lease(), after, e);
+            Duration elapsed = Duration.ofNanos(clock.nanoTime() - startedNanos);
+            throw new TaskFailedException(arguments.lease(), elapsed, e);
         }
     }
 
@@ -93,7 +93,9 @@
         }
     }
 
-    /** On SIGTERM. The JVM is ending already: only its shutdown hook can still set the status. */
+    /**
+     * Called on SIGTERM: as the JVM is exiting, only its shutdown hook can still set the status.
+     */
     private static void terminate(LeasedTask task) {
         try {
             Runtime.getRuntime().halt(task.terminate());
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real guardian with real commands. */
+/** Guardians as real processes, with real commands. */
 @Timeout(60)
 class GuardianTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
     @TempDir private Path folder;
@@ -33,57 +33,57 @@
             new TaskSettings(
                     null,
                     LeaseParameters.timed(10 * SECOND, 0, SECOND, SECOND, 0, 0),
-                    300 * MILLI,
-                    200 * MILLI);
-    private final List<GuardedProcess> begun = new ArrayList<>();
+                    300 * MILLISECOND,
+                    200 * MILLISECOND);
+    private final List<GuardedProcess> started = new ArrayList<>();
     private Path out;
     private String nonce;
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         out = folder.resolve("out");
         nonce = "g" + ProcessHandle.current().pid() + "-" + folder.getFileName();
     }
 
     @AfterEach
-    void end() {
-        for (GuardedProcess each : begun) {
+    void killProcesses() {
+        for (GuardedProcess each : started) {
             new ProcessTree(nonce, each.guardian().toHandle()).kill();
             each.guardian().destroyForcibly();
         }
     }
 
-    private GuardedProcess guarded(String script) throws Exception {
-        return guarded(List.of("bash", "-c", script, "x", out.toString()));
+    private GuardedProcess startGuardian(String script) throws Exception {
+        return startGuardian(List.of("bash", "-c", script, "x", out.toString()));
     }
 
-    private GuardedProcess guarded(List<String> command) throws Exception {
-        GuardedProcess guarded = new GuardedProcess(clock, settings, nonce, "nightly", 12, command);
-        begun.add(guarded);
-        return guarded;
+    private GuardedProcess startGuardian(List<String> command) throws Exception {
+        GuardedProcess process = new GuardedProcess(clock, settings, nonce, "nightly", 12, command);
+        started.add(process);
+        return process;
     }
 
-    private static void stop(GuardedProcess guarded) throws Exception {
+    private static void suspend(GuardedProcess process) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-STOP", Long.toString(guarded.guardian().pid()))
+                new ProcessBuilder("kill", "-STOP", Long.toString(process.guardian().pid()))
                         .start()
                         .waitFor());
     }
 
-    private String last(GuardedProcess guarded) throws Exception {
-        GuardianReport last = guarded.pollReport(clock.nanoTime());
-        while (last == null) {
+    private String awaitReport(GuardedProcess process) throws Exception {
+        GuardianReport report = process.pollReport(clock.nanoTime());
+        while (report == null) {
             Thread.sleep(5);
-            last = guarded.pollReport(clock.nanoTime());
+            report = process.pollReport(clock.nanoTime());
         }
         assertTrue(
-                new ProcessTree(nonce, guarded.guardian().toHandle()).isEmpty(),
-                "something is left");
-        return last.text();
+                new ProcessTree(nonce, process.guardian().toHandle()).isEmpty(),
+                "a process of the command is left");
+        return report.text();
     }
 
-    private void awaitOut() throws Exception {
+    private void awaitOutput() throws Exception {
         while (!Files.exists(out) || Files.size(out) == 0) {
             Thread.sleep(5);
         }
@@ -91,161 +91,167 @@
 
     @Test
     void commandGetsItsTokenAndItsExitStatusIsReported() throws Exception {
-        GuardedProcess guarded = guarded("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
-        assertNull(guarded.pollReport(clock.nanoTime()));
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        assertEquals("ended 3", last(guarded));
+        GuardedProcess process =
+                startGuardian("echo $APPLERIDGE_LEASE $APPLERIDGE_TOKEN > $1; exit 3");
+        assertNull(process.pollReport(clock.nanoTime()));
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        assertEquals("ended 3", awaitReport(process));
         assertEquals("nightly 12\n", Files.readString(out));
     }
 
     @Test
     void processesLeftByTheCommandAreKilled() throws Exception {
-        GuardedProcess guarded = guarded("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        assertEquals("ended 0", last(guarded));
+        GuardedProcess process =
+                startGuardian("setsid --fork sleep 50; sleep 51 & trap '' TERM; exit 0");
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        assertEquals("ended 0", awaitReport(process));
     }
 
-    /**
-     * Guards against a command that outlives what it was told, with a session of its own or
-     * without.
-     */
+    /** Guards against a command that runs beyond its deadline, in a session of its own or not. */
     @Test
     void processesIgnoringSigtermAreKilledBeforeTheDeadline() throws Exception {
-        String writes = "while :; do echo 1 >> $1; sleep 0.02; done";
+        String writeLoop = "while :; do echo 1 >> $1; sleep 0.02; done";
         for (String script :
                 List.of(
-                        "trap '' TERM; " + writes,
+                        "trap '' TERM; " + writeLoop,
                         "setsid --fork bash -c \"trap '' TERM; "
-                                + writes.replace("$1", out.toString())
+                                + writeLoop.replace("$1", out.toString())
                                 + "\"; sleep 50",
-                        writes)) {
+                        writeLoop)) {
             Files.deleteIfExists(out);
-            GuardedProcess guarded = guarded(script);
-            guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-            awaitOut();
-            long byWall = System.currentTimeMillis() + 900;
-            guarded.extendUntil(clock.nanoTime() + 900 * MILLI);
-            assertTrue(last(guarded).startsWith("stopped "), script);
-            long late = Files.getLastModifiedTime(out).toMillis() - byWall;
-            assertTrue(late < 0, script + " went on for " + late + " ms too long");
+            GuardedProcess process = startGuardian(script);
+            process.extendUntil(clock.nanoTime() + 20 * SECOND);
+            awaitOutput();
+            long deadlineMillis = System.currentTimeMillis() + 900;
+            process.extendUntil(clock.nanoTime() + 900 * MILLISECOND);
+            assertTrue(awaitReport(process).startsWith("stopped "), script);
+            long overrunMillis = Files.getLastModifiedTime(out).toMillis() - deadlineMillis;
+            assertTrue(
+                    overrunMillis < 0,
+                    script + " ran " + overrunMillis + " ms beyond its deadline");
         }
     }
 
     @Test
     void commandGetsSigtermFirst() throws Exception {
-        GuardedProcess guarded =
-                guarded(
+        GuardedProcess process =
+                startGuardian(
                         "trap 'echo term > $1; exit 5' TERM; echo 1 > $1; while :; do sleep 0.01;"
                                 + " done");
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        awaitOut();
-        guarded.stop();
-        assertEquals("stopped 5", last(guarded));
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        awaitOutput();
+        process.stop();
+        assertEquals("stopped 5", awaitReport(process));
         assertEquals("term\n", Files.readString(out));
     }
 
-    /** Guards against a guardian that waits for good beside a command that it has ended. */
+    /**
+     * Guards against a guardian whose deadline is extended after SIGTERM, and which then never
+     * sends SIGKILL.
+     */
     @Test
     void terminationGoesOnWhenTheDeadlineIsExtended() throws Exception {
-        GuardedProcess guarded =
-                guarded(
+        GuardedProcess process =
+                startGuardian(
                         "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
                                 + " while :; do sleep 0.01; done");
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        awaitOut();
-        guarded.extendUntil(clock.nanoTime() + 400 * MILLI);
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        awaitOutput();
+        process.extendUntil(clock.nanoTime() + 400 * MILLISECOND);
         while (!Files.readString(out).equals("term\n")) {
             Thread.sleep(1);
         }
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        assertTrue(last(guarded).startsWith("stopped "));
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        assertTrue(awaitReport(process).startsWith("stopped "));
     }
 
     @Test
     void commandIsNotStartedWhenTheDeadlineIsTooClose() throws Exception {
-        GuardedProcess guarded = guarded("echo 1 > $1");
-        guarded.extendUntil(clock.nanoTime() + 400 * MILLI);
-        assertEquals("never", last(guarded));
+        GuardedProcess process = startGuardian("echo 1 > $1");
+        process.extendUntil(clock.nanoTime() + 400 * MILLISECOND);
+        assertEquals("never", awaitReport(process));
         assertTrue(Files.notExists(out));
-        GuardedProcess stopped = guarded("echo 1 > $1");
+        GuardedProcess stopped = startGuardian("echo 1 > $1");
         stopped.stop();
-        assertEquals("never", last(stopped));
+        assertEquals("never", awaitReport(stopped));
         assertTrue(Files.notExists(out));
     }
 
     @Test
     void missingCommandIsReported() throws Exception {
-        GuardedProcess guarded = guarded(List.of("/no/such/command"));
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        assertEquals("no-command", last(guarded));
+        GuardedProcess process = startGuardian(List.of("/no/such/command"));
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        assertEquals("no-command", awaitReport(process));
     }
 
-    /** Guards against a guardian that is gone while its command goes on. */
+    /** Guards against a command that continues after its guardian was killed. */
     @Test
     void commandOfAKilledGuardianIsKilledByTheTask() throws Exception {
-        GuardedProcess guarded = guarded("echo 1 > $1; sleep 50");
-        guarded.extendUntil(clock.nanoTime() + 20 * SECOND);
-        awaitOut();
-        guarded.guardian().destroyForcibly().waitFor();
-        assertEquals("", last(guarded));
+        GuardedProcess process = startGuardian("echo 1 > $1; sleep 50");
+        process.extendUntil(clock.nanoTime() + 20 * SECOND);
+        awaitOutput();
+        process.guardian().destroyForcibly().waitFor();
+        assertEquals("", awaitReport(process));
     }
 
-    /** Guards against a guardian that has lost its one thread, and ends nothing any more. */
+    /** Guards against a failure that stops the guardian's only thread, which then ends nothing. */
     @Test
     void malformedInstructionEndsTheCommand() throws Exception {
-        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
-        awaitOut();
-        OutputStream in = guarded.guardian().getOutputStream();
+        GuardedProcess process = startGuardian("echo 1 > $1; sleep 100");
+        process.extendUntil(clock.nanoTime() + 90 * SECOND);
+        awaitOutput();
+        OutputStream in = process.guardian().getOutputStream();
         in.write("go 12\n".getBytes(StandardCharsets.US_ASCII));
         in.flush();
-        assertTrue(last(guarded).startsWith("stopped "));
+        assertTrue(awaitReport(process).startsWith("stopped "));
     }
 
-    /** Guards against who waits for good for the last word of a guardian that is stopped. */
+    /** Guards against a task that waits forever for the report of a stopped guardian. */
     @Test
     void stoppedGuardianIsKilledAfterTheDeadline() throws Exception {
-        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
-        awaitOut();
-        stop(guarded);
-        guarded.extendUntil(clock.nanoTime() + SECOND);
-        guarded.stop();
-        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
-        assertTrue(last(guarded).startsWith("stopped "));
+        GuardedProcess process = startGuardian("echo 1 > $1; sleep 100");
+        process.extendUntil(clock.nanoTime() + 90 * SECOND);
+        awaitOutput();
+        suspend(process);
+        process.extendUntil(clock.nanoTime() + SECOND);
+        process.stop();
+        process.extendUntil(clock.nanoTime() + 90 * SECOND);
+        assertTrue(awaitReport(process).startsWith("stopped "));
     }
 
-    /** Guards against a command without its mark that goes on while its guardian stands still. */
+    /**
+     * Guards against a command that has removed its mark and continues under a stopped guardian.
+     */
     @Test
     void unmarkedChildOfAStoppedGuardianIsKilled() throws Exception {
-        GuardedProcess guarded =
-                guarded("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
-        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
-        awaitOut();
+        GuardedProcess process =
+                startGuardian("exec env -i bash -c 'echo $$ > \"$1\"; exec sleep 100' x $1");
+        process.extendUntil(clock.nanoTime() + 90 * SECOND);
+        awaitOutput();
         Path child = Path.of("/proc", Files.readString(out).strip(), "stat");
-        stop(guarded);
-        guarded.extendUntil(clock.nanoTime() + 500 * MILLI);
-        // Its guardian, which stands still, does not ask for its status.
+        suspend(process);
+        process.extendUntil(clock.nanoTime() + 500 * MILLISECOND);
+        // The stopped guardian does not reap the child, which remains as a zombie.
         while (Files.exists(child) && !Files.readString(child).contains(") Z ")) {
-            assertNull(guarded.pollReport(clock.nanoTime()));
+            assertNull(process.pollReport(clock.nanoTime()));
             Thread.sleep(5);
         }
-        guarded.stop();
-        assertTrue(last(guarded).startsWith("stopped "));
+        process.stop();
+        assertTrue(awaitReport(process).startsWith("stopped "));
     }
 
-    /** Guards against a pipe that is full: who writes to it would see no lease end. */
+    /** Guards against a task that blocks on a full pipe and misses the end of its lease. */
     @Test
     void stoppedGuardianDoesNotBlockTheTask() throws Exception {
-        GuardedProcess guarded = guarded("echo 1 > $1; sleep 100");
-        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
-        awaitOut();
-        stop(guarded);
+        GuardedProcess process = startGuardian("echo 1 > $1; sleep 100");
+        process.extendUntil(clock.nanoTime() + 90 * SECOND);
+        awaitOutput();
+        suspend(process);
         assertTimeoutPreemptively(
                 Duration.ofSeconds(30),
                 () -> {
                     for (int i = 0; i < 5_000; i++) {
-                        guarded.extendUntil(clock.nanoTime() + 90 * SECOND);
+                        process.extendUntil(clock.nanoTime() + 90 * SECOND);
                     }
                 });
     }
--- a/sidecar/src/test/java/appleridge/lease/task/InMemoryLeaseStore.java
+++ b/sidecar/src/test/java/appleridge/lease/task/InMemoryLeaseStore.java
@@ -6,38 +6,38 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 
-/** A record and a line in memory, of which each task has a store. */
+/** A record and a queue in memory, to which each task is connected by a store of its own. */
 final class InMemoryLeaseStore {
-    private final List<Store> line = new ArrayList<>();
-    private VersionedLease entry;
+    private final List<Connection> queue = new ArrayList<>();
+    private VersionedLease record;
 
-    synchronized VersionedLease entry() {
-        return entry;
+    synchronized VersionedLease record() {
+        return record;
     }
 
-    LeaseStore store(LeaseStore.Events events, Executor executor) {
-        return new Store(events, executor);
+    LeaseStore connect(LeaseStore.Events events, Executor executor) {
+        return new Connection(events, executor);
     }
 
-    private synchronized void changed() {
-        line.forEach(each -> each.executor.execute(each.events::onRecordChanged));
+    private synchronized void notifyWaiters() {
+        queue.forEach(each -> each.executor.execute(each.events::onRecordChanged));
     }
 
-    private synchronized void place(Store store, boolean in) {
-        line.remove(store);
-        if (in) {
-            line.add(store);
+    private synchronized void setQueued(Connection connection, boolean queued) {
+        queue.remove(connection);
+        if (queued) {
+            queue.add(connection);
         }
-        if (!line.isEmpty()) {
-            line.get(0).executor.execute(line.get(0).events::onHeadOfQueue);
+        if (!queue.isEmpty()) {
+            queue.get(0).executor.execute(queue.get(0).events::onHeadOfQueue);
         }
     }
 
-    private final class Store implements LeaseStore {
+    private final class Connection implements LeaseStore {
         private final Events events;
         private final Executor executor;
 
-        Store(Events events, Executor executor) {
+        Connection(Events events, Executor executor) {
             this.events = events;
             this.executor = executor;
         }
@@ -48,20 +48,20 @@
         }
 
         @Override
-        public void read(long question) {
-            VersionedLease now = entry();
-            executor.execute(() -> events.onRead(question, now));
+        public void read(long requestId) {
+            VersionedLease current = record();
+            executor.execute(() -> events.onRead(requestId, current));
         }
 
         @Override
-        public void write(long question, long expectedVersion, VersionedLease next) {
+        public void write(long requestId, long expectedVersion, VersionedLease next) {
             synchronized (InMemoryLeaseStore.this) {
-                long version = entry == null ? -1 : entry.version();
+                long version = record == null ? -1 : record.version();
                 if (version != expectedVersion) {
-                    executor.execute(() -> events.onConflict(question));
+                    executor.execute(() -> events.onConflict(requestId));
                     return;
                 }
-                entry =
+                record =
                         new VersionedLease(
                                 version + 1,
                                 next.token(),
@@ -69,19 +69,19 @@
                                 next.nonce(),
                                 next.termNanos(),
                                 next.released());
-                executor.execute(() -> events.onWritten(question, version + 1));
+                executor.execute(() -> events.onWritten(requestId, version + 1));
             }
-            changed();
+            notifyWaiters();
         }
 
         @Override
-        public void setQueued(boolean in) {
-            place(this, in);
+        public void setQueued(boolean queued) {
+            InMemoryLeaseStore.this.setQueued(this, queued);
         }
 
         @Override
         public void close() {
-            place(this, false);
+            InMemoryLeaseStore.this.setQueued(this, false);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/LeasedTaskTest.java
@@ -22,20 +22,25 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tasks with real guardians and commands, on a record in memory. */
+/** Tasks with real guardians and commands, and a store in memory. */
 @Timeout(60)
 class LeasedTaskTest {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private static final TaskSettings SETTINGS =
             new TaskSettings(
                     null,
                     LeaseParameters.timed(
-                            4000 * MILLI, 0, 100 * MILLI, 200 * MILLI, 0, 700 * MILLI),
-                    200 * MILLI,
-                    500 * MILLI);
-
-    @TempDir private Path folder;
-    private final InMemoryLeaseStore shared = new InMemoryLeaseStore();
+                            4000 * MILLISECOND,
+                            0,
+                            100 * MILLISECOND,
+                            200 * MILLISECOND,
+                            0,
+                            700 * MILLISECOND),
+                    200 * MILLISECOND,
+                    500 * MILLISECOND);
+
+    @TempDir private Path directory;
+    private final InMemoryLeaseStore store = new InMemoryLeaseStore();
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final AtomicInteger nonces = new AtomicInteger();
     private LeaseStore.Events lastEvents;
@@ -54,12 +59,12 @@
     }
 
     @AfterEach
-    void end() {
+    void killProcesses() {
         ProcessHandle.current().descendants().forEach(ProcessHandle::destroyForcibly);
     }
 
     private Run task(String holder, String script) {
-        return task(holder, script, LeaseClock.system(100 * MILLI, log::add));
+        return task(holder, script, LeaseClock.system(100 * MILLISECOND, log::add));
     }
 
     private Run task(String holder, String script, LeaseClock clock) {
@@ -68,21 +73,21 @@
                         SETTINGS,
                         "nightly",
                         holder,
-                        List.of("bash", "-c", script, holder, folder.resolve("out").toString()),
+                        List.of("bash", "-c", script, holder, directory.resolve("out").toString()),
                         clock,
                         () ->
                                 "t"
                                         + ProcessHandle.current().pid()
-                                        + folder.getFileName()
+                                        + directory.getFileName()
                                         + nonces.incrementAndGet(),
                         (events, executor) -> {
                             lastEvents = events;
-                            return shared.store(events, executor);
+                            return store.connect(events, executor);
                         },
                         log::add));
     }
 
-    /** The guardian, stopped as soon as it is there. */
+    /** Waits for a guardian and stops it at once. */
     private static ProcessHandle stoppedGuardian() throws Exception {
         ProcessHandle found = null;
         while (found == null) {
@@ -105,8 +110,8 @@
         return found;
     }
 
-    private void await(String line) throws Exception {
-        Path out = folder.resolve("out");
+    private void awaitOutput(String line) throws Exception {
+        Path out = directory.resolve("out");
         while (!Files.exists(out) || !Files.readAllLines(out).contains(line)) {
             Thread.sleep(5);
         }
@@ -115,16 +120,17 @@
     @Test
     void leaseIsReleasedWhenTheCommandExitsWithZero() throws Exception {
         Run first = task("a", "echo $0 $APPLERIDGE_TOKEN >> $1; sleep 0.5; exit 0");
-        await("a 1");
+        awaitOutput("a 1");
         Run second = task("b", "echo $0 $APPLERIDGE_TOKEN >> $1; exit 4");
         assertEquals(0, first.get());
         assertEquals(4, second.get());
-        await("b 2");
-        assertEquals("b", shared.entry().holder());
+        awaitOutput("b 2");
+        assertEquals("b", store.record().holder());
         assertFalse(
-                shared.entry().released(), "a command that fails must not go round at full speed");
+                store.record().released(),
+                "a command that fails must not be restarted elsewhere without a delay");
         assertTrue(log.contains("lease nightly: state=held why=none token=1"), log::toString);
-        assertTrue(log.contains("lease nightly: the command is over, ended 0"), log::toString);
+        assertTrue(log.contains("lease nightly: command result: ended 0"), log::toString);
     }
 
     @Test
@@ -134,10 +140,10 @@
                         "a",
                         "trap 'echo over >> $1; exit 0' TERM; echo on >> $1;"
                                 + " while :; do sleep 0.01; done");
-        await("on");
+        awaitOutput("on");
         assertEquals(TaskExitStatus.TERMINATED, run.task.terminate());
-        await("over");
-        assertTrue(shared.entry().released());
+        awaitOutput("over");
+        assertTrue(store.record().released());
         Run waiting = task("b", "sleep 50");
         Run behind = task("c", "sleep 50");
         assertEquals(TaskExitStatus.TERMINATED, behind.task.terminate());
@@ -147,8 +153,8 @@
     @Test
     void recreatedRecordEndsTheTask() throws Exception {
         Run run = task("a", "echo on >> $1; sleep 50");
-        await("on");
-        lastEvents.onRecordRecreated("made anew");
+        awaitOutput("on");
+        lastEvents.onRecordRecreated("created again");
         assertEquals(TaskExitStatus.RECORD_RECREATED, run.get());
     }
 
@@ -161,25 +167,27 @@
                                 "nightly",
                                 "a",
                                 List.of("/no/such/command"),
-                                LeaseClock.system(100 * MILLI, log::add),
+                                LeaseClock.system(100 * MILLISECOND, log::add),
                                 () -> "n" + nonces.incrementAndGet(),
-                                shared::store,
+                                store::connect,
                                 log::add));
         assertEquals(TaskExitStatus.COMMAND_NOT_STARTED, run.get());
-        assertTrue(shared.entry().released());
+        assertTrue(store.record().released());
     }
 
-    /** Guards against a machine that can't be shut down, and a lease that is not given away. */
+    /** Guards against a shutdown that never ends, and a lease that is never released. */
     @Test
     void terminationSucceedsWhileTheGuardianIsStopped() throws Exception {
         Run run = task("a", "echo on >> $1; sleep 100");
-        await("on");
+        awaitOutput("on");
         stoppedGuardian();
         assertEquals(TaskExitStatus.TERMINATED, run.task.terminate());
-        assertTrue(shared.entry().released());
+        assertTrue(store.record().released());
     }
 
-    /** Guards against a SIGTERM to all of a group that is told as a guardian's failure. */
+    /**
+     * Guards against a SIGTERM to the whole process group that is reported as a guardian's failure.
+     */
     @Test
     void guardianKilledDuringTerminationIsNoFailure() throws Exception {
         Run run = task("a", "sleep 100");
@@ -193,10 +201,10 @@
         }
         guardian.destroyForcibly();
         assertEquals(TaskExitStatus.TERMINATED, terminated.get());
-        assertTrue(shared.entry().released());
+        assertTrue(store.record().released());
     }
 
-    /** Guards against a shutdown that waits for good for a task that has failed. */
+    /** Guards against a shutdown that waits forever for a task that has failed. */
     @Test
     void terminationOfAFailedTaskReturnsItsStatus() {
         Run run =
@@ -206,20 +214,20 @@
                                 "nightly",
                                 "a",
                                 List.of("true"),
-                                LeaseClock.system(100 * MILLI, log::add),
+                                LeaseClock.system(100 * MILLISECOND, log::add),
                                 () -> {
                                     if (nonces.incrementAndGet() > 1) {
                                         throw new IllegalStateException("no nonce");
                                     }
                                     return "n";
                                 },
-                                shared::store,
+                                store::connect,
                                 log::add));
         assertThrows(ExecutionException.class, run::get);
         assertEquals(TaskExitStatus.FAILED, assertDoesNotThrow(run.task::terminate));
     }
 
-    /** Guards against a grant from before a sleep that only the wall clock shows. */
+    /** Guards against the use of a grant after a suspension that only the wall clock shows. */
     @Test
     void grantFromBeforeASuspensionIsNotUsed() throws Exception {
         LeaseClock clock =
@@ -228,10 +236,10 @@
                         () -> LeaseClock.NO_CLOCK,
                         () ->
                                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
-                                        + (shared.entry() == null ? 0 : TimeUnit.HOURS.toMillis(1)),
-                        100 * MILLI,
+                                        + (store.record() == null ? 0 : TimeUnit.HOURS.toMillis(1)),
+                        100 * MILLISECOND,
                         log::add);
         assertEquals(0, task("a", "echo $APPLERIDGE_TOKEN >> $1; exit 0", clock).get());
-        assertEquals("2\n", Files.readString(folder.resolve("out")));
+        assertEquals("2\n", Files.readString(directory.resolve("out")));
     }
 }
--- a/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/ProcessTreeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Whose a process is, by the mark in its environment. */
+/** Recognition of a command's processes by the mark in their environment. */
 @Timeout(30)
 class ProcessTreeTest {
     private static byte[] bytes(String text) {
@@ -25,19 +25,19 @@
         assertFalse(ProcessTree.containsEntry(bytes(""), mark));
     }
 
-    /** Guards against a command's child that is nobody's child any more. */
+    /** Guards against a process of the command that is no longer its descendant. */
     @Test
     void orphanedProcessIsFoundByItsMarkAndKilled() throws Exception {
         String nonce = "t" + ProcessHandle.current().pid();
         ProcessBuilder builder = new ProcessBuilder("setsid", "--fork", "sleep", "60");
-        builder.environment().put(ProcessTree.VARIABLE, nonce);
-        Process ended = builder.start();
-        assertEquals(0, ended.waitFor());
-        ProcessTree tree = new ProcessTree(nonce, ended.toHandle());
-        ProcessTree another = new ProcessTree(nonce + "x", ended.toHandle());
-        // Between its fork and its own program it is there already, with the same environment.
+        builder.environment().put(ProcessTree.MARK_VARIABLE, nonce);
+        Process parent = builder.start();
+        assertEquals(0, parent.waitFor());
+        ProcessTree tree = new ProcessTree(nonce, parent.toHandle());
+        ProcessTree otherTree = new ProcessTree(nonce + "x", parent.toHandle());
+        // Between fork and exec the process exists already, with the same environment.
         assertFalse(tree.isEmpty());
-        assertTrue(another.isEmpty());
+        assertTrue(otherTree.isEmpty());
         assertEquals(1, tree.kill());
         while (!tree.isEmpty()) {
             Thread.onSpinWait();
--- a/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/TaskArgumentsTest.java
@@ -16,11 +16,11 @@
 
     @Test
     void argumentsOfTheCommandAreNotInterpreted() {
-        TaskArguments read =
+        TaskArguments arguments =
                 parse("--lease nightly --operator o.toml -- run --lease x -- @file -v");
-        assertEquals(Path.of("o.toml"), read.operator());
-        assertEquals("nightly", read.lease());
-        assertEquals(List.of("run", "--lease", "x", "--", "@file", "-v"), read.command());
+        assertEquals(Path.of("o.toml"), arguments.operator());
+        assertEquals("nightly", arguments.lease());
+        assertEquals(List.of("run", "--lease", "x", "--", "@file", "-v"), arguments.command());
     }
 
     @Test
