--- a/sidecar/src/main/java/appleridge/lease/Permits.java
+++ b/sidecar/src/main/java/appleridge/lease/Permits.java
@@ -22,15 +22,15 @@
      * Creates permits of which none is wanted yet.
      *
      * @param count from 1 to {@value #MAX_PERMITS}
-     * @param lease creates the lease of each permit, numbered from 0
+     * @param leaseFactory creates the lease of each permit, numbered from 0
      * @throws IllegalArgumentException if the count is out of range
      */
-    public Permits(int count, IntFunction<Lease> lease) {
+    public Permits(int count, IntFunction<Lease> leaseFactory) {
         if (count < 1 || count > MAX_PERMITS) {
             throw new IllegalArgumentException(
                     "number of permits is " + count + "; allowed: 1 to " + MAX_PERMITS);
         }
-        leases = IntStream.range(0, count).mapToObj(lease).toList();
+        leases = IntStream.range(0, count).mapToObj(leaseFactory).toList();
     }
 
     /** The leases of all permits, held or not. */
--- a/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
+++ b/sidecar/src/test/java/appleridge/lease/task/GuardianTest.java
@@ -27,7 +27,7 @@
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final LeaseClock clock = LeaseClock.system(SECOND, line -> {});
     private final TaskSettings settings =
             new TaskSettings(
@@ -41,8 +41,8 @@
 
     @BeforeEach
     void setUp() {
-        out = folder.resolve("out");
-        nonce = "g" + ProcessHandle.current().pid() + "-" + folder.getFileName();
+        out = directory.resolve("out");
+        nonce = "g" + ProcessHandle.current().pid() + "-" + directory.getFileName();
     }
 
     @AfterEach
@@ -150,7 +150,7 @@
      * sends SIGKILL.
      */
     @Test
-    void terminationGoesOnWhenTheDeadlineIsExtended() throws Exception {
+    void terminationContinuesWhenTheDeadlineIsExtended() throws Exception {
         GuardedProcess process =
                 startGuardian(
                         "trap 'echo term > $1; while :; do sleep 0.01; done' TERM; echo 1 > $1;"
