--- a/sidecar/src/main/java/appleridge/loadbalancing/Admission.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Admission.java
@@ -1,18 +1,23 @@
 package appleridge.loadbalancing;
 
-/** What {@link AdmissionController} does with a request, and if it is rejected, for what reason. */
+/** What {@link AdmissionController} does with a request, and the reason of a rejection. */
 enum Admission {
     /** An attempt has been sent. */
     SENT(null),
-    /** No host takes it now: it waits for capacity, while it can still be answered in time. */
+    /** No host takes it now. It waits for capacity for as long as it can be answered in time. */
     QUEUED(null),
-    /** Its client has given up, or does so now. */
+    /** Its deadline has passed. */
     REJECTED_DEADLINE_PASSED(AnswerReason.DEADLINE_PASSED),
     /** Discovery shows no ready host. */
     REJECTED_NO_READY_HOST(AnswerReason.NO_READY_HOST),
-    /** Overload: answers come late all over the fleet ({@link LoadShedder}). */
+    /**
+     * The fleet is overloaded: responses are late at hosts of the whole fleet; see {@link
+     * LoadShedder}.
+     */
     REJECTED_LOAD_SHEDDING(AnswerReason.LOAD_SHEDDING),
-    /** Requests were queued lately, and this one could not be answered within its objective. */
+    /**
+     * Requests have been queued recently, and this one's answer would come too late to be of value.
+     */
     REJECTED_OBJECTIVE_OUT_OF_REACH(AnswerReason.OBJECTIVE_OUT_OF_REACH);
 
     private final AnswerReason answerReason;
@@ -21,7 +26,7 @@
         this.answerReason = answerReason;
     }
 
-    /** Why the request is rejected; null where it is not. */
+    /** The reason of a rejection; null for {@link #SENT} and {@link #QUEUED}. */
     AnswerReason answerReason() {
         return answerReason;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/AnswerReason.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AnswerReason.java
@@ -1,18 +1,23 @@
 package appleridge.loadbalancing;
 
-/** Which rule of the policy gave a request its final answer; for logs. */
+/** Which rule of the policy decided a request's final answer; written to the request log. */
 public enum AnswerReason {
-    /** Its deadline passed while it was queued, in flight or deferred. */
+    /** The deadline passed while the request was queued, in flight or deferred. */
     DEADLINE_PASSED("deadline_passed"),
     /** Discovery shows no ready host. */
     NO_READY_HOST("no_ready_host"),
-    /** Overload: answers come late all over the fleet ({@link LoadShedder}). */
+    /**
+     * The fleet is overloaded: responses are late at hosts of the whole fleet; see {@link
+     * LoadShedder}.
+     */
     LOAD_SHEDDING("load_shedding"),
-    /** Requests were queued lately, and this one's answer would come too late to be of value. */
+    /**
+     * Requests have been queued recently, and this one's answer would come too late to be of value.
+     */
     OBJECTIVE_OUT_OF_REACH("objective_out_of_reach"),
-    /** It was queued for capacity for so long that its answer would come too late. */
+    /** The request waited for capacity for so long that its answer would come too late. */
     QUEUE_TIME_EXCEEDED("queue_time_exceeded"),
-    /** Its attempt failed, and {@link RetryPolicy} refuses a retry; see {@link RetryDecision}. */
+    /** An attempt failed and {@link RetryPolicy} refuses a retry; see {@link RetryDecision}. */
     RETRY_ATTEMPT_OUTSTANDING("retry_attempt_outstanding"),
     RETRY_STREAMING_STARTED("retry_response_started"),
     RETRY_MAX_ATTEMPTS("retry_max_attempts"),
@@ -28,7 +33,7 @@
         this.label = label;
     }
 
-    /** The word in the log. */
+    /** The value written to the log. */
     public String label() {
         return label;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/Capabilities.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Capabilities.java
@@ -1,17 +1,17 @@
 package appleridge.loadbalancing;
 
 /**
- * What the host of a policy allows. The policy never asks for an action that is not allowed; {@link
- * SymmetricRoundRobinPolicy} uses neither active health checks nor hedged requests.
+ * The actions that the embedder of a policy supports. A policy never calls an unsupported action.
+ * {@link SymmetricRoundRobinPolicy} uses neither active health checks nor hedged requests.
  *
- * @param cancellation {@link PolicyActions#cancelAttempt}
- * @param healthChecks {@link PolicyActions#sendHealthCheck}
- * @param gossip {@link PolicyActions#sendGossip}
- * @param hedging a further attempt while one is outstanding
- * @param retryAfter {@link PolicyActions#reject} with a wait
- * @param maxAttempts attempts per request, the first one included; 1 or more
- * @param maxRetryAfterNanos longest wait that a rejection may ask for; 0 or more
- * @param connectTimeoutNanos after which a connect counts as failed; 0 or more
+ * @param cancellation whether {@link PolicyActions#cancelAttempt} is supported
+ * @param healthChecks whether {@link PolicyActions#sendHealthCheck} is supported
+ * @param gossip whether {@link PolicyActions#sendGossip} is supported
+ * @param hedging whether a further attempt may be sent while one is outstanding
+ * @param retryAfter whether {@link PolicyActions#reject} may carry a Retry-After time
+ * @param maxAttempts most attempts per request, including the first; 1 or more
+ * @param maxRetryAfterNanos longest Retry-After time of a rejection; 0 or more
+ * @param connectTimeoutNanos time after which a connect counts as failed; 0 or more
  */
 public record Capabilities(
         boolean cancellation,
@@ -25,7 +25,7 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException naming the component that is out of range
+     * @throws IllegalArgumentException if a value is out of range; the message names the component
      */
     public Capabilities {
         Preconditions.require(maxAttempts >= 1, "maxAttempts", maxAttempts, "1 or more");
--- a/sidecar/src/main/java/appleridge/loadbalancing/DeduplicationScope.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DeduplicationScope.java
@@ -1,11 +1,13 @@
 package appleridge.loadbalancing;
 
-/** Which hosts recognise the idempotency key of a request that another host may have executed. */
+/**
+ * The hosts that recognise the idempotency key of a request that another host may have executed.
+ */
 public enum DeduplicationScope {
     /** All hosts of the service. */
     ALL,
-    /** Those in the zone of the first host. */
+    /** The hosts in the zone of the host that may have executed the request. */
     ZONE,
-    /** Those in the cell of the first host. */
+    /** The hosts in the cell of the host that may have executed the request. */
     CELL
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryMode.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryMode.java
@@ -1,9 +1,9 @@
 package appleridge.loadbalancing;
 
-/** How endpoint updates come to a policy. */
+/** How endpoint updates reach a policy. */
 public enum DiscoveryMode {
-    /** The host of the policy delivers them without being asked. */
+    /** The embedder delivers them without a subscription. */
     PUSHED,
-    /** They come after {@link PolicyActions#subscribe}, until a {@link UpdateKind#FAILURE}. */
+    /** They arrive after {@link PolicyActions#subscribe}, until a {@link UpdateKind#FAILURE}. */
     SUBSCRIBED
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostState.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostState.java
@@ -1,11 +1,11 @@
 package appleridge.loadbalancing;
 
-/** State of an upstream host in discovery. */
+/** State of an upstream host as reported by discovery. */
 public enum HostState {
-    /** No longer there. */
+    /** Removed from the endpoint list. */
     GONE,
-    /** Takes new requests. */
+    /** Accepts new requests. */
     READY,
-    /** Shuts down gracefully: finishes what it has, gets nothing new. */
+    /** Shutting down gracefully: it finishes its open requests and gets no new ones. */
     DRAINING
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/Idempotency.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Idempotency.java
@@ -1,10 +1,13 @@
 package appleridge.loadbalancing;
 
-/** Whether a class of requests may be attempted again after an attempt that may have executed. */
+/** Whether requests of a class may be retried after an attempt that may have executed. */
 public enum Idempotency {
-    /** Always: executing it twice does no harm. */
+    /** Always: a second execution is harmless. */
     IDEMPOTENT,
-    /** While hosts of the {@link DeduplicationScope} still know the request's idempotency key. */
+    /**
+     * At hosts of the {@link DeduplicationScope}, while they still know the request's idempotency
+     * key.
+     */
     IDEMPOTENT_BY_KEY,
     /** Never. */
     NON_IDEMPOTENT
--- a/sidecar/src/main/java/appleridge/loadbalancing/Outcome.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Outcome.java
@@ -2,21 +2,21 @@
 
 /** How an attempt ended. */
 public enum Outcome {
-    /** Served; the first one is the request's final answer. */
+    /** The host has served the request; the first such response is the request's final answer. */
     OK(false),
-    /** The host answered with an error, perhaps after executing the request. */
+    /** The host responded with an error, possibly after executing the request. */
     ERROR(false),
-    /** The host rejected it without executing it: its queue is full, or it drains. */
+    /** The host rejected the attempt without executing it: its queue is full or it is draining. */
     REJECTED(true),
-    /** No answer in time; it may have executed, or may still do so. */
+    /** No response in time; the request may have executed or may still do so. */
     TIMEOUT(false),
-    /** No connection in time: the host is down, unreachable, or takes no more connections. */
+    /** No connection in time: the host is down, unreachable, or accepts no more connections. */
     CONNECT_FAILED(true),
     /** The connection broke while the attempt was outstanding. */
     RESET(false),
-    /** Cancelled by this policy. */
+    /** The policy cancelled the attempt. */
     CANCELLED(false),
-    /** Never sent: the request had ended, or had no attempt or time left. */
+    /** The attempt was never sent: the request had ended, or had no attempt or time left. */
     NEVER_SENT(true);
 
     private final boolean notExecuted;
--- a/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/PolicyActions.java
@@ -1,51 +1,55 @@
 package appleridge.loadbalancing;
 
 /**
- * What a policy orders of its host. Called only during the policy's events and from their thread;
- * each action takes effect at the time of the event. Times are nanoseconds on the events' clock.
+ * The actions that a policy asks its embedder to carry out. Called only while the policy handles an
+ * event and on that event's thread; each action takes effect at the event's time. Times are
+ * nanoseconds on the events' clock.
  */
 public interface PolicyActions {
-    /** Stands for every peer in {@link #sendGossip}. */
+    /** Addresses every peer in {@link #sendGossip}. */
     int ALL_PEERS = 0xffff;
 
     /**
      * Sends the request's next attempt.
      *
-     * @param timeout nanoseconds; 0 for until the client gives up
+     * @param timeoutNanos 0 for no timeout other than the request's deadline
      */
-    void sendAttempt(long request, long upstream, long timeout);
+    void sendAttempt(long requestId, long hostId, long timeoutNanos);
 
     /**
-     * Final answer: not executed, or safe to be sent again by the client.
+     * Answers the request as rejected: it was not executed, or the client may safely send it again.
      *
-     * @param wait nanoseconds for Retry-After; 0 for none
-     * @param reason the rule that says no
+     * @param retryAfterNanos time that the client is asked to wait; 0 for none
+     * @param reason the rule that decided the answer
      */
-    void reject(long request, long wait, AnswerReason reason);
+    void reject(long requestId, long retryAfterNanos, AnswerReason reason);
 
     /**
-     * Final answer: failed, without a promise whether it was executed.
+     * Answers the request as failed: it may or may not have been executed.
      *
-     * @param reason the rule that says no
+     * @param reason the rule that decided the answer
      */
-    void fail(long request, AnswerReason reason);
+    void fail(long requestId, AnswerReason reason);
 
-    /** Cancels an outstanding attempt; its outcome still comes. */
-    void cancelAttempt(long request, int attempt);
+    /** Cancels an outstanding attempt, whose outcome is still reported. */
+    void cancelAttempt(long requestId, int attempt);
 
-    /** Asks for {@link LoadBalancingPolicy#onTimer} with this token at or after {@code at}. */
+    /**
+     * Requests a call of {@link LoadBalancingPolicy#onTimer} with this token at or after {@code
+     * at}.
+     */
     void setTimer(long token, long at);
 
     /** Sends an active health check to a host. */
-    void sendHealthCheck(long upstream);
+    void sendHealthCheck(long hostId);
 
     /** Closes the idle connections to a host. */
-    void closeIdleConnections(long upstream);
+    void closeIdleConnections(long hostId);
 
     /**
      * Sends a message to a peer.
      *
-     * @param peer its rank, or {@link #ALL_PEERS}
+     * @param peer the peer's rank, or {@link #ALL_PEERS}
      * @param message at most 256 bytes
      */
     void sendGossip(int peer, byte[] message);
@@ -53,9 +57,9 @@
     /** Writes a line to the sidecar's log. */
     void log(String line);
 
-    /** Subscribes to endpoint updates, or ends that; answered by one endpoint update. */
+    /** Subscribes to endpoint updates or ends the subscription; one endpoint update follows. */
     void subscribe(boolean on);
 
-    /** Asks for one snapshot of all endpoints; answered by one endpoint update. */
+    /** Requests one snapshot of all endpoints; one endpoint update follows. */
     void fetchEndpoints();
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/Preconditions.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/Preconditions.java
@@ -1,6 +1,6 @@
 package appleridge.loadbalancing;
 
-/** Checks of the settings' values. */
+/** Checks of setting values. */
 final class Preconditions {
     private Preconditions() {}
 
@@ -8,9 +8,10 @@
      * Throws unless a condition holds.
      *
      * @param setting name of the setting
-     * @param value its value
-     * @param allowed the allowed range, or what else it has to be
-     * @throws IllegalArgumentException if the condition does not hold; the message names all three
+     * @param value the value of the setting
+     * @param allowed the allowed range or values, to follow "must be"
+     * @throws IllegalArgumentException if the condition does not hold; the message names setting,
+     *     value and allowed range
      */
     static void require(boolean holds, String setting, Object value, String allowed) {
         if (!holds) {
@@ -19,7 +20,7 @@
         }
     }
 
-    /** Throws unless a whole number is 0 or more. */
+    /** Throws unless the value is 0 or more. */
     static void requireNotNegative(long value, String setting) {
         require(value >= 0, setting, value, "0 or more");
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RequestClass.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RequestClass.java
@@ -1,21 +1,23 @@
 package appleridge.loadbalancing;
 
 /**
- * A class of requests. Times in nanoseconds.
+ * A class of requests with the same latency objective, deadline, priority and retry safety. Times
+ * in nanoseconds.
  *
  * @param latencyObjectiveNanos an answer within this time has its full value; more than 0
- * @param objectiveStretch the objective grows by this many times the request's own work, up to the
- *     deadline
- * @param deadlineNanos the longest that a client waits, over all its attempts; no shorter than the
- *     objective
- * @param priorityWeight value of an answer beside other classes; finite, 0 or more
- * @param lateValueFraction part of the value that an answer between objective and deadline has
- * @param deduplicationScope where idempotency keys are known; not null for {@link
+ * @param objectiveStretch the objective grows by this multiple of the request's cost hint, up to
+ *     the deadline
+ * @param deadlineNanos the longest time that a client waits, over all its attempts; no shorter than
+ *     the objective
+ * @param priorityWeight value of an answer relative to other classes; finite, 0 or more
+ * @param lateValueFraction fraction of the value that an answer between objective and deadline
+ *     keeps
+ * @param deduplicationScope the hosts that share idempotency keys; not null for {@link
  *     Idempotency#IDEMPOTENT_BY_KEY}
  * @param idempotencyKeyTtlNanos how long hosts know a key, from the first send that may have
  *     executed; 0 or more for {@link Idempotency#IDEMPOTENT_BY_KEY}
- * @param streaming the response is streamed: {@link LoadBalancingPolicy#onResponseStarted} marks
- *     its start
+ * @param streaming whether responses are streamed; {@link LoadBalancingPolicy#onResponseStarted}
+ *     then reports their start
  */
 public record RequestClass(
         long latencyObjectiveNanos,
@@ -30,7 +32,7 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException naming the component that is out of range
+     * @throws IllegalArgumentException if a value is out of range; the message names the component
      */
     public RequestClass {
         Preconditions.require(
--- a/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RequestInfo.java
@@ -1,16 +1,16 @@
 package appleridge.loadbalancing;
 
 /**
- * A client's request.
+ * A client's request as the policy sees it.
  *
- * @param id never used twice
+ * @param id unique; ids are never reused
  * @param requestClass index into {@link PolicySettings#classes()}
- * @param tenant index into {@link PolicySettings#tenants()}; ignored where there are none
- * @param key what the request is about, as a number; 0 for nothing
- * @param remainingNanos until the client gives this attempt of its own up
- * @param costHintNanos rough work to expect, in nanoseconds; 0 where it is unknown
- * @param clientRetry the client has marked it as a retry
- * @param write it changes data
+ * @param tenant index into {@link PolicySettings#tenants()}; ignored if there are none
+ * @param key number of the object that the request concerns; 0 for none
+ * @param remainingNanos time until the client gives up this attempt of its own
+ * @param costHintNanos rough estimate of the work of the request; 0 if it is unknown
+ * @param clientRetry whether the client has marked the request as a retry
+ * @param write whether the request changes data
  */
 public record RequestInfo(
         long id,
--- a/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SafetyLimits.java
@@ -1,16 +1,19 @@
 package appleridge.loadbalancing;
 
 /**
- * The limits that no decision may exceed. Times in nanoseconds.
+ * The limits that no decision of a policy may exceed. Times in nanoseconds.
  *
- * @param answerSlackNanos a final answer may come this much after the deadline; 0 or more
- * @param pollIntervalNanos discovery is polled at least this often; 0 or more
- * @param drainGraceNanos after the update that a host drains, sends to it must stop within this
- *     time; 0 or more
- * @param slowStartMinFraction part of its capacity that a host has at its start; above 0, at most 1
- * @param slowStartWindowNanos time in which a started host reaches its capacity; 0 or more
+ * @param answerSlackNanos time after its deadline within which a request must be answered; 0 or
+ *     more
+ * @param pollIntervalNanos longest time between two polls of discovery; 0 or more
+ * @param drainGraceNanos time after the update that a host is draining within which no more
+ *     attempts may be sent to it; 0 or more
+ * @param slowStartMinFraction fraction of its capacity that a host has at its start; above 0, at
+ *     most 1
+ * @param slowStartWindowNanos time after its start at which a host reaches its full capacity; 0 or
+ *     more
  * @param overloadFactor multiple of its present capacity that overloads a warming host; 1 or more
- * @param overloadWindowNanos for how long it has to last to overload the host; 0 or more
+ * @param overloadWindowNanos time for which that load has to last to overload the host; 0 or more
  */
 public record SafetyLimits(
         long answerSlackNanos,
@@ -23,7 +26,7 @@
     /**
      * Checks the values.
      *
-     * @throws IllegalArgumentException naming the component that is out of range
+     * @throws IllegalArgumentException if a value is out of range; the message names the component
      */
     public SafetyLimits {
         Preconditions.requireNotNegative(answerSlackNanos, "answerSlackNanos");
--- a/sidecar/src/main/java/appleridge/loadbalancing/UpdateKind.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/UpdateKind.java
@@ -2,12 +2,12 @@
 
 /** Kind of an endpoint update. */
 public enum UpdateKind {
-    /** Changed hosts only; a removed one has the state {@link HostState#GONE}. */
+    /** Changed hosts only; a removed host has the state {@link HostState#GONE}. */
     DELTA,
-    /** All hosts; those that are missing are gone. */
+    /** All hosts; a known host that is missing is gone. */
     SNAPSHOT,
-    /** All hosts as they were known before a start; discovery itself has not answered yet. */
+    /** All hosts as known before the sidecar started; discovery itself has not responded yet. */
     CACHED_SNAPSHOT,
-    /** A call to discovery has failed; the subscription no longer holds. */
+    /** A call to discovery has failed, which ends the subscription. */
     FAILURE
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/WeightKind.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/WeightKind.java
@@ -2,12 +2,12 @@
 
 /** What {@link UpstreamHost#weight()} holds. */
 public enum WeightKind {
-    /** Nothing: always 1. */
+    /** No information: the weight is always 1. */
     SILENT,
     /** The host's registered size. */
     NOMINAL,
-    /** A rough figure of its size. */
+    /** A rough estimate of the host's size. */
     ROUGH,
-    /** Its present load, which changes all the time. */
+    /** The host's present load, which changes all the time. */
     LIVE
 }
