--- a/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AdmissionController.java
@@ -8,12 +8,15 @@
  */
 final class AdmissionController {
     /**
-     * A queued request is answered this many expected response times before its value expires: sent
-     * later, half of such requests would be answered too late.
+     * A queued request is sent only while at least this many expected response times remain until
+     * its value expires. With less time left, half of such requests would be answered too late.
      */
-    private static final double EXPECTED_TIMES_TO_ANSWER = 1.5;
+    private static final double MIN_EXPECTED_TIMES_TO_SEND = 1.5;
 
-    /** Queues are drained again after a request's objective divided by this. */
+    /**
+     * A queue that could not be drained is tried again after the request's objective divided by
+     * this.
+     */
     private static final int DRAINS_PER_OBJECTIVE = 50;
 
     private final PolicySettings settings;
@@ -50,10 +53,10 @@
     /**
      * Sends, queues or rejects a new request, or one whose retry is allowed.
      *
-     * @return {@link Admission#QUEUED} also for a request that was sent from the queue at once
+     * @return {@link Admission#QUEUED} also for a request that was queued and then sent at once
      */
     Admission admit(long now, TrackedRequest request) {
-        Admission admission = check(now, request);
+        Admission admission = evaluate(now, request);
         if (admission.isRejected()) {
             requests.answer(request, admission.answerReason());
         } else if (queues.isEmpty() && trySend(now, request)) {
@@ -64,8 +67,8 @@
         return admission;
     }
 
-    /** The reason to reject the request, or {@link Admission#QUEUED} where there is none. */
-    private Admission check(long now, TrackedRequest request) {
+    /** The reason to reject the request, or {@link Admission#QUEUED} if there is none. */
+    private Admission evaluate(long now, TrackedRequest request) {
         if (now >= request.deadline()) {
             return Admission.REJECTED_DEADLINE_PASSED;
         }
@@ -83,6 +86,7 @@
                 : Admission.QUEUED;
     }
 
+    /** Whether even an answer in half of the expected response time would come too late. */
     private static boolean wouldAnswerTooLate(long now, TrackedRequest request) {
         return now + request.expectedNanos() / 2 >= request.valueExpiresAt();
     }
@@ -92,7 +96,7 @@
         queues.add(request);
         long lastUsefulSendAt =
                 request.valueExpiresAt()
-                        - (long) (EXPECTED_TIMES_TO_ANSWER * request.expectedNanos());
+                        - (long) (MIN_EXPECTED_TIMES_TO_SEND * request.expectedNanos());
         timers.schedule(
                 Math.max(now + 1, lastUsefulSendAt),
                 at -> {
@@ -104,7 +108,10 @@
         drain(now);
     }
 
-    /** Sends queued requests while hosts take them, the least served tenant's newest one first. */
+    /**
+     * Sends queued requests for as long as hosts take them: always the newest request of the tenant
+     * that has been served least.
+     */
     void drain(long now) {
         drainPass++;
         while (!queues.isEmpty()) {
@@ -120,7 +127,7 @@
         }
     }
 
-    /** Every timer event ends with a drain; this one is there for that alone. */
+    /** Schedules a timer event, since every timer event ends with a {@link #drain}. */
     private void scheduleDrain(long now, TrackedRequest request) {
         if (!drainScheduled) {
             drainScheduled = true;
--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptDispatcher.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptDispatcher.java
@@ -1,6 +1,6 @@
 package appleridge.loadbalancing;
 
-/** Sends attempts: the one place that does. */
+/** Sends attempts and informs every rule that keeps account of them. No other class sends. */
 final class AttemptDispatcher {
     private final TenantQueues queues;
     private final SlowStartBudget slowStart;
@@ -20,7 +20,10 @@
         this.actions = actions;
     }
 
-    /** Takes the request off its queue and sends it; all rules must have allowed the host. */
+    /**
+     * Removes the request from its queue and sends it. The caller has checked that the host is
+     * eligible.
+     */
     void send(long now, TrackedRequest request, TrackedHost host) {
         TrackedAttempt attempt = new TrackedAttempt(host, now);
         request.addAttempt(attempt);
--- a/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/AttemptResults.java
@@ -1,8 +1,8 @@
 package appleridge.loadbalancing;
 
 /**
- * What follows from the start of a response and from the end of an attempt: the rules learn from
- * it, and the request is retried, answered or closed.
+ * Handles the start of a response and the end of an attempt: passes the result on to the rules, and
+ * retries, answers or closes the request.
  */
 final class AttemptResults {
     private final HostHealth health;
@@ -32,29 +32,28 @@
     }
 
     /**
-     * A response too long to be buffered has started, or a request too long to be buffered has. The
-     * rest takes as long as the client reads or writes, which says nothing of the host and must not
-     * occupy it.
+     * A response or a request too long to be buffered has started. The rest takes as long as the
+     * client reads or writes, which says nothing about the host and must not occupy it.
      *
-     * @param answered false where it is the request that has started, which says nothing of
+     * @param isResponse false if it is the request that has started, which says nothing about
      *     response times
      */
     void onResponseStarted(
-            long now, TrackedRequest request, TrackedAttempt attempt, boolean answered) {
-        if (!attempt.isOutstanding() || attempt.hasResponseStarted()) {
+            long now, TrackedRequest request, TrackedAttempt attempt, boolean isResponse) {
+        if (!attempt.isOutstanding() || attempt.hasTransferStarted()) {
             return;
         }
-        attempt.startResponse();
+        attempt.startTransfer();
         attempt.host().attemptDone();
-        if (answered) {
-            learn(now, request, attempt, Outcome.OK);
+        if (isResponse) {
+            recordOutcome(now, request, attempt, Outcome.OK);
         }
     }
 
     /**
      * An outstanding attempt has ended.
      *
-     * @param requestEnded the request has ended, by this outcome or before
+     * @param requestEnded whether the request has ended, by this outcome or before
      */
     void onAttemptEnded(
             long now,
@@ -64,7 +63,7 @@
             boolean requestEnded) {
         attempt.end(outcome);
         TrackedHost host = attempt.host();
-        if (attempt.hasResponseStarted()) {
+        if (attempt.hasTransferStarted()) {
             if (outcome == Outcome.RESET) {
                 health.onStartedResponseReset(now, host);
             }
@@ -73,7 +72,7 @@
             return;
         }
         host.attemptDone();
-        learn(now, request, attempt, outcome);
+        recordOutcome(now, request, attempt, outcome);
         subset.closeIfIdleOutsider(host);
         if (requestEnded || request.isClosed()) {
             requests.close(request);
@@ -91,7 +90,8 @@
         }
     }
 
-    private void learn(long now, TrackedRequest request, TrackedAttempt attempt, Outcome outcome) {
+    private void recordOutcome(
+            long now, TrackedRequest request, TrackedAttempt attempt, Outcome outcome) {
         health.onAttemptEnded(now, request, attempt, outcome);
         if (outcome != Outcome.CONNECT_FAILED) {
             shedder.onAttemptEnded(now, request, attempt, outcome);
--- a/sidecar/src/main/java/appleridge/loadbalancing/DecayingSum.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DecayingSum.java
@@ -1,6 +1,8 @@
 package appleridge.loadbalancing;
 
-/** A sum over an exponentially decaying window: what was added a window ago counts by 1/e. */
+/**
+ * A sum with exponential decay: an amount added one window ago still counts with the factor 1/e.
+ */
 final class DecayingSum {
     private final double windowNanos;
     private double value;
@@ -14,7 +16,7 @@
         return windowNanos;
     }
 
-    /** The sum as of {@code now}, which must not lie before the last addition. */
+    /** The sum at {@code now}, which must not lie before the last addition. */
     double value(long now) {
         return value * Math.exp((updatedAt - now) / windowNanos);
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryPoller.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/DiscoveryPoller.java
@@ -4,8 +4,8 @@
 
 /**
  * Keeps the subscription to endpoint updates alive: subscribes again after a failure, and whenever
- * no update has come for half a poll interval. A broken subscription is silent, so that only asking
- * again can tell it from an unchanged list.
+ * no update has arrived for half a poll interval. A broken subscription is silent, so only a new
+ * one can tell it from an unchanged endpoint list.
  */
 final class DiscoveryPoller {
     /** The first backoff is the poll interval divided by this. */
@@ -16,6 +16,8 @@
     private final TimerQueue timers;
     private final PolicyActions actions;
     private long backoffNanos;
+
+    /** Identifies the latest scheduled subscription; an increment cancels it. */
     private long generation;
 
     DiscoveryPoller(
@@ -26,7 +28,7 @@
         this.actions = actions;
     }
 
-    /** Subscribes where the host does not push updates by itself. */
+    /** Subscribes, unless the embedder delivers updates without a subscription. */
     void subscribe(long now) {
         if (settings.discoveryMode() == DiscoveryMode.SUBSCRIBED) {
             actions.subscribe(true);
@@ -35,8 +37,9 @@
     }
 
     /**
-     * The last endpoint list stays in force; subscribes again after a backoff with jitter, since
-     * sidecars whose calls failed together would otherwise hammer discovery together.
+     * A call to discovery has failed. The last endpoint list stays in force. Subscribes again after
+     * a backoff with jitter: without it, sidecars whose calls failed at the same time would all
+     * retry at the same time.
      */
     void onFailure(long now) {
         if (backoffNanos == 0) {
@@ -51,7 +54,7 @@
         subscribeAgainAt(now + backoffNanos / 2 + random.nextLong(backoffNanos / 2 + 1));
     }
 
-    /** An update has come from discovery itself: nothing is to be repeated. */
+    /** Discovery has sent an update: cancels the scheduled subscription and resets the backoff. */
     void onUpdate() {
         generation++;
         backoffNanos = 0;
--- a/sidecar/src/main/java/appleridge/loadbalancing/ElapsedTimeEstimator.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ElapsedTimeEstimator.java
@@ -1,15 +1,22 @@
 package appleridge.loadbalancing;
 
 /**
- * How long a client has been waiting before its request came here, which no header says. First
- * attempts of a class all have the same remaining time, the commonest one; a request with any other
- * is taken for a client's retry, which has spent the difference to the class's deadline.
+ * Estimates how long a client has been waiting before its request arrived, which no header says.
+ * The most frequent remaining time of a class, found by a majority vote, is taken for that of first
+ * attempts. A request with any other is taken for a client's retry that has already spent the
+ * difference between its remaining time and the class's deadline.
  */
 final class ElapsedTimeEstimator {
-    /** So many that a spell of many retries does not at once displace the first attempts' value. */
+    /**
+     * Upper bound of the votes, high enough that a short series of retries does not displace the
+     * value of first attempts.
+     */
     private static final int MAX_VOTES = 1000;
 
-    /** Votes for a matching value; a differing one takes one away: two of three have to differ. */
+    /**
+     * Votes added by a matching value. A differing value removes one vote, so a value is displaced
+     * only if more than two of three requests differ from it.
+     */
     private static final int VOTES_PER_MATCH = 2;
 
     private final PolicySettings settings;
@@ -22,7 +29,10 @@
         this.votes = new int[settings.classes().size()];
     }
 
-    /** Nanoseconds since the client's first attempt; 0 for a first attempt. Learns from it. */
+    /**
+     * Returns the nanoseconds since the client's first attempt, 0 for a first attempt, and counts
+     * the request's vote.
+     */
     long elapsedNanos(RequestInfo info) {
         int index = info.requestClass();
         long remaining = info.remainingNanos();
--- a/sidecar/src/main/java/appleridge/loadbalancing/InFlightRequests.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/InFlightRequests.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * All requests from their arrival until they are answered and their last attempt has ended, and the
- * one final answer of each.
+ * Holds all requests from their arrival until they are answered and their last attempt has ended,
+ * and gives each its one final answer.
  */
 final class InFlightRequests {
     private final PolicySettings settings;
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Gives the final answer unless there is one: rejected where a client's retry is known to be
-     * harmless, else failed.
+     * Gives the final answer unless the request already has one: rejected if the client may safely
+     * retry, failed otherwise.
      */
     void answer(TrackedRequest request, AnswerReason reason) {
         if (request.isClosed()) {
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Ends a request that has its answer or whose client has left: nothing more is sent for it. An
-     * outstanding attempt is cancelled where the host allows it, and counts as in flight until its
-     * outcome comes.
+     * Closes a request that has its answer or whose client has left: no further attempt is sent. An
+     * outstanding attempt is cancelled if the embedder supports that, and counts as in flight until
+     * its outcome is reported.
      */
     void close(TrackedRequest request) {
         if (!request.isClosed()
--- a/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
@@ -3,46 +3,48 @@
 import java.util.Random;
 
 /**
- * Load shedding: the fraction of first attempts that is admitted while answers come late at hosts
- * all over the fleet. Where many sidecars each have a request here and there, no concurrency limit
- * per host ever binds, and together they would queue all work past its objective without end.
+ * Load shedding: limits the fraction of first attempts that is admitted while responses are late at
+ * hosts of the whole fleet. Where each of many sidecars has only few requests at a host, no
+ * concurrency limit per host is ever reached, and together the sidecars would delay all work beyond
+ * its objective for good.
  *
- * <p>Each late attempt takes a step off the admitted fraction, each answer in time wins a part of
- * it back, and without new lateness the fraction recovers by itself.
+ * <p>Each late attempt lowers the admitted fraction by a step, each timely response raises it by a
+ * whole step or a part of one, and without new late attempts the fraction recovers over time.
  */
 final class LoadShedder {
     /**
-     * Part of the admitted fraction that one late attempt takes. A part and not a fixed amount: a
-     * second of overload would otherwise drive all sidecars to the minimum at once.
+     * Fraction by which one late attempt lowers the admitted fraction. It is relative, since a
+     * fixed amount would drive all sidecars to the minimum within a second of overload.
      */
     private static final double ADMISSION_DECREASE_STEP = 0.1;
 
-    /** What an answer in time wins back, until several have come in a row. */
+    /** Increase for a timely response that follows a late attempt closely. */
     private static final double SMALL_INCREASE_STEP = ADMISSION_DECREASE_STEP / 4;
 
-    /** So many answers in time in a row win back small steps, the following ones a whole step. */
-    private static final int ANSWERS_IN_TIME_BEFORE_WHOLE_STEPS = 2;
+    /**
+     * Number of consecutive timely responses with the small increase; each further one raises the
+     * fraction by a whole step.
+     */
+    private static final int TIMELY_RESPONSES_BEFORE_WHOLE_STEPS = 2;
 
-    /** One step above 1, so that a rare late answer sheds nothing. */
-    private static final double MAX_ADMITTED = 1 + ADMISSION_DECREASE_STEP;
+    /** One step above 1, so that a rare late attempt sheds nothing. */
+    private static final double MAX_ADMITTED_FRACTION = 1 + ADMISSION_DECREASE_STEP;
 
-    private static final double MIN_ADMITTED = ADMISSION_DECREASE_STEP / 4;
+    private static final double MIN_ADMITTED_FRACTION = ADMISSION_DECREASE_STEP / 4;
 
     /**
-     * Shedding is logged below this admitted fraction, until all is admitted again; requests are
-     * shed at any fraction below 1.
+     * The start of shedding is logged when the admitted fraction falls below this, its end when all
+     * requests are admitted again. Requests are shed at any fraction below 1.
      */
-    private static final double LOG_BELOW_ADMITTED = 0.5;
+    private static final double LOG_BELOW_ADMITTED_FRACTION = 0.5;
 
-    /**
-     * Evidence windows after which the fraction has recovered from anything without new lateness.
-     */
+    /** Number of evidence windows in which the fraction recovers by 1 without new late attempts. */
     private static final double RECOVERY_WINDOWS = 2;
 
-    /** Requests of one tenant that may have come together by chance. */
-    private static final double REQUESTS_BY_CHANCE = 4;
+    /** Requests of one tenant that may arrive together by chance and are no excess. */
+    private static final double BURST_ALLOWANCE_REQUESTS = 4;
 
-    /** Lateness counts at hosts that keep more than this part of their turns. */
+    /** Late attempts count only at hosts that keep more than this fraction of their turns. */
     private static final double MIN_TURN_FRACTION = 0.5;
 
     private final TenantQueues queues;
@@ -51,15 +53,15 @@
     private final OutlierDetector outliers;
     private final PolicyActions actions;
     private final double recoveryNanos;
-    private double admitted = MAX_ADMITTED;
+    private double admittedFraction = MAX_ADMITTED_FRACTION;
 
-    /** Whether the log says that shedding goes on. */
+    /** Whether the start of shedding has been logged and its end has not. */
     private boolean loggedAsShedding;
 
-    private long recoveredAt;
-    private int answersInTime;
+    private long lastRecoveryAt;
+    private int consecutiveTimelyResponses;
 
-    /** Admitted requests that have added up; starts at random, so that sidecars differ. */
+    /** Admissions accumulated so far; starts at a random fraction, so that sidecars differ. */
     private double admissionCredit;
 
     LoadShedder(Random random, TenantQueues queues, HostRules hosts, PolicyActions actions) {
@@ -74,19 +76,22 @@
 
     /**
      * Whether to shed a request that has just arrived. Each request adds the admitted fraction to a
-     * credit, and takes 1 off it when it is admitted, so that shedding is even over all requests. A
-     * tenant that asks for more than its fair share is shed first: its fraction is raised to the
-     * square of that excess.
+     * credit, from which an admitted request takes 1, so that shedding is spread evenly over all
+     * requests. A tenant that requests more than its fair share is shed first: its admitted
+     * fraction is raised to the power of the square of its excess.
      */
     boolean shouldShed(long now, TrackedRequest request) {
         recover(now);
         double excess =
                 queues.of(request)
-                        .excess(
+                        .excessOverFairShare(
                                 now,
-                                throughput.askedWork(now),
-                                REQUESTS_BY_CHANCE * request.expectedNanos());
-        admissionCredit += admitted >= 1 ? admitted : Math.pow(admitted, excess * excess);
+                                throughput.requestedWork(now),
+                                BURST_ALLOWANCE_REQUESTS * request.expectedNanos());
+        admissionCredit +=
+                admittedFraction >= 1
+                        ? admittedFraction
+                        : Math.pow(admittedFraction, excess * excess);
         if (admissionCredit < 1) {
             return true;
         }
@@ -94,46 +99,52 @@
         return false;
     }
 
-    /** Not for failed connects, which say nothing of the fleet's load. */
+    /** Not to be called for failed connects, which say nothing about the fleet's load. */
     void onAttemptEnded(long now, TrackedRequest request, TrackedAttempt attempt, Outcome outcome) {
         if (outcome == Outcome.OK
                 && now - attempt.sentAt() < thresholds.overloadEvidenceNanos(request)) {
-            boolean wholeStep = ++answersInTime > ANSWERS_IN_TIME_BEFORE_WHOLE_STEPS;
-            change(wholeStep ? ADMISSION_DECREASE_STEP : SMALL_INCREASE_STEP);
+            boolean wholeStep = ++consecutiveTimelyResponses > TIMELY_RESPONSES_BEFORE_WHOLE_STEPS;
+            adjust(wholeStep ? ADMISSION_DECREASE_STEP : SMALL_INCREASE_STEP);
         } else if (outcome == Outcome.REJECTED) {
             onLateAttempt(now, request, attempt);
         }
     }
 
     /**
-     * Admits less after a late or rejected attempt, in proportion to the value a late answer loses.
-     * Only at a host that is no worse than others and had nothing else of this sidecar's: else the
-     * host or the sidecar's own requests explain it, and not the load of the fleet.
+     * Lowers the admitted fraction after a late or rejected attempt, in proportion to the value
+     * that a late answer loses. Ignores hosts that fare worse than others, and hosts that had other
+     * attempts of this sidecar in flight: there the host or the sidecar's own requests explain the
+     * delay, not the load of the fleet.
      */
     void onLateAttempt(long now, TrackedRequest request, TrackedAttempt attempt) {
         if (attempt.othersInFlight() == 0
                 && outliers.turnFraction(now, attempt.host()) > MIN_TURN_FRACTION) {
-            answersInTime = 0;
+            consecutiveTimelyResponses = 0;
             recover(now);
-            change(
+            adjust(
                     -ADMISSION_DECREASE_STEP
-                            * Math.min(1, admitted)
+                            * Math.min(1, admittedFraction)
                             * (1 - request.requestClass().lateValueFraction()));
         }
     }
 
     /**
-     * Recovery by time alone: a sidecar with little traffic gets few answers in time because it
-     * sheds, and shedding would outlive its cause.
+     * Raises the fraction with the time since the last call. Without this, a sidecar with little
+     * traffic that sheds would get too few timely responses, and shedding would outlive its cause.
      */
     private void recover(long now) {
-        change((now - recoveredAt) / recoveryNanos);
-        recoveredAt = now;
+        adjust((now - lastRecoveryAt) / recoveryNanos);
+        lastRecoveryAt = now;
     }
 
-    private void change(double by) {
-        admitted = Math.max(MIN_ADMITTED, Math.min(MAX_ADMITTED, admitted + by));
-        if (loggedAsShedding ? admitted >= 1 : admitted < LOG_BELOW_ADMITTED) {
+    private void adjust(double by) {
+        admittedFraction =
+                Math.max(
+                        MIN_ADMITTED_FRACTION,
+                        Math.min(MAX_ADMITTED_FRACTION, admittedFraction + by));
+        if (loggedAsShedding
+                ? admittedFraction >= 1
+                : admittedFraction < LOG_BELOW_ADMITTED_FRACTION) {
             loggedAsShedding = !loggedAsShedding;
             actions.log(
                     "load shedding "
--- a/sidecar/src/main/java/appleridge/loadbalancing/ReferenceThroughput.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ReferenceThroughput.java
@@ -1,20 +1,20 @@
 package appleridge.loadbalancing;
 
 /**
- * What this sidecar is asked for and what is served, over about a slow-start window, and from that
- * the load and the throughput that a warm host reaches for this sidecar. Work is counted in
- * nanoseconds of expected response time.
+ * Measures the work that clients request from this sidecar and the work that hosts serve, over
+ * about a slow-start window. Derives the average load, and the throughput that a warm host reaches
+ * for this sidecar. Work is measured in nanoseconds of expected response time.
  */
 final class ReferenceThroughput {
-    /** Right after the start at least this part of the window counts as observed. */
+    /** Right after the start, at least this fraction of the window counts as observed. */
     private static final double MIN_OBSERVED_WINDOW_FRACTION = 0.1;
 
     private final HostRegistry registry;
     private final HostSubset subset;
     private final HostWeights weights;
     private final long slowStartWindowNanos;
-    private final DecayingSum served;
-    private final DecayingSum asked;
+    private final DecayingSum servedWork;
+    private final DecayingSum requestedWork;
     private long startedAt;
 
     ReferenceThroughput(
@@ -26,8 +26,8 @@
         this.subset = subset;
         this.weights = weights;
         this.slowStartWindowNanos = slowStartWindowNanos;
-        this.served = new DecayingSum(Math.max(1, slowStartWindowNanos));
-        this.asked = new DecayingSum(Math.max(1, slowStartWindowNanos));
+        this.servedWork = new DecayingSum(Math.max(1, slowStartWindowNanos));
+        this.requestedWork = new DecayingSum(Math.max(1, slowStartWindowNanos));
     }
 
     void start(long now) {
@@ -35,51 +35,51 @@
     }
 
     void onRequest(long now, TrackedRequest request) {
-        asked.add(now, request.expectedNanos());
+        requestedWork.add(now, request.expectedNanos());
     }
 
     void onServed(long now, TrackedRequest request) {
-        served.add(now, request.expectedNanos());
+        servedWork.add(now, request.expectedNanos());
     }
 
-    /** Work asked for lately. */
-    double askedWork(long now) {
-        return asked.value(now);
+    /** Recently requested work. */
+    double requestedWork(long now) {
+        return requestedWork.value(now);
     }
 
-    /** Window of {@link #askedWork}. */
+    /** The window of {@link #requestedWork}, in nanoseconds. */
     double windowNanos() {
-        return asked.windowNanos();
+        return requestedWork.windowNanos();
     }
 
     /**
-     * Average number of requests that are open at a time. The sum covers only the time since the
-     * start, which the second factor makes up for.
+     * The average number of requests that are open at a time. The sum covers only the time since
+     * the start, which the division by the observed fraction of the window compensates.
      */
     double concurrentRequests(long now) {
-        double observed =
+        double observedFraction =
                 -Math.expm1(
                         -Math.max(
                                 MIN_OBSERVED_WINDOW_FRACTION,
-                                (double) (now - startedAt) / asked.windowNanos()));
-        return asked.value(now) / asked.windowNanos() / observed;
+                                (double) (now - startedAt) / requestedWork.windowNanos()));
+        return requestedWork.value(now) / requestedWork.windowNanos() / observedFraction;
     }
 
     /**
-     * Work per nanosecond that a warm host of this size serves for this sidecar. While nothing has
-     * been served yet it goes by what is asked for, or a fleet that is warming up as a whole would
-     * stay unused.
+     * Work per nanosecond that a warm host of the given host's size serves for this sidecar. Until
+     * something has been served, it is derived from the requested work; otherwise a fleet that is
+     * warming up as a whole would stay unused.
      *
-     * @param fleetIsWarmingUp no host is warm yet: the whole fleet takes the load, since the subset
-     *     alone can't carry it
+     * @param fleetIsWarmingUp whether no host is warm yet; the load is then spread over the whole
+     *     fleet, since the subset alone can't carry it
      */
-    double ofHost(long now, TrackedHost host, boolean fleetIsWarmingUp) {
-        double servedWork = served.value(now);
-        double work = servedWork > 0 ? servedWork : asked.value(now);
-        double part =
+    double ofWarmHost(long now, TrackedHost host, boolean fleetIsWarmingUp) {
+        double served = servedWork.value(now);
+        double work = served > 0 ? served : requestedWork.value(now);
+        double hostFraction =
                 fleetIsWarmingUp
                         ? 1.0 / registry.ready().size()
                         : subset.capacityFraction() / subset.size();
-        return work * part / slowStartWindowNanos * weights.relativeToAverage(host);
+        return work * hostFraction / slowStartWindowNanos * weights.relativeToAverage(host);
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryBudget.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryBudget.java
@@ -1,16 +1,18 @@
 package appleridge.loadbalancing;
 
 /**
- * Bounds the extra work of retries: one retry for every five requests that arrive, and a burst of
- * at most {@value #MAX_TOKENS}.
+ * Token bucket that bounds the extra work of retries: one retry for every five requests that
+ * arrive, and a burst of at most {@value #MAX_TOKENS}.
  */
 final class RetryBudget {
-    /** Retries that one arriving request pays for, whether or not it is admitted. */
+    /** Retries earned by one arriving request, whether or not it is admitted. */
     private static final double TOKENS_PER_REQUEST = 0.2;
 
     private static final double MAX_TOKENS = 20;
 
-    /** A fleet that starts at once must not begin with a burst of retries. */
+    /**
+     * One, so that a fleet whose sidecars start together does not begin with a burst of retries.
+     */
     private static final double INITIAL_TOKENS = 1;
 
     private double tokens = INITIAL_TOKENS;
@@ -19,7 +21,9 @@
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
-    /** Takes one retry off the budget; false, with nothing taken, where it is exhausted. */
+    /**
+     * Takes one retry from the budget; returns false and takes nothing if the budget is exhausted.
+     */
     boolean tryAcquire() {
         if (tokens < 1) {
             return false;
--- a/sidecar/src/main/java/appleridge/loadbalancing/RetryPolicy.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RetryPolicy.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Whether a request may be attempted again, and at which hosts. What may have executed must not
- * execute twice: a retry needs proof that no attempt has, or an idempotent class, or hosts that
- * still know the request's idempotency key.
+ * Decides whether a request may be retried, and at which hosts. A request that may have executed
+ * must not execute twice: a retry needs proof that no attempt has executed, or an idempotent class,
+ * or hosts that still know the request's idempotency key.
  */
 final class RetryPolicy {
     private final PolicySettings settings;
@@ -18,7 +18,7 @@
         this.budget = budget;
     }
 
-    /** Whether a further attempt is safe now, whichever host it goes to and whatever it costs. */
+    /** Whether a further attempt is safe now, regardless of its host and of the retry budget. */
     RetryDecision decide(long now, TrackedRequest request) {
         if (request.isClosed()) {
             return RetryDecision.REQUEST_CLOSED;
@@ -42,30 +42,31 @@
     }
 
     private RetryDecision decideAfterPossibleExecution(
-            long now, RequestClass kind, TrackedAttempt first) {
-        return switch (kind.idempotency()) {
+            long now, RequestClass requestClass, TrackedAttempt first) {
+        return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> RetryDecision.ALLOWED;
             case NON_IDEMPOTENT -> RetryDecision.NON_IDEMPOTENT;
-            // One clock granule is kept back: the send takes effect at the end of this batch.
+            // One clock granule is kept in reserve, since the send takes effect at the end of the
+            // batch.
             case IDEMPOTENT_BY_KEY ->
                     now + settings.clockGranularityNanos()
-                                    < first.sentAt() + kind.idempotencyKeyTtlNanos()
+                                    < first.sentAt() + requestClass.idempotencyKeyTtlNanos()
                             ? RetryDecision.ALLOWED
                             : RetryDecision.IDEMPOTENCY_KEY_EXPIRED;
         };
     }
 
     /**
-     * Whether to retry now that an attempt has ended without an answer. {@link
-     * RetryDecision#ALLOWED} takes the retry off the budget if the attempt may have executed; an
-     * attempt that is proven not executed is free.
+     * Decides on a retry after an attempt has ended without a usable response. {@link
+     * RetryDecision#ALLOWED} takes the retry from the budget if the attempt may have executed; a
+     * retry of an attempt that is proven not executed is free.
      */
     RetryDecision decideAndCharge(long now, TrackedRequest request, TrackedAttempt ended) {
         RetryDecision decision = decide(now, request);
         if (decision != RetryDecision.ALLOWED) {
             return decision;
         }
-        // Queued with no host left to try, it would stay queued until it times out.
+        // A request that no ready host may take would otherwise stay queued until it times out.
         if (registry.ready().stream()
                 .noneMatch(host -> eligibility(request, host) == HostEligibility.ELIGIBLE)) {
             return RetryDecision.NO_ELIGIBLE_HOST;
@@ -78,7 +79,7 @@
                 : RetryDecision.ALLOWED;
     }
 
-    /** Whether the request's next attempt, if there may be one, may go to this host. */
+    /** Whether the request's next attempt, if one is allowed, may go to this host. */
     HostEligibility eligibility(TrackedRequest request, TrackedHost host) {
         if (!request.hasAttempts()) {
             return HostEligibility.ELIGIBLE;
@@ -86,31 +87,37 @@
         if (request.wasSentTo(host)) {
             return HostEligibility.ALREADY_ATTEMPTED;
         }
-        RequestClass kind = request.requestClass();
+        RequestClass requestClass = request.requestClass();
         Optional<TrackedAttempt> first = request.firstPossiblyExecutedAttempt();
         return first.isEmpty()
-                        || kind.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
-                        || recognisesKey(kind, first.get().host().endpoint(), host.endpoint())
+                        || requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY
+                        || recognisesKey(
+                                requestClass, first.get().host().endpoint(), host.endpoint())
                 ? HostEligibility.ELIGIBLE
                 : HostEligibility.OUTSIDE_DEDUPLICATION_SCOPE;
     }
 
-    /** Whether a host drops a repeat of what may have executed at another one. */
+    /**
+     * Whether the candidate recognises the key of a request that may have executed at the first
+     * host.
+     */
     private static boolean recognisesKey(
-            RequestClass kind, UpstreamHost first, UpstreamHost candidate) {
-        return switch (kind.deduplicationScope()) {
+            RequestClass requestClass, UpstreamHost first, UpstreamHost candidate) {
+        return switch (requestClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> first.zone() == candidate.zone();
             case CELL -> first.cell() == candidate.cell();
         };
     }
 
-    /** Whether a retry by the client itself can do no harm, so that the request may be rejected. */
+    /**
+     * Whether the client itself may safely retry, so that the request may be answered as rejected.
+     */
     boolean isClientRetrySafe(TrackedRequest request) {
-        RequestClass kind = request.requestClass();
+        RequestClass requestClass = request.requestClass();
         return request.firstPossiblyExecutedAttempt().isEmpty()
-                || kind.idempotency() == Idempotency.IDEMPOTENT
-                || kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                        && kind.deduplicationScope() == DeduplicationScope.ALL;
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
@@ -114,7 +114,7 @@
             boolean fleetIsWarmingUp) {
         Credit credit = host.slowStart;
         double factor = Math.max(1, limits.overloadFactor() / SAFETY_DIVISOR);
-        double rate = throughput.ofHost(now, host, fleetIsWarmingUp) * capacity * factor;
+        double rate = throughput.ofWarmHost(now, host, fleetIsWarmingUp) * capacity * factor;
         if (Double.isNaN(credit.work)) {
             // From zero, hundreds of sidecars would each send their first request at the same time.
             credit.work = -random.nextDouble() * request.expectedNanos();
--- a/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SymmetricRoundRobinPolicy.java
@@ -8,17 +8,18 @@
  * them; each rule is a class of its own with private state.
  *
  * <ul>
- *   <li>Which host: {@link HostRing} over {@link HostSubset}, with turns by {@link TurnWeighting}
- *       and the rules of {@link HostGates}; a host's refusal is a {@link HostEligibility}.
- *   <li>Whether now: {@link AdmissionController}, {@link LoadShedder}, {@link TenantQueues}; the
+ *   <li>Host selection: {@link HostRing} over {@link HostSubset}, with turns by {@link
+ *       TurnWeighting} and the rules of {@link HostGates}; the result for a host is a {@link
+ *       HostEligibility}.
+ *   <li>Admission: {@link AdmissionController}, {@link LoadShedder}, {@link TenantQueues}; the
  *       result is an {@link Admission} with its reason.
- *   <li>Whether again: {@link RetryPolicy} and {@link RetryBudget}; the result is a {@link
+ *   <li>Retries: {@link RetryPolicy} and {@link RetryBudget}; the result is a {@link
  *       RetryDecision}.
- *   <li>What is known of hosts: {@link HostRegistry} from discovery, {@link HostHealth} from
- *       attempts; {@link HostRules} composes the rules behind both.
+ *   <li>State of hosts: {@link HostRegistry} from discovery, {@link HostHealth} from attempts;
+ *       {@link HostRules} composes the rules behind both.
  * </ul>
  *
- * <p>{@code docs/design.md} says against what each rule acts.
+ * <p>{@code docs/design.md} describes the failure that each rule guards against.
  */
 public final class SymmetricRoundRobinPolicy implements LoadBalancingPolicy {
     private final PolicySettings settings;
@@ -37,7 +38,7 @@
      * Composes the policy of one sidecar.
      *
      * @param seed the only source of randomness
-     * @param actions called only during the calls of events
+     * @param actions called only while an event is handled
      */
     public SymmetricRoundRobinPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         this.settings = settings;
@@ -79,7 +80,7 @@
     public void start(long now) {
         hosts.throughput.start(now);
         discovery.subscribe(now);
-        timers.armHostTimer();
+        timers.armTimer();
     }
 
     @Override
@@ -111,19 +112,19 @@
         retryBudget.onRequest();
         hosts.gossip.onRequest();
         admission.admit(now, request);
-        timers.armHostTimer();
+        timers.armTimer();
     }
 
     @Override
     public void onResponseStarted(
-            long now, long requestId, int attempt, long upstream, long elapsed) {
+            long now, long requestId, int attempt, long hostId, long elapsedNanos) {
         TrackedRequest request = requests.find(requestId).orElse(null);
         if (request == null || attempt >= request.attemptCount()) {
             return;
         }
         request.startStreaming();
         if (!request.requestClass().streaming()) {
-            results.onResponseStarted(now, request, request.attempt(attempt), elapsed >= 0);
+            results.onResponseStarted(now, request, request.attempt(attempt), elapsedNanos >= 0);
             drainAndArm(now);
         }
     }
@@ -133,16 +134,16 @@
             long now,
             long requestId,
             int attempt,
-            long upstream,
+            long hostId,
             Outcome outcome,
-            long elapsed,
-            boolean ended,
-            float[] load) {
+            long elapsedNanos,
+            boolean requestEnded,
+            float[] loadReport) {
         TrackedRequest request = requests.find(requestId).orElse(null);
         if (request != null
                 && attempt < request.attemptCount()
                 && request.attempt(attempt).isOutstanding()) {
-            results.onAttemptEnded(now, request, request.attempt(attempt), outcome, ended);
+            results.onAttemptEnded(now, request, request.attempt(attempt), outcome, requestEnded);
         }
         drainAndArm(now);
     }
@@ -165,15 +166,15 @@
 
     private void drainAndArm(long now) {
         admission.drain(now);
-        timers.armHostTimer();
+        timers.armTimer();
     }
 
-    /** Number of host records: must not grow as hosts come and go. */
+    /** The number of tracked hosts, which must not grow as hosts are replaced. */
     int knownHosts() {
         return hosts.registry.hosts().size();
     }
 
-    /** Number of requests that wait for capacity. */
+    /** The number of requests that wait for capacity. */
     int queuedRequests() {
         return queues.countRequests();
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/TenantQueue.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TenantQueue.java
@@ -2,52 +2,56 @@
 
 import java.util.ArrayDeque;
 
-/** One tenant's queued requests, what it has asked for lately, and what it has had of its quota. */
+/** One tenant's queued requests, and the work that it has recently requested and been sent. */
 final class TenantQueue {
-    /**
-     * Newest first: under overload first-in first-out would give every request its answer too late.
-     */
+    /** Newest first: under overload, first-in first-out would answer every request too late. */
     private final ArrayDeque<TrackedRequest> requests = new ArrayDeque<>();
 
     private final double fairShare;
     private final double quotaPerSecond;
 
-    /** Work in nanoseconds of expected response time. */
-    private final DecayingSum sent;
+    /** In nanoseconds of expected response time. */
+    private final DecayingSum sentWork;
+
+    /** In nanoseconds of expected response time. */
+    private final DecayingSum requestedWork;
 
-    private final DecayingSum asked;
     private long skippedInPass;
 
-    /** A tenant without a quota counts as having one of 1 a second. */
-    TenantQueue(Tenant tenant, double sentWindowNanos, double askedWindowNanos) {
+    /** A tenant without a quota is given a quota of 1 request per second. */
+    TenantQueue(Tenant tenant, double sentWindowNanos, double requestedWindowNanos) {
         this.fairShare = tenant.fairShare();
         this.quotaPerSecond = tenant.quotaPerSecond() > 0 ? tenant.quotaPerSecond() : 1;
-        this.sent = new DecayingSum(sentWindowNanos);
-        this.asked = new DecayingSum(askedWindowNanos);
+        this.sentWork = new DecayingSum(sentWindowNanos);
+        this.requestedWork = new DecayingSum(requestedWindowNanos);
     }
 
     void onRequest(long now, TrackedRequest request) {
-        asked.add(now, request.expectedNanos());
+        requestedWork.add(now, request.expectedNanos());
     }
 
     void onSent(long now, TrackedRequest request) {
-        sent.add(now, request.expectedNanos());
+        sentWork.add(now, request.expectedNanos());
     }
 
     /**
-     * How many times its fair share of all that was asked for it has asked for lately; at least 1.
+     * The work that the tenant has recently requested as a multiple of its fair share of all
+     * requested work; at least 1.
      *
-     * @param allAsked work that all tenants asked for
-     * @param workByChance work that may have come together by chance
+     * @param totalRequestedWork work that all tenants have recently requested
+     * @param burstAllowance work added to both sides of the ratio, so that a few requests that
+     *     arrive together by chance are no excess
      */
-    double excess(long now, double allAsked, double workByChance) {
+    double excessOverFairShare(long now, double totalRequestedWork, double burstAllowance) {
         return Math.max(
-                1, (asked.value(now) + workByChance) / (fairShare * allAsked + workByChance));
+                1,
+                (requestedWork.value(now) + burstAllowance)
+                        / (fairShare * totalRequestedWork + burstAllowance));
     }
 
-    /** Work sent lately for each unit of its quota. */
-    double quotaUsed(long now) {
-        return sent.value(now) / quotaPerSecond;
+    /** Recently sent work per unit of the tenant's quota. */
+    double sentWorkPerQuota(long now) {
+        return sentWork.value(now) / quotaPerSecond;
     }
 
     void push(TrackedRequest request) {
@@ -67,7 +71,7 @@
         return requests.size();
     }
 
-    /** Leaves the queue out for the rest of a pass over all queues. */
+    /** Excludes the queue for the rest of the given pass over all queues. */
     void skip(long pass) {
         skippedInPass = pass;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/TenantQueues.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TenantQueues.java
@@ -4,28 +4,35 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** The requests that wait for capacity, by tenant. Owns {@link TrackedRequest#isQueued}. */
+/**
+ * The requests that wait for capacity, by tenant. Only this class changes {@link
+ * TrackedRequest#isQueued}.
+ */
 final class TenantQueues {
-    /** Window of a tenant's use: long against an answer, short against a burst of some seconds. */
-    private static final double OBJECTIVES_PER_USE_WINDOW = 4.0;
+    /**
+     * Window of a tenant's sent work: long compared with a response time, short compared with a
+     * burst of a few seconds.
+     */
+    private static final double OBJECTIVES_PER_SENT_WINDOW = 4.0;
 
-    /** Without tenants all requests belong to this one. */
-    private static final Tenant ONLY_TENANT = new Tenant(1, 1);
+    /** The tenant of all requests if the settings name none. */
+    private static final Tenant DEFAULT_TENANT = new Tenant(1, 1);
 
     private final TenantQueue[] queues;
     private int size;
 
-    TenantQueues(PolicySettings settings, double askedWindowNanos) {
-        double useWindowNanos =
-                OBJECTIVES_PER_USE_WINDOW * settings.classes().get(0).latencyObjectiveNanos();
+    TenantQueues(PolicySettings settings, double requestedWindowNanos) {
+        double sentWindowNanos =
+                OBJECTIVES_PER_SENT_WINDOW * settings.classes().get(0).latencyObjectiveNanos();
         queues = new TenantQueue[Math.max(1, settings.tenants().size())];
         for (int i = 0; i < queues.length; i++) {
-            Tenant tenant = settings.tenants().isEmpty() ? ONLY_TENANT : settings.tenants().get(i);
-            queues[i] = new TenantQueue(tenant, useWindowNanos, askedWindowNanos);
+            Tenant tenant =
+                    settings.tenants().isEmpty() ? DEFAULT_TENANT : settings.tenants().get(i);
+            queues[i] = new TenantQueue(tenant, sentWindowNanos, requestedWindowNanos);
         }
     }
 
-    /** The queue of the request's tenant; unknown tenants share that of the last one. */
+    /** The queue of the request's tenant; unknown tenants share the queue of the last one. */
     TenantQueue of(TrackedRequest request) {
         return queues[Math.min(request.info().tenant(), queues.length - 1)];
     }
@@ -34,7 +41,7 @@
         return size == 0;
     }
 
-    /** Requests that the queues hold, counted one by one. */
+    /** The number of queued requests, counted in the queues themselves. */
     int countRequests() {
         return Arrays.stream(queues).mapToInt(TenantQueue::size).sum();
     }
@@ -54,10 +61,13 @@
         }
     }
 
-    /** Of the queues that hold requests and were not skipped in this pass, the least served one. */
+    /**
+     * The queue with the least sent work per quota among those that hold requests and were not
+     * skipped in this pass.
+     */
     Optional<TenantQueue> leastServed(long now, long pass) {
         return Arrays.stream(queues)
                 .filter(queue -> queue.isCandidate(pass))
-                .min(Comparator.comparingDouble(queue -> queue.quotaUsed(now)));
+                .min(Comparator.comparingDouble(queue -> queue.sentWorkPerQuota(now)));
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/TrackedAttempt.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TrackedAttempt.java
@@ -7,7 +7,7 @@
     private final int othersInFlight;
     private boolean outstanding = true;
     private boolean mayHaveExecuted = true;
-    private boolean responseStarted;
+    private boolean transferStarted;
 
     TrackedAttempt(TrackedHost host, long sentAt) {
         this.host = host;
@@ -28,22 +28,28 @@
         return othersInFlight;
     }
 
-    /** Whether its outcome is still to come. */
+    /** Whether its outcome is still pending. */
     boolean isOutstanding() {
         return outstanding;
     }
 
-    /** Whether the host may have executed it; false only once the outcome proves the contrary. */
+    /**
+     * Whether the host may have executed it; false only once its outcome proves that it has not.
+     */
     boolean mayHaveExecuted() {
         return mayHaveExecuted;
     }
 
-    boolean hasResponseStarted() {
-        return responseStarted;
+    /**
+     * Whether the transfer of a response or request too long to be buffered has started; from then
+     * on the attempt no longer counts as in flight at its host.
+     */
+    boolean hasTransferStarted() {
+        return transferStarted;
     }
 
-    void startResponse() {
-        responseStarted = true;
+    void startTransfer() {
+        transferStarted = true;
     }
 
     void end(Outcome outcome) {
--- a/sidecar/src/main/java/appleridge/loadbalancing/TrackedRequest.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TrackedRequest.java
@@ -7,14 +7,14 @@
 /** A client's request from its arrival until it is answered and its last attempt has ended. */
 final class TrackedRequest {
     /**
-     * From this part of the value on a late answer is worth waiting for until the deadline; below
-     * it the request is worthless once the objective has passed.
+     * With at least this fraction of its value, a late answer is worth waiting for until the
+     * deadline; with less, the request's value expires with its objective.
      */
     private static final double MIN_LATE_VALUE_TO_WAIT_FOR = 0.5;
 
     /**
-     * The expected time is at least the objective divided by this: timers an expected time of zero
-     * apart would never move on.
+     * The expected time is at least the objective divided by this: a timer repeated after an
+     * expected time of zero would never advance.
      */
     private static final double MAX_OBJECTIVE_MULTIPLE_OF_EXPECTED = 1000.0;
 
@@ -30,8 +30,8 @@
     private boolean streaming;
 
     /**
-     * @param elapsedNanos what the client has spent on earlier attempts of its own
-     * @param baselineNanos the usual response time of such a request
+     * @param elapsedNanos time that the client has spent on earlier attempts of its own
+     * @param baselineNanos the average response time of such requests
      */
     TrackedRequest(
             RequestInfo info,
@@ -64,22 +64,25 @@
         return requestClass;
     }
 
-    /** When the client gives up. */
+    /** The time at which the client gives up. */
     long deadline() {
         return deadline;
     }
 
-    /** Its class's latency objective, stretched by its cost and cut at the class's deadline. */
+    /**
+     * The class's latency objective, stretched by the cost hint and limited by the class's
+     * deadline.
+     */
     long objectiveNanos() {
         return objectiveNanos;
     }
 
-    /** From when on an answer is worth too little to be sent for. */
+    /** The time from which on an answer is worth too little to send an attempt for. */
     long valueExpiresAt() {
         return valueExpiresAt;
     }
 
-    /** Expected response time when it arrived; positive. The unit of work of all budgets. */
+    /** The expected response time on arrival; positive. All budgets measure work in this time. */
     double expectedNanos() {
         return expectedNanos;
     }
@@ -114,7 +117,7 @@
         return !attempts.isEmpty() && attempts.get(attempts.size() - 1).isOutstanding();
     }
 
-    /** The earliest attempt that is not proven to have had no effect. */
+    /** The earliest attempt that may have executed. */
     Optional<TrackedAttempt> firstPossiblyExecutedAttempt() {
         return attempts.stream().filter(TrackedAttempt::mayHaveExecuted).findFirst();
     }
@@ -123,12 +126,15 @@
         return closed;
     }
 
-    /** The request has its final answer or its client has left; only its attempt may be out. */
+    /**
+     * The request has its final answer or its client has left; its last attempt may still be
+     * outstanding.
+     */
     void close() {
         closed = true;
     }
 
-    /** Whether it waits for capacity; written by {@link TenantQueues} alone. */
+    /** Whether it waits for capacity; changed only by {@link TenantQueues}. */
     boolean isQueued() {
         return queued;
     }
@@ -137,7 +143,7 @@
         this.queued = queued;
     }
 
-    /** Whether its answer or its own body is on the way, so that nothing else can be tried. */
+    /** Whether its response or its body is being streamed, so that no other attempt is possible. */
     boolean isStreaming() {
         return streaming;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/UnansweredAttemptMonitor.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/UnansweredAttemptMonitor.java
@@ -59,7 +59,7 @@
 
     private static boolean isUnanswered(TrackedAttempt attempt) {
         return attempt.isOutstanding()
-                && !attempt.hasResponseStarted()
+                && !attempt.hasTransferStarted()
                 && attempt.host().answers.latestAnsweredSentAt <= attempt.sentAt();
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/TimerQueueTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/TimerQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Deadlines behind the host's timers. */
+/** Scheduled tasks and the embedder's timers. */
 class TimerQueueTest {
     @Test
     void timerThatFiresEarlyDoesNotLoseRequests() {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void dueTasksRunInTheOrderOfTheirTimeAndThenOfTheirScheduling() {
+    void dueTasksRunByTimeAndThenInTheOrderOfScheduling() {
         TimerQueue queue = new TimerQueue(SidecarHarness.of(NON_IDEMPOTENT));
         List<String> run = new ArrayList<>();
         queue.schedule(20, at -> run.add("b" + at));
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void hostTimerIsSetOnlyForAnEarlierTaskThanThoseItStillHolds() {
+    void timerIsSetOnlyForATaskDueBeforeEveryPendingTimer() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT);
         TimerQueue queue = new TimerQueue(sidecar);
         int before = sidecar.log.size();
         for (long at : new long[] {20, 30, 10}) {
             queue.schedule(at, now -> {});
-            queue.armHostTimer();
+            queue.armTimer();
         }
         assertEquals(
                 List.of("timer 1 20", "timer 2 10"),
