--- a/sidecar/src/main/java/appleridge/loadbalancing/ConnectFailureEjection.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ConnectFailureEjection.java
@@ -1,16 +1,16 @@
 package appleridge.loadbalancing;
 
 /**
- * Ejects a host after a failed connect, which costs a request the whole connect timeout. The host
- * gets a half-open probe, an ordinary attempt, after each backoff; any answer brings it back.
+ * Ejects a host after a failed connect, which costs a request the whole connect timeout. After each
+ * backoff the host gets one half-open probe, an ordinary attempt; any response ends the ejection.
  */
 final class ConnectFailureEjection {
     /** The first backoff is the shortest objective; it doubles up to this many times that. */
     private static final int MAX_BACKOFF_MULTIPLE = 8;
 
-    /** What is known of one host's connects. */
+    /** The ejection state of one host. */
     static final class Status {
-        /** The time of the next probe; 0 for a host that is not ejected. */
+        /** The time of the next probe; 0 if the host is not ejected. */
         private long nextProbeAt;
 
         private long backoffNanos;
@@ -24,13 +24,13 @@
         this.actions = actions;
     }
 
-    /** Whether the host is ejected and its next probe not yet due. */
+    /** Whether the host is ejected and its next probe is not yet due. */
     boolean isEjected(long now, TrackedHost host) {
-        return now < host.connects.nextProbeAt;
+        return now < host.connectStatus.nextProbeAt;
     }
 
     void onConnectFailed(long now, TrackedHost host) {
-        Status status = host.connects;
+        Status status = host.connectStatus;
         if (status.nextProbeAt == 0) {
             actions.log("upstream " + host.id() + " ejected: connect failed");
             status.backoffNanos = initialBackoffNanos();
@@ -39,20 +39,20 @@
         status.nextProbeAt = now + status.backoffNanos;
     }
 
-    /** The host has answered, be it with an error. */
-    void onAnswered(TrackedHost host) {
-        if (host.connects.nextProbeAt > 0) {
+    /** The host has responded, even if with an error. */
+    void onResponse(TrackedHost host) {
+        if (host.connectStatus.nextProbeAt > 0) {
             actions.log("upstream " + host.id() + " reachable again");
         }
-        host.connects.nextProbeAt = 0;
+        host.connectStatus.nextProbeAt = 0;
     }
 
-    /** An ejected host may be probed at once. */
+    /** Lets an ejected host be probed at once. */
     void probeNow(long now, TrackedHost host) {
-        host.connects.nextProbeAt = Math.min(host.connects.nextProbeAt, now);
+        host.connectStatus.nextProbeAt = Math.min(host.connectStatus.nextProbeAt, now);
     }
 
-    /** The value from which {@link #nextBackoffNanos} gives the first backoff. */
+    /** The value for which {@link #nextBackoffNanos} returns the first backoff. */
     long initialBackoffNanos() {
         return firstBackoffNanos / 2;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/GossipNotes.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/GossipNotes.java
@@ -3,19 +3,23 @@
 import java.nio.ByteBuffer;
 
 /**
- * Notes by which sidecars share first-hand evidence against a host, and the budget for them. A note
- * is eight bytes, big-endian: the host's id shifted left by 16 bits, and the evidence's weight in
- * the low 16 bits. Notes of peers are never passed on.
+ * Encodes and sends the gossip messages, called notes, by which sidecars share first-hand evidence
+ * against a host, within a budget. A note has eight bytes, big-endian: the host's id shifted left
+ * by 16 bits, and the weight of the evidence in the low 16 bits. Notes from peers are not
+ * forwarded.
  */
 final class GossipNotes {
     private static final int NOTE_BYTES = 8;
     private static final int WEIGHT_BITS = 16;
     private static final long WEIGHT_MASK = (1 << WEIGHT_BITS) - 1;
 
-    /** Bytes that all peers together may be sent per own request: few beside a request's own. */
+    /**
+     * Bytes that may be sent to all peers together per request of this sidecar: few compared with
+     * the request itself.
+     */
     private static final double BYTES_PER_REQUEST = 128;
 
-    /** Notes that may be saved up. */
+    /** Limit of the budget, in notes to all peers. */
     private static final double MAX_TOKENS = 2;
 
     private final PolicyActions actions;
@@ -29,12 +33,15 @@
         this.tokensPerRequest = BYTES_PER_REQUEST / NOTE_BYTES / settings.replicas();
     }
 
-    /** A new request earns its part of the budget. */
+    /** Adds one request's share to the budget. */
     void onRequest() {
         tokens = Math.min(MAX_TOKENS, tokens + tokensPerRequest);
     }
 
-    /** Sends a note to all peers, unless the budget is spent or the host forbids gossip. */
+    /**
+     * Sends a note to all peers, unless the budget is spent or the embedder does not support
+     * gossip.
+     */
     void broadcast(long hostId, int weight) {
         if (tokens >= 1 && enabled) {
             tokens--;
@@ -44,7 +51,7 @@
         }
     }
 
-    /** Whether a peer's message has the form of a note; anything else is to be ignored. */
+    /** Whether a peer's message has the size of a note; any other message must be ignored. */
     static boolean isNote(byte[] message) {
         return message.length == NOTE_BYTES;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostConcurrencyLimit.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostConcurrencyLimit.java
@@ -1,23 +1,26 @@
 package appleridge.loadbalancing;
 
 /**
- * The number of attempts that this sidecar may have in flight at a host, learned from response
- * times: additive increase with answers in time, multiplicative decrease with late ones and
+ * The number of attempts that this sidecar may have in flight at a host, derived from response
+ * times: additive increase with timely responses, multiplicative decrease with late responses and
  * rejections.
  *
- * <p>An attempt that was given up may stay in the host's queue; a count that forgot it would refill
- * a full queue with work that is given up in its turn. Abandoned attempts therefore count until the
- * host answers something sent after them, or another latency objective has passed: a host whose
- * whole limit is taken by them gets nothing that it could answer.
+ * <p>An abandoned attempt may stay in the host's queue. If it no longer counted, a full queue would
+ * be refilled with work that is abandoned in its turn. Abandoned attempts therefore count until the
+ * host responds to an attempt sent after them, or another latency objective has passed. The latter
+ * is needed because a host whose whole limit is taken by them gets no attempt to respond to.
  */
 final class HostConcurrencyLimit {
-    /** Attempts; room for the choice of the less busy, no more, since sidecars start together. */
+    /**
+     * In attempts. Two are needed for the choice of the less busy host; more would overload hosts
+     * when many sidecars start together.
+     */
     private static final double INITIAL_LIMIT = 2;
 
     private static final double MIN_LIMIT = 0.1;
     private static final double DECREASE_FACTOR = 0.8;
 
-    /** The limit grows by at most this part of itself per answer, and by 1 per round trip. */
+    /** The limit grows by at most this fraction of itself per response, and by 1 per round trip. */
     private static final double MAX_INCREASE_FRACTION = 0.2;
 
     /** One host's limit and the abandoned attempts that count against it. */
@@ -37,16 +40,16 @@
 
     /** Whether the host may take one more attempt; at least one is always allowed. */
     boolean hasCapacity(long now, TrackedHost host) {
-        Limit state = host.concurrency;
+        Limit state = host.concurrencyLimit;
         if (state.abandoned > 0 && now >= state.abandonedUntil) {
             state.abandoned = 0;
         }
         return host.inFlight() + state.abandoned < Math.max(1, (int) state.limit);
     }
 
-    /** Not for failed connects, which say nothing of the host's load. */
+    /** Not to be called for failed connects, which say nothing about the host's load. */
     void onAttemptEnded(long now, TrackedRequest request, TrackedAttempt attempt, Outcome outcome) {
-        Limit state = attempt.host().concurrency;
+        Limit state = attempt.host().concurrencyLimit;
         if (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED) {
             state.abandoned++;
             state.latestAbandonedSentAt = Math.max(state.latestAbandonedSentAt, attempt.sentAt());
@@ -61,7 +64,10 @@
         }
     }
 
-    /** Measured as an average request, so that costly ones are no sign of overload. */
+    /**
+     * Scales the elapsed time to a request of average cost, so that the response time of costly
+     * requests is not taken for overload.
+     */
     private boolean isLate(long now, TrackedRequest request, TrackedAttempt attempt) {
         double elapsedNanos =
                 (now - attempt.sentAt())
@@ -70,7 +76,7 @@
         return elapsedNanos > LatencyThresholds.LATE_OBJECTIVE_FRACTION * request.objectiveNanos();
     }
 
-    /** Attempts sent before the last decrease tell of the load that it has answered already. */
+    /** Ignores attempts sent before the last decrease, which has already reacted to their load. */
     private static void decrease(long now, Limit state, TrackedAttempt attempt) {
         if (attempt.sentAt() >= state.decreasedAt) {
             state.limit = Math.max(MIN_LIMIT, state.limit * DECREASE_FACTOR);
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostGates.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostGates.java
@@ -1,6 +1,6 @@
 package appleridge.loadbalancing;
 
-/** All rules that decide whether one host may take one request, the cheapest first. */
+/** Applies all rules that decide whether a host may take a request, the cheapest first. */
 final class HostGates {
     private final RetryPolicy retryPolicy;
     private final HostConcurrencyLimit concurrency;
@@ -19,11 +19,14 @@
     }
 
     /**
-     * The first rule that forbids it. The slow-start budget comes last, since asking it draws a
-     * random number and refills the host's credit.
+     * Returns the first rule that forbids the request, or {@link HostEligibility#ELIGIBLE}. The
+     * slow-start budget comes last, since its check draws a random number and refills the host's
+     * credit.
      *
-     * @param ownTurn the ring points to this host, no other one has passed its turn on
-     * @param ignoreEjection the panic mode, for when every ready host is ejected
+     * @param ownTurn whether the cursor of the ring is at this host, so that it does not replace a
+     *     host that could not take its turn
+     * @param ignoreEjection whether ejected hosts are eligible too: the panic mode, used when every
+     *     ready host is ejected
      */
     HostEligibility check(
             long now,
@@ -31,17 +34,17 @@
             TrackedRequest request,
             boolean ownTurn,
             boolean ignoreEjection) {
-        HostEligibility scope = retryPolicy.eligibility(request, host);
-        if (scope != HostEligibility.ELIGIBLE) {
-            return scope;
+        HostEligibility retryEligibility = retryPolicy.eligibility(request, host);
+        if (retryEligibility != HostEligibility.ELIGIBLE) {
+            return retryEligibility;
         }
         if (!concurrency.hasCapacity(now, host)) {
             return HostEligibility.AT_CONCURRENCY_LIMIT;
         }
-        HostEligibility ejection =
+        HostEligibility healthEligibility =
                 ignoreEjection ? HostEligibility.ELIGIBLE : health.eligibility(now, host);
-        if (ejection != HostEligibility.ELIGIBLE) {
-            return ejection;
+        if (healthEligibility != HostEligibility.ELIGIBLE) {
+            return healthEligibility;
         }
         return slowStart.admits(now, host, request, ownTurn)
                 ? HostEligibility.ELIGIBLE
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostHealth.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostHealth.java
@@ -1,6 +1,6 @@
 package appleridge.loadbalancing;
 
-/** Hands what an attempt's outcome says of its host to the rules that keep account of it. */
+/** Passes the outcome of an attempt to the rules that keep account of its host's health. */
 final class HostHealth {
     private final ConnectFailureEjection ejection;
     private final ZoneHealth zones;
@@ -16,7 +16,7 @@
         this.monitor = monitor;
     }
 
-    /** Whether the host may be sent to, or is to be probed now. */
+    /** Whether the host is not ejected, or is due for a probe. */
     HostEligibility eligibility(long now, TrackedHost host) {
         if (ejection.isEjected(now, host)) {
             return HostEligibility.EJECTED_HOST;
@@ -26,13 +26,13 @@
 
     void onAttemptEnded(long now, TrackedRequest request, TrackedAttempt attempt, Outcome outcome) {
         TrackedHost host = attempt.host();
-        boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR;
-        if (answered || outcome == Outcome.REJECTED) {
+        boolean responded = outcome == Outcome.OK || outcome == Outcome.ERROR;
+        if (responded || outcome == Outcome.REJECTED) {
             zones.onReached(now, host);
         }
-        if (answered) {
-            monitor.onAnswered(attempt);
-            ejection.onAnswered(host);
+        if (responded) {
+            monitor.onResponse(attempt);
+            ejection.onResponse(host);
         }
         switch (outcome) {
             case OK -> thresholds.observe(request, now - attempt.sentAt());
@@ -47,7 +47,9 @@
         }
     }
 
-    /** The connection broke under a response that had begun, whose start was already counted. */
+    /**
+     * The connection broke during a response whose start has already been recorded as a success.
+     */
     void onStartedResponseReset(long now, TrackedHost host) {
         outliers.report(now, host, OutlierDetector.MINOR);
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostRegistry.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostRegistry.java
@@ -9,7 +9,7 @@
 
 /** The endpoint table: all known hosts by id, and those that are ready for requests. */
 final class HostRegistry {
-    /** Makes the record of a new or restarted host. */
+    /** Creates the record of a new or restarted host. */
     interface HostFactory {
         TrackedHost create(long now, UpstreamHost endpoint);
     }
@@ -22,12 +22,12 @@
         this.factory = factory;
     }
 
-    /** The ready hosts in the order of their ids. */
+    /** The ready hosts, ordered by id. */
     List<TrackedHost> ready() {
         return ready;
     }
 
-    /** All known hosts in the order of their ids. */
+    /** All known hosts, ordered by id. */
     Collection<TrackedHost> hosts() {
         return hosts.values();
     }
@@ -40,7 +40,7 @@
      * Applies a snapshot or delta.
      *
      * @param kind not {@link UpdateKind#FAILURE}
-     * @return whether the set of ready hosts has changed, a restarted one counting as a new one
+     * @return whether the set of ready hosts has changed; a restarted host counts as a new one
      */
     boolean apply(long now, UpdateKind kind, List<UpstreamHost> entries) {
         Set<Long> missing = new TreeSet<>(kind == UpdateKind.DELTA ? Set.of() : hosts.keySet());
@@ -54,7 +54,7 @@
             changed |= host.isReady();
             host.update(host.endpoint().asGone());
         }
-        // Hosts are replaced for as long as the sidecar runs: records of gone ones would pile up.
+        // Hosts are replaced during the life of a sidecar; records of gone ones would accumulate.
         hosts.values()
                 .removeIf(
                         host -> host.endpoint().state() == HostState.GONE && host.inFlight() == 0);
@@ -70,12 +70,13 @@
     private boolean apply(long now, UpstreamHost entry) {
         TrackedHost host = hosts.get(entry.id());
         boolean wasReady = host != null && host.isReady();
-        boolean fresh = host == null || entry.startedAtNanos() > host.endpoint().startedAtNanos();
-        if (fresh) {
+        boolean newIncarnation =
+                host == null || entry.startedAtNanos() > host.endpoint().startedAtNanos();
+        if (newIncarnation) {
             host = factory.create(now, entry);
             hosts.put(entry.id(), host);
         }
         host.update(entry);
-        return wasReady != host.isReady() || fresh && host.isReady();
+        return wasReady != host.isReady() || newIncarnation && host.isReady();
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostRing.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostRing.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 
 /**
- * The round robin: a random fixed order of all ready hosts, from which the less busy of the pointed
- * host and the next one is picked. The {@link HostSubset} comes first, the remainder of the fleet
- * only where no member takes the request.
+ * Round robin over a random fixed order of all ready hosts. Picks the less busy of the host at the
+ * cursor and the next one. Hosts of the {@link HostSubset} come first; the remainder of the fleet
+ * is used only if no member takes the request.
  */
 final class HostRing {
     private final Random random;
@@ -33,7 +33,7 @@
         this.turns = turns;
     }
 
-    /** Draws a uniform permutation of the ready hosts and starts from its beginning. */
+    /** Draws a new uniform permutation of the ready hosts and starts at its beginning. */
     void redraw() {
         order.clear();
         order.addAll(registry.ready());
@@ -42,7 +42,7 @@
         assignMembers();
     }
 
-    /** Fits the subset to the average number of requests that are open at a time. */
+    /** Adapts the subset to the average number of requests that are open at a time. */
     void resize(double concurrentRequests) {
         if (subset.resize(concurrentRequests)) {
             assignMembers();
@@ -56,10 +56,11 @@
     }
 
     /**
-     * The host for the request's next attempt, or null where none takes it now.
+     * Returns the host for the request's next attempt, or null if no host takes it now.
      *
-     * @param ignoreEjection the panic mode: ejected hosts count too. What ejected them was learned
-     *     in the subset, so that the remainder then comes first.
+     * @param ignoreEjection whether ejected hosts are eligible too, the panic mode. The remainder
+     *     then comes first, since the failures that led to the ejections were observed in the
+     *     subset.
      */
     TrackedHost pick(long now, TrackedRequest request, boolean ignoreEjection) {
         RingCursor first = ignoreEjection ? remainder : members;
@@ -69,14 +70,16 @@
     }
 
     /**
-     * The less busy of the first two eligible hosts, a tie going to the first. Only first attempts
-     * take turns and move the cursor: a retry sees few hosts and would make the turns uneven.
+     * Returns the less busy of the first eligible host that takes its turn and the next eligible
+     * one; the former if they tie. Only first attempts take turns and move the cursor: retries
+     * choose among few hosts and would make the turns uneven. If no eligible host has credit for a
+     * turn, the first eligible host is used.
      */
     private TrackedHost pick(
             long now, TrackedRequest request, boolean ignoreEjection, RingCursor cursor) {
         boolean takesTurns = !request.hasAttempts();
-        TrackedHost pointed = null;
-        TrackedHost withoutTurn = null;
+        TrackedHost firstChoice = null;
+        TrackedHost firstWithoutTurn = null;
         int size = cursor.size();
         int start = cursor.position();
         for (int i = 0; i < size; i++) {
@@ -86,18 +89,18 @@
                     != HostEligibility.ELIGIBLE) {
                 continue;
             }
-            if (pointed != null) {
-                return host.inFlight() < pointed.inFlight() ? host : pointed;
+            if (firstChoice != null) {
+                return host.inFlight() < firstChoice.inFlight() ? host : firstChoice;
             }
             if (takesTurns && !turns.takeTurn(now, host)) {
-                withoutTurn = withoutTurn == null ? host : withoutTurn;
+                firstWithoutTurn = firstWithoutTurn == null ? host : firstWithoutTurn;
                 continue;
             }
-            pointed = host;
+            firstChoice = host;
             if (takesTurns) {
                 cursor.advancePast(index);
             }
         }
-        return pointed != null ? pointed : withoutTurn;
+        return firstChoice != null ? firstChoice : firstWithoutTurn;
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostRules.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostRules.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 
 /**
- * Composes the rules that keep account of hosts, from the endpoint table up to what each host is
- * able to take. They know nothing of queues, admission and retries.
+ * Composes the rules that keep account of hosts, from the endpoint table to the concurrency limit.
+ * They do not depend on queues, admission or retries.
  */
 final class HostRules {
     final HostRegistry registry = new HostRegistry(this::track);
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostSelector.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostSelector.java
@@ -15,8 +15,8 @@
     }
 
     /**
-     * The host, or null where none may take the request now. Where every ready host is ejected,
-     * ejection is ignored: a fault common to all must not leave the fleet unused.
+     * Returns the host, or null if none may take the request now. If every ready host is ejected,
+     * ejection is ignored, so that a fault common to all hosts does not leave the fleet unused.
      */
     TrackedHost select(long now, TrackedRequest request) {
         if (request.hasAttempts() && retryPolicy.decide(now, request) != RetryDecision.ALLOWED) {
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostSubset.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostSubset.java
@@ -5,23 +5,31 @@
 
 /**
  * The part of a large fleet that this sidecar usually sends to: as many hosts as its load keeps
- * busy. Were each of many sidecars to use the whole fleet, it would see a host so seldom that
- * nearly every request paid for a new connection, and no evidence would last until the next turn.
+ * busy. If each of many sidecars used the whole fleet, it would reach each host so rarely that
+ * nearly every request would need a new connection, and evidence about a host would decay before
+ * the host's next turn.
  *
- * <p>The subset is a run of hosts, sorted by id, from a position that follows from the sidecar's
- * rank. Together the subsets cover the fleet evenly, which positions drawn by chance would not.
+ * <p>The subset is a contiguous range of the hosts sorted by id, starting at a position derived
+ * from the sidecar's rank. Together the subsets cover the fleet evenly, which random positions
+ * would not.
  */
 final class HostSubset {
-    /** Concurrent requests per member: high enough that own in-flight counts tell busy ones. */
+    /**
+     * Concurrent requests per member: high enough that this sidecar's in-flight counts show which
+     * members are busy.
+     */
     private static final double TARGET_REQUESTS_PER_MEMBER = 0.8;
 
-    /** So many members leave a choice with a zone lost or some hosts slow. */
+    /** Enough members to leave a choice when a zone is lost or some hosts are slow. */
     private static final int MIN_SUBSET_SIZE = 6;
 
-    /** With more sidecars per host, own in-flight counts show less than an eighth of its load. */
+    /**
+     * With more sidecars per host, a sidecar's in-flight count shows less than an eighth of the
+     * host's load.
+     */
     private static final double MAX_SIDECARS_PER_OBSERVED_HOST = 8;
 
-    /** Its multiples modulo 1 lie evenly, however many there are of them. */
+    /** Its multiples modulo 1 are evenly spread for any number of sidecars. */
     private static final double GOLDEN_RATIO_FRACTION = (Math.sqrt(5) - 1) / 2;
 
     /** Whether a host belongs to the subset. */
@@ -38,8 +46,9 @@
     private int readyHosts;
 
     /**
-     * @param seed gives the position where the sidecar has no rank; it is mixed first, since the
-     *     first draws of consecutive seeds hardly differ
+     * @param seed determines the position of a sidecar without a rank; {@link SplittableRandom}
+     *     mixes it, which matters because the first draws of {@link java.util.Random} hardly differ
+     *     for consecutive seeds
      */
     HostSubset(PolicySettings settings, long seed, HostRegistry registry, PolicyActions actions) {
         this.settings = settings;
@@ -51,7 +60,7 @@
                         : settings.rank() * GOLDEN_RATIO_FRACTION % 1;
     }
 
-    /** This sidecar's place in the fleet: from 0 to below 1, even over all sidecars. */
+    /** This sidecar's position in the fleet, from 0 to below 1; evenly spread over all sidecars. */
     double position() {
         return position;
     }
@@ -60,7 +69,7 @@
         return host.membership.member;
     }
 
-    /** Chooses the members anew; idle connections to hosts that no longer belong are closed. */
+    /** Reassigns the members, and closes idle connections to hosts that no longer are members. */
     void assign() {
         registry.hosts().stream()
                 .filter(host -> !host.isReady())
@@ -80,45 +89,53 @@
     }
 
     /**
-     * Follows the load: grows at once, but shrinks only when half of the size is too much.
+     * Adapts the size to the load: grows at once, but shrinks only if less than half of the size is
+     * needed.
      *
      * @param concurrentRequests average number of requests that are open at a time
-     * @return whether the members have to be assigned anew
+     * @return whether {@link #assign} has to be called
      */
     boolean resize(double concurrentRequests) {
-        int wanted =
+        int targetSize =
                 Math.max(
                         MIN_SUBSET_SIZE,
                         (int) Math.ceil(concurrentRequests / TARGET_REQUESTS_PER_MEMBER));
-        if (wanted <= size && wanted >= size / 2) {
+        if (targetSize <= size && targetSize >= size / 2) {
             return false;
         }
-        boolean affectsMembers = Math.min(wanted, size) < readyHosts;
-        size = wanted;
+        boolean affectsMembers = Math.min(targetSize, size) < readyHosts;
+        size = targetSize;
         return affectsMembers;
     }
 
-    /** A connection to a host outside of the subset is used too seldom to be worth keeping. */
+    /**
+     * Closes idle connections to a host outside of the subset, which are used too rarely to be
+     * worth keeping.
+     */
     void closeIfIdleOutsider(TrackedHost host) {
         if (host.inFlight() == 0 && !contains(host)) {
             actions.closeIdleConnections(host.id());
         }
     }
 
-    /** Number of members; at least 1. */
+    /** The number of members; at least 1. */
     int size() {
         return Math.max(1, members);
     }
 
     /**
-     * Part of its share in a member's capacity that this sidecar may count on, so that the sum over
-     * all sidecars stays within that capacity where a host has one sidecar more than the average.
+     * The fraction of its share of a member's capacity that this sidecar may use, so that the sum
+     * over all sidecars stays within that capacity at a host that has one sidecar more than the
+     * average.
      */
     double capacityFraction() {
         return members == readyHosts ? 1 : sidecarsPerHost() / (sidecarsPerHost() + 1);
     }
 
-    /** Whether this sidecar's attempts are so small a part of a host's work as to show little. */
+    /**
+     * Whether this sidecar's attempts are too small a part of a host's work to show the host's
+     * load.
+     */
     boolean isSparse() {
         return sidecarsPerHost() > MAX_SIDECARS_PER_OBSERVED_HOST;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/HostWeights.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/HostWeights.java
@@ -5,11 +5,13 @@
 import java.util.stream.Stream;
 
 /**
- * Registered sizes of the ready hosts beside one another. An absent or absurd size counts as none;
- * where no host has one, all count alike.
+ * The registered sizes of the ready hosts relative to each other. An absent or implausible size
+ * counts as 0; if no host has a valid size, all hosts are weighted equally.
  */
 final class HostWeights {
-    /** No size counts for less than this part of the largest, so that every host gets turns. */
+    /**
+     * No host is weighted less than this fraction of the largest, so that every host gets turns.
+     */
     private static final double MIN_RELATIVE_WEIGHT = 0.1;
 
     private final WeightKind kind;
@@ -19,7 +21,7 @@
         this.kind = kind;
     }
 
-    /** Live weights are load reports, which have no say in turns. */
+    /** Ignores live weights, which are load reports and do not affect turns. */
     void onReadyHostsChanged(List<TrackedHost> ready) {
         weights =
                 (kind == WeightKind.LIVE ? Stream.<TrackedHost>of() : ready.stream())
@@ -34,7 +36,7 @@
                 : 1;
     }
 
-    /** From 0 to 1: a host larger than the average counts as an average one. */
+    /** From 0 to 1; a host larger than the average counts as an average one. */
     double relativeToAverage(TrackedHost host) {
         return weights.getSum() > 0 ? Math.min(1, weight(host) / weights.getAverage()) : 1;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/LatencyThresholds.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LatencyThresholds.java
@@ -1,29 +1,32 @@
 package appleridge.loadbalancing;
 
 /**
- * From which response time on an attempt is evidence against its host, or against the fleet as a
- * whole. Times in nanoseconds.
+ * The response times from which on an attempt is evidence against its host, or of an overload of
+ * the whole fleet. Times in nanoseconds.
  */
 final class LatencyThresholds {
-    /** Part of the latency objective: a longer wait leaves no time for a retry. */
+    /** Fraction of the latency objective; a longer wait leaves no time for a retry. */
     static final double LATE_OBJECTIVE_FRACTION = 0.4;
 
-    /** Multiple of the unloaded response time that work of ordinary spread rarely exceeds. */
+    /** Multiple of the unloaded response time that requests of ordinary variance rarely exceed. */
     private static final double TAIL_MULTIPLE = 4;
 
-    /** Part of the latency objective beyond which no tail is waited for. */
+    /** Fraction of the latency objective that bounds the allowance for slow responses. */
     private static final double MAX_TAIL_OBJECTIVE_FRACTION = 1.5 * LATE_OBJECTIVE_FRACTION;
 
     /**
-     * Multiple of the unloaded response time that about one answer in five exceeds without any
-     * overload; {@link LoadShedder} outweighs these by the answers in time.
+     * Multiple of the unloaded response time that about one response in five exceeds without any
+     * overload; {@link LoadShedder} compensates for these with the timely responses.
      */
     private static final double SENSITIVE_MULTIPLE = 1.5;
 
+    /** The initial guess of a class's response time is its objective divided by this. */
+    private static final double INITIAL_OBJECTIVE_DIVISOR = 10.0;
+
     private final PolicySettings settings;
     private final HostSubset subset;
 
-    /** By class, each starting from a tenth of its objective. */
+    /** Indexed by request class. */
     private final LatencyBaseline[] baselines;
 
     LatencyThresholds(PolicySettings settings, HostSubset subset) {
@@ -31,11 +34,15 @@
         this.subset = subset;
         this.baselines =
                 settings.classes().stream()
-                        .map(kind -> new LatencyBaseline(kind.latencyObjectiveNanos() / 10.0))
+                        .map(
+                                requestClass ->
+                                        new LatencyBaseline(
+                                                requestClass.latencyObjectiveNanos()
+                                                        / INITIAL_OBJECTIVE_DIVISOR))
                         .toArray(LatencyBaseline[]::new);
     }
 
-    /** Learns from a successful answer. */
+    /** Records the response time of a successful response. */
     void observe(TrackedRequest request, long elapsedNanos) {
         baseline(request).observe(elapsedNanos, request.info().costHintNanos());
     }
@@ -51,11 +58,12 @@
     }
 
     /**
-     * How long after its send an unanswered attempt is evidence against its host: the largest of
-     * {@link #LATE_OBJECTIVE_FRACTION} of the objective, half of {@link #TAIL_MULTIPLE} times the
-     * unloaded response time, the smaller of {@link #TAIL_MULTIPLE} times that time and {@link
-     * #MAX_TAIL_OBJECTIVE_FRACTION} of the objective, and one clock granule. Without the unloaded
-     * time, hosts whose ordinary answers take most of the objective would always count as late.
+     * The time after its send from which on an unanswered attempt is evidence against its host. It
+     * is the largest of: {@link #LATE_OBJECTIVE_FRACTION} of the objective; half of {@link
+     * #TAIL_MULTIPLE} times the unloaded response time; the smaller of {@link #TAIL_MULTIPLE} times
+     * that time and {@link #MAX_TAIL_OBJECTIVE_FRACTION} of the objective; one clock granule.
+     * Without the unloaded response time, hosts whose ordinary responses take most of the objective
+     * would always count as late.
      */
     long hostEvidenceNanos(TrackedRequest request) {
         return Math.max(
@@ -67,9 +75,9 @@
     }
 
     /**
-     * When an attempt is evidence of an overloaded fleet. Where few sidecars share a host, their
-     * own in-flight counts and limits show its load; where many do, each sees little of it and goes
-     * by a smaller delay.
+     * The time after its send from which on an attempt is evidence of an overloaded fleet. If few
+     * sidecars share a host, their own in-flight counts and limits show its load. If many do, each
+     * sees little of that load and uses a shorter delay.
      */
     long overloadEvidenceNanos(TrackedRequest request) {
         return subset.isSparse()
--- a/sidecar/src/main/java/appleridge/loadbalancing/OutlierDetector.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/OutlierDetector.java
@@ -1,22 +1,26 @@
 package appleridge.loadbalancing;
 
 /**
- * Evidence against each host, from this sidecar's own attempts and from its peers' notes. It
- * decays, and a host with more of it than the others takes fewer turns; none is ejected for it.
+ * Collects evidence against each host from this sidecar's own attempts and from its peers' gossip.
+ * The evidence decays. A host with more evidence than the others takes fewer turns, but is never
+ * ejected because of it.
  */
 final class OutlierDetector {
-    /** An answer that is late, lost or rejected. */
+    /** Weight of a late or lost response, or of a rejection. */
     static final int MINOR = 1;
 
     /**
-     * An error or a failed connect, which cost a request at once; the most that a peer may tell.
+     * Weight of an error or a failed connect, which costs a request an attempt at once; the largest
+     * weight accepted from a peer.
      */
     static final int SEVERE = 2;
 
-    /** Evidence against one host that may be chance. */
-    private static final double EVIDENCE_BY_CHANCE = 1;
+    /** Evidence against one host that may have arisen by chance. */
+    private static final double CHANCE_EVIDENCE = 1;
 
-    /** Window of the decay: a late answer still counts when the next ones come. */
+    /**
+     * Window of the decay, long enough that a late response still counts when the next ones arrive.
+     */
     private static final double OBJECTIVES_PER_WINDOW = 4.0;
 
     /** The evidence against one host. */
@@ -33,7 +37,7 @@
     private final GossipNotes gossip;
     private final double windowNanos;
 
-    /** Against all members of the subset together. */
+    /** The evidence against all members of the subset together. */
     private final DecayingSum subsetEvidence;
 
     OutlierDetector(
@@ -45,7 +49,7 @@
         this.subsetEvidence = new DecayingSum(windowNanos);
     }
 
-    /** The time over which evidence decays. */
+    /** The window over which evidence decays. */
     double windowNanos() {
         return windowNanos;
     }
@@ -54,22 +58,30 @@
         return new Evidence(windowNanos);
     }
 
-    /** First-hand evidence: counted here and, as far as the budget goes, sent to the peers. */
+    /**
+     * Records first-hand evidence, and sends it to the peers as far as the gossip budget allows.
+     */
     void report(long now, TrackedHost host, int weight) {
-        count(now, host, weight);
+        addEvidence(now, host, weight);
         gossip.broadcast(host.id(), weight);
     }
 
-    /** A peer's evidence; what is malformed or names no known host is ignored. */
+    /**
+     * Records a peer's evidence. Messages that are malformed or name an unknown host are ignored.
+     */
     void onGossip(long now, byte[] message) {
         if (GossipNotes.isNote(message)) {
             int weight = (int) Math.min(GossipNotes.weight(message), SEVERE);
-            registry.find(GossipNotes.hostId(message)).ifPresent(host -> count(now, host, weight));
+            registry.find(GossipNotes.hostId(message))
+                    .ifPresent(host -> addEvidence(now, host, weight));
         }
     }
 
-    /** Peers report on the whole fleet, but the mean is taken over this sidecar's subset. */
-    private void count(long now, TrackedHost host, int weight) {
+    /**
+     * Evidence from peers concerns the whole fleet, but {@link #turnFraction} compares with the
+     * mean of this sidecar's subset only.
+     */
+    private void addEvidence(long now, TrackedHost host, int weight) {
         host.evidence.sum.add(now, weight);
         if (subset.contains(host)) {
             subsetEvidence.add(now, weight);
@@ -77,14 +89,14 @@
     }
 
     /**
-     * The part of its turns that a host takes, above 0 and at most 1: all of them unless there is
-     * more evidence against it than against the others. A fault common to all hosts thus changes
-     * nothing, or it would leave none to send to.
+     * The fraction of its turns that a host takes, above 0 and at most 1. It is 1 unless there is
+     * more evidence against the host than against the others. A fault common to all hosts therefore
+     * changes nothing; otherwise it would leave no host to send to.
      */
     double turnFraction(long now, TrackedHost host) {
         double mean = subsetEvidence.value(now) / subset.size();
         double fraction =
-                (mean + EVIDENCE_BY_CHANCE) / (host.evidence.sum.value(now) + EVIDENCE_BY_CHANCE);
+                (mean + CHANCE_EVIDENCE) / (host.evidence.sum.value(now) + CHANCE_EVIDENCE);
         return fraction >= 1 ? 1 : fraction * fraction;
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/RingCursor.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/RingCursor.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** A part of the {@link HostRing} and the position from which the next turn is taken. */
+/** A part of the hosts of a {@link HostRing}, and the position of the next turn in it. */
 final class RingCursor {
     private List<TrackedHost> hosts = List.of();
     private int position;
 
-    /** Continues over other hosts from about the same position. */
+    /** Replaces the hosts and keeps the position, as far as the number of hosts allows. */
     void setHosts(List<TrackedHost> hosts) {
         this.hosts = hosts;
         position = hosts.isEmpty() ? 0 : position % hosts.size();
@@ -21,7 +21,7 @@
         return hosts.size();
     }
 
-    /** Index of the pointed host; 0 if there is none. */
+    /** Index of the host whose turn is next; 0 if there are no hosts. */
     int position() {
         return position;
     }
@@ -30,7 +30,7 @@
         return hosts.get(index);
     }
 
-    /** The next turn begins behind this index. */
+    /** Moves the position to the host after this index. */
     void advancePast(int index) {
         position = (index + 1) % hosts.size();
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
@@ -4,12 +4,13 @@
 import java.util.Random;
 
 /**
- * Slow start: what a host that has just started may be sent. All sidecars together must not
- * overload it, for it would fall over and stay down.
+ * Slow start: limits the requests sent to a host that has just started. All sidecars together must
+ * not overload it, or it would fail again and stay down.
  *
- * <p>A warming host takes as many of its own turns as it has of its capacity. Beyond that it needs
- * credit, which grows with the throughput of a warm host of its size for this sidecar ({@link
- * ReferenceThroughput}), times its present capacity, times half of the overload factor.
+ * <p>A warming host takes its own turns with a probability equal to its present fraction of the
+ * capacity. Any other request needs credit. The credit grows with the throughput that a warm host
+ * of its size reaches for this sidecar ({@link ReferenceThroughput}), times its present fraction of
+ * the capacity, times half of the overload factor.
  */
 final class SlowStartBudget {
     /**
@@ -18,19 +19,19 @@
      */
     private static final double EXTRA_REQUESTS_PER_OVERLOAD_WINDOW = 1.5;
 
-    /** Part of the overload factor, and of the overload window, that is made use of. */
+    /** Only this part of the overload factor and of the overload window is used. */
     private static final int SAFETY_DIVISOR = 2;
 
-    /** One host's warming up; work in nanoseconds of expected response time. */
+    /** The credit of one host; work in nanoseconds of expected response time. */
     static final class Credit {
         private final long warmAt;
 
-        /** Not a number until the first request that asks for it. */
+        /** NaN until the first request that needs it. */
         private double work = Double.NaN;
 
         private long updatedAt;
 
-        /** From when on it may take one request beyond its credit. */
+        /** The time from which on the host may take one request beyond its credit. */
         private long extraRequestAt;
 
         private Credit(long now, long warmAt, long extraRequestAt) {
@@ -46,7 +47,7 @@
     private final HostSubset subset;
     private final ReferenceThroughput throughput;
 
-    /** When the first of the ready hosts is warm. */
+    /** The time at which the first of the ready hosts is warm. */
     private long firstWarmAt;
 
     SlowStartBudget(
@@ -61,7 +62,7 @@
         this.throughput = throughput;
     }
 
-    /** The budget of a new or restarted host; a start time of 0 means that it is warm. */
+    /** Creates the credit of a new or restarted host; a start time of 0 means that it is warm. */
     Credit newCredit(long now, UpstreamHost endpoint) {
         long warmAt =
                 endpoint.startedAtNanos() == 0
@@ -72,23 +73,24 @@
     }
 
     void onReadyHostsChanged(List<TrackedHost> ready) {
-        firstWarmAt = ready.stream().mapToLong(host -> host.slowStart.warmAt).min().orElse(0);
+        firstWarmAt = ready.stream().mapToLong(host -> host.slowStartCredit.warmAt).min().orElse(0);
     }
 
     /**
      * Whether the host may take the request now. Refills the host's credit and draws random
-     * numbers, so that it is asked once per host and pick, after all other rules.
+     * numbers; call it once per host and selection, after all other rules.
      *
-     * @param ownTurn the ring points to this host. Turns that others have passed on need credit:
-     *     with the other hosts unavailable, all sidecars would turn to this one.
+     * @param ownTurn whether the cursor of the ring is at this host. A turn passed on by another
+     *     host needs credit; otherwise, with the other hosts unavailable, all sidecars would send
+     *     to this one.
      */
     boolean admits(long now, TrackedHost host, TrackedRequest request, boolean ownTurn) {
-        Credit credit = host.slowStart;
+        Credit credit = host.slowStartCredit;
         if (now >= credit.warmAt) {
             return true;
         }
         boolean fleetIsWarmingUp = now < firstWarmAt;
-        // The sidecars to whose subsets it belongs use up the whole of what it can do.
+        // The sidecars whose subsets contain the host use its whole capacity.
         if (!subset.contains(host) && !fleetIsWarmingUp) {
             return false;
         }
@@ -101,9 +103,9 @@
 
     /** Linear from the minimum at the host's start to 1 at the end of the slow-start window. */
     private double capacityFraction(long now, Credit credit) {
-        double passed = 1 - (credit.warmAt - now) / (double) limits.slowStartWindowNanos();
+        double elapsedFraction = 1 - (credit.warmAt - now) / (double) limits.slowStartWindowNanos();
         double min = limits.slowStartMinFraction();
-        return min + (1 - min) * Math.max(0, Math.min(1, passed));
+        return min + (1 - min) * Math.max(0, Math.min(1, elapsedFraction));
     }
 
     private void refill(
@@ -112,11 +114,11 @@
             TrackedRequest request,
             double capacity,
             boolean fleetIsWarmingUp) {
-        Credit credit = host.slowStart;
+        Credit credit = host.slowStartCredit;
         double factor = Math.max(1, limits.overloadFactor() / SAFETY_DIVISOR);
         double rate = throughput.ofWarmHost(now, host, fleetIsWarmingUp) * capacity * factor;
         if (Double.isNaN(credit.work)) {
-            // From zero, hundreds of sidecars would each send their first request at the same time.
+            // With a start at zero, hundreds of sidecars would send their first request at once.
             credit.work = -random.nextDouble() * request.expectedNanos();
         }
         double max = rate * limits.overloadWindowNanos() / SAFETY_DIVISOR;
@@ -125,12 +127,13 @@
     }
 
     /**
-     * Takes a request that is sent off the host's credit, or where that is spent, off what it may
-     * take beyond. In a fleet that is warming up as a whole the credit follows what is served and
-     * would fall with it: the extra requests keep such a fleet from being shut for good.
+     * Charges a sent request to the host's credit, or if that is spent, to the extra requests
+     * beyond it. In a fleet that is warming up as a whole, the credit depends on the served work
+     * and would fall together with it; the extra requests prevent such a fleet from getting no
+     * requests for good.
      */
     void charge(long now, TrackedHost host, TrackedRequest request) {
-        Credit credit = host.slowStart;
+        Credit credit = host.slowStartCredit;
         if (credit.work < 0) {
             credit.extraRequestAt = now + extraRequestIntervalNanos();
         }
@@ -139,7 +142,9 @@
         }
     }
 
-    /** The extra requests are shared among all sidecars. */
+    /**
+     * The time between two extra requests of this sidecar; all sidecars share the extra requests.
+     */
     private long extraRequestIntervalNanos() {
         return (long)
                 (settings.replicas()
--- a/sidecar/src/main/java/appleridge/loadbalancing/TrackedHost.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TrackedHost.java
@@ -1,18 +1,18 @@
 package appleridge.loadbalancing;
 
 /**
- * One incarnation of an upstream host. A restarted host is a new object: it shares neither load nor
- * evidence with the process before it. Apart from its endpoint and the in-flight count it only
- * keeps, in one place, what each rule knows of the host; that state is private to its rule.
+ * One incarnation of an upstream host. A restarted host is a new object, since it shares neither
+ * load nor evidence with the previous process. Besides its endpoint and the in-flight count, it
+ * holds one state object per rule, whose content is private to that rule.
  */
 final class TrackedHost {
     final HostSubset.Membership membership = new HostSubset.Membership();
-    final TurnWeighting.Credit turns = new TurnWeighting.Credit();
-    final ConnectFailureEjection.Status connects = new ConnectFailureEjection.Status();
-    final HostConcurrencyLimit.Limit concurrency = new HostConcurrencyLimit.Limit();
-    final UnansweredAttemptMonitor.Answers answers = new UnansweredAttemptMonitor.Answers();
+    final TurnWeighting.Credit turnCredit = new TurnWeighting.Credit();
+    final ConnectFailureEjection.Status connectStatus = new ConnectFailureEjection.Status();
+    final HostConcurrencyLimit.Limit concurrencyLimit = new HostConcurrencyLimit.Limit();
+    final UnansweredAttemptMonitor.Responses responses = new UnansweredAttemptMonitor.Responses();
     final OutlierDetector.Evidence evidence;
-    final SlowStartBudget.Credit slowStart;
+    final SlowStartBudget.Credit slowStartCredit;
 
     private UpstreamHost endpoint;
     private int inFlight;
@@ -20,17 +20,17 @@
     TrackedHost(
             UpstreamHost endpoint,
             OutlierDetector.Evidence evidence,
-            SlowStartBudget.Credit slowStart) {
+            SlowStartBudget.Credit slowStartCredit) {
         this.endpoint = endpoint;
         this.evidence = evidence;
-        this.slowStart = slowStart;
+        this.slowStartCredit = slowStartCredit;
     }
 
     long id() {
         return endpoint.id();
     }
 
-    /** The host as discovery showed it last. */
+    /** The host as last reported by discovery. */
     UpstreamHost endpoint() {
         return endpoint;
     }
@@ -39,12 +39,15 @@
         return endpoint.state() == HostState.READY;
     }
 
-    /** Takes over an update of the same incarnation; only {@link HostRegistry} calls this. */
+    /** Applies an update of the same incarnation; called only by {@link HostRegistry}. */
     void update(UpstreamHost updated) {
         endpoint = updated;
     }
 
-    /** Attempts of this sidecar that occupy the host; a started response no longer does. */
+    /**
+     * Attempts of this sidecar that occupy the host; a started transfer of a long response or
+     * request no longer does.
+     */
     int inFlight() {
         return inFlight;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/TurnWeighting.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TurnWeighting.java
@@ -4,9 +4,10 @@
 import java.util.Random;
 
 /**
- * Weighted turns: each time the ring comes to a host its credit grows by its registered size beside
- * the largest and by how it fares beside the others; a whole credit takes the turn. Even turns
- * would overload the small hosts while the large ones idle, and leave a slow host its full part.
+ * Weighted turns: each time the ring reaches a host, the host's credit grows by its registered size
+ * relative to the largest, times its turn fraction by {@link OutlierDetector}. A credit of 1 takes
+ * the turn. Equal turns would overload small hosts while large ones idle, and give a slow host its
+ * full share.
  */
 final class TurnWeighting {
     /** A host's credit, in turns. */
@@ -24,16 +25,20 @@
         this.outliers = outliers;
     }
 
-    /** Starts all hosts at random parts of a turn, so that sidecars do not skip in step. */
+    /**
+     * Starts each host with a random part of a credit, so that sidecars do not skip the same hosts
+     * at the same time.
+     */
     void onReadyHostsChanged(List<TrackedHost> ready) {
-        ready.forEach(host -> host.turns.turns = random.nextDouble());
+        ready.forEach(host -> host.turnCredit.turns = random.nextDouble());
     }
 
     /**
-     * Adds the host's credit for this turn; true if it takes the turn, which uses up one credit.
+     * Adds the host's credit for this turn. Returns whether it takes the turn, which costs one
+     * credit.
      */
     boolean takeTurn(long now, TrackedHost host) {
-        Credit credit = host.turns;
+        Credit credit = host.turnCredit;
         credit.turns += weights.relativeToLargest(host) * outliers.turnFraction(now, host);
         return credit.turns >= 1 && credit.turns-- > 0;
     }
--- a/sidecar/src/main/java/appleridge/loadbalancing/UnansweredAttemptMonitor.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/UnansweredAttemptMonitor.java
@@ -1,15 +1,15 @@
 package appleridge.loadbalancing;
 
 /**
- * Evidence from attempts that stay unanswered. A hung or overloaded host answers nothing, and each
- * of many sidecars sees little of any one host; so an attempt counts while it is still out, unless
- * the host has answered something that was sent after it.
+ * Reports attempts that stay without a response. A hung or overloaded host responds to nothing, and
+ * each of many sidecars sends little to any one host. An attempt therefore counts as evidence while
+ * it is still outstanding, unless the host has responded to an attempt sent after it.
  */
 final class UnansweredAttemptMonitor {
-    /** What a host has answered. */
-    static final class Answers {
-        /** When the latest answered attempt was sent. */
-        private long latestAnsweredSentAt;
+    /** The responses of one host. */
+    static final class Responses {
+        /** The latest send time of an attempt that got a response. */
+        private long latestSentAt;
     }
 
     private final TimerQueue timers;
@@ -28,7 +28,10 @@
         this.shedder = shedder;
     }
 
-    /** Watches an attempt that has just been sent: for its host, and for the fleet as a whole. */
+    /**
+     * Watches an attempt that has just been sent, as evidence against its host and of an overloaded
+     * fleet.
+     */
     void watch(TrackedRequest request, TrackedAttempt attempt) {
         reportAfter(attempt, thresholds.hostEvidenceNanos(request));
         timers.schedule(
@@ -40,7 +43,7 @@
                 });
     }
 
-    /** Reports the host, and again at each doubling of the wait. */
+    /** Reports the host after the wait, and again each time that the wait has doubled. */
     private void reportAfter(TrackedAttempt attempt, long waitNanos) {
         timers.schedule(
                 attempt.sentAt() + waitNanos,
@@ -52,14 +55,14 @@
                 });
     }
 
-    void onAnswered(TrackedAttempt attempt) {
-        Answers answers = attempt.host().answers;
-        answers.latestAnsweredSentAt = Math.max(answers.latestAnsweredSentAt, attempt.sentAt());
+    void onResponse(TrackedAttempt attempt) {
+        Responses responses = attempt.host().responses;
+        responses.latestSentAt = Math.max(responses.latestSentAt, attempt.sentAt());
     }
 
     private static boolean isUnanswered(TrackedAttempt attempt) {
         return attempt.isOutstanding()
                 && !attempt.hasTransferStarted()
-                && attempt.host().answers.latestAnsweredSentAt <= attempt.sentAt();
+                && attempt.host().responses.latestSentAt <= attempt.sentAt();
     }
 }
--- a/sidecar/src/main/java/appleridge/loadbalancing/ZoneHealth.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/ZoneHealth.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Ejects a whole zone when several of its hosts in a row can't be connected to. A zone that is cut
- * off would otherwise cost each sidecar the connect timeout at each of its hosts, and again for
- * every probe. The zone is probed as one host would be; the only zone is never ejected.
+ * Ejects a whole zone when connects to several of its hosts fail in a row. A zone that is cut off
+ * would otherwise cost each sidecar the connect timeout at each of the zone's hosts, and again for
+ * every probe. An ejected zone is probed like a single host. The only zone is never ejected.
  */
 final class ZoneHealth {
-    /** So many different hosts in a row speak of the zone and not of themselves. */
+    /** Failures of this many different hosts in a row are attributed to their zone. */
     private static final int UNREACHABLE_HOSTS_TO_EJECT = 2;
 
     private static final class Zone {
@@ -23,7 +23,7 @@
             return unreachableHosts >= UNREACHABLE_HOSTS_TO_EJECT;
         }
 
-        void reached(long now) {
+        void markReached(long now) {
             unreachableHosts = 0;
             lastUnreachable = null;
             reachedAt = now;
@@ -42,26 +42,30 @@
         this.actions = actions;
     }
 
-    /** Whether the host's zone is ejected and its next probe not yet due. */
+    /** Whether the host's zone is ejected and its next probe is not yet due. */
     boolean isEjected(long now, TrackedHost host) {
-        return now < zone(host).nextProbeAt;
+        return now < zoneOf(host).nextProbeAt;
     }
 
-    /** An attempt to an ejected zone is its probe: no other one follows before the backoff ends. */
+    /**
+     * An attempt to an ejected zone is its probe; no other probe follows before the backoff ends.
+     */
     void onAttemptSent(long now, TrackedHost host) {
-        Zone zone = zone(host);
+        Zone zone = zoneOf(host);
         if (zone.isEjected()) {
             zone.nextProbeAt = now + zone.backoffNanos;
         }
     }
 
-    /** Ignores attempts from before the zone was last reached, and the same host in a row. */
+    /**
+     * Ignores attempts sent before the zone was last reached, and repeated failures of one host.
+     */
     void onConnectFailed(long now, TrackedAttempt attempt) {
         TrackedHost host = attempt.host();
-        Zone zone = zone(host);
+        Zone zone = zoneOf(host);
         if (host == zone.lastUnreachable
                 || attempt.sentAt() < zone.reachedAt
-                || registry.ready().stream().noneMatch(other -> zone(other) != zone)) {
+                || registry.ready().stream().noneMatch(other -> zoneOf(other) != zone)) {
             return;
         }
         zone.lastUnreachable = host;
@@ -75,19 +79,19 @@
         }
     }
 
-    /** Brings the zone back; hosts that were ejected with it are probed at once. */
+    /** Ends the ejection of the zone; its ejected hosts may be probed at once. */
     void onReached(long now, TrackedHost host) {
-        Zone zone = zone(host);
+        Zone zone = zoneOf(host);
         if (zone.isEjected()) {
             actions.log("zone " + host.endpoint().zone() + " reachable again");
             registry.ready().stream()
-                    .filter(other -> zone(other) == zone)
+                    .filter(other -> zoneOf(other) == zone)
                     .forEach(other -> ejection.probeNow(now, other));
         }
-        zone.reached(now);
+        zone.markReached(now);
     }
 
-    private Zone zone(TrackedHost host) {
+    private Zone zoneOf(TrackedHost host) {
         return zones.computeIfAbsent(host.endpoint().zone(), id -> new Zone());
     }
 }
