--- a/sidecar/src/test/java/appleridge/loadbalancing/AdmissionControllerTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/AdmissionControllerTest.java
@@ -17,7 +17,7 @@
     void requestIsRejectedAtOnceWithoutReadyHosts() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(0);
         sidecar.request(1, 0);
-        assertEquals(List.of("refuse 1"), sidecar.answers);
+        assertEquals(List.of("reject 1"), sidecar.answers);
     }
 
     @Test
@@ -33,7 +33,7 @@
     void requestWithoutRemainingTimeIsRejectedAtOnce() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(3);
         sidecar.request(1, 0, 0);
-        assertEquals(List.of("refuse 1"), sidecar.answers);
+        assertEquals(List.of("reject 1"), sidecar.answers);
         assertTrue(sidecar.sends.isEmpty());
     }
 
@@ -47,21 +47,21 @@
         sidecar.request(2, 1);
         sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.FAILURE, List.of());
         sidecar.request(3, 0);
-        assertEquals(List.of("refuse 1", "refuse 2", "refuse 3"), sidecar.answers);
+        assertEquals(List.of("reject 1", "reject 2", "reject 3"), sidecar.answers);
     }
 
     @Test
     void queuedRequestsAreSentNewestFirst() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(1);
         sidecar.burst(0, 6, 0);
-        int out = sidecar.sends.size();
-        assertTrue(out < 6, "some are held");
+        int sentAtOnce = sidecar.sends.size();
+        assertTrue(sentAtOnce < 6, "some requests are queued");
         sidecar.advance(10 * MS);
         sidecar.outcome(sidecar.sends.get(0), Outcome.OK);
-        assertEquals(5, sidecar.sends.get(out).request());
+        assertEquals(5, sidecar.sends.get(sentAtOnce).request());
     }
 
-    /** Closed requests must not pile up below those that still wait. */
+    /** Guards against closed requests that accumulate in the queue below waiting ones. */
     @Test
     void closedRequestsLeaveTheQueue() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(1);
@@ -73,7 +73,7 @@
             }
             assertTrue(
                     sidecar.policy.queuedRequests() <= 100,
-                    "more than can wait at once: " + sidecar.policy.queuedRequests());
+                    "more than can wait at a time: " + sidecar.policy.queuedRequests());
         }
         sidecar.advance(1_000 * MS);
         assertEquals(0, sidecar.policy.queuedRequests());
@@ -86,12 +86,14 @@
         int sent = sidecar.sends.size();
         sidecar.request(50, 0, 400 * MS);
         assertEquals(
-                List.of("refuse 50"), sidecar.answers, "600 ms of an objective of 500 are gone");
+                List.of("reject 50"),
+                sidecar.answers,
+                "600 ms have passed, the objective is 500 ms");
         assertEquals(sent, sidecar.sends.size());
     }
 
     @Test
-    void commonestRemainingTimeIsThatOfFirstAttempts() {
+    void mostFrequentRemainingTimeIsTakenForThatOfFirstAttempts() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(1);
         for (int i = 0; i < 30; i++) {
             sidecar.request(i, 0, i % 3 == 2 ? 900 * MS : 600 * MS);
@@ -101,7 +103,7 @@
         assertEquals(
                 answered,
                 sidecar.answers.size(),
-                "600 ms is what first tries have: held, not answered");
+                "600 ms are left to first attempts: queued, not answered");
     }
 
     @Test
@@ -144,12 +146,12 @@
                 sidecar.now, new RequestInfo(10, 0, 1, 0, 1_000 * MS, 0, false, false));
         sidecar.policy.onRequest(
                 sidecar.now, new RequestInfo(11, 0, 0, 0, 1_000 * MS, 0, false, false));
-        int out = sidecar.sends.size();
+        int sentAtOnce = sidecar.sends.size();
         sidecar.advance(10 * MS);
         sidecar.outcome(sidecar.sends.get(0), Outcome.OK);
         assertEquals(
                 10,
-                sidecar.sends.get(out).request(),
-                "not the newest, but the tenant that had nothing");
+                sidecar.sends.get(sentAtOnce).request(),
+                "the request of the tenant that was sent nothing, not the newest one");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/ConnectFailureEjectionTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ConnectFailureEjectionTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hosts that can't be connected to. */
+/** Ejection of hosts to which connects fail. */
 class ConnectFailureEjectionTest {
     @Test
     void ejectionIsIgnoredWhenEveryHostIsEjected() {
@@ -19,7 +19,7 @@
         }
         int before = sidecar.sends.size();
         sidecar.request(10, 0);
-        assertTrue(sidecar.sends.size() > before, "with every gate shut the pattern decides alone");
+        assertTrue(sidecar.sends.size() > before, "with every host ejected, ejection is ignored");
     }
 
     @Test
@@ -28,16 +28,16 @@
         sidecar.serve(0, 10, 0, 20 * MS);
         for (int i = 100; i < 400; i++) {
             sidecar.request(i, 0);
-            boolean down = sidecar.last().upstream() == 1 && i < 300;
+            boolean unreachable = sidecar.last().upstream() == 1 && i < 300;
             sidecar.advance(20 * MS);
-            sidecar.outcome(sidecar.last(), down ? Outcome.CONNECT_FAILED : Outcome.OK);
-            if (down && sidecar.last().request() == i && sidecar.sendsOf(i).size() > 1) {
+            sidecar.outcome(sidecar.last(), unreachable ? Outcome.CONNECT_FAILED : Outcome.OK);
+            if (unreachable && sidecar.last().request() == i && sidecar.sendsOf(i).size() > 1) {
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
         sidecar.advance(5_000 * MS);
         sidecar.serve(500, 520, 0, 20 * MS);
-        List<String> logged = sidecar.log.stream().filter(l -> l.startsWith("log ")).toList();
+        List<String> logged = sidecar.log.stream().filter(line -> line.startsWith("log ")).toList();
         assertEquals(
                 List.of("log upstream 1 ejected: connect failed", "log upstream 1 reachable again"),
                 logged);
--- a/sidecar/src/test/java/appleridge/loadbalancing/DecayingSumTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/DecayingSumTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A sum that decays exponentially. */
+/** The exponentially decaying sum. */
 class DecayingSumTest {
     @Test
-    void whatWasAddedAWindowAgoCountsByOneOverE() {
+    void amountAddedOneWindowAgoCountsWithTheFactorOneOverE() {
         DecayingSum sum = new DecayingSum(1_000);
         sum.add(5_000, 2);
         assertEquals(2, sum.value(5_000), 1e-12);
--- a/sidecar/src/test/java/appleridge/loadbalancing/DiscoveryPollerTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/DiscoveryPollerTest.java
@@ -24,7 +24,7 @@
         assertEquals(1, sidecar.sends.size());
         sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.FAILURE, List.of());
         sidecar.advance(2_000 * MS);
-        assertEquals(9, sidecar.subscriptions, "after eight failures it waits");
+        assertEquals(9, sidecar.subscriptions, "no further subscription within the backoff");
     }
 
     @Test
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostConcurrencyLimitTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostConcurrencyLimitTest.java
@@ -11,7 +11,8 @@
 /** Abandoned attempts that count against the limit. */
 class HostConcurrencyLimitTest {
     /**
-     * Abandoned work that a host has long since finished must not occupy it for a whole deadline.
+     * Guards against abandoned work that counts against a host for a whole deadline although the
+     * host has long finished it.
      */
     @Test
     void abandonedAttemptsOccupyAHostForOneObjectiveAtMost() {
@@ -31,10 +32,10 @@
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT, NON_IDEMPOTENT).withHosts(1);
         sidecar.request(1, 1);
         sidecar.request(2, 1);
-        List<SidecarHarness.Sent> out = List.copyOf(sidecar.sends);
-        assertEquals(2, out.size());
+        List<SidecarHarness.SentAttempt> outstanding = List.copyOf(sidecar.sends);
+        assertEquals(2, outstanding.size());
         sidecar.now += 1_000 * MS;
-        out.forEach(sent -> sidecar.outcome(sent, Outcome.TIMEOUT));
+        outstanding.forEach(sent -> sidecar.outcome(sent, Outcome.TIMEOUT));
         sidecar.request(3, 0, 900 * MS);
         assertEquals(2, sidecar.sends.size(), "two abandoned attempts fill the limit");
     }
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostRegistryTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostRegistryTest.java
@@ -24,7 +24,7 @@
         assertEquals(Set.of(0L, 1L), new HashSet<>(sidecar.takeTurns(12, 20)));
     }
 
-    /** Hosts are replaced for as long as a sidecar runs: records of gone ones must not pile up. */
+    /** Guards against records of gone hosts that accumulate while hosts are replaced. */
     @Test
     void goneHostsAreForgottenOnceNothingIsInFlight() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(2);
@@ -37,7 +37,7 @@
         }
         assertTrue(
                 sidecar.policy.knownHosts() <= 3,
-                "the ready ones and the one that still has a request");
+                "only the ready hosts and the one with a request in flight are kept");
         sidecar.outcome(sidecar.last(), Outcome.OK);
         sidecar.policy.onEndpointUpdate(
                 sidecar.now, UpdateKind.DELTA, List.of(upstreamHost(100, HostState.GONE, 0)));
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostRingTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostRingTest.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The random fixed order and the choice of the less busy of two. */
+/** The random fixed order of hosts and the choice of the less busy of two. */
 class HostRingTest {
     @Test
-    void ringIsCycledAndEvenWhileInFlightCountsTie() {
+    void turnsAreEvenWhileInFlightCountsTie() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(5);
         List<Long> first = sidecar.takeTurns(5, 0);
         assertEquals(5, new HashSet<>(first).size());
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void lessBusyOfPointedAndNextHostIsPicked() {
+    void lessBusyOfCurrentAndNextHostIsPicked() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(3);
         List<Long> order = sidecar.takeTurns(3, 0);
         sidecar.request(10, 0);
@@ -48,7 +48,10 @@
         assertEquals(order.get(2), sidecar.last().upstream());
         sidecar.outcome(sidecar.sendsOf(11).get(0), Outcome.OK);
         sidecar.request(13, 0);
-        assertEquals(order.get(1), sidecar.last().upstream(), "pointed holds one, the next none");
+        assertEquals(
+                order.get(1),
+                sidecar.last().upstream(),
+                "the current host has one request, the next none");
     }
 
     @Test
@@ -62,6 +65,6 @@
         List<Long> after = sidecar.takeTurns(5, 40);
         assertFalse(after.contains(3L));
         before.remove(3L);
-        assertNotEquals(before, after, "a fresh draw; this seed gives another order");
+        assertNotEquals(before, after, "redrawn: this seed gives another order");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/HostSubsetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/HostSubsetTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The part of a large fleet that a sidecar sends to. */
+/** The part of a large fleet that a sidecar usually sends to. */
 class HostSubsetTest {
     @Test
     void lowTrafficUsesTheSmallestSubsetAndKeepsItsConnections() {
@@ -20,33 +20,40 @@
         assertEquals(
                 6,
                 sidecar.hostsSentTo(0).size(),
-                "each request would pay for a connection of its own");
+                "with more hosts, each request would need a new connection");
         assertEquals(0, sidecar.closedConnections());
     }
 
     @Test
     void subsetsOfManySidecarsCoverTheFleetEvenly() {
-        int[] askedBy = new int[60];
+        int[] sidecarsOfHost = new int[60];
         for (int rank = 0; rank < 95; rank++) {
             SidecarHarness sidecar = SidecarHarness.ofMany(rank, 95).withHosts(60);
             sidecar.serve(0, 30, 0, 20 * MS);
-            sidecar.hostsSentTo(0).forEach(id -> askedBy[id.intValue()]++);
+            sidecar.hostsSentTo(0).forEach(id -> sidecarsOfHost[id.intValue()]++);
         }
-        // 95 times 6 over 60 are 9.5 each; random positions would range from 3 to 18.
-        assertTrue(Arrays.stream(askedBy).min().orElseThrow() >= 8, Arrays.toString(askedBy));
-        assertTrue(Arrays.stream(askedBy).max().orElseThrow() <= 11, Arrays.toString(askedBy));
+        // 95 sidecars with 6 members each over 60 hosts are 9.5 per host; random positions would
+        // give from 3 to 18.
+        assertTrue(
+                Arrays.stream(sidecarsOfHost).min().orElseThrow() >= 8,
+                Arrays.toString(sidecarsOfHost));
+        assertTrue(
+                Arrays.stream(sidecarsOfHost).max().orElseThrow() <= 11,
+                Arrays.toString(sidecarsOfHost));
     }
 
-    /** Without ranks, all sidecars must not end up on the same six hosts. */
+    /** Guards against sidecars without ranks that all use the same six hosts. */
     @Test
     void withoutRanksSubsetsAreDrawnAtRandom() {
-        int[] askedBy = new int[60];
+        int[] sidecarsOfHost = new int[60];
         for (int seed = 100; seed < 195; seed++) {
             SidecarHarness sidecar = SidecarHarness.ofMany(-1, 95, seed).withHosts(60);
             sidecar.serve(0, 30, 0, 20 * MS);
-            sidecar.hostsSentTo(0).forEach(id -> askedBy[id.intValue()]++);
+            sidecar.hostsSentTo(0).forEach(id -> sidecarsOfHost[id.intValue()]++);
         }
-        assertTrue(Arrays.stream(askedBy).max().orElseThrow() < 30, Arrays.toString(askedBy));
+        assertTrue(
+                Arrays.stream(sidecarsOfHost).max().orElseThrow() < 30,
+                Arrays.toString(sidecarsOfHost));
     }
 
     @Test
@@ -60,39 +67,39 @@
             sidecar.advance(2 * MS);
         }
         assertEquals(20, sidecar.hostsSentTo(1_000).size());
-        long early = sidecar.closedConnections();
+        long closedUnderLoad = sidecar.closedConnections();
         for (int id = 1_960; id < 2_000; id++) {
             sidecar.outcome(sidecar.sends.get(id), Outcome.OK);
         }
-        int quiet = sidecar.sends.size();
+        int sentUnderLoad = sidecar.sends.size();
         for (int id = 3_000; id < 3_200; id++) {
             sidecar.serve(id, id + 1, 0, 20 * MS);
             sidecar.advance(480 * MS);
         }
-        int kept = sidecar.hostsSentTo(quiet + 150).size();
-        assertTrue(kept <= 12, "it falls by halves: " + kept);
+        int kept = sidecar.hostsSentTo(sentUnderLoad + 150).size();
+        assertTrue(kept <= 12, "members after the load has fallen: " + kept);
         assertEquals(
                 20 - kept,
-                sidecar.closedConnections() - early,
-                "their connections would stand idle");
+                sidecar.closedConnections() - closedUnderLoad,
+                "connections to former members are closed");
     }
 
     @Test
     void remainderIsUsedWhileTheSubsetIsUnreachable() {
         SidecarHarness sidecar = SidecarHarness.ofMany(7, 95).withHosts(60);
         sidecar.serve(0, 30, 0, 20 * MS);
-        Set<Long> near = sidecar.hostsSentTo(0);
+        Set<Long> members = sidecar.hostsSentTo(0);
         int served = 0;
         for (int id = 100; id < 200; id++) {
             sidecar.request(id, 0);
             for (int i = 0;
                     i < 3 && !sidecar.sendsOf(id).isEmpty() && sidecar.last().request() == id;
                     i++) {
-                boolean down = near.contains(sidecar.last().upstream());
-                served += down ? 0 : 1;
+                boolean unreachable = members.contains(sidecar.last().upstream());
+                served += unreachable ? 0 : 1;
                 sidecar.advance(10 * MS);
-                sidecar.outcome(sidecar.last(), down ? Outcome.CONNECT_FAILED : Outcome.OK);
-                if (!down) {
+                sidecar.outcome(sidecar.last(), unreachable ? Outcome.CONNECT_FAILED : Outcome.OK);
+                if (!unreachable) {
                     break;
                 }
             }
@@ -100,6 +107,6 @@
         assertTrue(served > 90, "served " + served);
         assertTrue(
                 sidecar.closedConnections() > 80,
-                "an idle connection outside of the subset is closed");
+                "idle connections to hosts outside of the subset are closed");
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/LatencyBaselineTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/LatencyBaselineTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Observed response time of a class. */
+/** The observed response time of a request class. */
 class LatencyBaselineTest {
     @Test
-    void baselineIsEstablishedByTwentyAnswers() {
+    void baselineIsEstablishedByTwentyResponses() {
         LatencyBaseline baseline = new LatencyBaseline(100);
         for (int i = 0; i < 19; i++) {
             baseline.observe(80, 0);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void oneSlowAnswerCountsForThreeTimesTheExpectedAtMost() {
+    void slowResponseCountsForAtMostThreeTimesTheExpected() {
         LatencyBaseline baseline = new LatencyBaseline(100);
         baseline.observe(1e9, 0);
         assertEquals(300, baseline.averageNanos(), 1e-9);
--- a/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/LoadShedderTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding. */
+/** Load shedding while responses are late all over the fleet. */
 class LoadShedderTest {
     @Test
-    void latenessEverywhereShedsFirstAttemptsUntilAnswersAreInTime() {
+    void fleetWideLatenessShedsFirstAttemptsUntilResponsesAreTimely() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(10);
         sidecar.serve(0, 200, 0, 20 * MS);
         for (int round = 0; round < 8; round++) {
@@ -26,7 +26,7 @@
         int before = sidecar.sends.size();
         serveAdmitted(sidecar, 2_000, 10);
         int admitted = sidecar.sends.size() - before;
-        assertTrue(admitted >= 1 && admitted <= 5, "sent right after the pressure " + admitted);
+        assertTrue(admitted >= 1 && admitted <= 5, "sent right after the overload " + admitted);
         assertTrue(sidecar.log.contains("log load shedding begins: answers are late fleet-wide"));
         serveAdmitted(sidecar, 3_000, 200);
         assertTrue(sidecar.log.contains("log load shedding ends"));
@@ -35,7 +35,10 @@
         assertEquals(20, sidecar.sends.size() - before, "all admitted again");
     }
 
-    /** A sidecar with little traffic must not reject for minutes what idle hosts could answer. */
+    /**
+     * Guards against a sidecar with little traffic that rejects requests for minutes although hosts
+     * are idle.
+     */
     @Test
     void sheddingEndsByTimeAloneWithoutNewLateness() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(10);
@@ -62,7 +65,7 @@
     }
 
     @Test
-    void serviceWhoseUnloadedAnswersTakeMostOfTheObjectiveIsNotShedForGood() {
+    void serviceWhoseUnloadedResponsesTakeMostOfTheObjectiveIsNotShedForGood() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(4);
         for (int id = 0; id < 400; id++) {
             int before = sidecar.sends.size();
@@ -72,60 +75,61 @@
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
-        assertEquals(399, sidecar.last().request(), "the last ones are all admitted");
-        long begun =
+        assertEquals(399, sidecar.last().request(), "the last requests are admitted");
+        long beginnings =
                 sidecar.log.stream()
                         .filter(line -> line.startsWith("log load shedding begins"))
                         .count();
-        assertEquals(begun, sidecar.log.stream().filter("log load shedding ends"::equals).count());
+        assertEquals(
+                beginnings, sidecar.log.stream().filter("log load shedding ends"::equals).count());
     }
 
     /**
-     * A second of overload must not shut many sidecars nearly for good, together: while half of the
-     * answers stay late, a good part of the requests is still sent.
+     * Guards against many sidecars that all stop sending after a second of overload: while half of
+     * the responses stay late, a good part of the requests is still sent.
      */
     @Test
-    void halfOfTheAnswersLateLeavesAGoodPartAdmitted() {
+    void halfOfTheResponsesLateLeavesAGoodPartAdmitted() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(40);
         sidecar.serve(0, 200, 0, 20 * MS);
-        int asked = 200;
-        List<SidecarHarness.Sent> waiting = new ArrayList<>();
+        int nextId = 200;
+        List<SidecarHarness.SentAttempt> outstanding = new ArrayList<>();
         int before = sidecar.sends.size();
         for (int tick = 0; tick < 400; tick++) {
             int sent = sidecar.sends.size();
-            sidecar.request(asked, 0);
-            asked++;
+            sidecar.request(nextId, 0);
+            nextId++;
             if (sidecar.sends.size() > sent) {
-                waiting.add(sidecar.last());
+                outstanding.add(sidecar.last());
             }
             sidecar.advance(50 * MS);
-            for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+            for (SidecarHarness.SentAttempt each : List.copyOf(outstanding)) {
                 boolean slow = each.request() % 2 == 0;
                 if (sidecar.now - each.at() >= (slow ? 450 : 50) * MS) {
-                    waiting.remove(each);
+                    outstanding.remove(each);
                     sidecar.outcome(each, Outcome.OK);
                 }
             }
         }
         double part = (sidecar.sends.size() - before) / 400.0;
-        assertTrue(part > 0.35 && part < 0.95, "sent of what was asked " + part);
+        assertTrue(part > 0.35 && part < 0.95, "fraction of the requests sent: " + part);
     }
 
-    /** Many sidecars must not all wait for answers to be late before each of them admits less. */
+    /** Guards against many sidecars that each wait for late responses before they admit less. */
     @Test
-    void smallerDelaysShowOverloadWhereManySidecarsShareAHost() {
+    void shorterDelaysShowOverloadIfManySidecarsShareAHost() {
         for (int replicas : new int[] {3, 95}) {
             SidecarHarness sidecar = SidecarHarness.ofMany(7, replicas).withHosts(60);
             sidecar.serve(0, 200, 0, 80 * MS);
-            List<SidecarHarness.Sent> waiting = new ArrayList<>();
+            List<SidecarHarness.SentAttempt> outstanding = new ArrayList<>();
             for (int id = 1_000; id < 1_200; id++) {
                 int before = sidecar.sends.size();
                 sidecar.request(id, 0);
-                waiting.addAll(sidecar.sends.subList(before, sidecar.sends.size()));
+                outstanding.addAll(sidecar.sends.subList(before, sidecar.sends.size()));
                 sidecar.advance(50 * MS);
-                for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+                for (SidecarHarness.SentAttempt each : List.copyOf(outstanding)) {
                     if (sidecar.now - each.at() >= 250 * MS) {
-                        waiting.remove(each);
+                        outstanding.remove(each);
                         sidecar.outcome(each, Outcome.OK);
                     }
                 }
@@ -133,7 +137,7 @@
             boolean sheds =
                     sidecar.log.stream()
                             .anyMatch(line -> line.startsWith("log load shedding begins"));
-            assertEquals(replicas > 3, sheds, "of " + replicas);
+            assertEquals(replicas > 3, sheds, "sidecars: " + replicas);
         }
     }
 
@@ -149,34 +153,36 @@
                                 7)
                         .withHosts(40);
         sidecar.serve(0, 200, 0, 20 * MS);
-        int[] asked = new int[2];
+        int[] requested = new int[2];
         int[] sent = new int[2];
-        List<SidecarHarness.Sent> waiting = new ArrayList<>();
+        List<SidecarHarness.SentAttempt> outstanding = new ArrayList<>();
         for (int i = 1_000; i < 2_000; i++) {
             int tenant = i % 4 == 0 ? 1 : 0;
             int before = sidecar.sends.size();
             sidecar.policy.onRequest(
                     sidecar.now, new RequestInfo(i, 0, tenant, 0, 1_000 * MS, 0, false, false));
-            asked[tenant]++;
+            requested[tenant]++;
             if (sidecar.sends.size() > before) {
                 sent[tenant]++;
-                waiting.add(sidecar.last());
+                outstanding.add(sidecar.last());
             }
             sidecar.advance(100 * MS);
-            for (SidecarHarness.Sent each : List.copyOf(waiting)) {
+            for (SidecarHarness.SentAttempt each : List.copyOf(outstanding)) {
                 if (sidecar.now - each.at() >= (each.request() % 5 != 0 ? 450 : 50) * MS) {
-                    waiting.remove(each);
+                    outstanding.remove(each);
                     sidecar.outcome(each, Outcome.OK);
                 }
             }
         }
-        double flood = sent[0] / (double) asked[0];
-        double modest = sent[1] / (double) asked[1];
-        assertTrue(modest > 1.15 * flood, "of the modest " + modest + ", of the flood " + flood);
+        double overShare = sent[0] / (double) requested[0];
+        double withinShare = sent[1] / (double) requested[1];
+        assertTrue(
+                withinShare > 1.15 * overShare,
+                "sent within the share: " + withinShare + ", beyond it: " + overShare);
     }
 
     @Test
-    void fewCostlyAnswersDoNotShed() {
+    void fewCostlyRequestsDoNotCauseShedding() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(11);
         sidecar.serve(0, 220, 0, 20 * MS);
         for (int i = 0; i < 20; i++) {
@@ -185,10 +191,13 @@
         }
         int before = sidecar.sends.size();
         sidecar.burst(2_000, 2_015, 0);
-        assertEquals(15, sidecar.sends.size() - before, "one in five takes long, the rest is calm");
+        assertEquals(
+                15,
+                sidecar.sends.size() - before,
+                "one response in five is slow, the others are fast");
     }
 
-    /** One by one, answered in 20 ms where they are sent. */
+    /** Sends requests one by one; those that are admitted are served within 20 ms. */
     private static void serveAdmitted(SidecarHarness sidecar, int from, int count) {
         for (int id = from; id < from + count; id++) {
             int before = sidecar.sends.size();
--- a/sidecar/src/test/java/appleridge/loadbalancing/OutlierDetectorTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Hosts that fare worse than the others take fewer turns. */
+/** Hosts with more evidence against them than others take fewer turns. */
 class OutlierDetectorTest {
     @Test
     void silentHostLosesItsTurns() {
@@ -20,29 +20,29 @@
         int before = sidecar.sends.size();
         for (int i = 100; i < 160; i++) {
             sidecar.request(i, 0);
-            SidecarHarness.Sent sent = sidecar.last();
+            SidecarHarness.SentAttempt sent = sidecar.last();
             sidecar.advance(20 * MS);
             if (sent.upstream() != 2) {
                 sidecar.outcome(sent, Outcome.OK);
             }
         }
-        long lost = sidecar.sentTo(2, before);
-        assertTrue(lost <= 4, "silent host got " + lost + " of 60");
+        long sentToSilent = sidecar.sentTo(2, before);
+        assertTrue(sentToSilent <= 4, "silent host got " + sentToSilent + " of 60");
     }
 
     @Test
-    void fastErrorsDoNotWinTurns() {
+    void fastErrorsDoNotGainTurns() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT, IDEMPOTENT).withHosts(4);
         sidecar.serve(0, 40, 0, 20 * MS);
         int before = sidecar.sends.size();
         for (int i = 100; i < 200; i++) {
             sidecar.request(i, 0);
-            SidecarHarness.Sent sent = sidecar.last();
+            SidecarHarness.SentAttempt sent = sidecar.last();
             sidecar.advance(sent.upstream() == 2 ? MS : 20 * MS);
             sidecar.outcome(sent, sent.upstream() == 2 ? Outcome.ERROR : Outcome.OK);
         }
-        long lost = sidecar.sentTo(2, before);
-        assertTrue(lost <= 10, "failing host got " + lost + " of 100");
+        long sentToFailing = sidecar.sentTo(2, before);
+        assertTrue(sentToFailing <= 10, "failing host got " + sentToFailing + " of 100");
     }
 
     @Test
@@ -62,34 +62,34 @@
 
     @Test
     void gossipReducesAHostsTurnsAndDecays() {
-        SidecarHarness one = peered(300);
-        one.serve(0, 20, 0, 20 * MS);
-        one.request(100, 0);
-        one.advance(900 * MS);
+        SidecarHarness reporter = withPeers(300);
+        reporter.serve(0, 20, 0, 20 * MS);
+        reporter.request(100, 0);
+        reporter.advance(900 * MS);
         assertEquals(
                 1,
-                one.gossip.size(),
+                reporter.gossip.size(),
                 "a long unanswered attempt is reported once; the budget allows no more");
-        SidecarHarness other = peered(300);
+        SidecarHarness receiver = withPeers(300);
         for (int i = 0; i < 12; i++) {
-            other.policy.onGossip(other.now, 3, one.gossip.get(0));
+            receiver.policy.onGossip(receiver.now, 3, reporter.gossip.get(0));
         }
-        other.serve(0, 100, 0, 5 * MS);
-        long suspect = other.sentTo(one.sendsOf(100).get(0).upstream(), 0);
+        receiver.serve(0, 100, 0, 5 * MS);
+        long suspect = receiver.sentTo(reporter.sendsOf(100).get(0).upstream(), 0);
         assertTrue(suspect <= 10, "reported host got " + suspect + " of 100");
-        assertTrue(other.gossip.isEmpty(), "gossip is not passed on");
-        other.advance(10_000 * MS);
-        int before = other.sends.size();
-        other.serve(200, 300, 0, 5 * MS);
+        assertTrue(receiver.gossip.isEmpty(), "gossip is not passed on");
+        receiver.advance(10_000 * MS);
+        int before = receiver.sends.size();
+        receiver.serve(200, 300, 0, 5 * MS);
         assertTrue(
-                other.sentTo(one.sendsOf(100).get(0).upstream(), before) >= 18,
-                "an even part again");
+                receiver.sentTo(reporter.sendsOf(100).get(0).upstream(), before) >= 18,
+                "the evidence has decayed: about a fifth of the turns");
     }
 
     @Test
     void malformedAndExcessiveGossipDoesNoHarm() {
-        SidecarHarness sidecar = peered(3);
-        SidecarHarness control = peered(3);
+        SidecarHarness sidecar = withPeers(3);
+        SidecarHarness control = withPeers(3);
         for (byte[] note : new byte[][] {{}, {1, 2, 3}, new byte[256], {0, 0, 0, 0, 0, 77, 0, 1}}) {
             sidecar.policy.onGossip(sidecar.now, 2, note);
         }
@@ -111,9 +111,11 @@
         assertEquals(10, sidecar.sentTo(2, before));
     }
 
-    /** Evidence against the whole fleet must not be taken for evidence against the subset. */
+    /**
+     * Guards against evidence against the whole fleet that counts as evidence against the subset.
+     */
     @Test
-    void gossipOnTheWholeFleetStillShowsAnOutlierInTheSubset() {
+    void gossipAboutTheWholeFleetStillShowsAnOutlierInTheSubset() {
         SidecarHarness sidecar =
                 new SidecarHarness(
                                 TestSettings.of(IDEMPOTENT).rank(7).replicas(95).gossip().build(),
@@ -135,23 +137,23 @@
     }
 
     @Test
-    void outlierIsTriedAgainWhereNothingIsIdempotent() {
+    void outlierIsTriedAgainEvenIfNoRequestIsIdempotent() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(2);
         sidecar.serve(0, 40, 0, 20 * MS);
         for (int i = 100; i < 1_200; i++) {
             sidecar.request(i, 0);
-            SidecarHarness.Sent sent = sidecar.last();
+            SidecarHarness.SentAttempt sent = sidecar.last();
             sidecar.advance(20 * MS);
             sidecar.outcome(sent, sent.upstream() == 1 && i < 200 ? Outcome.ERROR : Outcome.OK);
         }
         assertTrue(
                 sidecar.sends.subList(sidecar.sends.size() - 20, sidecar.sends.size()).stream()
                         .anyMatch(s -> s.upstream() == 1),
-                "it is tried again");
+                "the former outlier gets requests again");
     }
 
-    /** One of many sidecars that may send gossip to each other. */
-    private static SidecarHarness peered(int replicas) {
+    /** One of several sidecars that exchange gossip. */
+    private static SidecarHarness withPeers(int replicas) {
         return new SidecarHarness(
                         TestSettings.of(NON_IDEMPOTENT).replicas(replicas).gossip().build(), 7)
                 .withHosts(5);
--- a/sidecar/src/test/java/appleridge/loadbalancing/PolicyFilesTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/PolicyFilesTest.java
@@ -15,12 +15,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The files in which decisions are made, as the deploy file lists them under {@code policy}. */
+/**
+ * The source files that make decisions must be those listed under {@code policy} in the deploy
+ * file.
+ */
 class PolicyFilesTest {
     private static final Path ROOT = Path.of("..");
     private static final Path PACKAGE = Path.of("sidecar/src/main/java/appleridge/loadbalancing");
 
-    /** The package's interface to its host, which decides nothing. */
+    /** The types of the package's interface, which make no decisions. */
     private static final Set<String> INTERFACE =
             Set.of(
                     "Capabilities.java",
@@ -49,7 +52,7 @@
     }
 
     @Test
-    void everyFileThatDecidesIsListedUnderPolicyAndNoOther() throws IOException {
+    void exactlyTheFilesThatDecideAreListedUnderPolicy() throws IOException {
         String deploy = Files.readString(ROOT.resolve("deploy/balancer.toml"));
         Matcher line = Pattern.compile("(?m)^policy = \\[(.*)]$").matcher(deploy);
         assertTrue(line.find());
@@ -63,7 +66,7 @@
                         .filter(file -> !INTERFACE.contains(Path.of(file).getFileName().toString()))
                         .collect(Collectors.toCollection(TreeSet::new));
         assertEquals(deciding, new TreeSet<>(listed));
-        assertEquals(deciding.size(), listed.size(), "none is listed twice");
+        assertEquals(deciding.size(), listed.size(), "a file is listed twice");
         for (String file : listed) {
             assertTrue(Files.isRegularFile(ROOT.resolve(file)), file);
         }
--- a/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RandomEventsTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long random legal event sequences, checked by an observer that keeps its own account. */
+/**
+ * Long random sequences of legal events; every action is checked against an independent record of
+ * each request.
+ */
 class RandomEventsTest {
     private static final long DEADLINE = 1_000 * MS;
     private static final long SLACK = 20 * MS;
@@ -27,91 +30,96 @@
                     SidecarHarness.requestClass(
                             Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ZONE));
 
-    private static final class Account {
-        final RequestClass kind;
+    private static final class RequestRecord {
+        final RequestClass requestClass;
         final long deadline;
-        final List<SidecarHarness.Sent> sent = new ArrayList<>();
-        final Map<Integer, Outcome> ended = new HashMap<>();
+        final List<SidecarHarness.SentAttempt> sent = new ArrayList<>();
+        final Map<Integer, Outcome> outcomes = new HashMap<>();
         int answers;
 
-        Account(RequestClass kind, long deadline) {
-            this.kind = kind;
+        RequestRecord(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
         boolean mayHaveExecuted(int attempt) {
-            Outcome outcome = ended.get(attempt);
+            Outcome outcome = outcomes.get(attempt);
             return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
-    private final Map<Long, Account> accounts = new HashMap<>();
+    private final Map<Long, RequestRecord> records = new HashMap<>();
     private final Map<Long, HostState> states = new HashMap<>();
     private final Set<Integer> checkedSends = new HashSet<>();
-    private int readLog;
+    private int checkedActions;
     private SidecarHarness sidecar;
 
-    /** Reads the actions since the last event and checks each against the rules. */
+    /** Checks each action since the last call against the rules. */
     private void checkActions() {
         int sendsSeen = checkedSends.size();
-        for (; readLog < sidecar.log.size(); readLog++) {
-            String[] action = sidecar.log.get(readLog).split(" ");
+        for (; checkedActions < sidecar.log.size(); checkedActions++) {
+            String[] action = sidecar.log.get(checkedActions).split(" ");
             switch (action[0]) {
                 case "send" -> {
-                    SidecarHarness.Sent sent = sidecar.sends.get(sendsSeen);
+                    SidecarHarness.SentAttempt sent = sidecar.sends.get(sendsSeen);
                     checkedSends.add(sendsSeen++);
                     checkSend(sent);
                 }
-                case "refuse", "fail" -> checkAnswer(action[0], Long.parseLong(action[1]));
+                case "reject", "fail" -> checkAnswer(action[0], Long.parseLong(action[1]));
                 default -> {}
             }
         }
     }
 
-    private void checkSend(SidecarHarness.Sent sent) {
-        Account account = accounts.get(sent.request());
-        assertEquals(0, account.answers, "sent after its end: " + sent);
-        assertEquals(HostState.READY, states.get(sent.upstream()), "drain: " + sent);
-        assertTrue(account.sent.size() < 3, "too many attempts: " + sent);
-        SidecarHarness.Sent first = null;
-        for (SidecarHarness.Sent earlier : account.sent) {
-            if (first == null && account.mayHaveExecuted(earlier.attempt())) {
+    private void checkSend(SidecarHarness.SentAttempt sent) {
+        RequestRecord record = records.get(sent.request());
+        assertEquals(0, record.answers, "sent after the request was answered: " + sent);
+        assertEquals(
+                HostState.READY,
+                states.get(sent.upstream()),
+                "sent to a host that is not ready: " + sent);
+        assertTrue(record.sent.size() < 3, "too many attempts: " + sent);
+        SidecarHarness.SentAttempt first = null;
+        for (SidecarHarness.SentAttempt earlier : record.sent) {
+            if (first == null && record.mayHaveExecuted(earlier.attempt())) {
                 first = earlier;
             }
         }
         if (first != null) {
             assertTrue(
-                    account.kind.idempotency() != Idempotency.NON_IDEMPOTENT,
+                    record.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
                     "non-idempotent request sent twice: " + sent);
-            if (account.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+            if (record.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
                 assertTrue(
-                        sent.at() < first.at() + account.kind.idempotencyKeyTtlNanos(),
-                        "key expired: " + sent);
+                        sent.at() < first.at() + record.requestClass.idempotencyKeyTtlNanos(),
+                        "sent after the key expired: " + sent);
                 long a = first.upstream();
                 long b = sent.upstream();
-                switch (account.kind.deduplicationScope()) {
-                    case ZONE -> assertEquals(a % 2, b % 2, "zone: " + sent);
-                    case CELL -> assertEquals(a / 3, b / 3, "cell: " + sent);
+                switch (record.requestClass.deduplicationScope()) {
+                    case ZONE -> assertEquals(a % 2, b % 2, "sent outside of the zone: " + sent);
+                    case CELL -> assertEquals(a / 3, b / 3, "sent outside of the cell: " + sent);
                     default -> {}
                 }
             }
         }
-        account.sent.add(sent);
+        record.sent.add(sent);
     }
 
     private void checkAnswer(String answer, long id) {
-        Account account = accounts.get(id);
-        assertEquals(1, ++account.answers, "answered twice: " + id);
-        assertTrue(sidecar.now <= account.deadline + SLACK, "late answer: " + id);
+        RequestRecord record = records.get(id);
+        assertEquals(1, ++record.answers, "answered twice: " + id);
+        assertTrue(sidecar.now <= record.deadline + SLACK, "answered after the deadline: " + id);
         boolean mayHaveExecuted =
-                account.sent.stream().anyMatch(s -> account.mayHaveExecuted(s.attempt()));
-        boolean harmless =
+                record.sent.stream().anyMatch(s -> record.mayHaveExecuted(s.attempt()));
+        boolean clientRetrySafe =
                 !mayHaveExecuted
-                        || account.kind.idempotency() == Idempotency.IDEMPOTENT
-                        || account.kind.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                                && account.kind.deduplicationScope() == DeduplicationScope.ALL;
+                        || record.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || record.requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                && record.requestClass.deduplicationScope()
+                                        == DeduplicationScope.ALL;
         assertTrue(
-                answer.equals("fail") || harmless, "rejected though it may have executed: " + id);
+                answer.equals("fail") || clientRetrySafe,
+                "rejected though it may have executed: " + id);
     }
 
     @ParameterizedTest
@@ -128,68 +136,70 @@
             states.put((long) i, HostState.READY);
         }
         sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.CACHED_SNAPSHOT, first);
-        List<SidecarHarness.Sent> out = new ArrayList<>();
+        List<SidecarHarness.SentAttempt> outstanding = new ArrayList<>();
         int collected = 0;
         long nextId = 0;
         for (int step = 0; step < 6_000; step++) {
-            int what = random.nextInt(100);
-            if (what < 40) {
-                long left = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE;
-                int kind = random.nextInt(CLASSES.size());
-                accounts.put(nextId, new Account(CLASSES.get(kind), sidecar.now + left));
-                sidecar.request(nextId++, kind, left);
-            } else if (what < 70 && !out.isEmpty()) {
-                end(out.remove(random.nextInt(out.size())), random);
-            } else if (what < 72) {
-                change(random, upstreams);
-            } else if (what < 73 && nextId > 0) {
+            int event = random.nextInt(100);
+            if (event < 40) {
+                long remaining = random.nextInt(10) == 0 ? random.nextInt(30) * MS : DEADLINE;
+                int classIndex = random.nextInt(CLASSES.size());
+                records.put(
+                        nextId,
+                        new RequestRecord(CLASSES.get(classIndex), sidecar.now + remaining));
+                sidecar.request(nextId++, classIndex, remaining);
+            } else if (event < 70 && !outstanding.isEmpty()) {
+                end(outstanding.remove(random.nextInt(outstanding.size())), random);
+            } else if (event < 72) {
+                changeHostState(random, upstreams);
+            } else if (event < 73 && nextId > 0) {
                 long id = nextId - 1 - random.nextInt((int) Math.min(nextId, 20));
-                if (accounts.get(id).answers == 0) {
-                    accounts.get(id).answers++;
+                if (records.get(id).answers == 0) {
+                    records.get(id).answers++;
                     sidecar.policy.onClientDisconnected(sidecar.now, id);
                 }
             } else {
-                tick(random.nextInt(8));
+                advanceByGranules(random.nextInt(8));
             }
             checkActions();
             while (collected < sidecar.sends.size()) {
-                out.add(sidecar.sends.get(collected++));
+                outstanding.add(sidecar.sends.get(collected++));
             }
-            for (int i = out.size() - 1; i >= 0; i--) {
-                if (sidecar.now >= accounts.get(out.get(i).request()).deadline) {
-                    SidecarHarness.Sent sent = out.remove(i);
+            for (int i = outstanding.size() - 1; i >= 0; i--) {
+                if (sidecar.now >= records.get(outstanding.get(i).request()).deadline) {
+                    SidecarHarness.SentAttempt sent = outstanding.remove(i);
                     finish(sent, Outcome.TIMEOUT);
                 }
             }
             checkActions();
         }
-        tick(3_000);
+        advanceByGranules(3_000);
         checkActions();
-        accounts.forEach((id, account) -> assertEquals(1, account.answers, "answers of " + id));
-        assertTrue(nextId > 2_000, "the sequence was long");
+        records.forEach((id, record) -> assertEquals(1, record.answers, "answers of " + id));
+        assertTrue(nextId > 2_000, "too few requests in the sequence: " + nextId);
     }
 
-    /** One clock granule at a time, as a host with a batch clock does. */
-    private void tick(int millis) {
+    /** Advances by one clock granule at a time, as an embedder with a batch clock does. */
+    private void advanceByGranules(int millis) {
         for (int passed = 0; passed < millis; passed += 5) {
             sidecar.advance(5 * MS);
             checkActions();
         }
     }
 
-    private void end(SidecarHarness.Sent sent, Random random) {
+    private void end(SidecarHarness.SentAttempt sent, Random random) {
         int draw = random.nextInt(10);
         finish(
                 sent,
                 draw < 6 ? Outcome.OK : Outcome.values()[random.nextInt(Outcome.values().length)]);
     }
 
-    private void finish(SidecarHarness.Sent sent, Outcome outcome) {
-        Account account = accounts.get(sent.request());
-        boolean already = account.answers > 0;
-        account.ended.put(sent.attempt(), outcome);
-        if (outcome == Outcome.OK && !already) {
-            account.answers++;
+    private void finish(SidecarHarness.SentAttempt sent, Outcome outcome) {
+        RequestRecord record = records.get(sent.request());
+        boolean alreadyAnswered = record.answers > 0;
+        record.outcomes.put(sent.attempt(), outcome);
+        if (outcome == Outcome.OK && !alreadyAnswered) {
+            record.answers++;
         }
         sidecar.policy.onAttemptEnded(
                 sidecar.now,
@@ -198,12 +208,12 @@
                 sent.upstream(),
                 outcome,
                 sidecar.now - sent.at(),
-                already || outcome == Outcome.OK,
+                alreadyAnswered || outcome == Outcome.OK,
                 new float[0]);
         checkActions();
     }
 
-    private void change(Random random, int upstreams) {
+    private void changeHostState(Random random, int upstreams) {
         long id = random.nextInt(upstreams);
         HostState state = HostState.values()[random.nextInt(3)];
         long startedAt =
--- a/sidecar/src/test/java/appleridge/loadbalancing/RetryBudgetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 
 /** The budget of retries. */
 class RetryBudgetTest {
-    private static int retries(RetryBudget budget) {
+    private static int takeAll(RetryBudget budget) {
         int count = 0;
         while (budget.tryAcquire()) {
             count++;
@@ -15,22 +15,22 @@
     }
 
     @Test
-    void fiveFirstAttemptsPayForOneRetry() {
+    void fiveRequestsEarnOneRetry() {
         RetryBudget budget = new RetryBudget();
-        assertEquals(1, retries(budget), "at the start");
+        assertEquals(1, takeAll(budget), "at the start");
         for (int i = 0; i < 5; i++) {
-            assertEquals(0, retries(budget));
+            assertEquals(0, takeAll(budget));
             budget.onRequest();
         }
-        assertEquals(1, retries(budget));
+        assertEquals(1, takeAll(budget));
     }
 
     @Test
-    void noMoreThanTwentyRetriesAreSavedUp() {
+    void budgetHoldsAtMostTwentyRetries() {
         RetryBudget budget = new RetryBudget();
         for (int i = 0; i < 1_000; i++) {
             budget.onRequest();
         }
-        assertEquals(20, retries(budget));
+        assertEquals(20, takeAll(budget));
     }
 }
--- a/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/RetryPolicyTest.java
@@ -13,13 +13,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are attempted again, and where. */
+/** Which requests are retried, and at which hosts. */
 class RetryPolicyTest {
     @Test
-    void timeoutAtTheDeadlineIsFailedOnce() {
+    void timeoutAtTheDeadlineIsAnsweredOnceAsFailed() {
         SidecarHarness sidecar = SidecarHarness.of(NON_IDEMPOTENT).withHosts(3);
         sidecar.request(1, 0);
-        SidecarHarness.Sent sent = sidecar.last();
+        SidecarHarness.SentAttempt sent = sidecar.last();
         sidecar.now += 1_000 * MS;
         sidecar.outcome(sent, Outcome.TIMEOUT);
         sidecar.advance(100 * MS);
@@ -63,7 +63,7 @@
         sidecar.request(1, 0);
         sidecar.outcome(sidecar.last(), Outcome.RESET);
         sidecar.advance(1_000 * MS);
-        assertEquals(List.of("refuse 1"), sidecar.answers);
+        assertEquals(List.of("reject 1"), sidecar.answers);
     }
 
     @Test
@@ -74,7 +74,7 @@
             sidecar.outcome(sidecar.last(), Outcome.REJECTED);
         }
         assertEquals(3, sidecar.sends.size());
-        assertEquals(List.of("refuse 1"), sidecar.answers);
+        assertEquals(List.of("reject 1"), sidecar.answers);
     }
 
     @Test
@@ -83,24 +83,29 @@
         sidecar.serve(0, 80, 0, 20 * MS);
         sidecar.request(100, 0);
         sidecar.advance(300 * MS);
-        assertEquals(1, sidecar.sendsOf(100).size(), "one attempt at a time");
+        assertEquals(
+                1, sidecar.sendsOf(100).size(), "a second attempt while the first is outstanding");
     }
 
-    /** With a tenth of the attempts failing there must be retries left for a burst of failures. */
+    /**
+     * Guards against a budget that leaves no retries for a burst of failures: of ten requests that
+     * fail in a row after twenty successful ones, those within the budget are retried.
+     */
     @Test
-    void retriesAreBoundedToAFifthOfFirstAttempts() {
+    void retriesAreLimitedToAFifthOfTheRequests() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(4);
         sidecar.serve(0, 20, 0, MS);
-        int again = 0;
+        int retries = 0;
         for (int id = 100; id < 110; id++) {
             sidecar.request(id, 0);
             sidecar.outcome(sidecar.last(), Outcome.RESET);
             if (sidecar.sendsOf(id).size() == 2) {
-                again++;
+                retries++;
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
-        assertTrue(again >= 6 && again <= 8, "one, and a fifth of thirty: " + again);
+        assertTrue(
+                retries >= 6 && retries <= 8, "the initial one and a fifth of thirty: " + retries);
     }
 
     private static final long NOW = 10_000 * MS;
@@ -108,7 +113,9 @@
     private final HostRegistry registry =
             new HostRegistry((now, endpoint) -> new TrackedHost(endpoint, null, null));
 
-    /** Decides on a retry of a request whose only attempt has ended now, sent 100 ms before. */
+    /**
+     * Decides on a retry of a request whose only attempt was sent 100 ms ago and has just ended.
+     */
     private RetryDecision decideAfter(
             RequestClass kind, Outcome outcome, long remaining, RetryBudget budget) {
         registry.apply(NOW, UpdateKind.SNAPSHOT, List.of(upstreamHost(0), upstreamHost(7)));
@@ -137,7 +144,7 @@
         assertEquals(
                 RetryDecision.ALLOWED,
                 decideAfter(NON_IDEMPOTENT, Outcome.REJECTED, second, spent),
-                "not executed: takes nothing off the budget");
+                "not executed: takes nothing from the budget");
         assertEquals(
                 RetryDecision.RETRY_BUDGET_EXHAUSTED,
                 decideAfter(IDEMPOTENT, Outcome.RESET, second, spent));
--- a/sidecar/src/test/java/appleridge/loadbalancing/SidecarHarness.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SidecarHarness.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The host of one policy under test: keeps the clock, fires timers and records the actions. Hosts
- * with even ids are in zone 0, with odd ids in zone 1; three ids in a row share a cell.
+ * Embeds one policy under test: keeps the clock, fires timers and records the actions. Hosts with
+ * even ids are in zone 0, hosts with odd ids in zone 1; three consecutive ids share a cell.
  */
 final class SidecarHarness implements PolicyActions {
     static final long MS = 1_000_000;
@@ -21,12 +21,12 @@
     static final RequestClass KEYED =
             requestClass(Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ALL);
 
-    record Sent(long request, int attempt, long upstream, long at) {}
+    record SentAttempt(long request, int attempt, long upstream, long at) {}
 
     record Timer(long at, long token) {}
 
     final List<String> log = new ArrayList<>();
-    final List<Sent> sends = new ArrayList<>();
+    final List<SentAttempt> sends = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final List<byte[]> gossip = new ArrayList<>();
     final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
@@ -39,8 +39,8 @@
         policy.start(now);
     }
 
-    static RequestClass requestClass(Idempotency semantics, DeduplicationScope scope) {
-        return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, semantics, scope, 700 * MS, false);
+    static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass(500 * MS, 0, 1_000 * MS, 1, 0, idempotency, scope, 700 * MS, false);
     }
 
     static PolicySettings settings(RequestClass... classes) {
@@ -55,7 +55,7 @@
         return new SidecarHarness(settings(classes), 7);
     }
 
-    /** One of many sidecars, each with a rank and a seed of its own. */
+    /** One of many sidecars; its rank is also its seed. */
     static SidecarHarness ofMany(int rank, int replicas) {
         return ofMany(rank, replicas, rank);
     }
@@ -73,7 +73,7 @@
         return new UpstreamHost(id, (int) (id % 2), 0, (int) (id / 3), state, 1, startedAt);
     }
 
-    /** Lists upstreams 0 to count - 1 as ready and long started. */
+    /** Lists the hosts 0 to count - 1 as ready and warm. */
     SidecarHarness withHosts(int count) {
         List<UpstreamHost> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -87,11 +87,12 @@
         request(id, requestClass, 1_000 * MS);
     }
 
-    void request(long id, int requestClass, long left) {
-        policy.onRequest(now, new RequestInfo(id, requestClass, 0, 0, left, 0, false, false));
+    void request(long id, int requestClass, long remainingNanos) {
+        policy.onRequest(
+                now, new RequestInfo(id, requestClass, 0, 0, remainingNanos, 0, false, false));
     }
 
-    void outcome(Sent sent, Outcome outcome) {
+    void outcome(SentAttempt sent, Outcome outcome) {
         policy.onAttemptEnded(
                 now,
                 sent.request,
@@ -103,9 +104,9 @@
                 new float[0]);
     }
 
-    /** Moves the clock, ringing every timer on its way. */
-    void advance(long by) {
-        long end = now + by;
+    /** Advances the clock and fires every timer that becomes due. */
+    void advance(long nanos) {
+        long end = now + nanos;
         while (!timers.isEmpty() && timers.peek().at <= end) {
             Timer timer = timers.poll();
             now = Math.max(now, timer.at);
@@ -114,29 +115,35 @@
         now = end;
     }
 
-    /** Serves ids from..to one by one, each answered after {@code took}. */
-    void serve(long from, long to, int requestClass, long took) {
+    /**
+     * Sends the requests {@code from} to {@code to - 1} one by one, each served after {@code
+     * responseNanos}.
+     */
+    void serve(long from, long to, int requestClass, long responseNanos) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
-            Sent sent = last();
-            advance(took);
+            SentAttempt sent = last();
+            advance(responseNanos);
             outcome(sent, Outcome.OK);
         }
     }
 
-    /** Ids from..to, all at once. */
+    /** Sends the requests {@code from} to {@code to - 1} at once. */
     void burst(long from, long to, int requestClass) {
         for (long id = from; id < to; id++) {
             request(id, requestClass);
         }
     }
 
-    /** Attempts sent to an upstream since that many sends. */
+    /** The number of attempts sent to a host, without the first {@code since} attempts. */
     long sentTo(long upstream, int since) {
         return sends.stream().skip(since).filter(s -> s.upstream == upstream).count();
     }
 
-    /** Hosts of requests that are answered one by one, so that in-flight counts always tie. */
+    /**
+     * Returns the hosts of requests that are served one by one, so that in-flight counts always
+     * tie.
+     */
     List<Long> takeTurns(int length, long firstId) {
         List<Long> order = new ArrayList<>();
         for (int i = 0; i < length; i++) {
@@ -148,36 +155,38 @@
         return order;
     }
 
-    /** All hosts that attempts were sent to since that many sends. */
+    /** The hosts that got attempts, without the first {@code since} attempts. */
     Set<Long> hostsSentTo(int since) {
         return sends.subList(since, sends.size()).stream()
-                .map(Sent::upstream)
+                .map(SentAttempt::upstream)
                 .collect(Collectors.toSet());
     }
 
-    /** How often idle connections to a host were closed. */
+    /** The number of times that idle connections to a host were closed. */
     long closedConnections() {
         return log.stream().filter(line -> line.startsWith("close")).count();
     }
 
-    Sent last() {
+    /** The attempt that was sent last. */
+    SentAttempt last() {
         return sends.get(sends.size() - 1);
     }
 
-    List<Sent> sendsOf(long request) {
+    /** All attempts of a request, in the order in which they were sent. */
+    List<SentAttempt> sendsOf(long request) {
         return sends.stream().filter(s -> s.request == request).toList();
     }
 
     @Override
     public void sendAttempt(long request, long upstream, long timeout) {
         log.add("send " + request + " " + upstream + " " + timeout);
-        sends.add(new Sent(request, sendsOf(request).size(), upstream, now));
+        sends.add(new SentAttempt(request, sendsOf(request).size(), upstream, now));
     }
 
     @Override
     public void reject(long request, long wait, AnswerReason reason) {
-        log.add("refuse " + request + " " + wait);
-        answers.add("refuse " + request);
+        log.add("reject " + request + " " + wait);
+        answers.add("reject " + request);
     }
 
     @Override
@@ -199,7 +208,7 @@
 
     @Override
     public void sendHealthCheck(long upstream) {
-        log.add("probe " + upstream);
+        log.add("health-check " + upstream);
     }
 
     @Override
@@ -209,7 +218,7 @@
 
     @Override
     public void sendGossip(int peer, byte[] message) {
-        log.add("tell " + peer);
+        log.add("gossip " + peer);
         gossip.add(message);
     }
 
--- a/sidecar/src/test/java/appleridge/loadbalancing/SlowStartBudgetTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SlowStartBudgetTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a host that has just started is sent. */
+/** The requests that a host gets just after its start. */
 class SlowStartBudgetTest {
     @Test
     void warmingHostGetsNoMoreThanItsShareOfAWarmOne() {
@@ -25,9 +25,8 @@
         int before = sidecar.sends.size();
         sidecar.serve(5_000, 5_300, 0, 5 * MS);
         long warming = sidecar.sentTo(9, before);
-        // 1.5 s at 200 a second over 4 warm hosts: 75 each; the capacity at the start is 0.3 and
-        // has hardly
-        // grown.
+        // 1.5 s at 200 requests per second over 4 warm hosts are 75 each. The new host's capacity
+        // starts at 0.3 and has hardly grown.
         assertTrue(warming > 5 && warming < 40, "warming host got " + warming);
     }
 
@@ -53,32 +52,36 @@
             sent += sidecar.sends.size() - before;
             warming += sidecar.sentTo(99, before);
         }
-        // 1800 requests in 1.5 s over 11 hosts: 164 each; the capacity grows from 0.3 to 0.43.
+        // 1800 requests in 1.5 s over 11 hosts are 164 each. The new host's capacity grows from 0.3
+        // to 0.43.
         assertEquals(1_800, sent);
         assertTrue(warming > 5 && warming < 70, "warming host got " + warming);
     }
 
-    /** Of a fleet that warms up as a whole more than the subset has to be used. */
+    /**
+     * Guards against a fleet that warms up as a whole and is used only within the subset, which
+     * can't carry the load.
+     */
     @Test
     void largeFleetWarmingUpAsAWholeIsUsedBeyondTheSubset() {
         SidecarHarness sidecar = SidecarHarness.ofMany(1, 3).withHosts(60);
-        int seen = 0;
+        int served = 0;
         int rejectedBefore = 0;
         for (int tick = 0; tick < 4_000; tick++) {
             sidecar.advance(6 * MS);
             if (tick == 2_700) {
-                List<UpstreamHost> fresh = new ArrayList<>();
+                List<UpstreamHost> restarted = new ArrayList<>();
                 for (int i = 0; i < 60; i++) {
-                    fresh.add(upstreamHost(i, HostState.READY, sidecar.now));
+                    restarted.add(upstreamHost(i, HostState.READY, sidecar.now));
                 }
-                sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.DELTA, fresh);
+                sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.DELTA, restarted);
                 rejectedBefore = sidecar.answers.size();
             }
             for (;
-                    seen < sidecar.sends.size()
-                            && sidecar.sends.get(seen).at() <= sidecar.now - 50 * MS;
-                    seen++) {
-                sidecar.outcome(sidecar.sends.get(seen), Outcome.OK);
+                    served < sidecar.sends.size()
+                            && sidecar.sends.get(served).at() <= sidecar.now - 50 * MS;
+                    served++) {
+                sidecar.outcome(sidecar.sends.get(served), Outcome.OK);
             }
             sidecar.request(tick, 0);
         }
@@ -87,11 +90,11 @@
     }
 
     /**
-     * A new sidecar before a warming host: its first answer is all that it knows of what a host can
-     * do, and must not make it reject everything else for seconds.
+     * Guards against a new sidecar that takes its first response from a warming host for all that
+     * the host can serve, and then rejects everything else for seconds.
      */
     @Test
-    void newSidecarKeepsSendingToALoneWarmingHost() {
+    void newSidecarKeepsSendingToASingleWarmingHost() {
         int sent = 0;
         for (int seed = 0; seed < 100; seed++) {
             SidecarHarness sidecar = SidecarHarness.ofMany(0, 1, seed);
@@ -101,16 +104,18 @@
                     List.of(upstreamHost(1, HostState.READY, sidecar.now)));
             sidecar.advance(300 * MS);
             sidecar.burst(0, 6, 0);
-            answerAtOnce(sidecar, 1_000 * MS);
+            advanceAndServe(sidecar, 1_000 * MS);
             int before = sidecar.sends.size();
             sidecar.request(6, 0);
-            answerAtOnce(sidecar, 1_000 * MS);
+            advanceAndServe(sidecar, 1_000 * MS);
             sent += sidecar.sends.size() - before;
         }
         assertTrue(sent >= 70, "the seventh request was sent in " + sent + " of 100");
     }
 
-    /** What a new sidecar may send beyond the credit adds up over all sidecars. */
+    /**
+     * Guards against extra requests beyond the credit that add up over all sidecars to an overload.
+     */
     @Test
     void extraRequestsOfManyNewSidecarsStayWithinTheBudgetsConstant() {
         long warming = 0;
@@ -123,12 +128,12 @@
             int before = sidecar.sends.size();
             for (int id = 0; id < 10; id++) {
                 sidecar.request(id, 0);
-                answerAtOnce(sidecar, 150 * MS);
+                advanceAndServe(sidecar, 150 * MS);
             }
             // The credit of a sidecar that has served nothing allows one request at most.
             warming += Math.max(0, sidecar.sends.size() - before - 1);
         }
-        assertTrue(warming <= 3, "beyond the credit: " + warming);
+        assertTrue(warming <= 3, "extra requests: " + warming);
     }
 
     @Test
@@ -150,9 +155,9 @@
         assertTrue(sidecar.sends.size() >= 10, "sent " + sidecar.sends.size() + " of 20");
     }
 
-    /** Lets time pass; what is sent meanwhile is answered after 2 ms. */
-    private static void answerAtOnce(SidecarHarness sidecar, long time) {
-        Set<SidecarHarness.Sent> answered = new HashSet<>();
+    /** Advances the clock; attempts sent meanwhile are served after 2 ms. */
+    private static void advanceAndServe(SidecarHarness sidecar, long time) {
+        Set<SidecarHarness.SentAttempt> answered = new HashSet<>();
         for (long end = sidecar.now + time; sidecar.now < end; ) {
             sidecar.advance(2 * MS);
             sidecar.sends.stream()
--- a/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/SymmetricRoundRobinPolicyTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void settingsOutOfRangeAreNamed() {
+    void errorNamesTheSettingThatIsOutOfRange() {
         IllegalArgumentException e =
                 assertThrows(
                         IllegalArgumentException.class,
--- a/sidecar/src/test/java/appleridge/loadbalancing/TestSettings.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/TestSettings.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 
-/** Settings of a small service of three sidecars, of which a test changes what it is about. */
+/** Builds the settings of a small service with three sidecars; a test overrides what it needs. */
 final class TestSettings {
     private final List<RequestClass> classes;
     private int rank;
--- a/sidecar/src/test/java/appleridge/loadbalancing/TurnWeightingTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/TurnWeightingTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void absurdWeightsCountAsNone() {
+    void implausibleWeightsAreIgnored() {
         for (float weight : new float[] {0, -1, Float.NaN, Float.POSITIVE_INFINITY}) {
             SidecarHarness sidecar =
                     new SidecarHarness(
--- a/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
+++ b/sidecar/src/test/java/appleridge/loadbalancing/ZoneHealthTest.java
@@ -10,22 +10,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Zones that can't be connected to. */
+/** Ejection of zones to which connects fail. */
 class ZoneHealthTest {
-    /** Many sidecars must not each find out host by host that a zone is lost. */
+    /** Guards against sidecars that each find out host by host that a zone is unreachable. */
     @Test
-    void unreachableZoneIsProbedAsOneHost() {
+    void unreachableZoneIsProbedLikeASingleHost() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(40);
         sidecar.serve(0, 80, 0, 20 * MS);
-        int tried = connectsInto(sidecar, 1, 100);
-        assertTrue(tried <= 4, "twenty hosts, in some three seconds: " + tried);
+        int tried = sendWithZoneUnreachable(sidecar, 1, 100);
+        assertTrue(
+                tried <= 4,
+                "attempts at twenty unreachable hosts in about three seconds: " + tried);
         assertTrue(sidecar.log.contains("log zone 1 ejected: connect failed"));
         sidecar.advance(10_000 * MS);
         int before = sidecar.sends.size();
         sidecar.serve(5_000, 5_120, 0, 20 * MS);
         assertTrue(sidecar.log.contains("log zone 1 reachable again"));
         long back = sidecar.sends.stream().skip(before).filter(s -> s.upstream() % 2 == 1).count();
-        assertTrue(back >= 50, "its hosts have their turns again: " + back);
+        assertTrue(back >= 50, "attempts at the zone that is reachable again: " + back);
     }
 
     @Test
@@ -33,10 +35,10 @@
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT).withHosts(8);
         for (int i = 0; i < 200; i++) {
             sidecar.request(i, 0);
-            boolean down = sidecar.last().upstream() == 1;
+            boolean unreachable = sidecar.last().upstream() == 1;
             sidecar.advance(20 * MS);
-            sidecar.outcome(sidecar.last(), down ? Outcome.CONNECT_FAILED : Outcome.OK);
-            if (down) {
+            sidecar.outcome(sidecar.last(), unreachable ? Outcome.CONNECT_FAILED : Outcome.OK);
+            if (unreachable) {
                 sidecar.outcome(sidecar.last(), Outcome.OK);
             }
         }
@@ -45,7 +47,7 @@
         assertTrue(sidecar.sentTo(3, 0) > 15 && sidecar.sentTo(5, 0) > 15);
     }
 
-    /** To eject the only zone would leave nothing to send to. */
+    /** Ejection of the only zone would leave no host to send to. */
     @Test
     void onlyZoneIsNeverEjected() {
         SidecarHarness sidecar = SidecarHarness.of(IDEMPOTENT);
@@ -56,7 +58,7 @@
         sidecar.policy.onEndpointUpdate(sidecar.now, UpdateKind.CACHED_SNAPSHOT, list);
         for (int i = 0; i < 40; i++) {
             sidecar.request(i, 0);
-            SidecarHarness.Sent sent = sidecar.last();
+            SidecarHarness.SentAttempt sent = sidecar.last();
             sidecar.advance(20 * MS);
             sidecar.outcome(sent, sent.upstream() < 8 ? Outcome.CONNECT_FAILED : Outcome.OK);
         }
@@ -66,18 +68,18 @@
     /**
      * Sends requests while no host of a zone can be connected to; each failed connect takes 100 ms.
      *
-     * @return attempts that went into the zone
+     * @return the number of attempts sent to the zone
      */
-    private static int connectsInto(SidecarHarness sidecar, int zone, int requests) {
+    private static int sendWithZoneUnreachable(SidecarHarness sidecar, int zone, int requests) {
         int before = sidecar.sends.size();
         for (int i = 0; i < requests; i++) {
             sidecar.request(1_000 + i, 0);
             while (sidecar.sendsOf(1_000 + i).stream().anyMatch(s -> s == sidecar.last())
                     && sidecar.last().upstream() % 2 == zone) {
-                SidecarHarness.Sent cut = sidecar.last();
+                SidecarHarness.SentAttempt failed = sidecar.last();
                 sidecar.advance(100 * MS);
-                sidecar.outcome(cut, Outcome.CONNECT_FAILED);
-                if (sidecar.last() == cut) {
+                sidecar.outcome(failed, Outcome.CONNECT_FAILED);
+                if (sidecar.last() == failed) {
                     break;
                 }
             }
