--- a/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/LoadShedder.java
@@ -41,7 +41,7 @@
     /** Number of evidence windows in which the fraction recovers by 1 without new late attempts. */
     private static final double RECOVERY_WINDOWS = 2;
 
-    /** Requests of one tenant that may arrive together by chance and are no excess. */
+    /** Requests of one tenant that may arrive together by chance and do not count as an excess. */
     private static final double BURST_ALLOWANCE_REQUESTS = 4;
 
     /** Late attempts count only at hosts that keep more than this fraction of their turns. */
--- a/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/SlowStartBudget.java
@@ -19,7 +19,7 @@
      */
     private static final double EXTRA_REQUESTS_PER_OVERLOAD_WINDOW = 1.5;
 
-    /** Only this part of the overload factor and of the overload window is used. */
+    /** Only the overload factor and the overload window divided by this are used, as a margin. */
     private static final int SAFETY_DIVISOR = 2;
 
     /** The credit of one host; work in nanoseconds of expected response time. */
--- a/sidecar/src/main/java/appleridge/loadbalancing/TenantQueue.java
+++ b/sidecar/src/main/java/appleridge/loadbalancing/TenantQueue.java
@@ -40,7 +40,7 @@
      *
      * @param totalRequestedWork work that all tenants have recently requested
      * @param burstAllowance work added to both sides of the ratio, so that a few requests that
-     *     arrive together by chance are no excess
+     *     arrive together by chance do not count as an excess
      */
     double excessOverFairShare(long now, double totalRequestedWork, double burstAllowance) {
         return Math.max(
