--- a/sidecar/src/main/java/appleridge/admin/AdminCall.java
+++ b/sidecar/src/main/java/appleridge/admin/AdminCall.java
@@ -2,40 +2,40 @@
 
 import java.util.regex.Pattern;
 
-/** One call of an operator, as parsed from a line. */
+/** An operator's command, parsed from one line of the admin protocol. */
 public sealed interface AdminCall {
-    /** The longest line, without its end. */
+    /** The maximum length of a line in bytes, without its terminator. */
     int MAX_BYTES = 1024;
 
-    /** A host id: printable ASCII without spaces. */
+    /** A host id: 1 to 256 printable ASCII characters without spaces. */
     Pattern ID = Pattern.compile("[!-~]{1,256}");
 
-    /** Asks whether the sidecar is ready. */
+    /** Queries whether the sidecar is ready. */
     record Status() implements AdminCall {}
 
-    /** Asks for the metrics. */
+    /** Queries the metrics. */
     record Metrics() implements AdminCall {}
 
-    /** Suspends a host: it gets no new attempts. */
+    /** Suspends a host, which then gets no new attempts. */
     record Suspend(String id) implements AdminCall {}
 
     /** Restores a suspended host. */
     record Restore(String id) implements AdminCall {}
 
-    /** Not a call; the reason in a few words. */
+    /** A line that is no valid command, with a short reason for the reply. */
     record Malformed(String reason) implements AdminCall {}
 
-    /** Parses a line without its end; any line can be parsed, if only as {@link Malformed}. */
+    /** Parses a line without its terminator. Never throws: an invalid line is {@link Malformed}. */
     static AdminCall parse(byte[] line) {
         if (line.length > MAX_BYTES) {
             return new Malformed("line too long");
         }
         StringBuilder text = new StringBuilder(line.length);
-        for (byte each : line) {
-            if (each < ' ' && each != '\t' || each > '~') {
+        for (byte character : line) {
+            if (character < ' ' && character != '\t' || character > '~') {
                 return new Malformed("not text");
             }
-            text.append((char) each);
+            text.append((char) character);
         }
         String[] words = text.toString().strip().split("[ \t]+");
         return switch (words[0]) {
--- a/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
+++ b/sidecar/src/main/java/appleridge/admin/MaintenanceOverlay.java
@@ -14,52 +14,62 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Applies operators' maintenance directives to discovery's updates. A suspended host drains for the
- * load-balancing policy, whatever discovery says of it: gone, listed again, with another start or
- * address. A restored one is what discovery says, except for its start. All discovery updates go
- * through {@link #apply}; a directive results in an update of its own, so that the policy knows of
- * no directives. Not thread-safe.
+ * Applies operators' maintenance directives to the updates of service discovery. The load-balancing
+ * policy sees a suspended host as draining for as long as discovery lists it, even after discovery
+ * has removed and listed it again or has changed its start time or address. A restored host has the
+ * state that discovery reports, but may get a later start time. All discovery updates pass through
+ * {@link #apply}, and each directive results in an update of its own, so the policy needs no
+ * knowledge of directives. Not thread-safe.
  *
- * <p>Times are nanoseconds on the clock on which hosts' starts are placed.
+ * <p>Times are nanoseconds on the clock of {@link UpstreamHost#startedAtNanos}.
  */
 public final class MaintenanceOverlay {
-    /** Hosts that may be suspended at once: nothing else bounds their hostId. */
+    /** The maximum number of suspended hosts. Nothing else bounds the map of suspended ids. */
     static final int MAX_SUSPENDED = 4096;
 
     private record DiscoveredHost(UpstreamHost host, InetSocketAddress address) {}
 
-    /** For so long the directive that restored a host is published to other processes. */
+    /** How long the directive that restored a host is published to the other processes. */
     private static final long RESTORE_PUBLISHED_NANOS = TimeUnit.MINUTES.toNanos(1);
 
     private final long slowStartWindowNanos;
 
-    /** What discovery says, by host id. */
+    /** The hosts that discovery currently lists, by host id. */
     private final Map<String, DiscoveredHost> discovered = new HashMap<>();
 
-    /** Which hosts are suspended, and since when. */
+    /** The suspended hosts, by id, with the time of suspension. */
     private final Map<String, Long> suspendedSince = new LinkedHashMap<>();
 
-    /** When which host was restored, for as long as that can matter. */
+    /** The times at which hosts were restored, by id, kept for the slow-start window. */
     private final Map<String, Long> restoredAt = new HashMap<>();
 
-    /** The last directive for each host that is suspended, or was until lately. */
+    /** The latest directive for each host that is suspended or was restored recently. */
     private final Map<String, MaintenanceDirective> directives = new LinkedHashMap<>();
 
-    /** With the time for which a host that has started is in slow start. */
+    /**
+     * Creates an overlay without directives.
+     *
+     * @param slowStartWindowNanos how long a host is in slow start after it has started
+     */
     public MaintenanceOverlay(long slowStartWindowNanos) {
         this.slowStartWindowNanos = slowStartWindowNanos;
     }
 
-    /** The result of an operator's call. */
+    /** The result of an operator's directive. */
     public sealed interface Result permits Applied, Rejected {}
 
-    /** It holds from now on; the update has to reach the policy first. Null where there is none. */
+    /**
+     * The overlay applies the directive from now on.
+     *
+     * @param update must reach the policy before the directive counts as in effect; null if nothing
+     *     changes for the policy
+     */
     public record Applied(EndpointUpdate update) implements Result {}
 
-    /** Nothing has changed; the reason in a few words. */
+    /** The directive has no effect, for the given short reason. */
     public record Rejected(String reason) implements Result {}
 
-    /** A discovery update with the directives applied to it. */
+    /** Returns a discovery update with the directives applied to it. */
     public EndpointUpdate apply(EndpointUpdate update, long now) {
         forgetExpired(now);
         if (update.kind() == UpdateKind.SNAPSHOT || update.kind() == UpdateKind.CACHED_SNAPSHOT) {
@@ -78,10 +88,9 @@
         return new EndpointUpdate(update.kind(), hosts, update.addresses(), update.ids());
     }
 
-    /** Suspends a host: it gets no new attempts. Nothing changes for one that is suspended. */
+    /** Suspends a host, which then gets no new attempts. No-op for a host already suspended. */
     public Result suspend(String id, long now) {
-        DiscoveredHost its = discovered.get(id);
-        if (its == null && !suspendedSince.containsKey(id)) {
+        if (!discovered.containsKey(id) && !suspendedSince.containsKey(id)) {
             return new Rejected("unknown upstream");
         }
         if (suspendedSince.size() >= MAX_SUSPENDED && !suspendedSince.containsKey(id)) {
@@ -90,12 +99,12 @@
         return new Applied(applySuspension(id, now));
     }
 
-    private EndpointUpdate applySuspension(String id, long at) {
-        directives.put(id, new MaintenanceDirective(id, true, at));
-        return suspendedSince.putIfAbsent(id, at) == null ? update(id) : null;
+    private EndpointUpdate applySuspension(String id, long suspendedAt) {
+        directives.put(id, new MaintenanceDirective(id, true, suspendedAt));
+        return suspendedSince.putIfAbsent(id, suspendedAt) == null ? update(id) : null;
     }
 
-    /** Restores a host, however often it was suspended. */
+    /** Restores a host. Suspensions do not nest: one call undoes any number of them. */
     public Result restore(String id, long now) {
         forgetExpired(now);
         boolean known = suspendedSince.containsKey(id) || discovered.containsKey(id);
@@ -108,25 +117,25 @@
             return null;
         }
         directives.put(id, new MaintenanceDirective(id, false, now));
-        DiscoveredHost its = discovered.get(id);
-        // It may have been restarted meanwhile, and discovery be late to say so: only a start
-        // within
-        // the time in which it was suspended is certain to be its last one.
-        if (its == null || its.host.startedAtNanos() < since) {
+        DiscoveredHost known = discovered.get(id);
+        // The host may have restarted while it was suspended, and discovery may not have reported
+        // it yet. Only a start reported during the suspension is certain to be the latest one; in
+        // all other cases the host goes through slow start again.
+        if (known == null || known.host.startedAtNanos() < since) {
             restoredAt.put(id, now);
         }
         return update(id);
     }
 
     /**
-     * Merges the directives that operators have given to another process of this sidecar; of two
-     * for a host the later one holds.
+     * Merges the directives that operators have given to another process of this sidecar. For each
+     * host the directive issued last is in effect.
      *
-     * @return the resulting updates, for the policy
+     * @return the resulting updates, which must reach the policy in this order
      */
     public List<EndpointUpdate> merge(List<MaintenanceDirective> others, long now) {
         forgetExpired(now);
-        List<EndpointUpdate> all = new ArrayList<>();
+        List<EndpointUpdate> updates = new ArrayList<>();
         for (MaintenanceDirective directive : others) {
             if (isNew(directive, now)) {
                 EndpointUpdate update =
@@ -134,11 +143,11 @@
                                 ? applySuspension(directive.id(), directive.issuedAtUnixNanos())
                                 : applyRestoration(directive.id(), directive.issuedAtUnixNanos());
                 if (update != null) {
-                    all.add(update);
+                    updates.add(update);
                 }
             }
         }
-        return all;
+        return updates;
     }
 
     private boolean isNew(MaintenanceDirective directive, long now) {
@@ -151,12 +160,14 @@
                 : now - directive.issuedAtUnixNanos() <= RESTORE_PUBLISHED_NANOS;
     }
 
-    /** The directives to be published to other processes of this sidecar. */
+    /** Returns the directives to publish to the other processes of this sidecar. */
     public List<MaintenanceDirective> publishedDirectives() {
         return List.copyOf(directives.values());
     }
 
-    /** Without this directives would pile up as long as the sidecar runs. */
+    /**
+     * Drops expired restorations, which would otherwise accumulate for as long as the sidecar runs.
+     */
     private void forgetExpired(long now) {
         restoredAt.values().removeIf(at -> now - at > slowStartWindowNanos);
         directives
@@ -168,21 +179,21 @@
                                                 > RESTORE_PUBLISHED_NANOS);
     }
 
-    /** Which hosts are suspended, by id, and since when. */
+    /** Returns the suspended hosts, by id, with the time of suspension. */
     public Map<String, Long> suspendedSince() {
         return Map.copyOf(suspendedSince);
     }
 
     private EndpointUpdate update(String id) {
-        DiscoveredHost its = discovered.get(id);
-        if (its == null) {
+        DiscoveredHost known = discovered.get(id);
+        if (known == null) {
             return null;
         }
-        long hostId = its.host.id();
+        long hostId = known.host.id();
         return new EndpointUpdate(
                 UpdateKind.DELTA,
-                List.of(apply(id, its.host)),
-                Map.of(hostId, its.address),
+                List.of(apply(id, known.host)),
+                Map.of(hostId, known.address),
                 Map.of(hostId, id));
     }
 
@@ -191,8 +202,8 @@
                 host.state() == HostState.READY && suspendedSince.containsKey(id)
                         ? HostState.DRAINING
                         : host.state();
-        long started = Math.max(host.startedAtNanos(), restoredAt.getOrDefault(id, 0L));
+        long startedAt = Math.max(host.startedAtNanos(), restoredAt.getOrDefault(id, 0L));
         return new UpstreamHost(
-                host.id(), host.zone(), host.kind(), host.cell(), state, host.weight(), started);
+                host.id(), host.zone(), host.kind(), host.cell(), state, host.weight(), startedAt);
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
+++ b/sidecar/src/main/java/appleridge/admin/OpenMetricsReport.java
@@ -8,9 +8,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The sidecar's metrics in the text form of OpenMetrics 1.0: counters since its start, by request
- * class, and gauges as of now. Each event is counted in one place only. Event loop only. Names of
- * metrics stay as they are: operators' collectors know them.
+ * Renders the sidecar's metrics in the OpenMetrics 1.0 text format: counters per request class
+ * since the start of the process, and gauges read at the time of the report. Each event is counted
+ * in one place only. Metric names are stable, because operators' collectors depend on them. Event
+ * loop only.
  */
 public final class OpenMetricsReport implements RequestMetrics {
     private static final String PREFIX = "appleridge_";
@@ -23,7 +24,9 @@
     private long malformed;
     private final Map<String, LongSupplier> gauges = new LinkedHashMap<>();
 
-    /** With the names of the request classes, by their index. */
+    /**
+     * Creates a report for request classes, whose names are given in the order of their indexes.
+     */
     public OpenMetricsReport(List<String> classes) {
         this.classes = List.copyOf(classes);
         this.accepted = new long[classes.size()];
@@ -32,7 +35,7 @@
         this.retries = new long[classes.size()];
     }
 
-    /** Adds a gauge, asked for whenever the text is; returns this. */
+    /** Adds a gauge, whose value is read for each report. Returns this report. */
     public OpenMetricsReport gauge(String name, LongSupplier value) {
         gauges.put(name, value);
         return this;
@@ -44,14 +47,14 @@
     }
 
     @Override
-    public void onRequestEnded(int requestClass, RequestEnd how) {
-        ended[how.ordinal()][requestClass]++;
+    public void onRequestEnded(int requestClass, RequestEnd end) {
+        ended[end.ordinal()][requestClass]++;
     }
 
     @Override
-    public void onAttemptSent(int requestClass, boolean further) {
+    public void onAttemptSent(int requestClass, boolean retry) {
         attempts[requestClass]++;
-        if (further) {
+        if (retry) {
             retries[requestClass]++;
         }
     }
@@ -61,12 +64,12 @@
         malformed++;
     }
 
-    /** All metrics, with an end of line after each. */
+    /** Returns all metrics, one per line, ending with the {@code # EOF} line. */
     public String text() {
         List<String> lines = new ArrayList<>();
         byClass(lines, "requests", accepted);
-        for (RequestEnd how : RequestEnd.values()) {
-            byClass(lines, "requests_" + how.metricWord(), ended[how.ordinal()]);
+        for (RequestEnd end : RequestEnd.values()) {
+            byClass(lines, "requests_" + end.metricWord(), ended[end.ordinal()]);
         }
         byClass(lines, "attempts", attempts);
         byClass(lines, "attempts_further", retries);
@@ -88,13 +91,13 @@
                     PREFIX
                             + name
                             + "_total{class=\""
-                            + escaped(classes.get(i))
+                            + escapeLabel(classes.get(i))
                             + "\"} "
                             + values[i]);
         }
     }
 
-    private static String escaped(String label) {
+    private static String escapeLabel(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators may ask of a running sidecar: its status and metrics, and maintenance directives,
- * which are applied to discovery's updates. Pure.
+ * The admin commands of a running sidecar: status, metrics, and maintenance directives, which are
+ * applied to the updates of service discovery. Performs no I/O.
  */
 package appleridge.admin;
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminConnection.java
@@ -15,9 +15,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of an operator: one line is read and replied to, and the rest is ignored. */
+/**
+ * One operator's connection. Reads one command line, replies to it, and ignores all further input.
+ * Event loop only.
+ */
 final class AdminConnection extends ChannelInboundHandlerAdapter {
-    /** For the operator to read the reply, before unread input of its own resets the connection. */
+    /**
+     * Time for the operator to read the reply: closing the socket earlier, with input unread, would
+     * reset the connection and could lose the reply.
+     */
     private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final AdminServer server;
@@ -27,10 +33,10 @@
     private Scheduler.ScheduledTask timeout = () -> {};
     private boolean replied;
 
-    AdminConnection(AdminServer line, Channel channel) {
-        this.server = line;
+    AdminConnection(AdminServer server, Channel channel) {
+        this.server = server;
         this.channel = channel;
-        this.openedAtNanos = line.loop().nanoTime();
+        this.openedAtNanos = server.loop().nanoTime();
     }
 
     long openedAtNanos() {
@@ -41,16 +47,16 @@
         timeout = server.loop().schedule(nanos, this::timeOut);
     }
 
-    /** It has had its time: its place is free at once. */
+    /** Closes the connection at its time limit, which frees its place at once. */
     void timeOut() {
         if (!replied) {
             replied = true;
-            channel.writeAndFlush(text(AdminCallHandler.negative("no call came in time")));
+            channel.writeAndFlush(encode(AdminCallHandler.negativeReply("no call came in time")));
         }
         channel.close();
     }
 
-    private static ByteBuf text(String text) {
+    private static ByteBuf encode(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
@@ -69,32 +75,33 @@
         try {
             int end = bytes.bytesBefore((byte) '\n');
             int length = end < 0 ? bytes.readableBytes() : end;
-            // One byte more than the longest line, and its end, show that it is too long.
+            // MAX_BYTES + 2 bytes without a line feed prove that the line is too long, even where
+            // the last byte received is a carriage return.
             int remaining = Math.max(0, AdminCall.MAX_BYTES + 2 - received.size());
             byte[] part = new byte[Math.min(length, remaining)];
             bytes.readBytes(part);
             received.write(part, 0, part.length);
             if (!replied && (end >= 0 || received.size() > AdminCall.MAX_BYTES + 1)) {
-                handle();
+                handleLine();
             }
         } finally {
             bytes.release();
         }
     }
 
-    /** An operator that ends its side of the connection has line all. */
+    /** Handles the line received so far when the operator shuts down its output. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
             if (!replied && received.size() > 0) {
-                handle();
+                handleLine();
             } else {
                 channel.close();
             }
         }
     }
 
-    private void handle() {
+    private void handleLine() {
         byte[] line = received.toByteArray();
         int length =
                 line.length > 0 && line[line.length - 1] == '\r' ? line.length - 1 : line.length;
@@ -107,10 +114,10 @@
     private void reply(String text) {
         replied = true;
         timeout.cancel();
-        channel.writeAndFlush(text(text))
+        channel.writeAndFlush(encode(text))
                 .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                 .addListener(done -> linger());
-        // Else a reply that is never read would hold its place for ever.
+        // Without this limit a client that never reads its reply would hold its place forever.
         timeout = server.loop().schedule(TimeUnit.SECONDS.toNanos(1), channel::close);
     }
 
--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
@@ -17,21 +17,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens for operators: one call and one reply a connection. It is needed most when all else goes
- * wrong, so it has a few descriptors of its own and, at each turn of the event loop, time for a few
- * connections; and one that only connects does not keep out one that calls. Event loop only.
+ * Accepts operators' connections, each of which carries one command and one reply. Operators need
+ * the admin protocol most when the sidecar is overloaded: file descriptors are therefore reserved
+ * for it, a few connections are accepted at each turn of the event loop, and a client that connects
+ * without sending a command cannot block others that send one. Event loop only.
  */
 public final class AdminServer {
-    /** Open at once; of the descriptors that neither clients nor upstreams may use. */
+    /** The maximum of open connections, from the descriptors reserved for the admin protocol. */
     static final int MAX_CONNECTIONS = 12;
 
-    /** So long a call may take though others wait. */
+    /** How long a command may take while other connections wait. */
     private static final long MIN_CALL_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /** So long a call may take where nobody waits. */
+    /** How long a command may take while no other connection waits. */
     private static final long MAX_CALL_TIME_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    /** After binding failed, as where the process before this one still listens. */
+    /** The delay after a failed bind, as while the previous process still listens. */
     private static final long BIND_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private static final int MAX_ACCEPTS_PER_TURN = 4;
@@ -43,11 +44,11 @@
     private final AdminCallHandler handler;
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
     private Channel listener;
-    private Scheduler.ScheduledTask nextTask = () -> {};
+    private Scheduler.ScheduledTask pendingTask = () -> {};
     private boolean bindFailureLogged;
-    private boolean onConnectionClosed;
+    private boolean closed;
 
-    /** Made on the loop; listens from {@link #open} on. */
+    /** Creates a server that does not listen until {@link #open}. */
     public AdminServer(
             SidecarEventLoop loop,
             SocketFactory sockets,
@@ -59,7 +60,7 @@
         this.handler = handler;
     }
 
-    /** Begins to listen, and goes on trying until it does. */
+    /** Binds to the address and retries until that succeeds or {@link #close} is called. */
     public void open() {
         ChannelFuture binding =
                 new ServerBootstrap()
@@ -85,17 +86,17 @@
                 done -> {
                     if (done.isSuccess()) {
                         onBound(binding.channel());
-                    } else if (!onConnectionClosed) {
+                    } else if (!closed) {
                         if (!bindFailureLogged) {
                             bindFailureLogged = true;
                             loop.log()
                                     .warning(
-                                            "no operators' line at "
+                                            "cannot bind the admin listener to "
                                                     + address
-                                                    + " yet: "
+                                                    + ", retrying: "
                                                     + done.cause().getMessage());
                         }
-                        nextTask = loop.schedule(BIND_RETRY_NANOS, this::open);
+                        pendingTask = loop.schedule(BIND_RETRY_NANOS, this::open);
                     }
                 });
     }
@@ -105,17 +106,17 @@
         listener.config()
                 .<MaxMessagesRecvByteBufAllocator>getRecvByteBufAllocator()
                 .maxMessagesPerRead(MAX_ACCEPTS_PER_TURN);
-        if (onConnectionClosed) {
+        if (closed) {
             channel.close();
         } else if (bindFailureLogged) {
-            loop.log().info("operators' line at " + address);
+            loop.log().info("admin listener bound to " + address);
         }
     }
 
-    /** Ends listening and closes all connections. */
+    /** Stops listening and closes all connections. */
     public void close() {
-        onConnectionClosed = true;
-        nextTask.cancel();
+        closed = true;
+        pendingTask.cancel();
         if (listener != null) {
             listener.close();
         }
@@ -141,7 +142,10 @@
         enforceLimit();
     }
 
-    /** At the limit the connection that has been open for longest is closed, if it had its time. */
+    /**
+     * Stops accepting while the maximum of connections is open, and then closes the oldest one as
+     * soon as it has had its minimum time.
+     */
     private void enforceLimit() {
         if (connections.size() < MAX_CONNECTIONS) {
             setAccepting(true);
@@ -150,8 +154,8 @@
         setAccepting(false);
         AdminConnection oldest = connections.iterator().next();
         long openNanos = loop.nanoTime() - oldest.openedAtNanos();
-        nextTask.cancel();
-        nextTask =
+        pendingTask.cancel();
+        pendingTask =
                 loop.schedule(
                         Math.max(0, MIN_CALL_TIME_NANOS - openNanos),
                         () -> {
@@ -161,15 +165,15 @@
                         });
     }
 
-    /** No descriptor was left; soon some are. */
+    /** Pauses accepting after a failure for want of descriptors, which are expected to free up. */
     private void onAcceptFailed() {
         setAccepting(false);
         loop.schedule(BIND_RETRY_NANOS, this::enforceLimit);
     }
 
-    private void setAccepting(boolean on) {
+    private void setAccepting(boolean accepting) {
         if (listener != null) {
-            listener.config().setAutoRead(on && !onConnectionClosed);
+            listener.config().setAutoRead(accepting && !closed);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/admin/protocol/package-info.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' line: listens for operators, one call and one reply a connection. */
+/** The admin protocol over TCP: one command and one reply per connection. */
 package appleridge.admin.protocol;
--- a/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
+++ b/sidecar/src/test/java/appleridge/admin/AdminCallHandlerTest.java
@@ -9,78 +9,78 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Each call has its stated answer. */
+/** Replies to valid, invalid and random lines. */
 class AdminCallHandlerTest {
-    private final List<String> effects = new ArrayList<>();
-    private boolean serves = true;
-    private final AdminCallHandler answers =
+    private final List<String> directives = new ArrayList<>();
+    private boolean ready = true;
+    private final AdminCallHandler handler =
             new AdminCallHandler(
-                    () -> serves,
-                    () -> "figures\n",
-                    id -> effect("out " + id),
-                    id -> effect("back " + id),
+                    () -> ready,
+                    () -> "metrics\n",
+                    id -> apply("suspend " + id),
+                    id -> apply("restore " + id),
                     Runnable::run);
 
-    private MaintenanceOverlay.Result effect(String what) {
-        effects.add(what);
-        return what.contains("nobody")
+    private MaintenanceOverlay.Result apply(String directive) {
+        directives.add(directive);
+        return directive.contains("unlisted")
                 ? new MaintenanceOverlay.Rejected("unknown upstream")
                 : new MaintenanceOverlay.Applied(null);
     }
 
-    private String ask(String line) {
-        return to(line.getBytes(StandardCharsets.ISO_8859_1));
+    private String call(String line) {
+        return handle(line.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private String to(byte[] line) {
-        List<String> told = new ArrayList<>();
-        answers.handle(line, told::add);
-        assertEquals(1, told.size());
-        return told.get(0);
+    private String handle(byte[] line) {
+        List<String> replies = new ArrayList<>();
+        handler.handle(line, replies::add);
+        assertEquals(1, replies.size());
+        return replies.get(0);
     }
 
     @Test
-    void callsAreCarriedOutAndRepliedTo() {
-        assertEquals("YES\n", ask("STATUS"));
-        serves = false;
-        assertEquals("NO not ready\n", ask(" STATUS\t"));
-        assertEquals("figures\n", ask("METRICS"));
-        assertEquals("YES\n", ask("SUSPEND s-5be2a07c"));
-        assertEquals("YES\n", ask("RESTORE \t s-5be2a07c "));
-        assertEquals("NO unknown upstream\n", ask("SUSPEND nobody"));
-        assertEquals(List.of("out s-5be2a07c", "back s-5be2a07c", "out nobody"), effects);
+    void callsAreExecutedAndRepliedTo() {
+        assertEquals("YES\n", call("STATUS"));
+        ready = false;
+        assertEquals("NO not ready\n", call(" STATUS\t"));
+        assertEquals("metrics\n", call("METRICS"));
+        assertEquals("YES\n", call("SUSPEND s-5be2a07c"));
+        assertEquals("YES\n", call("RESTORE \t s-5be2a07c "));
+        assertEquals("NO unknown upstream\n", call("SUSPEND unlisted"));
+        assertEquals(
+                List.of("suspend s-5be2a07c", "restore s-5be2a07c", "suspend unlisted"),
+                directives);
     }
 
-    /**
-     * Guards against an effect of what was no call, and against an answer that nobody understands.
-     */
+    /** Guards against a malformed line that changes a host, or gets a reply without a reason. */
     @Test
-    void malformedCallIsRefusedWithAReasonAndHasNoEffect() {
-        assertEquals("NO empty call\n", ask(""));
-        assertEquals("NO empty call\n", ask("   "));
+    void malformedCallIsRejectedWithReasonAndHasNoEffect() {
+        assertEquals("NO empty call\n", call(""));
+        assertEquals("NO empty call\n", call("   "));
         for (String unknown : new String[] {"status", "HELLO", "SUSPENDED a", "SUSPEND\u000ba"}) {
-            assertTrue(ask(unknown).matches("NO (unknown call|not text)\n"), unknown);
+            assertTrue(call(unknown).matches("NO (unknown call|not text)\n"), unknown);
         }
-        assertEquals("NO SUSPEND takes one id\n", ask("SUSPEND"));
-        assertEquals("NO SUSPEND takes one id\n", ask("SUSPEND a b"));
-        assertEquals("NO RESTORE takes one id\n", ask("RESTORE " + "x".repeat(257)));
-        assertEquals("NO STATUS takes no argument\n", ask("STATUS now"));
-        assertEquals("NO METRICS takes no argument\n", ask("METRICS a"));
-        assertEquals("NO not text\n", ask("SUSPEND s\u00e9"));
-        assertEquals("NO not text\n", ask("\u0000"));
-        assertEquals("NO unknown call\n", ask("x".repeat(AdminCall.MAX_BYTES)));
-        assertEquals("NO line too long\n", ask("x".repeat(AdminCall.MAX_BYTES + 1)));
-        assertEquals(List.of(), effects);
+        assertEquals("NO SUSPEND takes one id\n", call("SUSPEND"));
+        assertEquals("NO SUSPEND takes one id\n", call("SUSPEND a b"));
+        assertEquals("NO RESTORE takes one id\n", call("RESTORE " + "x".repeat(257)));
+        assertEquals("NO STATUS takes no argument\n", call("STATUS now"));
+        assertEquals("NO METRICS takes no argument\n", call("METRICS a"));
+        assertEquals("NO not text\n", call("SUSPEND s\u00e9"));
+        assertEquals("NO not text\n", call("\u0000"));
+        assertEquals("NO unknown call\n", call("x".repeat(AdminCall.MAX_BYTES)));
+        assertEquals("NO line too long\n", call("x".repeat(AdminCall.MAX_BYTES + 1)));
+        assertEquals(List.of(), directives);
     }
 
     @Test
-    void anyBytesAreRepliedToWithOneLine() {
+    void randomBytesGetOneReplyLine() {
         Random random = new Random(7);
         for (int i = 0; i < 20_000; i++) {
             byte[] line = new byte[random.nextInt(40)];
             random.nextBytes(line);
-            String answer = to(line);
-            assertTrue(answer.matches("(YES|NO [ -~]+|figures)\n"), answer);
+            String reply = handle(line);
+            assertTrue(reply.matches("(YES|NO [ -~]+|metrics)\n"), reply);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
+++ b/sidecar/src/test/java/appleridge/admin/MaintenanceOverlayTest.java
@@ -20,178 +20,193 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Maintenance directives applied to any discovery updates. */
+/** Maintenance directives combined with sequences of discovery updates. */
 class MaintenanceOverlayTest {
-    private static final long RAMP = TimeUnit.SECONDS.toNanos(7);
-    private static final long T0 = TimeUnit.SECONDS.toNanos(1_000_000);
+    private static final long SLOW_START_WINDOW = TimeUnit.SECONDS.toNanos(7);
+    private static final long START_NANOS = TimeUnit.SECONDS.toNanos(1_000_000);
 
-    private final EndpointTable directory = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
-    private final MaintenanceOverlay maintenance = new MaintenanceOverlay(RAMP);
-    private long now = T0;
+    private final EndpointTable endpointTable = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
+    private final MaintenanceOverlay overlay = new MaintenanceOverlay(SLOW_START_WINDOW);
+    private long now = START_NANOS;
 
-    private static DiscoveredEndpoint member(String id, int port, HostState state, long started) {
+    private static DiscoveredEndpoint endpoint(
+            String id, int port, HostState state, long startedAtMillis) {
         return new DiscoveredEndpoint(
-                id, new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, started);
+                id, new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, startedAtMillis);
     }
 
-    private EndpointUpdate told(UpdateKind kind, DiscoveredEndpoint... members) {
-        return maintenance.apply(directory.update(kind, List.of(members)), now);
+    private EndpointUpdate discover(UpdateKind kind, DiscoveredEndpoint... endpoints) {
+        return overlay.apply(endpointTable.update(kind, List.of(endpoints)), now);
     }
 
-    private static EndpointUpdate news(MaintenanceOverlay.Result effect) {
-        return assertInstanceOf(MaintenanceOverlay.Applied.class, effect).update();
+    private static EndpointUpdate updateOf(MaintenanceOverlay.Result result) {
+        return assertInstanceOf(MaintenanceOverlay.Applied.class, result).update();
     }
 
-    private static UpstreamHost only(EndpointUpdate news) {
-        assertEquals(1, news.entries().size());
-        return news.entries().get(0);
+    private static UpstreamHost onlyEntry(EndpointUpdate update) {
+        assertEquals(1, update.entries().size());
+        return update.entries().get(0);
     }
 
     @Test
     void suspendedHostDrainsAtOnceAndIsInSlowStartWhenRestored() {
-        told(
+        discover(
                 UpdateKind.SNAPSHOT,
-                member("a", 1, HostState.READY, 0),
-                member("b", 2, HostState.READY, 0));
-        assertEquals(HostState.DRAINING, only(news(maintenance.suspend("a", now))).state());
-        assertNull(news(maintenance.suspend("a", now)), "nothing changes by a second call");
-        now += RAMP;
-        UpstreamHost back = only(news(maintenance.restore("a", now)));
+                endpoint("a", 1, HostState.READY, 0),
+                endpoint("b", 2, HostState.READY, 0));
+        assertEquals(HostState.DRAINING, onlyEntry(updateOf(overlay.suspend("a", now))).state());
+        assertNull(updateOf(overlay.suspend("a", now)), "a second suspension changes nothing");
+        now += SLOW_START_WINDOW;
+        UpstreamHost back = onlyEntry(updateOf(overlay.restore("a", now)));
         assertEquals(HostState.READY, back.state());
         assertEquals(now, back.startedAtNanos());
     }
 
-    /** Guards against a directive that is forgotten when discovery removes its host. */
+    /** Guards against a suspension that is lost when discovery removes its host. */
     @Test
-    void suspensionHoldsWhateverDiscoverySays() {
-        told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0));
-        maintenance.suspend("a", now);
+    void suspensionSurvivesDiscoveryUpdates() {
+        discover(UpdateKind.SNAPSHOT, endpoint("a", 1, HostState.READY, 0));
+        overlay.suspend("a", now);
         assertEquals(
                 HostState.DRAINING,
-                only(told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 0))).state());
-        told(UpdateKind.DELTA, member("a", 1, HostState.GONE, 0));
-        assertNull(news(maintenance.suspend("a", now)), "known, though not listed");
+                onlyEntry(discover(UpdateKind.SNAPSHOT, endpoint("a", 1, HostState.READY, 0)))
+                        .state());
+        discover(UpdateKind.DELTA, endpoint("a", 1, HostState.GONE, 0));
+        assertNull(
+                updateOf(overlay.suspend("a", now)), "suspended hosts stay known while unlisted");
         EndpointUpdate again =
-                told(UpdateKind.DELTA, member("a", 9, HostState.READY, 1_000_000_500));
-        assertEquals(HostState.DRAINING, only(again).state());
-        told(UpdateKind.SNAPSHOT);
+                discover(UpdateKind.DELTA, endpoint("a", 9, HostState.READY, 1_000_000_500));
+        assertEquals(HostState.DRAINING, onlyEntry(again).state());
+        discover(UpdateKind.SNAPSHOT);
         assertEquals(
                 HostState.DRAINING,
-                only(told(UpdateKind.CACHED_SNAPSHOT, member("a", 3, HostState.READY, 0))).state());
-        EndpointUpdate back = news(maintenance.restore("a", now));
+                onlyEntry(
+                                discover(
+                                        UpdateKind.CACHED_SNAPSHOT,
+                                        endpoint("a", 3, HostState.READY, 0)))
+                        .state());
+        EndpointUpdate back = updateOf(overlay.restore("a", now));
         assertEquals(
-                3, back.addresses().get(only(back).id()).getPort(), "where the list has it now");
+                3,
+                back.addresses().get(onlyEntry(back).id()).getPort(),
+                "the restored host has its latest address");
     }
 
     /**
-     * Guards against a machine that was made anew while it was out being taken for warm, or for
-     * cold.
+     * Guards against a wrong start time after a restoration: a host that restarted while it was
+     * suspended must go through slow start, and one that finished its slow start during the
+     * suspension must not go through it again.
      */
     @Test
-    void onlyAStartWithinTheSuspensionIsTakenAsTheLastStart() {
-        told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, 999_000_000));
-        maintenance.suspend("a", now);
-        now += 3 * RAMP;
-        long started = TimeUnit.NANOSECONDS.toMillis(now - 2 * RAMP);
-        told(UpdateKind.DELTA, member("a", 1, HostState.READY, started));
+    void onlyStartDuringSuspensionCountsAsLatestStart() {
+        discover(UpdateKind.SNAPSHOT, endpoint("a", 1, HostState.READY, 999_000_000));
+        overlay.suspend("a", now);
+        now += 3 * SLOW_START_WINDOW;
+        long started = TimeUnit.NANOSECONDS.toMillis(now - 2 * SLOW_START_WINDOW);
+        discover(UpdateKind.DELTA, endpoint("a", 1, HostState.READY, started));
         assertEquals(
                 TimeUnit.MILLISECONDS.toNanos(started),
-                only(news(maintenance.restore("a", now))).startedAtNanos());
-        maintenance.suspend("a", now);
-        now += 3 * RAMP;
+                onlyEntry(updateOf(overlay.restore("a", now))).startedAtNanos());
+        overlay.suspend("a", now);
+        now += 3 * SLOW_START_WINDOW;
         long restored = now;
-        assertEquals(restored, only(news(maintenance.restore("a", now))).startedAtNanos());
-        now += RAMP / 2;
+        assertEquals(restored, onlyEntry(updateOf(overlay.restore("a", now))).startedAtNanos());
+        now += SLOW_START_WINDOW / 2;
         assertEquals(
                 restored,
-                only(told(UpdateKind.SNAPSHOT, member("a", 1, HostState.READY, started)))
+                onlyEntry(discover(UpdateKind.SNAPSHOT, endpoint("a", 1, HostState.READY, started)))
                         .startedAtNanos(),
-                "a start that moved back and forth would look like another one");
-        EndpointUpdate flapped = told(UpdateKind.DELTA, member("a", 1, HostState.GONE, 0));
-        assertEquals(HostState.GONE, only(flapped).state());
+                "a start time that moved back would look like another restart");
+        EndpointUpdate flapped = discover(UpdateKind.DELTA, endpoint("a", 1, HostState.GONE, 0));
+        assertEquals(HostState.GONE, onlyEntry(flapped).state());
         assertEquals(
                 restored,
-                only(told(UpdateKind.DELTA, member("a", 1, HostState.READY, started)))
+                onlyEntry(discover(UpdateKind.DELTA, endpoint("a", 1, HostState.READY, started)))
                         .startedAtNanos(),
-                "gone and back does not make it warm");
+                "being removed and listed again does not end slow start");
     }
 
     @Test
-    void restoredHostThatDiscoveryDrainsOrRemovedStaysSo() {
-        told(
+    void restoredHostKeepsStateFromDiscovery() {
+        discover(
                 UpdateKind.SNAPSHOT,
-                member("a", 1, HostState.READY, 0),
-                member("b", 2, HostState.READY, 0));
-        maintenance.suspend("a", now);
-        maintenance.suspend("b", now);
-        told(
+                endpoint("a", 1, HostState.READY, 0),
+                endpoint("b", 2, HostState.READY, 0));
+        overlay.suspend("a", now);
+        overlay.suspend("b", now);
+        discover(
                 UpdateKind.DELTA,
-                member("a", 1, HostState.DRAINING, 0),
-                member("b", 2, HostState.GONE, 0));
-        assertEquals(HostState.DRAINING, only(news(maintenance.restore("a", now))).state());
-        assertNull(news(maintenance.restore("b", now)), "nobody is there to be told of");
+                endpoint("a", 1, HostState.DRAINING, 0),
+                endpoint("b", 2, HostState.GONE, 0));
+        assertEquals(HostState.DRAINING, onlyEntry(updateOf(overlay.restore("a", now))).state());
+        assertNull(updateOf(overlay.restore("b", now)), "an unlisted host causes no update");
         assertInstanceOf(
                 MaintenanceOverlay.Rejected.class,
-                maintenance.restore("b", now),
-                "and now nobody holds it");
+                overlay.restore("b", now),
+                "a host neither listed nor suspended is unknown");
     }
 
     @Test
     void unknownIdsAreRejectedAndSuspensionsAreBounded() {
-        assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.suspend("a", now));
-        assertInstanceOf(MaintenanceOverlay.Rejected.class, maintenance.restore("a", now));
+        assertInstanceOf(MaintenanceOverlay.Rejected.class, overlay.suspend("a", now));
+        assertInstanceOf(MaintenanceOverlay.Rejected.class, overlay.restore("a", now));
         DiscoveredEndpoint[] many = new DiscoveredEndpoint[MaintenanceOverlay.MAX_SUSPENDED + 1];
         for (int i = 0; i < many.length; i++) {
-            many[i] = member("u" + i, i + 1, HostState.READY, 0);
+            many[i] = endpoint("u" + i, i + 1, HostState.READY, 0);
         }
-        told(UpdateKind.SNAPSHOT, many);
+        discover(UpdateKind.SNAPSHOT, many);
         for (int i = 0; i < MaintenanceOverlay.MAX_SUSPENDED; i++) {
-            news(maintenance.suspend("u" + i, now));
+            updateOf(overlay.suspend("u" + i, now));
         }
         assertInstanceOf(
                 MaintenanceOverlay.Rejected.class,
-                maintenance.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
-        news(maintenance.restore("u0", now));
-        news(maintenance.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
+                overlay.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
+        updateOf(overlay.restore("u0", now));
+        updateOf(overlay.suspend("u" + MaintenanceOverlay.MAX_SUSPENDED, now));
     }
 
     /**
-     * Against a plain model: ready to the module is who the list has ready and nobody has called
-     * out.
+     * Compares the hosts that the policy sees as ready with a model over random events: those that
+     * discovery lists as ready and that are not suspended.
      */
     @Test
-    void afterAnyEventsThePolicySeesWhatAModelSees() {
+    void readyHostsMatchModelAfterRandomEvents() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             Set<String> ready = new HashSet<>();
             Set<String> listed = new HashSet<>();
-            Set<String> out = new HashSet<>();
-            Set<Long> module = new HashSet<>();
-            EndpointTable itsDirectory = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
-            MaintenanceOverlay its = new MaintenanceOverlay(RAMP);
+            Set<String> suspended = new HashSet<>();
+            Set<Long> policyReady = new HashSet<>();
+            EndpointTable testedTable = new EndpointTable(TimeUnit.MILLISECONDS::toNanos);
+            MaintenanceOverlay testedOverlay = new MaintenanceOverlay(SLOW_START_WINDOW);
             for (int i = 0; i < 120; i++) {
                 String id = "u" + random.nextInt(6);
-                EndpointUpdate news = null;
+                EndpointUpdate update = null;
                 if (random.nextInt(4) == 0) {
-                    boolean suspends = random.nextBoolean();
-                    MaintenanceOverlay.Result effect =
-                            suspends ? its.suspend(id, T0 + i) : its.restore(id, T0 + i);
-                    boolean held = listed.contains(id) || out.contains(id);
+                    boolean suspend = random.nextBoolean();
+                    MaintenanceOverlay.Result result =
+                            suspend
+                                    ? testedOverlay.suspend(id, START_NANOS + i)
+                                    : testedOverlay.restore(id, START_NANOS + i);
+                    boolean known = listed.contains(id) || suspended.contains(id);
                     assertEquals(
-                            held, effect instanceof MaintenanceOverlay.Applied, "seed " + seed);
-                    if (held && suspends) {
-                        out.add(id);
+                            known, result instanceof MaintenanceOverlay.Applied, "seed " + seed);
+                    if (known && suspend) {
+                        suspended.add(id);
                     } else {
-                        out.remove(id);
+                        suspended.remove(id);
                     }
-                    news = effect instanceof MaintenanceOverlay.Applied done ? done.update() : null;
+                    update =
+                            result instanceof MaintenanceOverlay.Applied done
+                                    ? done.update()
+                                    : null;
                 } else {
-                    boolean whole = random.nextInt(4) == 0;
-                    List<DiscoveredEndpoint> members = new ArrayList<>();
-                    if (whole) {
+                    boolean snapshot = random.nextInt(4) == 0;
+                    List<DiscoveredEndpoint> endpoints = new ArrayList<>();
+                    if (snapshot) {
                         ready.clear();
                         listed.clear();
-                        module.clear();
+                        policyReady.clear();
                     }
                     for (int u = 0; u < 6; u++) {
                         if (random.nextInt(3) == 0) {
@@ -205,28 +220,30 @@
                             if (state == HostState.READY) {
                                 ready.add(name);
                             }
-                            members.add(member(name, u + 1, state, 0));
+                            endpoints.add(endpoint(name, u + 1, state, 0));
                         }
                     }
-                    UpdateKind kind = whole ? UpdateKind.SNAPSHOT : UpdateKind.DELTA;
-                    news = its.apply(itsDirectory.update(kind, members), T0 + i);
+                    UpdateKind kind = snapshot ? UpdateKind.SNAPSHOT : UpdateKind.DELTA;
+                    update =
+                            testedOverlay.apply(
+                                    testedTable.update(kind, endpoints), START_NANOS + i);
                 }
-                if (news != null) {
-                    for (UpstreamHost entry : news.entries()) {
+                if (update != null) {
+                    for (UpstreamHost entry : update.entries()) {
                         if (entry.state() == HostState.READY) {
-                            module.add(entry.id());
+                            policyReady.add(entry.id());
                         } else {
-                            module.remove(entry.id());
+                            policyReady.remove(entry.id());
                         }
                     }
                 }
                 Set<Long> expected = new HashSet<>();
                 ready.stream()
-                        .filter(each -> !out.contains(each))
+                        .filter(each -> !suspended.contains(each))
                         .forEach(each -> expected.add(appleridge.discovery.UpstreamIds.hash(each)));
-                assertEquals(expected, module, "seed " + seed + " step " + i);
+                assertEquals(expected, policyReady, "seed " + seed + " step " + i);
             }
-            assertTrue(its.suspendedSince().keySet().containsAll(out));
+            assertTrue(testedOverlay.suspendedSince().keySet().containsAll(suspended));
         }
     }
 }
