--- a/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
+++ b/sidecar/src/main/java/appleridge/http1/FinalByteGate.java
@@ -8,12 +8,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Holds the last byte of one message until all before it is with the socket, and asks then whether
- * it may be written. Removes itself when the message has been written or its connection has closed.
+ * Holds back the last byte of one message until the socket has taken all bytes before it, and
+ * checks then whether the last byte may still be written. Removes itself when the message has been
+ * written or its connection has closed.
  *
  * <p>Invariant: the last byte, which makes an upstream run the request, is not written after its
- * deadline. Without the gate a write that waits for a slow reader would go on by itself, however
- * late. Loop thread only.
+ * deadline. Without the gate a write that waits for a slow reader would complete at any later time.
+ * Event loop only.
  */
 final class FinalByteGate extends ChannelOutboundHandlerAdapter {
     private final BooleanSupplier mayRelease;
@@ -21,7 +22,7 @@
     private ChannelPromise heldPromise;
     private Future<Void> precedingWrite;
 
-    /** With what says whether the last byte may still be written. */
+    /** Creates a gate; {@code mayRelease} tells whether the last byte may still be written. */
     FinalByteGate(BooleanSupplier mayRelease) {
         this.mayRelease = mayRelease;
     }
@@ -36,8 +37,8 @@
         if (heldByte != null) {
             ctx.write(heldByte, heldPromise);
         }
-        int all = part.readableBytes();
-        heldByte = part.retainedSlice(part.readerIndex() + all - 1, 1);
+        int length = part.readableBytes();
+        heldByte = part.retainedSlice(part.readerIndex() + length - 1, 1);
         heldPromise = promise;
         precedingWrite = ctx.write(part.writerIndex(part.writerIndex() - 1));
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /** The deadline of the last byte has passed, and it was not written. */
+    /** The last byte was not written, because its deadline has passed. */
     static final class TooLateException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/appleridge/http1/HttpUpstreamRequest.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamRequest.java
@@ -16,11 +16,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * A client's request as it is forwarded. Immutable but for a streamed body.
+ * A client's request as it is forwarded. Immutable except for a streamed body.
  *
- * @param headers end-to-end headers
- * @param body all of it; empty where it is streamed
- * @param streamedBody the body, where it is too long to be held whole; null else
+ * @param headers the end-to-end headers
+ * @param body the whole body; empty if it is streamed
+ * @param streamedBody the body if it is too long to be buffered; null otherwise
  */
 record HttpUpstreamRequest(
         HttpMethod method, String uri, HttpHeaders headers, byte[] body, StreamedBody streamedBody)
@@ -30,12 +30,12 @@
         this(method, uri, headers, body, null);
     }
 
-    /** The same request with a streamed body. */
+    /** Returns the same request with a streamed body. */
     HttpUpstreamRequest withStreamedBody(StreamedBody streamed) {
         return new HttpUpstreamRequest(method, uri, headers, body, streamed);
     }
 
-    /** The message for an upstream; the time left is its deadline. */
+    /** Returns the message for an upstream, with the remaining time as its deadline. */
     FullHttpRequest toFullRequest(InetSocketAddress address, long remainingNanos) {
         HttpHeaders forwarded = forwardedHeaders(address, remainingNanos);
         if (body.length > 0 || forwarded.contains(Headers.IDEMPOTENCY_KEY)) {
@@ -50,7 +50,9 @@
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** The head of a message whose body is streamed; the time left is its deadline. */
+    /**
+     * Returns the head of a message with a streamed body, with the remaining time as its deadline.
+     */
     HttpRequest toRequestHead(InetSocketAddress address, long remainingNanos) {
         HttpHeaders forwarded = forwardedHeaders(address, remainingNanos);
         if (streamedBody.length() >= 0) {
--- a/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
+++ b/sidecar/src/main/java/appleridge/http1/HttpUpstreamResponse.java
@@ -5,12 +5,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/**
- * An upstream's response; its status is in the outcome, and the body is empty where it is streamed.
- */
+/** An upstream's response. The outcome tells its status; the body is empty if it is streamed. */
 record HttpUpstreamResponse(HttpHeaders headers, byte[] body) implements UpstreamResponse {
 
-    /** The load report, in the order of the settings; empty if absent or malformed. */
+    /**
+     * The load report, in the order of {@code fields}; empty if it is absent, incomplete or
+     * malformed.
+     */
     @Override
     public float[] loadReport(List<String> fields) {
         String text = headers.get(Headers.LOAD);
--- a/sidecar/src/main/java/appleridge/http1/MessageFraming.java
+++ b/sidecar/src/main/java/appleridge/http1/MessageFraming.java
@@ -10,17 +10,17 @@
 import java.util.List;
 
 /**
- * How messages are delimited, read strictly in both directions: a message that could be read in two
- * ways may hide another one in its body. Stateless.
+ * Strict rules for the framing of messages in both directions. An ambiguous message could hide
+ * another one in its body (request or response smuggling). Stateless.
  */
 final class MessageFraming {
-    /** The longest body that is held whole; up to it requests can be retried. */
+    /** The longest body that is buffered whole. Requests with a longer body cannot be retried. */
     static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
-    /** The longest body that is streamed; a message with a longer one is not taken. */
+    /** The longest body that is streamed. Messages with a longer body are rejected. */
     static final long MAX_STREAMED_BODY_BYTES = 32 << 20;
 
-    /** More digits than any body has, and none that overflow. */
+    /** The maximum digits of a length: more than any body needs, and too few to overflow. */
     private static final int MAX_LENGTH_DIGITS = 15;
 
     private MessageFraming() {}
@@ -32,27 +32,27 @@
                 .setUseRfc9112TransferEncoding(true);
     }
 
-    /** Marks a message whose head is not in order. */
+    /** Marks a message as malformed. */
     private static HttpMessage malformed(HttpMessage message) {
         message.setDecoderResult(
                 DecoderResult.failure(new IllegalArgumentException("malformed head")));
         return message;
     }
 
-    /** Passes a message on as malformed, and discards all that has been read behind it. */
+    /** Passes a message on as malformed, and discards all buffered input. */
     static void rejectRest(ByteBuf in, List<Object> out, HttpMessage message) {
         out.add(malformed(message));
         in.skipBytes(in.readableBytes());
     }
 
-    /** For a message with both a length and chunks, which could be read in two ways. */
+    /** The failure for a message with both a length and chunks, which is ambiguous. */
     static IllegalArgumentException lengthAndChunks() {
         return new IllegalArgumentException("both a length and chunks");
     }
 
     /**
-     * Whether there is one way to tell where this message ends: one length, chunks alone, or
-     * neither.
+     * Whether the end of a message is unambiguous: it has a single valid length, or only the
+     * chunked encoding in HTTP/1.1, or neither.
      */
     static boolean hasUnambiguousLength(HttpMessage message) {
         HttpHeaders headers = message.headers();
--- a/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
+++ b/sidecar/src/main/java/appleridge/http1/OutcomeClassifier.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Which {@link Outcome} of an attempt a socket event proves.
+ * Determines which {@link Outcome} of an attempt a socket event proves.
  *
- * <p>Invariant: an outcome that allows a retry of what must not run twice is given only where the
- * event proves that the upstream did not run the request. Stateless.
+ * <p>Invariant: an outcome that allows the retry of a non-idempotent request is returned only if
+ * the event proves that the upstream did not run the request. Stateless.
  */
 final class OutcomeClassifier {
     private static final String NOT_RUN_VALUE = "1";
 
     private OutcomeClassifier() {}
 
-    /** A complete response: only the upstream's {@code X-Not-Run} proves that it did not run. */
+    /** The outcome of a complete response: only {@code X-Not-Run} proves that it did not run. */
     static Outcome ofResponse(HttpResponse head) {
         int status = head.status().code();
         if (status == 200) {
@@ -27,19 +27,19 @@
     }
 
     /**
-     * The connection ended without a complete response: the request may have run once its last byte
-     * was with the socket.
+     * The outcome of a connection that ended without a complete response: the upstream may have run
+     * the request once its last byte was written to the socket.
      */
     static Outcome ofClosedConnection(UpstreamCall call) {
         return call.isFullyWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
     }
 
     /**
-     * A write failed: where the last byte was held back, the request did not run; else the end of
-     * the connection tells.
+     * The outcome of a failed write: if the last byte was held back, the request did not run;
+     * otherwise the end of the connection determines the outcome.
      *
-     * @param known the outcome known before, null for none
-     * @return null where nothing is known
+     * @param known the outcome known before; null if none
+     * @return the outcome; null if it is not known yet
      */
     static Outcome ofFailedWrite(Throwable cause, Outcome known) {
         return cause instanceof FinalByteGate.TooLateException ? Outcome.NEVER_SENT : known;
--- a/sidecar/src/main/java/appleridge/http1/ReadActivityHandler.java
+++ b/sidecar/src/main/java/appleridge/http1/ReadActivityHandler.java
@@ -6,46 +6,48 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Sees a connection's bytes before the decoder, which reports a message only once its head is
- * complete. Behind the last message that is read, input is discarded here without being decoded.
- * Loop thread only.
+ * Observes a connection's input ahead of the decoder, which reports a message only once its head is
+ * complete. After the last message that is read, discards input without decoding it. Event loop
+ * only.
  */
 final class ReadActivityHandler extends ChannelInboundHandlerAdapter {
-    /** What is discarded for the sake of an orderly end; then the connection is closed. */
+    /**
+     * The input discarded during an orderly close, after which the connection is closed at once.
+     */
     private static final long MAX_DISCARDED_BYTES = 1 << 20;
 
     private boolean hasPartialMessage;
-    private boolean isDelivering;
+    private boolean delivering;
     private boolean discarding;
     private long discardedBytes;
 
-    /** Whether bytes have been read that belong to no complete message yet. */
+    /** Whether bytes of an incomplete message have been read. */
     boolean hasPartialMessage() {
         return hasPartialMessage;
     }
 
     /**
-     * A message has been read to its end.
+     * Records that a message has been read to its end.
      *
-     * @param more whether bytes of a further one have been read
+     * @param hasMoreBytes whether bytes of a further message have been read
      */
-    void onMessageComplete(boolean more) {
-        hasPartialMessage = more;
+    void onMessageComplete(boolean hasMoreBytes) {
+        hasPartialMessage = hasMoreBytes;
     }
 
-    /** Whether what has been read is just being passed on. */
+    /** Whether a read is in progress, whose input is being passed to the decoder. */
     boolean isDelivering() {
-        return isDelivering;
+        return delivering;
     }
 
-    /** Discards all that is read from now on. */
+    /** Discards all further input. */
     void discardInput() {
         discarding = true;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        isDelivering = true;
+        delivering = true;
         if (discarding) {
             discardedBytes += ((ByteBuf) message).readableBytes();
             ReferenceCountUtil.release(message);
@@ -60,7 +62,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        isDelivering = false;
+        delivering = false;
         ctx.fireChannelReadComplete();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/RequestLineEncoder.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestLineEncoder.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes request lines byte for byte as they were read. A head is read as Latin-1; Netty's own
- * encoder writes UTF-8, and an upstream would get a path that no client sent.
+ * Writes request lines byte for byte as they were read. Netty decodes a head as Latin-1 but encodes
+ * the request line as UTF-8, which would change non-ASCII bytes of the path.
  */
 final class RequestLineEncoder extends HttpRequestEncoder {
     @Override
--- a/sidecar/src/main/java/appleridge/http1/RequestWriter.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestWriter.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Writes the requests of one upstream connection, one after the other. Loop thread only. */
+/** Writes the requests of one upstream connection, one at a time. Event loop only. */
 final class RequestWriter {
-    /** A streamed request of which the upstream takes nothing for so long is broken off. */
+    /** How long an upstream may take nothing of a streamed request before it is aborted. */
     private static final long MAX_WRITE_STALL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final Channel channel;
@@ -21,10 +21,10 @@
     private SidecarEventLoop.ScheduledTask stallTimer;
 
     /**
-     * For one connection.
+     * Creates a writer for one connection.
      *
-     * @param onStall called where the upstream takes nothing of a streamed request any more
-     * @param onFailure called with the cause where a request's last byte could not be written
+     * @param onStall called when the upstream has taken nothing of a streamed request for too long
+     * @param onFailure called with the cause when the last byte of a request could not be written
      */
     RequestWriter(
             Channel channel,
@@ -37,14 +37,14 @@
         this.onFailure = onFailure;
     }
 
-    /** Writes a request, or its head where the body is streamed. */
+    /** Writes a request. A streamed body is written as its parts arrive. */
     void write(UpstreamCall call, Endpoint endpoint) {
         if (call.hasLastByteDeadline()) {
             channel.pipeline()
                     .addFirst(new FinalByteGate(() -> call.mayWriteLastByte(loop.nanoTime())));
         }
         if (call.streamedBody() == null) {
-            follow(
+            trackLastByte(
                     call,
                     channel.writeAndFlush(call.startWhole(channel, endpoint, loop.nanoTime())));
             return;
@@ -53,13 +53,15 @@
         channel.write(call.startStreamed(channel, endpoint, loop.nanoTime()));
         upload = call.streamedBody();
         loop.execute(call::notifyStreamingStarted);
-        watchForStall();
+        restartStallTimer();
         upload.attachTo(
                 channel,
-                () -> follow(call, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
+                () ->
+                        trackLastByte(
+                                call, channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)));
     }
 
-    private void follow(UpstreamCall call, ChannelFuture lastByte) {
+    private void trackLastByte(UpstreamCall call, ChannelFuture lastByte) {
         lastByte.addListener(
                 done -> {
                     if (!done.isSuccess()) {
@@ -73,16 +75,18 @@
                 });
     }
 
-    /** The upstream has taken some of a streamed request, or more waits for it than should. */
+    /** Updates the stall timer and the backpressure when the channel becomes writable or full. */
     void onWritabilityChanged() {
         if (upload != null) {
-            watchForStall();
+            restartStallTimer();
             upload.updateBackpressure();
         }
     }
 
-    /** Without this, an upstream that stops reading would hold its client's connection for good. */
-    private void watchForStall() {
+    /**
+     * Restarts the stall timer: an upstream that stops reading must not block its client forever.
+     */
+    private void restartStallTimer() {
         if (stallTimer != null) {
             stallTimer.cancel();
             stallTimer = null;
@@ -92,12 +96,12 @@
         }
     }
 
-    /** Nothing more of a streamed request goes to this upstream, complete or not. */
+    /** Stops writing a streamed request, whether complete or not, and discards the rest. */
     void endUpload() {
         if (upload != null) {
             StreamedBody ended = upload;
             upload = null;
-            watchForStall();
+            restartStallTimer();
             ended.discard();
         }
     }
--- a/sidecar/src/main/java/appleridge/http1/ResponseReader.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponseReader.java
@@ -13,9 +13,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Assembles the response to the request that an upstream connection carries. A body up to {@link
- * MessageFraming#MAX_BUFFERED_BODY_BYTES} is held whole; a longer one of a good response is
- * streamed. Loop thread only.
+ * Assembles the response to the current request of an upstream connection. A body of up to {@link
+ * MessageFraming#MAX_BUFFERED_BODY_BYTES} is buffered whole; a longer one of a response with status
+ * 200 is streamed. Event loop only.
  */
 final class ResponseReader {
     private static final byte[] NO_BODY = {};
@@ -32,9 +32,9 @@
     private HttpUpstreamResponse response;
 
     /**
-     * For one connection.
+     * Creates a reader for one connection.
      *
-     * @param source paused while the client of a streamed response has enough to read
+     * @param source paused while the client of a streamed response cannot take more
      */
     ResponseReader(
             ReadActivityHandler readActivity,
@@ -45,7 +45,7 @@
         this.source = source;
     }
 
-    /** Another request is about to be sent: its response is read next. */
+    /** Prepares for the response to the next request, which is about to be sent. */
     void reset() {
         head = null;
         body = null;
@@ -55,20 +55,25 @@
         streamedBytes = 0;
     }
 
-    /** The next part of the response to {@code call}; returns false where it can't be used. */
+    /**
+     * Processes the next part of the response to {@code call}. Returns false if the response cannot
+     * be used.
+     */
     boolean onMessage(HttpObject message, UpstreamCall call) {
-        if (message instanceof HttpResponse start) {
-            if (isInterim(start)) {
+        if (message instanceof HttpResponse responseHead) {
+            if (isInterim(responseHead)) {
                 return true;
             }
-            if (!canBeServed(start)) {
+            if (!canBeServed(responseHead)) {
                 return false;
             }
-            head = start;
+            head = responseHead;
             body = Unpooled.buffer(INITIAL_BODY_BYTES);
         }
         if (head == null && message instanceof LastHttpContent) {
-            // The end of an interim response: the final one may take its time.
+            // The end of an interim response. The stall timer must not run before the final
+            // response
+            // begins.
             readActivity.onMessageComplete(decoder.hasBufferedBytes());
         }
         return !(message instanceof HttpContent content)
@@ -77,52 +82,53 @@
     }
 
     private boolean onContent(HttpContent content, UpstreamCall call) {
-        if (!take(content.content(), call)) {
+        if (!onBody(content.content(), call)) {
             return false;
         }
         if (content instanceof LastHttpContent) {
             readActivity.onMessageComplete(decoder.hasBufferedBytes());
             outcome = OutcomeClassifier.ofResponse(head);
-            byte[] held = stream != null ? NO_BODY : ByteBufUtil.getBytes(body);
-            response = new HttpUpstreamResponse(head.headers(), held);
+            byte[] bufferedBody = stream != null ? NO_BODY : ByteBufUtil.getBytes(body);
+            response = new HttpUpstreamResponse(head.headers(), bufferedBody);
         }
         return true;
     }
 
-    private static boolean isInterim(HttpResponse start) {
-        return start.status().codeClass() == HttpStatusClass.INFORMATIONAL
-                && !start.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
+    private static boolean isInterim(HttpResponse responseHead) {
+        return responseHead.status().codeClass() == HttpStatusClass.INFORMATIONAL
+                && !responseHead.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
     }
 
     /**
-     * One length, chunks, or neither: then the upstream's orderly end of the connection is the
-     * response's (RFC 9112, 6.3), and whatever else ends the connection breaks it off.
+     * Whether the framing and the length of a response are acceptable. With neither a length nor
+     * chunks, an orderly close of the connection by the upstream ends the response (RFC 9112, 6.3);
+     * any other end of the connection leaves it incomplete.
      */
-    private static boolean canBeServed(HttpResponse start) {
+    private static boolean canBeServed(HttpResponse responseHead) {
         long maxBytes =
-                start.status().code() == 200
+                responseHead.status().code() == 200
                         ? MessageFraming.MAX_STREAMED_BODY_BYTES
                         : MessageFraming.MAX_BUFFERED_BODY_BYTES;
-        return MessageFraming.hasUnambiguousLength(start)
-                && HttpUtil.getContentLength(start, 0L) <= maxBytes;
+        return MessageFraming.hasUnambiguousLength(responseHead)
+                && HttpUtil.getContentLength(responseHead, 0L) <= maxBytes;
     }
 
-    /** Holds a piece of the body, or streams it; returns false where neither can be done. */
-    private boolean take(ByteBuf piece, UpstreamCall call) {
+    /** Buffers or streams a part of the body. Returns false if it exceeds the limits. */
+    private boolean onBody(ByteBuf part, UpstreamCall call) {
         if (stream == null
-                && body.readableBytes() + piece.readableBytes()
+                && body.readableBytes() + part.readableBytes()
                         <= MessageFraming.MAX_BUFFERED_BODY_BYTES) {
-            body.writeBytes(piece);
+            body.writeBytes(part);
             return true;
         }
         if (stream == null && !startStream(call)) {
             return false;
         }
-        streamedBytes += piece.readableBytes();
+        streamedBytes += part.readableBytes();
         if (streamedBytes > MessageFraming.MAX_STREAMED_BODY_BYTES) {
             return false;
         }
-        stream.write(piece.retain());
+        stream.write(part.retain());
         return true;
     }
 
@@ -142,17 +148,17 @@
         return outcome != null;
     }
 
-    /** What a complete response proves; null before. */
+    /** The outcome; null while it is not known. */
     Outcome outcome() {
         return outcome;
     }
 
-    /** The complete response; null before. */
+    /** The complete response; null until then. */
     HttpUpstreamResponse response() {
         return response;
     }
 
-    /** Whether the response allows another request on its connection. */
+    /** Whether the response permits another request on the connection. */
     boolean isKeepAlive() {
         return HttpUtil.isKeepAlive(head);
     }
@@ -162,18 +168,18 @@
         return stream != null;
     }
 
-    /** The request's last byte could not be written. */
+    /** Records that the last byte of the request could not be written. */
     void onWriteFailed(Throwable cause) {
         outcome = OutcomeClassifier.ofFailedWrite(cause, outcome);
     }
 
-    /** The complete response is handed over: what it held is let go. */
+    /** Drops the references to a complete response, which has been handed over. */
     void release() {
         head = null;
         body = null;
     }
 
-    /** All of a streamed response has come. */
+    /** Completes a streamed response. */
     void completeStream() {
         if (stream != null) {
             stream.complete();
@@ -181,14 +187,14 @@
         }
     }
 
-    /** What has come of a streamed response goes out. */
+    /** Flushes the received part of a streamed response to the client. */
     void flushStream() {
         if (stream != null) {
             stream.flush();
         }
     }
 
-    /** No more of a streamed response will come. */
+    /** Discards the rest of a streamed response that ended early. */
     void abortStream() {
         if (stream != null) {
             stream.discard();
--- a/sidecar/src/main/java/appleridge/http1/StreamedBody.java
+++ b/sidecar/src/main/java/appleridge/http1/StreamedBody.java
@@ -11,20 +11,23 @@
 import java.util.ArrayDeque;
 
 /**
- * A long body on its way from one connection to another, a response's or a request's, with
- * backpressure: while the target has enough to write, the source is not read. Loop thread only.
+ * A long request or response body that is passed from one connection to another with backpressure:
+ * the source is not read while the target cannot take more. Event loop only.
  */
 final class StreamedBody implements StreamedResponse {
-    /** The connection that the body comes from. */
+    /** The connection that receives the body. */
     interface Source {
-        /** The target has enough to write: nothing more is to be read. */
+        /** Pauses reading, because the target cannot take more. */
         void pause();
 
-        /** The target takes more. */
+        /** Resumes reading, because the target can take more. */
         void resume();
     }
 
-    /** Bytes that wait in the process for the target: above the second the source is paused. */
+    /**
+     * The target's write buffer limits: the source pauses above the second and resumes below the
+     * first.
+     */
     static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
             new WriteBufferWaterMark(16 << 10, 32 << 10);
 
@@ -36,8 +39,8 @@
     private final long length;
     private final Source source;
 
-    /** What came before there was a target; little, for the source is paused meanwhile. */
-    private final ArrayDeque<ByteBuf> pendingPieces = new ArrayDeque<>();
+    /** Parts received before a target is attached. Few, because the source is paused until then. */
+    private final ArrayDeque<ByteBuf> pendingParts = new ArrayDeque<>();
 
     private Channel target;
     private boolean paused;
@@ -46,11 +49,11 @@
     private boolean discarded;
 
     /**
-     * For one body.
+     * Creates a body without a target.
      *
-     * @param headers of the message
-     * @param length in bytes; below 0 where only its end tells
-     * @param source paused and resumed as the target takes it
+     * @param headers the headers of the message
+     * @param length the length in bytes; negative if it is not known in advance
+     * @param source paused and resumed as the target can take less or more
      */
     StreamedBody(HttpHeaders headers, long length, Source source) {
         this.headers = headers;
@@ -58,7 +61,9 @@
         this.source = source;
     }
 
-    /** How connections are read on which a long body may come: bounded, for reads are held. */
+    /**
+     * The allocator for connections that receive long bodies. Bounded, because reads are buffered.
+     */
     static RecvByteBufAllocator readAllocator() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
@@ -71,14 +76,14 @@
         return length;
     }
 
-    /** The next piece, which is released here. */
-    void write(ByteBuf piece) {
+    /** Writes the next part to the target, or buffers it until there is one. Takes ownership. */
+    void write(ByteBuf part) {
         if (discarded) {
-            piece.release();
+            part.release();
         } else if (target == null) {
-            pendingPieces.add(piece);
+            pendingParts.add(part);
         } else {
-            target.write(new DefaultHttpContent(piece));
+            target.write(new DefaultHttpContent(part));
         }
         updateBackpressure();
     }
@@ -91,17 +96,17 @@
         }
     }
 
-    /** Sets the target, on which the head is written. */
+    /** Sets the target, to which the head has been written already. */
     void attachTo(Channel channel) {
         attachTo(channel, () -> {});
     }
 
-    /** The same; runs {@code whenComplete} once all of the body has been written. */
+    /** Sets the target; runs {@code whenComplete} once the whole body has been written to it. */
     void attachTo(Channel channel, Runnable whenComplete) {
         target = channel;
         onComplete = whenComplete;
-        while (!pendingPieces.isEmpty()) {
-            target.write(new DefaultHttpContent(pendingPieces.poll()));
+        while (!pendingParts.isEmpty()) {
+            target.write(new DefaultHttpContent(pendingParts.poll()));
         }
         flush();
         if (complete) {
@@ -109,12 +114,12 @@
         }
     }
 
-    /** Whether all of it has come. */
+    /** Whether the whole body has arrived. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Pauses or resumes the source, as the target takes more or less than before. */
+    /** Pauses or resumes the source, depending on whether the target can take more. */
     void updateBackpressure() {
         boolean full = !discarded && !complete && (target == null || !target.isWritable());
         if (full != paused) {
@@ -127,7 +132,7 @@
         }
     }
 
-    /** All of it has come; what waits goes out without the source. */
+    /** Records that the whole body has arrived, and flushes it. */
     void complete() {
         flush();
         complete = true;
@@ -137,11 +142,11 @@
         }
     }
 
-    /** Releases what waits; nothing more is passed on. */
+    /** Discards buffered and further parts of the body. */
     void discard() {
         discarded = true;
-        pendingPieces.forEach(ByteBuf::release);
-        pendingPieces.clear();
+        pendingParts.forEach(ByteBuf::release);
+        pendingParts.clear();
         updateBackpressure();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/StrictResponseDecoder.java
+++ b/sidecar/src/main/java/appleridge/http1/StrictResponseDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import java.util.List;
 
-/** Reads responses strictly: what could be read in two ways might hide a second response. */
+/** Decodes responses strictly: an ambiguous one could hide a second response. */
 final class StrictResponseDecoder extends HttpResponseDecoder {
     private final HeadLineValidator headLines = new HeadLineValidator(false);
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Whether bytes of a further response have been read and not decoded. */
+    /** Whether bytes of a further response have been read but not decoded. */
     boolean hasBufferedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamCall.java
@@ -10,11 +10,14 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * One attempt of a request at an upstream: ends once, by an outcome or by being cancelled. Loop
- * thread only.
+ * One attempt of a request at an upstream. Ends exactly once, with an outcome or by cancellation.
+ * Event loop only.
  */
 final class UpstreamCall implements UpstreamTransport.AttemptHandle {
-    /** The least time left that the protocol's three decimals of a second can say. */
+    /**
+     * The shortest deadline that can be expressed: {@code X-Deadline} has three decimals of a
+     * second.
+     */
     private static final long MIN_REMAINING_NANOS = 1_000_000;
 
     private final HttpUpstreamRequest request;
@@ -34,12 +37,12 @@
         this.listener = listener;
     }
 
-    /** The connection for it is being opened. */
-    void connecting(Connector.ConnectAttempt on) {
-        connecting = on;
+    /** Sets the connect that the attempt waits for. */
+    void setConnecting(Connector.ConnectAttempt connect) {
+        connecting = connect;
     }
 
-    /** Its connection has come up; returns whether it is still wanted. */
+    /** Handles the end of the connect. Returns false if the attempt has ended meanwhile. */
     boolean onConnected() {
         if (!ended) {
             listener.onConnected();
@@ -48,8 +51,8 @@
     }
 
     /**
-     * Whether its first byte may still be written. With less than a millisecond left its upstream
-     * would read a deadline of zero.
+     * Whether the first byte may still be written. With less than a millisecond left, the upstream
+     * would read a deadline of 0.
      */
     boolean mayWriteFirstByte(long now) {
         return now <= deadlines.firstByteByNanos()
@@ -57,53 +60,63 @@
     }
 
     /**
-     * Whether there is a time after which its last byte must not be written, though its response is
-     * waited for.
+     * Whether there is a time after which the last byte must not be written, even though the
+     * response is still awaited.
      */
     boolean hasLastByteDeadline() {
         return deadlines.lastByteByNanos() < Long.MAX_VALUE;
     }
 
-    /** Whether its last byte may still be written. */
+    /** Whether the last byte may still be written. */
     boolean mayWriteLastByte(long now) {
         return now <= deadlines.lastByteByNanos() && !ended;
     }
 
-    /** The message to be written to a connection now; its deadline is the time that is left. */
-    FullHttpRequest startWhole(Channel on, Endpoint endpoint, long now) {
-        channel = on;
+    /**
+     * Starts writing to a channel. Returns the message, with the remaining time as its deadline.
+     */
+    FullHttpRequest startWhole(Channel newChannel, Endpoint endpoint, long now) {
+        channel = newChannel;
         return request.toFullRequest(endpoint.address(), deadlines.responseByNanos() - now);
     }
 
-    /** The body where it is streamed; null where it is held whole. */
+    /** The body if it is streamed; null if it is buffered whole. */
     StreamedBody streamedBody() {
         return request.streamedBody();
     }
 
     /**
-     * The head of a request whose body is streamed: it begins now, and can't be retried. Its
-     * deadline is the whole of its client's time, which runs from the last byte on.
+     * Starts writing a request with a streamed body, which cannot be retried. Returns its head. The
+     * deadline in it is the client's whole timeout, which runs from the last byte on.
      */
-    HttpRequest startStreamed(Channel on, Endpoint endpoint, long now) {
-        channel = on;
+    HttpRequest startStreamed(Channel newChannel, Endpoint endpoint, long now) {
+        channel = newChannel;
         return request.toRequestHead(endpoint.address(), deadlines.responseByNanos() - now);
     }
 
-    /** Tells the listener that a streamed request has begun; not inside the call that sends it. */
+    /**
+     * Notifies the listener that a streamed request has begun. Must not run inside the send call.
+     */
     void notifyStreamingStarted() {
         if (!ended) {
             listener.onRequestStreamingStarted();
         }
     }
 
-    /** Tells the listener, after {@link #notifyStreamingStarted}, that its last byte is written. */
+    /**
+     * Notifies the listener that the last byte of a streamed request has been written. Must run
+     * after {@link #notifyStreamingStarted}.
+     */
     void notifyFullyWritten() {
         if (!ended) {
             listener.onRequestFullyWritten();
         }
     }
 
-    /** The request's last byte is with the socket: from now on the upstream may run it. */
+    /**
+     * Records that the last byte has been written to the socket: the upstream may now run the
+     * request.
+     */
     void onLastByteWritten() {
         fullyWritten = true;
     }
@@ -118,26 +131,27 @@
         return fullyWritten;
     }
 
-    /** Whether a response that is too long to be held is wanted. */
-    boolean startResponseStream(StreamedBody answer) {
-        return !ended && listener.onResponseStarted(answer);
+    /** Starts a streamed response. Returns false if it is not wanted any more. */
+    boolean startResponseStream(StreamedBody body) {
+        return !ended && listener.onResponseStarted(body);
     }
 
-    /** Ends it, unless it has ended; the response is null where there is none. */
-    void end(Outcome outcome, HttpUpstreamResponse reply) {
+    /** Ends the attempt, unless it has ended. The response is null if there is none. */
+    void end(Outcome outcome, HttpUpstreamResponse response) {
         if (!ended) {
             ended = true;
-            listener.onAttemptEnded(outcome, reply);
+            listener.onAttemptEnded(outcome, response);
         }
     }
 
-    /** Cancels it; its connection is closed, for a response to it may still come. */
+    /** Cancels the attempt and closes its connection, on which a response may still arrive. */
     @Override
     public void cancel() {
         if (!ended) {
             ended = true;
             if (channel != null) {
-                // Closed as broken: an orderly end would make a complete response of a part.
+                // close() marks the connection as broken, so that its end cannot make a partial
+                // response look complete.
                 channel.pipeline().get(UpstreamConnection.class).close();
             } else if (connecting != null) {
                 connecting.close();
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnection.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to an upstream, which carries one request at a time: passes Netty's events to the
- * writer of the request and the reader of its response, ends the attempt, and decides whether the
- * connection is used again. Loop thread only.
+ * One connection to an upstream, which carries one request at a time. Passes Netty's events to
+ * {@link RequestWriter} and {@link ResponseReader}, ends the attempt, and decides whether the
+ * connection is reused. Event loop only.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject>
         implements StreamedBody.Source {
     /**
-     * For so long a streamed response may pause: nothing else can be tried any more, and its client
-     * holds the beginning.
+     * How long a streamed response may stall. Longer than for a buffered one, because it cannot be
+     * retried: its client has already received the beginning.
      */
     static final long MAX_STREAM_READ_STALL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -36,8 +36,8 @@
     private boolean readPaused;
 
     /**
-     * Nothing that has been read, or comes yet, counts. Set before each end of the connection but
-     * the upstream's orderly one, which alone may end a response with neither length nor chunks.
+     * Whether all further input is ignored. Set before each close of the connection except the
+     * upstream's orderly one, which alone may end a response with neither length nor chunks.
      */
     private boolean broken;
 
@@ -50,7 +50,7 @@
         this.pool = pool;
         this.channel = channel;
         this.readActivity = readActivity;
-        this.writer = new RequestWriter(channel, pool.loop(), this::breakOff, this::onWriteFailed);
+        this.writer = new RequestWriter(channel, pool.loop(), this::abort, this::onWriteFailed);
         this.reader = new ResponseReader(readActivity, decoder, this);
         this.readStallNanos = readStallNanos;
     }
@@ -58,10 +58,10 @@
     /**
      * Sets up the pipeline of a new connection.
      *
-     * @param readStallNanos for which a response may pause once it has begun
+     * @param readStallNanos how long a response may stall once it has begun
      */
     static void install(Channel channel, UpstreamConnectionPool pool, long readStallNanos) {
-        // By itself a long response's reads grow to 64 KiB each, held while a client is slow.
+        // Netty's default grows reads to 64 KiB each, which are buffered while the client is slow.
         channel.config().setRecvByteBufAllocator(StreamedBody.readAllocator());
         ReadActivityHandler readActivity = new ReadActivityHandler();
         StrictResponseDecoder decoder = new StrictResponseDecoder();
@@ -74,8 +74,8 @@
                                 pool, channel, readActivity, decoder, readStallNanos));
     }
 
-    UpstreamConnection open(Endpoint to) {
-        endpoint = to;
+    UpstreamConnection open(Endpoint newEndpoint) {
+        endpoint = newEndpoint;
         return this;
     }
 
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Whether nothing has come since the last response, as far as the system holds it. Nothing in a
-     * response tells which request it is for; a second copy of one, unread, would be taken for the
-     * next request's.
+     * Whether nothing has arrived since the last response; pending input is read first. A response
+     * does not tell which request it belongs to, so an unread duplicate of the last one would be
+     * taken as the response to the next request.
      */
     boolean isQuiet() {
         if (channel.isActive()) {
@@ -104,16 +104,16 @@
     }
 
     void close() {
-        breakOff();
+        abort();
     }
 
-    /** Nothing is open on it: it is offered to the next request. */
+    /** Offers the connection, which has no open request, to the next one. */
     void keep() {
         idleSinceNanos = pool.loop().nanoTime();
         pool.release(this);
     }
 
-    /** Sends a request; to be called only while none is open. */
+    /** Sends a request. Must be called only while none is open. */
     void send(UpstreamCall next) {
         call = next;
         reader.reset();
@@ -122,7 +122,7 @@
 
     private void onWriteFailed(Throwable cause) {
         reader.onWriteFailed(cause);
-        breakOff();
+        abort();
     }
 
     @Override
@@ -136,62 +136,64 @@
         if (broken) {
             return;
         }
-        // Bytes that belong to no request would be taken for the next one's response.
+        // Bytes that belong to no request would be taken as the response to the next one.
         if (call == null || reader.hasOutcome() || message.decoderResult().isFailure()) {
-            breakOff();
+            abort();
         } else if (!reader.onMessage(message, call)) {
-            breakOff();
+            abort();
         }
     }
 
-    /** The client has enough to read, and has its own time for that. */
+    /** Pauses reading and the stall timer: the client has its own time limit for reading. */
     @Override
     public void pause() {
         readPaused = true;
         channel.config().setAutoRead(false);
-        watchForStall();
+        restartStallTimer();
     }
 
     @Override
     public void resume() {
         readPaused = false;
         channel.config().setAutoRead(true);
-        watchForStall();
+        restartStallTimer();
     }
 
     /**
-     * Closes the connection, and discards all that comes behind this. What was read at once is
-     * still handed on after a close; a part left out for its size, with a smaller one and the end
-     * right behind it, would be served as a complete response with a hole.
+     * Closes the connection and ignores all further input. Netty still passes on messages from the
+     * same read after a close: if a part of a body were dropped for its size, a smaller part and
+     * the end right behind it would complete a response with a gap.
      */
-    private void breakOff() {
+    private void abort() {
         broken = true;
         channel.close();
     }
 
-    /** Without this, a response cut short on an open connection would be waited for in vain. */
-    private void watchForStall() {
+    /**
+     * Restarts the stall timer, which ends a response that stops arriving on an open connection.
+     */
+    private void restartStallTimer() {
         if (stallTimer != null) {
             stallTimer.cancel();
             stallTimer = null;
         }
         if (call != null && readActivity.hasPartialMessage() && !readPaused) {
             long nanos = reader.isStreaming() ? MAX_STREAM_READ_STALL_NANOS : readStallNanos;
-            stallTimer = pool.loop().schedule(nanos, this::breakOff);
+            stallTimer = pool.loop().schedule(nanos, this::abort);
         }
     }
 
     /**
-     * Ends the attempt, and offers the connection again, only when all that came with the response
-     * has been read: what follows a response must not meet the next request.
+     * Ends the attempt and offers the connection for reuse, but only after all available input has
+     * been read: bytes after a response must not be taken as the response to the next request.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (reader.hasOutcome() && call != null) {
-            UpstreamCall done = call;
+            UpstreamCall finished = call;
             Outcome outcome = reader.outcome();
             HttpUpstreamResponse response = reader.response();
-            boolean reusable = reader.isKeepAlive() && isUsable() && done.isFullyWritten();
+            boolean reusable = reader.isKeepAlive() && isUsable() && finished.isFullyWritten();
             call = null;
             reader.release();
             writer.endUpload();
@@ -201,33 +203,33 @@
             } else {
                 channel.close();
             }
-            done.end(outcome, response);
+            finished.end(outcome, response);
         }
         reader.flushStream();
-        watchForStall();
+        restartStallTimer();
         ctx.fireChannelReadComplete();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        UpstreamCall cut = call;
+        UpstreamCall interrupted = call;
         call = null;
         writer.endUpload();
         reader.abortStream();
-        if (cut != null) {
-            Outcome outcome = OutcomeClassifier.ofClosedConnection(cut);
-            cut.end(reader.hasOutcome() ? reader.outcome() : outcome, reader.response());
+        if (interrupted != null) {
+            Outcome outcome = OutcomeClassifier.ofClosedConnection(interrupted);
+            interrupted.end(reader.hasOutcome() ? reader.outcome() : outcome, reader.response());
         }
         pool.onClosed(this);
         ctx.fireChannelInactive();
     }
 
-    /** The connection is of no further use; what it carried ends in {@link #channelInactive}. */
+    /** Closes the connection; its attempt ends in {@link #channelInactive}. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            pool.log().failure("a connection to " + endpoint + " failed", cause);
+            pool.log().failure("connection to " + endpoint + " failed", cause);
         }
-        breakOff();
+        abort();
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -15,15 +15,14 @@
 import java.util.Map;
 
 /**
- * Keep-alive connections to the upstreams, one request at a time on each. How an attempt ended is
- * reported as the {@link Outcome} that the socket proves; nothing is ever retried here. Loop thread
- * only.
+ * Pools keep-alive connections to the upstreams, with one request at a time on each. Reports how an
+ * attempt ended as the {@link Outcome} that the socket proves, and never retries. Event loop only.
  */
 public final class UpstreamConnectionPool implements UpstreamTransport {
     /**
-     * Of the time after which upstreams close idle connections, the part after which they are
-     * closed here: a request written to one that is just being closed ends as a reset and may have
-     * run.
+     * The fraction of the upstreams' idle timeout after which idle connections are closed here. A
+     * request written while the upstream closes the connection ends with a reset, after which it
+     * may have run.
      */
     private static final double USABLE_IDLE_FRACTION = 0.6;
 
@@ -35,18 +34,18 @@
     private final Map<Endpoint, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
     private final SidecarEventLoop.ScheduledTask staleCheck;
 
-    /** Of the cap, what it may hold beside another process. */
+    /** The part of {@code maxConnections} that this process may use beside another one. */
     private int connectionLimit;
 
     private int connectionCount;
 
     /**
-     * For one sidecar.
+     * Creates an empty pool and starts its periodic check for stale connections.
      *
-     * @param connectTimeoutNanos after which a connect has failed
-     * @param hostIdleTimeoutNanos after which an upstream closes an idle connection
-     * @param readStallNanos for which a response may pause once it has begun
-     * @param maxConnections connections at once, to all upstreams together
+     * @param connectTimeoutNanos the time after which a connect has failed
+     * @param hostIdleTimeoutNanos the time after which an upstream closes an idle connection
+     * @param readStallNanos how long a response may stall once it has begun
+     * @param maxConnections the maximum number of connections to all upstreams together
      */
     public UpstreamConnectionPool(
             SidecarEventLoop loop,
@@ -71,29 +70,32 @@
     }
 
     /**
-     * Sends a request; the message is made when there is a connection, with the time that is left
-     * then.
+     * Sends a request. The message is created once there is a connection, with the time remaining
+     * then as its deadline.
      */
     @Override
     public AttemptHandle send(
-            Endpoint to, UpstreamRequest what, SendDeadlines deadlines, AttemptListener listener) {
-        UpstreamCall call = new UpstreamCall((HttpUpstreamRequest) what, deadlines, listener);
-        UpstreamConnection pooled = takeIdle(to);
+            Endpoint endpoint,
+            UpstreamRequest request,
+            SendDeadlines deadlines,
+            AttemptListener listener) {
+        UpstreamCall call = new UpstreamCall((HttpUpstreamRequest) request, deadlines, listener);
+        UpstreamConnection pooled = takeIdle(endpoint);
         if (pooled != null) {
             sendOn(pooled, call);
         } else if (connectionCount >= connectionLimit && !evictIdle()) {
             loop.execute(() -> call.end(Outcome.NEVER_SENT, null));
         } else {
-            connect(to, call);
+            connect(endpoint, call);
         }
         return call;
     }
 
-    private void connect(Endpoint to, UpstreamCall call) {
+    private void connect(Endpoint endpoint, UpstreamCall call) {
         connectionCount++;
-        call.connecting(
+        call.setConnecting(
                 connector.connect(
-                        to.address(),
+                        endpoint.address(),
                         new Connector.Listener() {
                             @Override
                             public void onConnected(Channel channel) {
@@ -102,7 +104,7 @@
                                     sendOn(
                                             channel.pipeline()
                                                     .get(UpstreamConnection.class)
-                                                    .open(to),
+                                                    .open(endpoint),
                                             call);
                                 } else {
                                     channel.close();
@@ -116,21 +118,22 @@
                             }
 
                             /**
-                             * Not reported as a failed connect, which would eject a healthy
-                             * upstream.
+                             * Reported as never sent: a failed connect would count against a
+                             * healthy upstream and could eject it.
                              */
                             @Override
                             public void onSocketUnavailable(Throwable cause) {
                                 connectionCount--;
                                 loop.log()
                                         .warning(
-                                                "no socket for an upstream: " + cause.getMessage());
+                                                "cannot open a socket for an upstream connection: "
+                                                        + cause.getMessage());
                                 call.end(Outcome.NEVER_SENT, null);
                             }
                         }));
     }
 
-    /** Sends it unless its time has passed while the connection was opened. */
+    /** Sends a request, unless its deadline has passed while the connection was opened. */
     private void sendOn(UpstreamConnection connection, UpstreamCall call) {
         if (call.mayWriteFirstByte(loop.nanoTime())) {
             connection.send(call);
@@ -140,11 +143,14 @@
         }
     }
 
-    /** The most recently used one, so that the others reach their idle timeout; null for none. */
+    /**
+     * Takes the most recently used idle connection, so that the others reach their idle timeout.
+     * Returns null if there is none.
+     */
     private UpstreamConnection takeIdle(Endpoint endpoint) {
-        ArrayDeque<UpstreamConnection> all = idle.get(endpoint);
-        while (all != null && !all.isEmpty()) {
-            UpstreamConnection connection = all.pop();
+        ArrayDeque<UpstreamConnection> idleToHost = idle.get(endpoint);
+        while (idleToHost != null && !idleToHost.isEmpty()) {
+            UpstreamConnection connection = idleToHost.pop();
             if (connection.isQuiet()
                     && loop.nanoTime() - connection.idleSinceNanos() < maxIdleNanos) {
                 return connection;
@@ -162,35 +168,34 @@
         return loop.log();
     }
 
-    /** Reads at once what the system holds for a connection. */
+    /** Reads pending input of a connection from its socket at once. */
     void readNow(Channel channel) {
         sockets.readNow(channel);
     }
 
     /**
-     * Sets what it may hold beside another process of this sidecar.
+     * Sets this process's share of the connections while another process of this sidecar runs.
      *
-     * @param part of the connections that it may hold alone
+     * @param fraction the fraction of the connection limit that this process may use
      */
-    public void setConnectionShare(double part) {
-        connectionLimit = Math.max(1, (int) (maxConnections * part));
+    public void setConnectionShare(double fraction) {
+        connectionLimit = Math.max(1, (int) (maxConnections * fraction));
         while (connectionCount > connectionLimit && evictIdle()) {
             continue;
         }
     }
 
-    /** Connections that are open or being opened. */
+    /** The number of connections that are open or being opened. */
     public int connectionCount() {
         return connectionCount;
     }
 
-    /** Offers an idle connection to the next request. */
+    /** Makes an idle connection available to the next request. */
     void release(UpstreamConnection connection) {
-        idle.computeIfAbsent(connection.endpoint(), endpoint -> new ArrayDeque<>())
-                .push(connection);
+        idle.computeIfAbsent(connection.endpoint(), key -> new ArrayDeque<>()).push(connection);
     }
 
-    /** A connection has closed, or is about to. */
+    /** Removes a connection that has closed or is about to. */
     void onClosed(UpstreamConnection connection) {
         ArrayDeque<UpstreamConnection> all = idle.get(connection.endpoint());
         if (all != null && all.remove(connection) && all.isEmpty()) {
@@ -226,7 +231,7 @@
                         });
     }
 
-    /** Closes the longest idle connection; returns false if every one is in use. */
+    /** Closes the longest idle connection. Returns false if all are in use. */
     private boolean evictIdle() {
         UpstreamConnection oldest = null;
         for (ArrayDeque<UpstreamConnection> all : idle.values()) {
--- a/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
+++ b/sidecar/src/test/java/appleridge/http1/FinalByteGateTest.java
@@ -19,35 +19,35 @@
 import org.junit.jupiter.api.Test;
 
 class FinalByteGateTest {
-    /** A socket that takes what is written only when told to. */
-    private static final class Slow extends ChannelOutboundHandlerAdapter {
-        private record Waiting(Object message, ChannelPromise promise) {}
+    /** A socket that accepts writes only when {@link #acceptAll} is called. */
+    private static final class SlowSocket extends ChannelOutboundHandlerAdapter {
+        private record PendingWrite(Object message, ChannelPromise promise) {}
 
-        private final Deque<Waiting> waiting = new ArrayDeque<>();
+        private final Deque<PendingWrite> pending = new ArrayDeque<>();
         private ChannelHandlerContext ctx;
 
         @Override
-        public void handlerAdded(ChannelHandlerContext added) {
-            ctx = added;
+        public void handlerAdded(ChannelHandlerContext newContext) {
+            ctx = newContext;
         }
 
         @Override
-        public void write(ChannelHandlerContext on, Object message, ChannelPromise promise) {
-            waiting.add(new Waiting(message, promise));
+        public void write(ChannelHandlerContext unused, Object message, ChannelPromise promise) {
+            pending.add(new PendingWrite(message, promise));
         }
 
-        void takeAll() {
-            while (!waiting.isEmpty()) {
-                Waiting next = waiting.poll();
+        void acceptAll() {
+            while (!pending.isEmpty()) {
+                PendingWrite next = pending.poll();
                 ctx.writeAndFlush(next.message, next.promise);
             }
         }
     }
 
-    private final Slow socket = new Slow();
-    private boolean mayGo = true;
+    private final SlowSocket socket = new SlowSocket();
+    private boolean mayRelease = true;
     private final EmbeddedChannel channel =
-            new EmbeddedChannel(socket, new FinalByteGate(() -> mayGo));
+            new EmbeddedChannel(socket, new FinalByteGate(() -> mayRelease));
 
     private ChannelFuture write(String... parts) {
         ChannelFuture last = null;
@@ -70,38 +70,38 @@
     @Test
     void completeMessageIsWrittenAndHandlerRemovesItself() {
         ChannelFuture done = write("head", "", "body");
-        socket.takeAll();
+        socket.acceptAll();
         assertEquals("headbody", sent());
         assertTrue(done.isSuccess());
         assertNull(channel.pipeline().get(FinalByteGate.class));
     }
 
     /**
-     * Guards against a repeat that runs because its last bytes waited in a full socket beyond its
-     * window.
+     * Guards against a retry that the upstream runs after its deadline, because its last bytes
+     * waited in a full socket until then.
      */
     @Test
     void lastByteIsWithheldWhenDeadlinePassedWhileRestWaited() {
         ChannelFuture done = write("head", "body");
-        mayGo = false;
-        socket.takeAll();
+        mayRelease = false;
+        socket.acceptAll();
         assertEquals("headbod", sent());
         assertFalse(done.isSuccess());
         assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
     }
 
     @Test
-    void singleByteMessageIsWithheldAndNothingLeaks() {
-        mayGo = false;
+    void singleByteMessageIsWithheldAndBuffersAreReleased() {
+        mayRelease = false;
         ChannelFuture done = write("x");
-        socket.takeAll();
+        socket.acceptAll();
         assertEquals("", sent());
         assertInstanceOf(FinalByteGate.TooLateException.class, done.cause());
-        ByteBuf never = Unpooled.copiedBuffer("never", StandardCharsets.US_ASCII);
+        ByteBuf unflushed = Unpooled.copiedBuffer("unflushed", StandardCharsets.US_ASCII);
         EmbeddedChannel other = new EmbeddedChannel(new FinalByteGate(() -> true));
-        other.write(never);
+        other.write(unflushed);
         other.close();
         other.releaseOutbound();
-        assertEquals(0, never.refCnt());
+        assertEquals(0, unflushed.refCnt());
     }
 }
--- a/sidecar/src/test/java/appleridge/http1/HttpUpstreamResponseTest.java
+++ b/sidecar/src/test/java/appleridge/http1/HttpUpstreamResponseTest.java
@@ -10,16 +10,16 @@
 
 class HttpUpstreamResponseTest {
     @Test
-    void malformedLoadReportsAreIgnored() {
+    void malformedOrIncompleteLoadReportIsIgnored() {
         List<String> fields = List.of("rate", "q");
-        assertArrayEquals(new float[] {3, 2}, load("q=2,other=9, rate=3.0", fields));
+        assertArrayEquals(new float[] {3, 2}, loadReport("q=2,other=9, rate=3.0", fields));
         for (String malformed :
                 List.of("", "q=2", "q=2,rate=x", "q=2,rate=NaN", "q=-1,rate=1", "=,=", "q")) {
-            assertEquals(0, load(malformed, fields).length, malformed);
+            assertEquals(0, loadReport(malformed, fields).length, malformed);
         }
     }
 
-    private static float[] load(String text, List<String> fields) {
+    private static float[] loadReport(String text, List<String> fields) {
         HttpHeaders headers = new DefaultHttpHeaders().set(Headers.LOAD, text);
         return new HttpUpstreamResponse(headers, new byte[0]).loadReport(fields);
     }
--- a/sidecar/src/test/java/appleridge/http1/TestSockets.java
+++ b/sidecar/src/test/java/appleridge/http1/TestSockets.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Sockets that behave in a way that the system seldom shows. */
+/** Socket factories that simulate rare behaviour of the operating system. */
 final class TestSockets {
     private TestSockets() {}
 
-    /** No socket can be made, as when descriptors are out. */
-    static final class None implements SocketFactory {
+    /** Fails to create any socket, as when the process has run out of file descriptors. */
+    static final class OutOfDescriptors implements SocketFactory {
         @Override
         public Channel newChannel() {
             throw new ChannelException(
@@ -33,15 +33,15 @@
         public void readNow(Channel channel) {}
     }
 
-    /** Each connection is there at once, where the system may take a moment. */
-    static final class ConnectedAtOnce implements SocketFactory {
-        final BlockingQueue<Channel> made = new LinkedBlockingQueue<>();
+    /** Completes each connect within the call that starts it. */
+    static final class ImmediateConnect implements SocketFactory {
+        final BlockingQueue<Channel> created = new LinkedBlockingQueue<>();
         private final NioSocketFactory sockets = new NioSocketFactory();
 
         @Override
         public Channel newChannel() {
-            Channel channel = new ConnectingAtOnce();
-            made.add(channel);
+            Channel channel = new ImmediatelyConnectingChannel();
+            created.add(channel);
             return channel;
         }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    private static final class ConnectingAtOnce extends NioSocketChannel {
+    private static final class ImmediatelyConnectingChannel extends NioSocketChannel {
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
             if (!super.doConnect(remote, local)) {
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -33,22 +33,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections reused, closed and cancelled, without the policy, which closes idle ones too. */
+/** The connection pool over loopback, without the load-balancing policy. */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
 
     private static final HttpUpstreamRequest REQUEST =
             new HttpUpstreamRequest(HttpMethod.GET, "/", new DefaultHttpHeaders(), new byte[0]);
-    private static final SendDeadlines ALWAYS =
+    private static final SendDeadlines NO_DEADLINES =
             new SendDeadlines(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
 
-    private record Result(Outcome outcome, HttpUpstreamResponse reply) {}
+    private record Result(Outcome outcome, HttpUpstreamResponse response) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final SidecarEventLoop time =
+    private final SidecarEventLoop sidecarLoop =
             new SidecarEventLoop(
                     loop,
                     SystemTime.UNIX_MILLIS,
@@ -56,7 +56,7 @@
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void shutDown() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -66,7 +66,7 @@
 
     private UpstreamConnectionPool pool(SocketFactory sockets, long idleMillis, int connections) {
         return new UpstreamConnectionPool(
-                time,
+                sidecarLoop,
                 sockets,
                 TimeUnit.SECONDS.toNanos(1),
                 TimeUnit.MILLISECONDS.toNanos(idleMillis),
@@ -83,9 +83,9 @@
                 pool.send(
                         endpoint,
                         REQUEST,
-                        ALWAYS,
-                        (outcome, reply) ->
-                                results.add(new Result(outcome, (HttpUpstreamResponse) reply)));
+                        NO_DEADLINES,
+                        (outcome, response) ->
+                                results.add(new Result(outcome, (HttpUpstreamResponse) response)));
     }
 
     private UpstreamCall start(UpstreamConnectionPool pool, StubUpstream upstream)
@@ -94,17 +94,18 @@
         return loop.submit(() -> send(pool, endpoint)).get();
     }
 
-    private Result next() throws InterruptedException {
+    private Result nextResult() throws InterruptedException {
         Result result = results.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-        assertTrue(result != null, "an outcome within the bound");
+        assertTrue(result != null, "no outcome was reported in time");
         return result;
     }
 
-    private String ask(UpstreamConnectionPool pool, StubUpstream upstream) throws Exception {
+    private String sendAndGetBody(UpstreamConnectionPool pool, StubUpstream upstream)
+            throws Exception {
         start(pool, upstream);
-        Result result = next();
+        Result result = nextResult();
         assertEquals(Outcome.OK, result.outcome());
-        return new String(result.reply().body(), StandardCharsets.US_ASCII);
+        return new String(result.response().body(), StandardCharsets.US_ASCII);
     }
 
     @Test
@@ -112,29 +113,31 @@
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 5; i++) {
-                ask(pool, upstream);
+                sendAndGetBody(pool, upstream);
             }
             assertEquals(1, upstream.accepted.size());
             loop.execute(() -> pool.closeIdleConnections(endpoint(1, upstream)));
             upstream.awaitClosed();
-            ask(pool, upstream);
+            sendAndGetBody(pool, upstream);
             assertEquals(2, upstream.accepted.size());
         }
     }
 
-    /** Guards against a request lost to a connection that its upstream is about to close. */
+    /** Guards against a request that is lost because the upstream closes its idle connection. */
     @Test
     void idleConnectionIsClosedBeforeUpstreamClosesIt() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(2000, 10);
-            ask(pool, upstream);
-            long answered = System.nanoTime();
+            sendAndGetBody(pool, upstream);
+            long answeredAtNanos = System.nanoTime();
             upstream.awaitClosed();
-            assertTrue(System.nanoTime() - answered < TimeUnit.MILLISECONDS.toNanos(2000));
+            assertTrue(System.nanoTime() - answeredAtNanos < TimeUnit.MILLISECONDS.toNanos(2000));
         }
     }
 
-    /** Guards against a request written to a connection whose end the upstream has announced. */
+    /**
+     * Guards against a request written to a connection that the upstream has announced to close.
+     */
     @Test
     void connectionClosedByUpstreamIsNotReused() throws Exception {
         Script closing =
@@ -146,44 +149,47 @@
         try (StubUpstream upstream = new StubUpstream(closing)) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 5; i++) {
-                ask(pool, upstream);
+                sendAndGetBody(pool, upstream);
             }
             assertEquals(5, upstream.accepted.size());
         }
     }
 
     /**
-     * Guards against bytes behind one response being read as the next one, also where they are no
+     * Guards against bytes after a response that are taken as the next one, even if they are not a
      * complete line.
      */
     @Test
-    void bytesBehindResponseAreNotTakenForNextResponse() throws Exception {
-        String[] noise = {StubUpstream.answer("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
-        for (String behind : noise) {
-            Script doubled = StubUpstream.says(StubUpstream.answer("200 OK", "fine") + behind);
+    void bytesReadWithResponseAreNotTakenAsNextResponse() throws Exception {
+        String[] trailingBytes = {StubUpstream.answer("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
+        for (String trailing : trailingBytes) {
+            Script withTrailingBytes =
+                    StubUpstream.says(StubUpstream.answer("200 OK", "fine") + trailing);
             Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
             try (StubUpstream upstream =
                     new StubUpstream(
-                            StubUpstream.firstThen(new CountDownLatch(1), doubled, next))) {
+                            StubUpstream.firstThen(
+                                    new CountDownLatch(1), withTrailingBytes, next))) {
                 UpstreamConnectionPool pool = pool(10_000, 10);
-                assertEquals("fine", ask(pool, upstream));
-                assertEquals("next", ask(pool, upstream));
+                assertEquals("fine", sendAndGetBody(pool, upstream));
+                assertEquals("next", sendAndGetBody(pool, upstream));
                 assertEquals(2, upstream.accepted.size());
             }
         }
     }
 
     /**
-     * Guards against a second copy of one response, which the system holds unread, being taken for
-     * the next request's: it is written here while the loop is kept from reading.
+     * Guards against a duplicate response, unread in the socket, that is taken as the response to
+     * the next request. The test writes the duplicate while the event loop is blocked, and sends
+     * the next request before the loop can read.
      */
     @Test
-    void bytesAfterReadResponseAreNotTakenForNextResponse() throws Exception {
+    void bytesArrivingAfterResponseAreNotTakenAsNextResponse() throws Exception {
         Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
         try (StubUpstream upstream =
                 new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
             UpstreamConnectionPool pool = pool(10_000, 10);
-            assertEquals("fine", ask(pool, upstream));
+            assertEquals("fine", sendAndGetBody(pool, upstream));
             loop.submit(
                             () -> {
                                 StubUpstream.write(
@@ -193,48 +199,50 @@
                                 return send(pool, endpoint(1, upstream));
                             })
                     .get();
-            assertEquals("next", new String(next().reply().body(), StandardCharsets.US_ASCII));
+            assertEquals(
+                    "next", new String(nextResult().response().body(), StandardCharsets.US_ASCII));
         }
     }
 
     /**
-     * Guards against connections that pass from an upstream that has gone to one that has its
+     * Guards against connections to a removed upstream that are used for another one with the same
      * address.
      */
     @Test
     void connectionsAreNotSharedBetweenUpstreams() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(10_000, 10);
-            ask(pool, upstream);
+            sendAndGetBody(pool, upstream);
             loop.submit(() -> send(pool, endpoint(2, upstream))).get();
-            assertEquals(Outcome.OK, next().outcome());
+            assertEquals(Outcome.OK, nextResult().outcome());
             assertEquals(2, upstream.accepted.size());
             loop.submit(() -> pool.closeIdleConnections(endpoint(1, upstream))).get();
             upstream.awaitClosed();
             loop.submit(() -> send(pool, endpoint(2, upstream))).get();
-            assertEquals(Outcome.OK, next().outcome());
-            assertEquals(2, upstream.accepted.size(), "the new one's connection was left alone");
+            assertEquals(Outcome.OK, nextResult().outcome());
+            assertEquals(
+                    2, upstream.accepted.size(), "the connection to the other upstream stays open");
         }
     }
 
     /**
-     * Guards against a channel that can't be made, as when descriptors are out: Netty would report
-     * it on a thread of its own, and the connection would be counted for good.
+     * Guards against a failure to create a channel, as without free file descriptors: Netty would
+     * report it on another thread, and the connection would stay counted forever.
      */
     @Test
     void missingSocketIsReportedOnLoopAsNeverSent() throws Exception {
-        UpstreamConnectionPool pool = pool(new TestSockets.None(), 10_000, 2);
-        Endpoint nowhere =
+        UpstreamConnectionPool pool = pool(new TestSockets.OutOfDescriptors(), 10_000, 2);
+        Endpoint unreachable =
                 new Endpoint(1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         for (int i = 0; i < 5; i++) {
             BlockingQueue<String> reported = new LinkedBlockingQueue<>();
             loop.submit(
                             () ->
                                     pool.send(
-                                            nowhere,
+                                            unreachable,
                                             REQUEST,
-                                            ALWAYS,
-                                            (outcome, reply) ->
+                                            NO_DEADLINES,
+                                            (outcome, response) ->
                                                     reported.add(
                                                             outcome + " " + loop.inEventLoop())))
                     .get();
@@ -246,38 +254,34 @@
     }
 
     /**
-     * Guards against a request given to a connection that its upstream has closed between the two
-     * moments in which it came up and was reported: the request never ended. The end is read in
-     * between here.
+     * Guards against a request that never ends, because the upstream closed the connection after
+     * the connect completed but before it was reported. The test reads the close in between.
      */
     @Test
     void connectionClosedBeforeConnectIsReportedIsNotUsed() throws Exception {
-        TestSockets.ConnectedAtOnce sockets = new TestSockets.ConnectedAtOnce();
+        TestSockets.ImmediateConnect sockets = new TestSockets.ImmediateConnect();
         UpstreamConnectionPool pool = pool(sockets, 10_000, 2);
         try (StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
             loop.submit(
                             () -> {
                                 send(pool, endpoint(1, upstream));
                                 upstream.accepted.take().close();
-                                Channel channel = sockets.made.take();
+                                Channel channel = sockets.created.take();
                                 while (channel.isActive()) {
                                     sockets.readNow(channel);
                                 }
                                 return null;
                             })
                     .get();
-            assertEquals(Outcome.CONNECT_FAILED, next().outcome());
+            assertEquals(Outcome.CONNECT_FAILED, nextResult().outcome());
             assertEquals(0, loop.submit(pool::connectionCount).get());
             assertEquals(0, upstream.requests.size());
         }
     }
 
-    /**
-     * Guards against time spent on a response that can't be served: the rest of it is not waited
-     * for.
-     */
+    /** Guards against waiting for the rest of a response that is too long or has a bad length. */
     @Test
-    void responseWithTooLargeLengthIsBrokenOffAtItsHead() throws Exception {
+    void responseWithUnacceptableLengthIsAbortedAtHead() throws Exception {
         for (String length :
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
             try (StubUpstream upstream =
@@ -286,26 +290,26 @@
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + length
                                             + "\r\n\r\nfine"))) {
-                UpstreamConnectionPool patient =
+                UpstreamConnectionPool withoutReadTimeout =
                         new UpstreamConnectionPool(
-                                time,
+                                sidecarLoop,
                                 new NioSocketFactory(),
                                 TimeUnit.SECONDS.toNanos(1),
                                 TimeUnit.SECONDS.toNanos(10),
                                 TimeUnit.HOURS.toNanos(1),
                                 10);
-                start(patient, upstream);
-                assertEquals(Outcome.RESET, next().outcome(), length);
+                start(withoutReadTimeout, upstream);
+                assertEquals(Outcome.RESET, nextResult().outcome(), length);
             }
         }
     }
 
     /**
-     * Guards against a response with a hole: the part that makes it too long is left out, and what
-     * was read together with it, which fits again, would complete the rest.
+     * Guards against a response with a gap: the part that makes it too long is dropped, and a
+     * smaller part from the same read, which fits again, would complete the response.
      */
     @Test
-    void responseGrowingTooLargeIsNotServedWithAHole() throws Exception {
+    void responseGrowingTooLongIsNotServedWithGap() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunk(MessageFraming.MAX_BUFFERED_BODY_BYTES - 4)
@@ -316,16 +320,14 @@
             UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 10; i++) {
                 start(pool, upstream);
-                assertEquals(Outcome.RESET, next().outcome());
+                assertEquals(Outcome.RESET, nextResult().outcome());
             }
         }
     }
 
-    /**
-     * Guards against a head that was rejected being followed by another one that is taken for it.
-     */
+    /** Guards against a response after a rejected head that is served in its place. */
     @Test
-    void bytesBehindUnservableHeadAreNotServed() throws Exception {
+    void bytesAfterRejectedHeadAreNotServed() throws Exception {
         String answer =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, chunked\r\n\r\n"
                         + chunk(4)
@@ -334,7 +336,7 @@
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             start(pool, upstream);
-            assertEquals(Outcome.RESET, next().outcome());
+            assertEquals(Outcome.RESET, nextResult().outcome());
         }
     }
 
@@ -342,22 +344,22 @@
         return Integer.toHexString(length) + "\r\n" + "x".repeat(length) + "\r\n";
     }
 
-    /** Guards against running out of descriptors: what can't be sent has never been sent. */
+    /** Guards against exceeding the connection limit, which would exhaust the file descriptors. */
     @Test
-    void nothingIsSentOverCapUnlessIdleConnectionIsEvicted() throws Exception {
+    void requestOverConnectionLimitIsNotSentUnlessIdleConnectionIsEvicted() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream good = new StubUpstream(GOOD)) {
             UpstreamConnectionPool pool = pool(10_000, 1);
-            ask(pool, good);
-            UpstreamCall held = start(pool, silent);
+            sendAndGetBody(pool, good);
+            UpstreamCall openCall = start(pool, silent);
             silent.nextRequest();
             good.awaitClosed();
             start(pool, good);
-            assertEquals(Outcome.NEVER_SENT, next().outcome());
-            loop.execute(held::cancel);
+            assertEquals(Outcome.NEVER_SENT, nextResult().outcome());
+            loop.execute(openCall::cancel);
             silent.awaitClosed();
-            assertEquals("fine", ask(pool, good));
-            assertEquals(0, results.size(), "nothing is reported of what was cancelled");
+            assertEquals("fine", sendAndGetBody(pool, good));
+            assertEquals(0, results.size(), "a cancelled attempt reports no outcome");
         }
     }
 }
