--- a/sidecar/src/main/java/appleridge/http1/AcceptGate.java
+++ b/sidecar/src/main/java/appleridge/http1/AcceptGate.java
@@ -7,24 +7,30 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides whether new connections are accepted, or left waiting in the system while there is no
- * room. For a short window now and then they are accepted all the same, to be rejected, or because
- * accepting is about to end. Loop thread only.
+ * Decides whether new client connections are accepted or stay in the kernel's listen backlog. At
+ * the connection limit they stay there, except during short windows in which connections are
+ * accepted over the limit: to reject those that have waited too long, or to empty the backlog
+ * before the listening socket closes. Event loop only.
  */
 final class AcceptGate {
     /**
-     * For so long connections wait where all open ones have a request open; then they are rejected.
-     * A bit longer than silent ones may hesitate, so that these make room first.
+     * How long connections wait in the backlog while no open connection can be evicted; then they
+     * are rejected. Longer than the time after which a silent connection may be evicted, so that
+     * silent connections make room first.
      */
     private static final long MAX_WAIT_NANOS =
             TimeUnit.MILLISECONDS.toNanos(ClientTimeouts.MAX_HESITATION_MILLIS + 50);
 
+    /** The duration of a window. */
     private static final long WINDOW_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-    /** The end of accepting is put off by so many windows, if each brings more connections. */
+    /** The maximum number of windows before the listening socket closes regardless of arrivals. */
     private static final int MAX_FINAL_WINDOWS = 10;
 
-    /** The cap by this is what a window may reject: there are some descriptors beyond the cap. */
+    /**
+     * A window may accept the connection limit divided by this for rejection, from the descriptors
+     * that are reserved beyond the limit.
+     */
     private static final int REJECTIONS_CAP_DIVISOR = 16;
 
     private static final int MIN_REJECTIONS_PER_WINDOW = 4;
@@ -43,21 +49,28 @@
     private long changeCount;
     private long lastRoomNanos;
 
-    /** With the most connections that are held, and what says whether there is room for another. */
+    /**
+     * Creates a gate, to be attached to a listener.
+     *
+     * @param maxConnections the connection limit, from which the rejections per window follow
+     * @param hasRoom whether the open connections are within the limit in effect
+     */
     AcceptGate(SidecarEventLoop loop, int maxConnections, BooleanSupplier hasRoom) {
         this.loop = loop;
         this.maxConnections = maxConnections;
         this.hasRoom = hasRoom;
     }
 
-    /** The listening channel; to be called before all else but {@link #pause}. */
+    /**
+     * Sets the listening channel. Must be called before all other methods except {@link #pause}.
+     */
     void attachTo(Channel listening) {
         listener = listening;
     }
 
     /**
-     * A connection has been accepted, and what could make room for it has done so; returns whether
-     * it is to be rejected.
+     * Counts an accepted connection, after evictions have made room for it where possible. Returns
+     * whether the connection must be rejected.
      */
     boolean onAccepted() {
         acceptedCount++;
@@ -68,7 +81,7 @@
         return rejects;
     }
 
-    /** Connections have come or gone. */
+    /** Updates the gate after the open connections or their limit have changed. */
     void onConnectionsChanged() {
         if (hasRoom.getAsBoolean()) {
             lastRoomNanos = loop.nanoTime();
@@ -76,7 +89,7 @@
         update();
     }
 
-    /** Accepts if there is reason to, and else lets wait. */
+    /** Resumes or pauses accepting, according to the current state. */
     void update() {
         boolean accepts =
                 !stopped && !paused && (windowOpen ? rejectionsLeft > 0 : hasRoom.getAsBoolean());
@@ -105,17 +118,22 @@
                                         + acceptedCount);
     }
 
-    /** Times that accepting was paused or resumed. */
+    /** The number of times that accepting was paused or resumed. */
     long changeCount() {
         return changeCount;
     }
 
-    /** Sets whether nothing is accepted for now, because another process accepts. */
-    void pause(boolean whileOtherAccepts) {
-        paused = whileOtherAccepts;
+    /**
+     * Sets whether accepting is paused because another process of this sidecar accepts. Takes
+     * effect at the next update.
+     */
+    void pause(boolean otherProcessAccepts) {
+        paused = otherProcessAccepts;
     }
 
-    /** Accepts no more; what waits in the listening socket is another process's. */
+    /**
+     * Stops accepting for good and leaves the backlog of the listening socket to another process.
+     */
     void stop() {
         ending = true;
         stopped = true;
@@ -123,9 +141,9 @@
     }
 
     /**
-     * Rejects connections that have waited too long, in a window. Where others hold all connections
-     * that there may be, a client would else only reach its own timeout; rejected, it may retry
-     * here or elsewhere.
+     * Opens a window to reject connections that have waited too long in the backlog. A client that
+     * is rejected can retry here or elsewhere; otherwise, while other clients hold all connections,
+     * it would learn nothing until its own timeout.
      */
     void rejectLongWaiting() {
         if (!hasRoom.getAsBoolean()
@@ -136,30 +154,30 @@
     }
 
     /**
-     * Ends accepting, when a window has brought no more connections: those that wait when the
-     * listening socket closes are reset, though they may have sent a request, and after a stall or
-     * at the cap that may be any number.
+     * Closes the listening channel once a window has brought no more connections. The kernel resets
+     * connections that are in the backlog when the socket closes, even if they have sent a request,
+     * and after a stall or at the connection limit there may be any number of them.
      *
-     * @param closed run when the listening channel has closed
+     * @param closed runs when the listening channel has closed
      */
     void end(Runnable closed) {
         ending = true;
         end(closed, MAX_FINAL_WINDOWS);
     }
 
-    private void end(Runnable closed, int windows) {
+    private void end(Runnable closed, int windowsLeft) {
         long before = acceptedCount;
         openWindow(
                 () -> {
-                    if (acceptedCount > before && windows > 1) {
-                        end(closed, windows - 1);
+                    if (acceptedCount > before && windowsLeft > 1) {
+                        end(closed, windowsLeft - 1);
                     } else {
                         listener.close().addListener(done -> closed.run());
                     }
                 });
     }
 
-    private void openWindow(Runnable then) {
+    private void openWindow(Runnable onClosed) {
         windowOpen = true;
         rejectionsLeft =
                 Math.max(MIN_REJECTIONS_PER_WINDOW, maxConnections / REJECTIONS_CAP_DIVISOR);
@@ -169,7 +187,7 @@
                 () -> {
                     windowOpen = false;
                     update();
-                    then.run();
+                    onClosed.run();
                 });
     }
 }
--- a/sidecar/src/main/java/appleridge/http1/ClientActivity.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientActivity.java
@@ -4,14 +4,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When something last happened on one client connection, and which of its times are up. Loop thread
- * only; all times are nanoseconds of the loop's clock.
+ * Tracks when a client connection was last active and tells which of its time limits have passed.
+ * Event loop only; all times are nanoseconds on the loop's clock.
  */
 final class ClientActivity {
-    /** Bytes a millisecond at which a request's body has to arrive at least. */
+    /** The minimum rate, in bytes per millisecond, at which a request body must arrive. */
     private static final int MIN_BODY_BYTES_PER_MILLI = 60;
 
-    /** A streamed response of which the client takes nothing for so long is cut off. */
+    /**
+     * How long the client of a streamed response may read nothing before the connection is reset.
+     */
     private static final long MAX_STREAM_WRITE_STALL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final MonotonicClock clock;
@@ -19,7 +21,10 @@
     private boolean receiving;
     private long stateSinceNanos;
     private long lastReadNanos;
+
+    /** When reading was paused; 0 while it is not paused. */
     private long readPausedAtNanos;
+
     private long lastStreamProgressNanos;
 
     ClientActivity(MonotonicClock clock) {
@@ -27,12 +32,15 @@
         this.stateSinceNanos = clock.nanoTime();
     }
 
-    /** Everything that the socket held has been read. */
+    /** Records that all available input has been read from the socket. */
     void onReadComplete() {
         lastReadNanos = clock.nanoTime();
     }
 
-    /** A request has begun to arrive: its time runs, however slowly the rest of it comes. */
+    /**
+     * Records that a request has begun to arrive, which starts its time limit. No-op while one
+     * arrives.
+     */
     void onRequestStarted() {
         if (!receiving) {
             receiving = true;
@@ -40,34 +48,34 @@
         }
     }
 
-    /** A request is complete, or its body is from now on streamed. */
+    /** Records that a request is complete, or that its body is streamed from now on. */
     void onRequestReceived() {
         hasReceivedRequest = true;
         receiving = false;
         stateSinceNanos = clock.nanoTime();
     }
 
-    /** The last byte of a streamed request body has arrived. */
+    /** Records that the last byte of a streamed request body has arrived. */
     void onUploadComplete() {
         stateSinceNanos = clock.nanoTime();
     }
 
-    /** A response, or a part of one, has been written or taken by the client. */
+    /** Records that a response or a part of one has been written to, or read by, the client. */
     void onResponseActivity() {
         stateSinceNanos = receiving ? stateSinceNanos : clock.nanoTime();
     }
 
-    /** A streamed response starts, or the client has taken some of it. */
+    /** Records that a streamed response has started, or that the client has read some of it. */
     void onStreamProgress() {
         lastStreamProgressNanos = clock.nanoTime();
     }
 
-    /** Reading stops, for the upstream has enough of the request's body. */
+    /** Records that reading pauses, because the upstream cannot take more of the request body. */
     void onReadPaused() {
         readPausedAtNanos = clock.nanoTime();
     }
 
-    /** Reading goes on; the pause does not count against the client. */
+    /** Records that reading resumes. The pause does not count against the time of the request. */
     void onReadResumed() {
         lastReadNanos = clock.nanoTime();
         stateSinceNanos += lastReadNanos - readPausedAtNanos;
@@ -79,31 +87,32 @@
         return hasReceivedRequest;
     }
 
-    /** Whether a request has begun to arrive and is not complete. */
+    /** Whether a request has begun to arrive and is neither complete nor streamed. */
     boolean isReceiving() {
         return receiving;
     }
 
-    /** Whether reading is paused until the upstream has taken more. */
+    /** Whether reading is paused until the upstream takes more of the request body. */
     boolean isReadPaused() {
         return readPausedAtNanos != 0;
     }
 
-    /** Since when the connection is idle, or when the request being received began. */
+    /** When the connection became idle, or when the request being received began. */
     long stateSinceNanos() {
         return stateSinceNanos;
     }
 
-    /** How long the connection has been as it is. */
+    /** How long the connection has been in its current state, in milliseconds. */
     long stateMillis(long now) {
         return TimeUnit.NANOSECONDS.toMillis(now - stateSinceNanos);
     }
 
     /**
-     * Whether the request being received takes too long: either nothing came for the time that a
-     * request has, or all of it took longer than that and its body's time at the slowest rate.
+     * Whether the request being received takes too long: either nothing has arrived for the request
+     * timeout, or the whole request has taken longer than that timeout plus the time of its body at
+     * the minimum rate.
      *
-     * @param bodyBytes of the body that have arrived
+     * @param bodyBytes the number of body bytes received so far
      */
     boolean isRequestOverdue(long now, ClientTimeouts timeouts, long bodyBytes) {
         return TimeUnit.NANOSECONDS.toMillis(now - lastReadNanos) >= timeouts.requestMillis()
@@ -111,7 +120,7 @@
                         >= timeouts.requestMillis() + bodyBytes / MIN_BODY_BYTES_PER_MILLI;
     }
 
-    /** Whether the client has taken nothing of a streamed response for too long. */
+    /** Whether the client has read nothing of a streamed response for too long. */
     boolean isStreamStalled(long now) {
         return now - lastStreamProgressNanos >= MAX_STREAM_WRITE_STALL_NANOS;
     }
--- a/sidecar/src/main/java/appleridge/http1/ClientConnection.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnection.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One of the application's connections: passes Netty's events to the classes that each do one part
- * of it, and decides when it may be closed.
+ * One client connection. Passes Netty's events to {@link RequestIntake} and {@link
+ * ResponsePipeline}, and decides when the connection may be closed.
  *
- * <p>Requests that come before earlier ones are answered are taken at once, for their time runs;
- * the responses are written in the order of the requests. Loop thread only.
+ * <p>Pipelined requests are processed as soon as they arrive, because their deadlines run from then
+ * on; the responses are written in the order of the requests. Event loop only.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** For so long a connection that was rejected for want of room may read why. */
+    /** How long a client rejected at the connection limit has at least to read the response. */
     private static final long MIN_REJECTION_LINGER_MILLIS = 20;
 
     private final ClientListener listener;
@@ -75,7 +75,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        // What was read together with something that closed the connection still comes here.
+        // Messages decoded from the same read still arrive after one of them closed the connection.
         if (!closing.isInputClosed() && channel.isActive()) {
             intake.onMessage(message);
         }
@@ -104,7 +104,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            listener.log().failure("a client's connection failed", cause);
+            listener.log().failure("client connection failed", cause);
         }
         channel.close();
     }
@@ -117,12 +117,12 @@
         return responses;
     }
 
-    /** What has been written and the system has not taken. */
+    /** The responses that are written but not yet accepted by the kernel. */
     WriteBacklog writeBacklog() {
         return responses.backlog();
     }
 
-    /** Since when it is idle, or when the request being received began. */
+    /** When the connection became idle, or when the request being received began. */
     long stateSinceNanos() {
         return activity.stateSinceNanos();
     }
@@ -135,7 +135,7 @@
         intake.onUploadAbandoned();
     }
 
-    /** Reads what the system holds; returns whether the connection is still there. */
+    /** Reads pending input from the socket. Returns whether the connection is still active. */
     boolean readPendingInput() {
         if (channel.isActive() && channel.config().isAutoRead() && !readActivity.isDelivering()) {
             listener.readNow(channel);
@@ -147,17 +147,17 @@
         listener.logClosed("rejected status=" + status.code());
     }
 
-    /** Tells the client that there is no room for it; nothing that it may have asked is read. */
+    /** Responds that the connection limit is reached, without reading any request. */
     void rejectForCapacity() {
         reject("no room for another connection");
     }
 
-    private void reject(String why) {
+    private void reject(String message) {
         rejected = true;
-        intake.respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, why);
+        intake.respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, message);
     }
 
-    /** Resets the connection, because the client doesn't read. */
+    /** Resets the connection because the client does not read its responses. */
     void resetUnread() {
         listener.logClosed("not_read");
         closing.closeInput();
@@ -169,8 +169,8 @@
     }
 
     /**
-     * Ends it if it is idle, without a reset: a request that crosses the end is discarded, and its
-     * client sees the end and sends it again elsewhere.
+     * Closes the connection in order if it is idle. A request that arrives after this is discarded;
+     * its client sees the end of the connection, not a reset, and can send it again elsewhere.
      */
     void shutDownIfIdle() {
         if (isIdle() && channel.isActive()) {
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Closes it if it is idle. */
+    /** Closes the connection if it is idle. */
     void closeIfIdle() {
         if (isIdle()) {
             evict();
@@ -190,9 +190,9 @@
     }
 
     /**
-     * Closes it unless a request has come; returns whether it did. What the system holds is read
-     * first: after a stall, or while others were served, a request may wait there that would be
-     * lost.
+     * Closes the connection unless a request has arrived. Returns whether it was closed. Reads
+     * pending input first: after a stall, or while other connections were served, the socket may
+     * hold an unread request, which closing would lose.
      */
     boolean evict() {
         if (isIdle() && channel.isActive() && !readActivity.isDelivering()) {
@@ -205,7 +205,7 @@
         return true;
     }
 
-    /** Whether it has had a response and waits for the next request. */
+    /** Whether the connection has had a request answered and waits for the next one. */
     boolean isKeptIdle() {
         return activity.hasReceivedRequest() && isIdle();
     }
@@ -218,10 +218,10 @@
     }
 
     /**
-     * Ends it, at the end of the drain, unless a complete request is open. What the system holds is
-     * read first, for a request there would be lost; a request that has arrived in part is
-     * rejected; and a response that the system has not taken is written before the end, or it would
-     * be cut short.
+     * Closes the connection at the end of the drain unless a complete request is open. Pending
+     * input is read first, because an unread request would be lost. A partly received request is
+     * rejected. A response that is not yet in the socket is flushed before the close, which would
+     * truncate it.
      */
     void closeUnlessRequestOpen() {
         if (responses.isEmpty() && channel.isActive()) {
@@ -243,33 +243,35 @@
     private void closeWhenFlushed() {
         if (!closing.isInputClosed()) {
             closing.closeInput();
-            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(taken -> closing.linger());
+            channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> closing.linger());
         }
     }
 
     /**
-     * Ends what takes too long: a response that is not read, a request that does not end, a
-     * connection that is idle. Each would hold a descriptor for good, also if its client sends a
-     * byte now and then.
+     * Enforces the time limits: resets a connection whose client does not read its response,
+     * rejects a request that takes too long to arrive, and closes an idle connection. Without them
+     * each could hold a descriptor forever, even one whose client sends a byte now and then.
      */
     void expire(long now, ClientTimeouts timeouts) {
-        long idleMillis = activity.stateMillis(now);
+        long stateMillis = activity.stateMillis(now);
         if (responses.backlog().isPending(now, WriteBacklog.MAX_PENDING_NANOS)
                 || responses.isStreamStalled(now)) {
             resetUnread();
-        } else if (!intake.rejectOverdue(now, timeouts) && idleMillis >= idleLimit(timeouts)) {
+        } else if (!intake.rejectOverdue(now, timeouts)
+                && stateMillis >= idleLimitMillis(timeouts)) {
             closeIfIdle();
         }
     }
 
-    private long idleLimit(ClientTimeouts timeouts) {
+    private long idleLimitMillis(ClientTimeouts timeouts) {
         return activity.hasReceivedRequest()
                 ? timeouts.idleMillis()
                 : timeouts.firstRequestMillis();
     }
 
     /**
-     * How readily it is closed to make room for another; among equals the longest so goes first.
+     * The priority of this connection for eviction. Among equals, the one that has been in its
+     * state for longest is evicted first.
      */
     EvictionPriority evictionPriority(long now) {
         long stateMillis = activity.stateMillis(now);
@@ -280,8 +282,8 @@
                                 now,
                                 TimeUnit.MILLISECONDS.toNanos(
                                         ClientTimeouts.MAX_HESITATION_MILLIS));
-        boolean rejectionRead = !rejected || stateMillis >= MIN_REJECTION_LINGER_MILLIS;
-        if (closing.isLingering() && rejectionRead || unread && responses.isEmpty()) {
+        boolean rejectionLingered = !rejected || stateMillis >= MIN_REJECTION_LINGER_MILLIS;
+        if (closing.isLingering() && rejectionLingered || unread && responses.isEmpty()) {
             return EvictionPriority.ENDING;
         }
         if (!isIdle()) {
--- a/sidecar/src/main/java/appleridge/http1/ClientConnectionRegistry.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientConnectionRegistry.java
@@ -8,17 +8,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The client connections that are open, and the bounds on them: evicts connections to make room for
- * new ones, and resets those whose clients do not read. Loop thread only.
+ * Holds the open client connections and enforces their limits: evicts connections to make room for
+ * new ones, and resets those whose clients do not read. Event loop only.
  */
 final class ClientConnectionRegistry {
     /**
-     * Bytes of responses that wait for clients to read, over all connections: a third of what the
-     * process is given outside the heap, where they are held.
+     * The maximum number of response bytes that wait for clients to read, over all connections: a
+     * third of the process's memory outside the heap, where they are held.
      */
     static final long MAX_UNREAD_BYTES = 8 << 20;
 
-    /** Of the cap, for connections that have had their response and are idle. */
+    /** The maximum fraction of the connection limit for connections kept idle after a response. */
     private static final double MAX_KEPT_IDLE_FRACTION = 0.3;
 
     private final SidecarEventLoop loop;
@@ -26,13 +26,13 @@
     private int maxConnections;
     private boolean evicting;
 
-    /** With the most connections that are held at once. */
+    /** Creates an empty registry for at most this number of connections. */
     ClientConnectionRegistry(SidecarEventLoop loop, int maxConnections) {
         this.loop = loop;
         this.maxConnections = maxConnections;
     }
 
-    /** A connection has been accepted; another may be evicted for it. */
+    /** Adds an accepted connection, and evicts others if the limit is exceeded. */
     void add(ClientConnection connection) {
         connections.add(connection);
         makeRoom();
@@ -50,25 +50,25 @@
         return connections.isEmpty();
     }
 
-    /** Whether no more connections are open than may be. */
+    /** Whether the number of open connections is within the limit. */
     boolean isWithinLimit() {
         return connections.size() <= maxConnections;
     }
 
-    /** Sets the most connections that are held at once, and evicts down to it. */
-    void limitTo(int connectionsAtMost) {
-        maxConnections = connectionsAtMost;
+    /** Sets the limit, and evicts connections that exceed it. */
+    void limitTo(int newMaxConnections) {
+        maxConnections = newMaxConnections;
         makeRoom();
     }
 
-    /** The open connections as of now, oldest first; not changed by what is closed meanwhile. */
+    /** Returns a copy of the open connections, oldest first. */
     List<ClientConnection> snapshot() {
         return List.copyOf(connections);
     }
 
     /**
-     * Evicts until the limit holds, as far as there are connections to evict. Without this, clients
-     * that send nothing, or no more, would keep out those that do.
+     * Evicts connections until the limit holds or none can be evicted. Without this, clients that
+     * send no requests would keep out those that do.
      */
     void makeRoom() {
         if (connections.size() > maxConnections) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Evicts one connection, if there is one to evict. */
+    /** Evicts one connection, if any can be evicted. */
     void evictOne() {
         int before = connections.size();
         evictWhile(() -> connections.size() == before);
@@ -92,32 +92,35 @@
     }
 
     /**
-     * Runs something that closes connections, unless that is going on already. What is to be closed
-     * is read first, and what is read may be answered at once, which leads here again: without
-     * this, as deep as there are connections.
+     * Runs a task that closes connections, unless one is running already. Eviction reads pending
+     * input first, a request read this way may be answered at once, and its response triggers
+     * eviction again: without this guard the recursion could be as deep as there are connections.
      */
-    private void whileEvicting(Runnable what) {
+    private void whileEvicting(Runnable task) {
         if (evicting) {
             return;
         }
         evicting = true;
         try {
-            what.run();
+            task.run();
         } finally {
             evicting = false;
         }
     }
 
-    /** Evicts the connection of the highest priority; returns false if there is none to evict. */
+    /**
+     * Tries to evict the connection of the highest priority, which may fail because a request has
+     * arrived on it. Returns false if no connection can be evicted.
+     */
     private boolean tryToEvict() {
         long now = loop.nanoTime();
         ClientConnection candidate = null;
         EvictionPriority highest = EvictionPriority.NEVER;
-        for (ClientConnection each : connections) {
-            EvictionPriority priority = each.evictionPriority(now);
+        for (ClientConnection connection : connections) {
+            EvictionPriority priority = connection.evictionPriority(now);
             int order = priority.compareTo(highest);
-            if (order > 0 || order == 0 && candidate != null && isOlder(each, candidate)) {
-                candidate = each;
+            if (order > 0 || order == 0 && candidate != null && isOlder(connection, candidate)) {
+                candidate = connection;
                 highest = priority;
             }
         }
@@ -128,16 +131,17 @@
         return candidate != null;
     }
 
-    private static boolean isOlder(ClientConnection one, ClientConnection other) {
-        return one.stateSinceNanos() - other.stateSinceNanos() < 0;
+    private static boolean isOlder(ClientConnection first, ClientConnection second) {
+        return first.stateSinceNanos() - second.stateSinceNanos() < 0;
     }
 
     /**
-     * Closes the longest idle connection where more are kept idle than may be.
+     * Closes the longest idle connection if more are kept idle than allowed.
      *
-     * <p>The application's descriptors are bounded too. Where its clients ask once and keep their
-     * connection, or another sidecar's clients come over, all of them would be idle here while its
-     * requests find none. Where more clients than are kept ask now and then, each has to reconnect.
+     * <p>The application's descriptors are limited too. If its clients send one request each and
+     * keep their connections, or the clients of another sidecar move to this one, all of its
+     * descriptors could be held by idle connections here while new requests find none. The cost is
+     * that where more clients than that send requests only now and then, each has to reconnect.
      */
     void boundKeptIdle() {
         int maxKept = (int) (maxConnections * MAX_KEPT_IDLE_FRACTION);
@@ -156,13 +160,16 @@
     }
 
     /**
-     * Resets the connections that have waited longest for their clients to read, over the bound.
+     * Resets the connections that have waited longest for their clients to read, until the unread
+     * bytes are within the limit.
      */
     void boundUnread() {
         long unreadBytes =
-                connections.stream().mapToLong(each -> each.writeBacklog().pendingBytes()).sum();
+                connections.stream()
+                        .mapToLong(connection -> connection.writeBacklog().pendingBytes())
+                        .sum();
         while (unreadBytes > MAX_UNREAD_BYTES) {
-            // Streamed responses are bounded by themselves: their sources wait.
+            // Streamed responses are not tracked here: backpressure on their sources bounds them.
             WriteBacklog longest =
                     connections.stream()
                             .map(ClientConnection::writeBacklog)
@@ -180,7 +187,7 @@
         }
     }
 
-    /** Logs that a client's connection is closed from this side, and why. */
+    /** Logs the reason why this side closes a client connection. */
     void logClosed(String reason) {
         loop.log()
                 .event(
--- a/sidecar/src/main/java/appleridge/http1/ClientExchange.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientExchange.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * One request of a client connection and the response to it: words outcomes as HTTP, and holds the
- * response until {@link ResponsePipeline} writes it. Loop thread only.
+ * One request of a client connection and its response. Converts the final result of the request to
+ * an HTTP response, and holds that until {@link ResponsePipeline} writes it. Event loop only.
  */
 final class ClientExchange implements ResponseSink {
     private static final byte[] NO_BODY = {};
@@ -32,11 +32,11 @@
     private StreamedBody upload;
     private boolean streamStarted;
     private boolean streamComplete;
-    private boolean streamEndsConnection;
+    private boolean closeAfterStream;
     private Runnable cancellation = () -> {};
 
     /**
-     * For one request.
+     * Creates an exchange without a response.
      *
      * @param keepAlive whether the client may use the connection for another request
      * @param chunkedAllowed whether the client's HTTP version has chunked bodies
@@ -47,28 +47,28 @@
         this.chunkedAllowed = chunkedAllowed;
     }
 
-    /** What cancels the request where its client goes away. */
-    void onCancel(Runnable cancels) {
-        cancellation = cancels;
+    /** Sets the task that cancels the request when its client disconnects. */
+    void onCancel(Runnable newCancellation) {
+        cancellation = newCancellation;
     }
 
-    /** Cancels the request, once. */
+    /** Cancels the request. Further calls have no effect. */
     void cancel() {
         cancellation.run();
         cancellation = () -> {};
     }
 
-    /** Its body is streamed, from what has arrived on. */
-    void uploadFrom(StreamedBody body) {
+    /** Sets the streamed request body. */
+    void setUpload(StreamedBody body) {
         upload = body;
     }
 
-    /** The streamed request body; null where the body was held whole. */
+    /** The streamed request body; null if the body was buffered whole. */
     StreamedBody upload() {
         return upload;
     }
 
-    /** Whether some of a streamed request body has not arrived. */
+    /** Whether a streamed request body has not arrived completely. */
     boolean isUploadIncomplete() {
         return upload != null && !upload.isComplete();
     }
@@ -81,17 +81,20 @@
         return chunkedAllowed;
     }
 
-    /** Whether something of the response can be written that has not been. */
+    /**
+     * Whether {@link ResponsePipeline} has something to write: a buffered response, or the start or
+     * end of a streamed one.
+     */
     boolean isWritable() {
         return response != null || responseStream != null && (!streamStarted || streamComplete);
     }
 
-    /** The response where it is held whole; null while there is none. */
+    /** The buffered response; null while there is none. */
     FullHttpResponse response() {
         return response;
     }
 
-    /** The response where it is streamed; null else. */
+    /** The body of a streamed response; null if there is none. */
     StreamedBody responseStream() {
         return responseStream;
     }
@@ -104,18 +107,18 @@
         return streamComplete;
     }
 
-    /** Whether the connection ends behind the streamed response. */
-    boolean isConnectionEndedByStream() {
-        return streamEndsConnection;
+    /** Whether the connection closes after the streamed response. */
+    boolean closesConnectionAfterStream() {
+        return closeAfterStream;
     }
 
-    /** The streamed response's head is being written. */
-    void onStreamStarted(boolean endsConnection) {
+    /** Records that the head of the streamed response is being written. */
+    void onStreamStarted(boolean closesConnection) {
         streamStarted = true;
-        streamEndsConnection = endsConnection;
+        closeAfterStream = closesConnection;
     }
 
-    /** Its client is gone: the request is cancelled and what is streamed ends. */
+    /** Cancels the request and discards streamed bodies, because the client has disconnected. */
     void onConnectionClosed() {
         cancellation.run();
         if (responseStream != null) {
@@ -129,8 +132,8 @@
     @Override
     public void readPendingInput() {
         if (!connection.readPendingInput()) {
-            // Netty reports the end of a connection in a later task; the caller has to know it now,
-            // or it would send for a client that has left.
+            // Netty reports the end of a connection in a later task. Without cancelling here, the
+            // caller would send an attempt for a client that has already disconnected.
             cancellation.run();
         }
     }
@@ -149,8 +152,8 @@
     }
 
     @Override
-    public void onServed(UpstreamResponse reply) {
-        HttpUpstreamResponse served = (HttpUpstreamResponse) reply;
+    public void onServed(UpstreamResponse upstreamResponse) {
+        HttpUpstreamResponse served = (HttpUpstreamResponse) upstreamResponse;
         respond(
                 HttpResponseStatus.OK,
                 Headers.endToEnd(served.headers()).remove(Headers.LOAD),
@@ -180,7 +183,7 @@
     @Override
     public void abort() {
         if (responseStream != null && !streamStarted) {
-            // Nothing of it has been written: the client still gets a response, in its turn.
+            // Nothing has been written yet, so the client still gets a response, in its turn.
             responseStream.discard();
             responseStream = null;
             onFailed(FailureCause.UPSTREAM);
@@ -191,12 +194,17 @@
         }
     }
 
-    /** A response without length and chunks: an orderly end would make a part look complete. */
+    /**
+     * Whether the end of the connection delimits the response, which has neither a length nor
+     * chunks. An orderly close would then make a truncated response look complete.
+     */
     private boolean isDelimitedByClose() {
         return responseStream != null && !chunkedAllowed && responseStream.length() < 0;
     }
 
-    /** Responds with a short text; {@code allowed} are the methods that would have been right. */
+    /**
+     * Responds with a short text; {@code allowed} lists the methods for an Allow header, if any.
+     */
     void respondText(HttpResponseStatus status, String text, HttpMethod... allowed) {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -18,23 +18,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The listening side: accepts the application's connections and ends them in order. All methods are
- * to be called on the loop, unless nothing runs on it yet.
+ * Accepts client connections and closes them in order at the end. All methods must be called on the
+ * event loop, unless nothing runs on it yet.
  */
 public final class ClientListener {
-    /** Between two checks of all connections for what takes too long. */
+    /** The period at which the time limits of all connections are checked. */
     private static final long MAINTENANCE_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Between two checks of the loop's lag: half of what a disconnect may go unseen. */
+    /**
+     * The period of the loop's lag check: half of the time for which a disconnect may go unseen.
+     */
     private static final long STALL_TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-    /** After accepting failed, for descriptors to be free again. */
+    /** The delay after a failed accept, in which descriptors may become free. */
     private static final long ACCEPT_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** Connections accepted between two checks of the cap, and so at most beyond it. */
+    /** Connections accepted between two checks of the limit, and so the most in excess of it. */
     private static final int MAX_ACCEPTS_PER_READ = 4;
 
-    /** Connections that the system holds for us. */
+    /** The length of the kernel's backlog of connections that are not accepted yet. */
     private static final int LISTEN_BACKLOG = 1024;
 
     private final SidecarEventLoop loop;
@@ -51,9 +53,13 @@
     private final Scheduler.ScheduledTask stallTicks;
     private Channel listener;
     private boolean listenerInherited;
-    private boolean warm;
+    private boolean warmedUp;
 
-    /** With the most connections that are held at once. */
+    /**
+     * Creates a listener and starts its periodic checks.
+     *
+     * @param maxConnections the maximum number of open connections
+     */
     public ClientListener(
             SidecarEventLoop loop,
             SocketFactory sockets,
@@ -76,15 +82,16 @@
         this.stallTicks = loop.scheduleAtFixedDelay(STALL_TICK_PERIOD_NANOS, coordinator::tick);
     }
 
-    /** Listens on this address only; the future has the address when it does. */
+    /** Binds to an address. The future completes when the channel listens. */
     public ChannelFuture listen(InetSocketAddress address) {
         return startAccepting(bootstrap().channelFactory(sockets::newServerChannel).bind(address));
     }
 
     /**
-     * Accepts from a socket that the platform holds, which stays open when this listener ends.
+     * Accepts from a listening socket that the platform holds, which stays open when this listener
+     * is closed.
      *
-     * @param now whether at once, or else only after {@link #setConnectionShare} says so
+     * @param now whether to accept at once, or only after {@link #setConnectionShare} allows it
      */
     public ChannelFuture listen(InheritedListener socket, boolean now) {
         listenerInherited = true;
@@ -124,24 +131,24 @@
 
     /** Ends the warm-up: from now on {@link #isReady} may return true. */
     public void markWarmedUp() {
-        warm = true;
+        warmedUp = true;
     }
 
     /**
-     * What it may use beside another process of this sidecar.
+     * Sets this process's share of the connections while another process of this sidecar runs.
      *
-     * @param accepts whether it accepts new connections
-     * @param part of the connections that it may hold alone
+     * @param accepts whether this process accepts new connections
+     * @param fraction the fraction of the connection limit that this process may use
      */
-    public void setConnectionShare(boolean accepts, double part) {
-        connections.limitTo(Math.max(1, (int) (maxConnections * part)));
+    public void setConnectionShare(boolean accepts, double fraction) {
+        connections.limitTo(Math.max(1, (int) (maxConnections * fraction)));
         acceptGate.pause(!accepts);
         acceptGate.onConnectionsChanged();
     }
 
-    /** Whether it can serve: warm, with an upstream host to use, and not draining. */
+    /** Whether it can serve requests: warmed up, not draining, and with a ready upstream host. */
     public boolean isReady() {
-        return warm && !drain.hasStarted() && coordinator.hasReadyHost();
+        return warmedUp && !drain.hasStarted() && coordinator.hasReadyHost();
     }
 
     SidecarEventLoop loop() {
@@ -156,7 +163,7 @@
         return requestParser;
     }
 
-    /** Reads at once what the system holds for a connection. */
+    /** Reads pending input of a connection from its socket at once. */
     void readNow(Channel channel) {
         sockets.readNow(channel);
     }
@@ -165,12 +172,12 @@
         return loop.log();
     }
 
-    /** Whether every response is the last one on its connection. */
-    boolean isLastCall() {
-        return drain.isLastCall();
+    /** Whether the drain closes each connection after its next response. */
+    boolean closesConnectionsAfterResponse() {
+        return drain.closesConnectionsAfterResponse();
     }
 
-    /** A connection has been accepted. */
+    /** Registers an accepted connection, or rejects it at the limit. */
     void onConnectionOpened(ClientConnection connection) {
         connections.add(connection);
         if (acceptGate.onAccepted()) {
@@ -179,7 +186,7 @@
         acceptGate.onConnectionsChanged();
     }
 
-    /** Responses have been written: the connection may be idle, and could make room. */
+    /** Enforces the limits after responses have been written, which may leave a connection idle. */
     void onResponsesWritten() {
         if (!connections.isWithinLimit()) {
             connections.makeRoom();
@@ -188,27 +195,27 @@
         connections.boundKeptIdle();
     }
 
-    /** A response waits for its client to read. */
+    /** Enforces the limit on unread bytes, because a response waits for its client to read. */
     void onResponseUnread() {
         connections.boundUnread();
     }
 
-    /** A connection has closed. */
+    /** Removes a closed connection, and ends the drain if it was the last one. */
     void onConnectionClosed(ClientConnection connection) {
         connections.remove(connection);
         acceptGate.onConnectionsChanged();
         drain.endIfDrained();
     }
 
-    /** Logs that a client's connection is closed from this side, and why. */
+    /** Logs the reason why this side closes a client connection. */
     void logClosed(String reason) {
         connections.logClosed(reason);
     }
 
     /**
-     * No descriptor was left, though the cap leaves room: one connection is evicted, and accepting
-     * is tried again later. Tried again at once, it would fail over and over and take the loop's
-     * time.
+     * Handles an accept that failed for want of descriptors although the limit leaves room: evicts
+     * one connection and resumes accepting after a delay. An immediate retry would fail again and
+     * again, and keep the event loop busy.
      */
     private void onAcceptFailed() {
         listener.config().setAutoRead(false);
@@ -220,28 +227,28 @@
         coordinator.tick();
         long now = loop.nanoTime();
         monitor.tick(now);
-        connections.snapshot().forEach(each -> each.expire(now, timeouts));
+        connections.snapshot().forEach(connection -> connection.expire(now, timeouts));
         connections.makeRoom();
         acceptGate.rejectLongWaiting();
     }
 
     /**
-     * Begins to drain. Where the platform holds the listening socket, another process accepts from
-     * it already or will.
+     * Starts the drain. If the platform holds the listening socket, another process accepts from it
+     * now or later.
      *
-     * @param signalledAgoNanos since the process was told to end
-     * @param whenDrained run once, when all connections are closed
+     * @param signalledAgoNanos the time since the process received SIGTERM
+     * @param whenDrained runs once, when all connections are closed
      */
     public void drain(long signalledAgoNanos, Runnable whenDrained) {
         drain.start(listener, listenerInherited, signalledAgoNanos, whenDrained);
     }
 
-    /** What is known of stalls and spins of the event loop. */
+    /** The monitor of stalls and spins of the event loop. */
     public EventLoopMonitor monitor() {
         return monitor;
     }
 
-    /** Times since the start that accepting was paused or resumed. */
+    /** The number of times that accepting was paused or resumed since the start. */
     public long acceptGateChanges() {
         return acceptGate.changeCount();
     }
@@ -251,7 +258,7 @@
         return connections.size();
     }
 
-    /** Ends at once, whatever is open. */
+    /** Closes the listener and all connections at once, including those with open requests. */
     public void close() {
         maintenance.cancel();
         stallTicks.cancel();
--- a/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientTimeouts.java
@@ -3,20 +3,20 @@
 import appleridge.config.Defaults;
 
 /**
- * How long a client connection may stay as it is, in milliseconds.
+ * The time limits of a client connection, in milliseconds.
  *
- * @param requestMillis from a request's first byte to its last
- * @param firstRequestMillis from the connection's start to its first request's first byte
- * @param idleMillis from a response to the next request's first byte
+ * @param requestMillis from the first byte of a request to its last byte
+ * @param firstRequestMillis from the start of a connection to the first byte of its first request
+ * @param idleMillis from a response to the first byte of the next request
  */
 public record ClientTimeouts(long requestMillis, long firstRequestMillis, long idleMillis) {
-    /** What {@link Defaults} says, with the reasons. */
+    /** The defaults, whose reasons are given in {@link Defaults}. */
     public static final ClientTimeouts DEFAULT =
             new ClientTimeouts(
                     Defaults.REQUEST_TIMEOUT_MILLIS,
                     Defaults.FIRST_REQUEST_TIMEOUT_MILLIS,
                     Defaults.IDLE_TIMEOUT_MILLIS);
 
-    /** A client that means to send a request has done so by then. */
+    /** How long a client that intends to send a request may take to do so after connecting. */
     static final long MAX_HESITATION_MILLIS = 250;
 }
--- a/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
+++ b/sidecar/src/main/java/appleridge/http1/DrainSchedule.java
@@ -3,43 +3,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the steps of a drain come, in nanoseconds after SIGTERM. Pure arithmetic on what the
- * platform promises.
+ * The times of the steps of a drain, in nanoseconds after SIGTERM, computed from the platform's
+ * guarantees.
  *
- * <p>Invariant: the drain ends before SIGKILL may come, however short deadlines are; what SIGKILL
- * finds unanswered is lost.
+ * <p>Invariant: the drain ends before SIGKILL can arrive, however short the deadlines are. A
+ * request that is not answered by then is lost.
  *
- * @param acceptUntilNanos new connections are accepted up to here
- * @param lastCallNanos from here on each response is the last one on its connection, and idle
- *     connections are closed
- * @param endNanos requests whose response has not begun expire; streams may go on
+ * @param acceptUntilNanos when accepting new connections ends
+ * @param connectionCloseNanos from when on idle connections are closed, and the others after their
+ *     next response
+ * @param endNanos when requests whose response has not begun expire; streams may continue
  */
-record DrainSchedule(long acceptUntilNanos, long lastCallNanos, long endNanos) {
-    /** SIGKILL comes no sooner than the longest deadline and this, counted from SIGTERM. */
+record DrainSchedule(long acceptUntilNanos, long connectionCloseNanos, long endNanos) {
+    /** SIGKILL follows SIGTERM no sooner than after the longest deadline plus this delay. */
     private static final long MIN_KILL_DELAY_NANOS = millis(700);
 
-    /** The platform waits for no more than this of a deadline before SIGKILL. */
+    /** The part of a longer deadline for which the platform delays SIGKILL. */
     private static final long MAX_AWAITED_DEADLINE_NANOS = millis(3000);
 
     /**
-     * Of the time up to SIGKILL, what is kept in reserve: the process may stall before it sees
-     * SIGTERM, and again between reading its clock and writing.
+     * The reserve before SIGKILL, because the process may stall before it handles SIGTERM and again
+     * between reading its clock and writing a response.
      */
     private static final long RESERVE_NANOS = millis(400);
 
-    /** Of the time up to SIGKILL, the most that is kept in reserve. */
+    /** The maximum fraction of the time up to SIGKILL for the reserve. */
     private static final double MAX_RESERVE_FRACTION = 0.5;
 
-    /** New connections go on coming for up to 0.4 s after SIGTERM; the rest is margin. */
+    /** New connections may arrive for up to 0.4 s after SIGTERM; the rest is margin. */
     private static final long ACCEPT_NANOS = millis(600);
 
-    /** For the last requests and their responses. */
+    /** The time for the last requests and their responses. */
     private static final long LAST_REQUESTS_NANOS = millis(300);
 
-    /** Of the whole time, the most that is for the last requests. */
+    /** The maximum fraction of the drain for the last requests. */
     private static final double MAX_LAST_REQUESTS_FRACTION = 1.0 / 3;
 
-    /** For the longest time that a client waits. */
+    /** Returns the schedule for the longest deadline of any request class. */
     static DrainSchedule of(long longestDeadlineNanos) {
         long kill =
                 Math.min(MAX_AWAITED_DEADLINE_NANOS, longestDeadlineNanos) + MIN_KILL_DELAY_NANOS;
--- a/sidecar/src/main/java/appleridge/http1/EvictionPriority.java
+++ b/sidecar/src/main/java/appleridge/http1/EvictionPriority.java
@@ -1,19 +1,19 @@
 package appleridge.http1;
 
-/** How readily a client connection is closed to make room for another, least readily first. */
+/** The order in which client connections are closed to make room, last one first. */
 enum EvictionPriority {
     /**
-     * Not at all: a request is open, or arriving, or still to be expected as the first one, which
-     * the client would not send again; or its response is being written.
+     * Never evicted: a request is open or arriving, a response is being written, or the connection
+     * is so new that its first request is still expected, which the client might not send again.
      */
     NEVER,
 
-    /** It has had a response and is idle. */
+    /** Idle after a response. */
     KEPT_IDLE,
 
-    /** It was opened some time ago and has sent nothing. */
+    /** Open for some time without having sent any request. */
     SILENT,
 
-    /** It lingers behind its last response, or its client does not read. */
+    /** Lingering after its last response, or held by a client that does not read. */
     ENDING
 }
--- a/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
+++ b/sidecar/src/main/java/appleridge/http1/GracefulDrain.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends the listening side in order: what is open is answered, connections end without a reset, and
- * all of it is over before the platform kills the process. Loop thread only.
+ * Drains the client side: open requests are answered, connections are closed without a reset, and
+ * the drain ends before the platform kills the process. Event loop only.
  */
 final class GracefulDrain {
-    /** For the loop to look for events, so that what the system holds is seen. */
+    /** Time for the event loop to read events that the kernel already holds. */
     private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
     /**
-     * Beside a process that accepts already, for so long after SIGTERM an idle connection may still
-     * bring a request, whose response then says that it was the last one.
+     * How long after SIGTERM idle connections stay open while another process accepts. A request
+     * that arrives in this time gets a response with {@code Connection: close}.
      */
     private static final long KEEP_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
@@ -27,7 +27,7 @@
     private Channel listener;
     private boolean listenerInherited;
     private boolean started;
-    private boolean lastCall;
+    private boolean closingConnections;
     private boolean settling;
     private Runnable onDrained;
 
@@ -42,25 +42,25 @@
         this.acceptGate = acceptGate;
     }
 
-    /** Whether the drain has begun. */
+    /** Whether the drain has started. */
     boolean hasStarted() {
         return started;
     }
 
-    /** Whether every response is the last one on its connection. */
-    boolean isLastCall() {
-        return lastCall;
+    /** Whether each connection is closed after its next response. */
+    boolean closesConnectionsAfterResponse() {
+        return closingConnections;
     }
 
     /**
-     * Begins. Beside another process that accepts from the same socket nothing more is accepted,
-     * each response is the last one on its connection, and idle connections are ended soon.
+     * Starts the drain. If another process accepts from the same socket, this one stops accepting,
+     * closes each connection after its next response, and closes idle connections soon.
      *
      * @param listening the listening channel
      * @param inherited whether the platform holds its socket, so that another process accepts
-     * @param signalledAgoNanos since the process was told to end: SIGKILL does not wait for a late
-     *     loop
-     * @param whenDrained run once, when all connections are closed
+     * @param signalledAgoNanos the time since the process received SIGTERM, from which the time up
+     *     to SIGKILL counts even if the event loop was late to handle it
+     * @param whenDrained runs once, when all connections are closed
      */
     void start(Channel listening, boolean inherited, long signalledAgoNanos, Runnable whenDrained) {
         listener = listening;
@@ -77,33 +77,34 @@
                         + TimeUnit.NANOSECONDS.toMillis(schedule.endNanos()));
         if (listenerInherited) {
             acceptGate.stop();
-            lastCall = true;
+            closingConnections = true;
             loop.scheduleAt(
                     signalledAt + KEEP_IDLE_NANOS,
                     () -> connections.snapshot().forEach(ClientConnection::shutDownIfIdle));
         } else {
             drainAlone(signalledAt, schedule);
         }
-        // What is due at the end is answered at the end; what is open after that is not waited for.
+        // Requests that expire at the end are answered then; requests open after that are not
+        // waited for.
         loop.scheduleAt(signalledAt + schedule.endNanos() + SETTLE_NANOS, this::closeRemaining);
         endIfDrained();
     }
 
     /**
-     * Drains where no other process accepts: accepting ends soon, but connections are served for as
-     * long as SIGKILL is known not to come, for the sidecar that takes them over may not be up yet,
-     * and with neither all requests fail. Holds only while SIGKILL comes no sooner than promised,
-     * and clients go elsewhere before the end.
+     * Drains while no other process accepts. Accepting ends soon, but open connections are served
+     * for as long as SIGKILL is guaranteed not to arrive: the sidecar that takes over may not be up
+     * yet, and without either all requests would fail. Relies on SIGKILL arriving no sooner than
+     * guaranteed, and on clients connecting elsewhere before the end.
      */
     private void drainAlone(long signalledAt, DrainSchedule schedule) {
         loop.scheduleAt(
                 signalledAt + schedule.acceptUntilNanos(),
                 () -> acceptGate.end(this::endIfDrained));
         loop.scheduleAt(
-                signalledAt + schedule.lastCallNanos(),
+                signalledAt + schedule.connectionCloseNanos(),
                 () -> {
                     logStep("last_call");
-                    lastCall = true;
+                    closingConnections = true;
                     connections.snapshot().forEach(ClientConnection::closeIfIdle);
                     endIfDrained();
                 });
@@ -115,10 +116,10 @@
     }
 
     /**
-     * Ends the drain if nothing is open; to be called when a connection has closed.
+     * Ends the drain if no connection is open. Must be called whenever a connection has closed.
      *
-     * <p>The loop looks for events once more first: the system's listening socket ends only then,
-     * and what connects before, or had been handed over, would be reset by the process's end.
+     * <p>Waits for one more turn of the event loop first: only then does the kernel close the
+     * listening socket, and the exit of the process would reset any connection that arrived before.
      */
     void endIfDrained() {
         if (isDrained() && !settling) {
@@ -128,9 +129,9 @@
                     () -> {
                         settling = false;
                         if (isDrained()) {
-                            Runnable notified = onDrained;
+                            Runnable callback = onDrained;
                             onDrained = null;
-                            notified.run();
+                            callback.run();
                         }
                     });
         }
--- a/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
+++ b/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
@@ -6,26 +6,26 @@
 import java.util.List;
 
 /**
- * Checks the lines of a head before Netty's decoder, which accepts what another reader of the same
- * bytes would read in another way: lines without a colon, folded lines, control bytes before the
- * first line. One for each connection.
+ * Validates the lines of a message head ahead of Netty's decoder, which accepts input that another
+ * parser may interpret differently: header lines without a colon, folded lines, and control bytes
+ * before the start line. Holds the state of one connection.
  */
 final class HeadLineValidator {
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-    /** Whether empty lines may stand before a head, as they may before a request's. */
+    /** Whether empty lines may precede a head, as RFC 9112, 2.2, allows for requests. */
     private final boolean leadingEmptyLinesAllowed;
 
     private boolean inHead = true;
     private boolean startLineSeen;
 
-    HeadLineValidator(boolean emptyAhead) {
-        this.leadingEmptyLinesAllowed = emptyAhead;
+    HeadLineValidator(boolean leadingEmptyLinesAllowed) {
+        this.leadingEmptyLinesAllowed = leadingEmptyLinesAllowed;
     }
 
     /**
-     * Whether all complete lines of a head are well formed. To be called before each step of the
-     * decoder, which takes all complete lines out.
+     * Whether all complete head lines in the buffer are well formed. Must be called before each
+     * step of the decoder, which consumes all complete lines.
      */
     boolean areWellFormed(ByteBuf in) {
         if (!inHead) {
@@ -42,7 +42,7 @@
             }
             int end = lf - 1;
             if (lf == from && !startLineSeen && leadingEmptyLinesAllowed) {
-                // The decoder has taken the other half of this empty line.
+                // The decoder has consumed the carriage return of this empty line already.
                 end = from;
             } else if (lf == from || in.getByte(end) != '\r') {
                 return false;
@@ -63,13 +63,13 @@
         }
     }
 
-    /** What the decoder made of a step: its list, from the index of the first new object on. */
+    /** Tracks the objects decoded in one step, from the index of the first new one on. */
     void onDecoded(List<Object> objects, int first) {
-        for (Object each : objects.subList(first, objects.size())) {
-            if (each instanceof HttpMessage) {
+        for (Object object : objects.subList(first, objects.size())) {
+            if (object instanceof HttpMessage) {
                 inHead = false;
             }
-            if (each instanceof LastHttpContent) {
+            if (object instanceof LastHttpContent) {
                 inHead = true;
                 startLineSeen = false;
             }
@@ -82,10 +82,12 @@
     }
 
     private static boolean isStartLine(ByteBuf in, int from, int end) {
-        return mayBeText(in, from, end) && in.getByte(from) > ' ';
+        return isText(in, from, end) && in.getByte(from) > ' ';
     }
 
-    /** A name of token characters with a colon right behind it. */
+    /**
+     * Whether a line is a field name of token characters, directly followed by a colon, and text.
+     */
     private static boolean isField(ByteBuf in, int from, int end) {
         int colon = in.indexOf(from, end, (byte) ':');
         if (colon <= from) {
@@ -102,11 +104,14 @@
                 return false;
             }
         }
-        return mayBeText(in, colon, end);
+        return isText(in, colon, end);
     }
 
-    /** No control bytes but tabs; what is above ASCII is nobody's line end. */
-    private static boolean mayBeText(ByteBuf in, int from, int end) {
+    /**
+     * Whether there are no control bytes other than tabs. No parser ends a line at bytes above
+     * ASCII.
+     */
+    private static boolean isText(ByteBuf in, int from, int end) {
         for (int i = from; i < end; i++) {
             int c = in.getByte(i) & 0xff;
             if (c < ' ' && c != '\t' || c == 0x7f) {
--- a/sidecar/src/main/java/appleridge/http1/Headers.java
+++ b/sidecar/src/main/java/appleridge/http1/Headers.java
@@ -6,33 +6,35 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** The protocol's own headers, and which headers are hop-by-hop. */
+/** The headers of the load balancer's protocol, and the handling of hop-by-hop headers. */
 public final class Headers {
-    /** Names a request; required, once. */
+    /** The id of the request. Required exactly once. */
     public static final AsciiString REQUEST_ID = AsciiString.cached("x-request-id");
 
-    /** The request's class, by its name in the settings; required, once. */
+    /** The name of the request class in the settings. Required exactly once. */
     public static final AsciiString CLASS = AsciiString.cached("x-class");
 
-    /** The request's tenant, by its name in the settings; once at most. */
+    /** The name of the tenant in the settings. At most once. */
     public static final AsciiString TENANT = AsciiString.cached("x-tenant");
 
-    /** Seconds that the client waits, or that are left for an upstream; required, once. */
+    /**
+     * The seconds that the client waits, or that are left for an upstream. Required exactly once.
+     */
     public static final AsciiString DEADLINE = AsciiString.cached("x-deadline");
 
-    /** {@code 1} where the client itself retries. */
+    /** {@code 1} if the request is a retry by the client itself. */
     public static final AsciiString RETRY = AsciiString.cached("x-retry");
 
-    /** The client's estimate of the work, in microseconds. */
+    /** The client's estimate of the work of the request, in microseconds. */
     public static final AsciiString COST_HINT = AsciiString.cached("x-cost-hint");
 
-    /** Required for classes that are idempotent by key; once at most. */
+    /** The idempotency key. Required for classes that are idempotent by key; at most once. */
     public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("idempotency-key");
 
-    /** {@code 1} in a 503 or 504 of an upstream that did not run the request. */
+    /** {@code 1} in a 503 or 504 response of an upstream that did not run the request. */
     public static final AsciiString NOT_RUN = AsciiString.cached("x-not-run");
 
-    /** An upstream's load report: {@code name=value}, separated by commas. */
+    /** The load report of an upstream: {@code name=value} pairs, separated by commas. */
     public static final AsciiString LOAD = AsciiString.cached("x-load");
 
     private static final List<AsciiString> HOP_BY_HOP =
@@ -51,13 +53,13 @@
 
     private Headers() {}
 
-    /** A copy without hop-by-hop headers and framing, which are made anew at each hop. */
+    /** Returns a copy without hop-by-hop and framing headers, which each hop sets itself. */
     static HttpHeaders endToEnd(HttpHeaders headers) {
         HttpHeaders copy = new DefaultHttpHeaders().set(headers);
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
-            for (String named : value.split(",")) {
-                if (!named.isBlank()) {
-                    copy.remove(named.trim());
+            for (String name : value.split(",")) {
+                if (!name.isBlank()) {
+                    copy.remove(name.trim());
                 }
             }
         }
@@ -65,7 +67,7 @@
         return copy;
     }
 
-    /** A duration in seconds as the protocol writes it, with three decimals; not below 0. */
+    /** Formats a duration as seconds with up to three decimals; a negative one as 0. */
     static String seconds(long nanos) {
         return Double.toString(Math.max(0, nanos / 1_000_000) / 1000.0);
     }
--- a/sidecar/src/main/java/appleridge/http1/InvalidRequestException.java
+++ b/sidecar/src/main/java/appleridge/http1/InvalidRequestException.java
@@ -4,14 +4,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * What a client sent makes no sense; it is answered at once, and nothing is sent to an upstream.
- * The message is what the client reads. Without a stack trace, for any client can cause any number.
+ * A client's request is invalid: it is answered at once and not sent to an upstream. The message is
+ * the text of the response. Has no stack trace, because clients can cause any number of these.
  */
 final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
     private static final HttpMethod[] NO_METHODS = {};
 
-    /** What is wrong with a request. */
+    /** The kinds of invalid requests. */
     enum Problem {
         UNKNOWN_PATH(HttpResponseStatus.NOT_FOUND),
         METHOD_NOT_ALLOWED(HttpResponseStatus.METHOD_NOT_ALLOWED),
@@ -36,12 +36,12 @@
         this.allowedMethods = allowedMethods;
     }
 
-    /** With the text that the client reads. */
+    /** Creates an exception with the text of the response. */
     static InvalidRequestException of(Problem problem, String message) {
         return new InvalidRequestException(problem, message, NO_METHODS);
     }
 
-    /** With the text that the client reads, and the methods that would have been right. */
+    /** Creates an exception with the text of the response and the methods that are allowed. */
     static InvalidRequestException methodNotAllowed(String message, HttpMethod... allowed) {
         return new InvalidRequestException(Problem.METHOD_NOT_ALLOWED, message, allowed);
     }
@@ -50,12 +50,12 @@
         return problem;
     }
 
-    /** The status with which it is answered. */
+    /** The status of the response. */
     HttpResponseStatus status() {
         return problem.status;
     }
 
-    /** The methods that would have been right; empty unless the method was wrong. */
+    /** The allowed methods; empty unless the method was wrong. */
     HttpMethod[] allowedMethods() {
         return allowedMethods;
     }
--- a/sidecar/src/main/java/appleridge/http1/LingeringClose.java
+++ b/sidecar/src/main/java/appleridge/http1/LingeringClose.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a client connection in two steps: input is discarded from some point on, and when the last
- * response has been written only the output is shut down at first.
+ * Closes a client connection in two steps: input is discarded from some point on, and after the
+ * last response only the output is shut down at first, while the socket closes later.
  *
- * <p>Invariant: the socket is not closed with input unread right behind a response; TCP would reset
- * the connection, and the response could be lost on its way. Loop thread only.
+ * <p>Invariant: the socket is not closed directly after a response while it has unread input. TCP
+ * would reset the connection, and the client could lose the response. Event loop only.
  */
 final class LingeringClose {
-    /** For so long the client may read the last response before the socket is closed. */
+    /** How long the client has to read the last response before the socket is closed. */
     private static final long LINGER_MILLIS = 500;
 
     private final Channel channel;
@@ -28,23 +28,23 @@
         this.loop = loop;
     }
 
-    /** Whatever comes from now on is discarded. */
+    /** Discards all further input. */
     void closeInput() {
         inputClosed = true;
         readActivity.discardInput();
     }
 
-    /** The connection is gone. */
+    /** Records that the connection has closed. */
     void onChannelInactive() {
         inputClosed = true;
     }
 
-    /** Whether nothing that comes is taken any more. */
+    /** Whether further input is discarded. */
     boolean isInputClosed() {
         return inputClosed;
     }
 
-    /** Shuts the output down, and closes the socket after {@value #LINGER_MILLIS} ms. */
+    /** Shuts down the output, and closes the socket after {@value #LINGER_MILLIS} ms. */
     void linger() {
         if (channel.isActive()) {
             lingering = true;
--- a/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * Hands the requests of one client connection to the request coordinator, or answers them at once:
- * the readiness check, and what is malformed. Loop thread only.
+ * Passes the requests of one client connection to the request coordinator. Answers readiness checks
+ * and invalid requests itself. Event loop only.
  */
 final class RequestDispatcher {
     private static final byte[] NO_BODY = {};
@@ -24,7 +24,7 @@
         this.channel = channel;
     }
 
-    /** Takes a request that has been received whole. */
+    /** Dispatches a request whose body has been buffered whole. */
     void dispatch(HttpRequest request, byte[] content, ClientExchange exchange) {
         if (request.uri().equals(READY_PATH)) {
             answerReadiness(request.method(), exchange);
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Takes a request whose body is streamed.
+     * Dispatches a request whose body is streamed.
      *
-     * @param begun what has arrived of the body
+     * @param begun the part of the body received so far
      */
     void dispatchUpload(
             HttpRequest request, ByteBuf begun, ClientExchange exchange, long arrivedNanos) {
@@ -62,9 +62,10 @@
     }
 
     /**
-     * Reads on before a request is accepted. A new connection may have waited to be accepted, or
-     * all of them to be read, until the client gave up; without this, what nobody waits for would
-     * be sent.
+     * Reads pending input before a request is accepted, and drops the request if its client has
+     * disconnected. A connection may have waited in the backlog, or unread during a stall, until
+     * its client gave up; without this check its request would be sent although nobody waits for
+     * it.
      */
     private void acceptIfPresent(ClientRequest request, ClientExchange exchange) {
         listener.readNow(channel);
@@ -95,7 +96,7 @@
         exchange.respondText(cause.status(), cause.getMessage(), cause.allowedMethods());
     }
 
-    /** Counts a request that made no sense. */
+    /** Counts a malformed request. */
     void onMalformedRequest() {
         listener.coordinator().metrics().onMalformedRequest();
     }
--- a/sidecar/src/main/java/appleridge/http1/RequestIntake.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestIntake.java
@@ -14,16 +14,18 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Assembles requests from what a client connection's decoder reads. A body up to {@link
- * MessageFraming#MAX_BUFFERED_BODY_BYTES} is held whole; a longer one with a known length is
- * streamed. Loop thread only.
+ * Assembles requests from the decoded messages of a client connection. A body of up to {@link
+ * MessageFraming#MAX_BUFFERED_BODY_BYTES} is buffered whole; a longer one with a known length is
+ * streamed. Event loop only.
  */
 final class RequestIntake implements StreamedBody.Source {
     /**
-     * Requests that may wait for responses on one connection, and that may begin in one read.
+     * The maximum number of requests that await responses on one connection, and that begin in one
+     * read.
      *
-     * <p>More end the connection. If reading stopped instead, a client's disconnect would not be
-     * seen; and many in one read, even if answered at once, would make all other clients wait.
+     * <p>A connection that exceeds it is closed. If reading paused instead, a disconnect of the
+     * client would go unnoticed; and many requests in one read, even if answered at once, would
+     * delay all other clients.
      */
     private static final int MAX_PIPELINED = 16;
 
@@ -62,7 +64,7 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Takes the next part of what the client sends. */
+    /** Processes the next decoded part of the input. */
     void onMessage(HttpObject message) {
         if (message.decoderResult().isFailure()) {
             onMalformed();
@@ -82,13 +84,13 @@
 
     private void onMalformed() {
         if (uploading != null) {
-            cutUpload(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
+            abortUpload(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         } else {
             reject(HttpResponseStatus.BAD_REQUEST, "malformed HTTP");
         }
     }
 
-    /** Whether the request is taken, as far as its head tells; else it is rejected. */
+    /** Begins a request. Returns false if its head shows that it must be rejected. */
     private boolean begin(HttpRequest request) {
         if (!MessageFraming.hasUnambiguousLength(request)) {
             reject(
@@ -134,7 +136,7 @@
         activity.onRequestReceived();
         readActivity.onMessageComplete(decoder.hasBufferedBytes());
         ClientExchange exchange = newExchange(request);
-        closeInputBehindLast(exchange);
+        closeInputAfterLast(exchange);
         dispatcher.dispatch(request, content, exchange);
     }
 
@@ -148,16 +150,17 @@
         return exchange;
     }
 
-    /** What a client sends behind its last request gets no response, so it must have no effect. */
-    private void closeInputBehindLast(ClientExchange exchange) {
+    /** Discards input after the last request: it gets no response, so it must have no effect. */
+    private void closeInputAfterLast(ClientExchange exchange) {
         if (!exchange.isKeepAlive()) {
             closing.closeInput();
         }
     }
 
     /**
-     * Only a body with a known length is streamed: chunks tell nothing of what is to come, and an
-     * upstream would read up to the limit of what is no request.
+     * Streams a body that is too long to be buffered. Rejects one without a known length: its size
+     * cannot be checked in advance, and an upstream would read up to the limit of a request that is
+     * rejected in the end.
      */
     private void streamInsteadOfBuffering(HttpContent content) {
         if (!HttpUtil.isContentLengthSet(head)) {
@@ -171,15 +174,15 @@
     }
 
     /**
-     * Takes a request whose body is too long to be held, with what has arrived of it: up to here a
-     * slow sender has held no upstream's slot.
+     * Dispatches a request with the part of its body received so far. Up to this point a slow
+     * sender has not occupied a slot of an upstream.
      */
     private void beginUpload() {
         HttpRequest request = head;
         head = null;
         activity.onRequestReceived();
         ClientExchange exchange = newExchange(request);
-        exchange.uploadFrom(
+        exchange.setUpload(
                 new StreamedBody(request.headers(), HttpUtil.getContentLength(request, -1L), this));
         uploading = exchange;
         uploadedBytes = body.readableBytes();
@@ -190,7 +193,7 @@
         ClientExchange exchange = uploading;
         uploadedBytes += content.content().readableBytes();
         if (uploadedBytes > MessageFraming.MAX_STREAMED_BODY_BYTES) {
-            cutUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
+            abortUpload(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             return;
         }
         exchange.upload().write(content.content().retain());
@@ -198,13 +201,15 @@
             uploading = null;
             activity.onUploadComplete();
             readActivity.onMessageComplete(decoder.hasBufferedBytes());
-            closeInputBehindLast(exchange);
+            closeInputAfterLast(exchange);
             exchange.upload().complete();
         }
     }
 
-    /** Ends a request whose streamed body can't be completed: it is cancelled. */
-    private void cutUpload(HttpResponseStatus status, String why) {
+    /**
+     * Cancels a request whose streamed body cannot be completed, and responds if still possible.
+     */
+    private void abortUpload(HttpResponseStatus status, String message) {
         ClientExchange exchange = uploading;
         uploading = null;
         closing.closeInput();
@@ -212,35 +217,35 @@
         dispatcher.onMalformedRequest();
         exchange.cancel();
         if (exchange.isStreamStarted()) {
-            // Its response is being written and will not be completed; no other can take its place.
+            // A response is already being written and cannot be replaced by another one.
             channel.close();
         } else {
-            exchange.respondText(status, why);
+            exchange.respondText(status, message);
         }
     }
 
-    /** Its response has been written: nothing more of the body that is uploaded is wanted. */
+    /** Drops the rest of a streamed request body, because the response has been written already. */
     void onUploadAbandoned() {
         uploading = null;
     }
 
-    /** Rejects what can't be read on from: a response behind those owed, and the end. */
-    private void reject(HttpResponseStatus status, String why) {
+    /** Rejects malformed input after which no further request can be read. */
+    private void reject(HttpResponseStatus status, String message) {
         dispatcher.onMalformedRequest();
-        respondAndClose(status, why);
+        respondAndClose(status, message);
     }
 
-    /** Takes nothing more, responds behind the responses owed, and closes the connection. */
-    void respondAndClose(HttpResponseStatus status, String why) {
+    /** Discards further input, responds after the pending responses, and closes the connection. */
+    void respondAndClose(HttpResponseStatus status, String message) {
         connection.logClosed(status);
         closing.closeInput();
         head = null;
         ClientExchange exchange = new ClientExchange(connection, false, false);
         responses.add(exchange);
-        exchange.respondText(status, why);
+        exchange.respondText(status, message);
     }
 
-    /** The upstream has enough to read. A disconnect is seen again when reading goes on. */
+    /** Pauses reading. A disconnect goes unnoticed until reading resumes. */
     @Override
     public void pause() {
         activity.onReadPaused();
@@ -253,7 +258,7 @@
         channel.config().setAutoRead(true);
     }
 
-    /** Everything that the socket held has been read. */
+    /** Handles the end of a read, after which all available input has been processed. */
     void onReadComplete() {
         requestsInRead = 0;
         activity.onReadComplete();
@@ -264,7 +269,7 @@
         }
     }
 
-    /** Rejects the request that is being received if it takes too long; returns whether it does. */
+    /** Rejects the request being received if it takes too long. Returns whether it was rejected. */
     boolean rejectOverdue(long now, ClientTimeouts timeouts) {
         if (closing.isInputClosed()) {
             return false;
@@ -276,7 +281,7 @@
         if (uploading != null
                 && !activity.isReadPaused()
                 && activity.isRequestOverdue(now, timeouts, uploadedBytes)) {
-            cutUpload(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
+            abortUpload(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not end in time");
             return true;
         }
         return false;
--- a/sidecar/src/main/java/appleridge/http1/RequestParser.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestParser.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Turns what a client sent into a {@link ClientRequest}, or says what is wrong with it. Holds no
- * state but the configuration.
+ * Parses the head of a client's HTTP request into a {@link ClientRequest}, and rejects invalid
+ * requests. Has no state other than the configuration.
  */
 public final class RequestParser {
     private static final String PATH = "/api";
@@ -28,14 +28,14 @@
     private static final int HEXADECIMAL = 16;
 
     /**
-     * The longest deadline that is valid, unless its class's own is longer. A valid one beyond its
-     * class's is cut to that.
+     * The longest valid deadline, unless the deadline of the request class is longer. A valid
+     * deadline beyond that of the class is reduced to it.
      */
     private static final double MAX_DEADLINE_SECONDS = 60;
 
     /**
-     * Headers that may stand once. Of two only the first would be read here, while both are
-     * forwarded, and an upstream may go by the second.
+     * Headers that must not be repeated. Only the first of two would be checked here, while both
+     * are forwarded and an upstream might use the second.
      */
     private static final List<AsciiString> SINGLE_HEADERS =
             List.of(
@@ -47,17 +47,17 @@
 
     private final SidecarConfig config;
 
-    /** For the classes and tenants of a configuration. */
+    /** Creates a parser for the request classes and tenants of a configuration. */
     public RequestParser(SidecarConfig config) {
         this.config = config;
     }
 
     /**
-     * The request of a head and its body.
+     * Parses a request.
      *
-     * @param body empty where it is streamed
-     * @param arrivedNanos when it arrived, by the loop's clock
-     * @throws InvalidRequestException with what is wrong, checked in the order path, method,
+     * @param body the whole body; empty if it is streamed
+     * @param arrivedNanos the time of arrival on the loop's clock
+     * @throws InvalidRequestException for the first problem found in the order path, method,
      *     headers
      */
     ClientRequest parse(HttpRequest head, byte[] body, long arrivedNanos)
@@ -73,7 +73,7 @@
         return new ClientRequest(
                 id,
                 arrivedNanos,
-                patienceNanos(headers, requestClass),
+                timeoutNanos(headers, requestClass),
                 classIndex,
                 tenant(headers.get(Headers.TENANT, "").strip()),
                 affinityKey(headers.get(HttpHeaderNames.COOKIE)),
@@ -97,9 +97,9 @@
     }
 
     private static void checkSingleHeaders(HttpHeaders headers) throws InvalidRequestException {
-        for (AsciiString each : SINGLE_HEADERS) {
-            if (headers.getAll(each).size() > 1) {
-                throw InvalidRequestException.of(Problem.REPEATED_HEADER, each + " more than once");
+        for (AsciiString name : SINGLE_HEADERS) {
+            if (headers.getAll(name).size() > 1) {
+                throw InvalidRequestException.of(Problem.REPEATED_HEADER, name + " more than once");
             }
         }
     }
@@ -125,10 +125,10 @@
             RequestClass requestClass, HttpMethod method, HttpHeaders headers)
             throws InvalidRequestException {
         Idempotency idempotency = requestClass.idempotency();
-        HttpMethod wanted =
+        HttpMethod required =
                 idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        if (!method.equals(wanted)) {
-            throw InvalidRequestException.methodNotAllowed("the class wants " + wanted, wanted);
+        if (!method.equals(required)) {
+            throw InvalidRequestException.methodNotAllowed("the class wants " + required, required);
         }
         if (idempotency == Idempotency.IDEMPOTENT_BY_KEY
                 && headers.get(Headers.IDEMPOTENCY_KEY, "").isBlank()) {
@@ -137,12 +137,13 @@
     }
 
     /**
-     * How long the client waits, cut to its class's deadline: held for longer, a request would hold
-     * its place for as long, and outlive the drain, which waits for the longest class.
+     * How long the client waits, reduced to the deadline of the request class. A longer one would
+     * keep the request's place occupied for as long, and could outlast the drain, whose schedule
+     * follows from the longest deadline of any class.
      */
-    private static long patienceNanos(HttpHeaders headers, RequestClass requestClass)
+    private static long timeoutNanos(HttpHeaders headers, RequestClass requestClass)
             throws InvalidRequestException {
-        double seconds = number(headers.get(Headers.DEADLINE));
+        double seconds = parseNumber(headers.get(Headers.DEADLINE));
         double classSeconds = requestClass.deadlineNanos() / (double) TimeUnit.SECONDS.toNanos(1);
         if (!(seconds > 0 && seconds <= Math.max(MAX_DEADLINE_SECONDS, classSeconds))) {
             throw InvalidRequestException.of(
@@ -153,17 +154,18 @@
     }
 
     /**
-     * The client's estimate of the work; 0 for none, and for one beyond the class's deadline, which
-     * would count for more work than all other requests together.
+     * The client's estimate of the work; 0 if there is none or if it exceeds the deadline of the
+     * request class, because a single such request could outweigh all others together.
      */
     private static long costHintNanos(HttpHeaders headers, RequestClass requestClass) {
-        double nanos = number(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
+        double nanos =
+                parseNumber(headers.get(Headers.COST_HINT)) * TimeUnit.MICROSECONDS.toNanos(1);
         return nanos > 0 && nanos <= requestClass.deadlineNanos() ? (long) nanos : 0;
     }
 
     /**
-     * The tenant's index in the settings; the first one's where a request names none. An unknown
-     * name is rejected, or it would use up the first tenant's quota.
+     * The index of a tenant in the settings; 0 if the request names none. An unknown name is
+     * rejected, because it would otherwise use up the quota of the first tenant.
      */
     private int tenant(String name) throws InvalidRequestException {
         int tenant = indexOf(config.tenantNames(), name);
@@ -177,7 +179,10 @@
         return Math.max(0, tenant);
     }
 
-    /** The index of a header's value; a head is read as Latin-1, while the settings are UTF-8. */
+    /**
+     * The index of a header's value in a list of names; -1 if there is none. The value was decoded
+     * as Latin-1, while the names come from UTF-8 settings, so both readings are tried.
+     */
     private static int indexOf(List<String> names, String value) {
         int index = names.indexOf(value);
         return index >= 0
@@ -188,7 +193,7 @@
                                 StandardCharsets.UTF_8));
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return text == null ? Double.NaN : Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -196,7 +201,7 @@
         }
     }
 
-    /** The key of what the request is about; 0 for none. */
+    /** The affinity key from the cookie {@value #AFFINITY_COOKIE}; 0 if there is none. */
     private static long affinityKey(String cookies) {
         if (cookies == null) {
             return 0;
--- a/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
+++ b/sidecar/src/main/java/appleridge/http1/ResponsePipeline.java
@@ -15,11 +15,11 @@
 import java.util.ArrayDeque;
 
 /**
- * The open requests of one client connection, in the order in which they came, which is the order
- * in which their responses are written. Loop thread only.
+ * The open requests of one client connection in the order of their arrival. Writes their responses
+ * in the same order, as HTTP/1.1 pipelining requires. Event loop only.
  */
 final class ResponsePipeline {
-    /** Bytes of a streamed response that the system holds for its client. */
+    /** The size of the kernel's send buffer while a response is streamed. */
     private static final int STREAM_SEND_BUFFER_BYTES = 256 << 10;
 
     private final ClientConnection connection;
@@ -47,7 +47,7 @@
         this.backlog = new WriteBacklog(channel, connection.loop());
     }
 
-    /** A request has come; its response is owed behind all others. */
+    /** Appends a request, whose response follows those of all earlier ones. */
     void add(ClientExchange exchange) {
         exchanges.add(exchange);
     }
@@ -60,17 +60,18 @@
         return exchanges.size();
     }
 
-    /** What has been written and the system has not taken. */
+    /** The responses that are written but not yet accepted by the kernel. */
     WriteBacklog backlog() {
         return backlog;
     }
 
-    /** Writes all responses that are ready and have none ahead of them that is not. */
+    /** Writes responses in order, up to the first one that is not ready. */
     void writeReady() {
         while (!exchanges.isEmpty() && exchanges.peek().isWritable()) {
             ClientExchange first = exchanges.peek();
-            boolean mayGoOn = first.responseStream() != null ? stream(first) : writeWhole(first);
-            if (!mayGoOn) {
+            boolean mayContinue =
+                    first.responseStream() != null ? stream(first) : writeWhole(first);
+            if (!mayContinue) {
                 return;
             }
         }
@@ -80,10 +81,10 @@
         listener.onResponsesWritten();
     }
 
-    /** Writes a response that is held whole; returns whether the next one may follow. */
+    /** Writes a buffered response. Returns whether the next one may follow. */
     private boolean writeWhole(ClientExchange exchange) {
         if (backlog.pendingBytes() > WriteBacklog.MAX_PENDING_BYTES) {
-            // What a client asks for and doesn't read would pile up here.
+            // Without this limit, unread responses of a pipelining client would accumulate here.
             connection.resetUnread();
             return false;
         }
@@ -101,7 +102,7 @@
             exchange.upload().discard();
         }
         if (last) {
-            endBehind(written);
+            closeAfter(written);
             if (backlog.isPending()) {
                 listener.onResponseUnread();
             }
@@ -111,7 +112,7 @@
         return true;
     }
 
-    /** Starts a streamed response, or ends it; returns whether the next one may follow. */
+    /** Starts or ends a streamed response. Returns whether the next one may follow. */
     private boolean stream(ClientExchange exchange) {
         if (!exchange.isStreamStarted()) {
             startStream(exchange);
@@ -120,9 +121,9 @@
     }
 
     /**
-     * Writes a streamed response's head, and what has come of its body. A client of HTTP/1.0 knows
-     * no chunks and takes the connection's end for the response's; only a reset shows it that a
-     * response is not complete.
+     * Writes the head of a streamed response and the part of its body received so far. An HTTP/1.0
+     * client does not support chunks and takes the end of the connection as the end of the
+     * response, so that only a reset tells it that a response is incomplete.
      */
     private void startStream(ClientExchange exchange) {
         StreamedBody body = exchange.responseStream();
@@ -144,8 +145,8 @@
         } else if (chunked) {
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        // Left alone, the system's send buffer grows, and a slow client shows no progress for
-        // seconds.
+        // The kernel would grow the send buffer by default, so that a slow client would show no
+        // progress for seconds and be taken for a stalled one.
         channel.config().setOption(ChannelOption.SO_SNDBUF, STREAM_SEND_BUFFER_BYTES);
         channel.config().setWriteBufferWaterMark(StreamedBody.WRITE_BUFFER_WATER_MARK);
         channel.write(head);
@@ -157,8 +158,8 @@
         ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         backlog.track(written);
         activity.onResponseActivity();
-        if (exchange.isConnectionEndedByStream()) {
-            endBehind(written);
+        if (exchange.closesConnectionAfterStream()) {
+            closeAfter(written);
             return false;
         }
         written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
@@ -168,9 +169,15 @@
         return true;
     }
 
-    /** Whether the drain makes a response the last one, with so many open behind it. */
+    /**
+     * Whether the drain makes a response the last one on the connection.
+     *
+     * @param openBehind the number of open requests behind it
+     */
     private boolean endsForDrain(int openBehind) {
-        return listener.isLastCall() && openBehind == 0 && !readActivity.hasPartialMessage();
+        return listener.closesConnectionsAfterResponse()
+                && openBehind == 0
+                && !readActivity.hasPartialMessage();
     }
 
     private static void setConnectionHeader(HttpResponse response, boolean last) {
@@ -180,12 +187,12 @@
                         last ? HttpHeaderValues.CLOSE : HttpHeaderValues.KEEP_ALIVE);
     }
 
-    private void endBehind(ChannelFuture lastWrite) {
+    private void closeAfter(ChannelFuture lastWrite) {
         closing.closeInput();
         lastWrite.addListener(done -> closing.linger());
     }
 
-    /** The client has taken some of what waits, or more waits for it than should. */
+    /** Updates activity and backpressure when the channel becomes writable or full. */
     void onWritabilityChanged() {
         activity.onResponseActivity();
         StreamedBody streaming = streaming();
@@ -195,12 +202,12 @@
         }
     }
 
-    /** Whether a response is being streamed of which the client takes nothing. */
+    /** Whether a response is being streamed and the client has read nothing of it for too long. */
     boolean isStreamStalled(long now) {
         return streaming() != null && !channel.isWritable() && activity.isStreamStalled(now);
     }
 
-    /** The response that is being streamed; null for none. */
+    /** The body of the response being streamed; null if there is none. */
     private StreamedBody streaming() {
         ClientExchange first = exchanges.peek();
         return first != null && first.isStreamStarted() && !first.isStreamComplete()
@@ -208,7 +215,7 @@
                 : null;
     }
 
-    /** The connection is gone: all that is open ends, in the order in which it came. */
+    /** Ends all open requests in the order of their arrival, because the connection has closed. */
     void onChannelInactive() {
         while (!exchanges.isEmpty()) {
             exchanges.poll().onConnectionClosed();
--- a/sidecar/src/main/java/appleridge/http1/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/appleridge/http1/StrictRequestDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import java.util.List;
 
-/** Reads requests strictly: what could be read in two ways might hide a second request. */
+/** Decodes requests strictly: an ambiguous one could smuggle a second request. */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     private final HeadLineValidator headLines = new HeadLineValidator(true);
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Whether bytes of a further request have been read and not decoded. */
+    /** Whether bytes of a further request have been read but not decoded. */
     boolean hasBufferedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
+++ b/sidecar/src/main/java/appleridge/http1/WriteBacklog.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How much of what is written to a client the system has not taken, and for how long. A response
- * mostly fits into the system's buffers: what waits here is for a client that does not read. Loop
- * thread only.
+ * Tracks the responses written to a client that the kernel has not accepted yet, and for how long.
+ * A response usually fits into the kernel's buffers, so a backlog means that the client does not
+ * read. Event loop only.
  */
 final class WriteBacklog {
     /**
-     * Bytes behind which no further response is written: four of the largest. Even a client that
-     * pipelines is not so far behind for long.
+     * The maximum number of pending bytes at which another response may be written: four of the
+     * largest. Even a pipelining client is not so far behind for long.
      */
     static final long MAX_PENDING_BYTES = 4 * MessageFraming.MAX_BUFFERED_BODY_BYTES;
 
     /**
-     * How long a response may wait for the system to take it: as long as a request may take to
+     * How long a response may wait for the kernel to accept it: as long as a request may take to
      * arrive, and longer than any latency objective.
      */
     static final long MAX_PENDING_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -30,12 +30,12 @@
     private int pendingWrites;
     private long pendingSinceNanos;
 
-    WriteBacklog(Channel channel, MonotonicClock time) {
+    WriteBacklog(Channel channel, MonotonicClock clock) {
         this.channel = channel;
-        this.clock = time;
+        this.clock = clock;
     }
 
-    /** A response is being written. */
+    /** Tracks the write of a response. */
     void track(ChannelFuture written) {
         if (written.isDone()) {
             return;
@@ -50,30 +50,30 @@
                 });
     }
 
-    /** Whether the system has not taken some response yet. */
+    /** Whether the kernel has not accepted some response yet. */
     boolean isPending() {
         return pendingWrites > 0;
     }
 
-    /** Whether it has not taken one for so many nanoseconds. */
+    /** Whether a response has been pending, with no write completed, for at least this time. */
     boolean isPending(long now, long atLeastNanos) {
         return pendingWrites > 0 && now - pendingSinceNanos >= atLeastNanos;
     }
 
-    /** Since when the oldest response that waits could have been taken. */
+    /** When the oldest pending response became first in line. */
     long pendingSinceNanos() {
         return pendingSinceNanos;
     }
 
-    /** Bytes that wait; 0 where the connection has closed. */
+    /** The number of pending bytes; 0 if the connection has closed. */
     long pendingBytes() {
         ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
         return buffer == null ? 0 : buffer.totalPendingWriteBytes();
     }
 
     /**
-     * Closes the connection with a reset, so that the system keeps nothing for a client that won't
-     * read.
+     * Closes the connection with a reset, so that the kernel drops the data of a client that does
+     * not read.
      */
     void reset() {
         if (channel.isOpen()) {
--- a/sidecar/src/main/java/appleridge/http1/package-info.java
+++ b/sidecar/src/main/java/appleridge/http1/package-info.java
@@ -1,7 +1,7 @@
 /**
- * HTTP/1.1 on both sides: client connections are accepted, read and answered; requests are sent to
- * upstreams on kept connections. Decides nothing about where a request goes: it hands requests to
- * the request coordinator and reports which outcome of an attempt a socket event proves. All of it
- * runs on the event loop's thread.
+ * HTTP/1.1 towards clients and upstreams: accepts client connections, parses requests and writes
+ * responses, and sends requests to upstreams over pooled keep-alive connections. Does not decide
+ * where a request goes: it passes requests to the request coordinator and reports the outcome of an
+ * attempt that a socket event proves. Everything here runs on the event loop's thread.
  */
 package appleridge.http1;
--- a/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
+++ b/sidecar/src/test/java/appleridge/http1/DrainScheduleTest.java
@@ -11,9 +11,9 @@
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** Guards against an end that SIGKILL may come ahead of, for some deadline. */
+    /** Guards against a deadline for which SIGKILL may arrive before the end of the drain. */
     @Test
-    void drainEndsBeforeSigkillWithStepsInOrderForAnyDeadline() {
+    void stepsAreInOrderBeforeSigkillForAnyDeadline() {
         for (long deadline = 0; deadline <= 10_000; deadline += 10) {
             DrainSchedule schedule = DrainSchedule.of(millis(deadline));
             long kill = millis(700 + Math.min(3000, deadline));
@@ -21,7 +21,8 @@
                     schedule.endNanos() <= kill - millis(300),
                     "deadline " + deadline + ": " + schedule);
             assertTrue(
-                    schedule.lastCallNanos() > 0 && schedule.lastCallNanos() < schedule.endNanos(),
+                    schedule.connectionCloseNanos() > 0
+                            && schedule.connectionCloseNanos() < schedule.endNanos(),
                     schedule.toString());
             assertTrue(schedule.acceptUntilNanos() <= schedule.endNanos(), schedule.toString());
         }
@@ -34,7 +35,7 @@
                 DrainSchedule.of(millis(6000)));
     }
 
-    /** Clients connect for up to 0.4 s after SIGTERM, wherever that is ahead of the end. */
+    /** Clients may connect for up to 0.4 s after SIGTERM, even with the shortest deadlines. */
     @Test
     void shortDeadlineStillLeavesTimeToAcceptConnections() {
         assertTrue(DrainSchedule.of(millis(100)).acceptUntilNanos() >= millis(400));
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -16,7 +16,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Which headers make a request, and which make it invalid. */
+/** Parsing of valid and invalid request headers. */
 class RequestParserTest {
     private static final String TWO_TENANTS =
             "\"parties\":["
@@ -55,7 +55,7 @@
         assertEquals(problem, invalid.problem());
     }
 
-    /** Guards against a check of the first header where an upstream goes by the second. */
+    /** Guards against checking the first of two headers while an upstream uses the second. */
     @Test
     void repeatedHeaderIsRejected() throws Exception {
         String[][] lines = {
@@ -72,12 +72,12 @@
                 assertInvalid(Problem.REPEATED_HEADER, head);
             }
         }
-        HttpRequest free = request();
-        free.headers().add("X-Extras", "a=1").add("X-Extras", "b=2");
-        assertEquals("id", parse(free).id());
+        HttpRequest repeatedOther = request();
+        repeatedOther.headers().add("X-Extras", "a=1").add("X-Extras", "b=2");
+        assertEquals("id", parse(repeatedOther).id());
     }
 
-    /** Guards against a customer whose names have letters that a head's bytes are not read as. */
+    /** Guards against names that never match: heads are decoded as Latin-1, settings as UTF-8. */
     @Test
     void classAndTenantNamesMayContainNonAsciiLetters() throws Exception {
         String parties = TWO_TENANTS.replace("acme", "\u65ed\u5ddd, les m\u00eames");
@@ -89,9 +89,9 @@
         assertThrows(InvalidRequestException.class, () -> parse(parties, head));
     }
 
-    /** Guards against requests held beyond the time for which their class's clients wait. */
+    /** Guards against requests held for longer than the deadline of their request class. */
     @Test
-    void deadlineIsCutToDeadlineOfClass() throws Exception {
+    void deadlineIsReducedToDeadlineOfClass() throws Exception {
         HttpRequest head = request();
         assertEquals(500_000_000L, parse(head).timeoutNanos());
         for (String deadline : new String[] {"3", "3.0001", "60"}) {
@@ -102,14 +102,15 @@
         assertInvalid(Problem.HEADER_OUT_OF_RANGE, head);
     }
 
-    /** Guards against a customer whose every request is rejected, because its clients wait long. */
+    /** Guards against rejecting all requests of a class whose deadline exceeds one minute. */
     @Test
     void classDeadlineMayExceedOneMinute() throws Exception {
-        String patient =
+        String longDeadline =
                 LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
         RequestParser parser =
-                new RequestParser(SidecarConfig.parse(patient.getBytes(StandardCharsets.UTF_8)));
+                new RequestParser(
+                        SidecarConfig.parse(longDeadline.getBytes(StandardCharsets.UTF_8)));
         HttpRequest head = request();
         for (String deadline : new String[] {"75.5", "90"}) {
             head.headers().set(Headers.DEADLINE, deadline);
@@ -122,8 +123,8 @@
     }
 
     /**
-     * Guards against one bad client whose request counts for more than all others together: slow
-     * start and load shedding go by the estimated work.
+     * Guards against a single request whose cost hint outweighs all others together: slow start and
+     * load shedding use the estimated work.
      */
     @Test
     void costHintBeyondClassDeadlineIsIgnored() throws Exception {
@@ -139,21 +140,21 @@
         }
     }
 
-    /** Guards against the first tenant's quota used up under names that nobody has. */
+    /** Guards against requests with an unknown tenant that use up the quota of the first one. */
     @Test
     void unknownTenantIsRejected() throws Exception {
         HttpRequest head = request();
-        assertEquals(0, parse(head).tenant(), "none is named");
+        assertEquals(0, parse(head).tenant(), "no tenant named");
         head.headers().set(Headers.TENANT, "");
-        assertEquals(0, parse(head).tenant(), "none is named");
+        assertEquals(0, parse(head).tenant(), "no tenant named");
         head.headers().set(Headers.TENANT, "acme");
         assertEquals(1, parse(head).tenant());
         head.headers().set(Headers.TENANT, "Acme");
         assertInvalid(Problem.UNKNOWN_HEADER_VALUE, head);
-        assertEquals(0, parse("\"parties\":[]", head).tenant(), "the settings have none");
+        assertEquals(0, parse("\"parties\":[]", head).tenant(), "no tenants in the settings");
         assertEquals(
                 0,
                 parse("\"parties\":[{\"portion\":1.0,\"quotaRps\":9}]", head).tenant(),
-                "the settings don't name theirs");
+                "unnamed tenant in the settings");
     }
 }
