--- a/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
+++ b/sidecar/src/main/java/appleridge/admin/protocol/AdminServer.java
@@ -165,7 +165,7 @@
                         });
     }
 
-    /** Pauses accepting after a failure for want of descriptors, which are expected to free up. */
+    /** Pauses accepting after a failure for lack of descriptors, and resumes after a delay. */
     private void onAcceptFailed() {
         setAccepting(false);
         loop.schedule(BIND_RETRY_NANOS, this::enforceLimit);
--- a/sidecar/src/main/java/appleridge/http1/ClientListener.java
+++ b/sidecar/src/main/java/appleridge/http1/ClientListener.java
@@ -213,7 +213,7 @@
     }
 
     /**
-     * Handles an accept that failed for want of descriptors although the limit leaves room: evicts
+     * Handles an accept that failed for lack of descriptors although the limit leaves room: evicts
      * one connection and resumes accepting after a delay. An immediate retry would fail again and
      * again, and keep the event loop busy.
      */
--- a/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
+++ b/sidecar/src/main/java/appleridge/http1/RequestDispatcher.java
@@ -47,13 +47,13 @@
     /**
      * Dispatches a request whose body is streamed.
      *
-     * @param begun the part of the body received so far
+     * @param receivedPart the part of the body received so far
      */
     void dispatchUpload(
-            HttpRequest request, ByteBuf begun, ClientExchange exchange, long arrivedNanos) {
+            HttpRequest request, ByteBuf receivedPart, ClientExchange exchange, long arrivedNanos) {
         try {
             ClientRequest parsed = listener.requestParser().parse(request, NO_BODY, arrivedNanos);
-            exchange.upload().write(begun);
+            exchange.upload().write(receivedPart);
             HttpUpstreamRequest message = (HttpUpstreamRequest) parsed.message();
             accept(parsed.with(message.withStreamedBody(exchange.upload())), exchange);
         } catch (InvalidRequestException e) {
--- a/sidecar/src/main/java/appleridge/http1/StreamedBody.java
+++ b/sidecar/src/main/java/appleridge/http1/StreamedBody.java
@@ -15,7 +15,7 @@
  * the source is not read while the target cannot take more. Event loop only.
  */
 final class StreamedBody implements StreamedResponse {
-    /** The connection that receives the body. */
+    /** The connection that the body is read from. */
     interface Source {
         /** Pauses reading, because the target cannot take more. */
         void pause();
--- a/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
+++ b/sidecar/src/main/java/appleridge/http1/UpstreamConnectionPool.java
@@ -117,10 +117,7 @@
                                 call.end(Outcome.CONNECT_FAILED, null);
                             }
 
-                            /**
-                             * Reported as never sent: a failed connect would count against a
-                             * healthy upstream and could eject it.
-                             */
+                            /** Not a failed connect, which would eject a healthy upstream. */
                             @Override
                             public void onSocketUnavailable(Throwable cause) {
                                 connectionCount--;
@@ -197,24 +194,24 @@
 
     /** Removes a connection that has closed or is about to. */
     void onClosed(UpstreamConnection connection) {
-        ArrayDeque<UpstreamConnection> all = idle.get(connection.endpoint());
-        if (all != null && all.remove(connection) && all.isEmpty()) {
+        ArrayDeque<UpstreamConnection> idleToHost = idle.get(connection.endpoint());
+        if (idleToHost != null && idleToHost.remove(connection) && idleToHost.isEmpty()) {
             idle.remove(connection.endpoint());
         }
     }
 
     @Override
     public void closeIdleConnections(Endpoint endpoint) {
-        ArrayDeque<UpstreamConnection> all = idle.remove(endpoint);
-        if (all != null) {
-            all.forEach(UpstreamConnection::close);
+        ArrayDeque<UpstreamConnection> idleToHost = idle.remove(endpoint);
+        if (idleToHost != null) {
+            idleToHost.forEach(UpstreamConnection::close);
         }
     }
 
     /** Closes idle connections and stops checking for stale ones. */
     public void close() {
         staleCheck.cancel();
-        idle.values().forEach(all -> all.forEach(UpstreamConnection::close));
+        idle.values().forEach(idleToHost -> idleToHost.forEach(UpstreamConnection::close));
         idle.clear();
     }
 
@@ -222,20 +219,21 @@
         long now = loop.nanoTime();
         idle.values()
                 .removeIf(
-                        all -> {
-                            while (!all.isEmpty()
-                                    && now - all.peekLast().idleSinceNanos() >= maxIdleNanos) {
-                                all.pollLast().close();
+                        idleToHost -> {
+                            while (!idleToHost.isEmpty()
+                                    && now - idleToHost.peekLast().idleSinceNanos()
+                                            >= maxIdleNanos) {
+                                idleToHost.pollLast().close();
                             }
-                            return all.isEmpty();
+                            return idleToHost.isEmpty();
                         });
     }
 
     /** Closes the longest idle connection. Returns false if all are in use. */
     private boolean evictIdle() {
         UpstreamConnection oldest = null;
-        for (ArrayDeque<UpstreamConnection> all : idle.values()) {
-            UpstreamConnection last = all.peekLast();
+        for (ArrayDeque<UpstreamConnection> idleToHost : idle.values()) {
+            UpstreamConnection last = idleToHost.peekLast();
             if (last != null
                     && (oldest == null || last.idleSinceNanos() - oldest.idleSinceNanos() < 0)) {
                 oldest = last;
