--- a/testbed/src/main/java/appleridge/testbed/campaign/Campaign.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Campaign.java
@@ -35,7 +35,7 @@
             long simulatedNanos,
             long nanos) {
         long brokenRules() {
-            return bad.stream().mapToLong(each -> each.broken().size()).sum();
+            return bad.stream().mapToLong(each -> each.violations().size()).sum();
         }
 
         String line() {
@@ -106,7 +106,7 @@
     }
 
     private synchronized void take(Verdict verdict) {
-        if (!verdict.good()) {
+        if (!verdict.passed()) {
             bad.add(verdict);
         }
         coverage.merge(verdict.coverage());
--- a/testbed/src/main/java/appleridge/testbed/campaign/DayPlayer.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/DayPlayer.java
@@ -2,16 +2,16 @@
 
 import appleridge.testbed.invariants.Counts;
 import appleridge.testbed.invariants.Coverage;
-import appleridge.testbed.invariants.Evidence;
-import appleridge.testbed.invariants.EvidenceFanOut;
+import appleridge.testbed.invariants.DayListener;
+import appleridge.testbed.invariants.DayListenerFanOut;
 import appleridge.testbed.invariants.FaultHitCounter;
 import appleridge.testbed.invariants.InvariantBounds;
 import appleridge.testbed.invariants.InvariantChecker;
 import appleridge.testbed.invariants.InvariantViolation;
-import appleridge.testbed.invariants.Ledger;
 import appleridge.testbed.invariants.RequestCounts;
 import appleridge.testbed.invariants.RequestStates;
 import appleridge.testbed.invariants.ResourceCounts;
+import appleridge.testbed.invariants.ResourceProbe;
 import appleridge.testbed.invariants.Rule;
 import appleridge.testbed.invariants.Verdict;
 import appleridge.testbed.simnet.Simulation;
@@ -84,7 +84,7 @@
     /** The first broken rule of a seed's day, its name ahead of a colon; empty if none broke. */
     static String runSeed(long seed) {
         Verdict verdict = play(Plan.draw(seed));
-        return verdict.good() ? "" : verdict.broken().get(0).toString();
+        return verdict.passed() ? "" : verdict.violations().get(0).toString();
     }
 
     private Verdict play(Consumer<String> trace) {
@@ -102,19 +102,19 @@
         return new Verdict(
                 plan.seed(),
                 world.simulation().digest(),
-                judge.broken(),
+                judge.violations(),
                 tally.counts(),
                 coverage,
                 world.simulation().now());
     }
 
-    private SimSidecar sidecar(String name, World world, Evidence evidence) {
+    private SimSidecar sidecar(String name, World world, DayListener evidence) {
         SimSidecar sidecar = new SimSidecar(world.simulation(), evidence, world::ensemble);
         sidecars.put(name, sidecar);
         return sidecar;
     }
 
-    private Evidence watch(World world, RequestStates states, UnaryOperator<String> zoneOf) {
+    private DayListener watch(World world, RequestStates states, UnaryOperator<String> zoneOf) {
         judge =
                 InvariantChecker.ofDay(
                         figures(),
@@ -123,10 +123,10 @@
                         states,
                         name -> sidecars.get(name).busy(),
                         ledger(world));
-        Evidence listed =
-                new Evidence() {
+        DayListener listed =
+                new DayListener() {
                     @Override
-                    public void listKnows(
+                    public void discoveryChanged(
                             long revision, String uid, int life, String state, long bornAt) {
                         sidecars.values().forEach(each -> each.listed(uid));
                     }
@@ -136,27 +136,27 @@
                         sidecars.values().forEach(each -> each.listed(uid));
                     }
                 };
-        List<Evidence> watchers =
+        List<DayListener> watchers =
                 new ArrayList<>(
                         List.of(listed, new FaultHitCounter(states, coverage), tally, judge));
-        return new EvidenceFanOut(watchers);
+        return new DayListenerFanOut(watchers);
     }
 
-    private Ledger ledger(World world) {
-        return new Ledger() {
+    private ResourceProbe ledger(World world) {
+        return new ResourceProbe() {
             @Override
-            public ResourceCounts books(String sidecar) {
+            public ResourceCounts resources(String sidecar) {
                 SimSidecar process = sidecars.get(sidecar);
                 return process.isRunning() ? process.books() : null;
             }
 
             @Override
-            public int clients(String sidecar) {
+            public int clientConnections(String sidecar) {
                 return world.clientsOf(sidecar);
             }
 
             @Override
-            public int upstreams(String sidecar) {
+            public int upstreamConnections(String sidecar) {
                 return world.upstreamsOf(sidecar);
             }
         };
@@ -188,22 +188,22 @@
                 plan.size(ScenarioParameter.QUIET)
                         > plan.size(ScenarioParameter.CONN_IDLE)
                                 + plan.size(ScenarioParameter.CONNECT_TIMEOUT);
-        Ledger ledger = ledger(world);
+        ResourceProbe ledger = ledger(world);
         sidecars.forEach(
                 (name, sidecar) -> {
                     ResourceCounts baseline =
                             new ResourceCounts(
                                     0,
                                     0,
-                                    ledger.clients(name),
-                                    allIdle ? 0 : ledger.upstreams(name),
+                                    ledger.clientConnections(name),
+                                    allIdle ? 0 : ledger.upstreamConnections(name),
                                     STANDING_TIMERS
                                             + (plan.size(ScenarioParameter.MEMBERSHIP) > 0
                                                     ? NODE_TIMERS
                                                     : 0),
                                     0,
                                     List.of());
-                    judge.books(name, sidecar.books(), baseline);
+                    judge.checkResources(name, sidecar.books(), baseline);
                 });
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/campaign/Shrink.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Shrink.java
@@ -122,7 +122,7 @@
     /** The first time that the rule broke, or any if none is named; null if it didn't. */
     private static InvariantViolation broken(Plan plan, Rule rule) {
         Verdict verdict = DayPlayer.playOrCrash(plan);
-        return verdict.broken().stream()
+        return verdict.violations().stream()
                 .filter(each -> rule == null || each.rule() == rule)
                 .findFirst()
                 .orElse(null);
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -5,7 +5,7 @@
 import appleridge.daemon.Sidecar;
 import appleridge.discovery.UpstreamIds;
 import appleridge.loadbalancing.SymmetricRoundRobinPolicy;
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.invariants.ResourceCounts;
 import appleridge.testbed.invariants.Span;
 import appleridge.testbed.simnet.SimLoop;
@@ -30,7 +30,7 @@
     private static final long MILLI = 1_000_000;
 
     private final Simulation simulation;
-    private final Evidence evidence;
+    private final DayListener evidence;
     private final Supplier<Ensemble> ensemble;
     private final List<String> escaped = new ArrayList<>();
 
@@ -44,7 +44,7 @@
     private Runnable ending;
 
     /** {@code ensemble}: the coordination service; null on a day without. */
-    SimSidecar(Simulation simulation, Evidence evidence, Supplier<Ensemble> ensemble) {
+    SimSidecar(Simulation simulation, DayListener evidence, Supplier<Ensemble> ensemble) {
         this.simulation = simulation;
         this.evidence = evidence;
         this.ensemble = ensemble;
--- a/testbed/src/main/java/appleridge/testbed/campaign/Simulate.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Simulate.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.campaign;
 
-import appleridge.testbed.invariants.Impossible;
+import appleridge.testbed.invariants.ImpossibleCombinations;
 import appleridge.testbed.invariants.Verdict;
 import appleridge.testbed.simulation.Plan;
 import java.io.IOException;
@@ -104,7 +104,7 @@
         }
         Verdict verdict = DayPlayer.play(plan, trace ? out::println : null);
         out.println(verdict.text());
-        return verdict.good() ? 0 : 1;
+        return verdict.passed() ? 0 : 1;
     }
 
     /** Plays all scenarios that are kept with the testbed. */
@@ -113,8 +113,8 @@
         int broken = 0;
         for (Scenarios.Scenario each : kept) {
             Verdict verdict = DayPlayer.playOrCrash(each.plan());
-            if (!verdict.good()) {
-                broken += verdict.broken().size();
+            if (!verdict.passed()) {
+                broken += verdict.violations().size();
                 out.println(each.name() + ": " + each.what());
                 out.println(verdict.text());
             }
@@ -134,9 +134,10 @@
             }
         }
         if (coverage != null && coverage.isEmpty()) {
-            out.println(result.coverage().text(Impossible.usual()));
+            out.println(result.coverage().text(ImpossibleCombinations.usual()));
         } else if (coverage != null) {
-            Files.writeString(Path.of(coverage), result.coverage().markdown(Impossible.usual()));
+            Files.writeString(
+                    Path.of(coverage), result.coverage().markdown(ImpossibleCombinations.usual()));
         }
         out.println(result.counts());
         out.println(result.line());
--- a/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedActions.java
@@ -2,7 +2,7 @@
 
 import appleridge.loadbalancing.AnswerReason;
 import appleridge.loadbalancing.PolicyActions;
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import java.util.function.LongFunction;
 
 /**
@@ -13,25 +13,25 @@
 record WitnessedActions(
         String sidecar,
         int life,
-        Evidence evidence,
+        DayListener evidence,
         LongFunction<String> names,
         PolicyActions actions)
         implements PolicyActions {
     @Override
     public void sendAttempt(long request, long upstream, long timeout) {
-        evidence.moduleSends(sidecar, life, request, names.apply(upstream));
+        evidence.moduleStartedAttempt(sidecar, life, request, names.apply(upstream));
         actions.sendAttempt(request, upstream, timeout);
     }
 
     @Override
     public void reject(long request, long wait, AnswerReason reason) {
-        evidence.moduleRefuses(sidecar, life, request);
+        evidence.moduleRefused(sidecar, life, request);
         actions.reject(request, wait, reason);
     }
 
     @Override
     public void fail(long request, AnswerReason reason) {
-        evidence.moduleFails(sidecar, life, request);
+        evidence.moduleFailed(sidecar, life, request);
         actions.fail(request, reason);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/campaign/WitnessedModule.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/WitnessedModule.java
@@ -6,7 +6,7 @@
 import appleridge.loadbalancing.RequestInfo;
 import appleridge.loadbalancing.UpdateKind;
 import appleridge.loadbalancing.UpstreamHost;
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.simnet.Simulation;
 import java.util.List;
 import java.util.Set;
@@ -17,7 +17,7 @@
 final class WitnessedModule implements LoadBalancingPolicy {
     private final String sidecar;
     private final int life;
-    private final Evidence evidence;
+    private final DayListener evidence;
     private final LongFunction<String> names;
     private final Simulation simulation;
     private final LoadBalancingPolicy module;
@@ -29,7 +29,7 @@
     WitnessedModule(
             String sidecar,
             int life,
-            Evidence evidence,
+            DayListener evidence,
             LongFunction<String> names,
             Simulation simulation,
             LoadBalancingPolicy module) {
@@ -69,13 +69,13 @@
         } else {
             listed.remove(upstream);
         }
-        evidence.moduleListed(sidecar, life, names.apply(upstream), ready, startedAt);
+        evidence.moduleHostUpdated(sidecar, life, names.apply(upstream), ready, startedAt);
     }
 
     @Override
     public void onRequest(long now, RequestInfo request) {
-        evidence.moduleTook(sidecar, life, request.id(), request.key());
-        evidence.moduleHears(
+        evidence.moduleAccepted(sidecar, life, request.id(), request.key());
+        evidence.moduleRequest(
                 sidecar,
                 request.key(),
                 request.requestClass(),
--- a/testbed/src/main/java/appleridge/testbed/invariants/AnswerRules.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/AnswerRules.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.invariants;
 
 /** One answer for each request, and none that no server made for it. */
-final class AnswerRules implements Evidence {
+final class AnswerRules implements DayListener {
     private final Requests requests;
     private final Findings findings;
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/BadClientRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/BadClientRule.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** A bad client gets an error or a close in the time that it is owed, and is never served. */
-final class BadClientRule implements Evidence {
+final class BadClientRule implements DayListener {
     private final Shared shared;
 
     /** When each that waits has connected. */
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public void badConnected(String name, long owedBy) {
+    public void badClientConnected(String name, long owedBy) {
         long connected = shared.alarms().now();
         waiting.put(name, connected);
         shared.alarms().at(owedBy, () -> overdue(name, connected, owedBy));
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void badEnded(String name, int statusOr0) {
+    public void badClientEnded(String name, int statusOr0) {
         waiting.remove(name);
         if (statusOr0 >= 200 && statusOr0 < 300) {
             shared.findings().add(Rule.BAD_CLIENT, name, "served with " + statusOr0);
--- a/testbed/src/main/java/appleridge/testbed/invariants/ColdRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ColdRule.java
@@ -10,7 +10,7 @@
  * of the work that the server reports for a sidecar, the same part counts as of that sidecar's
  * requests in the window.
  */
-final class ColdRule implements Evidence {
+final class ColdRule implements DayListener {
     private record Work(long at, String sidecar, long sentAt, long work) {}
 
     private static final class Server {
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
@@ -62,7 +62,8 @@
     }
 
     @Override
-    public void fellOver(String server, int life, Map<String, Double> workBySidecarInWindow) {
+    public void serverCollapsed(
+            String server, int life, Map<String, Double> workBySidecarInWindow) {
         double all = 0;
         double knowing = 0;
         for (Map.Entry<String, Double> each : workBySidecarInWindow.entrySet()) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/Coverage.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Coverage.java
@@ -53,7 +53,7 @@
     }
 
     /** How many cells that can happen were struck less often than that. */
-    public int cellsBelow(long least, Impossible impossible) {
+    public int cellsBelow(long least, ImpossibleCombinations impossible) {
         int below = 0;
         for (Map.Entry<String, long[]> row : struck.entrySet()) {
             for (RequestState state : STATES) {
@@ -67,7 +67,7 @@
     }
 
     /** For a terminal; what can't happen is a dash. */
-    public String text(Impossible impossible) {
+    public String text(ImpossibleCombinations impossible) {
         int first = "fault".length();
         for (String kind : struck.keySet()) {
             first = Math.max(first, kind.length());
@@ -88,7 +88,7 @@
     }
 
     /** For a document, with the reasons for what can't happen below. */
-    public String markdown(Impossible impossible) {
+    public String markdown(ImpossibleCombinations impossible) {
         StringBuilder out = new StringBuilder(4096).append("| fault |");
         StringBuilder rule = new StringBuilder("| --- |");
         for (RequestState state : STATES) {
@@ -108,7 +108,7 @@
     }
 
     private static String cell(
-            String kind, RequestState state, long[] counts, Impossible impossible) {
+            String kind, RequestState state, long[] counts, ImpossibleCombinations impossible) {
         long count = counts[state.ordinal()];
         return count == 0 && impossible.why(kind, state) != null ? "-" : Long.toString(count);
     }
--- a/testbed/src/main/java/appleridge/testbed/invariants/DeliveredNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DeliveredNodes.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** What the coordination service has told each sidecar of the servers, where there is one. */
-final class DeliveredNodes implements Evidence {
+final class DeliveredNodes implements DayListener {
     private final Alarms alarms;
     private final DiscoveryHistory none = new DiscoveryHistory();
     private final Map<String, List<DeliveredUpdates>> sidecars = new HashMap<>();
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void listedBy(boolean registry, boolean nodes) {
+    public void discoverySources(boolean registry, boolean nodes) {
         alone = nodes && !registry;
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void nodeTold(String sidecar, String uid, String state, long bornAt) {
+    public void nodeDelivered(String sidecar, String uid, String state, long bornAt) {
         DeliveredUpdates told = at(sidecar, alarms.now());
         if (told != null && state.equals("Unknown")) {
             told.forget(uid);
--- a/testbed/src/main/java/appleridge/testbed/invariants/DiscoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DiscoveryRule.java
@@ -8,7 +8,7 @@
  * A sidecar has two connections to discovery at most, one that asks and one that is listened to
  * yet, and asks no more often than some times a second: discovery serves all sidecars.
  */
-final class DiscoveryRule implements Evidence {
+final class DiscoveryRule implements DayListener {
     /** Connections at once, with those that are being opened. */
     static final int MOST_OPEN = 2;
 
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void listConnects(String sidecar, int open) {
+    public void discoveryConnecting(String sidecar, int open) {
         if (open > MOST_OPEN) {
             shared.findings()
                     .add(Rule.DISCOVERY, sidecar, "has " + open + " connections to discovery");
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void listCall(String sidecar, long callId, boolean whole, long waitNanos) {
+    public void discoveryCall(String sidecar, long callId, boolean whole, long waitNanos) {
         long now = shared.alarms().now();
         ArrayDeque<Long> recent = calls.computeIfAbsent(sidecar, name -> new ArrayDeque<>());
         while (!recent.isEmpty() && recent.peek() <= now - TimeSpans.SECOND) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/DrainRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DrainRule.java
@@ -5,7 +5,7 @@
  * whichever source. A pause is no excuse. Where there are two sources, what one tells of a process
  * that has ended says nothing of the one after it, of which the other has told.
  */
-final class DrainRule implements Evidence {
+final class DrainRule implements DayListener {
     /**
      * For so long after a node has vanished what the registry lists of the same process is older.
      */
@@ -24,7 +24,8 @@
     }
 
     @Override
-    public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public void serverReadId(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         long told = toldAt(server, life, sidecar, firstByteSentAt);
         if (told != AttemptRecord.NEVER
                 && firstByteSentAt > told + figures.drainGrace() + figures.socketSlack()) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/EffectRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/EffectRule.java
@@ -10,7 +10,7 @@
  * or refuses the request, on the strength of what it can only hope is at fault even where the hope
  * comes true.
  */
-final class EffectRule implements Evidence {
+final class EffectRule implements DayListener {
     private final InvariantBounds figures;
     private final Requests requests;
     private final Findings findings;
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
--- a/testbed/src/main/java/appleridge/testbed/invariants/EndingRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/EndingRule.java
@@ -6,7 +6,7 @@
  * stood still or could not reach its clients meanwhile. At no other time are connections refused by
  * a process that has been ready.
  */
-final class EndingRule implements Evidence {
+final class EndingRule implements DayListener {
     /** The end itself takes a moment. */
     private static final long ENDS = 50 * TimeSpans.MS;
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/ExcusedTimes.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ExcusedTimes.java
@@ -10,7 +10,7 @@
  * it could, or the link to its clients was in trouble. What was due within one is due as much later
  * as it lasted.
  */
-final class ExcusedTimes implements Evidence {
+final class ExcusedTimes implements DayListener {
     /** However loaded it is, no more than this is due to it. */
     private static final long MOST_LOAD = TimeSpans.SECOND;
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/ExitRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ExitRule.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.invariants;
 
 /** A sidecar ends only when it is told to. */
-final class ExitRule implements Evidence {
+final class ExitRule implements DayListener {
     private final SidecarIncarnations lives;
     private final Findings findings;
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/FaultHitCounter.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/FaultHitCounter.java
@@ -6,7 +6,7 @@
  * request has changed what happens to that one; what strikes neither a request nor a sidecar nor a
  * server counts none.
  */
-public final class FaultHitCounter implements Evidence {
+public final class FaultHitCounter implements DayListener {
     private final RequestStates states;
     private final Coverage coverage;
 
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public void fault(String kind, String at, String id) {
+    public void faultStruck(String kind, String at, String id) {
         coverage.expect(kind);
         if (id != null) {
             RequestState state = states.state(id);
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public void meets(String what, String id, RequestState state) {
+    public void faultHit(String what, String id, RequestState state) {
         coverage.add(what, state);
     }
 
     @Override
-    public void faultSet(String kind, String at) {
+    public void faultArmed(String kind, String at) {
         coverage.expect(kind);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/GivenUpRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/GivenUpRule.java
@@ -7,7 +7,7 @@
  * What the module has refused or given up is answered at once, not held back. Behind an open
  * request on the same connection it may go as late as that one's answer.
  */
-final class GivenUpRule implements Evidence {
+final class GivenUpRule implements DayListener {
     private final InvariantBounds figures;
     private final Shared shared;
     private final Map<Long, AttemptRecord> byKey = new HashMap<>();
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         byKey.put(asking.cookieKey(), shared.requests().find(asking.id()));
     }
 
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void moduleTook(String sidecar, int life, long moduleId, long key) {
+    public void moduleAccepted(String sidecar, int life, long moduleId, long key) {
         AttemptRecord request = byKey.get(key);
         if (request != null) {
             taken.computeIfAbsent(sidecar, name -> new HashMap<>()).put(moduleId, request);
@@ -37,12 +37,12 @@
     }
 
     @Override
-    public void moduleRefuses(String sidecar, int life, long moduleId) {
+    public void moduleRefused(String sidecar, int life, long moduleId) {
         givesUp(sidecar, moduleId);
     }
 
     @Override
-    public void moduleFails(String sidecar, int life, long moduleId) {
+    public void moduleFailed(String sidecar, int life, long moduleId) {
         givesUp(sidecar, moduleId);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/HiddenRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/HiddenRule.java
@@ -7,7 +7,7 @@
  * What a bad client hides where no request should be read, or what makes no sense, is not passed
  * on.
  */
-final class HiddenRule implements Evidence {
+final class HiddenRule implements DayListener {
     private final Findings findings;
     private final Set<String> hidden = new HashSet<>();
 
@@ -16,12 +16,13 @@
     }
 
     @Override
-    public void badHides(String name, String id) {
+    public void badClientHidRequest(String name, String id) {
         hidden.add(id);
     }
 
     @Override
-    public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public void serverReadId(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         if (hidden.contains(id)) {
             findings.add(
                     Rule.DUPLICATE,
--- a/testbed/src/main/java/appleridge/testbed/invariants/Impossible.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ImpossibleCombinations.java
@@ -9,7 +9,7 @@
  * Which kinds of fault can't strike a request in which states, and why: a table with a reason in
  * each row.
  */
-public final class Impossible {
+public final class ImpossibleCombinations {
     private record Row(String kinds, Set<RequestState> states, String why) {
         boolean covers(String kind, RequestState state) {
             return coversKind(kind) && states.contains(state);
@@ -42,8 +42,8 @@
     private final List<Row> rows = new ArrayList<>();
 
     /** Nothing is impossible. */
-    public static Impossible none() {
-        return new Impossible();
+    public static ImpossibleCombinations none() {
+        return new ImpossibleCombinations();
     }
 
     /**
@@ -51,8 +51,8 @@
      * that has an attempt out; what meets only those who need something meets no others; the rest
      * can strike at any time.
      */
-    public static Impossible usual() {
-        Impossible usual = new Impossible();
+    public static ImpossibleCombinations usual() {
+        ImpossibleCombinations usual = new ImpossibleCombinations();
         usual.addBut(
                 "up-cut-request",
                 List.of("WRITING", "WRITTEN"),
--- a/testbed/src/main/java/appleridge/testbed/invariants/InvariantChecker.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/InvariantChecker.java
@@ -12,7 +12,7 @@
  * what the stand-ins around it saw, the module's word on requests that it gave up, and at the end
  * of the day its books.
  */
-public final class InvariantChecker extends EvidenceFanOut {
+public final class InvariantChecker extends DayListenerFanOut {
     private final Alarms alarms;
     private final LongSupplier time;
     private final Findings findings;
@@ -20,7 +20,7 @@
     private final BooksRule books;
 
     private InvariantChecker(
-            List<Evidence> inOrder, LongSupplier time, Shared shared, RecoveryRule recovery) {
+            List<DayListener> inOrder, LongSupplier time, Shared shared, RecoveryRule recovery) {
         super(inOrder);
         this.time = time;
         this.alarms = shared.alarms();
@@ -44,7 +44,7 @@
             UnaryOperator<String> zoneOf,
             SocketObserver wires,
             Load load,
-            Ledger ledger) {
+            ResourceProbe ledger) {
         Alarms alarms = new Alarms();
         SidecarIncarnations lives = new SidecarIncarnations(alarms);
         Findings findings = new Findings(alarms);
@@ -107,13 +107,13 @@
      *
      * @param baseline what may be in them
      */
-    public void books(String sidecar, ResourceCounts now, ResourceCounts baseline) {
+    public void checkResources(String sidecar, ResourceCounts now, ResourceCounts baseline) {
         before();
         books.compare(sidecar, now, baseline);
     }
 
     /** What has been found so far, in the order of finding. */
-    public List<InvariantViolation> broken() {
+    public List<InvariantViolation> violations() {
         return findings.all();
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/LateRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LateRule.java
@@ -7,7 +7,7 @@
  * has no say. Behind an open request on the same connection the answer may come as late as that
  * one's.
  */
-final class LateRule implements Evidence {
+final class LateRule implements DayListener {
     private final InvariantBounds figures;
     private final Shared shared;
     private final AnswerDeadlines dues;
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void asked(String id) {
+    public void requestSent(String id) {
         AttemptRecord request = shared.requests().find(id);
         if (request != null && request.isOpen()) {
             look(request, dues.onceRead(request));
--- a/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
@@ -8,7 +8,7 @@
  * told, whatever else happens; soon after something was told it is so; and a process that began
  * anew is listed with its new start.
  */
-final class ListRule implements Evidence {
+final class ListRule implements DayListener {
     /** What was told is in the list by then, if the process runs: a tick, and some ways. */
     private static final long SETTLED = 1500 * TimeSpans.MS;
 
@@ -37,7 +37,8 @@
     }
 
     @Override
-    public void moduleListed(String sidecar, int life, String uid, boolean ready, long startedAt) {
+    public void moduleHostUpdated(
+            String sidecar, int life, String uid, boolean ready, long startedAt) {
         if (!told.alone()) {
             return;
         }
@@ -76,7 +77,7 @@
     }
 
     @Override
-    public void fault(String kind, String at, String id) {
+    public void faultStruck(String kind, String at, String id) {
         falseClocks |= kind.equals("wall-step");
     }
 
@@ -101,7 +102,7 @@
     }
 
     @Override
-    public void nodeTold(String sidecar, String uid, String state, long bornAt) {
+    public void nodeDelivered(String sidecar, String uid, String state, long bornAt) {
         if (told.alone()) {
             int life = shared.lives().current(sidecar);
             long at = shared.alarms().now();
--- a/testbed/src/main/java/appleridge/testbed/invariants/Lists.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Lists.java
@@ -20,7 +20,7 @@
  * Where discovery could not be reached meanwhile, it all counts 6 s after it can be again at the
  * earliest. A new process begins anew.
  */
-final class Lists implements Evidence {
+final class Lists implements DayListener {
     private static final class Call {
         private final long from;
 
@@ -139,13 +139,13 @@
     }
 
     @Override
-    public void listedBy(boolean registry, boolean fromNodes) {
+    public void discoverySources(boolean registry, boolean fromNodes) {
         asked = registry;
         nodes = fromNodes;
     }
 
     @Override
-    public void listKnows(long revision, String uid, int life, String state, long bornAt) {
+    public void discoveryChanged(long revision, String uid, int life, String state, long bornAt) {
         if (!asked) {
             return;
         }
@@ -157,17 +157,17 @@
     }
 
     @Override
-    public void listTold(String sidecar, String uid, String state, long bornAt) {
+    public void listDelivered(String sidecar, String uid, String state, long bornAt) {
         client(sidecar).told().told(alarms.now(), uid, state, bornAt);
     }
 
     @Override
-    public void listUntold(String sidecar, long at) {
+    public void listNotDelivered(String sidecar, long at) {
         client(sidecar).told().untold(at);
     }
 
     @Override
-    public void listCall(String sidecar, long callId, boolean whole, long waitNanos) {
+    public void discoveryCall(String sidecar, long callId, boolean whole, long waitNanos) {
         long now = alarms.now();
         Client client = client(sidecar);
         Call call =
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void listCallEnded(String sidecar, long callId, boolean answered) {
+    public void discoveryCallEnded(String sidecar, long callId, boolean answered) {
         Client client = client(sidecar);
         if (client.calls.remove(callId) != null) {
             if (client.calls.isEmpty()) {
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public void sidecarHup(String sidecar, int life) {
+    public void sidecarSighup(String sidecar, int life) {
         Client client = client(sidecar);
         long now = alarms.now();
         long due = now + figures.hupTold();
--- a/testbed/src/main/java/appleridge/testbed/invariants/LostRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LostRule.java
@@ -14,7 +14,7 @@
  *       the request.
  * </ul>
  */
-final class LostRule implements Evidence {
+final class LostRule implements DayListener {
     private final InvariantBounds figures;
     private final Shared shared;
 
@@ -54,7 +54,8 @@
      * same.
      */
     @Override
-    public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public void serverReadId(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         AttemptRecord request = shared.requests().find(id);
         if (request != null
                 && request.stage == AttemptRecord.Stage.BROKEN
--- a/testbed/src/main/java/appleridge/testbed/invariants/InState.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ObservedRequest.java
@@ -9,7 +9,7 @@
  * @param upstream the sidecar's end of the connection to a server; null where none is used
  * @param server the server at that connection's other end; null where there is none
  */
-public record InState(
+public record ObservedRequest(
         String id,
         ClientAttempt asking,
         String sidecar,
--- a/testbed/src/main/java/appleridge/testbed/invariants/QuietRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/QuietRule.java
@@ -8,27 +8,27 @@
  * no call, no attempt, as many connections of clients and to servers as its machine holds. What
  * stands there for a moment only, as a socket that is just being closed, is looked at again.
  */
-final class QuietRule implements Evidence {
+final class QuietRule implements DayListener {
     private static final long QUIET = 2 * TimeSpans.SECOND;
 
     /** Between two looks; unlike one another, so that they meet no rhythm. */
     private static final long[] AGAIN = {70 * TimeSpans.MS, 190 * TimeSpans.MS};
 
     private final Shared shared;
-    private final Ledger ledger;
+    private final ResourceProbe ledger;
     private final Map<String, String> openAt = new HashMap<>();
     private final Map<String, Integer> open = new HashMap<>();
 
     /** Grows whenever a request is asked or a process begins or stands still. */
     private final Map<String, Integer> changes = new HashMap<>();
 
-    QuietRule(Shared shared, Ledger ledger) {
+    QuietRule(Shared shared, ResourceProbe ledger) {
         this.shared = shared;
         this.ledger = ledger;
     }
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         if (openAt.put(asking.id(), asking.sidecar()) == null) {
             open.merge(asking.sidecar(), 1, Integer::sum);
         }
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void gaveUp(String id) {
+    public void clientGaveUp(String id) {
         over(id);
     }
 
@@ -100,7 +100,7 @@
     }
 
     private String wrong(String sidecar) {
-        ResourceCounts now = ledger.books(sidecar);
+        ResourceCounts now = ledger.resources(sidecar);
         if (now == null) {
             return "";
         }
@@ -108,8 +108,16 @@
         StringBuilder wrong = new StringBuilder();
         add(wrong, "calls", now.openCalls(), 0);
         add(wrong, "attempts", now.attempts(), 0);
-        add(wrong, "connections of clients", now.clientConnections(), ledger.clients(sidecar));
-        add(wrong, "connections to servers", now.upstreamConnections(), ledger.upstreams(sidecar));
+        add(
+                wrong,
+                "connections of clients",
+                now.clientConnections(),
+                ledger.clientConnections(sidecar));
+        add(
+                wrong,
+                "connections to servers",
+                now.upstreamConnections(),
+                ledger.upstreamConnections(sidecar));
         return wrong.toString();
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/ReadyRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ReadyRule.java
@@ -3,7 +3,7 @@
 /**
  * A process says that it is ready only while it has a ready server in its list, and is not to end.
  */
-final class ReadyRule implements Evidence {
+final class ReadyRule implements DayListener {
     private final InvariantBounds figures;
     private final Lists lists;
     private final Shared shared;
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public void readiness(String sidecar, int status, long lastByteSentAt) {
+    public void readinessAnswered(String sidecar, int status, long lastByteSentAt) {
         if (status != 200) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
@@ -8,7 +8,7 @@
  * requests that are then asked by clients who wait for their whole deadline and read what they get,
  * and whose time is up when the day ends, enough are served.
  */
-final class RecoveryRule implements Evidence {
+final class RecoveryRule implements DayListener {
     private final InvariantBounds figures;
     private final Shared shared;
     private long over = AttemptRecord.NEVER;
@@ -35,12 +35,12 @@
     }
 
     @Override
-    public void lastFaultOver() {
+    public void lastFaultEnded() {
         over = shared.alarms().now();
     }
 
     @Override
-    public void dayEnds() {
+    public void dayEnded() {
         if (over == AttemptRecord.NEVER) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestCounts.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestCounts.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** Counts what happens to the usual clients' requests, as the clients and servers see it. */
-public final class RequestCounts implements Evidence {
+public final class RequestCounts implements DayListener {
     private final Set<String> open = new HashSet<>();
     private final Map<String, Integer> arrived = new HashMap<>();
     private long asked;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         if (arrived.putIfAbsent(asking.id(), 0) == null) {
             asked++;
         }
@@ -52,14 +52,14 @@
     }
 
     @Override
-    public void gaveUp(String id) {
+    public void clientGaveUp(String id) {
         if (open.remove(id)) {
             left++;
         }
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
@@ -10,7 +10,7 @@
  * 0, for it is told in whole milliseconds, and the sidecar keeps some of the time to itself. The
  * module is told its class, its tenant and whether it is a client's repeat.
  */
-final class RequestRule implements Evidence {
+final class RequestRule implements DayListener {
     /** Ids that begin so are those of bad clients, which are judged by other rules. */
     private static final String BAD = "bad-";
 
@@ -27,12 +27,12 @@
     }
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         byKey.put(asking.cookieKey(), asking);
     }
 
     @Override
-    public void moduleHears(
+    public void moduleRequest(
             String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
         ClientAttempt asking = byKey.get(key);
         if (asking != null
@@ -58,12 +58,12 @@
     }
 
     @Override
-    public void writes(String id, Message message) {
+    public void requestMessage(String id, Message message) {
         written.put(id, message);
     }
 
     @Override
-    public void reads(
+    public void serverReadMessage(
             String server,
             String sidecar,
             String id,
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -17,7 +17,7 @@
  * <p>Who waits for a state is told at once, in the middle of whatever brought it about: sockets may
  * be struck then and there, but to end or pause a process is to be planned as a step of its own.
  */
-public final class RequestStates implements Evidence, Tap, SocketObserver {
+public final class RequestStates implements DayListener, Tap, SocketObserver {
     private final Map<String, String> sidecars = new HashMap<>();
     private final Map<String, String> servers = new HashMap<>();
     private final Map<String, Tracked> requests = new HashMap<>();
@@ -33,7 +33,7 @@
 
     private final Map<Long, Tracked> byKey = new HashMap<>();
     private final Map<String, Map<Long, Tracked>> byModuleId = new HashMap<>();
-    private final Map<RequestState, List<Consumer<InState>>> waiting =
+    private final Map<RequestState, List<Consumer<ObservedRequest>>> waiting =
             new EnumMap<>(RequestState.class);
 
     /** The requests and answers on a client's connection. */
@@ -68,7 +68,7 @@
     }
 
     /** Tells of each request that enters a state. */
-    public void on(RequestState state, Consumer<InState> told) {
+    public void on(RequestState state, Consumer<ObservedRequest> told) {
         waiting.computeIfAbsent(state, any -> new ArrayList<>(2)).add(told);
     }
 
@@ -84,15 +84,15 @@
     }
 
     /** All that are in some state, in the order of their asking. */
-    public List<InState> all() {
-        List<InState> all = new ArrayList<>(current.size());
+    public List<ObservedRequest> all() {
+        List<ObservedRequest> all = new ArrayList<>(current.size());
         current.values().forEach(each -> all.add(each.now()));
         return all;
     }
 
     /** Those in some state at a sidecar, or on a connection to a server. */
-    public List<InState> at(String sidecarOrServer) {
-        List<InState> there = new ArrayList<>();
+    public List<ObservedRequest> at(String sidecarOrServer) {
+        List<ObservedRequest> there = new ArrayList<>();
         for (Tracked each : current.values()) {
             if (each.asking.sidecar().equals(sidecarOrServer)
                     || sidecarOrServer.equals(each.server)) {
@@ -106,7 +106,7 @@
      * The request that is on the connection with this end of a client's or of a sidecar's; null if
      * none is.
      */
-    public InState on(SimSocket end) {
+    public ObservedRequest on(SimSocket end) {
         for (Tracked each : current.values()) {
             if (each.upstream == end && !each.answerBegun()
                     || each.client == end && each.state != RequestState.IDLE) {
@@ -120,7 +120,7 @@
      * The request that a module of that sidecar knows by that number; null if it is over or
      * unknown.
      */
-    public InState ofModule(String sidecar, long moduleId) {
+    public ObservedRequest ofModule(String sidecar, long moduleId) {
         Tracked request = held(sidecar, moduleId);
         return request == null ? null : request.now();
     }
@@ -170,10 +170,10 @@
             return;
         }
         request.state = state;
-        List<Consumer<InState>> told = waiting.get(state);
+        List<Consumer<ObservedRequest>> told = waiting.get(state);
         if (told != null) {
-            InState now = request.now();
-            for (Consumer<InState> each : told) {
+            ObservedRequest now = request.now();
+            for (Consumer<ObservedRequest> each : told) {
                 each.accept(now);
             }
         }
@@ -361,7 +361,7 @@
     // ---- what the stand-ins tell
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         Tracked request = new Tracked(asking);
         requests.put(asking.id(), request);
         current.put(asking.id(), request);
@@ -369,7 +369,7 @@
     }
 
     @Override
-    public void asked(String id) {
+    public void requestSent(String id) {
         Tracked request = current.get(id);
         if (request != null && request.state == RequestState.ARRIVING) {
             enter(request, RequestState.HELD);
@@ -397,7 +397,7 @@
     }
 
     @Override
-    public void gaveUp(String id) {
+    public void clientGaveUp(String id) {
         over(id);
     }
 
@@ -430,7 +430,7 @@
     }
 
     @Override
-    public void moduleTook(String sidecar, int life, long moduleId, long key) {
+    public void moduleAccepted(String sidecar, int life, long moduleId, long key) {
         Tracked request = byKey.get(key);
         if (request != null) {
             byModuleId.computeIfAbsent(sidecar, name -> new HashMap<>()).put(moduleId, request);
@@ -443,7 +443,7 @@
     }
 
     @Override
-    public void moduleSends(String sidecar, int life, long moduleId, String server) {
+    public void moduleStartedAttempt(String sidecar, int life, long moduleId, String server) {
         Tracked request = held(sidecar, moduleId);
         if (request == null || request.answerBegun()) {
             return;
--- a/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
@@ -41,18 +41,18 @@
     }
 
     /** What must be known before the rules look at an event. */
-    Evidence opening() {
+    DayListener opening() {
         return new Opening();
     }
 
     /** What may be noted only after they have looked at it. */
-    Evidence closing() {
+    DayListener closing() {
         return new Closing();
     }
 
-    private final class Opening implements Evidence {
+    private final class Opening implements DayListener {
         @Override
-        public void asks(ClientAttempt asking) {
+        public void requestStarted(ClientAttempt asking) {
             AttemptRecord before = all.get(asking.id());
             if (before == null) {
                 all.put(asking.id(), new AttemptRecord(asking));
@@ -65,7 +65,7 @@
         }
 
         @Override
-        public void asked(String id) {
+        public void requestSent(String id) {
             AttemptRecord request = all.get(id);
             if (request != null && request.stage == AttemptRecord.Stage.UNTAKEN) {
                 request.stage = AttemptRecord.Stage.TAKEN;
@@ -75,7 +75,7 @@
         }
 
         @Override
-        public void begun(
+        public void serverReadId(
                 String server, int life, String sidecar, String id, long firstByteSentAt) {
             AttemptRecord request = all.get(id);
             if (request != null) {
@@ -84,7 +84,7 @@
         }
 
         @Override
-        public void arrived(
+        public void serverReceived(
                 String server,
                 int life,
                 String sidecar,
@@ -118,7 +118,7 @@
         }
 
         @Override
-        public void saysNotRun(String server, int life, String id) {
+        public void serverDidNotRun(String server, int life, String id) {
             AttemptRecord request = all.get(id);
             if (request == null) {
                 return;
@@ -133,7 +133,7 @@
         }
 
         @Override
-        public void made(String server, int life, String id, String body) {
+        public void serverAnswered(String server, int life, String id, String body) {
             AttemptRecord request = all.get(id);
             if (request != null) {
                 request.made.add(body);
@@ -141,7 +141,7 @@
         }
 
         @Override
-        public void fault(String kind, String at, String id) {
+        public void faultStruck(String kind, String at, String id) {
             AttemptRecord request = id == null ? null : all.get(id);
             if (request != null) {
                 request.struck = true;
@@ -149,7 +149,7 @@
         }
     }
 
-    private final class Closing implements Evidence {
+    private final class Closing implements DayListener {
         @Override
         public void answered(
                 String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
@@ -172,7 +172,7 @@
         }
 
         @Override
-        public void gaveUp(String id) {
+        public void clientGaveUp(String id) {
             AttemptRecord request = all.get(id);
             if (request != null
                     && (request.isOpen() || request.stage == AttemptRecord.Stage.UNTAKEN)) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
@@ -4,7 +4,7 @@
  * Only a refusal says when to come again, only where the settings allow it, and never later than
  * they do.
  */
-final class RetryAfterRule implements Evidence {
+final class RetryAfterRule implements DayListener {
     private final InvariantBounds figures;
     private final Findings findings;
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/SameIdRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SameIdRule.java
@@ -10,7 +10,7 @@
  * sidecar has read it until its answer is written; what was in writing for a while ended somewhat
  * before its last byte.
  */
-final class SameIdRule implements Evidence {
+final class SameIdRule implements DayListener {
     private static final int CONFLICT = 409;
 
     private final InvariantBounds figures;
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void badTakesId(String name, String id, String owner) {
+    public void badClientReusedId(String name, String id, String owner) {
         AttemptRecord request = shared.requests().find(owner);
         if (request != null && request.isOpen() && shared.wires().wasRead(owner)) {
             owners.put(id, owner);
@@ -36,7 +36,8 @@
     }
 
     @Override
-    public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public void serverReadId(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         String owner = owners.get(id);
         if (owner == null) {
             return;
--- a/testbed/src/main/java/appleridge/testbed/invariants/SentAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SentAfterRule.java
@@ -4,7 +4,7 @@
  * Nothing is sent for a request after its final answer was written, nor after its client's
  * connection was closed and the sidecar could have heard of it.
  */
-final class SentAfterRule implements Evidence {
+final class SentAfterRule implements DayListener {
     private final InvariantBounds figures;
     private final Shared shared;
 
@@ -14,7 +14,8 @@
     }
 
     @Override
-    public void begun(String server, int life, String sidecar, String id, long firstByteSentAt) {
+    public void serverReadId(
+            String server, int life, String sidecar, String id, long firstByteSentAt) {
         AttemptRecord request = shared.requests().find(id);
         if (request == null) {
             return;
@@ -48,7 +49,7 @@
 
     /** What began before its answer has ended by then too. */
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
--- a/testbed/src/main/java/appleridge/testbed/invariants/SidecarIncarnations.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SidecarIncarnations.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Which process stands for each sidecar, and what became of it. */
-final class SidecarIncarnations implements Evidence {
+final class SidecarIncarnations implements DayListener {
     private static final class Life {
         private final int number;
         private boolean killed;
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void sidecarTerm(String sidecar, int life) {
+    public void sidecarSigterm(String sidecar, int life) {
         of(sidecar, life).termAt = alarms.now();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
@@ -50,7 +50,8 @@
         return state == RequestState.ANSWERED || state == RequestState.IDLE;
     }
 
-    InState now() {
-        return new InState(asking.id(), asking, asking.sidecar(), state, client, upstream, server);
+    ObservedRequest now() {
+        return new ObservedRequest(
+                asking.id(), asking, asking.sidecar(), state, client, upstream, server);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Verdict.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Verdict.java
@@ -6,23 +6,23 @@
  * What a day comes to.
  *
  * @param digest over every event of the day with its time
- * @param broken the rules that broke, in the order of finding
+ * @param violations the rules that broke, in the order of finding
  * @param simulatedNanos how long the day was
  */
 public record Verdict(
         long seed,
         long digest,
-        List<InvariantViolation> broken,
+        List<InvariantViolation> violations,
         Counts counts,
         Coverage coverage,
         long simulatedNanos) {
     public Verdict {
-        broken = List.copyOf(broken);
+        violations = List.copyOf(violations);
     }
 
     /** Whether no rule broke. */
-    public boolean good() {
-        return broken.isEmpty();
+    public boolean passed() {
+        return violations.isEmpty();
     }
 
     /** A line for the day, and one for each broken rule. */
@@ -31,12 +31,12 @@
         out.append("seed ")
                 .append(seed)
                 .append(": ")
-                .append(good() ? "no rule broken" : broken.size() + " broken")
+                .append(passed() ? "no rule broken" : violations.size() + " broken")
                 .append(", ")
                 .append(counts)
                 .append(", digest ")
                 .append(Long.toHexString(digest));
-        for (InvariantViolation each : broken) {
+        for (InvariantViolation each : violations) {
             out.append("\n  ").append(each);
         }
         return out.toString();
--- a/testbed/src/main/java/appleridge/testbed/mutation/PlantedDay.java
+++ b/testbed/src/main/java/appleridge/testbed/mutation/PlantedDay.java
@@ -28,7 +28,7 @@
     }
 
     private static String told(Verdict verdict) {
-        return verdict.broken().stream()
+        return verdict.violations().stream()
                 .map(InvariantViolation::toString)
                 .collect(Collectors.joining("\n"));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
@@ -106,7 +106,7 @@
         Message message =
                 Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
         day.asked.add(id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
-        day.evidence.asks(
+        day.evidence.requestStarted(
                 new ClientAttempt(
                         id,
                         wish.origin,
@@ -119,7 +119,7 @@
                         askedAt,
                         deadline,
                         patience));
-        day.evidence.writes(id, message);
+        day.evidence.requestMessage(id, message);
         if (wish.slowReader) {
             day.evidence.clientLinkTroubled(sidecar, id, askedAt, askedAt + patience);
         }
@@ -128,7 +128,7 @@
 
     void written() {
         if (!over) {
-            day.evidence.asked(id);
+            day.evidence.requestSent(id);
         }
     }
 
@@ -141,7 +141,7 @@
 
     void gaveUp() {
         if (finish()) {
-            day.evidence.gaveUp(id);
+            day.evidence.clientGaveUp(id);
             application.ended(this, Outcome.GAVE_UP, -1);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -63,7 +63,7 @@
     public void connected() {
         if (isOwed()) {
             boolean much = kind == BadKind.BIG_BODY || kind == BadKind.BIG_CHUNKS;
-            day.evidence.badConnected(name, day.now() + (much ? OWED_FOR_MUCH : OWED));
+            day.evidence.badClientConnected(name, day.now() + (much ? OWED_FOR_MUCH : OWED));
         }
         player = new Player(day.simulation, socket);
         player.play(script, () -> {});
@@ -129,7 +129,7 @@
     /** The first word counts; but an answer that serves it is told whenever it comes. */
     private void end(int status) {
         if (isOwed() && (!ended || status == 200)) {
-            day.evidence.badEnded(name, status);
+            day.evidence.badClientEnded(name, status);
         }
         if (!ended) {
             ended = true;
@@ -141,7 +141,7 @@
     private void leave() {
         if (player != null && !ended && isOwed()) {
             ended = true;
-            day.evidence.badEnded(name, 0);
+            day.evidence.badClientEnded(name, 0);
         }
         close();
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -66,10 +66,10 @@
     private void one(BadKind kind, ProcessSlot seat, int again) {
         String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clients;
         if (kind == BadKind.HIDDEN) {
-            day.evidence.badHides(name, BadRequests.hiddenId(name));
+            day.evidence.badClientHidRequest(name, BadRequests.hiddenId(name));
         }
         if (kind.isSenseless()) {
-            day.evidence.badHides(name, name);
+            day.evidence.badClientHidRequest(name, name);
         }
         Runnable next = again > 0 ? () -> one(kind, seat, again - 1) : () -> {};
         Host from = kind == BadKind.NEVER_READS ? mute : host;
@@ -83,7 +83,7 @@
             if (id != null) {
                 String name = Site.BAD_ID + "same-" + ++clients;
                 day.asked.borrow(id);
-                day.evidence.badTakesId(name, Site.BAD_ID + id, id);
+                day.evidence.badClientReusedId(name, Site.BAD_ID + id, id);
                 Script script = requests.same(id, day.asked.form(id).method());
                 new BadClient(day, host, seat, BadKind.SAME_ID, name, script, () -> {}).connect();
                 return;
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.invariants.RequestState;
 import appleridge.testbed.invariants.RequestStates;
 import appleridge.testbed.simnet.SimSocket;
@@ -21,7 +21,7 @@
         this.states = states;
     }
 
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         switch (fault.kind().target()) {
             case UPSTREAM -> upstream(fault, request);
             case ANSWER -> answer(fault, request);
@@ -29,11 +29,11 @@
         }
     }
 
-    private void tell(Fault fault, InState request, String at) {
-        day.evidence.fault(fault.kind().word(), at, request.id());
+    private void tell(Fault fault, ObservedRequest request, String at) {
+        day.evidence.faultStruck(fault.kind().word(), at, request.id());
     }
 
-    private void upstream(Fault fault, InState request) {
+    private void upstream(Fault fault, ObservedRequest request) {
         SimSocket near = request.upstream();
         if (near == null || !near.isOpen() || near.isReset()) {
             return;
@@ -76,7 +76,7 @@
      * Somewhere in what has not left yet of the request, or at its next byte; whole and gone it
      * can't be cut.
      */
-    private void cutRequest(Fault fault, InState request, SimSocket near) {
+    private void cutRequest(Fault fault, ObservedRequest request, SimSocket near) {
         int unsent = (int) (near.bytesWritten() - near.bytesLeft());
         long bytes = fault.value(FaultParameter.BYTES);
         if (unsent > 0) {
@@ -115,25 +115,25 @@
 
     /** Counts when it breaks, for the request that is on the connection then. */
     private void cutAt(Fault fault, SimSocket writer, long position, SimSocket end) {
-        day.evidence.faultSet(fault.kind().word(), null);
+        day.evidence.faultArmed(fault.kind().word(), null);
         writer.resetAtByte(
                 position,
                 () -> {
-                    InState met = states.on(end);
+                    ObservedRequest met = states.on(end);
                     if (met != null) {
                         tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
                     }
                 });
     }
 
-    private static boolean isAnswering(InState request) {
+    private static boolean isAnswering(ObservedRequest request) {
         return switch (request.state()) {
             case ANSWERING, RESEND_ANSWERING, ANSWERED -> true;
             default -> false;
         };
     }
 
-    private void answer(Fault fault, InState request) {
+    private void answer(Fault fault, ObservedRequest request) {
         tell(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
             day.asked.spoil(request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
@@ -142,7 +142,7 @@
         }
     }
 
-    private void client(Fault fault, InState request) {
+    private void client(Fault fault, ObservedRequest request) {
         SimSocket socket = request.client();
         AppConnection connection = socket == null ? null : connection(socket);
         if (connection == null || !socket.isOpen()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/CoordinationUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoordinationUpdates.java
@@ -60,10 +60,10 @@
         Said last = said.get(name);
         if (beginnings > 0 && last != null && last.zxid == 0 && zxid > 0) {
             // Made again in a new beginning: not the node that was there.
-            day.evidence.nodeTold(sidecar, name, UNKNOWN, bornAt);
+            day.evidence.nodeDelivered(sidecar, name, UNKNOWN, bornAt);
         }
         said.put(name, new Said(zxid, state, bornAt));
-        day.evidence.nodeTold(sidecar, name, state, bornAt);
+        day.evidence.nodeDelivered(sidecar, name, state, bornAt);
     }
 
     private void gone(String name, long zxid) {
@@ -177,7 +177,8 @@
                         node -> {
                             highest = Math.max(highest, node.mzxid());
                             // Made again: not the node that was there.
-                            day.evidence.nodeTold(sidecar, node.name(), UNKNOWN, node.bornAt());
+                            day.evidence.nodeDelivered(
+                                    sidecar, node.name(), UNKNOWN, node.bornAt());
                             say(node.name(), node.mzxid(), state(node.read()), node.bornAt());
                         });
         old.forEach(
--- a/testbed/src/main/java/appleridge/testbed/simulation/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.simnet.Network;
 import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.Simulation;
@@ -10,11 +10,16 @@
     final Plan plan;
     final Simulation simulation;
     final Network network;
-    final Evidence evidence;
+    final DayListener evidence;
     final SentRequestRegistry asked = new SentRequestRegistry();
     private final SeededRandom chance;
 
-    Day(Plan plan, Simulation simulation, Network network, Evidence evidence, SeededRandom chance) {
+    Day(
+            Plan plan,
+            Simulation simulation,
+            Network network,
+            DayListener evidence,
+            SeededRandom chance) {
         this.plan = plan;
         this.simulation = simulation;
         this.network = network;
--- a/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,10 +8,10 @@
 
 /** What each sidecar has been told of the list, by whomever. */
 final class DeliveredEndpointUpdates {
-    private final Evidence evidence;
+    private final DayListener evidence;
     private final Map<String, Map<String, Instances.Entry>> bySidecar = new LinkedHashMap<>();
 
-    DeliveredEndpointUpdates(Evidence evidence) {
+    DeliveredEndpointUpdates(DayListener evidence) {
         this.evidence = evidence;
     }
 
@@ -29,7 +29,7 @@
             }
             for (Instances.Entry each : left) {
                 known.remove(each.uid());
-                evidence.listTold(sidecar, each.uid(), Instances.GONE, each.bornAt());
+                evidence.listDelivered(sidecar, each.uid(), Instances.GONE, each.bornAt());
             }
         }
         for (Instances.Entry each : entries) {
@@ -38,7 +38,7 @@
             } else {
                 known.put(each.uid(), each);
             }
-            evidence.listTold(sidecar, each.uid(), each.state(), each.bornAt());
+            evidence.listDelivered(sidecar, each.uid(), each.state(), each.bornAt());
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 
 /** Carries faults out, each by the part of the world that it concerns. */
 final class FaultInjector {
@@ -31,7 +31,7 @@
      *
      * @param request the one that sprang the trap; null for a timed fault
      */
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         if (day.isTroubled() && fault.kind().ofNodes()) {
             nodes.strike(fault, request);
         } else if (day.isTroubled()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.invariants.RequestState;
 import java.util.Arrays;
 import java.util.List;
@@ -259,7 +259,7 @@
      * Whether it would change anything for this request: on a new connection a server finds nothing
      * idle.
      */
-    boolean suits(InState request) {
+    boolean suits(ObservedRequest request) {
         boolean sending =
                 switch (request.state()) {
                     case WRITING, WRITTEN, RESEND_WRITING, RESEND_WRITTEN -> true;
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.DayListener;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.invariants.RequestState;
 import appleridge.testbed.invariants.RequestStates;
 import appleridge.testbed.simnet.Host;
@@ -19,7 +19,7 @@
  * stand-still over a deadline, a drain's grace and a window at once. To be told of everything ahead
  * of the states.
  */
-final class FaultOverlaps implements Evidence {
+final class FaultOverlaps implements DayListener {
     /** A request is resent, and the time for that ends. */
     static final String WINDOW_CLOSES = "window-closes";
 
@@ -55,31 +55,31 @@
 
     /** Whoever connects there meanwhile meets it; also who is connecting now. */
     void connectsTo(Machine machine, FaultKind kind, long duration) {
-        day.evidence.faultSet(kind.word(), machine.server().uid());
+        day.evidence.faultArmed(kind.word(), machine.server().uid());
         lasting.add(new Lasting(kind, machine.host(), day.now() + duration));
-        for (InState each : states.at(machine.server().uid())) {
+        for (ObservedRequest each : states.at(machine.server().uid())) {
             if (isConnecting(each) && !each.upstream().isEstablished()) {
-                day.evidence.meets(kind.word(), each.id(), each.state());
+                day.evidence.faultHit(kind.word(), each.id(), each.state());
             }
         }
     }
 
-    private static boolean isConnecting(InState request) {
+    private static boolean isConnecting(ObservedRequest request) {
         return request.state() == RequestState.CONNECTING
                 || request.state() == RequestState.RESEND_CONNECTING;
     }
 
     /** Whoever needs a descriptor of that process meanwhile, and there is none. */
     void noDescriptors(Host sidecar, long duration) {
-        day.evidence.faultSet(FaultKind.NO_DESCRIPTORS.word(), sidecar.name());
+        day.evidence.faultArmed(FaultKind.NO_DESCRIPTORS.word(), sidecar.name());
         lasting.add(new Lasting(FaultKind.NO_DESCRIPTORS, sidecar, day.now() + duration));
     }
 
-    private void connects(InState request) {
+    private void connects(ObservedRequest request) {
         meets(request, request.upstream().peerHost());
     }
 
-    private void arrives(InState request) {
+    private void arrives(ObservedRequest request) {
         SimSocket client = request.client();
         if (client != null && !client.isAccepted() && client.peerHost().isFull()) {
             meets(request, client.peerHost());
@@ -89,7 +89,8 @@
     @Override
     public void moduleOutcome(
             String sidecar, int life, long moduleId, int attempt, String outcome, boolean ended) {
-        InState request = outcome.equals("NEVER_SENT") ? states.ofModule(sidecar, moduleId) : null;
+        ObservedRequest request =
+                outcome.equals("NEVER_SENT") ? states.ofModule(sidecar, moduleId) : null;
         if (request != null
                 && request.upstream() == null
                 && request.client() != null
@@ -98,22 +99,22 @@
         }
     }
 
-    private void meets(InState request, Host host) {
+    private void meets(ObservedRequest request, Host host) {
         lasting.removeIf(each -> each.until() < day.now());
         for (Lasting each : lasting) {
             if (each.host() == host) {
-                day.evidence.meets(each.kind().word(), request.id(), request.state());
+                day.evidence.faultHit(each.kind().word(), request.id(), request.state());
             }
         }
     }
 
     /** Whoever has sent a request on one of these, just closed, with nothing of it read. */
     void closed(List<SimSocket> sidecarsEnds, String server) {
-        day.evidence.faultSet(FaultKind.CLOSE_IDLE.word(), server);
+        day.evidence.faultArmed(FaultKind.CLOSE_IDLE.word(), server);
         for (SimSocket each : sidecarsEnds) {
-            InState request = states.on(each);
+            ObservedRequest request = states.on(each);
             if (request != null) {
-                day.evidence.meets(FaultKind.CLOSE_IDLE.word(), request.id(), request.state());
+                day.evidence.faultHit(FaultKind.CLOSE_IDLE.word(), request.id(), request.state());
             }
         }
     }
@@ -121,22 +122,22 @@
     // ---- what comes by itself
 
     @Override
-    public void listTold(String sidecar, String uid, String state, long bornAt) {
+    public void listDelivered(String sidecar, String uid, String state, long bornAt) {
         String drain = sidecar + ' ' + uid;
         if (!state.equals(Instances.TERMINATING)) {
             drains.remove(drain);
         } else if (drains.add(drain)) {
             graces.add(new Grace(sidecar, day.now() + Site.DRAIN_GRACE));
-            for (InState each : states.at(sidecar)) {
+            for (ObservedRequest each : states.at(sidecar)) {
                 if (uid.equals(each.server()) && each.state() != RequestState.ANSWERED) {
-                    day.evidence.meets(DRAIN_TOLD, each.id(), each.state());
+                    day.evidence.faultHit(DRAIN_TOLD, each.id(), each.state());
                 }
             }
         }
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
@@ -156,7 +157,7 @@
                     () -> {
                         RequestState state = states.state(id);
                         if (state != null && state.isResend()) {
-                            day.evidence.meets(WINDOW_CLOSES, id, state);
+                            day.evidence.faultHit(WINDOW_CLOSES, id, state);
                         }
                     });
         }
@@ -164,7 +165,7 @@
 
     @Override
     public void sidecarPaused(String sidecar, long from, long until) {
-        List<InState> resent =
+        List<ObservedRequest> resent =
                 states.at(sidecar).stream()
                         .filter(
                                 each ->
@@ -190,7 +191,7 @@
                                                         && within(from, until, each.endsAt()))) {
                             resent.forEach(
                                     each ->
-                                            day.evidence.meets(
+                                            day.evidence.faultHit(
                                                     PAUSE_OVER_ALL, each.id(), each.state()));
                         }
                     });
--- a/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
@@ -123,7 +123,8 @@
         } else {
             known.put(entry.uid(), entry);
         }
-        day.evidence.listKnows(revision, entry.uid(), entry.life(), entry.state(), entry.bornAt());
+        day.evidence.discoveryChanged(
+                revision, entry.uid(), entry.life(), entry.state(), entry.bornAt());
         told.forEach(Runnable::run);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 
 /** Faults of discovery. */
 final class ListFaultInjector {
@@ -14,9 +14,9 @@
         this.seats = seats;
     }
 
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         Registry registry = discovery.registry();
-        day.evidence.fault(fault.kind().word(), null, request == null ? null : request.id());
+        day.evidence.faultStruck(fault.kind().word(), null, request == null ? null : request.id());
         long duration =
                 fault.kind().params().contains(FaultParameter.FOR)
                         ? day.bounded(fault.value(FaultParameter.FOR))
--- a/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
@@ -1,14 +1,14 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.ClientAttempt;
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.invariants.RequestState;
 import appleridge.testbed.simnet.Simulation;
 import java.util.Map;
 import java.util.function.Supplier;
 
 /** Notes what the stand-ins tell, for the day's digest and for who reads its trace. */
-final class NarratedLog implements Evidence {
+final class NarratedLog implements DayListener {
     private static final int ASKS = 101;
     private static final int ANSWERED = 102;
     private static final int BROKEN = 103;
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         note(
                 ASKS,
                 asking.id(),
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void gaveUp(String id) {
+    public void clientGaveUp(String id) {
         note(GAVE_UP, id, 0, () -> "client gives up " + id);
     }
 
@@ -82,22 +82,22 @@
     }
 
     @Override
-    public void readiness(String sidecar, int status, long lastByteSentAt) {
+    public void readinessAnswered(String sidecar, int status, long lastByteSentAt) {
         note(SIDECAR, sidecar, status, () -> sidecar + " says whether it is ready: " + status);
     }
 
     @Override
-    public void badConnected(String name, long owedBy) {
+    public void badClientConnected(String name, long owedBy) {
         note(BAD, name, owedBy, () -> "bad client connects: " + name);
     }
 
     @Override
-    public void badEnded(String name, int statusOr0) {
+    public void badClientEnded(String name, int statusOr0) {
         note(BAD, name, statusOr0, () -> "bad client is turned away: " + name + " " + statusOr0);
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
@@ -121,12 +121,12 @@
     }
 
     @Override
-    public void saysNotRun(String server, int life, String id) {
+    public void serverDidNotRun(String server, int life, String id) {
         note(NOT_RUN, id, 0, () -> server + " turns away " + id);
     }
 
     @Override
-    public void made(String server, int life, String id, String body) {
+    public void serverAnswered(String server, int life, String id, String body) {
         note(MADE, id, body.length(), () -> server + " has done " + id);
     }
 
@@ -136,12 +136,13 @@
     }
 
     @Override
-    public void fellOver(String server, int life, Map<String, Double> workBySidecarInWindow) {
+    public void serverCollapsed(
+            String server, int life, Map<String, Double> workBySidecarInWindow) {
         note(SERVER, server, -1, () -> server + " falls over: " + workBySidecarInWindow);
     }
 
     @Override
-    public void listKnows(long revision, String uid, int life, String state, long bornAt) {
+    public void discoveryChanged(long revision, String uid, int life, String state, long bornAt) {
         note(
                 LIST,
                 uid,
@@ -150,17 +151,18 @@
     }
 
     @Override
-    public void listTold(String sidecar, String uid, String state, long bornAt) {
+    public void listDelivered(String sidecar, String uid, String state, long bornAt) {
         note(LIST, uid, state.length(), () -> sidecar + " is told: " + uid + " " + state);
     }
 
     @Override
-    public void nodeTold(String sidecar, String uid, String state, long bornAt) {
+    public void nodeDelivered(String sidecar, String uid, String state, long bornAt) {
         note(LIST, uid, state.length(), () -> sidecar + " is told by nodes: " + uid + " " + state);
     }
 
     @Override
-    public void moduleListed(String sidecar, int life, String uid, boolean ready, long startedAt) {
+    public void moduleHostUpdated(
+            String sidecar, int life, String uid, boolean ready, long startedAt) {
         note(
                 MODULE,
                 uid,
@@ -169,7 +171,7 @@
     }
 
     @Override
-    public void listCall(String sidecar, long callId, boolean whole, long waitNanos) {
+    public void discoveryCall(String sidecar, long callId, boolean whole, long waitNanos) {
         note(
                 LIST,
                 sidecar,
@@ -184,7 +186,7 @@
     }
 
     @Override
-    public void listCallEnded(String sidecar, long callId, boolean answered) {
+    public void discoveryCallEnded(String sidecar, long callId, boolean answered) {
         note(
                 LIST,
                 sidecar,
@@ -208,12 +210,12 @@
     }
 
     @Override
-    public void sidecarTerm(String sidecar, int life) {
+    public void sidecarSigterm(String sidecar, int life) {
         note(SIDECAR, sidecar, life, () -> sidecar + " gets SIGTERM");
     }
 
     @Override
-    public void sidecarHup(String sidecar, int life) {
+    public void sidecarSighup(String sidecar, int life) {
         note(SIDECAR, sidecar, life, () -> sidecar + " gets SIGHUP");
     }
 
@@ -232,7 +234,7 @@
     }
 
     @Override
-    public void moduleSends(String sidecar, int life, long moduleId, String server) {
+    public void moduleStartedAttempt(String sidecar, int life, long moduleId, String server) {
         note(
                 MODULE,
                 server,
@@ -241,12 +243,12 @@
     }
 
     @Override
-    public void moduleRefuses(String sidecar, int life, long moduleId) {
+    public void moduleRefused(String sidecar, int life, long moduleId) {
         note(MODULE, sidecar, moduleId, () -> sidecar + "'s module refuses its " + moduleId);
     }
 
     @Override
-    public void moduleFails(String sidecar, int life, long moduleId) {
+    public void moduleFailed(String sidecar, int life, long moduleId) {
         note(MODULE, sidecar, -moduleId, () -> sidecar + "'s module fails its " + moduleId);
     }
 
@@ -268,7 +270,7 @@
     }
 
     @Override
-    public void fault(String kind, String at, String id) {
+    public void faultStruck(String kind, String at, String id) {
         note(
                 FAULT,
                 kind,
@@ -281,7 +283,7 @@
     }
 
     @Override
-    public void faultSet(String kind, String at) {
+    public void faultArmed(String kind, String at) {
         note(
                 FAULT,
                 kind,
@@ -290,17 +292,17 @@
     }
 
     @Override
-    public void meets(String what, String id, RequestState state) {
+    public void faultHit(String what, String id, RequestState state) {
         note(FAULT, what, 2, () -> what + " meets " + id + ", " + FaultKind.word(state));
     }
 
     @Override
-    public void lastFaultOver() {
+    public void lastFaultEnded() {
         note(DAY, null, 1, () -> "the last fault is over");
     }
 
     @Override
-    public void dayEnds() {
+    public void dayEnded() {
         note(DAY, null, 2, () -> "the day ends");
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.simnet.SeededRandom;
 
 /**
@@ -30,7 +30,7 @@
         this.chance = day.faults("nodes");
     }
 
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         if (ensemble == null) {
             return;
         }
@@ -43,7 +43,7 @@
             case NODE_FLAPS, NODE_GARBLED -> {
                 OrderServer server = machine(fault, request).server();
                 if (server != null) {
-                    day.evidence.fault(fault.kind().word(), server.uid(), id);
+                    day.evidence.faultStruck(fault.kind().word(), server.uid(), id);
                     if (fault.kind() == FaultKind.NODE_FLAPS) {
                         registrations.flap(
                                 server.uid(),
@@ -57,11 +57,11 @@
             case NODES_LOST -> {
                 String sidecar =
                         fault.who() != null ? fault.who() : chance.pick(seats.all()).name();
-                day.evidence.fault(fault.kind().word(), sidecar, id);
+                day.evidence.faultStruck(fault.kind().word(), sidecar, id);
                 ensemble.lose(sidecar, duration);
             }
             default -> {
-                day.evidence.fault(fault.kind().word(), null, id);
+                day.evidence.faultStruck(fault.kind().word(), null, id);
                 ofAll(fault, duration);
             }
         }
@@ -82,7 +82,7 @@
     }
 
     /** The one that is named, the request's, or any. */
-    private Machine machine(Fault fault, InState request) {
+    private Machine machine(Fault fault, ObservedRequest request) {
         if (fault.who() != null) {
             return fleet.machine(fault.who());
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 
 /** The coordination service and the servers' registrations there, on days that have them. */
-final class Nodes implements Evidence {
+final class Nodes implements DayListener {
     private Ensemble ensemble;
     private Registrations registrations;
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -160,7 +160,7 @@
                         work,
                         on.sidecar(),
                         share() * day.plan.count(ScenarioParameter.CORES))) {
-            day.evidence.fellOver(uid, life, tip.bySidecar());
+            day.evidence.serverCollapsed(uid, life, tip.bySidecar());
             machine.fell();
             return;
         }
@@ -223,7 +223,7 @@
     }
 
     private void turnAway(ServerConnection on, String id, boolean close) {
-        day.evidence.saysNotRun(uid, life, id);
+        day.evidence.serverDidNotRun(uid, life, id);
         on.say(
                 Script.of(
                                 Answers.plain(
@@ -242,7 +242,7 @@
     boolean answerEarly(ServerConnection on, String id) {
         boolean runs = chance.hits(0.5);
         if (!runs) {
-            day.evidence.saysNotRun(uid, life, id);
+            day.evidence.serverDidNotRun(uid, life, id);
             on.say(
                     Script.of(
                             Answers.plain(
@@ -308,7 +308,7 @@
                 chance.hits(day.plan.part(ScenarioParameter.LARGE_ANSWERS))
                         ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.largestBody()))
                         : token;
-        day.evidence.made(uid, life, id, body);
+        day.evidence.serverAnswered(uid, life, id, body);
         return body;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -176,7 +176,7 @@
             return;
         }
         leaving = true;
-        day.evidence.sidecarTerm(name, life);
+        day.evidence.sidecarSigterm(name, life);
         readiness.begin();
         process.term();
         int mine = life;
@@ -268,7 +268,7 @@
 
     private void hupNow() {
         hupDue = false;
-        day.evidence.sidecarHup(name, life);
+        day.evidence.sidecarSighup(name, life);
         process.hup(config("null"));
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Readiness.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Readiness.java
@@ -111,7 +111,7 @@
                         long sentAt = socket.sentAt();
                         end();
                         if (reader.isWhole()) {
-                            day.evidence.readiness(seat.name(), reader.status(), sentAt);
+                            day.evidence.readinessAnswered(seat.name(), reader.status(), sentAt);
                         }
                         if (reader.isWhole() && reader.status() == 200) {
                             seat.becameReady();
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -131,7 +131,7 @@
     void called(RegistryConnection from, long since, long wait) {
         Call call = new Call(++calls, from, since, wait, day.now());
         from.calls(call);
-        day.evidence.listCall(from.sidecar(), call.id(), call.whole(), wait);
+        day.evidence.discoveryCall(from.sidecar(), call.id(), call.whole(), wait);
         long cost =
                 day.plan.size(ScenarioParameter.CALL_COST) + (day.now() < slowUntil ? slowBy : 0);
         freeAt = Math.max(day.now(), freeAt) + cost;
@@ -182,7 +182,9 @@
                 .say(
                         call,
                         Script.of(Answers.plain(status, "", "")),
-                        () -> day.evidence.listCallEnded(call.from().sidecar(), call.id(), false));
+                        () ->
+                                day.evidence.discoveryCallEnded(
+                                        call.from().sidecar(), call.id(), false));
     }
 
     private void answer(Call call) {
@@ -228,7 +230,7 @@
                             () -> {
                                 if (call.from().isHeard()) {
                                     told.tell(sidecar, all, entries);
-                                    day.evidence.listCallEnded(sidecar, call.id(), true);
+                                    day.evidence.discoveryCallEnded(sidecar, call.id(), true);
                                     lookWhetherItArrives(
                                             call.from(), call.from().written(), sidecar, day.now());
                                 } else {
@@ -256,7 +258,7 @@
                 ARRIVES,
                 () -> {
                     if (connection.isLost(bytes)) {
-                        day.evidence.listUntold(sidecar, toldAt);
+                        day.evidence.listNotDelivered(sidecar, toldAt);
                     } else if (!connection.wasRead(bytes)) {
                         lookWhetherItArrives(connection, bytes, sidecar, toldAt);
                     }
@@ -266,7 +268,7 @@
     /** Nothing that could be read was told: as if it could not have been asked. */
     private void spoilt(String sidecar, Call call) {
         day.evidence.discoveryUnreachable(sidecar, call.at(), day.now());
-        day.evidence.listCallEnded(sidecar, call.id(), false);
+        day.evidence.discoveryCallEnded(sidecar, call.id(), false);
     }
 
     private String garbled(String json) {
@@ -307,7 +309,7 @@
 
     private void failAll() {
         for (RegistryConnection each : new ArrayList<>(connections)) {
-            each.abort(call -> day.evidence.listCallEnded(each.sidecar(), call.id(), false));
+            each.abort(call -> day.evidence.discoveryCallEnded(each.sidecar(), call.id(), false));
         }
         connections.clear();
         parked.clear();
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
 import appleridge.testbed.simnet.SimSocket;
@@ -12,9 +12,9 @@
     private final Network network;
     private final ProcessSlots seats;
     private final List<Host> discovery;
-    private final Evidence evidence;
+    private final DayListener evidence;
 
-    RegistryTap(Network network, ProcessSlots seats, List<Host> discovery, Evidence evidence) {
+    RegistryTap(Network network, ProcessSlots seats, List<Host> discovery, DayListener evidence) {
         this.network = network;
         this.seats = seats;
         this.discovery = discovery;
@@ -24,7 +24,7 @@
     @Override
     public void connecting(SimSocket socket) {
         if (discovery.contains(socket.peerHost()) && seats.seat(socket.host().name()) != null) {
-            evidence.listConnects(socket.host().name(), open(socket.host()));
+            evidence.discoveryConnecting(socket.host().name(), open(socket.host()));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -157,7 +157,7 @@
             String id = reader.partialHeader("x-request-id");
             if (id != null && !id.isEmpty()) {
                 begunTold = true;
-                day.evidence.begun(
+                day.evidence.serverReadId(
                         server.uid(),
                         server.life(),
                         sidecar(),
@@ -207,7 +207,7 @@
         if (answered) {
             tellArrived(received, 0);
             if (!earlyRuns) {
-                day.evidence.saysNotRun(server.uid(), server.life(), received.id());
+                day.evidence.serverDidNotRun(server.uid(), server.life(), received.id());
             }
             rest();
             return;
@@ -220,7 +220,7 @@
     /** Told of every request, one without an id too. */
     void tellArrived(Received received, long work) {
         if (!received.id().isEmpty()) {
-            day.evidence.arrived(
+            day.evidence.serverReceived(
                     server.uid(),
                     server.life(),
                     sidecar(),
@@ -229,7 +229,7 @@
                     received.lastByteSentAt(),
                     work);
         }
-        day.evidence.reads(
+        day.evidence.serverReadMessage(
                 server.uid(),
                 sidecar(),
                 received.id(),
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.simnet.NetworkConditions;
 import appleridge.testbed.simnet.SeededRandom;
 import java.util.function.Consumer;
@@ -24,7 +24,7 @@
         this.chance = day.faults("servers");
     }
 
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         Machine machine = machine(fault, request);
         OrderServer server = machine.server();
         if (server == null) {
@@ -42,7 +42,7 @@
                 return;
             }
             default ->
-                    day.evidence.fault(
+                    day.evidence.faultStruck(
                             fault.kind().word(),
                             server.uid(),
                             request == null ? null : request.id());
@@ -92,7 +92,7 @@
     }
 
     /** The one that is named, the request's, or any. */
-    private Machine machine(Fault fault, InState request) {
+    private Machine machine(Fault fault, ObservedRequest request) {
         if (fault.who() != null) {
             return fleet.machine(fault.who());
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.NetworkConditions;
 import appleridge.testbed.simnet.SeededRandom;
@@ -57,11 +57,11 @@
         this.copies = day.faults("copies");
     }
 
-    void strike(Fault fault, InState request) {
+    void strike(Fault fault, ObservedRequest request) {
         String id = request == null ? null : request.id();
         if (fault.kind() == FaultKind.ZONE_CUT) {
             String zone = fault.who() != null ? fault.who() : chance.pick(Site.ZONES);
-            day.evidence.fault(fault.kind().word(), zone, id);
+            day.evidence.faultStruck(fault.kind().word(), zone, id);
             cut(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
             return;
         }
@@ -70,7 +70,7 @@
             return;
         }
         if (fault.kind() != FaultKind.NO_DESCRIPTORS) {
-            day.evidence.fault(fault.kind().word(), seat.name(), id);
+            day.evidence.faultStruck(fault.kind().word(), seat.name(), id);
         }
         long duration =
                 fault.kind().params().contains(FaultParameter.FOR)
--- a/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.InState;
+import appleridge.testbed.invariants.ObservedRequest;
 import appleridge.testbed.invariants.RequestState;
 import appleridge.testbed.invariants.RequestStates;
 import java.util.ArrayList;
@@ -38,7 +38,7 @@
         }
     }
 
-    private void entered(InState request, int visit, List<Fault> waiting) {
+    private void entered(ObservedRequest request, int visit, List<Fault> waiting) {
         for (int i = waiting.size() - 1; i >= 0; i--) {
             if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().suits(request)) {
                 spring(waiting.remove(i), request, waiting);
@@ -50,7 +50,7 @@
      * Danger: this comes in the middle of what brought the state about. But for sockets, a step of
      * its own.
      */
-    private void spring(Fault fault, InState request, List<Fault> waiting) {
+    private void spring(Fault fault, ObservedRequest request, List<Fault> waiting) {
         long after = fault.trigger().at();
         if (after == 0 && FaultInjector.atOnce(fault.kind())) {
             strikes.strike(fault, request);
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
-import appleridge.testbed.invariants.Evidence;
-import appleridge.testbed.invariants.EvidenceFanOut;
+import appleridge.testbed.invariants.DayListener;
+import appleridge.testbed.invariants.DayListenerFanOut;
 import appleridge.testbed.invariants.RequestStates;
 import appleridge.testbed.simnet.Host;
 import appleridge.testbed.simnet.Network;
@@ -21,7 +21,7 @@
     /** Makes what handles the processes of one sidecar. */
     public interface Sidecars {
         /** {@code evidence}: for what the module in it says. */
-        SidecarHost of(String name, World world, Evidence evidence);
+        SidecarHost of(String name, World world, DayListener evidence);
     }
 
     /** Makes who watches the day. */
@@ -32,7 +32,7 @@
          * @param states the state of each request; told of everything ahead of the watch
          * @param zoneOf the zone of an order server
          */
-        Evidence of(World world, RequestStates states, UnaryOperator<String> zoneOf);
+        DayListener of(World world, RequestStates states, UnaryOperator<String> zoneOf);
     }
 
     private static final int DESCRIPTORS = 20_000;
@@ -69,8 +69,8 @@
         network = new Network(simulation, chance.stream("network"));
         network.tap(states);
         FaultOverlaps meetings = new FaultOverlaps(states);
-        Evidence evidence =
-                new EvidenceFanOut(
+        DayListener evidence =
+                new DayListenerFanOut(
                         List.of(
                                 meetings,
                                 states,
@@ -79,7 +79,7 @@
                                 watch.of(this, states, this::zoneOf)));
         day = new Day(plan, simulation, network, evidence, chance);
         meetings.begin(day);
-        evidence.listedBy(
+        evidence.discoverySources(
                 plan.count(ScenarioParameter.MEMBERSHIP) != 1,
                 plan.count(ScenarioParameter.MEMBERSHIP) > 0);
         Instances instances = new Instances(day);
@@ -234,7 +234,7 @@
     public void run() {
         begin();
         simulation.runUntil(plan.end());
-        day.evidence.dayEnds();
+        day.evidence.dayEnded();
     }
 
     /** All processes begin; the day goes on with the simulation's steps. */
@@ -256,7 +256,7 @@
                 plan.faultsEnd(),
                 () -> {
                     links.calm();
-                    day.evidence.lastFaultOver();
+                    day.evidence.lastFaultEnded();
                 });
     }
 
--- a/testbed/src/test/java/appleridge/testbed/campaign/ScenariosTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ScenariosTest.java
@@ -26,7 +26,7 @@
                                         () -> {
                                             Verdict verdict = DayPlayer.play(each.plan());
                                             assertTrue(
-                                                    verdict.good(),
+                                                    verdict.passed(),
                                                     () -> each.what() + "\n" + verdict.text());
                                         }))
                 .toList();
--- a/testbed/src/test/java/appleridge/testbed/campaign/ShrinkTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ShrinkTest.java
@@ -59,7 +59,8 @@
         Plan left = Plan.parse(text);
         assertEquals(0, left.faults().size());
         Verdict verdict = DayPlayer.play(left);
-        assertTrue(verdict.broken().stream().anyMatch(each -> each.rule() == Rule.NOT_RECOVERED));
+        assertTrue(
+                verdict.violations().stream().anyMatch(each -> each.rule() == Rule.NOT_RECOVERED));
         String said = out.toString(StandardCharsets.UTF_8);
         assertTrue(said.startsWith("NOT_RECOVERED: 0 of 3 faults and "), said);
         assertTrue(said.contains(" of 4 unusual sizes are left after "), said);
--- a/testbed/src/test/java/appleridge/testbed/invariants/AnswerRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/AnswerRulesTest.java
@@ -31,18 +31,18 @@
     @Test
     void whatWasMadeForAnotherIsWrong() {
         taken().taken("s", Scene.STOCK_CHECK, 400 * Scene.MS).arrived("a-1", "s");
-        scene.judge.made("a-1", 1, "r", "for r");
-        scene.judge.made("a-1", 1, "s", "for s");
+        scene.judge.serverAnswered("a-1", 1, "r", "for r");
+        scene.judge.serverAnswered("a-1", 1, "s", "for s");
         scene.answered("r", 200, "for s");
         assertEquals(List.of(Rule.WRONG_ANSWER), scene.rules());
-        assertTrue(scene.judge.broken().get(0).what().endsWith("it was made for s"));
+        assertTrue(scene.judge.violations().get(0).what().endsWith("it was made for s"));
     }
 
     @Test
     void eitherOfTwoAnswersMadeForItIsRight() {
         taken().arrived("a-2", "r");
-        scene.judge.made("a-1", 1, "r", "one");
-        scene.judge.made("a-2", 1, "r", "two");
+        scene.judge.serverAnswered("a-1", 1, "r", "one");
+        scene.judge.serverAnswered("a-2", 1, "r", "two");
         scene.answered("r", 200, "one");
         assertEquals(List.of(), scene.rules());
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
@@ -17,11 +17,11 @@
     }
 
     private void arrives(String sidecar, long sentAt) {
-        scene.judge.arrived("a-1", 2, sidecar, "x", sentAt, sentAt, MS);
+        scene.judge.serverReceived("a-1", 2, sidecar, "x", sentAt, sentAt, MS);
     }
 
     private void falls(double own, double others) {
-        scene.judge.fellOver("a-1", 2, Map.of(Scene.SIDE, own, "side-1", others));
+        scene.judge.serverCollapsed("a-1", 2, Map.of(Scene.SIDE, own, "side-1", others));
     }
 
     @Test
@@ -62,7 +62,7 @@
     void whatCountsAsToldCounts() {
         born();
         scene.knows("a-1", "Ready", S);
-        scene.judge.listCall(Scene.SIDE, 1, true, 0);
+        scene.judge.discoveryCall(Scene.SIDE, 1, true, 0);
         scene.at(7 * S + 1);
         falls(3, 0);
         assertEquals(List.of(Rule.COLD), scene.rules());
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -32,16 +32,16 @@
     void saysWhichCellsWereStruckTooSeldom() {
         Coverage coverage = new Coverage();
         coverage.expect("up-reset");
-        assertEquals(STATES, coverage.cellsBelow(1, Impossible.none()));
-        assertEquals(STATES - 5, coverage.cellsBelow(1, Impossible.usual()));
+        assertEquals(STATES, coverage.cellsBelow(1, ImpossibleCombinations.none()));
+        assertEquals(STATES - 5, coverage.cellsBelow(1, ImpossibleCombinations.usual()));
         coverage.add("up-reset", RequestState.WRITTEN);
-        assertEquals(STATES - 6, coverage.cellsBelow(1, Impossible.usual()));
-        assertEquals(STATES - 5, coverage.cellsBelow(2, Impossible.usual()));
+        assertEquals(STATES - 6, coverage.cellsBelow(1, ImpossibleCombinations.usual()));
+        assertEquals(STATES - 5, coverage.cellsBelow(2, ImpossibleCombinations.usual()));
     }
 
     @Test
     void whatCannotHappenHasAReason() {
-        Impossible usual = Impossible.usual();
+        ImpossibleCombinations usual = ImpossibleCombinations.usual();
         assertNull(usual.why("kill", RequestState.IDLE));
         assertNull(usual.why("up-reset", RequestState.ANSWERING));
         assertEquals(
@@ -56,7 +56,7 @@
         Coverage coverage = new Coverage();
         coverage.add("up-reset", RequestState.WRITTEN);
         coverage.add("kill", RequestState.IDLE);
-        List<String> lines = coverage.text(Impossible.usual()).lines().toList();
+        List<String> lines = coverage.text(ImpossibleCombinations.usual()).lines().toList();
         assertEquals(3, lines.size());
         assertTrue(lines.get(0).startsWith("fault     arriving"), lines.get(0));
         assertTrue(
@@ -66,7 +66,7 @@
                 lines.get(2).startsWith("up-reset         -") && lines.get(2).endsWith("-"),
                 lines.get(2));
         assertEquals(lines.get(0).length(), lines.get(2).length());
-        String markdown = coverage.markdown(Impossible.usual());
+        String markdown = coverage.markdown(ImpossibleCombinations.usual());
         assertTrue(markdown.startsWith("| fault | arriving | held |"), markdown);
         assertTrue(markdown.contains("| up-reset | - | - | 0 | 0 | 1 |"), markdown);
         assertTrue(
@@ -84,19 +84,19 @@
         wire.states.sidecar("side-1-process", "side-1");
         wire.asks("r");
         wire.asks("s");
-        wire.states.asked("s");
-        strikes.fault("down-reset", "app", "s");
+        wire.states.requestSent("s");
+        strikes.faultStruck("down-reset", "app", "s");
         assertEquals(1, coverage.count("down-reset", RequestState.HELD));
         assertEquals(1, coverage.total());
-        strikes.fault("kill", Wire.SIDE, null);
+        strikes.faultStruck("kill", Wire.SIDE, null);
         assertEquals(1, coverage.count("kill", RequestState.HELD));
         assertEquals(1, coverage.count("kill", RequestState.ARRIVING));
-        strikes.fault("kill", "side-1", null);
-        strikes.fault("crash", "a-1", null);
-        strikes.fault("down-reset", "app", "over");
+        strikes.faultStruck("kill", "side-1", null);
+        strikes.faultStruck("crash", "a-1", null);
+        strikes.faultStruck("down-reset", "app", "over");
         assertEquals(3, coverage.total());
-        strikes.fault("list-down", null, null);
-        strikes.fault("zone-cut", "ebene", null);
+        strikes.faultStruck("list-down", null, null);
+        strikes.faultStruck("zone-cut", "ebene", null);
         assertEquals(3, coverage.total());
     }
 
@@ -104,16 +104,16 @@
     void whatLastsCountsWhomItMeets() throws IOException {
         Coverage coverage = new Coverage();
         FaultHitCounter strikes = new FaultHitCounter(new Wire().states, coverage);
-        strikes.faultSet("connect-slow", "a-1");
-        assertTrue(coverage.text(Impossible.none()).contains("connect-slow"));
+        strikes.faultArmed("connect-slow", "a-1");
+        assertTrue(coverage.text(ImpossibleCombinations.none()).contains("connect-slow"));
         assertEquals(0, coverage.total());
-        strikes.meets("connect-slow", "r", RequestState.CONNECTING);
+        strikes.faultHit("connect-slow", "r", RequestState.CONNECTING);
         assertEquals(1, coverage.count("connect-slow", RequestState.CONNECTING));
     }
 
     @Test
     void whatMeetsOnlySomeCannotMeetOthers() {
-        Impossible usual = Impossible.usual();
+        ImpossibleCombinations usual = ImpossibleCombinations.usual();
         assertNull(usual.why("connect-refused", RequestState.RESEND_CONNECTING));
         assertNull(usual.why("up-cut-answer", RequestState.RESEND_ANSWERING));
         assertNull(usual.why("window-closes", RequestState.RESEND_WRITING));
@@ -129,7 +129,7 @@
     void aDayComesToAVerdict() {
         RequestCounts tally = new RequestCounts();
         for (String id : List.of("a", "b", "c", "d", "e", "f", "g")) {
-            tally.asks(new ClientAttempt(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
+            tally.requestStarted(new ClientAttempt(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
         }
         tally.answered("a", 200, "", -1, 0);
         tally.answered("b", 503, "", -1, 0);
@@ -137,15 +137,15 @@
         tally.answered("c", 504, "", -1, 0);
         tally.answerBroken("d", "reset", false);
         tally.answerBroken("d", "reset", false);
-        tally.gaveUp("e");
-        tally.arrived("s", 1, "side-0", "a", 0, 0, 1);
-        tally.arrived("s", 1, "side-0", "a", 0, 0, 1);
-        tally.arrived("s", 1, "side-0", "bad-1", 0, 0, 1);
+        tally.clientGaveUp("e");
+        tally.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
+        tally.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
+        tally.serverReceived("s", 1, "side-0", "bad-1", 0, 0, 1);
         Counts counts = tally.counts();
         assertEquals(new Counts(7, 1, 2, 2, 1, 2, 1), counts);
         assertEquals(new Counts(14, 2, 4, 4, 2, 4, 2), counts.plus(counts));
         Verdict good = new Verdict(7, 255, List.of(), counts, new Coverage(), 20);
-        assertTrue(good.good());
+        assertTrue(good.passed());
         assertEquals(
                 "seed 7: no rule broken, 7 asked, 1 served, 2 refused, 2 failed, 1 left, 2"
                         + " attempts, 1 resends, digest ff",
@@ -158,7 +158,7 @@
                         counts,
                         new Coverage(),
                         20);
-        assertFalse(bad.good());
+        assertFalse(bad.passed());
         assertTrue(bad.text().startsWith("seed 7: 1 broken, "));
         assertTrue(bad.text().endsWith("\n  LOST at 1.500000000s d: why"));
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/DrainRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/DrainRuleTest.java
@@ -26,7 +26,7 @@
     }
 
     private void called(long id, boolean whole, long wait) {
-        scene.judge.listCall(Scene.SIDE, id, whole, wait);
+        scene.judge.discoveryCall(Scene.SIDE, id, whole, wait);
     }
 
     @Test
@@ -50,7 +50,7 @@
     @Test
     void anotherServersOrSidecarsIsNot() {
         scene.at(S).told("a-2", "Terminating", 0);
-        scene.judge.listTold("side-1", "a-1", "Terminating", 0);
+        scene.judge.listDelivered("side-1", "a-1", "Terminating", 0);
         assertNotToldBy(8 * S);
     }
 
@@ -117,7 +117,7 @@
         called(1, false, 2500 * MS);
         scene.at(2 * S).knows("a-1", "Terminating", 0);
         scene.at(3 * S);
-        scene.judge.listCallEnded(Scene.SIDE, 1, true);
+        scene.judge.discoveryCallEnded(Scene.SIDE, 1, true);
         assertNotToldBy(9 * S);
     }
 
@@ -126,7 +126,7 @@
         scene.at(S).knows("a-1", "Terminating", 0);
         called(1, true, 0);
         scene.at(2 * S);
-        scene.judge.listCallEnded(Scene.SIDE, 1, false);
+        scene.judge.discoveryCallEnded(Scene.SIDE, 1, false);
         assertNotToldBy(11 * S);
     }
 
@@ -165,7 +165,7 @@
     @Test
     void whatDidNotArriveWasNotTold() {
         scene.at(S).knows("a-1", "Terminating", 0).told("a-1", "Terminating", 0);
-        scene.at(2 * S).judge.listUntold(Scene.SIDE, S);
+        scene.at(2 * S).judge.listNotDelivered(Scene.SIDE, S);
         assertNotToldBy(4 * S);
         scene.at(5 * S).told("a-1", "Terminating", 0);
         assertToldAt(5 * S);
@@ -201,7 +201,7 @@
     @Test
     void sighupTellsWhatIsKnownAfterFourSeconds() {
         scene.at(S).knows("a-1", "Terminating", 0).at(2 * S);
-        scene.judge.sidecarHup(Scene.SIDE, 1);
+        scene.judge.sidecarSighup(Scene.SIDE, 1);
         assertToldAt(6 * S);
     }
 
@@ -210,7 +210,7 @@
         scene.at(S);
         called(1, false, 9 * S);
         scene.at(2 * S);
-        scene.judge.sidecarHup(Scene.SIDE, 1);
+        scene.judge.sidecarSighup(Scene.SIDE, 1);
         scene.at(3 * S).knows("a-1", "Terminating", 0);
         called(2, false, 60 * S);
         assertNotToldBy(30 * S);
@@ -221,7 +221,7 @@
         scene.at(S);
         called(1, true, 2 * S);
         scene.knows("a-1", "Terminating", 0).at(2 * S).told("a-1", "Terminating", 0);
-        scene.judge.listUntold(Scene.SIDE, 2 * S);
+        scene.judge.listNotDelivered(Scene.SIDE, 2 * S);
         assertToldAt(5 * S);
     }
 
@@ -242,7 +242,7 @@
         scene.at(S);
         called(1, true, 0);
         scene.knows("a-1", "Terminating", 0).at(2 * S);
-        scene.judge.listCallEnded(Scene.SIDE, 1, false);
+        scene.judge.discoveryCallEnded(Scene.SIDE, 1, false);
         assertNotToldBy(12 * S);
         assertToldAt(12 * S);
     }
@@ -260,7 +260,7 @@
         scene.at(S).knows("a-1", "Terminating", 0).at(8 * S);
         called(1, false, 20 * S);
         scene.at(27 * S);
-        scene.judge.listCallEnded(Scene.SIDE, 1, true);
+        scene.judge.discoveryCallEnded(Scene.SIDE, 1, true);
         assertNotToldBy(36 * S);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/EffectRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/EffectRuleTest.java
@@ -16,7 +16,7 @@
 
     private void assertDuplicate(String end) {
         assertEquals(List.of(Rule.DUPLICATE), scene.rules());
-        assertEquals(end, scene.judge.broken().get(0).what().substring(0, end.length()));
+        assertEquals(end, scene.judge.violations().get(0).what().substring(0, end.length()));
     }
 
     private void assertFine() {
@@ -38,10 +38,10 @@
     @Test
     void aServerThatSaysItNeverRanDoesNotCount() {
         taken(Scene.RAISE_INVOICE).arrived("a-1", "r");
-        scene.judge.saysNotRun("a-1", 1, "r");
+        scene.judge.serverDidNotRun("a-1", 1, "r");
         scene.after(MS).arrived("a-2", "r");
         assertFine();
-        scene.judge.saysNotRun("a-2", 1, "r");
+        scene.judge.serverDidNotRun("a-2", 1, "r");
         scene.after(MS).arrived("a-1", "r");
         assertFine();
     }
@@ -49,24 +49,24 @@
     @Test
     void oneThatSaysSoTooLateDoes() {
         taken(Scene.RAISE_INVOICE).arrived("a-1", "r").arrived("a-2", "r");
-        scene.judge.saysNotRun("a-1", 1, "r");
+        scene.judge.serverDidNotRun("a-1", 1, "r");
         assertDuplicate("may have run twice");
     }
 
     @Test
     void oneThatSaysSoBeforeItHasReadAllDoesNot() {
         taken(Scene.RAISE_INVOICE).begun("a-1", "r", scene.now);
-        scene.judge.saysNotRun("a-1", 1, "r");
+        scene.judge.serverDidNotRun("a-1", 1, "r");
         scene.after(MS).arrived("a-2", "r");
-        scene.judge.arrived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now, MS);
+        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now, MS);
         assertFine();
     }
 
     @Test
     void anothersWordOrThatOfAnEarlierLifeIsNotItsOwn() {
         taken(Scene.RAISE_INVOICE).arrived("a-1", "r");
-        scene.judge.saysNotRun("a-2", 1, "r");
-        scene.judge.saysNotRun("a-1", 2, "r");
+        scene.judge.serverDidNotRun("a-2", 1, "r");
+        scene.judge.serverDidNotRun("a-1", 2, "r");
         scene.after(MS).arrived("a-2", "r");
         assertDuplicate("may have run twice");
     }
@@ -74,12 +74,12 @@
     @Test
     void ofCopiesThatAreStillComingTheRightOneArrives() {
         taken(Scene.RAISE_INVOICE).begun("a-2", "r", scene.now).begun("a-1", "r", scene.now);
-        scene.judge.begun("a-1", 2, Scene.SIDE, "r", scene.now);
-        scene.judge.saysNotRun("a-1", 2, "r");
-        scene.judge.saysNotRun("a-2", 1, "r");
-        scene.judge.arrived("a-1", 1, Scene.SIDE, "r", scene.now, scene.now, MS);
-        scene.judge.arrived("a-2", 1, Scene.SIDE, "r", scene.now, scene.now, MS);
-        scene.judge.arrived("a-1", 2, Scene.SIDE, "r", scene.now, scene.now, MS);
+        scene.judge.serverReadId("a-1", 2, Scene.SIDE, "r", scene.now);
+        scene.judge.serverDidNotRun("a-1", 2, "r");
+        scene.judge.serverDidNotRun("a-2", 1, "r");
+        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now, scene.now, MS);
+        scene.judge.serverReceived("a-2", 1, Scene.SIDE, "r", scene.now, scene.now, MS);
+        scene.judge.serverReceived("a-1", 2, Scene.SIDE, "r", scene.now, scene.now, MS);
         assertFine();
         scene.arrived("a-3", "r");
         assertDuplicate("may have run twice");
@@ -108,7 +108,7 @@
     @Test
     void itsZoneIsThatOfTheFirstThatMayHaveRun() {
         taken(Scene.STOCK_HOLD).arrived("b-1", "r");
-        scene.judge.saysNotRun("b-1", 1, "r");
+        scene.judge.serverDidNotRun("b-1", 1, "r");
         scene.after(MS).arrived("a-1", "r").after(MS).arrived("a-2", "r");
         assertFine();
     }
@@ -159,7 +159,7 @@
     void notForAKeyOfAllNorWhereItDidNotRun() {
         taken(Scene.ORDER_CONFIRM).arrived("a-1", "r").after(MS).answered("r", 503, "");
         scene.taken("s", Scene.RAISE_INVOICE, S).arrived("a-1", "s");
-        scene.judge.saysNotRun("a-1", 1, "s");
+        scene.judge.serverDidNotRun("a-1", 1, "s");
         scene.after(MS).answered("s", 503, "");
         scene.taken("t", Scene.RAISE_INVOICE, S).begun("a-1", "t").after(MS).answered("t", 503, "");
         scene.taken("u", Scene.RAISE_INVOICE, S)
@@ -183,7 +183,7 @@
 
     @Test
     void whatABadClientHidesIsNotPassedOn() {
-        scene.judge.badHides("bad-1", "hidden");
+        scene.judge.badClientHidRequest("bad-1", "hidden");
         scene.begun("a-1", "bad-7");
         assertFine();
         scene.begun("a-1", "hidden");
--- a/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
@@ -18,9 +18,9 @@
         Scene scene = new Scene();
         scene.at(0).taken("r", Scene.STOCK_CHECK, 400 * MS);
         scene.now = Scene.S;
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         assertEquals(List.of(Rule.LATE), scene.rules());
-        assertEquals(485 * MS, scene.judge.broken().get(0).at());
+        assertEquals(485 * MS, scene.judge.violations().get(0).at());
     }
 
     @Test
@@ -30,20 +30,24 @@
         scene.arrived("a-1", "r").arrived("a-1", "r").arrived("a-1", "r");
         assertEquals(List.of(Rule.DUPLICATE), scene.rules());
         assertTrue(
-                scene.judge.broken().get(0).toString().startsWith("DUPLICATE at 1.000000000s r: "));
+                scene.judge
+                        .violations()
+                        .get(0)
+                        .toString()
+                        .startsWith("DUPLICATE at 1.000000000s r: "));
     }
 
     @Test
     void whatNoUsualClientHasAskedIsPassedOver() {
         Scene scene = new Scene();
-        scene.judge.asked("x");
+        scene.judge.requestSent("x");
         scene.arrived("a-1", "x").served("a-1", "x").answered("x", 503, "");
-        scene.judge.saysNotRun("a-1", 1, "x");
+        scene.judge.serverDidNotRun("a-1", 1, "x");
         scene.judge.answerBroken("x", "closed", true);
-        scene.judge.gaveUp("x");
-        scene.judge.fault("kill", "a-1", "x");
-        scene.judge.moduleTook(Scene.SIDE, 1, 1, 99);
-        scene.judge.moduleRefuses(Scene.SIDE, 1, 1);
+        scene.judge.clientGaveUp("x");
+        scene.judge.faultStruck("kill", "a-1", "x");
+        scene.judge.moduleAccepted(Scene.SIDE, 1, 1, 99);
+        scene.judge.moduleRefused(Scene.SIDE, 1, 1);
         scene.after(Scene.S);
         assertEquals(List.of(), scene.rules());
     }
@@ -52,10 +56,10 @@
     void whatIsOverIsJudgedNoMore() {
         Scene scene = new Scene();
         scene.at(0).taken("r", Scene.STOCK_CHECK, 400 * MS).arrived("a-1", "r").at(300 * MS);
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         scene.at(500 * MS);
         scene.judge.answerBroken("r", "closed", false);
-        scene.judge.asked("r");
+        scene.judge.requestSent("r");
         scene.after(Scene.S);
         assertEquals(List.of(), scene.rules());
     }
@@ -68,12 +72,14 @@
                     heard.add(method.getName());
                     return null;
                 };
-        Evidence listener =
-                (Evidence)
+        DayListener listener =
+                (DayListener)
                         Proxy.newProxyInstance(
-                                getClass().getClassLoader(), new Class<?>[] {Evidence.class}, ear);
-        EvidenceFanOut fan = new EvidenceFanOut(List.of(listener, listener));
-        for (Method each : Evidence.class.getMethods()) {
+                                getClass().getClassLoader(),
+                                new Class<?>[] {DayListener.class},
+                                ear);
+        DayListenerFanOut fan = new DayListenerFanOut(List.of(listener, listener));
+        for (Method each : DayListener.class.getMethods()) {
             Object[] arguments = new Object[each.getParameterCount()];
             for (int i = 0; i < arguments.length; i++) {
                 Class<?> type = each.getParameterTypes()[i];
--- a/testbed/src/test/java/appleridge/testbed/invariants/LateRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LateRuleTest.java
@@ -46,7 +46,7 @@
         assertEquals(List.of(), scene.rules());
         scene.after(1);
         assertEquals(List.of(Rule.LATE), scene.rules());
-        assertEquals(DUE + 5 * MS, scene.judge.broken().get(0).at());
+        assertEquals(DUE + 5 * MS, scene.judge.violations().get(0).at());
         answeredAt(DUE + 9 * MS);
         assertEquals(1, scene.rules().size());
     }
@@ -54,7 +54,7 @@
     @Test
     void whoLeavesIsNotOwedOne() {
         taken().at(DUE - 1);
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         scene.after(S);
         assertEquals(List.of(), scene.rules());
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void whatWasNotTakenIsNotLost() {
-        scene.judge.asks(
+        scene.judge.requestStarted(
                 new ClientAttempt("r", "r", 0, Scene.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
         broken(false);
         assertKept();
@@ -53,7 +53,7 @@
     @Test
     void whoLeavesLosesNothing() {
         taken();
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         broken(false);
         assertKept();
     }
@@ -71,7 +71,7 @@
     @Test
     void oneThatEndsByItselfDoes() {
         taken();
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarExited(Scene.SIDE, 1, 0);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.after(MS);
@@ -170,7 +170,7 @@
     @Test
     void oneThatWasMadeWholeMayNot() {
         taken();
-        scene.judge.made("a-1", 1, "r", "whole");
+        scene.judge.serverAnswered("a-1", 1, "r", "whole");
         broken(true);
         assertLost();
     }
@@ -178,15 +178,15 @@
     @Test
     void unlessAFaultStruckIt() {
         taken();
-        scene.judge.made("a-1", 1, "r", "whole");
-        scene.judge.fault("up-reset", "a-1", "r");
+        scene.judge.serverAnswered("a-1", 1, "r", "whole");
+        scene.judge.faultStruck("up-reset", "a-1", "r");
         broken(true);
         assertKept();
     }
 
     private void killedAfterTerm(long untilKill, long takenBefore) {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.at(S + untilKill - takenBefore)
                 .taken("r", Scene.STOCK_CHECK, 400 * MS)
                 .at(S + untilKill);
@@ -222,11 +222,11 @@
         scene.after(MS).answered("answered", 504, "");
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.asks(
+        scene.judge.requestStarted(
                 new ClientAttempt(
                         "other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
-        scene.judge.asked("other");
-        scene.judge.sidecarTerm(Scene.SIDE, 2);
+        scene.judge.requestSent("other");
+        scene.judge.sidecarSigterm(Scene.SIDE, 2);
         scene.after(9 * S);
         scene.judge.sidecarKilled(Scene.SIDE, 2);
         assertKept();
--- a/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -20,12 +20,12 @@
 
     private void givenUp(boolean refused) {
         scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleTook(Scene.SIDE, 1, 7, scene.key());
+        scene.judge.moduleAccepted(Scene.SIDE, 1, 7, scene.key());
         scene.after(100 * MS);
         if (refused) {
-            scene.judge.moduleRefuses(Scene.SIDE, 1, 7);
+            scene.judge.moduleRefused(Scene.SIDE, 1, 7);
         } else {
-            scene.judge.moduleFails(Scene.SIDE, 1, 7);
+            scene.judge.moduleFailed(Scene.SIDE, 1, 7);
         }
     }
 
@@ -73,7 +73,7 @@
         givenUp(true);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.taken("s", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleRefuses(Scene.SIDE, 2, 7);
+        scene.judge.moduleRefused(Scene.SIDE, 2, 7);
         scene.after(100 * MS).answered("s", 503, "");
         assertBroken();
     }
@@ -83,22 +83,22 @@
     @Test
     void aBadClientGetsAnErrorOrAClose() {
         scene.at(S);
-        scene.judge.badConnected("bad-1", 4 * S);
-        scene.judge.badConnected("bad-2", 4 * S);
-        scene.judge.badConnected("bad-3", 4 * S);
+        scene.judge.badClientConnected("bad-1", 4 * S);
+        scene.judge.badClientConnected("bad-2", 4 * S);
+        scene.judge.badClientConnected("bad-3", 4 * S);
         scene.at(4 * S);
-        scene.judge.badEnded("bad-1", 400);
-        scene.judge.badEnded("bad-2", 0);
+        scene.judge.badClientEnded("bad-1", 400);
+        scene.judge.badClientEnded("bad-2", 0);
         assertBroken();
         scene.after(1);
         assertBroken(Rule.BAD_CLIENT);
-        assertEquals("bad-3", scene.judge.broken().get(0).subject());
+        assertEquals("bad-3", scene.judge.violations().get(0).subject());
     }
 
     @Test
     void aPausePutsThatOff() {
         scene.at(S);
-        scene.judge.badConnected("bad-1", 4 * S);
+        scene.judge.badClientConnected("bad-1", 4 * S);
         scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
         scene.at(5 * S);
         assertBroken();
@@ -108,8 +108,8 @@
 
     @Test
     void aBadClientIsNotServed() {
-        scene.judge.badConnected("bad-1", 4 * S);
-        scene.judge.badEnded("bad-1", 200);
+        scene.judge.badClientConnected("bad-1", 4 * S);
+        scene.judge.badClientEnded("bad-1", 200);
         assertBroken(Rule.BAD_CLIENT);
     }
 
@@ -117,21 +117,21 @@
 
     @Test
     void noOneEndsUntold() {
-        scene.judge.sidecarHup(Scene.SIDE, 1);
+        scene.judge.sidecarSighup(Scene.SIDE, 1);
         scene.judge.sidecarExited(Scene.SIDE, 1, 0);
         assertBroken(Rule.CRASH);
     }
 
     @Test
     void onSigtermItMay() {
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarExited(Scene.SIDE, 1, 0);
         assertBroken();
     }
 
     @Test
     void anEarlierProcessesSigtermIsNotItsOwn() {
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarExited(Scene.SIDE, 1, 0);
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.judge.sidecarExited(Scene.SIDE, 2, 0);
@@ -143,16 +143,20 @@
     @Test
     void emptyBooksAreFine() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.books(Scene.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
-        scene.judge.books("side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
+        scene.judge.checkResources(
+                Scene.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
+        scene.judge.checkResources(
+                "side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
         assertBroken();
     }
 
     @Test
     void connectionsThatAreNotCountedAreTold() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.books(Scene.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
-        scene.judge.books("side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
+        scene.judge.checkResources(
+                Scene.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
+        scene.judge.checkResources(
+                "side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
         assertBroken(Rule.BOOKS, Rule.BOOKS);
     }
 
@@ -167,7 +171,7 @@
                         new ResourceCounts(0, 0, 0, 0, 1, 0, List.of()),
                                 new ResourceCounts(0, 0, 0, 0, 0, 1, List.of()));
         for (int i = 0; i < leaks.size(); i++) {
-            scene.judge.books("side-" + i, leaks.get(i), ResourceCounts.empty());
+            scene.judge.checkResources("side-" + i, leaks.get(i), ResourceCounts.empty());
             assertEquals(i + 1, scene.rules().size());
             assertEquals(Rule.LEAK, scene.rules().get(i));
         }
@@ -176,9 +180,9 @@
     @Test
     void anExceptionThatEscapesIsACrash() {
         ResourceCounts now = new ResourceCounts(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
-        scene.judge.books(Scene.SIDE, now, ResourceCounts.empty());
+        scene.judge.checkResources(Scene.SIDE, now, ResourceCounts.empty());
         assertBroken(Rule.CRASH);
-        assertTrue(scene.judge.broken().get(0).what().contains("NullPointerException"));
+        assertTrue(scene.judge.violations().get(0).what().contains("NullPointerException"));
     }
 
     // ---- recovery
@@ -196,11 +200,11 @@
 
     private void recoveredBy(long after, int unserved) {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.at(S + after);
         asksAndIsServed(0, 300, unserved);
         scene.after(S);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
     }
 
     @Test
@@ -227,17 +231,17 @@
         scene.at(20 * S);
         asksAndIsServed(0, 300, 300);
         scene.after(S);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken();
     }
 
     @Test
     void oneThatGetsNoAnswerOrNoConnectionCounts() {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.at(12 * S);
         for (int i = 0; i < 2; i++) {
-            scene.judge.asks(
+            scene.judge.requestStarted(
                     new ClientAttempt(
                             "r" + i,
                             "r" + i,
@@ -252,26 +256,26 @@
                             500 * MS));
         }
         scene.at(13 * S);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
     }
 
     @Test
     void whoseConnectionAnotherClosesDoesNotButWhoLeavesUnansweredDoes() {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.at(12 * S);
         for (int i = 0; i < 4; i++) {
             scene.taken("r" + i, Scene.STOCK_CHECK, 400 * MS);
         }
         scene.after(399 * MS);
-        scene.judge.gaveUp("r0");
-        scene.judge.gaveUp("r1");
+        scene.judge.clientGaveUp("r0");
+        scene.judge.clientGaveUp("r1");
         scene.after(MS);
-        scene.judge.gaveUp("r2");
-        scene.judge.gaveUp("r3");
+        scene.judge.clientGaveUp("r2");
+        scene.judge.clientGaveUp("r3");
         scene.after(S);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
         assertEquals(2, scene.judge.judgedForRecovery());
     }
@@ -279,17 +283,17 @@
     @Test
     void theImpatientAndThoseStillWaitingDoNot() {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.at(12 * S);
         for (int i = 0; i < 9; i++) {
             scene.taken("i" + i, Scene.STOCK_CHECK, 400 * MS, 399 * MS);
-            scene.judge.gaveUp("i" + i);
+            scene.judge.clientGaveUp("i" + i);
         }
         for (int i = 0; i < 9; i++) {
             scene.taken("w" + i, Scene.STOCK_CHECK, 400 * MS);
         }
         scene.after(419 * MS);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken();
         assertEquals(0, scene.judge.judgedForRecovery());
     }
@@ -297,22 +301,22 @@
     @Test
     void sidecarThatNeverBecomesReadyHasNotRecovered() {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.judge.sidecarStarted("side-1", 1);
         scene.judge.sidecarReady("side-1", 1);
         scene.at(11 * S);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
     }
 
     @Test
     void oneThatHasJustBegunNeedNotBeReady() {
         scene.at(S);
-        scene.judge.lastFaultOver();
+        scene.judge.lastFaultEnded();
         scene.judge.sidecarStarted(Scene.SIDE, 2);
         scene.at(11 * S - 1);
-        scene.judge.dayEnds();
+        scene.judge.dayEnded();
         assertBroken();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
@@ -44,7 +44,7 @@
     // ---- ready
 
     private void ready(int status) {
-        scene.judge.readiness(Scene.SIDE, status, scene.now);
+        scene.judge.readinessAnswered(Scene.SIDE, status, scene.now);
     }
 
     @Test
@@ -77,7 +77,7 @@
     @Test
     void norAfterSigterm() {
         scene.at(S).told("a-1", "Ready", 0);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.after(60 * MS);
         ready(200);
         assertBroken();
@@ -89,7 +89,7 @@
     @Test
     void whoStoodStillMayNotHaveHeard() {
         scene.at(S).told("a-1", "Ready", 0);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarPaused(Scene.SIDE, S, 2 * S);
         scene.at(2 * S);
         ready(200);
@@ -101,7 +101,7 @@
     @Test
     void connectionsAreTakenForAWhileAfterSigterm() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.after(400 * MS);
         scene.judge.connectRefused(Scene.SIDE, scene.now);
         assertBroken(Rule.ENDING);
@@ -110,7 +110,7 @@
     @Test
     void whatIsRefusedLaterMayHaveComeLater() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.after(400 * MS + 1);
         scene.judge.connectRefused(Scene.SIDE, S + MS);
         assertBroken();
@@ -119,7 +119,7 @@
     @Test
     void alsoByAProcessThatHasEndedByItself() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarExited(Scene.SIDE, 1, 0);
         scene.judge.connectRefused(Scene.SIDE, scene.now);
         assertBroken(Rule.ENDING);
@@ -141,7 +141,7 @@
     @Test
     void aProcessEndsByItselfBeforeItIsKilled() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.at(S + 2250 * MS - 1);
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         assertBroken();
@@ -150,7 +150,7 @@
     @Test
     void killedLaterItHasNot() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.at(S + 2250 * MS);
         scene.judge.sidecarKilled(Scene.SIDE, 1);
         assertBroken(Rule.ENDING);
@@ -159,7 +159,7 @@
     @Test
     void whoStoodStillMeanwhileIsExcused() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
         scene.at(S + 2200 * MS);
         scene.judge.sidecarKilled(Scene.SIDE, 1);
@@ -169,7 +169,7 @@
     @Test
     void soIsWhoCouldNotReachItsClients() {
         scene.at(S);
-        scene.judge.sidecarTerm(Scene.SIDE, 1);
+        scene.judge.sidecarSigterm(Scene.SIDE, 1);
         scene.judge.clientLinkTroubled(Scene.SIDE, null, 2 * S, 3 * S);
         scene.at(S + 2200 * MS);
         scene.judge.sidecarKilled(Scene.SIDE, 1);
@@ -180,19 +180,19 @@
 
     @Test
     void twoConnectionsToDiscoveryAreEnough() {
-        scene.judge.listConnects(Scene.SIDE, 2);
+        scene.judge.discoveryConnecting(Scene.SIDE, 2);
         assertBroken();
-        scene.judge.listConnects(Scene.SIDE, 3);
+        scene.judge.discoveryConnecting(Scene.SIDE, 3);
         assertBroken(Rule.DISCOVERY);
     }
 
     @Test
     void itIsNotAskedTooOften() {
         for (int i = 0; i < 100; i++) {
-            scene.at(S + i * 50 * MS).judge.listCall(Scene.SIDE, i, true, 0);
+            scene.at(S + i * 50 * MS).judge.discoveryCall(Scene.SIDE, i, true, 0);
         }
         assertBroken();
-        scene.after(MS).judge.listCall(Scene.SIDE, 100, true, 0);
+        scene.after(MS).judge.discoveryCall(Scene.SIDE, 100, true, 0);
         assertBroken(Rule.DISCOVERY);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/QuietRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/QuietRuleTest.java
@@ -30,7 +30,8 @@
     private void assertFound(String what) {
         assertEquals(List.of(Rule.BOOKS), scene.rules());
         assertTrue(
-                scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
+                scene.judge.violations().get(0).what().contains(what),
+                scene.judge.violations().toString());
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
@@ -17,18 +17,19 @@
     @BeforeEach
     void begin() {
         scene.at(Scene.S).taken("r", Scene.STOCK_HOLD, DEADLINE);
-        scene.judge.writes("r", OWN);
+        scene.judge.requestMessage("r", OWN);
         scene.after(10 * MS);
     }
 
     private void reads(String id, Message message, long deadline) {
-        scene.judge.reads("a-1", Scene.SIDE, id, message, deadline, scene.now - MS);
+        scene.judge.serverReadMessage("a-1", Scene.SIDE, id, message, deadline, scene.now - MS);
     }
 
     private void assertFound(String what) {
         assertEquals(List.of(Rule.WRONG_REQUEST), scene.rules());
         assertTrue(
-                scene.judge.broken().get(0).what().contains(what), scene.judge.broken().toString());
+                scene.judge.violations().get(0).what().contains(what),
+                scene.judge.violations().toString());
     }
 
     @Test
@@ -72,10 +73,10 @@
 
     @Test
     void theModuleIsToldWhatTheClientSaid() {
-        scene.judge.moduleHears(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 0, false);
-        scene.judge.moduleHears(Scene.SIDE, 99, Scene.STOCK_CHECK, 4, true);
+        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 0, false);
+        scene.judge.moduleRequest(Scene.SIDE, 99, Scene.STOCK_CHECK, 4, true);
         assertEquals(List.of(), scene.rules());
-        scene.judge.moduleHears(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 1, false);
+        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 1, false);
         assertFound("tenant 1, repeat false instead of class 1, tenant 0");
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
@@ -30,7 +30,7 @@
     private void asked(String id) throws IOException {
         wire.asks(id);
         Wire.write(client, Wire.get(id));
-        states.asked(id);
+        states.requestSent(id);
     }
 
     private void entered(String... all) {
@@ -59,13 +59,13 @@
         entered("ARRIVING r");
         assertSame(client, states.all().get(0).client());
         Wire.write(client, "\n");
-        states.asked("r");
+        states.requestSent("r");
         entered("HELD r");
         wire.sends(1);
         entered();
         SimSocket upstream = wire.connect(wire.side, wire.serverListens);
         entered("CONNECTING r");
-        InState connecting = states.all().get(0);
+        ObservedRequest connecting = states.all().get(0);
         assertSame(upstream, connecting.upstream());
         assertEquals("a-1", connecting.server());
         wire.run();
@@ -146,7 +146,7 @@
             Wire.write(client, post.substring(i, i + 1));
         }
         entered("ARRIVING r");
-        states.asked("r");
+        states.requestSent("r");
         wire.sends(1);
         SimSocket upstream = wire.connected(wire.side, wire.serverListens)[0];
         wire.entered.clear();
@@ -179,7 +179,7 @@
         Wire.write(client, Wire.get("s").substring(0, 50));
         wire.asks("s");
         Wire.write(client, Wire.get("s").substring(50));
-        states.asked("s");
+        states.requestSent("s");
         assertEquals(1, states.place("r"));
         assertEquals(2, states.place("s"));
         assertNull(states.ahead("r"));
@@ -221,7 +221,7 @@
     void knowsWhenAClientHasClosed() throws IOException {
         asked("r");
         assertEquals(-1, states.closedAt("r"));
-        states.gaveUp("r");
+        states.clientGaveUp("r");
         client.close();
         long closed = wire.simulation.now();
         wire.run();
--- a/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
@@ -13,7 +13,7 @@
 
     private void passedOn(long sentAt, int status, long answeredAt) {
         scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.badTakesId("bad-1", "bad-r", "r");
+        scene.judge.badClientReusedId("bad-1", "bad-r", "r");
         scene.at(S + 100 * MS).begun("a-1", "bad-r", sentAt);
         scene.judge.answered("r", status, "", -1, answeredAt);
     }
@@ -27,7 +27,7 @@
     @Test
     void alsoIfTheServerReadsItLater() {
         scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.badTakesId("bad-1", "bad-r", "r");
+        scene.judge.badClientReusedId("bad-1", "bad-r", "r");
         scene.judge.answered("r", 504, "", -1, S + 90 * MS);
         scene.at(S + 100 * MS).begun("a-1", "bad-r", S + 50 * MS);
         assertEquals(List.of(Rule.DUPLICATE), scene.rules());
--- a/testbed/src/test/java/appleridge/testbed/invariants/Scene.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/Scene.java
@@ -10,7 +10,7 @@
 /**
  * A judge with a clock set by hand and sockets that show what a test says; one sidecar that runs.
  */
-final class Scene implements SocketObserver, Load, Ledger {
+final class Scene implements SocketObserver, Load, ResourceProbe {
     static final long MS = TimeSpans.MS;
     static final long S = TimeSpans.SECOND;
     static final String SIDE = "side-0";
@@ -71,17 +71,17 @@
     }
 
     @Override
-    public ResourceCounts books(String sidecar) {
+    public ResourceCounts resources(String sidecar) {
         return books;
     }
 
     @Override
-    public int clients(String sidecar) {
+    public int clientConnections(String sidecar) {
         return clients;
     }
 
     @Override
-    public int upstreams(String sidecar) {
+    public int upstreamConnections(String sidecar) {
         return upstreams;
     }
 
@@ -110,10 +110,10 @@
     }
 
     Scene taken(String id, int requestClass, long deadline, long patience) {
-        judge.asks(
+        judge.requestStarted(
                 new ClientAttempt(
                         id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
-        judge.asked(id);
+        judge.requestSent(id);
         return this;
     }
 
@@ -128,7 +128,7 @@
     }
 
     Scene begun(String server, String id, long sentAt) {
-        judge.begun(server, 1, SIDE, id, sentAt);
+        judge.serverReadId(server, 1, SIDE, id, sentAt);
         return this;
     }
 
@@ -138,8 +138,8 @@
     }
 
     Scene arrived(String server, String id, long sentAt) {
-        judge.begun(server, 1, SIDE, id, sentAt);
-        judge.arrived(server, 1, SIDE, id, sentAt, sentAt, 5 * MS);
+        judge.serverReadId(server, 1, SIDE, id, sentAt);
+        judge.serverReceived(server, 1, SIDE, id, sentAt, sentAt, 5 * MS);
         return this;
     }
 
@@ -150,21 +150,21 @@
 
     /** The server makes an answer and the client reads it. */
     Scene served(String server, String id) {
-        judge.made(server, 1, id, "for " + id);
+        judge.serverAnswered(server, 1, id, "for " + id);
         return answered(id, 200, "for " + id);
     }
 
     Scene told(String server, String state, long bornAt) {
-        judge.listTold(SIDE, server, state, bornAt);
+        judge.listDelivered(SIDE, server, state, bornAt);
         return this;
     }
 
     Scene knows(String server, String state, long bornAt) {
-        judge.listKnows(0, server, 1, state, bornAt);
+        judge.discoveryChanged(0, server, 1, state, bornAt);
         return this;
     }
 
     List<Rule> rules() {
-        return judge.broken().stream().map(InvariantViolation::rule).toList();
+        return judge.violations().stream().map(InvariantViolation::rule).toList();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/SentAfterRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/SentAfterRuleTest.java
@@ -45,7 +45,7 @@
     void nothingIsSentWhenTheClientIsKnownToHaveLeft() {
         taken();
         scene.closed.put("r", scene.now);
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         long left = scene.now;
         scene.after(50 * MS).begun("a-1", "r", left + HEARD);
         assertEquals(List.of(), scene.rules());
@@ -56,7 +56,7 @@
     @Test
     void whoOnlyStopsWaitingIsNotHeard() {
         taken();
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         scene.after(100 * MS).begun("a-1", "r");
         assertEquals(List.of(), scene.rules());
     }
@@ -66,7 +66,7 @@
         taken();
         long left = scene.now;
         scene.closed.put("r", left);
-        scene.judge.gaveUp("r");
+        scene.judge.clientGaveUp("r");
         scene.judge.sidecarPaused(Scene.SIDE, left, left + 30 * MS);
         scene.after(100 * MS).begun("a-1", "r", left + HEARD + 30 * MS);
         assertEquals(List.of(), scene.rules());
@@ -78,9 +78,9 @@
     void alsoItsLastByte() {
         taken().begun("a-1", "r", scene.now - MS);
         scene.judge.answered("r", 504, "", -1, scene.now);
-        scene.judge.arrived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now, 0);
+        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now, 0);
         assertEquals(List.of(), scene.rules());
-        scene.judge.arrived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now + 1, 0);
+        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now + 1, 0);
         assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
@@ -70,7 +70,7 @@
     }
 
     void asks(String id) {
-        states.asks(
+        states.requestStarted(
                 new ClientAttempt(
                         id,
                         id,
@@ -83,12 +83,12 @@
                         simulation.now(),
                         400_000_000L,
                         500_000_000L));
-        states.moduleTook(SIDE, 1, keys, keys);
+        states.moduleAccepted(SIDE, 1, keys, keys);
     }
 
     /** The module's number for the request that was asked as the n-th. */
     void sends(long number) {
-        states.moduleSends(SIDE, 1, number, "a-1");
+        states.moduleStartedAttempt(SIDE, 1, number, "a-1");
     }
 
     void fails(long number, int attempt) {
--- a/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 import appleridge.testbed.invariants.ClientAttempt;
-import appleridge.testbed.invariants.Evidence;
+import appleridge.testbed.invariants.DayListener;
 import appleridge.testbed.invariants.Message;
 import appleridge.testbed.invariants.RequestState;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** Keeps what the stand-ins tell, for tests to look at. */
-final class Recorded implements Evidence {
+final class Recorded implements DayListener {
     final Map<String, ClientAttempt> asks = new LinkedHashMap<>();
     final Map<String, Message> written = new LinkedHashMap<>();
     final Map<String, Message> read = new LinkedHashMap<>();
@@ -41,19 +41,19 @@
     boolean ended;
 
     @Override
-    public void asks(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt asking) {
         if (asks.put(asking.id(), asking) != null) {
             throw new AssertionError("an id came twice");
         }
     }
 
     @Override
-    public void writes(String id, Message message) {
+    public void requestMessage(String id, Message message) {
         written.put(id, message);
     }
 
     @Override
-    public void reads(
+    public void serverReadMessage(
             String server,
             String sidecar,
             String id,
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void asked(String id) {
+    public void requestSent(String id) {
         asked.add(id);
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void readiness(String sidecar, int status, long lastByteSentAt) {
+    public void readinessAnswered(String sidecar, int status, long lastByteSentAt) {
         readiness.add(sidecar + " " + status);
     }
 
@@ -92,27 +92,27 @@
     }
 
     @Override
-    public void listConnects(String sidecar, int open) {
+    public void discoveryConnecting(String sidecar, int open) {
         listConnects.add(open);
     }
 
     @Override
-    public void meets(String what, String id, RequestState state) {
+    public void faultHit(String what, String id, RequestState state) {
         met.add(what + " " + FaultKind.word(state));
     }
 
     @Override
-    public void gaveUp(String id) {
+    public void clientGaveUp(String id) {
         gaveUp.add(id);
     }
 
     @Override
-    public void made(String server, int life, String id, String body) {
+    public void serverAnswered(String server, int life, String id, String body) {
         made.put(body, id);
     }
 
     @Override
-    public void arrived(
+    public void serverReceived(
             String server,
             int life,
             String sidecar,
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void saysNotRun(String server, int life, String id) {
+    public void serverDidNotRun(String server, int life, String id) {
         notRun.add(id);
     }
 
@@ -137,22 +137,23 @@
     }
 
     @Override
-    public void fellOver(String server, int life, Map<String, Double> workBySidecarInWindow) {
+    public void serverCollapsed(
+            String server, int life, Map<String, Double> workBySidecarInWindow) {
         fell.add(server);
     }
 
     @Override
-    public void listKnows(long revision, String uid, int life, String state, long bornAt) {
+    public void discoveryChanged(long revision, String uid, int life, String state, long bornAt) {
         knows.add(uid + " " + state);
     }
 
     @Override
-    public void listTold(String sidecar, String uid, String state, long bornAt) {
+    public void listDelivered(String sidecar, String uid, String state, long bornAt) {
         told.add(sidecar + " " + uid + " " + state);
     }
 
     @Override
-    public void listUntold(String sidecar, long at) {
+    public void listNotDelivered(String sidecar, long at) {
         untold.add(sidecar + " " + at / Site.MS + " ms");
     }
 
@@ -172,32 +173,32 @@
     }
 
     @Override
-    public void sidecarHup(String sidecar, int life) {
+    public void sidecarSighup(String sidecar, int life) {
         sidecars.add(sidecar + " " + life + " hup");
     }
 
     @Override
-    public void badConnected(String name, long owedBy) {
+    public void badClientConnected(String name, long owedBy) {
         badConnected.put(name, owedBy);
     }
 
     @Override
-    public void badEnded(String name, int statusOr0) {
+    public void badClientEnded(String name, int statusOr0) {
         badEnded.put(name, statusOr0);
     }
 
     @Override
-    public void badHides(String name, String id) {
+    public void badClientHidRequest(String name, String id) {
         hidden.add(id);
     }
 
     @Override
-    public void fault(String kind, String at, String id) {
+    public void faultStruck(String kind, String at, String id) {
         faults.merge(kind, 1, Integer::sum);
     }
 
     @Override
-    public void dayEnds() {
+    public void dayEnded() {
         ended = true;
     }
 
