--- a/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
+++ b/sidecar/src/main/java/appleridge/discovery/AddressOwnership.java
@@ -7,47 +7,48 @@
 import java.util.Map;
 
 /**
- * Which upstream host holds which address. A host may take the address of one that has gone before
- * the list knows of that, and what is sent to the old one reaches the new one. Only one process can
- * listen at an address, so of two that are listed there the one that started last holds it.
+ * Tracks which upstream host holds each address. A new host may take the address of one that has
+ * ended before the endpoint list shows the end; a request sent to the old host would then reach the
+ * new one. Only one process can listen at an address, so of two hosts listed at one address the one
+ * that started last holds it.
  *
- * <p>A list may be older than the one before it and name a process again whose address a later one
- * has taken; so the last holder of an address is remembered beyond its being listed. Not
+ * <p>A list may be older than the one before it and name a host whose address a later host has
+ * taken. The last holder of an address is therefore remembered after it is no longer listed. Not
  * thread-safe.
  */
 public final class AddressOwnership {
-    /** Addresses and hosts that are remembered beyond being listed, the latest ones. */
+    /** Bound on remembered addresses, and on remembered hosts; the least recently used go. */
     private static final int MAX_REMEMBERED = 4096;
 
     private record Holder(String id, long startedAt) {}
 
-    /** Where a host was listed last. */
+    /** The address and the start that a host was last listed with. */
     private record Listing(InetSocketAddress address, long startedAt) {
-        /** Instead of equals, which the JVM would have to make while the process starts. */
-        boolean same(Listing before) {
+        /** Used instead of {@code equals}, which the JVM would generate during process start. */
+        boolean matches(Listing before) {
             return before != null
                     && startedAt == before.startedAt
                     && address.equals(before.address);
         }
     }
 
-    private final Map<InetSocketAddress, Holder> lastHolders = boundedByUse();
-    private final Map<String, Listing> places = boundedByUse();
+    private final Map<InetSocketAddress, Holder> lastHolders = newLruMap();
+    private final Map<String, Listing> lastListings = newLruMap();
     private final Map<InetSocketAddress, Holder> holders = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
 
     /**
-     * A host is listed at an address.
+     * Registers a host that is listed at an address.
      *
-     * @param startedAt when it started, on any clock that all starts are on; 0 for long ago
-     * @return the id of the host that is not at the address (any more): another one, or this one;
-     *     null for none
+     * @param startedAt when it started, on one clock for all hosts; 0 for long ago
+     * @return the id of the host that does not hold the address after this call: the previous
+     *     holder, or {@code id} itself; null if no host is displaced
      */
     public String register(String id, InetSocketAddress address, long startedAt) {
         releaseIfMoved(id, address);
-        Listing place = new Listing(address, startedAt);
+        Listing listing = new Listing(address, startedAt);
         Holder last = lastHolders.get(address);
-        if (place.same(places.put(id, place))
+        if (listing.matches(lastListings.put(id, listing))
                 && last != null
                 && !last.id.equals(id)
                 && startedAt < last.startedAt
@@ -65,9 +66,9 @@
     }
 
     /**
-     * A host is about to be listed at an address. To be called for all of a list before any of it
-     * is registered: of two hosts that swap addresses in one list, each would else find the other
-     * one still there.
+     * Releases the previous address of a host that is about to be listed at another one. Must be
+     * called for every host of a list before any of them is registered: otherwise, of two hosts
+     * that swap addresses in one list, each would find its new address still held by the other.
      */
     public void releaseIfMoved(String id, InetSocketAddress address) {
         InetSocketAddress before = addresses.get(id);
@@ -77,7 +78,7 @@
         }
     }
 
-    /** A host is listed no more. */
+    /** Releases the address of a host that is no longer listed. */
     public void forget(String id) {
         InetSocketAddress address = addresses.remove(id);
         if (address != null) {
@@ -85,13 +86,13 @@
         }
     }
 
-    /** Forgets all but these. */
+    /** Releases the addresses of all hosts but these. */
     public void retain(Collection<String> ids) {
         addresses.keySet().retainAll(ids);
         holders.values().removeIf(holder -> !ids.contains(holder.id));
     }
 
-    private static <K, V> Map<K, V> boundedByUse() {
+    private static <K, V> Map<K, V> newLruMap() {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
--- a/sidecar/src/main/java/appleridge/discovery/EndpointDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointDiscovery.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * Where one sidecar's endpoint list comes from; made with the {@link DiscoveryListener} that it
- * notifies. All methods are to be called on the event loop.
+ * The source of one sidecar's endpoint list; created with the {@link DiscoveryListener} that it
+ * notifies. All methods must be called on the event loop.
  */
 public interface EndpointDiscovery extends EndpointSubscription {
-    /** Begins; the list as known before anything is polled. To be called once, first. */
+    /** Starts discovery and returns the cached endpoints. Must be called once, before the rest. */
     List<DiscoveredEndpoint> start();
 
-    /** Follows another registry from now on; nothing where no registry is followed. */
+    /** Switches to another registry; has no effect where no registry is polled. */
     void switchRegistry(InetSocketAddress registry);
 
-    /** Closes all connections; the listener is not called any more. */
+    /** Closes all connections; the listener is no longer called. */
     void close();
 }
--- a/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
+++ b/sidecar/src/main/java/appleridge/discovery/EndpointTable.java
@@ -15,16 +15,17 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Turns discovery's endpoints into what the load-balancing policy knows: a number for each host,
- * its start on the sidecar's clock, and one host at an address. Keeps nothing of hosts that are
- * listed no more, but for {@link AddressOwnership}. Not thread-safe.
+ * Converts discovered endpoints to the hosts of the load-balancing policy: assigns each a number,
+ * converts its start to the sidecar's clock, and lets one host hold an address. Keeps no state of
+ * hosts that are no longer listed, except in {@link AddressOwnership}. Not thread-safe.
  */
 public final class EndpointTable {
     /**
-     * An update as the policy takes it.
+     * An update in the policy's terms.
      *
-     * @param addresses where its hosts listen, by their numbers
-     * @param ids their ids in the list, by their numbers
+     * @param entries the hosts that the update names
+     * @param addresses the addresses of these hosts, by number
+     * @param ids the ids of these hosts in the endpoint list, by number
      */
     public record EndpointUpdate(
             UpdateKind kind,
@@ -36,17 +37,22 @@
     private final StartTimes starts;
     private final AddressOwnership ownership = new AddressOwnership();
 
-    /** What is listed, as it was listed last, by id. */
+    /** The endpoint that each listed host was last listed as, by id. */
     private final Map<String, DiscoveredEndpoint> lastListed = new HashMap<>();
 
-    /** {@code place}: from Unix time in milliseconds to nanoseconds on the sidecar's clock. */
-    public EndpointTable(LongUnaryOperator place) {
-        this.starts = new StartTimes(place);
+    /**
+     * Creates an empty table.
+     *
+     * @param clockNanosOfUnixMillis converts Unix time in milliseconds to nanoseconds on the
+     *     sidecar's clock
+     */
+    public EndpointTable(LongUnaryOperator clockNanosOfUnixMillis) {
+        this.starts = new StartTimes(clockNanosOfUnixMillis);
     }
 
-    /** Takes an update in; hosts that a snapshot leaves out are gone. */
-    public EndpointUpdate update(UpdateKind kind, List<DiscoveredEndpoint> told) {
-        Collection<DiscoveredEndpoint> members = lastOfEach(told);
+    /** Applies an update; hosts that a snapshot does not list are gone. */
+    public EndpointUpdate update(UpdateKind kind, List<DiscoveredEndpoint> listedEntries) {
+        Collection<DiscoveredEndpoint> members = lastEntryOfEachId(listedEntries);
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             Set<String> listed = new HashSet<>();
             members.forEach(member -> listed.add(member.id()));
@@ -83,17 +89,18 @@
     }
 
     /**
-     * The last entry for each id. A delta may hold all that became of a host since the last call,
-     * gone and there again; were the first entry to count, the host would be unknown when another
-     * one takes its address, and that update would be lost.
+     * Returns the last entry of each id. A delta may hold several entries for a host that has gone
+     * and returned since the last call. If the first entry counted, the host would be unknown when
+     * another one takes its address, and that change would be lost.
      */
-    private static Collection<DiscoveredEndpoint> lastOfEach(List<DiscoveredEndpoint> told) {
+    private static Collection<DiscoveredEndpoint> lastEntryOfEachId(
+            List<DiscoveredEndpoint> entries) {
         Map<String, DiscoveredEndpoint> last = new LinkedHashMap<>();
-        told.forEach(member -> last.put(member.id(), member));
+        entries.forEach(member -> last.put(member.id(), member));
         return last.values();
     }
 
-    /** The endpoints, and as gone those whose address another one has taken. */
+    /** Adds to the endpoints, as gone, the hosts whose address another host has taken. */
     private Map<String, DiscoveredEndpoint> withDisplacedAsGone(
             Collection<DiscoveredEndpoint> members) {
         for (DiscoveredEndpoint member : members) {
@@ -107,13 +114,13 @@
         for (DiscoveredEndpoint member : members) {
             update.put(member.id(), member);
             lastListed.put(member.id(), member);
-            String absent =
+            String displaced =
                     member.state() == HostState.GONE
                             ? null
                             : ownership.register(
                                     member.id(), member.address(), member.startedAtUnixMillis());
-            if (absent != null) {
-                update.put(absent, lastListed.get(absent).withState(HostState.GONE));
+            if (displaced != null) {
+                update.put(displaced, lastListed.get(displaced).withState(HostState.GONE));
             }
         }
         return update;
--- a/sidecar/src/main/java/appleridge/discovery/StartTimes.java
+++ b/sidecar/src/main/java/appleridge/discovery/StartTimes.java
@@ -6,25 +6,30 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * When upstream hosts last started, on the sidecar's own clock. A start keeps the place on that
- * clock that it was given first, also when the wall clock has stepped since: a start that moved
- * between two lists would be taken for a restart. Not thread-safe.
+ * Converts the starts of upstream hosts to the sidecar's clock. Each start is converted once and
+ * keeps its value when the wall clock steps later: a start that changed between two lists would be
+ * taken for a restart. Not thread-safe.
  */
 public final class StartTimes {
-    private record Start(long unixMillis, long at) {}
+    private record Start(long unixMillis, long clockNanos) {}
 
-    private final LongUnaryOperator place;
+    private final LongUnaryOperator clockNanosOfUnixMillis;
     private final Map<String, Start> starts = new HashMap<>();
 
-    /** {@code place}: from Unix time in milliseconds to nanoseconds on the sidecar's clock. */
-    public StartTimes(LongUnaryOperator place) {
-        this.place = place;
+    /**
+     * Creates it without any starts.
+     *
+     * @param clockNanosOfUnixMillis converts Unix time in milliseconds to nanoseconds on the
+     *     sidecar's clock
+     */
+    public StartTimes(LongUnaryOperator clockNanosOfUnixMillis) {
+        this.clockNanosOfUnixMillis = clockNanosOfUnixMillis;
     }
 
     /**
-     * When a host started, in nanoseconds on the sidecar's clock; 0 for long ago.
+     * Returns when a host started, in nanoseconds on the sidecar's clock; 0 for long ago.
      *
-     * @param unixMillis the start as the list has it; 0 for long ago
+     * @param unixMillis the start in the endpoint list; 0 for long ago
      */
     public long clockNanos(String id, long unixMillis) {
         if (unixMillis == 0) {
@@ -33,18 +38,18 @@
         }
         Start known = starts.get(id);
         if (known == null || known.unixMillis != unixMillis) {
-            known = new Start(unixMillis, place.applyAsLong(unixMillis));
+            known = new Start(unixMillis, clockNanosOfUnixMillis.applyAsLong(unixMillis));
             starts.put(id, known);
         }
-        return known.at;
+        return known.clockNanos;
     }
 
-    /** Forgets one that is listed no more. */
+    /** Forgets the start of a host that is no longer listed. */
     public void forget(String id) {
         starts.remove(id);
     }
 
-    /** Forgets all but these. */
+    /** Forgets the starts of all hosts but these. */
     public void retain(Collection<String> ids) {
         starts.keySet().retainAll(ids);
     }
--- a/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
+++ b/sidecar/src/main/java/appleridge/discovery/UpstreamIds.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * The numbers by which the policy knows upstream hosts. A number follows from the host's id alone,
- * so that a host that comes back, a peer and a next process all mean the same one by it. Of two ids
- * with one hash, which takes about a hundred million of them, the later one takes the next free
- * number. Not thread-safe.
+ * Assigns the numbers by which the policy identifies upstream hosts. A number is derived from the
+ * host's id alone, so that it is the same after the host returns, at peers, and in the sidecar's
+ * next process. If two ids have the same hash, which becomes likely only from some hundred million
+ * hosts on, the later one takes the next free number. Not thread-safe.
  */
 public final class UpstreamIds {
-    /** Bits that a gossip message has for a number. */
+    /** Width of a host number in a gossip message. */
     private static final int BITS = 48;
 
     private static final long MASK = (1L << BITS) - 1;
@@ -23,7 +23,7 @@
     private final Map<String, Long> numbers = new HashMap<>();
     private final Set<Long> taken = new HashSet<>();
 
-    /** The hash of an id: FNV-1a, folded to 48 bits, never 0. */
+    /** Returns the hash of an id: FNV-1a, folded to 48 bits, never 0. */
     public static long hash(String id) {
         long hash = FNV_OFFSET;
         for (int i = 0; i < id.length(); i++) {
@@ -32,7 +32,7 @@
         return Math.max(1, (hash ^ hash >>> BITS) & MASK);
     }
 
-    /** The number of a host that is listed. */
+    /** Returns the number of a listed host, and assigns one if it has none. */
     public long number(String id) {
         Long known = numbers.get(id);
         if (known != null) {
@@ -46,7 +46,7 @@
         return number;
     }
 
-    /** Forgets one that is listed no more. */
+    /** Frees the number of a host that is no longer listed. */
     public void forget(String id) {
         Long known = numbers.remove(id);
         if (known != null) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Forgets all but these. */
+    /** Frees the numbers of all hosts but these. */
     public void retain(Collection<String> ids) {
         numbers.entrySet()
                 .removeIf(
--- a/sidecar/src/main/java/appleridge/discovery/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Where the endpoint list comes from, and what it is to the load-balancing policy. {@link
- * appleridge.discovery.EndpointDiscovery} is the seam; its implementations stand in packages below:
- * {@code registry} polls the platform's registry, {@code zookeeper} and {@code ephemeral} follow
- * ephemeral nodes, {@code registration} keeps such a node for a server. Everything runs on the
- * event loop but for the ZooKeeper client's own threads.
+ * Service discovery: fetches the endpoint list and converts it for the load-balancing policy.
+ * {@link appleridge.discovery.EndpointDiscovery} is the interface of a source. Package {@code
+ * registry} polls the platform's registry; {@code zookeeper} and {@code ephemeral} follow ephemeral
+ * nodes; {@code registration} keeps an ephemeral node for a server. Everything runs on the event
+ * loop except the ZooKeeper client's own threads and {@code registration}.
  */
 package appleridge.discovery;
--- a/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/AddressOwnershipTest.java
@@ -14,68 +14,74 @@
     private static final InetSocketAddress THERE =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 2);
 
-    private final AddressOwnership holders = new AddressOwnership();
+    private final AddressOwnership ownership = new AddressOwnership();
 
     @Test
     void hostThatStartedLastHoldsTheAddressInAnyListOrder() {
-        assertNull(holders.register("old", HERE, 5));
-        assertEquals("old", holders.register("new", HERE, 9));
-        assertEquals("old", holders.register("old", HERE, 5), "still listed, still not there");
-        assertNull(holders.register("new", HERE, 9));
+        assertNull(ownership.register("old", HERE, 5));
+        assertEquals("old", ownership.register("new", HERE, 9));
+        assertEquals(
+                "old",
+                ownership.register("old", HERE, 5),
+                "still listed, but still not at its address");
+        assertNull(ownership.register("new", HERE, 9));
     }
 
     @Test
     void hostsOfEqualStartAreNotDisplaced() {
-        assertNull(holders.register("one", HERE, 0));
-        assertNull(holders.register("two", HERE, 0));
-        assertNull(holders.register("one", HERE, 0));
+        assertNull(ownership.register("one", HERE, 0));
+        assertNull(ownership.register("two", HERE, 0));
+        assertNull(ownership.register("one", HERE, 0));
     }
 
-    /** Guards against a live upstream that is told as gone because two have swapped addresses. */
+    /**
+     * Guards against a live host that is reported gone when two hosts swap addresses in one list:
+     * each would find its new address still held by the other.
+     */
     @Test
     void hostsThatSwapAddressesInOneListAreBothListed() {
-        holders.register("one", HERE, 3);
-        holders.register("two", THERE, 7);
-        holders.releaseIfMoved("one", THERE);
-        holders.releaseIfMoved("two", HERE);
-        assertNull(holders.register("one", THERE, 3));
-        assertNull(holders.register("two", HERE, 7));
+        ownership.register("one", HERE, 3);
+        ownership.register("two", THERE, 7);
+        ownership.releaseIfMoved("one", THERE);
+        ownership.releaseIfMoved("two", HERE);
+        assertNull(ownership.register("one", THERE, 3));
+        assertNull(ownership.register("two", HERE, 7));
     }
 
     @Test
     void addressIsFreeAfterItsHostMoved() {
-        assertNull(holders.register("young", HERE, 9));
-        assertNull(holders.register("young", THERE, 9));
-        assertNull(holders.register("old", HERE, 5));
-        holders.forget("young");
-        assertNull(holders.register("old", THERE, 5));
-        assertNull(holders.register("younger", HERE, 7));
-        holders.retain(List.of("old"));
-        assertNull(holders.register("oldest", HERE, 1));
+        assertNull(ownership.register("young", HERE, 9));
+        assertNull(ownership.register("young", THERE, 9));
+        assertNull(ownership.register("old", HERE, 5));
+        ownership.forget("young");
+        assertNull(ownership.register("old", THERE, 5));
+        assertNull(ownership.register("younger", HERE, 7));
+        ownership.retain(List.of("old"));
+        assertNull(ownership.register("oldest", HERE, 1));
     }
 
     /**
-     * Guards against a list that is older than the one before: what is sent there reaches the later
-     * one.
+     * Guards against a list that is older than the one before: it names the replaced host again,
+     * and requests to it would reach the host that took its address.
      */
     @Test
-    void replacedHostDoesNotReturnByAnOlderList() {
-        assertNull(holders.register("old", HERE, 5));
-        holders.forget("old");
-        assertNull(holders.register("new", HERE, 9));
-        holders.retain(List.of());
-        assertEquals("old", holders.register("old", HERE, 5));
-        assertNull(holders.register("old", THERE, 5), "it has moved");
-        assertNull(holders.register("new", HERE, 9));
+    void olderListDoesNotBringBackAReplacedHost() {
+        assertNull(ownership.register("old", HERE, 5));
+        ownership.forget("old");
+        assertNull(ownership.register("new", HERE, 9));
+        ownership.retain(List.of());
+        assertEquals("old", ownership.register("old", HERE, 5));
+        assertNull(ownership.register("old", THERE, 5), "it has moved");
+        assertNull(ownership.register("new", HERE, 9));
     }
 
-    /** Guards against false clocks: a start alone doesn't tell who came later. */
+    /** Guards against wrong clocks: the start alone does not show which host came later. */
     @Test
     void hostListedForTheFirstTimeHoldsItsAddressWhateverItsStart() {
-        assertNull(holders.register("new", HERE, 9));
-        holders.forget("new");
-        assertNull(holders.register("newer", HERE, 5));
-        holders.retain(List.of());
-        assertNull(holders.register("newer", HERE, 5));
+        assertNull(ownership.register("new", HERE, 9));
+        ownership.forget("new");
+        assertNull(ownership.register("newer", HERE, 5));
+        ownership.retain(List.of());
+        assertNull(ownership.register("newer", HERE, 5));
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
@@ -17,31 +17,32 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the decision module gets of a list, also of one that comes from two sources. */
+/** What the load-balancing policy receives of an endpoint list, also of two merged sources. */
 class EndpointTableTest {
-    private static final long MS = 1_000_000;
-    private static final long NOW = 100_000;
-    private static final long RECENT = NOW - 1000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NOW_MILLIS = 100_000;
+    private static final long RECENT_MILLIS = NOW_MILLIS - 1000;
 
-    private final EndpointTable directory = new EndpointTable(millis -> Math.min(NOW, millis) * MS);
-    private final Map<Long, UpstreamHost> module = new LinkedHashMap<>();
-    private final NodeDiscovery membership =
+    private final EndpointTable table =
+            new EndpointTable(millis -> Math.min(NOW_MILLIS, millis) * NANOS_PER_MILLI);
+    private final Map<Long, UpstreamHost> hosts = new LinkedHashMap<>();
+    private final NodeDiscovery discovery =
             new NodeDiscovery(
                     SourceSelection.BOTH,
                     NodeDiscovery.Settings.DEFAULTS,
-                    (kind, members, source, toldAt) -> take(kind, members),
+                    (kind, members, source, notifiedAtNanos) -> apply(kind, members),
                     line -> {},
                     line -> {});
 
-    private void take(UpdateKind kind, List<DiscoveredEndpoint> members) {
+    private void apply(UpdateKind kind, List<DiscoveredEndpoint> members) {
         if (kind == UpdateKind.SNAPSHOT) {
-            module.clear();
+            hosts.clear();
         }
-        for (UpstreamHost each : directory.update(kind, members).entries()) {
+        for (UpstreamHost each : table.update(kind, members).entries()) {
             if (each.state() == HostState.GONE) {
-                module.remove(each.id());
+                hosts.remove(each.id());
             } else {
-                module.put(each.id(), each);
+                hosts.put(each.id(), each);
             }
         }
     }
@@ -58,53 +59,59 @@
         return new NodeRead(
                 new NodeData(at(port), 0, 0, 0, HostState.READY, 1, startedMillis, null),
                 null,
-                NOW - 5000,
+                NOW_MILLIS - 5000,
                 zxid,
                 zxid);
     }
 
-    /** Guards against a cold server that is sent the work of two. */
+    /**
+     * Guards against a cold server that gets the slow-start share of two hosts because it is listed
+     * under two ids.
+     */
     @Test
     void oneAddressUnderTwoIdsIsOneHostWithOneSlowStartBudget() {
-        membership.onRegistryUpdate(1, UpdateKind.SNAPSHOT, List.of(member("r", 1, RECENT)));
-        membership.onSessionState(2, SessionState.CONNECTED);
-        membership.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT)));
+        discovery.onRegistryUpdate(1, UpdateKind.SNAPSHOT, List.of(member("r", 1, RECENT_MILLIS)));
+        discovery.onSessionState(2, SessionState.CONNECTED);
+        discovery.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT_MILLIS)));
         assertEquals(
-                List.of(RECENT * MS),
-                module.values().stream().map(UpstreamHost::startedAtNanos).toList());
-        membership.onNodeChanged(4, 4, 11, "again");
-        membership.onNodeRead(5, 11, "again", node(11, 1, RECENT));
-        membership.tick(6);
-        assertEquals(1, module.size(), "an old node and a new one");
-        membership.onNodeDeleted(7, 7, 12, "n");
-        membership.tick(3_000 * MS);
-        assertEquals(List.of(UpstreamIds.hash("again")), List.copyOf(module.keySet()));
+                List.of(RECENT_MILLIS * NANOS_PER_MILLI),
+                hosts.values().stream().map(UpstreamHost::startedAtNanos).toList());
+        discovery.onNodeChanged(4, 4, 11, "again");
+        discovery.onNodeRead(5, 11, "again", node(11, 1, RECENT_MILLIS));
+        discovery.tick(6);
+        assertEquals(1, hosts.size(), "two nodes at one address are one host");
+        discovery.onNodeDeleted(7, 7, 12, "n");
+        discovery.tick(3_000 * NANOS_PER_MILLI);
+        assertEquals(List.of(UpstreamIds.hash("again")), List.copyOf(hosts.keySet()));
     }
 
     @Test
     void startInTheFutureCountsAsNow() {
-        membership.onSessionState(2, SessionState.CONNECTED);
-        membership.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, NOW + 60_000)));
-        assertEquals(NOW * MS, module.get(UpstreamIds.hash("n")).startedAtNanos());
+        discovery.onSessionState(2, SessionState.CONNECTED);
+        discovery.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, NOW_MILLIS + 60_000)));
+        assertEquals(
+                NOW_MILLIS * NANOS_PER_MILLI, hosts.get(UpstreamIds.hash("n")).startedAtNanos());
     }
 
     @Test
     void missingStartNeverCountsAsLongAgo() {
-        membership.onSessionState(2, SessionState.CONNECTED);
-        membership.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, 0)));
-        assertEquals((NOW - 5000) * MS, module.get(UpstreamIds.hash("n")).startedAtNanos());
+        discovery.onSessionState(2, SessionState.CONNECTED);
+        discovery.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, 0)));
+        assertEquals(
+                (NOW_MILLIS - 5000) * NANOS_PER_MILLI,
+                hosts.get(UpstreamIds.hash("n")).startedAtNanos());
     }
 
     @Test
     void flappingHostKeepsItsNumberAndStart() {
-        membership.onSessionState(2, SessionState.CONNECTED);
-        membership.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT)));
-        UpstreamHost before = module.get(UpstreamIds.hash("n"));
-        membership.onNodeDeleted(200 * MS, 200 * MS, 11, "n");
-        assertEquals(HostState.DRAINING, module.get(before.id()).state());
-        membership.onNodeChanged(201 * MS, 201 * MS, 12, "n");
-        membership.onNodeRead(202 * MS, 12, "n", node(12, 1, RECENT));
-        membership.tick(300 * MS);
-        assertEquals(Map.of(before.id(), before), module);
+        discovery.onSessionState(2, SessionState.CONNECTED);
+        discovery.onSnapshot(3, 3, 10, Map.of("n", node(1, 1, RECENT_MILLIS)));
+        UpstreamHost before = hosts.get(UpstreamIds.hash("n"));
+        discovery.onNodeDeleted(200 * NANOS_PER_MILLI, 200 * NANOS_PER_MILLI, 11, "n");
+        assertEquals(HostState.DRAINING, hosts.get(before.id()).state());
+        discovery.onNodeChanged(201 * NANOS_PER_MILLI, 201 * NANOS_PER_MILLI, 12, "n");
+        discovery.onNodeRead(202 * NANOS_PER_MILLI, 12, "n", node(12, 1, RECENT_MILLIS));
+        discovery.tick(300 * NANOS_PER_MILLI);
+        assertEquals(Map.of(before.id(), before), hosts);
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/UpstreamIdsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class UpstreamIdsTest {
-    /** Guards against peers and next processes that mean different upstreams by one number. */
+    /** Guards against peers, or the next process, that use one number for different hosts. */
     @Test
     void numberDependsOnTheIdAloneAndReturnsWithIt() {
         UpstreamIds here = new UpstreamIds();
@@ -28,10 +28,10 @@
 
     @Test
     void numbersDifferAndFitGossipMessages() {
-        UpstreamIds numbers = new UpstreamIds();
+        UpstreamIds ids = new UpstreamIds();
         Set<Long> seen = new HashSet<>();
         for (int i = 0; i < 20_000; i++) {
-            long number = numbers.number("server-" + i);
+            long number = ids.number("server-" + i);
             assertTrue(number > 0 && number < 1L << 48);
             assertTrue(seen.add(number));
         }
