--- a/sidecar/src/main/java/appleridge/discovery/registry/EndpointListParser.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/EndpointListParser.java
@@ -8,27 +8,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads discovery's lists. */
+/** Parses the registry's endpoint lists. */
 public final class EndpointListParser {
-    /** A list, whole or of changes alone, with its version. */
+    /** A parsed list: a snapshot or a delta, with its revision. */
     record Update(long revision, UpdateKind kind, List<DiscoveredEndpoint> members) {}
 
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** With the names of zones and kinds of machine, in the order of their numbers. */
+    /**
+     * Creates a parser.
+     *
+     * @param zones the configured zone names; an endpoint's zone is its position among them
+     * @param kinds the configured machine types, likewise
+     */
     public EndpointListParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** A list in discovery's form; one that can't be read as a whole throws. */
+    /**
+     * Parses a list.
+     *
+     * @throws IllegalArgumentException if any part of the list is not valid
+     */
     Update read(JsonNode list) {
         JsonNode revision = list.path("rev");
         JsonNode all = list.path("all");
         JsonNode targets = list.path("targets");
         if (!revision.isIntegralNumber() || !all.isBoolean() || !targets.isArray()) {
-            throw new IllegalArgumentException("not a list: rev, all or targets missing");
+            throw new IllegalArgumentException(
+                    "not an endpoint list: rev, all or targets is missing or of the wrong type");
         }
         List<DiscoveredEndpoint> members = new ArrayList<>();
         targets.forEach(target -> members.add(member(target)));
@@ -41,18 +51,24 @@
     private DiscoveredEndpoint member(JsonNode target) {
         String uid = target.path("uid").asText("");
         if (uid.isEmpty()) {
-            throw new IllegalArgumentException("target without uid");
+            throw new IllegalArgumentException("a target has no uid");
         }
         HostState state =
                 switch (target.path("state").asText()) {
                     case "Ready" -> HostState.READY;
                     case "Terminating" -> HostState.DRAINING;
                     case "Gone" -> HostState.GONE;
-                    default -> throw new IllegalArgumentException("unknown state of " + uid);
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "unknown state \""
+                                            + target.path("state").asText()
+                                            + "\" of "
+                                            + uid);
                 };
-        long boot = target.path("boot_ms").asLong(0);
-        if (boot < 0) {
-            throw new IllegalArgumentException("senseless boot_ms of " + uid);
+        long bootMillis = target.path("boot_ms").asLong(0);
+        if (bootMillis < 0) {
+            throw new IllegalArgumentException(
+                    "boot_ms " + bootMillis + " of " + uid + " is negative");
         }
         return new DiscoveredEndpoint(
                 uid,
@@ -62,14 +78,14 @@
                 target.path("pod_group").asInt(0),
                 state,
                 (float) target.path("capacity_hint").asDouble(1),
-                boot);
+                bootMillis);
     }
 
     private static int position(List<String> names, JsonNode name, String uid) {
         int at = names.indexOf(name.asText());
         if (at < 0 && !names.isEmpty()) {
             throw new IllegalArgumentException(
-                    "unknown zone or kind " + name.asText() + " of " + uid);
+                    "unknown zone or kind \"" + name.asText() + "\" of " + uid);
         }
         return Math.max(0, at);
     }
--- a/sidecar/src/main/java/appleridge/discovery/registry/PollPolicy.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/PollPolicy.java
@@ -3,15 +3,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long calls to the registry may take, in nanoseconds.
+ * Time limits of calls to the registry, in nanoseconds. A watch is a long poll: the registry
+ * answers it with the next update, or without one when its time is over. Any other call is answered
+ * at once.
  *
  * @param watchNanos how long a watch may wait for an update
- * @param watchGraceNanos what a watch may take beyond that before a call is sent beside it
- * @param callTimeoutNanos a call that need not wait
- * @param snapshotAfterFailure a failure is followed by a call for a snapshot, which need not wait,
- *     and not by a watch
- * @param notificationDelayNanos for so long after a call nothing counts as notified but what was
- *     sent in its response
+ * @param watchGraceNanos how much longer a watch may take before another call is sent beside it
+ * @param callTimeoutNanos how long a call other than a watch may take
+ * @param snapshotAfterFailure whether a call for a snapshot, not a watch, follows a failure
+ * @param notificationDelayNanos how long after a call only what its response contains counts as
+ *     notified
  */
 public record PollPolicy(
         long watchNanos,
@@ -20,9 +21,9 @@
         boolean snapshotAfterFailure,
         long notificationDelayNanos) {
     /**
-     * For an agent on the same machine to which lists are pushed. It answers at once or, while what
-     * is behind it is down, not at all; when it is back, what it has counts as notified by whatever
-     * call.
+     * For an agent on the same machine that endpoint lists are pushed to. It answers at once or,
+     * while its backend is down, not at all. Once it answers again, all that it knows counts as
+     * notified by any call.
      */
     public static final PollPolicy AGENT =
             new PollPolicy(
@@ -32,26 +33,26 @@
                     true,
                     0);
 
-    /** The protocol's longest watch. */
+    /** The longest watch that the protocol allows. */
     private static final long MAX_WATCH_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    /** Watches in the time in which the registry has to be polled once. */
+    /** Watches per interval in which the registry must be polled at least once. */
     private static final int WATCHES_PER_INTERVAL = 4;
 
     /**
-     * For one service that all sidecars poll, and which gives a call up after two seconds itself. A
+     * For one service that all sidecars poll, and which gives up a call after two seconds itself. A
      * watch that the registry has lost looks like one without an update until its time is over, and
-     * every change meanwhile is missed; so watches are short, which costs the registry a few calls
-     * more.
+     * all changes until then are missed. Watches are therefore short, at the cost of a few more
+     * calls.
      *
-     * @param within nanoseconds in which the registry has to be polled at least once
+     * @param pollIntervalNanos the interval in which the registry must be polled at least once
      */
-    public static PollPolicy sharedService(long within) {
+    public static PollPolicy sharedService(long pollIntervalNanos) {
         return new PollPolicy(
-                Math.min(MAX_WATCH_NANOS, within / WATCHES_PER_INTERVAL),
+                Math.min(MAX_WATCH_NANOS, pollIntervalNanos / WATCHES_PER_INTERVAL),
                 TimeUnit.MILLISECONDS.toNanos(500),
                 TimeUnit.SECONDS.toNanos(3),
                 false,
-                within);
+                pollIntervalNanos);
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -19,20 +19,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to the registry, with one call at a time on it. All methods are to be called, and
+ * One connection to the registry, with at most one call in flight. All methods must be called, and
  * the caller is notified, on the event loop.
  */
 final class RegistryConnection {
-    /** Notified once for each call, and never inside it, unless the connection was dropped. */
+    /**
+     * Notified once of each call, never from within {@link #call}, and no more after {@link #drop}.
+     */
     interface Caller {
-        /** With the answer, which is released when this returns. */
-        void onResponse(RegistryConnection by, FullHttpResponse answer);
+        /** Takes the response, which is released when this method returns. */
+        void onResponse(RegistryConnection source, FullHttpResponse response);
 
-        /** There is no answer, and the connection is of no further use. */
-        void onFailure(RegistryConnection by, String why);
+        /** The call has no response, and the connection is closed. */
+        void onFailure(RegistryConnection source, String reason);
 
-        /** There is no socket to be had for it, as when descriptors are out. */
-        void onNoSocket(RegistryConnection by, String why);
+        /** No socket could be opened for the call, for example for want of file descriptors. */
+        void onNoSocket(RegistryConnection source, String reason);
     }
 
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
@@ -44,10 +46,10 @@
     private final Connector.ConnectAttempt connecting;
     private Channel channel;
 
-    /** A call that waits for the connection. */
-    private String pending;
+    /** URI of a call that waits for the connection; null for none. */
+    private String pendingUri;
 
-    private boolean calling;
+    private boolean callInFlight;
     private boolean dropped;
     private boolean keepAlive = true;
 
@@ -74,22 +76,23 @@
                         .connect(address, new ConnectListener());
     }
 
-    /** Whether the next call may go out on it. */
+    /** Whether the next call can be sent on this connection. */
     boolean isUsable() {
-        return !dropped && !calling && keepAlive && (channel == null || channel.isActive());
+        return !dropped && !callInFlight && keepAlive && (channel == null || channel.isActive());
     }
 
+    /** Sends a GET request, once connected. */
     void call(String uri) {
-        calling = true;
+        callInFlight = true;
         if (channel == null) {
-            pending = uri;
+            pendingUri = uri;
         } else {
             write(uri);
         }
     }
 
     private void write(String uri) {
-        pending = null;
+        pendingUri = null;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         request.headers()
@@ -103,25 +106,25 @@
                         });
     }
 
-    /** Takes in, before this returns, what has come and was not read yet. */
+    /** Reads and handles, before this method returns, what the socket has received. */
     void readNow() {
         if (channel != null && channel.isActive()) {
             sockets.readNow(channel);
         }
     }
 
-    /** Closes it; the caller is not notified any more. */
+    /** Closes the connection; the caller is no longer notified. */
     void drop() {
         dropped = true;
         connecting.close();
     }
 
-    private void end(String why) {
-        boolean waiting = calling && !dropped;
-        calling = false;
+    private void end(String reason) {
+        boolean waiting = callInFlight && !dropped;
+        callInFlight = false;
         drop();
         if (waiting) {
-            caller.onFailure(this, why);
+            caller.onFailure(this, reason);
         }
     }
 
@@ -131,8 +134,8 @@
             channel = opened;
             if (dropped) {
                 opened.close();
-            } else if (pending != null) {
-                write(pending);
+            } else if (pendingUri != null) {
+                write(pendingUri);
             }
         }
 
@@ -143,8 +146,8 @@
 
         @Override
         public void onSocketUnavailable(Throwable cause) {
-            boolean waiting = calling && !dropped;
-            calling = false;
+            boolean waiting = callInFlight && !dropped;
+            callInFlight = false;
             drop();
             if (waiting) {
                 caller.onNoSocket(RegistryConnection.this, cause.getMessage());
@@ -154,16 +157,16 @@
 
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (dropped || !calling) {
-                // Nobody asked for it: what follows might not belong to what is asked next.
-                end("an answer that was not asked for");
-            } else if (answer.decoderResult().isFailure()) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (dropped || !callInFlight) {
+                // A response without a call: the next one might not belong to the next call either.
+                end("response without a request");
+            } else if (response.decoderResult().isFailure()) {
                 end("malformed HTTP");
             } else {
-                calling = false;
-                keepAlive = HttpUtil.isKeepAlive(answer);
-                caller.onResponse(RegistryConnection.this, answer);
+                callInFlight = false;
+                keepAlive = HttpUtil.isKeepAlive(response);
+                caller.onResponse(RegistryConnection.this, response);
             }
         }
 
@@ -174,9 +177,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Ended, not closed alone: a closed channel would still hand on what was read with it,
-            // after a response that is too long.
-            end("an answer that can't be read: " + cause.getMessage());
+            // After a response that is too long, a channel that is only closed would still deliver
+            // what was read together with it.
+            end("unreadable response: " + cause.getMessage());
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryDiscovery.java
@@ -18,21 +18,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the registry's endpoint list: one watch after the other, one call at a time. When to poll
- * again after a failure is the policy's decision: it is notified of each failure and subscribes
- * again. All methods are to be called on the event loop.
+ * Follows the registry's endpoint list by watches, with one call at a time. The policy is notified
+ * of each failure and decides when to subscribe again. Must be called on the event loop.
  */
 public final class RegistryDiscovery implements EndpointDiscovery, RegistryConnection.Caller {
     private static final String LIST_PATH = "/registry/instances";
 
     /**
-     * The shortest time from one watch to the next, where the first had no news: an agent or a
-     * service that answers a watch at once must not be polled without rest. Below the 200 ms in
-     * which a watch is renewed, and the 250 ms in which a drain may have to take effect.
+     * The shortest time between two watches if the first one brought no update, so that a registry
+     * that answers each watch at once is not polled in a tight loop. Shorter than the 200 ms within
+     * which a watch must be renewed and the 250 ms within which a drain may have to take effect.
      */
     private static final long MIN_WATCH_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** A call that is out for less was sent after an event-loop stall, not before it. */
+    /** A call sent less than this ago was sent after an event-loop stall, not before it. */
     private static final long JUST_SENT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private final SidecarEventLoop loop;
@@ -45,36 +44,34 @@
     private final PollPolicy pollPolicy;
     private RegistryConnection connection;
 
-    /** A watch whose response is overdue: still listened to, while another call polls. */
+    /** A watch whose response is overdue and still accepted while another call polls. */
     private RegistryConnection overdueWatch;
 
     private Scheduler.ScheduledTask timeout = () -> {};
-    private boolean calling;
+    private boolean callInFlight;
 
-    /** When the open watch was sent; 0 while a call that need not wait is open. */
+    /** When the watch in flight was sent; 0 while the call in flight is not a watch. */
     private long watchSentAtNanos;
 
     private long sentAtNanos;
     private long previousSentAtNanos;
 
-    /** More may count as notified than was received; the next snapshot brings it. */
+    /** Whether more may count as notified than was received; the next snapshot contains it. */
     private boolean behind;
 
     private boolean catchingUp;
     private boolean watching;
     private boolean failing;
 
-    /** The next call is for a snapshot, which is believed whatever its revision. */
+    /** The next call is for a snapshot, which is accepted whatever its revision. */
     private boolean snapshotRequired;
 
     private long revision;
 
-    /**
-     * The revision that the overdue watch brought; a call sent beside it may bring an older one.
-     */
+    /** Revision that the overdue watch brought; the call sent beside it may bring an older one. */
     private long overdueRevision = Long.MIN_VALUE;
 
-    /** {@code cachedEndpoints}: the list that the sidecar was given, in the registry's form. */
+    /** {@code cachedEndpoints}: the list that the sidecar starts with, in the registry's format. */
     public RegistryDiscovery(
             SidecarEventLoop loop,
             SocketFactory sockets,
@@ -90,7 +87,7 @@
         this.parser = parser;
         this.listener = listener;
         this.pollPolicy = pollPolicy;
-        // What a local agent has counts as notified before a new process has polled it.
+        // What a local agent knows counts as notified even before this process first polls it.
         this.behind = pollPolicy.notificationDelayNanos() == 0;
     }
 
@@ -110,12 +107,12 @@
     @Override
     public void subscribe(boolean on) {
         watching = on;
-        if (on && !calling) {
+        if (on && !callInFlight) {
             watch();
         }
     }
 
-    /** Polls a snapshot in place of the open watch; a watch follows it. */
+    /** Polls a snapshot in place of the watch in flight; a watch follows it. */
     @Override
     public void fetchEndpoints() {
         dropAll();
@@ -123,19 +120,19 @@
     }
 
     /**
-     * Reads what was received while the loop was stalled. The response to the open watch may be old
-     * by then, and what the registry learnt after it may count as notified too: taken alone, it
-     * would let requests go to hosts that began to drain meanwhile. So a snapshot is polled after
-     * it. Where the watch is still open there was nothing to notify.
+     * Reads what was received while the loop was stalled. The response to the watch may be old by
+     * then, and later changes at the registry may count as notified too: applied alone, it would
+     * let requests go to hosts that began to drain meanwhile. Therefore a snapshot is polled after
+     * it. A watch that is still in flight had no update to bring.
      */
     @Override
     public void readPendingUpdates() {
         long now = loop.nanoTime();
-        long asked = sentAtNanos;
-        boolean justAsked = now - asked < JUST_SENT_NANOS;
+        long lastSentAtNanos = sentAtNanos;
+        boolean justSent = now - lastSentAtNanos < JUST_SENT_NANOS;
         boolean wasBehind = behind;
         behind |=
-                now - (justAsked ? previousSentAtNanos : asked)
+                now - (justSent ? previousSentAtNanos : lastSentAtNanos)
                         > pollPolicy.notificationDelayNanos();
         catchingUp = true;
         if (overdueWatch != null) {
@@ -145,21 +142,22 @@
             connection.readNow();
         }
         catchingUp = false;
-        boolean watchIsOut = watching && calling && watchSentAtNanos > 0 && asked == sentAtNanos;
-        if (watchIsOut
-                && (behind && justAsked
+        boolean watchInFlight =
+                watching && callInFlight && watchSentAtNanos > 0 && lastSentAtNanos == sentAtNanos;
+        if (watchInFlight
+                && (behind && justSent
                         || now - watchSentAtNanos
                                 > pollPolicy.watchNanos() + pollPolicy.watchGraceNanos())) {
             behind = true;
             timeout.cancel();
             pollBesideWatch();
-        } else if (watchIsOut) {
+        } else if (watchInFlight) {
             behind = wasBehind;
             if (!failing) {
-                // Requests that wait for an update would wait for a watch that has none.
+                // Requests that wait for an update must not wait for a watch that has none.
                 listener.onUpdate(UpdateKind.DELTA, List.of());
             }
-        } else if (behind && watching && !calling && !failing) {
+        } else if (behind && watching && !callInFlight && !failing) {
             watch();
         }
     }
@@ -170,14 +168,14 @@
     }
 
     /**
-     * Follows another registry from now on, beginning with a snapshot, because its revisions need
-     * not go on from the old one's. A call that is open does not fail with that: what the old
-     * registry has notified may be on its way, so it is listened to until the new one answers.
+     * Switches to another registry, starting with a snapshot, because its revisions need not
+     * continue the old registry's. The call in flight is kept until the new registry responds,
+     * because an update that the old registry has sent may still be on its way.
      */
     @Override
     public void switchRegistry(InetSocketAddress other) {
         endCall();
-        // Of an overdue watch and the call beside it, the call is the one that is answered.
+        // Of an overdue watch and the call beside it, the call is the one likely to be answered.
         if (connection != null && !snapshotRequired) {
             dropOverdue();
         }
@@ -195,7 +193,7 @@
         }
     }
 
-    /** The next call is for a snapshot, which is believed whatever its revision. */
+    /** Makes the next call one for a snapshot, which is accepted whatever its revision. */
     private void requireSnapshot() {
         snapshotRequired = true;
     }
@@ -217,12 +215,12 @@
                 TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    private void call(String uri, long wait) {
+    private void call(String uri, long watchNanos) {
         timeout.cancel();
-        calling = true;
+        callInFlight = true;
         previousSentAtNanos = sentAtNanos;
         sentAtNanos = loop.nanoTime();
-        watchSentAtNanos = wait > 0 ? sentAtNanos : 0;
+        watchSentAtNanos = watchNanos > 0 ? sentAtNanos : 0;
         if (connection == null || !connection.isUsable()) {
             if (connection != null) {
                 connection.drop();
@@ -230,21 +228,22 @@
             connection = new RegistryConnection(loop, sockets, address, this);
         }
         connection.call(uri);
-        if (wait > 0) {
-            timeout = loop.schedule(wait + pollPolicy.watchGraceNanos(), this::pollBesideWatch);
+        if (watchNanos > 0) {
+            timeout =
+                    loop.schedule(watchNanos + pollPolicy.watchGraceNanos(), this::pollBesideWatch);
         } else {
-            // A machine that vanished sends nothing, and would be waited for without end.
+            // A machine that has failed sends nothing, not even a reset.
             timeout =
                     loop.schedule(
-                            wait + pollPolicy.callTimeoutNanos(),
-                            () -> onFailure(connection, "no answer in time"));
+                            watchNanos + pollPolicy.callTimeoutNanos(),
+                            () -> onFailure(connection, "no response in time"));
         }
     }
 
     /**
-     * Polls a snapshot beside a watch that is overdue. What the registry has counts as notified two
-     * seconds after a watch's time is over, whether or not the watch is lost; polled only once the
-     * loss is certain, it would come too late for drains.
+     * Polls a snapshot beside a watch that is overdue. What the registry knows counts as notified
+     * two seconds after the end of a watch, whether or not the watch was lost. Polling only once
+     * the loss is certain would be too late for drains.
      */
     private void pollBesideWatch() {
         dropOverdue();
@@ -254,24 +253,24 @@
     }
 
     @Override
-    public void onResponse(RegistryConnection by, FullHttpResponse answer) {
+    public void onResponse(RegistryConnection source, FullHttpResponse response) {
         try {
-            if (answer.status().code() != 200) {
-                onFailure(by, "answer " + answer.status().code());
+            if (response.status().code() != 200) {
+                onFailure(source, "response with status " + response.status().code());
                 return;
             }
-            JsonNode list = json.readTree(ByteBufUtil.getBytes(answer.content()));
-            if (by == overdueWatch) {
+            JsonNode list = json.readTree(ByteBufUtil.getBytes(response.content()));
+            if (source == overdueWatch) {
                 onOverdueResponse(list);
             } else {
                 onTimelyResponse(list);
             }
         } catch (IOException | IllegalArgumentException e) {
-            onFailure(by, "malformed answer: " + e.getMessage());
+            onFailure(source, "malformed response: " + e.getMessage());
         }
     }
 
-    /** The overdue watch, for which another call was sent, has its response after all. */
+    /** Handles the response to an overdue watch, beside which another call was sent. */
     private void onOverdueResponse(JsonNode list) {
         EndpointListParser.Update update = parser.read(list);
         boolean old = update.revision() < revision && !snapshotRequired;
@@ -283,9 +282,9 @@
         if (old) {
             return;
         }
-        // Before the update is published: the policy takes any update for a subscription that
-        // stands, and would not subscribe again.
-        if (!calling) {
+        // Before the update is published: the policy takes any update as proof of an active
+        // subscription, and would not subscribe again.
+        if (!callInFlight) {
             watchAgain();
         }
         publish(update);
@@ -301,20 +300,22 @@
         }
         EndpointListParser.Update update = parser.read(list);
         if (update.revision() < revision && !snapshotRequired) {
-            // An older list may take back a drain. A registry that began anew answers the same when
-            // polled for a snapshot, and is believed then.
+            // An older list may revert a drain. A registry whose revisions have restarted gives the
+            // same one when polled for a snapshot, and is believed then.
             requireSnapshot();
-            onFailure(connection, "a list older than the last one: " + update.revision());
+            onFailure(
+                    connection,
+                    "list revision " + update.revision() + " is older than " + revision);
             return;
         }
         endCall();
         dropOverdue();
         behind &= catchingUp || watchSentAtNanos > 0;
-        boolean news = update.revision() != revision;
+        boolean changed = update.revision() != revision;
         revision = update.revision();
         snapshotRequired &= update.kind() != UpdateKind.SNAPSHOT;
         long rest = watchSentAtNanos + MIN_WATCH_INTERVAL_NANOS - loop.nanoTime();
-        if (news || rest <= 0) {
+        if (changed || rest <= 0) {
             watchAgain();
         } else {
             timeout = loop.schedule(rest, this::watchAgain);
@@ -323,8 +324,8 @@
     }
 
     /**
-     * Watches again at once: the registry keeps a watch's place only if the next call comes soon,
-     * and no change in between is lost then.
+     * Sends the next watch at once: the registry keeps a watcher's position only if its next call
+     * comes soon; then no change in between is lost.
      */
     private void watchAgain() {
         if (watching) {
@@ -341,39 +342,39 @@
     }
 
     @Override
-    public void onFailure(RegistryConnection by, String why) {
-        if (by == overdueWatch) {
+    public void onFailure(RegistryConnection source, String reason) {
+        if (source == overdueWatch) {
             dropOverdue();
             return;
         }
-        // An overdue watch may still bring its update, and is listened to all the more.
+        // An overdue watch is kept, because it may still bring its update.
         endCall();
         dropConnection();
         if (!failing) {
             failing = true;
-            loop.log().warning("discovery fails: " + why);
+            loop.log().warning("discovery fails: " + reason);
         }
         listener.onUpdate(UpdateKind.FAILURE, List.of());
     }
 
     /**
-     * Gives the overdue watch up for the call beside it: a lost watch would go on holding the only
-     * socket there is.
+     * Drops the overdue watch in favour of the call beside it: a lost watch would otherwise keep
+     * the only available socket.
      */
     @Override
-    public void onNoSocket(RegistryConnection by, String why) {
-        if (by == connection && overdueWatch != null) {
+    public void onNoSocket(RegistryConnection source, String reason) {
+        if (source == connection && overdueWatch != null) {
             dropOverdue();
             endCall();
             connection = null;
             call(LIST_PATH, 0);
         } else {
-            onFailure(by, "no socket: " + why);
+            onFailure(source, "no socket: " + reason);
         }
     }
 
     private void endCall() {
-        calling = false;
+        callInFlight = false;
         timeout.cancel();
     }
 
--- a/sidecar/src/test/java/appleridge/discovery/registry/StoredEndpointListTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registry/StoredEndpointListTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The registry's lists as files that commit 4260e73 wrote with its stand-in of the registry. */
+/** Parses endpoint lists that the registry's stand-in wrote at commit 4260e73. */
 class StoredEndpointListTest {
     private static final DiscoveredEndpoint READY = endpoint(1, 0, HostState.READY, 0);
     private static final DiscoveredEndpoint DRAINING =
