--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeJsonWriter.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the data of a server's node; {@code NodeJsonParser} reads it at the sidecars. */
+/** Writes the JSON data of a server's node, which sidecars read by {@code NodeJsonParser}. */
 final class NodeJsonWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -29,7 +29,10 @@
         return node.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Unix time in milliseconds at which a node's server started; 0 if it doesn't say. */
+    /**
+     * Returns the Unix time in milliseconds at which a node's server started; 0 if the data is
+     * null, malformed or does not contain it.
+     */
     static long startedMillis(byte[] data) {
         try {
             JsonNode node = data == null ? null : JSON.readTree(data);
--- a/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/NodeRegistration.java
@@ -16,13 +16,13 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Keeps one ephemeral node, over lost connections and sessions, until it is closed. A node that is
- * there may belong to a session that is about to end, and would vanish with it; so a node of
- * another session is deleted and made anew. Methods may be called on any thread; the work is done
- * on one of its own.
+ * Keeps one ephemeral node in ZooKeeper until it is closed, across lost connections and sessions.
+ * An existing node may belong to a session that is about to end, and would be deleted with it, so a
+ * node of another session is deleted and created again. Methods may be called on any thread; calls
+ * to ZooKeeper are made on a thread of its own.
  */
 public final class NodeRegistration implements AutoCloseable {
-    /** What to do, on the one thread that does it. */
+    /** A task for the registration thread. */
     private enum Task {
         OPEN,
         ENSURE,
@@ -31,7 +31,7 @@
 
     private static final long RETRY_MILLIS = 1000;
 
-    /** How often the node is checked although no event came. */
+    /** How often the node is checked while no event arrives. */
     private static final long CHECK_MILLIS = 10_000;
 
     private static final int MAX_ATTEMPTS = 5;
@@ -47,9 +47,13 @@
     private String lastLogged = "";
 
     /**
-     * With the node's name under the settings' root.
+     * Creates a registration that is not started.
      *
-     * @param startedMillis of two servers of one name, the one that started last has it
+     * @param name the node's name under the settings' root
+     * @param data the node's data
+     * @param startedMillis Unix time in milliseconds at which the server started; of two servers
+     *     with one name, the one that started last gets the node
+     * @param log takes log lines for operators
      */
     public NodeRegistration(
             ZooKeeperSettings settings,
@@ -65,19 +69,19 @@
         thread.setDaemon(true);
     }
 
-    /** From now on the node is there whenever a coordination server can be had. */
+    /** Starts to keep the node, whenever a coordination server can be reached. */
     public void start() {
         tasks.add(Task.OPEN);
         thread.start();
     }
 
-    /** Changes what the node holds. */
-    public void setData(byte[] other) {
-        data = other;
+    /** Changes the node's data. */
+    public void setData(byte[] newData) {
+        data = newData;
         tasks.add(Task.ENSURE);
     }
 
-    /** Deletes the node by ending the session; waits for that for a moment. */
+    /** Deletes the node by closing the session; waits up to three seconds for that. */
     @Override
     public void close() {
         tasks.add(Task.CLOSE);
@@ -89,27 +93,27 @@
     }
 
     private void run() {
-        boolean again = false;
+        boolean retry = false;
         while (true) {
             try {
-                Task task = tasks.poll(again ? RETRY_MILLIS : CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                Task task = tasks.poll(retry ? RETRY_MILLIS : CHECK_MILLIS, TimeUnit.MILLISECONDS);
                 if (task == Task.CLOSE) {
-                    drop();
+                    closeClient();
                     return;
                 }
                 if (task == Task.OPEN || client == null) {
                     open();
                 }
                 ensureRegistered();
-                again = false;
+                retry = false;
             } catch (KeeperException e) {
-                again = true;
+                retry = true;
                 if (e.code() != Code.CONNECTIONLOSS
                         || client.getState() == ZooKeeper.States.CONNECTED) {
                     logChange("can't register: " + e.code());
                 }
             } catch (IOException | RuntimeException e) {
-                again = true;
+                retry = true;
                 logChange("can't register: " + e);
             } catch (InterruptedException e) {
                 return;
@@ -118,18 +122,18 @@
     }
 
     private void open() throws IOException {
-        drop();
+        closeClient();
         client = ZooKeeperClientFactory.open(settings, this::onEvent);
     }
 
-    private void drop() {
+    private void closeClient() {
         if (client != null) {
             ZooKeeperClientFactory.close(client);
             client = null;
         }
     }
 
-    /** On the client's thread. */
+    /** Called on the client's event thread. */
     private void onEvent(WatchedEvent event) {
         if (event.getType() != Watcher.Event.EventType.None) {
             tasks.add(Task.ENSURE);
@@ -139,8 +143,8 @@
             case SyncConnected -> tasks.add(Task.ENSURE);
             case Disconnected ->
                     log.accept(
-                            "registration: no coordination server answers; the node stays"
-                                    + " while the session does");
+                            "registration: no coordination server answers; the node remains"
+                                    + " as long as the session");
             case Expired, AuthFailed -> {
                 log.accept(
                         "registration: the session is over ("
@@ -160,16 +164,16 @@
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
             byte[] wanted = data;
             Stat stat = new Stat();
-            byte[] there = read(path, stat);
+            byte[] existing = read(path, stat);
             if (stat.getCzxid() == 0) {
                 create(path, wanted);
             } else if (stat.getEphemeralOwner() == client.getSessionId()) {
-                if (!Arrays.equals(there, wanted)) {
+                if (!Arrays.equals(existing, wanted)) {
                     client.setData(path, wanted, stat.getVersion());
                 }
                 logChange("registered as " + path);
                 return;
-            } else if (NodeJsonWriter.startedMillis(there) > startedMillis) {
+            } else if (NodeJsonWriter.startedMillis(existing) > startedMillis) {
                 logChange("a server that started later has the name " + path + "; not registered");
                 return;
             } else {
@@ -179,7 +183,8 @@
     }
 
     /**
-     * What the node holds, and the watch that tells of its end; a number of 0 if it is not there.
+     * Reads the node's data and sets a watch on it. Returns null, with a creation transaction of 0
+     * in {@code stat}, if the node does not exist.
      */
     private byte[] read(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
@@ -189,11 +194,13 @@
         }
     }
 
-    private void create(String path, byte[] holds) throws KeeperException, InterruptedException {
+    private void create(String path, byte[] initialData)
+            throws KeeperException, InterruptedException {
         try {
-            client.create(path, holds, ZooKeeperClientFactory.acl(settings), CreateMode.EPHEMERAL);
+            client.create(
+                    path, initialData, ZooKeeperClientFactory.acl(settings), CreateMode.EPHEMERAL);
         } catch (KeeperException.NodeExistsException e) {
-            // Another one was faster: look who.
+            // Created by another session meanwhile; the caller reads the node again.
         } catch (KeeperException.NoNodeException e) {
             int shard = name.indexOf('/');
             if (shard < 0) {
@@ -208,19 +215,20 @@
             client.create(
                     path, new byte[0], ZooKeeperClientFactory.acl(settings), CreateMode.PERSISTENT);
         } catch (KeeperException.NodeExistsException e) {
-            // Good.
+            // Another server has created it.
         }
     }
 
     /**
-     * Deletes a node of another session. A node made anew begins at version 0 again, so the version
-     * is no proof that it is still the same node; {@link #ensureRegistered} looks again.
+     * Deletes a node of another session. The versions of a recreated node start at 0 again, so a
+     * matching version does not prove that it is still the same node; {@link #ensureRegistered}
+     * reads it again.
      */
     private void delete(String path, Stat stat) throws KeeperException, InterruptedException {
         try {
             client.delete(path, stat.getVersion());
         } catch (KeeperException.NoNodeException | KeeperException.BadVersionException e) {
-            // Another one was faster: look again.
+            // Changed or deleted meanwhile; the caller reads the node again.
         }
     }
 
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
@@ -9,16 +9,20 @@
 import java.util.Set;
 
 /**
- * The arguments of {@code register}.
+ * The command-line arguments of {@code register}.
  *
- * @param operator the operator's file, whose section membership says where to register
- * @param id the server's id, which is its node's name
- * @param shard under which the node stands; null for none
- * @param address where the server listens, as others reach it
- * @param zone its zone's name; null for none, and so {@code kind}
- * @param check path to ask for over HTTP until the answer is a 2xx; null for a connection alone
- * @param drainMillis how long it is marked as ending before it is told
- * @param command what starts the server
+ * @param operator the operator's file, whose section {@code membership} says where to register
+ * @param id the server's id, which is the name of its node
+ * @param shard the shard that the node is created in; null for none
+ * @param address the address at which other machines reach the server
+ * @param zone the name of its zone; null for none
+ * @param kind the name of its machine type; null for none
+ * @param cell the number of its cell
+ * @param weight its capacity in relation to other servers
+ * @param check the HTTP path of the health check, which passes with a 2xx status; null to check for
+ *     a TCP connection only
+ * @param drainMillis how long its node is marked as terminating before the server gets SIGTERM
+ * @param command the command that starts the server, with its arguments
  */
 record RegisterArguments(
         Path operator,
@@ -54,7 +58,11 @@
     private static final long MAX_DRAIN_MILLIS = 600_000;
     private static final double MAX_WEIGHT = 1e6;
 
-    /** Reads them; what makes no sense is told by an {@link IllegalArgumentException}. */
+    /**
+     * Parses the arguments.
+     *
+     * @throws IllegalArgumentException naming the argument that is missing, unknown or not allowed
+     */
     static RegisterArguments parse(List<String> words) {
         int end = words.indexOf("--");
         if (end < 0 || end + 1 == words.size()) {
@@ -70,12 +78,13 @@
                 throw new IllegalArgumentException(name + " needs a value");
             }
             if (given.put(name, words.get(i + 1)) != null) {
-                throw new IllegalArgumentException(name + " stands twice");
+                throw new IllegalArgumentException(name + " is given twice");
             }
         }
         String check = given.get("--check");
         if (check != null && !check.matches("/[!-~]*")) {
-            throw new IllegalArgumentException("--check is not a path like /health/ready");
+            throw new IllegalArgumentException(
+                    "--check is not a path like /health/ready: " + check);
         }
         return new RegisterArguments(
                 Path.of(required(given, "--operator")),
@@ -101,7 +110,10 @@
 
     private static String name(String what, String value) {
         if (!value.matches(NAME) || value.equals(".") || value.equals("..")) {
-            throw new IllegalArgumentException(what + " may hold letters, digits and any of _.:@-");
+            throw new IllegalArgumentException(
+                    what
+                            + " may contain up to 253 letters, digits and any of _.:@-, but is "
+                            + value);
         }
         return value;
     }
@@ -109,24 +121,27 @@
     private static InetSocketAddress address(String text) {
         return Addresses.literal(text)
                 .orElseThrow(
-                        () -> new IllegalArgumentException("--address is not like 192.0.2.1:8080"));
+                        () ->
+                                new IllegalArgumentException(
+                                        "--address is not like 192.0.2.1:8080: " + text));
     }
 
     private static double number(
-            Map<String, String> given, String name, double usual, double least, double most) {
+            Map<String, String> given, String name, double defaultValue, double min, double max) {
         if (!given.containsKey(name)) {
-            return usual;
+            return defaultValue;
         }
         try {
             double value = Double.parseDouble(given.get(name));
-            if (value >= least
-                    && value <= most
+            if (value >= min
+                    && value <= max
                     && (name.equals("--weight") || value == Math.rint(value))) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw new IllegalArgumentException(name + " makes no sense: " + given.get(name));
+        throw new IllegalArgumentException(
+                name + " is not a number in its range: " + given.get(name));
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterCommand.java
@@ -14,30 +14,31 @@
 import java.util.function.Function;
 
 /**
- * {@code java -jar appleridge.jar register … -- COMMAND}: starts the command as its child,
- * registers it once it answers, and ends with its status. On SIGTERM the node says so first; the
- * child is told a while later.
+ * {@code java -jar appleridge.jar register … -- COMMAND}: starts a server as a child process,
+ * registers it once it is healthy, and exits with its status. On SIGTERM the node is marked as
+ * terminating first, so that sidecars stop sending requests; the child gets its signal once the
+ * drain time is over.
  */
 public final class RegisterCommand {
-    /** Exit status where the arguments are not allowed. */
+    /** Exit status if the arguments are not valid. */
     public static final int EXIT_USAGE = 2;
 
-    /** As shells have it for a command that can't be started. */
+    /** The exit status by which shells report a command that can't be started. */
     private static final int EXIT_COMMAND_NOT_FOUND = 127;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
     private static final int RESPONSE_TIMEOUT_MILLIS = 1000;
     private static final long HEALTH_CHECK_MILLIS = 100;
 
-    /** How long the session's end is waited for; later the node ends with the session time-out. */
+    /** Wait for the session's close; after that the node ends with the session time-out. */
     private static final long SESSION_CLOSE_MILLIS = 4000;
 
     private static final System.Logger LOG = System.getLogger("appleridge");
 
     private final RegisterArguments server;
     private final ZooKeeperSettings settings;
-    private final CountDownLatch ending = new CountDownLatch(1);
-    private final CountDownLatch drained = new CountDownLatch(1);
+    private final CountDownLatch terminationRequested = new CountDownLatch(1);
+    private final CountDownLatch sessionClosed = new CountDownLatch(1);
     private Process child;
     private long startedMillis;
     private NodeRegistration registration;
@@ -48,10 +49,11 @@
     }
 
     /**
-     * Runs the command; its exit status.
+     * Runs the command and returns its exit status.
      *
-     * @param words what follows the command's name
-     * @param read reads where to register from the operator's file; throws what is wrong with it
+     * @param words the arguments of {@code register}
+     * @param read reads the ZooKeeper settings from the operator's file; throws an {@link
+     *     IllegalArgumentException} if they are not valid
      */
     public static int run(List<String> words, Function<Path, ZooKeeperSettings> read) {
         try {
@@ -61,7 +63,7 @@
                 throw new IllegalArgumentException(
                         settings.shards()
                                 ? "--shard is missing"
-                                : "--shard makes no sense without membership.shards");
+                                : "--shard is not allowed without membership.shards");
             }
             return new RegisterCommand(arguments, settings).run();
         } catch (IllegalArgumentException e) {
@@ -97,8 +99,8 @@
             if (registered) {
                 registration.close();
             }
-            drained.countDown();
-            if (ending.getCount() == 0) {
+            sessionClosed.countDown();
+            if (terminationRequested.getCount() == 0) {
                 // The JVM is shutting down, and only the hook can still set its exit status.
                 new CountDownLatch(1).await();
             }
@@ -112,29 +114,31 @@
         return NodeJsonWriter.write(server, terminating, startedMillis);
     }
 
-    /** On SIGTERM, and at any other end of this process. */
+    /** Runs as the shutdown hook: on SIGTERM, and at any other end of this process. */
     private void terminate() {
-        ending.countDown();
+        terminationRequested.countDown();
         try {
             if (child.isAlive()) {
-                LOG.log(System.Logger.Level.INFO, "registration: ending " + server.id());
+                LOG.log(System.Logger.Level.INFO, "registration: draining " + server.id());
                 registration.setData(nodeData(true));
                 if (child.waitFor(server.drainMillis(), TimeUnit.MILLISECONDS)) {
-                    LOG.log(System.Logger.Level.INFO, "registration: it ended by itself");
+                    LOG.log(
+                            System.Logger.Level.INFO,
+                            "registration: " + server.id() + " ended before its drain was over");
                 }
                 child.destroy();
             }
             int status = child.waitFor();
-            drained.await(SESSION_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            sessionClosed.await(SESSION_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
             Runtime.getRuntime().halt(status);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Whether it answers; not if it ended before it did, or is to end. */
+    /** Waits until the server is healthy; false if it ends, or is to end, before. */
     private boolean awaitHealthy() throws InterruptedException {
-        while (child.isAlive() && ending.getCount() > 0) {
+        while (child.isAlive() && terminationRequested.getCount() > 0) {
             if (isHealthy(server.address(), server.check())) {
                 return true;
             }
@@ -143,6 +147,7 @@
         return false;
     }
 
+    /** Whether the address accepts a connection and, with a path, answers it with a 2xx status. */
     static boolean isHealthy(InetSocketAddress address, String check) {
         try (Socket socket = new Socket()) {
             socket.connect(address, CONNECT_TIMEOUT_MILLIS);
--- a/sidecar/src/main/java/appleridge/discovery/registration/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command {@code register}, which runs beside a server: starts it as its child and keeps an
- * ephemeral node for it in ZooKeeper while it is healthy.
+ * The command {@code register}, which starts a server as its child process and, once the server is
+ * healthy, keeps an ephemeral node for it in ZooKeeper.
  */
 package appleridge.discovery.registration;
--- a/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registration/RegisterArgumentsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The command line of {@code register}. */
+/** Parsing of the command line of {@code register}. */
 class RegisterArgumentsTest {
     private static RegisterArguments parse(String line) {
         return RegisterArguments.parse(List.of(line.split(" ")));
@@ -58,22 +58,25 @@
                     {"--id s1 --", "no command after --"},
                     {"--idd s1 -- run", "unknown argument: --idd"},
                     {"--id -- run", "--id needs a value"},
-                    {"--id a --id b -- run", "--id stands twice"},
+                    {"--id a --id b -- run", "--id is given twice"},
                     {"--id a -- run", "--operator is missing"},
-                    {"--operator o --id a/b -- run", "--id may hold"},
-                    {"--operator o --id .. -- run", "--id may hold"},
-                    {"--operator o --id a --address host:80 -- run", "--address is not like"},
+                    {"--operator o --id a/b -- run", "--id may contain"},
+                    {"--operator o --id .. -- run", "--id may contain"},
+                    {
+                        "--operator o --id a --address host:80 -- run",
+                        "--address is not like 192.0.2.1:8080: host:80"
+                    },
                     {
                         "--operator o --id a --address 192.0.2.1:80 --cell 1.5 -- run",
-                        "--cell makes no sense"
+                        "--cell is not a number in its range: 1.5"
                     },
                     {
                         "--operator o --id a --address 192.0.2.1:80 --weight no -- run",
-                        "--weight makes no sense"
+                        "--weight is not a number in its range: no"
                     },
                     {
                         "--operator o --id a --address 192.0.2.1:80 --check ready -- run",
-                        "--check is not a path"
+                        "--check is not a path like /health/ready: ready"
                     }
                 }) {
             String message =
--- a/sidecar/src/test/java/appleridge/discovery/registration/StoredNodeDataTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/registration/StoredNodeDataTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The data of servers' nodes against files that commit 4260e73 wrote with its registration. */
+/** Compares the data of servers' nodes with files that commit 4260e73 wrote. */
 class StoredNodeDataTest {
     private static final long STARTED_MILLIS = 1_700_000_000_000L;
     private static final String FULL =
