--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/AddressIndex.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/AddressIndex.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which ids are listed at which address, in the order of their listing. Not thread-safe. */
+/** Maps addresses to the ids listed there, in the order of listing. Not thread-safe. */
 final class AddressIndex {
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Map<InetSocketAddress, Set<String>> ids = new HashMap<>();
 
-    /** An id is at this address from now on; null: at none. */
+    /** Sets the address of an id; null removes the id. */
     void put(String id, InetSocketAddress address) {
         InetSocketAddress before =
                 address == null ? addresses.remove(id) : addresses.put(id, address);
@@ -28,12 +28,12 @@
         }
     }
 
-    /** The ids at an address. */
+    /** Returns the ids at an address; empty if there are none. */
     Collection<String> at(InetSocketAddress address) {
         return ids.getOrDefault(address, Set.of());
     }
 
-    /** The address of an id; null for none. */
+    /** Returns the address of an id; null if it has none. */
     InetSocketAddress of(String id) {
         return addresses.get(id);
     }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/MergedEndpoints.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * The one endpoint list: each host as the sources together have it, and what of that was published.
- * What is to be published follows from what the sources have now, not from the order in which they
- * came to it. Not thread-safe.
+ * The merged endpoint list: each host as merged from the sources, and what of it was published. The
+ * list depends only on the present state of the sources, not on the order of their updates. Not
+ * thread-safe.
  */
 final class MergedEndpoints {
     private final NodeState nodes;
@@ -29,12 +29,12 @@
         this.registry = registry;
     }
 
-    /** Upstreams that are listed. */
+    /** Returns the number of published hosts. */
     int size() {
         return published.size();
     }
 
-    /** What has changed of these ids since it was published; counts as published from now on. */
+    /** Merges these ids again and returns what changed; it counts as published from then on. */
     List<DiscoveredEndpoint> changes(Collection<String> touched) {
         Set<String> affected = new LinkedHashSet<>();
         for (String id : touched) {
@@ -67,12 +67,12 @@
         return gone;
     }
 
-    /** All that is listed. */
+    /** Returns all published hosts. */
     List<DiscoveredEndpoint> all() {
         return List.copyOf(published.values());
     }
 
-    /** Whether publishing an id can't wait: requests go to a host that should get none. */
+    /** Whether the change of an id can't wait: requests go to a host that must not get any. */
     boolean isUrgent(String id) {
         Candidate next = candidate(id);
         if (next != null) {
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Marks hosts that have lost their address to a process that began later. Without the mark they
-     * would be listed again when that process ends, and requests to them would reach it while it
-     * drains, or the process after it.
+     * Marks hosts that have lost their address to a process that started later. Without the mark
+     * they would be listed again when that process ends, and requests to them would reach it while
+     * it drains, or reach the next process at that address.
      */
     private void markDisplaced(Collection<String> affected) {
         for (String id : affected) {
@@ -104,9 +104,10 @@
                 continue;
             }
             for (String other : addresses.at(candidate.member().address())) {
-                DiscoveredEndpoint there = published.get(other);
-                if (there != null
-                        && there.startedAtUnixMillis() > candidate.member().startedAtUnixMillis()) {
+                DiscoveredEndpoint holder = published.get(other);
+                if (holder != null
+                        && holder.startedAtUnixMillis()
+                                > candidate.member().startedAtUnixMillis()) {
                     nodes.byServerId(id).forEach(TrackedNode::markDisplaced);
                     registry.markDisplaced(id);
                     candidates.remove(id);
@@ -153,16 +154,16 @@
         if (listed == null) {
             return candidate(node);
         }
-        // What the registry lists in spite of a vanished node is another process.
+        // What the registry lists although the node was deleted is another process.
         if (!node.exists()) {
             return new Candidate(listed, true, false, 0);
         }
         DiscoveredEndpoint own = node.endpoint();
         boolean drains = own.state() != HostState.READY || listed.state() != HostState.READY;
-        DiscoveredEndpoint last =
+        DiscoveredEndpoint latest =
                 listed.startedAtUnixMillis() > own.startedAtUnixMillis() ? listed : own;
         return new Candidate(
-                last.withState(drains ? HostState.DRAINING : HostState.READY),
+                latest.withState(drains ? HostState.DRAINING : HostState.READY),
                 true,
                 true,
                 node.czxid);
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeData.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * What a node's data says of its server.
+ * The data of a server's node, parsed.
  *
  * @param address where the server listens; never null
  * @param zone position of its zone among the configured ones
  * @param kind position of its machine type among the configured ones
  * @param cell number of its cell
  * @param state {@link HostState#READY} or {@link HostState#DRAINING}; never null
- * @param weight its registered size
- * @param startedMillis Unix time in milliseconds at which its process started; 0 where the node has
- *     none
- * @param uid its id in all sources; null: the node's name
+ * @param weight its registered capacity
+ * @param startedMillis Unix time in milliseconds at which its process started; 0 if the node does
+ *     not state it
+ * @param uid its id in all sources; null if that is the node's name
  */
 public record NodeData(
         InetSocketAddress address,
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -9,32 +9,34 @@
 import java.util.function.Consumer;
 
 /**
- * Makes one endpoint list of what the nodes and, if it is polled too, the registry say. What was
- * notified is believed at once; where nothing new is known the last list stands, and {@link
- * #staleness()} says why. To be called on one thread, with times in nanoseconds on the loop's clock
- * that never run back.
+ * Builds the endpoint list from ephemeral nodes and, if it is polled too, the registry. Notified
+ * changes are applied at once; while the nodes can't be followed the last list stays in force, and
+ * {@link #staleness()} is the cause. Must be called on one thread, with monotonic times in
+ * nanoseconds on the loop's clock.
  */
 public final class NodeDiscovery {
-    /** Takes the list. */
+    /** Receives the updates of the list. */
     public interface Sink {
         /**
-         * An update of the list.
+         * Called with each update of the list.
          *
          * @param source {@link #NODES} or {@link #REGISTRY}
-         * @param toldAt when it was notified, on the loop's clock
+         * @param sinceNanos when the first change in it was notified, on the loop's clock
          */
         void onUpdate(
-                UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt);
+                UpdateKind kind, List<DiscoveredEndpoint> members, String source, long sinceNanos);
     }
 
     /**
-     * Times in nanoseconds.
+     * Time limits in nanoseconds.
      *
-     * @param readWithin a change whose data takes longer to read stops new requests to its server
-     * @param goneAfter how long a server whose node was deleted is remembered, in case that it
-     *     comes back
-     * @param tick how often {@link NodeDiscovery#tick} is called; what is notified in between is
-     *     published with it, but for the first change in such a time that stops requests to a host
+     * @param readTimeoutNanos if the data of a changed node take longer to read, its server gets no
+     *     new requests
+     * @param removalDelayNanos how long a server is remembered after its node was deleted, in case
+     *     it returns
+     * @param tickNanos the interval of {@link NodeDiscovery#tick}, which publishes the changes
+     *     since the last one; only the first change per interval that stops requests to a host is
+     *     published at once
      */
     public record Settings(long readTimeoutNanos, long removalDelayNanos, long tickNanos) {
         /** The defaults of the product. */
@@ -52,8 +54,8 @@
     public static final String REGISTRY = "registry";
 
     /**
-     * How long servers that an ensemble which began anew has not got are kept: they register again
-     * one after the other, and the first one back would be sent all requests.
+     * How long servers are kept that are missing from an ensemble with a new history. They register
+     * again one after the other, and without this delay the first one would get all requests.
      */
     private static final long REREGISTRATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -66,56 +68,56 @@
     private final Consumer<String> warningLog;
     private final UnreadableNodes unreadable;
     private final NodeState nodes;
-    private final RegistryState onRegistryUpdate;
+    private final RegistryState registry;
     private final MergedEndpoints merged;
     private final TransactionHistory history = new TransactionHistory();
-    private SessionState onSessionState = SessionState.CONNECTED;
+    private SessionState sessionState = SessionState.CONNECTED;
     private final Staleness staleness;
 
-    /** The nodes have been read once. */
+    /** Whether the nodes have been read at least once. */
     private boolean nodesRead;
 
-    /** Of servers that came before the ensemble began anew. */
+    /** Until when servers of a lost history are kept. */
     private long lostHistoryUntilNanos = NEVER;
 
-    /** What the next snapshot leaves out is gone, whatever history it is of. */
-    private boolean accepted;
+    /** Whether nodes missing from the next snapshot are gone, whatever history it is of. */
+    private boolean nextSnapshotAccepted;
 
     private final PendingChanges pending = new PendingChanges();
 
-    /** When the present event was notified. */
+    /** When the current event was notified. */
     private long notifiedAtNanos;
 
     private long lastPublishedNanos = Long.MIN_VALUE;
 
-    /** {@code news} and {@code warning} take log lines for operators. */
+    /** {@code infoLog} and {@code warningLog} take log lines for operators. */
     public NodeDiscovery(
             SourceSelection merge,
             Settings settings,
             Sink sink,
-            Consumer<String> news,
-            Consumer<String> warning) {
+            Consumer<String> infoLog,
+            Consumer<String> warningLog) {
         this.merge = merge;
         this.settings = settings;
         this.sink = sink;
-        this.infoLog = news;
-        this.warningLog = warning;
-        this.unreadable = new UnreadableNodes(warning);
-        this.staleness = new Staleness(news, warning);
-        this.onRegistryUpdate = new RegistryState(pending::touch);
+        this.infoLog = infoLog;
+        this.warningLog = warningLog;
+        this.unreadable = new UnreadableNodes(warningLog);
+        this.staleness = new Staleness(infoLog, warningLog);
+        this.registry = new RegistryState(pending::touch);
         this.nodes =
                 new NodeState(
                         settings,
                         pending::touch,
                         this::onNodeDeleted,
-                        node -> onRegistryUpdate.onNodeReturned(node.endpoint()),
+                        node -> registry.onNodeReturned(node.endpoint()),
                         unreadable);
-        this.merged = new MergedEndpoints(nodes, onRegistryUpdate);
+        this.merged = new MergedEndpoints(nodes, registry);
     }
 
     /**
-     * The registry's list, where it is asked too; a failure passes through. What is known before
-     * the start holds, where nodes alone are asked, until they are read.
+     * Handles an update of the registry's list; a failure is passed on to the sink. If nodes are
+     * the only source, only the list cached before the start counts, until the nodes are read.
      */
     public void onRegistryUpdate(long now, UpdateKind kind, List<DiscoveredEndpoint> members) {
         if (kind == UpdateKind.FAILURE) {
@@ -129,7 +131,7 @@
             flush(now);
         }
         notifiedAtNanos = now;
-        onRegistryUpdate.update(
+        registry.update(
                 kind,
                 members,
                 listed -> nodes.byServerId(listed.id()).forEach(this::onRegistryListing),
@@ -137,32 +139,32 @@
                         nodes.byServerId(ended.id())
                                 .forEach(node -> node.onRegistryEnd(ended.startedAtUnixMillis())));
         List<DiscoveredEndpoint> changes = changes();
-        // Also where nothing has changed: it tells that the registry answers.
+        // Published even without changes: it shows that the registry answers.
         publish(now, kind, kind == UpdateKind.DELTA ? changes : merged.all(), REGISTRY, now);
     }
 
     private void onNodeDeleted(TrackedNode node) {
         if (node.wasRead()) {
-            onRegistryUpdate.onNodeDeleted(node.endpoint());
+            registry.onNodeDeleted(node.endpoint());
         } else {
-            onRegistryUpdate.onNodeDeleted(node.name);
+            registry.onNodeDeleted(node.name);
         }
     }
 
     private void onRegistryListing(TrackedNode node) {
         node.onRegistryListing();
         if (!node.exists()) {
-            // The slower source may list a process whose end it was not notified of yet.
-            onRegistryUpdate.onNodeDeleted(node.endpoint());
+            // The registry may be slower and still list the process.
+            registry.onNodeDeleted(node.endpoint());
         }
     }
 
     /**
-     * The state of the session has changed. After a connect, the next snapshot tells what was
+     * Handles a change of the session's state. After a connect, the next snapshot contains what was
      * missed.
      */
     public void onSessionState(long now, SessionState state) {
-        onSessionState = state;
+        sessionState = state;
         switch (state) {
             case CONNECTED -> history.onConnected();
             case READ_ONLY -> markStale(StalenessCause.READ_ONLY);
@@ -171,32 +173,33 @@
                 history.onSessionExpired();
                 markStale(StalenessCause.NOT_CONNECTED);
             }
-            default -> throw new IllegalArgumentException("session " + state);
+            default -> throw new IllegalArgumentException("unknown session state: " + state);
         }
     }
 
     /**
-     * The whole subtree. While {@link #staleness()} is {@link StalenessCause#OLDER} or {@link
-     * StalenessCause#WIPED} it is to be read again every few seconds.
+     * Handles a snapshot of the whole subtree. While {@link #staleness()} is {@link
+     * StalenessCause#OLDER} or {@link StalenessCause#WIPED} the caller must read the subtree again
+     * every few seconds.
      *
-     * @param asOf when its reading began: what an event told of a node since then may be newer
-     * @param zxid the highest transaction in what was read; events of this connection count too
-     * @param onNodeRead all nodes by name
+     * @param asOfNanos when its reading began; later events may be newer than the snapshot
+     * @param zxid the highest transaction in the snapshot, and of this connection's events
+     * @param read all nodes, by name
      */
-    public void onSnapshot(long now, long asOf, long zxid, Map<String, NodeRead> read) {
+    public void onSnapshot(long now, long asOfNanos, long zxid, Map<String, NodeRead> read) {
         if (!takesSnapshots() || !acceptsState(now, zxid, read)) {
             return;
         }
-        nodes.onSnapshot(now, asOf, read);
-        if (accepted) {
-            accepted = false;
+        nodes.onSnapshot(now, asOfNanos, read);
+        if (nextSnapshotAccepted) {
+            nextSnapshotAccepted = false;
             nodes.dropLostHistory(now);
         }
         int sizeBefore = merged.size();
         List<DiscoveredEndpoint> changes = changes();
         boolean first = !nodesRead;
         nodesRead = true;
-        if (onSessionState == SessionState.CONNECTED) {
+        if (sessionState == SessionState.CONNECTED) {
             staleness.end(merged.size(), sizeBefore);
         }
         if (first) {
@@ -206,13 +209,13 @@
         }
     }
 
-    /** A server without its quorum will do for the first snapshot alone. */
+    /** A server without its quorum is trusted for the first snapshot only. */
     private boolean takesSnapshots() {
-        return onSessionState == SessionState.CONNECTED
-                || onSessionState == SessionState.READ_ONLY && !nodesRead;
+        return sessionState == SessionState.CONNECTED
+                || sessionState == SessionState.READ_ONLY && !nodesRead;
     }
 
-    /** Whether a snapshot counts, by its transactions; prepares for it if so. */
+    /** Whether a snapshot counts, by its transactions; if so, prepares the state for it. */
     private boolean acceptsState(long now, long zxid, Map<String, NodeRead> read) {
         boolean holdsEntries = read.values().stream().anyMatch(each -> each.data() != null);
         TransactionHistory.Verdict verdict = history.classify(now, zxid, holdsEntries);
@@ -226,75 +229,75 @@
                 return false;
             }
             case CURRENT, RESTARTED -> notifiedAtNanos = now;
-            default -> throw new IllegalArgumentException("verdict " + verdict);
+            default -> throw new IllegalArgumentException("unknown verdict: " + verdict);
         }
         if (verdict == TransactionHistory.Verdict.RESTARTED) {
             nodes.startNewHistory();
             lostHistoryUntilNanos = now + REREGISTRATION_WINDOW_NANOS;
             warningLog.accept(
-                    "membership: the coordination service has begun anew; what it has not got yet"
-                            + " is kept for a while");
+                    "membership: the coordination service has a new history; servers missing from"
+                            + " it are kept for a while");
         }
         if (!nodesRead && merge == SourceSelection.NODES) {
-            onRegistryUpdate.update(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
+            registry.update(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
         }
         return true;
     }
 
-    /** A node was made or its data changed; what it holds is being read. */
-    public void onNodeChanged(long now, long toldAt, long zxid, String name) {
-        if (onSessionState == SessionState.READ_ONLY || staleness.cause() == StalenessCause.WIPED) {
+    /** Handles the creation or change of a node, whose data are still to be read. */
+    public void onNodeChanged(long now, long changeNotifiedNanos, long zxid, String name) {
+        if (sessionState == SessionState.READ_ONLY || staleness.cause() == StalenessCause.WIPED) {
             return;
         }
-        // A server that lags notifies the creation of nodes whose deletion was notified and
-        // forgotten long before.
+        // A server that lags may notify the creation of a node whose deletion was notified before
+        // and is already forgotten.
         if (staleness.cause() != StalenessCause.NONE
                 && history.mayPredate(zxid)
                 && !nodes.isKnown(name)) {
             return;
         }
-        notifiedAtNanos = toldAt;
+        notifiedAtNanos = changeNotifiedNanos;
         history.onEvent(zxid);
-        nodes.onChanged(now, toldAt, zxid, name);
+        nodes.onChanged(now, changeNotifiedNanos, zxid, name);
         flushIfUrgent(now);
     }
 
     /**
-     * What a node holds, as it was when its data had this transaction. A node that is found to be
-     * no more is {@link #onNodeDeleted}.
+     * Handles the data of a node, last changed by transaction {@code mzxid}. For a node that does
+     * not exist, {@link #onNodeDeleted} is to be called instead.
      */
     public void onNodeRead(long now, long mzxid, String name, NodeRead data) {
-        if (onSessionState != SessionState.READ_ONLY && staleness.cause() != StalenessCause.WIPED) {
+        if (sessionState != SessionState.READ_ONLY && staleness.cause() != StalenessCause.WIPED) {
             notifiedAtNanos = now;
             nodes.onRead(mzxid, name, data);
             flushIfUrgent(now);
         }
     }
 
-    /** A node was deleted: believed even while stale, unless a later creation is known. */
-    public void onNodeDeleted(long now, long toldAt, long zxid, String name) {
-        if (onSessionState != SessionState.READ_ONLY) {
-            notifiedAtNanos = toldAt;
+    /** Handles a deletion; it counts even while stale, unless a later creation is known. */
+    public void onNodeDeleted(long now, long deletionNotifiedNanos, long zxid, String name) {
+        if (sessionState != SessionState.READ_ONLY) {
+            notifiedAtNanos = deletionNotifiedNanos;
             history.onEvent(zxid);
-            // What a wiped ensemble counts can't be compared with what it counted before.
+            // Transactions of a wiped ensemble can't be compared with those before.
             nodes.onNodeDeleted(now, history.isLost() ? 0 : zxid, name);
             flushIfUrgent(now);
         }
     }
 
-    /** Why the nodes can't be read: the last list stands. */
-    public void markStale(long now, StalenessCause why) {
-        if (why == StalenessCause.WIPED) {
+    /** Marks the list as stale; it stays in force. */
+    public void markStale(long now, StalenessCause cause) {
+        if (cause == StalenessCause.WIPED) {
             history.markLost();
         }
-        if (why != StalenessCause.NONE) {
-            markStale(why);
+        if (cause != StalenessCause.NONE) {
+            markStale(cause);
         }
     }
 
     /**
-     * An operator says that what the ensemble has, or has not, is right although it runs back: the
-     * next snapshot holds, with all that it leaves out.
+     * Accepts the ensemble's state although it is older or incomplete, as an operator has
+     * requested: the next snapshot is applied, and nodes missing from it are gone.
      */
     public void acceptState(long now) {
         if (lostHistoryUntilNanos != NEVER) {
@@ -303,15 +306,14 @@
                 || staleness.cause() == StalenessCause.OLDER) {
             nodes.startNewHistory();
             history.trustNext();
-            accepted = true;
+            nextSnapshotAccepted = true;
         } else {
             return;
         }
-        infoLog.accept(
-                "membership: what the coordination service has is taken for right, as was said");
+        infoLog.accept("membership: the coordination service's state is accepted, as requested");
     }
 
-    /** To be called every {@link Settings#tickNanos()} nanoseconds. */
+    /** Must be called every {@link Settings#tickNanos()} nanoseconds. */
     public void tick(long now) {
         notifiedAtNanos = now;
         nodes.tick(now);
@@ -334,8 +336,8 @@
         }
         pending.endEvent(notifiedAtNanos);
         if (!nodesRead && !urgent.isEmpty()) {
-            // Of the list from before the start; what else comes now is of one that isn't known
-            // yet.
+            // These are in the list cached before the start; other changes wait for the first
+            // snapshot.
             pending.remove(urgent);
             publish(now, UpdateKind.DELTA, merged.changes(urgent), NODES, notifiedAtNanos);
         } else if (!urgent.isEmpty() && now - settings.tickNanos() >= lastPublishedNanos) {
@@ -361,37 +363,37 @@
             UpdateKind kind,
             List<DiscoveredEndpoint> members,
             String source,
-            long toldAt) {
+            long sinceNanos) {
         lastPublishedNanos = now;
-        sink.onUpdate(kind, members, source, toldAt);
+        sink.onUpdate(kind, members, source, sinceNanos);
     }
 
     private void markStale(StalenessCause cause) {
         staleness.begin(cause, merged.size());
     }
 
-    /** Why the last list stands. */
+    /** Returns why the list is stale, {@link StalenessCause#NONE} if it is not. */
     public StalenessCause staleness() {
         return staleness.cause();
     }
 
-    /** Servers that are listed. */
+    /** Returns the number of listed servers. */
     public int size() {
         return merged.size();
     }
 
-    /** Nodes that can't be read. */
+    /** Returns the number of nodes that can't be read. */
     public int unreadable() {
         return unreadable.count();
     }
 
-    /** Nodes that are remembered, whether or not they are there still. */
-    int remembered() {
+    /** Returns the number of remembered nodes, including deleted ones. */
+    int rememberedNodes() {
         return nodes.size();
     }
 
-    /** Whether there is a list to go by. */
-    public boolean usable() {
+    /** Whether there is a list: cached, from the registry, or of the nodes. */
+    public boolean hasList() {
         return nodesRead || merged.size() > 0;
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeState.java
@@ -11,20 +11,21 @@
 import java.util.function.Consumer;
 
 /**
- * All nodes: takes what is notified and read of them in whatever order it comes, and what follows
- * from time alone. Not thread-safe; times are nanoseconds on the loop's clock.
+ * The state of all nodes. Applies notifications and reads in any order of arrival, and the effects
+ * of time: overdue reads and the removal of deleted nodes. Not thread-safe; times are nanoseconds
+ * on the loop's clock.
  */
 final class NodeState {
     private final long readTimeoutNanos;
     private final long removalDelayNanos;
 
-    /** Takes the id of each server of which something has changed. */
+    /** Receives the id of each server that has changed. */
     private final Consumer<String> onTouched;
 
-    /** Takes each node that is deleted, before it is touched. */
+    /** Receives each deleted node, before its server counts as changed. */
     private final Consumer<TrackedNode> onDeleted;
 
-    /** Takes each node that is there for the first time, or again. */
+    /** Receives each node that is read for the first time, or exists again. */
     private final Consumer<TrackedNode> onReturned;
 
     private final UnreadableNodes unreadable;
@@ -35,15 +36,15 @@
 
     NodeState(
             NodeDiscovery.Settings settings,
-            Consumer<String> touched,
-            Consumer<TrackedNode> vanished,
-            Consumer<TrackedNode> returned,
+            Consumer<String> onTouched,
+            Consumer<TrackedNode> onDeleted,
+            Consumer<TrackedNode> onReturned,
             UnreadableNodes unreadable) {
         this.readTimeoutNanos = settings.readTimeoutNanos();
         this.removalDelayNanos = settings.removalDelayNanos();
-        this.onTouched = touched;
-        this.onDeleted = vanished;
-        this.onReturned = returned;
+        this.onTouched = onTouched;
+        this.onDeleted = onDeleted;
+        this.onReturned = onReturned;
         this.unreadable = unreadable;
     }
 
@@ -55,12 +56,12 @@
         return nodesByServerId.keySet();
     }
 
-    /** Nodes that are remembered, whether or not they are there still. */
+    /** Returns the number of remembered nodes, including deleted ones. */
     int size() {
         return nodes.size();
     }
 
-    /** Whether a node is there, or was told to have been made again. */
+    /** Whether a node exists, or its creation was notified and its data are not read yet. */
     boolean isKnown(String name) {
         TrackedNode node = nodes.get(name);
         return node != null && (node.exists() || node.readPending);
@@ -78,7 +79,7 @@
         node.pendingZxid = Math.max(zxid, node.readPending ? node.pendingZxid : 0);
         node.pendingSinceNanos = node.readPending ? node.pendingSinceNanos : notifiedAtNanos;
         node.readPending = true;
-        // It has been made again, whatever its data will be.
+        // It was created in the new history, whatever its data are.
         node.fromLostHistory = false;
         pendingReads.add(node);
         markOverdueReads(nowNanos, node);
@@ -94,12 +95,12 @@
         }
     }
 
-    /** A node that can't be read need not tell of its transactions either. */
+    /** A node that can't be read may come without transactions, and then counts as the latest. */
     private static boolean isLatest(TrackedNode node, long mzxid, NodeRead read) {
         return mzxid >= node.latestZxid() || read.data() == null && mzxid <= 0;
     }
 
-    /** Whether that was read of a node which has ended since. */
+    /** Whether a read is of a node that has been deleted since. */
     private static boolean isReadOfDeleted(TrackedNode node, NodeRead read) {
         return !node.exists() && read.czxid() <= node.deletedZxid;
     }
@@ -107,10 +108,11 @@
     void onNodeDeleted(long nowNanos, long zxid, String name) {
         TrackedNode node = nodes.get(name);
         if (node == null) {
-            // Remembered, because what was read of it before its deletion may still come.
+            // Remembered, because data that were read before the deletion may still arrive.
             node = add(name);
         } else if (zxid > 0 && zxid < node.latestZxid()) {
-            // Made again since, as was told; what is known of it is of the one that has ended.
+            // Created again since. If that one is not read yet, the known data are of the deleted
+            // node.
             if (node.readPending && zxid > Math.max(node.czxid, node.mzxid)) {
                 markDeleted(nowNanos, zxid, node);
             }
@@ -120,8 +122,8 @@
     }
 
     /**
-     * The whole subtree as it was while {@code told} or later; what was told of since then may be
-     * newer.
+     * Applies a snapshot of the whole subtree. Nodes that were notified at {@code asOfNanos} or
+     * later may be newer than the snapshot and are not deleted by it.
      */
     void onSnapshot(long nowNanos, long asOfNanos, Map<String, NodeRead> read) {
         read.forEach(
@@ -143,7 +145,10 @@
         }
     }
 
-    /** The ensemble counts anew: whatever it says of a node is newer than what it said before. */
+    /**
+     * Starts a new history, in which the ensemble's transactions start again: whatever it says of a
+     * node from now on is newer than what is known.
+     */
     void startNewHistory() {
         for (TrackedNode each : nodes.values()) {
             each.czxid = 0;
@@ -155,7 +160,7 @@
         }
     }
 
-    /** Who has not come back into the new history by now does not. */
+    /** Deletes the nodes of the lost history that have not been created in the new one. */
     void dropLostHistory(long nowNanos) {
         for (TrackedNode each : new ArrayList<>(nodes.values())) {
             if (each.fromLostHistory) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/PendingChanges.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/PendingChanges.java
@@ -7,9 +7,8 @@
 import java.util.Set;
 
 /**
- * Ids of servers of which something has changed and was not published yet, in the order in which
- * they changed. Those of the event that is being handled are kept apart until it is over. Not
- * thread-safe.
+ * Ids of servers with unpublished changes, in the order of the changes. Ids that the current event
+ * touches are kept apart until the event is handled. Not thread-safe.
  */
 final class PendingChanges {
     private static final long NEVER = Long.MAX_VALUE;
@@ -18,17 +17,17 @@
     private final Set<String> unpublished = new LinkedHashSet<>();
     private long unpublishedSinceNanos = NEVER;
 
-    /** The present event has changed something of this server. */
+    /** Notes that the current event has changed this server. */
     void touch(String id) {
         touched.add(id);
     }
 
-    /** Ids that the present event touched, with repetitions. */
+    /** Returns the ids that the current event touched, with repetitions. */
     List<String> touched() {
         return touched;
     }
 
-    /** The present event, which was notified at this time, is over: what it touched waits. */
+    /** Ends the current event, which was notified at this time; what it touched is pending. */
     void endEvent(long notifiedAtNanos) {
         if (!touched.isEmpty()) {
             unpublished.addAll(touched);
@@ -37,17 +36,17 @@
         }
     }
 
-    /** When the first of what waits was notified, or {@code nowNanos} if that is earlier. */
+    /** Returns when the first pending change was notified, or {@code nowNanos} if earlier. */
     long sinceNanos(long nowNanos) {
         return Math.min(unpublishedSinceNanos, nowNanos);
     }
 
-    /** These don't wait any more. */
+    /** Removes these ids from the pending ones. */
     void remove(Collection<String> ids) {
         unpublished.removeAll(ids);
     }
 
-    /** All that waits, which waits no more. */
+    /** Removes and returns all pending ids. */
     Collection<String> drain() {
         List<String> drained = List.copyOf(unpublished);
         unpublished.clear();
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/RegistryState.java
@@ -13,25 +13,23 @@
 import java.util.function.Consumer;
 
 /**
- * What the registry lists, and which of that has ended by the deletion of a node. A server is the
- * process that began at its start: what begins later under the same id is another one, whose end
- * was not notified.
+ * The registry's list, and which of its entries have ended by the deletion of a node. A process is
+ * identified by its start: one that starts later under the same id is another process, whose end
+ * was not notified. Not thread-safe.
  */
 final class RegistryState {
     /**
-     * How far apart, in milliseconds, two sources may name one process's start. Taken for two
-     * processes, the end that one source notifies would be undone by the other, slower one.
+     * Tolerance, in milliseconds, between the starts that two sources state for one process. If
+     * they were taken for two processes, the slower source would undo the end that the other
+     * notified.
      */
     static final long SAME_START_TOLERANCE_MILLIS = 5000;
 
-    /**
-     * An upstream as the registry lists it, and whether an end told by its node stands against
-     * that.
-     */
+    /** A host as the registry lists it, and the end of its process if its node was deleted. */
     private static final class Entry {
         DiscoveredEndpoint endpoint;
 
-        /** Latest start that has ended, by the end of a node; {@link Long#MIN_VALUE} for none. */
+        /** Processes started until then have ended; {@link Long#MIN_VALUE} for none. */
         long endedStartMillis = Long.MIN_VALUE;
 
         boolean isEnded() {
@@ -43,11 +41,11 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final AddressIndex addresses = new AddressIndex();
 
-    RegistryState(Consumer<String> touched) {
-        this.onTouched = touched;
+    RegistryState(Consumer<String> onTouched) {
+        this.onTouched = onTouched;
     }
 
-    /** What it lists of an id and has not ended; null for none. */
+    /** Returns the endpoint of an id; null if it is not listed or its process has ended. */
     DiscoveredEndpoint liveEndpoint(String id) {
         Entry entry = entries.get(id);
         return entry == null || entry.isEnded() ? null : entry.endpoint;
@@ -58,7 +56,10 @@
     }
 
     /**
-     * Takes a list over; told of each member that is listed, and of each that the registry ends.
+     * Applies an update.
+     *
+     * @param listed receives each endpoint that the update lists
+     * @param ended receives each endpoint that the update removes
      */
     void update(
             UpdateKind kind,
@@ -66,12 +67,12 @@
             Consumer<DiscoveredEndpoint> listed,
             Consumer<DiscoveredEndpoint> ended) {
         if (kind != UpdateKind.DELTA) {
-            Set<String> left = new HashSet<>();
-            members.forEach(member -> left.add(member.id()));
+            Set<String> listedIds = new HashSet<>();
+            members.forEach(member -> listedIds.add(member.id()));
             entries.values()
                     .removeIf(
                             entry -> {
-                                boolean missing = !left.contains(entry.endpoint.id());
+                                boolean missing = !listedIds.contains(entry.endpoint.id());
                                 if (missing) {
                                     addresses.put(entry.endpoint.id(), null);
                                     end(entry.endpoint, ended);
@@ -98,9 +99,7 @@
         onTouched.accept(member.id());
     }
 
-    /**
-     * The node of a server has vanished: what the registry has of that process is as good as gone.
-     */
+    /** Ends the entries of the process whose node was deleted. */
     void onNodeDeleted(DiscoveredEndpoint node) {
         for (Entry each : entriesOfProcess(node)) {
             DiscoveredEndpoint listed = each.endpoint;
@@ -115,9 +114,7 @@
         }
     }
 
-    /**
-     * The same of a node that was never read: whatever process it stood for, it is the one listed.
-     */
+    /** Ends the entry of a deleted node that was never read, taken to be of the listed process. */
     void onNodeDeleted(String name) {
         Entry entry = entries.get(name);
         if (entry != null) {
@@ -129,7 +126,7 @@
         }
     }
 
-    /** A process that began later is listed at its address. */
+    /** Ends an entry whose address a process that started later holds. */
     void markDisplaced(String id) {
         Entry entry = entries.get(id);
         if (entry != null) {
@@ -138,7 +135,7 @@
         }
     }
 
-    /** A server has its node again. */
+    /** Reverts the end of a process whose node exists again. */
     void onNodeReturned(DiscoveredEndpoint node) {
         for (Entry each : entriesOfProcess(node)) {
             if (each.endedStartMillis != Long.MIN_VALUE) {
@@ -148,7 +145,10 @@
         }
     }
 
-    /** One process may be listed under two ids; only one can listen at an address. */
+    /**
+     * Returns the entries of a node's process: all at its address, where only one process can
+     * listen, and the one of its id.
+     */
     private List<Entry> entriesOfProcess(DiscoveredEndpoint node) {
         List<Entry> same = new ArrayList<>();
         for (String id : addresses.at(node.address())) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/SessionState.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/SessionState.java
@@ -1,13 +1,13 @@
 package appleridge.discovery.ephemeral;
 
-/** What is known of the session with the coordination service. */
+/** State of the session with the coordination service. */
 public enum SessionState {
-    /** A server that takes part answers. */
+    /** Connected to a server that is part of the quorum. */
     CONNECTED,
-    /** A server answers that has lost the others: what it says may be old. */
+    /** Connected to a server that has lost its quorum; its state may be old. */
     READ_ONLY,
-    /** No server answers; the session may live. */
+    /** Not connected; the session may still exist. */
     SUSPENDED,
-    /** The ensemble has ended the session. */
+    /** The session has expired. */
     EXPIRED
 }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/SourceSelection.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/SourceSelection.java
@@ -1,6 +1,6 @@
 package appleridge.discovery.ephemeral;
 
-/** Which sources make the list. */
+/** The sources of the endpoint list. */
 public enum SourceSelection {
     /** Ephemeral nodes alone. */
     NODES,
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/Staleness.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/Staleness.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** Whether the list is stale, and why; each change is logged. Not thread-safe. */
+/** Tracks whether the endpoint list is stale, and why; logs each change. Not thread-safe. */
 final class Staleness {
     private final Consumer<String> infoLog;
     private final Consumer<String> warningLog;
@@ -17,20 +17,20 @@
         return cause;
     }
 
-    /** The list is stale from now on; {@code size}: servers that are listed. */
-    void begin(StalenessCause why, int size) {
-        if (cause != why) {
-            cause = why;
+    /** Marks the list as stale; {@code size}: servers listed. */
+    void begin(StalenessCause newCause, int size) {
+        if (cause != newCause) {
+            cause = newCause;
             warningLog.accept(
                     "membership: "
-                            + why.description()
-                            + ": the last list stands, "
+                            + newCause.description()
+                            + ": the last list stays in force, "
                             + size
                             + " servers");
         }
     }
 
-    /** The list is not stale any more; {@code sizeBefore}: servers that it had before. */
+    /** Marks the list as up to date; {@code sizeBefore}: servers listed before the update. */
     void end(int size, int sizeBefore) {
         if (cause != StalenessCause.NONE) {
             cause = StalenessCause.NONE;
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/StalenessCause.java
@@ -1,31 +1,31 @@
 package appleridge.discovery.ephemeral;
 
-/** Why the list is stale: the last one stands although nothing new is known. */
+/** Why the endpoint list is stale: the last one stays in force until the next snapshot. */
 public enum StalenessCause {
     /** The list is not stale. */
     NONE("the coordination service is heard"),
-    /** No server of the ensemble answers. */
+    /** No server of the ensemble can be reached. */
     NOT_CONNECTED("the coordination service can't be reached"),
-    /** The path that the nodes stand under is not there. */
+    /** The parent path of the nodes does not exist. */
     ROOT_MISSING("the path of the nodes is not there"),
-    /** The path may not be read. */
-    ACCESS_DENIED("the path of the nodes may not be read"),
-    /** A server that lags tells of an older state. */
-    OLDER("the coordination server that answers lags behind what it told before"),
-    /** A server that has lost the others. */
-    READ_ONLY("the coordination server that answers has lost the others"),
-    /** The ensemble begins again from nothing, or from an old copy. */
-    WIPED("the coordination service has lost what it knew"),
-    /** The names are more than one answer may hold. */
-    TOO_LARGE("the names of the nodes are more than one answer may hold");
+    /** The client has no permission to read the path. */
+    ACCESS_DENIED("there is no permission to read the path of the nodes"),
+    /** The connected server lags and has an older state. */
+    OLDER("the connected coordination server has an older state than was seen before"),
+    /** The connected server has lost its quorum. */
+    READ_ONLY("the connected coordination server has lost its quorum"),
+    /** The ensemble has restarted empty, or from an old copy. */
+    WIPED("the coordination service has lost its data"),
+    /** The names of the nodes exceed the size limit of one response. */
+    TOO_LARGE("the names of the nodes exceed the size limit of one response");
 
     private final String description;
 
-    StalenessCause(String words) {
-        this.description = words;
+    StalenessCause(String description) {
+        this.description = description;
     }
 
-    /** For log lines that operators read. */
+    /** Returns the text for log lines. */
     public String description() {
         return description;
     }
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TrackedNode.java
@@ -3,58 +3,57 @@
 import appleridge.discovery.DiscoveredEndpoint;
 import appleridge.loadbalancing.HostState;
 
-/** One node: its data as read last, and what was notified of it since. Not thread-safe. */
+/** One node: the data last read, and what was notified since. Not thread-safe. */
 final class TrackedNode {
-    /** No such time. */
+    /** The time of an event that has not happened. */
     static final long NEVER = Long.MAX_VALUE;
 
     /**
-     * A start that nothing is known of is now, to who places it: never long ago, which would be
+     * Stands for an unknown start. The conversion to the sidecar's clock turns a start in the
+     * future into now, so that the server counts as cold. Start 0 would mean long ago, which is
      * warm.
      */
     private static final long MAX_START_UNIX_MILLIS = 7_258_118_400_000L;
 
     final String name;
 
-    /** As it was read last; null if it never was. */
+    /** The data last read; null if never read. */
     private NodeData data;
 
     private long startedMillis;
 
-    /** What it said of its start, before that was weighed. */
+    /** The start as the data state it; {@link #startedMillis} may differ. */
     private long statedStartMillis;
 
     long czxid;
     long mzxid;
 
-    /** A change was notified whose data was not read yet. */
+    /** Whether a change was notified whose data are not read yet. */
     boolean readPending;
 
     long pendingZxid;
     long pendingSinceNanos = NEVER;
 
-    /** When it was told last that it was made or changed. */
+    /** When its creation or a change was last notified. */
     long notifiedAtNanos = Long.MIN_VALUE;
 
-    /** The data is overdue: the node may be draining. */
+    /** Whether the read of a change is overdue: the server may be draining. */
     boolean readOverdue;
 
     boolean unreadable;
 
-    /** When it vanished; {@link #NEVER} while it is there. */
+    /** When it was deleted; {@link #NEVER} while it exists. */
     long deletedAtNanos = NEVER;
 
     long deletedZxid;
 
-    /** Latest start that the registry has told the end of; {@link Long#MIN_VALUE} for none. */
+    /** Processes started until then have ended by the registry; {@link Long#MIN_VALUE} for none. */
     private long endedStartMillis = Long.MIN_VALUE;
 
-    /**
-     * A process that began later has been listed at its address, and it can't be there any more.
-     */
+    /** Whether a process that started later was listed at its address, so that it has ended. */
     private boolean displaced;
 
-    /** Of a history that the ensemble has lost; it may come back. */
+    /** Whether it is of a history that the ensemble has lost; it may be created again. */
     boolean fromLostHistory;
 
     TrackedNode(String name) {
@@ -69,7 +68,7 @@
         return data != null;
     }
 
-    /** The id of its server in all sources; null if it never was read. */
+    /** Returns the id of its server in all sources; null if it was never read. */
     String id() {
         return data == null ? null : data.uid() == null ? name : data.uid();
     }
@@ -79,17 +78,19 @@
     }
 
     /**
-     * The registry has told the end of a process under this id; {@code registryStart} 0: it knows
-     * no start. Where the node names none either, its making tells nothing of which process is
-     * meant.
+     * Handles the end of a process with this id in the registry. Unless both sources state a start,
+     * the creation time of the node does not show which process is meant, and it is taken to be the
+     * node's.
+     *
+     * @param registryStartMillis the start of the process; 0 if the registry does not state it
      */
-    void onRegistryEnd(long registryStart) {
-        boolean comparable = statedStartMillis > 0 && registryStart > 0;
+    void onRegistryEnd(long registryStartMillis) {
+        boolean comparable = statedStartMillis > 0 && registryStartMillis > 0;
         endedStartMillis =
                 Math.max(
                         endedStartMillis,
                         comparable
-                                ? registryStart + RegistryState.SAME_START_TOLERANCE_MILLIS
+                                ? registryStartMillis + RegistryState.SAME_START_TOLERANCE_MILLIS
                                 : startedMillis);
     }
 
@@ -101,24 +102,24 @@
         displaced = true;
     }
 
-    /** Whether the process that it stands for can't be there, or the registry has told its end. */
+    /** Whether its process was displaced from its address, or has ended by the registry. */
     boolean isEnded() {
         return displaced || endedStartMillis >= startedMillis;
     }
 
-    /** The highest transaction that it is known by. */
+    /** Returns the highest known transaction of the node. */
     long latestZxid() {
         return Math.max(Math.max(czxid, mzxid), readPending ? pendingZxid : 0);
     }
 
-    /** Takes over what was read. */
+    /** Applies a read. */
     void update(NodeRead read) {
         readPending = false;
         readOverdue = false;
         deletedAtNanos = NEVER;
         fromLostHistory = false;
         if (read.czxid() > czxid) {
-            // Made anew, by a process that is there.
+            // Created again, by a running process.
             endedStartMillis = Long.MIN_VALUE;
             displaced = false;
         }
@@ -134,9 +135,9 @@
     }
 
     /**
-     * The start to go by. A process that was restarted under a clock that had stepped back names a
-     * start before the known one, and would be taken for the old process; the node's creation
-     * counts then.
+     * Returns the effective start. A process that was restarted after its clock had stepped back
+     * states a start before the known one and would be taken for the old process; then the node's
+     * creation time counts.
      */
     private long resolveStartMillis(NodeRead read) {
         long statedMillis = read.data().startedMillis();
@@ -155,7 +156,7 @@
                 : Math.max(createdMillis, startedMillis + 1);
     }
 
-    /** Its server as the list is to have it. */
+    /** Returns the server as an endpoint of the list. */
     DiscoveredEndpoint endpoint() {
         HostState state =
                 exists() && !readOverdue && !unreadable ? data.state() : HostState.DRAINING;
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/TransactionHistory.java
@@ -3,26 +3,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Judges a state that was read by the ensemble's transaction numbers: newer than what was notified
- * before, older, or of an ensemble that has lost its past. Not thread-safe; times are nanoseconds
- * on the loop's clock.
+ * Classifies each snapshot by the ensemble's transaction ids: no older than what was notified
+ * before, older, or of an ensemble that has lost its history. Not thread-safe; times are
+ * nanoseconds on the loop's clock.
  */
 final class TransactionHistory {
-    /** What a state that was read is to what was notified before. */
+    /** How a snapshot relates to what was notified before. */
     enum Verdict {
-        /** No older: it holds, and what it leaves out is gone. */
+        /** No older: it is valid, and nodes missing from it are gone. */
         CURRENT,
-        /** A server that lags. */
+        /** Older: the server lags. */
         OLDER,
-        /** The past is lost, and nothing has come in its place. */
+        /** The ensemble has lost its history, and holds no nodes yet. */
         LOST,
-        /** The past is lost, and this has come in its place. */
+        /** The ensemble has lost its history, and this snapshot starts a new one. */
         RESTARTED
     }
 
     /**
-     * A server that lags for longer is no part of its ensemble any more. A shorter limit would take
-     * a lagging server's state for a new history, and undo changes that were notified.
+     * A server that lags for longer is no longer part of its ensemble. A shorter limit would take a
+     * lagging server's state for a new history and undo changes that were notified.
      */
     private static final long MAX_REPLICA_LAG_NANOS = TimeUnit.SECONDS.toNanos(15);
 
@@ -31,8 +31,8 @@
     private long highestZxid;
 
     /**
-     * The highest that events of the present connection told of: no server runs back on one
-     * connection.
+     * The highest transaction of this connection's events; on one connection a server never goes
+     * back.
      */
     private long connectionZxid;
 
@@ -40,7 +40,7 @@
     private boolean newSession;
     private boolean lost;
 
-    /** An event named this transaction. */
+    /** Notes the transaction of an event. */
     void onEvent(long zxid) {
         if (lost) {
             return;
@@ -49,25 +49,26 @@
         connectionZxid = Math.max(connectionZxid, zxid);
     }
 
-    /** What comes now may come from another server. */
+    /** Starts a new connection, which may be to another server. */
     void onConnected() {
         connectionZxid = 0;
     }
 
-    /** Whether an event may be older than what was notified before. */
+    /** Whether an event of this transaction may be older than what was notified before. */
     boolean mayPredate(long zxid) {
         return zxid < highestZxid;
     }
 
     /**
-     * The ensemble has ended the session: none of the handles to come knows how far it had come.
+     * Notes that the session has expired. Later handles do not know its last transaction, so the
+     * ensemble no longer proves by accepting them that it has kept its history.
      */
     void onSessionExpired() {
         newSession = true;
         staleSinceNanos = NEVER;
     }
 
-    /** It is known from the root that the past is lost. */
+    /** Notes that the history is lost, as the root shows. */
     void markLost() {
         lost = true;
     }
@@ -76,7 +77,7 @@
         return lost;
     }
 
-    /** An operator says that whatever comes next is right. */
+    /** Makes the next snapshot count as current, as an operator has requested. */
     void trustNext() {
         highestZxid = 0;
         restart();
@@ -90,8 +91,8 @@
             return Verdict.CURRENT;
         }
         staleSinceNanos = Math.min(staleSinceNanos, nowNanos);
-        // A session that goes on proves that the ensemble has its past: servers refuse who has seen
-        // more.
+        // A session that continues proves that the ensemble has its history: a server rejects a
+        // client that has seen a later transaction.
         lost |= newSession && nowNanos - staleSinceNanos >= MAX_REPLICA_LAG_NANOS;
         if (!lost) {
             return Verdict.OLDER;
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Nodes whose data can't be read: counted, and up to a number of them logged once each. */
+/** Counts the nodes whose data can't be read, and logs a bounded number of them, once each. */
 final class UnreadableNodes {
     private static final int MAX_NAMED = 100;
 
@@ -39,12 +39,12 @@
         }
     }
 
-    /** It was read; if it can't be read again later, that is not logged again. */
+    /** Removes a node that was read; it is not logged again if it becomes unreadable again. */
     void remove(String name) {
         unreadable.remove(name);
     }
 
-    /** Its node is no more. */
+    /** Forgets a deleted node. */
     void forget(String name) {
         unreadable.remove(name);
         named.remove(name);
--- a/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/EndpointTableTest.java
@@ -30,7 +30,7 @@
             new NodeDiscovery(
                     SourceSelection.BOTH,
                     NodeDiscovery.Settings.DEFAULTS,
-                    (kind, members, source, notifiedAtNanos) -> apply(kind, members),
+                    (kind, members, source, sinceNanos) -> apply(kind, members),
                     line -> {},
                     line -> {});
 
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -44,7 +44,7 @@
                 UpdateKind.CACHED_SNAPSHOT,
                 NodeDiscoveryFixture.member("a", 1, HostState.READY, DAY));
         assertEquals(UpdateKind.CACHED_SNAPSHOT, told.events.get(0).kind());
-        assertTrue(told.membership.usable());
+        assertTrue(told.membership.hasList());
         told.pass(60_000);
         told.registry(
                 UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("b", 2, HostState.READY, DAY));
@@ -262,6 +262,6 @@
         }
         told.pass(3000);
         assertEquals(3, told.membership.size());
-        assertEquals(2, told.membership.remembered());
+        assertEquals(2, told.membership.rememberedNodes());
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -32,14 +32,14 @@
 
     @Test
     void firstSnapshotIsPublishedAsSnapshot() {
-        assertFalse(told.membership.usable());
+        assertFalse(told.membership.hasList());
         assertEquals(StalenessCause.NOT_CONNECTED, told.membership.staleness());
         three();
         assertEquals(1, told.events.size());
         assertEquals(UpdateKind.SNAPSHOT, told.events.get(0).kind());
         assertEquals(3, told.membership.size());
         assertEquals(StalenessCause.NONE, told.membership.staleness());
-        assertTrue(told.membership.usable());
+        assertTrue(told.membership.hasList());
         assertEquals(NodeDiscoveryFixture.member("b", 2, HostState.READY, 600), told.list.get("b"));
     }
 
@@ -83,7 +83,7 @@
         assertEquals(HostState.DRAINING, told.state("b"));
         told.pass(200);
         assertEquals(HostState.GONE, told.state("b"));
-        assertEquals(2, told.membership.remembered());
+        assertEquals(2, told.membership.rememberedNodes());
     }
 
     @Test
@@ -97,7 +97,7 @@
                         .count());
         told.pass(3000);
         assertEquals(0, told.list.size());
-        assertEquals(0, told.membership.remembered());
+        assertEquals(0, told.membership.rememberedNodes());
     }
 
     /**
@@ -171,7 +171,7 @@
                         .flatMap(each -> each.members().stream())
                         .noneMatch(each -> each.state() == HostState.GONE),
                 "its records are kept");
-        assertEquals(3, told.membership.remembered());
+        assertEquals(3, told.membership.rememberedNodes());
     }
 
     @Test
@@ -698,7 +698,7 @@
         assertEquals(HostState.GONE, told.state("a"));
         told.gone(told.nextZxid(), "d");
         told.pass(5000);
-        assertEquals(2, told.membership.remembered());
+        assertEquals(2, told.membership.rememberedNodes());
     }
 
     /** Guards against an address that gets new work again when the one who took it over ends. */
@@ -745,7 +745,7 @@
             told.gone(told.nextZxid(), "never" + i);
         }
         told.pass(2200);
-        assertEquals(3, told.membership.remembered());
+        assertEquals(3, told.membership.rememberedNodes());
         assertEquals(3, told.membership.size());
         assertEquals(0, told.membership.unreadable());
     }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -137,7 +137,7 @@
                         told.state(name),
                         "at the end of seed " + seed + " " + name);
             }
-            assertEquals(present().size(), told.membership.remembered(), "seed " + seed);
+            assertEquals(present().size(), told.membership.rememberedNodes(), "seed " + seed);
         }
 
         private void settle() {
@@ -301,7 +301,7 @@
 
         /** Right after a tick. */
         private void check() {
-            if (!told.membership.usable()) {
+            if (!told.membership.hasList()) {
                 return;
             }
             told.pass(100);
