--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/CallCounter.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/CallCounter.java
@@ -1,7 +1,7 @@
 package appleridge.discovery.zookeeper;
 
 /**
- * Counts calls to the ensemble and their responses, to tell a server that answers nothing. Not
+ * Counts calls to the ensemble and their responses, to detect an unresponsive server. Not
  * thread-safe: guarded by the owner's lock.
  */
 final class CallCounter {
@@ -16,12 +16,12 @@
         answered++;
     }
 
-    /** Whether a call has no response yet. */
+    /** Whether a call is in flight. */
     boolean isWaiting() {
         return sent > answered;
     }
 
-    /** Responses so far. */
+    /** Returns the number of responses so far. */
     long answered() {
         return answered;
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
@@ -12,42 +12,42 @@
 import org.apache.zookeeper.ZooKeeper;
 
 /**
- * One handle of the ZooKeeper client: a session, for as long as the ensemble keeps it. What the
- * watch and the reads bring goes into the mailbox. {@link #process} and the listener's methods are
- * called on the handle's event thread, all others on the owner's own thread.
+ * One handle of the ZooKeeper client, which has one session. Puts events, reads and session states
+ * into the mailbox. {@link #process} and the methods of {@link SubtreeListener} are called on the
+ * handle's event thread, all others on the owner's thread.
  */
 final class ClientHandle implements Watcher, SubtreeListener {
-    /** Who made the handle. Methods may be called on any thread. */
+    /** The owner of a handle. Methods may be called on any thread. */
     interface Owner {
-        /** A server answers: the subtree is to be read. */
+        /** A server is connected: the owner must have the subtree read. */
         void onConnected();
 
-        /** The session is over. */
+        /** The session has ended. */
         void onEnded(ClientHandle handle);
 
-        /** No response came for several checks; the handle is given up. */
+        /** No response came for several checks; the handle must be replaced. */
         void onUnresponsive();
 
-        /** A snapshot was delivered. On the loop. */
+        /** A snapshot was delivered. Called on the loop. */
         void onSnapshotDelivered();
 
-        /** The subtree can't be read now. */
+        /** The subtree can't be read for now. */
         void onReadFailed(StalenessCause why);
 
-        /** The same, for a code that no cause stands for. */
+        /** The subtree can't be read, for a reason that has no {@link StalenessCause}. */
         void onUnexpectedCode(Code code);
 
-        /** Now, on the loop's clock. */
+        /** Returns the current time on the loop's clock. */
         long nanoTime();
     }
 
-    /** How often {@link #check} is called, in milliseconds. */
+    /** Interval of {@link #check}, in milliseconds. */
     static final long CHECK_MILLIS = TimeUnit.SECONDS.toMillis(1);
 
-    /** Checks in a row without a response after which a server is given up. */
+    /** Consecutive checks without a response after which the handle is replaced. */
     private static final int MAX_SILENT_CHECKS = 4;
 
-    /** Session time-outs without a connection after which the session is given up. */
+    /** Number of session time-outs without a connection after which the session is given up. */
     private static final long MAX_DISCONNECTED_SESSIONS = 2;
 
     private final ZooKeeperSettings settings;
@@ -56,7 +56,7 @@
     private final RootHistory rootHistory;
     private final Owner owner;
 
-    /** The client may notify that it is connected before its constructor has returned. */
+    /** Opened by {@link #begin}: events may arrive before the client's constructor returns. */
     private final CountDownLatch opened = new CountDownLatch(1);
 
     private volatile ZooKeeper client;
@@ -81,7 +81,7 @@
         this.owner = owner;
     }
 
-    /** To be called once, with the client that this handle watches. */
+    /** Must be called once, with the client of this handle. */
     void begin(ZooKeeper opening) {
         client = opening;
         subtree = new SubtreeWatcher(opening, settings, json, this);
@@ -136,14 +136,14 @@
         owner.onConnected();
     }
 
-    /** Reads the whole subtree, if connected. */
+    /** Starts to read the whole subtree, if connected. */
     void readAll() {
         if (connected && !closed) {
             subtree.readAll(readOnly);
         }
     }
 
-    /** Runs this on the loop once a server has answered and all before that was delivered. */
+    /** Runs an action on the loop after a server has answered and all before was delivered. */
     void confirm(Runnable confirmed) {
         if (connected && !closed) {
             subtree.confirm(() -> mailbox.confirmed(confirmed));
@@ -151,12 +151,12 @@
     }
 
     /**
-     * Looks for a server that answers pings and nothing else, which the client takes for a good
-     * connection. Checks are counted, not time, so that a machine that was stalled gives up no
-     * server.
+     * Detects a server that answers pings and nothing else, which the client takes for a healthy
+     * connection. Counts checks rather than time, so that a stall of this machine is not taken for
+     * an unresponsive server.
      *
-     * @param probe whether to ask a server that has nothing to tell
-     * @return whether the handle is of no use any more
+     * @param probe whether to send a call if none is in flight
+     * @return whether the handle must be replaced
      */
     boolean check(boolean probe) {
         if (!connected) {
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Gives the session up after a while: the client names the latest transaction that it knows,
-     * and an ensemble that began anew rejects it for that each time.
+     * Gives up the session after a while without a connection: the client states the latest
+     * transaction that it has seen, and an ensemble with a new history rejects it for that.
      */
     private boolean checkDisconnected() {
         silentChecks = 0;
@@ -195,7 +195,7 @@
         return expired;
     }
 
-    /** Ends the session; blocks for a moment. */
+    /** Closes the session; blocks for up to a second. */
     void close() {
         closed = true;
         if (subtree != null) {
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
@@ -6,7 +6,7 @@
 import appleridge.discovery.ephemeral.StalenessCause;
 import java.util.Map;
 
-/** Hands what is heard of a ZooKeeper session on to the discovery that makes a list of it. */
+/** Forwards the events and reads of a ZooKeeper session to a {@link NodeDiscovery}. */
 final class ForwardingSessionListener implements SessionListener {
     private final NodeDiscovery discovery;
 
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -16,15 +16,15 @@
 import java.util.concurrent.RejectedExecutionException;
 
 /**
- * Takes what came on the client's threads to the event loop, in order. Bounded however long the
- * loop is stalled: of a node the last change is kept, and that it was deleted; of all else the last
- * part of each kind, once there are many. Methods may be called on any thread.
+ * Passes what arrives on the client's threads to the event loop, in order. Bounded even while the
+ * loop is stalled: per node only its last change and its last deletion are kept, and once there are
+ * many parts, only the last part of each other kind. Methods may be called on any thread.
  */
 final class Mailbox {
-    /** Changes of nodes that are delivered in one turn of the loop. */
+    /** Bound on the changed nodes delivered in one turn of the loop. */
     private static final int MAX_CHANGES_PER_TURN = 200;
 
-    /** Parts that are kept before older ones give way to newer ones of their kind. */
+    /** Number of parts above which older parts are dropped for newer ones of their kind. */
     private static final int MAX_PARTS = 32;
 
     private enum PartKind {
@@ -36,7 +36,7 @@
         NODES
     }
 
-    /** What happened to one node: transactions and times of notification, 0 where it did not. */
+    /** Changes of one node: transactions and times of notification; 0 if there was none. */
     private static final class Change {
         long deletedZxid;
         long deletionNotifiedNanos;
@@ -45,6 +45,7 @@
         NodeRead read;
     }
 
+    /** Deliveries that are kept in order with others: one call, or the changes of nodes. */
     private record Part(PartKind kind, Runnable delivery, Map<String, Change> changes) {}
 
     private final SidecarEventLoop loop;
@@ -69,30 +70,32 @@
         add(PartKind.ACCEPT, () -> listener.onAccepted(loop.nanoTime()));
     }
 
-    void confirmed(Runnable heard) {
-        add(PartKind.CONFIRMED, heard);
+    void confirmed(Runnable action) {
+        add(PartKind.CONFIRMED, action);
     }
 
-    void snapshot(long told, long zxid, Map<String, NodeRead> nodes, Runnable after) {
+    /** {@code after}: runs after the delivery. */
+    void snapshot(long asOfNanos, long zxid, Map<String, NodeRead> nodes, Runnable after) {
         add(
                 PartKind.SNAPSHOT,
                 () -> {
-                    listener.onSnapshot(loop.nanoTime(), told, zxid, nodes);
+                    listener.onSnapshot(loop.nanoTime(), asOfNanos, zxid, nodes);
                     after.run();
                 });
     }
 
-    synchronized void changed(long told, long zxid, String name) {
+    synchronized void changed(long notifiedNanos, long zxid, String name) {
         Change change = change(name);
-        change.changeNotifiedNanos = change.changedZxid == 0 ? told : change.changeNotifiedNanos;
+        change.changeNotifiedNanos =
+                change.changedZxid == 0 ? notifiedNanos : change.changeNotifiedNanos;
         change.changedZxid = zxid;
         schedule();
     }
 
-    synchronized void deleted(long told, long zxid, String name) {
+    synchronized void deleted(long notifiedNanos, long zxid, String name) {
         Change change = change(name);
         change.deletionNotifiedNanos =
-                change.deletedZxid == 0 ? told : change.deletionNotifiedNanos;
+                change.deletedZxid == 0 ? notifiedNanos : change.deletionNotifiedNanos;
         change.deletedZxid = zxid;
         change.changedZxid = 0;
         change.read = null;
@@ -104,10 +107,10 @@
         schedule();
     }
 
-    /** Delivers all that waits, before this returns. On the loop. */
+    /** Delivers all parts before this method returns. Must be called on the loop. */
     void deliverAll() {
         while (deliver()) {
-            // A part a turn.
+            // Each call delivers one part.
         }
     }
 
@@ -120,14 +123,15 @@
         return last.changes.computeIfAbsent(name, any -> new Change());
     }
 
-    private synchronized void add(PartKind sort, Runnable tell) {
-        parts.add(new Part(sort, tell, null));
+    private synchronized void add(PartKind kind, Runnable delivery) {
+        parts.add(new Part(kind, delivery, null));
         if (parts.size() > MAX_PARTS) {
             compact();
         }
         schedule();
     }
 
+    /** Keeps the last part of each kind, and merges changes of nodes that become adjacent. */
     private void compact() {
         Set<PartKind> later = EnumSet.noneOf(PartKind.class);
         Deque<Part> kept = new ArrayDeque<>();
@@ -189,9 +193,9 @@
         }
     }
 
-    /** Delivers what one turn of the loop has time for; whether more waits. */
+    /** Delivers the first part, or as many of its changes as fit a turn; whether more remain. */
     private boolean deliver() {
-        Runnable tell = null;
+        Runnable delivery = null;
         List<Map.Entry<String, Change>> changes = new ArrayList<>();
         synchronized (this) {
             Part first = parts.peekFirst();
@@ -209,12 +213,12 @@
                     parts.removeFirst();
                 }
             } else {
-                tell = first.delivery;
+                delivery = first.delivery;
                 parts.removeFirst();
             }
         }
-        if (tell != null) {
-            tell.run();
+        if (delivery != null) {
+            delivery.run();
         }
         changes.forEach(each -> deliver(each.getKey(), each.getValue()));
         synchronized (this) {
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
@@ -12,26 +12,31 @@
 import java.util.Optional;
 import org.apache.zookeeper.data.Stat;
 
-/** Reads what a node holds. On any thread. */
+/** Parses the JSON data of servers' nodes. Thread-safe. */
 public final class NodeJsonParser {
-    private static final int LONGEST_ID = 253;
+    private static final int MAX_ID_CHARS = 253;
 
-    /** The latest start in milliseconds that can be counted in nanoseconds. */
-    private static final long LATEST = Long.MAX_VALUE / 1_000_000;
+    /** The latest start in milliseconds that can be converted to nanoseconds. */
+    private static final long MAX_START_MILLIS = Long.MAX_VALUE / 1_000_000;
 
-    private static final double MOST_WEIGHT = 1e6;
+    private static final double MAX_WEIGHT = 1e6;
 
     private final ObjectMapper json = new ObjectMapper();
     private final List<String> zones;
     private final List<String> kinds;
 
-    /** With the names of zones and kinds of machine, in the order of their numbers. */
+    /**
+     * Creates a parser.
+     *
+     * @param zones the configured zone names; a server's zone is its position among them
+     * @param kinds the configured machine types, likewise
+     */
     public NodeJsonParser(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** What a node says, or why that makes no sense. */
+    /** Returns a node's parsed data, or why they are not valid. */
     NodeRead read(String name, byte[] data, Stat stat) {
         NodeData read = null;
         String problem = null;
@@ -45,7 +50,7 @@
         return new NodeRead(read, problem, stat.getCtime(), stat.getMzxid(), stat.getCzxid());
     }
 
-    /** A node whose data the ensemble didn't give. */
+    /** Returns the result for a node whose data the ensemble did not return. */
     static NodeRead unread(String problem, long mzxid) {
         return new NodeRead(null, problem, 0, mzxid, 0);
     }
@@ -54,9 +59,9 @@
         if (data == null || data.length == 0) {
             throw new IllegalArgumentException("empty");
         }
-        if (data.length > ZooKeeperSettings.NODE_BYTES) {
+        if (data.length > ZooKeeperSettings.MAX_NODE_BYTES) {
             throw new IllegalArgumentException(
-                    "larger than " + ZooKeeperSettings.NODE_BYTES + " bytes");
+                    "larger than " + ZooKeeperSettings.MAX_NODE_BYTES + " bytes");
         }
         JsonNode node = json.readTree(data);
         if (!node.isObject()) {
@@ -69,7 +74,7 @@
                 (int) whole(node.path("cell"), "cell", Integer.MAX_VALUE),
                 state(node.path("state")),
                 weight(node.path("weight")),
-                whole(node.path("started"), "started", LATEST),
+                whole(node.path("started"), "started", MAX_START_MILLIS),
                 id(name, node.path("uid")));
     }
 
@@ -80,7 +85,7 @@
                 () -> new IllegalArgumentException("address is not like \"192.0.2.1:8080\""));
     }
 
-    /** Where there is but one, a node needn't say it. */
+    /** Returns the position of a name, which may be omitted if only one is configured. */
     private static int position(List<String> names, JsonNode name, String what) {
         if (name.isMissingNode() && names.size() <= 1) {
             return 0;
@@ -105,20 +110,20 @@
             return 1;
         }
         double value = weight.isNumber() ? weight.doubleValue() : -1;
-        if (!(value > 0 && value <= MOST_WEIGHT)) {
+        if (!(value > 0 && value <= MAX_WEIGHT)) {
             throw new IllegalArgumentException("weight is not a number above 0");
         }
         return (float) value;
     }
 
-    private static long whole(JsonNode number, String what, long most) {
+    private static long whole(JsonNode number, String what, long max) {
         if (number.isMissingNode()) {
             return 0;
         }
         if (!number.isIntegralNumber()
                 || !number.canConvertToLong()
                 || number.longValue() < 0
-                || number.longValue() > most) {
+                || number.longValue() > max) {
             throw new IllegalArgumentException(what + " is not a whole number from 0 on");
         }
         return number.longValue();
@@ -131,9 +136,9 @@
         }
         if (!uid.isTextual()
                 || uid.textValue().isEmpty()
-                || uid.textValue().length() > LONGEST_ID) {
+                || uid.textValue().length() > MAX_ID_CHARS) {
             throw new IllegalArgumentException(
-                    "uid is not a text of 1 to " + LONGEST_ID + " characters");
+                    "uid is not a text of 1 to " + MAX_ID_CHARS + " characters");
         }
         return uid.textValue();
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodePaths.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodePaths.java
@@ -1,19 +1,19 @@
 package appleridge.discovery.zookeeper;
 
 /**
- * Maps a server's node to its name in the subtree: {@code NAME}, or {@code SHARD/NAME} where the
- * nodes stand in shards.
+ * Converts between the paths of servers' nodes and their names in the subtree: {@code NAME}, or
+ * {@code SHARD/NAME} if the nodes are in shards.
  *
  * @param root the path of the subtree
- * @param shards whether nodes stand one level further down
+ * @param shards whether the nodes are one level further down, in shards
  */
 record NodePaths(String root, boolean shards) {
-    /** The full path of a name, or of a shard. */
+    /** Returns the full path of a node's name, or of a shard. */
     String path(String name) {
         return prefix() + name;
     }
 
-    /** The name of a server's node; null for any other path. */
+    /** Returns the name of a server's node; null for any other path. */
     String name(String path) {
         if (!path.startsWith(prefix())) {
             return null;
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeReader.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeReader.java
@@ -13,36 +13,36 @@
 import org.apache.zookeeper.ZooKeeper;
 
 /**
- * Reads the data of nodes in batches, with a bounded number of calls open at once; changed nodes go
- * before listed ones. All methods are to be called, and all of the sink's are called, with the
+ * Reads the data of nodes in batches, with a bounded number of calls in flight; changed nodes go
+ * before listed ones. All methods must be called, and the sink's methods are called, with the
  * owner's lock held.
  */
 final class NodeReader {
-    /** Takes what was read. */
+    /** Receives the results. */
     interface Sink {
-        /** A node's data; {@code notified}: it was read because the watch notified a change. */
+        /** Takes a node's data; {@code notified}: read because the watch notified a change. */
         void onRead(String name, NodeRead read, boolean notified);
 
-        /** A node that was to be read is not there any more. */
+        /** The node no longer exists. */
         void onMissing(String name);
 
-        /** Some node's data was last changed by this transaction. */
+        /** Takes the transaction that last changed some node's data. */
         void onZxid(long mzxid);
 
-        /** A batch failed for a reason that no {@code StalenessCause} stands for. */
+        /** A batch failed for a reason that has no {@code StalenessCause}. */
         void onUnexpectedCode(Code code);
 
-        /** A batch is done: {@link NodeReader#send} is to be called again. */
+        /** A batch is done: the sink must call {@link NodeReader#send} again. */
         void onBatchDone();
     }
 
-    /** Nodes that are read by one call, at most. */
+    /** Bound on the nodes read by one call. */
     private static final int MAX_BATCH = 64;
 
-    /** Calls that are open at once, at most. */
+    /** Bound on the calls in flight. */
     private static final int MAX_OPEN_READS = 8;
 
-    /** A node that is to be read; a later event for it makes another one. */
+    /** A node to read; a later event of the same node replaces it by a new request. */
     private record NodeRequest(String name, long zxid, boolean notified) {}
 
     private final Object lock;
@@ -52,7 +52,7 @@
     private final CallCounter calls;
     private final Sink sink;
 
-    /** The request that counts for each name; any other one for it is passed over. */
+    /** The valid request of each name; other requests in the queues are ignored. */
     private final Map<String, NodeRequest> requests = new HashMap<>();
 
     private final Deque<NodeRequest> urgent = new ArrayDeque<>();
@@ -60,7 +60,7 @@
     private int batchSize = MAX_BATCH;
     private int openReads;
 
-    /** Counts connections; responses to calls of an earlier one are passed over. */
+    /** Counts connections; responses to calls of an earlier one are ignored. */
     private int connectionEpoch;
 
     NodeReader(
@@ -78,7 +78,7 @@
         this.sink = sink;
     }
 
-    /** A node was listed; if it is being read already that will do. */
+    /** Requests a listed node, unless it is requested already. */
     void enqueueListed(String name) {
         if (!requests.containsKey(name)) {
             NodeRequest request = new NodeRequest(name, 0, false);
@@ -87,25 +87,25 @@
         }
     }
 
-    /** A node was made or changed by this transaction; 0 if the event doesn't say which. */
+    /** Requests a node created or changed by this transaction; 0 if the event does not name it. */
     void enqueueChanged(String name, long zxid) {
         NodeRequest request = new NodeRequest(name, zxid, true);
         requests.put(name, request);
         urgent.add(request);
     }
 
-    /** A node is gone. */
+    /** Cancels the request of a deleted node. */
     void cancel(String name) {
         requests.remove(name);
     }
 
-    /** Listed nodes need not be read any more; changed ones still are. */
+    /** Cancels the requests of listed nodes, but not of changed ones. */
     void cancelListed() {
         bulk.clear();
         requests.values().removeIf(request -> !request.notified);
     }
 
-    /** Nothing that was requested will be answered any more. */
+    /** Drops all calls and requests, which will not be answered. */
     void onConnectionLost() {
         connectionEpoch++;
         openReads = 0;
@@ -113,7 +113,7 @@
         urgent.clear();
     }
 
-    /** Sends as many batches as may be open. */
+    /** Sends batches up to the bound on calls in flight. */
     void send() {
         while (openReads < MAX_OPEN_READS) {
             List<NodeRequest> batch = nextBatch();
@@ -145,7 +145,7 @@
                     synchronized (lock) {
                         calls.onAnswered();
                         if (code == Code.CONNECTIONLOSS.intValue()) {
-                            // Perhaps because the response was larger than the client takes.
+                            // The response may have exceeded the client's size limit.
                             batchSize = Math.max(1, batchSize / 2);
                         }
                         if (epoch == connectionEpoch) {
@@ -196,7 +196,7 @@
     private void onData(NodeRequest request, OpResult.GetDataResult data) {
         long mzxid = data.getStat().getMzxid();
         if (mzxid < request.zxid) {
-            // Older than the change that was notified: taken, it would undo that change.
+            // Older than the notified change, which it would undo.
             NodeRequest retry = new NodeRequest(request.name, request.zxid, request.notified);
             requests.put(request.name, retry);
             urgent.add(retry);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/PendingSnapshot.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/PendingSnapshot.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * A reading of the whole subtree that is under way: complete once every listing has come and every
- * listed node was read or is known to be gone. Not thread-safe: guarded by the owner's lock.
+ * A snapshot of the subtree that is being read: complete once all listings have arrived and every
+ * listed node was read or is known not to exist. Not thread-safe: guarded by the owner's lock.
  */
 final class PendingSnapshot {
     private boolean collecting;
@@ -17,14 +17,14 @@
     private int openListings;
     private long listedAtNanos;
 
-    /** Begins; {@code openListings}: listings of shards that are still to come. */
-    void begin(long nowNanos, int listings) {
+    /** Begins a snapshot; {@code shardListings}: listings of shards that are still to come. */
+    void begin(long nowNanos, int shardListings) {
         collecting = true;
         listedAtNanos = nowNanos;
-        openListings = listings;
+        openListings = shardListings;
     }
 
-    /** Drops what was read. */
+    /** Drops the snapshot. */
     void reset() {
         collecting = false;
         openListings = 0;
@@ -36,28 +36,28 @@
         return collecting;
     }
 
-    /** The listing of a shard has come, or the shard is gone. */
+    /** The listing of a shard has arrived, or the shard does not exist. */
     void onShardListed() {
         openListings--;
     }
 
-    /** A node has to be read; whether that was not known before. */
+    /** Adds a node to read; whether it was not read or added before. */
     boolean expect(String name) {
         return !nodes.containsKey(name) && unread.add(name);
     }
 
-    /** A node was read. */
+    /** Adds the result of reading a node. */
     void put(String name, NodeRead read) {
         nodes.put(name, read);
         unread.remove(name);
     }
 
-    /** A node was found to be gone; its deletion is notified by the watch. */
+    /** A node does not exist; the watch notifies its deletion. */
     void onMissing(String name) {
         unread.remove(name);
     }
 
-    /** The watch has notified a node's deletion. */
+    /** Removes a node whose deletion the watch has notified. */
     void remove(String name) {
         nodes.remove(name);
         unread.remove(name);
@@ -67,12 +67,12 @@
         return collecting && openListings == 0 && unread.isEmpty();
     }
 
-    /** When the names were listed, on the loop's clock. */
+    /** Returns when the names were listed, on the loop's clock. */
     long listedAtNanos() {
         return listedAtNanos;
     }
 
-    /** Ends the reading and hands its nodes out. */
+    /** Ends the snapshot and returns its nodes. */
     Map<String, NodeRead> complete() {
         Map<String, NodeRead> complete = nodes;
         collecting = false;
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /**
- * Takes what the coordination service notified and what was read of it, on the event loop. {@code
- * now}, and times {@code …Nanos}, are nanoseconds on the loop's clock.
+ * Receives the events and reads of a session with the coordination service, on the event loop.
+ * {@code now}, and times {@code …Nanos}, are nanoseconds on the loop's clock.
  */
 interface SessionListener {
     /** The session's state has changed. */
     void onSessionState(long now, SessionState state);
 
-    /** The whole subtree, listed at {@code asOfNanos}; {@code zxid}: the highest in it. */
+    /** A snapshot, listed at {@code asOfNanos}; {@code zxid}: the highest transaction in it. */
     void onSnapshot(long now, long asOfNanos, long zxid, Map<String, NodeRead> nodes);
 
-    /** A node was made or changed; its data follows with {@link #onNodeRead}. */
+    /** A node was created or changed; its data follow with {@link #onNodeRead}. */
     void onNodeChanged(long now, long notifiedAtNanos, long zxid, String name);
 
-    /** The data of a node that had changed. */
+    /** The data of a changed node were read. */
     void onNodeRead(long now, String name, NodeRead read);
 
     /** A node was deleted. */
@@ -29,13 +29,13 @@
     /** The subtree can't be read. */
     void onStale(long now, StalenessCause why);
 
-    /** An operator says that the service's state is right although it runs back. */
+    /** An operator accepts the service's state although it is older than before. */
     void onAccepted(long now);
 
-    /** Why the list is stale now. */
+    /** Returns why the list is stale; {@link StalenessCause#NONE} if it is not. */
     StalenessCause staleness();
 
-    /** Hands all on to the list that is made of it. */
+    /** Returns a listener that forwards to {@code discovery}. */
     static SessionListener of(NodeDiscovery discovery) {
         return new ForwardingSessionListener(discovery);
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Slf4jBridge.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Slf4jBridge.java
@@ -15,23 +15,23 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Takes what ZooKeeper's client logs through SLF4J: warnings and errors alone, each kind once in
- * some minutes, on one line with its first cause. The client logs each attempt to connect with a
- * stack trace, about one a second for as long as an outage lasts. Loaded by SLF4J, by its name.
+ * SLF4J provider for the log of ZooKeeper's client: logs only warnings and errors, each kind once
+ * in a few minutes, on one line with its root cause. The client logs each failed connection attempt
+ * with a stack trace, about once a second during an outage. Loaded by SLF4J by its class name.
  */
 public final class Slf4jBridge implements SLF4JServiceProvider {
     private static final System.Logger LOG = System.getLogger("appleridge.zookeeper");
     private static final int MAX_KINDS = 32;
     private static final int MAX_CHARS = 400;
 
-    /** Kinds of lines that were logged already: pattern and class of the first cause. */
+    /** Kinds of lines already logged: message pattern and class of the root cause. */
     private static final Set<String> LOGGED = ConcurrentHashMap.newKeySet();
 
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter context = new NOPMDCAdapter();
-    private final ILoggerFactory loggers = Line::new;
+    private final ILoggerFactory loggers = ClientLogger::new;
 
-    /** From now on each kind of line is logged once more. */
+    /** Allows each kind of line to be logged once more. */
     static void allowRepeats() {
         LOGGED.clear();
     }
@@ -59,17 +59,17 @@
     @Override
     public void initialize() {}
 
-    private static final class Line extends LegacyAbstractLogger {
+    private static final class ClientLogger extends LegacyAbstractLogger {
         private static final long serialVersionUID = 1;
 
-        Line(String loggerName) {
+        ClientLogger(String loggerName) {
             name = loggerName;
         }
 
         @Override
         protected void handleNormalizedLoggingCall(
                 Level level, Marker marker, String pattern, Object[] arguments, Throwable cause) {
-            Throwable first = firstCause(cause);
+            Throwable root = rootCause(cause);
             if (!name.startsWith("org.apache.zookeeper")) {
                 System.getLogger(name)
                         .log(
@@ -80,25 +80,25 @@
                                 cause);
                 return;
             }
-            String kind = pattern + (first == null ? "" : first.getClass().getName());
+            String kind = pattern + (root == null ? "" : root.getClass().getName());
             if (LOGGED.size() >= MAX_KINDS || !LOGGED.add(kind)) {
                 return;
             }
             String text =
                     (MessageFormatter.basicArrayFormat(pattern, arguments)
-                                    + (first == null ? "" : " (" + first + ")"))
+                                    + (root == null ? "" : " (" + root + ")"))
                             .replaceAll("\\s+", " ");
             LOG.log(
                     level == Level.ERROR ? System.Logger.Level.WARNING : System.Logger.Level.INFO,
                     "ZooKeeper's client: " + text.substring(0, Math.min(MAX_CHARS, text.length())));
         }
 
-        private static Throwable firstCause(Throwable cause) {
-            Throwable first = cause;
-            while (first != null && first.getCause() != null) {
-                first = first.getCause();
+        private static Throwable rootCause(Throwable cause) {
+            Throwable root = cause;
+            while (root != null && root.getCause() != null) {
+                root = root.getCause();
             }
-            return first;
+            return root;
         }
 
         @Override
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeListener.java
@@ -6,42 +6,42 @@
 import org.apache.zookeeper.KeeperException.Code;
 
 /**
- * Takes what a {@link SubtreeWatcher} was notified of and has read. Called on the handle's event
- * thread with the watcher's lock held; methods must not block.
+ * Receives the events and reads of a {@link SubtreeWatcher}. Called on the handle's event thread
+ * with the watcher's lock held; methods must not block.
  */
 interface SubtreeListener {
     /**
-     * The root of the subtree is there.
+     * The root of the subtree was read.
      *
-     * @param czxid the transaction that made it
+     * @param czxid the transaction that created it
      * @param latestZxid the latest one that changed it or its children
-     * @param accepted its data is {@link SubtreeWatcher#ACCEPT}
+     * @param accepted whether its data are {@link SubtreeWatcher#ACCEPT}
      */
     void onRoot(long czxid, long latestZxid, boolean accepted);
 
     /**
-     * The whole subtree as of the last event.
+     * The whole subtree was read; it is up to date with the last event.
      *
      * @param asOfNanos when its names were listed, on the loop's clock
      * @param zxid the highest transaction in it
      */
     void onSnapshot(long asOfNanos, long zxid, Map<String, NodeRead> nodes);
 
-    /** A node was made, or its data changed. */
+    /** A node was created, or its data were changed. */
     void onNodeChanged(long zxid, String name);
 
-    /** The data of a node of which a change was notified. */
+    /** The data of a changed node were read. */
     void onNodeRead(String name, NodeRead read);
 
-    /** A node is gone. */
+    /** A node was deleted. */
     void onNodeDeleted(long zxid, String name);
 
-    /** The subtree can't be read; {@link SubtreeWatcher#readAll} is to be called again. */
+    /** The subtree can't be read; {@link SubtreeWatcher#readAll} must be called again. */
     void onStale(StalenessCause why);
 
-    /** As {@link #onStale}, for a code that no cause stands for. */
+    /** As {@link #onStale}, for a code that has no {@link StalenessCause}. */
     void onUnexpectedCode(Code code);
 
-    /** Now, on the loop's clock. */
+    /** Returns the current time on the loop's clock. */
     long nanoTime();
 }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeWatcher.java
@@ -14,24 +14,25 @@
 import org.apache.zookeeper.data.Stat;
 
 /**
- * Reads the nodes under a path by one handle: first all of them, then what changes. Events and
- * responses come on the handle's one event thread, in the ensemble's order: a response that follows
- * an event is no older than it. Thread-safe; the listener is called with this object's lock held.
+ * Reads the nodes under a path through one handle: first all of them, then those that change.
+ * Events and responses arrive on the handle's event thread, in the ensemble's order: a response
+ * that follows an event is no older than it. Thread-safe; the listener is called with this object's
+ * lock held.
  */
 final class SubtreeWatcher {
     /**
-     * What an operator writes into the root's own data where the state of an ensemble that was
-     * wiped is right.
+     * The data that an operator writes into the root to accept the state of an ensemble that was
+     * wiped.
      */
     static final String ACCEPT = "accept";
 
-    /** Listings of shards that are open at once, at most. */
+    /** Bound on the listings of shards in flight. */
     private static final int MAX_OPEN_LISTINGS = 8;
 
-    /** The fewest bytes that a name takes in a response. */
+    /** The least number of bytes that a name takes in a response. */
     private static final int MIN_BYTES_PER_NAME = 8;
 
-    /** Connections lost over a listing, in a row, after which it counts as too large. */
+    /** Consecutive connections lost during a listing, after which it counts as too large. */
     private static final int MAX_LOST_LISTINGS = 2;
 
     private final ZooKeeper client;
@@ -44,19 +45,19 @@
     private final Deque<String> unlistedShards = new ArrayDeque<>();
     private int lostListings;
 
-    /** Counts readings of the whole; responses that belong to an earlier one are passed over. */
-    private int readingEpoch;
+    /** Counts snapshots; responses that belong to an earlier one are ignored. */
+    private int snapshotEpoch;
 
-    /** The highest transaction in what is being read. */
+    /** The highest transaction in the pending snapshot. */
     private long snapshotZxid;
 
-    /** The latest transaction under the path that this handle was told of. */
+    /** The latest transaction under the path that this handle has seen. */
     private long highestZxid;
 
-    /** Whether events name their transaction; servers before 3.9 send none. */
+    /** Whether events name their transaction; servers before 3.9 do not send it. */
     private boolean eventsCarryZxid = true;
 
-    /** The server has lost its quorum, and has no {@code sync}. */
+    /** Whether the server has lost its quorum, and so does not support {@code sync}. */
     private boolean readOnlyServer;
 
     private boolean closed;
@@ -79,13 +80,13 @@
             return;
         }
         readOnlyServer = readOnly;
-        dropReading();
+        dropSnapshot();
         if (lostListings >= MAX_LOST_LISTINGS) {
             lostListings = 0;
             listener.onStale(StalenessCause.TOO_LARGE);
             return;
         }
-        int epoch = readingEpoch;
+        int epoch = snapshotEpoch;
         calls.onSent();
         client.addWatch(
                 settings.root(),
@@ -104,10 +105,10 @@
                 null);
     }
 
-    /** The connection is lost: nothing that was sent will be answered any more. */
+    /** Drops all calls, which will not be answered after the connection is lost. */
     synchronized void onConnectionLost() {
         reader.onConnectionLost();
-        dropReading();
+        dropSnapshot();
     }
 
     synchronized void close() {
@@ -115,24 +116,24 @@
         closed = true;
     }
 
-    /** Whether a call has no response yet. */
+    /** Whether a call is in flight. */
     synchronized boolean isWaiting() {
         return calls.isWaiting();
     }
 
-    /** Responses so far. */
+    /** Returns the number of responses so far. */
     synchronized long answeredCount() {
         return calls.answered();
     }
 
-    private void dropReading() {
-        readingEpoch++;
+    private void dropSnapshot() {
+        snapshotEpoch++;
         snapshot.reset();
         unlistedShards.clear();
         reader.cancelListed();
     }
 
-    /** Without it a server that lags would give an older state after a reconnect. */
+    /** Brings the server up to date: a server that lags would return an older state. */
     private void sync(int epoch) {
         calls.onSent();
         client.sync(
@@ -241,7 +242,7 @@
         }
     }
 
-    /** An event of the watch. */
+    /** Handles an event of the watch. */
     synchronized void onEvent(WatchedEvent event) {
         if (closed) {
             return;
@@ -261,7 +262,7 @@
         if (name == null) {
             return;
         }
-        // An event that names no transaction counts as the latest known: order alone holds then.
+        // An event without a transaction counts as the latest known: only the order is known then.
         long zxid = Math.max(1, event.getZxid() > 0 ? event.getZxid() : highestZxid);
         if (deleted) {
             reader.cancel(name);
@@ -281,7 +282,7 @@
         if (changed) {
             readAll(readOnlyServer);
         } else if (deleted) {
-            dropReading();
+            dropSnapshot();
             listener.onStale(StalenessCause.ROOT_MISSING);
         }
     }
@@ -295,14 +296,14 @@
     }
 
     /**
-     * Reads the root, and all nodes if it has changed since it was read last: an event may be lost,
-     * and a server may answer pings and nothing else.
+     * Reads the root, and all nodes if its children have changed without an event, because events
+     * may be lost. The call also shows whether the server answers more than pings.
      */
     synchronized void probe() {
         if (closed || snapshot.isCollecting() || calls.isWaiting()) {
             return;
         }
-        int epoch = readingEpoch;
+        int epoch = snapshotEpoch;
         calls.onSent();
         client.getData(
                 settings.root(),
@@ -322,8 +323,8 @@
     }
 
     /**
-     * Makes any call and runs this once that is answered: by then every earlier event has come. On
-     * the handle's event thread; never if no server answers.
+     * Sends a call and runs {@code confirmed} after its response, when all earlier events have
+     * arrived. Runs it on the handle's event thread, or never if no server answers.
      */
     synchronized void confirm(Runnable confirmed) {
         if (closed) {
@@ -345,10 +346,10 @@
                 null);
     }
 
-    /** Counts a response; whether it is a good one to a call of the present reading. */
+    /** Counts a response; whether it is a successful one of the current snapshot. */
     private boolean isCurrent(int epoch, int code) {
         calls.onAnswered();
-        if (closed || epoch != readingEpoch) {
+        if (closed || epoch != snapshotEpoch) {
             return false;
         }
         Code result = Code.get(code);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperClientFactory.java
@@ -14,26 +14,26 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Id;
 
-/** Opens and closes the client's handles. Both block, so never on the event loop. */
+/** Opens and closes handles of ZooKeeper's client. Both block; not for the event loop. */
 public final class ZooKeeperClientFactory {
-    /** After this many milliseconds a handle that is closed waits for no answer any more. */
-    private static final int LEAVE_MILLIS = 1000;
+    /** How long, in milliseconds, closing a handle waits for the response. */
+    private static final int CLOSE_TIMEOUT_MILLIS = 1000;
 
     /**
-     * Permissions, as {@code ZooDefs.Perms} has them; that class can't be compiled against without
-     * a warning.
+     * Permissions with the values of {@code ZooDefs.Perms}, a class whose use causes a compiler
+     * warning.
      */
-    private static final int READ = 1;
+    private static final int PERMISSION_READ = 1;
 
-    private static final int EVERYTHING = 31;
+    private static final int PERMISSION_ALL = 31;
 
     private ZooKeeperClientFactory() {}
 
-    /** Begins to connect; what becomes of that is told to the watcher. */
+    /** Starts to connect; the watcher is notified of the result. */
     public static ZooKeeper open(ZooKeeperSettings settings, Watcher watcher) throws IOException {
         ZooKeeper client =
                 new ZooKeeper(
-                        settings.connect(),
+                        settings.connectString(),
                         settings.sessionTimeoutMillis(),
                         watcher,
                         settings.readOnly(),
@@ -45,39 +45,41 @@
     }
 
     /**
-     * Checks whether the files for TLS can be used. The client would find out only as it connects,
-     * about once a second, with a stack trace of Netty's each time.
+     * Checks whether the files for TLS can be used. The client itself would fail only when it
+     * connects, about once a second, each time with a stack trace of Netty's.
      *
-     * @throws IllegalArgumentException naming what is wrong
+     * @throws IllegalArgumentException if they can't, with the reason
      */
     public static void check(ZooKeeperSettings settings) {
         if (settings.tls() != null) {
             try (ClientX509Util tls = new ClientX509Util()) {
                 tls.createSSLContext(config(settings));
             } catch (X509Exception e) {
-                Throwable first = e;
-                while (first.getCause() != null) {
-                    first = first.getCause();
+                Throwable root = e;
+                while (root.getCause() != null) {
+                    root = root.getCause();
                 }
-                throw new IllegalArgumentException("[membership.tls]: " + first.getMessage());
+                throw new IllegalArgumentException("[membership.tls]: " + root.getMessage());
             }
         }
     }
 
     /**
-     * The access list of new nodes: an authenticated client may change them, anybody may read them.
-     * The client asks the list whether it holds null, which a list of {@code List.of} answers with
-     * an exception.
+     * Returns the access list of new nodes: authenticated clients may change them, everybody may
+     * read them. Does not use {@code List.of}, because the client calls {@code contains(null)}, for
+     * which such a list throws an exception.
      */
     public static List<ACL> acl(ZooKeeperSettings settings) {
         ACL everybody =
-                new ACL(settings.digest() == null ? EVERYTHING : READ, new Id("world", "anyone"));
+                new ACL(
+                        settings.digest() == null ? PERMISSION_ALL : PERMISSION_READ,
+                        new Id("world", "anyone"));
         return settings.digest() == null
                 ? Arrays.asList(everybody)
-                : Arrays.asList(everybody, new ACL(EVERYTHING, new Id("auth", "")));
+                : Arrays.asList(everybody, new ACL(PERMISSION_ALL, new Id("auth", "")));
     }
 
-    /** Ends the session, or leaves it to its time-out where no server answers. */
+    /** Closes the session; if no server answers, it ends with its time-out. */
     public static void close(ZooKeeper client) {
         try {
             client.close();
@@ -90,7 +92,7 @@
         ZKClientConfig config = new ZKClientConfig();
         config.setProperty(ZKClientConfig.ENABLE_CLIENT_SASL_KEY, "false");
         config.setProperty(
-                ZKClientConfig.ZOOKEEPER_REQUEST_TIMEOUT, Integer.toString(LEAVE_MILLIS));
+                ZKClientConfig.ZOOKEEPER_REQUEST_TIMEOUT, Integer.toString(CLOSE_TIMEOUT_MILLIS));
         config.setProperty(ZKConfig.JUTE_MAXBUFFER, Integer.toString(settings.maxResponseBytes()));
         ZooKeeperSettings.Tls tls = settings.tls();
         if (tls != null) {
@@ -99,10 +101,13 @@
                     ZKClientConfig.ZOOKEEPER_CLIENT_CNXN_SOCKET,
                     "org.apache.zookeeper.ClientCnxnSocketNetty");
             try (ClientX509Util names = new ClientX509Util()) {
-                file(config, names.getSslTruststoreLocationProperty(), tls.trustStore());
-                file(config, names.getSslTruststorePasswdPathProperty(), tls.trustPassword());
-                file(config, names.getSslKeystoreLocationProperty(), tls.keyStore());
-                file(config, names.getSslKeystorePasswdPathProperty(), tls.keyPassword());
+                setFile(config, names.getSslTruststoreLocationProperty(), tls.trustStore());
+                setFile(
+                        config,
+                        names.getSslTruststorePasswdPathProperty(),
+                        tls.trustPasswordFile());
+                setFile(config, names.getSslKeystoreLocationProperty(), tls.keyStore());
+                setFile(config, names.getSslKeystorePasswdPathProperty(), tls.keyPasswordFile());
                 config.setProperty(
                         names.getSslHostnameVerificationEnabledProperty(),
                         Boolean.toString(tls.checkAddress()));
@@ -111,7 +116,7 @@
         return config;
     }
 
-    private static void file(ZKClientConfig config, String name, Path file) {
+    private static void setFile(ZKClientConfig config, String name, Path file) {
         if (file != null) {
             config.setProperty(name, file.toString());
         }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -13,12 +13,12 @@
 
 /**
  * Follows ephemeral nodes in ZooKeeper and notifies a {@link NodeDiscovery} of them, on the loop.
- * Handles are opened and closed on a thread of its own, because both block; what they bring is read
- * on their event thread. To be made, started and closed on the loop.
+ * Opens and closes handles on a thread of its own, because both block; events and responses are
+ * handled on a handle's event thread. Must be created, started and closed on the loop.
  */
 public final class ZooKeeperDiscovery implements AutoCloseable {
     /**
-     * The first backoff after a handle's end; it doubles with each handle that ends without having
+     * The first backoff after a handle has ended; doubles with each handle that ends without having
      * been connected.
      */
     private static final long MIN_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -26,21 +26,21 @@
     private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    /** Readings after a reconnect are spread over this time, so that sidecars don't all read. */
+    /** Reads after a reconnect are spread over this time, so that sidecars don't read at once. */
     private static final long REREAD_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long RETRY_TOO_LARGE_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final long RETRY_OLDER_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** Checks between two probes of a server that has nothing to tell. */
+    /** Number of checks between two probes of a server without calls in flight. */
     private static final int CHECKS_PER_PROBE = 5;
 
-    /** Checks after which the client's log may repeat a line. */
+    /** Number of checks after which the client's log may repeat a line. */
     private static final int CHECKS_PER_LOG_RESET = 300;
 
     private static final String UNRESPONSIVE =
-            "a coordination server answers nothing; another one is asked";
+            "a coordination server does not respond; connecting to another one";
 
     private final SidecarEventLoop loop;
     private final ZooKeeperSettings settings;
@@ -52,20 +52,20 @@
     private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
     private final Thread thread = new Thread(this::runTasks, "membership");
 
-    /** Handles that ended since one was connected. On the loop, as the next three are. */
+    /** Handles that ended since one was connected. On the loop, like the next three fields. */
     private int failedHandles;
 
     private boolean firstConnection = true;
     private String lastUnexpectedCode = "";
     private Scheduler.ScheduledTask pendingRead = () -> {};
 
-    /** On the own thread; null if none is open. */
+    /** The open handle; null for none. On {@link #thread}. */
     private ClientHandle handle;
 
-    /** On the own thread. */
+    /** On {@link #thread}. */
     private boolean closed;
 
-    /** {@code seed}: for the jitter that keeps many sidecars from reading at once. */
+    /** {@code seed}: of the jitter that keeps many sidecars from reading at once. */
     public ZooKeeperDiscovery(
             SidecarEventLoop loop,
             ZooKeeperSettings settings,
@@ -90,20 +90,20 @@
         thread.setDaemon(true);
     }
 
-    /** Begins to connect. */
+    /** Starts to connect. */
     public void start() {
         thread.start();
         tasks.add(this::open);
     }
 
-    /** Delivers all that was received so far, before this returns. On the loop. */
+    /** Delivers all received events before this method returns. Must be called on the loop. */
     public void deliverPending() {
         mailbox.deliverAll();
     }
 
     /**
-     * Runs this on the loop once a server has answered a call and all that it notified before was
-     * delivered; never if no server answers. On any thread.
+     * Runs {@code confirmed} on the loop after a server has answered a call and all its earlier
+     * notifications were delivered; never if no server answers. May be called on any thread.
      */
     public void confirm(Runnable confirmed) {
         tasks.add(
@@ -114,7 +114,7 @@
                 });
     }
 
-    /** Reads all nodes again. On any thread. */
+    /** Reads all nodes again. May be called on any thread. */
     public void refresh() {
         tasks.add(
                 () -> {
@@ -124,7 +124,7 @@
                 });
     }
 
-    /** Ends; the session is closed if a server can be reached. On any thread. */
+    /** Closes the session, if a server can be reached. May be called on any thread. */
     @Override
     public void close() {
         tasks.add(
@@ -134,7 +134,7 @@
                 });
     }
 
-    /** On the loop: reads all nodes again after a while, instead of at the time set before. */
+    /** Schedules a read of all nodes and cancels the one scheduled before. On the loop. */
     private void readAfter(long waitNanos) {
         pendingRead.cancel();
         if (waitNanos == 0) {
@@ -156,7 +156,7 @@
                     check(checks);
                 }
             } catch (InterruptedException | RejectedExecutionException e) {
-                // The loop has ended; nobody is left to be notified.
+                // The loop has ended, so there is no listener left.
                 return;
             } catch (RuntimeException e) {
                 loop.execute(
@@ -193,7 +193,7 @@
         }
     }
 
-    /** On the own thread: closes a handle that is of no use any more; another one follows. */
+    /** Closes a handle that has failed and opens another after a backoff. On {@link #thread}. */
     private void reopen(ClientHandle ended) {
         if (handle != ended || closed) {
             return;
@@ -221,7 +221,7 @@
         }
     }
 
-    /** Moves what handles report to the loop, or to the own thread. */
+    /** Passes the reports of handles to the loop, or to {@link #thread}. */
     private final class HandleOwner implements ClientHandle.Owner {
         @Override
         public void onConnected() {
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperSettings.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * Where the nodes are, and how to get there.
+ * Settings of the connection to a ZooKeeper ensemble, and of the nodes' path.
  *
- * @param servers the ensemble's servers
- * @param chroot the path that all others are under, {@code /a/b}; empty for none
- * @param root the path that the nodes of servers stand under
- * @param shards whether they stand one level further down, under {@code root/SHARD/NAME}
- * @param sessionTimeoutMillis the session time-out to ask for
- * @param readOnly whether a server that has lost the others will do
- * @param digest who to be, {@code user:password}; null for nobody
+ * @param servers the addresses of the ensemble's servers
+ * @param chroot the prefix of all other paths, such as {@code /a/b}; empty for none
+ * @param root the parent path of the servers' nodes
+ * @param shards whether the nodes are one level further down, at {@code root/SHARD/NAME}
+ * @param sessionTimeoutMillis the session time-out to request
+ * @param readOnly whether to connect to a server that has lost its quorum
+ * @param digest credentials, {@code user:password}; null for none
  * @param tls null for plain TCP
- * @param maxResponseBytes the largest answer that is taken
+ * @param maxResponseBytes the size limit of a response, in bytes
  */
 public record ZooKeeperSettings(
         List<InetSocketAddress> servers,
@@ -29,26 +29,26 @@
         Tls tls,
         int maxResponseBytes) {
     /**
-     * How to prove who one is, and who to believe.
+     * Settings of TLS.
      *
-     * @param trustStore certificates that the ensemble's must follow from
-     * @param trustPassword a file that holds its password; null for none
-     * @param keyStore one's own certificate and key; null for none
-     * @param keyPassword a file that holds its password; null for none
-     * @param checkAddress whether a server's certificate has to name its address
+     * @param trustStore file of the trusted certificates
+     * @param trustPasswordFile file with the password of the trust store; null for none
+     * @param keyStore file of the client's certificate and key; null for none
+     * @param keyPasswordFile file with the password of the key store; null for none
+     * @param checkAddress whether a server's certificate must name its address
      */
     public record Tls(
             Path trustStore,
-            Path trustPassword,
+            Path trustPasswordFile,
             Path keyStore,
-            Path keyPassword,
+            Path keyPasswordFile,
             boolean checkAddress) {}
 
-    /** The largest number of bytes that a node's data may have. */
-    static final int NODE_BYTES = 64 * 1024;
+    /** Size limit of a node's data, in bytes. */
+    static final int MAX_NODE_BYTES = 64 * 1024;
 
-    /** The connect string that the client takes: addresses, parted by commas, and the chroot. */
-    String connect() {
+    /** Returns the client's connect string: addresses separated by commas, and the chroot. */
+    String connectString() {
         List<String> addresses = servers.stream().map(Addresses::format).toList();
         return String.join(",", addresses) + chroot;
     }
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/package-info.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Reads upstream hosts from ephemeral nodes in ZooKeeper. {@link
- * appleridge.discovery.zookeeper.ZooKeeperDiscovery} opens one handle after the other on a thread
- * of its own; a subtree watcher reads by the handle on its event thread, and a mailbox takes what
- * it read to the event loop. What it means for the list is decided in {@code ephemeral}.
+ * appleridge.discovery.zookeeper.ZooKeeperDiscovery} opens handles, one at a time, on a thread of
+ * its own. A subtree watcher reads through the handle on its event thread, and a mailbox passes the
+ * results to the event loop. Package {@code ephemeral} builds the endpoint list from them.
  */
 package appleridge.discovery.zookeeper;
