--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/BothSourcesTest.java
@@ -8,260 +8,290 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Nodes and the registry together: one rule for each disagreement. */
+/** The merge of nodes and registry, with one rule for each disagreement between them. */
 class BothSourcesTest {
-    private static final long DAY = 1_700_000_000_000L;
+    private static final long STARTED_MILLIS = 1_700_000_000_000L;
 
-    private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.BOTH);
+    private final NodeDiscoveryFixture fixture = new NodeDiscoveryFixture(SourceSelection.BOTH);
 
-    /** One server in both, one in the registry alone and one with a node alone. */
-    private void begin() {
-        told.registry(
+    /** Lists one host in both sources, one in the registry only and one with a node only. */
+    private void listThreeHosts() {
+        fixture.registry(
                 UpdateKind.SNAPSHOT,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY),
-                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
-        told.session(SessionState.CONNECTED);
-        told.snapshot(
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS),
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, STARTED_MILLIS));
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(
                 10,
                 Map.of(
                         "both",
-                        NodeDiscoveryFixture.ready(1, 1, DAY),
+                        NodeDiscoveryFixture.ready(1, 1, STARTED_MILLIS),
                         "node",
-                        NodeDiscoveryFixture.ready(2, 3, DAY)));
-        told.pass(200);
+                        NodeDiscoveryFixture.ready(2, 3, STARTED_MILLIS)));
+        fixture.advance(200);
     }
 
     @Test
     void hostInOneSourceIsListed() {
-        begin();
-        assertEquals(3, told.list.size());
-        assertTrue(told.list.values().stream().allMatch(each -> each.state() == HostState.READY));
+        listThreeHosts();
+        assertEquals(3, fixture.list.size());
+        assertTrue(
+                fixture.list.values().stream().allMatch(each -> each.state() == HostState.READY));
     }
 
     @Test
     void registryAloneSufficesToBegin() {
-        told.registry(
+        fixture.registry(
                 UpdateKind.CACHED_SNAPSHOT,
-                NodeDiscoveryFixture.member("a", 1, HostState.READY, DAY));
-        assertEquals(UpdateKind.CACHED_SNAPSHOT, told.events.get(0).kind());
-        assertTrue(told.membership.hasList());
-        told.pass(60_000);
-        told.registry(
-                UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("b", 2, HostState.READY, DAY));
-        assertEquals(HostState.GONE, told.state("a"));
-        assertEquals("registry", told.last("b", HostState.READY).source());
+                NodeDiscoveryFixture.member("a", 1, HostState.READY, STARTED_MILLIS));
+        assertEquals(UpdateKind.CACHED_SNAPSHOT, fixture.events.get(0).kind());
+        assertTrue(fixture.discovery.hasList());
+        fixture.advance(60_000);
+        fixture.registry(
+                UpdateKind.SNAPSHOT,
+                NodeDiscoveryFixture.member("b", 2, HostState.READY, STARTED_MILLIS));
+        assertEquals(HostState.GONE, fixture.state("a"));
+        assertEquals("registry", fixture.lastUpdate("b", HostState.READY).source());
     }
 
     @Test
     void hostDrainingInEitherSourceIsDraining() {
-        begin();
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, DAY));
-        assertEquals(HostState.DRAINING, told.state("both"));
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY));
-        assertEquals(HostState.READY, told.state("both"));
-        told.put(
+        listThreeHosts();
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, STARTED_MILLIS));
+        assertEquals(HostState.DRAINING, fixture.state("both"));
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS));
+        assertEquals(HostState.READY, fixture.state("both"));
+        fixture.put(
                 "both",
                 NodeDiscoveryFixture.node(
-                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.DRAINING, DAY)));
-        told.pass(100);
-        assertEquals(HostState.DRAINING, told.state("both"));
+                        1,
+                        fixture.nextZxid(),
+                        NodeDiscoveryFixture.data(1, HostState.DRAINING, STARTED_MILLIS)));
+        fixture.advance(100);
+        assertEquals(HostState.DRAINING, fixture.state("both"));
     }
 
     @Test
     void hostIsGoneAfterItsNodeIsDeletedThoughTheRegistryListsIt() {
-        begin();
-        told.gone(told.nextZxid(), "both");
-        assertEquals(HostState.DRAINING, told.state("both"));
-        told.pass(2500);
-        assertEquals(HostState.GONE, told.state("both"));
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY));
-        told.registry(
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "both");
+        assertEquals(HostState.DRAINING, fixture.state("both"));
+        fixture.advance(2500);
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS));
+        fixture.registry(
                 UpdateKind.SNAPSHOT,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY),
-                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
-        told.pass(600_000);
-        assertEquals(HostState.GONE, told.state("both"));
-        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, DAY));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("both"), "its node is back");
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS),
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, STARTED_MILLIS));
+        fixture.advance(600_000);
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.put("both", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, STARTED_MILLIS));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("both"), "its node exists again");
     }
 
-    /** Guards against the slower source, which lists what it has not heard the end of. */
+    /**
+     * Guards against a host that is listed again by the slower source, which was not notified of
+     * its end yet.
+     */
     @Test
     void hostListedFirstRightAfterItsNodeIsDeletedIsGone() {
-        begin();
-        told.gone(told.nextZxid(), "node");
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("node", 3, HostState.READY, DAY));
-        assertEquals(HostState.DRAINING, told.state("node"));
-        told.pass(5000);
-        assertEquals(HostState.GONE, told.state("node"));
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "node");
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("node", 3, HostState.READY, STARTED_MILLIS));
+        assertEquals(HostState.DRAINING, fixture.state("node"));
+        fixture.advance(5000);
+        assertEquals(HostState.GONE, fixture.state("node"));
     }
 
-    /** A watch may tell of an end that came before the first reading. */
+    /** A watch may notify the deletion of a node before the node was read. */
     @Test
     void hostIsGoneAfterDeletionOfANodeThatWasNeverRead() {
-        begin();
-        told.gone(told.nextZxid(), "listed");
-        assertEquals(HostState.GONE, told.state("listed"));
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY));
-        assertEquals(HostState.GONE, told.state("listed"));
-        told.registry(
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "listed");
+        assertEquals(HostState.GONE, fixture.state("listed"));
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY + 60_000));
-        assertEquals(HostState.READY, told.state("listed"));
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, STARTED_MILLIS));
+        assertEquals(HostState.GONE, fixture.state("listed"));
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, STARTED_MILLIS + 60_000));
+        assertEquals(HostState.READY, fixture.state("listed"));
     }
 
     @Test
     void laterStartInTheRegistryIsAnotherProcess() {
-        begin();
-        told.gone(told.nextZxid(), "both");
-        told.registry(
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "both");
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 4000));
-        assertEquals(HostState.DRAINING, told.state("both"), "as near as two clocks are");
-        told.registry(
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 4000));
+        assertEquals(
+                HostState.DRAINING,
+                fixture.state("both"),
+                "within the tolerance between two clocks");
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 60_000));
         assertEquals(
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000),
-                told.list.get("both"));
-        told.pass(5000);
-        assertEquals(HostState.READY, told.state("both"));
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 60_000),
+                fixture.list.get("both"));
+        fixture.advance(5000);
+        assertEquals(HostState.READY, fixture.state("both"));
     }
 
     @Test
     void deletionOfAnOldNodeDoesNotEndTheNextProcess() {
-        begin();
-        told.registry(
+        listThreeHosts();
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
-        told.gone(told.nextZxid(), "both");
-        told.pass(5000);
-        assertEquals(HostState.READY, told.state("both"));
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 60_000));
+        fixture.delete(fixture.nextZxid(), "both");
+        fixture.advance(5000);
+        assertEquals(HostState.READY, fixture.state("both"));
     }
 
     @Test
     void addressAndStartComeFromTheLaterProcess() {
-        begin();
-        told.registry(
+        listThreeHosts();
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 5, HostState.READY, DAY + 60_000));
+                NodeDiscoveryFixture.member("both", 5, HostState.READY, STARTED_MILLIS + 60_000));
         assertEquals(
-                NodeDiscoveryFixture.member("both", 5, HostState.READY, DAY + 60_000),
-                told.list.get("both"));
-        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 6, DAY + 60_000));
-        told.pass(100);
+                NodeDiscoveryFixture.member("both", 5, HostState.READY, STARTED_MILLIS + 60_000),
+                fixture.list.get("both"));
+        fixture.put(
+                "both", NodeDiscoveryFixture.ready(fixture.nextZxid(), 6, STARTED_MILLIS + 60_000));
+        fixture.advance(100);
         assertEquals(
-                NodeDiscoveryFixture.at(6), told.list.get("both").address(), "equal: the node's");
-        told.registry(UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 5, HostState.READY, 0));
+                NodeDiscoveryFixture.at(6),
+                fixture.list.get("both").address(),
+                "at equal starts the node's address counts");
+        fixture.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 5, HostState.READY, 0));
         assertEquals(
-                DAY + 60_000,
-                told.list.get("both").startedAtUnixMillis(),
-                "long ago is before all");
+                STARTED_MILLIS + 60_000,
+                fixture.list.get("both").startedAtUnixMillis(),
+                "start 0 is before all others");
     }
 
     @Test
     void hostEndedByTheRegistryIsGoneThoughItsNodeExists() {
-        begin();
-        told.registry(
-                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, DAY));
-        assertEquals(HostState.GONE, told.state("both"));
-        told.pass(60_000);
-        assertEquals(HostState.GONE, told.state("both"));
-        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, DAY + 60_000));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("both"), "another process");
-        told.registry(
+        listThreeHosts();
+        fixture.registry(
+                UpdateKind.DELTA,
+                NodeDiscoveryFixture.member("both", 1, HostState.GONE, STARTED_MILLIS));
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.advance(60_000);
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.put(
+                "both", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, STARTED_MILLIS + 60_000));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("both"), "another process");
+        fixture.registry(
                 UpdateKind.SNAPSHOT,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
-        assertEquals(HostState.GONE, told.state("listed"));
-        told.registry(UpdateKind.SNAPSHOT);
-        assertEquals(HostState.GONE, told.state("both"));
-        told.registry(
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 60_000));
+        assertEquals(HostState.GONE, fixture.state("listed"));
+        fixture.registry(UpdateKind.SNAPSHOT);
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 1, HostState.READY, DAY + 60_000));
-        assertEquals(HostState.READY, told.state("both"), "listed again");
+                NodeDiscoveryFixture.member("both", 1, HostState.READY, STARTED_MILLIS + 60_000));
+        assertEquals(HostState.READY, fixture.state("both"), "listed again");
     }
 
-    /** Guards against an end that is undone by a node which names no start but its making. */
+    /**
+     * Guards against an end in the registry that a node undoes because it states no start, so that
+     * its creation time counts as a later one.
+     */
     @Test
     void nodeWithoutAStartIsTheProcessThatTheRegistryEnds() {
-        begin();
-        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
-        told.registry(UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, 0));
-        told.pass(100);
-        assertEquals(HostState.GONE, told.state("both"));
-        told.gone(told.nextZxid(), "both");
-        told.put("both", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("both"), "made anew");
+        listThreeHosts();
+        fixture.put("both", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 0));
+        fixture.registry(
+                UpdateKind.DELTA, NodeDiscoveryFixture.member("both", 1, HostState.GONE, 0));
+        fixture.advance(100);
+        assertEquals(HostState.GONE, fixture.state("both"));
+        fixture.delete(fixture.nextZxid(), "both");
+        fixture.put("both", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 0));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("both"), "created again");
     }
 
     @Test
     void registryUpdatesApplyWhileTheNodesAreStale() {
-        begin();
-        told.session(SessionState.EXPIRED);
-        told.registry(
+        listThreeHosts();
+        fixture.session(SessionState.EXPIRED);
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, DAY),
-                NodeDiscoveryFixture.member("new", 7, HostState.READY, DAY),
-                NodeDiscoveryFixture.member("listed", 2, HostState.GONE, DAY));
-        assertEquals(HostState.DRAINING, told.state("both"));
-        assertEquals(HostState.READY, told.state("new"));
-        assertEquals(HostState.GONE, told.state("listed"));
-        assertEquals(HostState.READY, told.state("node"));
+                NodeDiscoveryFixture.member("both", 1, HostState.DRAINING, STARTED_MILLIS),
+                NodeDiscoveryFixture.member("new", 7, HostState.READY, STARTED_MILLIS),
+                NodeDiscoveryFixture.member("listed", 2, HostState.GONE, STARTED_MILLIS));
+        assertEquals(HostState.DRAINING, fixture.state("both"));
+        assertEquals(HostState.READY, fixture.state("new"));
+        assertEquals(HostState.GONE, fixture.state("listed"));
+        assertEquals(HostState.READY, fixture.state("node"));
     }
 
     @Test
     void oneProcessUnderTwoIdsIsOneHost() {
-        begin();
-        told.put("node-9", NodeDiscoveryFixture.ready(told.nextZxid(), 2, DAY));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("node-9"));
+        listThreeHosts();
+        fixture.put("node-9", NodeDiscoveryFixture.ready(fixture.nextZxid(), 2, STARTED_MILLIS));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("node-9"));
+        assertEquals(
+                HostState.GONE,
+                fixture.state("listed"),
+                "the node counts for the process at that address");
+        fixture.delete(fixture.nextZxid(), "node-9");
+        assertEquals(HostState.DRAINING, fixture.state("node-9"));
+        fixture.advance(3000);
+        assertEquals(HostState.GONE, fixture.state("node-9"));
         assertEquals(
                 HostState.GONE,
-                told.state("listed"),
-                "the node speaks for the process at that address");
-        told.gone(told.nextZxid(), "node-9");
-        assertEquals(HostState.DRAINING, told.state("node-9"));
-        told.pass(3000);
-        assertEquals(HostState.GONE, told.state("node-9"));
-        assertEquals(HostState.GONE, told.state("listed"), "and for its end");
-        told.registry(
+                fixture.state("listed"),
+                "the node counts for the end of the process too");
+        fixture.registry(
                 UpdateKind.DELTA,
-                NodeDiscoveryFixture.member("listed", 2, HostState.READY, DAY + 1));
-        assertEquals(HostState.READY, told.state("listed"));
+                NodeDiscoveryFixture.member("listed", 2, HostState.READY, STARTED_MILLIS + 1));
+        assertEquals(HostState.READY, fixture.state("listed"));
     }
 
     @Test
     void registryUpdateWithoutChangesIsPublished() {
-        begin();
-        int before = told.events.size();
-        told.registry(UpdateKind.DELTA);
-        assertEquals(before + 1, told.events.size());
-        assertEquals(UpdateKind.DELTA, told.events.get(before).kind());
+        listThreeHosts();
+        int before = fixture.events.size();
+        fixture.registry(UpdateKind.DELTA);
+        assertEquals(before + 1, fixture.events.size());
+        assertEquals(UpdateKind.DELTA, fixture.events.get(before).kind());
     }
 
     @Test
     void nothingIsKeptOfHostsInNeitherSource() {
-        begin();
+        listThreeHosts();
         for (int i = 0; i < 1000; i++) {
-            told.put("x" + i, NodeDiscoveryFixture.ready(told.nextZxid(), 100 + i, DAY));
-            told.registry(
+            fixture.put(
+                    "x" + i,
+                    NodeDiscoveryFixture.ready(fixture.nextZxid(), 100 + i, STARTED_MILLIS));
+            fixture.registry(
                     UpdateKind.DELTA,
-                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.READY, DAY));
-            told.gone(told.nextZxid(), "x" + i);
-            told.registry(
+                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.READY, STARTED_MILLIS));
+            fixture.delete(fixture.nextZxid(), "x" + i);
+            fixture.registry(
                     UpdateKind.DELTA,
-                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.GONE, DAY));
+                    NodeDiscoveryFixture.member("x" + i, 100 + i, HostState.GONE, STARTED_MILLIS));
         }
-        told.pass(3000);
-        assertEquals(3, told.membership.size());
-        assertEquals(2, told.membership.rememberedNodes());
+        fixture.advance(3000);
+        assertEquals(3, fixture.discovery.size());
+        assertEquals(2, fixture.discovery.rememberedNodes());
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
@@ -10,39 +10,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** A membership on a clock of the test's, in milliseconds, and what it has told. */
+/** A {@link NodeDiscovery} on a simulated clock in milliseconds, with all that it publishes. */
 final class NodeDiscoveryFixture {
-    static final long MS = 1_000_000;
+    static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** One event that was told. */
+    /** One published update; times in milliseconds. */
     record Event(
-            long at,
+            long atMillis,
             UpdateKind kind,
             List<DiscoveredEndpoint> members,
             String source,
-            long toldAt) {}
+            long sinceMillis) {}
 
     final List<Event> events = new ArrayList<>();
-    final List<String> news = new ArrayList<>();
-    final List<String> warnings = new ArrayList<>();
+    final List<String> infoLines = new ArrayList<>();
+    final List<String> warningLines = new ArrayList<>();
     final Map<String, DiscoveredEndpoint> list = new LinkedHashMap<>();
-    final NodeDiscovery membership;
-    long now = 1000;
+    final NodeDiscovery discovery;
+    long nowMillis = 1000;
     private long zxid = 100;
 
     NodeDiscoveryFixture(SourceSelection merge) {
-        membership =
+        discovery =
                 new NodeDiscovery(
                         merge,
                         NodeDiscovery.Settings.DEFAULTS,
-                        this::told,
-                        news::add,
-                        warnings::add);
+                        this::onUpdate,
+                        infoLines::add,
+                        warningLines::add);
     }
 
-    private void told(
-            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long toldAt) {
-        events.add(new Event(now, kind, members, source, toldAt / MS));
+    private void onUpdate(
+            UpdateKind kind, List<DiscoveredEndpoint> members, String source, long sinceNanos) {
+        events.add(new Event(nowMillis, kind, members, source, sinceNanos / NANOS_PER_MILLI));
         if (kind == UpdateKind.SNAPSHOT || kind == UpdateKind.CACHED_SNAPSHOT) {
             list.clear();
         }
@@ -67,7 +67,7 @@
         return new DiscoveredEndpoint(id, at(port), 0, 0, 0, state, 1, startedMillis);
     }
 
-    /** A node as it is read, made by one transaction and changed last by another. */
+    /** The read of a node that was created by one transaction and last changed by another. */
     static NodeRead node(long czxid, long mzxid, NodeData data) {
         return new NodeRead(data, null, 1000 * czxid, mzxid, czxid);
     }
@@ -84,56 +84,60 @@
         return ++zxid;
     }
 
-    /** Time passes, with its ticks. */
-    void pass(long millis) {
-        long end = now + millis;
-        while (now + 100 <= end) {
-            now += 100;
-            membership.tick(now * MS);
+    /** Advances the clock, with a tick every 100 ms. */
+    void advance(long millis) {
+        long end = nowMillis + millis;
+        while (nowMillis + 100 <= end) {
+            nowMillis += 100;
+            discovery.tick(nowNanos());
         }
-        now = end;
+        nowMillis = end;
+    }
+
+    long nowNanos() {
+        return nowMillis * NANOS_PER_MILLI;
     }
 
     void session(SessionState state) {
-        membership.onSessionState(now * MS, state);
+        discovery.onSessionState(nowNanos(), state);
     }
 
-    /** A snapshot that was read in no time. */
+    /** Delivers a snapshot whose reading took no time. */
     void snapshot(long zxid, Map<String, NodeRead> nodes) {
         this.zxid = Math.max(this.zxid, zxid);
-        membership.onSnapshot(now * MS, now * MS, zxid, nodes);
+        discovery.onSnapshot(nowNanos(), nowNanos(), zxid, nodes);
     }
 
     void changed(long zxid, String name) {
-        membership.onNodeChanged(now * MS, now * MS, zxid, name);
+        discovery.onNodeChanged(nowNanos(), nowNanos(), zxid, name);
     }
 
     void read(String name, NodeRead read) {
-        membership.onNodeRead(now * MS, read.mzxid(), name, read);
+        discovery.onNodeRead(nowNanos(), read.mzxid(), name, read);
     }
 
-    /** A node is made or changes, and its data comes at once. */
+    /** Creates or changes a node, whose data are read at once. */
     void put(String name, NodeRead read) {
         changed(read.mzxid(), name);
         read(name, read);
     }
 
-    void gone(long zxid, String name) {
-        membership.onNodeDeleted(now * MS, now * MS, zxid, name);
+    void delete(long zxid, String name) {
+        discovery.onNodeDeleted(nowNanos(), nowNanos(), zxid, name);
     }
 
     void registry(UpdateKind kind, DiscoveredEndpoint... members) {
-        membership.onRegistryUpdate(now * MS, kind, List.of(members));
+        discovery.onRegistryUpdate(nowNanos(), kind, List.of(members));
     }
 
-    /** What the list has of an id; {@link HostState#GONE} if nothing. */
+    /** The listed state of an id; {@link HostState#GONE} if it is not listed. */
     HostState state(String id) {
         DiscoveredEndpoint member = list.get(id);
         return member == null ? HostState.GONE : member.state();
     }
 
-    /** When an id was told in this state last. */
-    Event last(String id, HostState state) {
+    /** The last update with an id in this state; null for none. */
+    Event lastUpdate(String id, HostState state) {
         Event found = null;
         for (Event each : events) {
             for (DiscoveredEndpoint member : each.members) {
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryTest.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What counts as told, and what stands where nothing was told: ephemeral nodes alone. */
+/** The endpoint list of ephemeral nodes alone: when changes apply and when the last list stays. */
 class NodeDiscoveryTest {
-    private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.NODES);
+    private final NodeDiscoveryFixture fixture = new NodeDiscoveryFixture(SourceSelection.NODES);
 
-    /** Three servers, connected. */
-    private void three() {
-        told.session(SessionState.CONNECTED);
-        told.snapshot(
+    /** Connects, and reads a snapshot of three servers. */
+    private void listThreeHosts() {
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(
                 10,
                 Map.of(
                         "a",
@@ -27,191 +27,200 @@
                         NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700)));
-        told.pass(200);
+        fixture.advance(200);
     }
 
     @Test
     void firstSnapshotIsPublishedAsSnapshot() {
-        assertFalse(told.membership.hasList());
-        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.staleness());
-        three();
-        assertEquals(1, told.events.size());
-        assertEquals(UpdateKind.SNAPSHOT, told.events.get(0).kind());
-        assertEquals(3, told.membership.size());
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
-        assertTrue(told.membership.hasList());
-        assertEquals(NodeDiscoveryFixture.member("b", 2, HostState.READY, 600), told.list.get("b"));
+        assertFalse(fixture.discovery.hasList());
+        assertEquals(StalenessCause.NOT_CONNECTED, fixture.discovery.staleness());
+        listThreeHosts();
+        assertEquals(1, fixture.events.size());
+        assertEquals(UpdateKind.SNAPSHOT, fixture.events.get(0).kind());
+        assertEquals(3, fixture.discovery.size());
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
+        assertTrue(fixture.discovery.hasList());
+        assertEquals(
+                NodeDiscoveryFixture.member("b", 2, HostState.READY, 600), fixture.list.get("b"));
     }
 
     /**
-     * Guards against a list from before the start that outlives what is told before the nodes are
-     * read.
+     * Guards against a list cached before the start that hides events which arrive before the first
+     * snapshot.
      */
     @Test
     void cachedListHoldsUntilADeletionOrTheFirstSnapshot() {
-        told.registry(
+        fixture.registry(
                 UpdateKind.CACHED_SNAPSHOT,
                 NodeDiscoveryFixture.member("a", 1, HostState.READY, 500),
                 NodeDiscoveryFixture.member("old", 9, HostState.READY, 500));
-        told.session(SessionState.CONNECTED);
-        told.put("d", NodeDiscoveryFixture.ready(11, 4, 800));
-        told.gone(12, "a");
-        assertEquals(HostState.GONE, told.state("a"));
-        told.pass(5000);
-        assertEquals(HostState.READY, told.state("old"));
-        assertEquals(HostState.GONE, told.state("d"), "no list yet");
-        told.snapshot(
+        fixture.session(SessionState.CONNECTED);
+        fixture.put("d", NodeDiscoveryFixture.ready(11, 4, 800));
+        fixture.delete(12, "a");
+        assertEquals(HostState.GONE, fixture.state("a"));
+        fixture.advance(5000);
+        assertEquals(HostState.READY, fixture.state("old"));
+        assertEquals(HostState.GONE, fixture.state("d"), "a new host waits for the first snapshot");
+        fixture.snapshot(
                 12,
                 Map.of(
                         "d",
                         NodeDiscoveryFixture.ready(11, 4, 800),
                         "b",
                         NodeDiscoveryFixture.ready(2, 2, 600)));
-        assertEquals(Set.of("b", "d"), told.list.keySet());
+        assertEquals(Set.of("b", "d"), fixture.list.keySet());
     }
 
-    // ---- ends
+    // ---- deletions
 
     @Test
     void deletedNodeDrainsAtOnceAndIsGoneLater() {
-        three();
-        told.gone(told.nextZxid(), "b");
-        assertEquals(HostState.DRAINING, told.state("b"));
-        assertEquals(told.now, told.last("b", HostState.DRAINING).toldAt());
-        assertEquals("nodes", told.last("b", HostState.DRAINING).source());
-        told.pass(1900);
-        assertEquals(HostState.DRAINING, told.state("b"));
-        told.pass(200);
-        assertEquals(HostState.GONE, told.state("b"));
-        assertEquals(2, told.membership.rememberedNodes());
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "b");
+        assertEquals(HostState.DRAINING, fixture.state("b"));
+        assertEquals(fixture.nowMillis, fixture.lastUpdate("b", HostState.DRAINING).sinceMillis());
+        assertEquals("nodes", fixture.lastUpdate("b", HostState.DRAINING).source());
+        fixture.advance(1900);
+        assertEquals(HostState.DRAINING, fixture.state("b"));
+        fixture.advance(200);
+        assertEquals(HostState.GONE, fixture.state("b"));
+        assertEquals(2, fixture.discovery.rememberedNodes());
     }
 
     @Test
     void deletionOfAllNodesIsBelieved() {
-        three();
-        told.snapshot(told.nextZxid(), Map.of());
+        listThreeHosts();
+        fixture.snapshot(fixture.nextZxid(), Map.of());
         assertEquals(
                 0,
-                told.list.values().stream()
+                fixture.list.values().stream()
                         .filter(each -> each.state() == HostState.READY)
                         .count());
-        told.pass(3000);
-        assertEquals(0, told.list.size());
-        assertEquals(0, told.membership.rememberedNodes());
+        fixture.advance(3000);
+        assertEquals(0, fixture.list.size());
+        assertEquals(0, fixture.discovery.rememberedNodes());
     }
 
     /**
-     * Guards against a flood of events, each of which costs the loop work that grows with the list.
+     * Guards against many events that are each published at once, which would cost the loop work in
+     * proportion to the list each time.
      */
     @Test
     void manyDeletionsInOneTickArePublishedInTwoUpdates() {
-        three();
-        int before = told.events.size();
-        told.gone(told.nextZxid(), "a");
-        told.gone(told.nextZxid(), "b");
-        told.gone(told.nextZxid(), "c");
-        told.pass(100);
-        assertEquals(before + 2, told.events.size());
-        assertEquals(HostState.DRAINING, told.state("c"));
+        listThreeHosts();
+        int before = fixture.events.size();
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.delete(fixture.nextZxid(), "b");
+        fixture.delete(fixture.nextZxid(), "c");
+        fixture.advance(100);
+        assertEquals(before + 2, fixture.events.size());
+        assertEquals(HostState.DRAINING, fixture.state("c"));
     }
 
     @Test
     void drainIsPublishedAtOnceAndANewHostWithTheTick() {
-        three();
-        told.put(
+        listThreeHosts();
+        fixture.put(
                 "a",
                 NodeDiscoveryFixture.node(
-                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.DRAINING, 500)));
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 800));
-        assertEquals(HostState.GONE, told.state("d"));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("d"));
+                        1,
+                        fixture.nextZxid(),
+                        NodeDiscoveryFixture.data(1, HostState.DRAINING, 500)));
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 4, 800));
+        assertEquals(HostState.GONE, fixture.state("d"));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("d"));
     }
 
     /**
-     * Guards against a drain whose time is counted from when it was read: a queue may have held it.
+     * Guards against a drain that is timed from its delivery to the loop, before which it may have
+     * been queued.
      */
     @Test
     void updateCarriesTheTimeOfNotification() {
-        three();
-        told.membership.onNodeDeleted(
-                told.now * NodeDiscoveryFixture.MS,
-                (told.now - 700) * NodeDiscoveryFixture.MS,
-                told.nextZxid(),
+        listThreeHosts();
+        fixture.discovery.onNodeDeleted(
+                fixture.nowNanos(),
+                (fixture.nowMillis - 700) * NodeDiscoveryFixture.NANOS_PER_MILLI,
+                fixture.nextZxid(),
                 "a");
-        assertEquals(told.now - 700, told.last("a", HostState.DRAINING).toldAt());
+        assertEquals(
+                fixture.nowMillis - 700, fixture.lastUpdate("a", HostState.DRAINING).sinceMillis());
     }
 
     @Test
     void deletionOlderThanTheNodeIsIgnored() {
-        three();
-        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
-        told.pass(100);
-        told.gone(50, "a");
-        assertEquals(HostState.READY, told.state("a"));
+        listThreeHosts();
+        fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 900));
+        fixture.advance(100);
+        fixture.delete(50, "a");
+        assertEquals(HostState.READY, fixture.state("a"));
     }
 
-    // ---- flaps
+    // ---- flapping nodes
 
     @Test
     void flappingNodeWithTheSameStartIsTheSameProcess() {
-        three();
+        listThreeHosts();
         for (int i = 0; i < 10; i++) {
-            told.gone(told.nextZxid(), "a");
-            told.pass(400);
-            assertEquals(HostState.DRAINING, told.state("a"));
-            told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
-            told.pass(5600);
+            fixture.delete(fixture.nextZxid(), "a");
+            fixture.advance(400);
+            assertEquals(HostState.DRAINING, fixture.state("a"));
+            fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 500));
+            fixture.advance(5600);
             assertEquals(
-                    NodeDiscoveryFixture.member("a", 1, HostState.READY, 500), told.list.get("a"));
+                    NodeDiscoveryFixture.member("a", 1, HostState.READY, 500),
+                    fixture.list.get("a"));
         }
         assertTrue(
-                told.events.stream()
+                fixture.events.stream()
                         .flatMap(each -> each.members().stream())
                         .noneMatch(each -> each.state() == HostState.GONE),
-                "its records are kept");
-        assertEquals(3, told.membership.rememberedNodes());
+                "a flapping host is never gone");
+        assertEquals(3, fixture.discovery.rememberedNodes());
     }
 
     @Test
     void flappingNodeWithAnotherStartIsAnotherProcess() {
-        three();
+        listThreeHosts();
         long start = 500;
         for (int i = 0; i < 10; i++) {
-            told.gone(told.nextZxid(), "a");
-            told.pass(200);
+            fixture.delete(fixture.nextZxid(), "a");
+            fixture.advance(200);
             start += 1000;
-            told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, start));
-            told.pass(5800);
-            assertEquals(start, told.list.get("a").startedAtUnixMillis());
+            fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, start));
+            fixture.advance(5800);
+            assertEquals(start, fixture.list.get("a").startedAtUnixMillis());
         }
     }
 
-    /** Guards against a restarted, cold process that is taken for the old one. */
+    /** Guards against a restarted, cold process that is taken for the old, warm one. */
     @Test
     void restartUnderAClockThatSteppedBackIsARestart() {
-        three();
-        told.gone(told.nextZxid(), "c");
-        told.put("c", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
-        told.pass(100);
-        long start = told.list.get("c").startedAtUnixMillis();
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "c");
+        fixture.put("c", NodeDiscoveryFixture.ready(fixture.nextZxid(), 3, 650));
+        fixture.advance(100);
+        long start = fixture.list.get("c").startedAtUnixMillis();
         assertTrue(start > 700, "started at " + start);
-        told.put(
+        fixture.put(
                 "c",
                 NodeDiscoveryFixture.node(
-                        103, told.nextZxid(), NodeDiscoveryFixture.data(3, HostState.READY, 650)));
-        told.pass(100);
+                        103,
+                        fixture.nextZxid(),
+                        NodeDiscoveryFixture.data(3, HostState.READY, 650)));
+        fixture.advance(100);
         assertEquals(
                 start,
-                told.list.get("c").startedAtUnixMillis(),
-                "what it says again is nothing new");
+                fixture.list.get("c").startedAtUnixMillis(),
+                "the same stated start is the same process");
     }
 
     @Test
     void missingStartIsTheNodesCreation() {
-        told.session(SessionState.CONNECTED);
-        told.snapshot(
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(
                 10,
                 Map.of(
                         "a",
@@ -219,140 +228,153 @@
                         "b",
                         new NodeRead(
                                 NodeDiscoveryFixture.data(2, HostState.READY, 0), null, 0, 8, 8)));
-        assertEquals(7000, told.list.get("a").startedAtUnixMillis());
-        assertTrue(told.list.get("b").startedAtUnixMillis() > 0, "cold, and never long ago");
-        told.gone(told.nextZxid(), "a");
-        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 0));
-        told.pass(100);
-        assertTrue(told.list.get("a").startedAtUnixMillis() > 7000);
+        assertEquals(7000, fixture.list.get("a").startedAtUnixMillis());
+        assertTrue(
+                fixture.list.get("b").startedAtUnixMillis() > 0,
+                "an unknown start must not count as long ago");
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 0));
+        fixture.advance(100);
+        assertTrue(fixture.list.get("a").startedAtUnixMillis() > 7000);
     }
 
     @Test
     void nodeReturningAfterRemovalIsAnotherProcess() {
-        three();
-        told.gone(told.nextZxid(), "a");
-        told.pass(2500);
-        assertEquals(HostState.GONE, told.state("a"));
-        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("a"));
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.advance(2500);
+        assertEquals(HostState.GONE, fixture.state("a"));
+        fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 500));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("a"));
     }
 
-    // ---- data
+    // ---- reads
 
     @Test
     void overdueDataDrainsTheHostUntilItIsRead() {
-        three();
-        long zxid = told.nextZxid();
-        told.changed(zxid, "a");
-        told.pass(900);
-        assertEquals(HostState.READY, told.state("a"));
-        told.pass(200);
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.pass(60_000);
-        assertEquals(HostState.DRAINING, told.state("a"), "without end, and never gone");
-        told.read(
+        listThreeHosts();
+        long zxid = fixture.nextZxid();
+        fixture.changed(zxid, "a");
+        fixture.advance(900);
+        assertEquals(HostState.READY, fixture.state("a"));
+        fixture.advance(200);
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.advance(60_000);
+        assertEquals(
+                HostState.DRAINING,
+                fixture.state("a"),
+                "drains without a time limit, and is never gone");
+        fixture.read(
                 "a",
                 NodeDiscoveryFixture.node(
                         1, 1, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
-        told.pass(100);
-        assertEquals(HostState.DRAINING, told.state("a"), "older than the change");
-        told.read(
+        fixture.advance(100);
+        assertEquals(HostState.DRAINING, fixture.state("a"), "older than the change");
+        fixture.read(
                 "a",
                 NodeDiscoveryFixture.node(
                         1, zxid, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("a"));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("a"));
     }
 
-    /** Guards against a second that begins anew with each of many changes. */
+    /** Guards against a read time-out that starts again with each of many changes. */
     @Test
     void readTimeoutRunsFromTheFirstOfManyChanges() {
-        three();
+        listThreeHosts();
         for (int i = 0; i < 12; i++) {
-            told.changed(told.nextZxid(), "a");
-            told.pass(100);
+            fixture.changed(fixture.nextZxid(), "a");
+            fixture.advance(100);
         }
-        assertEquals(HostState.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     @Test
     void readOfALaterChangeIsTaken() {
-        three();
-        long first = told.nextZxid();
-        long second = told.nextZxid();
-        told.changed(first, "a");
-        told.read(
+        listThreeHosts();
+        long first = fixture.nextZxid();
+        long second = fixture.nextZxid();
+        fixture.changed(first, "a");
+        fixture.read(
                 "a",
                 NodeDiscoveryFixture.node(
                         1, second, NodeDiscoveryFixture.data(1, HostState.DRAINING, 500)));
-        told.changed(second, "a");
-        told.pass(1500);
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.read(
+        fixture.changed(second, "a");
+        fixture.advance(1500);
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.read(
                 "a",
                 NodeDiscoveryFixture.node(
                         1, first, NodeDiscoveryFixture.data(1, HostState.READY, 500)));
-        told.pass(100);
-        assertEquals(HostState.DRAINING, told.state("a"));
+        fixture.advance(100);
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     /**
-     * Guards against one that comes back to life by an answer that was on its way when it ended.
+     * Guards against a deleted node that exists again because of a response that was in flight when
+     * it was deleted.
      */
     @Test
     void readFromBeforeTheDeletionIsIgnored() {
-        three();
-        told.changed(told.nextZxid(), "d");
-        told.gone(told.nextZxid(), "d");
-        told.read("d", NodeDiscoveryFixture.ready(101, 4, 800));
-        told.gone(told.nextZxid(), "a");
-        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
-        told.changed(told.nextZxid(), "a");
-        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
-        told.pass(100);
-        assertEquals(HostState.GONE, told.state("d"));
-        assertEquals(HostState.DRAINING, told.state("a"));
+        listThreeHosts();
+        fixture.changed(fixture.nextZxid(), "d");
+        fixture.delete(fixture.nextZxid(), "d");
+        fixture.read("d", NodeDiscoveryFixture.ready(101, 4, 800));
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
+        fixture.changed(fixture.nextZxid(), "a");
+        fixture.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
+        fixture.advance(100);
+        assertEquals(HostState.GONE, fixture.state("d"));
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     @Test
     void unreadableNodeIsLeftOutAndLoggedOnce() {
-        told.session(SessionState.CONNECTED);
-        told.snapshot(
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(
                 10,
                 Map.of(
                         "a",
                         NodeDiscoveryFixture.ready(1, 1, 500),
                         "bad",
                         NodeDiscoveryFixture.unreadable(2)));
-        told.put("bad", NodeDiscoveryFixture.unreadable(told.nextZxid()));
-        told.pass(300);
-        assertEquals(1, told.list.size());
-        assertEquals(1, told.membership.unreadable());
-        assertEquals(1, told.warnings.size());
-        told.put(
+        fixture.put("bad", NodeDiscoveryFixture.unreadable(fixture.nextZxid()));
+        fixture.advance(300);
+        assertEquals(1, fixture.list.size());
+        assertEquals(1, fixture.discovery.unreadable());
+        assertEquals(1, fixture.warningLines.size());
+        fixture.put(
                 "bad",
                 NodeDiscoveryFixture.node(
-                        2, told.nextZxid(), NodeDiscoveryFixture.data(2, HostState.READY, 600)));
-        told.put("a", new NodeRead(null, "garbage", 1000, told.nextZxid(), 1));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("bad"));
-        assertEquals(HostState.DRAINING, told.state("a"), "what it says now may be that it ends");
+                        2, fixture.nextZxid(), NodeDiscoveryFixture.data(2, HostState.READY, 600)));
+        fixture.put("a", new NodeRead(null, "garbage", 1000, fixture.nextZxid(), 1));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("bad"));
+        assertEquals(
+                HostState.DRAINING,
+                fixture.state("a"),
+                "the unreadable data may say that it drains");
         for (int i = 0; i < 300; i++) {
-            told.put("x" + i, NodeDiscoveryFixture.unreadable(told.nextZxid()));
+            fixture.put("x" + i, NodeDiscoveryFixture.unreadable(fixture.nextZxid()));
         }
-        assertEquals(301, told.membership.unreadable());
-        assertEquals(101, told.warnings.size(), "named up to a bound");
+        assertEquals(301, fixture.discovery.unreadable());
+        assertEquals(
+                101,
+                fixture.warningLines.size(),
+                "100 nodes are logged, and one line for the rest");
     }
 
     /**
-     * What has no transaction, because the reading itself was refused, is no older than anything.
+     * A node that may not be read comes without a transaction, and must not count as older than the
+     * known data.
      */
     @Test
     void nodeThatBecomesUnreadableDrains() {
-        three();
-        told.snapshot(
-                told.nextZxid(),
+        listThreeHosts();
+        fixture.snapshot(
+                fixture.nextZxid(),
                 Map.of(
                         "a",
                         new NodeRead(null, "may not be read", 0, 0, 0),
@@ -360,24 +382,24 @@
                         NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700)));
-        assertEquals(HostState.DRAINING, told.state("a"));
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     // ---- sessions
 
     @Test
     void listStandsWhileDisconnectedAndTheNextSnapshotBringsMissedChanges() {
-        three();
-        told.session(SessionState.SUSPENDED);
-        told.session(SessionState.EXPIRED);
-        told.pass(3_600_000);
-        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.staleness());
-        assertEquals(1, told.warnings.size(), "said once");
-        assertEquals(1, told.events.size());
-        told.session(SessionState.CONNECTED);
-        assertEquals(StalenessCause.NOT_CONNECTED, told.membership.staleness());
-        told.snapshot(
-                told.nextZxid(),
+        listThreeHosts();
+        fixture.session(SessionState.SUSPENDED);
+        fixture.session(SessionState.EXPIRED);
+        fixture.advance(3_600_000);
+        assertEquals(StalenessCause.NOT_CONNECTED, fixture.discovery.staleness());
+        assertEquals(1, fixture.warningLines.size(), "logged once");
+        assertEquals(1, fixture.events.size());
+        fixture.session(SessionState.CONNECTED);
+        assertEquals(StalenessCause.NOT_CONNECTED, fixture.discovery.staleness());
+        fixture.snapshot(
+                fixture.nextZxid(),
                 Map.of(
                         "a",
                         NodeDiscoveryFixture.ready(1, 1, 500),
@@ -386,73 +408,73 @@
                         "c",
                         NodeDiscoveryFixture.node(
                                 3, 51, NodeDiscoveryFixture.data(3, HostState.DRAINING, 700))));
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
-        assertEquals(HostState.READY, told.state("a"));
-        assertEquals(HostState.DRAINING, told.state("b"));
-        assertEquals(HostState.DRAINING, told.state("c"));
-        assertEquals(HostState.READY, told.state("d"));
-        assertEquals(2, told.news.size());
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
+        assertEquals(HostState.READY, fixture.state("a"));
+        assertEquals(HostState.DRAINING, fixture.state("b"));
+        assertEquals(HostState.DRAINING, fixture.state("c"));
+        assertEquals(HostState.READY, fixture.state("d"));
+        assertEquals(2, fixture.infoLines.size());
     }
 
     @Test
     void listStandsWhileTheSubtreeCantBeRead() {
-        three();
+        listThreeHosts();
         for (StalenessCause each :
                 List.of(
                         StalenessCause.ROOT_MISSING,
                         StalenessCause.ACCESS_DENIED,
                         StalenessCause.TOO_LARGE)) {
-            told.membership.markStale(told.now * NodeDiscoveryFixture.MS, each);
-            told.pass(10_000);
-            assertEquals(each, told.membership.staleness());
+            fixture.discovery.markStale(fixture.nowNanos(), each);
+            fixture.advance(10_000);
+            assertEquals(each, fixture.discovery.staleness());
         }
-        assertEquals(3, told.warnings.size());
-        assertEquals(1, told.events.size());
+        assertEquals(3, fixture.warningLines.size());
+        assertEquals(1, fixture.events.size());
     }
 
-    /** An end that was told counts, also where the root is gone by then. */
+    /** A notified deletion counts, even if the root was deleted too. */
     @Test
     void eventWhileStaleIsBelieved() {
-        three();
-        told.membership.markStale(told.now * NodeDiscoveryFixture.MS, StalenessCause.ROOT_MISSING);
-        told.gone(told.nextZxid(), "a");
-        assertEquals(HostState.DRAINING, told.state("a"));
+        listThreeHosts();
+        fixture.discovery.markStale(fixture.nowNanos(), StalenessCause.ROOT_MISSING);
+        fixture.delete(fixture.nextZxid(), "a");
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     @Test
     void readOnlyServerRemovesNoHost() {
-        three();
-        told.session(SessionState.READ_ONLY);
-        told.snapshot(told.nextZxid(), Map.of());
-        told.gone(told.nextZxid(), "a");
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 900));
-        told.pass(5000);
-        assertEquals(StalenessCause.READ_ONLY, told.membership.staleness());
-        assertEquals(1, told.events.size());
-        told.session(SessionState.CONNECTED);
-        told.snapshot(told.nextZxid(), Map.of("b", NodeDiscoveryFixture.ready(2, 2, 600)));
-        assertEquals(HostState.DRAINING, told.state("a"));
+        listThreeHosts();
+        fixture.session(SessionState.READ_ONLY);
+        fixture.snapshot(fixture.nextZxid(), Map.of());
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 4, 900));
+        fixture.advance(5000);
+        assertEquals(StalenessCause.READ_ONLY, fixture.discovery.staleness());
+        assertEquals(1, fixture.events.size());
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(fixture.nextZxid(), Map.of("b", NodeDiscoveryFixture.ready(2, 2, 600)));
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     @Test
     void readOnlyServerIsUsedForTheFirstSnapshot() {
-        told.session(SessionState.READ_ONLY);
-        told.snapshot(10, Map.of("a", NodeDiscoveryFixture.ready(1, 1, 500)));
-        assertEquals(HostState.READY, told.state("a"));
-        assertEquals(StalenessCause.READ_ONLY, told.membership.staleness());
+        fixture.session(SessionState.READ_ONLY);
+        fixture.snapshot(10, Map.of("a", NodeDiscoveryFixture.ready(1, 1, 500)));
+        assertEquals(HostState.READY, fixture.state("a"));
+        assertEquals(StalenessCause.READ_ONLY, fixture.discovery.staleness());
     }
 
-    // ---- transactions that run back
+    // ---- transactions lower than before
 
     @Test
     void olderStateIsIgnoredUntilTheServerHasCaughtUp() {
-        three();
-        told.gone(20, "a");
-        told.put("d", NodeDiscoveryFixture.ready(30, 4, 900));
-        told.pass(3000);
-        told.session(SessionState.SUSPENDED);
-        told.session(SessionState.CONNECTED);
-        told.snapshot(
+        listThreeHosts();
+        fixture.delete(20, "a");
+        fixture.put("d", NodeDiscoveryFixture.ready(30, 4, 900));
+        fixture.advance(3000);
+        fixture.session(SessionState.SUSPENDED);
+        fixture.session(SessionState.CONNECTED);
+        fixture.snapshot(
                 10,
                 Map.of(
                         "a",
@@ -461,161 +483,167 @@
                         NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700)));
-        assertEquals(StalenessCause.OLDER, told.membership.staleness());
-        told.changed(2, "b");
-        told.gone(16, "d");
-        told.changed(17, "e");
-        told.read("e", NodeDiscoveryFixture.ready(17, 5, 900));
-        told.pass(3000);
-        assertEquals(HostState.GONE, told.state("e"));
-        assertEquals(HostState.GONE, told.state("a"));
-        assertEquals(HostState.READY, told.state("b"));
-        assertEquals(HostState.READY, told.state("d"));
-        told.gone(31, "b");
-        assertEquals(HostState.DRAINING, told.state("b"), "newer than all");
-        told.snapshot(
+        assertEquals(StalenessCause.OLDER, fixture.discovery.staleness());
+        fixture.changed(2, "b");
+        fixture.delete(16, "d");
+        fixture.changed(17, "e");
+        fixture.read("e", NodeDiscoveryFixture.ready(17, 5, 900));
+        fixture.advance(3000);
+        assertEquals(HostState.GONE, fixture.state("e"));
+        assertEquals(HostState.GONE, fixture.state("a"));
+        assertEquals(HostState.READY, fixture.state("b"));
+        assertEquals(HostState.READY, fixture.state("d"));
+        fixture.delete(31, "b");
+        assertEquals(HostState.DRAINING, fixture.state("b"), "newer than all that was seen");
+        fixture.snapshot(
                 31,
                 Map.of(
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700),
                         "d",
                         NodeDiscoveryFixture.ready(30, 4, 900)));
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
-        assertEquals(HostState.READY, told.state("d"));
-        told.pass(60_000);
-        assertEquals(2, told.list.size());
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
+        assertEquals(HostState.READY, fixture.state("d"));
+        fixture.advance(60_000);
+        assertEquals(2, fixture.list.size());
     }
 
-    /** A session that goes on proves that the ensemble has its past, so this is a lag for ever. */
+    /** A session that continues proves that the ensemble has its history: the server only lags. */
     @Test
     void ensembleThatKeepsTheSessionIsNeverTakenForWiped() {
-        three();
-        told.session(SessionState.SUSPENDED);
-        told.session(SessionState.CONNECTED);
+        listThreeHosts();
+        fixture.session(SessionState.SUSPENDED);
+        fixture.session(SessionState.CONNECTED);
         for (int i = 0; i < 100; i++) {
-            told.snapshot(5, Map.of());
-            told.pass(1000);
+            fixture.snapshot(5, Map.of());
+            fixture.advance(1000);
         }
-        assertEquals(StalenessCause.OLDER, told.membership.staleness());
-        assertEquals(3, told.list.size());
+        assertEquals(StalenessCause.OLDER, fixture.discovery.staleness());
+        assertEquals(3, fixture.list.size());
     }
 
-    /** The ensemble has lost its past: a new session, and every answer is lower than before. */
-    private void wiped() {
-        three();
-        told.session(SessionState.EXPIRED);
-        told.session(SessionState.CONNECTED);
+    /** Lists three hosts, then wipes the ensemble: a new session, and lower transactions. */
+    private void wipeEnsemble() {
+        listThreeHosts();
+        fixture.session(SessionState.EXPIRED);
+        fixture.session(SessionState.CONNECTED);
         for (int i = 0; i < 10; i++) {
-            told.snapshot(5, Map.of());
-            told.pass(2000);
+            fixture.snapshot(5, Map.of());
+            fixture.advance(2000);
         }
-        assertEquals(StalenessCause.WIPED, told.membership.staleness());
-        assertEquals(3, told.list.size());
+        assertEquals(StalenessCause.WIPED, fixture.discovery.staleness());
+        assertEquals(3, fixture.list.size());
     }
 
     @Test
     void wipedEnsembleLeavesTheListUntilItHoldsNodesAgain() {
-        wiped();
-        told.changed(told.nextZxid(), "a");
-        told.changed(told.nextZxid(), "d");
-        told.pass(60_000);
-        assertEquals(HostState.READY, told.state("a"), "nothing is made of that");
-        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
-        told.pass(9000);
-        assertEquals(HostState.READY, told.state("a"), "it has time to come back");
-        told.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
-        told.pass(2000);
-        assertEquals(HostState.READY, told.state("a"));
-        assertEquals(HostState.READY, told.state("b"));
-        assertEquals(HostState.DRAINING, told.state("c"));
-        told.gone(8, "b");
-        assertEquals(HostState.DRAINING, told.state("b"), "the new history is followed");
+        wipeEnsemble();
+        fixture.changed(fixture.nextZxid(), "a");
+        fixture.changed(fixture.nextZxid(), "d");
+        fixture.advance(60_000);
+        assertEquals(
+                HostState.READY,
+                fixture.state("a"),
+                "changes don't count before the next snapshot with nodes");
+        fixture.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
+        fixture.advance(9000);
+        assertEquals(HostState.READY, fixture.state("a"), "it has time to register again");
+        fixture.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
+        fixture.advance(2000);
+        assertEquals(HostState.READY, fixture.state("a"));
+        assertEquals(HostState.READY, fixture.state("b"));
+        assertEquals(HostState.DRAINING, fixture.state("c"));
+        fixture.delete(8, "b");
+        assertEquals(HostState.DRAINING, fixture.state("b"), "deletions in the new history count");
     }
 
     @Test
     void changeInANewHistoryAppliesToHostsOfTheLostOne() {
-        wiped();
-        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
-        told.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
-        told.gone(8, "a");
-        assertEquals(HostState.DRAINING, told.state("a"));
+        wipeEnsemble();
+        fixture.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
+        fixture.put("a", NodeDiscoveryFixture.ready(7, 1, 500));
+        fixture.delete(8, "a");
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     /**
-     * Guards against a node that came back in time and is ended all the same, for want of its data.
+     * Guards against a node that was created again in time but is deleted with the lost history,
+     * because its data were not read yet.
      */
     @Test
     void returnedNodeIsNotDroppedWithTheLostHistory() {
-        wiped();
-        told.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
-        told.changed(7, "a");
-        told.pass(12_000);
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.snapshot(
+        wipeEnsemble();
+        fixture.snapshot(6, Map.of("b", NodeDiscoveryFixture.ready(6, 2, 600)));
+        fixture.changed(7, "a");
+        fixture.advance(12_000);
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.snapshot(
                 7,
                 Map.of(
                         "b",
                         NodeDiscoveryFixture.ready(6, 2, 600),
                         "a",
                         NodeDiscoveryFixture.ready(7, 1, 500)));
-        assertEquals(HostState.READY, told.state("a"));
+        assertEquals(HostState.READY, fixture.state("a"));
     }
 
     @Test
     void deletionIsBelievedInAWipedEnsemble() {
-        wiped();
-        told.gone(6, "a");
-        assertEquals(HostState.DRAINING, told.state("a"));
+        wipeEnsemble();
+        fixture.delete(6, "a");
+        assertEquals(HostState.DRAINING, fixture.state("a"));
     }
 
     @Test
     void wipedEnsembleIsBelievedIfAnOperatorAcceptsIt() {
-        wiped();
-        told.membership.acceptState(told.now * NodeDiscoveryFixture.MS);
-        assertEquals(3, told.list.size());
-        told.snapshot(5, Map.of());
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.pass(3000);
-        assertEquals(0, told.list.size());
+        wipeEnsemble();
+        fixture.discovery.acceptState(fixture.nowNanos());
+        assertEquals(3, fixture.list.size());
+        fixture.snapshot(5, Map.of());
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.advance(3000);
+        assertEquals(0, fixture.list.size());
     }
 
     @Test
     void acceptHasNoEffectWhileTheListIsNotStale() {
-        three();
-        told.membership.acceptState(told.now * NodeDiscoveryFixture.MS);
-        assertEquals(1, told.events.size());
-        told.snapshot(9, Map.of());
-        assertEquals(StalenessCause.OLDER, told.membership.staleness());
+        listThreeHosts();
+        fixture.discovery.acceptState(fixture.nowNanos());
+        assertEquals(1, fixture.events.size());
+        fixture.snapshot(9, Map.of());
+        assertEquals(StalenessCause.OLDER, fixture.discovery.staleness());
     }
 
     @Test
     void ensembleWipedByItsRootIsStaleAtOnce() {
-        three();
-        told.membership.markStale(told.now * NodeDiscoveryFixture.MS, StalenessCause.WIPED);
-        told.snapshot(1000, Map.of());
-        assertEquals(StalenessCause.WIPED, told.membership.staleness());
-        assertEquals(3, told.list.size());
+        listThreeHosts();
+        fixture.discovery.markStale(fixture.nowNanos(), StalenessCause.WIPED);
+        fixture.snapshot(1000, Map.of());
+        assertEquals(StalenessCause.WIPED, fixture.discovery.staleness());
+        assertEquals(3, fixture.list.size());
     }
 
-    // ---- a snapshot beside events
+    // ---- events during a snapshot
 
     @Test
     void eventDuringASnapshotIsNewerThanIt() {
-        three();
-        long asOf = told.now * NodeDiscoveryFixture.MS;
-        told.pass(300);
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 4, 800));
-        told.changed(told.nextZxid(), "e");
-        told.gone(told.nextZxid(), "a");
-        told.put(
+        listThreeHosts();
+        long asOf = fixture.nowNanos();
+        fixture.advance(300);
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 4, 800));
+        fixture.changed(fixture.nextZxid(), "e");
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.put(
                 "b",
                 NodeDiscoveryFixture.node(
-                        2, told.nextZxid(), NodeDiscoveryFixture.data(2, HostState.DRAINING, 600)));
-        told.pass(300);
-        told.membership.onSnapshot(
-                told.now * NodeDiscoveryFixture.MS,
+                        2,
+                        fixture.nextZxid(),
+                        NodeDiscoveryFixture.data(2, HostState.DRAINING, 600)));
+        fixture.advance(300);
+        fixture.discovery.onSnapshot(
+                fixture.nowNanos(),
                 asOf,
                 10,
                 Map.of(
@@ -625,49 +653,49 @@
                         NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700)));
-        assertEquals(HostState.DRAINING, told.state("a"));
-        assertEquals(HostState.DRAINING, told.state("b"));
-        assertEquals(HostState.READY, told.state("c"));
-        assertEquals(HostState.READY, told.state("d"));
-        told.read("e", NodeDiscoveryFixture.ready(102, 5, 900));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("e"));
-        assertEquals(StalenessCause.NONE, told.membership.staleness());
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        assertEquals(HostState.DRAINING, fixture.state("b"));
+        assertEquals(HostState.READY, fixture.state("c"));
+        assertEquals(HostState.READY, fixture.state("d"));
+        fixture.read("e", NodeDiscoveryFixture.ready(102, 5, 900));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("e"));
+        assertEquals(StalenessCause.NONE, fixture.discovery.staleness());
     }
 
-    /** Ensembles before 3.9 don't tell the transaction of an event. */
+    /** Ensembles before version 3.9 send events without a transaction. */
     @Test
     void eventsWithoutATransactionAreBelievedInTheirOrder() {
-        three();
-        told.gone(-1, "a");
-        assertEquals(HostState.DRAINING, told.state("a"));
-        told.changed(-1, "a");
-        told.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
-        told.pass(100);
-        assertEquals(HostState.DRAINING, told.state("a"), "of the node that has ended");
-        told.read("a", NodeDiscoveryFixture.ready(120, 1, 500));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("a"));
+        listThreeHosts();
+        fixture.delete(-1, "a");
+        assertEquals(HostState.DRAINING, fixture.state("a"));
+        fixture.changed(-1, "a");
+        fixture.read("a", NodeDiscoveryFixture.ready(1, 1, 500));
+        fixture.advance(100);
+        assertEquals(HostState.DRAINING, fixture.state("a"), "the data are of the deleted node");
+        fixture.read("a", NodeDiscoveryFixture.ready(120, 1, 500));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("a"));
     }
 
     // ---- ids and addresses
 
     @Test
     void hostMayHaveAnotherIdThanItsNode() {
-        three();
+        listThreeHosts();
         NodeData named =
                 new NodeData(
                         NodeDiscoveryFixture.at(4), 0, 0, 0, HostState.READY, 1, 900, "server-4");
-        told.put("n4", NodeDiscoveryFixture.node(told.nextZxid(), 104, named));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("server-4"));
-        told.put("n4-again", NodeDiscoveryFixture.node(105, 105, named));
-        told.gone(106, "n4");
-        told.pass(5000);
-        assertEquals(HostState.READY, told.state("server-4"), "two nodes of one server");
-        told.gone(107, "n4-again");
-        assertEquals(HostState.DRAINING, told.state("server-4"));
-        told.put(
+        fixture.put("n4", NodeDiscoveryFixture.node(fixture.nextZxid(), 104, named));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("server-4"));
+        fixture.put("n4-again", NodeDiscoveryFixture.node(105, 105, named));
+        fixture.delete(106, "n4");
+        fixture.advance(5000);
+        assertEquals(HostState.READY, fixture.state("server-4"), "two nodes of one server");
+        fixture.delete(107, "n4-again");
+        assertEquals(HostState.DRAINING, fixture.state("server-4"));
+        fixture.put(
                 "a",
                 NodeDiscoveryFixture.node(
                         1,
@@ -681,85 +709,88 @@
                                 1,
                                 500,
                                 "other")));
-        told.pass(100);
-        assertEquals(HostState.GONE, told.state("a"));
-        assertEquals(HostState.READY, told.state("other"));
+        fixture.advance(100);
+        assertEquals(HostState.GONE, fixture.state("a"));
+        assertEquals(HostState.READY, fixture.state("other"));
     }
 
     @Test
     void laterHostHoldsTheAddressBeforeTheOldNodeIsDeleted() {
-        three();
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
-        assertEquals(HostState.READY, told.state("d"), "at once");
-        assertEquals(HostState.GONE, told.state("a"));
-        told.gone(told.nextZxid(), "a");
-        told.pass(5000);
-        assertEquals(HostState.READY, told.state("d"));
-        assertEquals(HostState.GONE, told.state("a"));
-        told.gone(told.nextZxid(), "d");
-        told.pass(5000);
-        assertEquals(2, told.membership.rememberedNodes());
+        listThreeHosts();
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 900));
+        assertEquals(HostState.READY, fixture.state("d"), "at once");
+        assertEquals(HostState.GONE, fixture.state("a"));
+        fixture.delete(fixture.nextZxid(), "a");
+        fixture.advance(5000);
+        assertEquals(HostState.READY, fixture.state("d"));
+        assertEquals(HostState.GONE, fixture.state("a"));
+        fixture.delete(fixture.nextZxid(), "d");
+        fixture.advance(5000);
+        assertEquals(2, fixture.discovery.rememberedNodes());
     }
 
-    /** Guards against an address that gets new work again when the one who took it over ends. */
+    /**
+     * Guards against a displaced host that gets requests again once the host that took its address
+     * has ended.
+     */
     @Test
     void displacedHostDoesNotReturnWhenTheLaterOneEnds() {
-        three();
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 900));
-        told.gone(told.nextZxid(), "d");
-        told.pass(5000);
-        assertEquals(HostState.GONE, told.state("d"));
-        assertEquals(HostState.GONE, told.state("a"));
-        told.put("a", NodeDiscoveryFixture.ready(told.nextZxid(), 1, 500));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("a"), "its node is made again");
+        listThreeHosts();
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 900));
+        fixture.delete(fixture.nextZxid(), "d");
+        fixture.advance(5000);
+        assertEquals(HostState.GONE, fixture.state("d"));
+        assertEquals(HostState.GONE, fixture.state("a"));
+        fixture.put("a", NodeDiscoveryFixture.ready(fixture.nextZxid(), 1, 500));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("a"), "its node was created again");
     }
 
     /**
-     * Guards against a server that is kept away from by one whose clock is ahead and whose node is
-     * gone.
+     * Guards against a host that is not listed because another one at its address, whose clock is
+     * ahead, counts as later although its node was deleted.
      */
     @Test
     void hostOfADeletedNodeHoldsNoAddress() {
-        three();
-        told.gone(told.nextZxid(), "c");
-        told.put("d", NodeDiscoveryFixture.ready(told.nextZxid(), 3, 650));
-        told.pass(100);
-        assertEquals(HostState.READY, told.state("d"));
-        assertEquals(HostState.GONE, told.state("c"));
+        listThreeHosts();
+        fixture.delete(fixture.nextZxid(), "c");
+        fixture.put("d", NodeDiscoveryFixture.ready(fixture.nextZxid(), 3, 650));
+        fixture.advance(100);
+        assertEquals(HostState.READY, fixture.state("d"));
+        assertEquals(HostState.GONE, fixture.state("c"));
     }
 
     // ---- bounds
 
     @Test
     void nothingIsKeptOfHostsInNoSource() {
-        three();
+        listThreeHosts();
         for (int i = 0; i < 10_000; i++) {
             String name = "n" + i;
-            told.put(
+            fixture.put(
                     name,
                     i % 3 == 0
-                            ? NodeDiscoveryFixture.unreadable(told.nextZxid())
-                            : NodeDiscoveryFixture.ready(told.nextZxid(), 10 + i, i));
-            told.gone(told.nextZxid(), name);
-            told.gone(told.nextZxid(), "never" + i);
+                            ? NodeDiscoveryFixture.unreadable(fixture.nextZxid())
+                            : NodeDiscoveryFixture.ready(fixture.nextZxid(), 10 + i, i));
+            fixture.delete(fixture.nextZxid(), name);
+            fixture.delete(fixture.nextZxid(), "never" + i);
         }
-        told.pass(2200);
-        assertEquals(3, told.membership.rememberedNodes());
-        assertEquals(3, told.membership.size());
-        assertEquals(0, told.membership.unreadable());
+        fixture.advance(2200);
+        assertEquals(3, fixture.discovery.rememberedNodes());
+        assertEquals(3, fixture.discovery.size());
+        assertEquals(0, fixture.discovery.unreadable());
     }
 
     @Test
     void changeWithoutEffectIsNotPublished() {
-        three();
-        told.put(
+        listThreeHosts();
+        fixture.put(
                 "a",
                 NodeDiscoveryFixture.node(
-                        1, told.nextZxid(), NodeDiscoveryFixture.data(1, HostState.READY, 500)));
-        told.pass(1000);
-        told.snapshot(
-                told.nextZxid(),
+                        1, fixture.nextZxid(), NodeDiscoveryFixture.data(1, HostState.READY, 500)));
+        fixture.advance(1000);
+        fixture.snapshot(
+                fixture.nextZxid(),
                 Map.of(
                         "a",
                         NodeDiscoveryFixture.node(
@@ -768,16 +799,17 @@
                         NodeDiscoveryFixture.ready(2, 2, 600),
                         "c",
                         NodeDiscoveryFixture.ready(3, 3, 700)));
-        assertEquals(1, told.events.size());
+        assertEquals(1, fixture.events.size());
     }
 
     @Test
     void registryFailurePassesThroughAndItsListsDoNot() {
-        told.registry(UpdateKind.FAILURE);
-        assertEquals(UpdateKind.FAILURE, told.events.get(0).kind());
-        three();
-        told.registry(UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("r", 9, HostState.READY, 1));
-        told.pass(1000);
-        assertEquals(HostState.GONE, told.state("r"));
+        fixture.registry(UpdateKind.FAILURE);
+        assertEquals(UpdateKind.FAILURE, fixture.events.get(0).kind());
+        listThreeHosts();
+        fixture.registry(
+                UpdateKind.SNAPSHOT, NodeDiscoveryFixture.member("r", 9, HostState.READY, 1));
+        fixture.advance(1000);
+        assertEquals(HostState.GONE, fixture.state("r"));
     }
 }
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/RandomEventsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random days of an ensemble, with lost events, stale servers and slow reads, held against a slow,
- * obvious model: of each node all that was told is kept, and what has the highest transaction is
- * what holds.
+ * Runs random event sequences of an ensemble, with lost events, lagging servers and slow reads, and
+ * compares the list with a slow, simple model, which keeps all reads and events of each node and
+ * lets the highest transaction win.
  */
 class RandomEventsTest {
     private static final int SEEDS = 2000;
@@ -27,25 +27,25 @@
     @Test
     void listIsWhatWasNotifiedLast() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            new Play(seed).run();
+            new RandomSequence(seed).run();
         }
     }
 
-    /** What the model knows of a node: each thing that was told, in no order. */
-    private static final class Facts {
+    /** All reads and events of one node, in no order. */
+    private static final class NodeModel {
         final List<NodeRead> reads = new ArrayList<>();
 
-        /** Transactions of changes, with when they were told. */
+        /** Transactions of changes, with the times of their notification. */
         final TreeMap<Long, Long> changes = new TreeMap<>();
 
-        long end;
-        long endedAt;
+        long deletedZxid;
+        long deletedAtMillis;
 
-        void end(long now, long zxid) {
-            if (zxid > end) {
-                // Of one that was gone already, a second end begins nothing anew.
-                endedAt = isThere() ? now : endedAt;
-                end = zxid;
+        void delete(long nowMillis, long zxid) {
+            if (zxid > deletedZxid) {
+                // Another deletion of a deleted node does not restart the removal delay.
+                deletedAtMillis = exists() ? nowMillis : deletedAtMillis;
+                deletedZxid = zxid;
             }
         }
 
@@ -57,76 +57,79 @@
             return last;
         }
 
-        private boolean isThere() {
+        private boolean exists() {
             NodeRead last = last();
-            return last != null && last.czxid() > end;
+            return last != null && last.czxid() > deletedZxid;
         }
 
-        /** Whether it is there, or has been made again as was told. */
+        /** Whether it exists, or its creation was notified. */
         private boolean isKnown() {
-            return isThere() || !changes.tailMap(end, false).isEmpty();
+            return exists() || !changes.tailMap(deletedZxid, false).isEmpty();
         }
 
-        HostState state(long now, HostState actual) {
+        HostState state(long nowMillis, HostState actual) {
             NodeRead last = last();
             if (last == null) {
                 return HostState.GONE;
             }
-            long known = Math.max(last.mzxid(), end);
+            long known = Math.max(last.mzxid(), deletedZxid);
             Long first = null;
-            for (long told : changes.tailMap(known, false).values()) {
-                first = first == null ? told : Math.min(first, told);
+            for (long notified : changes.tailMap(known, false).values()) {
+                first = first == null ? notified : Math.min(first, notified);
             }
-            if (!isThere()) {
-                // Whether one whose making was told but not yet read is still kept is of no
-                // interest.
+            if (!exists()) {
+                // While a notified creation is not read yet, both draining and gone are correct.
                 boolean kept =
-                        now - endedAt < 2000 || first != null && actual == HostState.DRAINING;
+                        nowMillis - deletedAtMillis < 2000
+                                || first != null && actual == HostState.DRAINING;
                 return kept ? HostState.DRAINING : HostState.GONE;
             }
-            return first != null && now - first >= 1000 ? HostState.DRAINING : last.data().state();
+            return first != null && nowMillis - first >= 1000
+                    ? HostState.DRAINING
+                    : last.data().state();
         }
     }
 
-    /** One day. */
-    private static final class Play {
+    /** One random sequence. */
+    private static final class RandomSequence {
         private final int seed;
         private final Random random;
-        private final NodeDiscoveryFixture told = new NodeDiscoveryFixture(SourceSelection.NODES);
-        private final Map<String, Facts> model = new LinkedHashMap<>();
+        private final NodeDiscoveryFixture fixture =
+                new NodeDiscoveryFixture(SourceSelection.NODES);
+        private final Map<String, NodeModel> model = new LinkedHashMap<>();
 
-        /** The ensemble's past: what it held after each transaction. */
-        private final List<Map<String, NodeRead>> past = new ArrayList<>();
+        /** The ensemble's nodes after each transaction. */
+        private final List<Map<String, NodeRead>> history = new ArrayList<>();
 
-        /** Who was told of: the transaction that the connected server has come to. */
-        private int server;
+        /** The last transaction that the connected server has applied. */
+        private int serverZxid;
 
         private boolean connected;
         private boolean watching;
-        private long highestTold;
-        private long start;
-        private final Deque<Runnable> answers = new ArrayDeque<>();
+        private long highestSeenZxid;
+        private long lastStartMillis;
+        private final Deque<Runnable> responses = new ArrayDeque<>();
 
-        Play(int seed) {
+        RandomSequence(int seed) {
             this.seed = seed;
             this.random = new Random(seed);
-            past.add(Map.of());
+            history.add(Map.of());
         }
 
-        private Facts facts(String name) {
-            return model.computeIfAbsent(name, any -> new Facts());
+        private NodeModel node(String name) {
+            return model.computeIfAbsent(name, any -> new NodeModel());
         }
 
         private Map<String, NodeRead> present() {
-            return past.get(past.size() - 1);
+            return history.get(history.size() - 1);
         }
 
         void run() {
             for (int i = 0; i < STEPS; i++) {
                 step();
             }
-            // Quiet at last: what is told now is all there is.
-            connect(past.size() - 1);
+            // Finally a snapshot of the latest state, after which the list must equal it.
+            connect(history.size() - 1);
             snapshot();
             settle();
             for (int i = 0; i < NAMES; i++) {
@@ -134,42 +137,42 @@
                 NodeRead node = present().get(name);
                 assertEquals(
                         node == null ? HostState.GONE : node.data().state(),
-                        told.state(name),
+                        fixture.state(name),
                         "at the end of seed " + seed + " " + name);
             }
-            assertEquals(present().size(), told.membership.rememberedNodes(), "seed " + seed);
+            assertEquals(present().size(), fixture.discovery.rememberedNodes(), "seed " + seed);
         }
 
         private void settle() {
-            while (!answers.isEmpty()) {
-                answers.poll().run();
+            while (!responses.isEmpty()) {
+                responses.poll().run();
             }
-            told.pass(3000);
+            fixture.advance(3000);
         }
 
         private void step() {
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> transaction();
                 case 3, 4, 5 -> deliver();
-                case 6, 7 -> answer();
+                case 6, 7 -> deliverResponse();
                 case 8 -> snapshotOrSession();
                 default -> {
-                    told.pass(100L * (1 + random.nextInt(random.nextInt(8) == 0 ? 25 : 4)));
+                    fixture.advance(100L * (1 + random.nextInt(random.nextInt(8) == 0 ? 25 : 4)));
                     check();
                 }
             }
         }
 
-        /** Something happens to a node. */
+        /** Creates, changes or deletes a node. */
         private void transaction() {
             Map<String, NodeRead> next = new LinkedHashMap<>(present());
             String name = "n" + random.nextInt(NAMES);
             NodeRead node = next.get(name);
-            long zxid = past.size();
+            long zxid = history.size();
             if (node != null && random.nextInt(3) > 0) {
                 next.remove(name);
             } else {
-                long began = node == null ? ++start : node.data().startedMillis();
+                long began = node == null ? ++lastStartMillis : node.data().startedMillis();
                 NodeData data =
                         NodeDiscoveryFixture.data(
                                 Integer.parseInt(name.substring(1)) + 1,
@@ -179,78 +182,79 @@
                         name,
                         NodeDiscoveryFixture.node(node == null ? zxid : node.czxid(), zxid, data));
             }
-            past.add(next);
+            history.add(next);
         }
 
-        /** The server comes to know the next transaction, and tells it if it is watched. */
+        /** Lets the server apply the next transaction, and notify it if watched. */
         private void deliver() {
-            if (!connected || server == past.size() - 1) {
+            if (!connected || serverZxid == history.size() - 1) {
                 return;
             }
-            server++;
+            serverZxid++;
             if (!watching) {
                 return;
             }
-            Map<String, NodeRead> before = past.get(server - 1);
-            Map<String, NodeRead> after = past.get(server);
+            Map<String, NodeRead> before = history.get(serverZxid - 1);
+            Map<String, NodeRead> after = history.get(serverZxid);
             for (int i = 0; i < NAMES; i++) {
                 String name = "n" + i;
                 if (before.get(name) == after.get(name)) {
                     continue;
                 }
                 if (after.get(name) == null) {
-                    told.gone(server, name);
-                    facts(name).end(told.now, server);
+                    fixture.delete(serverZxid, name);
+                    node(name).delete(fixture.nowMillis, serverZxid);
                 } else {
-                    // Told by a server that lags: of who is forgotten or never was, it is no news.
-                    boolean news =
-                            told.membership.staleness() == StalenessCause.NONE
-                                    || server >= highestTold
-                                    || facts(name).isKnown();
-                    told.changed(server, name);
-                    if (news) {
-                        facts(name).changes.putIfAbsent((long) server, told.now);
+                    // A lagging server's event for an unknown node is ignored.
+                    boolean applies =
+                            fixture.discovery.staleness() == StalenessCause.NONE
+                                    || serverZxid >= highestSeenZxid
+                                    || node(name).isKnown();
+                    fixture.changed(serverZxid, name);
+                    if (applies) {
+                        node(name).changes.putIfAbsent((long) serverZxid, fixture.nowMillis);
                     }
-                    ask(name);
+                    sendRead(name);
                 }
             }
-            highestTold = Math.max(highestTold, server);
+            highestSeenZxid = Math.max(highestSeenZxid, serverZxid);
         }
 
         /**
-         * Reads a node, as it is at the server by the time of the answer or was at that of the
-         * question.
+         * Sends a read of a node, whose response holds the server's state at the time of either the
+         * request or the response.
          */
-        private void ask(String name) {
-            NodeRead asked = past.get(server).get(name);
+        private void sendRead(String name) {
+            NodeRead atRequest = history.get(serverZxid).get(name);
             boolean late = random.nextBoolean();
-            answers.add(
+            responses.add(
                     () -> {
-                        NodeRead read = late && connected ? past.get(server).get(name) : asked;
+                        NodeRead read =
+                                late && connected ? history.get(serverZxid).get(name) : atRequest;
                         if (read != null) {
-                            hear(name, read);
+                            deliverRead(name, read);
                         }
                     });
         }
 
-        private void hear(String name, NodeRead read) {
-            Facts facts = facts(name);
-            boolean known = facts.isKnown();
-            NodeRead last = facts.last();
-            // An answer that is older than the change which asked for it is of no use.
-            boolean old = !facts.changes.tailMap(read.mzxid(), false).isEmpty();
-            told.read(name, read);
+        private void deliverRead(String name, NodeRead read) {
+            NodeModel node = node(name);
+            boolean known = node.isKnown();
+            NodeRead last = node.last();
+            // A response older than the change that caused the read is ignored.
+            boolean old = !node.changes.tailMap(read.mzxid(), false).isEmpty();
+            fixture.read(name, read);
             if (known
                     && !old
-                    && read.czxid() > facts.end
+                    && read.czxid() > node.deletedZxid
                     && (last == null || read.mzxid() >= last.mzxid())) {
-                facts.reads.add(read);
+                node.reads.add(read);
             }
         }
 
-        private void answer() {
-            if (!answers.isEmpty()) {
-                answers.poll().run();
+        private void deliverResponse() {
+            if (!responses.isEmpty()) {
+                responses.poll().run();
             }
         }
 
@@ -259,11 +263,12 @@
             if (what == 0) {
                 connected = false;
                 watching = false;
-                answers.clear();
-                told.session(random.nextBoolean() ? SessionState.SUSPENDED : SessionState.EXPIRED);
+                responses.clear();
+                fixture.session(
+                        random.nextBoolean() ? SessionState.SUSPENDED : SessionState.EXPIRED);
             } else if (what == 1 || !connected) {
                 int back = random.nextInt(3) == 0 ? random.nextInt(6) : 0;
-                connect(Math.max(0, past.size() - 1 - back));
+                connect(Math.max(0, history.size() - 1 - back));
             } else {
                 snapshot();
             }
@@ -271,51 +276,50 @@
 
         private void connect(int at) {
             if (connected) {
-                told.session(SessionState.SUSPENDED);
+                fixture.session(SessionState.SUSPENDED);
             }
-            answers.clear();
+            responses.clear();
             connected = true;
             watching = true;
-            server = at;
-            told.session(SessionState.CONNECTED);
+            serverZxid = at;
+            fixture.session(SessionState.CONNECTED);
         }
 
         private void snapshot() {
-            Map<String, NodeRead> read = past.get(server);
-            told.pass(100);
-            told.snapshot(server, read);
-            if (server < highestTold) {
+            Map<String, NodeRead> read = history.get(serverZxid);
+            fixture.advance(100);
+            fixture.snapshot(serverZxid, read);
+            if (serverZxid < highestSeenZxid) {
                 return;
             }
-            highestTold = server;
+            highestSeenZxid = serverZxid;
             for (int i = 0; i < NAMES; i++) {
                 String name = "n" + i;
                 NodeRead node = read.get(name);
                 if (node != null) {
-                    facts(name).reads.add(node);
-                } else if (facts(name).last() != null || !facts(name).changes.isEmpty()) {
-                    facts(name).end(told.now, server);
+                    node(name).reads.add(node);
+                } else if (node(name).last() != null || !node(name).changes.isEmpty()) {
+                    node(name).delete(fixture.nowMillis, serverZxid);
                 }
             }
         }
 
-        /** Right after a tick. */
+        /** Compares the list with the model, right after a tick. */
         private void check() {
-            if (!told.membership.hasList()) {
+            if (!fixture.discovery.hasList()) {
                 return;
             }
-            told.pass(100);
+            fixture.advance(100);
             for (int i = 0; i < NAMES; i++) {
                 String name = "n" + i;
                 assertEquals(
-                        facts(name).state(told.now, told.state(name)),
-                        told.state(name),
-                        "seed " + seed + ", " + name + " at " + told.now);
-                DiscoveredEndpoint member = told.list.get(name);
+                        node(name).state(fixture.nowMillis, fixture.state(name)),
+                        fixture.state(name),
+                        "seed " + seed + ", " + name + " at " + fixture.nowMillis);
+                DiscoveredEndpoint member = fixture.list.get(name);
                 if (member != null) {
                     assertEquals(
-                            facts(name).last().data().startedMillis(),
-                            member.startedAtUnixMillis());
+                            node(name).last().data().startedMillis(), member.startedAtUnixMillis());
                 }
             }
         }
