--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/NodeDiscovery.java
@@ -61,7 +61,7 @@
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    private final SourceSelection merge;
+    private final SourceSelection sources;
     private final Settings settings;
     private final Sink sink;
     private final Consumer<String> infoLog;
@@ -92,12 +92,12 @@
 
     /** {@code infoLog} and {@code warningLog} take log lines for operators. */
     public NodeDiscovery(
-            SourceSelection merge,
+            SourceSelection sources,
             Settings settings,
             Sink sink,
             Consumer<String> infoLog,
             Consumer<String> warningLog) {
-        this.merge = merge;
+        this.sources = sources;
         this.settings = settings;
         this.sink = sink;
         this.infoLog = infoLog;
@@ -124,7 +124,7 @@
             sink.onUpdate(kind, List.of(), REGISTRY, now);
             return;
         }
-        if (merge == SourceSelection.NODES && (kind != UpdateKind.CACHED_SNAPSHOT || nodesRead)) {
+        if (sources == SourceSelection.NODES && (kind != UpdateKind.CACHED_SNAPSHOT || nodesRead)) {
             return;
         }
         if (nodesRead) {
@@ -238,7 +238,7 @@
                     "membership: the coordination service has a new history; servers missing from"
                             + " it are kept for a while");
         }
-        if (!nodesRead && merge == SourceSelection.NODES) {
+        if (!nodesRead && sources == SourceSelection.NODES) {
             registry.update(UpdateKind.SNAPSHOT, List.of(), none -> {}, none -> {});
         }
         return true;
@@ -264,7 +264,7 @@
 
     /**
      * Handles the data of a node, last changed by transaction {@code mzxid}. For a node that does
-     * not exist, {@link #onNodeDeleted} is to be called instead.
+     * not exist, {@link #onNodeDeleted} must be called instead.
      */
     public void onNodeRead(long now, long mzxid, String name, NodeRead data) {
         if (sessionState != SessionState.READ_ONLY && staleness.cause() != StalenessCause.WIPED) {
--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -6,11 +6,11 @@
 
 /** Counts the nodes whose data can't be read, and logs a bounded number of them, once each. */
 final class UnreadableNodes {
-    private static final int MAX_NAMED = 100;
+    private static final int MAX_LOGGED = 100;
 
     private final Consumer<String> warning;
     private final Set<String> unreadable = new HashSet<>();
-    private final Set<String> named = new HashSet<>();
+    private final Set<String> logged = new HashSet<>();
     private boolean reportedMany;
 
     UnreadableNodes(Consumer<String> warning) {
@@ -23,19 +23,19 @@
 
     void add(String name, String problem) {
         unreadable.add(name);
-        if (named.contains(name)) {
+        if (logged.contains(name)) {
             return;
         }
-        if (named.size() < MAX_NAMED) {
-            named.add(name);
+        if (logged.size() < MAX_LOGGED) {
+            logged.add(name);
             warning.accept(
                     "membership: node " + name + " can't be read and is left out: " + problem);
         } else if (!reportedMany) {
             reportedMany = true;
             warning.accept(
                     "membership: more than "
-                            + MAX_NAMED
-                            + " nodes can't be read; no more are named");
+                            + MAX_LOGGED
+                            + " nodes can't be read; further ones are not logged");
         }
     }
 
@@ -47,7 +47,7 @@
     /** Forgets a deleted node. */
     void forget(String name) {
         unreadable.remove(name);
-        named.remove(name);
-        reportedMany &= !named.isEmpty();
+        logged.remove(name);
+        reportedMany &= !logged.isEmpty();
     }
 }
--- a/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
+++ b/sidecar/src/main/java/appleridge/discovery/registry/RegistryConnection.java
@@ -23,9 +23,7 @@
  * the caller is notified, on the event loop.
  */
 final class RegistryConnection {
-    /**
-     * Notified once of each call, never from within {@link #call}, and no more after {@link #drop}.
-     */
+    /** Notified once of each call, never from within {@link #call}, and not after {@link #drop}. */
     interface Caller {
         /** Takes the response, which is released when this method returns. */
         void onResponse(RegistryConnection source, FullHttpResponse response);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ClientHandle.java
@@ -32,7 +32,7 @@
         void onSnapshotDelivered();
 
         /** The subtree can't be read for now. */
-        void onReadFailed(StalenessCause why);
+        void onReadFailed(StalenessCause cause);
 
         /** The subtree can't be read, for a reason that has no {@link StalenessCause}. */
         void onUnexpectedCode(Code code);
@@ -238,9 +238,9 @@
     }
 
     @Override
-    public void onStale(StalenessCause why) {
-        mailbox.stale(why);
-        owner.onReadFailed(why);
+    public void onStale(StalenessCause cause) {
+        mailbox.stale(cause);
+        owner.onReadFailed(cause);
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ForwardingSessionListener.java
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public void onStale(long now, StalenessCause why) {
-        discovery.markStale(now, why);
+    public void onStale(long now, StalenessCause cause) {
+        discovery.markStale(now, cause);
     }
 
     @Override
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/Mailbox.java
@@ -62,8 +62,8 @@
         add(PartKind.SESSION, () -> listener.onSessionState(loop.nanoTime(), state));
     }
 
-    void stale(StalenessCause why) {
-        add(PartKind.STALE, () -> listener.onStale(loop.nanoTime(), why));
+    void stale(StalenessCause cause) {
+        add(PartKind.STALE, () -> listener.onStale(loop.nanoTime(), cause));
     }
 
     void accept() {
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SessionListener.java
@@ -27,7 +27,7 @@
     void onNodeDeleted(long now, long notifiedAtNanos, long zxid, String name);
 
     /** The subtree can't be read. */
-    void onStale(long now, StalenessCause why);
+    void onStale(long now, StalenessCause cause);
 
     /** An operator accepts the service's state although it is older than before. */
     void onAccepted(long now);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeListener.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/SubtreeListener.java
@@ -37,7 +37,7 @@
     void onNodeDeleted(long zxid, String name);
 
     /** The subtree can't be read; {@link SubtreeWatcher#readAll} must be called again. */
-    void onStale(StalenessCause why);
+    void onStale(StalenessCause cause);
 
     /** As {@link #onStale}, for a code that has no {@link StalenessCause}. */
     void onUnexpectedCode(Code code);
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/ZooKeeperDiscovery.java
@@ -253,8 +253,8 @@
         }
 
         @Override
-        public void onReadFailed(StalenessCause why) {
-            retry(why == StalenessCause.TOO_LARGE ? RETRY_TOO_LARGE_NANOS : RETRY_NANOS);
+        public void onReadFailed(StalenessCause cause) {
+            retry(cause == StalenessCause.TOO_LARGE ? RETRY_TOO_LARGE_NANOS : RETRY_NANOS);
         }
 
         @Override
--- a/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
+++ b/sidecar/src/test/java/appleridge/discovery/ephemeral/NodeDiscoveryFixture.java
@@ -30,10 +30,10 @@
     long nowMillis = 1000;
     private long zxid = 100;
 
-    NodeDiscoveryFixture(SourceSelection merge) {
+    NodeDiscoveryFixture(SourceSelection sources) {
         discovery =
                 new NodeDiscovery(
-                        merge,
+                        sources,
                         NodeDiscovery.Settings.DEFAULTS,
                         this::onUpdate,
                         infoLines::add,
--- a/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
+++ b/sidecar/src/test/java/appleridge/discovery/zookeeper/RecordingSessionListener.java
@@ -76,8 +76,8 @@
     }
 
     @Override
-    public void onStale(long now, StalenessCause why) {
-        record("stale " + why);
+    public void onStale(long now, StalenessCause cause) {
+        record("stale " + cause);
     }
 
     @Override
