--- a/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
+++ b/sidecar/src/main/java/appleridge/discovery/ephemeral/UnreadableNodes.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Nodes whose data can't be read: counted, and up to a number of them logged once each. */
+/** Counts the nodes whose data can't be read, and logs a bounded number of them, once each. */
 final class UnreadableNodes {
-    private static final int MAX_NAMED = 100;
+    private static final int MAX_LOGGED = 100;
 
     private final Consumer<String> warning;
     private final Set<String> unreadable = new HashSet<>();
-    private final Set<String> named = new HashSet<>();
+    private final Set<String> logged = new HashSet<>();
     private boolean reportedMany;
 
     UnreadableNodes(Consumer<String> warning) {
@@ -23,31 +23,31 @@
 
     void add(String name, String problem) {
         unreadable.add(name);
-        if (named.contains(name)) {
+        if (logged.contains(name)) {
             return;
         }
-        if (named.size() < MAX_NAMED) {
-            named.add(name);
+        if (logged.size() < MAX_LOGGED) {
+            logged.add(name);
             warning.accept(
                     "membership: node " + name + " can't be read and is left out: " + problem);
         } else if (!reportedMany) {
             reportedMany = true;
             warning.accept(
                     "membership: more than "
-                            + MAX_NAMED
-                            + " nodes can't be read; no more are named");
+                            + MAX_LOGGED
+                            + " nodes can't be read; further ones are not logged");
         }
     }
 
-    /** It was read; if it can't be read again later, that is not logged again. */
+    /** Removes a node that was read; it is not logged again if it becomes unreadable again. */
     void remove(String name) {
         unreadable.remove(name);
     }
 
-    /** Its node is no more. */
+    /** Forgets a deleted node. */
     void forget(String name) {
         unreadable.remove(name);
-        named.remove(name);
-        reportedMany &= !named.isEmpty();
+        logged.remove(name);
+        reportedMany &= !logged.isEmpty();
     }
 }
