--- a/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
+++ b/sidecar/src/main/java/appleridge/daemon/ConfigReloader.java
@@ -84,7 +84,7 @@
         if (!next.registryAddress().equals(discovery)) {
             discovery = next.registryAddress();
             LOG.log(System.Logger.Level.INFO, "discovery is now at " + discovery);
-            runner.follow(discovery);
+            runner.switchRegistry(discovery);
         }
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/RuntimeOptions.java
+++ b/sidecar/src/main/java/appleridge/daemon/RuntimeOptions.java
@@ -4,17 +4,21 @@
 import appleridge.http1.ClientTimeouts;
 
 /**
- * What an operator may set of a sidecar.
+ * Settings of a sidecar that the operator's file can change; {@link #DEFAULTS} where there is none.
  *
- * @param times timeouts of clients' connections
- * @param clientsPart part of the process's descriptors for connections of clients, 0 to 1
- * @param upstreamsPart part of them for connections to upstream hosts; the rest is the process's
- *     own
- * @param source makes the source of the endpoint list
+ * @param clientTimeouts timeouts of client connections
+ * @param clientConnectionsFraction fraction of the process's file descriptors that client
+ *     connections may use, 0 to 1
+ * @param upstreamConnectionsFraction fraction that connections to upstream hosts may use; the
+ *     remaining descriptors are for the process itself
+ * @param discovery creates the source of the endpoint list
  */
 public record RuntimeOptions(
-        ClientTimeouts times, double clientsPart, double upstreamsPart, DiscoveryFactory source) {
-    /** Where there is no operator's file. */
+        ClientTimeouts clientTimeouts,
+        double clientConnectionsFraction,
+        double upstreamConnectionsFraction,
+        DiscoveryFactory discovery) {
+    /** The options of a sidecar without an operator's file. */
     public static final RuntimeOptions DEFAULTS =
             new RuntimeOptions(
                     ClientTimeouts.DEFAULT,
@@ -22,13 +26,15 @@
                     Defaults.UPSTREAM_CONNECTIONS_FRACTION,
                     DiscoveryFactory::registry);
 
-    /** The same with other timeouts. */
-    RuntimeOptions with(ClientTimeouts other) {
-        return new RuntimeOptions(other, clientsPart, upstreamsPart, source);
+    /** Returns a copy with other client timeouts. */
+    RuntimeOptions withClientTimeouts(ClientTimeouts other) {
+        return new RuntimeOptions(
+                other, clientConnectionsFraction, upstreamConnectionsFraction, discovery);
     }
 
-    /** The same with another source of the endpoint list. */
-    public RuntimeOptions with(DiscoveryFactory other) {
-        return new RuntimeOptions(times, clientsPart, upstreamsPart, other);
+    /** Returns a copy with another source of the endpoint list. */
+    public RuntimeOptions withDiscovery(DiscoveryFactory other) {
+        return new RuntimeOptions(
+                clientTimeouts, clientConnectionsFraction, upstreamConnectionsFraction, other);
     }
 }
--- a/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
+++ b/sidecar/src/main/java/appleridge/daemon/ServeCommand.java
@@ -37,12 +37,12 @@
         try {
             runner.inherit(config);
             runner.open(config, options);
-            runner.warm(config);
+            runner.warmUp(config);
             reloader.begin(runner, configFile, config);
             logStarted(config, sighupArrives);
             // Last: clients come all at once when it says that it is ready, and whatever a start
             // had still to do then would have the core while their requests wait unread.
-            runner.ready();
+            runner.markWarmedUp();
         } catch (Exception e) {
             // Also the checked ones that Netty throws undeclared, such as an address in use.
             runner.shutdown().onStartFailed();
@@ -71,9 +71,9 @@
         try {
             SidecarRunner runner = new SidecarRunner();
             runner.open(atAnyPort(config), RuntimeOptions.DEFAULTS);
-            runner.follow(runner.address());
-            runner.warm(config);
-            runner.ready();
+            runner.switchRegistry(runner.address());
+            runner.warmUp(config);
+            runner.markWarmedUp();
             LOG.log(System.Logger.Level.INFO, config.name() + " is warm");
             runner.close();
         } catch (Exception e) {
--- a/sidecar/src/main/java/appleridge/daemon/Sidecar.java
+++ b/sidecar/src/main/java/appleridge/daemon/Sidecar.java
@@ -32,7 +32,7 @@
     /** Null where the sidecar is one process. */
     private final HotRestart hotRestart;
 
-    /** Begins to listen and to follow discovery; it is not ready before {@link #warm()}. */
+    /** Begins to listen and to follow discovery; it is not ready before {@link #markWarmedUp()}. */
     public Sidecar(
             SidecarEventLoop loop,
             SocketFactory sockets,
@@ -63,10 +63,10 @@
                         sockets,
                         config,
                         connectionLimits(config, options),
-                        options.times(),
+                        options.clientTimeouts(),
                         policyFactory);
         this.endpoints = new EndpointTable(loop::nanosOfUnixMillis);
-        this.discovery = options.source().create(loop, sockets, config, this::onUpdate);
+        this.discovery = options.discovery().create(loop, sockets, config, this::onUpdate);
         this.admin =
                 config.adminAddress().isEmpty()
                         ? null
@@ -92,8 +92,8 @@
     private static UpstreamCluster.ConnectionLimits connectionLimits(
             SidecarConfig config, RuntimeOptions options) {
         return new UpstreamCluster.ConnectionLimits(
-                (int) (config.maxDescriptors() * options.clientsPart()),
-                (int) (config.maxDescriptors() * options.upstreamsPart()));
+                (int) (config.maxDescriptors() * options.clientConnectionsFraction()),
+                (int) (config.maxDescriptors() * options.upstreamConnectionsFraction()));
     }
 
     private ChannelFuture listen(SidecarConfig config, InheritedListener inherited) {
@@ -148,7 +148,7 @@
     }
 
     /** From now on it says that it is ready, if some host is ready. */
-    public void warm() {
+    public void markWarmedUp() {
         cluster.listener.markWarmedUp();
         if (hotRestart != null) {
             hotRestart.phase(ProcessPhase.SERVING);
@@ -156,7 +156,7 @@
     }
 
     /** Goes over to another discovery; requests go on untouched. */
-    public void follow(InetSocketAddress otherDiscovery) {
+    public void switchRegistry(InetSocketAddress otherDiscovery) {
         discovery.switchRegistry(otherDiscovery);
     }
 
--- a/sidecar/src/main/java/appleridge/daemon/SidecarRunner.java
+++ b/sidecar/src/main/java/appleridge/daemon/SidecarRunner.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One sidecar with its event loop thread, step by step from {@link #inherit} to {@link #ready}. Its
- * methods are called from outside the event loop, in this order, by one thread; what they start
- * runs on the loop.
+ * One sidecar with its event loop thread, step by step from {@link #inherit} to {@link
+ * #markWarmedUp}. Its methods are called from outside the event loop, in this order, by one thread;
+ * what they start runs on the loop.
  */
 final class SidecarRunner {
     private final NioIoHandlerFactory eventLoops = new NioIoHandlerFactory();
@@ -47,8 +47,8 @@
             throws InterruptedException, ExecutionException {
         SidecarRunner runner = new SidecarRunner();
         runner.open(config, options);
-        runner.warm(config);
-        runner.ready();
+        runner.warmUp(config);
+        runner.markWarmedUp();
         return runner;
     }
 
@@ -86,13 +86,13 @@
     }
 
     /** Blocks until the code of requests is warm. */
-    void warm(SidecarConfig config) throws InterruptedException {
+    void warmUp(SidecarConfig config) throws InterruptedException {
         WarmUp.run(loop(group.next(), System.Logger.Level.DEBUG), new NioSocketFactory(), config);
     }
 
     /** From now on it says that it is ready. */
-    void ready() {
-        group.execute(sidecar::warm);
+    void markWarmedUp() {
+        group.execute(sidecar::markWarmedUp);
     }
 
     private ChannelFuture listen(
@@ -123,8 +123,8 @@
     }
 
     /** Goes over to another discovery; requests go on untouched. */
-    void follow(InetSocketAddress otherDiscovery) {
-        group.execute(() -> sidecar.follow(otherDiscovery));
+    void switchRegistry(InetSocketAddress otherDiscovery) {
+        group.execute(() -> sidecar.switchRegistry(otherDiscovery));
     }
 
     /** Where it listens; null before {@link #open}. */
--- a/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
@@ -17,20 +17,20 @@
     static final int NO_ANSWER = 0;
 
     /** Status of a request whose client found nobody to connect to; the sidecar never had it. */
-    static final int NOT_TAKEN = -1;
+    static final int NOT_CONNECTED = -1;
 
     /** Status of a request that is still waiting. */
     static final int WAITING = -2;
 
     /** One request and what became of it; times are of the monotonic clock. */
-    static final class Asked {
+    static final class SentRequest {
         final String id;
         final long sentAt;
         private int status = WAITING;
         private long endedAt;
         private String error = "";
 
-        private Asked(String id, long sentAt) {
+        private SentRequest(String id, long sentAt) {
             this.id = id;
             this.sentAt = sentAt;
         }
@@ -40,7 +40,7 @@
         }
 
         /** From its sending to its end. */
-        synchronized long tookMillis() {
+        synchronized long durationMillis() {
             return TimeUnit.NANOSECONDS.toMillis(
                     (status == WAITING ? System.nanoTime() : endedAt) - sentAt);
         }
@@ -53,14 +53,14 @@
 
         @Override
         public synchronized String toString() {
-            return id + " status " + status + " after " + tookMillis() + " ms " + error;
+            return id + " status " + status + " after " + durationMillis() + " ms " + error;
         }
     }
 
     private final InetSocketAddress address;
     private final IntFunction<String> requests;
     private final long pauseMillis;
-    private final List<Asked> asked = new ArrayList<>();
+    private final List<SentRequest> asked = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
     private volatile boolean ends;
 
@@ -92,8 +92,9 @@
         try {
             while (!ends) {
                 String request = requests.apply(number);
-                Asked next =
-                        new Asked(StubUpstream.header(request, "x-request-id"), System.nanoTime());
+                SentRequest next =
+                        new SentRequest(
+                                StubUpstream.header(request, "x-request-id"), System.nanoTime());
                 synchronized (asked) {
                     asked.add(next);
                 }
@@ -108,14 +109,14 @@
     }
 
     /** Asks and notes what became of it; the connection for the next request, or null. */
-    private TestClient ask(TestClient kept, String request, Asked next) {
+    private TestClient ask(TestClient kept, String request, SentRequest next) {
         TestClient client = kept;
         String error = "";
         for (int tries = 0; tries < 2; tries++) {
             try {
                 client = client == null ? new TestClient(address) : client;
             } catch (IOException e) {
-                next.ended(NOT_TAKEN, e.toString());
+                next.ended(NOT_CONNECTED, e.toString());
                 return null;
             }
             try {
@@ -148,7 +149,7 @@
     }
 
     /** All requests so far. */
-    List<Asked> asked() {
+    List<SentRequest> sentRequests() {
         synchronized (asked) {
             return List.copyOf(asked);
         }
@@ -156,19 +157,19 @@
 
     /** How many of the requests from the given number on were answered so. */
     long count(int from, int status) {
-        List<Asked> all = asked();
+        List<SentRequest> all = sentRequests();
         return all.subList(Math.min(from, all.size()), all.size()).stream()
                 .filter(each -> each.status() == status)
                 .count();
     }
 
     /** No more requests; each that is out is awaited. */
-    List<Asked> end() throws InterruptedException {
+    List<SentRequest> finish() throws InterruptedException {
         ends = true;
         for (Thread thread : threads) {
             thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
         }
-        return asked();
+        return sentRequests();
     }
 
     @Override
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
@@ -120,19 +120,19 @@
                             + TimeUnit.MILLISECONDS.toNanos(
                                     GRACE_MILLIS
                                             + Math.min(LONGEST_WAITED_MILLIS, deadlineMillis)));
-            List<ClosedLoopClients.Asked> open =
-                    clients.asked().stream()
+            List<ClosedLoopClients.SentRequest> open =
+                    clients.sentRequests().stream()
                             .filter(each -> each.status() == ClosedLoopClients.WAITING)
                             .toList();
             assertEquals(0, sidecar.awaitExit(), sidecar.log());
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             // A client may be about to learn that nobody listens any more: that takes its thread a
             // moment, and its request was never taken. Whatever else is open here is answered late
             // or never.
             assertEquals(
                     List.of(),
                     open.stream()
-                            .filter(each -> each.status() != ClosedLoopClients.NOT_TAKEN)
+                            .filter(each -> each.status() != ClosedLoopClients.NOT_CONNECTED)
                             .toList(),
                     sidecar.log());
             Set<String> forwarded = forwarded(upstream, hangs);
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
@@ -99,7 +99,7 @@
         node =
                 SidecarRunner.start(
                         config.withListenAddress(anyPort),
-                        RuntimeOptions.DEFAULTS.with(figures.times));
+                        RuntimeOptions.DEFAULTS.withClientTimeouts(figures.times));
     }
 
     public static String json(Figures figures, String discovery, String... targets) {
--- a/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -172,7 +172,7 @@
             watchSince(host, 1);
             host.tell(LoopbackNode.list(7, true, LoopbackNode.targets(one)));
             watchSince(host, 7);
-            host.node.follow(SidecarConfig.literalAddress(other.address()));
+            host.node.switchRegistry(SidecarConfig.literalAddress(other.address()));
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances HTTP"),
                     "the list first");
@@ -256,7 +256,7 @@
                     && host.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
                 Thread.onSpinWait();
             }
-            host.node.follow(SidecarConfig.literalAddress(other.address()));
+            host.node.switchRegistry(SidecarConfig.literalAddress(other.address()));
             assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
             String second = other.nextRequest();
             assertTrue(second.startsWith("GET /registry/instances?since=5&"), second);
@@ -530,7 +530,7 @@
                                                 "\"discovery\":\"" + old.address() + "\""),
                                 LoopbackNode.targets(one, two))) {
             untilAsked(old, " HTTP");
-            host.node.follow(SidecarConfig.literalAddress(silent.address()));
+            host.node.switchRegistry(SidecarConfig.literalAddress(silent.address()));
             untilAsked(silent, " HTTP");
             moved.countDown();
             // One is closed with the move, the other one when its answer has been read.
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -70,19 +70,20 @@
     /** Waits until so many requests more have come to an end. */
     private static void awaitMore(ClosedLoopClients clients, int requests)
             throws InterruptedException {
-        int goal = clients.asked().size() + requests;
+        int goal = clients.sentRequests().size() + requests;
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
-        while (clients.asked().size() < goal && System.nanoTime() < until) {
+        while (clients.sentRequests().size() < goal && System.nanoTime() < until) {
             Thread.sleep(5);
         }
-        assertTrue(clients.asked().size() >= goal, "requests go on being answered");
+        assertTrue(clients.sentRequests().size() >= goal, "requests go on being answered");
     }
 
-    private static List<ClosedLoopClients.Asked> unanswered(List<ClosedLoopClients.Asked> asked) {
+    private static List<ClosedLoopClients.SentRequest> unanswered(
+            List<ClosedLoopClients.SentRequest> asked) {
         return asked.stream().filter(each -> each.status() <= 0).toList();
     }
 
-    private static void assertMostServed(List<ClosedLoopClients.Asked> asked) {
+    private static void assertMostServed(List<ClosedLoopClients.SentRequest> asked) {
         long served = asked.stream().filter(each -> each.status() == 200).count();
         assertTrue(100 * served >= MOST * asked.size(), served + " served of " + asked.size());
     }
@@ -102,7 +103,7 @@
             faults.fail(SystemFaults.Fault.WAIT, OFTEN, SystemFaults.EINTR);
             faults.fail(SystemFaults.Fault.READ_WRITE, OFTEN, SystemFaults.EINTR);
             awaitMore(clients, ENOUGH);
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             assertTrue(faults.count(SystemFaults.Fault.WAIT) > 0);
             assertTrue(faults.count(SystemFaults.Fault.READ_WRITE) > 0);
             assertEquals(List.of(), unanswered(asked), sidecar.log());
@@ -125,7 +126,7 @@
                         new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
             faults.fail(SystemFaults.Fault.CONNECT, OFTEN, errno);
             awaitMore(clients, ENOUGH);
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             assertTrue(faults.count(SystemFaults.Fault.CONNECT) > 0);
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             assertFalse(sidecar.log().contains(" ejected: "), sidecar.log());
@@ -153,7 +154,7 @@
                 faults.fail(SystemFaults.Fault.ACCEPT, OFTEN / 3, errno);
                 awaitMore(clients, ENOUGH / 4);
             }
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             assertTrue(faults.count(SystemFaults.Fault.ACCEPT) > 0);
             assertTrue(faults.count(SystemFaults.Fault.SOCKET) > 0);
             assertTrue(faults.count(SystemFaults.Fault.SHORT) > 0);
@@ -181,7 +182,7 @@
             faults.breakConnectionsTo(SidecarConfig.literalAddress(a.address()).getPort());
             faults.fail(SystemFaults.Fault.BREAK, OFTEN / 3, errno);
             awaitMore(clients, ENOUGH);
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             assertTrue(faults.count(SystemFaults.Fault.BREAK) > 0);
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             Set<String> ran = new HashSet<>();
@@ -215,11 +216,12 @@
                 faults.stepWallClock(hours, TimeUnit.HOURS);
             }
             awaitMore(clients, ENOUGH / 8);
-            List<ClosedLoopClients.Asked> asked = clients.end();
+            List<ClosedLoopClients.SentRequest> asked = clients.finish();
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             long latest = TimeUnit.SECONDS.toMillis(1) + SLACK_MILLIS;
             assertEquals(
-                    List.of(), asked.stream().filter(each -> each.tookMillis() > latest).toList());
+                    List.of(),
+                    asked.stream().filter(each -> each.durationMillis() > latest).toList());
             assertEquals(0, sidecar.figure("event_loop_stalls"), sidecar.log());
             assertTrue(silent.requests.size() > 0, "some waited for their deadline");
         }
--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -78,7 +78,7 @@
                     RuntimeOptions tuning =
                             ensemble.get() == null
                                     ? RuntimeOptions.DEFAULTS
-                                    : RuntimeOptions.DEFAULTS.with(
+                                    : RuntimeOptions.DEFAULTS.withDiscovery(
                                             new SimNodes(ensemble.get(), process.name()));
                     node =
                             new Sidecar(
@@ -107,7 +107,7 @@
                             .addListener(
                                     done -> {
                                         if (done.isSuccess()) {
-                                            node.warm();
+                                            node.markWarmedUp();
                                         } else {
                                             end();
                                             process.exited().accept(1);
@@ -151,7 +151,7 @@
 
     @Override
     public void hup(String text) {
-        loop.execute(() -> node.follow(parse(text).registryAddress()));
+        loop.execute(() -> node.switchRegistry(parse(text).registryAddress()));
     }
 
     @Override
