--- a/sidecar/src/main/java/appleridge/simulator/FrameReader.java
+++ b/sidecar/src/main/java/appleridge/simulator/FrameReader.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads little-endian fields of one frame's body and never runs past the end of the current record.
- * Methods named after a type read one number of it: {@code u16} an unsigned one of 16 bits. Each
- * throws a {@link MalformedFrameException} where the record ends before the field does. Not
+ * Reads the little-endian fields of one frame's body, never past the end of the current record. A
+ * method named after a type reads one number of that type: {@code u16} an unsigned 16-bit integer.
+ * Each throws a {@link MalformedFrameException} if the record ends before the field does. Not
  * thread-safe.
  */
 final class FrameReader {
@@ -19,7 +19,7 @@
         buffer = ByteBuffer.wrap(bytes, 0, length).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Starts the next record and returns its code, one of the events of {@link WireCodes}. */
+    /** Starts the next record and returns its event code, as defined in {@link WireCodes}. */
     int nextRecord() {
         recordStart = buffer.position();
         if (buffer.remaining() < WireCodes.RECORD_HEADER_BYTES) {
@@ -33,19 +33,20 @@
                             + recordStart
                             + " states "
                             + length
-                            + " bytes, "
+                            + " bytes, but only "
                             + buffer.remaining()
-                            + " are left");
+                            + " are left in the frame");
         }
         recordEnd = buffer.position() + (int) length;
         return code;
     }
 
-    /** Ends a record; fields added by later versions of the wire are passed over. */
+    /** Ends the current record and skips fields that a later protocol version added to it. */
     void endRecord() {
         buffer.position(recordEnd);
     }
 
+    /** Returns the offset of the current record in the frame's body, in bytes. */
     int recordStart() {
         return recordStart;
     }
@@ -87,9 +88,12 @@
     }
 
     /**
-     * A time in nanoseconds: unsigned on the wire, but no clock or duration reaches the top bit.
+     * Reads a time in nanoseconds. It is unsigned on the wire, but no clock or duration needs the
+     * top bit.
+     *
+     * @param field the name of the field in error messages
      */
-    long time(String field) {
+    long nanos(String field) {
         long value = i64();
         if (value < 0) {
             throw new MalformedFrameException(
@@ -98,7 +102,7 @@
         return value;
     }
 
-    /** An upstream host: four address bytes and a port, packed as one opaque number. */
+    /** Reads an upstream host: a 4-byte address and a 2-byte port, packed as an opaque id. */
     long upstream() {
         long address = u32();
         return address << 16 | u16();
@@ -106,17 +110,19 @@
 
     byte[] bytes(long count) {
         requireBytes(count);
-        byte[] out = new byte[(int) count];
-        buffer.get(out);
-        return out;
+        byte[] data = new byte[(int) count];
+        buffer.get(data);
+        return data;
     }
 
     String text(long count) {
         return new String(bytes(count), StandardCharsets.UTF_8);
     }
 
-    /** A load report: a count (1 byte) and so many values; an empty array for none. */
-    float[] report() {
+    /**
+     * Reads a load report: a count (1 byte) and that many values; an empty array if there is none.
+     */
+    float[] loadReport() {
         int count = u8();
         if (count == 0) {
             return ReplyFrame.NO_REPORT;
@@ -128,12 +134,17 @@
         return values;
     }
 
-    /** The value an ordinal names, or an error saying which field was out of range. */
-    <T> T choice(T[] values, int ordinal, String field) {
-        if (ordinal >= values.length) {
+    /**
+     * Returns the value that a code on the wire stands for.
+     *
+     * @param field the name of the field in error messages
+     * @throws MalformedFrameException if there is no value for the code
+     */
+    <T> T valueOf(T[] values, int code, String field) {
+        if (code >= values.length) {
             throw new MalformedFrameException(
-                    field + " " + ordinal + " out of range in the record at byte " + recordStart);
+                    field + " " + code + " out of range in the record at byte " + recordStart);
         }
-        return values[ordinal];
+        return values[code];
     }
 }
--- a/sidecar/src/main/java/appleridge/simulator/MalformedFrameException.java
+++ b/sidecar/src/main/java/appleridge/simulator/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package appleridge.simulator;
 
-/** Input that breaks the wire's format; the message says what and where. */
+/** Input that violates the simulator's wire protocol; the message says what is wrong and where. */
 final class MalformedFrameException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/appleridge/simulator/PolicyHost.java
+++ b/sidecar/src/main/java/appleridge/simulator/PolicyHost.java
@@ -13,37 +13,37 @@
 import java.util.Map;
 
 /**
- * Hands the events of a batch to the policy instances that they name, one for each simulated
- * sidecar. It decides nothing and shares nothing between them. Not thread-safe.
+ * Dispatches the events of a batch to load-balancing policies, one for each simulated sidecar. The
+ * policies share no state. Not thread-safe.
  */
 final class PolicyHost {
-    /** Lists of endpoints that can be defined at a time; they are numbered from 0. */
-    private static final int MAX_LISTS = 16;
+    /** The number of endpoint lists that can be defined at a time, numbered from 0. */
+    private static final int MAX_ENDPOINT_LISTS = 16;
 
-    /** Entries for which room is made by what a frame states alone, without having read them. */
+    /** Bounds the memory that a frame can claim by a stated count, before its entries are read. */
     private static final int MAX_INITIAL_CAPACITY = 1024;
 
-    private final Map<Integer, LoadBalancingPolicy> instances = new HashMap<>();
-    private final List<List<UpstreamHost>> lists = new ArrayList<>();
+    private final Map<Integer, LoadBalancingPolicy> policies = new HashMap<>();
+    private final List<List<UpstreamHost>> endpointLists = new ArrayList<>();
     private final ReplyFrame replies;
 
     PolicyHost(ReplyFrame replies) {
         this.replies = replies;
-        for (int i = 0; i < MAX_LISTS; i++) {
-            lists.add(null);
+        for (int i = 0; i < MAX_ENDPOINT_LISTS; i++) {
+            endpointLists.add(null);
         }
     }
 
     /**
-     * Hands out the events of one frame.
+     * Dispatches the events of one frame.
      *
      * @param now the simulated clock, in nanoseconds
-     * @param records how many events the frame states
-     * @throws MalformedFrameException if the frame breaks the format
+     * @param records the number of events that the frame states
+     * @throws MalformedFrameException if the frame violates the wire protocol
      */
-    void batch(long now, long records, FrameReader in) {
+    void handleBatch(long now, long records, FrameReader in) {
         for (long i = 0; i < records; i++) {
-            event(now, in.nextRecord(), in);
+            handleEvent(now, in.nextRecord(), in);
             in.endRecord();
         }
         if (!in.atEnd()) {
@@ -52,38 +52,38 @@
         }
     }
 
-    private void event(long now, int code, FrameReader in) {
+    private void handleEvent(long now, int code, FrameReader in) {
         switch (code) {
             case WireCodes.PROVISION -> provision(now, in);
             case WireCodes.ENDPOINT_UPDATE -> updateEndpoints(now, in);
             case WireCodes.REQUEST -> request(now, in);
             case WireCodes.RESPONSE_STARTED ->
-                    instance(in)
+                    policy(in)
                             .onResponseStarted(
-                                    now, in.u32(), in.u8(), in.upstream(), in.time("timeTaken"));
+                                    now, in.u32(), in.u8(), in.upstream(), in.nanos("timeTaken"));
             case WireCodes.ATTEMPT_ENDED ->
-                    instance(in)
+                    policy(in)
                             .onAttemptEnded(
                                     now,
                                     in.u32(),
                                     in.u8(),
                                     in.upstream(),
                                     WireCodes.outcome(in),
-                                    in.time("timeTaken"),
+                                    in.nanos("timeTaken"),
                                     in.u8() != 0,
-                                    in.report());
-            case WireCodes.CLIENT_DISCONNECTED -> instance(in).onClientDisconnected(now, in.u32());
-            case WireCodes.TIMER -> instance(in).onTimer(now, in.i64());
+                                    in.loadReport());
+            case WireCodes.CLIENT_DISCONNECTED -> policy(in).onClientDisconnected(now, in.u32());
+            case WireCodes.TIMER -> policy(in).onTimer(now, in.i64());
             case WireCodes.HEALTH_CHECK_RESULT ->
-                    instance(in)
+                    policy(in)
                             .onHealthCheckResult(
                                     now,
                                     in.upstream(),
                                     WireCodes.outcome(in),
-                                    in.time("timeTaken"),
-                                    in.report());
-            case WireCodes.GOSSIP -> instance(in).onGossip(now, in.u16(), in.bytes(in.u16()));
-            case WireCodes.REMOVE -> instances.remove(in.u16());
+                                    in.nanos("timeTaken"),
+                                    in.loadReport());
+            case WireCodes.GOSSIP -> policy(in).onGossip(now, in.u16(), in.bytes(in.u16()));
+            case WireCodes.REMOVE -> policies.remove(in.u16());
             case WireCodes.DEFINE_LIST -> defineList(in);
             default ->
                     throw new MalformedFrameException(
@@ -91,52 +91,52 @@
         }
     }
 
-    private LoadBalancingPolicy instance(FrameReader in) {
+    private LoadBalancingPolicy policy(FrameReader in) {
         int sidecar = in.u16();
-        LoadBalancingPolicy instance = instances.get(sidecar);
-        if (instance == null) {
+        LoadBalancingPolicy policy = policies.get(sidecar);
+        if (policy == null) {
             throw new MalformedFrameException(
                     "event for unknown instance " + sidecar + " at byte " + in.recordStart());
         }
-        return instance;
+        return policy;
     }
 
     private void provision(long now, FrameReader in) {
         int sidecar = in.u16();
         long seed = in.i64();
         PolicySettings settings = PolicySettingsParser.parse(in.text(in.u32()));
-        LoadBalancingPolicy instance =
-                new SymmetricRoundRobinPolicy(settings, seed, replies.sink(sidecar));
-        instances.put(sidecar, instance);
-        instance.start(now);
+        LoadBalancingPolicy policy =
+                new SymmetricRoundRobinPolicy(settings, seed, replies.actionsOf(sidecar));
+        policies.put(sidecar, policy);
+        policy.start(now);
     }
 
     private void updateEndpoints(long now, FrameReader in) {
-        LoadBalancingPolicy instance = instance(in);
+        LoadBalancingPolicy policy = policy(in);
         UpdateKind kind = WireCodes.updateKind(in);
         in.i64();
         long number = in.u32();
         if (kind == UpdateKind.FAILURE) {
-            instance.onEndpointUpdate(now, kind, List.of());
+            policy.onEndpointUpdate(now, kind, List.of());
             return;
         }
-        if (number >= MAX_LISTS || lists.get((int) number) == null) {
+        if (number >= MAX_ENDPOINT_LISTS || endpointLists.get((int) number) == null) {
             throw new MalformedFrameException(
                     "unknown list number " + number + " at byte " + in.recordStart());
         }
-        instance.onEndpointUpdate(now, kind, lists.get((int) number));
+        policy.onEndpointUpdate(now, kind, endpointLists.get((int) number));
     }
 
     private void request(long now, FrameReader in) {
-        LoadBalancingPolicy instance = instance(in);
+        LoadBalancingPolicy policy = policy(in);
         long id = in.u32();
         int requestClass = in.u8();
         int tenant = in.u16();
         long key = in.i64();
-        long remainingNanos = in.time("left");
-        long costHintNanos = in.time("costGuess");
+        long remainingNanos = in.nanos("left");
+        long costHintNanos = in.nanos("costGuess");
         int flags = in.u8();
-        instance.onRequest(
+        policy.onRequest(
                 now,
                 new RequestInfo(
                         id,
@@ -151,7 +151,7 @@
 
     private void defineList(FrameReader in) {
         long number = in.u32();
-        if (number >= MAX_LISTS) {
+        if (number >= MAX_ENDPOINT_LISTS) {
             throw new MalformedFrameException(
                     "list number " + number + " out of range at byte " + in.recordStart());
         }
@@ -166,8 +166,8 @@
                             in.u16(),
                             WireCodes.hostState(in),
                             in.f32(),
-                            in.time("lastStart")));
+                            in.nanos("lastStart")));
         }
-        lists.set((int) number, entries);
+        endpointLists.set((int) number, entries);
     }
 }
--- a/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
+++ b/sidecar/src/main/java/appleridge/simulator/ReplyFrame.java
@@ -10,8 +10,8 @@
 import java.util.Arrays;
 
 /**
- * Collects the actions of one batch as a reply frame: count of records (4 bytes), length of the
- * frame (4 bytes), records. Written as a whole or not at all. Not thread-safe.
+ * Collects the actions of one batch into a reply frame: number of records (4 bytes), length of the
+ * frame (4 bytes), records. Nothing of a frame is written before it is complete. Not thread-safe.
  */
 final class ReplyFrame {
     static final float[] NO_REPORT = {};
@@ -21,104 +21,110 @@
 
     private byte[] bytes = new byte[INITIAL_BYTES];
     private ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
-    private int count;
+    private int recordCount;
 
     ReplyFrame() {
         clear();
     }
 
-    /** A sink that writes actions in one sidecar's name. */
-    PolicyActions sink(int sidecar) {
-        return new Sink(sidecar);
+    /** Returns the actions of one sidecar's policy; each call appends a record to the frame. */
+    PolicyActions actionsOf(int sidecar) {
+        return new RecordedActions(sidecar);
     }
 
-    /** Drops what was collected. */
+    /** Discards the collected records. */
     void clear() {
         buffer.position(HEADER_BYTES);
-        count = 0;
+        recordCount = 0;
     }
 
-    /** Writes the frame and begins the next one. */
+    /** Writes the frame, flushes the stream and begins the next frame. */
     void writeTo(OutputStream out) throws IOException {
-        buffer.putInt(0, count);
+        buffer.putInt(0, recordCount);
         buffer.putInt(LENGTH_OFFSET, buffer.position());
         out.write(bytes, 0, buffer.position());
         out.flush();
         clear();
     }
 
-    private void begin(int code, int fields, int sidecar) {
-        if (buffer.remaining() < fields + WireCodes.RECORD_HEADER_BYTES) {
+    /**
+     * Begins a record and writes its header and the sidecar's number.
+     *
+     * @param bodyBytes the length of the record's body, with the sidecar's number
+     */
+    private void beginRecord(int code, int bodyBytes, int sidecar) {
+        if (buffer.remaining() < bodyBytes + WireCodes.RECORD_HEADER_BYTES) {
             int position = buffer.position();
             bytes =
                     Arrays.copyOf(
                             bytes,
                             Math.max(
                                     bytes.length * 2,
-                                    position + fields + WireCodes.RECORD_HEADER_BYTES));
+                                    position + bodyBytes + WireCodes.RECORD_HEADER_BYTES));
             buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
-        buffer.put((byte) code).putInt(fields).putShort((short) sidecar);
-        count++;
+        buffer.put((byte) code).putInt(bodyBytes).putShort((short) sidecar);
+        recordCount++;
     }
 
-    private final class Sink implements PolicyActions {
+    private final class RecordedActions implements PolicyActions {
         private final int sidecar;
 
-        Sink(int sidecar) {
+        RecordedActions(int sidecar) {
             this.sidecar = sidecar;
         }
 
-        private void upstream(long id) {
+        private void putUpstream(long id) {
             buffer.putInt((int) (id >>> 16)).putShort((short) id);
         }
 
-        private void beginWithBytes(int code, int head, byte[] data) {
-            begin(code, head + 2 + data.length, sidecar);
+        /** Begins a record that ends with a byte array and its length (2 bytes). */
+        private void beginWithBytes(int code, int fixedBytes, byte[] data) {
+            beginRecord(code, fixedBytes + 2 + data.length, sidecar);
         }
 
         @Override
         public void sendAttempt(long request, long upstream, long timeoutNanos) {
-            begin(WireCodes.SEND_ATTEMPT, 20, sidecar);
+            beginRecord(WireCodes.SEND_ATTEMPT, 20, sidecar);
             buffer.putInt((int) request);
-            upstream(upstream);
+            putUpstream(upstream);
             buffer.putLong(timeoutNanos);
         }
 
         @Override
         public void reject(long request, long retryAfterNanos, AnswerReason reason) {
-            begin(WireCodes.REJECT, 14, sidecar);
+            beginRecord(WireCodes.REJECT, 14, sidecar);
             buffer.putInt((int) request).putLong(retryAfterNanos);
         }
 
         @Override
         public void fail(long request, AnswerReason reason) {
-            begin(WireCodes.FAIL, 6, sidecar);
+            beginRecord(WireCodes.FAIL, 6, sidecar);
             buffer.putInt((int) request);
         }
 
         @Override
         public void cancelAttempt(long request, int attempt) {
-            begin(WireCodes.CANCEL_ATTEMPT, 7, sidecar);
+            beginRecord(WireCodes.CANCEL_ATTEMPT, 7, sidecar);
             buffer.putInt((int) request).put((byte) attempt);
         }
 
         @Override
         public void setTimer(long token, long atNanos) {
-            begin(WireCodes.SET_TIMER, 18, sidecar);
+            beginRecord(WireCodes.SET_TIMER, 18, sidecar);
             buffer.putLong(token).putLong(atNanos);
         }
 
         @Override
         public void sendHealthCheck(long upstream) {
-            begin(WireCodes.SEND_HEALTH_CHECK, 8, sidecar);
-            upstream(upstream);
+            beginRecord(WireCodes.SEND_HEALTH_CHECK, 8, sidecar);
+            putUpstream(upstream);
         }
 
         @Override
         public void closeIdleConnections(long upstream) {
-            begin(WireCodes.CLOSE_IDLE_CONNECTIONS, 8, sidecar);
-            upstream(upstream);
+            beginRecord(WireCodes.CLOSE_IDLE_CONNECTIONS, 8, sidecar);
+            putUpstream(upstream);
         }
 
         @Override
@@ -136,13 +142,13 @@
 
         @Override
         public void subscribe(boolean on) {
-            begin(WireCodes.SUBSCRIBE, 3, sidecar);
+            beginRecord(WireCodes.SUBSCRIBE, 3, sidecar);
             buffer.put((byte) (on ? 1 : 0));
         }
 
         @Override
         public void fetchEndpoints() {
-            begin(WireCodes.FETCH_ENDPOINTS, 2, sidecar);
+            beginRecord(WireCodes.FETCH_ENDPOINTS, 2, sidecar);
         }
     }
 }
--- a/sidecar/src/main/java/appleridge/simulator/SimulatorAdapter.java
+++ b/sidecar/src/main/java/appleridge/simulator/SimulatorAdapter.java
@@ -11,26 +11,26 @@
 import java.nio.ByteOrder;
 
 /**
- * {@code java -jar appleridge.jar adapter}: speaks the simulator's wire protocol on standard input
- * and output.
+ * The command {@code java -jar appleridge.jar adapter}: speaks the simulator's wire protocol on
+ * standard input and output.
  */
 public final class SimulatorAdapter {
-    /** Clock (8 bytes, nanoseconds), length of the frame and count of records (4 bytes each). */
+    /** Clock (8 bytes, nanoseconds), length of the frame and number of records (4 bytes each). */
     private static final int HEADER_BYTES = 16;
 
     private static final int INITIAL_BODY_BYTES = 1 << 16;
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
 
-    /** The largest array that every JVM makes, and so the largest frame. */
+    /** The largest array that every JVM can allocate; a frame's body is read into one array. */
     private static final long MAX_FRAME_BYTES = Integer.MAX_VALUE - 64;
 
-    private static final long UNSIGNED_INT = 0xffffffffL;
+    private static final long UNSIGNED_INT_MASK = 0xffffffffL;
 
     private SimulatorAdapter() {}
 
     /**
-     * Runs the adapter until input ends; a malformed frame ends it with a message and exit status
-     * 1.
+     * Runs the adapter until the input ends. Exits with status 1 and a message on standard error if
+     * a frame is malformed or I/O fails.
      */
     public static void main() {
         try {
@@ -45,20 +45,21 @@
     }
 
     /**
-     * Answers each event frame of {@code in} with an action frame on {@code out}, until input ends.
+     * Replies to each event frame of {@code in} with an action frame on {@code out}, until the
+     * input ends.
      *
-     * @throws MalformedFrameException naming the frame, if one breaks the format
+     * @throws MalformedFrameException naming the frame, if one violates the wire protocol
      */
     static void run(InputStream in, OutputStream out) throws IOException {
         ReplyFrame replies = new ReplyFrame();
-        PolicyHost host = new PolicyHost(replies);
+        PolicyHost policies = new PolicyHost(replies);
         byte[] header = new byte[HEADER_BYTES];
         byte[] body = new byte[INITIAL_BODY_BYTES];
         for (long frame = 0; readHeader(in, header, frame); frame++) {
             ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
             long now = fields.getLong();
-            long length = fields.getInt() & UNSIGNED_INT;
-            long records = fields.getInt() & UNSIGNED_INT;
+            long length = fields.getInt() & UNSIGNED_INT_MASK;
+            long records = fields.getInt() & UNSIGNED_INT_MASK;
             if (now < 0 || length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
                 throw new MalformedFrameException(
                         "frame " + frame + ": clock or length out of range");
@@ -69,7 +70,7 @@
             }
             readBody(in, body, size, frame);
             try {
-                host.batch(now, records, new FrameReader(body, size));
+                policies.handleBatch(now, records, new FrameReader(body, size));
             } catch (IllegalArgumentException e) {
                 throw new MalformedFrameException("frame " + frame + ": " + e.getMessage());
             }
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Whether there is another frame; its header is read then. */
+    /** Reads the header of the next frame; returns false at the end of the input. */
     private static boolean readHeader(InputStream in, byte[] header, long frame)
             throws IOException {
         int read = in.readNBytes(header, 0, HEADER_BYTES);
--- a/sidecar/src/main/java/appleridge/simulator/WireCodes.java
+++ b/sidecar/src/main/java/appleridge/simulator/WireCodes.java
@@ -5,10 +5,10 @@
 import appleridge.loadbalancing.UpdateKind;
 
 /**
- * The codes of the simulator's wire protocol and the terms that they stand for: the one place where
- * they are mapped. All numbers are little-endian; all times are nanoseconds; a record is a code (1
- * byte), the length of its body (4 bytes) and the body, which begins with the sidecar's number (2
- * bytes) except in {@link #DEFINE_LIST}.
+ * Maps the codes of the simulator's wire protocol to the product's terms. All numbers are
+ * little-endian and all times are nanoseconds. A record is a code (1 byte), the length of its body
+ * (4 bytes) and the body, which begins with the sidecar's number (2 bytes) except in {@link
+ * #DEFINE_LIST}.
  */
 final class WireCodes {
     /** Bytes in front of a record's body: its code and its length. */
@@ -16,16 +16,16 @@
 
     // ---- events, from the simulator
 
-    /** A sidecar starts: seed, settings as path=value lines. */
+    /** A sidecar starts: seed, settings as lines path=value. */
     static final int PROVISION = 1;
 
-    /** An endpoint update: kind, number of the list that was defined before. */
+    /** An endpoint update: kind, number of a list that was defined earlier. */
     static final int ENDPOINT_UPDATE = 2;
 
     /** A request arrives. */
     static final int REQUEST = 3;
 
-    /** The first byte of a streamed response has come. */
+    /** The first byte of a streamed response has arrived. */
     static final int RESPONSE_STARTED = 4;
 
     /** An attempt has ended, with its outcome and load report. */
@@ -34,24 +34,24 @@
     /** A client has disconnected. */
     static final int CLIENT_DISCONNECTED = 6;
 
-    /** A timer is due. */
+    /** A timer has expired. */
     static final int TIMER = 7;
 
     /** The result of a health check. */
     static final int HEALTH_CHECK_RESULT = 8;
 
-    /** A gossip message of a peer. */
+    /** A gossip message from a peer. */
     static final int GOSSIP = 9;
 
     /** A sidecar ends. */
     static final int REMOVE = 10;
 
-    /** A list of endpoints, by number, for updates to refer to. */
+    /** Defines a list of endpoints under a number that updates refer to. */
     static final int DEFINE_LIST = 11;
 
     // ---- actions, to the simulator
 
-    /** Send an attempt: request, upstream host, time-out. */
+    /** Send an attempt: request, upstream host, timeout. */
     static final int SEND_ATTEMPT = 1;
 
     /** Reject a request, with a Retry-After. */
@@ -78,18 +78,18 @@
     /** Log a line. */
     static final int LOG = 9;
 
-    /** Subscribe to the endpoint list, or end that. */
+    /** Subscribe to the endpoint list or unsubscribe from it. */
     static final int SUBSCRIBE = 11;
 
     /** Fetch the endpoint list once. */
     static final int FETCH_ENDPOINTS = 12;
 
-    // ---- bits of a request
+    // ---- flags of a request
 
-    /** The request names its cost. */
+    /** The request has a cost hint. */
     static final int HAS_COST_HINT = 1;
 
-    /** The client has sent the request before. */
+    /** The client sends the request again. */
     static final int CLIENT_RETRY = 2;
 
     /** The request writes. */
@@ -118,16 +118,16 @@
 
     /** Reads an attempt's or a health check's outcome. */
     static Outcome outcome(FrameReader in) {
-        return in.choice(OUTCOMES, in.u8(), "stateCode");
+        return in.valueOf(OUTCOMES, in.u8(), "stateCode");
     }
 
     /** Reads the kind of an endpoint update. */
     static UpdateKind updateKind(FrameReader in) {
-        return in.choice(UPDATE_KINDS, in.u8(), "form");
+        return in.valueOf(UPDATE_KINDS, in.u8(), "form");
     }
 
     /** Reads an endpoint's state. */
     static HostState hostState(FrameReader in) {
-        return in.choice(HOST_STATES, in.u8(), "status");
+        return in.valueOf(HOST_STATES, in.u8(), "status");
     }
 }
--- a/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged jar as a process: exit status, standard error, nothing half-written on standard
- * output.
+ * Runs the packaged jar as a process: exit status, standard error, and complete frames only on
+ * standard output.
  */
 class PackagedJarIT {
     @TempDir private Path folder;
@@ -40,7 +40,7 @@
         try (OutputStream in = process.getOutputStream()) {
             in.write(input);
         } catch (IOException e) {
-            // The process may have refused its arguments before reading.
+            // The process may have rejected its arguments and exited before reading.
         }
         byte[] out = process.getInputStream().readAllBytes();
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -55,21 +55,27 @@
     }
 
     @Test
-    void malformedInputExitsWithOneLineAndNoOutput() throws Exception {
-        byte[] provision = new WireTest.Frame().provision(1, WireTest.OPTIONS).bytes(1);
-        Map<String, byte[]> bad =
+    void malformedInputExitsWithOneErrorLineAndNoOutput() throws Exception {
+        byte[] provision =
+                new SimulatorAdapterTest.EventFrame()
+                        .provision(1, SimulatorAdapterTest.SETTINGS)
+                        .bytes(1);
+        Map<String, byte[]> malformed =
                 Map.of(
                         "header cut short",
                         new byte[] {1, 2, 3},
                         "ends after",
                         Arrays.copyOf(provision, provision.length - 3),
                         "unknown event code 99",
-                        new WireTest.Frame().record(99).end().bytes(1),
+                        new SimulatorAdapterTest.EventFrame().record(99).end().bytes(1),
                         "rules.rampTime is missing; allowed: a number",
-                        new WireTest.Frame()
-                                .provision(1, WireTest.OPTIONS.replace("rules.rampTime", "x"))
+                        new SimulatorAdapterTest.EventFrame()
+                                .provision(
+                                        1,
+                                        SimulatorAdapterTest.SETTINGS.replace(
+                                                "rules.rampTime", "x"))
                                 .bytes(1));
-        for (Map.Entry<String, byte[]> each : bad.entrySet()) {
+        for (Map.Entry<String, byte[]> each : malformed.entrySet()) {
             Result result = run(each.getValue(), "adapter");
             assertEquals(1, result.status, each.getKey());
             assertEquals(0, result.out.length, each.getKey());
@@ -84,40 +90,40 @@
 
     @Test
     void repliesBeforeAMalformedFrameAreComplete() throws Exception {
-        byte[] whole = new WireTest.Frame().bytes(5);
-        Result result = run(WireTest.join(whole, whole, new byte[] {9}), "adapter");
+        byte[] empty = new SimulatorAdapterTest.EventFrame().bytes(5);
+        Result result = run(SimulatorAdapterTest.join(empty, empty, new byte[] {9}), "adapter");
         assertEquals(1, result.status);
         assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 8, 0, 0, 0}, result.out);
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
     }
 
-    /** Guards against what is off by default and costs something all the same. */
+    /** Guards against a disabled feature whose classes are loaded all the same. */
     @Test
-    void classesOfLeasesAreNotLoadedWithoutLeases() throws Exception {
-        for (String each : List.of("adapter", "warm-up")) {
-            Path log = folder.resolve(each);
+    void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
+        for (String command : List.of("adapter", "warm-up")) {
+            Path log = folder.resolve(command);
             ProcessBuilder builder =
                     new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                             "-Xlog:class+load:file=" + log,
                             "-jar",
                             "target/appleridge.jar",
-                            each);
+                            command);
             builder.environment().put("BALANCER_CONFIG", "../deploy/warm-up.json");
             Process process = builder.redirectErrorStream(true).start();
             process.getOutputStream().close();
             process.getInputStream().readAllBytes();
-            assertEquals(0, process.waitFor(), each);
+            assertEquals(0, process.waitFor(), command);
             String loaded = Files.readString(log);
-            assertTrue(loaded.contains("appleridge.daemon.Main"), each);
-            for (String off :
+            assertTrue(loaded.contains("appleridge.daemon.Main"), command);
+            for (String disabled :
                     List.of(
                             "picocli",
                             "appleridge.lease",
                             "org.apache.zookeeper",
                             "appleridge.config.operator")) {
-                PackagedClasses.assertPackaged(off);
-                assertFalse(loaded.contains(" " + off), each + " loads of " + off);
+                PackagedClasses.assertPackaged(disabled);
+                assertFalse(loaded.contains(" " + disabled), command + " loads " + disabled);
             }
         }
     }
--- a/sidecar/src/test/java/appleridge/simulator/WireTest.java
+++ b/sidecar/src/test/java/appleridge/simulator/SimulatorAdapterTest.java
@@ -18,8 +18,11 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
-    static final String OPTIONS =
+/**
+ * The simulator's wire protocol: layout of the frames, and errors that name the malformed field.
+ */
+class SimulatorAdapterTest {
+    static final String SETTINGS =
             String.join(
                     "\n",
                     "caps.mayCancel=true",
@@ -46,22 +49,22 @@
                     "rules.stopSendingWithin=250000000",
                     "rules.tipAfter=1500000000");
 
-    /** Builds frames from the documented layout. */
-    static final class Frame {
+    /** Builds event frames byte by byte, independently of {@link WireCodes}. */
+    static final class EventFrame {
         private final ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
         private int records;
-        private int start;
+        private int lengthOffset;
 
-        Frame record(int code) {
+        EventFrame record(int code) {
             body.put((byte) code);
-            start = body.position();
+            lengthOffset = body.position();
             body.putInt(0);
             records++;
             return this;
         }
 
-        Frame end() {
-            body.putInt(start, body.position() - start - 4);
+        EventFrame end() {
+            body.putInt(lengthOffset, body.position() - lengthOffset - 4);
             return this;
         }
 
@@ -73,13 +76,13 @@
             return out.array();
         }
 
-        Frame provision(int sidecar, String options) {
-            byte[] text = options.getBytes(StandardCharsets.UTF_8);
+        EventFrame provision(int sidecar, String settings) {
+            byte[] text = settings.getBytes(StandardCharsets.UTF_8);
             record(1).body.putShort((short) sidecar).putLong(42).putInt(text.length).put(text);
             return end();
         }
 
-        Frame list(int number, int... upstreams) {
+        EventFrame list(int number, int... upstreams) {
             record(11).body.putInt(number).putInt(upstreams.length);
             for (int id : upstreams) {
                 body.putInt(id)
@@ -94,12 +97,12 @@
             return end();
         }
 
-        Frame membership(int sidecar, int form, int number) {
+        EventFrame endpointUpdate(int sidecar, int form, int number) {
             record(2).body.putShort((short) sidecar).put((byte) form).putLong(1).putInt(number);
             return end();
         }
 
-        Frame submit(int sidecar, int id) {
+        EventFrame request(int sidecar, int id) {
             record(3)
                     .body
                     .putShort((short) sidecar)
@@ -122,32 +125,32 @@
         return whole.toByteArray();
     }
 
-    private static byte[] play(byte[]... frames) throws IOException {
+    private static byte[] run(byte[]... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         SimulatorAdapter.run(new ByteArrayInputStream(join(frames)), out);
         return out.toByteArray();
     }
 
-    private static void fails(String part, byte[]... frames) {
-        MalformedFrameException e = assertThrows(MalformedFrameException.class, () -> play(frames));
-        assertTrue(e.getMessage().contains(part), e.getMessage());
+    private static void assertRejected(String message, byte[]... frames) {
+        MalformedFrameException e = assertThrows(MalformedFrameException.class, () -> run(frames));
+        assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
     void emptyBatchGetsAnEmptyReply() throws IOException {
-        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, play(new Frame().bytes(5)));
-        assertEquals(0, play().length);
+        assertArrayEquals(new byte[] {0, 0, 0, 0, 8, 0, 0, 0}, run(new EventFrame().bytes(5)));
+        assertEquals(0, run().length);
     }
 
     @Test
-    void requestIsPlacedOnTheListedUpstream() throws IOException {
+    void requestIsSentToTheUpstreamOfTheList() throws IOException {
         byte[] reply =
-                play(
-                        new Frame()
-                                .provision(3, OPTIONS)
+                run(
+                        new EventFrame()
+                                .provision(3, SETTINGS)
                                 .list(0, 0x0100_000a)
-                                .membership(3, 2, 0)
-                                .submit(3, 0xf0000001)
+                                .endpointUpdate(3, 2, 0)
+                                .request(3, 0xf0000001)
                                 .bytes(1_000_000_000L));
         ByteBuffer in = ByteBuffer.wrap(reply).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(reply.length, in.getInt(4));
@@ -156,7 +159,7 @@
         in.position(in.position() + 4 + 3);
         assertEquals(5, in.get(), "sets a timer");
         in.position(in.position() + 4 + 18);
-        assertEquals(1, in.get(), "places");
+        assertEquals(1, in.get(), "sends an attempt");
         assertEquals(20, in.getInt());
         assertEquals(3, in.getShort());
         assertEquals(0xf0000001, in.getInt());
@@ -165,84 +168,93 @@
     }
 
     @Test
-    void listNumbersResolveByOrder() throws IOException {
+    void updateUsesTheLatestListWithItsNumber() throws IOException {
         byte[] reply =
-                play(
-                        new Frame()
-                                .provision(1, OPTIONS)
+                run(
+                        new EventFrame()
+                                .provision(1, SETTINGS)
                                 .list(0, 7)
-                                .membership(1, 2, 0)
+                                .endpointUpdate(1, 2, 0)
                                 .list(0, 8)
-                                .membership(1, 1, 0)
-                                .submit(1, 9)
+                                .endpointUpdate(1, 1, 0)
+                                .request(1, 9)
                                 .bytes(1_000_000_000L));
         String hex = java.util.HexFormat.of().formatHex(reply);
         assertTrue(hex.contains("09000000" + "08000000" + "5000"), hex);
     }
 
     @Test
-    void restartInOneBatchForgetsTheOldInstance() throws IOException {
-        Frame frame = new Frame().provision(1, OPTIONS).list(0, 7).membership(1, 2, 0).submit(1, 9);
+    void removedSidecarCanBeProvisionedAgainInTheSameBatch() throws IOException {
+        EventFrame frame =
+                new EventFrame()
+                        .provision(1, SETTINGS)
+                        .list(0, 7)
+                        .endpointUpdate(1, 2, 0)
+                        .request(1, 9);
         frame.record(10).body.putShort((short) 1);
-        frame.end().provision(1, OPTIONS).membership(1, 2, 0);
-        assertTrue(play(frame.bytes(1_000_000_000L)).length > 8);
+        frame.end().provision(1, SETTINGS).endpointUpdate(1, 2, 0);
+        assertTrue(run(frame.bytes(1_000_000_000L)).length > 8);
     }
 
     @Test
-    void malformedFramesAreNamed() {
-        fails("header cut short", new byte[5]);
-        byte[] whole = new Frame().provision(1, OPTIONS).bytes(1);
-        fails("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
-        fails("unknown event code 99", new Frame().record(99).end().bytes(1));
-        fails("unknown instance 5", new Frame().submit(5, 1).bytes(1));
-        fails(
+    void malformedFrameIsRejectedWithItsReason() {
+        assertRejected("header cut short", new byte[5]);
+        byte[] whole = new EventFrame().provision(1, SETTINGS).bytes(1);
+        assertRejected("ends after", java.util.Arrays.copyOf(whole, whole.length - 3));
+        assertRejected("unknown event code 99", new EventFrame().record(99).end().bytes(1));
+        assertRejected("unknown instance 5", new EventFrame().request(5, 1).bytes(1));
+        assertRejected(
                 "unknown list number 3",
-                new Frame().provision(1, OPTIONS).membership(1, 1, 3).bytes(1));
-        fails(
+                new EventFrame().provision(1, SETTINGS).endpointUpdate(1, 1, 3).bytes(1));
+        assertRejected(
                 "form 9 out of range",
-                new Frame().provision(1, OPTIONS).list(0).membership(1, 9, 0).bytes(1));
-        fails("field cut short", new Frame().provision(1, OPTIONS).record(6).end().bytes(1));
+                new EventFrame().provision(1, SETTINGS).list(0).endpointUpdate(1, 9, 0).bytes(1));
+        assertRejected(
+                "field cut short",
+                new EventFrame().provision(1, SETTINGS).record(6).end().bytes(1));
         byte[] shortLength = whole.clone();
         ByteBuffer.wrap(shortLength).order(ByteOrder.LITTLE_ENDIAN).putInt(8, 5);
-        fails("length out of range", shortLength);
+        assertRejected("length out of range", shortLength);
         byte[] longRecord = whole.clone();
         ByteBuffer.wrap(longRecord).order(ByteOrder.LITTLE_ENDIAN).putInt(17, 1_000_000);
-        fails("states 1000000 bytes", longRecord);
+        assertRejected("states 1000000 bytes", longRecord);
     }
 
     @Test
-    void settingsAreReadAndMissingOrMalformedOnesNamed() {
-        PolicySettings settings = PolicySettingsParser.parse(OPTIONS);
+    void missingOrMalformedSettingIsNamed() {
+        PolicySettings settings = PolicySettingsParser.parse(SETTINGS);
         assertEquals(Idempotency.NON_IDEMPOTENT, settings.classes().get(0).idempotency());
         assertEquals(2.5, settings.classes().get(0).priorityWeight());
         assertEquals(2, settings.loadReportFields().size());
         assertEquals(50, settings.tenants().get(0).quotaPerSecond());
-        fails(
+        assertRejected(
                 "frame 0: rules.rampTime is missing; allowed: a number",
-                new Frame().provision(1, OPTIONS.replace("rules.rampTime", "x")).bytes(1));
-        fails(
+                new EventFrame().provision(1, SETTINGS.replace("rules.rampTime", "x")).bytes(1));
+        assertRejected(
                 "rank is \"NaN\"; allowed: a number",
-                new Frame().provision(1, OPTIONS.replace("rank=1", "rank=NaN")).bytes(1));
-        fails(
+                new EventFrame().provision(1, SETTINGS.replace("rank=1", "rank=NaN")).bytes(1));
+        assertRejected(
                 "profiles.0.slo is \"five00000000\"; allowed: a number",
-                new Frame().provision(1, OPTIONS.replace("slo=5", "slo=five")).bytes(1));
-        fails(
+                new EventFrame().provision(1, SETTINGS.replace("slo=5", "slo=five")).bytes(1));
+        assertRejected(
                 "rules.coldShare is \"7\"; allowed: a number above 0 and at most 1",
-                new Frame().provision(1, OPTIONS.replace("coldShare=0.3", "coldShare=7")).bytes(1));
+                new EventFrame()
+                        .provision(1, SETTINGS.replace("coldShare=0.3", "coldShare=7"))
+                        .bytes(1));
     }
 
     @Test
-    void everyActionHasItsLayout() throws IOException {
+    void everyActionIsWrittenInItsLayout() throws IOException {
         ReplyFrame replies = new ReplyFrame();
-        PolicyActions sink = replies.sink(2);
-        sink.reject(1, 5, AnswerReason.LOAD_SHEDDING);
-        sink.fail(1, AnswerReason.DEADLINE_PASSED);
-        sink.cancelAttempt(1, 3);
-        sink.sendHealthCheck(0x0000_0001_0050L);
-        sink.closeIdleConnections(1);
-        sink.sendGossip(PolicyActions.ALL_PEERS, new byte[] {9});
-        sink.log("hi");
-        sink.fetchEndpoints();
+        PolicyActions actions = replies.actionsOf(2);
+        actions.reject(1, 5, AnswerReason.LOAD_SHEDDING);
+        actions.fail(1, AnswerReason.DEADLINE_PASSED);
+        actions.cancelAttempt(1, 3);
+        actions.sendHealthCheck(0x0000_0001_0050L);
+        actions.closeIdleConnections(1);
+        actions.sendGossip(PolicyActions.ALL_PEERS, new byte[] {9});
+        actions.log("hi");
+        actions.fetchEndpoints();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         replies.writeTo(out);
         ByteBuffer in = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
