--- a/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
@@ -8,47 +8,49 @@
 import java.util.function.IntFunction;
 
 /**
- * Clients that ask one request after the other, each on a connection that it keeps, as the protocol
- * has it: a request whose connection ends without a byte of an answer is sent once more, on a new
- * one.
+ * Closed-loop clients: each sends its next request when the previous one is answered, on a
+ * kept-alive connection. As HTTP allows, a request whose connection ends without a byte of an
+ * answer is sent once more, on a new connection.
  */
 final class ClosedLoopClients implements AutoCloseable {
-    /** Status of a request that got no answer though it was sent a second time. */
+    /** Status of a request that got no answer, although it was sent a second time. */
     static final int NO_ANSWER = 0;
 
-    /** Status of a request whose client found nobody to connect to; the sidecar never had it. */
+    /**
+     * Status of a request whose client could not connect, so that the sidecar never received it.
+     */
     static final int NOT_CONNECTED = -1;
 
-    /** Status of a request that is still waiting. */
+    /** Status of a request that has no answer yet. */
     static final int WAITING = -2;
 
-    /** One request and what became of it; times are of the monotonic clock. */
+    /** A request and its result. Times are of the monotonic clock, in nanoseconds. Thread-safe. */
     static final class SentRequest {
         final String id;
-        final long sentAt;
+        final long sentAtNanos;
         private int status = WAITING;
-        private long endedAt;
+        private long endedAtNanos;
         private String error = "";
 
-        private SentRequest(String id, long sentAt) {
+        private SentRequest(String id, long sentAtNanos) {
             this.id = id;
-            this.sentAt = sentAt;
+            this.sentAtNanos = sentAtNanos;
         }
 
         synchronized int status() {
             return status;
         }
 
-        /** From its sending to its end. */
+        /** Returns the time from sending the request to its answer, or until now. */
         synchronized long durationMillis() {
             return TimeUnit.NANOSECONDS.toMillis(
-                    (status == WAITING ? System.nanoTime() : endedAt) - sentAt);
+                    (status == WAITING ? System.nanoTime() : endedAtNanos) - sentAtNanos);
         }
 
-        private synchronized void ended(int how, String why) {
-            status = how;
-            endedAt = System.nanoTime();
-            error = why;
+        private synchronized void end(int endStatus, String endError) {
+            status = endStatus;
+            endedAtNanos = System.nanoTime();
+            error = endError;
         }
 
         @Override
@@ -58,25 +60,25 @@
     }
 
     private final InetSocketAddress address;
-    private final IntFunction<String> requests;
+    private final IntFunction<String> nextRequests;
     private final long pauseMillis;
-    private final List<SentRequest> asked = new ArrayList<>();
+    private final List<SentRequest> sent = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean ends;
+    private volatile boolean stopped;
 
     /**
-     * Begins to ask.
+     * Starts the clients, each on a daemon thread.
      *
-     * @param requests the next request of a client, by the client's number
-     * @param pauseMillis between an answer and the next request
+     * @param pauseMillis the pause between an answer and the next request
+     * @param nextRequests returns the next request of a client, given the client's number from 0
      */
     ClosedLoopClients(
             InetSocketAddress address,
             int clients,
             long pauseMillis,
-            IntFunction<String> requests) {
+            IntFunction<String> nextRequests) {
         this.address = address;
-        this.requests = requests;
+        this.nextRequests = nextRequests;
         this.pauseMillis = pauseMillis;
         for (int i = 0; i < clients; i++) {
             int number = i;
@@ -90,15 +92,15 @@
     private void run(int number) {
         TestClient client = null;
         try {
-            while (!ends) {
-                String request = requests.apply(number);
+            while (!stopped) {
+                String request = nextRequests.apply(number);
                 SentRequest next =
                         new SentRequest(
                                 StubUpstream.header(request, "x-request-id"), System.nanoTime());
-                synchronized (asked) {
-                    asked.add(next);
+                synchronized (sent) {
+                    sent.add(next);
                 }
-                client = ask(client, request, next);
+                client = send(client, request, next);
                 Thread.sleep(pauseMillis);
             }
         } catch (InterruptedException e) {
@@ -108,21 +110,21 @@
         }
     }
 
-    /** Asks and notes what became of it; the connection for the next request, or null. */
-    private TestClient ask(TestClient kept, String request, SentRequest next) {
+    /** Sends a request and records its result; returns the connection to be reused, or null. */
+    private TestClient send(TestClient kept, String request, SentRequest next) {
         TestClient client = kept;
         String error = "";
         for (int tries = 0; tries < 2; tries++) {
             try {
                 client = client == null ? new TestClient(address) : client;
             } catch (IOException e) {
-                next.ended(NOT_CONNECTED, e.toString());
+                next.end(NOT_CONNECTED, e.toString());
                 return null;
             }
             try {
                 String answer = client.ask(request);
                 if (answer != null) {
-                    next.ended(TestClient.status(answer), "");
+                    next.end(TestClient.status(answer), "");
                     return answer.toLowerCase().contains("connection: close")
                             ? close(client)
                             : client;
@@ -133,7 +135,7 @@
             }
             client = close(client);
         }
-        next.ended(NO_ANSWER, error);
+        next.end(NO_ANSWER, error);
         return null;
     }
 
@@ -143,29 +145,29 @@
                 client.close();
             }
         } catch (IOException e) {
-            // It is of no further use either way.
+            // The connection is not used again either way.
         }
         return null;
     }
 
-    /** All requests so far. */
+    /** Returns all requests so far, in the order in which they were sent. */
     List<SentRequest> sentRequests() {
-        synchronized (asked) {
-            return List.copyOf(asked);
+        synchronized (sent) {
+            return List.copyOf(sent);
         }
     }
 
-    /** How many of the requests from the given number on were answered so. */
-    long count(int from, int status) {
+    /** Returns how many requests have a status, beginning with the request at an index. */
+    long count(int fromIndex, int status) {
         List<SentRequest> all = sentRequests();
-        return all.subList(Math.min(from, all.size()), all.size()).stream()
+        return all.subList(Math.min(fromIndex, all.size()), all.size()).stream()
                 .filter(each -> each.status() == status)
                 .count();
     }
 
-    /** No more requests; each that is out is awaited. */
+    /** Sends no more requests, waits for the open ones and returns all. */
     List<SentRequest> finish() throws InterruptedException {
-        ends = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
         }
@@ -174,7 +176,7 @@
 
     @Override
     public void close() {
-        ends = true;
+        stopped = true;
         threads.forEach(Thread::interrupt);
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/DrainExpiryTest.java
@@ -38,28 +38,31 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the very end of the service finds: with deadlines of 0.4 s it comes 0.9 s after it was asked
- * for. What the loop reads ahead of that is forced by tasks of the loop itself, timed beside its
- * own.
+ * The moment at which a drain expires and closes the remaining connections. With deadlines of 0.4 s
+ * that is 0.9 s after the drain began. The tests force what the event loop reads before that moment
+ * by tasks of their own, scheduled next to the drain's.
  */
 @Timeout(60)
-class EndOfServiceTest {
+class DrainExpiryTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
-    private static final long END_MILLIS = 900;
+
+    /** From the begin of a drain until it expires. */
+    private static final long DRAIN_MILLIS = 900;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch drained = new CountDownLatch(1);
     private StubUpstream discovery;
-    private Sidecar node;
+    private Sidecar sidecar;
     private InetSocketAddress address;
 
-    /** Whether the system takes what is written to clients, and the connection accepted last. */
-    private volatile boolean takes = true;
+    /** Whether sockets of clients accept written bytes; false simulates a full send buffer. */
+    private volatile boolean writable = true;
 
-    private volatile NioSocketChannel accepted;
+    /** The client connection that was accepted last. */
+    private volatile NioSocketChannel acceptedChannel;
 
     @BeforeEach
     void begin() throws Exception {
@@ -67,11 +70,12 @@
     }
 
     private void begin(StubUpstream upstream) throws Exception {
-        node = onLoop(node(upstream, null));
-        address = (InetSocketAddress) node.listening().sync().channel().localAddress();
+        sidecar = onLoop(createSidecar(upstream, null));
+        address = (InetSocketAddress) sidecar.listening().sync().channel().localAddress();
     }
 
-    private Callable<Sidecar> node(StubUpstream upstream, InheritedListener held) throws Exception {
+    private Callable<Sidecar> createSidecar(StubUpstream upstream, InheritedListener inherited)
+            throws Exception {
         String json =
                 LoopbackNode.json(
                                 LoopbackNode.Figures.USUAL,
@@ -82,69 +86,70 @@
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        SidecarEventLoop time =
+        SidecarEventLoop sidecarLoop =
                 new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        NioSocketFactory usual = new NioSocketFactory();
+        NioSocketFactory nioSockets = new NioSocketFactory();
         SocketFactory sockets =
                 new SocketFactory() {
                     @Override
                     public Channel newChannel() {
-                        return usual.newChannel();
+                        return nioSockets.newChannel();
                     }
 
                     @Override
                     public ServerChannel newServerChannel() {
-                        return new Listening();
+                        return new BlockableServerChannel();
                     }
 
                     @Override
                     public void readNow(Channel channel) {
-                        usual.readNow(channel);
+                        nioSockets.readNow(channel);
                     }
                 };
         return () ->
                 new Sidecar(
-                        time,
+                        sidecarLoop,
                         sockets,
                         config,
                         RuntimeOptions.DEFAULTS,
                         SymmetricRoundRobinPolicy::new,
-                        held,
+                        inherited,
                         null);
     }
 
     @AfterEach
     void end() throws Exception {
-        loop.submit(() -> node.close()).get();
+        loop.submit(() -> sidecar.close()).get();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         discovery.close();
     }
 
-    private <T> T onLoop(Callable<T> what) throws Exception {
-        return loop.submit(what).get();
+    private <T> T onLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get();
     }
 
-    private static void stand(CountDownLatch until) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
-            assertTrue(until.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(latch.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Guards against a request that is whole, and so taken, but not read when the end closes its
-     * connection because nothing is open on it. The loop is held over the end's time; so a task
-     * that was to come right ahead of the end is run together with it, and in that task the
-     * request's rest is sent.
+     * Guards against a drain that expires, finds no open request on a connection and closes it,
+     * although the rest of a request has arrived there unread. Order of events: one task holds the
+     * loop beyond the drain's expiry; a second task, due right before the expiry, then runs in the
+     * same turn as the expiry and waits until the rest of the request has been sent. The drain must
+     * read the connection before it closes it.
      */
     @Test
-    void unreadRequestIsAnsweredAtTheEndOfADrain() throws Exception {
-        CountDownLatch atTheEnd = new CountDownLatch(1);
-        CountDownLatch whole = new CountDownLatch(1);
+    void unreadRequestIsAnsweredWhenTheDrainExpires() throws Exception {
+        CountDownLatch beforeExpiry = new CountDownLatch(1);
+        CountDownLatch requestSent = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
             begin(upstream);
             try (TestClient client = new TestClient(address)) {
@@ -152,47 +157,47 @@
                 client.send(request.substring(0, 30));
                 onLoop(
                         () -> {
-                            AtomicLong end = new AtomicLong();
+                            AtomicLong holdUntilNanos = new AtomicLong();
                             loop.schedule(
                                     () -> {
-                                        while (System.nanoTime() - end.get() < 0) {
+                                        while (System.nanoTime() - holdUntilNanos.get() < 0) {
                                             Thread.onSpinWait();
                                         }
                                     },
-                                    END_MILLIS - 20,
+                                    DRAIN_MILLIS - 20,
                                     TimeUnit.MILLISECONDS);
                             loop.schedule(
                                     () -> {
-                                        atTheEnd.countDown();
-                                        stand(whole);
+                                        beforeExpiry.countDown();
+                                        awaitLatch(requestSent);
                                     },
-                                    END_MILLIS,
+                                    DRAIN_MILLIS,
                                     TimeUnit.MILLISECONDS);
-                            node.drain(drained::countDown);
-                            end.set(
+                            sidecar.drain(drained::countDown);
+                            holdUntilNanos.set(
                                     System.nanoTime()
-                                            + TimeUnit.MILLISECONDS.toNanos(END_MILLIS + 10));
+                                            + TimeUnit.MILLISECONDS.toNanos(DRAIN_MILLIS + 10));
                             return null;
                         });
-                stand(atTheEnd);
+                awaitLatch(beforeExpiry);
                 client.send(request.substring(30));
-                whole.countDown();
+                requestSent.countDown();
                 String answer = client.read();
-                assertNotNull(answer, "its connection was closed");
+                assertNotNull(answer, "the connection was closed without an answer");
                 assertTrue(TestClient.status(answer) >= 500, answer);
                 assertEquals("close", StubUpstream.header(answer, "connection"));
             }
-            stand(drained);
+            awaitLatch(drained);
         }
     }
 
     /**
-     * Guards against a request lost because its last byte comes just as the end closes its
-     * connection.
+     * Guards against a request that gets no answer because its last byte arrives just when the
+     * expired drain closes its connection.
      */
     @Test
-    void incompleteRequestIsRejectedAtTheEndOfADrainWithoutAReset() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
+    void incompleteRequestIsRejectedWithoutAResetWhenTheDrainExpires() throws Exception {
+        CountDownLatch expired = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             begin(upstream);
             try (TestClient client = new TestClient(address)) {
@@ -200,71 +205,79 @@
                 client.send(request.substring(0, 30));
                 onLoop(
                         () -> {
-                            node.drain(drained::countDown);
-                            loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
+                            sidecar.drain(drained::countDown);
+                            loop.schedule(
+                                    expired::countDown, DRAIN_MILLIS + 1, TimeUnit.MILLISECONDS);
                             return null;
                         });
-                stand(over);
+                awaitLatch(expired);
                 client.send(request.substring(30));
                 String answer = client.read();
-                assertNotNull(answer, "its connection was closed");
+                assertNotNull(answer, "the connection was closed without an answer");
                 assertEquals(503, TestClient.status(answer));
                 assertEquals("close", StubUpstream.header(answer, "connection"));
                 assertNull(client.read());
             }
-            stand(drained);
+            awaitLatch(drained);
             assertEquals(0, upstream.requests.size());
         }
     }
 
     /**
-     * Guards against an answer that is cut short because it had been written when the end came,
-     * though the system had taken none of it yet, as where its client reads slowly.
+     * Guards against an answer that is cut off because it counts as written when the drain expires,
+     * although the socket has accepted none of it yet, as with a client that reads slowly.
      */
     @Test
-    void unwrittenResponseGoesOutWholeAtTheEndOfADrain() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
+    void pendingResponseIsWrittenWholeAfterTheDrainExpires() throws Exception {
+        CountDownLatch expired = new CountDownLatch(1);
         try (StubUpstream upstream = new StubUpstream(GOOD)) {
             begin(upstream);
             try (TestClient client = new TestClient(address)) {
-                takes = false;
+                writable = false;
                 client.send(TestClient.request("pay", "0.4"));
-                while (accepted == null
-                        || onLoop(() -> accepted.unsafe().outboundBuffer().totalPendingWriteBytes())
+                while (acceptedChannel == null
+                        || onLoop(
+                                        () ->
+                                                acceptedChannel
+                                                        .unsafe()
+                                                        .outboundBuffer()
+                                                        .totalPendingWriteBytes())
                                 == 0) {
                     Thread.sleep(1);
                 }
                 onLoop(
                         () -> {
-                            node.drain(drained::countDown);
-                            loop.schedule(over::countDown, END_MILLIS + 1, TimeUnit.MILLISECONDS);
+                            sidecar.drain(drained::countDown);
+                            loop.schedule(
+                                    expired::countDown, DRAIN_MILLIS + 1, TimeUnit.MILLISECONDS);
                             return null;
                         });
-                stand(over);
+                awaitLatch(expired);
                 onLoop(
                         () -> {
-                            takes = true;
-                            accepted.unsafe().flush();
+                            writable = true;
+                            acceptedChannel.unsafe().flush();
                             return null;
                         });
-                assertNotNull(client.read(), "its connection was closed");
-                assertNull(client.read(), "and is ended then");
+                assertNotNull(client.read(), "the connection was closed without an answer");
+                assertNull(client.read(), "the connection is closed after the answer");
             }
-            stand(drained);
+            awaitLatch(drained);
         }
     }
 
     /**
-     * Guards against the end of a process that has just taken its platform's listening socket over:
-     * what had connected before is told to the loop behind the end, which saw no connection.
+     * Guards against a drain that follows at once on taking over an inherited listening socket. The
+     * event loop learns of connections in the accept queue only after the drain has begun, so a
+     * drain that counts open connections alone finds none and ends the process.
      */
     @Test
     void connectionInTheAcceptQueueIsAnsweredWhenADrainFollowsAtOnce() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch later = new CountDownLatch(1);
+        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch waited = new CountDownLatch(1);
         StubUpstream.Script held =
                 (socket, request) -> {
-                    stand(asked);
+                    awaitLatch(answer);
                     return GOOD.serve(socket, request);
                 };
         try (ServerSocketChannel socket = ServerSocketChannel.open();
@@ -273,41 +286,42 @@
                     .configureBlocking(false);
             try (TestClient client = new TestClient((InetSocketAddress) socket.getLocalAddress())) {
                 client.send(TestClient.request("pay", "0.4"));
-                Callable<Sidecar> make = node(upstream, InheritedListener.of(socket));
+                Callable<Sidecar> creation = createSidecar(upstream, InheritedListener.of(socket));
                 onLoop(
                         () -> {
-                            node = make.call();
-                            node.drain(drained::countDown);
-                            loop.schedule(later::countDown, 100, TimeUnit.MILLISECONDS);
+                            sidecar = creation.call();
+                            sidecar.drain(drained::countDown);
+                            loop.schedule(waited::countDown, 100, TimeUnit.MILLISECONDS);
                             return null;
                         });
-                stand(later);
-                assertEquals(1, drained.getCount(), "its process would have ended");
-                asked.countDown();
+                awaitLatch(waited);
+                assertEquals(
+                        1, drained.getCount(), "drained with a connection in the accept queue");
+                answer.countDown();
                 assertNotNull(client.read());
             }
-            stand(drained);
+            awaitLatch(drained);
         }
     }
 
-    /** Accepts connections that write only while the system is to take something. */
-    private final class Listening extends NioServerSocketChannel {
+    /** Accepts connections that write nothing to the socket while {@link #writable} is false. */
+    private final class BlockableServerChannel extends NioServerSocketChannel {
         @Override
-        protected int doReadMessages(List<Object> all) throws Exception {
+        protected int doReadMessages(List<Object> messages) throws Exception {
             SocketChannel socket = javaChannel().accept();
             if (socket == null) {
                 return 0;
             }
-            accepted =
+            acceptedChannel =
                     new NioSocketChannel(this, socket) {
                         @Override
                         protected void doWrite(ChannelOutboundBuffer in) throws Exception {
-                            if (takes) {
+                            if (writable) {
                                 super.doWrite(in);
                             }
                         }
                     };
-            all.add(accepted);
+            messages.add(acceptedChannel);
             return 1;
         }
     }
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/DrainUnderLoadIT.java
@@ -17,28 +17,31 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The packaged jar as a process that is told to end while an upstream hangs, is held up now and
- * then, and is killed as soon as the platform may: clients send on each connection that stays open
- * until then.
+ * Drains the packaged jar under load while an upstream hangs and the process stalls now and then.
+ * Clients keep sending on their connections. At the earliest time at which the platform may send
+ * SIGKILL, every request must have been answered.
  */
 @Timeout(120)
-class EndOfServiceIT {
+class DrainUnderLoadIT {
     private static final int CLIENTS = 8;
     private static final long PAUSE_MILLIS = 5;
 
-    /** Of load before the end: both upstreams are in use, and one of them hangs. */
-    private static final long SETTLED_MILLIS = 500;
+    /** Load before SIGTERM, so that both upstreams are in use and one of them hangs. */
+    private static final long LOAD_BEFORE_SIGTERM_MILLIS = 500;
 
-    /** A process may be held up for so long between reading its clock and writing. */
-    private static final long HOLD_UP_MILLIS = 150;
+    /** The longest stall of a process between reading its clock and writing a response. */
+    private static final long STALL_MILLIS = 150;
 
     /**
-     * SIGKILL comes no sooner after SIGTERM than this and the longest deadline, of which 3 s count.
+     * SIGKILL follows SIGTERM after this time and the longest deadline at the earliest. Of the
+     * deadline, at most {@link #MAX_COUNTED_DEADLINE_MILLIS} count.
      */
     private static final long GRACE_MILLIS = 700;
 
-    private static final long LONGEST_WAITED_MILLIS = 3000;
-    private static final long LONGEST_DEADLINE_MILLIS = 6000;
+    private static final long MAX_COUNTED_DEADLINE_MILLIS = 3000;
+
+    /** A deadline beyond the part that counts. */
+    private static final long LONG_DEADLINE_MILLIS = 6000;
 
     @TempDir private Path folder;
 
@@ -49,7 +52,7 @@
                 .replaceAll("\"slo\":\\d+", "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(millis / 2));
     }
 
-    /** A moment by the monotonic clock is awaited. */
+    /** Sleeps until a time of {@link System#nanoTime}. */
     private static void sleepUntil(long nanos) throws InterruptedException {
         long left = nanos - System.nanoTime();
         if (left > 0) {
@@ -57,7 +60,7 @@
         }
     }
 
-    private static Set<String> forwarded(StubUpstream... upstreams) {
+    private static Set<String> forwardedIds(StubUpstream... upstreams) {
         return Stream.of(upstreams)
                 .flatMap(each -> each.requests.stream())
                 .map(request -> StubUpstream.header(request, "x-request-id"))
@@ -65,13 +68,14 @@
     }
 
     /**
-     * Ends a process under load.
+     * Drains a process under load and asserts that no request is open when SIGKILL may come.
      *
-     * @param deadlineMillis of every class
-     * @param heldUpAt milliseconds after SIGTERM at which it is held up; at 0 it hears of SIGTERM
-     *     late
+     * @param deadlineMillis the deadline of every class
+     * @param stallsAtMillis when the process stalls, in milliseconds after SIGTERM; at 0 the stall
+     *     also delays the delivery of SIGTERM
      */
-    private void endsWithNothingOpen(long deadlineMillis, long... heldUpAt) throws Exception {
+    private void assertNothingOpenAtSigkill(long deadlineMillis, long... stallsAtMillis)
+            throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(
@@ -81,7 +85,7 @@
                                             socket, StubUpstream.answer("200 OK", "fine"));
                                     return true;
                                 });
-                StubUpstream hangs = new StubUpstream(StubUpstream.SILENT);
+                StubUpstream hanging = new StubUpstream(StubUpstream.SILENT);
                 SidecarProcess sidecar =
                         SidecarProcess.start(
                                 folder,
@@ -89,7 +93,7 @@
                                         LoopbackNode.json(
                                                 LoopbackNode.Figures.USUAL,
                                                 discovery.address(),
-                                                LoopbackNode.targets(upstream, hangs)),
+                                                LoopbackNode.targets(upstream, hanging)),
                                         deadlineMillis),
                                 Map.of());
                 ClosedLoopClients clients =
@@ -100,79 +104,84 @@
                                 client ->
                                         TestClient.request(
                                                 "pay", String.valueOf(deadlineMillis / 1000.0)))) {
-            Thread.sleep(SETTLED_MILLIS);
-            boolean late = heldUpAt.length > 0 && heldUpAt[0] == 0;
-            if (late) {
+            Thread.sleep(LOAD_BEFORE_SIGTERM_MILLIS);
+            boolean sigtermDelayed = stallsAtMillis.length > 0 && stallsAtMillis[0] == 0;
+            if (sigtermDelayed) {
                 sidecar.signal("STOP");
             }
             sidecar.signal("TERM");
-            long told = System.nanoTime();
-            if (late) {
-                sleepUntil(told + TimeUnit.MILLISECONDS.toNanos(HOLD_UP_MILLIS));
+            long sigtermAtNanos = System.nanoTime();
+            if (sigtermDelayed) {
+                sleepUntil(sigtermAtNanos + TimeUnit.MILLISECONDS.toNanos(STALL_MILLIS));
                 sidecar.signal("CONT");
             }
-            for (int i = late ? 1 : 0; i < heldUpAt.length; i++) {
-                sleepUntil(told + TimeUnit.MILLISECONDS.toNanos(heldUpAt[i]));
-                sidecar.holdUp(HOLD_UP_MILLIS);
+            for (int i = sigtermDelayed ? 1 : 0; i < stallsAtMillis.length; i++) {
+                sleepUntil(sigtermAtNanos + TimeUnit.MILLISECONDS.toNanos(stallsAtMillis[i]));
+                sidecar.holdUp(STALL_MILLIS);
             }
             sleepUntil(
-                    told
+                    sigtermAtNanos
                             + TimeUnit.MILLISECONDS.toNanos(
                                     GRACE_MILLIS
-                                            + Math.min(LONGEST_WAITED_MILLIS, deadlineMillis)));
-            List<ClosedLoopClients.SentRequest> open =
+                                            + Math.min(
+                                                    MAX_COUNTED_DEADLINE_MILLIS, deadlineMillis)));
+            List<ClosedLoopClients.SentRequest> openAtSigkill =
                     clients.sentRequests().stream()
                             .filter(each -> each.status() == ClosedLoopClients.WAITING)
                             .toList();
             assertEquals(0, sidecar.awaitExit(), sidecar.log());
-            List<ClosedLoopClients.SentRequest> asked = clients.finish();
-            // A client may be about to learn that nobody listens any more: that takes its thread a
-            // moment, and its request was never taken. Whatever else is open here is answered late
-            // or never.
+            List<ClosedLoopClients.SentRequest> sent = clients.finish();
+            // A client's thread may not have noticed yet that its connect attempt was refused; the
+            // sidecar never received that request. Any other open request would be answered after
+            // SIGKILL or never.
             assertEquals(
                     List.of(),
-                    open.stream()
+                    openAtSigkill.stream()
                             .filter(each -> each.status() != ClosedLoopClients.NOT_CONNECTED)
                             .toList(),
                     sidecar.log());
-            Set<String> forwarded = forwarded(upstream, hangs);
+            Set<String> forwardedIds = forwardedIds(upstream, hanging);
             assertEquals(
                     List.of(),
-                    asked.stream()
-                            .filter(each -> each.status() <= 0 && forwarded.contains(each.id))
+                    sent.stream()
+                            .filter(each -> each.status() <= 0 && forwardedIds.contains(each.id))
                             .toList());
             assertEquals(
                     List.of(),
-                    asked.stream()
+                    sent.stream()
                             .filter(each -> each.status() == ClosedLoopClients.NO_ANSWER)
                             .toList());
-            long after =
-                    asked.stream().filter(each -> each.sentAt > told && each.status() > 0).count();
-            assertTrue(after > CLIENTS, "clients go on for a while: " + after);
+            long answeredAfterSigterm =
+                    sent.stream()
+                            .filter(each -> each.sentAtNanos > sigtermAtNanos && each.status() > 0)
+                            .count();
+            assertTrue(
+                    answeredAfterSigterm > CLIENTS,
+                    "answered after SIGTERM: " + answeredAfterSigterm);
         }
     }
 
-    /**
-     * Guards against requests that are taken late in a shutdown and found unanswered by SIGKILL.
-     */
+    /** Guards against requests that are accepted late in a drain and are unanswered at SIGKILL. */
     @Test
     void nothingIsOpenAtSigkillWhenAnUpstreamHangs() throws Exception {
-        endsWithNothingOpen(LONGEST_DEADLINE_MILLIS);
+        assertNothingOpenAtSigkill(LONG_DEADLINE_MILLIS);
     }
 
-    /** Guards against an end that is reckoned by what short deadlines leave no time for. */
+    /** Guards against a drain schedule with steps for which short deadlines leave no time. */
     @ParameterizedTest
     @ValueSource(longs = {100, 200, 400, 1000})
     void nothingIsOpenAtSigkillHoweverShortDeadlinesAre(long deadlineMillis) throws Exception {
-        endsWithNothingOpen(deadlineMillis);
+        assertNothingOpenAtSigkill(deadlineMillis);
     }
 
     /**
-     * Guards against a process that hears of SIGTERM late and is held up once more when it answers.
+     * Guards against open requests at SIGKILL if the process receives SIGTERM late and stalls again
+     * when it answers its last requests.
      */
     @ParameterizedTest
     @ValueSource(longs = {3250, 3400, 3530})
-    void nothingIsOpenAtSigkillWhenTheProcessStallsTwice(long heldUpAt) throws Exception {
-        endsWithNothingOpen(LONGEST_DEADLINE_MILLIS, 0, heldUpAt);
+    void nothingIsOpenAtSigkillWhenTheProcessStallsTwice(long secondStallAtMillis)
+            throws Exception {
+        assertNothingOpenAtSigkill(LONG_DEADLINE_MILLIS, 0, secondStallAtMillis);
     }
 }
