--- a/sidecar/src/test/java/appleridge/daemon/DelayingProxy.java
+++ b/sidecar/src/test/java/appleridge/daemon/DelayingProxy.java
@@ -13,29 +13,29 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A fault proxy on loopback: passes bytes both ways, and holds each piece of what comes back for a
- * time drawn by its seed.
+ * A fault-injecting proxy on loopback: forwards bytes both ways, and delays each chunk from the
+ * target by a seeded random time.
  */
 final class DelayingProxy implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final InetSocketAddress target;
     private final SplittableRandom random;
-    private final long mostNanos;
+    private final long maxDelayNanos;
     private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
 
-    DelayingProxy(InetSocketAddress target, long seed, long mostNanos) throws IOException {
+    DelayingProxy(InetSocketAddress target, long seed, long maxDelayNanos) throws IOException {
         this.target = target;
         this.random = new SplittableRandom(seed);
-        this.mostNanos = mostNanos;
-        daemon(this::accept);
+        this.maxDelayNanos = maxDelayNanos;
+        startDaemon(this::accept);
     }
 
     String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    private static void daemon(Runnable what) {
-        Thread thread = new Thread(what, "delaying-proxy");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "delaying-proxy");
         thread.setDaemon(true);
         thread.start();
     }
@@ -43,40 +43,40 @@
     private void accept() {
         try {
             while (true) {
-                Socket near = listener.accept();
-                Socket far = new Socket();
-                far.connect(target);
-                near.setTcpNoDelay(true);
-                far.setTcpNoDelay(true);
-                sockets.add(near);
-                sockets.add(far);
-                daemon(() -> pass(near, far, false));
-                daemon(() -> pass(far, near, true));
+                Socket client = listener.accept();
+                Socket server = new Socket();
+                server.connect(target);
+                client.setTcpNoDelay(true);
+                server.setTcpNoDelay(true);
+                sockets.add(client);
+                sockets.add(server);
+                startDaemon(() -> forward(client, server, false));
+                startDaemon(() -> forward(server, client, true));
             }
         } catch (IOException e) {
             // The proxy was closed.
         }
     }
 
-    private void pass(Socket from, Socket to, boolean held) {
+    private void forward(Socket from, Socket to, boolean delayed) {
         try (from;
                 to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            byte[] piece = new byte[8192];
-            for (int n = in.read(piece); n > 0; n = in.read(piece)) {
-                if (held) {
-                    LockSupport.parkNanos(delay());
+            byte[] chunk = new byte[8192];
+            for (int n = in.read(chunk); n > 0; n = in.read(chunk)) {
+                if (delayed) {
+                    LockSupport.parkNanos(nextDelayNanos());
                 }
-                out.write(piece, 0, n);
+                out.write(chunk, 0, n);
             }
         } catch (IOException e) {
-            // One side has gone, and with it the other.
+            // One side closed its connection; the other one is closed with it.
         }
     }
 
-    private synchronized long delay() {
-        return random.nextLong(mostNanos);
+    private synchronized long nextDelayNanos() {
+        return random.nextLong(maxDelayNanos);
     }
 
     @Override
--- a/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
@@ -15,28 +15,30 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged jar as a process behind a fault proxy: what its event loop does beside what it is
- * asked.
+ * Runs the packaged jar as a process with a delaying proxy before its upstream, and compares the
+ * turns of its event loop with the events that it handles.
  */
 @Timeout(120)
 class EventLoopSpinIT {
     private static final int CLIENTS = 4;
     private static final int REQUESTS = 200;
 
-    /**
-     * An event takes some turns: to read it, for the tasks that follow from it and for its timers.
-     */
+    /** An event takes several turns: to read it, to run its follow-up tasks and its timers. */
     private static final int TURNS_PER_EVENT = 5;
 
     /**
-     * Turns a second: one a millisecond at most where a timer is always near, and what is periodic.
+     * Turns that timers and periodic tasks may add: at most one a millisecond if a timer is always
+     * due soon, and the periodic tasks.
      */
     private static final int TURNS_PER_SECOND = 1100;
 
     @TempDir private Path folder;
 
-    /** Some may be refused while the limits of a new process are small; how many were served. */
-    private static int askOverAndOver(SidecarProcess sidecar) {
+    /**
+     * Sends requests one after the other and returns how many were served. Some may be rejected
+     * while the limits of a new process are small.
+     */
+    private static int countServed(SidecarProcess sidecar) {
         int served = 0;
         try (TestClient client = new TestClient(sidecar.address())) {
             for (int i = 0; i < REQUESTS; i++) {
@@ -52,8 +54,9 @@
     }
 
     /**
-     * Guards against the loop that polls for its next timer: requests, attempts and tenants have
-     * timers at odd moments, and each one's last half millisecond would be spent turning.
+     * Guards against an event loop that busy-waits for its next timer. Requests, attempts and
+     * tenants have timers at arbitrary times, and the loop would spin for the last half millisecond
+     * before each.
      */
     @Test
     void eventLoopDoesNotSpinBetweenEvents() throws Exception {
@@ -73,18 +76,19 @@
                             LoopbackNode.json(
                                     LoopbackNode.Figures.USUAL, discovery.address(), target),
                             Map.of())) {
-                long began = System.nanoTime();
+                long startedAtNanos = System.nanoTime();
                 long turns = sidecar.figure("event_loop_turns");
                 long events = sidecar.figure("event_loop_events");
                 List<CompletableFuture<Integer>> clients = new ArrayList<>();
                 for (int i = 0; i < CLIENTS; i++) {
-                    clients.add(CompletableFuture.supplyAsync(() -> askOverAndOver(sidecar)));
+                    clients.add(CompletableFuture.supplyAsync(() -> countServed(sidecar)));
                 }
                 int served = clients.stream().mapToInt(CompletableFuture::join).sum();
                 assertTrue(served > CLIENTS * REQUESTS / 2, "served: " + served);
                 turns = sidecar.figure("event_loop_turns") - turns;
                 events = sidecar.figure("event_loop_events") - events;
-                long seconds = 1 + TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - began);
+                long seconds =
+                        1 + TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startedAtNanos);
                 assertTrue(events >= CLIENTS * REQUESTS, "events: " + events);
                 assertTrue(
                         turns <= TURNS_PER_EVENT * events + TURNS_PER_SECOND * seconds,
--- a/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -22,30 +22,31 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The packaged jar with a listening socket that the platform holds; processes replaced under load.
+ * Runs the packaged jar with an inherited listening socket: hot restart under load, and the state
+ * that the processes of one sidecar exchange.
  */
 @Timeout(180)
 class InheritedListenerIT {
-    /** More of them are a measurement: -Dupgrades=50. */
-    private static final int UPGRADES = Integer.getInteger("upgrades", 3);
+    /** Hot restarts in a row; -Dupgrades=50 makes the test a measurement. */
+    private static final int RESTARTS = Integer.getInteger("upgrades", 3);
 
     private static final int CLIENTS = 6;
 
     @TempDir private Path folder;
 
-    private static String json(StubUpstream discovery, StubUpstream... upstreams) {
+    private static String config(StubUpstream discovery, StubUpstream... upstreams) {
         return LoopbackNode.json(
                 LoopbackNode.Figures.USUAL, discovery.address(), LoopbackNode.targets(upstreams));
     }
 
-    /** Clients that ask one request after the other, each on a connection that it keeps. */
+    /** Closed-loop clients on kept-alive connections; records every answer other than 200. */
     private static final class Load implements AutoCloseable {
         final AtomicInteger served = new AtomicInteger();
-        final List<String> wrong = new ArrayList<>();
+        final List<String> failures = new ArrayList<>();
         private final List<Thread> threads = new ArrayList<>();
-        private volatile boolean ends;
+        private volatile boolean stopped;
 
-        Load(HoldingPlatform platform) {
+        Load(SocketActivator platform) {
             for (int i = 0; i < CLIENTS; i++) {
                 Thread thread = new Thread(() -> run(platform));
                 thread.start();
@@ -53,14 +54,14 @@
             }
         }
 
-        private void run(HoldingPlatform platform) {
+        private void run(SocketActivator platform) {
             TestClient client = null;
-            while (!ends) {
+            while (!stopped) {
                 try {
                     client = client == null ? new TestClient(platform.address()) : client;
                     String answer = client.ask(TestClient.request("pay", "3.0"));
                     if (answer == null || TestClient.status(answer) != 200) {
-                        wrong("answer: " + answer);
+                        addFailure("answer: " + answer);
                     }
                     served.incrementAndGet();
                     if (answer == null || answer.toLowerCase().contains("connection: close")) {
@@ -69,29 +70,29 @@
                     }
                     Thread.sleep(2);
                 } catch (IOException | InterruptedException e) {
-                    wrong(e.toString());
+                    addFailure(e.toString());
                     client = null;
                 }
             }
         }
 
-        private synchronized void wrong(String what) {
-            wrong.add(what);
+        private synchronized void addFailure(String failure) {
+            failures.add(failure);
         }
 
-        void awaitMore(int requests) throws InterruptedException {
+        void awaitServed(int requests) throws InterruptedException {
             long until =
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
             int goal = served.get() + requests;
             while (served.get() < goal && System.nanoTime() < until) {
                 Thread.sleep(5);
             }
-            assertTrue(served.get() >= goal, "requests go on being served");
+            assertTrue(served.get() >= goal, "requests are still served");
         }
 
-        /** No more requests; each that is out is awaited. */
-        void end() {
-            ends = true;
+        /** Sends no more requests and waits for the open ones. */
+        void finish() {
+            stopped = true;
             try {
                 for (Thread thread : threads) {
                     thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
@@ -103,76 +104,79 @@
 
         @Override
         public void close() {
-            end();
+            finish();
         }
     }
 
     /**
-     * Guards against a request that meets a refused, reset or unread connection while one process
-     * takes over from the other; and against an end that waits though nothing is held.
+     * Guards against connections that are refused, reset or never read while one process takes over
+     * from another, and against a drain that waits although nothing is open.
      */
     @Test
     void hotRestartUnderLoadRefusesNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                HoldingPlatform platform = new HoldingPlatform(folder)) {
-            String json = json(discovery, upstream);
-            HoldingPlatform.Sidecar old = platform.start(json, "0");
+                SocketActivator platform = new SocketActivator(folder)) {
+            String config = config(discovery, upstream);
+            SocketActivator.Sidecar old = platform.start(config, "0");
             old.awaitLog("serves at");
             try (Load load = new Load(platform)) {
-                for (int i = 0; i < UPGRADES; i++) {
-                    load.awaitMore(50);
-                    HoldingPlatform.Sidecar next = platform.start(json, "0");
+                for (int i = 0; i < RESTARTS; i++) {
+                    load.awaitServed(50);
+                    SocketActivator.Sidecar next = platform.start(config, "0");
                     next.awaitLog("serves at");
-                    load.awaitMore(50);
-                    long asked = System.nanoTime();
+                    load.awaitServed(50);
+                    long signalledAtNanos = System.nanoTime();
                     old.signal("TERM");
-                    assertEquals(0, old.end(), old.log());
-                    long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-                    assertTrue(took < 3000, "ends early when it holds nothing: " + took + " ms");
+                    assertEquals(0, old.awaitExit(), old.log());
+                    long drainMillis =
+                            TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalledAtNanos);
+                    assertTrue(drainMillis < 3000, "drained after " + drainMillis + " ms");
                     old = next;
                 }
-                load.awaitMore(50);
-                load.end();
-                assertEquals(List.of(), load.wrong);
+                load.awaitServed(50);
+                load.finish();
+                assertEquals(List.of(), load.failures);
             }
             old.signal("TERM");
-            assertEquals(0, old.end(), old.log());
-            // Danger: closed as the JVM closes it, the socket takes the log with it, and the queue.
+            assertEquals(0, old.awaitExit(), old.log());
+            // Closing the inherited socket the way the JVM does would also close the log and reset
+            // the accept queue.
             assertTrue(old.log().contains("draining"), old.log());
         }
     }
 
     /**
-     * Guards against a queue that is reset with the process: what comes while nobody accepts waits.
+     * Guards against an accept queue that is reset when a process ends: connections that are made
+     * while no process accepts wait for the next process.
      */
     @Test
     void connectionsMadeWhileNoProcessAcceptsAreServedByTheNext() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                HoldingPlatform platform = new HoldingPlatform(folder);
+                SocketActivator platform = new SocketActivator(folder);
                 TestClient early = new TestClient(platform.address())) {
             early.send(TestClient.request("pay", "3.0"));
-            HoldingPlatform.Sidecar first = platform.start(json(discovery, upstream), "0");
+            SocketActivator.Sidecar first = platform.start(config(discovery, upstream), "0");
             assertEquals(200, TestClient.status(early.read()));
             first.awaitLog("serves at");
             first.signal("KILL");
-            assertEquals(9, first.end());
+            assertEquals(9, first.awaitExit());
             try (TestClient waiting = new TestClient(platform.address())) {
                 waiting.send(TestClient.request("pay", "3.0"));
-                HoldingPlatform.Sidecar second = platform.start(json(discovery, upstream), "0");
+                SocketActivator.Sidecar second = platform.start(config(discovery, upstream), "0");
                 assertEquals(200, TestClient.status(waiting.read()));
                 second.awaitLog("serves at");
                 second.signal("TERM");
-                assertNull(waiting.read(), "a kept connection is ended, not reset");
-                assertEquals(0, second.end(), second.log());
+                assertNull(waiting.read(), "a kept-alive connection is closed, not reset");
+                assertEquals(0, second.awaitExit(), second.log());
             }
         }
     }
 
-    private static String call(int port, String line) throws Exception {
+    private static String callAdmin(int port, String line) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
             StubUpstream.write(socket, line + "\n");
@@ -180,7 +184,7 @@
         }
     }
 
-    private static int port() throws IOException {
+    private static int unusedPort() throws IOException {
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return unused.getLocalPort();
         }
@@ -191,88 +195,91 @@
     }
 
     /**
-     * Guards against an operator's word that is lost with the process it was told to, or heeded by
-     * one only; also where that process is killed right after its yes.
+     * Guards against an operator's directive that is lost with the process that received it, even
+     * if that process is killed right after its confirmation, or that only one process applies.
      */
     @Test
-    void suspensionSurvivesAHotRestartWhicheverProcessWasAsked() throws Exception {
+    void suspensionSurvivesAHotRestartWhicheverProcessReceivedIt() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream a =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
                 StubUpstream b =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                HoldingPlatform platform = new HoldingPlatform(folder)) {
-            String json = json(discovery, a, b);
-            int first = port();
-            HoldingPlatform.Sidecar old = platform.start(withAdmin(json, first), "0");
+                SocketActivator platform = new SocketActivator(folder)) {
+            String config = config(discovery, a, b);
+            int oldAdminPort = unusedPort();
+            SocketActivator.Sidecar old = platform.start(withAdmin(config, oldAdminPort), "0");
             old.awaitLog("serves at");
-            assertEquals("YES\n", call(first, "SUSPEND u0"));
-            int second = port();
-            HoldingPlatform.Sidecar next = platform.start(withAdmin(json, second), "0");
+            assertEquals("YES\n", callAdmin(oldAdminPort, "SUSPEND u0"));
+            int nextAdminPort = unusedPort();
+            SocketActivator.Sidecar next = platform.start(withAdmin(config, nextAdminPort), "0");
             next.awaitLog("serves at");
             next.awaitLog("another process of this sidecar is there");
             old.awaitLog("another process of this sidecar is there");
-            int seen = a.requests.size();
+            int requestsToA = a.requests.size();
             try (Load load = new Load(platform)) {
-                load.awaitMore(100);
-                assertEquals(seen, a.requests.size(), "neither of the two sends to who is out");
-                assertEquals("YES\n", call(second, "RESTORE u0"));
-                assertEquals("YES\n", call(first, "SUSPEND u1"));
-                int told = b.requests.size();
-                load.awaitMore(100);
-                // What was on its way at the yes may have been read after it.
-                assertTrue(b.requests.size() - told <= CLIENTS, "told to one, heeded by both");
-                assertTrue(a.requests.size() > seen, "called back");
+                load.awaitServed(100);
+                assertEquals(requestsToA, a.requests.size(), "sent to a suspended host");
+                assertEquals("YES\n", callAdmin(nextAdminPort, "RESTORE u0"));
+                assertEquals("YES\n", callAdmin(oldAdminPort, "SUSPEND u1"));
+                int requestsToB = b.requests.size();
+                load.awaitServed(100);
+                // Each client may have had a request on its way when the call was confirmed.
+                assertTrue(
+                        b.requests.size() - requestsToB <= CLIENTS, "only one process applies it");
+                assertTrue(a.requests.size() > requestsToA, "the host was restored");
                 old.signal("KILL");
-                assertEquals(9, old.end());
+                assertEquals(9, old.awaitExit());
                 next.awaitLog("alone again");
-                int after = b.requests.size();
-                load.end();
-                assertTrue(b.requests.size() - after <= CLIENTS);
+                int requestsAfterKill = b.requests.size();
+                load.finish();
+                assertTrue(b.requests.size() - requestsAfterKill <= CLIENTS);
             }
-            assertEquals(200, TestClient.status(ask(platform)));
-            assertTrue(call(second, "METRICS").contains("upstreams_suspended 1"));
+            assertEquals(200, TestClient.status(sendRequest(platform)));
+            assertTrue(callAdmin(nextAdminPort, "METRICS").contains("upstreams_suspended 1"));
             next.signal("TERM");
-            assertEquals(0, next.end(), next.log());
+            assertEquals(0, next.awaitExit(), next.log());
         }
     }
 
-    private static String ask(HoldingPlatform platform) throws IOException {
+    private static String sendRequest(SocketActivator platform) throws IOException {
         try (TestClient client = new TestClient(platform.address())) {
             return client.ask(TestClient.request("pay", "3.0"));
         }
     }
 
     /**
-     * Guards against a start that fails, or believes noise, because of what another one has left.
+     * Guards against a start that fails, or uses garbage, because of another process's corrupt
+     * state file.
      */
     @Test
-    void tornStateFileIsRejectedOnceAndTheStartGoesOn() throws Exception {
+    void corruptStateFileIsReportedAndTheStartGoesOn() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                HoldingPlatform platform = new HoldingPlatform(folder)) {
-            HoldingPlatform.Sidecar old = platform.start(json(discovery, upstream), "0");
+                SocketActivator platform = new SocketActivator(folder)) {
+            SocketActivator.Sidecar old = platform.start(config(discovery, upstream), "0");
             old.awaitLog("serves at");
-            // Its last state is written a moment after it says so, and would take the noise's
-            // place.
-            Path state = platform.sharedFolder().resolve("slot-0.state");
+            // The process publishes that it serves shortly after it logs so, and would overwrite
+            // the
+            // corrupt state.
+            Path state = platform.stateFolder().resolve("slot-0.state");
             while (!Files.readString(state).contains(ProcessPhase.SERVING.name())) {
                 Thread.sleep(10);
             }
             Files.writeString(state, "appleridge-state 9\nnoise");
-            HoldingPlatform.Sidecar next = platform.start(json(discovery, upstream), "0");
+            SocketActivator.Sidecar next = platform.start(config(discovery, upstream), "0");
             next.awaitLog("another process's state is not used");
             next.awaitLog("serves at");
             old.signal("TERM");
-            assertEquals(0, old.end(), old.log());
-            assertEquals(200, TestClient.status(ask(platform)));
+            assertEquals(0, old.awaitExit(), old.log());
+            assertEquals(200, TestClient.status(sendRequest(platform)));
             next.signal("TERM");
-            assertEquals(0, next.end(), next.log());
+            assertEquals(0, next.awaitExit(), next.log());
         }
     }
 
-    /** Guards against a response that is cut off because SIGTERM ends the process that owes it. */
+    /** Guards against a request whose connection is cut off because SIGTERM ends its process. */
     @Test
     void openRequestAtSigtermIsAnsweredWithConnectionClose() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -285,8 +292,8 @@
                                             socket, StubUpstream.answer("200 OK", "fine"));
                                     return true;
                                 });
-                HoldingPlatform platform = new HoldingPlatform(folder)) {
-            HoldingPlatform.Sidecar sidecar = platform.start(json(discovery, upstream), "0");
+                SocketActivator platform = new SocketActivator(folder)) {
+            SocketActivator.Sidecar sidecar = platform.start(config(discovery, upstream), "0");
             sidecar.awaitLog("serves at");
             try (TestClient client = new TestClient(platform.address())) {
                 client.send(TestClient.request("pay", "3.0"));
@@ -298,21 +305,21 @@
                 assertEquals(200, TestClient.status(answer));
                 assertTrue(answer.toLowerCase().contains("connection: close"), answer);
                 assertNull(client.read());
-                assertEquals(0, sidecar.end(), sidecar.log());
+                assertEquals(0, sidecar.awaitExit(), sidecar.log());
             }
         }
     }
 
-    /** Guards against a start that serves nobody and says nothing. */
+    /** Guards against a start that accepts no connection and reports no error. */
     @Test
     void descriptorThatDoesNotListenFailsTheStart() throws Exception {
         int stream = 1;
         int datagram = 2;
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
             for (int type : new int[] {stream, datagram}) {
-                try (HoldingPlatform platform = new HoldingPlatform(folder, type, false)) {
-                    HoldingPlatform.Sidecar sidecar = platform.start(json(discovery), "0");
-                    assertEquals(1, sidecar.end(), sidecar.log());
+                try (SocketActivator platform = new SocketActivator(folder, type, false)) {
+                    SocketActivator.Sidecar sidecar = platform.start(config(discovery), "0");
+                    assertEquals(1, sidecar.awaitExit(), sidecar.log());
                     assertTrue(
                             sidecar.log()
                                     .contains("can't start: descriptor 0 is no TCP socket that"),
@@ -320,9 +327,9 @@
                 }
             }
             for (String descriptor : new String[] {"3", "-1", "x"}) {
-                try (HoldingPlatform platform = new HoldingPlatform(folder)) {
-                    HoldingPlatform.Sidecar sidecar = platform.start(json(discovery), descriptor);
-                    assertEquals(1, sidecar.end(), sidecar.log());
+                try (SocketActivator platform = new SocketActivator(folder)) {
+                    SocketActivator.Sidecar sidecar = platform.start(config(discovery), descriptor);
+                    assertEquals(1, sidecar.awaitExit(), sidecar.log());
                     assertTrue(
                             sidecar.log()
                                     .contains("must be descriptor 0, not '" + descriptor + "'"),
--- a/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
+++ b/sidecar/src/test/java/appleridge/daemon/SocketActivator.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A platform that holds the listening socket and starts processes that have it as descriptor 0. The
- * JVM can't hand a socket to a process that it starts, so a few lines of Perl, which every Debian
- * has, do it.
+ * Stand-in for a platform with socket activation: owns the listening socket and starts sidecars
+ * that inherit it as descriptor 0. A JVM can't pass a socket to a child process, so a Perl script
+ * does; every Debian system has Perl.
  */
-final class HoldingPlatform implements AutoCloseable {
+final class SocketActivator implements AutoCloseable {
     private static final String PERL =
             """
             use Socket; $| = 1;
             socket(my $s, PF_INET, $ARGV[0], 0) or die; bind($s, sockaddr_in(0, \
             INADDR_LOOPBACK)) or die;
             if ($ARGV[1]) { listen($s, 1024) or die; }
-            my ($port) = sockaddr_in(getsockname($s)); print "$port\\n"; my %ours;
+            my ($port) = sockaddr_in(getsockname($s)); print "$port\\n"; my %children;
             while (my $line = <STDIN>) {
                 chomp $line; my ($what, $first, @command) = split /\\t/, $line;
                 if ($what eq 'start') {
@@ -32,34 +32,39 @@
                         open(STDIN, '<&', $s) or die; open(STDOUT, '>>', $first) or die;
                         open(STDERR, '>>&', \\*STDOUT) or die; exec @command; exit 127;
                     }
-                    $ours{$pid} = 1; print "$pid\\n";
+                    $children{$pid} = 1; print "$pid\\n";
                 } else {
-                    waitpid($first, 0); delete $ours{$first}; print(($? & 127) + ($? >> \
+                    waitpid($first, 0); delete $children{$first}; print(($? & 127) + ($? >> \
                     8), "\\n");
                 }
             }
-            kill 'KILL', keys %ours;
+            kill 'KILL', keys %children;
             """;
 
     private final Path folder;
-    private final Process holder;
-    private final Writer orders;
-    private final BufferedReader answers;
+    private final Process perl;
+    private final Writer commands;
+    private final BufferedReader replies;
     private final int port;
 
-    /** With Perl's number of the socket's type; and whether it listens. */
-    HoldingPlatform(Path folder, int type, boolean listens) throws IOException {
+    /**
+     * Creates the socket, bound to a free loopback port.
+     *
+     * @param type the socket type as Perl numbers it: 1 for a stream, 2 for datagrams
+     * @param listens whether the socket listens
+     */
+    SocketActivator(Path folder, int type, boolean listens) throws IOException {
         this.folder = folder;
-        this.holder =
+        this.perl =
                 new ProcessBuilder("perl", "-e", PERL, Integer.toString(type), listens ? "1" : "")
                         .redirectError(ProcessBuilder.Redirect.INHERIT)
                         .start();
-        this.orders = holder.outputWriter();
-        this.answers = holder.inputReader();
-        this.port = Integer.parseInt(answers.readLine());
+        this.commands = perl.outputWriter();
+        this.replies = perl.inputReader();
+        this.port = Integer.parseInt(replies.readLine());
     }
 
-    HoldingPlatform(Path folder) throws IOException {
+    SocketActivator(Path folder) throws IOException {
         this(folder, 1, true);
     }
 
@@ -67,13 +72,13 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private String order(String... words) throws IOException {
-        orders.write(String.join("\t", words) + "\n");
-        orders.flush();
-        return answers.readLine();
+    private String execute(String... command) throws IOException {
+        commands.write(String.join("\t", command) + "\n");
+        commands.flush();
+        return replies.readLine();
     }
 
-    /** A sidecar that was started. */
+    /** A sidecar process. */
     final class Sidecar {
         private final Path log;
         private final long pid;
@@ -87,7 +92,7 @@
             return Files.readString(log);
         }
 
-        /** Waits until it has logged something. */
+        /** Waits until the log contains a text. */
         void awaitLog(String text) throws IOException, InterruptedException {
             long until =
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * LoopbackNode.PATIENCE_SECONDS);
@@ -103,18 +108,18 @@
             new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
         }
 
-        /** Waits for its end; the status, or the number of the signal that ended it. */
-        int end() throws IOException {
-            return Integer.parseInt(order("wait", Long.toString(pid)));
+        /** Waits for the process to exit; returns its status or the number of the signal. */
+        int awaitExit() throws IOException {
+            return Integer.parseInt(execute("wait", Long.toString(pid)));
         }
     }
 
-    /** The folder of the state files of all processes. */
-    Path sharedFolder() {
+    /** Returns the folder with the state files of all processes of the sidecar. */
+    Path stateFolder() {
         return folder.resolve("appleridge-n0");
     }
 
-    /** Starts one with a configuration; the listening socket's descriptor is passed as given. */
+    /** Starts a sidecar; the descriptor becomes its BALANCER_LISTEN_FD as given. */
     Sidecar start(String config, String descriptor) throws IOException {
         Path file = Files.createTempFile(folder, "config", ".json");
         Path log = Files.createTempFile(folder, "sidecar", ".log");
@@ -134,17 +139,17 @@
                                 "-jar",
                                 "target/appleridge.jar",
                                 "serve"));
-        return new Sidecar(log, Long.parseLong(order(command.toArray(String[]::new))));
+        return new Sidecar(log, Long.parseLong(execute(command.toArray(String[]::new))));
     }
 
     @Override
     public void close() throws IOException {
-        orders.close();
+        commands.close();
         try {
-            holder.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            perl.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        holder.destroyForcibly();
+        perl.destroyForcibly();
     }
 }
--- a/sidecar/src/test/resources/appleridge/daemon/system-faults.c
+++ b/sidecar/src/test/resources/appleridge/daemon/system-faults.c
@@ -1,8 +1,9 @@
 /*
- * A preloaded library that makes system calls of one process fail as Linux documents, and steps its wall clock.
+ * A library to be preloaded into a process: makes its system calls fail with the errors that Linux documents, and
+ * steps its wall clock.
  *
- * The control file (SYSTEM_FAULTS) holds 64-bit words in native order, mapped by the test and by this library:
- * what each word means stands in SystemFaults.java. Rates are in thousandths of the calls.
+ * The test and this library map the same control file, whose path is in the environment variable SYSTEM_FAULTS. It
+ * holds 64-bit words in native byte order; SystemFaults.java describes them. Fault rates are in calls per thousand.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,11 +22,11 @@
 #include <time.h>
 #include <unistd.h>
 
-enum word { WALL_SECONDS, ACCEPT, SOCKET, CONNECT, WAIT, READ, SHORT, BREAK, FAULTS };
-enum { ERRNO_OFFSET = 16, COUNT_OFFSET = 32, WORDS = 64, THOUSAND = 1000, SHORTEST = 7 };
+enum word { WALL_SECONDS, ACCEPT, SOCKET, CONNECT, WAIT, READ, SHORT, BREAK, BROKEN_PORT };
+enum { ERRNO_OFFSET = 16, COUNT_OFFSET = 32, WORDS = 64, RATE_BASE = 1000, SHORT_IO_BYTES = 7 };
 
 static volatile int64_t *control;
-static __thread uint64_t state;
+static __thread uint64_t random_state;
 
 __attribute__((constructor)) static void map_control(void) {
     const char *path = getenv("SYSTEM_FAULTS");
@@ -37,25 +38,26 @@
     }
 }
 
-/* Whether a fault strikes this call; it is counted. */
-static int strikes(enum word fault) {
+/* Decides at random, by the rate of the fault, whether this call fails; counts the failures. */
+static int should_fail(enum word fault) {
     if (control == NULL || control[fault] == 0) {
         return 0;
     }
-    if (state == 0) {
-        state = 88172645463325252ULL ^ (uint64_t) (uintptr_t) &state;
+    if (random_state == 0) {
+        random_state = 88172645463325252ULL ^ (uint64_t) (uintptr_t) &random_state;
     }
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    if ((int64_t) (state % THOUSAND) >= control[fault]) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    if ((int64_t) (random_state % RATE_BASE) >= control[fault]) {
         return 0;
     }
     __atomic_add_fetch(&control[COUNT_OFFSET + fault], 1, __ATOMIC_RELAXED);
     return 1;
 }
 
-static int fails(enum word fault) {
+/* Sets errno to the error configured for the fault; returns -1. */
+static int fail_with_errno(enum word fault) {
     errno = (int) control[ERRNO_OFFSET + fault];
     return -1;
 }
@@ -72,8 +74,8 @@
         && (address.ss_family == AF_INET || address.ss_family == AF_INET6);
 }
 
-/* Whether a socket's other side listens at the port whose connections are to break. */
-static int leads_to_broken_port(int fd) {
+/* Whether the socket is connected to the port whose connections are to break. */
+static int is_connected_to_broken_port(int fd) {
     struct sockaddr_storage address;
     socklen_t length = sizeof address;
     if (getpeername(fd, (struct sockaddr *) &address, &length) != 0) {
@@ -81,7 +83,7 @@
     }
     int port = address.ss_family == AF_INET6 ? ntohs(((struct sockaddr_in6 *) &address)->sin6_port)
         : ntohs(((struct sockaddr_in *) &address)->sin_port);
-    return port == control[FAULTS];
+    return port == control[BROKEN_PORT];
 }
 
 #define REAL(type, name, ...) \
@@ -117,33 +119,33 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(int, "accept", int, struct sockaddr *, socklen_t *)
-    return strikes(ACCEPT) ? fails(ACCEPT) : real(fd, address, length);
+    return should_fail(ACCEPT) ? fail_with_errno(ACCEPT) : real(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(int, "accept4", int, struct sockaddr *, socklen_t *, int)
-    return strikes(ACCEPT) ? fails(ACCEPT) : real(fd, address, length, flags);
+    return should_fail(ACCEPT) ? fail_with_errno(ACCEPT) : real(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(int, "socket", int, int, int)
     int internet = domain == AF_INET || domain == AF_INET6;
-    return internet && strikes(SOCKET) ? fails(SOCKET) : real(domain, type, protocol);
+    return internet && should_fail(SOCKET) ? fail_with_errno(SOCKET) : real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(int, "connect", int, const struct sockaddr *, socklen_t)
-    return is_internet(fd) && strikes(CONNECT) ? fails(CONNECT) : real(fd, address, length);
+    return is_internet(fd) && should_fail(CONNECT) ? fail_with_errno(CONNECT) : real(fd, address, length);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
     REAL(int, "epoll_wait", int, struct epoll_event *, int, int)
-    return strikes(WAIT) ? fails(WAIT) : real(fd, events, most, timeout);
+    return should_fail(WAIT) ? fail_with_errno(WAIT) : real(fd, events, most, timeout);
 }
 
 int poll(struct pollfd *fds, nfds_t count, int timeout) {
     REAL(int, "poll", struct pollfd *, nfds_t, int)
-    return strikes(WAIT) ? fails(WAIT) : real(fds, count, timeout);
+    return should_fail(WAIT) ? fail_with_errno(WAIT) : real(fds, count, timeout);
 }
 
 ssize_t read(int fd, void *into, size_t length) {
@@ -151,14 +153,14 @@
     if (control == NULL || !(control[READ] || control[SHORT] || control[BREAK]) || !is_socket(fd)) {
         return real(fd, into, length);
     }
-    if (leads_to_broken_port(fd) && strikes(BREAK)) {
+    if (is_connected_to_broken_port(fd) && should_fail(BREAK)) {
         shutdown(fd, SHUT_RDWR);
-        return fails(BREAK);
+        return fail_with_errno(BREAK);
     }
-    if (strikes(READ)) {
-        return fails(READ);
+    if (should_fail(READ)) {
+        return fail_with_errno(READ);
     }
-    return real(fd, into, length > SHORTEST && strikes(SHORT) ? SHORTEST : length);
+    return real(fd, into, length > SHORT_IO_BYTES && should_fail(SHORT) ? SHORT_IO_BYTES : length);
 }
 
 ssize_t write(int fd, const void *from, size_t length) {
@@ -166,10 +168,10 @@
     if (control == NULL || !(control[READ] || control[SHORT]) || !is_socket(fd)) {
         return real(fd, from, length);
     }
-    if (strikes(READ)) {
-        return fails(READ);
+    if (should_fail(READ)) {
+        return fail_with_errno(READ);
     }
-    return real(fd, from, length > SHORTEST && strikes(SHORT) ? SHORTEST : length);
+    return real(fd, from, length > SHORT_IO_BYTES && should_fail(SHORT) ? SHORT_IO_BYTES : length);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
@@ -177,8 +179,8 @@
     if (control == NULL || !(control[READ] || control[SHORT]) || !is_socket(fd)) {
         return real(fd, parts, count);
     }
-    if (strikes(READ)) {
-        return fails(READ);
+    if (should_fail(READ)) {
+        return fail_with_errno(READ);
     }
-    return count > 1 && strikes(SHORT) ? real(fd, parts, 1) : real(fd, parts, count);
+    return count > 1 && should_fail(SHORT) ? real(fd, parts, 1) : real(fd, parts, count);
 }
