--- a/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The operators' line over loopback: what it does to a sidecar at work, and who may not take it.
+ * The admin protocol over loopback: its effect on a serving sidecar, and callers that misbehave.
  */
 @Timeout(120)
 class AdminServerTest {
     private static final String GOOD = StubUpstream.answer("200 OK", "fine");
 
-    private final InetSocketAddress admin = unused();
+    private final InetSocketAddress admin = unusedAddress();
 
-    private static InetSocketAddress unused() {
+    private static InetSocketAddress unusedAddress() {
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), unused.getLocalPort());
         } catch (IOException e) {
@@ -42,11 +42,11 @@
         return socket;
     }
 
-    /** What is answered to some text, up to the end of the connection. */
-    private String say(String text, boolean endsItsSide) throws IOException {
+    /** Sends a text and returns all that the server sends until it closes the connection. */
+    private String exchange(String text, boolean shutDownOutput) throws IOException {
         try (Socket socket = open()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            if (endsItsSide) {
+            if (shutDownOutput) {
                 socket.shutdownOutput();
             }
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -54,19 +54,19 @@
     }
 
     private String call(String line) throws IOException {
-        return say(line + "\n", false);
+        return exchange(line + "\n", false);
     }
 
-    private static long figure(String figures, String name) {
-        return figures.lines()
+    private static long metric(String metrics, String name) {
+        return metrics.lines()
                 .filter(line -> line.startsWith("appleridge_" + name + " "))
                 .findFirst()
                 .map(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1)))
                 .orElseThrow();
     }
 
-    private static long sum(String figures, String name) {
-        return figures.lines()
+    private static long sum(String metrics, String name) {
+        return metrics.lines()
                 .filter(line -> line.startsWith("appleridge_" + name + "_total{"))
                 .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1)))
                 .sum();
@@ -85,45 +85,50 @@
             }
             assertTrue(a.requests.size() > 0);
             assertEquals("YES\n", call("SUSPEND u0"));
-            int before = a.requests.size();
-            // Discovery says again that it is ready, as it does without end.
+            int requestsToA = a.requests.size();
+            // Discovery keeps reporting that the host is ready.
             node.tell(LoopbackNode.list(2, true, LoopbackNode.targets(a, b)));
             for (int i = 0; i < 40; i++) {
                 assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
             }
-            assertEquals(before, a.requests.size());
+            assertEquals(requestsToA, a.requests.size());
             assertEquals("YES\n", call("SUSPEND u1"));
-            long asked = System.nanoTime();
+            long sentAtNanos = System.nanoTime();
             assertEquals(503, TestClient.status(node.ask(TestClient.request("pay", "3.0"))));
-            assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(1500), "at once");
+            assertTrue(
+                    System.nanoTime() - sentAtNanos < TimeUnit.MILLISECONDS.toNanos(1500),
+                    "rejected at once");
             assertEquals("NO not ready\n", call("STATUS"));
             assertEquals("YES\n", call("RESTORE u0"));
             assertEquals("NO unknown upstream\n", call("RESTORE u7"));
             assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
-            assertTrue(a.requests.size() > before);
+            assertTrue(a.requests.size() > requestsToA);
         }
     }
 
     @Test
-    void eachFormOfACallHasItsReply() throws Exception {
+    void everyFormOfACallGetsItsReply() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
                 LoopbackNode node =
                         new LoopbackNode(
                                 LoopbackNode.Figures.USUAL,
                                 admin,
                                 LoopbackNode.targets(upstream))) {
-            assertEquals("YES\n", say("STATUS\r\n", false));
-            assertEquals("YES\n", say("STATUS\n", true));
-            assertEquals("YES\n", say("STATUS", true));
-            assertEquals("", say("", true));
-            assertEquals("YES\n", say("STATUS\nSUSPEND u0\n", false), "one line a connection");
-            assertEquals("NO line too long\n", say("x".repeat(2000), false));
-            assertEquals("NO line too long\n", say("x".repeat(1025) + "\n", false));
-            assertEquals("NO not text\n", say("GET / HTTP/1.1\u0001\r\n\r\n", false));
-            assertEquals("NO unknown call\n", say("GET / HTTP/1.1\r\nHost: a\r\n\r\n", false));
+            assertEquals("YES\n", exchange("STATUS\r\n", false));
+            assertEquals("YES\n", exchange("STATUS\n", true));
+            assertEquals("YES\n", exchange("STATUS", true));
+            assertEquals("", exchange("", true));
+            assertEquals(
+                    "YES\n",
+                    exchange("STATUS\nSUSPEND u0\n", false),
+                    "only the first line of a connection is a call");
+            assertEquals("NO line too long\n", exchange("x".repeat(2000), false));
+            assertEquals("NO line too long\n", exchange("x".repeat(1025) + "\n", false));
+            assertEquals("NO not text\n", exchange("GET / HTTP/1.1\u0001\r\n\r\n", false));
+            assertEquals("NO unknown call\n", exchange("GET / HTTP/1.1\r\nHost: a\r\n\r\n", false));
             try (Socket slow = open()) {
-                for (char each : "STATUS\n".toCharArray()) {
-                    slow.getOutputStream().write(each);
+                for (char character : "STATUS\n".toCharArray()) {
+                    slow.getOutputStream().write(character);
                     Thread.sleep(5);
                 }
                 assertEquals(
@@ -135,7 +140,7 @@
         }
     }
 
-    /** Guards against callers that only connect, or flood, and so keep out who asks. */
+    /** Guards against many connections without a call that delay the calls of others. */
     @Test
     void silentConnectionsDoNotDelayCalls() throws Exception {
         try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
@@ -149,14 +154,15 @@
                 for (int i = 0; i < 400; i++) {
                     silent.add(open());
                 }
-                long asked = System.nanoTime();
+                long sentAtNanos = System.nanoTime();
                 assertEquals("YES\n", call("STATUS"));
-                long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-                assertTrue(took < 1000, took + " ms");
+                long durationMillis =
+                        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
+                assertTrue(durationMillis < 1000, "call took " + durationMillis + " ms");
                 assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
             } finally {
-                for (Socket each : silent) {
-                    each.close();
+                for (Socket socket : silent) {
+                    socket.close();
                 }
             }
             assertEquals("YES\n", call("STATUS"));
@@ -177,13 +183,13 @@
         }
     }
 
-    /** Guards against events counted twice or not at all: an outside observer counts the same. */
+    /** Guards against events that are counted twice or not at all. */
     @Test
-    void metricsAreWhatAnOutsideObserverCounts() throws Exception {
-        AtomicInteger turn = new AtomicInteger();
+    void metricsMatchTheCountsOfClientsAndUpstreams() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         StubUpstream.Script script =
                 (socket, request) ->
-                        switch (turn.getAndIncrement() % 5) {
+                        switch (requestCount.getAndIncrement() % 5) {
                             case 0 -> StubUpstream.reset(socket);
                             case 1 -> {
                                 StubUpstream.write(socket, StubUpstream.answer("500 Wrong", "bad"));
@@ -208,24 +214,24 @@
                         new LoopbackNode(
                                 LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
             int served = 0;
-            int refused = 0;
+            int rejected = 0;
             int failed = 0;
             int malformed = 0;
-            int asked = 0;
+            int sent = 0;
             TestClient client = null;
             for (int i = 0; i < 1500; i++) {
                 client = client == null ? new TestClient(node.node.address()) : client;
-                boolean senseless = random.nextInt(20) == 0;
+                boolean unknownClass = random.nextInt(20) == 0;
                 String text = TestClient.request(classes[random.nextInt(classes.length)], "3.0");
                 String answer =
-                        client.ask(senseless ? text.replace("X-Class: ", "X-Class: no-") : text);
+                        client.ask(unknownClass ? text.replace("X-Class: ", "X-Class: no-") : text);
                 switch (TestClient.status(answer)) {
                     case 200 -> served++;
-                    case 503 -> refused++;
+                    case 503 -> rejected++;
                     case 400 -> malformed++;
                     default -> failed++;
                 }
-                asked += senseless ? 0 : 1;
+                sent += unknownClass ? 0 : 1;
                 if (answer.toLowerCase().contains("connection: close")) {
                     client.close();
                     client = null;
@@ -234,17 +240,17 @@
             if (client != null) {
                 client.close();
             }
-            String figures = call("METRICS");
-            assertTrue(figures.endsWith("# EOF\n"), figures);
-            assertEquals(asked, sum(figures, "requests"), figures);
-            assertEquals(served, sum(figures, "requests_served"), figures);
-            assertEquals(refused, sum(figures, "requests_refused"), figures);
-            assertEquals(failed, sum(figures, "requests_failed"), figures);
-            assertEquals(malformed, figure(figures, "malformed_total"), figures);
-            assertEquals(0, sum(figures, "requests_left"), figures);
-            assertEquals(0, figure(figures, "requests_open"), figures);
-            assertEquals(a.requests.size() + b.requests.size(), sum(figures, "attempts"), figures);
-            assertEquals(2, figure(figures, "upstreams_ready"));
+            String metrics = call("METRICS");
+            assertTrue(metrics.endsWith("# EOF\n"), metrics);
+            assertEquals(sent, sum(metrics, "requests"), metrics);
+            assertEquals(served, sum(metrics, "requests_served"), metrics);
+            assertEquals(rejected, sum(metrics, "requests_refused"), metrics);
+            assertEquals(failed, sum(metrics, "requests_failed"), metrics);
+            assertEquals(malformed, metric(metrics, "malformed_total"), metrics);
+            assertEquals(0, sum(metrics, "requests_left"), metrics);
+            assertEquals(0, metric(metrics, "requests_open"), metrics);
+            assertEquals(a.requests.size() + b.requests.size(), sum(metrics, "attempts"), metrics);
+            assertEquals(2, metric(metrics, "upstreams_ready"));
             assertTrue(served > 0 && failed > 0 && malformed > 0);
         } catch (SocketException e) {
             throw new AssertionError("an answer was cut off", e);
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/DiscoveryCatchUpTest.java
@@ -32,50 +32,52 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Requests that are read ahead of a discovery update. The order is forced: the loop is held still
- * while the test's discovery and clients write, and discovery's next answer waits until a request
- * has had its chance.
+ * Requests that the event loop reads before a discovery update that arrived earlier. The tests
+ * force this order: they block the event loop while discovery and clients write, and withhold
+ * discovery's next response until a request has been read.
  */
 @Timeout(60)
-class CatchingUpTest {
+class DiscoveryCatchUpTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
-    /** Longer than drains allow here. */
-    private static final long STILL_MILLIS = 400;
+    /** Longer than {@code stopSendingWithin}, which these tests set to 250 ms. */
+    private static final long STALL_MILLIS = 400;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Sidecar node;
+    private Sidecar sidecar;
     private InetSocketAddress address;
 
-    private void end() throws Exception {
-        if (node != null) {
-            loop.submit(() -> node.close()).get();
-            node = null;
+    private void closeSidecar() throws Exception {
+        if (sidecar != null) {
+            loop.submit(() -> sidecar.close()).get();
+            sidecar = null;
         }
     }
 
     @AfterEach
-    void endAll() throws Exception {
-        end();
+    void close() throws Exception {
+        closeSidecar();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static String pushed(String json) {
+    private static String withPushedUpdates(String json) {
         return json.replace("\"discovery\":\"subscribe\"", "\"discovery\":\"automatic\"")
                 .replaceAll("\"askWithin\":[0-9]*,", "");
     }
 
-    private void begin(StubUpstream discovery, UnaryOperator<String> changed, String... targets)
+    private void begin(
+            StubUpstream discovery, UnaryOperator<String> changeConfig, String... targets)
             throws Exception {
-        LoopbackNode.Figures longWatches =
+        LoopbackNode.Figures longPolls =
                 new LoopbackNode.Figures(
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
         String json =
-                changed.apply(LoopbackNode.json(longWatches, discovery.address(), targets))
+                changeConfig
+                        .apply(LoopbackNode.json(longPolls, discovery.address(), targets))
                         .replace(
                                 "\"stopSendingWithin\":2000000000",
                                 "\"stopSendingWithin\":250000000");
@@ -83,48 +85,48 @@
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        SidecarEventLoop time =
+        SidecarEventLoop sidecarLoop =
                 new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        node =
+        sidecar =
                 loop.submit(
                                 () ->
                                         new Sidecar(
-                                                time,
+                                                sidecarLoop,
                                                 new NioSocketFactory(),
                                                 config,
                                                 RuntimeOptions.DEFAULTS,
                                                 SymmetricRoundRobinPolicy::new))
                         .get();
-        address = (InetSocketAddress) node.listening().sync().channel().localAddress();
+        address = (InetSocketAddress) sidecar.listening().sync().channel().localAddress();
     }
 
     /**
-     * The loop stands still from before this returns until what it returns is counted down, and so
-     * long.
+     * Blocks the event loop. It stays blocked until the returned latch is counted down and {@link
+     * #STALL_MILLIS} have passed after that.
      */
-    private CountDownLatch standStill() throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch over = new CountDownLatch(1);
+    private CountDownLatch stallLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    begun.countDown();
+                    blocked.countDown();
                     try {
-                        over.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                        Thread.sleep(STILL_MILLIS);
+                        release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        Thread.sleep(STALL_MILLIS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-        return over;
+        assertTrue(blocked.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        return release;
     }
 
-    private List<TestClient> clients(int many) throws Exception {
+    private List<TestClient> connectClients(int count) throws Exception {
         List<TestClient> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             all.add(new TestClient(address));
             all.get(i).ask(READY);
         }
@@ -132,27 +134,27 @@
     }
 
     /**
-     * An agent that answers with what it has, a watch when that is newer; or holds all answers
-     * back.
+     * A discovery agent. It answers a long poll once its list is newer than the one that the poll
+     * names, and can withhold all responses.
      */
-    private static final class Agent implements StubUpstream.Script {
-        final BlockingQueue<Long> answered = new LinkedBlockingQueue<>();
+    private static final class StubAgent implements StubUpstream.Script {
+        final BlockingQueue<Long> sentRevisions = new LinkedBlockingQueue<>();
         private String list;
         private long revision;
-        private boolean holds;
+        private boolean withholding;
 
-        Agent(String... targets) {
-            has(1, false, targets);
+        StubAgent(String... targets) {
+            setList(1, false, targets);
         }
 
-        synchronized void has(long version, boolean holdsBack, String... targets) {
-            revision = version;
-            list = LoopbackNode.list(version, true, targets);
-            holds(holdsBack);
+        synchronized void setList(long newRevision, boolean withhold, String... targets) {
+            revision = newRevision;
+            list = LoopbackNode.list(newRevision, true, targets);
+            withhold(withhold);
         }
 
-        synchronized void holds(boolean now) {
-            holds = now;
+        synchronized void withhold(boolean on) {
+            withholding = on;
             notifyAll();
         }
 
@@ -165,52 +167,55 @@
                             ? 0
                             : Long.parseLong(
                                     request.substring(since + 6, request.indexOf('&', since)));
-            while (holds || known >= revision) {
+            while (withholding || known >= revision) {
                 wait();
             }
             StubUpstream.write(socket, StubUpstream.answer("200 OK", list));
-            answered.add(revision);
+            sentRevisions.add(revision);
             return true;
         }
     }
 
-    private InFlightCounts books() {
+    private InFlightCounts inFlightCounts() {
         try {
-            return loop.submit(() -> node.inFlightCounts()).get();
+            return loop.submit(() -> sidecar.inFlightCounts()).get();
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void await(String what, BooleanSupplier holds) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what);
+    private static void await(String failure, BooleanSupplier condition) throws Exception {
+        long timeoutAtNanos =
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < timeoutAtNanos, "timed out: " + failure);
             Thread.sleep(1);
         }
     }
 
     /**
-     * Guards against requests that go by an answer from early in a stand-still, where lists are
-     * pushed: what the agent has got after that counts as told, though no watch was open.
+     * Guards against requests after a stall that use the list as it was early in the stall. With
+     * pushed updates, a list counts as known once the agent has it, even if no long poll was open
+     * to deliver it. Order of events: the loop stalls; the agent answers the open poll; then a host
+     * drains, while requests wait unread.
      */
     @Test
     void afterAStallRequestsAreDeferredUntilThePushedListHasCaughtUp() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             String first = LoopbackNode.target("u0", one.address(), "Ready");
-            Agent agent = new Agent(first);
+            StubAgent agent = new StubAgent(first);
             try (StubUpstream discovery = new StubUpstream(agent)) {
-                begin(discovery, CatchingUpTest::pushed, first);
+                begin(discovery, DiscoveryCatchUpTest::withPushedUpdates, first);
                 while (!discovery.nextRequest().contains("since=1&")) {
                     Thread.onSpinWait();
                 }
-                List<TestClient> clients = clients(3);
-                agent.answered.clear();
-                CountDownLatch over = standStill();
-                agent.has(2, false, first);
-                agent.answered.take();
-                agent.has(
+                List<TestClient> clients = connectClients(3);
+                agent.sentRevisions.clear();
+                CountDownLatch releaseLoop = stallLoop();
+                agent.setList(2, false, first);
+                agent.sentRevisions.take();
+                agent.setList(
                         3,
                         true,
                         LoopbackNode.target("u0", one.address(), "Terminating"),
@@ -218,69 +223,77 @@
                 for (TestClient each : clients) {
                     each.send(TestClient.request("read", "3.0"));
                 }
-                over.countDown();
+                releaseLoop.countDown();
                 await(
-                        "read",
-                        () -> books().openRequests() == clients.size() || !one.requests.isEmpty());
-                assertEquals(0, books().openAttempts(), "sent before the list is known");
-                agent.holds(false);
+                        "the requests were not read",
+                        () ->
+                                inFlightCounts().openRequests() == clients.size()
+                                        || !one.requests.isEmpty());
+                assertEquals(
+                        0, inFlightCounts().openAttempts(), "sent before the latest list is known");
+                agent.withhold(false);
                 for (TestClient each : clients) {
                     assertEquals(200, TestClient.status(each.read()));
                     each.close();
                 }
-                assertEquals(0, one.requests.size(), "sent to who has drained since");
+                assertEquals(0, one.requests.size(), "sent to the drained host");
             }
         }
     }
 
     /**
-     * Guards against requests that go by the list of before the start, where lists are pushed: what
-     * the agent has counts as told from the first moment of a new process.
+     * Guards against requests of a new process that use the list cached before its start. With
+     * pushed updates, the agent's list counts as known from the first moment.
      */
     @Test
     void newProcessReadsThePushedListBeforeItsFirstRequest() throws Exception {
-        // Once with an agent that answers at once, or classes that are yet to load may take all of
-        // its wait.
-        for (boolean heldBack : new boolean[] {false, true}) {
+        // The first pass, with an agent that responds at once, loads classes: that could otherwise
+        // use up the time for which the request waits.
+        for (boolean withheld : new boolean[] {false, true}) {
             try (StubUpstream one = new StubUpstream(GOOD);
                     StubUpstream two = new StubUpstream(GOOD)) {
-                Agent agent = new Agent();
-                agent.has(
+                StubAgent agent = new StubAgent();
+                agent.setList(
                         2,
-                        heldBack,
+                        withheld,
                         LoopbackNode.target("u0", one.address(), "Terminating"),
                         LoopbackNode.target("u1", two.address(), "Ready"));
                 try (StubUpstream discovery = new StubUpstream(agent)) {
                     begin(
                             discovery,
-                            CatchingUpTest::pushed,
+                            DiscoveryCatchUpTest::withPushedUpdates,
                             LoopbackNode.target("u0", one.address(), "Ready"));
-                    askFirst(agent, heldBack, one);
+                    sendFirstRequest(agent, withheld, one);
                 }
-                end();
+                closeSidecar();
             }
         }
     }
 
-    private void askFirst(Agent agent, boolean heldBack, StubUpstream drained) throws Exception {
+    private void sendFirstRequest(StubAgent agent, boolean withheld, StubUpstream drained)
+            throws Exception {
         try (TestClient client = new TestClient(address)) {
             client.send(TestClient.request("read", "3.0"));
-            if (heldBack) {
-                await("read", () -> books().openRequests() == 1 || !drained.requests.isEmpty());
-                assertEquals(0, books().openAttempts(), "sent before the list is known");
-                agent.holds(false);
+            if (withheld) {
+                await(
+                        "the requests were not read",
+                        () -> inFlightCounts().openRequests() == 1 || !drained.requests.isEmpty());
+                assertEquals(
+                        0, inFlightCounts().openAttempts(), "sent before the latest list is known");
+                agent.withhold(false);
             }
             assertEquals(200, TestClient.status(client.read()));
-            assertEquals(0, drained.requests.size(), "sent to who has drained since");
+            assertEquals(0, drained.requests.size(), "sent to the drained host");
         }
     }
 
     /**
-     * Guards against requests that wait for word of the list, and are late or lost for it, where
-     * there is none: the watch is still out, and what is written to it would have been read.
+     * Guards against requests that wait for a discovery update after a stall although there is
+     * none, and are late or fail for it. The long poll is still open, and an update written to it
+     * would have been read.
      */
     @Test
-    void afterAStallRequestsDoNotWaitForAWatchWithoutAnUpdate() throws Exception {
+    void afterAStallRequestsDoNotWaitForALongPollWithoutAnUpdate() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
@@ -291,18 +304,18 @@
                                 })) {
             begin(discovery, json -> json, LoopbackNode.targets(upstream));
             assertTrue(discovery.nextRequest().contains("since=1&"));
-            TestClient client = clients(1).get(0);
-            CountDownLatch over = standStill();
+            TestClient client = connectClients(1).get(0);
+            CountDownLatch releaseLoop = stallLoop();
             client.send(TestClient.request("read", "3.0"));
-            over.countDown();
-            InFlightCounts[] seen = new InFlightCounts[1];
+            releaseLoop.countDown();
+            InFlightCounts[] counts = new InFlightCounts[1];
             await(
-                    "read",
+                    "the request was not read",
                     () -> {
-                        seen[0] = books();
-                        return seen[0].openRequests() == 1;
+                        counts[0] = inFlightCounts();
+                        return counts[0].openRequests() == 1;
                     });
-            assertEquals(1, seen[0].openAttempts(), "sent in the turn in which it was read");
+            assertEquals(1, counts[0].openAttempts(), "sent in the turn of the loop that read it");
             gate.countDown();
             assertEquals(200, TestClient.status(client.read()));
             client.close();
