--- a/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
@@ -36,9 +36,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What waits when its client leaves is not sent on: for each way of waiting, and for each way of
- * leaving. The order of events is forced by upstreams that answer when they are told to, and by a
- * loop that is held still.
+ * A request that waits when its client disconnects is not sent to an upstream: for each way of
+ * waiting, and for each way of disconnecting. The tests force the order of events with upstreams
+ * that respond when a latch opens and with a blocked event loop.
  */
 @Timeout(60)
 class ClientDisconnectTest {
@@ -46,17 +46,17 @@
             StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
-    /** Each in turn: one client or a burst of them, that end their connection or reset it. */
-    private static final List<Leaving> WAYS =
+    /** One client or a burst of clients, which close their connections or reset them. */
+    private static final List<Disconnect> DISCONNECTS =
             List.of(
-                    new Leaving(1, false),
-                    new Leaving(1, true),
-                    new Leaving(8, false),
-                    new Leaving(8, true));
-
-    /** How many clients leave, and how. */
-    private record Leaving(int clients, boolean resets) {
-        void leave(List<TestClient> all) throws IOException {
+                    new Disconnect(1, false),
+                    new Disconnect(1, true),
+                    new Disconnect(8, false),
+                    new Disconnect(8, true));
+
+    /** How many clients disconnect, and how. */
+    private record Disconnect(int clients, boolean resets) {
+        void apply(List<TestClient> all) throws IOException {
             for (TestClient each : all) {
                 if (resets) {
                     each.socket.setSoLinger(true, 0);
@@ -69,83 +69,85 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Sidecar node;
+    private Sidecar sidecar;
     private InetSocketAddress address;
 
     /**
-     * Where not null, each request costs the policy some time, and the first one waits for this.
+     * If not null, the policy takes time for each request, and waits for this latch at the first.
      */
-    private volatile CountDownLatch turnGoesOn;
+    private volatile CountDownLatch continueTurn;
 
-    private volatile CountDownLatch turnBegun;
+    private volatile CountDownLatch turnStarted;
 
     @AfterEach
     void end() throws Exception {
-        if (node != null) {
-            closeNode();
+        if (sidecar != null) {
+            closeSidecar();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void closeNode() throws Exception {
-        loop.submit(() -> node.close()).get();
-        node = null;
+    private void closeSidecar() throws Exception {
+        loop.submit(() -> sidecar.close()).get();
+        sidecar = null;
     }
 
-    private void begin(StubUpstream discovery, UnaryOperator<String> changed, String... targets)
+    private void begin(
+            StubUpstream discovery, UnaryOperator<String> changeConfig, String... targets)
             throws Exception {
         String json =
-                changed.apply(
+                changeConfig.apply(
                         LoopbackNode.json(
                                 LoopbackNode.Figures.USUAL, discovery.address(), targets));
         SidecarConfig config =
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        SidecarEventLoop time =
+        SidecarEventLoop sidecarLoop =
                 new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.INFO));
-        node =
+        sidecar =
                 loop.submit(
                                 () ->
                                         new Sidecar(
-                                                time,
+                                                sidecarLoop,
                                                 new NioSocketFactory(),
                                                 config,
                                                 RuntimeOptions.DEFAULTS,
                                                 (settings, seed, actions) ->
-                                                        slow(
+                                                        slowPolicy(
                                                                 new SymmetricRoundRobinPolicy(
                                                                         settings, seed, actions))))
                         .get();
-        address = (InetSocketAddress) node.listening().sync().channel().localAddress();
+        address = (InetSocketAddress) sidecar.listening().sync().channel().localAddress();
     }
 
-    private <T> T onLoop(Callable<T> what) {
+    private <T> T onLoop(Callable<T> task) {
         try {
-            return loop.submit(what).get();
+            return loop.submit(task).get();
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private InFlightCounts books() {
-        return onLoop(() -> node.inFlightCounts());
+    private InFlightCounts inFlightCounts() {
+        return onLoop(() -> sidecar.inFlightCounts());
     }
 
-    private static void await(String what, BooleanSupplier holds) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what);
+    private static void await(String failure, BooleanSupplier condition) throws Exception {
+        long timeoutAtNanos =
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < timeoutAtNanos, "timed out: " + failure);
             Thread.sleep(1);
         }
     }
 
-    private List<TestClient> ask(int many, String requestClass) throws Exception {
+    private List<TestClient> sendFromNewClients(int count, String requestClass) throws Exception {
         List<TestClient> clients = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             TestClient client = new TestClient(address);
             client.send(TestClient.request(requestClass, "3.0"));
             clients.add(client);
@@ -154,10 +156,10 @@
     }
 
     /**
-     * What is asked after all others have left, and not refused, is the next that the upstream
-     * gets.
+     * Asserts that the upstream receives no request before one that is sent now, after all other
+     * clients have disconnected. The request is repeated while it is rejected.
      */
-    private void nothingIsSentBefore(String last, StubUpstream upstream) throws Exception {
+    private void assertNothingSentBefore(String last, StubUpstream upstream) throws Exception {
         try (TestClient client = new TestClient(address)) {
             String answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
             while (TestClient.status(answer) == 503) {
@@ -169,137 +171,158 @@
         assertEquals(0, upstream.requests.size());
     }
 
-    private static StubUpstream.Script after(CountDownLatch gate) {
+    private static StubUpstream.Script respondAfter(CountDownLatch gate) {
         return (socket, request) -> {
             gate.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
             return GOOD.serve(socket, request);
         };
     }
 
-    /** Guards against work in vain: a queued request ends with its client's connection. */
+    /** Guards against a queued request that is sent after its client has disconnected. */
     @Test
     void queuedRequestOfADisconnectedClientIsNotSent() throws Exception {
-        for (Leaving way : WAYS) {
+        for (Disconnect disconnect : DISCONNECTS) {
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                    StubUpstream upstream = new StubUpstream(after(gate))) {
+                    StubUpstream upstream = new StubUpstream(respondAfter(gate))) {
                 begin(discovery, json -> json, LoopbackNode.targets(upstream));
-                List<TestClient> busy = ask(2, "read");
+                List<TestClient> busy = sendFromNewClients(2, "read");
                 upstream.nextRequest();
                 upstream.nextRequest();
-                List<TestClient> leaving = ask(way.clients, "read");
-                await("held", () -> books().openRequests() == 2 + way.clients);
-                assertEquals(2, books().openAttempts());
-                way.leave(leaving);
-                await("gone", () -> books().openRequests() == 2);
+                List<TestClient> disconnecting = sendFromNewClients(disconnect.clients, "read");
+                await(
+                        "the requests are not queued",
+                        () -> inFlightCounts().openRequests() == 2 + disconnect.clients);
+                assertEquals(2, inFlightCounts().openAttempts());
+                disconnect.apply(disconnecting);
+                await(
+                        "the disconnected client still counts",
+                        () -> inFlightCounts().openRequests() == 2);
                 gate.countDown();
                 for (TestClient each : busy) {
                     assertEquals(200, TestClient.status(each.read()));
                     each.close();
                 }
-                nothingIsSentBefore("last", upstream);
-                closeNode();
+                assertNothingSentBefore("last", upstream);
+                closeSidecar();
             }
         }
     }
 
-    /** Guards against a request of the same connection that waits behind one that is out. */
+    /** Guards against a request that waits behind an open request of the same connection. */
     @Test
     void pipelinedRequestOfADisconnectedClientIsNotSent() throws Exception {
-        for (Leaving way : WAYS) {
+        for (Disconnect disconnect : DISCONNECTS) {
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                    StubUpstream upstream = new StubUpstream(after(gate))) {
+                    StubUpstream upstream = new StubUpstream(respondAfter(gate))) {
                 begin(discovery, json -> json, LoopbackNode.targets(upstream));
-                List<TestClient> busy = ask(1, "read");
+                List<TestClient> busy = sendFromNewClients(1, "read");
                 upstream.nextRequest();
-                List<TestClient> leaving = ask(1, "read");
+                List<TestClient> disconnecting = sendFromNewClients(1, "read");
                 upstream.nextRequest();
-                for (int i = 1; i < way.clients; i++) {
-                    leaving.addAll(ask(1, "read"));
+                for (int i = 1; i < disconnect.clients; i++) {
+                    disconnecting.addAll(sendFromNewClients(1, "read"));
                 }
-                for (TestClient each : leaving) {
+                for (TestClient each : disconnecting) {
                     each.send(TestClient.request("read", "3.0"));
                 }
-                await("held", () -> books().openRequests() == 1 + 2 * way.clients);
-                way.leave(leaving);
-                await("gone", () -> books().openRequests() == 1 && books().openAttempts() == 1);
+                await(
+                        "the requests are not queued",
+                        () -> inFlightCounts().openRequests() == 1 + 2 * disconnect.clients);
+                disconnect.apply(disconnecting);
+                await(
+                        "the disconnected client still counts",
+                        () ->
+                                inFlightCounts().openRequests() == 1
+                                        && inFlightCounts().openAttempts() == 1);
                 gate.countDown();
                 assertEquals(200, TestClient.status(busy.get(0).read()));
                 busy.get(0).close();
-                nothingIsSentBefore("last", upstream);
-                closeNode();
+                assertNothingSentBefore("last", upstream);
+                closeSidecar();
             }
         }
     }
 
     /**
-     * Guards against a further attempt for nobody: the first one fails, and the second waits for
-     * room.
+     * Guards against a retry without a client. Order of events: the first attempt fails, the retry
+     * waits for capacity, then the client disconnects.
      */
     @Test
     void retryForADisconnectedClientIsNotSent() throws Exception {
-        for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
+        for (Disconnect disconnect :
+                new Disconnect[] {new Disconnect(1, false), new Disconnect(1, true)}) {
             CountDownLatch gate = new CountDownLatch(1);
-            CountDownLatch fails = new CountDownLatch(1);
+            CountDownLatch failFirst = new CountDownLatch(1);
             StubUpstream.Script error =
                     (socket, request) -> {
-                        fails.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        failFirst.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
                                 socket, StubUpstream.answer("500 Internal Server Error", ""));
                         return true;
                     };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                    StubUpstream full = new StubUpstream(after(gate));
+                    StubUpstream full = new StubUpstream(respondAfter(gate));
                     StubUpstream failing =
                             new StubUpstream(
                                     StubUpstream.firstThen(new CountDownLatch(1), error, GOOD))) {
                 begin(discovery, json -> json, LoopbackNode.targets(full, failing));
                 List<TestClient> busy = new ArrayList<>();
-                TestClient leaves = null;
-                // Whichever each one comes to: two fill the one, and one is to fail at the other.
-                while (full.requests.size() < 2 || leaves == null) {
+                TestClient failingClient = null;
+                // The policy chooses the host of each request. Send until two requests fill one
+                // host
+                // and the other host has one request, which is to fail.
+                while (full.requests.size() < 2 || failingClient == null) {
                     int before = failing.requests.size();
-                    TestClient client = ask(1, "read").get(0);
-                    int out = busy.size() + (leaves == null ? 0 : 1) + 1;
-                    await("sent", () -> full.requests.size() + failing.requests.size() == out);
-                    if (leaves == null && failing.requests.size() > before) {
-                        leaves = client;
+                    TestClient client = sendFromNewClients(1, "read").get(0);
+                    int attemptCount = busy.size() + (failingClient == null ? 0 : 1) + 1;
+                    await(
+                            "the request was not sent",
+                            () -> full.requests.size() + failing.requests.size() == attemptCount);
+                    if (failingClient == null && failing.requests.size() > before) {
+                        failingClient = client;
                     } else {
                         busy.add(client);
                     }
                 }
                 int open = busy.size() + 1;
-                assertEquals(open, books().openAttempts());
+                assertEquals(open, inFlightCounts().openAttempts());
                 int atFailing = failing.requests.size();
-                fails.countDown();
-                await("failed", () -> books().openAttempts() < open);
-                way.leave(List.of(leaves));
-                await("gone", () -> books().openRequests() < open);
+                failFirst.countDown();
+                await(
+                        "the first attempt has not failed",
+                        () -> inFlightCounts().openAttempts() < open);
+                disconnect.apply(List.of(failingClient));
+                await(
+                        "the disconnected client still counts",
+                        () -> inFlightCounts().openRequests() < open);
                 gate.countDown();
                 for (TestClient each : busy) {
                     assertEquals(200, TestClient.status(each.read()));
                     each.close();
                 }
-                assertEquals(2, full.requests.size(), "and no further attempt");
+                assertEquals(2, full.requests.size(), "no further attempt");
                 assertEquals(atFailing, failing.requests.size());
-                closeNode();
+                closeSidecar();
             }
         }
     }
 
     /**
-     * Guards against an attempt that is sent when its connection comes up, long after its client
-     * has left: also where the settings allow no cancelling, for of this one nothing has gone out.
+     * Guards against an attempt that is sent once its connection is established, long after its
+     * client has disconnected. That holds even if the settings do not allow cancelling, because no
+     * byte of this attempt has been sent.
      */
     @Test
     void connectingAttemptOfADisconnectedClientIsNotSent() throws Exception {
         for (String cancels : new String[] {"true", "false"}) {
-            for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
+            for (Disconnect disconnect :
+                    new Disconnect[] {new Disconnect(1, false), new Disconnect(1, true)}) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                         ServerSocket full =
                                 new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    List<Socket> waiting = fill(full);
+                    List<Socket> waiting = fillAcceptQueue(full);
                     begin(
                             discovery,
                             json ->
@@ -313,61 +336,68 @@
                             LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                     TestClient client = new TestClient(address);
                     client.send(TestClient.request("read", "60.0"));
-                    await("connecting", () -> onLoop(() -> node.upstreamConnectionCount()) == 1);
-                    way.leave(List.of(client));
                     await(
-                            "its client has left, and it still connects",
-                            () -> onLoop(() -> node.upstreamConnectionCount()) == 0);
-                    assertEquals(0, books().trackedRequests());
+                            "no connect attempt",
+                            () -> onLoop(() -> sidecar.upstreamConnectionCount()) == 1);
+                    disconnect.apply(List.of(client));
+                    await(
+                            "the attempt still connects after its client has disconnected",
+                            () -> onLoop(() -> sidecar.upstreamConnectionCount()) == 0);
+                    assertEquals(0, inFlightCounts().trackedRequests());
                     for (Socket each : waiting) {
                         each.close();
                     }
-                    closeNode();
+                    closeSidecar();
                 }
             }
         }
     }
 
     /**
-     * The same where both come while the loop stands still, and the connection is read ahead of the
-     * end: a late loop looks for those who have left before it writes.
+     * The same if both events arrive while the event loop is blocked and the established connection
+     * is read before the disconnect: after a stall the loop checks for disconnected clients before
+     * it writes.
      */
     @Test
     void connectCompletingDuringAStallIsNotUsedForADisconnectedClient() throws Exception {
-        for (Leaving way : new Leaving[] {new Leaving(1, false), new Leaving(1, true)}) {
+        for (Disconnect disconnect :
+                new Disconnect[] {new Disconnect(1, false), new Disconnect(1, true)}) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                final List<Socket> waiting = fill(full);
+                final List<Socket> waiting = fillAcceptQueue(full);
                 begin(
                         discovery,
-                        ClientDisconnectTest::patient,
+                        ClientDisconnectTest::withLongTimeouts,
                         LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                 TestClient client = new TestClient(address);
                 client.send(TestClient.request("read", "60.0"));
-                await("connecting", () -> onLoop(() -> node.upstreamConnectionCount()) == 1);
-                CountDownLatch left = standStill(320);
-                Socket up = takeAllBut(full, waiting);
-                way.leave(List.of(client));
-                left.countDown();
-                assertNothingIsSent(up);
-                closeNode();
+                await(
+                        "no connect attempt",
+                        () -> onLoop(() -> sidecar.upstreamConnectionCount()) == 1);
+                CountDownLatch releaseLoop = stallLoop(320);
+                Socket accepted = acceptOtherThan(full, waiting);
+                disconnect.apply(List.of(client));
+                releaseLoop.countDown();
+                assertNothingIsSent(accepted);
+                closeSidecar();
             }
         }
     }
 
     /**
-     * Guards against a drain that is told while the loop stands still, and read behind the
-     * connection.
+     * Guards against an attempt to a draining host. Order of events: while the event loop is
+     * blocked, the connection is established and discovery reports that the host drains; the loop
+     * then reads the connection first.
      */
     @Test
     void connectCompletingAfterDrainUpdateIsNotUsed() throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch sendUpdate = new CountDownLatch(1);
+        CountDownLatch updateSent = new CountDownLatch(1);
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String endpoint = "127.0.0.1:" + full.getLocalPort();
             StubUpstream.Script drain =
                     (socket, request) -> {
-                        drains.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        sendUpdate.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
                                 socket,
                                 StubUpstream.answer(
@@ -377,18 +407,18 @@
                                                 false,
                                                 LoopbackNode.target(
                                                         "u0", endpoint, "Terminating"))));
-                        told.countDown();
+                        updateSent.countDown();
                         return true;
                     };
             try (StubUpstream discovery =
                     new StubUpstream(
                             StubUpstream.firstThen(
                                     new CountDownLatch(1), drain, StubUpstream.SILENT))) {
-                final List<Socket> waiting = fill(full);
+                final List<Socket> waiting = fillAcceptQueue(full);
                 begin(
                         discovery,
                         json ->
-                                patient(json)
+                                withLongTimeouts(json)
                                         .replace(
                                                 "\"stopSendingWithin\":2000000000",
                                                 "\"stopSendingWithin\":250000000")
@@ -399,31 +429,33 @@
                 discovery.nextRequest();
                 try (TestClient client = new TestClient(address)) {
                     client.send(TestClient.request("read", "60.0"));
-                    await("connecting", () -> onLoop(() -> node.upstreamConnectionCount()) == 1);
-                    CountDownLatch over = standStill(320);
-                    Socket up = takeAllBut(full, waiting);
-                    drains.countDown();
-                    assertTrue(told.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-                    over.countDown();
-                    assertNothingIsSent(up);
+                    await(
+                            "no connect attempt",
+                            () -> onLoop(() -> sidecar.upstreamConnectionCount()) == 1);
+                    CountDownLatch releaseLoop = stallLoop(320);
+                    Socket accepted = acceptOtherThan(full, waiting);
+                    sendUpdate.countDown();
+                    assertTrue(updateSent.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                    releaseLoop.countDown();
+                    assertNothingIsSent(accepted);
                     assertEquals(
                             503,
                             TestClient.status(client.read()),
-                            "it never ran: no other is there");
+                            "the request never ran, and there is no other host");
                 }
-                closeNode();
+                closeSidecar();
             }
         }
     }
 
-    /** Connections and clients are waited for much longer than it takes for one to come up. */
-    private static String patient(String json) {
+    /** Sets a connect timeout and a deadline that no test reaches. */
+    private static String withLongTimeouts(String json) {
         return json.replace("\"connectTimeout\":500000000", "\"connectTimeout\":60000000000")
                 .replace("\"deadline\":3000000000", "\"deadline\":60000000000");
     }
 
-    /** Takes what waits, and the first connection behind that. */
-    private static Socket takeAllBut(ServerSocket listener, List<Socket> waiting)
+    /** Accepts the filling connections and returns the first other one. */
+    private static Socket acceptOtherThan(ServerSocket listener, List<Socket> waiting)
             throws IOException {
         List<Integer> known = waiting.stream().map(Socket::getLocalPort).toList();
         listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
@@ -436,14 +468,14 @@
         }
     }
 
-    private static void assertNothingIsSent(Socket up) throws IOException {
-        up.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
-        assertEquals(null, StubUpstream.readMessage(up.getInputStream()));
-        up.close();
+    private static void assertNothingIsSent(Socket accepted) throws IOException {
+        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        assertEquals(null, StubUpstream.readMessage(accepted.getInputStream()));
+        accepted.close();
     }
 
-    /** Connects until the system takes no more. */
-    private static List<Socket> fill(ServerSocket listener) throws IOException {
+    /** Fills the accept queue: connects until a connect attempt times out. */
+    private static List<Socket> fillAcceptQueue(ServerSocket listener) throws IOException {
         List<Socket> all = new ArrayList<>();
         while (true) {
             Socket socket = new Socket();
@@ -458,117 +490,127 @@
     }
 
     /**
-     * Guards against a request that is read ahead of its connection's end: both waited while the
-     * loop stood still, for longer than a client's leaving may go unnoticed, though for no longer
-     * than half a second.
+     * Guards against a request that the event loop reads before its client's disconnect, when both
+     * arrived while the loop was blocked. Each time exceeds one more of the limits of {@code
+     * EventLoopStallGuard}: 80 ms for a disconnect to go unnoticed, 150 ms for a late loop, and
+     * half a second for a stall.
      */
     @Test
     void requestReadAfterAStallIsNotSentForADisconnectedClient() throws Exception {
-        for (long still : new long[] {130, 320, 700}) {
-            for (Leaving way : WAYS) {
+        for (long stallMillis : new long[] {130, 320, 700}) {
+            for (Disconnect disconnect : DISCONNECTS) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                         StubUpstream upstream = new StubUpstream(GOOD)) {
                     begin(discovery, json -> json, LoopbackNode.targets(upstream));
                     List<TestClient> clients = new ArrayList<>();
-                    for (int i = 0; i < way.clients; i++) {
+                    for (int i = 0; i < disconnect.clients; i++) {
                         TestClient client = new TestClient(address);
                         assertEquals(503, TestClient.status(client.ask(READY)));
                         clients.add(client);
                     }
-                    CountDownLatch left = standStill(still);
+                    CountDownLatch releaseLoop = stallLoop(stallMillis);
                     for (TestClient each : clients) {
                         each.send(TestClient.request("read", "3.0"));
                     }
-                    way.leave(clients);
-                    left.countDown();
-                    await("gone", () -> onLoop(() -> node.clientConnectionCount()) == 0);
-                    nothingIsSentBefore("last", upstream);
-                    closeNode();
+                    disconnect.apply(clients);
+                    releaseLoop.countDown();
+                    await(
+                            "the disconnected client still counts",
+                            () -> onLoop(() -> sidecar.clientConnectionCount()) == 0);
+                    assertNothingSentBefore("last", upstream);
+                    closeSidecar();
                 }
             }
         }
     }
 
     /**
-     * Guards against what comes behind a new connection's first request, all of it sent at once and
-     * its client gone: as much as the first, it may have waited until the connection was accepted.
-     * The loop is held too shortly to be late, and an idle connection to the upstream takes what is
-     * sent at once.
+     * Guards against the pipelined requests of a new connection whose client sends all of them at
+     * once and disconnects: like the first request, they may have waited until the connection was
+     * accepted. The event loop is blocked too briefly to be late, and an idle upstream connection
+     * would take a request at once.
      */
     @Test
     void firstRequestOfADisconnectedClientIsNotSent() throws Exception {
-        for (Leaving way : WAYS) {
+        for (Disconnect disconnect : DISCONNECTS) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(GOOD)) {
                 begin(discovery, json -> json, LoopbackNode.targets(upstream));
-                try (TestClient before = ask(1, "read").get(0)) {
+                try (TestClient before = sendFromNewClients(1, "read").get(0)) {
                     assertEquals(200, TestClient.status(before.read()));
                     upstream.nextRequest();
                 }
-                await("gone", () -> onLoop(() -> node.clientConnectionCount()) == 0);
-                CountDownLatch left = standStill(0);
-                List<TestClient> leaving = ask(way.clients, "read");
-                for (TestClient each : leaving) {
+                await(
+                        "the disconnected client still counts",
+                        () -> onLoop(() -> sidecar.clientConnectionCount()) == 0);
+                CountDownLatch releaseLoop = stallLoop(0);
+                List<TestClient> disconnecting = sendFromNewClients(disconnect.clients, "read");
+                for (TestClient each : disconnecting) {
                     each.send(
                             TestClient.request("read", "3.0") + TestClient.request("read", "3.0"));
                 }
-                way.leave(leaving);
-                left.countDown();
-                nothingIsSentBefore("last", upstream);
-                closeNode();
+                disconnect.apply(disconnecting);
+                releaseLoop.countDown();
+                assertNothingSentBefore("last", upstream);
+                closeSidecar();
             }
         }
     }
 
     /**
-     * The same for what lets a request go on: the answers that make room for those that are held
-     * come while the loop stands still, and then their clients leave.
+     * The same for a queued request: while the event loop is blocked, the responses arrive that
+     * free capacity for it, and then its client disconnects.
      */
     @Test
     void queuedRequestIsNotSentWhenCapacityCameDuringAStall() throws Exception {
-        for (long still : new long[] {130, 320}) {
-            for (Leaving way : WAYS) {
-                roomComesWhileTheLoopStandsStill(still, way);
+        for (long stallMillis : new long[] {130, 320}) {
+            for (Disconnect disconnect : DISCONNECTS) {
+                testCapacityDuringAStall(stallMillis, disconnect);
             }
         }
     }
 
-    private void roomComesWhileTheLoopStandsStill(long still, Leaving way) throws Exception {
+    private void testCapacityDuringAStall(long stallMillis, Disconnect disconnect)
+            throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(2);
         StubUpstream.Script script =
                 (socket, request) -> {
-                    after(gate).serve(socket, request);
+                    respondAfter(gate).serve(socket, request);
                     answered.countDown();
                     return true;
                 };
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(script)) {
             begin(discovery, json -> json, LoopbackNode.targets(upstream));
-            List<TestClient> busy = ask(2, "read");
+            List<TestClient> busy = sendFromNewClients(2, "read");
             upstream.nextRequest();
             upstream.nextRequest();
-            List<TestClient> leaving = ask(way.clients, "read");
-            await("held", () -> books().openRequests() == 2 + way.clients);
-            CountDownLatch left = standStill(still);
+            List<TestClient> disconnecting = sendFromNewClients(disconnect.clients, "read");
+            await(
+                    "the requests are not queued",
+                    () -> inFlightCounts().openRequests() == 2 + disconnect.clients);
+            CountDownLatch releaseLoop = stallLoop(stallMillis);
             gate.countDown();
             assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-            way.leave(leaving);
-            left.countDown();
+            disconnect.apply(disconnecting);
+            releaseLoop.countDown();
             for (TestClient each : busy) {
                 assertEquals(200, TestClient.status(each.read()));
                 each.close();
             }
-            await("gone", () -> books().openRequests() == 0);
-            nothingIsSentBefore("last", upstream);
-            closeNode();
+            await(
+                    "the disconnected client still counts",
+                    () -> inFlightCounts().openRequests() == 0);
+            assertNothingSentBefore("last", upstream);
+            closeSidecar();
         }
     }
 
     /**
-     * The same where the loop never stands still and yet comes late to what it reads: one turn is
-     * long, for each of many requests costs some time in it. In that turn comes what makes room,
-     * and the end of who waits for the room behind it.
+     * The same without a blocked loop: one turn of the loop is long, because each of many requests
+     * takes some time in it. During that turn the responses arrive that free capacity, followed by
+     * the disconnect of the client whose request waits for the capacity.
      */
     @Test
     void queuedRequestIsNotSentWhenCapacityCameLateInALongTurn() throws Exception {
@@ -578,7 +620,7 @@
             StubUpstream.Script script =
                     (socket, request) -> {
                         boolean waits = "busy".equals(StubUpstream.header(request, "x-name"));
-                        (waits ? after(gate) : GOOD).serve(socket, request);
+                        (waits ? respondAfter(gate) : GOOD).serve(socket, request);
                         if (waits) {
                             answered.countDown();
                         }
@@ -599,23 +641,25 @@
                     busy.add(new TestClient(address));
                     busy.get(i).send(TestClient.request("read", "3.0", "X-Name: busy"));
                 }
-                await("sent", () -> upstream.requests.size() == many.size() + busy.size());
-                TestClient leaving = new TestClient(address);
-                leaving.send(TestClient.request("read", "3.0", "X-Name: gone"));
-                await("held", () -> books().openRequests() == 3);
-                assertEquals(2, books().openAttempts());
-                turnBegun = new CountDownLatch(1);
-                turnGoesOn = new CountDownLatch(1);
-                CountDownLatch asked = standStill(0);
+                await(
+                        "the requests were not sent",
+                        () -> upstream.requests.size() == many.size() + busy.size());
+                TestClient disconnecting = new TestClient(address);
+                disconnecting.send(TestClient.request("read", "3.0", "X-Name: gone"));
+                await("the requests are not queued", () -> inFlightCounts().openRequests() == 3);
+                assertEquals(2, inFlightCounts().openAttempts());
+                turnStarted = new CountDownLatch(1);
+                continueTurn = new CountDownLatch(1);
+                CountDownLatch releaseLoop = stallLoop(0);
                 for (TestClient each : many) {
                     each.send(TestClient.request("read", "0.001"));
                 }
-                asked.countDown();
-                assertTrue(turnBegun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                releaseLoop.countDown();
+                assertTrue(turnStarted.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
                 gate.countDown();
                 assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-                new Leaving(1, resets).leave(List.of(leaving));
-                turnGoesOn.countDown();
+                new Disconnect(1, resets).apply(List.of(disconnecting));
+                continueTurn.countDown();
                 for (TestClient each : busy) {
                     assertEquals(200, TestClient.status(each.read()));
                     each.close();
@@ -624,53 +668,58 @@
                     each.read();
                     each.close();
                 }
-                await("gone", () -> books().trackedRequests() == 0);
+                await(
+                        "the disconnected client still counts",
+                        () -> inFlightCounts().trackedRequests() == 0);
                 for (String each : upstream.requests) {
                     assertNotEquals("gone", StubUpstream.header(each, "x-name"), each);
                 }
-                turnGoesOn = null;
-                closeNode();
+                continueTurn = null;
+                closeSidecar();
             }
         }
     }
 
-    /** A policy that takes its time over each request, as on an overloaded machine. */
-    private LoadBalancingPolicy slow(LoadBalancingPolicy module) {
+    /** Wraps a policy so that it takes time for each request, as on an overloaded machine. */
+    private LoadBalancingPolicy slowPolicy(LoadBalancingPolicy policy) {
         return (LoadBalancingPolicy)
                 Proxy.newProxyInstance(
                         LoadBalancingPolicy.class.getClassLoader(),
                         new Class<?>[] {LoadBalancingPolicy.class},
                         (proxy, method, arguments) -> {
-                            if (method.getName().equals("onRequest") && turnGoesOn != null) {
-                                turnBegun.countDown();
-                                stand(turnGoesOn, 90);
+                            if (method.getName().equals("onRequest") && continueTurn != null) {
+                                turnStarted.countDown();
+                                block(continueTurn, 90);
                             }
-                            return method.invoke(module, arguments);
+                            return method.invoke(policy, arguments);
                         });
     }
 
     /**
-     * The loop stands still from before this returns until what it returns is counted down, and so
-     * long.
+     * Blocks the event loop. It stays blocked until the returned latch is counted down, and at
+     * least for the given time.
      */
-    private CountDownLatch standStill(long millis) throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch over = new CountDownLatch(1);
+    private CountDownLatch stallLoop(long millis) throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    begun.countDown();
-                    stand(over, millis);
+                    blocked.countDown();
+                    block(release, millis);
                 });
-        assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-        return over;
+        assertTrue(blocked.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        return release;
     }
 
-    /** Holds the loop until all have left, and for so many milliseconds at least. */
-    private static void stand(CountDownLatch left, long millis) {
+    /** Blocks the calling thread until the latch opens, and at least for the given time. */
+    private static void block(CountDownLatch latch, long millis) {
         try {
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-            left.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-            Thread.sleep(Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
+            long earliestEndNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+            latch.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            Thread.sleep(
+                    Math.max(
+                            1,
+                            TimeUnit.NANOSECONDS.toMillis(earliestEndNanos - System.nanoTime())));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
