--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -22,29 +22,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The listening side: readiness, bad input, pipelining, the end of the service. */
+/** The client listener: readiness, malformed input, pipelining, eviction and draining. */
 @Timeout(60)
 class ClientListenerTest {
     private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    /** Guards against a request cut off because its body comes slowly, while it does come. */
+    /** Guards against a request that is cut off because its body arrives slowly but steadily. */
     @Test
-    void slowBodyIsAcceptedAndStalledBodyIsNot() throws Exception {
-        ClientTimeouts times = new ClientTimeouts(300, 300, 15_000);
+    void slowBodyIsAcceptedAndStalledBodyIsRejected() throws Exception {
+        ClientTimeouts timeouts = new ClientTimeouts(300, 300, 15_000);
         Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
-                LoopbackNode node =
+                LoopbackNode sidecar =
                         new LoopbackNode(
                                 new LoopbackNode.Figures(
-                                        10_000_000_000L, 1000, 1_000_000_000L, times),
+                                        10_000_000_000L, 1000, 1_000_000_000L, timeouts),
                                 LoopbackNode.targets(upstream))) {
             String head =
                     TestClient.request("pay", "3.0")
                             .replace(
                                     "Content-Length: 4\r\n\r\nbody",
                                     "Content-Length: 60000\r\n\r\n");
-            try (TestClient slow = new TestClient(node.node.address())) {
+            try (TestClient slow = new TestClient(sidecar.node.address())) {
                 slow.send(head);
                 for (int i = 0; i < 60; i++) {
                     slow.send("x".repeat(1000));
@@ -52,9 +52,9 @@
                 }
                 assertEquals(200, TestClient.status(slow.read()));
             }
-            try (TestClient stops = new TestClient(node.node.address())) {
-                stops.send(head + "x".repeat(1000));
-                assertEquals(408, TestClient.status(stops.read()));
+            try (TestClient stalled = new TestClient(sidecar.node.address())) {
+                stalled.send(head + "x".repeat(1000));
+                assertEquals(408, TestClient.status(stalled.read()));
             }
         }
     }
@@ -62,10 +62,10 @@
     @Test
     void readinessNeedsAReadyHost() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode();
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode();
+                TestClient client = sidecar.client()) {
             assertEquals(503, TestClient.status(client.ask(READY)));
-            host.tell(LoopbackNode.list(2, true, LoopbackNode.targets(upstream)));
+            sidecar.tell(LoopbackNode.list(2, true, LoopbackNode.targets(upstream)));
             while (TestClient.status(client.ask(READY)) != 200) {
                 Thread.onSpinWait();
             }
@@ -74,30 +74,32 @@
     }
 
     @Test
-    void malformedRequestIsAnsweredAtOnceAndNotForwarded() throws Exception {
+    void malformedRequestIsRejectedAndNotForwarded() throws Exception {
         String good = TestClient.request("write", "2.0");
-        Map<String, Integer> keeps = new LinkedHashMap<>();
-        keeps.put(good.replaceAll("X-Request-Id: [^\r]*\r\n", ""), 400);
-        keeps.put(good.replace("X-Class: write", "X-Class: nosuch"), 400);
-        keeps.put(good.replaceAll("X-Class: [^\r]*\r\n", ""), 400);
-        keeps.put(good.replaceAll("X-Deadline: [^\r]*\r\n", ""), 400);
+        Map<String, Integer> statusWithKeepAlive = new LinkedHashMap<>();
+        statusWithKeepAlive.put(good.replaceAll("X-Request-Id: [^\r]*\r\n", ""), 400);
+        statusWithKeepAlive.put(good.replace("X-Class: write", "X-Class: nosuch"), 400);
+        statusWithKeepAlive.put(good.replaceAll("X-Class: [^\r]*\r\n", ""), 400);
+        statusWithKeepAlive.put(good.replaceAll("X-Deadline: [^\r]*\r\n", ""), 400);
         for (String deadline : new String[] {"soon", "NaN", "-1", "0", "Infinity", "1e300"}) {
-            keeps.put(good.replace("X-Deadline: 2.0", "X-Deadline: " + deadline), 400);
+            statusWithKeepAlive.put(
+                    good.replace("X-Deadline: 2.0", "X-Deadline: " + deadline), 400);
         }
-        keeps.put(good.replaceAll("Idempotency-Key: [^\r]*\r\n", ""), 400);
-        keeps.put(good.replace("/api", "/other"), 404);
-        keeps.put(good.replace("POST", "PUT"), 405);
-        keeps.put(good.replace("POST", "GET"), 405);
-        keeps.put(READY.replace("GET", "DELETE"), 405);
-        Map<String, Integer> ends = new LinkedHashMap<>();
-        ends.put("what is this\r\n\r\n", 400);
-        ends.put(good.replace("Content-Length: 4", "Content-Length: -4"), 400);
-        ends.put(good.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400);
-        ends.put(
+        statusWithKeepAlive.put(good.replaceAll("Idempotency-Key: [^\r]*\r\n", ""), 400);
+        statusWithKeepAlive.put(good.replace("/api", "/other"), 404);
+        statusWithKeepAlive.put(good.replace("POST", "PUT"), 405);
+        statusWithKeepAlive.put(good.replace("POST", "GET"), 405);
+        statusWithKeepAlive.put(READY.replace("GET", "DELETE"), 405);
+        Map<String, Integer> statusWithClose = new LinkedHashMap<>();
+        statusWithClose.put("what is this\r\n\r\n", 400);
+        statusWithClose.put(good.replace("Content-Length: 4", "Content-Length: -4"), 400);
+        statusWithClose.put(
+                good.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400);
+        statusWithClose.put(
                 good.replace(
                         "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"),
                 400);
-        ends.put(good.replace("Content-Length: 4", "Content-Length: 33554433"), 413);
+        statusWithClose.put(good.replace("Content-Length: 4", "Content-Length: 33554433"), 413);
         for (String framing :
                 new String[] {
                     "Content-Length: +4",
@@ -122,17 +124,17 @@
                     "Content-Length : 4",
                     "Content-Length: 4\n"
                 }) {
-            ends.put(good.replace("Content-Length: 4\r\n", framing + "\r\n"), 400);
+            statusWithClose.put(good.replace("Content-Length: 4\r\n", framing + "\r\n"), 400);
         }
-        ends.put(good.replace("\r\n", "\n"), 400);
-        ends.put("\u0000\u0001" + good, 400);
-        ends.put(good.replace(" HTTP/1.1", "\u0001 HTTP/1.1"), 400);
-        ends.put(good.replace("Host: ", "Host: \u0001"), 400);
-        ends.put("GET /api HTTP/1.1\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n", 400);
+        statusWithClose.put(good.replace("\r\n", "\n"), 400);
+        statusWithClose.put("\u0000\u0001" + good, 400);
+        statusWithClose.put(good.replace(" HTTP/1.1", "\u0001 HTTP/1.1"), 400);
+        statusWithClose.put(good.replace("Host: ", "Host: \u0001"), 400);
+        statusWithClose.put("GET /api HTTP/1.1\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n", 400);
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream)) {
-            try (TestClient client = host.client()) {
-                for (Map.Entry<String, Integer> each : keeps.entrySet()) {
+                LoopbackNode sidecar = new LoopbackNode(upstream)) {
+            try (TestClient client = sidecar.client()) {
+                for (Map.Entry<String, Integer> each : statusWithKeepAlive.entrySet()) {
                     String answer = client.ask(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals(
@@ -140,23 +142,23 @@
                 }
                 assertEquals(0, upstream.requests.size());
                 assertEquals(
-                        200, TestClient.status(client.ask(good)), "the connection is still of use");
+                        200, TestClient.status(client.ask(good)), "the connection stays usable");
             }
-            for (Map.Entry<String, Integer> each : ends.entrySet()) {
-                try (TestClient client = host.client()) {
+            for (Map.Entry<String, Integer> each : statusWithClose.entrySet()) {
+                try (TestClient client = sidecar.client()) {
                     String answer = client.ask(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals("close", StubUpstream.header(answer, "connection"));
-                    assertNull(client.read(), "and closed");
+                    assertNull(client.read(), "the connection is closed");
                 }
             }
             assertEquals(1, upstream.requests.size());
         }
     }
 
-    /** Guards against a check of heads that depends on how the bytes arrive. */
+    /** Guards against parsing and checks that depend on how the bytes are split into reads. */
     @Test
-    void requestIsReadHoweverItIsSplit() throws Exception {
+    void requestSentByteByByteIsParsed() throws Exception {
         String chunked =
                 TestClient.request("pay", "3.0")
                         .replace(
@@ -168,11 +170,11 @@
                                         + "dy\r\n"
                                         + "0\r\n\r\n");
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream);
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(upstream);
+                TestClient client = sidecar.client()) {
             String both = "\r\n" + TestClient.request("pay", "3.0") + chunked;
-            for (char each : both.toCharArray()) {
-                client.send(String.valueOf(each));
+            for (char character : both.toCharArray()) {
+                client.send(String.valueOf(character));
             }
             for (int i = 0; i < 2; i++) {
                 assertEquals(200, TestClient.status(client.read()));
@@ -186,9 +188,9 @@
         String big = "x".repeat(64 * 1024);
         try (StubUpstream upstream =
                         new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackNode sidecar = new LoopbackNode(upstream)) {
             String answer =
-                    host.ask(
+                    sidecar.ask(
                             TestClient.request("pay", "2.0")
                                     .replace(
                                             "Content-Length: 4\r\n\r\nbody",
@@ -198,26 +200,24 @@
         }
     }
 
-    /**
-     * Guards against answers swapped on a connection whose requests are answered in another order.
-     */
+    /** Guards against swapped answers on a connection whose requests are answered out of order. */
     @Test
-    void pipelinedRequestsAreAcceptedAtOnceAndAnsweredInOrder() throws Exception {
-        CountDownLatch secondCame = new CountDownLatch(1);
+    void pipelinedRequestsAreForwardedAtOnceAndAnsweredInOrder() throws Exception {
+        CountDownLatch secondArrived = new CountDownLatch(1);
         Script script =
                 (socket, request) -> {
                     String name = StubUpstream.header(request, "x-name");
                     if (name.equals("first")) {
-                        secondCame.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        secondArrived.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                     } else {
-                        secondCame.countDown();
+                        secondArrived.countDown();
                     }
                     StubUpstream.write(socket, StubUpstream.answer("200 OK", name));
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(script);
-                LoopbackNode host = new LoopbackNode(upstream);
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(upstream);
+                TestClient client = sidecar.client()) {
             client.send(
                     TestClient.request("read", "3.0", "X-Name: first")
                             + TestClient.request("read", "3.0", "X-Name: second")
@@ -228,49 +228,53 @@
         }
     }
 
-    /** Guards against descriptors used up by clients that say nothing, or half of something. */
+    /** Guards against descriptors used up by clients that send nothing or part of a request. */
     @Test
-    void idleConnectionsAreClosedButNotThoseThatWaitForAResponse() throws Exception {
-        Figures hasty =
+    void idleConnectionsAreClosedUnlessTheyWaitForAResponse() throws Exception {
+        Figures shortTimeouts =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(200, 200, 200));
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(silent));
-                TestClient mute = host.client();
-                TestClient half = host.client();
-                TestClient waiting = host.client()) {
-            half.send("GET /api HT");
+                LoopbackNode sidecar =
+                        new LoopbackNode(shortTimeouts, LoopbackNode.targets(silent));
+                TestClient silentClient = sidecar.client();
+                TestClient partial = sidecar.client();
+                TestClient waiting = sidecar.client()) {
+            partial.send("GET /api HT");
             waiting.send(TestClient.request("pay", "1.0"));
-            assertNull(mute.read());
-            assertEquals(408, TestClient.status(half.read()));
+            assertNull(silentClient.read());
+            assertEquals(408, TestClient.status(partial.read()));
             assertEquals(504, TestClient.status(waiting.read()));
         }
     }
 
     /**
-     * Guards against a time limit that every byte puts off: a request that trickles in ends all the
-     * same.
+     * Guards against a time limit that every received byte extends: a request that trickles in is
+     * rejected all the same.
      */
     @Test
-    void requestThatArrivesTooSlowlyIsEnded() throws Exception {
-        Figures hasty =
+    void requestThatArrivesTooSlowlyIsRejected() throws Exception {
+        Figures shortTimeouts =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(400, 60_000, 60_000));
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(upstream));
-                TestClient slow = host.client()) {
+                LoopbackNode sidecar =
+                        new LoopbackNode(shortTimeouts, LoopbackNode.targets(upstream));
+                TestClient slow = sidecar.client()) {
             slow.send("GET /api HTTP/1.1\r\n");
             long start = System.nanoTime();
             while (slow.socket.getInputStream().available() == 0) {
                 slow.send("X-More: x\r\n");
                 Thread.sleep(20);
-                assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5), "never ended");
+                assertTrue(
+                        System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5),
+                        "not rejected within 5 s");
             }
             assertEquals(408, TestClient.status(slow.read()));
             assertEquals(0, upstream.requests.size());
@@ -278,11 +282,12 @@
     }
 
     /**
-     * Guards against silent connections that use the descriptors up and shut those out that ask.
+     * Guards against silent connections that use up the descriptors, so that clients with requests
+     * can't connect.
      */
     @Test
     void silentConnectionsAreEvictedForThoseThatSendRequests() throws Exception {
-        Figures patient =
+        Figures longTimeouts =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
@@ -296,25 +301,27 @@
                                     release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode host = new LoopbackNode(patient, LoopbackNode.targets(upstream));
-                TestClient half = host.client();
-                TestClient open = host.client()) {
+                LoopbackNode sidecar =
+                        new LoopbackNode(longTimeouts, LoopbackNode.targets(upstream));
+                TestClient partial = sidecar.client();
+                TestClient open = sidecar.client()) {
             String request = TestClient.request("pay", "3.0");
-            half.send(request.substring(0, 20));
+            partial.send(request.substring(0, 20));
             open.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
             for (int i = 0; i < 600; i++) {
-                silent.add(host.client());
+                silent.add(sidecar.client());
             }
             release.countDown();
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "3.0"))));
-            assertEquals(200, TestClient.status(open.read()), "one with a request open stays");
-            half.send(request.substring(20));
+            assertEquals(200, TestClient.status(sidecar.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(
+                    200, TestClient.status(open.read()), "a connection with an open request stays");
+            partial.send(request.substring(20));
             assertEquals(
                     200,
-                    TestClient.status(half.read()),
-                    "one whose request has begun to arrive stays");
-            assertNull(silent.get(0).read(), "the longest silent one went");
+                    TestClient.status(partial.read()),
+                    "a connection with a partly received request stays");
+            assertNull(silent.get(0).read(), "the connection that was silent longest is closed");
         } finally {
             for (TestClient each : silent) {
                 each.close();
@@ -323,61 +330,65 @@
     }
 
     /**
-     * Guards against newcomers turned away for the sake of connections that have just had their
-     * answer.
+     * Guards against new connections that are refused in favour of connections that have just been
+     * answered.
      */
     @Test
-    void idleConnectionsAfterOneRequestKeepNobodyOut() throws Exception {
-        List<TestClient> keeping = new ArrayList<>();
+    void idleConnectionsAfterOneRequestMakeRoomForNewOnes() throws Exception {
+        List<TestClient> idleClients = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackNode sidecar = new LoopbackNode(upstream)) {
             for (int i = 0; i < 500; i++) {
-                TestClient client = host.client();
-                keeping.add(client);
+                TestClient client = sidecar.client();
+                idleClients.add(client);
                 String answer = client.ask(READY);
-                assertTrue(answer != null, "turned away: " + i);
+                assertTrue(answer != null, "connection " + i + " was closed without an answer");
                 assertEquals(200, TestClient.status(answer));
             }
-            assertNull(keeping.get(0).read(), "the longest idle one went");
+            assertNull(idleClients.get(0).read(), "the connection that was idle longest is closed");
         } finally {
-            for (TestClient each : keeping) {
+            for (TestClient each : idleClients) {
                 each.close();
             }
         }
     }
 
     /**
-     * Guards against an application whose own descriptors are used up by connections it no longer
-     * needs.
+     * Guards against an application that uses up its own descriptors with connections that it no
+     * longer needs.
      */
     @Test
     void theLongestIdleConnectionIsEvictedFirst() throws Exception {
-        Figures crowd =
+        Figures longTimeouts =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
-        List<TestClient> keeping = new ArrayList<>();
+        List<TestClient> idleClients = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(crowd, LoopbackNode.targets(upstream))) {
+                LoopbackNode sidecar =
+                        new LoopbackNode(longTimeouts, LoopbackNode.targets(upstream))) {
             for (int i = 0; i < 200; i++) {
-                TestClient client = host.client();
-                keeping.add(client);
+                TestClient client = sidecar.client();
+                idleClients.add(client);
                 assertEquals(200, TestClient.status(client.ask(READY)));
             }
             assertNull(
-                    keeping.get(0).read(), "the longest idle one is let go though there is room");
+                    idleClients.get(0).read(),
+                    "the longest idle connection is closed below the limit already");
             assertEquals(
-                    200, TestClient.status(keeping.get(199).ask(READY)), "the latest one stays");
+                    200,
+                    TestClient.status(idleClients.get(199).ask(READY)),
+                    "the latest connection stays");
         } finally {
-            for (TestClient each : keeping) {
+            for (TestClient each : idleClients) {
                 each.close();
             }
         }
     }
 
-    /** Guards against answers that go to the wrong one of two requests under one id. */
+    /** Guards against an answer that goes to the wrong one of two requests with the same id. */
     @Test
     void requestWithTheIdOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -387,29 +398,31 @@
                                     release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode host = new LoopbackNode(upstream);
-                TestClient first = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(upstream);
+                TestClient first = sidecar.client()) {
             String request = TestClient.request("read", "3.0");
             first.send(request);
             upstream.nextRequest();
-            assertEquals(409, TestClient.status(host.ask(request)));
+            assertEquals(409, TestClient.status(sidecar.ask(request)));
             assertEquals(0, upstream.requests.size());
             release.countDown();
             assertEquals(200, TestClient.status(first.read()));
             assertEquals(
-                    200, TestClient.status(host.ask(request)), "free again once it has its answer");
+                    200,
+                    TestClient.status(sidecar.ask(request)),
+                    "the id is free once the request is answered");
         }
     }
 
     /**
-     * Guards against an effect that nobody hears of: behind a client's last request nothing is
-     * answered.
+     * Guards against a request that takes effect without an answer: nothing is answered after a
+     * request with {@code Connection: close}.
      */
     @Test
     void requestAfterConnectionCloseIsNotForwarded() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream);
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(upstream);
+                TestClient client = sidecar.client()) {
             client.send(
                     TestClient.request("pay", "3.0", "X-Name: last", "Connection: close")
                             + TestClient.request("pay", "3.0", "X-Name: beyond"));
@@ -417,7 +430,8 @@
             assertNull(client.read());
             assertEquals(
                     200,
-                    TestClient.status(host.ask(TestClient.request("read", "3.0", "X-Name: next"))));
+                    TestClient.status(
+                            sidecar.ask(TestClient.request("read", "3.0", "X-Name: next"))));
             for (String name : new String[] {"last", "next"}) {
                 assertEquals(name, StubUpstream.header(upstream.nextRequest(), "x-name"));
             }
@@ -425,14 +439,14 @@
     }
 
     /**
-     * Guards against one connection that holds requests without bound, or whose disconnect is not
-     * seen.
+     * Guards against a connection with an unbounded number of open requests, and against one whose
+     * disconnect goes unnoticed.
      */
     @Test
     void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(silent);
+                TestClient client = sidecar.client()) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 many.append(TestClient.request("read", "0.5"));
@@ -450,86 +464,86 @@
         }
     }
 
-    /** Guards against memory filled by a client that asks on and on and reads nothing. */
+    /** Guards against memory filled by a client that sends requests but never reads. */
     @Test
     void clientThatNeverReadsIsDisconnected() throws Exception {
         byte[] many = READY.repeat(1000).getBytes(StandardCharsets.US_ASCII);
-        try (LoopbackNode host = new LoopbackNode();
-                Socket hungry = new Socket()) {
-            hungry.setReceiveBufferSize(16 * 1024);
-            hungry.connect(host.node.address());
+        try (LoopbackNode sidecar = new LoopbackNode();
+                Socket socket = new Socket()) {
+            socket.setReceiveBufferSize(16 * 1024);
+            socket.connect(sidecar.node.address());
             assertThrows(
                     IOException.class,
                     () -> {
                         for (int sent = 0; sent < 10_000_000; sent += many.length) {
-                            hungry.getOutputStream().write(many);
+                            socket.getOutputStream().write(many);
                         }
                     });
-            assertEquals(503, TestClient.status(host.ask(READY)));
+            assertEquals(503, TestClient.status(sidecar.ask(READY)));
         }
     }
 
-    /** Guards against an end of the service that waits for a request which never ends. */
+    /** Guards against a drain that waits for a request that is never completed. */
     @Test
     void drainDoesNotWaitForAnIncompleteRequest() throws Exception {
-        Figures patient =
+        Figures longTimeouts =
                 new Figures(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
         CountDownLatch drained = new CountDownLatch(1);
-        try (LoopbackNode host = new LoopbackNode(patient);
-                TestClient half = host.client();
-                TestClient mute = host.client()) {
-            half.send("GET /api HTTP/1.1\r\n");
-            mute.send("\r\n");
-            assertEquals(503, TestClient.status(host.ask(READY)));
-            host.node.shutdown().drain(drained::countDown);
+        try (LoopbackNode sidecar = new LoopbackNode(longTimeouts);
+                TestClient partial = sidecar.client();
+                TestClient silentClient = sidecar.client()) {
+            partial.send("GET /api HTTP/1.1\r\n");
+            silentClient.send("\r\n");
+            assertEquals(503, TestClient.status(sidecar.ask(READY)));
+            sidecar.node.shutdown().drain(drained::countDown);
             assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void rejectionHasRetryAfterWhereThatIsEnabled() throws Exception {
-        String gone = LoopbackNode.target("u0", "127.0.0.1:9", "Terminating");
-        try (LoopbackNode host = new LoopbackNode(LoopbackNode.Figures.USUAL, gone)) {
-            String answer = host.ask(TestClient.request("pay", "2.0"));
+    void rejectionHasRetryAfterIfEnabled() throws Exception {
+        String draining = LoopbackNode.target("u0", "127.0.0.1:9", "Terminating");
+        try (LoopbackNode sidecar = new LoopbackNode(LoopbackNode.Figures.USUAL, draining)) {
+            String answer = sidecar.ask(TestClient.request("pay", "2.0"));
             assertEquals(503, TestClient.status(answer));
             assertEquals("0.5", StubUpstream.header(answer, "retry-after"));
         }
     }
 
     /**
-     * Guards against requests lost at a planned restart, and against clients sent away while no
-     * other sidecar may be there: what is held and what still comes is answered, also on
-     * connections kept from before.
+     * Guards against requests lost at a planned restart, and against clients whose connections are
+     * closed while no other sidecar may be running yet: open requests and new ones are answered,
+     * also on connections from before the drain.
      */
     @Test
     void drainLosesNoRequest() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        Script held =
+        Script delayed =
                 (socket, request) -> {
                     release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
                     StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
                     return true;
                 };
-        try (StubUpstream upstream = new StubUpstream(held);
-                LoopbackNode host = new LoopbackNode(upstream);
-                TestClient kept = host.client();
-                TestClient busy = host.client()) {
+        try (StubUpstream upstream = new StubUpstream(delayed);
+                LoopbackNode sidecar = new LoopbackNode(upstream);
+                TestClient kept = sidecar.client();
+                TestClient busy = sidecar.client()) {
             assertEquals(200, TestClient.status(kept.ask(READY)));
             busy.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
-            host.node.shutdown().drain(drained::countDown);
-            try (TestClient late = host.client()) {
+            sidecar.node.shutdown().drain(drained::countDown);
+            try (TestClient late = sidecar.client()) {
                 late.send(TestClient.request("pay", "3.0"));
                 upstream.nextRequest();
                 release.countDown();
                 assertEquals(200, TestClient.status(busy.read()));
                 assertEquals(200, TestClient.status(late.read()));
-                untilNothingIsAccepted(host);
+                awaitNothingAccepted(sidecar);
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
                     assertEquals(
                             200, TestClient.status(each.ask(TestClient.request("pay", "3.0"))));
@@ -537,7 +551,7 @@
                 assertEquals(503, TestClient.status(kept.ask(READY)));
                 assertEquals(1, drained.getCount());
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
-                    assertNull(each.read(), "closed in the end");
+                    assertNull(each.read(), "the connection is closed at the end of the drain");
                     each.socket.close();
                 }
             }
@@ -545,15 +559,15 @@
         }
     }
 
-    /** Guards against requests taken late that the end of the process finds unanswered. */
+    /** Guards against requests that are accepted late in a drain and unanswered at its end. */
     @Test
     void requestAcceptedLateInADrainIsAnsweredBeforeItsEnd() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
-                TestClient kept = host.client()) {
-            host.node.shutdown().drain(drained::countDown);
-            untilNothingIsAccepted(host);
+                LoopbackNode sidecar = new LoopbackNode(silent);
+                TestClient kept = sidecar.client()) {
+            sidecar.node.shutdown().drain(drained::countDown);
+            awaitNothingAccepted(sidecar);
             kept.send(TestClient.request("pay", "60.0"));
             String answer = kept.read();
             assertEquals(504, TestClient.status(answer));
@@ -563,58 +577,62 @@
         }
     }
 
-    /**
-     * Guards against requests held since before the end of the service that its process's end finds
-     * open.
-     */
+    /** Guards against requests that were accepted before a drain and are unanswered at its end. */
     @ParameterizedTest
     @ValueSource(strings = {"pay", "slow"})
     void requestAcceptedBeforeADrainIsAnsweredBeforeItsEnd(String requestClass) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
-                TestClient client = host.client()) {
+                LoopbackNode sidecar = new LoopbackNode(silent);
+                TestClient client = sidecar.client()) {
             client.send(TestClient.request(requestClass, "60.0"));
             silent.nextRequest();
-            host.node.shutdown().drain(drained::countDown);
-            long begun = System.nanoTime();
+            sidecar.node.shutdown().drain(drained::countDown);
+            long startedAtNanos = System.nanoTime();
             assertEquals(504, TestClient.status(client.read()));
-            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            assertTrue(took < 3700, "SIGKILL comes no sooner than that, and this took " + took);
+            long durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+            assertTrue(
+                    durationMillis < 3700,
+                    "SIGKILL may come after 3700 ms; answered after " + durationMillis + " ms");
             client.socket.close();
             assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     /**
-     * Guards against requests that SIGKILL finds unanswered where a class's clients wait for longer
-     * than it is put off: no more than 3 s of the longest deadline, and 0.7 s.
+     * Guards against requests that are unanswered at SIGKILL because their class has a deadline
+     * longer than the time until then: SIGKILL comes 0.7 s plus the longest deadline after SIGTERM,
+     * of which no more than 3 s count.
      */
     @Test
-    void requestAcceptedLateInADrainIsAnsweredBeforeSigkillWhateverItsTimeout() throws Exception {
+    void requestAcceptedLateInADrainIsAnsweredBeforeSigkillWhateverItsDeadline() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
-                TestClient kept = host.client()) {
-            long begun = System.nanoTime();
-            host.node.shutdown().drain(drained::countDown);
-            untilNothingIsAccepted(host);
+                LoopbackNode sidecar = new LoopbackNode(silent);
+                TestClient kept = sidecar.client()) {
+            long startedAtNanos = System.nanoTime();
+            sidecar.node.shutdown().drain(drained::countDown);
+            awaitNothingAccepted(sidecar);
             kept.send(TestClient.request("slow", "6.0"));
             silent.nextRequest();
             String answer = kept.read();
-            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+            long durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
             assertEquals(504, TestClient.status(answer));
-            assertTrue(took < 3700, "SIGKILL may come after 3700 ms, and this took " + took);
+            assertTrue(
+                    durationMillis < 3700,
+                    "SIGKILL may come after 3700 ms; answered after " + durationMillis + " ms");
             assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
-            took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-            assertTrue(took < 3700, "what comes until SIGKILL needs no one to take it: " + took);
+            durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
+            assertTrue(
+                    durationMillis < 3700,
+                    "SIGKILL may come after 3700 ms; drained after " + durationMillis + " ms");
         }
     }
 
-    private static void untilNothingIsAccepted(LoopbackNode host) throws Exception {
+    private static void awaitNothingAccepted(LoopbackNode sidecar) throws Exception {
         while (true) {
             try {
-                host.client().close();
+                sidecar.client().close();
                 Thread.sleep(10);
             } catch (IOException e) {
                 return;
