--- a/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
-import appleridge.daemon.LoopbackNode;
+import appleridge.daemon.LoopbackSidecar;
 import appleridge.loadbalancing.DiscoveryMode;
 import appleridge.loadbalancing.Idempotency;
 import appleridge.loadbalancing.RequestClass;
@@ -21,7 +21,7 @@
 /** The platform's configuration file, and the messages where it is not allowed. */
 class SidecarConfigTest {
     private static final String GOOD =
-            LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:8500");
+            LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:8500");
 
     private static SidecarConfig parse(String json) throws Exception {
         return SidecarConfig.parse(new ObjectMapper().readTree(json));
--- a/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -23,7 +23,7 @@
  */
 @Timeout(120)
 class AdminServerTest {
-    private static final String GOOD = StubUpstream.answer("200 OK", "fine");
+    private static final String GOOD = StubUpstream.response("200 OK", "fine");
 
     private final InetSocketAddress admin = unused();
 
@@ -37,8 +37,8 @@
 
     private Socket open() throws IOException {
         Socket socket = new Socket();
-        socket.connect(admin, (int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        socket.connect(admin, (int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         return socket;
     }
 
@@ -74,44 +74,48 @@
 
     @Test
     void suspendedHostGetsNoRequestsUntilItIsRestored() throws Exception {
-        try (StubUpstream a = new StubUpstream(StubUpstream.says(GOOD));
-                StubUpstream b = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
+        try (StubUpstream a = new StubUpstream(StubUpstream.respondWith(GOOD));
+                StubUpstream b = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(a, b))) {
             assertEquals("YES\n", call("STATUS"));
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             }
             assertTrue(a.requests.size() > 0);
             assertEquals("YES\n", call("SUSPEND u0"));
             int before = a.requests.size();
             // Discovery says again that it is ready, as it does without end.
-            node.tell(LoopbackNode.list(2, true, LoopbackNode.targets(a, b)));
+            node.queueList(LoopbackSidecar.list(2, true, LoopbackSidecar.targets(a, b)));
             for (int i = 0; i < 40; i++) {
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             }
             assertEquals(before, a.requests.size());
             assertEquals("YES\n", call("SUSPEND u1"));
             long asked = System.nanoTime();
-            assertEquals(503, TestClient.status(node.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(503, TestClient.status(node.exchange(TestClient.request("pay", "3.0"))));
             assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(1500), "at once");
             assertEquals("NO not ready\n", call("STATUS"));
             assertEquals("YES\n", call("RESTORE u0"));
             assertEquals("NO unknown upstream\n", call("RESTORE u7"));
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             assertTrue(a.requests.size() > before);
         }
     }
 
     @Test
     void eachFormOfACallHasItsReply() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 admin,
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             assertEquals("YES\n", say("STATUS\r\n", false));
             assertEquals("YES\n", say("STATUS\n", true));
             assertEquals("YES\n", say("STATUS", true));
@@ -131,19 +135,19 @@
                         new String(
                                 slow.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
             }
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
         }
     }
 
     /** Guards against callers that only connect, or flood, and so keep out who asks. */
     @Test
     void silentConnectionsDoNotDelayCalls() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 admin,
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             List<Socket> silent = new ArrayList<>();
             try {
                 for (int i = 0; i < 400; i++) {
@@ -153,7 +157,8 @@
                 assertEquals("YES\n", call("STATUS"));
                 long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
                 assertTrue(took < 1000, took + " ms");
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             } finally {
                 for (Socket each : silent) {
                     each.close();
@@ -165,12 +170,14 @@
 
     @Test
     void connectionThatNeverMakesACallIsRefused() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(upstream));
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(upstream));
                 Socket silent = open()) {
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             assertEquals(
                     "NO no call came in time\n",
                     new String(silent.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
@@ -186,13 +193,14 @@
                         switch (turn.getAndIncrement() % 5) {
                             case 0 -> StubUpstream.reset(socket);
                             case 1 -> {
-                                StubUpstream.write(socket, StubUpstream.answer("500 Wrong", "bad"));
+                                StubUpstream.write(
+                                        socket, StubUpstream.response("500 Wrong", "bad"));
                                 yield true;
                             }
                             case 2 -> {
                                 StubUpstream.write(
                                         socket,
-                                        StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
+                                        StubUpstream.response("503 Full", "", "X-Not-Run: 1"));
                                 yield true;
                             }
                             default -> {
@@ -204,9 +212,11 @@
         String[] classes = {"read", "write", "hold", "pay"};
         try (StubUpstream a = new StubUpstream(script);
                 StubUpstream b = new StubUpstream(script);
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(a, b))) {
             int served = 0;
             int refused = 0;
             int failed = 0;
@@ -214,11 +224,12 @@
             int asked = 0;
             TestClient client = null;
             for (int i = 0; i < 1500; i++) {
-                client = client == null ? new TestClient(node.node.address()) : client;
+                client = client == null ? new TestClient(node.runner.address()) : client;
                 boolean senseless = random.nextInt(20) == 0;
                 String text = TestClient.request(classes[random.nextInt(classes.length)], "3.0");
                 String answer =
-                        client.ask(senseless ? text.replace("X-Class: ", "X-Class: no-") : text);
+                        client.exchange(
+                                senseless ? text.replace("X-Class: ", "X-Class: no-") : text);
                 switch (TestClient.status(answer)) {
                     case 200 -> served++;
                     case 503 -> refused++;
--- a/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/CatchingUpTest.java
@@ -39,7 +39,7 @@
 @Timeout(60)
 class CatchingUpTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
     /** Longer than drains allow here. */
@@ -71,11 +71,11 @@
 
     private void begin(StubUpstream discovery, UnaryOperator<String> changed, String... targets)
             throws Exception {
-        LoopbackNode.Figures longWatches =
-                new LoopbackNode.Figures(
+        LoopbackSidecar.SettingValues longWatches =
+                new LoopbackSidecar.SettingValues(
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
         String json =
-                changed.apply(LoopbackNode.json(longWatches, discovery.address(), targets))
+                changed.apply(LoopbackSidecar.json(longWatches, discovery.address(), targets))
                         .replace(
                                 "\"stopSendingWithin\":2000000000",
                                 "\"stopSendingWithin\":250000000");
@@ -112,13 +112,13 @@
                 () -> {
                     begun.countDown();
                     try {
-                        over.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        over.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         Thread.sleep(STILL_MILLIS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(begun.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return over;
     }
 
@@ -126,7 +126,7 @@
         List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             all.add(new TestClient(address));
-            all.get(i).ask(READY);
+            all.get(i).exchange(READY);
         }
         return all;
     }
@@ -147,7 +147,7 @@
 
         synchronized void has(long version, boolean holdsBack, String... targets) {
             revision = version;
-            list = LoopbackNode.list(version, true, targets);
+            list = LoopbackSidecar.list(version, true, targets);
             holds(holdsBack);
         }
 
@@ -168,7 +168,7 @@
             while (holds || known >= revision) {
                 wait();
             }
-            StubUpstream.write(socket, StubUpstream.answer("200 OK", list));
+            StubUpstream.write(socket, StubUpstream.response("200 OK", list));
             answered.add(revision);
             return true;
         }
@@ -183,7 +183,7 @@
     }
 
     private static void await(String what, BooleanSupplier holds) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(1);
@@ -198,7 +198,7 @@
     void afterAStallRequestsAreDeferredUntilThePushedListHasCaughtUp() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
-            String first = LoopbackNode.target("u0", one.address(), "Ready");
+            String first = LoopbackSidecar.target("u0", one.address(), "Ready");
             Agent agent = new Agent(first);
             try (StubUpstream discovery = new StubUpstream(agent)) {
                 begin(discovery, CatchingUpTest::pushed, first);
@@ -213,8 +213,8 @@
                 agent.has(
                         3,
                         true,
-                        LoopbackNode.target("u0", one.address(), "Terminating"),
-                        LoopbackNode.target("u1", two.address(), "Ready"));
+                        LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                        LoopbackSidecar.target("u1", two.address(), "Ready"));
                 for (TestClient each : clients) {
                     each.send(TestClient.request("read", "3.0"));
                 }
@@ -248,13 +248,13 @@
                 agent.has(
                         2,
                         heldBack,
-                        LoopbackNode.target("u0", one.address(), "Terminating"),
-                        LoopbackNode.target("u1", two.address(), "Ready"));
+                        LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                        LoopbackSidecar.target("u1", two.address(), "Ready"));
                 try (StubUpstream discovery = new StubUpstream(agent)) {
                     begin(
                             discovery,
                             CatchingUpTest::pushed,
-                            LoopbackNode.target("u0", one.address(), "Ready"));
+                            LoopbackSidecar.target("u0", one.address(), "Ready"));
                     askFirst(agent, heldBack, one);
                 }
                 end();
@@ -289,7 +289,7 @@
                                     gate.await();
                                     return GOOD.serve(socket, request);
                                 })) {
-            begin(discovery, json -> json, LoopbackNode.targets(upstream));
+            begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
             assertTrue(discovery.nextRequest().contains("since=1&"));
             TestClient client = clients(1).get(0);
             CountDownLatch over = standStill();
--- a/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
@@ -43,7 +43,7 @@
 @Timeout(60)
 class ClientDisconnectTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
     /** Each in turn: one client or a burst of them, that end their connection or reset it. */
@@ -96,8 +96,10 @@
             throws Exception {
         String json =
                 changed.apply(
-                        LoopbackNode.json(
-                                LoopbackNode.Figures.USUAL, discovery.address(), targets));
+                        LoopbackSidecar.json(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                discovery.address(),
+                                targets));
         SidecarConfig config =
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
@@ -136,7 +138,7 @@
     }
 
     private static void await(String what, BooleanSupplier holds) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(1);
@@ -159,9 +161,9 @@
      */
     private void nothingIsSentBefore(String last, StubUpstream upstream) throws Exception {
         try (TestClient client = new TestClient(address)) {
-            String answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
+            String answer = client.exchange(TestClient.request("read", "3.0", "X-Name: " + last));
             while (TestClient.status(answer) == 503) {
-                answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
+                answer = client.exchange(TestClient.request("read", "3.0", "X-Name: " + last));
             }
             assertEquals(200, TestClient.status(answer), answer);
         }
@@ -171,7 +173,7 @@
 
     private static StubUpstream.Script after(CountDownLatch gate) {
         return (socket, request) -> {
-            gate.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            gate.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return GOOD.serve(socket, request);
         };
     }
@@ -183,7 +185,7 @@
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(after(gate))) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> busy = ask(2, "read");
                 upstream.nextRequest();
                 upstream.nextRequest();
@@ -210,7 +212,7 @@
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(after(gate))) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> busy = ask(1, "read");
                 upstream.nextRequest();
                 List<TestClient> leaving = ask(1, "read");
@@ -244,9 +246,9 @@
             CountDownLatch fails = new CountDownLatch(1);
             StubUpstream.Script error =
                     (socket, request) -> {
-                        fails.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        fails.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
-                                socket, StubUpstream.answer("500 Internal Server Error", ""));
+                                socket, StubUpstream.response("500 Internal Server Error", ""));
                         return true;
                     };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -254,7 +256,7 @@
                     StubUpstream failing =
                             new StubUpstream(
                                     StubUpstream.firstThen(new CountDownLatch(1), error, GOOD))) {
-                begin(discovery, json -> json, LoopbackNode.targets(full, failing));
+                begin(discovery, json -> json, LoopbackSidecar.targets(full, failing));
                 List<TestClient> busy = new ArrayList<>();
                 TestClient leaves = null;
                 // Whichever each one comes to: two fill the one, and one is to fail at the other.
@@ -310,7 +312,8 @@
                                             .replace(
                                                     "\"deadline\":3000000000",
                                                     "\"deadline\":60000000000"),
-                            LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
+                            LoopbackSidecar.target(
+                                    "u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                     TestClient client = new TestClient(address);
                     client.send(TestClient.request("read", "60.0"));
                     await("connecting", () -> onLoop(() -> node.upstreamConnectionCount()) == 1);
@@ -341,7 +344,7 @@
                 begin(
                         discovery,
                         ClientDisconnectTest::patient,
-                        LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
+                        LoopbackSidecar.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                 TestClient client = new TestClient(address);
                 client.send(TestClient.request("read", "60.0"));
                 await("connecting", () -> onLoop(() -> node.upstreamConnectionCount()) == 1);
@@ -367,15 +370,15 @@
             String endpoint = "127.0.0.1:" + full.getLocalPort();
             StubUpstream.Script drain =
                     (socket, request) -> {
-                        drains.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        drains.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
                                 socket,
-                                StubUpstream.answer(
+                                StubUpstream.response(
                                         "200 OK",
-                                        LoopbackNode.list(
+                                        LoopbackSidecar.list(
                                                 2,
                                                 false,
-                                                LoopbackNode.target(
+                                                LoopbackSidecar.target(
                                                         "u0", endpoint, "Terminating"))));
                         told.countDown();
                         return true;
@@ -395,7 +398,7 @@
                                         .replace(
                                                 "\"askWithin\":1000000000",
                                                 "\"askWithin\":60000000000"),
-                        LoopbackNode.target("u0", endpoint, "Ready"));
+                        LoopbackSidecar.target("u0", endpoint, "Ready"));
                 discovery.nextRequest();
                 try (TestClient client = new TestClient(address)) {
                     client.send(TestClient.request("read", "60.0"));
@@ -403,7 +406,7 @@
                     CountDownLatch over = standStill(320);
                     Socket up = takeAllBut(full, waiting);
                     drains.countDown();
-                    assertTrue(told.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                    assertTrue(told.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                     over.countDown();
                     assertNothingIsSent(up);
                     assertEquals(
@@ -426,7 +429,7 @@
     private static Socket takeAllBut(ServerSocket listener, List<Socket> waiting)
             throws IOException {
         List<Integer> known = waiting.stream().map(Socket::getLocalPort).toList();
-        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         while (true) {
             Socket next = listener.accept();
             if (!known.contains(next.getPort())) {
@@ -437,7 +440,7 @@
     }
 
     private static void assertNothingIsSent(Socket up) throws IOException {
-        up.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        up.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         assertEquals(null, StubUpstream.readMessage(up.getInputStream()));
         up.close();
     }
@@ -468,11 +471,11 @@
             for (Leaving way : WAYS) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                         StubUpstream upstream = new StubUpstream(GOOD)) {
-                    begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                    begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                     List<TestClient> clients = new ArrayList<>();
                     for (int i = 0; i < way.clients; i++) {
                         TestClient client = new TestClient(address);
-                        assertEquals(503, TestClient.status(client.ask(READY)));
+                        assertEquals(503, TestClient.status(client.exchange(READY)));
                         clients.add(client);
                     }
                     CountDownLatch left = standStill(still);
@@ -500,7 +503,7 @@
         for (Leaving way : WAYS) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(GOOD)) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 try (TestClient before = ask(1, "read").get(0)) {
                     assertEquals(200, TestClient.status(before.read()));
                     upstream.nextRequest();
@@ -544,7 +547,7 @@
                 };
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(script)) {
-            begin(discovery, json -> json, LoopbackNode.targets(upstream));
+            begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
             List<TestClient> busy = ask(2, "read");
             upstream.nextRequest();
             upstream.nextRequest();
@@ -552,7 +555,7 @@
             await("held", () -> books().openRequests() == 2 + way.clients);
             CountDownLatch left = standStill(still);
             gate.countDown();
-            assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(answered.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             way.leave(leaving);
             left.countDown();
             for (TestClient each : busy) {
@@ -586,13 +589,14 @@
                     };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(script)) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> many = new ArrayList<>();
                 for (int i = 0; i < 6; i++) {
                     many.add(new TestClient(address));
                     assertEquals(
                             200,
-                            TestClient.status(many.get(i).ask(TestClient.request("read", "3.0"))));
+                            TestClient.status(
+                                    many.get(i).exchange(TestClient.request("read", "3.0"))));
                 }
                 List<TestClient> busy = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
@@ -611,9 +615,9 @@
                     each.send(TestClient.request("read", "0.001"));
                 }
                 asked.countDown();
-                assertTrue(turnBegun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(turnBegun.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 gate.countDown();
-                assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(answered.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 new Leaving(1, resets).leave(List.of(leaving));
                 turnGoesOn.countDown();
                 for (TestClient each : busy) {
@@ -661,7 +665,7 @@
                     begun.countDown();
                     stand(over, millis);
                 });
-        assertTrue(begun.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(begun.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return over;
     }
 
@@ -669,7 +673,7 @@
     private static void stand(CountDownLatch left, long millis) {
         try {
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-            left.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            left.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             Thread.sleep(Math.max(1, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.daemon.LoopbackNode.Figures;
+import appleridge.daemon.LoopbackSidecar.SettingValues;
 import appleridge.daemon.StubUpstream.Script;
 import appleridge.http1.ClientTimeouts;
 import java.io.IOException;
@@ -25,26 +25,27 @@
 /** The listening side: readiness, bad input, pipelining, the end of the service. */
 @Timeout(60)
 class ClientListenerTest {
-    private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final Script GOOD =
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /** Guards against a request cut off because its body comes slowly, while it does come. */
     @Test
     void slowBodyIsAcceptedAndStalledBodyIsNot() throws Exception {
         ClientTimeouts times = new ClientTimeouts(300, 300, 15_000);
-        Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+        Script good = StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
-                LoopbackNode node =
-                        new LoopbackNode(
-                                new LoopbackNode.Figures(
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                new LoopbackSidecar.SettingValues(
                                         10_000_000_000L, 1000, 1_000_000_000L, times),
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             String head =
                     TestClient.request("pay", "3.0")
                             .replace(
                                     "Content-Length: 4\r\n\r\nbody",
                                     "Content-Length: 60000\r\n\r\n");
-            try (TestClient slow = new TestClient(node.node.address())) {
+            try (TestClient slow = new TestClient(node.runner.address())) {
                 slow.send(head);
                 for (int i = 0; i < 60; i++) {
                     slow.send("x".repeat(1000));
@@ -52,7 +53,7 @@
                 }
                 assertEquals(200, TestClient.status(slow.read()));
             }
-            try (TestClient stops = new TestClient(node.node.address())) {
+            try (TestClient stops = new TestClient(node.runner.address())) {
                 stops.send(head + "x".repeat(1000));
                 assertEquals(408, TestClient.status(stops.read()));
             }
@@ -62,14 +63,14 @@
     @Test
     void readinessNeedsAReadyHost() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode();
+                LoopbackSidecar host = new LoopbackSidecar();
                 TestClient client = host.client()) {
-            assertEquals(503, TestClient.status(client.ask(READY)));
-            host.tell(LoopbackNode.list(2, true, LoopbackNode.targets(upstream)));
-            while (TestClient.status(client.ask(READY)) != 200) {
+            assertEquals(503, TestClient.status(client.exchange(READY)));
+            host.queueList(LoopbackSidecar.list(2, true, LoopbackSidecar.targets(upstream)));
+            while (TestClient.status(client.exchange(READY)) != 200) {
                 Thread.onSpinWait();
             }
-            assertEquals(200, TestClient.status(client.ask(TestClient.request("pay", "2.0"))));
+            assertEquals(200, TestClient.status(client.exchange(TestClient.request("pay", "2.0"))));
         }
     }
 
@@ -130,21 +131,23 @@
         ends.put(good.replace("Host: ", "Host: \u0001"), 400);
         ends.put("GET /api HTTP/1.1\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n", 400);
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
             try (TestClient client = host.client()) {
                 for (Map.Entry<String, Integer> each : keeps.entrySet()) {
-                    String answer = client.ask(each.getKey());
+                    String answer = client.exchange(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals(
                             each.getValue() == 405, StubUpstream.header(answer, "allow") != null);
                 }
                 assertEquals(0, upstream.requests.size());
                 assertEquals(
-                        200, TestClient.status(client.ask(good)), "the connection is still of use");
+                        200,
+                        TestClient.status(client.exchange(good)),
+                        "the connection is still of use");
             }
             for (Map.Entry<String, Integer> each : ends.entrySet()) {
                 try (TestClient client = host.client()) {
-                    String answer = client.ask(each.getKey());
+                    String answer = client.exchange(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals("close", StubUpstream.header(answer, "connection"));
                     assertNull(client.read(), "and closed");
@@ -168,7 +171,7 @@
                                         + "dy\r\n"
                                         + "0\r\n\r\n");
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream);
+                LoopbackSidecar host = new LoopbackSidecar(upstream);
                 TestClient client = host.client()) {
             String both = "\r\n" + TestClient.request("pay", "3.0") + chunked;
             for (char each : both.toCharArray()) {
@@ -185,10 +188,11 @@
     void bodyOfTheMaximumSizeIsAccepted() throws Exception {
         String big = "x".repeat(64 * 1024);
         try (StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", big)));
+                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
             String answer =
-                    host.ask(
+                    host.exchange(
                             TestClient.request("pay", "2.0")
                                     .replace(
                                             "Content-Length: 4\r\n\r\nbody",
@@ -208,15 +212,15 @@
                 (socket, request) -> {
                     String name = StubUpstream.header(request, "x-name");
                     if (name.equals("first")) {
-                        secondCame.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        secondCame.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                     } else {
                         secondCame.countDown();
                     }
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", name));
+                    StubUpstream.write(socket, StubUpstream.response("200 OK", name));
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(script);
-                LoopbackNode host = new LoopbackNode(upstream);
+                LoopbackSidecar host = new LoopbackSidecar(upstream);
                 TestClient client = host.client()) {
             client.send(
                     TestClient.request("read", "3.0", "X-Name: first")
@@ -231,14 +235,14 @@
     /** Guards against descriptors used up by clients that say nothing, or half of something. */
     @Test
     void idleConnectionsAreClosedButNotThoseThatWaitForAResponse() throws Exception {
-        Figures hasty =
-                new Figures(
+        SettingValues hasty =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(200, 200, 200));
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(silent));
+                LoopbackSidecar host = new LoopbackSidecar(hasty, LoopbackSidecar.targets(silent));
                 TestClient mute = host.client();
                 TestClient half = host.client();
                 TestClient waiting = host.client()) {
@@ -256,14 +260,15 @@
      */
     @Test
     void requestThatArrivesTooSlowlyIsEnded() throws Exception {
-        Figures hasty =
-                new Figures(
+        SettingValues hasty =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(400, 60_000, 60_000));
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(hasty, LoopbackNode.targets(upstream));
+                LoopbackSidecar host =
+                        new LoopbackSidecar(hasty, LoopbackSidecar.targets(upstream));
                 TestClient slow = host.client()) {
             slow.send("GET /api HTTP/1.1\r\n");
             long start = System.nanoTime();
@@ -282,8 +287,8 @@
      */
     @Test
     void silentConnectionsAreEvictedForThoseThatSendRequests() throws Exception {
-        Figures patient =
-                new Figures(
+        SettingValues patient =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
@@ -293,10 +298,12 @@
         try (StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode host = new LoopbackNode(patient, LoopbackNode.targets(upstream));
+                LoopbackSidecar host =
+                        new LoopbackSidecar(patient, LoopbackSidecar.targets(upstream));
                 TestClient half = host.client();
                 TestClient open = host.client()) {
             String request = TestClient.request("pay", "3.0");
@@ -307,7 +314,7 @@
                 silent.add(host.client());
             }
             release.countDown();
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(200, TestClient.status(host.exchange(TestClient.request("pay", "3.0"))));
             assertEquals(200, TestClient.status(open.read()), "one with a request open stays");
             half.send(request.substring(20));
             assertEquals(
@@ -330,11 +337,11 @@
     void idleConnectionsAfterOneRequestKeepNobodyOut() throws Exception {
         List<TestClient> keeping = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
             for (int i = 0; i < 500; i++) {
                 TestClient client = host.client();
                 keeping.add(client);
-                String answer = client.ask(READY);
+                String answer = client.exchange(READY);
                 assertTrue(answer != null, "turned away: " + i);
                 assertEquals(200, TestClient.status(answer));
             }
@@ -352,24 +359,27 @@
      */
     @Test
     void theLongestIdleConnectionIsEvictedFirst() throws Exception {
-        Figures crowd =
-                new Figures(
+        SettingValues crowd =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
         List<TestClient> keeping = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(crowd, LoopbackNode.targets(upstream))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(crowd, LoopbackSidecar.targets(upstream))) {
             for (int i = 0; i < 200; i++) {
                 TestClient client = host.client();
                 keeping.add(client);
-                assertEquals(200, TestClient.status(client.ask(READY)));
+                assertEquals(200, TestClient.status(client.exchange(READY)));
             }
             assertNull(
                     keeping.get(0).read(), "the longest idle one is let go though there is room");
             assertEquals(
-                    200, TestClient.status(keeping.get(199).ask(READY)), "the latest one stays");
+                    200,
+                    TestClient.status(keeping.get(199).exchange(READY)),
+                    "the latest one stays");
         } finally {
             for (TestClient each : keeping) {
                 each.close();
@@ -384,20 +394,23 @@
         try (StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode host = new LoopbackNode(upstream);
+                LoopbackSidecar host = new LoopbackSidecar(upstream);
                 TestClient first = host.client()) {
             String request = TestClient.request("read", "3.0");
             first.send(request);
             upstream.nextRequest();
-            assertEquals(409, TestClient.status(host.ask(request)));
+            assertEquals(409, TestClient.status(host.exchange(request)));
             assertEquals(0, upstream.requests.size());
             release.countDown();
             assertEquals(200, TestClient.status(first.read()));
             assertEquals(
-                    200, TestClient.status(host.ask(request)), "free again once it has its answer");
+                    200,
+                    TestClient.status(host.exchange(request)),
+                    "free again once it has its answer");
         }
     }
 
@@ -408,7 +421,7 @@
     @Test
     void requestAfterConnectionCloseIsNotForwarded() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream);
+                LoopbackSidecar host = new LoopbackSidecar(upstream);
                 TestClient client = host.client()) {
             client.send(
                     TestClient.request("pay", "3.0", "X-Name: last", "Connection: close")
@@ -417,7 +430,8 @@
             assertNull(client.read());
             assertEquals(
                     200,
-                    TestClient.status(host.ask(TestClient.request("read", "3.0", "X-Name: next"))));
+                    TestClient.status(
+                            host.exchange(TestClient.request("read", "3.0", "X-Name: next"))));
             for (String name : new String[] {"last", "next"}) {
                 assertEquals(name, StubUpstream.header(upstream.nextRequest(), "x-name"));
             }
@@ -431,7 +445,7 @@
     @Test
     void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
+                LoopbackSidecar host = new LoopbackSidecar(silent);
                 TestClient client = host.client()) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 200; i++) {
@@ -454,10 +468,10 @@
     @Test
     void clientThatNeverReadsIsDisconnected() throws Exception {
         byte[] many = READY.repeat(1000).getBytes(StandardCharsets.US_ASCII);
-        try (LoopbackNode host = new LoopbackNode();
+        try (LoopbackSidecar host = new LoopbackSidecar();
                 Socket hungry = new Socket()) {
             hungry.setReceiveBufferSize(16 * 1024);
-            hungry.connect(host.node.address());
+            hungry.connect(host.runner.address());
             assertThrows(
                     IOException.class,
                     () -> {
@@ -465,36 +479,37 @@
                             hungry.getOutputStream().write(many);
                         }
                     });
-            assertEquals(503, TestClient.status(host.ask(READY)));
+            assertEquals(503, TestClient.status(host.exchange(READY)));
         }
     }
 
     /** Guards against an end of the service that waits for a request which never ends. */
     @Test
     void drainDoesNotWaitForAnIncompleteRequest() throws Exception {
-        Figures patient =
-                new Figures(
+        SettingValues patient =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
         CountDownLatch drained = new CountDownLatch(1);
-        try (LoopbackNode host = new LoopbackNode(patient);
+        try (LoopbackSidecar host = new LoopbackSidecar(patient);
                 TestClient half = host.client();
                 TestClient mute = host.client()) {
             half.send("GET /api HTTP/1.1\r\n");
             mute.send("\r\n");
-            assertEquals(503, TestClient.status(host.ask(READY)));
-            host.node.shutdown().drain(drained::countDown);
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertEquals(503, TestClient.status(host.exchange(READY)));
+            host.runner.shutdown().drain(drained::countDown);
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
     void rejectionHasRetryAfterWhereThatIsEnabled() throws Exception {
-        String gone = LoopbackNode.target("u0", "127.0.0.1:9", "Terminating");
-        try (LoopbackNode host = new LoopbackNode(LoopbackNode.Figures.USUAL, gone)) {
-            String answer = host.ask(TestClient.request("pay", "2.0"));
+        String gone = LoopbackSidecar.target("u0", "127.0.0.1:9", "Terminating");
+        try (LoopbackSidecar host =
+                new LoopbackSidecar(LoopbackSidecar.SettingValues.DEFAULT, gone)) {
+            String answer = host.exchange(TestClient.request("pay", "2.0"));
             assertEquals(503, TestClient.status(answer));
             assertEquals("0.5", StubUpstream.header(answer, "retry-after"));
         }
@@ -511,18 +526,18 @@
         CountDownLatch release = new CountDownLatch(1);
         Script held =
                 (socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
+                    release.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                    StubUpstream.write(socket, StubUpstream.response("200 OK", "fine"));
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(held);
-                LoopbackNode host = new LoopbackNode(upstream);
+                LoopbackSidecar host = new LoopbackSidecar(upstream);
                 TestClient kept = host.client();
                 TestClient busy = host.client()) {
-            assertEquals(200, TestClient.status(kept.ask(READY)));
+            assertEquals(200, TestClient.status(kept.exchange(READY)));
             busy.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
-            host.node.shutdown().drain(drained::countDown);
+            host.runner.shutdown().drain(drained::countDown);
             try (TestClient late = host.client()) {
                 late.send(TestClient.request("pay", "3.0"));
                 upstream.nextRequest();
@@ -532,16 +547,17 @@
                 untilNothingIsAccepted(host);
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
                     assertEquals(
-                            200, TestClient.status(each.ask(TestClient.request("pay", "3.0"))));
+                            200,
+                            TestClient.status(each.exchange(TestClient.request("pay", "3.0"))));
                 }
-                assertEquals(503, TestClient.status(kept.ask(READY)));
+                assertEquals(503, TestClient.status(kept.exchange(READY)));
                 assertEquals(1, drained.getCount());
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
                     assertNull(each.read(), "closed in the end");
                     each.socket.close();
                 }
             }
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -550,16 +566,16 @@
     void requestAcceptedLateInADrainIsAnsweredBeforeItsEnd() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
+                LoopbackSidecar host = new LoopbackSidecar(silent);
                 TestClient kept = host.client()) {
-            host.node.shutdown().drain(drained::countDown);
+            host.runner.shutdown().drain(drained::countDown);
             untilNothingIsAccepted(host);
             kept.send(TestClient.request("pay", "60.0"));
             String answer = kept.read();
             assertEquals(504, TestClient.status(answer));
             assertEquals("close", StubUpstream.header(answer, "connection"));
             kept.socket.close();
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -572,17 +588,17 @@
     void requestAcceptedBeforeADrainIsAnsweredBeforeItsEnd(String requestClass) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
+                LoopbackSidecar host = new LoopbackSidecar(silent);
                 TestClient client = host.client()) {
             client.send(TestClient.request(requestClass, "60.0"));
             silent.nextRequest();
-            host.node.shutdown().drain(drained::countDown);
+            host.runner.shutdown().drain(drained::countDown);
             long begun = System.nanoTime();
             assertEquals(504, TestClient.status(client.read()));
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
             assertTrue(took < 3700, "SIGKILL comes no sooner than that, and this took " + took);
             client.socket.close();
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -594,10 +610,10 @@
     void requestAcceptedLateInADrainIsAnsweredBeforeSigkillWhateverItsTimeout() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent);
+                LoopbackSidecar host = new LoopbackSidecar(silent);
                 TestClient kept = host.client()) {
             long begun = System.nanoTime();
-            host.node.shutdown().drain(drained::countDown);
+            host.runner.shutdown().drain(drained::countDown);
             untilNothingIsAccepted(host);
             kept.send(TestClient.request("slow", "6.0"));
             silent.nextRequest();
@@ -605,13 +621,13 @@
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
             assertEquals(504, TestClient.status(answer));
             assertTrue(took < 3700, "SIGKILL may come after 3700 ms, and this took " + took);
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
             assertTrue(took < 3700, "what comes until SIGKILL needs no one to take it: " + took);
         }
     }
 
-    private static void untilNothingIsAccepted(LoopbackNode host) throws Exception {
+    private static void untilNothingIsAccepted(LoopbackSidecar host) throws Exception {
         while (true) {
             try {
                 host.client().close();
--- a/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
@@ -119,7 +119,7 @@
                 return null;
             }
             try {
-                String answer = client.ask(request);
+                String answer = client.exchange(request);
                 if (answer != null) {
                     next.ended(TestClient.status(answer), "");
                     return answer.toLowerCase().contains("connection: close")
@@ -166,7 +166,7 @@
     List<Asked> end() throws InterruptedException {
         ends = true;
         for (Thread thread : threads) {
-            thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+            thread.join(TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         }
         return asked();
     }
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceIT.java
@@ -78,7 +78,7 @@
                                 (socket, request) -> {
                                     Thread.sleep(PAUSE_MILLIS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 });
                 StubUpstream hangs = new StubUpstream(StubUpstream.SILENT);
@@ -86,10 +86,10 @@
                         SidecarProcess.start(
                                 folder,
                                 withDeadlines(
-                                        LoopbackNode.json(
-                                                LoopbackNode.Figures.USUAL,
+                                        LoopbackSidecar.json(
+                                                LoopbackSidecar.SettingValues.DEFAULT,
                                                 discovery.address(),
-                                                LoopbackNode.targets(upstream, hangs)),
+                                                LoopbackSidecar.targets(upstream, hangs)),
                                         deadlineMillis),
                                 Map.of());
                 ClosedLoopClients clients =
@@ -113,7 +113,7 @@
             }
             for (int i = late ? 1 : 0; i < heldUpAt.length; i++) {
                 sleepUntil(told + TimeUnit.MILLISECONDS.toNanos(heldUpAt[i]));
-                sidecar.holdUp(HOLD_UP_MILLIS);
+                sidecar.pause(HOLD_UP_MILLIS);
             }
             sleepUntil(
                     told
--- a/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/EndOfServiceTest.java
@@ -45,7 +45,7 @@
 @Timeout(60)
 class EndOfServiceTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final long END_MILLIS = 900;
 
     private final EventLoopGroup group =
@@ -73,10 +73,10 @@
 
     private Callable<Sidecar> node(StubUpstream upstream, InheritedListener held) throws Exception {
         String json =
-                LoopbackNode.json(
-                                LoopbackNode.Figures.USUAL,
+                LoopbackSidecar.json(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 discovery.address(),
-                                LoopbackNode.targets(upstream))
+                                LoopbackSidecar.targets(upstream))
                         .replaceAll("\"(slo|deadline)\":[0-9]+", "\"$1\":400000000");
         SidecarConfig config =
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
@@ -129,7 +129,7 @@
 
     private static void stand(CountDownLatch until) {
         try {
-            assertTrue(until.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(until.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/EventLoopSpinIT.java
@@ -41,7 +41,7 @@
         try (TestClient client = new TestClient(sidecar.address())) {
             for (int i = 0; i < REQUESTS; i++) {
                 served +=
-                        TestClient.status(client.ask(TestClient.request("read", "2.0"))) == 200
+                        TestClient.status(client.exchange(TestClient.request("read", "2.0"))) == 200
                                 ? 1
                                 : 0;
             }
@@ -59,31 +59,35 @@
     void eventLoopDoesNotSpinBetweenEvents() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 DelayingProxy proxy =
                         new DelayingProxy(
                                 SidecarConfig.literalAddress(upstream.address()),
                                 7,
                                 TimeUnit.MILLISECONDS.toNanos(12))) {
             String target =
-                    LoopbackNode.targets(upstream)[0].replace(upstream.address(), proxy.address());
+                    LoopbackSidecar.targets(upstream)[0].replace(
+                            upstream.address(), proxy.address());
             try (SidecarProcess sidecar =
                     SidecarProcess.start(
                             folder,
-                            LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL, discovery.address(), target),
+                            LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
+                                    discovery.address(),
+                                    target),
                             Map.of())) {
                 long began = System.nanoTime();
-                long turns = sidecar.figure("event_loop_turns");
-                long events = sidecar.figure("event_loop_events");
+                long turns = sidecar.metric("event_loop_turns");
+                long events = sidecar.metric("event_loop_events");
                 List<CompletableFuture<Integer>> clients = new ArrayList<>();
                 for (int i = 0; i < CLIENTS; i++) {
                     clients.add(CompletableFuture.supplyAsync(() -> askOverAndOver(sidecar)));
                 }
                 int served = clients.stream().mapToInt(CompletableFuture::join).sum();
                 assertTrue(served > CLIENTS * REQUESTS / 2, "served: " + served);
-                turns = sidecar.figure("event_loop_turns") - turns;
-                events = sidecar.figure("event_loop_events") - events;
+                turns = sidecar.metric("event_loop_turns") - turns;
+                events = sidecar.metric("event_loop_events") - events;
                 long seconds = 1 + TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - began);
                 assertTrue(events >= CLIENTS * REQUESTS, "events: " + events);
                 assertTrue(
--- a/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
+++ b/sidecar/src/test/java/appleridge/daemon/HoldingPlatform.java
@@ -90,7 +90,8 @@
         /** Waits until it has logged something. */
         void awaitLog(String text) throws IOException, InterruptedException {
             long until =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * LoopbackNode.PATIENCE_SECONDS);
+                    System.nanoTime()
+                            + TimeUnit.SECONDS.toNanos(2 * LoopbackSidecar.TIMEOUT_SECONDS);
             while (!log().contains(text)) {
                 if (System.nanoTime() > until) {
                     throw new AssertionError("never logged: " + text + "\n" + log());
@@ -141,7 +142,7 @@
     public void close() throws IOException {
         orders.close();
         try {
-            holder.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            holder.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -34,8 +34,10 @@
     @TempDir private Path folder;
 
     private static String json(StubUpstream discovery, StubUpstream... upstreams) {
-        return LoopbackNode.json(
-                LoopbackNode.Figures.USUAL, discovery.address(), LoopbackNode.targets(upstreams));
+        return LoopbackSidecar.json(
+                LoopbackSidecar.SettingValues.DEFAULT,
+                discovery.address(),
+                LoopbackSidecar.targets(upstreams));
     }
 
     /** Clients that ask one request after the other, each on a connection that it keeps. */
@@ -58,7 +60,7 @@
             while (!ends) {
                 try {
                     client = client == null ? new TestClient(platform.address()) : client;
-                    String answer = client.ask(TestClient.request("pay", "3.0"));
+                    String answer = client.exchange(TestClient.request("pay", "3.0"));
                     if (answer == null || TestClient.status(answer) != 200) {
                         wrong("answer: " + answer);
                     }
@@ -81,7 +83,7 @@
 
         void awaitMore(int requests) throws InterruptedException {
             long until =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
             int goal = served.get() + requests;
             while (served.get() < goal && System.nanoTime() < until) {
                 Thread.sleep(5);
@@ -94,7 +96,7 @@
             ends = true;
             try {
                 for (Thread thread : threads) {
-                    thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+                    thread.join(TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -115,7 +117,8 @@
     void hotRestartUnderLoadRefusesNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             String json = json(discovery, upstream);
             HoldingPlatform.Sidecar old = platform.start(json, "0");
@@ -151,7 +154,8 @@
     void connectionsMadeWhileNoProcessAcceptsAreServedByTheNext() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder);
                 TestClient early = new TestClient(platform.address())) {
             early.send(TestClient.request("pay", "3.0"));
@@ -174,7 +178,7 @@
 
     private static String call(int port, String line) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
             StubUpstream.write(socket, line + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
@@ -198,9 +202,11 @@
     void suspensionSurvivesAHotRestartWhicheverProcessWasAsked() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream a =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 StubUpstream b =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             String json = json(discovery, a, b);
             int first = port();
@@ -239,7 +245,7 @@
 
     private static String ask(HoldingPlatform platform) throws IOException {
         try (TestClient client = new TestClient(platform.address())) {
-            return client.ask(TestClient.request("pay", "3.0"));
+            return client.exchange(TestClient.request("pay", "3.0"));
         }
     }
 
@@ -250,7 +256,8 @@
     void tornStateFileIsRejectedOnceAndTheStartGoesOn() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
             HoldingPlatform.Sidecar old = platform.start(json(discovery, upstream), "0");
             old.awaitLog("serves at");
@@ -280,9 +287,10 @@
                 StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 });
                 HoldingPlatform platform = new HoldingPlatform(folder)) {
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackNode.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackSidecar.java
@@ -16,9 +16,9 @@
 /**
  * One real sidecar in this process, with scripted upstreams and discovery, all on ephemeral ports.
  */
-public final class LoopbackNode implements AutoCloseable {
+public final class LoopbackSidecar implements AutoCloseable {
     /** The bound of every wait; nothing comes near it unless it hangs. */
-    public static final int PATIENCE_SECONDS = 20;
+    public static final int TIMEOUT_SECONDS = 20;
 
     public static final String SETTINGS =
             """
@@ -45,15 +45,15 @@
                "rampTime":7000000000,"overloadFactor":4.0,"tipAfter":1500000000}}
             """;
 
-    public final SidecarRunner node;
+    public final SidecarRunner runner;
 
     /** Answers that discovery gives to its calls in turn; once there are none, a call waits. */
-    public final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> discoveryResponses = new LinkedBlockingQueue<>();
 
     public final StubUpstream discovery =
             new StubUpstream(
                     (socket, request) -> {
-                        String text = news.take();
+                        String text = discoveryResponses.take();
                         if (text.isEmpty()) {
                             return StubUpstream.reset(socket);
                         }
@@ -61,33 +61,33 @@
                         return true;
                     });
 
-    /** Figures of the settings that tests vary. */
-    public record Figures(long connIdle, int maxOpen, long askWithin, ClientTimeouts times) {
-        public Figures(long connIdle, int maxOpen, long askWithin) {
+    /** SettingValues of the settings that tests vary. */
+    public record SettingValues(long connIdle, int maxOpen, long askWithin, ClientTimeouts times) {
+        public SettingValues(long connIdle, int maxOpen, long askWithin) {
             this(connIdle, maxOpen, askWithin, ClientTimeouts.DEFAULT);
         }
 
-        public static final Figures USUAL =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1));
+        public static final SettingValues DEFAULT =
+                new SettingValues(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(1));
     }
 
-    public LoopbackNode(StubUpstream... upstreams) throws Exception {
-        this(Figures.USUAL, targets(upstreams));
+    public LoopbackSidecar(StubUpstream... upstreams) throws Exception {
+        this(SettingValues.DEFAULT, targets(upstreams));
     }
 
-    public LoopbackNode(Figures figures, String... targets) throws Exception {
+    public LoopbackSidecar(SettingValues figures, String... targets) throws Exception {
         this(figures, null, targets);
     }
 
     /** The same; operators call at an address, or nowhere if that is null. */
-    public LoopbackNode(Figures figures, InetSocketAddress admin, String... targets)
+    public LoopbackSidecar(SettingValues figures, InetSocketAddress admin, String... targets)
             throws Exception {
         this(figures, admin, json -> json, targets);
     }
 
     /** The same with the configuration's text changed. */
-    public LoopbackNode(
-            Figures figures,
+    public LoopbackSidecar(
+            SettingValues figures,
             InetSocketAddress admin,
             UnaryOperator<String> changed,
             String... targets)
@@ -96,13 +96,13 @@
         SidecarConfig parsed = SidecarConfig.parse(new ObjectMapper().readTree(json));
         SidecarConfig config = admin == null ? parsed : parsed.withAdminAddress(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        node =
+        runner =
                 SidecarRunner.start(
                         config.withListenAddress(anyPort),
                         RuntimeOptions.DEFAULTS.with(figures.times));
     }
 
-    public static String json(Figures figures, String discovery, String... targets) {
+    public static String json(SettingValues figures, String discovery, String... targets) {
         String settings =
                 String.format(SETTINGS, figures.connIdle, figures.maxOpen, figures.askWithin);
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\""
@@ -145,24 +145,24 @@
     }
 
     /** Discovery's next answer. */
-    public void tell(String list) {
-        news.add(StubUpstream.answer("200 OK", list));
+    public void queueList(String list) {
+        discoveryResponses.add(StubUpstream.response("200 OK", list));
     }
 
     public TestClient client() throws Exception {
-        return new TestClient(node.address());
+        return new TestClient(runner.address());
     }
 
     /** One request on a connection of its own. */
-    public String ask(String request) throws Exception {
+    public String exchange(String request) throws Exception {
         try (TestClient client = client()) {
-            return client.ask(request);
+            return client.exchange(request);
         }
     }
 
     @Override
     public void close() throws IOException {
-        node.close();
+        runner.close();
         discovery.close();
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -98,7 +98,9 @@
     }
 
     private void begin(boolean sparse, StubUpstream discovery, String... targets) throws Exception {
-        String json = LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address(), targets);
+        String json =
+                LoopbackSidecar.json(
+                        LoopbackSidecar.SettingValues.DEFAULT, discovery.address(), targets);
         if (sparse) {
             json =
                     json.replace("\"mayCancel\":true", "\"mayCancel\":false")
@@ -163,7 +165,7 @@
         mine.neverRan = ending == Ending.TURNED_AWAY;
         all.add(mine);
         Thread.sleep(millis);
-        return say(ending, socket, StubUpstream.answer("200 OK", id), id);
+        return say(ending, socket, StubUpstream.response("200 OK", id), id);
     }
 
     private static boolean say(Ending ending, Socket socket, String good, String id)
@@ -171,16 +173,16 @@
         String word =
                 switch (ending) {
                     case GOOD, GOOD_THEN_END -> good;
-                    case GOOD_BUT_LAST -> StubUpstream.answer("200 OK", id, "Connection: close");
+                    case GOOD_BUT_LAST -> StubUpstream.response("200 OK", id, "Connection: close");
                     case COPY_BEHIND -> good + good;
                     case NOISE_BEHIND -> good + "\u0000noise";
                     case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
                     case ERROR ->
-                            StubUpstream.answer("500 Internal Server Error", "", "X-Not-Run: 1");
+                            StubUpstream.response("500 Internal Server Error", "", "X-Not-Run: 1");
                     case TURNED_AWAY ->
-                            StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 1");
+                            StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 1");
                     case SAYS_NOT_ZERO ->
-                            StubUpstream.answer("503 Service Unavailable", "", "X-Not-Run: 0");
+                            StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 0");
                     case NOISE -> "\u0000\u0001 noise\r\n\r\n";
                     case HALF_A_HEAD -> good.substring(0, 12);
                     case HALF_A_BODY, PAUSE -> good.substring(0, good.length() - 1);
@@ -266,7 +268,7 @@
             servers.add(
                     new StubUpstream((socket, request) -> serve(server, socket, request, random)));
             targets[i] =
-                    LoopbackNode.target("u" + i, servers.get(i).address(), "Ready")
+                    LoopbackSidecar.target("u" + i, servers.get(i).address(), "Ready")
                             .replace("\"az\":\"a\"", i % 2 == 0 ? "\"az\":\"a\"" : "\"az\":\"b\"");
         }
         ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
@@ -278,13 +280,13 @@
                 all.add(threads.submit(() -> ask(own)));
             }
             for (Future<?> each : all) {
-                each.get(2 * LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                each.get(2 * LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
             assertEquals(List.of(), List.copyOf(broken));
             assertTrue(served.get() > 0, "most of this is trouble, and some is served");
             calm = true;
             long until =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
             while (!books().equals(new InFlightCounts(0, 0, 0, 0))) {
                 assertTrue(System.nanoTime() < until, "left open: " + books());
                 Thread.sleep(5);
@@ -299,7 +301,7 @@
                     < SERVERS) {
                 assertTrue(System.nanoTime() < until, "some server is not asked any more");
                 try (TestClient client = new TestClient(address)) {
-                    client.ask(TestClient.request("read", "2.0"));
+                    client.exchange(TestClient.request("read", "2.0"));
                 }
             }
         } finally {
--- a/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.SidecarConfig;
-import appleridge.daemon.LoopbackNode.Figures;
+import appleridge.daemon.LoopbackSidecar.SettingValues;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.concurrent.BlockingQueue;
@@ -20,17 +20,17 @@
 @Timeout(60)
 class RegistryDiscoveryTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     /** Watches that have their time also where the machine is slow. */
-    private static final Figures LONG_WATCHES =
-            new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
+    private static final SettingValues LONG_WATCHES =
+            new SettingValues(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
 
-    private static void assertServed(LoopbackNode host, StubUpstream by, StubUpstream notBy)
+    private static void assertServed(LoopbackSidecar host, StubUpstream by, StubUpstream notBy)
             throws Exception {
         int before = notBy.requests.size();
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+            assertEquals(200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
         }
         assertTrue(by.requests.size() >= 6);
         assertEquals(before, notBy.requests.size());
@@ -47,21 +47,22 @@
                     return GOOD.serve(socket, request);
                 };
         // Upstreams that keep idle connections far longer than any wait of this test.
-        Figures patient =
-                new Figures(TimeUnit.SECONDS.toNanos(600), 1000, TimeUnit.SECONDS.toNanos(1));
+        SettingValues patient =
+                new SettingValues(TimeUnit.SECONDS.toNanos(600), 1000, TimeUnit.SECONDS.toNanos(1));
         try (StubUpstream one = new StubUpstream(slow);
-                LoopbackNode host = new LoopbackNode(patient, LoopbackNode.targets(one))) {
+                LoopbackSidecar host = new LoopbackSidecar(patient, LoopbackSidecar.targets(one))) {
             watchSince(host, 1);
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+                assertEquals(
+                        200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
             }
             one.closed.clear();
-            host.tell(LoopbackNode.list(2, true));
+            host.queueList(LoopbackSidecar.list(2, true));
             one.awaitClosed();
         }
     }
 
-    private static String watchSince(LoopbackNode host, long revision) throws Exception {
+    private static String watchSince(LoopbackSidecar host, long revision) throws Exception {
         String call = host.discovery.nextRequest();
         assertTrue(
                 call.startsWith("GET /registry/instances?since=" + revision + "&timeout_ms="),
@@ -73,16 +74,17 @@
     void deltasApplyToTheCachedListAndADrainingHostGetsNoNewRequests() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
             watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(
-                            2, false, LoopbackNode.target("u0", one.address(), "Terminating")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
             watchSince(host, 2);
             assertServed(host, two, one);
-            host.tell(
-                    LoopbackNode.list(3, false, LoopbackNode.target("u0", one.address(), "Gone")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            3, false, LoopbackSidecar.target("u0", one.address(), "Gone")));
             watchSince(host, 3);
             assertServed(host, two, one);
         }
@@ -92,11 +94,12 @@
     void hostMissingFromASnapshotIsRemoved() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
             watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(7, true, LoopbackNode.target("u1", two.address(), "Ready")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            7, true, LoopbackSidecar.target("u1", two.address(), "Ready")));
             watchSince(host, 7);
             assertServed(host, two, one);
         }
@@ -106,11 +109,13 @@
     void hostMayMoveToAnotherAddress() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one))) {
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+                LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
+            assertEquals(200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
             watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(2, false, LoopbackNode.target("u0", two.address(), "Ready")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", two.address(), "Ready")));
             watchSince(host, 2);
             assertServed(host, two, one);
         }
@@ -121,24 +126,25 @@
     void afterAFailureTheListStaysAndDiscoveryIsPolledAgain() throws Exception {
         String[] failures = {
             "",
-            StubUpstream.answer("503 Service Unavailable", ""),
-            StubUpstream.answer("200 OK", "{\"rev\":"),
-            StubUpstream.answer("200 OK", "{\"rev\":9}"),
-            StubUpstream.answer(
+            StubUpstream.response("503 Service Unavailable", ""),
+            StubUpstream.response("200 OK", "{\"rev\":"),
+            StubUpstream.response("200 OK", "{\"rev\":9}"),
+            StubUpstream.response(
                     "200 OK",
-                    LoopbackNode.list(9, true, LoopbackNode.target("u0", "nowhere", "Ready"))),
-            StubUpstream.answer(
+                    LoopbackSidecar.list(
+                            9, true, LoopbackSidecar.target("u0", "nowhere", "Ready"))),
+            StubUpstream.response(
                     "200 OK",
-                    LoopbackNode.list(
-                            9, true, LoopbackNode.target("u0", "127.0.0.1:9", "Sleeping"))),
+                    LoopbackSidecar.list(
+                            9, true, LoopbackSidecar.target("u0", "127.0.0.1:9", "Sleeping"))),
             "noise\r\n\r\n"
         };
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(one)) {
+                LoopbackSidecar host = new LoopbackSidecar(one)) {
             for (String failure : failures) {
                 watchSince(host, 1);
-                host.news.add(failure);
+                host.discoveryResponses.add(failure);
             }
             watchSince(host, 1);
             assertServed(host, one, two);
@@ -157,22 +163,23 @@
                         new StubUpstream(
                                 StubUpstream.firstThen(
                                         new CountDownLatch(1),
-                                        StubUpstream.says(
-                                                StubUpstream.answer(
+                                        StubUpstream.respondWith(
+                                                StubUpstream.response(
                                                         "200 OK",
-                                                        LoopbackNode.list(
+                                                        LoopbackSidecar.list(
                                                                 1,
                                                                 true,
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u1",
                                                                         two.address(),
                                                                         "Ready")))),
                                         StubUpstream.SILENT));
-                LoopbackNode host = new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
             watchSince(host, 1);
-            host.tell(LoopbackNode.list(7, true, LoopbackNode.targets(one)));
+            host.queueList(LoopbackSidecar.list(7, true, LoopbackSidecar.targets(one)));
             watchSince(host, 7);
-            host.node.follow(SidecarConfig.literalAddress(other.address()));
+            host.runner.follow(SidecarConfig.literalAddress(other.address()));
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances HTTP"),
                     "the list first");
@@ -191,26 +198,28 @@
      */
     @Test
     void overdueWatchIsPolledBeforeItCountsAsCaughtUp() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(shortWatch, LoopbackNode.targets(one, two))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two))) {
             watchSince(host, 1);
             long asked = System.nanoTime();
             assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
             assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(2000));
             assertEquals(
                     2, host.discovery.accepted.size(), "and the first one is still listened to");
-            host.tell(
-                    LoopbackNode.list(
-                            2, false, LoopbackNode.target("u0", one.address(), "Terminating")));
-            host.tell(
-                    LoopbackNode.list(
+            host.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
+            host.queueList(
+                    LoopbackSidecar.list(
                             2,
                             true,
-                            LoopbackNode.target("u0", one.address(), "Terminating"),
-                            LoopbackNode.target("u1", two.address(), "Ready")));
+                            LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                            LoopbackSidecar.target("u1", two.address(), "Ready")));
             watchSince(host, 2);
             assertServed(host, two, one);
         }
@@ -221,11 +230,13 @@
      */
     @Test
     void firstSnapshotOfTheNewDiscoveryIsUsedAfterALateUpdateOfTheOld() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(shortWatch, LoopbackNode.targets(one, two));
+                LoopbackSidecar host =
+                        new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two));
                 StubUpstream other =
                         new StubUpstream(
                                 (socket, request) -> {
@@ -234,12 +245,12 @@
                                     }
                                     StubUpstream.write(
                                             socket,
-                                            StubUpstream.answer(
+                                            StubUpstream.response(
                                                     "200 OK",
-                                                    LoopbackNode.list(
+                                                    LoopbackSidecar.list(
                                                             5,
                                                             true,
-                                                            LoopbackNode.target(
+                                                            LoopbackSidecar.target(
                                                                     "u1",
                                                                     two.address(),
                                                                     "Ready"))));
@@ -247,16 +258,16 @@
                                 })) {
             watchSince(host, 1);
             assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
-            host.tell(
-                    LoopbackNode.list(
-                            43, false, LoopbackNode.target("u0", one.address(), "Ready")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            43, false, LoopbackSidecar.target("u0", one.address(), "Ready")));
             // Whichever of the two calls has it: the overdue one is closed then, or the other goes
             // on.
             while (host.discovery.closed.poll(10, TimeUnit.MILLISECONDS) == null
                     && host.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
                 Thread.onSpinWait();
             }
-            host.node.follow(SidecarConfig.literalAddress(other.address()));
+            host.runner.follow(SidecarConfig.literalAddress(other.address()));
             assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
             String second = other.nextRequest();
             assertTrue(second.startsWith("GET /registry/instances?since=5&"), second);
@@ -276,7 +287,7 @@
 
         synchronized void has(long version, String... targets) {
             revision = version;
-            list = LoopbackNode.list(version, true, targets);
+            list = LoopbackSidecar.list(version, true, targets);
             notifyAll();
         }
 
@@ -301,7 +312,7 @@
                 }
             }
             if (!silent) {
-                StubUpstream.write(socket, StubUpstream.answer("200 OK", list));
+                StubUpstream.write(socket, StubUpstream.response("200 OK", list));
             }
             return true;
         }
@@ -324,11 +335,11 @@
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             Agent agent = new Agent();
-            agent.has(1, LoopbackNode.targets(one, two));
+            agent.has(1, LoopbackSidecar.targets(one, two));
             try (StubUpstream there = new StubUpstream(agent);
-                    LoopbackNode host =
-                            new LoopbackNode(
-                                    Figures.USUAL,
+                    LoopbackSidecar host =
+                            new LoopbackSidecar(
+                                    SettingValues.DEFAULT,
                                     null,
                                     json ->
                                             pushed(json)
@@ -337,9 +348,9 @@
                                                             "\"discovery\":\""
                                                                     + there.address()
                                                                     + "\""),
-                                    LoopbackNode.targets(one, two))) {
+                                    LoopbackSidecar.targets(one, two))) {
                 untilAsked(there, "?since=1&");
-                agent.has(2, LoopbackNode.target("u1", two.address(), "Ready"));
+                agent.has(2, LoopbackSidecar.target("u1", two.address(), "Ready"));
                 untilAsked(there, "?since=2&");
                 assertServed(host, two, one);
                 agent.silent(true);
@@ -351,7 +362,7 @@
                 long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent);
                 assertTrue(took < 2500, "five calls took " + took);
                 assertServed(host, two, one);
-                agent.has(3, LoopbackNode.target("u0", one.address(), "Ready"));
+                agent.has(3, LoopbackSidecar.target("u0", one.address(), "Ready"));
                 agent.silent(false);
                 untilAsked(there, "?since=3&");
                 assertServed(host, one, two);
@@ -368,23 +379,24 @@
     void olderListIsIgnoredUnlessItIsTheOnlyOne() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
             watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(
+            host.queueList(
+                    LoopbackSidecar.list(
                             7,
                             true,
-                            LoopbackNode.target("u0", one.address(), "Terminating"),
-                            LoopbackNode.target("u1", two.address(), "Ready")));
+                            LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                            LoopbackSidecar.target("u1", two.address(), "Ready")));
             watchSince(host, 7);
-            host.tell(LoopbackNode.list(6, true, LoopbackNode.targets(one, two)));
+            host.queueList(LoopbackSidecar.list(6, true, LoopbackSidecar.targets(one, two)));
             assertTrue(
                     host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"),
                     "all it has");
             assertServed(host, two, one);
-            host.tell(
-                    LoopbackNode.list(3, true, LoopbackNode.target("u0", one.address(), "Ready")));
+            host.queueList(
+                    LoopbackSidecar.list(
+                            3, true, LoopbackSidecar.target("u0", one.address(), "Ready")));
             watchSince(host, 3);
             assertServed(host, one, two);
         }
@@ -403,22 +415,22 @@
     void hostThatComesAndGoesWithinOneDeltaLosesNoUpdate() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
-            String gone = LoopbackNode.target("u0", one.address(), "Gone");
-            String again = startedAt(1000, LoopbackNode.target("u0", one.address(), "Ready"));
+            String gone = LoopbackSidecar.target("u0", one.address(), "Gone");
+            String again = startedAt(1000, LoopbackSidecar.target("u0", one.address(), "Ready"));
             for (String[] changes : new String[][] {{gone, again}, {again, gone}}) {
-                try (LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
+                try (LoopbackSidecar host =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
                     watchSince(host, 1);
-                    host.tell(LoopbackNode.list(2, false, changes));
+                    host.queueList(LoopbackSidecar.list(2, false, changes));
                     watchSince(host, 2);
-                    host.tell(
-                            LoopbackNode.list(
+                    host.queueList(
+                            LoopbackSidecar.list(
                                     3,
                                     false,
                                     startedAt(
                                             2000,
-                                            LoopbackNode.target("u2", one.address(), "Ready")),
-                                    LoopbackNode.target("u1", two.address(), "Terminating")));
+                                            LoopbackSidecar.target("u2", one.address(), "Ready")),
+                                    LoopbackSidecar.target("u1", two.address(), "Terminating")));
                     watchSince(host, 3);
                     assertServed(host, one, two);
                     assertEquals(0, host.discovery.requests.size(), "its news were no failure");
@@ -444,19 +456,19 @@
                                     asked.add(System.nanoTime());
                                     StubUpstream.write(
                                             socket,
-                                            StubUpstream.answer(
+                                            StubUpstream.response(
                                                     "200 OK",
-                                                    LoopbackNode.list(
+                                                    LoopbackSidecar.list(
                                                             2,
                                                             true,
-                                                            LoopbackNode.target(
+                                                            LoopbackSidecar.target(
                                                                     "u1",
                                                                     two.address(),
                                                                     "Ready"))));
                                     return true;
                                 });
-                LoopbackNode host =
-                        new LoopbackNode(
+                LoopbackSidecar host =
+                        new LoopbackSidecar(
                                 LONG_WATCHES,
                                 null,
                                 json ->
@@ -466,7 +478,7 @@
                                                 .replace(
                                                         "\"discovery\":\"subscribe\"",
                                                         "\"discovery\":\"" + mode + "\""),
-                                LoopbackNode.targets(one, two))) {
+                                LoopbackSidecar.targets(one, two))) {
             // The first call is for the whole list, and is followed by a watch at once.
             asked.take();
             long second = asked.take();
@@ -491,8 +503,9 @@
      */
     @Test
     void pollOfTheOldDiscoveryIsUsedWhileTheNewOneIsSilent() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         CountDownLatch moved = new CountDownLatch(1);
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
@@ -504,33 +517,33 @@
                                         moved.await();
                                         StubUpstream.write(
                                                 socket,
-                                                StubUpstream.answer(
+                                                StubUpstream.response(
                                                         "200 OK",
-                                                        LoopbackNode.list(
+                                                        LoopbackSidecar.list(
                                                                 2,
                                                                 true,
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u0",
                                                                         one.address(),
                                                                         "Terminating"),
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u1",
                                                                         two.address(),
                                                                         "Ready"))));
                                     }
                                     return true;
                                 });
-                LoopbackNode host =
-                        new LoopbackNode(
+                LoopbackSidecar host =
+                        new LoopbackSidecar(
                                 shortWatch,
                                 null,
                                 json ->
                                         json.replaceAll(
                                                 "\"discovery\":\"127[^\"]*\"",
                                                 "\"discovery\":\"" + old.address() + "\""),
-                                LoopbackNode.targets(one, two))) {
+                                LoopbackSidecar.targets(one, two))) {
             untilAsked(old, " HTTP");
-            host.node.follow(SidecarConfig.literalAddress(silent.address()));
+            host.runner.follow(SidecarConfig.literalAddress(silent.address()));
             untilAsked(silent, " HTTP");
             moved.countDown();
             // One is closed with the move, the other one when its answer has been read.
@@ -548,27 +561,27 @@
     void malformedListIsIgnoredAndALongOneIsUsed() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(
-                                new Figures(
+                LoopbackSidecar host =
+                        new LoopbackSidecar(
+                                new SettingValues(
                                         TimeUnit.SECONDS.toNanos(10),
                                         1000,
                                         TimeUnit.SECONDS.toNanos(20)),
-                                LoopbackNode.targets(one, two))) {
-            String drains = LoopbackNode.target("u0", one.address(), "Terminating");
-            String endless = LoopbackNode.list(9, false, drains) + " ".repeat(5 << 20);
+                                LoopbackSidecar.targets(one, two))) {
+            String drains = LoopbackSidecar.target("u0", one.address(), "Terminating");
+            String endless = LoopbackSidecar.list(9, false, drains) + " ".repeat(5 << 20);
             String[] bad = {
-                LoopbackNode.list(9, false, drains, "null"),
-                LoopbackNode.list(9, false, drains, "7"),
-                LoopbackNode.list(
+                LoopbackSidecar.list(9, false, drains, "null"),
+                LoopbackSidecar.list(9, false, drains, "7"),
+                LoopbackSidecar.list(
                         9, false, drains, drains.replace("\"uid\":\"u0\"", "\"uid\":\"\"")),
-                LoopbackNode.list(
+                LoopbackSidecar.list(
                         9, false, drains, drains.replace("\"az\":\"a\"", "\"az\":\"none\"")),
-                LoopbackNode.list(9, false, drains, startedAt(-1, drains)),
-                LoopbackNode.list(9, false, drains).replace("\"rev\":9", "\"rev\":1e400"),
-                LoopbackNode.list(9, false, drains).replace("\"rev\":9", "\"rev\":\"9\""),
-                LoopbackNode.list(9, false, drains).replace("\"all\":false", "\"all\":\"no\""),
-                LoopbackNode.list(9, false, "[".repeat(100_000)),
+                LoopbackSidecar.list(9, false, drains, startedAt(-1, drains)),
+                LoopbackSidecar.list(9, false, drains).replace("\"rev\":9", "\"rev\":1e400"),
+                LoopbackSidecar.list(9, false, drains).replace("\"rev\":9", "\"rev\":\"9\""),
+                LoopbackSidecar.list(9, false, drains).replace("\"all\":false", "\"all\":\"no\""),
+                LoopbackSidecar.list(9, false, "[".repeat(100_000)),
                 "{\"rev\":9,\"all\":false,\"targets\":{\"u0\":" + drains + "}}",
                 "",
                 "null",
@@ -577,21 +590,22 @@
             long revision = 1;
             for (String each : bad) {
                 watchSince(host, revision);
-                host.tell(each);
+                host.queueList(each);
                 watchSince(host, revision);
                 revision++;
-                host.tell(LoopbackNode.list(revision, true, LoopbackNode.targets(one, two)));
+                host.queueList(
+                        LoopbackSidecar.list(revision, true, LoopbackSidecar.targets(one, two)));
             }
             watchSince(host, revision);
             String[] many = new String[10_000];
             for (int i = 0; i < many.length; i++) {
                 many[i] =
-                        LoopbackNode.target(
+                        LoopbackSidecar.target(
                                 "n" + i, "127.1." + i / 250 + "." + i % 250 + ":9", "Terminating");
             }
             many[0] = drains;
-            many[1] = LoopbackNode.target("u1", two.address(), "Ready");
-            host.tell(LoopbackNode.list(revision + 1, true, many));
+            many[1] = LoopbackSidecar.target("u1", two.address(), "Ready");
+            host.queueList(LoopbackSidecar.list(revision + 1, true, many));
             watchSince(host, revision + 1);
             assertServed(host, two, one);
         }
--- a/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -164,14 +164,15 @@
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
             String json =
-                    LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL,
+                    LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
                                     discovery.address(),
-                                    LoopbackNode.targets(upstream))
+                                    LoopbackSidecar.targets(upstream))
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json, log);
             try (TestClient client = connect(process, port)) {
-                while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
+                while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n"))
+                        != 200) {
                     assertTrue(process.isAlive());
                 }
                 String told = Files.readString(log);
@@ -193,21 +194,23 @@
                 StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 })) {
             String json =
-                    LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL,
+                    LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
                                     discovery.address(),
-                                    LoopbackNode.targets(upstream))
+                                    LoopbackSidecar.targets(upstream))
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Path log = folder.resolve("log");
             Process process = serve(json, log);
             try (TestClient client = connect(process, port)) {
-                while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
+                while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n"))
+                        != 200) {
                     assertTrue(process.isAlive());
                 }
                 client.send(TestClient.request("pay", "3.0"));
@@ -216,7 +219,7 @@
                 release.countDown();
                 assertEquals(200, TestClient.status(client.read()));
                 assertNull(client.read());
-                assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
                 String told = Files.readString(log);
                 assertTrue(told.contains("drain.step step=begun"), told);
@@ -238,14 +241,15 @@
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(StubUpstream.SILENT)) {
             String json =
-                    LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL,
+                    LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
                                     discovery.address(),
-                                    LoopbackNode.targets(upstream))
+                                    LoopbackSidecar.targets(upstream))
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
-                while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
+                while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n"))
+                        != 200) {
                     assertTrue(process.isAlive());
                 }
                 signal(process, "STOP");
@@ -282,16 +286,17 @@
                 StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 })) {
             String json =
-                    LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL,
+                    LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
                                     discovery.address(),
-                                    LoopbackNode.targets(upstream))
+                                    LoopbackSidecar.targets(upstream))
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
@@ -301,7 +306,7 @@
                 release.countDown();
                 assertEquals(200, TestClient.status(client.read()));
                 assertNull(client.read());
-                assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
@@ -315,7 +320,8 @@
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Process process =
                     serve(
-                            LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                            LoopbackSidecar.json(
+                                            LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:9")
                                     .replace(
                                             "127.0.0.1:1\"",
                                             "127.0.0.1:" + taken.getLocalPort() + "\""));
@@ -339,16 +345,18 @@
                 StubUpstream other = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
                         new StubUpstream(
-                                StubUpstream.says(StubUpstream.answer("200 OK", "fine")))) {
+                                StubUpstream.respondWith(
+                                        StubUpstream.response("200 OK", "fine")))) {
             String json =
-                    LoopbackNode.json(
-                                    LoopbackNode.Figures.USUAL,
+                    LoopbackSidecar.json(
+                                    LoopbackSidecar.SettingValues.DEFAULT,
                                     discovery.address(),
-                                    LoopbackNode.targets(upstream))
+                                    LoopbackSidecar.targets(upstream))
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\"");
             Process process = serve(json);
             try (TestClient client = connect(process, port)) {
-                while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != 200) {
+                while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n"))
+                        != 200) {
                     assertTrue(process.isAlive());
                 }
                 BufferedReader log = process.errorReader();
@@ -364,10 +372,11 @@
                 signal(process, "HUP");
                 await(log, "needs a restart to take effect: name");
                 assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
-                assertEquals(200, TestClient.status(client.ask(TestClient.request("pay", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
                 signal(process, "HUP");
                 process.destroy();
-                assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
@@ -380,7 +389,7 @@
      * one.
      */
     private static void await(BufferedReader log, String text) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (System.nanoTime() < until) {
             if (!log.ready()) {
                 Thread.sleep(5);
@@ -402,7 +411,7 @@
             Path file = folder.resolve("config.json");
             Files.writeString(
                     file,
-                    LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                    LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, discovery.address())
                             .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
             ProcessBuilder builder =
                     new ProcessBuilder(
@@ -421,7 +430,7 @@
                 await(log, "SIGHUP is ignored");
                 signal(process, "HUP");
                 process.destroy();
-                assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
--- a/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
@@ -34,7 +34,7 @@
      * Starts it and waits until it is ready.
      *
      * @param folder for its configuration and its log
-     * @param json the configuration as {@link LoopbackNode#json} writes it
+     * @param json the configuration as {@link LoopbackSidecar#json} writes it
      * @param environment further variables
      */
     static SidecarProcess start(Path folder, String json, Map<String, String> environment)
@@ -70,7 +70,7 @@
     private void awaitReady() throws IOException {
         while (true) {
             try (TestClient client = new TestClient(address())) {
-                String answer = client.ask("GET /health/ready HTTP/1.1\r\n\r\n");
+                String answer = client.exchange("GET /health/ready HTTP/1.1\r\n\r\n");
                 if (answer != null && TestClient.status(answer) == 200) {
                     return;
                 }
@@ -86,9 +86,9 @@
     }
 
     /** One of the metrics, by its name without the common prefix. */
-    long figure(String name) throws IOException {
+    long metric(String name) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
             StubUpstream.write(socket, "METRICS\n");
             String text =
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -112,7 +112,7 @@
     }
 
     /** Stops it as a machine does that gives its core to others, and lets it go on. */
-    void holdUp(long millis) throws IOException, InterruptedException {
+    void pause(long millis) throws IOException, InterruptedException {
         signal("STOP");
         Thread.sleep(millis);
         signal("CONT");
@@ -121,7 +121,8 @@
     /** Waits for its end; the exit status. */
     int awaitExit() throws InterruptedException {
         assertTrue(
-                process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS), "it has to end");
+                process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "it has to end");
         return process.exitValue();
     }
 
--- a/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
@@ -17,7 +17,8 @@
 /** A request's life for each way in which an attempt can end, over loopback sockets. */
 @Timeout(60)
 class SidecarTest {
-    private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final Script GOOD =
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     /**
      * Two upstreams of which whichever comes first does the one thing, and all later requests the
@@ -26,13 +27,13 @@
     private static final class Pair implements AutoCloseable {
         final StubUpstream one;
         final StubUpstream two;
-        final LoopbackNode host;
+        final LoopbackSidecar host;
 
         Pair(Script first, Script later) throws Exception {
             CountDownLatch latch = new CountDownLatch(1);
             one = new StubUpstream(StubUpstream.firstThen(latch, first, later));
             two = new StubUpstream(StubUpstream.firstThen(latch, first, later));
-            host = new LoopbackNode(one, two);
+            host = new LoopbackSidecar(one, two);
         }
 
         int sent() {
@@ -50,7 +51,7 @@
     private static void once(Script first, String requestClass, int status, int sent)
             throws Exception {
         try (Pair pair = new Pair(first, GOOD)) {
-            String answer = pair.host.ask(TestClient.request(requestClass, "2.0"));
+            String answer = pair.host.exchange(TestClient.request(requestClass, "2.0"));
             assertEquals(status, TestClient.status(answer), answer);
             assertEquals(sent, pair.sent());
             if (status == 200) {
@@ -63,11 +64,12 @@
     void requestIsForwardedUnchangedAndItsResponseReturned() throws Exception {
         String binary = "\u00ff\u0000\u0001 body";
         Script script =
-                StubUpstream.says(StubUpstream.answer("200 OK", binary, "X-Load: rate=3,q=0"));
+                StubUpstream.respondWith(
+                        StubUpstream.response("200 OK", binary, "X-Load: rate=3,q=0"));
         try (StubUpstream upstream = new StubUpstream(script);
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
             String answer =
-                    host.ask(
+                    host.exchange(
                             TestClient.request(
                                     "write",
                                     "1.500",
@@ -96,9 +98,10 @@
     @Test
     void nonAsciiPathIsForwardedByteForByte() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(upstream)) {
+                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
             String path = "/api/caf\u00c3\u00a9?q=\u00e9\u0080\u00ff";
-            String answer = host.ask(TestClient.request("read", "2.0").replace("/api?x=1", path));
+            String answer =
+                    host.exchange(TestClient.request("read", "2.0").replace("/api?x=1", path));
             assertEquals(200, TestClient.status(answer));
             String sent = upstream.nextRequest();
             assertEquals("GET " + path + " HTTP/1.1", sent.substring(0, sent.indexOf("\r\n")));
@@ -107,7 +110,8 @@
 
     @Test
     void errorIsRetriedOnlyWhereTheClassAllowsIt() throws Exception {
-        Script error = StubUpstream.says(StubUpstream.answer("500 Internal Server Error", ""));
+        Script error =
+                StubUpstream.respondWith(StubUpstream.response("500 Internal Server Error", ""));
         once(error, "read", 200, 2);
         once(error, "write", 200, 2);
         once(error, "pay", 502, 1);
@@ -125,13 +129,21 @@
     @Test
     void rejectionByTheUpstreamIsRetriedForAnyClass() throws Exception {
         for (String status : new String[] {"503 Service Unavailable", "504 Gateway Timeout"}) {
-            once(StubUpstream.says(StubUpstream.answer(status, "", "X-Not-Run: 1")), "pay", 200, 2);
+            once(
+                    StubUpstream.respondWith(StubUpstream.response(status, "", "X-Not-Run: 1")),
+                    "pay",
+                    200,
+                    2);
         }
     }
 
     @Test
     void plain503MayHaveExecuted() throws Exception {
-        once(StubUpstream.says(StubUpstream.answer("503 Service Unavailable", "")), "pay", 502, 1);
+        once(
+                StubUpstream.respondWith(StubUpstream.response("503 Service Unavailable", "")),
+                "pay",
+                502,
+                1);
     }
 
     @Test
@@ -158,7 +170,7 @@
 
     @Test
     void unreadableResponseIsNotServed() throws Exception {
-        once(StubUpstream.says("\u0001\u0002 noise\r\n\r\n"), "pay", 502, 1);
+        once(StubUpstream.respondWith("\u0001\u0002 noise\r\n\r\n"), "pay", 502, 1);
     }
 
     @Test
@@ -168,13 +180,14 @@
             closedPort = unused.getLocalPort();
         }
         try (StubUpstream good = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
-                                LoopbackNode.target("u0", "127.0.0.1:" + closedPort, "Ready"),
-                                LoopbackNode.target("u1", good.address(), "Ready"))) {
+                LoopbackSidecar host =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                LoopbackSidecar.target("u0", "127.0.0.1:" + closedPort, "Ready"),
+                                LoopbackSidecar.target("u1", good.address(), "Ready"))) {
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+                assertEquals(
+                        200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
             }
             assertEquals(4, good.requests.size());
         }
@@ -183,9 +196,9 @@
     @Test
     void silentUpstreamFailsAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host = new LoopbackNode(silent)) {
+                LoopbackSidecar host = new LoopbackSidecar(silent)) {
             long start = System.nanoTime();
-            String answer = host.ask(TestClient.request("pay", "0.4"));
+            String answer = host.exchange(TestClient.request("pay", "0.4"));
             assertEquals(504, TestClient.status(answer), "it may have run: no refusal");
             assertTrue(
                     System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(380),
@@ -228,8 +241,8 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"
                 }) {
             long start = System.nanoTime();
-            once(StubUpstream.says(cut), "read", 200, 2);
-            once(StubUpstream.says(cut), "pay", 502, 1);
+            once(StubUpstream.respondWith(cut), "read", 200, 2);
+            once(StubUpstream.respondWith(cut), "pay", 502, 1);
             assertTrue(
                     System.nanoTime() - start < TimeUnit.SECONDS.toNanos(2), "waited for: " + cut);
         }
@@ -249,7 +262,7 @@
                     "Transfer-Encoding: chunked\r\n"
                 }) {
             once(
-                    StubUpstream.says(
+                    StubUpstream.respondWith(
                             "HTTP/1.1 200 OK\r\nX-Fine: x\r\n"
                                     + head
                                     + "Content-Length: 4\r\n\r\nfine"),
@@ -258,7 +271,11 @@
                     1);
         }
         for (String ahead : new String[] {"\u0000", "\r\n", " "}) {
-            once(StubUpstream.says(ahead + StubUpstream.answer("200 OK", "fine")), "pay", 502, 1);
+            once(
+                    StubUpstream.respondWith(ahead + StubUpstream.response("200 OK", "fine")),
+                    "pay",
+                    502,
+                    1);
         }
     }
 
@@ -268,8 +285,8 @@
         for (String report :
                 new String[] {"%%%", "=,=", "{\"", "rate=1e999,q=NaN", "TEXT \u00ff", ""}) {
             once(
-                    StubUpstream.says(
-                            StubUpstream.answer(
+                    StubUpstream.respondWith(
+                            StubUpstream.response(
                                     "200 OK", "fine", "X-Load: " + report, "X-Load: rate=1,q=1")),
                     "pay",
                     200,
@@ -283,7 +300,7 @@
         for (String length :
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
             once(
-                    StubUpstream.says(
+                    StubUpstream.respondWith(
                             "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nfine"),
                     "pay",
                     502,
@@ -294,9 +311,9 @@
     @Test
     void interimResponsesAreSkipped() throws Exception {
         Script script =
-                StubUpstream.says(
+                StubUpstream.respondWith(
                         "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                                + StubUpstream.answer("200 OK", "fine"));
+                                + StubUpstream.response("200 OK", "fine"));
         once(script, "pay", 200, 1);
     }
 
@@ -304,17 +321,17 @@
     @Test
     void requestOverTheOpenRequestLimitIsRejected() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode host =
-                        new LoopbackNode(
-                                new LoopbackNode.Figures(
+                LoopbackSidecar host =
+                        new LoopbackSidecar(
+                                new LoopbackSidecar.SettingValues(
                                         TimeUnit.SECONDS.toNanos(10),
                                         1,
                                         TimeUnit.SECONDS.toNanos(1)),
-                                LoopbackNode.targets(silent));
+                                LoopbackSidecar.targets(silent));
                 TestClient first = host.client()) {
             first.send(TestClient.request("pay", "1.0"));
             silent.nextRequest();
-            assertEquals(503, TestClient.status(host.ask(TestClient.request("pay", "1.0"))));
+            assertEquals(503, TestClient.status(host.exchange(TestClient.request("pay", "1.0"))));
             assertEquals(504, TestClient.status(first.read()));
             assertEquals(0, silent.requests.size());
         }
--- a/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
@@ -78,12 +78,12 @@
         }
 
         String target() {
-            return LoopbackNode.target("u0", "127.0.0.1:" + listener.getLocalPort(), "Ready");
+            return LoopbackSidecar.target("u0", "127.0.0.1:" + listener.getLocalPort(), "Ready");
         }
 
         void awaitEnd() throws InterruptedException {
             assertTrue(
-                    ended.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null, "ended");
+                    ended.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS) != null, "ended");
         }
 
         @Override
@@ -122,7 +122,7 @@
             length = Long.parseLong(head.substring(at, head.indexOf('\r', at)));
             crc.update(in.readNBytes((int) length));
         }
-        StubUpstream.write(socket, StubUpstream.answer("200 OK", length + " " + crc.getValue()));
+        StubUpstream.write(socket, StubUpstream.response("200 OK", length + " " + crc.getValue()));
     }
 
     private static byte[] body(int length) {
@@ -142,15 +142,15 @@
                 .replace("Content-Length: 4\r\n\r\nbody", framing + "\r\n\r\n");
     }
 
-    private static LoopbackNode node(Reader reader) throws Exception {
-        return new LoopbackNode(LoopbackNode.Figures.USUAL, reader.target());
+    private static LoopbackSidecar node(Reader reader) throws Exception {
+        return new LoopbackSidecar(LoopbackSidecar.SettingValues.DEFAULT, reader.target());
     }
 
     @Test
     void longRequestsArriveUnchanged() throws Exception {
         try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             OutputStream out = client.socket.getOutputStream();
             for (int length : new int[] {HELD, HELD + 1, 200_000, 5_000_000}) {
                 byte[] body = body(length);
@@ -166,8 +166,8 @@
     void pipelinedLongRequestsAreAnsweredInOrder() throws Exception {
         byte[] body = body(100_000);
         try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             for (int i = 0; i < 3; i++) {
                 client.send(head("pay", "3.0", "Content-Length: " + body.length));
                 client.socket.getOutputStream().write(body);
@@ -183,8 +183,8 @@
     void bodyMayArriveMoreSlowlyThanItsDeadline() throws Exception {
         byte[] body = body(400_000);
         try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
             for (int at = 0; at < body.length; at += 20_000) {
                 client.socket.getOutputStream().write(body, at, 20_000);
@@ -207,8 +207,8 @@
                                     socket.getInputStream().readNBytes(body.length);
                                     Thread.sleep(TimeUnit.SECONDS.toMillis(5));
                                 });
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body);
             long sent = System.nanoTime();
@@ -231,8 +231,8 @@
                                     socket.getInputStream().readNBytes(100_000);
                                     throw new IOException("break");
                                 });
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body, 0, 1_000_000);
             assertEquals(503, TestClient.status(client.read()));
@@ -245,8 +245,8 @@
     void upstreamThatDoesNotReadExertsBackpressureAndIsCancelled() throws Exception {
         try (Reader reader =
                         new Reader((socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: " + LONGEST));
             Thread writes =
                     new Thread(
@@ -270,15 +270,16 @@
     @Test
     void clientThatStopsOrDisconnectsHoldsNoUpstream() throws Exception {
         try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackNode node = node(reader)) {
-            try (TestClient leaves = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader)) {
+            try (TestClient leaves = new TestClient(node.runner.address())) {
                 leaves.send(head("pay", "3.0", "Content-Length: 1000000"));
                 leaves.socket.getOutputStream().write(body(300_000));
                 assertTrue(
-                        reader.heads.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) != null);
+                        reader.heads.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                                != null);
             }
             reader.awaitEnd();
-            try (TestClient stops = new TestClient(node.node.address())) {
+            try (TestClient stops = new TestClient(node.runner.address())) {
                 stops.send(head("pay", "3.0", "Content-Length: 1000000"));
                 stops.socket.getOutputStream().write(body(300_000));
                 assertEquals(408, TestClient.status(stops.read()));
@@ -296,11 +297,11 @@
                                     socket.getInputStream().readNBytes(HELD);
                                     StubUpstream.write(
                                             socket,
-                                            StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
+                                            StubUpstream.response("503 Full", "", "X-Not-Run: 1"));
                                     Thread.sleep(500);
                                 });
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
             client.socket.getOutputStream().write(body(100_000));
             String answer = client.read();
@@ -327,8 +328,8 @@
                                         Thread.sleep(200);
                                     }
                                 });
-                LoopbackNode node = node(reader);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = node(reader);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
             client.socket.getOutputStream().write(body(100_000));
             long read = 0;
@@ -345,18 +346,19 @@
     @Test
     void oversizedOrMalformedLengthIsRejectedAtOnce() throws Exception {
         try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackNode node = node(reader)) {
+                LoopbackSidecar node = node(reader)) {
             assertEquals(
                     413,
-                    TestClient.status(node.ask(head("pay", "3.0", "Content-Length: 60000000"))));
-            try (TestClient unknown = new TestClient(node.node.address())) {
+                    TestClient.status(
+                            node.exchange(head("pay", "3.0", "Content-Length: 60000000"))));
+            try (TestClient unknown = new TestClient(node.runner.address())) {
                 unknown.send(
                         head("pay", "3.0", "Content-Length: 300000")
                                 .replace("Class: pay", "Class: x"));
                 unknown.socket.getOutputStream().write(body(100_000));
                 assertEquals(400, TestClient.status(unknown.read()));
             }
-            try (TestClient chunks = new TestClient(node.node.address())) {
+            try (TestClient chunks = new TestClient(node.runner.address())) {
                 chunks.send(head("pay", "3.0", "Transfer-Encoding: chunked"));
                 chunks.send("11170\r\n");
                 chunks.socket.getOutputStream().write(body(70_000));
--- a/sidecar/src/test/java/appleridge/daemon/StreamedResponsesTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedResponsesTest.java
@@ -120,8 +120,8 @@
             for (int length : new int[] {HELD, HELD + 1, 3 * HELD, 5_000_000}) {
                 byte[] body = body(length);
                 try (StubUpstream upstream = new StubUpstream(whole(body, chunked));
-                        LoopbackNode node = new LoopbackNode(upstream);
-                        TestClient client = new TestClient(node.node.address())) {
+                        LoopbackSidecar node = new LoopbackSidecar(upstream);
+                        TestClient client = new TestClient(node.runner.address())) {
                     for (int i = 0; i < 3; i++) {
                         client.send(TestClient.request(ASK, "3.0"));
                         Read answer = read(client.socket.getInputStream());
@@ -139,8 +139,8 @@
     void pipelinedResponsesComeInOrder() throws Exception {
         byte[] body = body(1_000_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, true));
-                LoopbackNode node = new LoopbackNode(upstream);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(
                     TestClient.request(ASK, "3.0")
                             + TestClient.request(ASK, "3.0")
@@ -177,8 +177,8 @@
                         return false;
                     };
             try (StubUpstream upstream = new StubUpstream(broken);
-                    LoopbackNode node = new LoopbackNode(upstream);
-                    TestClient client = new TestClient(node.node.address())) {
+                    LoopbackSidecar node = new LoopbackSidecar(upstream);
+                    TestClient client = new TestClient(node.runner.address())) {
                 client.send(TestClient.request(ASK, "3.0"));
                 Read answer = read(client.socket.getInputStream());
                 assertFalse(answer.complete);
@@ -188,7 +188,8 @@
                         upstream.requests.size(),
                         "nothing is tried again behind a begun answer");
                 assertEquals(
-                        200, TestClient.status(node.ask("GET /health/ready HTTP/1.1\r\n\r\n")));
+                        200,
+                        TestClient.status(node.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
             }
         }
     }
@@ -205,11 +206,11 @@
                                 (socket, request) -> {
                                     head(socket.getOutputStream(), "Content-Length: " + LONG);
                                     socket.getOutputStream().write(body);
-                                    never.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    never.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return false;
                                 });
-                LoopbackNode node = new LoopbackNode(upstream);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(node.runner.address())) {
             long asked = System.nanoTime();
             client.send(TestClient.request(ASK, "3.0"));
             assertFalse(read(client.socket.getInputStream()).complete);
@@ -239,14 +240,15 @@
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(endless);
-                LoopbackNode node = new LoopbackNode(upstream);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(TestClient.request(ASK, "3.0"));
-            assertTrue(ended.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS), "given up");
+            assertTrue(ended.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS), "given up");
             assertTrue(
                     written.get() < 16 << 20,
                     written.get() + " bytes were taken for who reads none");
-            assertEquals(200, TestClient.status(node.ask("GET /health/ready HTTP/1.1\r\n\r\n")));
+            assertEquals(
+                    200, TestClient.status(node.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
         }
     }
 
@@ -255,10 +257,10 @@
     void slowReaderGetsTheWholeResponse() throws Exception {
         byte[] body = body(3_000_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, false));
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 Socket client = new Socket()) {
             client.setReceiveBufferSize(16 << 10);
-            client.connect(node.node.address());
+            client.connect(node.runner.address());
             StubUpstream.write(client, TestClient.request(ASK, "0.3"));
             InputStream in = client.getInputStream();
             InputStream slow =
@@ -305,12 +307,14 @@
                                 StubUpstream.firstThen(
                                         first,
                                         spoilt,
-                                        StubUpstream.says(StubUpstream.answer("200 OK", "fine"))));
+                                        StubUpstream.respondWith(
+                                                StubUpstream.response("200 OK", "fine"))));
                 StubUpstream next =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                LoopbackNode node = new LoopbackNode(upstream, next)) {
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
+                LoopbackSidecar node = new LoopbackSidecar(upstream, next)) {
             for (int i = 0; i < 10; i++) {
-                String answer = node.ask(TestClient.request(ASK, "3.0"));
+                String answer = node.exchange(TestClient.request(ASK, "3.0"));
                 assertEquals("fine", TestClient.body(answer));
             }
         }
@@ -323,8 +327,8 @@
     void http10ClientGetsTheBodyDelimitedByClose() throws Exception {
         byte[] body = body(500_000);
         try (StubUpstream upstream = new StubUpstream(whole(body, true));
-                LoopbackNode node = new LoopbackNode(upstream);
-                TestClient client = new TestClient(node.node.address())) {
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(node.runner.address())) {
             client.send(TestClient.request(ASK, "3.0").replace("HTTP/1.1", "HTTP/1.0"));
             Read answer = read(client.socket.getInputStream());
             assertFalse(answer.head.contains("chunked"), answer.head);
--- a/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
+++ b/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
@@ -105,7 +105,7 @@
         socket.getOutputStream().flush();
     }
 
-    public static String answer(String status, String body, String... headers) {
+    public static String response(String status, String body, String... headers) {
         String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
         return "HTTP/1.1 "
                 + status
@@ -117,7 +117,7 @@
                 + body;
     }
 
-    public static Script says(String text) {
+    public static Script respondWith(String text) {
         return (socket, request) -> {
             write(socket, text);
             return true;
@@ -148,7 +148,7 @@
     }
 
     public String nextRequest() throws InterruptedException {
-        String request = requests.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+        String request = requests.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
             throw new AssertionError("no request came");
         }
@@ -156,7 +156,7 @@
     }
 
     public void awaitClosed() throws InterruptedException {
-        if (closed.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS) == null) {
+        if (closed.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("the connection was not closed");
         }
     }
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -36,13 +36,13 @@
     private static final long SLACK_MILLIS = 500;
 
     private static final StubUpstream.Script KEEPS =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     /** Each request needs a connection of its own. */
     private static final StubUpstream.Script CLOSES =
             (socket, request) -> {
                 StubUpstream.write(
-                        socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
+                        socket, StubUpstream.response("200 OK", "fine", "Connection: close"));
                 return false;
             };
 
@@ -60,10 +60,10 @@
             throws Exception {
         return SidecarProcess.start(
                 folder,
-                LoopbackNode.json(
-                        LoopbackNode.Figures.USUAL,
+                LoopbackSidecar.json(
+                        LoopbackSidecar.SettingValues.DEFAULT,
                         discovery.address(),
-                        LoopbackNode.targets(upstreams)),
+                        LoopbackSidecar.targets(upstreams)),
                 faults.environment());
     }
 
@@ -71,7 +71,7 @@
     private static void awaitMore(ClosedLoopClients clients, int requests)
             throws InterruptedException {
         int goal = clients.asked().size() + requests;
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (clients.asked().size() < goal && System.nanoTime() < until) {
             Thread.sleep(5);
         }
@@ -220,7 +220,7 @@
             long latest = TimeUnit.SECONDS.toMillis(1) + SLACK_MILLIS;
             assertEquals(
                     List.of(), asked.stream().filter(each -> each.tookMillis() > latest).toList());
-            assertEquals(0, sidecar.figure("event_loop_stalls"), sidecar.log());
+            assertEquals(0, sidecar.metric("event_loop_stalls"), sidecar.log());
             assertTrue(silent.requests.size() > 0, "some waited for their deadline");
         }
     }
--- a/sidecar/src/test/java/appleridge/daemon/TestClient.java
+++ b/sidecar/src/test/java/appleridge/daemon/TestClient.java
@@ -12,12 +12,12 @@
     public final Socket socket = new Socket();
 
     public TestClient(InetSocketAddress address) throws IOException {
-        socket.connect(address, (int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        socket.connect(address, (int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         socket.setTcpNoDelay(true);
     }
 
-    /** A well-formed request of a class in {@link LoopbackNode}'s settings. */
+    /** A well-formed request of a class in {@link LoopbackSidecar}'s settings. */
     public static String request(String requestClass, String deadline, String... headers) {
         String method = requestClass.equals("read") ? "GET" : "POST";
         String key =
@@ -47,7 +47,7 @@
         return StubUpstream.readMessage(socket.getInputStream());
     }
 
-    public String ask(String text) throws IOException {
+    public String exchange(String text) throws IOException {
         send(text);
         return read();
     }
--- a/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
@@ -37,10 +37,10 @@
         for (String head :
                 new String[] {HEAD, "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"}) {
             try (StubUpstream upstream = new StubUpstream(ended(head, "fi", "ne"));
-                    LoopbackNode node = new LoopbackNode(upstream);
+                    LoopbackSidecar node = new LoopbackSidecar(upstream);
                     TestClient client = node.client()) {
                 for (int i = 0; i < 3; i++) {
-                    String answer = client.ask(TestClient.request("pay", "3.0"));
+                    String answer = client.exchange(TestClient.request("pay", "3.0"));
                     assertEquals(200, TestClient.status(answer), answer);
                     assertEquals("fine", TestClient.body(answer));
                 }
@@ -52,9 +52,9 @@
     @Test
     void emptyUndelimitedResponseIsServed() throws Exception {
         try (StubUpstream upstream = new StubUpstream(ended(HEAD));
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 TestClient client = node.client()) {
-            String answer = client.ask(TestClient.request("pay", "3.0"));
+            String answer = client.exchange(TestClient.request("pay", "3.0"));
             assertEquals(200, TestClient.status(answer), answer);
             assertEquals("", TestClient.body(answer));
         }
@@ -70,9 +70,9 @@
                     return StubUpstream.reset(socket);
                 };
         try (StubUpstream upstream = new StubUpstream(cut);
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 TestClient client = node.client()) {
-            assertEquals(502, TestClient.status(client.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(502, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
         }
     }
 
@@ -85,9 +85,10 @@
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(paused);
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 TestClient client = node.client()) {
-            assertNotEquals(200, TestClient.status(client.ask(TestClient.request("pay", "3.0"))));
+            assertNotEquals(
+                    200, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
         }
     }
 
@@ -100,11 +101,13 @@
                                         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n",
                                         "full"));
                 StubUpstream other =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
-                LoopbackNode node = new LoopbackNode(full, other);
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
+                LoopbackSidecar node = new LoopbackSidecar(full, other);
                 TestClient client = node.client()) {
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, TestClient.status(client.ask(TestClient.request("pay", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
             }
             assertFalse(full.requests.isEmpty());
         }
@@ -115,7 +118,7 @@
     void longUndelimitedResponseIsForwardedInChunksAndItsResetIsVisible() throws Exception {
         String half = "x".repeat(LONG / 2);
         try (StubUpstream upstream = new StubUpstream(ended(HEAD, half, half));
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 TestClient client = node.client()) {
             client.send(TestClient.request("read", "3.0"));
             assertEquals(LONG, chunks(client.socket.getInputStream()));
@@ -127,7 +130,7 @@
                     return StubUpstream.reset(socket);
                 };
         try (StubUpstream upstream = new StubUpstream(cut);
-                LoopbackNode node = new LoopbackNode(upstream);
+                LoopbackSidecar node = new LoopbackSidecar(upstream);
                 TestClient client = node.client()) {
             client.send(TestClient.request("read", "3.0"));
             assertEquals(-1, chunks(client.socket.getInputStream()));
--- a/sidecar/src/test/java/appleridge/daemon/UnusualSettingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UnusualSettingsTest.java
@@ -16,7 +16,7 @@
 @Timeout(600)
 class UnusualSettingsTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     /** What is replaced in the usual settings, and by what; both may be regular expressions. */
     private static Map<String, String> odd() {
@@ -73,9 +73,9 @@
         try (StubUpstream one = new StubUpstream(GOOD)) {
             for (Map.Entry<String, String> each : odd().entrySet()) {
                 String how = each.getKey() + " -> " + each.getValue();
-                try (LoopbackNode host =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
+                try (LoopbackSidecar host =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 null,
                                 json -> {
                                     String changed =
@@ -83,14 +83,14 @@
                                     assertNotEquals(json, changed, how);
                                     return changed;
                                 },
-                                LoopbackNode.targets(one))) {
+                                LoopbackSidecar.targets(one))) {
                     if (each.getValue().contains("unknown")) {
                         host.discovery.nextRequest();
-                        host.tell(LoopbackNode.list(1, true, LoopbackNode.targets(one)));
+                        host.queueList(LoopbackSidecar.list(1, true, LoopbackSidecar.targets(one)));
                         host.discovery.nextRequest();
                     }
                     for (String name : new String[] {"read", "write", "hold", "pay", "slow"}) {
-                        String answer = host.ask(TestClient.request(name, "3.0"));
+                        String answer = host.exchange(TestClient.request(name, "3.0"));
                         if (TestClient.status(answer) != 200) {
                             wrong.add(
                                     how
--- a/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
@@ -14,7 +14,7 @@
     /** The pause that is granted where the shortest aim is so long, both in milliseconds. */
     private static long stall(long aim) throws IOException {
         String json =
-                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:9")
                         .replaceAll(
                                 "\"slo\":1000000000",
                                 "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
--- a/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
+++ b/sidecar/src/test/java/appleridge/http1/RequestParserTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import appleridge.config.SidecarConfig;
-import appleridge.daemon.LoopbackNode;
+import appleridge.daemon.LoopbackSidecar;
 import appleridge.http1.InvalidRequestException.Problem;
 import appleridge.request.ClientRequest;
 import io.netty.handler.codec.http.DefaultHttpRequest;
@@ -26,7 +26,7 @@
     private static ClientRequest parse(String parties, HttpRequest head)
             throws IOException, InvalidRequestException {
         String json =
-                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:9")
                         .replaceAll("\"parties\":\\[[^]]*]", parties);
         RequestParser parser =
                 new RequestParser(SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)));
@@ -106,7 +106,7 @@
     @Test
     void classDeadlineMayExceedOneMinute() throws Exception {
         String patient =
-                LoopbackNode.json(LoopbackNode.Figures.USUAL, "127.0.0.1:9")
+                LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:9")
                         .replace("\"deadline\":3000000000", "\"deadline\":90000000000");
         RequestParser parser =
                 new RequestParser(SidecarConfig.parse(patient.getBytes(StandardCharsets.UTF_8)));
--- a/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
+++ b/sidecar/src/test/java/appleridge/http1/UpstreamConnectionPoolTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.SidecarConfig;
-import appleridge.daemon.LoopbackNode;
+import appleridge.daemon.LoopbackSidecar;
 import appleridge.daemon.StubUpstream;
 import appleridge.daemon.StubUpstream.Script;
 import appleridge.loadbalancing.Outcome;
@@ -36,7 +36,8 @@
 /** Connections reused, closed and cancelled, without the policy, which closes idle ones too. */
 @Timeout(60)
 class UpstreamConnectionPoolTest {
-    private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final Script GOOD =
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     private static final HttpUpstreamRequest REQUEST =
             new HttpUpstreamRequest(HttpMethod.GET, "/", new DefaultHttpHeaders(), new byte[0]);
@@ -95,7 +96,7 @@
     }
 
     private Result next() throws InterruptedException {
-        Result result = results.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+        Result result = results.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(result != null, "an outcome within the bound");
         return result;
     }
@@ -140,7 +141,7 @@
         Script closing =
                 (socket, request) -> {
                     StubUpstream.write(
-                            socket, StubUpstream.answer("200 OK", "fine", "Connection: close"));
+                            socket, StubUpstream.response("200 OK", "fine", "Connection: close"));
                     return false;
                 };
         try (StubUpstream upstream = new StubUpstream(closing)) {
@@ -158,10 +159,11 @@
      */
     @Test
     void bytesBehindResponseAreNotTakenForNextResponse() throws Exception {
-        String[] noise = {StubUpstream.answer("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
+        String[] noise = {StubUpstream.response("200 OK", "wrong"), "HTTP/1.1 2", "\n noise"};
         for (String behind : noise) {
-            Script doubled = StubUpstream.says(StubUpstream.answer("200 OK", "fine") + behind);
-            Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
+            Script doubled =
+                    StubUpstream.respondWith(StubUpstream.response("200 OK", "fine") + behind);
+            Script next = StubUpstream.respondWith(StubUpstream.response("200 OK", "next"));
             try (StubUpstream upstream =
                     new StubUpstream(
                             StubUpstream.firstThen(new CountDownLatch(1), doubled, next))) {
@@ -179,7 +181,7 @@
      */
     @Test
     void bytesAfterReadResponseAreNotTakenForNextResponse() throws Exception {
-        Script next = StubUpstream.says(StubUpstream.answer("200 OK", "next"));
+        Script next = StubUpstream.respondWith(StubUpstream.response("200 OK", "next"));
         try (StubUpstream upstream =
                 new StubUpstream(StubUpstream.firstThen(new CountDownLatch(1), GOOD, next))) {
             UpstreamConnectionPool pool = pool(10_000, 10);
@@ -188,7 +190,7 @@
                             () -> {
                                 StubUpstream.write(
                                         upstream.accepted.element(),
-                                        StubUpstream.answer("200 OK", "wrong"));
+                                        StubUpstream.response("200 OK", "wrong"));
                                 Thread.sleep(50);
                                 return send(pool, endpoint(1, upstream));
                             })
@@ -240,7 +242,7 @@
                     .get();
             assertEquals(
                     "NEVER_SENT true",
-                    reported.poll(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                    reported.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, loop.submit(pool::connectionCount).get());
         }
     }
@@ -282,7 +284,7 @@
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
             try (StubUpstream upstream =
                     new StubUpstream(
-                            StubUpstream.says(
+                            StubUpstream.respondWith(
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + length
                                             + "\r\n\r\nfine"))) {
@@ -312,7 +314,7 @@
                         + chunk(10)
                         + chunk(3)
                         + "0\r\n\r\n";
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(answer))) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             for (int i = 0; i < 10; i++) {
                 start(pool, upstream);
@@ -330,8 +332,8 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked, chunked\r\n\r\n"
                         + chunk(4)
                         + "0\r\n\r\n"
-                        + StubUpstream.answer("200 OK", "next");
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(answer))) {
+                        + StubUpstream.response("200 OK", "next");
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(answer))) {
             UpstreamConnectionPool pool = pool(10_000, 10);
             start(pool, upstream);
             assertEquals(Outcome.RESET, next().outcome());
--- a/testbed/src/test/java/appleridge/daemon/NodesIT.java
+++ b/testbed/src/test/java/appleridge/daemon/NodesIT.java
@@ -39,7 +39,7 @@
     }
 
     private static StubUpstream answering(String what) throws IOException {
-        return new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", what)));
+        return new StubUpstream(StubUpstream.respondWith(StubUpstream.response("200 OK", what)));
     }
 
     private static int freePort() throws IOException {
@@ -104,7 +104,7 @@
 
     private static void untilReady(Process process, TestClient client, int status)
             throws Exception {
-        while (TestClient.status(client.ask("GET /health/ready HTTP/1.1\r\n\r\n")) != status) {
+        while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n")) != status) {
             assertTrue(process.isAlive());
         }
     }
@@ -134,7 +134,9 @@
             Path config =
                     Files.writeString(
                             folder.resolve("config.json"),
-                            LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                            LoopbackSidecar.json(
+                                            LoopbackSidecar.SettingValues.DEFAULT,
+                                            discovery.address())
                                     .replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
             Process process =
                     run(
@@ -145,23 +147,23 @@
                 untilReady(process, client, 503);
                 TestEnsemble.server(owner, "/servers/s1", server(one.address(), ""));
                 untilReady(process, client, 200);
-                assertTrue(client.ask(TestClient.request("pay", "2.0")).endsWith("one"));
+                assertTrue(client.exchange(TestClient.request("pay", "2.0")).endsWith("one"));
                 TestEnsemble.server(owner, "/servers/s2", server(two.address(), ""));
                 owner.setData(
                         "/servers/s1",
                         server(one.address(), ",\"state\":\"Terminating\"").getBytes(),
                         -1);
-                while (!client.ask(TestClient.request("pay", "2.0")).endsWith("two")) {
+                while (!client.exchange(TestClient.request("pay", "2.0")).endsWith("two")) {
                     assertTrue(process.isAlive());
                 }
                 ensemble.stop();
                 await(log, "can't be reached");
-                assertTrue(client.ask(TestClient.request("pay", "2.0")).endsWith("two"));
+                assertTrue(client.exchange(TestClient.request("pay", "2.0")).endsWith("two"));
                 ensemble.start();
                 await(log, "is heard");
                 assertEquals(0, discovery.requests.size(), "the registry is not asked");
                 process.destroy();
-                assertTrue(process.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
             } finally {
                 process.destroyForcibly();
@@ -191,7 +193,9 @@
                 Path config =
                         Files.writeString(
                                 folder.resolve("config.json"),
-                                LoopbackNode.json(LoopbackNode.Figures.USUAL, discovery.address())
+                                LoopbackSidecar.json(
+                                                LoopbackSidecar.SettingValues.DEFAULT,
+                                                discovery.address())
                                         .replace(
                                                 "127.0.0.1:1\"", "127.0.0.1:" + freePort() + "\""));
                 Process process = run(config, List.of("serve", "--operator", operator.toString()));
