--- a/sidecar/src/main/java/appleridge/config/Addresses.java
+++ b/sidecar/src/main/java/appleridge/config/Addresses.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Reads addresses from text without ever looking a name up: the event loop must not wait for DNS,
- * and the machines that the sidecar runs on need not have any.
+ * Parses literal IP addresses. Names are never resolved: a DNS look-up would block the event loop,
+ * and the machines that the sidecar runs on need not have DNS.
  */
 public final class Addresses {
     private static final int MAX_CHARS = 64;
@@ -19,7 +19,10 @@
 
     private Addresses() {}
 
-    /** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; empty for all else, names included. */
+    /**
+     * Parses {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; empty for any other text, including
+     * host names.
+     */
     public static Optional<InetSocketAddress> literal(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || text.length() > MAX_CHARS) {
@@ -32,7 +35,7 @@
         return host(text.substring(0, colon)).map(host -> new InetSocketAddress(host, port));
     }
 
-    /** As {@link #literal} reads it: an IPv6 address in brackets. */
+    /** The form that {@link #literal} parses, with an IPv6 address in brackets. */
     public static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
@@ -46,7 +49,10 @@
         }
     }
 
-    /** In brackets and of an address's characters alone, for then the JDK resolves nothing. */
+    /**
+     * Parses a bracketed IPv6 address. Only characters of an address are accepted, because then the
+     * JDK resolves nothing.
+     */
     private static Optional<InetAddress> ipv6(String bracketed) throws UnknownHostException {
         boolean literal =
                 bracketed
@@ -81,7 +87,10 @@
                 || c == '.';
     }
 
-    /** A decimal number without leading zeros, within bounds; else {@link #NOT_A_NUMBER}. */
+    /**
+     * Parses a decimal number without leading zeros; {@link #NOT_A_NUMBER} if it is malformed or
+     * outside of {@code min} to {@code max}.
+     */
     private static int number(String text, int min, int max) {
         if (text.isEmpty()
                 || text.length() > MAX_DIGITS
--- a/sidecar/src/main/java/appleridge/config/Catalog.java
+++ b/sidecar/src/main/java/appleridge/config/Catalog.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * Names that requests and endpoints refer to. The position of a name in its list is the number by
- * which the load-balancing policy knows it.
+ * The names that requests and endpoints refer to. The load-balancing policy identifies each by its
+ * index in its list. Immutable.
  *
- * @param requestClasses as clients name them in a request header
- * @param tenants as clients name them in a request header; empty if there is only one
- * @param zones as endpoint lists and nodes name them; empty if none are told apart
- * @param machineTypes as endpoint lists and nodes name them; empty if none are told apart
+ * @param requestClasses names that clients send in a request header
+ * @param tenants names that clients send in a request header; empty if there is only one tenant
+ * @param zones names in endpoint lists and ephemeral nodes; empty if zones are not distinguished
+ * @param machineTypes names in endpoint lists and ephemeral nodes; empty if machine types are not
+ *     distinguished
  */
 public record Catalog(
         List<String> requestClasses,
--- a/sidecar/src/main/java/appleridge/config/ConfigException.java
+++ b/sidecar/src/main/java/appleridge/config/ConfigException.java
@@ -3,8 +3,9 @@
 import java.util.Optional;
 
 /**
- * A configuration value that is missing or not allowed. The message is one line that names the key,
- * the value and what is allowed, for example {@code rules.rampTime is missing; allowed: a number}.
+ * Thrown for a configuration value that is missing or not allowed. The message is one line that
+ * names the key, the value and what is allowed, for example {@code rules.rampTime is missing;
+ * allowed: a number}.
  */
 public final class ConfigException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
@@ -35,7 +36,7 @@
         return new ConfigException(key, String.valueOf(value), allowed, null);
     }
 
-    /** The same with the exception by which it was found. */
+    /** Like {@link #notAllowed(String, Object, String)}, with the exception that revealed it. */
     public static ConfigException notAllowed(
             String key, Object value, String allowed, Throwable cause) {
         return new ConfigException(key, String.valueOf(value), allowed, cause);
@@ -63,7 +64,7 @@
                 + allowed;
     }
 
-    /** On one line and of bounded length, because the message is logged as it is. */
+    /** Makes the value safe to log: one line, of bounded length. */
     private static String printable(String value) {
         String line = value.replaceAll("\\p{Cntrl}", "?");
         return line.length() <= MAX_VALUE_CHARS ? line : line.substring(0, MAX_VALUE_CHARS) + "…";
--- a/sidecar/src/main/java/appleridge/config/ConnectionLimits.java
+++ b/sidecar/src/main/java/appleridge/config/ConnectionLimits.java
@@ -1,10 +1,10 @@
 package appleridge.config;
 
 /**
- * What the platform and the upstream hosts set a bound to.
+ * Limits set by the platform and the upstream hosts.
  *
- * @param maxDescriptors file descriptors that the process may hold
- * @param maxOpenRequests requests that may be open at once
+ * @param maxDescriptors maximum number of file descriptors that the process may hold
+ * @param maxOpenRequests maximum number of requests that may be open at once
  * @param upstreamIdleTimeoutNanos nanoseconds after which an upstream host closes an idle
  *     connection
  */
--- a/sidecar/src/main/java/appleridge/config/Defaults.java
+++ b/sidecar/src/main/java/appleridge/config/Defaults.java
@@ -1,14 +1,13 @@
 package appleridge.config;
 
 /**
- * What holds where the operator's file says nothing. Compile-time constants alone: the compiler
- * copies them to where they are used, so that a sidecar without an operator's file doesn't load
- * this class.
+ * Default values of the operator's settings. All are compile-time constants, which the compiler
+ * inlines, so that a sidecar without an operator's file doesn't load this class.
  */
 public final class Defaults {
     /**
      * Milliseconds from a request's first byte to its last: {@value}. Clients send a request in one
-     * piece, and one that stays incomplete has to be answered or closed within 3 s.
+     * piece. An incomplete request has to be answered, or its connection closed, within 3 s.
      */
     public static final long REQUEST_TIMEOUT_MILLIS = 2000;
 
@@ -21,10 +20,10 @@
      */
     public static final long IDLE_TIMEOUT_MILLIS = 15_000;
 
-    /** Fraction of the process's file descriptors for connections of clients: {@value}. */
+    /** Fraction of the process's file descriptors for client connections: {@value}. */
     public static final double CLIENT_CONNECTIONS_FRACTION = 0.4;
 
-    /** Fraction of the process's file descriptors for connections to upstream hosts: {@value}. */
+    /** Fraction of the process's file descriptors for upstream connections: {@value}. */
     public static final double UPSTREAM_CONNECTIONS_FRACTION = 0.45;
 
     private Defaults() {}
--- a/sidecar/src/main/java/appleridge/config/PolicySettingsBuilder.java
+++ b/sidecar/src/main/java/appleridge/config/PolicySettingsBuilder.java
@@ -9,7 +9,7 @@
 import appleridge.loadbalancing.WeightKind;
 import java.util.List;
 
-/** Makes {@link PolicySettings} with each of its components named. All of them have to be set. */
+/** Builds {@link PolicySettings}. Every component has to be set; none has a default. */
 final class PolicySettingsBuilder {
     private int rank;
     private int replicas;
@@ -27,7 +27,7 @@
 
     PolicySettingsBuilder() {}
 
-    /** With all components of other settings to begin with. */
+    /** Starts from the components of other settings. */
     PolicySettingsBuilder(PolicySettings other) {
         rank = other.rank();
         replicas = other.replicas();
@@ -110,9 +110,9 @@
     }
 
     /**
-     * The settings.
+     * Builds the settings.
      *
-     * @throws IllegalArgumentException if their values are not allowed
+     * @throws IllegalArgumentException if a value is not allowed
      */
     PolicySettings build() {
         return new PolicySettings(
--- a/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
+++ b/sidecar/src/main/java/appleridge/config/PolicySettingsParser.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 
 /**
- * Turns the path=value lines of a provision event into {@link PolicySettings}. This is the one
- * place where the platform's keys and words are mapped to the terms of the product; the sidecar's
- * configuration file is flattened to the same lines. Unknown keys are skipped. Times are in
- * nanoseconds, fractions from 0 to 1; N counts from 0.
+ * Parses the path=value lines of a provision event into {@link PolicySettings}. Only this class
+ * maps the platform's keys and words to the product's terms; the sidecar's configuration file is
+ * flattened to the same lines. Unknown keys are ignored. Times are in nanoseconds, fractions range
+ * from 0 to 1, and N counts from 0.
  *
  * <table>
  * <caption>Keys, their terms and defaults</caption>
@@ -31,7 +31,7 @@
  *     subscribe}<td>{@code automatic}
  * <tr><td>{@code weights}<td>{@link WeightKind}: {@code silent}, {@code nominal}, {@code rough},
  *     {@code live}<td>{@code silent}
- * <tr><td>{@code report.fields}<td>load report fields, parted by commas<td>none
+ * <tr><td>{@code report.fields}<td>load report fields, separated by commas<td>none
  * <tr><td>{@code valueBy}<td>{@code work}: priority weights count per unit of work<td>per request
  * <tr><td>{@code overShareWorth}<td>priority weight beyond a tenant's quota, a fraction<td>1
  * <tr><td>{@code profiles.count}<td>number of request classes<td>required
@@ -157,15 +157,15 @@
     private RequestClass requestClass(String path) {
         Idempotency idempotency = requiredChoice(SEMANTICS_WORDS, path + "semantics");
         long deadlineNanos = (long) requiredNumber(path + "deadline");
-        // A latency objective beyond the deadline means the deadline, for nothing is earned after
-        // it. Rejected, it would keep every sidecar of a site with short deadlines from starting.
+        // A response after the deadline has no value, so a later latency objective is cut to the
+        // deadline. If it were rejected, no sidecar of a site with short deadlines would start.
         long objectiveNanos = Math.min((long) requiredNumber(path + "slo"), deadlineNanos);
         if (objectiveNanos <= 0) {
             String key = path + (deadlineNanos <= 0 ? "deadline" : "slo");
             throw ConfigException.notAllowed(key, objectiveNanos, ABOVE_ZERO);
         }
-        // Read for classes with an idempotency key alone: for others these keys have no meaning,
-        // and a start must not fail for what stands there.
+        // Read only for classes with an idempotency key. For other classes these settings have no
+        // meaning, so an invalid value must not make the start fail.
         boolean keyed = idempotency == Idempotency.IDEMPOTENT_BY_KEY;
         DeduplicationScope scope =
                 keyed
@@ -227,12 +227,12 @@
         return (long) notNegative(key, 0);
     }
 
-    private double notNegative(String key, double absent) {
-        return atLeast(0, NOT_NEGATIVE, key, absent);
+    private double notNegative(String key, double defaultValue) {
+        return atLeast(0, NOT_NEGATIVE, key, defaultValue);
     }
 
-    private double atLeast(double min, String allowed, String key, double absent) {
-        double value = number(key, absent);
+    private double atLeast(double min, String allowed, String key, double defaultValue) {
+        double value = number(key, defaultValue);
         if (value < min) {
             throw ConfigException.notAllowed(key, values.get(key), allowed);
         }
@@ -250,10 +250,10 @@
         return number(key, 0);
     }
 
-    private double number(String key, double absent) {
+    private double number(String key, double defaultValue) {
         String text = values.get(key);
         if (text == null || text.isEmpty()) {
-            return absent;
+            return defaultValue;
         }
         try {
             double value = Double.parseDouble(text);
@@ -273,10 +273,10 @@
         return choice(words, key, null);
     }
 
-    private <E> E choice(Map<String, E> words, String key, E absent) {
+    private <E> E choice(Map<String, E> words, String key, E defaultValue) {
         String text = values.get(key);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         E value = words.get(text.toUpperCase(Locale.ROOT));
         if (value == null) {
@@ -285,7 +285,7 @@
         return value;
     }
 
-    /** Sorted, because a map of constants has no order of its own. */
+    /** Lists the allowed words, sorted because {@link Map#of} has no defined order. */
     private static String oneOf(Map<String, ?> words) {
         return "one of "
                 + String.join(
--- a/sidecar/src/main/java/appleridge/config/SettingLines.java
+++ b/sidecar/src/main/java/appleridge/config/SettingLines.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Flattens nested settings into the path=value lines that the simulator's provision event holds, so
- * that {@link PolicySettingsParser} is the one mapping of both. A list of objects becomes {@code
- * path.count=N} and the lines of {@code path.0} to {@code path.N-1}; a list of values becomes one
- * line, joined by commas.
+ * Flattens nested settings into path=value lines, the form of the simulator's provision event, so
+ * that {@link PolicySettingsParser} parses both. A list of objects becomes {@code path.count=N} and
+ * the lines of {@code path.0} to {@code path.N-1}; a list of values becomes one line, joined by
+ * commas.
  */
 final class SettingLines {
     private final StringBuilder lines = new StringBuilder();
@@ -32,10 +32,10 @@
             }
         } else if (node.isArray()) {
             List<String> values = new ArrayList<>();
-            node.forEach(item -> values.add(plain(item)));
+            node.forEach(item -> values.add(sanitized(item)));
             line(path, String.join(",", values));
         } else {
-            line(path, plain(node));
+            line(path, sanitized(node));
         }
     }
 
@@ -43,8 +43,11 @@
         lines.append(path).append('=').append(value).append('\n');
     }
 
-    /** White space ends a line and commas part a list, so neither may stand in a value. */
-    private static String plain(JsonNode value) {
+    /**
+     * The value with white space and commas replaced by underscores: line breaks separate lines and
+     * commas separate list items.
+     */
+    private static String sanitized(JsonNode value) {
         return value.asText().replaceAll("[\\s,]", "_");
     }
 }
--- a/sidecar/src/main/java/appleridge/config/SidecarAddresses.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarAddresses.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * The addresses of one sidecar; all are literal, none was looked up.
+ * The addresses of one sidecar. All are literal IP addresses; no name is resolved.
  *
- * @param listen where clients connect
- * @param registry where the registry answers
- * @param admin where operators connect; empty if the admin server is off
+ * @param listen the address on which clients connect
+ * @param registry the registry's address
+ * @param admin the admin server's address; empty if the admin server is off
  */
 public record SidecarAddresses(
         InetSocketAddress listen, InetSocketAddress registry, Optional<InetSocketAddress> admin) {
--- a/sidecar/src/main/java/appleridge/config/SidecarConfig.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarConfig.java
@@ -10,19 +10,18 @@
 import java.util.Optional;
 
 /**
- * The validated configuration with which one sidecar starts. Immutable; {@link SidecarConfigParser}
- * makes it.
+ * The validated configuration of one sidecar. Immutable; created by {@link SidecarConfigParser}.
  *
  * @param name the sidecar's name, for logs
- * @param addresses where it listens and connects to
- * @param seed of the load-balancing policy's random numbers; a new one for each start
- * @param limits bounds of the process and of its connections
- * @param cachedEndpoints the endpoint list as last known to the platform, in the registry's form;
- *     empty if it gave none
- * @param settings the policy's settings as a host with sockets runs it: endpoints are always
- *     subscribed to, and gossip is off
- * @param pollsLocalAgent the registry is an agent on this machine to which lists are pushed: what
- *     the agent has counts as notified at once
+ * @param addresses the addresses on which it listens and to which it connects
+ * @param seed seed of the load-balancing policy's random numbers; different for each start
+ * @param limits limits of the process and of its connections
+ * @param cachedEndpoints the endpoint list last known to the platform, in the registry's format;
+ *     empty if the file has none
+ * @param settings the policy's settings, adapted to a sidecar with real sockets: endpoints are
+ *     always subscribed to, and gossip is off
+ * @param pollsLocalAgent whether the registry is an agent on this machine to which lists are
+ *     pushed; a change counts as notified to this sidecar as soon as the agent has it
  * @param catalog names of request classes, tenants, zones and machine types
  */
 public record SidecarConfig(
@@ -35,36 +34,36 @@
         boolean pollsLocalAgent,
         Catalog catalog) {
     /**
-     * Reads a configuration file's text.
+     * Parses the text of a configuration file.
      *
      * @throws ConfigException if a value is missing or not allowed
-     * @throws IllegalArgumentException if values are not allowed together
+     * @throws IllegalArgumentException if a combination of values is not allowed
      * @throws IOException if the text is not JSON
      */
     public static SidecarConfig parse(byte[] text) throws IOException {
         return parse(new ObjectMapper().readTree(text));
     }
 
-    /** The same from JSON that was read already. */
+    /** Like {@link #parse(byte[])}, from a parsed JSON tree. */
     public static SidecarConfig parse(JsonNode root) {
         return new SidecarConfigParser(root).parse();
     }
 
     /**
-     * The address in {@code host:port}.
+     * Parses {@code address:port}.
      *
-     * @throws ConfigException if it is not a literal address: there is no DNS here
+     * @throws ConfigException if it is not a literal IP address; names are not resolved
      */
     public static InetSocketAddress literalAddress(String text) {
         return SidecarConfigParser.address("address", text);
     }
 
-    /** The same with the admin server at another address. */
+    /** This configuration with another address of the admin server. */
     public SidecarConfig withAdminAddress(InetSocketAddress other) {
         return withAddresses(addresses.withAdmin(other));
     }
 
-    /** The same with clients connecting to another address. */
+    /** This configuration with another address for clients. */
     public SidecarConfig withListenAddress(InetSocketAddress other) {
         return withAddresses(addresses.withListen(other));
     }
@@ -75,8 +74,8 @@
     }
 
     /**
-     * The parts of the file that differ in another configuration and can't be reloaded while the
-     * sidecar runs, by their keys. The registry's address and the cached endpoints can be.
+     * The top-level keys whose values differ in another configuration and take effect only after a
+     * restart. The registry's address and the cached endpoints are reloaded without one.
      */
     public List<String> partsNeedingRestart(SidecarConfig other) {
         List<String> parts = new ArrayList<>();
@@ -106,27 +105,27 @@
                 && maxOpenRequests() == other.maxOpenRequests();
     }
 
-    /** Where clients connect. */
+    /** The address on which clients connect. */
     public InetSocketAddress listenAddress() {
         return addresses.listen();
     }
 
-    /** Where the registry answers. */
+    /** The registry's address. */
     public InetSocketAddress registryAddress() {
         return addresses.registry();
     }
 
-    /** Where operators connect; empty if the admin server is off. */
+    /** The admin server's address; empty if the admin server is off. */
     public Optional<InetSocketAddress> adminAddress() {
         return addresses.admin();
     }
 
-    /** File descriptors that the process may hold. */
+    /** Maximum number of file descriptors that the process may hold. */
     public int maxDescriptors() {
         return limits.maxDescriptors();
     }
 
-    /** Requests that may be open at once. */
+    /** Maximum number of requests that may be open at once. */
     public int maxOpenRequests() {
         return limits.maxOpenRequests();
     }
@@ -146,12 +145,12 @@
         return catalog.tenants();
     }
 
-    /** Names of the zones, in the order of their numbers. */
+    /** Names of the zones, by index. */
     public List<String> zones() {
         return catalog.zones();
     }
 
-    /** Names of the machine types, in the order of their numbers. */
+    /** Names of the machine types, by index. */
     public List<String> machineTypes() {
         return catalog.machineTypes();
     }
--- a/sidecar/src/main/java/appleridge/config/SidecarConfigParser.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarConfigParser.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads the platform's configuration file (JSON) into a {@link SidecarConfig}. The file's keys and
- * their terms:
+ * Parses the platform's configuration file (JSON) into a {@link SidecarConfig}. The file's keys and
+ * the terms they map to:
  *
  * <table>
  * <caption>Keys outside of {@link PolicySettingsParser}'s</caption>
@@ -30,7 +30,7 @@
  *     Catalog}
  * </table>
  *
- * <p>All of {@code settings} is handed to {@link PolicySettingsParser} too, as path=value lines.
+ * <p>All of {@code settings} is also passed to {@link PolicySettingsParser}, as path=value lines.
  */
 final class SidecarConfigParser {
     private static final int DEFAULT_DESCRIPTORS = 1024;
@@ -39,9 +39,10 @@
     private static final String DURATION_FORM = "a whole number of nanoseconds greater than 0";
 
     /**
-     * Nanoseconds within which a local agent is polled again. The agent does not say when it is
-     * back, but what it has then counts as notified, so this must stay well below the 250 ms in
-     * which a drain may have to take effect. Polling an agent on the same machine costs little.
+     * Poll interval of a local agent, in nanoseconds. An agent that restarts does not announce
+     * itself, but its list counts as notified from then on. The interval must therefore stay well
+     * below 250 ms, within which a drain may have to take effect. Polling an agent on the same
+     * machine costs little.
      */
     private static final long AGENT_POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -61,8 +62,8 @@
         ConnectionLimits limits = limits();
         PolicySettings given = PolicySettingsParser.parse(SettingLines.of(settings));
         boolean pushed = given.discoveryMode() == DiscoveryMode.PUSHED;
-        PolicySettings hosted = hosted(given, pushed);
-        rejectUnsupported(hosted);
+        PolicySettings adapted = adaptToSockets(given, pushed);
+        rejectUnsupported(adapted);
         String name = text("name");
         InetSocketAddress listen = address("listen", text("listen"));
         InetSocketAddress registry = address("discovery", text("discovery"));
@@ -73,15 +74,15 @@
                 seed,
                 limits,
                 Optional.ofNullable(root.get("known")).filter(list -> !list.isNull()),
-                hosted,
+                adapted,
                 pushed,
                 catalog());
     }
 
     /**
-     * The address in {@code host:port}.
+     * Parses {@code address:port}.
      *
-     * @throws ConfigException naming {@code key} if it is not a literal address
+     * @throws ConfigException naming {@code key} if it is not a literal IP address
      */
     static InetSocketAddress address(String key, String text) {
         return Addresses.literal(text)
@@ -108,11 +109,11 @@
     }
 
     /**
-     * The settings of a policy in a sidecar with sockets. A pushed list is subscribed to as any
-     * other is, because the agent has to be polled for it. Gossip is off: it is allowed, not
-     * demanded, and this host sends none.
+     * Adapts the policy's settings to a sidecar with real sockets. A pushed list is subscribed to
+     * like any other, because the local agent has to be polled for it. Gossip is off: the platform
+     * permits it but doesn't require it, and this sidecar sends none.
      */
-    private static PolicySettings hosted(PolicySettings given, boolean pushed) {
+    private static PolicySettings adaptToSockets(PolicySettings given, boolean pushed) {
         PolicySettingsBuilder builder =
                 new PolicySettingsBuilder(given)
                         .discoveryMode(DiscoveryMode.SUBSCRIBED)
@@ -147,11 +148,12 @@
     }
 
     /**
-     * Settings that a policy may have and this host can't honour. With a poll interval of 0 a watch
-     * would end as it begins, and with a connect time-out of 0 so would each connect.
+     * Rejects settings that the policy accepts but a sidecar with real sockets can't support. With
+     * a poll interval of 0 each watch would end at once, and with a connect time-out of 0 each
+     * connection attempt would fail at once.
      */
-    private static void rejectUnsupported(PolicySettings hosted) {
-        List<RequestClass> classes = hosted.classes();
+    private static void rejectUnsupported(PolicySettings adapted) {
+        List<RequestClass> classes = adapted.classes();
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).streaming()) {
                 throw ConfigException.notAllowed(
@@ -160,11 +162,11 @@
                         "false: streaming classes are not supported");
             }
         }
-        long pollIntervalNanos = hosted.safetyLimits().pollIntervalNanos();
+        long pollIntervalNanos = adapted.safetyLimits().pollIntervalNanos();
         if (pollIntervalNanos <= 0) {
             throw ConfigException.notAllowed("rules.askWithin", pollIntervalNanos, DURATION_FORM);
         }
-        long connectTimeoutNanos = hosted.capabilities().connectTimeoutNanos();
+        long connectTimeoutNanos = adapted.capabilities().connectTimeoutNanos();
         if (connectTimeoutNanos <= 0) {
             throw ConfigException.notAllowed(
                     "caps.connectTimeout", connectTimeoutNanos, DURATION_FORM);
@@ -195,7 +197,7 @@
     private String text(String key) {
         String text = root.path(key).asText("");
         if (text.isEmpty()) {
-            throw ConfigException.missing(key, "a text that is not empty");
+            throw ConfigException.missing(key, "a non-empty string");
         }
         return text;
     }
@@ -206,7 +208,7 @@
         return names;
     }
 
-    /** The texts of a list; a single text counts as a list of one. */
+    /** The strings of a list; a single string counts as a list of one. */
     private static List<String> strings(JsonNode list) {
         List<String> strings = new ArrayList<>();
         if (list.isTextual() && !list.asText().isEmpty()) {
--- a/sidecar/src/main/java/appleridge/config/package-info.java
+++ b/sidecar/src/main/java/appleridge/config/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The configuration that the platform gives a sidecar at its start, validated. The platform's keys
- * and words are mapped to the product's terms here and nowhere else: {@link
- * appleridge.config.PolicySettingsParser} holds the table. Values are immutable; all may be used on
- * any thread. What is missing or not allowed is reported by a {@link
+ * Parses and validates the configuration that the platform gives a sidecar at its start. Only this
+ * package maps the platform's keys and words to the product's terms; {@link
+ * appleridge.config.PolicySettingsParser} has the table. Values are immutable and may be used on
+ * any thread. A value that is missing or not allowed raises a {@link
  * appleridge.config.ConfigException}.
  */
 package appleridge.config;
--- a/sidecar/src/test/java/appleridge/config/AddressesTest.java
+++ b/sidecar/src/test/java/appleridge/config/AddressesTest.java
@@ -8,17 +8,18 @@
 
 class AddressesTest {
     @Test
-    void literalAddressIsRead() {
+    void literalAddressIsParsed() {
         assertEquals(
                 "/10.1.0.18:3000", Addresses.literal("10.1.0.18:3000").orElseThrow().toString());
         assertEquals(80, Addresses.literal("[2001:db8::1]:80").orElseThrow().getPort());
     }
 
     /**
-     * Guards against a host name in a list that is looked up on the event loop, which would wait.
+     * Guards against a host name in an endpoint list that is resolved on the event loop and blocks
+     * it.
      */
     @Test
-    void nameOrMalformedAddressIsNotRead() {
+    void hostNameOrMalformedAddressIsRejected() {
         for (String text :
                 List.of(
                         "localhost:80",
--- a/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/SidecarConfigTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The platform's configuration file, and the messages where it is not allowed. */
+/** Parsing of the platform's configuration file, and the messages for values not allowed. */
 class SidecarConfigTest {
     private static final String GOOD =
             LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:8500");
@@ -39,7 +39,10 @@
         assertEquals(0x8c1f30d27a5be964L, config.seed());
     }
 
-    /** Guards against a site whose lists are pushed, or whose sidecars may gossip. */
+    /**
+     * A site may push endpoint lists or permit gossip. Guards against a sidecar that then waits for
+     * pushes or gossip that never come.
+     */
     @Test
     void pushedListsArePolledAndGossipIsOff() throws Exception {
         String pushed =
@@ -51,14 +54,14 @@
         assertEquals(
                 DiscoveryMode.SUBSCRIBED,
                 config.settings().discoveryMode(),
-                "the agent has to be asked");
+                "the agent has to be polled");
         assertFalse(config.settings().capabilities().gossip());
         assertTrue(config.settings().capabilities().cancellation());
         assertFalse(parse(GOOD).pollsLocalAgent());
         assertEquals(List.of("settings"), parse(GOOD).partsNeedingRestart(config));
     }
 
-    /** Guards against a site of short deadlines at which no sidecar starts. */
+    /** Guards against a site with short deadlines where no sidecar starts. */
     @Test
     void latencyObjectiveBeyondTheDeadlineIsCutToTheDeadline() throws Exception {
         List<RequestClass> classes =
@@ -71,7 +74,8 @@
     }
 
     /**
-     * Guards against a start that fails for what a class's other settings leave without meaning.
+     * Guards against a start that fails because of an invalid key scope in a class that has no
+     * idempotency key and so doesn't use it.
      */
     @Test
     void keyScopeIsReadOnlyForClassesWithAnIdempotencyKey() throws Exception {
@@ -88,11 +92,11 @@
 
     @ParameterizedTest
     @MethodSource("disallowedValues")
-    void disallowedValueIsNamedWithKeyAndAllowedRange(String from, String to, String message) {
+    void messageNamesKeyValueAndAllowedRange(String from, String to, String message) {
         assertTrue(GOOD.contains(from), from);
         String json = GOOD.replace(from, to);
         Exception e = assertThrows(IllegalArgumentException.class, () -> parse(json), to);
-        assertEquals(1, e.getMessage().lines().count(), "one plain line");
+        assertEquals(1, e.getMessage().lines().count(), "the message has one line");
         assertEquals(message, e.getMessage());
     }
 
@@ -115,7 +119,7 @@
                 arguments(
                         "\"name\":\"n0\"",
                         "\"name\":\"\"",
-                        "name is missing; allowed: a text that is not empty"),
+                        "name is missing; allowed: a non-empty string"),
                 arguments(
                         "\"discovery\":\"subscribe\"",
                         "\"discovery\":\"guessed\"",
