--- a/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
@@ -4,16 +4,16 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; never a name, for nothing is looked up. */
+/** A literal IP address with a port; names are rejected because nothing resolves them. */
 record AddressKind() implements ValueKind<InetSocketAddress> {
     @Override
-    public InetSocketAddress read(SourceValue cell) {
+    public InetSocketAddress read(SourceValue source) {
         Optional<InetSocketAddress> address =
-                cell.node().isTextual()
-                        ? Addresses.literal(cell.node().textValue())
+                source.node().isTextual()
+                        ? Addresses.literal(source.node().textValue())
                         : Optional.empty();
         if (address.isEmpty()) {
-            cell.reject(
+            source.reject(
                     "is not an address; write a literal one with its port, like \"192.0.2.1:8080\""
                             + " or \"[2001:db8::1]:8080\" (names are not looked up)");
         }
@@ -21,7 +21,7 @@
     }
 
     @Override
-    public String show(InetSocketAddress value) {
+    public String format(InetSocketAddress value) {
         return Addresses.format(value);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckArguments.java
@@ -7,9 +7,14 @@
  *
  * @param config the platform's file; null if not given
  * @param operator the operator's file; null if not given
+ * @param json whether to print JSON
  */
 record CheckArguments(String config, String operator, boolean json) {
-    /** Reads them; what makes no sense is told by an {@link IllegalArgumentException}. */
+    /**
+     * Parses the arguments.
+     *
+     * @throws IllegalArgumentException if one is unknown, given twice or lacks its file
+     */
     static CheckArguments parse(List<String> arguments) {
         String config = null;
         String operator = null;
@@ -28,13 +33,13 @@
         return new CheckArguments(config, operator, json);
     }
 
-    private static String file(List<String> arguments, int at, String before) {
-        if (before != null) {
-            throw new IllegalArgumentException(arguments.get(at) + " stands twice");
+    private static String file(List<String> arguments, int index, String previous) {
+        if (previous != null) {
+            throw new IllegalArgumentException(arguments.get(index) + " is given twice");
         }
-        if (at + 1 == arguments.size() || arguments.get(at + 1).isEmpty()) {
-            throw new IllegalArgumentException(arguments.get(at) + " needs a file");
+        if (index + 1 == arguments.size() || arguments.get(index + 1).isEmpty()) {
+            throw new IllegalArgumentException(arguments.get(index) + " needs a file");
         }
-        return arguments.get(at + 1);
+        return arguments.get(index + 1);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
@@ -6,21 +6,21 @@
 import java.util.List;
 
 /**
- * The command {@code check-config [--config FILE] [--operator FILE] [--json]}: says what a start
- * with these files would do, and what is wrong with them. Starts nothing.
+ * The command {@code check-config [--config FILE] [--operator FILE] [--json]}: reports the settings
+ * that a sidecar would have with these files, and the problems in them. Starts no sidecar.
  */
 public final class CheckConfig {
-    /** Exit status where a sidecar would start with these files. */
-    public static final int FINE = 0;
+    /** Exit status if a sidecar would start with these files. */
+    public static final int EXIT_OK = 0;
 
-    /** Exit status where it would not, or where the command makes no sense. */
-    public static final int PROBLEMS = 2;
+    /** Exit status if it would not start, or if the arguments are invalid. */
+    public static final int EXIT_PROBLEMS = 2;
 
     private static final String USAGE =
             "usage: check-config [--config FILE] [--operator FILE] [--json]";
 
-    /** What stands for a file that is not there: it leaves everything as usual. */
-    private static final byte[] NOTHING = {'v', 'e', 'r', 's', 'i', 'o', 'n', '=', '1'};
+    /** Contents that replace a missing operator's file: every setting has its default. */
+    private static final byte[] EMPTY_OPERATOR_FILE = {'v', 'e', 'r', 's', 'i', 'o', 'n', '=', '1'};
 
     private final PlatformFile platform;
     private final PrintStream out;
@@ -33,30 +33,29 @@
     /**
      * Runs the command.
      *
-     * @param arguments what follows the command's name
-     * @param configByDefault the platform's file where {@code --config} doesn't say; null if there
-     *     is none
-     * @return {@link #FINE} or {@link #PROBLEMS}
+     * @param arguments the arguments after the command's name
+     * @param configByDefault the platform's file if {@code --config} is not given; null for none
+     * @return {@link #EXIT_OK} or {@link #EXIT_PROBLEMS}
      */
     public int run(List<String> arguments, String configByDefault) {
         Path config;
         Path operator;
         boolean json = false;
         try {
-            CheckArguments asked = CheckArguments.parse(arguments);
-            String configFile = asked.config() == null ? configByDefault : asked.config();
+            CheckArguments parsed = CheckArguments.parse(arguments);
+            String configFile = parsed.config() == null ? configByDefault : parsed.config();
             config = configFile == null || configFile.isEmpty() ? null : Path.of(configFile);
-            operator = asked.operator() == null ? null : Path.of(asked.operator());
-            json = asked.json();
+            operator = parsed.operator() == null ? null : Path.of(parsed.operator());
+            json = parsed.json();
         } catch (IllegalArgumentException e) {
             out.println(e.getMessage());
             out.println(USAGE);
-            return PROBLEMS;
+            return EXIT_PROBLEMS;
         }
         CheckReport report = check(config, operator);
         out.print(json ? CheckJson.of(report) : CheckText.of(report));
         out.flush();
-        return report.problems() == 0 ? FINE : PROBLEMS;
+        return report.problems() == 0 ? EXIT_OK : EXIT_PROBLEMS;
     }
 
     private CheckReport check(Path config, Path operator) {
@@ -76,7 +75,9 @@
                 summary,
                 problem,
                 operator,
-                operator == null ? OperatorFile.inspect(NOTHING) : OperatorFile.inspect(operator));
+                operator == null
+                        ? OperatorFile.inspect(EMPTY_OPERATOR_FILE)
+                        : OperatorFile.inspect(operator));
     }
 
     private static String firstLine(String message) {
--- a/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckJson.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 
-/** A check's report, for a program. */
+/** Formats a check's report as JSON. */
 final class CheckJson {
     private CheckJson() {}
 
@@ -32,7 +32,7 @@
     private static void operator(ObjectNode node, CheckReport report) {
         node.put("file", name(report.operator()));
         ArrayNode problems = node.putArray("problems");
-        for (Problem each : report.reading().findings().problems()) {
+        for (Problem each : report.inspection().findings().problems()) {
             problems.addObject()
                     .put("path", each.path())
                     .put("line", each.line())
--- a/sidecar/src/main/java/appleridge/config/operator/CheckReport.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckReport.java
@@ -5,29 +5,29 @@
 import java.util.List;
 
 /**
- * What a check of both files has found.
+ * The result of checking the platform's and the operator's file.
  *
  * @param config the platform's file; null if there is none to check
- * @param platform what it says; null if it can't be read
- * @param platformProblem why it can't be taken; null if it can
+ * @param platform summary of the platform's file; null if there is none or it is invalid
+ * @param platformProblem why the platform's file is invalid; null if it is valid or there is none
  * @param operator the operator's file; null if there is none
- * @param reading what the operator's file says, or what holds without one
+ * @param inspection the result of reading the operator's file, or the defaults without one
  */
 record CheckReport(
         Path config,
         PlatformFile.Summary platform,
         String platformProblem,
         Path operator,
-        OperatorFile.Reading reading) {
+        OperatorFile.Inspection inspection) {
     int problems() {
-        return reading.findings().count() + (platformProblem == null ? 0 : 1);
+        return inspection.findings().count() + (platformProblem == null ? 0 : 1);
     }
 
-    /** Settings of the operator's file; none if it can't be taken. */
+    /** The settings in effect; empty if the operator's file has a problem. */
     List<Setting> settings() {
-        return reading.findings().count() > 0
+        return inspection.findings().count() > 0
                 ? List.of()
-                : reading.findings().settings().stream()
+                : inspection.findings().settings().stream()
                         .filter(each -> operator != null || !each.fromFile())
                         .toList();
     }
@@ -37,15 +37,15 @@
     }
 
     int line(Setting setting) {
-        return setting.fromFile() ? reading.text().where(setting.path()).line() : 0;
+        return setting.fromFile() ? inspection.text().positionOf(setting.path()).line() : 0;
     }
 
-    /** What both files together come to, in plain words. */
+    /** Describes the combined effect of both files, one sentence a line. */
     List<String> consequences() {
         List<String> lines = new ArrayList<>();
-        if (platform != null && reading.findings().count() == 0) {
+        if (platform != null && inspection.findings().count() == 0) {
             int descriptors = platform.descriptors();
-            LimitsSection limits = reading.file().limits().orElse(LimitsSection.DEFAULTS);
+            LimitsSection limits = inspection.file().limits().orElse(LimitsSection.DEFAULTS);
             int clients = limits.clientConnections(descriptors);
             int upstreams = limits.upstreamConnections(descriptors);
             lines.add(
@@ -53,15 +53,18 @@
                             + descriptors
                             + " file descriptors, "
                             + clients
-                            + " are for connections of clients, "
+                            + " are for client connections, "
                             + upstreams
-                            + " for connections to upstreams, and "
+                            + " for upstream connections, and "
                             + (descriptors - clients - upstreams)
                             + " for the program itself");
         }
-        if (reading.findings().count() == 0) {
-            reading.file().membership().ifPresent(section -> lines.addAll(section.consequences()));
-            reading.file().leases().ifPresent(section -> lines.addAll(section.consequences()));
+        if (inspection.findings().count() == 0) {
+            inspection
+                    .file()
+                    .membership()
+                    .ifPresent(section -> lines.addAll(section.consequences()));
+            inspection.file().leases().ifPresent(section -> lines.addAll(section.consequences()));
         }
         return lines;
     }
--- a/sidecar/src/main/java/appleridge/config/operator/CheckText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckText.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A check's report, for a person. */
+/** Formats a check's report as text. */
 final class CheckText {
     private final CheckReport report;
     private final StringBuilder out = new StringBuilder();
@@ -16,16 +16,16 @@
         text.platform();
         text.operator();
         text.paragraph(
-                "Different from the defaults:",
+                "Changed from the defaults:",
                 report.changed().stream()
-                        .map(each -> each.path() + " = " + each.value() + instead(each))
+                        .map(each -> each.path() + " = " + each.value() + insteadOfDefault(each))
                         .toList());
-        text.paragraph("What follows:", report.consequences());
+        text.paragraph("Consequences:", report.consequences());
         text.line("");
         text.line(
                 report.problems() == 0
                         ? "No problems."
-                        : count(report.problems()) + ": a sidecar would not start with this.");
+                        : count(report.problems()) + ": a sidecar would not start.");
         return text.out.toString();
     }
 
@@ -49,16 +49,16 @@
 
     private void operator() {
         line("");
-        List<String> problems = report.reading().findings().lines();
+        List<String> problems = report.inspection().findings().lines();
         if (report.operator() == null) {
-            line("Operator's file: none given, so everything is by default");
+            line("Operator's file: none given, so all settings have their defaults");
         } else {
             line(
                     "Operator's file "
                             + report.operator()
                             + (problems.isEmpty()
                                     ? ""
-                                    : ": " + count(report.reading().findings().count())));
+                                    : ": " + count(report.inspection().findings().count())));
         }
         problems.forEach(each -> line("  " + each));
         for (Setting each : report.settings()) {
@@ -80,10 +80,10 @@
         }
         int line = report.line(setting);
         return (line > 0 ? "line " + line : "file")
-                + (setting.isChanged() ? "," + instead(setting) : ", as by default");
+                + (setting.isChanged() ? "," + insteadOfDefault(setting) : ", same as the default");
     }
 
-    private static String instead(Setting setting) {
+    private static String insteadOfDefault(Setting setting) {
         return " instead of "
                 + (setting.defaultValue().isEmpty() ? "nothing" : setting.defaultValue());
     }
--- a/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ChoiceKind.java
@@ -3,23 +3,27 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** One of an enum's constants, by its {@link SettingWord}. */
+/** An enum constant, spelled as its {@link SettingWord}. */
 record ChoiceKind<E extends Enum<E> & SettingWord>(Class<E> type) implements ValueKind<E> {
     @Override
-    public E read(SourceValue cell) {
-        String text = cell.node().isTextual() ? cell.node().textValue() : "";
+    public E read(SourceValue source) {
+        String text = source.node().isTextual() ? source.node().textValue() : "";
         for (E each : type.getEnumConstants()) {
-            if (show(each).equals(text)) {
+            if (format(each).equals(text)) {
                 return each;
             }
         }
-        List<String> all = Arrays.stream(type.getEnumConstants()).map(this::show).toList();
-        cell.reject("is none of \"" + String.join("\", \"", all) + "\"" + Nearest.hint(text, all));
+        List<String> all = Arrays.stream(type.getEnumConstants()).map(this::format).toList();
+        source.reject(
+                "is not one of \""
+                        + String.join("\", \"", all)
+                        + "\""
+                        + SpellingHint.hint(text, all));
         return null;
     }
 
     @Override
-    public String show(E value) {
+    public String format(E value) {
         return value.settingWord();
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ClientsSection.java
@@ -4,16 +4,16 @@
 import java.time.Duration;
 
 /**
- * {@code [clients]}: how long a client's connection may stay as it is.
+ * Section {@code [clients]}: time-outs of client connections.
  *
  * @param requestTimeout from a request's first byte to its last: 100 ms to 1 min
  * @param firstRequestTimeout from the connection's start to its first request's first byte: 100 ms
  *     to 10 min
- * @param idleTimeout from an answer to the next request's first byte: 100 ms to 1 h
+ * @param idleTimeout from a response to the next request's first byte: 100 ms to 1 h
  */
 public record ClientsSection(
         Duration requestTimeout, Duration firstRequestTimeout, Duration idleTimeout) {
-    /** What holds where the file has no such section. */
+    /** The defaults, used if the file has no such section. */
     public static final ClientsSection DEFAULTS =
             new ClientsSection(
                     Duration.ofMillis(Defaults.REQUEST_TIMEOUT_MILLIS),
@@ -28,12 +28,12 @@
                         "request-timeout",
                         ValueKind.duration(MIN_TIMEOUT, Duration.ofMinutes(1)),
                         DEFAULTS.requestTimeout,
-                        "how long a request may take to come in, from its first byte to its last"),
+                        "how long receiving a request may take, from its first byte to its last"),
                 table.value(
                         "first-request-timeout",
                         ValueKind.duration(MIN_TIMEOUT, Duration.ofMinutes(10)),
                         DEFAULTS.firstRequestTimeout,
-                        "how long a new connection may be without a request"),
+                        "how long a new connection may stay without a request"),
                 table.value(
                         "idle-timeout",
                         ValueKind.duration(MIN_TIMEOUT, Duration.ofHours(1)),
--- a/sidecar/src/main/java/appleridge/config/operator/CoordinationKeys.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CoordinationKeys.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The keys that {@code [membership]} and {@code [leases]} share: how to reach ZooKeeper. */
+/** The keys that {@code [membership]} and {@code [leases]} share: the connection to ZooKeeper. */
 record CoordinationKeys(Table table) {
-    /** Characters that the name of a file may have. */
+    /** Maximum number of characters in a file name. */
     static final int MAX_FILE_NAME_CHARS = 1024;
 
     private static final int MAX_SERVERS = 9;
@@ -28,11 +28,11 @@
                 "chroot",
                 new ZooKeeperPathKind(true),
                 "",
-                "the path on them that all others are under");
+                "the ZooKeeper path that all other paths are relative to");
     }
 
-    String root(String absent, String meaning) {
-        return table.value("root", new ZooKeeperPathKind(false), absent, meaning);
+    String root(String defaultRoot, String meaning) {
+        return table.value("root", new ZooKeeperPathKind(false), defaultRoot, meaning);
     }
 
     Duration sessionTimeout(String meaning) {
@@ -46,15 +46,15 @@
     Optional<String> digestFile() {
         return table.optional(
                 "digest-file",
-                ValueKind.text(MAX_FILE_NAME_CHARS),
-                "file that holds user:password");
+                ValueKind.string(MAX_FILE_NAME_CHARS),
+                "file that contains user:password");
     }
 
     Optional<MembershipSection.Tls> tls() {
         return MembershipSection.Tls.read(table.table("tls"));
     }
 
-    /** Where the nodes stand and how they are reached, for {@code check-config} to print. */
+    /** Describes the path of the nodes and the connection, for {@code check-config} to print. */
     static String describe(
             String root,
             String chroot,
@@ -63,11 +63,11 @@
             Optional<String> digestFile) {
         return root
                 + (chroot.isEmpty() ? "" : " under " + chroot)
-                + " of "
+                + " on "
                 + (servers.size() == 1
                         ? "one coordination server"
                         : servers.size() + " coordination servers")
                 + (tls.isPresent() ? ", over TLS" : "")
-                + (digestFile.isPresent() ? ", as the user of digest-file" : "");
+                + (digestFile.isPresent() ? ", authenticated by digest-file" : "");
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/Findings.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Findings.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** What reading an operator's file has brought to light so far: its settings, and what is wrong. */
+/** Collects the settings and the problems found while an operator's file is read. */
 final class Findings {
-    /** Problems that are told; of more than these only the number is. */
+    /** Maximum number of problems kept; further ones are only counted. */
     static final int MAX_REPORTED = 20;
 
     private final List<Problem> problems = new ArrayList<>();
     private final List<Setting> settings = new ArrayList<>();
     private int omitted;
 
-    /** Notes a problem; its text is made only if it is told. */
+    /** Records a problem. Its position and text are computed only if it is kept. */
     void problem(String path, Supplier<Position> position, Supplier<String> text) {
         if (problems.size() == MAX_REPORTED) {
             omitted++;
@@ -32,14 +32,14 @@
         return problems.size() + omitted;
     }
 
-    /** In the order of the file; those without a place first. */
+    /** The kept problems in the order of the file; those without a position come first. */
     List<Problem> problems() {
         return problems.stream()
                 .sorted(Comparator.comparingInt(Problem::line).thenComparingInt(Problem::column))
                 .toList();
     }
 
-    /** Each problem that is told on a line, and how many are not. */
+    /** The kept problems, one a line, then the number of the others. */
     List<String> lines() {
         List<String> lines = new ArrayList<>();
         problems().forEach(problem -> lines.add(problem.toString()));
@@ -49,9 +49,7 @@
         return lines;
     }
 
-    /**
-     * Every setting that was asked for, in that order, also those that the file says nothing of.
-     */
+    /** All settings in the order in which they were read, including those not in the file. */
     List<Setting> settings() {
         return List.copyOf(settings);
     }
--- a/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
@@ -6,21 +6,23 @@
 import java.util.Optional;
 
 /**
- * {@code [leases]}: work that one process of the fleet does at a time. All processes that compete
- * for a lease must have the same times. Read once; a change needs a restart.
+ * Section {@code [leases]}: leases for work that at most one process of the fleet does at a time.
+ * All processes that compete for a lease must have the same durations. Read once; a change needs a
+ * restart.
  *
  * @param servers the ensemble's servers
- * @param chroot the path that all others are under; empty for none
- * @param root the path that leases stand under, which has to be there
- * @param sessionTimeout the session time-out to request; a place in the waiter queue ends with it
+ * @param chroot the ZooKeeper path that all other paths are relative to; empty for none
+ * @param root the path under which leases are stored; it must exist
+ * @param sessionTimeout the session time-out to request; when the session expires, the process
+ *     loses its place in the waiter queue
  * @param digestFile a file with {@code user:password}
  * @param tls {@code [leases.tls]}; empty for plain TCP
- * @param term how long a lease that is not renewed keeps others out
- * @param drift how far a machine's clock may be off true time, as a fraction
- * @param guard how old the time may be by which something is judged
- * @param renewEvery how long after a request the next one is made
+ * @param term how long a lease that is not renewed excludes other holders
+ * @param drift how far the rate of a machine's clock may differ from true time, as a fraction
+ * @param guard maximum age of a clock reading when a decision uses it
+ * @param renewEvery interval between renewal requests, from request to request
  * @param longestPause the longest stall of the process that guards a command
- * @param longestAct how long ending a command and all that it has started may take
+ * @param longestAct how long ending a command and every process that it has started may take
  * @param killAfter how long a command has from SIGTERM to SIGKILL
  */
 public record LeasesSection(
@@ -37,7 +39,9 @@
         Duration longestPause,
         Duration longestAct,
         Duration killAfter) {
-    /** Set aside, beside {@code killAfter}, for ending all that a command has started. */
+    /**
+     * Time reserved after {@code killAfter} for killing every process that a command has started.
+     */
     public static final Duration KILL_ALLOWANCE = Duration.ofMillis(500);
 
     private static final String DEFAULT_ROOT = "/appleridge/leases";
@@ -45,7 +49,7 @@
     private static final double DEFAULT_DRIFT = 0.01;
     private static final int MILLION = 1_000_000;
 
-    /** Renewals in a row that may be missed before a command has to be ended. */
+    /** Consecutive renewals that may fail before a command has to be ended. */
     private static final int MISSED_RENEWALS = 2;
 
     static LeasesSection read(Table table) {
@@ -54,8 +58,10 @@
                 new LeasesSection(
                         keys.servers(),
                         keys.chroot(),
-                        keys.root(DEFAULT_ROOT, "the path that leases stand under"),
-                        keys.sessionTimeout("after how much silence a place in the line ends"),
+                        keys.root(DEFAULT_ROOT, "the path under which leases are stored"),
+                        keys.sessionTimeout(
+                                "session time-out, after which a place in the waiter queue is"
+                                        + " lost"),
                         keys.digestFile(),
                         keys.tls(),
                         term(table),
@@ -74,7 +80,7 @@
                 "term",
                 ValueKind.duration(Duration.ofSeconds(1), Duration.ofMinutes(10)),
                 Duration.ofSeconds(15),
-                "how long a lease that is not renewed keeps others out");
+                "how long a lease that is not renewed excludes other holders");
     }
 
     private static double drift(Table table) {
@@ -82,7 +88,7 @@
                 "drift",
                 ValueKind.fraction(0, MAX_DRIFT),
                 DEFAULT_DRIFT,
-                "how far a clock may be off true time, as a part of it");
+                "how far a clock's rate may differ from true time, as a fraction");
     }
 
     private static Duration guard(Table table) {
@@ -90,7 +96,7 @@
                 "guard",
                 ValueKind.duration(Duration.ofMillis(50), Duration.ofMinutes(1)),
                 Duration.ofMillis(500),
-                "how old the time may be by which something is judged");
+                "maximum age of a clock reading when a decision uses it");
     }
 
     private static Duration renewEvery(Table table) {
@@ -106,7 +112,7 @@
                 "longest-pause",
                 ValueKind.duration(Duration.ZERO, Duration.ofMinutes(10)),
                 Duration.ofSeconds(1),
-                "the longest stand-still of what guards a command");
+                "the longest stall of the process that guards a command");
     }
 
     private static Duration longestAct(Table table) {
@@ -125,64 +131,66 @@
                 "how long a command has from SIGTERM to SIGKILL");
     }
 
-    /** Notes which values are not allowed together; the first such problem hides the others. */
+    /** Rejects combinations of values that are not allowed; only the first is reported. */
     private void check(Table table) {
         if (table.valid() && root.equals("/") && chroot.isEmpty()) {
-            table.reject("root", "is the path of everything; give the leases one of their own");
+            table.reject("root", "is the ZooKeeper root; give the leases a path of their own");
         }
-        if (table.valid() && timeToEnd().compareTo(longestAct) > 0) {
+        if (table.valid() && terminationTime().compareTo(longestAct) > 0) {
             table.reject(
                     "longest-act",
-                    "is shorter than kill-after and what it takes to kill, "
-                            + timeToEnd().toMillis()
+                    "is shorter than kill-after and the time needed to kill, "
+                            + terminationTime().toMillis()
                             + "ms");
         }
-        if (table.valid() && shortestTerm().compareTo(term) > 0) {
+        if (table.valid() && minTerm().compareTo(term) > 0) {
             table.reject(
                     "term",
-                    "is too short: with this guard, drift, kill-after and two times renew-every"
-                            + " it takes "
-                            + shortestTerm().toMillis()
+                    "is too short: this guard, drift, kill-after and two times renew-every"
+                            + " require at least "
+                            + minTerm().toMillis()
                             + "ms");
         }
     }
 
-    /** The drift in millionths. */
+    /** The drift in parts per million, rounded up. */
     public int driftPpm() {
         return (int) Math.ceil(drift * MILLION);
     }
 
-    /** How long it takes from SIGTERM until all that a command has started is ended. */
-    private Duration timeToEnd() {
+    /** Maximum time from SIGTERM until every process that a command has started has ended. */
+    private Duration terminationTime() {
         return killAfter.plus(KILL_ALLOWANCE);
     }
 
-    /**
-     * The shortest term in which a command can be ended after two renewals in a row were missed.
-     */
-    private Duration shortestTerm() {
+    /** The shortest term in which a command can be ended after two consecutive failed renewals. */
+    private Duration minTerm() {
         double millis =
-                renewEvery.multipliedBy(MISSED_RENEWALS).plus(guard).plus(timeToEnd()).toMillis();
+                renewEvery
+                        .multipliedBy(MISSED_RENEWALS)
+                        .plus(guard)
+                        .plus(terminationTime())
+                        .toMillis();
         return Duration.ofMillis((long) Math.ceil(millis / (1 - drift)));
     }
 
     /**
-     * After a holder died, another one holds the lease within this time and what the coordination
-     * service takes to answer.
+     * Maximum time from a holder's death until another process holds the lease, not counting the
+     * response time of the coordination service.
      */
-    Duration handover() {
+    Duration maxHandover() {
         long millis =
                 (long) Math.ceil((1 + drift) * term.plus(longestPause).plus(longestAct).toMillis());
         return Duration.ofMillis(millis).plus(guard);
     }
 
-    /** What it means for tasks, for {@code check-config} to print. */
+    /** Describes the effect on tasks, for {@code check-config} to print. */
     List<String> consequences() {
         return List.of(
-                "leases stand under "
+                "leases are stored under "
                         + CoordinationKeys.describe(root, chroot, servers, tls, digestFile),
                 "a task whose machine dies is started elsewhere within "
-                        + handover().toMillis()
-                        + "ms, and what the coordination service takes to answer");
+                        + maxHandover().toMillis()
+                        + "ms plus the response time of the coordination service");
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LimitsSection.java
@@ -4,14 +4,15 @@
 import java.math.BigDecimal;
 
 /**
- * {@code [limits]}: what the process's file descriptors are for. What neither part takes is the
- * program's own.
+ * Section {@code [limits]}: how the process's file descriptors are divided. The rest is for the
+ * program itself.
  *
- * @param clientsPart part for connections of clients: 0.05 to 0.9
- * @param upstreamsPart part for connections to upstreams: 0.05 to 0.9; both together less than 0.95
+ * @param clientsPart fraction for client connections: 0.05 to 0.9
+ * @param upstreamsPart fraction for upstream connections: 0.05 to 0.9; the sum of both is less than
+ *     0.95
  */
 public record LimitsSection(double clientsPart, double upstreamsPart) {
-    /** What holds where the file has no such section. */
+    /** The defaults, used if the file has no such section. */
     public static final LimitsSection DEFAULTS =
             new LimitsSection(
                     Defaults.CLIENT_CONNECTIONS_FRACTION, Defaults.UPSTREAM_CONNECTIONS_FRACTION);
@@ -26,38 +27,38 @@
                                 "clients-part",
                                 part,
                                 DEFAULTS.clientsPart,
-                                "part of the file descriptors for connections of clients"),
+                                "fraction of the file descriptors for client connections"),
                         table.value(
                                 "upstreams-part",
                                 part,
                                 DEFAULTS.upstreamsPart,
-                                "part of the file descriptors for connections to upstreams"));
-        // Decimal, for in binary 0.4 and 0.55 are together a little more than 0.95, and other pairs
-        // less.
-        BigDecimal together =
+                                "fraction of the file descriptors for upstream connections"));
+        // Uses decimal arithmetic: as binary fractions, 0.4 and 0.55 add up to slightly more than
+        // 0.95, and other pairs to slightly less than their decimal sum.
+        BigDecimal sum =
                 BigDecimal.valueOf(section.clientsPart)
                         .add(BigDecimal.valueOf(section.upstreamsPart));
-        if (table.valid() && together.compareTo(MAX_SUM_EXCLUSIVE) >= 0) {
+        if (table.valid() && sum.compareTo(MAX_SUM_EXCLUSIVE) >= 0) {
             table.reject(
                     "clients-part "
                             + section.clientsPart
                             + " and upstreams-part "
                             + section.upstreamsPart
-                            + " make "
-                            + together.toPlainString()
-                            + " together; less than "
+                            + " add up to "
+                            + sum.toPlainString()
+                            + "; the sum must be less than "
                             + MAX_SUM_EXCLUSIVE
-                            + " is allowed, for the program needs the rest");
+                            + ", because the program needs the rest");
         }
         return section;
     }
 
-    /** Connections of clients that a process with so many file descriptors may hold. */
+    /** Maximum number of client connections of a process with this many file descriptors. */
     public int clientConnections(int descriptors) {
         return (int) (descriptors * clientsPart);
     }
 
-    /** Connections to upstreams that a process with so many file descriptors may hold. */
+    /** Maximum number of upstream connections of a process with this many file descriptors. */
     public int upstreamConnections(int descriptors) {
         return (int) (descriptors * upstreamsPart);
     }
--- a/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MembershipSection.java
@@ -6,18 +6,19 @@
 import java.util.Optional;
 
 /**
- * {@code [membership]}: upstream hosts as ephemeral nodes in ZooKeeper. Read once; a change needs a
- * restart.
+ * Section {@code [membership]}: discovery of upstream hosts from ephemeral nodes in ZooKeeper. Read
+ * once; a change needs a restart.
  *
- * @param source which sources make the endpoint list
+ * @param source the sources of the endpoint list
  * @param servers the ensemble's servers
- * @param chroot the path that all others are under; empty for none
- * @param root the path that the servers' nodes stand under
- * @param shards whether they stand one level further down
+ * @param chroot the ZooKeeper path that all other paths are relative to; empty for none
+ * @param root the parent path of the upstream hosts' nodes
+ * @param shards whether the nodes are one level deeper, under shard nodes
  * @param sessionTimeout the session time-out to request
- * @param readOnly whether a coordination server that has lost the others will do
+ * @param readOnly whether a read-only session will do, with a coordination server that has lost its
+ *     quorum
  * @param digestFile a file with {@code user:password}
- * @param answerLimit bytes of the largest answer that is taken from the ensemble
+ * @param answerLimit maximum size of a response from the ensemble, in bytes
  * @param tls {@code [membership.tls]}; empty for plain TCP
  */
 public record MembershipSection(
@@ -31,9 +32,9 @@
         Optional<String> digestFile,
         long answerLimit,
         Optional<Tls> tls) {
-    /** Which sources make the endpoint list. */
+    /** The sources of the endpoint list. */
     public enum Source implements SettingWord {
-        /** Ephemeral nodes alone. */
+        /** Ephemeral nodes only. */
         NODES("nodes"),
         /** Ephemeral nodes and the registry. */
         BOTH("both");
@@ -51,14 +52,13 @@
     }
 
     /**
-     * {@code [membership.tls]}, and {@code [leases.tls]}.
+     * Sections {@code [membership.tls]} and {@code [leases.tls]}.
      *
-     * @param trustStore file of the trusted certificates: PEM, JKS or PKCS12, by its name's
-     *     extension
-     * @param trustPasswordFile file that holds its password
-     * @param keyStore file of one's own certificate and key
-     * @param keyPasswordFile file that holds its password
-     * @param checkAddress whether a server's certificate has to name its address
+     * @param trustStore file with the trusted certificates: PEM, JKS or PKCS12, by its extension
+     * @param trustPasswordFile file with the password of the trust store
+     * @param keyStore file with the sidecar's own certificate and key
+     * @param keyPasswordFile file with the password of the key store
+     * @param checkAddress whether a server's certificate has to name the server's address
      */
     public record Tls(
             String trustStore,
@@ -66,32 +66,36 @@
             Optional<String> keyStore,
             Optional<String> keyPasswordFile,
             boolean checkAddress) {
-        /** Of a table of the coordination service's; empty if it isn't there. */
+        /** Reads the table; empty if the file doesn't have it. */
         static Optional<Tls> read(Table table) {
             if (!table.present()) {
                 return Optional.empty();
             }
-            ValueKind<String> file = ValueKind.text(CoordinationKeys.MAX_FILE_NAME_CHARS);
+            ValueKind<String> file = ValueKind.string(CoordinationKeys.MAX_FILE_NAME_CHARS);
             Tls tls =
                     new Tls(
                             table.required(
-                                    "trust-store", file, "", "file of the certificates to believe"),
+                                    "trust-store", file, "", "file with the trusted certificates"),
                             table.optional(
-                                    "trust-password-file", file, "file that holds its password"),
+                                    "trust-password-file",
+                                    file,
+                                    "file with the password of trust-store"),
                             table.optional(
                                     "key-store",
                                     file,
-                                    "file of the sidecar's own certificate and key"),
+                                    "file with the sidecar's own certificate and key"),
                             table.optional(
-                                    "key-password-file", file, "file that holds its password"),
+                                    "key-password-file",
+                                    file,
+                                    "file with the password of key-store"),
                             table.value(
                                     "check-address",
-                                    ValueKind.flag(),
+                                    ValueKind.bool(),
                                     true,
                                     "whether a coordination server's certificate has to name its"
                                             + " address"));
             if (table.valid() && tls.keyPasswordFile.isPresent() && tls.keyStore.isEmpty()) {
-                table.reject("key-password-file", "makes no sense without key-store");
+                table.reject("key-password-file", "requires key-store");
             }
             return Optional.of(tls);
         }
@@ -109,16 +113,16 @@
                         source(table),
                         keys.servers(),
                         keys.chroot(),
-                        keys.root(DEFAULT_ROOT, "the path that the servers' nodes stand under"),
+                        keys.root(DEFAULT_ROOT, "the parent path of the servers' nodes"),
                         shards(table),
-                        keys.sessionTimeout("after how much silence a session ends"),
+                        keys.sessionTimeout("session time-out"),
                         readOnly(table),
                         keys.digestFile(),
                         answerLimit(table),
                         keys.tls());
         if (section.root.equals("/") && section.chroot.isEmpty() && table.valid()) {
             table.reject(
-                    "root", "is the path of everything; give the servers' nodes one of their own");
+                    "root", "is the ZooKeeper root; give the servers' nodes a path of their own");
         }
         return section;
     }
@@ -128,20 +132,23 @@
                 "source",
                 ValueKind.choice(Source.class),
                 Source.BOTH,
-                "which sources make the list of servers");
+                "the sources of the list of servers");
     }
 
     private static boolean shards(Table table) {
         return table.value(
-                "shards", ValueKind.flag(), false, "whether they stand one level further down");
+                "shards",
+                ValueKind.bool(),
+                false,
+                "whether the nodes are one level deeper, under shard nodes");
     }
 
     private static boolean readOnly(Table table) {
         return table.value(
                 "read-only",
-                ValueKind.flag(),
+                ValueKind.bool(),
                 false,
-                "whether a coordination server that has lost the others will do");
+                "whether a coordination server that has lost its quorum will do, read-only");
     }
 
     private static long answerLimit(Table table) {
@@ -149,10 +156,10 @@
                 "answer-limit",
                 ValueKind.size(MIB, MAX_ANSWER_LIMIT_BYTES),
                 DEFAULT_ANSWER_LIMIT_BYTES,
-                "the largest answer that is taken");
+                "maximum size of a response from a coordination server");
     }
 
-    /** What it means for the sidecar, for {@code check-config} to print. */
+    /** Describes the effect on the sidecar, for {@code check-config} to print. */
     List<String> consequences() {
         String where =
                 CoordinationKeys.describe(
@@ -161,7 +168,7 @@
                 source == Source.NODES
                         ? "the list of servers comes from the nodes at "
                                 + where
-                                + "; the registry is not asked"
+                                + "; the registry is not polled"
                         : "the list of servers comes from the registry and the nodes at " + where,
                 "a change of [membership] needs a restart");
     }
--- a/sidecar/src/main/java/appleridge/config/operator/MessageText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MessageText.java
@@ -6,26 +6,26 @@
 import java.nio.file.NoSuchFileException;
 
 /**
- * How keys and values of a file are put into messages: bounded, in one line, and harmless to a
- * terminal.
+ * Formats a file's keys and values for messages: of bounded length, on one line, and without
+ * characters that a terminal would interpret.
  */
 final class MessageText {
-    private static final int LONGEST = 60;
+    private static final int MAX_CHARS = 60;
 
     private MessageText() {}
 
     /** The path of a key within the table at a path. */
     static String child(String path, String key) {
-        String name = isBare(key) ? clip(key) : quoted(key);
+        String name = isBare(key) ? truncate(key) : quoted(key);
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    /** The path of a list's item; {@code index} counts from 0, what is written from 1. */
+    /** The path of a list's item; {@code index} counts from 0, the path from 1. */
     static String item(String path, int index) {
         return path + "[" + (index + 1) + "]";
     }
 
-    /** A value as a message names it. */
+    /** A value as it appears in messages; tables, lists and dates by their type only. */
     static String value(JsonNode node) {
         return switch (node.getNodeType()) {
             case STRING -> quoted(node.textValue());
@@ -37,23 +37,23 @@
         };
     }
 
-    /** A number; the parser drops the zeros by which 2.0 differs from 2. */
+    /** A number. Adds {@code .0} to 2.0, which the parser would otherwise print like 2. */
     private static String number(JsonNode node) {
         String text = node.asText();
         boolean looksWhole = text.chars().allMatch(c -> c == '-' || c >= '0' && c <= '9');
-        return clip(looksWhole && !node.isIntegralNumber() ? text + ".0" : text);
+        return truncate(looksWhole && !node.isIntegralNumber() ? text + ".0" : text);
     }
 
-    /** Text in quotes, its control characters escaped and its middle left out where it is long. */
+    /** Text in quotes, with unprintable characters escaped and truncated if it is long. */
     static String quoted(String text) {
         StringBuilder out = new StringBuilder("\"");
-        clip(text)
+        truncate(text)
                 .chars()
                 .forEach(
                         c -> {
                             if (c == '"' || c == '\\') {
                                 out.append('\\').append((char) c);
-                            } else if (isPlain(c)) {
+                            } else if (isPrintable(c)) {
                                 out.append((char) c);
                             } else {
                                 out.append("\\u")
@@ -66,18 +66,18 @@
         return out.append('"').toString();
     }
 
-    /** At most {@value #LONGEST} characters of a text. */
-    static String clip(String text) {
-        return text.length() <= LONGEST ? text : text.substring(0, LONGEST - 3) + "...";
+    /** At most {@value #MAX_CHARS} characters of a text. */
+    static String truncate(String text) {
+        return text.length() <= MAX_CHARS ? text : text.substring(0, MAX_CHARS - 3) + "...";
     }
 
-    /** Why a file can't be read. */
+    /** Describes why a file can't be read. */
     static String unreadable(IOException e) {
         if (e instanceof NoSuchFileException) {
             return "no such file";
         }
         return e instanceof AccessDeniedException
-                ? "may not be read"
+                ? "permission denied"
                 : String.valueOf(e.getMessage());
     }
 
@@ -94,10 +94,10 @@
     }
 
     /**
-     * Whether a character shows as itself: no control, change of direction, line break or half of a
-     * pair.
+     * Whether a character is displayed as itself: false for control and format characters, line
+     * separators and surrogates.
      */
-    private static boolean isPlain(int c) {
+    private static boolean isPrintable(int c) {
         int type = Character.getType(c);
         return c >= ' '
                 && type != Character.CONTROL
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * The operator's own file ({@code --operator FILE}): what the platform's file has no word for. TOML
- * 1.0, in UTF-8, of at most 1 MiB, read once at the start. Strict: an unknown key or a senseless
- * value is an error. Each section that the file doesn't have is empty here, and what it would set
- * stays as usual.
+ * The operator's own file ({@code --operator FILE}): settings that the platform's file doesn't
+ * have. The format is TOML 1.0 in UTF-8, of at most 1 MiB, read once at the start. Parsing is
+ * strict: an unknown key or an invalid value is an error. A section that the file doesn't have is
+ * empty, and its settings keep their defaults.
  *
  * @param clients {@code [clients]}
  * @param limits {@code [limits]}
@@ -28,38 +28,41 @@
     /**
      * Reads a file.
      *
-     * @throws OperatorFileException if it can't be read or taken; the message names all that is
-     *     wrong
+     * @throws OperatorFileException if it can't be read or is invalid; the message names every
+     *     problem
      */
     public static OperatorFile read(Path file) {
-        Reading reading = inspect(file);
-        if (reading.findings.count() > 0) {
-            throw new OperatorFileException(file.toString(), reading.findings);
+        Inspection inspection = inspect(file);
+        if (inspection.findings.count() > 0) {
+            throw new OperatorFileException(file.toString(), inspection.findings);
         }
-        return reading.file;
+        return inspection.file;
     }
 
     /**
-     * A file as far as it could be read, with what was found; only without a problem is it to be
-     * used.
+     * The result of reading a file. The file may be used only if there is no problem.
+     *
+     * @param file the sections; null if the text is not valid TOML or its version is not supported
+     * @param text the text; null if it can't be read or decoded
+     * @param findings the settings and problems
      */
-    record Reading(OperatorFile file, TomlText text, Findings findings) {}
+    record Inspection(OperatorFile file, TomlText text, Findings findings) {}
 
-    static Reading inspect(Path file) {
+    static Inspection inspect(Path file) {
         try (InputStream in = Files.newInputStream(file)) {
             return inspect(in.readNBytes(TomlText.MAX_BYTES + 1));
         } catch (IOException e) {
             Findings findings = new Findings();
             findings.problem("", () -> Position.UNKNOWN, () -> MessageText.unreadable(e));
-            return new Reading(null, null, findings);
+            return new Inspection(null, null, findings);
         }
     }
 
-    static Reading inspect(byte[] bytes) {
+    static Inspection inspect(byte[] bytes) {
         Findings findings = new Findings();
         TomlText text = TomlText.of(bytes, findings);
         JsonNode root = text == null ? null : text.tree(findings);
-        return new Reading(
+        return new Inspection(
                 root == null ? null : sections(Table.top(root, text, findings)), text, findings);
     }
 
@@ -67,11 +70,13 @@
         int version =
                 top.required(
                         "version",
-                        ValueKind.whole(1, Integer.MAX_VALUE),
+                        ValueKind.integer(1, Integer.MAX_VALUE),
                         VERSION,
-                        "version of this file's form");
+                        "version of this file's format");
         if (version != VERSION) {
-            top.reject("version", version + " is not known; this program reads version " + VERSION);
+            top.reject(
+                    "version",
+                    version + " is not supported; this program reads version " + VERSION);
             return null;
         }
         Table clients = top.table("clients");
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * An operator's file that can't be taken as it is. The message names the file, then every problem
- * on a line of its own (on the same line where there is but one).
+ * Thrown if an operator's file can't be read or is invalid. The message names the file, then every
+ * problem on a line of its own, or on the same line if there is only one.
  */
 public final class OperatorFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
@@ -16,7 +16,7 @@
         problems = findings.problems();
     }
 
-    /** What is wrong, in the order of the file; no more than 20 of them. */
+    /** The problems in the order of the file, 20 at most. */
     public List<Problem> problems() {
         return problems;
     }
--- a/sidecar/src/main/java/appleridge/config/operator/PlatformFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/PlatformFile.java
@@ -8,17 +8,17 @@
 @FunctionalInterface
 public interface PlatformFile {
     /**
-     * Reads a file just as a start would.
+     * Reads and validates a file exactly as a sidecar does at its start.
      *
      * @throws IOException if the file can't be read or is malformed
-     * @throws IllegalArgumentException if it makes no sense, with what is wrong as its message
+     * @throws IllegalArgumentException if a value is not allowed; the message describes the problem
      */
     Summary read(Path file) throws IOException;
 
     /**
-     * What a person wants to know of it.
+     * The settings to show to an operator.
      *
-     * @param descriptors file descriptors that the process may hold
+     * @param descriptors maximum number of file descriptors that the process may hold
      * @param settings names and values, in the order in which to show them
      */
     record Summary(int descriptors, Map<String, String> settings) {}
--- a/sidecar/src/main/java/appleridge/config/operator/Positions.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Positions.java
@@ -8,26 +8,26 @@
 import java.util.Set;
 
 /**
- * Where the keys of a TOML text stand. The parser tells where its own complaints are but not where
- * a value came from, so this walks over the text a second time, once something is to be told. It
- * trusts the parser with what is valid: over what is not, or is nested deeper than anyone writes,
- * it stops and knows no further places.
+ * The positions of the keys in a TOML text. The parser reports the positions of its own errors but
+ * not those of values, so this class scans the text a second time when a problem is to be reported.
+ * It doesn't validate: at invalid syntax, or at nesting deeper than {@value #MAX_DEPTH}, it stops
+ * and all later positions are unknown.
  */
 final class Positions {
-    private static final int DEEPEST = 20;
-    private static final int LONGEST_PATH = 200;
+    private static final int MAX_DEPTH = 20;
+    private static final int MAX_PATH_CHARS = 200;
 
     private final String text;
-    private final Map<String, Position> first = new HashMap<>();
-    private final Map<String, Integer> listed = new HashMap<>();
-    private final Set<String> assigned = new HashSet<>();
-    private int at;
+    private final Map<String, Position> firstPositions = new HashMap<>();
+    private final Map<String, Integer> arrayTableCounts = new HashMap<>();
+    private final Set<String> definitions = new HashSet<>();
+    private int offset;
     private int line = 1;
     private int lineStart;
-    private Twice twice;
+    private Duplicate duplicate;
 
-    /** A key that is given a value twice, or a table with two headings. */
-    record Twice(String path, Position first, Position second) {}
+    /** A key that is assigned twice, or a table that is defined twice. */
+    record Duplicate(String path, Position first, Position second) {}
 
     private Positions(String text) {
         this.text = text;
@@ -39,19 +39,19 @@
         return positions;
     }
 
-    /** Where a key stands first, by its path; {@link Position#UNKNOWN} if that can't be told. */
-    Position where(String path) {
-        return first.getOrDefault(path, Position.UNKNOWN);
+    /** The first position of a key, by its path; {@link Position#UNKNOWN} if it is unknown. */
+    Position positionOf(String path) {
+        return firstPositions.getOrDefault(path, Position.UNKNOWN);
     }
 
-    /** The first key or table that stands twice; null if none does. */
-    Twice twice() {
-        return twice;
+    /** The first key or table that is defined twice; null if there is none. */
+    Duplicate duplicate() {
+        return duplicate;
     }
 
     private void document() {
         String table = "";
-        for (skipBlank(); at < text.length(); skipBlank()) {
+        for (skipBlank(); offset < text.length(); skipBlank()) {
             if (peek() == '[') {
                 table = header();
                 skipLine();
@@ -63,58 +63,58 @@
     }
 
     /**
-     * {@code [a.b]} or {@code [[a.b]]}: the path of what follows; a name of a list means its last
-     * table.
+     * Scans {@code [a.b]} or {@code [[a.b]]} and returns the path of the keys that follow. The name
+     * of an array of tables refers to its last table.
      */
     private String header() {
         Position start = here();
-        at++;
+        offset++;
         boolean list = peek() == '[';
         if (list) {
-            at++;
+            offset++;
         }
         List<String> keys = keys();
         String path = "";
         for (int i = 0; i < keys.size(); i++) {
             path = child(path, keys.get(i));
             if (path != null) {
-                first.putIfAbsent(path, start);
+                firstPositions.putIfAbsent(path, start);
                 if (list && i == keys.size() - 1) {
-                    listed.merge(path, 1, Integer::sum);
+                    arrayTableCounts.merge(path, 1, Integer::sum);
                 }
-                Integer count = listed.get(path);
+                Integer count = arrayTableCounts.get(path);
                 path = count == null ? path : MessageText.item(path, count - 1);
-                first.putIfAbsent(path, start);
+                firstPositions.putIfAbsent(path, start);
             }
         }
         if (!list) {
-            noteTwice(path, "[" + path, start);
+            noteDuplicate(path, "[" + path, start);
         }
         return path;
     }
 
-    /** {@code a.b = value}, within the table at a path. */
+    /** Scans {@code a.b = value} within the table at a path. */
     private void pair(String table, int depth) {
         Position start = here();
         String path = table;
         for (String key : keys()) {
             path = child(path, key);
             if (path != null) {
-                first.putIfAbsent(path, start);
+                firstPositions.putIfAbsent(path, start);
             }
         }
-        noteTwice(path, path, start);
+        noteDuplicate(path, path, start);
         if (peek() != '=') {
             giveUp();
             return;
         }
-        at++;
+        offset++;
         value(path, depth);
     }
 
-    private void noteTwice(String path, String what, Position start) {
-        if (path != null && !assigned.add(what) && twice == null) {
-            twice = new Twice(path, first.get(path), start);
+    private void noteDuplicate(String path, String what, Position start) {
+        if (path != null && !definitions.add(what) && duplicate == null) {
+            duplicate = new Duplicate(path, firstPositions.get(path), start);
         }
     }
 
@@ -125,60 +125,60 @@
             case '[' -> list(path, depth + 1);
             case '{' -> inlineTable(path, depth + 1);
             default -> {
-                while (at < text.length() && ",]}#\n".indexOf(peek()) < 0) {
-                    at++;
+                while (offset < text.length() && ",]}#\n".indexOf(peek()) < 0) {
+                    offset++;
                 }
             }
         }
     }
 
     private void list(String path, int depth) {
-        at++;
+        offset++;
         skipBlank();
         for (int i = 0; peek() != ']'; i++) {
-            if (depth > DEEPEST || at >= text.length()) {
+            if (depth > MAX_DEPTH || offset >= text.length()) {
                 giveUp();
                 return;
             }
             String item = path == null ? null : MessageText.item(path, i);
             if (item != null) {
-                first.putIfAbsent(item, here());
+                firstPositions.putIfAbsent(item, here());
             }
             value(item, depth);
             skipBlank();
             if (peek() == ',') {
-                at++;
+                offset++;
                 skipBlank();
             } else if (peek() != ']') {
                 giveUp();
                 return;
             }
         }
-        at++;
+        offset++;
     }
 
     private void inlineTable(String path, int depth) {
-        at++;
+        offset++;
         skipBlank();
         while (peek() != '}') {
-            if (depth > DEEPEST || at >= text.length()) {
+            if (depth > MAX_DEPTH || offset >= text.length()) {
                 giveUp();
                 return;
             }
             pair(path, depth);
             skipBlank();
             if (peek() == ',') {
-                at++;
+                offset++;
                 skipBlank();
             } else if (peek() != '}') {
                 giveUp();
                 return;
             }
         }
-        at++;
+        offset++;
     }
 
-    /** A dotted key's parts; null for one that is written with escapes. */
+    /** Scans a dotted key's parts; a part with escapes is null. */
     private List<String> keys() {
         List<String> keys = new ArrayList<>();
         while (true) {
@@ -188,42 +188,43 @@
             if (peek() != '.') {
                 return keys;
             }
-            at++;
+            offset++;
         }
     }
 
     private String key() {
-        int start = at;
+        int start = offset;
         if (peek() == '"' || peek() == '\'') {
             boolean escapes = peek() == '"';
             string();
-            String name = text.substring(Math.min(start + 1, at), Math.max(start + 1, at - 1));
+            String name =
+                    text.substring(Math.min(start + 1, offset), Math.max(start + 1, offset - 1));
             return escapes && name.indexOf('\\') >= 0 ? null : name;
         }
         while (MessageText.isBare(peek())) {
-            at++;
+            offset++;
         }
-        return text.substring(start, at);
+        return text.substring(start, offset);
     }
 
-    /** Passes over a text in quotes, of one line or of several. */
+    /** Skips a quoted string, single-line or multi-line. */
     private void string() {
         char quote = (char) peek();
-        String three = String.valueOf(quote).repeat(3);
-        boolean severalLines = text.startsWith(three, at);
-        at += severalLines ? 3 : 1;
-        while (at < text.length()) {
-            if (severalLines ? text.startsWith(three, at) : peek() == quote) {
-                at += severalLines ? 3 : 1;
-                while (severalLines && peek() == quote) {
-                    at++;
+        String tripleQuote = String.valueOf(quote).repeat(3);
+        boolean multiLine = text.startsWith(tripleQuote, offset);
+        offset += multiLine ? 3 : 1;
+        while (offset < text.length()) {
+            if (multiLine ? text.startsWith(tripleQuote, offset) : peek() == quote) {
+                offset += multiLine ? 3 : 1;
+                while (multiLine && peek() == quote) {
+                    offset++;
                 }
                 return;
             }
             if (quote == '"' && peek() == '\\') {
-                at++;
+                offset++;
             }
-            if (peek() == '\n' && !severalLines) {
+            if (peek() == '\n' && !multiLine) {
                 giveUp();
                 return;
             }
@@ -232,34 +233,34 @@
     }
 
     private static String child(String path, String key) {
-        if (path == null || key == null || path.length() > LONGEST_PATH) {
+        if (path == null || key == null || path.length() > MAX_PATH_CHARS) {
             return null;
         }
         return MessageText.child(path, key);
     }
 
     private Position here() {
-        return new Position(line, at - lineStart + 1);
+        return new Position(line, offset - lineStart + 1);
     }
 
     private int peek() {
-        return at < text.length() ? text.charAt(at) : -1;
+        return offset < text.length() ? text.charAt(offset) : -1;
     }
 
     private void step() {
-        if (at < text.length() && text.charAt(at++) == '\n') {
+        if (offset < text.length() && text.charAt(offset++) == '\n') {
             line++;
-            lineStart = at;
+            lineStart = offset;
         }
     }
 
     private void skipSpaces() {
         while (peek() == ' ' || peek() == '\t') {
-            at++;
+            offset++;
         }
     }
 
-    /** Passes over spaces, line breaks and comments. */
+    /** Skips spaces, line breaks and comments. */
     private void skipBlank() {
         while (peek() == ' '
                 || peek() == '\t'
@@ -275,13 +276,13 @@
     }
 
     private void skipLine() {
-        while (at < text.length() && peek() != '\n') {
-            at++;
+        while (offset < text.length() && peek() != '\n') {
+            offset++;
         }
         step();
     }
 
     private void giveUp() {
-        at = text.length();
+        offset = text.length();
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/Problem.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Problem.java
@@ -1,16 +1,16 @@
 package appleridge.config.operator;
 
 /**
- * One thing that is wrong with an operator's file.
+ * A problem in an operator's file.
  *
  * @param path the key's full path, as in {@code clients.idle-timeout} or {@code route[2].host};
- *     lists count from 1; empty where the file as a whole is meant
- * @param line the line, from 1; 0 if it is not known
- * @param column the column, in characters from 1; 0 if it is not known
- * @param text what is wrong, in one line without control characters
+ *     list items count from 1; empty if the problem concerns the whole file
+ * @param line the line, from 1; 0 if it is unknown
+ * @param column the column, in characters from 1; 0 if it is unknown
+ * @param text a description, on one line and without control characters
  */
 public record Problem(String path, int line, int column, String text) {
-    /** All of it in one line. */
+    /** Position, path and text on one line. */
     @Override
     public String toString() {
         String where =
--- a/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/QuantityKind.java
@@ -3,9 +3,9 @@
 import java.util.function.LongFunction;
 import java.util.function.ToLongFunction;
 
-/** A whole number with a unit behind it. */
+/** A whole number followed by a unit, such as a duration or a size. */
 record QuantityKind<T extends Comparable<T>>(
-        Units units, LongFunction<T> of, ToLongFunction<T> in, T min, T max)
+        Units units, LongFunction<T> fromAmount, ToLongFunction<T> toAmount, T min, T max)
         implements ValueKind<T> {
     static final Units DURATION =
             new Units(
@@ -20,35 +20,35 @@
                     new String[] {"B", "KiB", "MiB", "GiB"},
                     new long[] {1, 1L << 10, 1L << 20, 1L << 30});
 
-    /** Digits that a number may have: fewer than could overflow with any unit. */
+    /** Maximum number of digits; 9 digits can't overflow with any unit. */
     private static final int MAX_DIGITS = 9;
 
-    /** Names of units and how many of the smallest each is, in rising order. */
-    record Units(String what, String examples, String[] names, long[] factors) {}
+    /** Names of units and their sizes in the smallest unit, in ascending order. */
+    record Units(String quantity, String examples, String[] names, long[] factors) {}
 
     @Override
-    public T read(SourceValue cell) {
-        String text = cell.node().isTextual() ? cell.node().textValue() : "";
+    public T read(SourceValue source) {
+        String text = source.node().isTextual() ? source.node().textValue() : "";
         int digits = 0;
         while (digits < text.length() && text.charAt(digits) >= '0' && text.charAt(digits) <= '9') {
             digits++;
         }
         long factor = factor(text.substring(digits));
         if (digits == 0 || digits > MAX_DIGITS || factor == 0) {
-            cell.reject("is not a " + units.what + "; write one like " + units.examples);
+            source.reject("is not a " + units.quantity + "; write one like " + units.examples);
             return null;
         }
-        T value = of.apply(Long.parseLong(text.substring(0, digits)) * factor);
+        T value = fromAmount.apply(Long.parseLong(text.substring(0, digits)) * factor);
         if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
-            cell.reject("is out of range: from " + show(min) + " to " + show(max));
+            source.reject("is out of range: from " + format(min) + " to " + format(max));
             return null;
         }
         return value;
     }
 
     @Override
-    public String show(T value) {
-        long amount = in.applyAsLong(value);
+    public String format(T value) {
+        long amount = toAmount.applyAsLong(value);
         int unit = units.factors.length - 1;
         while (unit > 0 && (amount == 0 || amount % units.factors[unit] != 0)) {
             unit--;
--- a/sidecar/src/main/java/appleridge/config/operator/Setting.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Setting.java
@@ -1,16 +1,16 @@
 package appleridge.config.operator;
 
 /**
- * One setting as it holds.
+ * One setting and its effective value.
  *
  * @param path the key's full path
- * @param meaning what it is, in plain words
- * @param value what holds, as a person writes it
- * @param defaultValue what holds where the file says nothing; empty if there is no such value
- * @param fromFile whether the file says it
+ * @param meaning a description for operators
+ * @param value the effective value, formatted as in the file
+ * @param defaultValue the default value, formatted as in the file; empty if there is none
+ * @param fromFile whether the file has the key
  */
 record Setting(String path, String meaning, String value, String defaultValue, boolean fromFile) {
-    /** Whether the file makes this different from what it is without it. */
+    /** Whether the file sets a value other than the default. */
     boolean isChanged() {
         return fromFile && !value.equals(defaultValue);
     }
--- a/sidecar/src/main/java/appleridge/config/operator/SettingWord.java
+++ b/sidecar/src/main/java/appleridge/config/operator/SettingWord.java
@@ -1,8 +1,8 @@
 package appleridge.config.operator;
 
 /**
- * An enum constant that an operator's file can name. The word stands apart from the constant's
- * name, so that a constant can be renamed without a change to the files.
+ * An enum constant that can be a value in an operator's file. The word is separate from the
+ * constant's name, so that a constant can be renamed without breaking existing files.
  */
 public interface SettingWord {
     /** The constant as the file spells it; unique within its enum. */
--- a/sidecar/src/main/java/appleridge/config/operator/SourceValue.java
+++ b/sidecar/src/main/java/appleridge/config/operator/SourceValue.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A value as it stands in the file, and whom to tell if it makes no sense. */
+/** A value in the file, with what is needed to report a problem with it. */
 record SourceValue(String path, JsonNode node, TomlText text, Findings findings) {
-    /** Notes that this value can't be taken; it is named in front of the reason. */
+    /** Reports that this value is not allowed; the message is the value, then the reason. */
     void reject(String reason) {
         findings.problem(
-                path, () -> text.where(path), () -> MessageText.value(node) + " " + reason);
+                path, () -> text.positionOf(path), () -> MessageText.value(node) + " " + reason);
     }
 
     /** An item of a list; {@code index} counts from 0. */
--- a/sidecar/src/main/java/appleridge/config/operator/Nearest.java
+++ b/sidecar/src/main/java/appleridge/config/operator/SpellingHint.java
@@ -2,29 +2,30 @@
 
 import java.util.Collection;
 
-/** Finds the word that somebody most likely meant. */
-final class Nearest {
+/** Suggests the known word that is most similar to an unknown one. */
+final class SpellingHint {
     private static final int MAX_WORD_CHARS = 64;
 
-    private Nearest() {}
+    private SpellingHint() {}
 
-    /** {@code ; did you mean "..."?}, or nothing if no known word is near. */
+    /** {@code ; did you mean "..."?}, or an empty string if no known word is similar. */
     static String hint(String word, Collection<String> known) {
         String nearest = null;
-        int least = Math.max(1, word.length() / 3) + 1;
+        int minDistance = Math.max(1, word.length() / 3) + 1;
         for (String each : known) {
             int distance = distance(word, each);
-            if (distance < least && distance < each.length()) {
+            if (distance < minDistance && distance < each.length()) {
                 nearest = each;
-                least = distance;
+                minDistance = distance;
             }
         }
         return nearest == null ? "" : "; did you mean \"" + nearest + "\"?";
     }
 
     /**
-     * Single characters to be put in, taken out or changed, or changed with their neighbour,
-     * regardless of case; what is long is far.
+     * The edit distance: the number of characters to insert, delete, substitute or transpose with
+     * their neighbour, ignoring case. Words over {@value #MAX_WORD_CHARS} characters have the
+     * maximum distance from any other.
      */
     private static int distance(String a, String b) {
         if (a.length() > MAX_WORD_CHARS || b.length() > MAX_WORD_CHARS) {
--- a/sidecar/src/main/java/appleridge/config/operator/Table.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Table.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 
 /**
- * A table of the file, from which a section takes its values. It remembers which keys were asked
- * for, so that {@link #rejectUnknownKeys} can name the others. A value that makes no sense is noted
- * and its usual value handed out, so that reading goes on to the next problem. A table that the
- * file doesn't have hands out usual values alone.
+ * A table of the file, from which a section reads its values. It records which keys were read, so
+ * that {@link #rejectUnknownKeys} can report the others. For an invalid value it reports a problem
+ * and returns the default, so that one pass finds every problem. A table that the file doesn't have
+ * returns only defaults.
  */
 final class Table {
     private final String path;
     private final JsonNode node;
     private final TomlText text;
     private final Findings findings;
-    private final Set<String> known = new LinkedHashSet<>();
-    private final List<Table> parts = new ArrayList<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
+    private final List<Table> subtables = new ArrayList<>();
     private boolean valid = true;
 
     private Table(String path, JsonNode node, TomlText text, Findings findings) {
@@ -35,50 +35,51 @@
     }
 
     /**
-     * A value, or the usual one where the file says nothing.
+     * Reads a value; the default if the file doesn't have the key or its value is invalid.
      *
-     * @param meaning what it is, in plain words
+     * @param meaning a description for operators
      */
     <T> T value(String key, ValueKind<T> kind, T defaultValue, String meaning) {
-        return read(key, kind, defaultValue, kind.show(defaultValue), meaning);
+        return read(key, kind, defaultValue, kind.format(defaultValue), meaning);
     }
 
-    /** A value that the file may leave out, and then there is none. */
+    /** Reads a value that has no default; empty if the file doesn't have it. */
     <T> Optional<T> optional(String key, ValueKind<T> kind, String meaning) {
         return Optional.ofNullable(read(key, kind, null, "", meaning));
     }
 
     /**
-     * A value that the file has to give.
+     * Reads a value that the file must have; reports a problem if it doesn't.
      *
-     * @param standIn what to go on with where it doesn't, to find further problems; a file that
-     *     gives just this counts as usual
+     * @param placeholder the value to continue with if it is missing, so that further problems are
+     *     found; a file with exactly this value counts as unchanged
      */
     <T> T required(String key, ValueKind<T> kind, T placeholder, String meaning) {
         if (!node.has(key)) {
             valid = false;
-            findings.problem(child(key), () -> text.where(path), () -> "missing");
+            findings.problem(child(key), () -> text.positionOf(path), () -> "missing");
         }
         return value(key, kind, placeholder, meaning);
     }
 
-    /** A table within this one. */
+    /** A table within this one; a table without keys if the file doesn't have it. */
     Table table(String key) {
-        known.add(key);
+        knownKeys.add(key);
         JsonNode value = node.path(key);
         if (!value.isMissingNode() && !value.isObject()) {
             reject(key, MessageText.value(value) + " is not a table; write [" + child(key) + "]");
         }
-        return part(child(key), value.isObject() ? value : JsonNodeFactory.instance.missingNode());
+        return subtable(
+                child(key), value.isObject() ? value : JsonNodeFactory.instance.missingNode());
     }
 
-    /** The tables that stand under a key each, {@code [[key]]}; none if the file has none. */
+    /** The tables of an array of tables, {@code [[key]]}; empty if the file has none. */
     List<Table> tables(String key) {
-        known.add(key);
+        knownKeys.add(key);
         JsonNode value = node.path(key);
         List<Table> tables = new ArrayList<>();
         for (int i = 0; i < value.size() && value.isArray() && value.get(i).isObject(); i++) {
-            tables.add(part(MessageText.item(child(key), i), value.get(i)));
+            tables.add(subtable(MessageText.item(child(key), i), value.get(i)));
         }
         if (!value.isMissingNode() && (!value.isArray() || tables.size() < value.size())) {
             reject(
@@ -96,43 +97,43 @@
         return node.isObject();
     }
 
-    /** Whether all that was taken from it so far, apart from tables within it, made sense. */
+    /** Whether no problem was found so far in this table itself, without its subtables. */
     boolean valid() {
         return valid;
     }
 
-    /** Notes that a key's value makes no sense together with what else the file says. */
+    /** Reports that a key's value is not allowed in combination with other values. */
     void reject(String key, String reason) {
         valid = false;
-        findings.problem(child(key), () -> text.where(child(key)), () -> reason);
+        findings.problem(child(key), () -> text.positionOf(child(key)), () -> reason);
     }
 
-    /** Notes that the table as a whole makes no sense. */
+    /** Reports a problem with the table as a whole. */
     void reject(String reason) {
         valid = false;
-        findings.problem(path, () -> text.where(path), () -> reason);
+        findings.problem(path, () -> text.positionOf(path), () -> reason);
     }
 
     /**
-     * To be called once all values are taken: names the keys that nobody asked for, at any depth.
+     * Reports the keys that were never read, at any depth. To be called after all values are read.
      */
     void rejectUnknownKeys() {
         node.fieldNames()
                 .forEachRemaining(
                         key -> {
-                            if (!known.contains(key)) {
+                            if (!knownKeys.contains(key)) {
                                 findings.problem(
                                         child(key),
-                                        () -> text.where(child(key)),
-                                        () -> "unknown key" + Nearest.hint(key, known));
+                                        () -> text.positionOf(child(key)),
+                                        () -> "unknown key" + SpellingHint.hint(key, knownKeys));
                             }
                         });
-        parts.forEach(Table::rejectUnknownKeys);
+        subtables.forEach(Table::rejectUnknownKeys);
     }
 
     private <T> T read(
             String key, ValueKind<T> kind, T defaultValue, String defaultShown, String meaning) {
-        known.add(key);
+        knownKeys.add(key);
         T value = defaultValue;
         if (node.has(key)) {
             T read = kind.read(new SourceValue(child(key), node.get(key), text, findings));
@@ -143,16 +144,16 @@
                 new Setting(
                         child(key),
                         meaning,
-                        value == null ? "" : kind.show(value),
+                        value == null ? "" : kind.format(value),
                         defaultShown,
                         node.has(key)));
         return value;
     }
 
-    private Table part(String itsPath, JsonNode value) {
-        Table part = new Table(itsPath, value, text, findings);
-        parts.add(part);
-        return part;
+    private Table subtable(String subtablePath, JsonNode value) {
+        Table subtable = new Table(subtablePath, value, text, findings);
+        subtables.add(subtable);
+        return subtable;
     }
 
     private String child(String key) {
--- a/sidecar/src/main/java/appleridge/config/operator/TomlText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/TomlText.java
@@ -13,9 +13,9 @@
 import java.nio.charset.StandardCharsets;
 import java.time.DateTimeException;
 
-/** A TOML 1.0 text: its tree, and the places of its keys. */
+/** A TOML 1.0 text with its tree and the positions of its keys. */
 final class TomlText {
-    /** Bytes that a file may have. */
+    /** Maximum size of a file in bytes. */
     static final int MAX_BYTES = 1 << 20;
 
     private final String text;
@@ -25,7 +25,7 @@
         this.text = text;
     }
 
-    /** The text in a file's bytes; what can't be one is noted, and null returned. */
+    /** Decodes a file's bytes; reports a problem and returns null if they are not valid text. */
     static TomlText of(byte[] bytes, Findings findings) {
         if (bytes.length > MAX_BYTES) {
             findings.problem("", () -> Position.UNKNOWN, () -> "is larger than 1 MiB");
@@ -36,7 +36,7 @@
         CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder();
         CoderResult result = decoder.decode(in, out, true);
         if (result.isError()) {
-            findings.problem("", () -> lineOf(bytes, in.position()), () -> "is not UTF-8");
+            findings.problem("", () -> linePosition(bytes, in.position()), () -> "is not UTF-8");
             return null;
         }
         String text = out.flip().toString();
@@ -50,7 +50,7 @@
         return new TomlText(text);
     }
 
-    /** The tree, always an object; what is no TOML is noted, and null returned. */
+    /** Parses the tree, always an object; reports a problem and returns null if it is not TOML. */
     JsonNode tree(Findings findings) {
         try {
             return TomlMapper.builder()
@@ -65,34 +65,34 @@
         } catch (JacksonException e) {
             malformed(e, findings);
         } catch (DateTimeException e) {
-            // The parser hands on what java.time throws for an impossible date.
+            // The parser lets the exception of java.time for an impossible date through.
             findings.problem(
                     "",
                     () -> Position.UNKNOWN,
-                    () -> "not a date or time: " + inOneLine(e.getMessage()));
+                    () -> "not a date or time: " + sanitized(e.getMessage()));
         }
         return null;
     }
 
-    Position where(String path) {
-        return positions().where(path);
+    Position positionOf(String path) {
+        return positions().positionOf(path);
     }
 
     private void malformed(JacksonException e, Findings findings) {
         String message = String.valueOf(e.getOriginalMessage());
-        Positions.Twice twice = positions().twice();
-        if (twice != null
+        Positions.Duplicate duplicate = positions().duplicate();
+        if (duplicate != null
                 && (message.equals("Duplicate key") || message.equals("Table redefined"))) {
             findings.problem(
-                    twice.path(),
-                    twice::second,
-                    () -> "stands twice; first on line " + twice.first().line());
+                    duplicate.path(),
+                    duplicate::second,
+                    () -> "is defined twice; first on line " + duplicate.first().line());
             return;
         }
         String reason =
                 message.startsWith("Invalid number representation")
                         ? "a number that is too long or too large"
-                        : "not TOML: " + inOneLine(message);
+                        : "invalid TOML: " + sanitized(message);
         JsonLocation location = e.getLocation();
         findings.problem(
                 "",
@@ -110,13 +110,13 @@
         return positions;
     }
 
-    /** A message that may quote any part of the file. */
-    private static String inOneLine(String message) {
+    /** Sanitizes a message of the parser, which may quote any part of the file. */
+    private static String sanitized(String message) {
         String shown = message.length() > 120 ? message.substring(0, 117) + "..." : message;
         return shown.replaceAll("[\\p{Cntrl}\\p{Cf}\\p{Zl}\\p{Zp}\\p{Cs}]", "?");
     }
 
-    private static Position lineOf(byte[] bytes, int position) {
+    private static Position linePosition(byte[] bytes, int position) {
         int line = 1;
         for (int i = 0; i < position; i++) {
             line += bytes[i] == '\n' ? 1 : 0;
--- a/sidecar/src/main/java/appleridge/config/operator/ValueKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ValueKind.java
@@ -4,60 +4,60 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A kind of value: how it is read from a file, and how it is shown to an operator. Immutable. */
+/** A type of setting: how its value is read from a file and shown to an operator. Immutable. */
 interface ValueKind<T> {
-    /** The value; null if it is not allowed, which has then been noted at the cell. */
-    T read(SourceValue cell);
+    /** Reads a value. If it is not allowed, reports a problem and returns null. */
+    T read(SourceValue source);
 
-    /** As the file spells it, without quotes. */
-    String show(T value);
+    /** Formats a value as in the file, without quotes. */
+    String format(T value);
 
     /**
-     * A time in whole milliseconds with its unit, from {@code least} to {@code most}: {@code
+     * A duration in whole milliseconds with a unit, from {@code min} to {@code max}: {@code
      * "250ms"}.
      */
-    static ValueKind<Duration> duration(Duration least, Duration most) {
+    static ValueKind<Duration> duration(Duration min, Duration max) {
         return new QuantityKind<>(
-                QuantityKind.DURATION, Duration::ofMillis, Duration::toMillis, least, most);
+                QuantityKind.DURATION, Duration::ofMillis, Duration::toMillis, min, max);
     }
 
-    /** A number of bytes with its unit, from {@code least} to {@code most}: {@code "16MiB"}. */
-    static ValueKind<Long> size(long least, long most) {
-        return new QuantityKind<>(QuantityKind.SIZE, bytes -> bytes, bytes -> bytes, least, most);
+    /** A number of bytes with a unit, from {@code min} to {@code max}: {@code "16MiB"}. */
+    static ValueKind<Long> size(long min, long max) {
+        return new QuantityKind<>(QuantityKind.SIZE, bytes -> bytes, bytes -> bytes, min, max);
     }
 
-    /** A whole number from {@code least} to {@code most}. */
-    static ValueKind<Integer> whole(int least, int most) {
-        return new WholeKind(least, most);
+    /** A whole number from {@code min} to {@code max}. */
+    static ValueKind<Integer> integer(int min, int max) {
+        return new IntegerKind(min, max);
     }
 
-    /** A number from {@code least} to {@code most}. */
-    static ValueKind<Double> fraction(double least, double most) {
-        return new FractionKind(least, most);
+    /** A number from {@code min} to {@code max}. */
+    static ValueKind<Double> fraction(double min, double max) {
+        return new FractionKind(min, max);
     }
 
-    /** {@code host:port} with a literal address. */
+    /** A literal IP address with a port. */
     static ValueKind<InetSocketAddress> address() {
         return new AddressKind();
     }
 
-    /** One of an enum's constants, by its word. */
+    /** An enum constant, spelled as its word. */
     static <E extends Enum<E> & SettingWord> ValueKind<E> choice(Class<E> type) {
         return new ChoiceKind<>(type);
     }
 
-    /** Text of one line, of 1 to {@code most} characters. */
-    static ValueKind<String> text(int most) {
-        return new TextKind(most);
+    /** A string of one line, of 1 to {@code max} characters. */
+    static ValueKind<String> string(int max) {
+        return new StringKind(max);
     }
 
     /** {@code true} or {@code false}. */
-    static ValueKind<Boolean> flag() {
-        return new FlagKind();
+    static ValueKind<Boolean> bool() {
+        return new BooleanKind();
     }
 
-    /** A list of {@code least} to {@code most} values of a kind. */
-    static <T> ValueKind<List<T>> list(ValueKind<T> of, int least, int most) {
-        return new ListValueKind<>(of, least, most);
+    /** A list of {@code min} to {@code max} values of a kind. */
+    static <T> ValueKind<List<T>> list(ValueKind<T> of, int min, int max) {
+        return new ListValueKind<>(of, min, max);
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/ZooKeeperPathKind.java
@@ -3,31 +3,31 @@
 import java.util.regex.Pattern;
 
 /**
- * A path of ZooKeeper's: {@code /a/b}, of the characters that need no care anywhere; it may be
- * empty.
+ * A ZooKeeper path such as {@code /a/b}, limited to characters that never need escaping. May be
+ * empty if {@code mayBeEmpty}; then {@code /} is rejected.
  */
 record ZooKeeperPathKind(boolean mayBeEmpty) implements ValueKind<String> {
     private static final Pattern PATH = Pattern.compile("/|(/[A-Za-z0-9_.:@-]{1,128}){1,16}");
-    private static final Pattern DOTS = Pattern.compile(".*/\\.{1,2}(/.*|$)");
+    private static final Pattern DOT_SEGMENT = Pattern.compile(".*/\\.{1,2}(/.*|$)");
 
     @Override
-    public String read(SourceValue cell) {
-        String text = cell.node().isTextual() ? cell.node().textValue() : null;
+    public String read(SourceValue source) {
+        String text = source.node().isTextual() ? source.node().textValue() : null;
         if (text != null
                 && (mayBeEmpty && text.isEmpty()
                         || PATH.matcher(text).matches()
-                                && !DOTS.matcher(text).matches()
+                                && !DOT_SEGMENT.matcher(text).matches()
                                 && !(mayBeEmpty && text.equals("/")))) {
             return text;
         }
-        cell.reject(
+        source.reject(
                 "is not a path; write one like \"/site-a/servers\", of letters, digits and any of"
                         + " _.:@-");
         return null;
     }
 
     @Override
-    public String show(String value) {
+    public String format(String value) {
         return value;
     }
 }
--- a/sidecar/src/main/java/appleridge/config/operator/package-info.java
+++ b/sidecar/src/main/java/appleridge/config/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's own file, checked strictly, and what explains it. */
+/** Reads and strictly validates the operator's own file, and reports its settings and problems. */
 package appleridge.config.operator;
--- a/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/CheckConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What an operator is told before a start. */
+/** The report of {@code check-config}. */
 class CheckConfigTest {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
@@ -35,7 +35,7 @@
                 .run(List.of(arguments), configByDefault);
     }
 
-    private String said() {
+    private String output() {
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void reportNamesBothFilesAndConsequences() throws Exception {
+    void reportShowsSettingsOfBothFilesAndConsequences() throws Exception {
         String config = file("config.json", "{}");
         String operator =
                 file(
@@ -55,7 +55,7 @@
                                 + "request-timeout = \"2000ms\"\n"
                                 + "[limits]\n"
                                 + "clients-part = 0.3\n");
-        assertEquals(CheckConfig.FINE, run(null, "--config", config, "--operator", operator));
+        assertEquals(CheckConfig.EXIT_OK, run(null, "--config", config, "--operator", operator));
         assertEquals(
                 "Platform's file "
                         + config
@@ -65,47 +65,49 @@
                         + "Operator's file "
                         + operator
                         + "\n"
-                        + "  version = 1 (line 1, as by default): version of this file's form\n"
-                        + "  clients.request-timeout = 2s (line 4, as by default): how long a"
-                        + " request may take to come in, from its first byte to its last\n"
+                        + "  version = 1 (line 1, same as the default): version of this file's"
+                        + " format\n"
+                        + "  clients.request-timeout = 2s (line 4, same as the default): how long"
+                        + " receiving a request may take, from its first byte to its last\n"
                         + "  clients.first-request-timeout = 2s (default): how long a new"
-                        + " connection may be without a request\n"
+                        + " connection may stay without a request\n"
                         + "  clients.idle-timeout = 1m (line 3, instead of 15s): how long a"
                         + " connection is kept open between requests\n"
-                        + "  limits.clients-part = 0.3 (line 6, instead of 0.4): part of the file"
-                        + " descriptors for connections of clients\n"
-                        + "  limits.upstreams-part = 0.45 (default): part of the file descriptors"
-                        + " for connections to upstreams\n"
+                        + "  limits.clients-part = 0.3 (line 6, instead of 0.4): fraction of the"
+                        + " file descriptors for client connections\n"
+                        + "  limits.upstreams-part = 0.45 (default): fraction of the file"
+                        + " descriptors for upstream connections\n"
                         + "\n"
-                        + "Different from the defaults:\n"
+                        + "Changed from the defaults:\n"
                         + "  clients.idle-timeout = 1m instead of 15s\n"
                         + "  limits.clients-part = 0.3 instead of 0.4\n"
                         + "\n"
-                        + "What follows:\n"
-                        + "  of 1000 file descriptors, 300 are for connections of clients, 450 for"
-                        + " connections to upstreams, and 250 for the program itself\n"
+                        + "Consequences:\n"
+                        + "  of 1000 file descriptors, 300 are for client connections, 450 for"
+                        + " upstream connections, and 250 for the program itself\n"
                         + "\n"
                         + "No problems.\n",
-                said());
+                output());
     }
 
     @Test
     void defaultsAreReportedWithoutFiles() {
-        assertEquals(CheckConfig.FINE, run(null));
+        assertEquals(CheckConfig.EXIT_OK, run(null));
         assertTrue(
-                said().startsWith(
+                output().startsWith(
                                 "Platform's file: none given, so not checked\n\n"
-                                    + "Operator's file: none given, so everything is by default\n"
-                                    + "  clients.request-timeout = 2s (default): "),
-                said());
-        assertTrue(said().endsWith("connections to upstreams\n\nNo problems.\n"), said());
+                                        + "Operator's file: none given, so all settings have their"
+                                        + " defaults\n"
+                                        + "  clients.request-timeout = 2s (default): "),
+                output());
+        assertTrue(output().endsWith("for upstream connections\n\nNo problems.\n"), output());
     }
 
     @Test
     void problemsOfBothFilesAreReported() throws Exception {
         String config = file("config.json", "");
         String operator = file("operator.toml", "version = 1\nlimit = 1\nclients = 1");
-        assertEquals(CheckConfig.PROBLEMS, run(config, "--operator", operator));
+        assertEquals(CheckConfig.EXIT_PROBLEMS, run(config, "--operator", operator));
         assertEquals(
                 "Platform's file "
                         + config
@@ -118,44 +120,45 @@
                         + "  line 2, column 1: limit: unknown key; did you mean \"limits\"?\n"
                         + "  line 3, column 1: clients: 1 is not a table; write [clients]\n"
                         + "\n"
-                        + "3 problems: a sidecar would not start with this.\n",
-                said());
+                        + "3 problems: a sidecar would not start.\n",
+                output());
     }
 
     @Test
     void jsonReportHasTheSameContent() throws Exception {
         String operator = file("operator.toml", "version = 1\n[limits]\nclients-part = 0.3\n");
         assertEquals(
-                CheckConfig.FINE, run(file("config.json", "{}"), "--json", "--operator", operator));
-        JsonNode root = new ObjectMapper().readTree(said());
+                CheckConfig.EXIT_OK,
+                run(file("config.json", "{}"), "--json", "--operator", operator));
+        JsonNode root = new ObjectMapper().readTree(output());
         assertEquals(
-                "{\"path\":\"limits.clients-part\",\"value\":\"0.3\",\"default\":\"0.4\",\"from\":\"file\",\"line\":3,\"changed\":true,\"meaning\":\"part"
-                    + " of the file descriptors for connections of clients\"}",
+                "{\"path\":\"limits.clients-part\",\"value\":\"0.3\",\"default\":\"0.4\",\"from\":\"file\",\"line\":3,\"changed\":true,\"meaning\":\"fraction"
+                    + " of the file descriptors for client connections\"}",
                 root.at("/operator/settings/4").toString());
         assertEquals("{\"listen\":\"127.0.0.1:80\"}", root.at("/platform/settings").toString());
         assertEquals(1, root.at("/consequences").size());
         assertTrue(root.at("/fine").booleanValue());
 
         assertEquals(
-                CheckConfig.PROBLEMS,
+                CheckConfig.EXIT_PROBLEMS,
                 run("missing.json", "--operator", file("operator.toml", "a"), "--json"));
         assertEquals(
                 "{\"fine\":false,\"problems\":2,\"platform\":{\"file\":\"missing.json\",\"problem\":\"no"
                     + " such file\"},\"operator\":{\"file\":\""
                         + operator
-                        + "\",\"problems\":[{\"path\":\"\",\"line\":1,\"column\":2,\"text\":\"not"
+                        + "\",\"problems\":[{\"path\":\"\",\"line\":1,\"column\":2,\"text\":\"invalid"
                         + " TOML: Premature end of file\"}],\"settings\":[]},\"consequences\":[]}",
-                new ObjectMapper().readTree(said()).toString());
+                new ObjectMapper().readTree(output()).toString());
     }
 
     @Test
     void invalidArgumentsAreNamed() {
         String usage = "\nusage: check-config [--config FILE] [--operator FILE] [--json]\n";
-        assertEquals(CheckConfig.PROBLEMS, run(null, "--operator"));
-        assertEquals("--operator needs a file" + usage, said());
-        assertEquals(CheckConfig.PROBLEMS, run(null, "--config", "a", "--config", "b"));
-        assertEquals("--config stands twice" + usage, said());
-        assertEquals(CheckConfig.PROBLEMS, run(null, "--jsn"));
-        assertEquals("unknown argument: \"--jsn\"" + usage, said());
+        assertEquals(CheckConfig.EXIT_PROBLEMS, run(null, "--operator"));
+        assertEquals("--operator needs a file" + usage, output());
+        assertEquals(CheckConfig.EXIT_PROBLEMS, run(null, "--config", "a", "--config", "b"));
+        assertEquals("--config is given twice" + usage, output());
+        assertEquals(CheckConfig.EXIT_PROBLEMS, run(null, "--jsn"));
+        assertEquals("unknown argument: \"--jsn\"" + usage, output());
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
@@ -12,29 +12,30 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The section {@code [leases]}. */
+/** Reading of the section {@code [leases]}. */
 class LeasesSectionTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "leases.example.toml");
     private static final String START = "version = 1\n[leases]\nservers = [\"192.0.2.1:2181\"]\n";
 
-    private static OperatorFile.Reading read(String text) {
+    private static OperatorFile.Inspection read(String text) {
         return OperatorFile.inspect(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void exampleFileHasTheDefaults() {
-        OperatorFile.Reading reading = OperatorFile.inspect(EXAMPLE);
-        assertEquals(List.of(), reading.findings().lines());
-        for (Setting each : reading.findings().settings()) {
+        OperatorFile.Inspection inspection = OperatorFile.inspect(EXAMPLE);
+        assertEquals(List.of(), inspection.findings().lines());
+        for (Setting each : inspection.findings().settings()) {
             assertFalse(each.isChanged() && !each.path().equals("leases.servers"), each.path());
         }
-        LeasesSection example = reading.file().leases().orElseThrow();
+        LeasesSection example = inspection.file().leases().orElseThrow();
         assertEquals(Duration.ofSeconds(15), example.term());
         assertEquals(10_000, example.driftPpm());
-        assertEquals(Duration.ofMillis(20_700), example.handover());
-        String text = CheckText.of(new CheckReport(null, null, null, EXAMPLE, reading));
+        assertEquals(Duration.ofMillis(20_700), example.maxHandover());
+        String text = CheckText.of(new CheckReport(null, null, null, EXAMPLE, inspection));
         assertTrue(
-                text.contains("leases stand under /appleridge/leases of 3 coordination servers\n"),
+                text.contains(
+                        "leases are stored under /appleridge/leases on 3 coordination servers\n"),
                 text);
     }
 
@@ -44,27 +45,27 @@
     }
 
     @Test
-    void mistakesAreNamedWithTheirPosition() {
-        Map<String, String> mistakes = new LinkedHashMap<>();
-        mistakes.put("version = 1\n[leases]", "line 2, column 1: leases.servers: missing");
-        mistakes.put(
+    void problemsAreReportedWithTheirPosition() {
+        Map<String, String> problems = new LinkedHashMap<>();
+        problems.put("version = 1\n[leases]", "line 2, column 1: leases.servers: missing");
+        problems.put(
                 START + "root = \"/\"",
-                "line 4, column 1: leases.root: is the path of everything; give the leases one of"
+                "line 4, column 1: leases.root: is the ZooKeeper root; give the leases a path of"
                         + " their own");
-        mistakes.put(
+        problems.put(
                 START + "term = \"9s\"",
-                "line 4, column 1: leases.term: is too short: with this guard, "
-                        + "drift, kill-after and two times renew-every it takes 10102ms");
-        mistakes.put(
+                "line 4, column 1: leases.term: is too short: this guard, "
+                        + "drift, kill-after and two times renew-every require at least 10102ms");
+        problems.put(
                 START + "longest-act = \"1s\"",
                 "line 4, column 1: leases.longest-act: is shorter than "
-                        + "kill-after and what it takes to kill, 3500ms");
-        mistakes.put(
+                        + "kill-after and the time needed to kill, 3500ms");
+        problems.put(
                 START + "drift = 0.2",
                 "line 4, column 1: leases.drift: 0.2 is out of range: from 0 to " + "0.05");
-        mistakes.put(START + "kill = \"1s\"", "line 4, column 1: leases.kill: unknown key");
-        mistakes.put(START + "[leases.tls]", "line 4, column 1: leases.tls.trust-store: missing");
-        mistakes.forEach(
+        problems.put(START + "kill = \"1s\"", "line 4, column 1: leases.kill: unknown key");
+        problems.put(START + "[leases.tls]", "line 4, column 1: leases.tls.trust-store: missing");
+        problems.forEach(
                 (text, problem) ->
                         assertEquals(List.of(problem), read(text).findings().lines(), text));
     }
--- a/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/MembershipSectionTest.java
@@ -14,13 +14,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The section {@code [membership]}. */
+/** Reading of the section {@code [membership]}. */
 class MembershipSectionTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "membership.example.toml");
     private static final String START =
             "version = 1\n[membership]\nservers = [\"192.0.2.1:2181\"]\n";
 
-    private static OperatorFile.Reading read(String text) {
+    private static OperatorFile.Inspection read(String text) {
         return OperatorFile.inspect(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -57,43 +57,43 @@
     }
 
     @Test
-    void everyMistakeIsNamedWithItsPosition() {
-        Map<String, String> mistakes = new LinkedHashMap<>();
-        mistakes.put("version = 1\n[membership]", "line 2, column 1: membership.servers: missing");
-        mistakes.put(
+    void everyProblemIsReportedWithItsPosition() {
+        Map<String, String> problems = new LinkedHashMap<>();
+        problems.put("version = 1\n[membership]", "line 2, column 1: membership.servers: missing");
+        problems.put(
                 "version = 1\n[membership]\nservers = []",
-                "line 3, column 1: membership.servers: a list of 0, allowed are 1 to 9");
-        mistakes.put(
+                "line 3, column 1: membership.servers: a list has 0 items; allowed: 1 to 9");
+        problems.put(
                 "version = 1\n[membership]\nservers = [\"zk:2181\"]",
                 "line 3, column 12: membership.servers[1]: \"zk:2181\" is not an address; write a"
                         + " literal one with its port, like \"192.0.2.1:8080\" or"
                         + " \"[2001:db8::1]:8080\" (names are not looked up)");
-        mistakes.put(
+        problems.put(
                 START + "source = \"registry\"",
-                "line 4, column 1: membership.source: \"registry\" is none of \"nodes\", \"both\"");
-        mistakes.put(
+                "line 4, column 1: membership.source: \"registry\" is not one of \"nodes\","
+                        + " \"both\"");
+        problems.put(
                 START + "root = \"/a/../b\"",
                 "line 4, column 1: membership.root: \"/a/../b\" is not a path; write one like"
                         + " \"/site-a/servers\", of letters, digits and any of _.:@-");
-        mistakes.put(
+        problems.put(
                 START + "root = \"/\"",
-                "line 4, column 1: membership.root: is the path of everything; give the "
-                        + "servers' nodes one of their own");
-        mistakes.put(
+                "line 4, column 1: membership.root: is the ZooKeeper root; give the "
+                        + "servers' nodes a path of their own");
+        problems.put(
                 START + "session-timeout = \"1s\"",
                 "line 4, column 1: membership.session-timeout: \"1s\" is out of range: from 2s to"
                         + " 1m");
-        mistakes.put(
+        problems.put(
                 START + "[membership.tls]",
                 "line 4, column 1: membership.tls.trust-store: missing");
-        mistakes.put(
+        problems.put(
                 START + "[membership.tls]\ntrust-store = \"a.pem\"\nkey-password-file = \"b\"",
-                "line 6, column 1: membership.tls.key-password-file: makes no sense without"
-                        + " key-store");
-        mistakes.put(
+                "line 6, column 1: membership.tls.key-password-file: requires" + " key-store");
+        problems.put(
                 START + "shard = true",
                 "line 4, column 1: membership.shard: unknown key; did you mean " + "\"shards\"?");
-        mistakes.forEach(
+        problems.forEach(
                 (text, problem) ->
                         assertEquals(List.of(problem), read(text).findings().lines(), text));
     }
@@ -107,7 +107,7 @@
                 true,
                 text.contains(
                         "the list of servers comes from the registry and the nodes at "
-                                + "/appleridge/servers of 3 coordination servers\n"),
+                                + "/appleridge/servers on 3 coordination servers\n"),
                 text);
         assertEquals(true, text.contains("a change of [membership] needs a restart"), text);
     }
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileFuzzTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileFuzzTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever a file holds, reading it ends with sections or with problems in plain lines, never
- * otherwise.
+ * Reading any file yields either sections or problems of bounded length without control characters,
+ * and never throws.
  */
 class OperatorFileFuzzTest {
     private static final int ROUNDS = 20_000;
-    private static final String[] PIECES = {
+    private static final String[] TOKENS = {
         "version",
         "clients",
         "limits",
@@ -70,11 +70,11 @@
     private final Random random = new Random(20);
 
     @Test
-    void randomPiecesOfTheLanguage() {
+    void randomSyntaxTokens() {
         for (int i = 0; i < ROUNDS; i++) {
             StringBuilder text = new StringBuilder(random.nextBoolean() ? "version=1\n" : "");
             for (int j = random.nextInt(30); j >= 0; j--) {
-                text.append(PIECES[random.nextInt(PIECES.length)]);
+                text.append(TOKENS[random.nextInt(TOKENS.length)]);
             }
             check(text.toString().getBytes(StandardCharsets.UTF_8));
         }
@@ -88,7 +88,7 @@
                 text.append(
                         random.nextInt(4) == 0 ? "[limits]\nclients-part = " : "key" + j + " = ");
                 for (int k = random.nextInt(3); k >= 0; k--) {
-                    text.append(PIECES[random.nextInt(PIECES.length)]);
+                    text.append(TOKENS[random.nextInt(TOKENS.length)]);
                 }
                 text.append('\n');
             }
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void theExampleSpoilt() throws Exception {
+    void corruptedExampleFile() throws Exception {
         byte[] example = Files.readAllBytes(Path.of("..", "deploy", "operator.example.toml"));
         for (int i = 0; i < ROUNDS / 4; i++) {
             byte[] bytes = example.clone();
@@ -125,22 +125,22 @@
     }
 
     @Test
-    void largeAndOneSided() {
-        for (String piece : PIECES) {
-            check(("a=" + piece.repeat(100_000 / piece.length())).getBytes(StandardCharsets.UTF_8));
-            check((piece + ".").repeat(50_000).getBytes(StandardCharsets.UTF_8));
-            check(("a=" + (piece + "=").repeat(50_000)).getBytes(StandardCharsets.UTF_8));
-            check(("a=" + ("{a=" + piece).repeat(20_000)).getBytes(StandardCharsets.UTF_8));
+    void longRepetitionsOfOneToken() {
+        for (String token : TOKENS) {
+            check(("a=" + token.repeat(100_000 / token.length())).getBytes(StandardCharsets.UTF_8));
+            check((token + ".").repeat(50_000).getBytes(StandardCharsets.UTF_8));
+            check(("a=" + (token + "=").repeat(50_000)).getBytes(StandardCharsets.UTF_8));
+            check(("a=" + ("{a=" + token).repeat(20_000)).getBytes(StandardCharsets.UTF_8));
         }
     }
 
     private static void check(byte[] bytes) {
-        OperatorFile.Reading reading =
+        OperatorFile.Inspection inspection =
                 assertDoesNotThrow(
                         () -> OperatorFile.inspect(bytes),
                         () -> new String(bytes, StandardCharsets.UTF_8));
-        assertTrue(reading.file() != null || reading.findings().count() > 0);
-        for (String line : reading.findings().lines()) {
+        assertTrue(inspection.file() != null || inspection.findings().count() > 0);
+        for (String line : inspection.findings().lines()) {
             assertTrue(
                     line.length() < 1000 && line.chars().noneMatch(Character::isISOControl), line);
         }
--- a/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/OperatorFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's file: what it sets, and what is said of every kind of mistake. */
+/** Reading of the operator's file: its settings, and the message for each kind of problem. */
 class OperatorFileTest {
     private static final Path EXAMPLE = Path.of("..", "deploy", "operator.example.toml");
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void exampleFileNamesEveryKeyAndHasTheDefaults() {
+    void exampleFileHasEveryKeyWithItsDefault() {
         assertEquals(
                 new OperatorFile(
                         Optional.of(ClientsSection.DEFAULTS),
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void defaultsAreThoseOfTheConstants() {
+    void sectionsHaveTheDefaults() {
         assertEquals(
                 new ClientsSection(
                         Duration.ofSeconds(2), Duration.ofSeconds(2), Duration.ofSeconds(15)),
@@ -87,82 +87,82 @@
     }
 
     @Test
-    void everyMistakeIsNamedWithItsPosition() {
-        Map<String, String> mistakes = new LinkedHashMap<>();
-        mistakes.put("", "version: missing");
-        mistakes.put(
+    void everyProblemIsReportedWithItsPosition() {
+        Map<String, String> expected = new LinkedHashMap<>();
+        expected.put("", "version: missing");
+        expected.put(
                 "version = 2\nnew-key = 1",
-                "line 1, column 1: version: 2 is not known; this program reads version 1");
-        mistakes.put("version = \"1\"", "line 1, column 1: version: \"1\" is not a whole number");
-        mistakes.put(
+                "line 1, column 1: version: 2 is not supported; this program reads version 1");
+        expected.put("version = \"1\"", "line 1, column 1: version: \"1\" is not a whole number");
+        expected.put(
                 "version = 0",
                 "line 1, column 1: version: 0 is out of range: from 1 to 2147483647");
-        mistakes.put(
+        expected.put(
                 "version = 1\nclients = 5",
                 "line 2, column 1: clients: 5 is not a table; write [clients]");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[[clients]]",
                 "line 2, column 1: clients: a list is not a table; write [clients]");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[client]\nidle-timeout = \"1s\"",
                 "line 2, column 1: client: unknown key; did you mean \"clients\"?");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[clients]\n  idle-tmeout = \"1s\"",
                 "line 3, column 3: clients.idle-tmeout: unknown key; did you mean"
                         + " \"idle-timeout\"?");
-        mistakes.put(
+        expected.put(
                 "version = 1\nclients.nothing-like-it = true",
                 "line 2, column 1: clients.nothing-like-it: unknown key");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[clients]\n\"a\u202e.b\" = 1",
                 "line 3, column 1: clients.\"a\\u202e.b\": unknown key");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[clients]\nrequest-timeout = 2000",
                 "line 3, column 1: clients.request-timeout: 2000 is not a duration; write one like "
                         + "\"250ms\", \"2s\" or \"1m\"");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[clients]\nrequest-timeout = \"2h\"",
                 "line 3, column 1: clients.request-timeout: \"2h\" is out of range: from 100ms to"
                         + " 1m");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[limits]\nclients-part = \"0.4\"",
                 "line 3, column 1: limits.clients-part: \"0.4\" is not a number");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[limits]\nclients-part = 40",
                 "line 3, column 1: limits.clients-part: 40 is out of range: from 0.05 to 0.9");
-        mistakes.put(
+        expected.put(
                 "version = 1\n[limits]\nclients-part = 0.5",
-                "line 2, column 1: limits: clients-part 0.5 and upstreams-part 0.45 make 0.95"
-                        + " together; less than 0.95 is allowed, for the program needs the rest");
-        mistakes.put(
+                "line 2, column 1: limits: clients-part 0.5 and upstreams-part 0.45 add up to 0.95"
+                        + "; the sum must be less than 0.95, because the program needs the rest");
+        expected.put(
                 "version = 1\n[clients]\nidle-timeout = \"1s\"\nidle-timeout = \"1s\"",
-                "line 4, column 1: clients.idle-timeout: stands twice; first on line 3");
-        mistakes.put(
+                "line 4, column 1: clients.idle-timeout: is defined twice; first on line 3");
+        expected.put(
                 "version = 1\n[clients]\n[limits]\n[clients]",
-                "line 4, column 1: clients: stands twice; first on line 2");
-        mistakes.put(
+                "line 4, column 1: clients: is defined twice; first on line 2");
+        expected.put(
                 "version = 1\nclients = {}\nclients.idle-timeout = \"1s\"",
-                "line 3, column 9: not TOML: Object already closed");
-        mistakes.put(
+                "line 3, column 9: invalid TOML: Object already closed");
+        expected.put(
                 "version = 1 limits = {}",
-                "line 1, column 13: not TOML: More data after value has "
+                "line 1, column 13: invalid TOML: More data after value has "
                         + "already ended. Invalid value preceding this position?");
-        mistakes.put(
+        expected.put(
                 "version = 1e99999999999",
                 "line 1, column 24: a number that is too long or too large");
-        mistakes.put(
+        expected.put(
                 "version = 25:99:00",
                 "not a date or time: Text '25:99:00' could not be parsed: "
                         + "Invalid value for MinuteOfHour (valid values 0 - 59): 99");
-        mistakes.put(
+        expected.put(
                 "version = 2026-01-01",
                 "line 1, column 1: version: a date or time is not a whole " + "number");
-        mistakes.put(
+        expected.put(
                 "\ufeffversion = 1",
                 "line 1, column 1: begins with a byte order mark; save it as UTF-8 without one");
-        mistakes.put(
+        expected.put(
                 "a = " + "[".repeat(5000), "is nested too deeply, or has a value that is too long");
-        mistakes.forEach((text, problem) -> assertEquals(List.of(problem), problems(text), text));
+        expected.forEach((text, problem) -> assertEquals(List.of(problem), problems(text), text));
     }
 
     @Test
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void onlyTheFirstOfManyProblemsAreReported() {
+    void problemsBeyondTheMaximumAreOnlyCounted() {
         StringBuilder text = new StringBuilder("version = 1\n");
         for (int i = 0; i < 100; i++) {
             text.append("key").append(i).append(" = 0\n");
@@ -194,10 +194,12 @@
     }
 
     @Test
-    void theMessageNamesTheFile() throws Exception {
+    void exceptionMessageNamesTheFile() throws Exception {
         Path one = file("version = 3");
         assertEquals(
-                one + ": line 1, column 1: version: 3 is not known; this program reads version 1",
+                one
+                        + ": line 1, column 1: version: 3 is not supported; this program reads"
+                        + " version 1",
                 message(one));
         Path two = file("version = 1\na = 1\nb = 1");
         assertEquals(
@@ -212,7 +214,7 @@
     }
 
     @Test
-    void fileThatIsNoTextIsRejected() throws Exception {
+    void fileThatIsMissingNotUtf8OrTooLargeIsRejected() throws Exception {
         Path missing = directory.resolve("missing.toml");
         assertEquals(missing + ": no such file", message(missing));
         assertEquals(directory + ": Is a directory", message(directory));
--- a/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/PositionsTest.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Places of keys: those of the parser's tree, found by a second walk over the text. */
+/** Positions of the keys of the parser's tree, found by a second scan of the text. */
 class PositionsTest {
-    private static Position where(String text, String path) {
-        return Positions.of(text).where(path);
+    private static Position positionOf(String text, String path) {
+        return Positions.of(text).positionOf(path);
     }
 
     @Test
-    void keysAreFoundBehindWhateverMayStandBeforeThem() {
+    void keysAreFoundAfterStringsCommentsListsAndTables() {
         String text =
                 "# a = 1\r\n\r\n"
                         + "\tb.c = '''\n"
@@ -36,29 +36,29 @@
                         + "[[m]]\n"
                         + "[m.n]\n"
                         + " o=2\n";
-        assertEquals(new Position(3, 2), where(text, "b.c"));
-        assertEquals(Position.UNKNOWN, where(text, "d"));
-        assertEquals(new Position(6, 1), where(text, "f"));
-        assertEquals(new Position(7, 14), where(text, "f[3][1]"));
-        assertEquals(new Position(7, 18), where(text, "f[3][2].g"));
-        assertEquals(new Position(8, 1), where(text, "h"));
-        assertEquals(new Position(11, 1), where(text, "\"i.j\".k.l"));
-        assertEquals(new Position(14, 1), where(text, "m[1].n.o"));
-        assertEquals(new Position(17, 2), where(text, "m[2].n.o"));
+        assertEquals(new Position(3, 2), positionOf(text, "b.c"));
+        assertEquals(Position.UNKNOWN, positionOf(text, "d"));
+        assertEquals(new Position(6, 1), positionOf(text, "f"));
+        assertEquals(new Position(7, 14), positionOf(text, "f[3][1]"));
+        assertEquals(new Position(7, 18), positionOf(text, "f[3][2].g"));
+        assertEquals(new Position(8, 1), positionOf(text, "h"));
+        assertEquals(new Position(11, 1), positionOf(text, "\"i.j\".k.l"));
+        assertEquals(new Position(14, 1), positionOf(text, "m[1].n.o"));
+        assertEquals(new Position(17, 2), positionOf(text, "m[2].n.o"));
     }
 
     @Test
-    void whatNobodyWritesHasNoPlaces() {
+    void deepNestingLongPathsAndEscapedKeysHaveNoPosition() {
         String nested = "a = " + "[".repeat(100_000);
-        assertEquals(new Position(1, 1), where(nested, "a"));
+        assertEquals(new Position(1, 1), positionOf(nested, "a"));
         String deep = "x." + "a".repeat(300) + ".y";
-        assertEquals(Position.UNKNOWN, where(deep + " = 1", deep));
-        assertEquals(Position.UNKNOWN, where("\"\\u0061\" = 1", "a"));
+        assertEquals(Position.UNKNOWN, positionOf(deep + " = 1", deep));
+        assertEquals(Position.UNKNOWN, positionOf("\"\\u0061\" = 1", "a"));
     }
 
-    /** Every key of a random valid text is found where the text has that key. */
+    /** The text at a key's position contains the key, for every key of random valid texts. */
     @Test
-    void everyKeyOfTheTreeHasAPlace() {
+    void everyKeyOfARandomTextHasAPosition() {
         for (int seed = 0; seed < 300; seed++) {
             String text = new RandomToml(new Random(seed)).text();
             Findings findings = new Findings();
@@ -72,12 +72,12 @@
             Positions positions = Positions.of(text);
             keys.forEach(
                     (path, key) -> {
-                        Position at = positions.where(path);
+                        Position at = positions.positionOf(path);
                         assertTrue(at.line() > 0, () -> path + " in\n" + text);
                         String found = lines[at.line() - 1].substring(at.column() - 1);
                         assertTrue(found.contains(key), () -> path + " at " + found);
                     });
-            assertEquals(null, positions.twice(), text);
+            assertEquals(null, positions.duplicate(), text);
         }
     }
 
@@ -95,9 +95,7 @@
         }
     }
 
-    /**
-     * Writes valid TOML in as many ways as there are; each key is new, so that none is there twice.
-     */
+    /** Generates valid TOML in varied syntax. Every key is unique, so that none is duplicated. */
     private static final class RandomToml {
         private final Random random;
         private final StringBuilder out = new StringBuilder();
--- a/sidecar/src/test/java/appleridge/config/operator/TableTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/TableTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What sections are read with: kinds of values, tables within tables, and what is unknown. */
+/** Reading of values, of nested tables and of arrays of tables, and reports of unknown keys. */
 class TableTest {
     private final Findings findings = new Findings();
 
@@ -38,12 +38,12 @@
         return Table.top(text.tree(findings), text, findings);
     }
 
-    /** What a kind makes of a value; null if it is refused. */
+    /** Reads a value with a kind; null if it is rejected. */
     private <T> T read(ValueKind<T> kind, String value) {
         return table("key = " + value).optional("key", kind, "").orElse(null);
     }
 
-    private <T> void refuses(ValueKind<T> kind, String value, String problem) {
+    private <T> void assertRejected(ValueKind<T> kind, String value, String problem) {
         int before = findings.count();
         assertNull(read(kind, value), value);
         assertEquals(before + 1, findings.count(), value);
@@ -58,9 +58,9 @@
         assertEquals(Duration.ofMillis(250), read(kind, "\"250ms\""));
         assertEquals(Duration.ofSeconds(90), read(kind, "'90s'"));
         assertEquals(Duration.ofMinutes(3), read(kind, "\"3m\""));
-        assertEquals("90s", kind.show(Duration.ofSeconds(90)));
-        assertEquals("2h", kind.show(Duration.ofMinutes(120)));
-        assertEquals("0ms", kind.show(Duration.ZERO));
+        assertEquals("90s", kind.format(Duration.ofSeconds(90)));
+        assertEquals("2h", kind.format(Duration.ofMinutes(120)));
+        assertEquals("0ms", kind.format(Duration.ZERO));
         for (String wrong :
                 List.of(
                         "5",
@@ -73,13 +73,13 @@
                         "\"9999999999ms\"",
                         "\"\u0665s\"",
                         "\"\"")) {
-            refuses(
+            assertRejected(
                     kind,
                     wrong,
                     wrong + " is not a duration; write one like \"250ms\", \"2s\" or \"1m\"");
         }
-        refuses(kind, "\"999999999h\"", "\"999999999h\" is out of range: from 5ms to 2h");
-        refuses(kind, "\"4ms\"", "\"4ms\" is out of range: from 5ms to 2h");
+        assertRejected(kind, "\"999999999h\"", "\"999999999h\" is out of range: from 5ms to 2h");
+        assertRejected(kind, "\"4ms\"", "\"4ms\" is out of range: from 5ms to 2h");
     }
 
     @Test
@@ -87,42 +87,43 @@
         ValueKind<Long> kind = ValueKind.size(16, 4L << 30);
         assertEquals(16L << 20, read(kind, "\"16MiB\""));
         assertEquals(4L << 30, read(kind, "\"4GiB\""));
-        assertEquals("1536KiB", kind.show(1536L << 10));
-        refuses(
+        assertEquals("1536KiB", kind.format(1536L << 10));
+        assertRejected(
                 kind,
                 "\"16MB\"",
                 "\"16MB\" is not a size; write one like \"512B\", \"64KiB\" or \"16MiB\"");
-        refuses(kind, "\"15B\"", "\"15B\" is out of range: from 16B to 4GiB");
-        refuses(kind, "\"999999999GiB\"", "\"999999999GiB\" is out of range: from 16B to 4GiB");
+        assertRejected(kind, "\"15B\"", "\"15B\" is out of range: from 16B to 4GiB");
+        assertRejected(
+                kind, "\"999999999GiB\"", "\"999999999GiB\" is out of range: from 16B to 4GiB");
     }
 
     @Test
     void numbers() {
-        assertEquals(0x10, read(ValueKind.whole(1, 20), "0x10"));
-        refuses(ValueKind.whole(1, 20), "2.0", "2.0 is not a whole number");
-        refuses(ValueKind.whole(1, 20), "21", "21 is out of range: from 1 to 20");
-        refuses(
-                ValueKind.whole(1, 20),
+        assertEquals(0x10, read(ValueKind.integer(1, 20), "0x10"));
+        assertRejected(ValueKind.integer(1, 20), "2.0", "2.0 is not a whole number");
+        assertRejected(ValueKind.integer(1, 20), "21", "21 is out of range: from 1 to 20");
+        assertRejected(
+                ValueKind.integer(1, 20),
                 "99999999999999999999",
                 "99999999999999999999 is out of range: from 1 to 20");
         assertEquals(1, read(ValueKind.fraction(0, 1), "1"));
-        refuses(ValueKind.fraction(0, 1), "nan", "NaN is out of range: from 0 to 1");
-        refuses(ValueKind.fraction(0, 1), "inf", "Infinity is out of range: from 0 to 1");
-        refuses(
+        assertRejected(ValueKind.fraction(0, 1), "nan", "NaN is out of range: from 0 to 1");
+        assertRejected(ValueKind.fraction(0, 1), "inf", "Infinity is out of range: from 0 to 1");
+        assertRejected(
                 ValueKind.fraction(0, 1),
                 "1e999999999",
                 "1E+999999999 is out of range: from 0 to 1");
-        refuses(ValueKind.fraction(0, 1), "true", "true is not a number");
-        assertTrue(read(ValueKind.flag(), "true"));
-        refuses(ValueKind.flag(), "1", "1 is neither true nor false");
+        assertRejected(ValueKind.fraction(0, 1), "true", "true is not a number");
+        assertTrue(read(ValueKind.bool(), "true"));
+        assertRejected(ValueKind.bool(), "1", "1 is neither true nor false");
     }
 
     @Test
-    void addressesAreLiteralOnes() {
+    void onlyLiteralAddressesAreRead() {
         ValueKind<InetSocketAddress> kind = ValueKind.address();
-        assertEquals("192.0.2.1:80", kind.show(read(kind, "\"192.0.2.1:80\"")));
+        assertEquals("192.0.2.1:80", kind.format(read(kind, "\"192.0.2.1:80\"")));
         assertEquals(
-                "[2001:db8:0:0:0:0:0:1]:65535", kind.show(read(kind, "\"[2001:db8::1]:65535\"")));
+                "[2001:db8:0:0:0:0:0:1]:65535", kind.format(read(kind, "\"[2001:db8::1]:65535\"")));
         for (String wrong :
                 List.of(
                         "80",
@@ -143,7 +144,7 @@
                         "\"[]:80\"",
                         "\"[:80\"",
                         "\"3221225985:80\"")) {
-            refuses(
+            assertRejected(
                     kind,
                     wrong,
                     wrong
@@ -154,36 +155,39 @@
     }
 
     @Test
-    void textsAndChoices() {
+    void stringsAndChoices() {
         assertEquals(Scope.SAME_CELL, read(ValueKind.choice(Scope.class), "\"same-cell\""));
-        refuses(
+        assertRejected(
                 ValueKind.choice(Scope.class),
                 "\"zones\"",
-                "\"zones\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"zone\"?");
-        refuses(
+                "\"zones\" is not one of \"zone\", \"all\", \"same-cell\"; did you mean \"zone\"?");
+        assertRejected(
                 ValueKind.choice(Scope.class),
                 "\"ALL\"",
-                "\"ALL\" is none of \"zone\", \"all\", \"same-cell\"; did you mean \"all\"?");
-        assertEquals("abc", read(ValueKind.text(3), "\"abc\""));
-        refuses(ValueKind.text(3), "\"abcd\"", "\"abcd\" has 4 characters, allowed are 1 to 3");
-        refuses(ValueKind.text(3), "\"\"", "\"\" has 0 characters, allowed are 1 to 3");
-        refuses(ValueKind.text(3), "\"a\\nb\"", "\"a\\u000ab\" holds a control character");
-        refuses(ValueKind.text(3), "\"\\ud800\"", "\"\\ud800\" holds half a character");
-        refuses(ValueKind.text(3), "1", "1 is not a text; put it in quotes");
-        refuses(
-                ValueKind.text(3),
+                "\"ALL\" is not one of \"zone\", \"all\", \"same-cell\"; did you mean \"all\"?");
+        assertEquals("abc", read(ValueKind.string(3), "\"abc\""));
+        assertRejected(
+                ValueKind.string(3), "\"abcd\"", "\"abcd\" has 4 characters; allowed: 1 to 3");
+        assertRejected(ValueKind.string(3), "\"\"", "\"\" has 0 characters; allowed: 1 to 3");
+        assertRejected(
+                ValueKind.string(3), "\"a\\nb\"", "\"a\\u000ab\" contains a control character");
+        assertRejected(
+                ValueKind.string(3), "\"\\ud800\"", "\"\\ud800\" contains an unpaired surrogate");
+        assertRejected(ValueKind.string(3), "1", "1 is not a string; put it in quotes");
+        assertRejected(
+                ValueKind.string(3),
                 "\"" + "x".repeat(99) + "\"",
-                "\"" + "x".repeat(57) + "...\" has 99 characters, allowed are 1 to 3");
+                "\"" + "x".repeat(57) + "...\" has 99 characters; allowed: 1 to 3");
     }
 
     @Test
-    void listsNameEachWrongItem() {
-        ValueKind<List<Integer>> kind = ValueKind.list(ValueKind.whole(0, 9), 1, 4);
+    void everyInvalidListItemIsReported() {
+        ValueKind<List<Integer>> kind = ValueKind.list(ValueKind.integer(0, 9), 1, 4);
         assertEquals(List.of(1, 2), read(kind, "[1, 2]"));
-        assertEquals("[1, 2]", kind.show(List.of(1, 2)));
-        refuses(kind, "[]", "a list of 0, allowed are 1 to 4");
-        refuses(kind, "1", "1 is not a list");
-        refuses(kind, "{}", "a table is not a list");
+        assertEquals("[1, 2]", kind.format(List.of(1, 2)));
+        assertRejected(kind, "[]", "a list has 0 items; allowed: 1 to 4");
+        assertRejected(kind, "1", "1 is not a list");
+        assertRejected(kind, "{}", "a table is not a list");
         Table table = table("key = [1,\n 'a',\n 3, 10]");
         assertEquals(Optional.empty(), table.optional("key", kind, ""));
         assertFalse(table.valid());
@@ -195,12 +199,12 @@
     }
 
     @Test
-    void tablesInListsAreCountedFromOne() {
+    void tablesInArraysAreCountedFromOne() {
         Table top = table("[[route]]\nhost = 'a'\n[[route]]\nhots = 'b'\n");
         List<Table> routes = top.tables("route");
         assertEquals(2, routes.size());
-        assertEquals("a", routes.get(0).required("host", ValueKind.text(9), "x", ""));
-        assertEquals("x", routes.get(1).required("host", ValueKind.text(9), "x", ""));
+        assertEquals("a", routes.get(0).required("host", ValueKind.string(9), "x", ""));
+        assertEquals("x", routes.get(1).required("host", ValueKind.string(9), "x", ""));
         assertEquals(List.of(), top.tables("none"));
         top.rejectUnknownKeys();
         assertEquals(
@@ -211,7 +215,7 @@
     }
 
     @Test
-    void valueThatIsNoListOfTablesIsNamed() {
+    void valueOtherThanArrayOfTablesIsRejected() {
         table("route = 1").tables("route");
         table("route = [{}, 1]").tables("route");
         assertEquals(
@@ -226,9 +230,9 @@
     @Test
     void settingsReportValueDefaultAndSource() {
         Table top = table("a = 'x'\n[part]\nb = true");
-        top.value("a", ValueKind.text(9), "y", "first");
-        top.optional("c", ValueKind.text(9), "third");
-        top.table("part").value("b", ValueKind.flag(), true, "second");
+        top.value("a", ValueKind.string(9), "y", "first");
+        top.optional("c", ValueKind.string(9), "third");
+        top.table("part").value("b", ValueKind.bool(), true, "second");
         top.rejectUnknownKeys();
         assertEquals(
                 List.of(
