--- a/sidecar/src/test/java/appleridge/ArchitectureTest.java
+++ b/sidecar/src/test/java/appleridge/ArchitectureTest.java
@@ -35,15 +35,15 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The walls between packages, and the one source of time and chance. */
+/** Rules on dependencies between packages, and on the sources of time and randomness. */
 class ArchitectureTest {
     private static final JavaClasses PRODUCT =
             new ClassFileImporter()
                     .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                     .importPackages("appleridge");
 
-    /** Values that look like input and output and are none. */
-    private static final DescribedPredicate<JavaClass> VALUES =
+    /** Value types in packages of input and output that perform neither. */
+    private static final DescribedPredicate<JavaClass> VALUE_TYPES =
             belongToAnyOf(
                     TimeUnit.class,
                     InetSocketAddress.class,
@@ -60,7 +60,7 @@
                             "java.util.regex",
                             "java.nio",
                             "java.nio.charset")
-                    .or(VALUES);
+                    .or(VALUE_TYPES);
     private static final DescribedPredicate<JavaClass> PURE =
             PLAIN_JAVA.and(
                     not(
@@ -70,80 +70,89 @@
                                     Process.class,
                                     ProcessBuilder.class)));
 
-    private static DescribedPredicate<JavaClass> rooms(String... names) {
+    private static DescribedPredicate<JavaClass> packages(String... names) {
         return resideInAnyPackage(names);
     }
 
-    private static ArchRule only(String room, DescribedPredicate<JavaClass> allowed) {
+    private static ArchRule mayDependOnlyOn(
+            String packageName, DescribedPredicate<JavaClass> allowed) {
         return classes()
                 .that()
-                .resideInAPackage(room)
+                .resideInAPackage(packageName)
                 .should()
-                .onlyDependOnClassesThat(resideInAPackage(room).or(allowed));
+                .onlyDependOnClassesThat(resideInAPackage(packageName).or(allowed));
     }
 
     @Test
-    void decidersArePureAndKnowOnlyWhatStandsBelowThem() {
-        only("appleridge.loadbalancing", PURE).check(PRODUCT);
-        only("appleridge.request", PURE.or(rooms("appleridge.loadbalancing"))).check(PRODUCT);
-        only(
+    void decisionPackagesHaveNoInputOrOutputAndDependOnlyOnLowerLayers() {
+        mayDependOnlyOn("appleridge.loadbalancing", PURE).check(PRODUCT);
+        mayDependOnlyOn("appleridge.request", PURE.or(packages("appleridge.loadbalancing")))
+                .check(PRODUCT);
+        mayDependOnlyOn(
                         "appleridge.discovery",
-                        PURE.or(rooms("appleridge.loadbalancing", "appleridge.request")))
+                        PURE.or(packages("appleridge.loadbalancing", "appleridge.request")))
                 .check(PRODUCT);
-        only(
+        mayDependOnlyOn(
                         "appleridge.discovery.ephemeral",
-                        PURE.or(rooms("appleridge.loadbalancing", "appleridge.discovery")))
+                        PURE.or(packages("appleridge.loadbalancing", "appleridge.discovery")))
                 .check(PRODUCT);
-        only("appleridge.hotrestart", PURE).check(PRODUCT);
-        only("appleridge.lease", PURE).check(PRODUCT);
-        only(
+        mayDependOnlyOn("appleridge.hotrestart", PURE).check(PRODUCT);
+        mayDependOnlyOn("appleridge.lease", PURE).check(PRODUCT);
+        mayDependOnlyOn(
                         "appleridge.admin",
                         PURE.or(
-                                rooms(
+                                packages(
                                         "appleridge.loadbalancing",
                                         "appleridge.request",
                                         "appleridge.discovery",
                                         "appleridge.hotrestart")))
                 .check(PRODUCT);
-        only(
+        mayDependOnlyOn(
                         "appleridge.config",
-                        PURE.or(rooms("appleridge.loadbalancing", "com.fasterxml.jackson..")))
+                        PURE.or(packages("appleridge.loadbalancing", "com.fasterxml.jackson..")))
                 .check(PRODUCT);
     }
 
     /**
-     * Guards against one protocol that can't be left out, and against a core that only it can use.
+     * Guards against a protocol that can't be removed or replaced, and against a core that depends
+     * on one protocol.
      */
     @Test
-    void protocolsAndSourcesKnowTheCoreAndNotEachOther() {
-        DescribedPredicate<JavaClass> below =
-                rooms(
+    void protocolsAndDiscoverySourcesDependOnTheCoreButNotOnEachOther() {
+        DescribedPredicate<JavaClass> lowerLayers =
+                packages(
                         "java..",
                         "io.netty..",
                         "appleridge.loadbalancing",
                         "appleridge.request",
                         "appleridge.config",
                         "appleridge.transport");
-        only("appleridge.http1", below).check(PRODUCT);
-        only(
+        mayDependOnlyOn("appleridge.http1", lowerLayers).check(PRODUCT);
+        mayDependOnlyOn(
                         "appleridge.discovery.registry",
-                        below.or(rooms("appleridge.discovery", "com.fasterxml.jackson..")))
+                        lowerLayers.or(packages("appleridge.discovery", "com.fasterxml.jackson..")))
+                .check(PRODUCT);
+        mayDependOnlyOn("appleridge.admin.protocol", lowerLayers.or(packages("appleridge.admin")))
                 .check(PRODUCT);
-        only("appleridge.admin.protocol", below.or(rooms("appleridge.admin"))).check(PRODUCT);
-        only("appleridge.transport", rooms("java..", "io.netty..", "appleridge.request"))
+        mayDependOnlyOn(
+                        "appleridge.transport",
+                        packages("java..", "io.netty..", "appleridge.request"))
                 .check(PRODUCT);
-        only(
+        mayDependOnlyOn(
                         "appleridge.simulator",
-                        rooms("java..", "appleridge.loadbalancing", "appleridge.config"))
+                        packages("java..", "appleridge.loadbalancing", "appleridge.config"))
                 .check(PRODUCT);
     }
 
-    /** Guards against a client that can't be left out, and against one that decides. */
+    /**
+     * Guards against a ZooKeeper client that can't be removed, and against decisions in its
+     * adapter.
+     */
     @Test
-    void zooKeepersClientIsKnownInThreePlaces() {
-        only(
+    void zooKeeperClientIsUsedInThreePackages() {
+        mayDependOnlyOn(
                         "appleridge.discovery.zookeeper",
-                        rooms(
+                        packages(
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "org.slf4j..",
@@ -155,9 +164,9 @@
                                 "appleridge.transport",
                                 "appleridge.config"))
                 .check(PRODUCT);
-        only(
+        mayDependOnlyOn(
                         "appleridge.discovery.registration",
-                        rooms(
+                        packages(
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "com.fasterxml.jackson..",
@@ -165,9 +174,9 @@
                                 "appleridge.transport",
                                 "appleridge.config"))
                 .check(PRODUCT);
-        only(
+        mayDependOnlyOn(
                         "appleridge.lease.store",
-                        rooms(
+                        packages(
                                 "java..",
                                 "org.apache.zookeeper..",
                                 "com.fasterxml.jackson..",
@@ -203,9 +212,9 @@
                 .check(PRODUCT);
     }
 
-    /** Guards against tests that start another system's server, and a product that carries one. */
+    /** Guards against tests that start a ZooKeeper server, and a product that contains one. */
     @Test
-    void nothingKnowsZooKeepersServer() {
+    void zooKeeperServerIsNotUsed() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -214,14 +223,14 @@
     }
 
     /**
-     * Guards against leases, and a library for a command's arguments, that cost something where
-     * none are.
+     * Guards against leases, and the library that parses their command's arguments, that add cost
+     * to a sidecar without leases.
      */
     @Test
-    void leasesAreKnownOnlyToTheirCommand() {
-        only(
+    void leasesAreUsedOnlyByTheirCommand() {
+        mayDependOnlyOn(
                         "appleridge.lease.task",
-                        rooms(
+                        packages(
                                 "java..",
                                 "picocli..",
                                 "appleridge.lease",
@@ -248,12 +257,12 @@
                 .check(PRODUCT);
     }
 
-    /** Guards against an operator's file that costs something where there is none. */
+    /** Guards against support for an operator's file that adds cost to a sidecar without one. */
     @Test
-    void theOperatorsFileIsKnownInOnePlace() {
-        only(
+    void operatorFileIsUsedOnlyByItsStartupClass() {
+        mayDependOnlyOn(
                         "appleridge.config.operator",
-                        rooms("java..", "com.fasterxml.jackson..", "appleridge.config"))
+                        packages("java..", "com.fasterxml.jackson..", "appleridge.config"))
                 .check(PRODUCT);
         noClasses()
                 .that()
@@ -267,7 +276,7 @@
     }
 
     @Test
-    void nothingKnowsTheWholeButItself() {
+    void noOtherPackageDependsOnTheDaemon() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("appleridge.daemon..")
@@ -278,16 +287,16 @@
     }
 
     /**
-     * Guards against a run that can't be played again: time is the loop's ticker's, chance is
-     * seeded.
+     * Guards against a run that can't be replayed: time comes from the event loop's ticker, and
+     * random numbers from a seed.
      */
     @Test
-    void timeAndChanceComeFromOutside() {
-        ONE_SOURCE_OF_TIME.check(PRODUCT);
+    void systemTimeAndRandomnessAreNotUsedDirectly() {
+        NO_SYSTEM_TIME_OR_RANDOMNESS.check(PRODUCT);
     }
 
     @Test
-    void timersAreMadeInOnePlace() {
+    void timersAreCreatedOnlyByTransport() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("appleridge.transport")
@@ -306,13 +315,14 @@
                 .check(PRODUCT);
     }
 
-    private static final ArchRule ONE_SOURCE_OF_TIME =
+    private static final ArchRule NO_SYSTEM_TIME_OR_RANDOMNESS =
             noClasses()
                     .that()
                     .doNotBelongToAnyOf(SystemTime.class)
                     .should()
                     .accessTargetWhere(
-                            new DescribedPredicate<JavaAccess<?>>("the system's time or chance") {
+                            new DescribedPredicate<JavaAccess<?>>(
+                                    "the system's time or randomness") {
                                 @Override
                                 public boolean test(JavaAccess<?> access) {
                                     String owner = access.getTargetOwner().getName();
@@ -335,19 +345,19 @@
                     .orShould()
                     .callConstructor(Random.class);
 
-    /** A wall that nobody could run into would hold nothing: the testbed's own test of the rule. */
+    /** Guards against rules that can never fail: each rule here has to detect a violation. */
     @Test
-    void theRuleOfTimeSeesWhoBreaksIt() {
-        JavaClasses offender = new ClassFileImporter().importClasses(Offender.class);
-        assertThrows(AssertionError.class, () -> ONE_SOURCE_OF_TIME.check(offender));
+    void rulesDetectAViolation() {
+        JavaClasses violation = new ClassFileImporter().importClasses(Violation.class);
+        assertThrows(AssertionError.class, () -> NO_SYSTEM_TIME_OR_RANDOMNESS.check(violation));
         assertThrows(
                 AssertionError.class,
                 () ->
-                        only("appleridge", rooms("java.lang..", "java.util.function"))
-                                .check(offender));
+                        mayDependOnlyOn("appleridge", packages("java.lang..", "java.util.function"))
+                                .check(violation));
     }
 
-    /** A rule about a package that is not there holds for ever. */
+    /** Guards against a rule about a package that doesn't exist, which would always hold. */
     @Test
     void packagesAndClassesNamedInTheRulesExist() throws IOException {
         String source = Files.readString(Path.of("src/test/java/appleridge/ArchitectureTest.java"));
@@ -358,7 +368,7 @@
                         .map(found -> found.group(1).replace("\\\\", ""))
                         .map(name -> name.replaceAll("\\.+$", ""))
                         .toList();
-        assertTrue(names.size() > 50, "names are found");
+        assertTrue(names.size() > 50, "the pattern finds the names in this file");
         for (String name : names) {
             assertTrue(
                     PRODUCT.stream()
@@ -367,7 +377,7 @@
         }
     }
 
-    private static final class Offender {
+    private static final class Violation {
         final java.util.function.LongSupplier clock = System::nanoTime;
         final Random random = new Random();
     }
--- a/sidecar/src/test/java/appleridge/PackagedClasses.java
+++ b/sidecar/src/test/java/appleridge/PackagedClasses.java
@@ -5,15 +5,15 @@
 import java.io.IOException;
 import java.util.jar.JarFile;
 
-/** What the packaged jar holds, for tests that name classes in strings. */
+/** The contents of the packaged jar, for tests that name classes in strings. */
 public final class PackagedClasses {
     private PackagedClasses() {}
 
     /**
-     * Guards against a check that a class is <em>not</em> loaded and that holds for any name, such
-     * as one from before a rename.
+     * Asserts that the jar has a class whose qualified name contains {@code name}. Guards against a
+     * check that a class is <em>not</em> loaded that passes because the name is outdated.
      *
-     * @param name a class or package with dots, or a part of it
+     * @param name a class or package name with dots, or a part of it
      */
     public static void assertPackaged(String name) throws IOException {
         String path = name.replace('.', '/');
@@ -24,7 +24,7 @@
                                     entry ->
                                             entry.getName().endsWith(".class")
                                                     && entry.getName().contains(path)),
-                    "no class of the jar has this in its name: " + name);
+                    "no class in the jar has a name that contains: " + name);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/LoopbackSidecar.java
+++ b/sidecar/src/test/java/appleridge/daemon/LoopbackSidecar.java
@@ -14,10 +14,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One real sidecar in this process, with scripted upstreams and discovery, all on ephemeral ports.
+ * A sidecar in the test's process with scripted upstreams and a scripted registry, all on ephemeral
+ * loopback ports.
  */
 public final class LoopbackSidecar implements AutoCloseable {
-    /** The bound of every wait; nothing comes near it unless it hangs. */
+    /** Time-out of every wait in these tests; reached only if something hangs. */
     public static final int TIMEOUT_SECONDS = 20;
 
     public static final String SETTINGS =
@@ -47,7 +48,10 @@
 
     public final SidecarRunner runner;
 
-    /** Answers that discovery gives to its calls in turn; once there are none, a call waits. */
+    /**
+     * Responses of the registry to successive calls. A call waits while the queue is empty; an
+     * empty text resets the connection.
+     */
     public final BlockingQueue<String> discoveryResponses = new LinkedBlockingQueue<>();
 
     public final StubUpstream discovery =
@@ -61,7 +65,7 @@
                         return true;
                     });
 
-    /** SettingValues of the settings that tests vary. */
+    /** Values of the settings that tests vary; durations in nanoseconds. */
     public record SettingValues(long connIdle, int maxOpen, long askWithin, ClientTimeouts times) {
         public SettingValues(long connIdle, int maxOpen, long askWithin) {
             this(connIdle, maxOpen, askWithin, ClientTimeouts.DEFAULT);
@@ -75,36 +79,46 @@
         this(SettingValues.DEFAULT, targets(upstreams));
     }
 
-    public LoopbackSidecar(SettingValues figures, String... targets) throws Exception {
-        this(figures, null, targets);
+    public LoopbackSidecar(SettingValues values, String... targets) throws Exception {
+        this(values, null, targets);
     }
 
-    /** The same; operators call at an address, or nowhere if that is null. */
-    public LoopbackSidecar(SettingValues figures, InetSocketAddress admin, String... targets)
+    /**
+     * Starts a sidecar.
+     *
+     * @param admin the admin server's address; null for none
+     */
+    public LoopbackSidecar(SettingValues values, InetSocketAddress admin, String... targets)
             throws Exception {
-        this(figures, admin, json -> json, targets);
+        this(values, admin, json -> json, targets);
     }
 
-    /** The same with the configuration's text changed. */
+    /**
+     * Starts a sidecar with a modified configuration.
+     *
+     * @param admin the admin server's address; null for none
+     * @param changed modifies the configuration's JSON text
+     */
     public LoopbackSidecar(
-            SettingValues figures,
+            SettingValues values,
             InetSocketAddress admin,
             UnaryOperator<String> changed,
             String... targets)
             throws Exception {
-        String json = changed.apply(json(figures, discovery.address(), targets));
+        String json = changed.apply(json(values, discovery.address(), targets));
         SidecarConfig parsed = SidecarConfig.parse(new ObjectMapper().readTree(json));
         SidecarConfig config = admin == null ? parsed : parsed.withAdminAddress(admin);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         runner =
                 SidecarRunner.start(
                         config.withListenAddress(anyPort),
-                        RuntimeOptions.DEFAULTS.with(figures.times));
+                        RuntimeOptions.DEFAULTS.with(values.times));
     }
 
-    public static String json(SettingValues figures, String discovery, String... targets) {
+    /** The JSON text of a configuration; its listen address is {@code 127.0.0.1:1}. */
+    public static String json(SettingValues values, String discovery, String... targets) {
         String settings =
-                String.format(SETTINGS, figures.connIdle, figures.maxOpen, figures.askWithin);
+                String.format(SETTINGS, values.connIdle, values.maxOpen, values.askWithin);
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\""
                 + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":"
@@ -114,6 +128,7 @@
                 + "}";
     }
 
+    /** The JSON text of an endpoint list: a snapshot if {@code all}, else a delta. */
     public static String list(long revision, boolean all, String... targets) {
         return "{\"rev\":"
                 + revision
@@ -124,6 +139,7 @@
                 + "]}";
     }
 
+    /** The JSON text of an endpoint in an endpoint list. */
     public static String target(String uid, String endpoint, String state) {
         return "{\"uid\":\""
                 + uid
@@ -135,7 +151,7 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    /** Ready targets u0, u1, ... */
+    /** Ready endpoints u0, u1, ... of the upstreams. */
     public static String[] targets(StubUpstream... upstreams) {
         List<String> targets = new ArrayList<>();
         for (StubUpstream upstream : upstreams) {
@@ -144,7 +160,7 @@
         return targets.toArray(String[]::new);
     }
 
-    /** Discovery's next answer. */
+    /** Queues an endpoint list as a response of the registry. */
     public void queueList(String list) {
         discoveryResponses.add(StubUpstream.response("200 OK", list));
     }
@@ -153,7 +169,7 @@
         return new TestClient(runner.address());
     }
 
-    /** One request on a connection of its own. */
+    /** Sends a request on a new connection and returns the response. */
     public String exchange(String request) throws Exception {
         try (TestClient client = client()) {
             return client.exchange(request);
--- a/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarProcess.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The packaged jar as a process of its own, with a port for clients, one for operators, and a log
+ * A sidecar process that runs the packaged jar, with a port for clients, an admin port and a log
  * file.
  */
 final class SidecarProcess implements AutoCloseable {
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Starts it and waits until it is ready.
+     * Starts a sidecar and waits until it is ready.
      *
-     * @param folder for its configuration and its log
-     * @param json the configuration as {@link LoopbackSidecar#json} writes it
-     * @param environment further variables
+     * @param folder directory for its configuration and its log
+     * @param json the configuration, from {@link LoopbackSidecar#json}
+     * @param environment additional environment variables
      */
     static SidecarProcess start(Path folder, String json, Map<String, String> environment)
             throws IOException {
@@ -70,22 +70,22 @@
     private void awaitReady() throws IOException {
         while (true) {
             try (TestClient client = new TestClient(address())) {
-                String answer = client.exchange("GET /health/ready HTTP/1.1\r\n\r\n");
-                if (answer != null && TestClient.status(answer) == 200) {
+                String response = client.exchange("GET /health/ready HTTP/1.1\r\n\r\n");
+                if (response != null && TestClient.status(response) == 200) {
                     return;
                 }
             } catch (IOException e) {
-                assertTrue(process.isAlive(), "the sidecar ended before it listened");
+                assertTrue(process.isAlive(), "the sidecar ended before it was ready");
             }
         }
     }
 
-    /** Where clients connect. */
+    /** The address on which clients connect. */
     InetSocketAddress address() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** One of the metrics, by its name without the common prefix. */
+    /** The value of a metric, by its name without the common prefix. */
     long metric(String name) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
@@ -100,29 +100,29 @@
         }
     }
 
-    /** What it has logged so far. */
+    /** The log so far. */
     String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** Sends a signal by its name, such as {@code STOP}, unless it has ended. */
+    /** Sends a signal by its name, such as {@code STOP}; no effect if the process has ended. */
     void signal(String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
         assertTrue(kill.waitFor() == 0 || !process.isAlive(), "kill -" + name);
     }
 
-    /** Stops it as a machine does that gives its core to others, and lets it go on. */
+    /** Pauses the process, as a machine does that gives the core to other processes. */
     void pause(long millis) throws IOException, InterruptedException {
         signal("STOP");
         Thread.sleep(millis);
         signal("CONT");
     }
 
-    /** Waits for its end; the exit status. */
+    /** Waits for the process to end and returns its exit status. */
     int awaitExit() throws InterruptedException {
         assertTrue(
                 process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS),
-                "it has to end");
+                "the sidecar did not end");
         return process.exitValue();
     }
 
--- a/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
+++ b/sidecar/src/test/java/appleridge/daemon/StubUpstream.java
@@ -12,17 +12,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted HTTP peer on an ephemeral loopback port; serves as upstream and as discovery. */
+/** A scripted HTTP server on an ephemeral loopback port, used as an upstream or as the registry. */
 public final class StubUpstream implements AutoCloseable {
-    /** What to do about one request; returning false ends the connection. */
+    /** Handles one request; returns whether the connection stays open. */
     public interface Script {
         public boolean serve(Socket socket, String request)
                 throws IOException, InterruptedException;
     }
 
+    /** The requests received, head and body. */
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-    /** One entry for each connection whose other end has closed it. */
+    /** One entry for each connection that the peer has closed. */
     public final BlockingQueue<Boolean> closed = new LinkedBlockingQueue<>();
 
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
@@ -31,15 +32,15 @@
 
     public StubUpstream(Script script) throws IOException {
         this.script = script;
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    private static void daemon(Runnable what) {
-        Thread thread = new Thread(what);
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -49,7 +50,7 @@
             while (true) {
                 Socket socket = listener.accept();
                 accepted.add(socket);
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
             // The stub was closed.
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Head and body of one message with a length; null at the end of the stream. */
+    /** Reads the head and body of one message with a length; null at the end of the stream. */
     public static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -106,17 +107,18 @@
     }
 
     public static String response(String status, String body, String... headers) {
-        String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
+        String headerLines = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
         return "HTTP/1.1 "
                 + status
                 + "\r\n"
-                + more
+                + headerLines
                 + "Content-Length: "
                 + body.length()
                 + "\r\n\r\n"
                 + body;
     }
 
+    /** Sends a text for every request and keeps the connection open. */
     public static Script respondWith(String text) {
         return (socket, request) -> {
             write(socket, text);
@@ -124,17 +126,18 @@
         };
     }
 
+    /** Makes the end of the connection a reset; a script returns the result. */
     public static boolean reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         return false;
     }
 
-    /** Never answers; {@link #closed} says when the other end has closed. */
+    /** Never responds; {@link #closed} shows when the peer has closed the connection. */
     public static final Script SILENT = (socket, request) -> true;
 
     /**
-     * Does the first on the first request of all stubs that share it, the second on every later
-     * one.
+     * Runs {@code one} for the first request to any of the stubs that share the latch, and {@code
+     * other} for every later one.
      */
     public static Script firstThen(CountDownLatch first, Script one, Script other) {
         return (socket, request) -> {
@@ -150,7 +153,7 @@
     public String nextRequest() throws InterruptedException {
         String request = requests.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request within the time-out");
         }
         return request;
     }
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaults.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaults.java
@@ -15,27 +15,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * System calls of a process that fail as Linux documents, and a wall clock that steps: a small
- * library in C ({@code system-faults.c}) that is compiled here and preloaded into the process.
+ * Injects faults into the system calls of a process, with errors that Linux documents, and steps in
+ * its wall clock. Compiles a small C library ({@code system-faults.c}) that is preloaded into the
+ * process and controlled through a memory-mapped file.
  */
 final class SystemFaults {
-    /** What can fail; the order is that of the library's words. */
+    /** The kinds of fault, in the order of the library's control words. */
     enum Fault {
-        /** Seconds by which the wall clock is off. */
+        /** Offset of the wall clock in seconds. */
         WALL_SECONDS,
-        /** Accepting a connection. */
+        /** Accepting a connection fails. */
         ACCEPT,
-        /** Making a socket. */
+        /** Creating a socket fails. */
         SOCKET,
-        /** Connecting. */
+        /** Connecting fails. */
         CONNECT,
-        /** Waiting for events. */
+        /** Waiting for events fails. */
         WAIT,
-        /** Reading from and writing to sockets. */
+        /** Reading from or writing to a socket fails. */
         READ_WRITE,
-        /** Sockets take or give a few bytes at a time. */
+        /** Reads and writes transfer only a few bytes. */
         SHORT,
-        /** Connections to one port break when they are read. */
+        /** Connections to one port fail when they are read. */
         BREAK
     }
 
@@ -50,7 +51,7 @@
     private static final int ERRNO_OFFSET = 16;
     private static final int COUNT_OFFSET = 32;
     private static final int WORDS = 64;
-    private static final int THOUSAND = 1000;
+    private static final int PER_MILLE = 1000;
 
     private final Path library;
     private final Path control;
@@ -62,7 +63,7 @@
         this.words = words;
     }
 
-    /** Compiles the library into a folder; needs a C compiler, {@code cc}. */
+    /** Compiles the library into a directory; requires the C compiler {@code cc}. */
     static SystemFaults in(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("system-faults.c");
         Path library = folder.resolve("system-faults.so");
@@ -81,8 +82,9 @@
                                 "-ldl")
                         .redirectErrorStream(true)
                         .start();
-        String told = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, compiler.waitFor(), told);
+        String output =
+                new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, compiler.waitFor(), output);
         Path control = Files.write(folder.resolve("system-faults"), new byte[WORDS * Long.BYTES]);
         try (FileChannel file =
                 FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
@@ -93,7 +95,7 @@
         }
     }
 
-    /** What a process has to be started with. */
+    /** The environment variables with which a process has to be started. */
     Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "SYSTEM_FAULTS", control.toString());
     }
@@ -102,24 +104,24 @@
         words.putLong(word * Long.BYTES, value);
     }
 
-    /** From now on so many of a thousand calls fail with an error number; 0 for none. */
-    void fail(Fault what, int ofThousand, int errno) {
-        set(ERRNO_OFFSET + what.ordinal(), errno);
-        set(what.ordinal(), Math.min(THOUSAND, ofThousand));
+    /** From now on {@code perMille} of 1000 calls fail with the error number; 0 for none. */
+    void fail(Fault fault, int perMille, int errno) {
+        set(ERRNO_OFFSET + fault.ordinal(), errno);
+        set(fault.ordinal(), Math.min(PER_MILLE, perMille));
     }
 
-    /** Connections to a port on this machine are those that break. */
+    /** Selects the port on this machine to which {@link Fault#BREAK} applies. */
     void breakConnectionsTo(int port) {
         set(Fault.values().length, port);
     }
 
-    /** From now on the wall clock is off by so much. */
+    /** Sets the offset of the wall clock from now on. */
     void stepWallClock(long offset, TimeUnit unit) {
         set(Fault.WALL_SECONDS.ordinal(), unit.toSeconds(offset));
     }
 
-    /** Times that something has failed. */
-    long count(Fault what) {
-        return words.getLong((COUNT_OFFSET + what.ordinal()) * Long.BYTES);
+    /** The number of calls that have failed with this fault. */
+    long count(Fault fault) {
+        return words.getLong((COUNT_OFFSET + fault.ordinal()) * Long.BYTES);
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/TestClient.java
+++ b/sidecar/src/test/java/appleridge/daemon/TestClient.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The application's end of one connection. */
+/** A client of the sidecar on one blocking connection. */
 public final class TestClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong();
     public final Socket socket = new Socket();
@@ -17,14 +17,14 @@
         socket.setTcpNoDelay(true);
     }
 
-    /** A well-formed request of a class in {@link LoopbackSidecar}'s settings. */
+    /** A well-formed request with a new id, of a class in {@link LoopbackSidecar}'s settings. */
     public static String request(String requestClass, String deadline, String... headers) {
         String method = requestClass.equals("read") ? "GET" : "POST";
         String key =
                 requestClass.equals("write") || requestClass.equals("hold")
                         ? "Idempotency-Key: k" + IDS.get() + "\r\n"
                         : "";
-        String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
+        String headerLines = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
         String body = method.equals("POST") ? "Content-Length: 4\r\n\r\nbody" : "\r\n";
         return method
                 + " /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: id"
@@ -35,7 +35,7 @@
                 + deadline
                 + "\r\n"
                 + key
-                + more
+                + headerLines
                 + body;
     }
 
@@ -43,21 +43,23 @@
         StubUpstream.write(socket, text);
     }
 
+    /** Reads the next response; null at the end of the connection. */
     public String read() throws IOException {
         return StubUpstream.readMessage(socket.getInputStream());
     }
 
+    /** Sends a request and reads the response. */
     public String exchange(String text) throws IOException {
         send(text);
         return read();
     }
 
-    public static int status(String answer) {
-        return Integer.parseInt(answer.split(" ")[1]);
+    public static int status(String response) {
+        return Integer.parseInt(response.split(" ")[1]);
     }
 
-    public static String body(String answer) {
-        return answer.split("\r\n\r\n", 2)[1];
+    public static String body(String response) {
+        return response.split("\r\n\r\n", 2)[1];
     }
 
     @Override
