--- a/testbed/src/test/java/appleridge/daemon/NodesIT.java
+++ b/testbed/src/test/java/appleridge/daemon/NodesIT.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar as a sidecar process that follows nodes, and as what registers a server. */
+/** The packaged jar with ephemeral nodes: as a sidecar, and as the command {@code register}. */
 @Timeout(120)
 class NodesIT {
-    private static final int LONGEST_SECONDS = 40;
+    private static final int PROCESS_TIMEOUT_SECONDS = 40;
     private static final String PASSWORD = "changeit";
 
     @TempDir private Path folder;
@@ -38,7 +38,7 @@
         return "{\"address\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"m1\"" + more + "}";
     }
 
-    private static StubUpstream answering(String what) throws IOException {
+    private static StubUpstream respondingWith(String what) throws IOException {
         return new StubUpstream(StubUpstream.respondWith(StubUpstream.response("200 OK", what)));
     }
 
@@ -58,7 +58,7 @@
                         + "\"]\nroot = \"/servers\"\nsession-timeout = \"2s\"\n");
     }
 
-    private Process run(Path config, List<String> words) throws IOException {
+    private Process run(Path config, List<String> arguments) throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -67,19 +67,20 @@
                                 "-Xmx48m",
                                 "-jar",
                                 "../sidecar/target/appleridge.jar"));
-        command.addAll(words);
+        command.addAll(arguments);
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().remove("BALANCER_CONFIG");
         if (config != null) {
             builder.environment().put("BALANCER_CONFIG", config.toString());
         }
         Process process = builder.start();
-        // Danger: a log line that never comes would be waited for without end.
+        // Ends the process after a time-out; otherwise a missing log line would block the test
+        // forever.
         Thread watch =
                 new Thread(
                         () -> {
                             try {
-                                if (!process.waitFor(LONGEST_SECONDS, TimeUnit.SECONDS)) {
+                                if (!process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                                     process.destroyForcibly();
                                 }
                             } catch (InterruptedException e) {
@@ -102,7 +103,7 @@
         }
     }
 
-    private static void untilReady(Process process, TestClient client, int status)
+    private static void awaitStatus(Process process, TestClient client, int status)
             throws Exception {
         while (TestClient.status(client.exchange("GET /health/ready HTTP/1.1\r\n\r\n")) != status) {
             assertTrue(process.isAlive());
@@ -123,13 +124,13 @@
     }
 
     @Test
-    void aSidecarServesWhatTheNodesSayAndAnOutageEmptiesNothing() throws Exception {
+    void sidecarFollowsTheNodesAndKeepsTheListDuringAnOutage() throws Exception {
         int port = freePort();
         try (TestEnsemble ensemble = new TestEnsemble();
                 StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream one = answering("one");
-                StubUpstream two = answering("two")) {
-            ensemble.persistent("/servers");
+                StubUpstream one = respondingWith("one");
+                StubUpstream two = respondingWith("two")) {
+            ensemble.createPersistent("/servers");
             ZooKeeper owner = ensemble.client();
             Path config =
                     Files.writeString(
@@ -144,11 +145,11 @@
                             List.of("serve", "--operator", operator(ensemble, "nodes").toString()));
             BufferedReader log = process.errorReader();
             try (TestClient client = connect(process, port)) {
-                untilReady(process, client, 503);
-                TestEnsemble.server(owner, "/servers/s1", server(one.address(), ""));
-                untilReady(process, client, 200);
+                awaitStatus(process, client, 503);
+                TestEnsemble.createServerNode(owner, "/servers/s1", server(one.address(), ""));
+                awaitStatus(process, client, 200);
                 assertTrue(client.exchange(TestClient.request("pay", "2.0")).endsWith("one"));
-                TestEnsemble.server(owner, "/servers/s2", server(two.address(), ""));
+                TestEnsemble.createServerNode(owner, "/servers/s2", server(two.address(), ""));
                 owner.setData(
                         "/servers/s1",
                         server(one.address(), ",\"state\":\"Terminating\"").getBytes(),
@@ -161,7 +162,7 @@
                 assertTrue(client.exchange(TestClient.request("pay", "2.0")).endsWith("two"));
                 ensemble.start();
                 await(log, "is heard");
-                assertEquals(0, discovery.requests.size(), "the registry is not asked");
+                assertEquals(0, discovery.requests.size(), "the registry is not polled");
                 process.destroy();
                 assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
@@ -173,16 +174,17 @@
     }
 
     /**
-     * Guards against a certificate that is believed unseen, and a client that can't speak TLS here.
+     * Guards against a server certificate that is accepted unverified, and against a packaged jar
+     * that lacks the classes for TLS.
      */
     @Test
-    void overTlsTheEnsemblesCertificateHasToFollowFromTheTrustStore() throws Exception {
+    void ensembleCertificateIsVerifiedAgainstTheTrustStore() throws Exception {
         Path store = folder.resolve("ours.p12");
-        Path ours = certificate(store);
+        Path own = certificate(store);
         Path other = certificate(folder.resolve("other.p12"));
         try (TestEnsemble ensemble = new TestEnsemble(tls(store));
                 StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
-            for (Path trusted : List.of(ours, other)) {
+            for (Path trusted : List.of(own, other)) {
                 Path operator = operator(ensemble, "nodes");
                 Files.writeString(
                         operator,
@@ -202,7 +204,7 @@
                 try {
                     await(
                             process.errorReader(),
-                            trusted == ours
+                            trusted == own
                                     ? "the path of the nodes is not there"
                                     : "ZooKeeper's client: Unexpected throwable");
                 } finally {
@@ -212,9 +214,9 @@
         }
     }
 
-    /** Makes a certificate with its key, and a file of the certificate alone. */
+    /** Creates a key store with a key and certificate, and a file with only the certificate. */
     private Path certificate(Path store) throws Exception {
-        Path alone = Path.of(store.toString().replace(".p12", ".pem"));
+        Path certificate = Path.of(store.toString().replace(".p12", ".pem"));
         keytool(
                 "-genkeypair",
                 "-alias",
@@ -243,8 +245,8 @@
                 "-storepass",
                 PASSWORD,
                 "-file",
-                alone.toString());
-        return alone;
+                certificate.toString());
+        return certificate;
     }
 
     private static SslContext tls(Path store) throws Exception {
@@ -255,13 +257,13 @@
         return SslContextBuilder.forServer(factory).build();
     }
 
-    private static void keytool(String... words) throws Exception {
+    private static void keytool(String... arguments) throws Exception {
         List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "keytool")
                                         .toString()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         assertEquals(
                 0,
                 new ProcessBuilder(command)
@@ -272,8 +274,8 @@
     }
 
     /**
-     * A shell that serves nothing stands for a server; a listener of the test's is what answers for
-     * it.
+     * The arguments of {@code register}. A shell script takes the place of the server; the test
+     * itself listens on the server's port.
      */
     private List<String> register(TestEnsemble ensemble, int port, String script)
             throws IOException {
@@ -297,7 +299,7 @@
                 script);
     }
 
-    private static String holds(TestEnsemble ensemble) throws Exception {
+    private static String nodeData(TestEnsemble ensemble) throws Exception {
         return ensemble.operator().exists("/servers/s1", false) == null
                 ? ""
                 : new String(
@@ -306,11 +308,11 @@
     }
 
     @Test
-    void aServerIsRegisteredOnceItAnswersAndSaysThatItEndsBeforeItIsTold() throws Exception {
+    void serverIsRegisteredOnceItListensAndDrainsBeforeItGetsSigterm() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
-            ensemble.persistent("/servers");
+            ensemble.createPersistent("/servers");
             int port = freePort();
-            Path told = folder.resolve("told");
+            Path signalled = folder.resolve("told");
             Process process =
                     run(
                             null,
@@ -318,25 +320,27 @@
                                     ensemble,
                                     port,
                                     "trap 'date +%s%N > "
-                                            + told
+                                            + signalled
                                             + "; exit 7' TERM; while :; do sleep 0.05; done"));
             try {
                 Thread.sleep(1500);
-                assertEquals("", holds(ensemble));
-                try (ServerSocket answers =
+                assertEquals("", nodeData(ensemble));
+                try (ServerSocket listener =
                         new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
-                    while (!holds(ensemble).contains("\"state\":\"Ready\"")) {
-                        assertTrue(process.isAlive() && answers.isBound());
+                    while (!nodeData(ensemble).contains("\"state\":\"Ready\"")) {
+                        assertTrue(process.isAlive() && listener.isBound());
                     }
                     process.destroy();
-                    while (!holds(ensemble).contains("\"state\":\"Terminating\"")) {
+                    while (!nodeData(ensemble).contains("\"state\":\"Terminating\"")) {
                         assertTrue(process.isAlive());
                     }
-                    assertTrue(!Files.exists(told), "the node says so before the server is told");
+                    assertTrue(
+                            !Files.exists(signalled),
+                            "the node is draining before the server gets SIGTERM");
                     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-                    assertTrue(Files.exists(told));
+                    assertTrue(Files.exists(signalled));
                     assertEquals(7, process.exitValue());
-                    assertEquals("", holds(ensemble));
+                    assertEquals("", nodeData(ensemble));
                 }
             } finally {
                 process.destroyForcibly();
@@ -345,27 +349,27 @@
     }
 
     @Test
-    void theChildsStatusIsTheOwnAndItsNodeGoesWithIt() throws Exception {
+    void exitStatusOfTheServerIsReturnedAndItsNodeRemoved() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble();
-                ServerSocket answers = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            ensemble.persistent("/servers");
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            ensemble.createPersistent("/servers");
             Path end = folder.resolve("end");
             Process process =
                     run(
                             null,
                             register(
                                     ensemble,
-                                    answers.getLocalPort(),
+                                    listener.getLocalPort(),
                                     "while [ ! -e " + end + " ]; do sleep 0.05; done; exit 3"));
-            while (holds(ensemble).isEmpty()) {
+            while (nodeData(ensemble).isEmpty()) {
                 assertTrue(process.isAlive());
             }
             Files.createFile(end);
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             assertEquals(3, process.exitValue());
-            assertEquals("", holds(ensemble));
-            Process senseless = run(null, List.of("register", "--id", "x"));
-            assertEquals(2, senseless.waitFor());
+            assertEquals("", nodeData(ensemble));
+            Process invalid = run(null, List.of("register", "--id", "x"));
+            assertEquals(2, invalid.waitFor());
         }
     }
 }
--- a/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
+++ b/testbed/src/test/java/appleridge/discovery/registration/NodeRegistrationTest.java
@@ -15,28 +15,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One node, kept over whatever happens to its session. */
+/** Registration of a server as an ephemeral node, across session expiry and outages. */
 @Timeout(60)
 class NodeRegistrationTest {
     private static final String PATH = "/servers/s1";
 
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
 
-    private static byte[] text(String text, long started) {
+    private static byte[] data(String text, long started) {
         return ("{\"text\":\"" + text + "\",\"started\":" + started + "}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     private NodeRegistration registration(TestEnsemble ensemble, String text, long started) {
         return new NodeRegistration(
-                ensemble.settings("/servers"), "s1", text(text, started), started, log::add);
+                ensemble.settings("/servers"), "s1", data(text, started), started, log::add);
     }
 
-    private static void end(NodeRegistration which) {
-        which.close();
+    private static void end(NodeRegistration registration) {
+        registration.close();
     }
 
-    private void logged(String part) throws InterruptedException {
+    private void awaitLog(String part) throws InterruptedException {
         String line = "";
         while (!line.contains(part)) {
             line = log.poll(20, TimeUnit.SECONDS);
@@ -44,7 +44,7 @@
         }
     }
 
-    private static String holds(ZooKeeper client, Stat stat) throws Exception {
+    private static String nodeData(ZooKeeper client, Stat stat) throws Exception {
         return client.exists(PATH, false) == null
                 ? null
                 : new String(client.getData(PATH, false, stat), StandardCharsets.UTF_8);
@@ -53,36 +53,36 @@
     @Test
     void nodeExistsUntilRegistrationIsClosed() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
-            ensemble.persistent("/servers");
+            ensemble.createPersistent("/servers");
             NodeRegistration one = registration(ensemble, "one", 5);
             one.start();
-            logged("registered as " + PATH);
+            awaitLog("registered as " + PATH);
             Stat stat = new Stat();
-            assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
+            assertEquals(new String(data("one", 5)), nodeData(ensemble.operator(), stat));
             assertNotEquals(0, stat.getEphemeralOwner());
-            one.setData(text("ends", 5));
-            while (!new String(text("ends", 5)).equals(holds(ensemble.operator(), stat))) {
+            one.setData(data("ends", 5));
+            while (!new String(data("ends", 5)).equals(nodeData(ensemble.operator(), stat))) {
                 Thread.sleep(10);
             }
             one.close();
-            assertNull(holds(ensemble.operator(), stat));
+            assertNull(nodeData(ensemble.operator(), stat));
         }
     }
 
-    /** Guards against a node that vanishes later with the session that it belonged to. */
+    /** Guards against a node that disappears later because it still belongs to the old session. */
     @Test
     void nodeBelongsToTheNewSessionAfterExpiry() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
-            ensemble.persistent("/servers");
+            ensemble.createPersistent("/servers");
             try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
-                logged("registered");
+                awaitLog("registered");
                 Stat before = new Stat();
-                holds(ensemble.operator(), before);
+                nodeData(ensemble.operator(), before);
                 ensemble.expireAll();
-                logged("another one begins");
+                awaitLog("another one begins");
                 Stat after = new Stat();
-                while (holds(ensemble.operator(), after) == null
+                while (nodeData(ensemble.operator(), after) == null
                         || after.getEphemeralOwner() == before.getEphemeralOwner()) {
                     Thread.sleep(10);
                 }
@@ -92,43 +92,43 @@
     }
 
     @Test
-    void serverThatStartedLastHoldsTheName() throws Exception {
+    void mostRecentlyStartedServerHoldsTheName() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
-            ensemble.persistent("/servers");
+            ensemble.createPersistent("/servers");
             ZooKeeper old = ensemble.client();
-            TestEnsemble.server(old, PATH, new String(text("old", 4)));
+            TestEnsemble.createServerNode(old, PATH, new String(data("old", 4)));
             try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
-                logged("registered");
+                awaitLog("registered");
                 Stat stat = new Stat();
-                assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
+                assertEquals(new String(data("one", 5)), nodeData(ensemble.operator(), stat));
                 assertFalse(stat.getEphemeralOwner() == old.getSessionId());
                 old.close();
-                assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
+                assertEquals(new String(data("one", 5)), nodeData(ensemble.operator(), stat));
                 try (NodeRegistration late = registration(ensemble, "late", 3)) {
                     late.start();
-                    logged("a server that started later has the name");
-                    assertEquals(new String(text("one", 5)), holds(ensemble.operator(), stat));
+                    awaitLog("a server that started later has the name");
+                    assertEquals(new String(data("one", 5)), nodeData(ensemble.operator(), stat));
                     end(one);
-                    logged("registered");
+                    awaitLog("registered");
                 }
             }
         }
     }
 
     @Test
-    void absentEnsembleIsAwaitedAndADeletedNodeRecreated() throws Exception {
+    void unavailableEnsembleIsAwaitedAndADeletedNodeIsRecreated() throws Exception {
         try (TestEnsemble ensemble = new TestEnsemble()) {
-            ensemble.persistent("/servers");
+            ensemble.createPersistent("/servers");
             ensemble.stop();
             try (NodeRegistration one = registration(ensemble, "one", 5)) {
                 one.start();
                 Thread.sleep(500);
                 ensemble.start();
-                logged("registered");
+                awaitLog("registered");
                 ensemble.operator().delete(PATH, -1);
                 Stat stat = new Stat();
-                while (holds(ensemble.operator(), stat) == null) {
+                while (nodeData(ensemble.operator(), stat) == null) {
                     Thread.sleep(10);
                 }
             }
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/TestEnsemble.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/TestEnsemble.java
@@ -16,11 +16,11 @@
 import org.apache.zookeeper.data.Id;
 
 /**
- * One coordination stand-in in the test's own process, on a loopback port that it keeps over
- * restarts.
+ * A stand-in for a ZooKeeper ensemble of one server, in the test's process. It keeps its loopback
+ * port across restarts.
  */
 public final class TestEnsemble implements AutoCloseable {
-    /** Everybody may do everything. */
+    /** An access control list that permits everything to everyone. */
     public static final List<ACL> OPEN = Arrays.asList(new ACL(31, new Id("world", "anyone")));
 
     private static final CoordinationServer.Times TIMES =
@@ -33,7 +33,7 @@
         this(null);
     }
 
-    /** One that speaks TLS alone, unless this is null. */
+    /** An ensemble that accepts only TLS, or only plain TCP if {@code tls} is null. */
     public TestEnsemble(SslContext tls) throws Exception {
         server =
                 new CoordinationServers(
@@ -48,12 +48,12 @@
         return server.address();
     }
 
-    /** Starts it again, with what it knew. */
+    /** Restarts the server with its data. */
     public void start() throws Exception {
         server.start();
     }
 
-    /** Starts it again with nothing, and transactions from 1. */
+    /** Restarts the server without data; transaction ids start from 1 again. */
     public void startWiped() throws Exception {
         server.wipe();
         server.start();
@@ -72,7 +72,7 @@
                 List.of(address()), "", root, false, 2000, false, null, null, 1 << 22);
     }
 
-    /** A handle of somebody who may do what is to be done. */
+    /** The operator's client, connected on first use. */
     public ZooKeeper operator() throws Exception {
         if (operator == null) {
             operator = client();
@@ -80,7 +80,7 @@
         return operator;
     }
 
-    /** A session of its own, connected. */
+    /** A new connected client with its own session. */
     public ZooKeeper client() throws IOException, InterruptedException {
         CountDownLatch connected = new CountDownLatch(1);
         ZooKeeper client =
@@ -96,20 +96,23 @@
         return client;
     }
 
-    public void persistent(String path) throws Exception {
+    /** Creates an empty persistent node. */
+    public void createPersistent(String path) throws Exception {
         operator().create(path, new byte[0], OPEN, CreateMode.PERSISTENT);
     }
 
-    /** A node of a server; it belongs to that session. */
-    public static void server(ZooKeeper owner, String path, String json) throws Exception {
+    /** Creates the ephemeral node of an upstream host, owned by the client's session. */
+    public static void createServerNode(ZooKeeper owner, String path, String json)
+            throws Exception {
         owner.create(path, json.getBytes(), OPEN, CreateMode.EPHEMERAL);
     }
 
-    /** Ends a session as the ensemble does when it has heard nothing of it. */
+    /** Expires a session, as the ensemble does after the session time-out. */
     public void expire(long session) {
         server.expire(session);
     }
 
+    /** Expires every session except the operator's. */
     public void expireAll() {
         server.sessions().stream()
                 .filter(each -> operator == null || each != operator.getSessionId())
--- a/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
+++ b/testbed/src/test/java/appleridge/discovery/zookeeper/ZooKeeperDiscoveryTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The source against the coordination stand-in. */
+/** Discovery from ZooKeeper against a stand-in for the ensemble. */
 @Timeout(60)
 class ZooKeeperDiscoveryTest {
     private static final String ROOT = "/servers";
@@ -64,7 +64,7 @@
                             log.add(what + cause);
                         }
                     });
-    private final RecordingSessionListener heard =
+    private final RecordingSessionListener listener =
             new RecordingSessionListener(executor::inEventLoop);
     private TestEnsemble ensemble;
     private ZooKeeperDiscovery source;
@@ -88,16 +88,16 @@
             loop.execute(source::close);
         }
         ensemble.close();
-        assertFalse(heard.calledOffLoop, "told on another thread than the loop's");
+        assertFalse(listener.calledOffLoop, "the listener was called off the event loop");
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void follow(ZooKeeperSettings settings) {
+    private void startDiscovery(ZooKeeperSettings settings) {
         source =
                 new ZooKeeperDiscovery(
                         loop,
                         settings,
-                        heard,
+                        listener,
                         new NodeJsonParser(List.of("a", "b"), List.of("m1")),
                         1);
         loop.execute(source::start);
@@ -105,44 +105,44 @@
 
     @Test
     void existingNodesAreDeliveredAndThenEveryChange() throws Exception {
-        ensemble.persistent(ROOT);
+        ensemble.createPersistent(ROOT);
         ZooKeeper owner = ensemble.client();
-        TestEnsemble.server(owner, ROOT + "/s1", server(1, ""));
-        TestEnsemble.server(
+        TestEnsemble.createServerNode(owner, ROOT + "/s1", server(1, ""));
+        TestEnsemble.createServerNode(
                 owner, ROOT + "/s2", server(2, ",\"state\":\"Terminating\",\"unknown\":[{}]"));
-        TestEnsemble.server(owner, ROOT + "/bad", "{");
-        follow(ensemble.settings(ROOT));
-        heard.next("session CONNECTED");
-        String line = heard.lines.poll(20, TimeUnit.SECONDS);
+        TestEnsemble.createServerNode(owner, ROOT + "/bad", "{");
+        startDiscovery(ensemble.settings(ROOT));
+        listener.next("session CONNECTED");
+        String line = listener.lines.poll(20, TimeUnit.SECONDS);
         assertTrue(line.startsWith("snapshot {bad=?not JSON: Unexpected end-of-input"), line);
         assertTrue(line.endsWith(", s1=1READY, s2=2DRAINING}"), line);
-        TestEnsemble.server(owner, ROOT + "/s3", server(3, ""));
-        heard.next("changed s3");
-        heard.next("read s3 3READY");
+        TestEnsemble.createServerNode(owner, ROOT + "/s3", server(3, ""));
+        listener.next("changed s3");
+        listener.next("read s3 3READY");
         owner.setData(ROOT + "/s3", server(3, ",\"state\":\"Terminating\"").getBytes(), -1);
-        heard.next("changed s3");
-        heard.next("read s3 3DRAINING");
+        listener.next("changed s3");
+        listener.next("read s3 3DRAINING");
         owner.delete(ROOT + "/s3", -1);
-        heard.next("deleted s3");
-        source.confirm(() -> heard.lines.add("confirmed"));
-        heard.next("confirmed");
+        listener.next("deleted s3");
+        source.confirm(() -> listener.lines.add("confirmed"));
+        listener.next("confirmed");
         ensemble.expire(owner.getSessionId());
-        List<String> gone = new ArrayList<>();
+        List<String> deleted = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            gone.add(heard.lines.poll(20, TimeUnit.SECONDS));
+            deleted.add(listener.lines.poll(20, TimeUnit.SECONDS));
         }
-        Collections.sort(gone);
-        assertEquals(List.of("deleted bad", "deleted s1", "deleted s2"), gone);
+        Collections.sort(deleted);
+        assertEquals(List.of("deleted bad", "deleted s1", "deleted s2"), deleted);
         owner.close();
     }
 
     @Test
     void changesMissedWhileDisconnectedAreReadAfterReconnect() throws Exception {
-        ensemble.persistent(ROOT);
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
+        ensemble.createPersistent(ROOT);
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(1, ""));
         try (Relay relay = new Relay(ensemble.address())) {
-            ZooKeeperSettings plain = ensemble.settings(ROOT);
-            follow(
+            ZooKeeperSettings defaults = ensemble.settings(ROOT);
+            startDiscovery(
                     new ZooKeeperSettings(
                             List.of(relay.address()),
                             "",
@@ -152,125 +152,128 @@
                             false,
                             null,
                             null,
-                            plain.maxResponseBytes()));
-            heard.until("snapshot {s1=1READY}");
-            long zxid = heard.lastZxid;
+                            defaults.maxResponseBytes()));
+            listener.until("snapshot {s1=1READY}");
+            long zxid = listener.lastZxid;
             relay.cut = true;
-            heard.next("session SUSPENDED");
+            listener.next("session SUSPENDED");
             ensemble.operator().delete(ROOT + "/s1", -1);
-            TestEnsemble.server(ensemble.operator(), ROOT + "/s2", server(2, ""));
+            TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s2", server(2, ""));
             relay.cut = false;
-            heard.until("session CONNECTED");
-            heard.next("snapshot {s2=2READY}");
-            assertTrue(heard.lastZxid > zxid);
+            listener.until("session CONNECTED");
+            listener.next("snapshot {s2=2READY}");
+            assertTrue(listener.lastZxid > zxid);
             ensemble.operator().delete(ROOT + "/s2", -1);
-            heard.next("deleted s2");
+            listener.next("deleted s2");
         }
     }
 
     @Test
-    void expiredSessionIsFollowedByAnother() throws Exception {
-        ensemble.persistent(ROOT);
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
-        follow(ensemble.settings(ROOT));
-        heard.until("snapshot {s1=1READY}");
+    void expiredSessionIsReplaced() throws Exception {
+        ensemble.createPersistent(ROOT);
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(1, ""));
+        startDiscovery(ensemble.settings(ROOT));
+        listener.until("snapshot {s1=1READY}");
         ensemble.expireAll();
-        heard.until("session EXPIRED");
-        heard.until("session CONNECTED");
-        heard.until("snapshot {s1=1READY}");
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s2", server(2, ""));
-        heard.next("changed s2");
-        heard.next("read s2 2READY");
+        listener.until("session EXPIRED");
+        listener.until("session CONNECTED");
+        listener.until("snapshot {s1=1READY}");
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s2", server(2, ""));
+        listener.next("changed s2");
+        listener.next("read s2 2READY");
     }
 
     @Test
-    void listIsStaleUntilTheRootIsMade() throws Exception {
-        follow(ensemble.settings(ROOT));
-        heard.next("session CONNECTED");
-        heard.next("stale ROOT_MISSING");
-        ensemble.persistent(ROOT);
-        heard.until("snapshot {}");
+    void listIsStaleUntilTheRootIsCreated() throws Exception {
+        startDiscovery(ensemble.settings(ROOT));
+        listener.next("session CONNECTED");
+        listener.next("stale ROOT_MISSING");
+        ensemble.createPersistent(ROOT);
+        listener.until("snapshot {}");
         ensemble.operator().delete(ROOT, -1);
-        heard.next("stale ROOT_MISSING");
+        listener.next("stale ROOT_MISSING");
     }
 
     @Test
-    void deniedAccessIsReportedAndADigestOpensTheRoot() throws Exception {
+    void deniedAccessIsReportedAndADigestGrantsAccess() throws Exception {
         ensemble.operator().addAuthInfo("digest", "reader:secret".getBytes());
-        ensemble.persistent(ROOT);
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
+        ensemble.createPersistent(ROOT);
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(1, ""));
         ensemble.operator().setACL(ROOT, Arrays.asList(new ACL(31, new Id("auth", ""))), -1);
-        follow(ensemble.settings(ROOT));
-        heard.next("session CONNECTED");
-        heard.next("stale ACCESS_DENIED");
+        startDiscovery(ensemble.settings(ROOT));
+        listener.next("session CONNECTED");
+        listener.next("stale ACCESS_DENIED");
         loop.execute(source::close);
-        ZooKeeperSettings open = ensemble.settings(ROOT);
-        follow(
+        ZooKeeperSettings defaults = ensemble.settings(ROOT);
+        startDiscovery(
                 new ZooKeeperSettings(
-                        open.servers(),
+                        defaults.servers(),
                         "",
                         ROOT,
                         false,
-                        open.sessionTimeoutMillis(),
+                        defaults.sessionTimeoutMillis(),
                         false,
                         "reader:secret",
                         null,
-                        open.maxResponseBytes()));
-        heard.until("snapshot {s1=1READY}");
+                        defaults.maxResponseBytes()));
+        listener.until("snapshot {s1=1READY}");
     }
 
-    /** Guards against a list that a wiped ensemble empties, and against one that stays for ever. */
+    /**
+     * Guards against an endpoint list that is emptied by an ensemble that lost its data, and
+     * against one that stays stale after an operator has accepted the new data.
+     */
     @Test
-    void restartedEnsembleIsWipedUntilAnOperatorAcceptsIt() throws Exception {
-        ensemble.persistent(ROOT);
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(1, ""));
-        follow(ensemble.settings(ROOT));
-        heard.until("snapshot {s1=1READY}");
+    void ensembleWithoutItsDataIsStaleUntilAnOperatorAcceptsIt() throws Exception {
+        ensemble.createPersistent(ROOT);
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(1, ""));
+        startDiscovery(ensemble.settings(ROOT));
+        listener.until("snapshot {s1=1READY}");
         ensemble.stop();
         ensemble.startWiped();
-        heard.until("session EXPIRED");
-        heard.until("stale ROOT_MISSING");
-        heard.staleness = StalenessCause.WIPED;
-        ensemble.persistent(ROOT);
-        heard.until("stale WIPED");
-        heard.until("snapshot {}");
+        listener.until("session EXPIRED");
+        listener.until("stale ROOT_MISSING");
+        listener.staleness = StalenessCause.WIPED;
+        ensemble.createPersistent(ROOT);
+        listener.until("stale WIPED");
+        listener.until("snapshot {}");
         ensemble.operator().setData(ROOT, "accept".getBytes(), -1);
-        heard.until("accept");
-        heard.until("snapshot {}");
+        listener.until("accept");
+        listener.until("snapshot {}");
     }
 
     @Test
     void shardsUnderAChrootAreRead() throws Exception {
-        ensemble.persistent("/site");
-        ensemble.persistent("/site" + ROOT);
-        ensemble.persistent("/site" + ROOT + "/x");
-        TestEnsemble.server(ensemble.operator(), "/site" + ROOT + "/x/s1", server(1, ""));
-        ZooKeeperSettings plain = ensemble.settings(ROOT);
-        follow(
+        ensemble.createPersistent("/site");
+        ensemble.createPersistent("/site" + ROOT);
+        ensemble.createPersistent("/site" + ROOT + "/x");
+        TestEnsemble.createServerNode(ensemble.operator(), "/site" + ROOT + "/x/s1", server(1, ""));
+        ZooKeeperSettings defaults = ensemble.settings(ROOT);
+        startDiscovery(
                 new ZooKeeperSettings(
-                        plain.servers(),
+                        defaults.servers(),
                         "/site",
                         ROOT,
                         true,
-                        plain.sessionTimeoutMillis(),
+                        defaults.sessionTimeoutMillis(),
                         false,
                         null,
                         null,
-                        plain.maxResponseBytes()));
-        heard.until("snapshot {x/s1=1READY}");
-        assertEquals("s1", heard.last.get("x/s1").data().uid());
-        ensemble.persistent("/site" + ROOT + "/y");
-        TestEnsemble.server(ensemble.operator(), "/site" + ROOT + "/y/s2", server(2, ""));
-        heard.next("changed y/s2");
-        heard.next("read y/s2 2READY");
+                        defaults.maxResponseBytes()));
+        listener.until("snapshot {x/s1=1READY}");
+        assertEquals("s1", listener.last.get("x/s1").data().uid());
+        ensemble.createPersistent("/site" + ROOT + "/y");
+        TestEnsemble.createServerNode(ensemble.operator(), "/site" + ROOT + "/y/s2", server(2, ""));
+        listener.next("changed y/s2");
+        listener.next("read y/s2 2READY");
         ensemble.operator().delete("/site" + ROOT + "/y/s2", -1);
-        heard.next("deleted y/s2");
+        listener.next("deleted y/s2");
     }
 
     @Test
     void tenThousandNamesAreReadAndATooLargeListingIsStale() throws Exception {
-        ensemble.persistent(ROOT);
-        CountDownLatch made = new CountDownLatch(10_000);
+        ensemble.createPersistent(ROOT);
+        CountDownLatch created = new CountDownLatch(10_000);
         for (int i = 0; i < 10_000; i++) {
             ensemble.operator()
                     .create(
@@ -278,83 +281,83 @@
                             server(1 + i, "").getBytes(),
                             TestEnsemble.OPEN,
                             CreateMode.EPHEMERAL,
-                            (code, path, any, name) -> made.countDown(),
+                            (code, path, any, name) -> created.countDown(),
                             null);
         }
-        made.await();
-        follow(ensemble.settings(ROOT));
-        heard.until("snapshot 10000");
-        assertNull(heard.last.get("order-server-with-a-long-name-7").problem());
+        created.await();
+        startDiscovery(ensemble.settings(ROOT));
+        listener.until("snapshot 10000");
+        assertNull(listener.last.get("order-server-with-a-long-name-7").problem());
         loop.execute(source::close);
-        ZooKeeperSettings plain = ensemble.settings(ROOT);
-        follow(
+        ZooKeeperSettings defaults = ensemble.settings(ROOT);
+        startDiscovery(
                 new ZooKeeperSettings(
-                        plain.servers(),
+                        defaults.servers(),
                         "",
                         ROOT,
                         false,
-                        plain.sessionTimeoutMillis(),
+                        defaults.sessionTimeoutMillis(),
                         false,
                         null,
                         null,
                         200_000));
-        heard.until("stale TOO_LARGE");
-        assertNull(heard.lines.poll(3, TimeUnit.SECONDS), "no endless reconnects");
+        listener.until("stale TOO_LARGE");
+        assertNull(listener.lines.poll(3, TimeUnit.SECONDS), "the client keeps reconnecting");
     }
 
     @Test
     void ensembleThatComesUpLaterIsRead() throws Exception {
-        ensemble.persistent(ROOT);
+        ensemble.createPersistent(ROOT);
         ensemble.stop();
-        follow(ensemble.settings(ROOT));
-        assertNull(heard.lines.poll(2, TimeUnit.SECONDS));
+        startDiscovery(ensemble.settings(ROOT));
+        assertNull(listener.lines.poll(2, TimeUnit.SECONDS));
         ensemble.start();
-        heard.until("session CONNECTED");
-        heard.until("snapshot {}");
+        listener.until("session CONNECTED");
+        listener.until("snapshot {}");
     }
 
     /**
-     * Guards against a loop that waits for the client, and against a queue that grows with the
-     * wait.
+     * Guards against an event loop that blocks on the ZooKeeper client, and against a queue of
+     * changes that grows while the loop is stalled.
      */
     @Test
     void stalledLoopReceivesTheLastChangeOfEachNode() throws Exception {
-        ensemble.persistent(ROOT);
-        follow(ensemble.settings(ROOT));
-        heard.until("snapshot {}");
-        CountDownLatch still = new CountDownLatch(1);
-        CountDownLatch stands = new CountDownLatch(1);
+        ensemble.createPersistent(ROOT);
+        startDiscovery(ensemble.settings(ROOT));
+        listener.until("snapshot {}");
+        CountDownLatch release = new CountDownLatch(1);
+        CountDownLatch stalled = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    stands.countDown();
+                    stalled.countDown();
                     try {
-                        still.await();
+                        release.await();
                     } catch (InterruptedException e) {
                         throw new IllegalStateException(e);
                     }
                 });
-        stands.await();
+        stalled.await();
         for (int i = 1; i <= 50; i++) {
-            TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(i, ""));
+            TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(i, ""));
             ensemble.operator().delete(ROOT + "/s1", -1);
         }
-        TestEnsemble.server(ensemble.operator(), ROOT + "/s1", server(99, ""));
+        TestEnsemble.createServerNode(ensemble.operator(), ROOT + "/s1", server(99, ""));
         Thread.sleep(300);
         loop.execute(source::deliverPending);
-        still.countDown();
-        heard.next("deleted s1");
-        heard.next("changed s1");
-        heard.next("read s1 99READY");
-        assertNull(heard.lines.poll(200, TimeUnit.MILLISECONDS));
+        release.countDown();
+        listener.next("deleted s1");
+        listener.next("changed s1");
+        listener.next("read s1 99READY");
+        assertNull(listener.lines.poll(200, TimeUnit.MILLISECONDS));
     }
 
-    /** Guards against a server whose pings are taken for an answer. */
+    /** Guards against a server that responds only to pings and is considered responsive. */
     @Test
-    void unresponsiveServerIsGivenUp() throws Exception {
-        ensemble.persistent(ROOT);
+    void connectionToAnUnresponsiveServerIsClosed() throws Exception {
+        ensemble.createPersistent(ROOT);
         try (Relay relay = new Relay(ensemble.address())) {
-            ZooKeeperSettings plain = ensemble.settings(ROOT);
-            follow(
+            ZooKeeperSettings defaults = ensemble.settings(ROOT);
+            startDiscovery(
                     new ZooKeeperSettings(
                             List.of(relay.address()),
                             "",
@@ -364,20 +367,20 @@
                             false,
                             null,
                             null,
-                            plain.maxResponseBytes()));
-            heard.until("snapshot {}");
+                            defaults.maxResponseBytes()));
+            listener.until("snapshot {}");
             relay.onlyPings = true;
-            heard.until("session SUSPENDED");
+            listener.until("session SUSPENDED");
             assertTrue(
                     log.stream().anyMatch(line -> line.contains("answers nothing")),
                     log.toString());
             relay.onlyPings = false;
-            heard.until("session CONNECTED");
-            heard.until("snapshot {}");
+            listener.until("session CONNECTED");
+            listener.until("snapshot {}");
         }
     }
 
-    /** Passes bytes on, and on wish only answers that are as long as one to a ping. */
+    /** A TCP relay that can be made to drop connections, or to forward only ping responses. */
     private static final class Relay implements AutoCloseable {
         private static final int PING_BYTES = 16;
         private final ServerSocket listener =
@@ -396,12 +399,12 @@
                             }
                             Socket there = new Socket(to.getAddress(), to.getPort());
                             daemon(() -> from.getInputStream().transferTo(there.getOutputStream()));
-                            daemon(() -> answers(there, from));
+                            daemon(() -> forwardResponses(there, from));
                         }
                     });
         }
 
-        private void answers(Socket there, Socket from) throws IOException {
+        private void forwardResponses(Socket there, Socket from) throws IOException {
             DataInputStream in = new DataInputStream(there.getInputStream());
             DataOutputStream out = new DataOutputStream(from.getOutputStream());
             there.setSoTimeout(20);
@@ -422,14 +425,14 @@
             }
         }
 
-        /** A frame's length; 0 once it is cut. */
+        /** Reads a frame's length; 0 once the connection is cut. */
         private int next(DataInputStream in) throws IOException {
             while (!cut) {
                 try {
                     return in.readInt();
                 } catch (SocketTimeoutException e) {
-                    // Danger: a length that comes in parts would be lost, which loopback does not
-                    // do.
+                    // A length that arrives in parts would be lost here; loopback connections don't
+                    // split it.
                     continue;
                 }
             }
@@ -440,18 +443,18 @@
             return (InetSocketAddress) listener.getLocalSocketAddress();
         }
 
-        private interface Work {
+        private interface Task {
             void run() throws IOException;
         }
 
-        private static void daemon(Work work) {
+        private static void daemon(Task task) {
             Thread thread =
                     new Thread(
                             () -> {
                                 try {
-                                    work.run();
+                                    task.run();
                                 } catch (IOException e) {
-                                    // The connection is over.
+                                    // The connection was closed.
                                 }
                             });
             thread.setDaemon(true);
