--- a/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/NodeDiscoveryAdapterTest.java
@@ -26,10 +26,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Nodes and the registry as one source, on an event loop whose time stands still until it is moved.
+ * Discovery from ephemeral nodes and the registry combined, on an event loop whose clock only the
+ * test advances.
  */
 class NodeDiscoveryAdapterTest {
-    private static final long ASK_WITHIN = TimeUnit.SECONDS.toNanos(10);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final SidecarEventLoop loop =
@@ -37,30 +38,30 @@
                     channel.eventLoop(),
                     () -> 1_700_000_000_000L,
                     new SystemLog(() -> 0, System.Logger.Level.DEBUG));
-    private final List<UpdateKind> kinds = new ArrayList<>();
-    private final List<DiscoveredEndpoint> members = new ArrayList<>();
+    private final List<UpdateKind> updateKinds = new ArrayList<>();
+    private final List<DiscoveredEndpoint> endpoints = new ArrayList<>();
     private final Registry registry = new Registry();
     private final Client client = new Client();
-    private NodeDiscoveryAdapter lists;
+    private NodeDiscoveryAdapter adapter;
 
     private static final class Registry implements EndpointDiscovery {
-        private DiscoveryListener sink;
-        private int asked;
+        private DiscoveryListener listener;
+        private int polls;
         private boolean closed;
 
         @Override
         public List<DiscoveredEndpoint> start() {
-            return List.of(member("known", 1));
+            return List.of(endpoint("known", 1));
         }
 
         @Override
         public void subscribe(boolean on) {
-            asked++;
+            polls++;
         }
 
         @Override
         public void fetchEndpoints() {
-            asked++;
+            polls++;
         }
 
         @Override
@@ -79,8 +80,8 @@
         private NodeDiscovery membership;
         private boolean started;
         private boolean closed;
-        private Runnable waiting = () -> {};
-        private Runnable heard = () -> {};
+        private Runnable pendingUpdates = () -> {};
+        private Runnable confirmation = () -> {};
 
         @Override
         public void start() {
@@ -89,12 +90,12 @@
 
         @Override
         public void catchUp() {
-            waiting.run();
+            pendingUpdates.run();
         }
 
         @Override
         public void confirm(Runnable then) {
-            heard = then;
+            confirmation = then;
         }
 
         @Override
@@ -103,7 +104,7 @@
         }
     }
 
-    private static DiscoveredEndpoint member(String id, int port) {
+    private static DiscoveredEndpoint endpoint(String id, int port) {
         return new DiscoveredEndpoint(
                 id,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -116,101 +117,117 @@
     }
 
     private static NodeRead node(int port) {
-        DiscoveredEndpoint as = member("", port);
+        DiscoveredEndpoint endpoint = endpoint("", port);
         return new NodeRead(
-                new NodeData(as.address(), 0, 0, 0, HostState.READY, 1, 5, null), null, 5, 1, 1);
+                new NodeData(endpoint.address(), 0, 0, 0, HostState.READY, 1, 5, null),
+                null,
+                5,
+                1,
+                1);
     }
 
-    private void begin(SourceSelection merge) {
+    private void start(SourceSelection sources) {
         channel.freezeTime();
-        lists =
+        adapter =
                 new NodeDiscoveryAdapter(
                         loop,
-                        merge,
+                        sources,
                         NodeDiscovery.Settings.DEFAULTS,
-                        ASK_WITHIN,
+                        POLL_INTERVAL_NANOS,
                         7,
-                        (kind, told) -> {
-                            kinds.add(kind);
-                            members.addAll(told);
+                        (kind, discovered) -> {
+                            updateKinds.add(kind);
+                            endpoints.addAll(discovered);
                         },
-                        sink -> {
-                            registry.sink = sink;
+                        listener -> {
+                            registry.listener = listener;
                             return registry;
                         },
                         membership -> {
                             client.membership = membership;
                             return client;
                         });
-        assertEquals(List.of(member("known", 1)), lists.start());
-        assertTrue(kinds.isEmpty(), "told by what begin returns");
+        assertEquals(List.of(endpoint("known", 1)), adapter.start());
+        assertTrue(
+                updateKinds.isEmpty(),
+                "the initial list is returned, not delivered to the listener");
         assertTrue(client.started);
-        lists.subscribe(true);
+        adapter.subscribe(true);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         for (long i = 0; i < millis; i += 100) {
             channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
         }
     }
 
-    private void connected(int port) {
+    private void connect(int port) {
         client.membership.onSessionState(loop.nanoTime(), SessionState.CONNECTED);
         client.membership.onSnapshot(loop.nanoTime(), loop.nanoTime(), 1, Map.of("n", node(port)));
     }
 
     @Test
     void withNodesAloneTheRegistryIsNotPolled() {
-        begin(SourceSelection.NODES);
-        assertEquals(0, registry.asked);
-        connected(2);
-        assertEquals(List.of(UpdateKind.SNAPSHOT), kinds);
-        assertEquals(List.of("n"), members.stream().map(DiscoveredEndpoint::id).toList());
-        lists.close();
+        start(SourceSelection.NODES);
+        assertEquals(0, registry.polls);
+        connect(2);
+        assertEquals(List.of(UpdateKind.SNAPSHOT), updateKinds);
+        assertEquals(List.of("n"), endpoints.stream().map(DiscoveredEndpoint::id).toList());
+        adapter.close();
         assertTrue(client.closed && registry.closed);
-        pass(1000);
+        advance(1000);
         assertEquals(0, channel.runScheduledPendingTasks() + 1, "no timer is left");
     }
 
-    /** Guards against a registry that is not polled again because the nodes bring updates. */
+    /**
+     * Guards against a failed registry that is not polled again because updates from the nodes look
+     * like a success.
+     */
     @Test
-    void failedRegistryIsPolledAgainWhateverTheNodesReport() {
-        begin(SourceSelection.BOTH);
-        assertEquals(1, registry.asked);
-        connected(2);
-        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
-        assertFalse(kinds.contains(UpdateKind.FAILURE), "the module would count on its own asking");
-        pass(400);
-        assertEquals(2, registry.asked);
-        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
-        pass(600);
-        assertEquals(3, registry.asked);
-        registry.sink.onUpdate(UpdateKind.FAILURE, List.of());
-        registry.sink.onUpdate(UpdateKind.DELTA, List.of());
-        pass(30_000);
-        assertEquals(3, registry.asked);
+    void failedRegistryIsPolledAgainDespiteNodeUpdates() {
+        start(SourceSelection.BOTH);
+        assertEquals(1, registry.polls);
+        connect(2);
+        registry.listener.onUpdate(UpdateKind.FAILURE, List.of());
+        assertFalse(
+                updateKinds.contains(UpdateKind.FAILURE),
+                "the load-balancing policy would start its own polling");
+        advance(400);
+        assertEquals(2, registry.polls);
+        registry.listener.onUpdate(UpdateKind.FAILURE, List.of());
+        advance(600);
+        assertEquals(3, registry.polls);
+        registry.listener.onUpdate(UpdateKind.FAILURE, List.of());
+        registry.listener.onUpdate(UpdateKind.DELTA, List.of());
+        advance(30_000);
+        assertEquals(3, registry.polls);
     }
 
     /**
-     * Guards against requests that go by the registry's news while the nodes' have not come yet.
+     * After a stall the nodes may have changes that have not been read. Guards against requests
+     * that are routed by the registry's updates before the ZooKeeper client has confirmed the
+     * nodes'.
      */
     @Test
-    void afterAStallItIsCaughtUpWhenTheClientHasConfirmed() {
-        begin(SourceSelection.BOTH);
-        connected(2);
-        client.waiting =
+    void afterAStallItIsCaughtUpOnceTheClientHasConfirmed() {
+        start(SourceSelection.BOTH);
+        connect(2);
+        client.pendingUpdates =
                 () -> client.membership.onNodeDeleted(loop.nanoTime(), loop.nanoTime(), 2, "n");
-        pass(1000);
-        lists.readPendingUpdates();
-        assertEquals(HostState.DRAINING, members.get(members.size() - 1).state(), "told at once");
-        assertFalse(lists.isCaughtUp());
-        Runnable first = client.heard;
-        lists.readPendingUpdates();
+        advance(1000);
+        adapter.readPendingUpdates();
+        assertEquals(
+                HostState.DRAINING,
+                endpoints.get(endpoints.size() - 1).state(),
+                "delivered at once");
+        assertFalse(adapter.isCaughtUp());
+        Runnable first = client.confirmation;
+        adapter.readPendingUpdates();
         first.run();
-        assertFalse(lists.isCaughtUp(), "the answer to an earlier question");
-        client.heard.run();
-        assertTrue(lists.isCaughtUp());
-        assertEquals(UpdateKind.DELTA, kinds.get(kinds.size() - 1));
+        assertFalse(adapter.isCaughtUp(), "this confirms an earlier request");
+        client.confirmation.run();
+        assertTrue(adapter.isCaughtUp());
+        assertEquals(UpdateKind.DELTA, updateKinds.get(updateKinds.size() - 1));
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -37,71 +37,72 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Upstreams that end requests in every way that a socket knows, and clients that leave at any time:
- * what comes to the upstreams and to the clients is held against the rules, and at the end nothing
- * may be left open.
+ * Upstreams end attempts in every way that a socket allows, and clients disconnect at any time. The
+ * test checks that non-idempotent requests run once, that responses are correct, and that nothing
+ * is left in flight at the end.
  */
 @Timeout(120)
 class RandomEndingsTest {
-    private static final int SERVERS = 6;
+    private static final int UPSTREAMS = 6;
     private static final int CLIENTS = 6;
     private static final int REQUESTS = 40;
     private static final String[] CLASSES = {"read", "write", "hold", "pay", "pay"};
 
-    /** How an upstream ends a request. */
+    /** How an upstream ends an attempt; the order is part of the random sequence. */
     private enum Ending {
         GOOD,
-        GOOD_BUT_LAST,
-        GOOD_THEN_END,
-        COPY_BEHIND,
-        NOISE_BEHIND,
-        INTERIM,
+        GOOD_WITH_CONNECTION_CLOSE,
+        GOOD_THEN_CLOSE,
+        DUPLICATE_RESPONSE,
+        GARBAGE_AFTER_RESPONSE,
+        INTERIM_RESPONSE,
         ERROR,
-        TURNED_AWAY,
-        SAYS_NOT_ZERO,
-        NOISE,
+        REJECTED_NOT_RUN,
+        REJECTED_MAY_HAVE_RUN,
+        GARBAGE,
         RESET,
-        END,
-        HALF_A_HEAD,
-        HALF_A_BODY,
+        CLOSE,
+        PARTIAL_HEAD,
+        PARTIAL_BODY,
         PAUSE,
-        SILENCE,
-        NO_LENGTH_AND_RESET,
-        HALF_A_REFUSAL
+        NO_RESPONSE,
+        UNDELIMITED_THEN_RESET,
+        PARTIAL_REJECTION
     }
 
-    /** A request as it came whole to an upstream. */
-    private static final class Came {
+    /** A complete request received by an upstream. */
+    private static final class ReceivedRequest {
         final int server;
-        volatile boolean neverRan;
+        volatile boolean notRun;
 
-        Came(int server) {
+        ReceivedRequest(int server) {
             this.server = server;
         }
     }
 
-    private final Map<String, Queue<Came>> came = new ConcurrentHashMap<>();
-    private final Queue<String> broken = new ConcurrentLinkedQueue<>();
+    private final Map<String, Queue<ReceivedRequest>> received = new ConcurrentHashMap<>();
+    private final Queue<String> violations = new ConcurrentLinkedQueue<>();
     private final AtomicInteger served = new AtomicInteger();
-    private volatile boolean calm;
+    private volatile boolean endingsAreGood;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private Sidecar node;
+    private Sidecar sidecar;
     private InetSocketAddress address;
 
     @AfterEach
     void end() throws Exception {
-        loop.submit(() -> node.close()).get();
+        loop.submit(() -> sidecar.close()).get();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void begin(boolean sparse, StubUpstream discovery, String... targets) throws Exception {
+    private void start(boolean restricted, StubUpstream discovery, String... targets)
+            throws Exception {
         String json =
                 LoopbackSidecar.json(
                         LoopbackSidecar.SettingValues.DEFAULT, discovery.address(), targets);
-        if (sparse) {
+        if (restricted) {
             json =
                     json.replace("\"mayCancel\":true", "\"mayCancel\":false")
                             .replace("\"tryLimit\":6", "\"tryLimit\":2")
@@ -118,7 +119,7 @@
                         loop,
                         SystemTime.UNIX_MILLIS,
                         new SystemLog(loop.ticker()::nanoTime, System.Logger.Level.WARNING));
-        node =
+        sidecar =
                 loop.submit(
                                 () ->
                                         new Sidecar(
@@ -128,74 +129,77 @@
                                                 RuntimeOptions.DEFAULTS,
                                                 SymmetricRoundRobinPolicy::new))
                         .get();
-        address = (InetSocketAddress) node.listening().sync().channel().localAddress();
+        address = (InetSocketAddress) sidecar.listening().sync().channel().localAddress();
     }
 
-    private InFlightCounts books() throws Exception {
-        return loop.submit(() -> node.inFlightCounts()).get();
+    private InFlightCounts inFlightCounts() throws Exception {
+        return loop.submit(() -> sidecar.inFlightCounts()).get();
     }
 
     private boolean serve(int server, Socket socket, String request, Random random)
             throws IOException, InterruptedException {
         String id = StubUpstream.header(request, "x-request-id");
-        String kind = StubUpstream.header(request, "x-class");
-        Came mine = new Came(server);
-        Queue<Came> all = came.computeIfAbsent(id, any -> new ConcurrentLinkedQueue<>());
-        for (Came earlier : all) {
+        String requestClass = StubUpstream.header(request, "x-class");
+        ReceivedRequest current = new ReceivedRequest(server);
+        Queue<ReceivedRequest> all =
+                received.computeIfAbsent(id, any -> new ConcurrentLinkedQueue<>());
+        for (ReceivedRequest earlier : all) {
             boolean allowed =
-                    switch (kind) {
+                    switch (requestClass) {
                         case "pay" -> false;
                         case "hold" -> earlier.server % 2 == server % 2;
                         default -> true;
                     };
-            if (!earlier.neverRan && !allowed) {
-                broken.add("sent again: " + kind + " " + id);
+            if (!earlier.notRun && !allowed) {
+                violations.add("executed twice: " + requestClass + " " + id);
             }
         }
         Ending ending;
         int millis;
         synchronized (random) {
             ending =
-                    calm || random.nextInt(3) == 0
+                    endingsAreGood || random.nextInt(3) == 0
                             ? Ending.GOOD
                             : Ending.values()[random.nextInt(Ending.values().length)];
             millis = random.nextInt(20);
         }
-        // Ahead of the response that says so, and of the retry that it allows.
-        mine.neverRan = ending == Ending.TURNED_AWAY;
-        all.add(mine);
+        // Set before the response is sent, because the retry that it allows may arrive at once.
+        current.notRun = ending == Ending.REJECTED_NOT_RUN;
+        all.add(current);
         Thread.sleep(millis);
-        return say(ending, socket, StubUpstream.response("200 OK", id), id);
+        return respond(ending, socket, StubUpstream.response("200 OK", id), id);
     }
 
-    private static boolean say(Ending ending, Socket socket, String good, String id)
+    private static boolean respond(Ending ending, Socket socket, String good, String id)
             throws IOException, InterruptedException {
-        String word =
+        String text =
                 switch (ending) {
-                    case GOOD, GOOD_THEN_END -> good;
-                    case GOOD_BUT_LAST -> StubUpstream.response("200 OK", id, "Connection: close");
-                    case COPY_BEHIND -> good + good;
-                    case NOISE_BEHIND -> good + "\u0000noise";
-                    case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
+                    case GOOD, GOOD_THEN_CLOSE -> good;
+                    case GOOD_WITH_CONNECTION_CLOSE ->
+                            StubUpstream.response("200 OK", id, "Connection: close");
+                    case DUPLICATE_RESPONSE -> good + good;
+                    case GARBAGE_AFTER_RESPONSE -> good + "\u0000noise";
+                    case INTERIM_RESPONSE ->
+                            "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
                     case ERROR ->
                             StubUpstream.response("500 Internal Server Error", "", "X-Not-Run: 1");
-                    case TURNED_AWAY ->
+                    case REJECTED_NOT_RUN ->
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 1");
-                    case SAYS_NOT_ZERO ->
+                    case REJECTED_MAY_HAVE_RUN ->
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 0");
-                    case NOISE -> "\u0000\u0001 noise\r\n\r\n";
-                    case HALF_A_HEAD -> good.substring(0, 12);
-                    case HALF_A_BODY, PAUSE -> good.substring(0, good.length() - 1);
-                    case NO_LENGTH_AND_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
-                    case HALF_A_REFUSAL ->
+                    case GARBAGE -> "\u0000\u0001 noise\r\n\r\n";
+                    case PARTIAL_HEAD -> good.substring(0, 12);
+                    case PARTIAL_BODY, PAUSE -> good.substring(0, good.length() - 1);
+                    case UNDELIMITED_THEN_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
+                    case PARTIAL_REJECTION ->
                             "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n"
                                     + "Content-Length: 4\r\n\r\nno";
-                    case RESET, END, SILENCE -> "";
+                    case RESET, CLOSE, NO_RESPONSE -> "";
                 };
-        StubUpstream.write(socket, word);
+        StubUpstream.write(socket, text);
         return switch (ending) {
-            case GOOD_BUT_LAST, GOOD_THEN_END, END, HALF_A_BODY -> false;
-            case RESET, HALF_A_HEAD, NO_LENGTH_AND_RESET, HALF_A_REFUSAL ->
+            case GOOD_WITH_CONNECTION_CLOSE, GOOD_THEN_CLOSE, CLOSE, PARTIAL_BODY -> false;
+            case RESET, PARTIAL_HEAD, UNDELIMITED_THEN_RESET, PARTIAL_REJECTION ->
                     StubUpstream.reset(socket);
             case PAUSE -> {
                 Thread.sleep(400);
@@ -206,12 +210,12 @@
         };
     }
 
-    private void ask(Random random) {
+    private void runClient(Random random) {
         try {
             TestClient client = new TestClient(address);
             for (int i = 0; i < REQUESTS; i++) {
-                String kind = CLASSES[random.nextInt(CLASSES.length)];
-                String text = TestClient.request(kind, "0." + (1 + random.nextInt(9)));
+                String requestClass = CLASSES[random.nextInt(CLASSES.length)];
+                String text = TestClient.request(requestClass, "0." + (1 + random.nextInt(9)));
                 client.send(text);
                 if (random.nextInt(6) == 0) {
                     Thread.sleep(random.nextInt(60));
@@ -222,48 +226,50 @@
                     client = new TestClient(address);
                     continue;
                 }
-                judge(kind, StubUpstream.header(text, "x-request-id"), client.read());
+                checkResponse(
+                        requestClass, StubUpstream.header(text, "x-request-id"), client.read());
             }
             client.close();
         } catch (IOException e) {
-            broken.add("a client's connection broke: " + e);
+            violations.add("a client connection failed: " + e);
         } catch (Exception e) {
-            broken.add(e.toString());
+            violations.add(e.toString());
         }
     }
 
-    private void judge(String kind, String id, String answer) {
-        if (answer == null) {
-            broken.add("no answer: " + kind + " " + id);
+    private void checkResponse(String requestClass, String id, String response) {
+        if (response == null) {
+            violations.add("no response: " + requestClass + " " + id);
             return;
         }
-        int status = TestClient.status(answer);
+        int status = TestClient.status(response);
         boolean ran =
-                came.getOrDefault(id, new ConcurrentLinkedQueue<>()).stream()
-                        .anyMatch(each -> !each.neverRan);
-        if (status == 200 && !TestClient.body(answer).equals(id)) {
-            broken.add("another's answer: " + kind + " " + id + ": " + answer);
+                received.getOrDefault(id, new ConcurrentLinkedQueue<>()).stream()
+                        .anyMatch(each -> !each.notRun);
+        if (status == 200 && !TestClient.body(response).equals(id)) {
+            violations.add(
+                    "response to another request: " + requestClass + " " + id + ": " + response);
         }
         if ((status == 429 || status == 503)
                 && ran
-                && (kind.equals("pay") || kind.equals("hold"))) {
-            broken.add("refused though it may have run: " + kind + " " + id);
+                && (requestClass.equals("pay") || requestClass.equals("hold"))) {
+            violations.add("rejected although it may have run: " + requestClass + " " + id);
         }
         served.addAndGet(status == 200 ? 1 : 0);
     }
 
     /**
-     * Guards against an effect twice, an answer that is another's, and what is open or out for
-     * good. Even seeds have another customer's settings: two tries, no cancelling, short deadlines
-     * and windows.
+     * Guards against requests that run twice, responses to another request, and requests or
+     * attempts that stay in flight forever. Even seeds use more restricted settings: two attempts,
+     * no cancellation, short deadlines and short idempotency key lifetimes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void rulesHoldAndNothingIsLeftOpen(long seed) throws Exception {
+    void noRequestRunsTwiceAndNothingIsLeftOpen(long seed) throws Exception {
         Random random = new Random(seed);
         List<StubUpstream> servers = new ArrayList<>();
-        String[] targets = new String[SERVERS];
-        for (int i = 0; i < SERVERS; i++) {
+        String[] targets = new String[UPSTREAMS];
+        for (int i = 0; i < UPSTREAMS; i++) {
             int server = i;
             servers.add(
                     new StubUpstream((socket, request) -> serve(server, socket, request, random)));
@@ -273,33 +279,33 @@
         }
         ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT)) {
-            begin(seed % 2 == 0, discovery, targets);
+            start(seed % 2 == 0, discovery, targets);
             List<Future<?>> all = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 Random own = new Random(seed * 100 + i);
-                all.add(threads.submit(() -> ask(own)));
+                all.add(threads.submit(() -> runClient(own)));
             }
             for (Future<?> each : all) {
                 each.get(2 * LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
-            assertEquals(List.of(), List.copyOf(broken));
-            assertTrue(served.get() > 0, "most of this is trouble, and some is served");
-            calm = true;
+            assertEquals(List.of(), List.copyOf(violations));
+            assertTrue(served.get() > 0, "some requests are served");
+            endingsAreGood = true;
             long until =
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
-            while (!books().equals(new InFlightCounts(0, 0, 0, 0))) {
-                assertTrue(System.nanoTime() < until, "left open: " + books());
+            while (!inFlightCounts().equals(new InFlightCounts(0, 0, 0, 0))) {
+                assertTrue(System.nanoTime() < until, "still in flight: " + inFlightCounts());
                 Thread.sleep(5);
             }
-            // A place that was never given back would shut its server's room for good.
-            came.clear();
-            while (came.values().stream()
+            // A concurrency slot that is never released would exclude its upstream forever.
+            received.clear();
+            while (received.values().stream()
                             .flatMap(Queue::stream)
                             .map(c -> c.server)
                             .distinct()
                             .count()
-                    < SERVERS) {
-                assertTrue(System.nanoTime() < until, "some server is not asked any more");
+                    < UPSTREAMS) {
+                assertTrue(System.nanoTime() < until, "some upstream gets no requests anymore");
                 try (TestClient client = new TestClient(address)) {
                     client.exchange(TestClient.request("read", "2.0"));
                 }
--- a/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -16,54 +16,55 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list and what becomes of it, over loopback sockets. */
+/** Discovery of upstream hosts from the registry, over loopback sockets. */
 @Timeout(60)
 class RegistryDiscoveryTest {
     private static final StubUpstream.Script GOOD =
             StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
-    /** Watches that have their time also where the machine is slow. */
+    /** Watches long enough not to expire on a slow machine. */
     private static final SettingValues LONG_WATCHES =
             new SettingValues(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
 
-    private static void assertServed(LoopbackSidecar host, StubUpstream by, StubUpstream notBy)
+    private static void assertServed(LoopbackSidecar sidecar, StubUpstream by, StubUpstream notBy)
             throws Exception {
         int before = notBy.requests.size();
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
+            assertEquals(
+                    200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
         }
         assertTrue(by.requests.size() >= 6);
         assertEquals(before, notBy.requests.size());
     }
 
-    /** Guards against connections kept to an upstream that gets nothing any more. */
+    /** Guards against idle connections kept open to an upstream host that was removed. */
     @Test
     void idleConnectionsAreClosedWhenTheirHostIsRemoved() throws Exception {
         StubUpstream.Script slow =
                 (socket, request) -> {
-                    // Long enough that the module does not take the connection for one that is
-                    // hardly used.
+                    // Long enough that the connection doesn't count as rarely used and is kept.
                     Thread.sleep(300);
                     return GOOD.serve(socket, request);
                 };
-        // Upstreams that keep idle connections far longer than any wait of this test.
+        // The upstream's idle time-out is far longer than any wait in this test.
         SettingValues patient =
                 new SettingValues(TimeUnit.SECONDS.toNanos(600), 1000, TimeUnit.SECONDS.toNanos(1));
         try (StubUpstream one = new StubUpstream(slow);
-                LoopbackSidecar host = new LoopbackSidecar(patient, LoopbackSidecar.targets(one))) {
-            watchSince(host, 1);
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(patient, LoopbackSidecar.targets(one))) {
+            watchSince(sidecar, 1);
             for (int i = 0; i < 4; i++) {
                 assertEquals(
-                        200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
+                        200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
             }
             one.closed.clear();
-            host.queueList(LoopbackSidecar.list(2, true));
+            sidecar.queueList(LoopbackSidecar.list(2, true));
             one.awaitClosed();
         }
     }
 
-    private static String watchSince(LoopbackSidecar host, long revision) throws Exception {
-        String call = host.discovery.nextRequest();
+    private static String watchSince(LoopbackSidecar sidecar, long revision) throws Exception {
+        String call = sidecar.discovery.nextRequest();
         assertTrue(
                 call.startsWith("GET /registry/instances?since=" + revision + "&timeout_ms="),
                 call);
@@ -74,19 +75,19 @@
     void deltasApplyToTheCachedListAndADrainingHostGetsNoNewRequests() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
-            watchSince(host, 1);
-            host.queueList(
+            watchSince(sidecar, 1);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
-            host.queueList(
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             3, false, LoopbackSidecar.target("u0", one.address(), "Gone")));
-            watchSince(host, 3);
-            assertServed(host, two, one);
+            watchSince(sidecar, 3);
+            assertServed(sidecar, two, one);
         }
     }
 
@@ -94,14 +95,14 @@
     void hostMissingFromASnapshotIsRemoved() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
-            watchSince(host, 1);
-            host.queueList(
+            watchSince(sidecar, 1);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             7, true, LoopbackSidecar.target("u1", two.address(), "Ready")));
-            watchSince(host, 7);
-            assertServed(host, two, one);
+            watchSince(sidecar, 7);
+            assertServed(sidecar, two, one);
         }
     }
 
@@ -109,19 +110,20 @@
     void hostMayMoveToAnotherAddress() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
-            assertEquals(200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
-            watchSince(host, 1);
-            host.queueList(
+            assertEquals(
+                    200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
+            watchSince(sidecar, 1);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             2, false, LoopbackSidecar.target("u0", two.address(), "Ready")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
         }
     }
 
-    /** Guards against a list lost with the call that failed: the last one stays in force. */
+    /** Guards against a failed call that discards the last endpoint list. */
     @Test
     void afterAFailureTheListStaysAndDiscoveryIsPolledAgain() throws Exception {
         String[] failures = {
@@ -141,19 +143,19 @@
         };
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host = new LoopbackSidecar(one)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(one)) {
             for (String failure : failures) {
-                watchSince(host, 1);
-                host.discoveryResponses.add(failure);
+                watchSince(sidecar, 1);
+                sidecar.discoveryResponses.add(failure);
             }
-            watchSince(host, 1);
-            assertServed(host, one, two);
+            watchSince(sidecar, 1);
+            assertServed(sidecar, one, two);
         }
     }
 
     /**
-     * Guards against a list of another discovery's taken for changes, and a move taken for a
-     * failure.
+     * Guards against a snapshot of the new registry that is treated as a delta of the old one, and
+     * against a switch that is treated as a failure.
      */
     @Test
     void switchedDiscoveryIsFollowedFromItsSnapshotOn() throws Exception {
@@ -174,27 +176,28 @@
                                                                         two.address(),
                                                                         "Ready")))),
                                         StubUpstream.SILENT));
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
-            watchSince(host, 1);
-            host.queueList(LoopbackSidecar.list(7, true, LoopbackSidecar.targets(one)));
-            watchSince(host, 7);
-            host.runner.follow(SidecarConfig.literalAddress(other.address()));
+            watchSince(sidecar, 1);
+            sidecar.queueList(LoopbackSidecar.list(7, true, LoopbackSidecar.targets(one)));
+            watchSince(sidecar, 7);
+            sidecar.runner.follow(SidecarConfig.literalAddress(other.address()));
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances HTTP"),
-                    "the list first");
+                    "the snapshot is fetched first");
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances?since=1&"),
-                    "then a watch");
-            assertServed(host, two, one);
-            assertEquals(0, host.discovery.requests.size(), "the old one is asked no more");
+                    "then the list is watched");
+            assertServed(sidecar, two, one);
+            assertEquals(
+                    0, sidecar.discovery.requests.size(), "the old registry is not polled anymore");
         }
     }
 
     /**
-     * Guards against a lost watch, which looks like one without news: what discovery had to tell
-     * counts as told 2 s after the watch's time is over, so it is asked beside it before that, and
-     * in time for a drain.
+     * A lost watch looks like a watch without updates, but pending updates count as notified 2 s
+     * after the watch's time-out. Guards against a lost update: the sidecar has to poll in parallel
+     * before that, and in time for a drain.
      */
     @Test
     void overdueWatchIsPolledBeforeItCountsAsCaughtUp() throws Exception {
@@ -203,30 +206,30 @@
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two))) {
-            watchSince(host, 1);
-            long asked = System.nanoTime();
-            assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
-            assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(2000));
-            assertEquals(
-                    2, host.discovery.accepted.size(), "and the first one is still listened to");
-            host.queueList(
+            watchSince(sidecar, 1);
+            long calledAt = System.nanoTime();
+            assertTrue(sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
+            assertTrue(System.nanoTime() - calledAt < TimeUnit.MILLISECONDS.toNanos(2000));
+            assertEquals(2, sidecar.discovery.accepted.size(), "the overdue watch stays open");
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
-            host.queueList(
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             2,
                             true,
                             LoopbackSidecar.target("u0", one.address(), "Terminating"),
                             LoopbackSidecar.target("u1", two.address(), "Ready")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a new discovery whose first list looks old beside what the old one told late.
+     * Guards against a new registry whose first snapshot is rejected as old, because a late update
+     * of the old registry had a higher revision.
      */
     @Test
     void firstSnapshotOfTheNewDiscoveryIsUsedAfterALateUpdateOfTheOld() throws Exception {
@@ -235,7 +238,7 @@
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two));
                 StubUpstream other =
                         new StubUpstream(
@@ -256,18 +259,18 @@
                                                                     "Ready"))));
                                     return true;
                                 })) {
-            watchSince(host, 1);
-            assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
-            host.queueList(
+            watchSince(sidecar, 1);
+            assertTrue(sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             43, false, LoopbackSidecar.target("u0", one.address(), "Ready")));
-            // Whichever of the two calls has it: the overdue one is closed then, or the other goes
-            // on.
-            while (host.discovery.closed.poll(10, TimeUnit.MILLISECONDS) == null
-                    && host.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
+            // Either call may receive the update. Then the overdue one is closed, or the next call
+            // follows the other one.
+            while (sidecar.discovery.closed.poll(10, TimeUnit.MILLISECONDS) == null
+                    && sidecar.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
                 Thread.onSpinWait();
             }
-            host.runner.follow(SidecarConfig.literalAddress(other.address()));
+            sidecar.runner.follow(SidecarConfig.literalAddress(other.address()));
             assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
             String second = other.nextRequest();
             assertTrue(second.startsWith("GET /registry/instances?since=5&"), second);
@@ -279,13 +282,13 @@
                 .replaceAll("\"askWithin\":[0-9]*,", "");
     }
 
-    /** An agent that answers with what it has, at once or when that changes; or not at all. */
+    /** A local agent that returns its list at once, or on a change for a watch, or never. */
     private static final class Agent implements StubUpstream.Script {
         private String list;
         private long revision;
         private boolean silent;
 
-        synchronized void has(long version, String... targets) {
+        synchronized void setList(long version, String... targets) {
             revision = version;
             list = LoopbackSidecar.list(version, true, targets);
             notifyAll();
@@ -318,26 +321,26 @@
         }
     }
 
-    private static void untilAsked(StubUpstream agent, String how) throws Exception {
-        while (!agent.nextRequest().startsWith("GET /registry/instances" + how)) {
+    private static void awaitCall(StubUpstream agent, String prefix) throws Exception {
+        while (!agent.nextRequest().startsWith("GET /registry/instances" + prefix)) {
             Thread.onSpinWait();
         }
     }
 
     /**
-     * Guards against a start that fails where lists are pushed: the agent that has them is watched.
-     * And against an agent's return that is noticed late: while discovery is down it says nothing,
-     * and nothing tells that it is back, but what it has then counts as told at once. So it is
-     * asked for all it has, over and over; here five times before it is back.
+     * Guards against a start that fails where lists are pushed: the local agent that has them is
+     * watched. Also guards against a late reaction to an agent that recovers: it doesn't respond
+     * while it is down and doesn't announce its return, but its list counts as notified from then
+     * on. So the sidecar polls it for the whole list; here five times before it is back.
      */
     @Test
     void pushedListIsWatchedAtTheAgentAndASilentAgentIsPolled() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             Agent agent = new Agent();
-            agent.has(1, LoopbackSidecar.targets(one, two));
+            agent.setList(1, LoopbackSidecar.targets(one, two));
             try (StubUpstream there = new StubUpstream(agent);
-                    LoopbackSidecar host =
+                    LoopbackSidecar sidecar =
                             new LoopbackSidecar(
                                     SettingValues.DEFAULT,
                                     null,
@@ -349,56 +352,56 @@
                                                                     + there.address()
                                                                     + "\""),
                                     LoopbackSidecar.targets(one, two))) {
-                untilAsked(there, "?since=1&");
-                agent.has(2, LoopbackSidecar.target("u1", two.address(), "Ready"));
-                untilAsked(there, "?since=2&");
-                assertServed(host, two, one);
+                awaitCall(there, "?since=1&");
+                agent.setList(2, LoopbackSidecar.target("u1", two.address(), "Ready"));
+                awaitCall(there, "?since=2&");
+                assertServed(sidecar, two, one);
                 agent.silent(true);
-                untilAsked(there, " HTTP");
+                awaitCall(there, " HTTP");
                 long silent = System.nanoTime();
                 for (int i = 0; i < 5; i++) {
-                    untilAsked(there, " HTTP");
+                    awaitCall(there, " HTTP");
                 }
                 long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent);
-                assertTrue(took < 2500, "five calls took " + took);
-                assertServed(host, two, one);
-                agent.has(3, LoopbackSidecar.target("u0", one.address(), "Ready"));
+                assertTrue(took < 2500, "five calls took " + took + " ms");
+                assertServed(sidecar, two, one);
+                agent.setList(3, LoopbackSidecar.target("u0", one.address(), "Ready"));
                 agent.silent(false);
-                untilAsked(there, "?since=3&");
-                assertServed(host, one, two);
+                awaitCall(there, "?since=3&");
+                assertServed(sidecar, one, two);
             }
         }
     }
 
     /**
-     * Guards against a drain taken back by whoever answers with less than it has told. One that has
-     * begun anew, and so counts from the beginning, is believed when it says so to who asks for all
-     * it has.
+     * Guards against a drain that is undone by a list with a lower revision than the last one. A
+     * registry that has restarted counts from the beginning again; its list is accepted as the
+     * response to a request for the whole list.
      */
     @Test
-    void olderListIsIgnoredUnlessItIsTheOnlyOne() throws Exception {
+    void listWithALowerRevisionIsUsedOnlyIfTheWholeListIsFetched() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
-            watchSince(host, 1);
-            host.queueList(
+            watchSince(sidecar, 1);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             7,
                             true,
                             LoopbackSidecar.target("u0", one.address(), "Terminating"),
                             LoopbackSidecar.target("u1", two.address(), "Ready")));
-            watchSince(host, 7);
-            host.queueList(LoopbackSidecar.list(6, true, LoopbackSidecar.targets(one, two)));
+            watchSince(sidecar, 7);
+            sidecar.queueList(LoopbackSidecar.list(6, true, LoopbackSidecar.targets(one, two)));
             assertTrue(
-                    host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"),
-                    "all it has");
-            assertServed(host, two, one);
-            host.queueList(
+                    sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"),
+                    "the whole list is fetched");
+            assertServed(sidecar, two, one);
+            sidecar.queueList(
                     LoopbackSidecar.list(
                             3, true, LoopbackSidecar.target("u0", one.address(), "Ready")));
-            watchSince(host, 3);
-            assertServed(host, one, two);
+            watchSince(sidecar, 3);
+            assertServed(sidecar, one, two);
         }
     }
 
@@ -407,9 +410,9 @@
     }
 
     /**
-     * Guards against news lost whole, here a drain, because an upstream that came back within one
-     * list of changes, or went again, was forgotten where it is needed: when another one takes its
-     * address.
+     * A delta may both remove and add the same host. Guards against a later delta that is lost as a
+     * whole, here with a drain, because the host's old entry is missing when another host takes
+     * over its address.
      */
     @Test
     void hostThatComesAndGoesWithinOneDeltaLosesNoUpdate() throws Exception {
@@ -418,12 +421,12 @@
             String gone = LoopbackSidecar.target("u0", one.address(), "Gone");
             String again = startedAt(1000, LoopbackSidecar.target("u0", one.address(), "Ready"));
             for (String[] changes : new String[][] {{gone, again}, {again, gone}}) {
-                try (LoopbackSidecar host =
+                try (LoopbackSidecar sidecar =
                         new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
-                    watchSince(host, 1);
-                    host.queueList(LoopbackSidecar.list(2, false, changes));
-                    watchSince(host, 2);
-                    host.queueList(
+                    watchSince(sidecar, 1);
+                    sidecar.queueList(LoopbackSidecar.list(2, false, changes));
+                    watchSince(sidecar, 2);
+                    sidecar.queueList(
                             LoopbackSidecar.list(
                                     3,
                                     false,
@@ -431,29 +434,32 @@
                                             2000,
                                             LoopbackSidecar.target("u2", one.address(), "Ready")),
                                     LoopbackSidecar.target("u1", two.address(), "Terminating")));
-                    watchSince(host, 3);
-                    assertServed(host, one, two);
-                    assertEquals(0, host.discovery.requests.size(), "its news were no failure");
+                    watchSince(sidecar, 3);
+                    assertServed(sidecar, one, two);
+                    assertEquals(
+                            0,
+                            sidecar.discovery.requests.size(),
+                            "the deltas were not treated as failures");
                 }
             }
         }
     }
 
     /**
-     * Guards against a loop that does nothing but ask, where watches are answered at once though
-     * there is no news: the next one waits, but not for longer than a watch goes on. For an agent
-     * and for a service that is asked.
+     * Guards against a busy loop of calls to a registry that answers watches at once although there
+     * is no update: the next call is delayed, but no longer than a watch lasts. Applies to a local
+     * agent and to a registry.
      */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void whoAnswersWatchesAtOnceIsNotAskedWithoutRest(String mode) throws Exception {
-        BlockingQueue<Long> asked = new LinkedBlockingQueue<>();
+    void registryThatAnswersWatchesAtOnceIsPolledWithDelay(String mode) throws Exception {
+        BlockingQueue<Long> calledAt = new LinkedBlockingQueue<>();
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                StubUpstream hasty =
+                StubUpstream immediate =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    asked.add(System.nanoTime());
+                                    calledAt.add(System.nanoTime());
                                     StubUpstream.write(
                                             socket,
                                             StubUpstream.response(
@@ -467,46 +473,50 @@
                                                                     "Ready"))));
                                     return true;
                                 });
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(
                                 LONG_WATCHES,
                                 null,
                                 json ->
                                         json.replaceAll(
                                                         "\"discovery\":\"127[^\"]*\"",
-                                                        "\"discovery\":\"" + hasty.address() + "\"")
+                                                        "\"discovery\":\""
+                                                                + immediate.address()
+                                                                + "\"")
                                                 .replace(
                                                         "\"discovery\":\"subscribe\"",
                                                         "\"discovery\":\"" + mode + "\""),
                                 LoopbackSidecar.targets(one, two))) {
-            // The first call is for the whole list, and is followed by a watch at once.
-            asked.take();
-            long second = asked.take();
+            // The first call fetches the whole list; a watch follows at once.
+            calledAt.take();
+            long second = calledAt.take();
             long last = second;
             for (int i = 0; i < 10; i++) {
-                last = asked.take();
+                last = calledAt.take();
             }
             long took = TimeUnit.NANOSECONDS.toMillis(last - second);
-            assertTrue(took >= 500, "ten watches took " + took);
+            assertTrue(took >= 500, "ten watches took " + took + " ms");
             boolean agent = mode.equals("automatic");
             assertTrue(
-                    hasty.nextRequest()
+                    immediate
+                            .nextRequest()
                             .contains(agent ? "/registry/instances HTTP/1.1" : "?since=1&"));
-            assertTrue(hasty.nextRequest().contains("?since=2&"));
-            assertServed(host, two, one);
+            assertTrue(immediate.nextRequest().contains("?since=2&"));
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a drain that is lost with the call beside an overdue watch: discovery has it
-     * already as the sidecar is told to ask another one, which says nothing yet.
+     * The old registry has a drain that it returns to the poll in parallel to an overdue watch,
+     * while the sidecar is switched to a new registry that doesn't respond yet. Guards against a
+     * drain that is lost because that poll is dropped.
      */
     @Test
     void pollOfTheOldDiscoveryIsUsedWhileTheNewOneIsSilent() throws Exception {
         SettingValues shortWatch =
                 new SettingValues(
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
-        CountDownLatch moved = new CountDownLatch(1);
+        CountDownLatch switched = new CountDownLatch(1);
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
@@ -514,7 +524,7 @@
                         new StubUpstream(
                                 (socket, request) -> {
                                     if (!request.contains("since=")) {
-                                        moved.await();
+                                        switched.await();
                                         StubUpstream.write(
                                                 socket,
                                                 StubUpstream.response(
@@ -533,7 +543,7 @@
                                     }
                                     return true;
                                 });
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(
                                 shortWatch,
                                 null,
@@ -542,26 +552,26 @@
                                                 "\"discovery\":\"127[^\"]*\"",
                                                 "\"discovery\":\"" + old.address() + "\""),
                                 LoopbackSidecar.targets(one, two))) {
-            untilAsked(old, " HTTP");
-            host.runner.follow(SidecarConfig.literalAddress(silent.address()));
-            untilAsked(silent, " HTTP");
-            moved.countDown();
-            // One is closed with the move, the other one when its answer has been read.
+            awaitCall(old, " HTTP");
+            sidecar.runner.follow(SidecarConfig.literalAddress(silent.address()));
+            awaitCall(silent, " HTTP");
+            switched.countDown();
+            // One call is closed by the switch, the other one after its response has been read.
             old.awaitClosed();
             old.closed.poll(2, TimeUnit.SECONDS);
-            assertServed(host, two, one);
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a list that is bad in part and taken in part, and against harm done by its
-     * size.
+     * Guards against a partly invalid list that is partly used, and against failures caused by a
+     * list's size.
      */
     @Test
-    void malformedListIsIgnoredAndALongOneIsUsed() throws Exception {
+    void malformedListIsIgnoredAndALongListIsUsed() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(
                                 new SettingValues(
                                         TimeUnit.SECONDS.toNanos(10),
@@ -589,14 +599,14 @@
             };
             long revision = 1;
             for (String each : bad) {
-                watchSince(host, revision);
-                host.queueList(each);
-                watchSince(host, revision);
+                watchSince(sidecar, revision);
+                sidecar.queueList(each);
+                watchSince(sidecar, revision);
                 revision++;
-                host.queueList(
+                sidecar.queueList(
                         LoopbackSidecar.list(revision, true, LoopbackSidecar.targets(one, two)));
             }
-            watchSince(host, revision);
+            watchSince(sidecar, revision);
             String[] many = new String[10_000];
             for (int i = 0; i < many.length; i++) {
                 many[i] =
@@ -605,9 +615,9 @@
             }
             many[0] = drains;
             many[1] = LoopbackSidecar.target("u1", two.address(), "Ready");
-            host.queueList(LoopbackSidecar.list(revision + 1, true, many));
-            watchSince(host, revision + 1);
-            assertServed(host, two, one);
+            sidecar.queueList(LoopbackSidecar.list(revision + 1, true, many));
+            watchSince(sidecar, revision + 1);
+            assertServed(sidecar, two, one);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/ServeCommandIT.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar as a sidecar process. */
+/** The command {@code serve} of the packaged jar, run as a process. */
 @Timeout(120)
 class ServeCommandIT {
     @TempDir private Path folder;
@@ -35,9 +35,9 @@
         return serve(config, null);
     }
 
-    /** With a file for its log, or null for a pipe. */
+    /** Starts a sidecar; its log goes to a file, or to a pipe if {@code log} is null. */
     private Process serve(String config, Path log) throws IOException {
-        // SIGHUP as usual, also where the build was started by who ignores it.
+        // Restores the default action of SIGHUP, which the build's parent process may have ignored.
         ProcessBuilder builder =
                 new ProcessBuilder(
                         "perl",
@@ -72,13 +72,13 @@
         }
     }
 
-    private String output(String... words) throws Exception {
+    private String output(String... arguments) throws Exception {
         List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", "../deploy/warm-up.json");
         Process process = builder.start();
@@ -86,13 +86,13 @@
         return "status " + process.waitFor() + "\n" + text;
     }
 
-    /** Guards against an operator's file that costs a start something where there is none. */
+    /** Guards against optional features that add to the start-up cost of a sidecar without them. */
     @Test
     void classesOfOptionalPartsAreNotLoadedByDefault() throws Exception {
         String loaded = output("-Xlog:class+load", "-jar", "target/appleridge.jar", "warm-up");
         assertTrue(loaded.startsWith("status 0"), loaded);
-        assertTrue(loaded.contains("appleridge.daemon.Sidecar "), "what is loaded is listed");
-        for (String off :
+        assertTrue(loaded.contains("appleridge.daemon.Sidecar "), "the loaded classes are listed");
+        for (String optional :
                 new String[] {
                     "appleridge.config.operator",
                     "dataformat.toml",
@@ -109,12 +109,15 @@
                     "appleridge.hotrestart",
                     "appleridge.daemon.HotRestart"
                 }) {
-            PackagedClasses.assertPackaged(off);
-            assertFalse(loaded.contains(off), off);
+            PackagedClasses.assertPackaged(optional);
+            assertFalse(loaded.contains(optional), optional);
         }
     }
 
-    /** Guards against two builds on one machine that fail each other, for both warm up. */
+    /**
+     * Guards against concurrent builds on one machine that fail each other because both warm up at
+     * the same address.
+     */
     @Test
     void warmUpWorksWhereTheConfiguredAddressIsInUse() throws Exception {
         JsonNode file = new ObjectMapper().readTree(Path.of("../deploy/warm-up.json").toFile());
@@ -122,9 +125,9 @@
         try (ServerSocket held = new ServerSocket()) {
             held.setReuseAddress(true);
             held.bind(address);
-            String told = output("-jar", "target/appleridge.jar", "warm-up");
-            assertTrue(told.startsWith("status 0"), told);
-            assertFalse(told.contains("can't"), told);
+            String output = output("-jar", "target/appleridge.jar", "warm-up");
+            assertTrue(output.startsWith("status 0"), output);
+            assertFalse(output.contains("can't"), output);
         }
     }
 
@@ -134,25 +137,25 @@
         Files.writeString(
                 file,
                 "version = 1\n[clients]\nidle-timeuot = \"5s\"\n[limits]\nclients-part = 7\n");
-        for (String[] words :
+        for (String[] arguments :
                 new String[][] {
                     {"serve", "--operator", file.toString()},
                     {"check-config", "--operator", file.toString()}
                 }) {
             List<String> command = new ArrayList<>(List.of("-jar", "target/appleridge.jar"));
-            command.addAll(List.of(words));
-            String told = output(command.toArray(String[]::new));
-            assertTrue(told.startsWith("status 2"), told);
+            command.addAll(List.of(arguments));
+            String output = output(command.toArray(String[]::new));
+            assertTrue(output.startsWith("status 2"), output);
             assertTrue(
-                    told.contains("clients.idle-timeuot") && told.contains("limits.clients-part"),
-                    told);
+                    output.contains("clients.idle-timeuot")
+                            && output.contains("limits.clients-part"),
+                    output);
         }
     }
 
     /**
-     * Guards against a start that has something left to do when it says that it is ready: clients
-     * come at once, and wait for it unread. What it tells last stands in its log before the first
-     * 200.
+     * Guards against readiness that is reported before the start is complete: clients connect at
+     * once and would wait. The last log line of the start precedes the first 200.
      */
     @Test
     void readinessComesAfterTheLastStepOfTheStart() throws Exception {
@@ -175,8 +178,8 @@
                         != 200) {
                     assertTrue(process.isAlive());
                 }
-                String told = Files.readString(log);
-                assertTrue(told.contains(" serves at "), told);
+                String output = Files.readString(log);
+                assertTrue(output.contains(" serves at "), output);
             } finally {
                 process.destroyForcibly();
             }
@@ -221,8 +224,8 @@
                 assertNull(client.read());
                 assertTrue(process.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue());
-                String told = Files.readString(log);
-                assertTrue(told.contains("drain.step step=begun"), told);
+                String output = Files.readString(log);
+                assertTrue(output.contains("drain.step step=begun"), output);
             } finally {
                 process.destroyForcibly();
             }
@@ -230,7 +233,8 @@
     }
 
     /**
-     * Guards against answers as much too late as the process stood still with the request unread.
+     * Guards against responses that are late by the length of a stall, because the time that the
+     * request spent unread is not counted.
      */
     @Test
     void requestReadAfterAStallIsAnsweredWithinItsTimeout() throws Exception {
@@ -253,13 +257,13 @@
                     assertTrue(process.isAlive());
                 }
                 signal(process, "STOP");
-                long asked = System.nanoTime();
+                long sent = System.nanoTime();
                 client.send(TestClient.request("pay", "0.9"));
                 Thread.sleep(600);
                 signal(process, "CONT");
                 assertEquals(504, TestClient.status(client.read()));
-                long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-                assertTrue(took < 1250, "answered after ms: " + took);
+                long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
+                assertTrue(took < 1250, "response after ms: " + took);
             } finally {
                 process.destroyForcibly();
             }
@@ -272,8 +276,8 @@
     }
 
     /**
-     * Guards against requests lost where a restart follows a start at once: it listens before it is
-     * warm.
+     * The sidecar listens before its warm-up is complete. Guards against requests that are lost
+     * when it is restarted during the warm-up.
      */
     @Test
     void sigtermDuringWarmUpAnswersOpenRequests() throws Exception {
@@ -314,7 +318,7 @@
         }
     }
 
-    /** Guards against a failed start that looks like an orderly end. */
+    /** Guards against a failed start that ends with status 0. */
     @Test
     void addressInUseEndsTheStartWithStatusOne() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -333,7 +337,8 @@
     }
 
     /**
-     * Guards against the JVM's own way with SIGHUP, which is to end, and against unusable files.
+     * Guards against the JVM's default action on SIGHUP, which is to terminate, and against reloads
+     * of invalid files.
      */
     @Test
     void sighupSwitchesDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
@@ -385,8 +390,8 @@
     }
 
     /**
-     * Danger: a read that waits for a line can't be interrupted, so none is begun before there is
-     * one.
+     * Waits for a log line. A blocking read can't be interrupted, so the log is read only when it
+     * has input.
      */
     private static void await(BufferedReader log, String text) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
@@ -400,7 +405,7 @@
         throw new AssertionError("never logged: " + text);
     }
 
-    /** Guards against reloads that silently never happen, as under nohup. */
+    /** Guards against reloads that silently never happen because SIGHUP is ignored, as by nohup. */
     @Test
     void ignoredSighupIsLogged() throws Exception {
         int port;
--- a/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/SidecarTest.java
@@ -14,48 +14,45 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request's life for each way in which an attempt can end, over loopback sockets. */
+/** Requests through a sidecar over loopback sockets, for each way in which an attempt can end. */
 @Timeout(60)
 class SidecarTest {
     private static final Script GOOD =
             StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
-    /**
-     * Two upstreams of which whichever comes first does the one thing, and all later requests the
-     * other.
-     */
+    /** Two upstreams; the first request to either runs one script, all later ones another. */
     private static final class Pair implements AutoCloseable {
         final StubUpstream one;
         final StubUpstream two;
-        final LoopbackSidecar host;
+        final LoopbackSidecar sidecar;
 
         Pair(Script first, Script later) throws Exception {
             CountDownLatch latch = new CountDownLatch(1);
             one = new StubUpstream(StubUpstream.firstThen(latch, first, later));
             two = new StubUpstream(StubUpstream.firstThen(latch, first, later));
-            host = new LoopbackSidecar(one, two);
+            sidecar = new LoopbackSidecar(one, two);
         }
 
-        int sent() {
+        int requestCount() {
             return one.requests.size() + two.requests.size();
         }
 
         @Override
         public void close() throws IOException {
-            host.close();
+            sidecar.close();
             one.close();
             two.close();
         }
     }
 
-    private static void once(Script first, String requestClass, int status, int sent)
+    private static void assertOutcome(Script first, String requestClass, int status, int attempts)
             throws Exception {
         try (Pair pair = new Pair(first, GOOD)) {
-            String answer = pair.host.exchange(TestClient.request(requestClass, "2.0"));
-            assertEquals(status, TestClient.status(answer), answer);
-            assertEquals(sent, pair.sent());
+            String response = pair.sidecar.exchange(TestClient.request(requestClass, "2.0"));
+            assertEquals(status, TestClient.status(response), response);
+            assertEquals(attempts, pair.requestCount());
             if (status == 200) {
-                assertEquals("fine", TestClient.body(answer));
+                assertEquals("fine", TestClient.body(response));
             }
         }
     }
@@ -67,9 +64,9 @@
                 StubUpstream.respondWith(
                         StubUpstream.response("200 OK", binary, "X-Load: rate=3,q=0"));
         try (StubUpstream upstream = new StubUpstream(script);
-                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
-            String answer =
-                    host.exchange(
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream)) {
+            String response =
+                    sidecar.exchange(
                             TestClient.request(
                                     "write",
                                     "1.500",
@@ -77,8 +74,8 @@
                                     "Connection: keep-alive, X-Private",
                                     "X-Private: secret",
                                     "X-Other: kept"));
-            assertEquals(200, TestClient.status(answer));
-            assertEquals(binary, TestClient.body(answer));
+            assertEquals(200, TestClient.status(response));
+            assertEquals(binary, TestClient.body(response));
             String sent = upstream.nextRequest();
             assertTrue(sent.startsWith("POST /api?x=1 HTTP/1.1\r\n"), sent);
             assertNotNull(StubUpstream.header(sent, "x-request-id"));
@@ -86,23 +83,23 @@
             assertEquals("kept", StubUpstream.header(sent, "x-other"));
             assertNull(
                     StubUpstream.header(sent, "x-private"),
-                    "named by Connection: ends at this hop");
+                    "a header named by Connection is not forwarded");
             assertNull(StubUpstream.header(sent, "keep-alive"));
             assertEquals("body", TestClient.body(sent));
             double left = Double.parseDouble(StubUpstream.header(sent, "x-deadline"));
-            assertTrue(left > 0 && left < 1.5, "what this attempt has left: " + left);
+            assertTrue(left > 0 && left < 1.5, "remaining time of this attempt in s: " + left);
         }
     }
 
-    /** Guards against a request that reaches a server as one that no client sent. */
+    /** Guards against a path that is re-encoded on the way to the upstream. */
     @Test
     void nonAsciiPathIsForwardedByteForByte() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackSidecar host = new LoopbackSidecar(upstream)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream)) {
             String path = "/api/caf\u00c3\u00a9?q=\u00e9\u0080\u00ff";
-            String answer =
-                    host.exchange(TestClient.request("read", "2.0").replace("/api?x=1", path));
-            assertEquals(200, TestClient.status(answer));
+            String response =
+                    sidecar.exchange(TestClient.request("read", "2.0").replace("/api?x=1", path));
+            assertEquals(200, TestClient.status(response));
             String sent = upstream.nextRequest();
             assertEquals("GET " + path + " HTTP/1.1", sent.substring(0, sent.indexOf("\r\n")));
         }
@@ -112,24 +109,24 @@
     void errorIsRetriedOnlyWhereTheClassAllowsIt() throws Exception {
         Script error =
                 StubUpstream.respondWith(StubUpstream.response("500 Internal Server Error", ""));
-        once(error, "read", 200, 2);
-        once(error, "write", 200, 2);
-        once(error, "pay", 502, 1);
+        assertOutcome(error, "read", 200, 2);
+        assertOutcome(error, "write", 200, 2);
+        assertOutcome(error, "pay", 502, 1);
     }
 
     @Test
     void resetAttemptMayHaveExecuted() throws Exception {
         Script reset = (socket, request) -> StubUpstream.reset(socket);
-        once(reset, "read", 200, 2);
-        once(reset, "write", 200, 2);
-        once(reset, "hold", 200, 2);
-        once(reset, "pay", 502, 1);
+        assertOutcome(reset, "read", 200, 2);
+        assertOutcome(reset, "write", 200, 2);
+        assertOutcome(reset, "hold", 200, 2);
+        assertOutcome(reset, "pay", 502, 1);
     }
 
     @Test
     void rejectionByTheUpstreamIsRetriedForAnyClass() throws Exception {
         for (String status : new String[] {"503 Service Unavailable", "504 Gateway Timeout"}) {
-            once(
+            assertOutcome(
                     StubUpstream.respondWith(StubUpstream.response(status, "", "X-Not-Run: 1")),
                     "pay",
                     200,
@@ -139,7 +136,7 @@
 
     @Test
     void plain503MayHaveExecuted() throws Exception {
-        once(
+        assertOutcome(
                 StubUpstream.respondWith(StubUpstream.response("503 Service Unavailable", "")),
                 "pay",
                 502,
@@ -153,8 +150,8 @@
                     StubUpstream.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine");
                     return false;
                 };
-        once(cut, "pay", 502, 1);
-        once(cut, "read", 200, 2);
+        assertOutcome(cut, "pay", 502, 1);
+        assertOutcome(cut, "read", 200, 2);
     }
 
     @Test
@@ -165,12 +162,12 @@
                     Thread.sleep(50);
                     return StubUpstream.reset(socket);
                 };
-        once(reset, "pay", 502, 1);
+        assertOutcome(reset, "pay", 502, 1);
     }
 
     @Test
     void unreadableResponseIsNotServed() throws Exception {
-        once(StubUpstream.respondWith("\u0001\u0002 noise\r\n\r\n"), "pay", 502, 1);
+        assertOutcome(StubUpstream.respondWith("\u0001\u0002 noise\r\n\r\n"), "pay", 502, 1);
     }
 
     @Test
@@ -180,14 +177,14 @@
             closedPort = unused.getLocalPort();
         }
         try (StubUpstream good = new StubUpstream(GOOD);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(
                                 LoopbackSidecar.SettingValues.DEFAULT,
                                 LoopbackSidecar.target("u0", "127.0.0.1:" + closedPort, "Ready"),
                                 LoopbackSidecar.target("u1", good.address(), "Ready"))) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(
-                        200, TestClient.status(host.exchange(TestClient.request("pay", "2.0"))));
+                        200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
             }
             assertEquals(4, good.requests.size());
         }
@@ -196,13 +193,14 @@
     @Test
     void silentUpstreamFailsAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackSidecar host = new LoopbackSidecar(silent)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(silent)) {
             long start = System.nanoTime();
-            String answer = host.exchange(TestClient.request("pay", "0.4"));
-            assertEquals(504, TestClient.status(answer), "it may have run: no refusal");
+            String response = sidecar.exchange(TestClient.request("pay", "0.4"));
+            assertEquals(
+                    504, TestClient.status(response), "it may have run, so it is not rejected");
             assertTrue(
                     System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(380),
-                    "not given up early");
+                    "not cancelled early");
             silent.awaitClosed();
             assertEquals(1, silent.requests.size());
         }
@@ -211,11 +209,11 @@
     @Test
     void clientDisconnectCancelsTheAttempt() throws Exception {
         try (Pair pair = new Pair(StubUpstream.SILENT, StubUpstream.SILENT)) {
-            StubUpstream took = null;
-            try (TestClient client = pair.host.client()) {
+            StubUpstream upstream = null;
+            try (TestClient client = pair.sidecar.client()) {
                 client.send(TestClient.request("read", "2.0"));
-                while (took == null) {
-                    took =
+                while (upstream == null) {
+                    upstream =
                             pair.one.requests.poll(10, TimeUnit.MILLISECONDS) != null
                                     ? pair.one
                                     : pair.two.requests.poll(10, TimeUnit.MILLISECONDS) != null
@@ -223,12 +221,12 @@
                                             : null;
                 }
             }
-            took.awaitClosed();
-            assertEquals(0, pair.sent(), "taken from the queue above, and none since");
+            upstream.awaitClosed();
+            assertEquals(0, pair.requestCount(), "no further attempt after the one polled above");
         }
     }
 
-    /** Guards against an attempt that waits for the rest of an answer which never comes. */
+    /** Guards against an attempt that waits for the rest of a response that never arrives. */
     @Test
     void stalledResponseIsCancelledInTimeForARetry() throws Exception {
         for (String cut :
@@ -241,14 +239,15 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n"
                 }) {
             long start = System.nanoTime();
-            once(StubUpstream.respondWith(cut), "read", 200, 2);
-            once(StubUpstream.respondWith(cut), "pay", 502, 1);
+            assertOutcome(StubUpstream.respondWith(cut), "read", 200, 2);
+            assertOutcome(StubUpstream.respondWith(cut), "pay", 502, 1);
             assertTrue(
-                    System.nanoTime() - start < TimeUnit.SECONDS.toNanos(2), "waited for: " + cut);
+                    System.nanoTime() - start < TimeUnit.SECONDS.toNanos(2),
+                    "waited for the rest of: " + cut);
         }
     }
 
-    /** Guards against an answer served though no one can be sure what it says: it may have run. */
+    /** Guards against a response that is served although its head is ambiguous. */
     @Test
     void responseWithAMalformedHeadIsNotServed() throws Exception {
         for (String head :
@@ -261,7 +260,7 @@
                     "Content-Length: 4\r\n",
                     "Transfer-Encoding: chunked\r\n"
                 }) {
-            once(
+            assertOutcome(
                     StubUpstream.respondWith(
                             "HTTP/1.1 200 OK\r\nX-Fine: x\r\n"
                                     + head
@@ -271,7 +270,7 @@
                     1);
         }
         for (String ahead : new String[] {"\u0000", "\r\n", " "}) {
-            once(
+            assertOutcome(
                     StubUpstream.respondWith(ahead + StubUpstream.response("200 OK", "fine")),
                     "pay",
                     502,
@@ -279,12 +278,12 @@
         }
     }
 
-    /** Guards against a good answer lost over a load report that no one can read. */
+    /** Guards against a valid response that is dropped because of an unreadable load report. */
     @Test
     void unreadableLoadReportIsIgnored() throws Exception {
         for (String report :
                 new String[] {"%%%", "=,=", "{\"", "rate=1e999,q=NaN", "TEXT \u00ff", ""}) {
-            once(
+            assertOutcome(
                     StubUpstream.respondWith(
                             StubUpstream.response(
                                     "200 OK", "fine", "X-Load: " + report, "X-Load: rate=1,q=1")),
@@ -294,12 +293,12 @@
         }
     }
 
-    /** Guards against memory spent on an answer that can't be served. */
+    /** Guards against memory allocated for a response that is too large to be served. */
     @Test
     void oversizedResponseIsNotServed() throws Exception {
         for (String length :
                 new String[] {"3000000000", "33554433", "99999999999999999999", "-1", "4, 4"}) {
-            once(
+            assertOutcome(
                     StubUpstream.respondWith(
                             "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\nfine"),
                     "pay",
@@ -314,24 +313,28 @@
                 StubUpstream.respondWith(
                         "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                                 + StubUpstream.response("200 OK", "fine"));
-        once(script, "pay", 200, 1);
+        assertOutcome(script, "pay", 200, 1);
     }
 
-    /** Guards against a full house: what finds no room was never sent, so a repeat is harmless. */
+    /**
+     * Guards against more open requests than the limit allows. The excess request was never sent,
+     * so the client may safely repeat it.
+     */
     @Test
     void requestOverTheOpenRequestLimitIsRejected() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackSidecar host =
+                LoopbackSidecar sidecar =
                         new LoopbackSidecar(
                                 new LoopbackSidecar.SettingValues(
                                         TimeUnit.SECONDS.toNanos(10),
                                         1,
                                         TimeUnit.SECONDS.toNanos(1)),
                                 LoopbackSidecar.targets(silent));
-                TestClient first = host.client()) {
+                TestClient first = sidecar.client()) {
             first.send(TestClient.request("pay", "1.0"));
             silent.nextRequest();
-            assertEquals(503, TestClient.status(host.exchange(TestClient.request("pay", "1.0"))));
+            assertEquals(
+                    503, TestClient.status(sidecar.exchange(TestClient.request("pay", "1.0"))));
             assertEquals(504, TestClient.status(first.read()));
             assertEquals(0, silent.requests.size());
         }
--- a/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedRequestsTest.java
@@ -19,43 +19,43 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Requests beyond what is held whole: passed on in pieces, once, with word of what is proven of
- * them.
+ * Requests that are too large to be buffered whole: their bodies are streamed, they are sent at
+ * most once, and a rejection is returned only if they provably did not run.
  */
 @Timeout(120)
 class StreamedRequestsTest {
-    private static final int HELD = 64 * 1024;
-    private static final int LONGEST = 32 << 20;
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 32 << 20;
 
-    /** What to do with a connection on which a head has come. */
+    /** Handles a connection on which a request head has arrived. */
     private interface Script {
         void serve(Socket socket, String head) throws IOException, InterruptedException;
     }
 
-    /** An upstream that reads bodies as a script says; records heads, and ends of connections. */
-    private static final class Reader implements AutoCloseable {
+    /** An upstream whose script reads the bodies. Records heads and ends of connections. */
+    private static final class BodyReadingUpstream implements AutoCloseable {
         final BlockingQueue<String> heads = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
         private final ServerSocket listener =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-        Reader(Script script) throws IOException {
-            Thread accepts =
+        BodyReadingUpstream(Script script) throws IOException {
+            Thread acceptor =
                     new Thread(
                             () -> {
                                 try {
                                     while (true) {
                                         Socket socket = listener.accept();
-                                        Thread serves = new Thread(() -> serve(socket, script));
-                                        serves.setDaemon(true);
-                                        serves.start();
+                                        Thread handler = new Thread(() -> serve(socket, script));
+                                        handler.setDaemon(true);
+                                        handler.start();
                                     }
                                 } catch (IOException e) {
-                                    // Closed.
+                                    // The upstream was closed.
                                 }
                             });
-            accepts.setDaemon(true);
-            accepts.start();
+            acceptor.setDaemon(true);
+            acceptor.start();
         }
 
         private void serve(Socket socket, Script script) {
@@ -83,7 +83,8 @@
 
         void awaitEnd() throws InterruptedException {
             assertTrue(
-                    ended.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS) != null, "ended");
+                    ended.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS) != null,
+                    "the connection did not end");
         }
 
         @Override
@@ -103,8 +104,8 @@
         return line.toString().strip();
     }
 
-    /** Reads the body and says its length and check sum. */
-    private static void sum(Socket socket, String head) throws IOException {
+    /** Reads the body and responds with its length and checksum. */
+    private static void respondWithChecksum(Socket socket, String head) throws IOException {
         InputStream in = socket.getInputStream();
         CRC32 crc = new CRC32();
         long length = 0;
@@ -137,37 +138,40 @@
         return body.length + " " + crc.getValue();
     }
 
-    private static String head(String kind, String deadline, String framing) {
-        return TestClient.request(kind, deadline)
+    private static String head(String requestClass, String deadline, String framing) {
+        return TestClient.request(requestClass, deadline)
                 .replace("Content-Length: 4\r\n\r\nbody", framing + "\r\n\r\n");
     }
 
-    private static LoopbackSidecar node(Reader reader) throws Exception {
+    private static LoopbackSidecar start(BodyReadingUpstream reader) throws Exception {
         return new LoopbackSidecar(LoopbackSidecar.SettingValues.DEFAULT, reader.target());
     }
 
     @Test
     void longRequestsArriveUnchanged() throws Exception {
-        try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(StreamedRequestsTest::respondWithChecksum);
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             OutputStream out = client.socket.getOutputStream();
-            for (int length : new int[] {HELD, HELD + 1, 200_000, 5_000_000}) {
+            for (int length :
+                    new int[] {MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, 200_000, 5_000_000}) {
                 byte[] body = body(length);
                 client.send(head("write", "3.0", "Content-Length: " + length));
                 out.write(body);
                 assertEquals(expected(body), TestClient.body(client.read()));
             }
-            assertEquals(4, reader.heads.size(), "each was sent once");
+            assertEquals(4, reader.heads.size(), "each request was sent once");
         }
     }
 
     @Test
     void pipelinedLongRequestsAreAnsweredInOrder() throws Exception {
         byte[] body = body(100_000);
-        try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(StreamedRequestsTest::respondWithChecksum);
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             for (int i = 0; i < 3; i++) {
                 client.send(head("pay", "3.0", "Content-Length: " + body.length));
                 client.socket.getOutputStream().write(body);
@@ -178,13 +182,16 @@
         }
     }
 
-    /** Guards against a client's time that runs while it is still sending. */
+    /**
+     * Guards against a deadline that starts to count while the client is still sending the body.
+     */
     @Test
     void bodyMayArriveMoreSlowlyThanItsDeadline() throws Exception {
         byte[] body = body(400_000);
-        try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(StreamedRequestsTest::respondWithChecksum);
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
             for (int at = 0; at < body.length; at += 20_000) {
                 client.socket.getOutputStream().write(body, at, 20_000);
@@ -195,20 +202,20 @@
     }
 
     /**
-     * Guards against a request that nobody answers, since its time began to run when all of it was
-     * there.
+     * Guards against a streamed request without a deadline. Its deadline counts from the end of the
+     * body.
      */
     @Test
     void silentUpstreamIsCancelledAtTheDeadline() throws Exception {
         byte[] body = body(200_000);
-        try (Reader reader =
-                        new Reader(
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(
                                 (socket, head) -> {
                                     socket.getInputStream().readNBytes(body.length);
                                     Thread.sleep(TimeUnit.SECONDS.toMillis(5));
                                 });
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(head("pay", "0.4", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body);
             long sent = System.nanoTime();
@@ -219,20 +226,20 @@
     }
 
     /**
-     * Guards against a second effect: a part has gone, and only the proof that it never ran is a
-     * refusal.
+     * Guards against a request that runs twice: part of it was already sent. It is rejected rather
+     * than failed because the upstream never received the last byte, so it cannot have run.
      */
     @Test
     void resetBeforeTheLastByteIsRejectedAndNotRetried() throws Exception {
         byte[] body = body(3_000_000);
-        try (Reader reader =
-                        new Reader(
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(
                                 (socket, head) -> {
                                     socket.getInputStream().readNBytes(100_000);
                                     throw new IOException("break");
                                 });
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: " + body.length));
             client.socket.getOutputStream().write(body, 0, 1_000_000);
             assertEquals(503, TestClient.status(client.read()));
@@ -240,86 +247,88 @@
         }
     }
 
-    /** Guards against what is sent here without end for a server that doesn't read. */
+    /** Guards against unbounded buffering for an upstream that doesn't read. */
     @Test
     void upstreamThatDoesNotReadExertsBackpressureAndIsCancelled() throws Exception {
-        try (Reader reader =
-                        new Reader((socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
-            client.send(head("pay", "3.0", "Content-Length: " + LONGEST));
-            Thread writes =
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(
+                                (socket, head) -> Thread.sleep(TimeUnit.SECONDS.toMillis(15)));
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
+            client.send(head("pay", "3.0", "Content-Length: " + MAX_BODY_BYTES));
+            Thread writer =
                     new Thread(
                             () -> {
                                 try {
-                                    client.socket.getOutputStream().write(body(LONGEST));
+                                    client.socket.getOutputStream().write(body(MAX_BODY_BYTES));
                                 } catch (IOException e) {
-                                    // Cut off, as it should be.
+                                    // The connection is closed, as expected.
                                 }
                             });
-            writes.setDaemon(true);
-            writes.start();
-            long asked = System.nanoTime();
+            writer.setDaemon(true);
+            writer.start();
+            long sent = System.nanoTime();
             assertEquals(503, TestClient.status(client.read()));
-            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
+            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
             assertTrue(took > 8_000 && took < 14_000, took + " ms");
         }
     }
 
-    /** Guards against servers held by clients that go or stop in the middle. */
+    /** Guards against upstream connections held by clients that disconnect or stall. */
     @Test
     void clientThatStopsOrDisconnectsHoldsNoUpstream() throws Exception {
-        try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackSidecar node = node(reader)) {
-            try (TestClient leaves = new TestClient(node.runner.address())) {
-                leaves.send(head("pay", "3.0", "Content-Length: 1000000"));
-                leaves.socket.getOutputStream().write(body(300_000));
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(StreamedRequestsTest::respondWithChecksum);
+                LoopbackSidecar sidecar = start(reader)) {
+            try (TestClient disconnecting = new TestClient(sidecar.runner.address())) {
+                disconnecting.send(head("pay", "3.0", "Content-Length: 1000000"));
+                disconnecting.socket.getOutputStream().write(body(300_000));
                 assertTrue(
                         reader.heads.poll(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS)
                                 != null);
             }
             reader.awaitEnd();
-            try (TestClient stops = new TestClient(node.runner.address())) {
-                stops.send(head("pay", "3.0", "Content-Length: 1000000"));
-                stops.socket.getOutputStream().write(body(300_000));
-                assertEquals(408, TestClient.status(stops.read()));
+            try (TestClient stalling = new TestClient(sidecar.runner.address())) {
+                stalling.send(head("pay", "3.0", "Content-Length: 1000000"));
+                stalling.socket.getOutputStream().write(body(300_000));
+                assertEquals(408, TestClient.status(stalling.read()));
                 reader.awaitEnd();
             }
         }
     }
 
-    /** Guards against the rest of a body being taken for a request. */
+    /** Guards against the rest of a body that is parsed as the next request. */
     @Test
     void responseBeforeTheEndOfTheBodyIsTheLastOnItsConnection() throws Exception {
-        try (Reader reader =
-                        new Reader(
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(
                                 (socket, head) -> {
-                                    socket.getInputStream().readNBytes(HELD);
+                                    socket.getInputStream().readNBytes(MAX_BUFFERED_BYTES);
                                     StubUpstream.write(
                                             socket,
                                             StubUpstream.response("503 Full", "", "X-Not-Run: 1"));
                                     Thread.sleep(500);
                                 });
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
             client.socket.getOutputStream().write(body(100_000));
-            String answer = client.read();
-            assertEquals(503, TestClient.status(answer));
-            assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+            String response = client.read();
+            assertEquals(503, TestClient.status(response));
+            assertTrue(response.toLowerCase().contains("connection: close"), response);
         }
     }
 
     /**
-     * Guards against a connection that is kept for good, with an answer begun and a body that
-     * stops.
+     * Guards against a connection that stays open forever when the response has started and the
+     * body stalls.
      */
     @Test
     void bodyThatStallsAfterTheResponseStartedEndsTheConnection() throws Exception {
-        try (Reader reader =
-                        new Reader(
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(
                                 (socket, head) -> {
-                                    socket.getInputStream().readNBytes(HELD);
+                                    socket.getInputStream().readNBytes(MAX_BUFFERED_BYTES);
                                     StubUpstream.write(
                                             socket,
                                             "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
@@ -328,42 +337,45 @@
                                         Thread.sleep(200);
                                     }
                                 });
-                LoopbackSidecar node = node(reader);
-                TestClient client = new TestClient(node.runner.address())) {
+                LoopbackSidecar sidecar = start(reader);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(head("pay", "3.0", "Content-Length: 500000"));
             client.socket.getOutputStream().write(body(100_000));
             long read = 0;
             try {
                 read = client.socket.getInputStream().readAllBytes().length;
             } catch (SocketException e) {
-                // A reset shows it as well.
+                // A reset also shows that the response is truncated.
             }
-            assertTrue(read < 1_000_000, "it can be told that the answer is not whole");
+            assertTrue(read < 1_000_000, "the response is visibly truncated");
             reader.awaitEnd();
         }
     }
 
     @Test
     void oversizedOrMalformedLengthIsRejectedAtOnce() throws Exception {
-        try (Reader reader = new Reader(StreamedRequestsTest::sum);
-                LoopbackSidecar node = node(reader)) {
+        try (BodyReadingUpstream reader =
+                        new BodyReadingUpstream(StreamedRequestsTest::respondWithChecksum);
+                LoopbackSidecar sidecar = start(reader)) {
             assertEquals(
                     413,
                     TestClient.status(
-                            node.exchange(head("pay", "3.0", "Content-Length: 60000000"))));
-            try (TestClient unknown = new TestClient(node.runner.address())) {
-                unknown.send(
+                            sidecar.exchange(head("pay", "3.0", "Content-Length: 60000000"))));
+            try (TestClient unknownClass = new TestClient(sidecar.runner.address())) {
+                unknownClass.send(
                         head("pay", "3.0", "Content-Length: 300000")
                                 .replace("Class: pay", "Class: x"));
-                unknown.socket.getOutputStream().write(body(100_000));
-                assertEquals(400, TestClient.status(unknown.read()));
+                unknownClass.socket.getOutputStream().write(body(100_000));
+                assertEquals(400, TestClient.status(unknownClass.read()));
             }
-            try (TestClient chunks = new TestClient(node.runner.address())) {
-                chunks.send(head("pay", "3.0", "Transfer-Encoding: chunked"));
-                chunks.send("11170\r\n");
-                chunks.socket.getOutputStream().write(body(70_000));
+            try (TestClient chunked = new TestClient(sidecar.runner.address())) {
+                chunked.send(head("pay", "3.0", "Transfer-Encoding: chunked"));
+                chunked.send("11170\r\n");
+                chunked.socket.getOutputStream().write(body(70_000));
                 assertEquals(
-                        413, TestClient.status(chunks.read()), "nobody knows how much is to come");
+                        413,
+                        TestClient.status(chunked.read()),
+                        "the length of a chunked body is unknown");
             }
             assertEquals(0, reader.heads.size());
         }
--- a/sidecar/src/test/java/appleridge/daemon/StreamedResponsesTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/StreamedResponsesTest.java
@@ -19,13 +19,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Answers beyond what is held whole: passed on in pieces, and broken so that the client can tell.
+ * Responses that are too large to be buffered whole: they are streamed, and a truncated one is
+ * recognizable as such by the client.
  */
 @Timeout(120)
 class StreamedResponsesTest {
-    private static final int HELD = 64 * 1024;
-    private static final int LONG = 32 << 20;
-    private static final String ASK = "read";
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    private static final int LONG_BYTES = 32 << 20;
+    private static final String REQUEST_CLASS = "read";
 
     private static byte[] body(int length) {
         byte[] body = new byte[length];
@@ -45,8 +46,8 @@
         out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** With a length, or in chunks with extensions and a trailer. */
-    private static StubUpstream.Script whole(byte[] body, boolean chunked) {
+    /** Sends a body with a length, or in chunks with extensions and a trailer. */
+    private static StubUpstream.Script respondWith(byte[] body, boolean chunked) {
         return (socket, request) -> {
             OutputStream out = socket.getOutputStream();
             if (!chunked) {
@@ -63,10 +64,10 @@
         };
     }
 
-    /** An answer as a client reads it. */
-    private record Read(String head, byte[] body, boolean complete) {}
+    /** A response as the client receives it. */
+    private record ReceivedResponse(String head, byte[] body, boolean complete) {}
 
-    private static Read read(InputStream in) throws IOException {
+    private static ReceivedResponse read(InputStream in) throws IOException {
         String head = line(in);
         StringBuilder lines = new StringBuilder(head);
         for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
@@ -78,27 +79,27 @@
             while (true) {
                 String size = line(in);
                 if (size == null) {
-                    return new Read(text, body.toByteArray(), false);
+                    return new ReceivedResponse(text, body.toByteArray(), false);
                 }
                 int length = Integer.parseInt(size, 16);
-                byte[] piece = in.readNBytes(length);
-                body.write(piece);
+                byte[] chunk = in.readNBytes(length);
+                body.write(chunk);
                 String end = line(in);
-                if (end == null || piece.length < length) {
-                    return new Read(text, body.toByteArray(), false);
+                if (end == null || chunk.length < length) {
+                    return new ReceivedResponse(text, body.toByteArray(), false);
                 }
                 if (length == 0) {
-                    return new Read(text, body.toByteArray(), true);
+                    return new ReceivedResponse(text, body.toByteArray(), true);
                 }
             }
         }
         int at = text.indexOf("content-length: ");
         if (at < 0) {
-            return new Read(text, in.readAllBytes(), true);
+            return new ReceivedResponse(text, in.readAllBytes(), true);
         }
         int length = Integer.parseInt(text.substring(at + 16).split("\n")[0]);
         byte[] all = in.readNBytes(length);
-        return new Read(text, all, all.length == length);
+        return new ReceivedResponse(text, all, all.length == length);
     }
 
     private static String line(InputStream in) throws IOException {
@@ -117,18 +118,24 @@
     @Test
     void longResponsesArriveUnchangedAndTheConnectionIsReused() throws Exception {
         for (boolean chunked : new boolean[] {false, true}) {
-            for (int length : new int[] {HELD, HELD + 1, 3 * HELD, 5_000_000}) {
+            for (int length :
+                    new int[] {
+                        MAX_BUFFERED_BYTES,
+                        MAX_BUFFERED_BYTES + 1,
+                        3 * MAX_BUFFERED_BYTES,
+                        5_000_000
+                    }) {
                 byte[] body = body(length);
-                try (StubUpstream upstream = new StubUpstream(whole(body, chunked));
-                        LoopbackSidecar node = new LoopbackSidecar(upstream);
-                        TestClient client = new TestClient(node.runner.address())) {
+                try (StubUpstream upstream = new StubUpstream(respondWith(body, chunked));
+                        LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                        TestClient client = new TestClient(sidecar.runner.address())) {
                     for (int i = 0; i < 3; i++) {
-                        client.send(TestClient.request(ASK, "3.0"));
-                        Read answer = read(client.socket.getInputStream());
+                        client.send(TestClient.request(REQUEST_CLASS, "3.0"));
+                        ReceivedResponse response = read(client.socket.getInputStream());
                         assertTrue(
-                                answer.complete && answer.head.startsWith("http/1.1 200"),
-                                answer.head);
-                        assertArrayEquals(body, answer.body);
+                                response.complete && response.head.startsWith("http/1.1 200"),
+                                response.head);
+                        assertArrayEquals(body, response.body);
                     }
                 }
             }
@@ -138,12 +145,12 @@
     @Test
     void pipelinedResponsesComeInOrder() throws Exception {
         byte[] body = body(1_000_000);
-        try (StubUpstream upstream = new StubUpstream(whole(body, true));
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = new TestClient(node.runner.address())) {
+        try (StubUpstream upstream = new StubUpstream(respondWith(body, true));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(sidecar.runner.address())) {
             client.send(
-                    TestClient.request(ASK, "3.0")
-                            + TestClient.request(ASK, "3.0")
+                    TestClient.request(REQUEST_CLASS, "3.0")
+                            + TestClient.request(REQUEST_CLASS, "3.0")
                             + "GET /health/ready HTTP/1.1\r\n\r\n");
             for (int i = 0; i < 2; i++) {
                 assertArrayEquals(body, read(client.socket.getInputStream()).body);
@@ -156,13 +163,14 @@
     }
 
     /**
-     * Guards against an answer that looks whole and isn't: cut one byte short, or in its chunks.
+     * Guards against a truncated response that looks complete: one byte short, or without the last
+     * chunk.
      */
     @Test
     void truncatedResponseIsDistinguishableFromAWholeOne() throws Exception {
         byte[] body = body(300_000);
         for (boolean chunked : new boolean[] {false, true}) {
-            StubUpstream.Script broken =
+            StubUpstream.Script truncated =
                     (socket, request) -> {
                         OutputStream out = socket.getOutputStream();
                         if (chunked) {
@@ -176,63 +184,62 @@
                         Thread.sleep(100);
                         return false;
                     };
-            try (StubUpstream upstream = new StubUpstream(broken);
-                    LoopbackSidecar node = new LoopbackSidecar(upstream);
-                    TestClient client = new TestClient(node.runner.address())) {
-                client.send(TestClient.request(ASK, "3.0"));
-                Read answer = read(client.socket.getInputStream());
-                assertFalse(answer.complete);
-                assertTrue(answer.body.length <= body.length);
+            try (StubUpstream upstream = new StubUpstream(truncated);
+                    LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                    TestClient client = new TestClient(sidecar.runner.address())) {
+                client.send(TestClient.request(REQUEST_CLASS, "3.0"));
+                ReceivedResponse response = read(client.socket.getInputStream());
+                assertFalse(response.complete);
+                assertTrue(response.body.length <= body.length);
                 assertEquals(
-                        1,
-                        upstream.requests.size(),
-                        "nothing is tried again behind a begun answer");
+                        1, upstream.requests.size(), "no retry after the response has started");
                 assertEquals(
                         200,
-                        TestClient.status(node.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
+                        TestClient.status(sidecar.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
             }
         }
     }
 
-    /**
-     * Guards against a begun answer that goes on for ever because its server says nothing any more.
-     */
+    /** Guards against a response that stays open forever because its upstream stops sending. */
     @Test
     void stalledResponseIsCancelledInTime() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        byte[] body = body(HELD + 1);
+        byte[] body = body(MAX_BUFFERED_BYTES + 1);
         try (StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    head(socket.getOutputStream(), "Content-Length: " + LONG);
+                                    head(socket.getOutputStream(), "Content-Length: " + LONG_BYTES);
                                     socket.getOutputStream().write(body);
                                     never.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return false;
                                 });
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = new TestClient(node.runner.address())) {
-            long asked = System.nanoTime();
-            client.send(TestClient.request(ASK, "3.0"));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(sidecar.runner.address())) {
+            long sent = System.nanoTime();
+            client.send(TestClient.request(REQUEST_CLASS, "3.0"));
             assertFalse(read(client.socket.getInputStream()).complete);
-            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
+            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
             assertTrue(took > 4000 && took < 8000, took + " ms");
             never.countDown();
         }
     }
 
-    /** Guards against answers that pile up here: a server waits while its client doesn't read. */
+    /**
+     * Guards against unbounded buffering: the sidecar stops reading from the upstream while the
+     * client doesn't read.
+     */
     @Test
     void clientThatDoesNotReadExertsBackpressureAndIsDisconnectedInTime() throws Exception {
         AtomicLong written = new AtomicLong();
         CountDownLatch ended = new CountDownLatch(1);
-        byte[] piece = body(16 << 10);
+        byte[] chunk = body(16 << 10);
         StubUpstream.Script endless =
                 (socket, request) -> {
-                    head(socket.getOutputStream(), "Content-Length: " + LONG);
+                    head(socket.getOutputStream(), "Content-Length: " + LONG_BYTES);
                     try {
-                        for (int sent = 0; sent < LONG; sent += piece.length) {
-                            socket.getOutputStream().write(piece);
-                            written.addAndGet(piece.length);
+                        for (int sent = 0; sent < LONG_BYTES; sent += chunk.length) {
+                            socket.getOutputStream().write(chunk);
+                            written.addAndGet(chunk.length);
                         }
                     } finally {
                         ended.countDown();
@@ -240,28 +247,30 @@
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(endless);
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = new TestClient(node.runner.address())) {
-            client.send(TestClient.request(ASK, "3.0"));
-            assertTrue(ended.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS), "given up");
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(sidecar.runner.address())) {
+            client.send(TestClient.request(REQUEST_CLASS, "3.0"));
+            assertTrue(
+                    ended.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the upstream connection was not closed");
             assertTrue(
                     written.get() < 16 << 20,
-                    written.get() + " bytes were taken for who reads none");
+                    written.get() + " bytes were read for a client that reads none");
             assertEquals(
-                    200, TestClient.status(node.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
+                    200, TestClient.status(sidecar.exchange("GET /health/ready HTTP/1.1\r\n\r\n")));
         }
     }
 
-    /** Guards against a slow reader's answer being cut off at the deadline of its class. */
+    /** Guards against the response of a slow client that is cut off at the deadline. */
     @Test
     void slowReaderGetsTheWholeResponse() throws Exception {
         byte[] body = body(3_000_000);
-        try (StubUpstream upstream = new StubUpstream(whole(body, false));
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
+        try (StubUpstream upstream = new StubUpstream(respondWith(body, false));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 Socket client = new Socket()) {
             client.setReceiveBufferSize(16 << 10);
-            client.connect(node.runner.address());
-            StubUpstream.write(client, TestClient.request(ASK, "0.3"));
+            client.connect(sidecar.runner.address());
+            StubUpstream.write(client, TestClient.request(REQUEST_CLASS, "0.3"));
             InputStream in = client.getInputStream();
             InputStream slow =
                     new InputStream() {
@@ -279,19 +288,17 @@
                             return in.read();
                         }
                     };
-            Read answer = read(slow);
-            assertTrue(answer.complete);
-            assertArrayEquals(body, answer.body);
+            ReceivedResponse response = read(slow);
+            assertTrue(response.complete);
+            assertArrayEquals(body, response.body);
         }
     }
 
-    /**
-     * Guards against spoilt answers that are passed on where another attempt could still be made.
-     */
+    /** Guards against an invalid response that is forwarded although a retry is still possible. */
     @Test
     void responseWithAnExcessiveContentLengthIsNotStreamed() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
-        StubUpstream.Script spoilt =
+        StubUpstream.Script invalid =
                 (socket, request) -> {
                     head(socket.getOutputStream(), "Content-Length: 3000000000");
                     try {
@@ -306,33 +313,34 @@
                         new StubUpstream(
                                 StubUpstream.firstThen(
                                         first,
-                                        spoilt,
+                                        invalid,
                                         StubUpstream.respondWith(
                                                 StubUpstream.response("200 OK", "fine"))));
                 StubUpstream next =
                         new StubUpstream(
                                 StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
-                LoopbackSidecar node = new LoopbackSidecar(upstream, next)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream, next)) {
             for (int i = 0; i < 10; i++) {
-                String answer = node.exchange(TestClient.request(ASK, "3.0"));
-                assertEquals("fine", TestClient.body(answer));
+                String response = sidecar.exchange(TestClient.request(REQUEST_CLASS, "3.0"));
+                assertEquals("fine", TestClient.body(response));
             }
         }
     }
 
     /**
-     * Guards against a client of HTTP/1.0 that is given chunks, or takes a broken answer for whole.
+     * Guards against an HTTP/1.0 client that receives chunks, or that takes a truncated response
+     * for a complete one.
      */
     @Test
     void http10ClientGetsTheBodyDelimitedByClose() throws Exception {
         byte[] body = body(500_000);
-        try (StubUpstream upstream = new StubUpstream(whole(body, true));
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = new TestClient(node.runner.address())) {
-            client.send(TestClient.request(ASK, "3.0").replace("HTTP/1.1", "HTTP/1.0"));
-            Read answer = read(client.socket.getInputStream());
-            assertFalse(answer.head.contains("chunked"), answer.head);
-            assertArrayEquals(body, answer.body);
+        try (StubUpstream upstream = new StubUpstream(respondWith(body, true));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = new TestClient(sidecar.runner.address())) {
+            client.send(TestClient.request(REQUEST_CLASS, "3.0").replace("HTTP/1.1", "HTTP/1.0"));
+            ReceivedResponse response = read(client.socket.getInputStream());
+            assertFalse(response.head.contains("chunked"), response.head);
+            assertArrayEquals(body, response.body);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/SystemFaultsIT.java
@@ -18,35 +18,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * The packaged jar as a process whose system calls fail now and then and whose wall clock steps.
- */
+/** A sidecar process under random failures of system calls and steps of the wall clock. */
 @Timeout(120)
 class SystemFaultsIT {
     private static final int CLIENTS = 4;
-    private static final int ENOUGH = 400;
-    private static final int OFTEN = 300;
+    private static final int REQUESTS_PER_PHASE = 400;
+    private static final int FAULTS_PER_MILLE = 300;
 
-    /**
-     * Of all requests, in hundredths: those that must be served though each attempt may fail here.
-     */
-    private static final int MOST = 90;
+    /** Minimum percentage of requests that are served although each attempt may fail. */
+    private static final int MIN_SERVED_PERCENT = 90;
 
-    /** Beyond its time a request is answered late; for processes that wait for a core. */
+    /** Tolerance beyond a request's time-out, for processes that wait for a core. */
     private static final long SLACK_MILLIS = 500;
 
-    private static final StubUpstream.Script KEEPS =
+    private static final StubUpstream.Script KEEP_ALIVE =
             StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
-    /** Each request needs a connection of its own. */
-    private static final StubUpstream.Script CLOSES =
+    /** Closes the connection after each response, so that each request needs a new one. */
+    private static final StubUpstream.Script CLOSE =
             (socket, request) -> {
                 StubUpstream.write(
                         socket, StubUpstream.response("200 OK", "fine", "Connection: close"));
                 return false;
             };
 
-    private static final IntFunction<String> READS = client -> TestClient.request("read", "2.0");
+    private static final IntFunction<String> READ_REQUESTS =
+            client -> TestClient.request("read", "2.0");
 
     @TempDir private Path folder;
     private SystemFaults faults;
@@ -67,15 +64,15 @@
                 faults.environment());
     }
 
-    /** Waits until so many requests more have come to an end. */
+    /** Waits until this many more requests have ended. */
     private static void awaitMore(ClosedLoopClients clients, int requests)
             throws InterruptedException {
-        int goal = clients.asked().size() + requests;
+        int target = clients.asked().size() + requests;
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
-        while (clients.asked().size() < goal && System.nanoTime() < until) {
+        while (clients.asked().size() < target && System.nanoTime() < until) {
             Thread.sleep(5);
         }
-        assertTrue(clients.asked().size() >= goal, "requests go on being answered");
+        assertTrue(clients.asked().size() >= target, "too few requests ended within the time-out");
     }
 
     private static List<ClosedLoopClients.Asked> unanswered(List<ClosedLoopClients.Asked> asked) {
@@ -84,24 +81,24 @@
 
     private static void assertMostServed(List<ClosedLoopClients.Asked> asked) {
         long served = asked.stream().filter(each -> each.status() == 200).count();
-        assertTrue(100 * served >= MOST * asked.size(), served + " served of " + asked.size());
+        assertTrue(
+                100 * served >= MIN_SERVED_PERCENT * asked.size(),
+                served + " served of " + asked.size());
     }
 
-    /**
-     * Guards against a call that was only interrupted and is taken for the end of its connection.
-     */
+    /** Guards against an interrupted system call that is treated as the end of the connection. */
     @Test
     void interruptedSystemCallsFailNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream closes = new StubUpstream(CLOSES);
-                StubUpstream keeps = new StubUpstream(KEEPS);
+                StubUpstream closes = new StubUpstream(CLOSE);
+                StubUpstream keeps = new StubUpstream(KEEP_ALIVE);
                 SidecarProcess sidecar = start(discovery, closes, keeps);
                 ClosedLoopClients clients =
-                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
-            awaitMore(clients, ENOUGH);
-            faults.fail(SystemFaults.Fault.WAIT, OFTEN, SystemFaults.EINTR);
-            faults.fail(SystemFaults.Fault.READ_WRITE, OFTEN, SystemFaults.EINTR);
-            awaitMore(clients, ENOUGH);
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READ_REQUESTS)) {
+            awaitMore(clients, REQUESTS_PER_PHASE);
+            faults.fail(SystemFaults.Fault.WAIT, FAULTS_PER_MILLE, SystemFaults.EINTR);
+            faults.fail(SystemFaults.Fault.READ_WRITE, FAULTS_PER_MILLE, SystemFaults.EINTR);
+            awaitMore(clients, REQUESTS_PER_PHASE);
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertTrue(faults.count(SystemFaults.Fault.WAIT) > 0);
             assertTrue(faults.count(SystemFaults.Fault.READ_WRITE) > 0);
@@ -112,19 +109,19 @@
         }
     }
 
-    /** Guards against a healthy upstream that is ejected for what this machine is short of. */
+    /** Guards against a healthy upstream that is ejected because this machine lacks resources. */
     @ParameterizedTest
     @ValueSource(ints = {SystemFaults.EADDRNOTAVAIL, SystemFaults.ENOBUFS})
-    void aConnectThatFailsForWantOfLocalMeansEjectsNoUpstream(int errno) throws Exception {
+    void connectFailureForLackOfLocalResourcesEjectsNoUpstream(int errno) throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(CLOSES);
-                StubUpstream b = new StubUpstream(CLOSES);
-                StubUpstream c = new StubUpstream(CLOSES);
+                StubUpstream a = new StubUpstream(CLOSE);
+                StubUpstream b = new StubUpstream(CLOSE);
+                StubUpstream c = new StubUpstream(CLOSE);
                 SidecarProcess sidecar = start(discovery, a, b, c);
                 ClosedLoopClients clients =
-                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READS)) {
-            faults.fail(SystemFaults.Fault.CONNECT, OFTEN, errno);
-            awaitMore(clients, ENOUGH);
+                        new ClosedLoopClients(sidecar.address(), CLIENTS, 1, READ_REQUESTS)) {
+            faults.fail(SystemFaults.Fault.CONNECT, FAULTS_PER_MILLE, errno);
+            awaitMore(clients, REQUESTS_PER_PHASE);
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertTrue(faults.count(SystemFaults.Fault.CONNECT) > 0);
             assertEquals(List.of(), unanswered(asked), sidecar.log());
@@ -134,24 +131,24 @@
     }
 
     /**
-     * Guards against connections that wait unaccepted, or break, because of a failure that passes.
+     * Guards against connections that stay unaccepted or are closed because of a transient failure.
      */
     @Test
     void failedAcceptsAndShortReadsLoseNoRequest() throws Exception {
         IntFunction<String> closing =
                 client -> TestClient.request("read", "2.0", "Connection: close");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(CLOSES);
-                StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(CLOSE);
+                StubUpstream b = new StubUpstream(KEEP_ALIVE);
                 SidecarProcess sidecar = start(discovery, a, b);
                 ClosedLoopClients clients =
                         new ClosedLoopClients(sidecar.address(), CLIENTS, 1, closing)) {
-            faults.fail(SystemFaults.Fault.SHORT, OFTEN, 0);
-            faults.fail(SystemFaults.Fault.SOCKET, OFTEN / 3, SystemFaults.ENOBUFS);
+            faults.fail(SystemFaults.Fault.SHORT, FAULTS_PER_MILLE, 0);
+            faults.fail(SystemFaults.Fault.SOCKET, FAULTS_PER_MILLE / 3, SystemFaults.ENOBUFS);
             for (int errno :
                     List.of(SystemFaults.ENFILE, SystemFaults.ECONNABORTED, SystemFaults.ENOBUFS)) {
-                faults.fail(SystemFaults.Fault.ACCEPT, OFTEN / 3, errno);
-                awaitMore(clients, ENOUGH / 4);
+                faults.fail(SystemFaults.Fault.ACCEPT, FAULTS_PER_MILLE / 3, errno);
+                awaitMore(clients, REQUESTS_PER_PHASE / 4);
             }
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertTrue(faults.count(SystemFaults.Fault.ACCEPT) > 0);
@@ -162,46 +159,43 @@
         }
     }
 
-    /**
-     * Guards against an effect that happens twice, or a request lost, where a connection just
-     * stops.
-     */
+    /** Guards against a request that runs twice or is lost when its connection fails. */
     @ParameterizedTest
     @ValueSource(ints = {SystemFaults.ETIMEDOUT, SystemFaults.EHOSTUNREACH})
-    void aConnectionThatBreaksUnderARequestRunsNothingTwice(int errno) throws Exception {
+    void failedConnectionRunsNoRequestTwice(int errno) throws Exception {
         IntFunction<String> both =
                 client -> TestClient.request(client % 2 == 0 ? "read" : "pay", "2.0");
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(KEEPS);
-                StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(KEEP_ALIVE);
+                StubUpstream b = new StubUpstream(KEEP_ALIVE);
                 SidecarProcess sidecar = start(discovery, a, b);
                 ClosedLoopClients clients =
                         new ClosedLoopClients(sidecar.address(), CLIENTS, 1, both)) {
-            awaitMore(clients, ENOUGH / 4);
+            awaitMore(clients, REQUESTS_PER_PHASE / 4);
             faults.breakConnectionsTo(SidecarConfig.literalAddress(a.address()).getPort());
-            faults.fail(SystemFaults.Fault.BREAK, OFTEN / 3, errno);
-            awaitMore(clients, ENOUGH);
+            faults.fail(SystemFaults.Fault.BREAK, FAULTS_PER_MILLE / 3, errno);
+            awaitMore(clients, REQUESTS_PER_PHASE);
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertTrue(faults.count(SystemFaults.Fault.BREAK) > 0);
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             Set<String> ran = new HashSet<>();
             for (StubUpstream upstream : List.of(a, b)) {
                 for (String request : upstream.requests) {
-                    boolean once = request.startsWith("POST");
+                    boolean nonIdempotent = request.startsWith("POST");
                     assertTrue(
-                            !once || ran.add(StubUpstream.header(request, "x-request-id")),
+                            !nonIdempotent || ran.add(StubUpstream.header(request, "x-request-id")),
                             request);
                 }
             }
         }
     }
 
-    /** Guards against a deadline, wait or slow start that goes by a clock that somebody sets. */
+    /** Guards against deadlines, waits and slow starts that depend on the wall clock. */
     @Test
-    void wallClockStepsMoveNoDeadlineAndNoSlowStart() throws Exception {
+    void wallClockStepsDoNotAffectDeadlinesOrSlowStart() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
-                StubUpstream a = new StubUpstream(KEEPS);
-                StubUpstream b = new StubUpstream(KEEPS);
+                StubUpstream a = new StubUpstream(KEEP_ALIVE);
+                StubUpstream b = new StubUpstream(KEEP_ALIVE);
                 StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
                 SidecarProcess sidecar = start(discovery, a, b, silent);
                 ClosedLoopClients clients =
@@ -211,17 +205,17 @@
                                 1,
                                 client -> TestClient.request("pay", "1.0"))) {
             for (long hours : new long[] {1, -1, 0, -1, 1}) {
-                awaitMore(clients, ENOUGH / 8);
+                awaitMore(clients, REQUESTS_PER_PHASE / 8);
                 faults.stepWallClock(hours, TimeUnit.HOURS);
             }
-            awaitMore(clients, ENOUGH / 8);
+            awaitMore(clients, REQUESTS_PER_PHASE / 8);
             List<ClosedLoopClients.Asked> asked = clients.end();
             assertEquals(List.of(), unanswered(asked), sidecar.log());
             long latest = TimeUnit.SECONDS.toMillis(1) + SLACK_MILLIS;
             assertEquals(
                     List.of(), asked.stream().filter(each -> each.tookMillis() > latest).toList());
             assertEquals(0, sidecar.metric("event_loop_stalls"), sidecar.log());
-            assertTrue(silent.requests.size() > 0, "some waited for their deadline");
+            assertTrue(silent.requests.size() > 0, "no request waited for its deadline");
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UndelimitedResponsesTest.java
@@ -10,18 +10,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * Upstreams' answers with neither a length nor chunks: the orderly end of their connection ends
- * them.
- */
+/** Responses with neither a length nor chunks, which an orderly close of the connection ends. */
 @Timeout(60)
 class UndelimitedResponsesTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-    /** More than the sidecar holds whole. */
-    private static final int LONG = 300_000;
+    /** More than the sidecar buffers whole. */
+    private static final int LONG_BYTES = 300_000;
 
-    private static StubUpstream.Script ended(String head, String... pieces) {
+    private static StubUpstream.Script respondAndClose(String head, String... pieces) {
         return (socket, request) -> {
             StubUpstream.write(socket, head);
             for (String piece : pieces) {
@@ -31,18 +28,21 @@
         };
     }
 
-    /** The body, and that its own connection goes on; the client gets a length or chunks. */
+    /**
+     * The client receives a length or chunks, and its own connection stays open although the
+     * upstream's closes.
+     */
     @Test
     void responseDelimitedByAnOrderlyCloseIsServed() throws Exception {
         for (String head :
                 new String[] {HEAD, "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"}) {
-            try (StubUpstream upstream = new StubUpstream(ended(head, "fi", "ne"));
-                    LoopbackSidecar node = new LoopbackSidecar(upstream);
-                    TestClient client = node.client()) {
+            try (StubUpstream upstream = new StubUpstream(respondAndClose(head, "fi", "ne"));
+                    LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                    TestClient client = sidecar.client()) {
                 for (int i = 0; i < 3; i++) {
-                    String answer = client.exchange(TestClient.request("pay", "3.0"));
-                    assertEquals(200, TestClient.status(answer), answer);
-                    assertEquals("fine", TestClient.body(answer));
+                    String response = client.exchange(TestClient.request("pay", "3.0"));
+                    assertEquals(200, TestClient.status(response), response);
+                    assertEquals("fine", TestClient.body(response));
                 }
                 assertEquals(3, upstream.requests.size());
             }
@@ -51,32 +51,35 @@
 
     @Test
     void emptyUndelimitedResponseIsServed() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(ended(HEAD));
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = node.client()) {
-            String answer = client.exchange(TestClient.request("pay", "3.0"));
-            assertEquals(200, TestClient.status(answer), answer);
-            assertEquals("", TestClient.body(answer));
+        try (StubUpstream upstream = new StubUpstream(respondAndClose(HEAD));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = sidecar.client()) {
+            String response = client.exchange(TestClient.request("pay", "3.0"));
+            assertEquals(200, TestClient.status(response), response);
+            assertEquals("", TestClient.body(response));
         }
     }
 
-    /** Guards against a part of an answer that is served as a whole one: a reset is no end. */
+    /** Guards against a partial response that is served as complete because a reset ended it. */
     @Test
     void resetDoesNotDelimitAResponse() throws Exception {
-        StubUpstream.Script cut =
+        StubUpstream.Script truncated =
                 (socket, request) -> {
                     StubUpstream.write(socket, HEAD + "fi");
                     Thread.sleep(50);
                     return StubUpstream.reset(socket);
                 };
-        try (StubUpstream upstream = new StubUpstream(cut);
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = node.client()) {
+        try (StubUpstream upstream = new StubUpstream(truncated);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = sidecar.client()) {
             assertEquals(502, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
         }
     }
 
-    /** Guards against the same where this side ends the connection, for the answer pauses. */
+    /**
+     * Guards against a partial response that is served as complete because the sidecar itself
+     * closed the connection when the response stalled.
+     */
     @Test
     void pauseDoesNotDelimitAResponse() throws Exception {
         StubUpstream.Script paused =
@@ -85,26 +88,26 @@
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(paused);
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = node.client()) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = sidecar.client()) {
             assertNotEquals(
                     200, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
         }
     }
 
-    /** Guards against what proves that nothing ran being passed over for want of a length. */
+    /** Guards against a proof that the request did not run that is ignored for lack of a length. */
     @Test
     void undelimitedRejectionIsRetriedElsewhere() throws Exception {
         try (StubUpstream full =
                         new StubUpstream(
-                                ended(
+                                respondAndClose(
                                         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n",
                                         "full"));
                 StubUpstream other =
                         new StubUpstream(
                                 StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
-                LoopbackSidecar node = new LoopbackSidecar(full, other);
-                TestClient client = node.client()) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(full, other);
+                TestClient client = sidecar.client()) {
             for (int i = 0; i < 4; i++) {
                 assertEquals(
                         200, TestClient.status(client.exchange(TestClient.request("pay", "3.0"))));
@@ -113,36 +116,36 @@
         }
     }
 
-    /** Guards against a long one that looks the same as one that breaks off. */
+    /** Guards against a truncated long response that looks like a complete one. */
     @Test
     void longUndelimitedResponseIsForwardedInChunksAndItsResetIsVisible() throws Exception {
-        String half = "x".repeat(LONG / 2);
-        try (StubUpstream upstream = new StubUpstream(ended(HEAD, half, half));
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = node.client()) {
+        String half = "x".repeat(LONG_BYTES / 2);
+        try (StubUpstream upstream = new StubUpstream(respondAndClose(HEAD, half, half));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = sidecar.client()) {
             client.send(TestClient.request("read", "3.0"));
-            assertEquals(LONG, chunks(client.socket.getInputStream()));
+            assertEquals(LONG_BYTES, readChunked(client.socket.getInputStream()));
         }
-        StubUpstream.Script cut =
+        StubUpstream.Script truncated =
                 (socket, request) -> {
                     StubUpstream.write(socket, HEAD + half);
                     Thread.sleep(50);
                     return StubUpstream.reset(socket);
                 };
-        try (StubUpstream upstream = new StubUpstream(cut);
-                LoopbackSidecar node = new LoopbackSidecar(upstream);
-                TestClient client = node.client()) {
+        try (StubUpstream upstream = new StubUpstream(truncated);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
+                TestClient client = sidecar.client()) {
             client.send(TestClient.request("read", "3.0"));
-            assertEquals(-1, chunks(client.socket.getInputStream()));
+            assertEquals(-1, readChunked(client.socket.getInputStream()));
         }
     }
 
-    /** Bytes of a chunked body; below 0 where it does not come to its end. */
-    private static int chunks(InputStream in) throws IOException {
+    /** Reads a chunked body and returns its length; -1 if it is truncated. */
+    private static int readChunked(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
-            assertTrue(next >= 0, "an answer begins");
+            assertTrue(next >= 0, "the response ends before its head is complete");
             head.append((char) next);
         }
         assertTrue(
--- a/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/UpstreamClusterTest.java
@@ -9,31 +9,34 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What a service's parts are set to. */
+/** Values that an upstream cluster derives from the settings. */
 class UpstreamClusterTest {
-    /** The pause that is granted where the shortest aim is so long, both in milliseconds. */
-    private static long stall(long aim) throws IOException {
+    /** The maximum pause of a response for a shortest latency objective, both in milliseconds. */
+    private static long maxPause(long objective) throws IOException {
         String json =
                 LoopbackSidecar.json(LoopbackSidecar.SettingValues.DEFAULT, "127.0.0.1:9")
                         .replaceAll(
                                 "\"slo\":1000000000",
-                                "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(aim));
+                                "\"slo\":" + TimeUnit.MILLISECONDS.toNanos(objective));
         return TimeUnit.NANOSECONDS.toMillis(
                 UpstreamCluster.maxResponsePauseNanos(
                         SidecarConfig.parse(json.getBytes(StandardCharsets.UTF_8)).settings()));
     }
 
     /**
-     * Guards against a lost segment, or a server that writes in pieces, made a reset of our own.
+     * Guards against a connection that the sidecar resets only because a TCP segment was lost or
+     * the upstream writes a response in pieces.
      */
     @Test
     void responseMayPauseForALostSegment() throws Exception {
-        for (long aim : new long[] {50, 200, 499, 500, 700, 1000, 3000}) {
-            assertTrue(stall(aim) > 200, "TCP's least retransmission time; aim " + aim);
+        for (long objective : new long[] {50, 200, 499, 500, 700, 1000, 3000}) {
             assertTrue(
-                    aim < 500 || stall(aim) <= aim / 2,
-                    "another attempt has half the time; aim " + aim);
+                    maxPause(objective) > 200,
+                    "longer than the minimum TCP retransmission time-out; objective " + objective);
+            assertTrue(
+                    objective < 500 || maxPause(objective) <= objective / 2,
+                    "half of the objective is left for another attempt; objective " + objective);
         }
-        assertEquals(600, stall(3000));
+        assertEquals(600, maxPause(3000));
     }
 }
