--- a/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/AdminServerTest.java
@@ -23,7 +23,7 @@
  */
 @Timeout(120)
 class AdminServerTest {
-    private static final String GOOD = StubUpstream.answer("200 OK", "fine");
+    private static final String GOOD = StubUpstream.response("200 OK", "fine");
 
     private final InetSocketAddress admin = unusedAddress();
 
@@ -37,8 +37,8 @@
 
     private Socket open() throws IOException {
         Socket socket = new Socket();
-        socket.connect(admin, (int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        socket.connect(admin, (int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         return socket;
     }
 
@@ -74,46 +74,50 @@
 
     @Test
     void suspendedHostGetsNoRequestsUntilItIsRestored() throws Exception {
-        try (StubUpstream a = new StubUpstream(StubUpstream.says(GOOD));
-                StubUpstream b = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
+        try (StubUpstream a = new StubUpstream(StubUpstream.respondWith(GOOD));
+                StubUpstream b = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(a, b))) {
             assertEquals("YES\n", call("STATUS"));
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             }
             assertTrue(a.requests.size() > 0);
             assertEquals("YES\n", call("SUSPEND u0"));
             int requestsToA = a.requests.size();
             // Discovery keeps reporting that the host is ready.
-            node.tell(LoopbackNode.list(2, true, LoopbackNode.targets(a, b)));
+            node.queueList(LoopbackSidecar.list(2, true, LoopbackSidecar.targets(a, b)));
             for (int i = 0; i < 40; i++) {
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             }
             assertEquals(requestsToA, a.requests.size());
             assertEquals("YES\n", call("SUSPEND u1"));
             long sentAtNanos = System.nanoTime();
-            assertEquals(503, TestClient.status(node.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(503, TestClient.status(node.exchange(TestClient.request("pay", "3.0"))));
             assertTrue(
                     System.nanoTime() - sentAtNanos < TimeUnit.MILLISECONDS.toNanos(1500),
                     "rejected at once");
             assertEquals("NO not ready\n", call("STATUS"));
             assertEquals("YES\n", call("RESTORE u0"));
             assertEquals("NO unknown upstream\n", call("RESTORE u7"));
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             assertTrue(a.requests.size() > requestsToA);
         }
     }
 
     @Test
     void everyFormOfACallGetsItsReply() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 admin,
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             assertEquals("YES\n", exchange("STATUS\r\n", false));
             assertEquals("YES\n", exchange("STATUS\n", true));
             assertEquals("YES\n", exchange("STATUS", true));
@@ -136,19 +140,19 @@
                         new String(
                                 slow.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
             }
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
         }
     }
 
     /** Guards against many connections without a call that delay the calls of others. */
     @Test
     void silentConnectionsDoNotDelayCalls() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL,
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 admin,
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             List<Socket> silent = new ArrayList<>();
             try {
                 for (int i = 0; i < 400; i++) {
@@ -159,7 +163,8 @@
                 long durationMillis =
                         TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos);
                 assertTrue(durationMillis < 1000, "call took " + durationMillis + " ms");
-                assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+                assertEquals(
+                        200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             } finally {
                 for (Socket socket : silent) {
                     socket.close();
@@ -171,12 +176,14 @@
 
     @Test
     void connectionThatNeverMakesACallIsRefused() throws Exception {
-        try (StubUpstream upstream = new StubUpstream(StubUpstream.says(GOOD));
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(upstream));
+        try (StubUpstream upstream = new StubUpstream(StubUpstream.respondWith(GOOD));
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(upstream));
                 Socket silent = open()) {
-            assertEquals(200, TestClient.status(node.ask(TestClient.request("read", "3.0"))));
+            assertEquals(200, TestClient.status(node.exchange(TestClient.request("read", "3.0"))));
             assertEquals(
                     "NO no call came in time\n",
                     new String(silent.getInputStream().readAllBytes(), StandardCharsets.US_ASCII));
@@ -192,13 +199,14 @@
                         switch (requestCount.getAndIncrement() % 5) {
                             case 0 -> StubUpstream.reset(socket);
                             case 1 -> {
-                                StubUpstream.write(socket, StubUpstream.answer("500 Wrong", "bad"));
+                                StubUpstream.write(
+                                        socket, StubUpstream.response("500 Wrong", "bad"));
                                 yield true;
                             }
                             case 2 -> {
                                 StubUpstream.write(
                                         socket,
-                                        StubUpstream.answer("503 Full", "", "X-Not-Run: 1"));
+                                        StubUpstream.response("503 Full", "", "X-Not-Run: 1"));
                                 yield true;
                             }
                             default -> {
@@ -210,9 +218,11 @@
         String[] classes = {"read", "write", "hold", "pay"};
         try (StubUpstream a = new StubUpstream(script);
                 StubUpstream b = new StubUpstream(script);
-                LoopbackNode node =
-                        new LoopbackNode(
-                                LoopbackNode.Figures.USUAL, admin, LoopbackNode.targets(a, b))) {
+                LoopbackSidecar node =
+                        new LoopbackSidecar(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                admin,
+                                LoopbackSidecar.targets(a, b))) {
             int served = 0;
             int rejected = 0;
             int failed = 0;
@@ -220,11 +230,12 @@
             int sent = 0;
             TestClient client = null;
             for (int i = 0; i < 1500; i++) {
-                client = client == null ? new TestClient(node.node.address()) : client;
+                client = client == null ? new TestClient(node.runner.address()) : client;
                 boolean unknownClass = random.nextInt(20) == 0;
                 String text = TestClient.request(classes[random.nextInt(classes.length)], "3.0");
                 String answer =
-                        client.ask(unknownClass ? text.replace("X-Class: ", "X-Class: no-") : text);
+                        client.exchange(
+                                unknownClass ? text.replace("X-Class: ", "X-Class: no-") : text);
                 switch (TestClient.status(answer)) {
                     case 200 -> served++;
                     case 503 -> rejected++;
--- a/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientDisconnectTest.java
@@ -43,7 +43,7 @@
 @Timeout(60)
 class ClientDisconnectTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
     /** One client or a burst of clients, which close their connections or reset them. */
@@ -97,8 +97,10 @@
             throws Exception {
         String json =
                 changeConfig.apply(
-                        LoopbackNode.json(
-                                LoopbackNode.Figures.USUAL, discovery.address(), targets));
+                        LoopbackSidecar.json(
+                                LoopbackSidecar.SettingValues.DEFAULT,
+                                discovery.address(),
+                                targets));
         SidecarConfig config =
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
@@ -138,7 +140,7 @@
 
     private static void await(String failure, BooleanSupplier condition) throws Exception {
         long timeoutAtNanos =
-                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < timeoutAtNanos, "timed out: " + failure);
             Thread.sleep(1);
@@ -161,9 +163,9 @@
      */
     private void assertNothingSentBefore(String last, StubUpstream upstream) throws Exception {
         try (TestClient client = new TestClient(address)) {
-            String answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
+            String answer = client.exchange(TestClient.request("read", "3.0", "X-Name: " + last));
             while (TestClient.status(answer) == 503) {
-                answer = client.ask(TestClient.request("read", "3.0", "X-Name: " + last));
+                answer = client.exchange(TestClient.request("read", "3.0", "X-Name: " + last));
             }
             assertEquals(200, TestClient.status(answer), answer);
         }
@@ -173,7 +175,7 @@
 
     private static StubUpstream.Script respondAfter(CountDownLatch gate) {
         return (socket, request) -> {
-            gate.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            gate.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             return GOOD.serve(socket, request);
         };
     }
@@ -185,7 +187,7 @@
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(respondAfter(gate))) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> busy = sendFromNewClients(2, "read");
                 upstream.nextRequest();
                 upstream.nextRequest();
@@ -216,7 +218,7 @@
             CountDownLatch gate = new CountDownLatch(1);
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(respondAfter(gate))) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> busy = sendFromNewClients(1, "read");
                 upstream.nextRequest();
                 List<TestClient> disconnecting = sendFromNewClients(1, "read");
@@ -257,9 +259,9 @@
             CountDownLatch failFirst = new CountDownLatch(1);
             StubUpstream.Script error =
                     (socket, request) -> {
-                        failFirst.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        failFirst.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
-                                socket, StubUpstream.answer("500 Internal Server Error", ""));
+                                socket, StubUpstream.response("500 Internal Server Error", ""));
                         return true;
                     };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
@@ -267,7 +269,7 @@
                     StubUpstream failing =
                             new StubUpstream(
                                     StubUpstream.firstThen(new CountDownLatch(1), error, GOOD))) {
-                begin(discovery, json -> json, LoopbackNode.targets(full, failing));
+                begin(discovery, json -> json, LoopbackSidecar.targets(full, failing));
                 List<TestClient> busy = new ArrayList<>();
                 TestClient failingClient = null;
                 // The policy chooses the host of each request. Send until two requests fill one
@@ -333,7 +335,8 @@
                                             .replace(
                                                     "\"deadline\":3000000000",
                                                     "\"deadline\":60000000000"),
-                            LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
+                            LoopbackSidecar.target(
+                                    "u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                     TestClient client = new TestClient(address);
                     client.send(TestClient.request("read", "60.0"));
                     await(
@@ -368,7 +371,7 @@
                 begin(
                         discovery,
                         ClientDisconnectTest::withLongTimeouts,
-                        LoopbackNode.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
+                        LoopbackSidecar.target("u0", "127.0.0.1:" + full.getLocalPort(), "Ready"));
                 TestClient client = new TestClient(address);
                 client.send(TestClient.request("read", "60.0"));
                 await(
@@ -397,15 +400,15 @@
             String endpoint = "127.0.0.1:" + full.getLocalPort();
             StubUpstream.Script drain =
                     (socket, request) -> {
-                        sendUpdate.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        sendUpdate.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         StubUpstream.write(
                                 socket,
-                                StubUpstream.answer(
+                                StubUpstream.response(
                                         "200 OK",
-                                        LoopbackNode.list(
+                                        LoopbackSidecar.list(
                                                 2,
                                                 false,
-                                                LoopbackNode.target(
+                                                LoopbackSidecar.target(
                                                         "u0", endpoint, "Terminating"))));
                         updateSent.countDown();
                         return true;
@@ -425,7 +428,7 @@
                                         .replace(
                                                 "\"askWithin\":1000000000",
                                                 "\"askWithin\":60000000000"),
-                        LoopbackNode.target("u0", endpoint, "Ready"));
+                        LoopbackSidecar.target("u0", endpoint, "Ready"));
                 discovery.nextRequest();
                 try (TestClient client = new TestClient(address)) {
                     client.send(TestClient.request("read", "60.0"));
@@ -435,7 +438,7 @@
                     CountDownLatch releaseLoop = stallLoop(320);
                     Socket accepted = acceptOtherThan(full, waiting);
                     sendUpdate.countDown();
-                    assertTrue(updateSent.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                    assertTrue(updateSent.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                     releaseLoop.countDown();
                     assertNothingIsSent(accepted);
                     assertEquals(
@@ -458,7 +461,7 @@
     private static Socket acceptOtherThan(ServerSocket listener, List<Socket> waiting)
             throws IOException {
         List<Integer> known = waiting.stream().map(Socket::getLocalPort).toList();
-        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         while (true) {
             Socket next = listener.accept();
             if (!known.contains(next.getPort())) {
@@ -469,7 +472,7 @@
     }
 
     private static void assertNothingIsSent(Socket accepted) throws IOException {
-        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         assertEquals(null, StubUpstream.readMessage(accepted.getInputStream()));
         accepted.close();
     }
@@ -501,11 +504,11 @@
             for (Disconnect disconnect : DISCONNECTS) {
                 try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                         StubUpstream upstream = new StubUpstream(GOOD)) {
-                    begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                    begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                     List<TestClient> clients = new ArrayList<>();
                     for (int i = 0; i < disconnect.clients; i++) {
                         TestClient client = new TestClient(address);
-                        assertEquals(503, TestClient.status(client.ask(READY)));
+                        assertEquals(503, TestClient.status(client.exchange(READY)));
                         clients.add(client);
                     }
                     CountDownLatch releaseLoop = stallLoop(stallMillis);
@@ -535,7 +538,7 @@
         for (Disconnect disconnect : DISCONNECTS) {
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(GOOD)) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 try (TestClient before = sendFromNewClients(1, "read").get(0)) {
                     assertEquals(200, TestClient.status(before.read()));
                     upstream.nextRequest();
@@ -582,7 +585,7 @@
                 };
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream = new StubUpstream(script)) {
-            begin(discovery, json -> json, LoopbackNode.targets(upstream));
+            begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
             List<TestClient> busy = sendFromNewClients(2, "read");
             upstream.nextRequest();
             upstream.nextRequest();
@@ -592,7 +595,7 @@
                     () -> inFlightCounts().openRequests() == 2 + disconnect.clients);
             CountDownLatch releaseLoop = stallLoop(stallMillis);
             gate.countDown();
-            assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(answered.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             disconnect.apply(disconnecting);
             releaseLoop.countDown();
             for (TestClient each : busy) {
@@ -628,13 +631,14 @@
                     };
             try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                     StubUpstream upstream = new StubUpstream(script)) {
-                begin(discovery, json -> json, LoopbackNode.targets(upstream));
+                begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
                 List<TestClient> many = new ArrayList<>();
                 for (int i = 0; i < 6; i++) {
                     many.add(new TestClient(address));
                     assertEquals(
                             200,
-                            TestClient.status(many.get(i).ask(TestClient.request("read", "3.0"))));
+                            TestClient.status(
+                                    many.get(i).exchange(TestClient.request("read", "3.0"))));
                 }
                 List<TestClient> busy = new ArrayList<>();
                 for (int i = 0; i < 2; i++) {
@@ -655,9 +659,9 @@
                     each.send(TestClient.request("read", "0.001"));
                 }
                 releaseLoop.countDown();
-                assertTrue(turnStarted.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(turnStarted.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 gate.countDown();
-                assertTrue(answered.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(answered.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 new Disconnect(1, resets).apply(List.of(disconnecting));
                 continueTurn.countDown();
                 for (TestClient each : busy) {
@@ -707,7 +711,7 @@
                     blocked.countDown();
                     block(release, millis);
                 });
-        assertTrue(blocked.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(blocked.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return release;
     }
 
@@ -715,7 +719,7 @@
     private static void block(CountDownLatch latch, long millis) {
         try {
             long earliestEndNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-            latch.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            latch.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             Thread.sleep(
                     Math.max(
                             1,
--- a/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClientListenerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import appleridge.daemon.LoopbackNode.Figures;
+import appleridge.daemon.LoopbackSidecar.SettingValues;
 import appleridge.daemon.StubUpstream.Script;
 import appleridge.http1.ClientTimeouts;
 import java.io.IOException;
@@ -25,26 +25,27 @@
 /** The client listener: readiness, malformed input, pipelining, eviction and draining. */
 @Timeout(60)
 class ClientListenerTest {
-    private static final Script GOOD = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+    private static final Script GOOD =
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /** Guards against a request that is cut off because its body arrives slowly but steadily. */
     @Test
     void slowBodyIsAcceptedAndStalledBodyIsRejected() throws Exception {
         ClientTimeouts timeouts = new ClientTimeouts(300, 300, 15_000);
-        Script good = StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+        Script good = StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
         try (StubUpstream upstream = new StubUpstream(good);
-                LoopbackNode sidecar =
-                        new LoopbackNode(
-                                new LoopbackNode.Figures(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(
+                                new LoopbackSidecar.SettingValues(
                                         10_000_000_000L, 1000, 1_000_000_000L, timeouts),
-                                LoopbackNode.targets(upstream))) {
+                                LoopbackSidecar.targets(upstream))) {
             String head =
                     TestClient.request("pay", "3.0")
                             .replace(
                                     "Content-Length: 4\r\n\r\nbody",
                                     "Content-Length: 60000\r\n\r\n");
-            try (TestClient slow = new TestClient(sidecar.node.address())) {
+            try (TestClient slow = new TestClient(sidecar.runner.address())) {
                 slow.send(head);
                 for (int i = 0; i < 60; i++) {
                     slow.send("x".repeat(1000));
@@ -52,7 +53,7 @@
                 }
                 assertEquals(200, TestClient.status(slow.read()));
             }
-            try (TestClient stalled = new TestClient(sidecar.node.address())) {
+            try (TestClient stalled = new TestClient(sidecar.runner.address())) {
                 stalled.send(head + "x".repeat(1000));
                 assertEquals(408, TestClient.status(stalled.read()));
             }
@@ -62,14 +63,14 @@
     @Test
     void readinessNeedsAReadyHost() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar = new LoopbackNode();
+                LoopbackSidecar sidecar = new LoopbackSidecar();
                 TestClient client = sidecar.client()) {
-            assertEquals(503, TestClient.status(client.ask(READY)));
-            sidecar.tell(LoopbackNode.list(2, true, LoopbackNode.targets(upstream)));
-            while (TestClient.status(client.ask(READY)) != 200) {
+            assertEquals(503, TestClient.status(client.exchange(READY)));
+            sidecar.queueList(LoopbackSidecar.list(2, true, LoopbackSidecar.targets(upstream)));
+            while (TestClient.status(client.exchange(READY)) != 200) {
                 Thread.onSpinWait();
             }
-            assertEquals(200, TestClient.status(client.ask(TestClient.request("pay", "2.0"))));
+            assertEquals(200, TestClient.status(client.exchange(TestClient.request("pay", "2.0"))));
         }
     }
 
@@ -132,21 +133,23 @@
         statusWithClose.put(good.replace("Host: ", "Host: \u0001"), 400);
         statusWithClose.put("GET /api HTTP/1.1\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n", 400);
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar = new LoopbackNode(upstream)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream)) {
             try (TestClient client = sidecar.client()) {
                 for (Map.Entry<String, Integer> each : statusWithKeepAlive.entrySet()) {
-                    String answer = client.ask(each.getKey());
+                    String answer = client.exchange(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals(
                             each.getValue() == 405, StubUpstream.header(answer, "allow") != null);
                 }
                 assertEquals(0, upstream.requests.size());
                 assertEquals(
-                        200, TestClient.status(client.ask(good)), "the connection stays usable");
+                        200,
+                        TestClient.status(client.exchange(good)),
+                        "the connection stays usable");
             }
             for (Map.Entry<String, Integer> each : statusWithClose.entrySet()) {
                 try (TestClient client = sidecar.client()) {
-                    String answer = client.ask(each.getKey());
+                    String answer = client.exchange(each.getKey());
                     assertEquals(each.getValue(), TestClient.status(answer), each.getKey());
                     assertEquals("close", StubUpstream.header(answer, "connection"));
                     assertNull(client.read(), "the connection is closed");
@@ -170,7 +173,7 @@
                                         + "dy\r\n"
                                         + "0\r\n\r\n");
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar = new LoopbackNode(upstream);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 TestClient client = sidecar.client()) {
             String both = "\r\n" + TestClient.request("pay", "3.0") + chunked;
             for (char character : both.toCharArray()) {
@@ -187,10 +190,11 @@
     void bodyOfTheMaximumSizeIsAccepted() throws Exception {
         String big = "x".repeat(64 * 1024);
         try (StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", big)));
-                LoopbackNode sidecar = new LoopbackNode(upstream)) {
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", big)));
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream)) {
             String answer =
-                    sidecar.ask(
+                    sidecar.exchange(
                             TestClient.request("pay", "2.0")
                                     .replace(
                                             "Content-Length: 4\r\n\r\nbody",
@@ -208,15 +212,15 @@
                 (socket, request) -> {
                     String name = StubUpstream.header(request, "x-name");
                     if (name.equals("first")) {
-                        secondArrived.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        secondArrived.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                     } else {
                         secondArrived.countDown();
                     }
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", name));
+                    StubUpstream.write(socket, StubUpstream.response("200 OK", name));
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(script);
-                LoopbackNode sidecar = new LoopbackNode(upstream);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 TestClient client = sidecar.client()) {
             client.send(
                     TestClient.request("read", "3.0", "X-Name: first")
@@ -231,15 +235,15 @@
     /** Guards against descriptors used up by clients that send nothing or part of a request. */
     @Test
     void idleConnectionsAreClosedUnlessTheyWaitForAResponse() throws Exception {
-        Figures shortTimeouts =
-                new Figures(
+        SettingValues shortTimeouts =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(200, 200, 200));
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode sidecar =
-                        new LoopbackNode(shortTimeouts, LoopbackNode.targets(silent));
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(shortTimeouts, LoopbackSidecar.targets(silent));
                 TestClient silentClient = sidecar.client();
                 TestClient partial = sidecar.client();
                 TestClient waiting = sidecar.client()) {
@@ -257,15 +261,15 @@
      */
     @Test
     void requestThatArrivesTooSlowlyIsRejected() throws Exception {
-        Figures shortTimeouts =
-                new Figures(
+        SettingValues shortTimeouts =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(400, 60_000, 60_000));
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar =
-                        new LoopbackNode(shortTimeouts, LoopbackNode.targets(upstream));
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(shortTimeouts, LoopbackSidecar.targets(upstream));
                 TestClient slow = sidecar.client()) {
             slow.send("GET /api HTTP/1.1\r\n");
             long start = System.nanoTime();
@@ -287,8 +291,8 @@
      */
     @Test
     void silentConnectionsAreEvictedForThoseThatSendRequests() throws Exception {
-        Figures longTimeouts =
-                new Figures(
+        SettingValues longTimeouts =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
@@ -298,11 +302,12 @@
         try (StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode sidecar =
-                        new LoopbackNode(longTimeouts, LoopbackNode.targets(upstream));
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(longTimeouts, LoopbackSidecar.targets(upstream));
                 TestClient partial = sidecar.client();
                 TestClient open = sidecar.client()) {
             String request = TestClient.request("pay", "3.0");
@@ -313,7 +318,8 @@
                 silent.add(sidecar.client());
             }
             release.countDown();
-            assertEquals(200, TestClient.status(sidecar.ask(TestClient.request("pay", "3.0"))));
+            assertEquals(
+                    200, TestClient.status(sidecar.exchange(TestClient.request("pay", "3.0"))));
             assertEquals(
                     200, TestClient.status(open.read()), "a connection with an open request stays");
             partial.send(request.substring(20));
@@ -337,11 +343,11 @@
     void idleConnectionsAfterOneRequestMakeRoomForNewOnes() throws Exception {
         List<TestClient> idleClients = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar = new LoopbackNode(upstream)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream)) {
             for (int i = 0; i < 500; i++) {
                 TestClient client = sidecar.client();
                 idleClients.add(client);
-                String answer = client.ask(READY);
+                String answer = client.exchange(READY);
                 assertTrue(answer != null, "connection " + i + " was closed without an answer");
                 assertEquals(200, TestClient.status(answer));
             }
@@ -359,27 +365,27 @@
      */
     @Test
     void theLongestIdleConnectionIsEvictedFirst() throws Exception {
-        Figures longTimeouts =
-                new Figures(
+        SettingValues longTimeouts =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
         List<TestClient> idleClients = new ArrayList<>();
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar =
-                        new LoopbackNode(longTimeouts, LoopbackNode.targets(upstream))) {
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(longTimeouts, LoopbackSidecar.targets(upstream))) {
             for (int i = 0; i < 200; i++) {
                 TestClient client = sidecar.client();
                 idleClients.add(client);
-                assertEquals(200, TestClient.status(client.ask(READY)));
+                assertEquals(200, TestClient.status(client.exchange(READY)));
             }
             assertNull(
                     idleClients.get(0).read(),
                     "the longest idle connection is closed below the limit already");
             assertEquals(
                     200,
-                    TestClient.status(idleClients.get(199).ask(READY)),
+                    TestClient.status(idleClients.get(199).exchange(READY)),
                     "the latest connection stays");
         } finally {
             for (TestClient each : idleClients) {
@@ -395,21 +401,22 @@
         try (StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     return GOOD.serve(socket, request);
                                 });
-                LoopbackNode sidecar = new LoopbackNode(upstream);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 TestClient first = sidecar.client()) {
             String request = TestClient.request("read", "3.0");
             first.send(request);
             upstream.nextRequest();
-            assertEquals(409, TestClient.status(sidecar.ask(request)));
+            assertEquals(409, TestClient.status(sidecar.exchange(request)));
             assertEquals(0, upstream.requests.size());
             release.countDown();
             assertEquals(200, TestClient.status(first.read()));
             assertEquals(
                     200,
-                    TestClient.status(sidecar.ask(request)),
+                    TestClient.status(sidecar.exchange(request)),
                     "the id is free once the request is answered");
         }
     }
@@ -421,7 +428,7 @@
     @Test
     void requestAfterConnectionCloseIsNotForwarded() throws Exception {
         try (StubUpstream upstream = new StubUpstream(GOOD);
-                LoopbackNode sidecar = new LoopbackNode(upstream);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 TestClient client = sidecar.client()) {
             client.send(
                     TestClient.request("pay", "3.0", "X-Name: last", "Connection: close")
@@ -431,7 +438,7 @@
             assertEquals(
                     200,
                     TestClient.status(
-                            sidecar.ask(TestClient.request("read", "3.0", "X-Name: next"))));
+                            sidecar.exchange(TestClient.request("read", "3.0", "X-Name: next"))));
             for (String name : new String[] {"last", "next"}) {
                 assertEquals(name, StubUpstream.header(upstream.nextRequest(), "x-name"));
             }
@@ -445,7 +452,7 @@
     @Test
     void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode sidecar = new LoopbackNode(silent);
+                LoopbackSidecar sidecar = new LoopbackSidecar(silent);
                 TestClient client = sidecar.client()) {
             StringBuilder many = new StringBuilder();
             for (int i = 0; i < 200; i++) {
@@ -468,10 +475,10 @@
     @Test
     void clientThatNeverReadsIsDisconnected() throws Exception {
         byte[] many = READY.repeat(1000).getBytes(StandardCharsets.US_ASCII);
-        try (LoopbackNode sidecar = new LoopbackNode();
+        try (LoopbackSidecar sidecar = new LoopbackSidecar();
                 Socket socket = new Socket()) {
             socket.setReceiveBufferSize(16 * 1024);
-            socket.connect(sidecar.node.address());
+            socket.connect(sidecar.runner.address());
             assertThrows(
                     IOException.class,
                     () -> {
@@ -479,36 +486,37 @@
                             socket.getOutputStream().write(many);
                         }
                     });
-            assertEquals(503, TestClient.status(sidecar.ask(READY)));
+            assertEquals(503, TestClient.status(sidecar.exchange(READY)));
         }
     }
 
     /** Guards against a drain that waits for a request that is never completed. */
     @Test
     void drainDoesNotWaitForAnIncompleteRequest() throws Exception {
-        Figures longTimeouts =
-                new Figures(
+        SettingValues longTimeouts =
+                new SettingValues(
                         TimeUnit.SECONDS.toNanos(10),
                         1000,
                         TimeUnit.SECONDS.toNanos(1),
                         new ClientTimeouts(60_000, 60_000, 60_000));
         CountDownLatch drained = new CountDownLatch(1);
-        try (LoopbackNode sidecar = new LoopbackNode(longTimeouts);
+        try (LoopbackSidecar sidecar = new LoopbackSidecar(longTimeouts);
                 TestClient partial = sidecar.client();
                 TestClient silentClient = sidecar.client()) {
             partial.send("GET /api HTTP/1.1\r\n");
             silentClient.send("\r\n");
-            assertEquals(503, TestClient.status(sidecar.ask(READY)));
-            sidecar.node.shutdown().drain(drained::countDown);
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertEquals(503, TestClient.status(sidecar.exchange(READY)));
+            sidecar.runner.shutdown().drain(drained::countDown);
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
     void rejectionHasRetryAfterIfEnabled() throws Exception {
-        String draining = LoopbackNode.target("u0", "127.0.0.1:9", "Terminating");
-        try (LoopbackNode sidecar = new LoopbackNode(LoopbackNode.Figures.USUAL, draining)) {
-            String answer = sidecar.ask(TestClient.request("pay", "2.0"));
+        String draining = LoopbackSidecar.target("u0", "127.0.0.1:9", "Terminating");
+        try (LoopbackSidecar sidecar =
+                new LoopbackSidecar(LoopbackSidecar.SettingValues.DEFAULT, draining)) {
+            String answer = sidecar.exchange(TestClient.request("pay", "2.0"));
             assertEquals(503, TestClient.status(answer));
             assertEquals("0.5", StubUpstream.header(answer, "retry-after"));
         }
@@ -525,18 +533,18 @@
         CountDownLatch release = new CountDownLatch(1);
         Script delayed =
                 (socket, request) -> {
-                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
-                    StubUpstream.write(socket, StubUpstream.answer("200 OK", "fine"));
+                    release.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                    StubUpstream.write(socket, StubUpstream.response("200 OK", "fine"));
                     return true;
                 };
         try (StubUpstream upstream = new StubUpstream(delayed);
-                LoopbackNode sidecar = new LoopbackNode(upstream);
+                LoopbackSidecar sidecar = new LoopbackSidecar(upstream);
                 TestClient kept = sidecar.client();
                 TestClient busy = sidecar.client()) {
-            assertEquals(200, TestClient.status(kept.ask(READY)));
+            assertEquals(200, TestClient.status(kept.exchange(READY)));
             busy.send(TestClient.request("pay", "3.0"));
             upstream.nextRequest();
-            sidecar.node.shutdown().drain(drained::countDown);
+            sidecar.runner.shutdown().drain(drained::countDown);
             try (TestClient late = sidecar.client()) {
                 late.send(TestClient.request("pay", "3.0"));
                 upstream.nextRequest();
@@ -546,16 +554,17 @@
                 awaitNothingAccepted(sidecar);
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
                     assertEquals(
-                            200, TestClient.status(each.ask(TestClient.request("pay", "3.0"))));
+                            200,
+                            TestClient.status(each.exchange(TestClient.request("pay", "3.0"))));
                 }
-                assertEquals(503, TestClient.status(kept.ask(READY)));
+                assertEquals(503, TestClient.status(kept.exchange(READY)));
                 assertEquals(1, drained.getCount());
                 for (TestClient each : new TestClient[] {kept, busy, late}) {
                     assertNull(each.read(), "the connection is closed at the end of the drain");
                     each.socket.close();
                 }
             }
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -564,16 +573,16 @@
     void requestAcceptedLateInADrainIsAnsweredBeforeItsEnd() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode sidecar = new LoopbackNode(silent);
+                LoopbackSidecar sidecar = new LoopbackSidecar(silent);
                 TestClient kept = sidecar.client()) {
-            sidecar.node.shutdown().drain(drained::countDown);
+            sidecar.runner.shutdown().drain(drained::countDown);
             awaitNothingAccepted(sidecar);
             kept.send(TestClient.request("pay", "60.0"));
             String answer = kept.read();
             assertEquals(504, TestClient.status(answer));
             assertEquals("close", StubUpstream.header(answer, "connection"));
             kept.socket.close();
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -583,11 +592,11 @@
     void requestAcceptedBeforeADrainIsAnsweredBeforeItsEnd(String requestClass) throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode sidecar = new LoopbackNode(silent);
+                LoopbackSidecar sidecar = new LoopbackSidecar(silent);
                 TestClient client = sidecar.client()) {
             client.send(TestClient.request(requestClass, "60.0"));
             silent.nextRequest();
-            sidecar.node.shutdown().drain(drained::countDown);
+            sidecar.runner.shutdown().drain(drained::countDown);
             long startedAtNanos = System.nanoTime();
             assertEquals(504, TestClient.status(client.read()));
             long durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
@@ -595,7 +604,7 @@
                     durationMillis < 3700,
                     "SIGKILL may come after 3700 ms; answered after " + durationMillis + " ms");
             client.socket.close();
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -608,10 +617,10 @@
     void requestAcceptedLateInADrainIsAnsweredBeforeSigkillWhateverItsDeadline() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
-                LoopbackNode sidecar = new LoopbackNode(silent);
+                LoopbackSidecar sidecar = new LoopbackSidecar(silent);
                 TestClient kept = sidecar.client()) {
             long startedAtNanos = System.nanoTime();
-            sidecar.node.shutdown().drain(drained::countDown);
+            sidecar.runner.shutdown().drain(drained::countDown);
             awaitNothingAccepted(sidecar);
             kept.send(TestClient.request("slow", "6.0"));
             silent.nextRequest();
@@ -621,7 +630,7 @@
             assertTrue(
                     durationMillis < 3700,
                     "SIGKILL may come after 3700 ms; answered after " + durationMillis + " ms");
-            assertTrue(drained.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(drained.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos);
             assertTrue(
                     durationMillis < 3700,
@@ -629,7 +638,7 @@
         }
     }
 
-    private static void awaitNothingAccepted(LoopbackNode sidecar) throws Exception {
+    private static void awaitNothingAccepted(LoopbackSidecar sidecar) throws Exception {
         while (true) {
             try {
                 sidecar.client().close();
--- a/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
+++ b/sidecar/src/test/java/appleridge/daemon/ClosedLoopClients.java
@@ -122,7 +122,7 @@
                 return null;
             }
             try {
-                String answer = client.ask(request);
+                String answer = client.exchange(request);
                 if (answer != null) {
                     next.end(TestClient.status(answer), "");
                     return answer.toLowerCase().contains("connection: close")
@@ -169,7 +169,7 @@
     List<SentRequest> finish() throws InterruptedException {
         stopped = true;
         for (Thread thread : threads) {
-            thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+            thread.join(TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
         }
         return sentRequests();
     }
--- a/sidecar/src/test/java/appleridge/daemon/DiscoveryCatchUpTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/DiscoveryCatchUpTest.java
@@ -39,7 +39,7 @@
 @Timeout(60)
 class DiscoveryCatchUpTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
     private static final String READY = "GET /health/ready HTTP/1.1\r\n\r\n";
 
     /** Longer than {@code stopSendingWithin}, which these tests set to 250 ms. */
@@ -72,12 +72,12 @@
     private void begin(
             StubUpstream discovery, UnaryOperator<String> changeConfig, String... targets)
             throws Exception {
-        LoopbackNode.Figures longPolls =
-                new LoopbackNode.Figures(
+        LoopbackSidecar.SettingValues longPolls =
+                new LoopbackSidecar.SettingValues(
                         TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
         String json =
                 changeConfig
-                        .apply(LoopbackNode.json(longPolls, discovery.address(), targets))
+                        .apply(LoopbackSidecar.json(longPolls, discovery.address(), targets))
                         .replace(
                                 "\"stopSendingWithin\":2000000000",
                                 "\"stopSendingWithin\":250000000");
@@ -114,13 +114,13 @@
                 () -> {
                     blocked.countDown();
                     try {
-                        release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                        release.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                         Thread.sleep(STALL_MILLIS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        assertTrue(blocked.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(blocked.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return release;
     }
 
@@ -128,7 +128,7 @@
         List<TestClient> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(new TestClient(address));
-            all.get(i).ask(READY);
+            all.get(i).exchange(READY);
         }
         return all;
     }
@@ -149,7 +149,7 @@
 
         synchronized void setList(long newRevision, boolean withhold, String... targets) {
             revision = newRevision;
-            list = LoopbackNode.list(newRevision, true, targets);
+            list = LoopbackSidecar.list(newRevision, true, targets);
             withhold(withhold);
         }
 
@@ -170,7 +170,7 @@
             while (withholding || known >= revision) {
                 wait();
             }
-            StubUpstream.write(socket, StubUpstream.answer("200 OK", list));
+            StubUpstream.write(socket, StubUpstream.response("200 OK", list));
             sentRevisions.add(revision);
             return true;
         }
@@ -186,7 +186,7 @@
 
     private static void await(String failure, BooleanSupplier condition) throws Exception {
         long timeoutAtNanos =
-                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < timeoutAtNanos, "timed out: " + failure);
             Thread.sleep(1);
@@ -203,7 +203,7 @@
     void afterAStallRequestsAreDeferredUntilThePushedListHasCaughtUp() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
-            String first = LoopbackNode.target("u0", one.address(), "Ready");
+            String first = LoopbackSidecar.target("u0", one.address(), "Ready");
             StubAgent agent = new StubAgent(first);
             try (StubUpstream discovery = new StubUpstream(agent)) {
                 begin(discovery, DiscoveryCatchUpTest::withPushedUpdates, first);
@@ -218,8 +218,8 @@
                 agent.setList(
                         3,
                         true,
-                        LoopbackNode.target("u0", one.address(), "Terminating"),
-                        LoopbackNode.target("u1", two.address(), "Ready"));
+                        LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                        LoopbackSidecar.target("u1", two.address(), "Ready"));
                 for (TestClient each : clients) {
                     each.send(TestClient.request("read", "3.0"));
                 }
@@ -256,13 +256,13 @@
                 agent.setList(
                         2,
                         withheld,
-                        LoopbackNode.target("u0", one.address(), "Terminating"),
-                        LoopbackNode.target("u1", two.address(), "Ready"));
+                        LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                        LoopbackSidecar.target("u1", two.address(), "Ready"));
                 try (StubUpstream discovery = new StubUpstream(agent)) {
                     begin(
                             discovery,
                             DiscoveryCatchUpTest::withPushedUpdates,
-                            LoopbackNode.target("u0", one.address(), "Ready"));
+                            LoopbackSidecar.target("u0", one.address(), "Ready"));
                     sendFirstRequest(agent, withheld, one);
                 }
                 closeSidecar();
@@ -302,7 +302,7 @@
                                     gate.await();
                                     return GOOD.serve(socket, request);
                                 })) {
-            begin(discovery, json -> json, LoopbackNode.targets(upstream));
+            begin(discovery, json -> json, LoopbackSidecar.targets(upstream));
             assertTrue(discovery.nextRequest().contains("since=1&"));
             TestClient client = connectClients(1).get(0);
             CountDownLatch releaseLoop = stallLoop();
--- a/sidecar/src/test/java/appleridge/daemon/DrainExpiryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/DrainExpiryTest.java
@@ -45,7 +45,7 @@
 @Timeout(60)
 class DrainExpiryTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
     /** From the begin of a drain until it expires. */
     private static final long DRAIN_MILLIS = 900;
@@ -77,10 +77,10 @@
     private Callable<Sidecar> createSidecar(StubUpstream upstream, InheritedListener inherited)
             throws Exception {
         String json =
-                LoopbackNode.json(
-                                LoopbackNode.Figures.USUAL,
+                LoopbackSidecar.json(
+                                LoopbackSidecar.SettingValues.DEFAULT,
                                 discovery.address(),
-                                LoopbackNode.targets(upstream))
+                                LoopbackSidecar.targets(upstream))
                         .replaceAll("\"(slo|deadline)\":[0-9]+", "\"$1\":400000000");
         SidecarConfig config =
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
@@ -133,7 +133,7 @@
 
     private static void awaitLatch(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(latch.await(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/sidecar/src/test/java/appleridge/daemon/DrainUnderLoadIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/DrainUnderLoadIT.java
@@ -82,7 +82,7 @@
                                 (socket, request) -> {
                                     Thread.sleep(PAUSE_MILLIS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 });
                 StubUpstream hanging = new StubUpstream(StubUpstream.SILENT);
@@ -90,10 +90,10 @@
                         SidecarProcess.start(
                                 folder,
                                 withDeadlines(
-                                        LoopbackNode.json(
-                                                LoopbackNode.Figures.USUAL,
+                                        LoopbackSidecar.json(
+                                                LoopbackSidecar.SettingValues.DEFAULT,
                                                 discovery.address(),
-                                                LoopbackNode.targets(upstream, hanging)),
+                                                LoopbackSidecar.targets(upstream, hanging)),
                                         deadlineMillis),
                                 Map.of());
                 ClosedLoopClients clients =
@@ -117,7 +117,7 @@
             }
             for (int i = sigtermDelayed ? 1 : 0; i < stallsAtMillis.length; i++) {
                 sleepUntil(sigtermAtNanos + TimeUnit.MILLISECONDS.toNanos(stallsAtMillis[i]));
-                sidecar.holdUp(STALL_MILLIS);
+                sidecar.pause(STALL_MILLIS);
             }
             sleepUntil(
                     sigtermAtNanos
--- a/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
+++ b/sidecar/src/test/java/appleridge/daemon/InheritedListenerIT.java
@@ -35,8 +35,10 @@
     @TempDir private Path folder;
 
     private static String config(StubUpstream discovery, StubUpstream... upstreams) {
-        return LoopbackNode.json(
-                LoopbackNode.Figures.USUAL, discovery.address(), LoopbackNode.targets(upstreams));
+        return LoopbackSidecar.json(
+                LoopbackSidecar.SettingValues.DEFAULT,
+                discovery.address(),
+                LoopbackSidecar.targets(upstreams));
     }
 
     /** Closed-loop clients on kept-alive connections; records every answer other than 200. */
@@ -59,7 +61,7 @@
             while (!stopped) {
                 try {
                     client = client == null ? new TestClient(platform.address()) : client;
-                    String answer = client.ask(TestClient.request("pay", "3.0"));
+                    String answer = client.exchange(TestClient.request("pay", "3.0"));
                     if (answer == null || TestClient.status(answer) != 200) {
                         addFailure("answer: " + answer);
                     }
@@ -82,7 +84,7 @@
 
         void awaitServed(int requests) throws InterruptedException {
             long until =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackNode.PATIENCE_SECONDS);
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
             int goal = served.get() + requests;
             while (served.get() < goal && System.nanoTime() < until) {
                 Thread.sleep(5);
@@ -95,7 +97,7 @@
             stopped = true;
             try {
                 for (Thread thread : threads) {
-                    thread.join(TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+                    thread.join(TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -116,7 +118,8 @@
     void hotRestartUnderLoadRefusesNoConnection() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 SocketActivator platform = new SocketActivator(folder)) {
             String config = config(discovery, upstream);
             SocketActivator.Sidecar old = platform.start(config, "0");
@@ -155,7 +158,8 @@
     void connectionsMadeWhileNoProcessAcceptsAreServedByTheNext() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 SocketActivator platform = new SocketActivator(folder);
                 TestClient early = new TestClient(platform.address())) {
             early.send(TestClient.request("pay", "3.0"));
@@ -178,7 +182,7 @@
 
     private static String callAdmin(int port, String line) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackNode.PATIENCE_SECONDS));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LoopbackSidecar.TIMEOUT_SECONDS));
             StubUpstream.write(socket, line + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
@@ -202,9 +206,11 @@
     void suspensionSurvivesAHotRestartWhicheverProcessReceivedIt() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream a =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 StubUpstream b =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 SocketActivator platform = new SocketActivator(folder)) {
             String config = config(discovery, a, b);
             int oldAdminPort = unusedPort();
@@ -244,7 +250,7 @@
 
     private static String sendRequest(SocketActivator platform) throws IOException {
         try (TestClient client = new TestClient(platform.address())) {
-            return client.ask(TestClient.request("pay", "3.0"));
+            return client.exchange(TestClient.request("pay", "3.0"));
         }
     }
 
@@ -256,7 +262,8 @@
     void corruptStateFileIsReportedAndTheStartGoesOn() throws Exception {
         try (StubUpstream discovery = new StubUpstream(StubUpstream.SILENT);
                 StubUpstream upstream =
-                        new StubUpstream(StubUpstream.says(StubUpstream.answer("200 OK", "fine")));
+                        new StubUpstream(
+                                StubUpstream.respondWith(StubUpstream.response("200 OK", "fine")));
                 SocketActivator platform = new SocketActivator(folder)) {
             SocketActivator.Sidecar old = platform.start(config(discovery, upstream), "0");
             old.awaitLog("serves at");
@@ -287,9 +294,10 @@
                 StubUpstream upstream =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    release.await(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+                                    release.await(
+                                            LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
                                     StubUpstream.write(
-                                            socket, StubUpstream.answer("200 OK", "fine"));
+                                            socket, StubUpstream.response("200 OK", "fine"));
                                     return true;
                                 });
                 SocketActivator platform = new SocketActivator(folder)) {
--- a/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RegistryDiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import appleridge.config.SidecarConfig;
-import appleridge.daemon.LoopbackNode.Figures;
+import appleridge.daemon.LoopbackSidecar.SettingValues;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.concurrent.BlockingQueue;
@@ -16,53 +16,55 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list and what becomes of it, over loopback sockets. */
+/** Discovery of upstream hosts from the registry, over loopback sockets. */
 @Timeout(60)
 class RegistryDiscoveryTest {
     private static final StubUpstream.Script GOOD =
-            StubUpstream.says(StubUpstream.answer("200 OK", "fine"));
+            StubUpstream.respondWith(StubUpstream.response("200 OK", "fine"));
 
-    /** Watches that have their time also where the machine is slow. */
-    private static final Figures LONG_WATCHES =
-            new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
+    /** Watches long enough not to expire on a slow machine. */
+    private static final SettingValues LONG_WATCHES =
+            new SettingValues(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.SECONDS.toNanos(60));
 
-    private static void assertServed(LoopbackNode host, StubUpstream by, StubUpstream notBy)
+    private static void assertServed(LoopbackSidecar sidecar, StubUpstream by, StubUpstream notBy)
             throws Exception {
         int before = notBy.requests.size();
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+            assertEquals(
+                    200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
         }
         assertTrue(by.requests.size() >= 6);
         assertEquals(before, notBy.requests.size());
     }
 
-    /** Guards against connections kept to an upstream that gets nothing any more. */
+    /** Guards against idle connections kept open to an upstream host that was removed. */
     @Test
     void idleConnectionsAreClosedWhenTheirHostIsRemoved() throws Exception {
         StubUpstream.Script slow =
                 (socket, request) -> {
-                    // Long enough that the module does not take the connection for one that is
-                    // hardly used.
+                    // Long enough that the connection doesn't count as rarely used and is kept.
                     Thread.sleep(300);
                     return GOOD.serve(socket, request);
                 };
-        // Upstreams that keep idle connections far longer than any wait of this test.
-        Figures patient =
-                new Figures(TimeUnit.SECONDS.toNanos(600), 1000, TimeUnit.SECONDS.toNanos(1));
+        // The upstream's idle time-out is far longer than any wait in this test.
+        SettingValues patient =
+                new SettingValues(TimeUnit.SECONDS.toNanos(600), 1000, TimeUnit.SECONDS.toNanos(1));
         try (StubUpstream one = new StubUpstream(slow);
-                LoopbackNode host = new LoopbackNode(patient, LoopbackNode.targets(one))) {
-            watchSince(host, 1);
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(patient, LoopbackSidecar.targets(one))) {
+            watchSince(sidecar, 1);
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
+                assertEquals(
+                        200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
             }
             one.closed.clear();
-            host.tell(LoopbackNode.list(2, true));
+            sidecar.queueList(LoopbackSidecar.list(2, true));
             one.awaitClosed();
         }
     }
 
-    private static String watchSince(LoopbackNode host, long revision) throws Exception {
-        String call = host.discovery.nextRequest();
+    private static String watchSince(LoopbackSidecar sidecar, long revision) throws Exception {
+        String call = sidecar.discovery.nextRequest();
         assertTrue(
                 call.startsWith("GET /registry/instances?since=" + revision + "&timeout_ms="),
                 call);
@@ -73,18 +75,19 @@
     void deltasApplyToTheCachedListAndADrainingHostGetsNoNewRequests() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
-            watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(
-                            2, false, LoopbackNode.target("u0", one.address(), "Terminating")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
-            host.tell(
-                    LoopbackNode.list(3, false, LoopbackNode.target("u0", one.address(), "Gone")));
-            watchSince(host, 3);
-            assertServed(host, two, one);
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
+            watchSince(sidecar, 1);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            3, false, LoopbackSidecar.target("u0", one.address(), "Gone")));
+            watchSince(sidecar, 3);
+            assertServed(sidecar, two, one);
         }
     }
 
@@ -92,13 +95,14 @@
     void hostMissingFromASnapshotIsRemoved() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
-            watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(7, true, LoopbackNode.target("u1", two.address(), "Ready")));
-            watchSince(host, 7);
-            assertServed(host, two, one);
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
+            watchSince(sidecar, 1);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            7, true, LoopbackSidecar.target("u1", two.address(), "Ready")));
+            watchSince(sidecar, 7);
+            assertServed(sidecar, two, one);
         }
     }
 
@@ -106,48 +110,52 @@
     void hostMayMoveToAnotherAddress() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one))) {
-            assertEquals(200, TestClient.status(host.ask(TestClient.request("pay", "2.0"))));
-            watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(2, false, LoopbackNode.target("u0", two.address(), "Ready")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
+            assertEquals(
+                    200, TestClient.status(sidecar.exchange(TestClient.request("pay", "2.0"))));
+            watchSince(sidecar, 1);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", two.address(), "Ready")));
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
         }
     }
 
-    /** Guards against a list lost with the call that failed: the last one stays in force. */
+    /** Guards against a failed call that discards the last endpoint list. */
     @Test
     void afterAFailureTheListStaysAndDiscoveryIsPolledAgain() throws Exception {
         String[] failures = {
             "",
-            StubUpstream.answer("503 Service Unavailable", ""),
-            StubUpstream.answer("200 OK", "{\"rev\":"),
-            StubUpstream.answer("200 OK", "{\"rev\":9}"),
-            StubUpstream.answer(
+            StubUpstream.response("503 Service Unavailable", ""),
+            StubUpstream.response("200 OK", "{\"rev\":"),
+            StubUpstream.response("200 OK", "{\"rev\":9}"),
+            StubUpstream.response(
                     "200 OK",
-                    LoopbackNode.list(9, true, LoopbackNode.target("u0", "nowhere", "Ready"))),
-            StubUpstream.answer(
+                    LoopbackSidecar.list(
+                            9, true, LoopbackSidecar.target("u0", "nowhere", "Ready"))),
+            StubUpstream.response(
                     "200 OK",
-                    LoopbackNode.list(
-                            9, true, LoopbackNode.target("u0", "127.0.0.1:9", "Sleeping"))),
+                    LoopbackSidecar.list(
+                            9, true, LoopbackSidecar.target("u0", "127.0.0.1:9", "Sleeping"))),
             "noise\r\n\r\n"
         };
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(one)) {
+                LoopbackSidecar sidecar = new LoopbackSidecar(one)) {
             for (String failure : failures) {
-                watchSince(host, 1);
-                host.news.add(failure);
+                watchSince(sidecar, 1);
+                sidecar.discoveryResponses.add(failure);
             }
-            watchSince(host, 1);
-            assertServed(host, one, two);
+            watchSince(sidecar, 1);
+            assertServed(sidecar, one, two);
         }
     }
 
     /**
-     * Guards against a list of another discovery's taken for changes, and a move taken for a
-     * failure.
+     * Guards against a snapshot of the new registry that is treated as a delta of the old one, and
+     * against a switch that is treated as a failure.
      */
     @Test
     void switchedDiscoveryIsFollowedFromItsSnapshotOn() throws Exception {
@@ -157,75 +165,81 @@
                         new StubUpstream(
                                 StubUpstream.firstThen(
                                         new CountDownLatch(1),
-                                        StubUpstream.says(
-                                                StubUpstream.answer(
+                                        StubUpstream.respondWith(
+                                                StubUpstream.response(
                                                         "200 OK",
-                                                        LoopbackNode.list(
+                                                        LoopbackSidecar.list(
                                                                 1,
                                                                 true,
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u1",
                                                                         two.address(),
                                                                         "Ready")))),
                                         StubUpstream.SILENT));
-                LoopbackNode host = new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one))) {
-            watchSince(host, 1);
-            host.tell(LoopbackNode.list(7, true, LoopbackNode.targets(one)));
-            watchSince(host, 7);
-            host.node.switchRegistry(SidecarConfig.literalAddress(other.address()));
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one))) {
+            watchSince(sidecar, 1);
+            sidecar.queueList(LoopbackSidecar.list(7, true, LoopbackSidecar.targets(one)));
+            watchSince(sidecar, 7);
+            sidecar.runner.switchRegistry(SidecarConfig.literalAddress(other.address()));
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances HTTP"),
-                    "the list first");
+                    "the snapshot is fetched first");
             assertTrue(
                     other.nextRequest().startsWith("GET /registry/instances?since=1&"),
-                    "then a watch");
-            assertServed(host, two, one);
-            assertEquals(0, host.discovery.requests.size(), "the old one is asked no more");
+                    "then the list is watched");
+            assertServed(sidecar, two, one);
+            assertEquals(
+                    0, sidecar.discovery.requests.size(), "the old registry is not polled anymore");
         }
     }
 
     /**
-     * Guards against a lost watch, which looks like one without news: what discovery had to tell
-     * counts as told 2 s after the watch's time is over, so it is asked beside it before that, and
-     * in time for a drain.
+     * A lost watch looks like a watch without updates, but pending updates count as notified 2 s
+     * after the watch's time-out. Guards against a lost update: the sidecar has to poll in parallel
+     * before that, and in time for a drain.
      */
     @Test
     void overdueWatchIsPolledBeforeItCountsAsCaughtUp() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(shortWatch, LoopbackNode.targets(one, two))) {
-            watchSince(host, 1);
-            long asked = System.nanoTime();
-            assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
-            assertTrue(System.nanoTime() - asked < TimeUnit.MILLISECONDS.toNanos(2000));
-            assertEquals(
-                    2, host.discovery.accepted.size(), "and the first one is still listened to");
-            host.tell(
-                    LoopbackNode.list(
-                            2, false, LoopbackNode.target("u0", one.address(), "Terminating")));
-            host.tell(
-                    LoopbackNode.list(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two))) {
+            watchSince(sidecar, 1);
+            long calledAt = System.nanoTime();
+            assertTrue(sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
+            assertTrue(System.nanoTime() - calledAt < TimeUnit.MILLISECONDS.toNanos(2000));
+            assertEquals(2, sidecar.discovery.accepted.size(), "the overdue watch stays open");
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            2, false, LoopbackSidecar.target("u0", one.address(), "Terminating")));
+            sidecar.queueList(
+                    LoopbackSidecar.list(
                             2,
                             true,
-                            LoopbackNode.target("u0", one.address(), "Terminating"),
-                            LoopbackNode.target("u1", two.address(), "Ready")));
-            watchSince(host, 2);
-            assertServed(host, two, one);
+                            LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                            LoopbackSidecar.target("u1", two.address(), "Ready")));
+            watchSince(sidecar, 2);
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a new discovery whose first list looks old beside what the old one told late.
+     * Guards against a new registry whose first snapshot is rejected as old, because a late update
+     * of the old registry had a higher revision.
      */
     @Test
     void firstSnapshotOfTheNewDiscoveryIsUsedAfterALateUpdateOfTheOld() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host = new LoopbackNode(shortWatch, LoopbackNode.targets(one, two));
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(shortWatch, LoopbackSidecar.targets(one, two));
                 StubUpstream other =
                         new StubUpstream(
                                 (socket, request) -> {
@@ -234,29 +248,29 @@
                                     }
                                     StubUpstream.write(
                                             socket,
-                                            StubUpstream.answer(
+                                            StubUpstream.response(
                                                     "200 OK",
-                                                    LoopbackNode.list(
+                                                    LoopbackSidecar.list(
                                                             5,
                                                             true,
-                                                            LoopbackNode.target(
+                                                            LoopbackSidecar.target(
                                                                     "u1",
                                                                     two.address(),
                                                                     "Ready"))));
                                     return true;
                                 })) {
-            watchSince(host, 1);
-            assertTrue(host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
-            host.tell(
-                    LoopbackNode.list(
-                            43, false, LoopbackNode.target("u0", one.address(), "Ready")));
-            // Whichever of the two calls has it: the overdue one is closed then, or the other goes
-            // on.
-            while (host.discovery.closed.poll(10, TimeUnit.MILLISECONDS) == null
-                    && host.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
+            watchSince(sidecar, 1);
+            assertTrue(sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"));
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            43, false, LoopbackSidecar.target("u0", one.address(), "Ready")));
+            // Either call may receive the update. Then the overdue one is closed, or the next call
+            // follows the other one.
+            while (sidecar.discovery.closed.poll(10, TimeUnit.MILLISECONDS) == null
+                    && sidecar.discovery.requests.poll(10, TimeUnit.MILLISECONDS) == null) {
                 Thread.onSpinWait();
             }
-            host.node.switchRegistry(SidecarConfig.literalAddress(other.address()));
+            sidecar.runner.switchRegistry(SidecarConfig.literalAddress(other.address()));
             assertTrue(other.nextRequest().startsWith("GET /registry/instances HTTP"));
             String second = other.nextRequest();
             assertTrue(second.startsWith("GET /registry/instances?since=5&"), second);
@@ -268,15 +282,15 @@
                 .replaceAll("\"askWithin\":[0-9]*,", "");
     }
 
-    /** An agent that answers with what it has, at once or when that changes; or not at all. */
+    /** A local agent that returns its list at once, or on a change for a watch, or never. */
     private static final class Agent implements StubUpstream.Script {
         private String list;
         private long revision;
         private boolean silent;
 
-        synchronized void has(long version, String... targets) {
+        synchronized void setList(long version, String... targets) {
             revision = version;
-            list = LoopbackNode.list(version, true, targets);
+            list = LoopbackSidecar.list(version, true, targets);
             notifyAll();
         }
 
@@ -301,34 +315,34 @@
                 }
             }
             if (!silent) {
-                StubUpstream.write(socket, StubUpstream.answer("200 OK", list));
+                StubUpstream.write(socket, StubUpstream.response("200 OK", list));
             }
             return true;
         }
     }
 
-    private static void untilAsked(StubUpstream agent, String how) throws Exception {
-        while (!agent.nextRequest().startsWith("GET /registry/instances" + how)) {
+    private static void awaitCall(StubUpstream agent, String prefix) throws Exception {
+        while (!agent.nextRequest().startsWith("GET /registry/instances" + prefix)) {
             Thread.onSpinWait();
         }
     }
 
     /**
-     * Guards against a start that fails where lists are pushed: the agent that has them is watched.
-     * And against an agent's return that is noticed late: while discovery is down it says nothing,
-     * and nothing tells that it is back, but what it has then counts as told at once. So it is
-     * asked for all it has, over and over; here five times before it is back.
+     * Guards against a start that fails where lists are pushed: the local agent that has them is
+     * watched. Also guards against a late reaction to an agent that recovers: it doesn't respond
+     * while it is down and doesn't announce its return, but its list counts as notified from then
+     * on. So the sidecar polls it for the whole list; here five times before it is back.
      */
     @Test
     void pushedListIsWatchedAtTheAgentAndASilentAgentIsPolled() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
             Agent agent = new Agent();
-            agent.has(1, LoopbackNode.targets(one, two));
+            agent.setList(1, LoopbackSidecar.targets(one, two));
             try (StubUpstream there = new StubUpstream(agent);
-                    LoopbackNode host =
-                            new LoopbackNode(
-                                    Figures.USUAL,
+                    LoopbackSidecar sidecar =
+                            new LoopbackSidecar(
+                                    SettingValues.DEFAULT,
                                     null,
                                     json ->
                                             pushed(json)
@@ -337,56 +351,57 @@
                                                             "\"discovery\":\""
                                                                     + there.address()
                                                                     + "\""),
-                                    LoopbackNode.targets(one, two))) {
-                untilAsked(there, "?since=1&");
-                agent.has(2, LoopbackNode.target("u1", two.address(), "Ready"));
-                untilAsked(there, "?since=2&");
-                assertServed(host, two, one);
+                                    LoopbackSidecar.targets(one, two))) {
+                awaitCall(there, "?since=1&");
+                agent.setList(2, LoopbackSidecar.target("u1", two.address(), "Ready"));
+                awaitCall(there, "?since=2&");
+                assertServed(sidecar, two, one);
                 agent.silent(true);
-                untilAsked(there, " HTTP");
+                awaitCall(there, " HTTP");
                 long silent = System.nanoTime();
                 for (int i = 0; i < 5; i++) {
-                    untilAsked(there, " HTTP");
+                    awaitCall(there, " HTTP");
                 }
                 long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent);
-                assertTrue(took < 2500, "five calls took " + took);
-                assertServed(host, two, one);
-                agent.has(3, LoopbackNode.target("u0", one.address(), "Ready"));
+                assertTrue(took < 2500, "five calls took " + took + " ms");
+                assertServed(sidecar, two, one);
+                agent.setList(3, LoopbackSidecar.target("u0", one.address(), "Ready"));
                 agent.silent(false);
-                untilAsked(there, "?since=3&");
-                assertServed(host, one, two);
+                awaitCall(there, "?since=3&");
+                assertServed(sidecar, one, two);
             }
         }
     }
 
     /**
-     * Guards against a drain taken back by whoever answers with less than it has told. One that has
-     * begun anew, and so counts from the beginning, is believed when it says so to who asks for all
-     * it has.
+     * Guards against a drain that is undone by a list with a lower revision than the last one. A
+     * registry that has restarted counts from the beginning again; its list is accepted as the
+     * response to a request for the whole list.
      */
     @Test
-    void olderListIsIgnoredUnlessItIsTheOnlyOne() throws Exception {
+    void listWithALowerRevisionIsUsedOnlyIfTheWholeListIsFetched() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
-            watchSince(host, 1);
-            host.tell(
-                    LoopbackNode.list(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
+            watchSince(sidecar, 1);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
                             7,
                             true,
-                            LoopbackNode.target("u0", one.address(), "Terminating"),
-                            LoopbackNode.target("u1", two.address(), "Ready")));
-            watchSince(host, 7);
-            host.tell(LoopbackNode.list(6, true, LoopbackNode.targets(one, two)));
+                            LoopbackSidecar.target("u0", one.address(), "Terminating"),
+                            LoopbackSidecar.target("u1", two.address(), "Ready")));
+            watchSince(sidecar, 7);
+            sidecar.queueList(LoopbackSidecar.list(6, true, LoopbackSidecar.targets(one, two)));
             assertTrue(
-                    host.discovery.nextRequest().startsWith("GET /registry/instances HTTP"),
-                    "all it has");
-            assertServed(host, two, one);
-            host.tell(
-                    LoopbackNode.list(3, true, LoopbackNode.target("u0", one.address(), "Ready")));
-            watchSince(host, 3);
-            assertServed(host, one, two);
+                    sidecar.discovery.nextRequest().startsWith("GET /registry/instances HTTP"),
+                    "the whole list is fetched");
+            assertServed(sidecar, two, one);
+            sidecar.queueList(
+                    LoopbackSidecar.list(
+                            3, true, LoopbackSidecar.target("u0", one.address(), "Ready")));
+            watchSince(sidecar, 3);
+            assertServed(sidecar, one, two);
         }
     }
 
@@ -395,105 +410,113 @@
     }
 
     /**
-     * Guards against news lost whole, here a drain, because an upstream that came back within one
-     * list of changes, or went again, was forgotten where it is needed: when another one takes its
-     * address.
+     * A delta may both remove and add the same host. Guards against a later delta that is lost as a
+     * whole, here with a drain, because the host's old entry is missing when another host takes
+     * over its address.
      */
     @Test
     void hostThatComesAndGoesWithinOneDeltaLosesNoUpdate() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD)) {
-            String gone = LoopbackNode.target("u0", one.address(), "Gone");
-            String again = startedAt(1000, LoopbackNode.target("u0", one.address(), "Ready"));
+            String gone = LoopbackSidecar.target("u0", one.address(), "Gone");
+            String again = startedAt(1000, LoopbackSidecar.target("u0", one.address(), "Ready"));
             for (String[] changes : new String[][] {{gone, again}, {again, gone}}) {
-                try (LoopbackNode host =
-                        new LoopbackNode(LONG_WATCHES, LoopbackNode.targets(one, two))) {
-                    watchSince(host, 1);
-                    host.tell(LoopbackNode.list(2, false, changes));
-                    watchSince(host, 2);
-                    host.tell(
-                            LoopbackNode.list(
+                try (LoopbackSidecar sidecar =
+                        new LoopbackSidecar(LONG_WATCHES, LoopbackSidecar.targets(one, two))) {
+                    watchSince(sidecar, 1);
+                    sidecar.queueList(LoopbackSidecar.list(2, false, changes));
+                    watchSince(sidecar, 2);
+                    sidecar.queueList(
+                            LoopbackSidecar.list(
                                     3,
                                     false,
                                     startedAt(
                                             2000,
-                                            LoopbackNode.target("u2", one.address(), "Ready")),
-                                    LoopbackNode.target("u1", two.address(), "Terminating")));
-                    watchSince(host, 3);
-                    assertServed(host, one, two);
-                    assertEquals(0, host.discovery.requests.size(), "its news were no failure");
+                                            LoopbackSidecar.target("u2", one.address(), "Ready")),
+                                    LoopbackSidecar.target("u1", two.address(), "Terminating")));
+                    watchSince(sidecar, 3);
+                    assertServed(sidecar, one, two);
+                    assertEquals(
+                            0,
+                            sidecar.discovery.requests.size(),
+                            "the deltas were not treated as failures");
                 }
             }
         }
     }
 
     /**
-     * Guards against a loop that does nothing but ask, where watches are answered at once though
-     * there is no news: the next one waits, but not for longer than a watch goes on. For an agent
-     * and for a service that is asked.
+     * Guards against a busy loop of calls to a registry that answers watches at once although there
+     * is no update: the next call is delayed, but no longer than a watch lasts. Applies to a local
+     * agent and to a registry.
      */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void whoAnswersWatchesAtOnceIsNotAskedWithoutRest(String mode) throws Exception {
-        BlockingQueue<Long> asked = new LinkedBlockingQueue<>();
+    void registryThatAnswersWatchesAtOnceIsPolledWithDelay(String mode) throws Exception {
+        BlockingQueue<Long> calledAt = new LinkedBlockingQueue<>();
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                StubUpstream hasty =
+                StubUpstream immediate =
                         new StubUpstream(
                                 (socket, request) -> {
-                                    asked.add(System.nanoTime());
+                                    calledAt.add(System.nanoTime());
                                     StubUpstream.write(
                                             socket,
-                                            StubUpstream.answer(
+                                            StubUpstream.response(
                                                     "200 OK",
-                                                    LoopbackNode.list(
+                                                    LoopbackSidecar.list(
                                                             2,
                                                             true,
-                                                            LoopbackNode.target(
+                                                            LoopbackSidecar.target(
                                                                     "u1",
                                                                     two.address(),
                                                                     "Ready"))));
                                     return true;
                                 });
-                LoopbackNode host =
-                        new LoopbackNode(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(
                                 LONG_WATCHES,
                                 null,
                                 json ->
                                         json.replaceAll(
                                                         "\"discovery\":\"127[^\"]*\"",
-                                                        "\"discovery\":\"" + hasty.address() + "\"")
+                                                        "\"discovery\":\""
+                                                                + immediate.address()
+                                                                + "\"")
                                                 .replace(
                                                         "\"discovery\":\"subscribe\"",
                                                         "\"discovery\":\"" + mode + "\""),
-                                LoopbackNode.targets(one, two))) {
-            // The first call is for the whole list, and is followed by a watch at once.
-            asked.take();
-            long second = asked.take();
+                                LoopbackSidecar.targets(one, two))) {
+            // The first call fetches the whole list; a watch follows at once.
+            calledAt.take();
+            long second = calledAt.take();
             long last = second;
             for (int i = 0; i < 10; i++) {
-                last = asked.take();
+                last = calledAt.take();
             }
             long took = TimeUnit.NANOSECONDS.toMillis(last - second);
-            assertTrue(took >= 500, "ten watches took " + took);
+            assertTrue(took >= 500, "ten watches took " + took + " ms");
             boolean agent = mode.equals("automatic");
             assertTrue(
-                    hasty.nextRequest()
+                    immediate
+                            .nextRequest()
                             .contains(agent ? "/registry/instances HTTP/1.1" : "?since=1&"));
-            assertTrue(hasty.nextRequest().contains("?since=2&"));
-            assertServed(host, two, one);
+            assertTrue(immediate.nextRequest().contains("?since=2&"));
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a drain that is lost with the call beside an overdue watch: discovery has it
-     * already as the sidecar is told to ask another one, which says nothing yet.
+     * The old registry has a drain that it returns to the poll in parallel to an overdue watch,
+     * while the sidecar is switched to a new registry that doesn't respond yet. Guards against a
+     * drain that is lost because that poll is dropped.
      */
     @Test
     void pollOfTheOldDiscoveryIsUsedWhileTheNewOneIsSilent() throws Exception {
-        Figures shortWatch =
-                new Figures(TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
-        CountDownLatch moved = new CountDownLatch(1);
+        SettingValues shortWatch =
+                new SettingValues(
+                        TimeUnit.SECONDS.toNanos(10), 1000, TimeUnit.MILLISECONDS.toNanos(400));
+        CountDownLatch switched = new CountDownLatch(1);
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
                 StubUpstream silent = new StubUpstream(StubUpstream.SILENT);
@@ -501,74 +524,74 @@
                         new StubUpstream(
                                 (socket, request) -> {
                                     if (!request.contains("since=")) {
-                                        moved.await();
+                                        switched.await();
                                         StubUpstream.write(
                                                 socket,
-                                                StubUpstream.answer(
+                                                StubUpstream.response(
                                                         "200 OK",
-                                                        LoopbackNode.list(
+                                                        LoopbackSidecar.list(
                                                                 2,
                                                                 true,
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u0",
                                                                         one.address(),
                                                                         "Terminating"),
-                                                                LoopbackNode.target(
+                                                                LoopbackSidecar.target(
                                                                         "u1",
                                                                         two.address(),
                                                                         "Ready"))));
                                     }
                                     return true;
                                 });
-                LoopbackNode host =
-                        new LoopbackNode(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(
                                 shortWatch,
                                 null,
                                 json ->
                                         json.replaceAll(
                                                 "\"discovery\":\"127[^\"]*\"",
                                                 "\"discovery\":\"" + old.address() + "\""),
-                                LoopbackNode.targets(one, two))) {
-            untilAsked(old, " HTTP");
-            host.node.switchRegistry(SidecarConfig.literalAddress(silent.address()));
-            untilAsked(silent, " HTTP");
-            moved.countDown();
-            // One is closed with the move, the other one when its answer has been read.
+                                LoopbackSidecar.targets(one, two))) {
+            awaitCall(old, " HTTP");
+            sidecar.runner.switchRegistry(SidecarConfig.literalAddress(silent.address()));
+            awaitCall(silent, " HTTP");
+            switched.countDown();
+            // One call is closed by the switch, the other one after its response has been read.
             old.awaitClosed();
             old.closed.poll(2, TimeUnit.SECONDS);
-            assertServed(host, two, one);
+            assertServed(sidecar, two, one);
         }
     }
 
     /**
-     * Guards against a list that is bad in part and taken in part, and against harm done by its
-     * size.
+     * Guards against a partly invalid list that is partly used, and against failures caused by a
+     * list's size.
      */
     @Test
-    void malformedListIsIgnoredAndALongOneIsUsed() throws Exception {
+    void malformedListIsIgnoredAndALongListIsUsed() throws Exception {
         try (StubUpstream one = new StubUpstream(GOOD);
                 StubUpstream two = new StubUpstream(GOOD);
-                LoopbackNode host =
-                        new LoopbackNode(
-                                new Figures(
+                LoopbackSidecar sidecar =
+                        new LoopbackSidecar(
+                                new SettingValues(
                                         TimeUnit.SECONDS.toNanos(10),
                                         1000,
                                         TimeUnit.SECONDS.toNanos(20)),
-                                LoopbackNode.targets(one, two))) {
-            String drains = LoopbackNode.target("u0", one.address(), "Terminating");
-            String endless = LoopbackNode.list(9, false, drains) + " ".repeat(5 << 20);
+                                LoopbackSidecar.targets(one, two))) {
+            String drains = LoopbackSidecar.target("u0", one.address(), "Terminating");
+            String endless = LoopbackSidecar.list(9, false, drains) + " ".repeat(5 << 20);
             String[] bad = {
-                LoopbackNode.list(9, false, drains, "null"),
-                LoopbackNode.list(9, false, drains, "7"),
-                LoopbackNode.list(
+                LoopbackSidecar.list(9, false, drains, "null"),
+                LoopbackSidecar.list(9, false, drains, "7"),
+                LoopbackSidecar.list(
                         9, false, drains, drains.replace("\"uid\":\"u0\"", "\"uid\":\"\"")),
-                LoopbackNode.list(
+                LoopbackSidecar.list(
                         9, false, drains, drains.replace("\"az\":\"a\"", "\"az\":\"none\"")),
-                LoopbackNode.list(9, false, drains, startedAt(-1, drains)),
-                LoopbackNode.list(9, false, drains).replace("\"rev\":9", "\"rev\":1e400"),
-                LoopbackNode.list(9, false, drains).replace("\"rev\":9", "\"rev\":\"9\""),
-                LoopbackNode.list(9, false, drains).replace("\"all\":false", "\"all\":\"no\""),
-                LoopbackNode.list(9, false, "[".repeat(100_000)),
+                LoopbackSidecar.list(9, false, drains, startedAt(-1, drains)),
+                LoopbackSidecar.list(9, false, drains).replace("\"rev\":9", "\"rev\":1e400"),
+                LoopbackSidecar.list(9, false, drains).replace("\"rev\":9", "\"rev\":\"9\""),
+                LoopbackSidecar.list(9, false, drains).replace("\"all\":false", "\"all\":\"no\""),
+                LoopbackSidecar.list(9, false, "[".repeat(100_000)),
                 "{\"rev\":9,\"all\":false,\"targets\":{\"u0\":" + drains + "}}",
                 "",
                 "null",
@@ -576,24 +599,25 @@
             };
             long revision = 1;
             for (String each : bad) {
-                watchSince(host, revision);
-                host.tell(each);
-                watchSince(host, revision);
+                watchSince(sidecar, revision);
+                sidecar.queueList(each);
+                watchSince(sidecar, revision);
                 revision++;
-                host.tell(LoopbackNode.list(revision, true, LoopbackNode.targets(one, two)));
+                sidecar.queueList(
+                        LoopbackSidecar.list(revision, true, LoopbackSidecar.targets(one, two)));
             }
-            watchSince(host, revision);
+            watchSince(sidecar, revision);
             String[] many = new String[10_000];
             for (int i = 0; i < many.length; i++) {
                 many[i] =
-                        LoopbackNode.target(
+                        LoopbackSidecar.target(
                                 "n" + i, "127.1." + i / 250 + "." + i % 250 + ":9", "Terminating");
             }
             many[0] = drains;
-            many[1] = LoopbackNode.target("u1", two.address(), "Ready");
-            host.tell(LoopbackNode.list(revision + 1, true, many));
-            watchSince(host, revision + 1);
-            assertServed(host, two, one);
+            many[1] = LoopbackSidecar.target("u1", two.address(), "Ready");
+            sidecar.queueList(LoopbackSidecar.list(revision + 1, true, many));
+            watchSince(sidecar, revision + 1);
+            assertServed(sidecar, two, one);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/daemon/SocketActivator.java
+++ b/sidecar/src/test/java/appleridge/daemon/SocketActivator.java
@@ -95,7 +95,8 @@
         /** Waits until the log contains a text. */
         void awaitLog(String text) throws IOException, InterruptedException {
             long until =
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * LoopbackNode.PATIENCE_SECONDS);
+                    System.nanoTime()
+                            + TimeUnit.SECONDS.toNanos(2 * LoopbackSidecar.TIMEOUT_SECONDS);
             while (!log().contains(text)) {
                 if (System.nanoTime() > until) {
                     throw new AssertionError("never logged: " + text + "\n" + log());
@@ -146,7 +147,7 @@
     public void close() throws IOException {
         commands.close();
         try {
-            perl.waitFor(LoopbackNode.PATIENCE_SECONDS, TimeUnit.SECONDS);
+            perl.waitFor(LoopbackSidecar.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
