--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -54,12 +54,12 @@
         GOOD_WITH_CONNECTION_CLOSE,
         GOOD_THEN_CLOSE,
         DUPLICATE_RESPONSE,
-        GARBAGE_AFTER_RESPONSE,
-        INTERIM_RESPONSE,
+        NOISE_AFTER_RESPONSE,
+        INTERIM,
         ERROR,
         REJECTED_NOT_RUN,
         REJECTED_MAY_HAVE_RUN,
-        GARBAGE,
+        NOISE,
         RESET,
         CLOSE,
         PARTIAL_HEAD,
@@ -178,16 +178,15 @@
                     case GOOD_WITH_CONNECTION_CLOSE ->
                             StubUpstream.response("200 OK", id, "Connection: close");
                     case DUPLICATE_RESPONSE -> good + good;
-                    case GARBAGE_AFTER_RESPONSE -> good + "\u0000noise";
-                    case INTERIM_RESPONSE ->
-                            "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
+                    case NOISE_AFTER_RESPONSE -> good + "\u0000noise";
+                    case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
                     case ERROR ->
                             StubUpstream.response("500 Internal Server Error", "", "X-Not-Run: 1");
                     case REJECTED_NOT_RUN ->
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 1");
                     case REJECTED_MAY_HAVE_RUN ->
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 0");
-                    case GARBAGE -> "\u0000\u0001 noise\r\n\r\n";
+                    case NOISE -> "\u0000\u0001 noise\r\n\r\n";
                     case PARTIAL_HEAD -> good.substring(0, 12);
                     case PARTIAL_BODY, PAUSE -> good.substring(0, good.length() - 1);
                     case UNDELIMITED_THEN_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
