--- a/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
@@ -7,121 +7,125 @@
 import org.junit.jupiter.api.Test;
 
 class ColdRuleTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
     private void born() {
-        scene.at(S);
-        scene.judge.serverState("a-1", 2, "Ready", S);
+        fixture.at(S);
+        fixture.checker.serverState("a-1", 2, "Ready", S);
     }
 
     private void arrives(String sidecar, long sentAt) {
-        scene.judge.serverReceived("a-1", 2, sidecar, "x", sentAt, sentAt, MS);
+        fixture.checker.serverReceived("a-1", 2, sidecar, "x", sentAt, sentAt, MS);
     }
 
     private void falls(double own, double others) {
-        scene.judge.serverCollapsed("a-1", 2, Map.of(Scene.SIDE, own, "side-1", others));
+        fixture.checker.serverCollapsed(
+                "a-1", 2, Map.of(CheckerFixture.SIDE, own, "side-1", others));
     }
 
     @Test
     void twoThirdsOfTheWorkFromThoseWhoKnewIsTooMuch() {
         born();
-        scene.told("a-1", "Ready", S).at(2 * S);
+        fixture.delivered("a-1", "Ready", S).at(2 * S);
         falls(2, 1);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
     void lessIsNot() {
         born();
-        scene.told("a-1", "Ready", S).at(2 * S);
+        fixture.delivered("a-1", "Ready", S).at(2 * S);
         falls(1.99, 1);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void whoWasToldOfAnEarlierStartDoesNotKnow() {
-        scene.told("a-1", "Ready", 0);
+        fixture.delivered("a-1", "Ready", 0);
         born();
-        scene.told("a-1", "Ready", 0).at(2 * S);
+        fixture.delivered("a-1", "Ready", 0).at(2 * S);
         falls(3, 0);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void aStartMayBeToldToTheMillisecond() {
-        scene.at(S);
-        scene.judge.serverState("a-1", 2, "Ready", S + MS - 1);
-        scene.told("a-1", "Ready", S).at(2 * S);
+        fixture.at(S);
+        fixture.checker.serverState("a-1", 2, "Ready", S + MS - 1);
+        fixture.delivered("a-1", "Ready", S).at(2 * S);
         falls(3, 0);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
     void whatCountsAsToldCounts() {
         born();
-        scene.knows("a-1", "Ready", S);
-        scene.judge.discoveryCall(Scene.SIDE, 1, true, 0);
-        scene.at(7 * S + 1);
+        fixture.discoveryKnows("a-1", "Ready", S);
+        fixture.checker.discoveryCall(CheckerFixture.SIDE, 1, true, 0);
+        fixture.at(7 * S + 1);
         falls(3, 0);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
     void whatWasSentBeforeItWasToldDoesNotCount() {
         born();
-        scene.at(2 * S).told("a-1", "Ready", S);
+        fixture.at(2 * S).delivered("a-1", "Ready", S);
         for (int i = 0; i < 2; i++) {
-            arrives(Scene.SIDE, 2 * S);
+            arrives(CheckerFixture.SIDE, 2 * S);
         }
-        scene.at(2 * S + 100 * MS);
-        arrives(Scene.SIDE, 2 * S + 50 * MS);
+        fixture.at(2 * S + 100 * MS);
+        arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
         falls(3, 0);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void whatWasSentAfterItDoes() {
         born();
-        scene.at(2 * S).told("a-1", "Ready", S);
-        arrives(Scene.SIDE, 2 * S);
-        scene.at(2 * S + 100 * MS);
+        fixture.at(2 * S).delivered("a-1", "Ready", S);
+        arrives(CheckerFixture.SIDE, 2 * S);
+        fixture.at(2 * S + 100 * MS);
         for (int i = 0; i < 2; i++) {
-            arrives(Scene.SIDE, 2 * S + 50 * MS);
+            arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
         }
         falls(3, 0);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
     void toldAgainItIsNoLater() {
         born();
-        scene.at(2 * S).told("a-1", "Ready", S).at(2 * S + 100 * MS).told("a-1", "Ready", S);
-        arrives(Scene.SIDE, 2 * S + 50 * MS);
+        fixture.at(2 * S)
+                .delivered("a-1", "Ready", S)
+                .at(2 * S + 100 * MS)
+                .delivered("a-1", "Ready", S);
+        arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
         falls(3, 0);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
     void othersWorkIsNotItsOwn() {
         born();
-        scene.at(2 * S).told("a-1", "Ready", S);
-        arrives(Scene.SIDE, 2 * S);
+        fixture.at(2 * S).delivered("a-1", "Ready", S);
+        arrives(CheckerFixture.SIDE, 2 * S);
         arrives("side-1", 2 * S + 50 * MS);
         arrives("side-1", 2 * S + 50 * MS);
         falls(3, 0);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void whatCameBeforeTheWindowDoesNotCount() {
         born();
-        arrives(Scene.SIDE, S);
-        arrives(Scene.SIDE, S);
-        scene.at(2 * S).told("a-1", "Ready", S).at(2600 * MS);
-        arrives(Scene.SIDE, 2600 * MS);
+        arrives(CheckerFixture.SIDE, S);
+        arrives(CheckerFixture.SIDE, S);
+        fixture.at(2 * S).delivered("a-1", "Ready", S).at(2600 * MS);
+        arrives(CheckerFixture.SIDE, 2600 * MS);
         falls(3, 0);
-        assertEquals(List.of(Rule.COLD), scene.rules());
+        assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -78,17 +78,17 @@
 
     @Test
     void aFaultStrikesWhomItIsAimedAtOrAllThatAreThere() throws IOException {
-        Wire wire = new Wire();
+        NetworkFixture fixture = new NetworkFixture();
         Coverage coverage = new Coverage();
-        FaultHitCounter strikes = new FaultHitCounter(wire.states, coverage);
-        wire.states.sidecar("side-1-process", "side-1");
-        wire.asks("r");
-        wire.asks("s");
-        wire.states.requestSent("s");
+        FaultHitCounter strikes = new FaultHitCounter(fixture.states, coverage);
+        fixture.states.sidecar("side-1-process", "side-1");
+        fixture.asks("r");
+        fixture.asks("s");
+        fixture.states.requestSent("s");
         strikes.faultStruck("down-reset", "app", "s");
         assertEquals(1, coverage.count("down-reset", RequestState.HELD));
         assertEquals(1, coverage.total());
-        strikes.faultStruck("kill", Wire.SIDE, null);
+        strikes.faultStruck("kill", NetworkFixture.SIDE, null);
         assertEquals(1, coverage.count("kill", RequestState.HELD));
         assertEquals(1, coverage.count("kill", RequestState.ARRIVING));
         strikes.faultStruck("kill", "side-1", null);
@@ -103,7 +103,7 @@
     @Test
     void whatLastsCountsWhomItMeets() throws IOException {
         Coverage coverage = new Coverage();
-        FaultHitCounter strikes = new FaultHitCounter(new Wire().states, coverage);
+        FaultHitCounter strikes = new FaultHitCounter(new NetworkFixture().states, coverage);
         strikes.faultArmed("connect-slow", "a-1");
         assertTrue(coverage.text(ImpossibleCombinations.none()).contains("connect-slow"));
         assertEquals(0, coverage.total());
--- a/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
@@ -11,26 +11,26 @@
 import org.junit.jupiter.api.Test;
 
 class InvariantCheckerTest {
-    private static final long MS = Scene.MS;
+    private static final long MS = CheckerFixture.MS;
 
     @Test
     void whatIsDueIsLookedAtBeforeWhatHappensLater() {
-        Scene scene = new Scene();
-        scene.at(0).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.now = Scene.S;
-        scene.judge.clientGaveUp("r");
-        assertEquals(List.of(Rule.LATE), scene.rules());
-        assertEquals(485 * MS, scene.judge.violations().get(0).at());
+        CheckerFixture fixture = new CheckerFixture();
+        fixture.at(0).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.now = CheckerFixture.S;
+        fixture.checker.clientGaveUp("r");
+        assertEquals(List.of(Rule.LATE), fixture.rules());
+        assertEquals(485 * MS, fixture.checker.violations().get(0).at());
     }
 
     @Test
     void aBrokenRuleIsSaidOncePerSubject() {
-        Scene scene = new Scene();
-        scene.at(Scene.S).taken("r", Scene.RAISE_INVOICE, 400 * MS);
-        scene.arrived("a-1", "r").arrived("a-1", "r").arrived("a-1", "r");
-        assertEquals(List.of(Rule.DUPLICATE), scene.rules());
+        CheckerFixture fixture = new CheckerFixture();
+        fixture.at(CheckerFixture.S).taken("r", CheckerFixture.RAISE_INVOICE, 400 * MS);
+        fixture.received("a-1", "r").received("a-1", "r").received("a-1", "r");
+        assertEquals(List.of(Rule.DUPLICATE), fixture.rules());
         assertTrue(
-                scene.judge
+                fixture.checker
                         .violations()
                         .get(0)
                         .toString()
@@ -39,29 +39,32 @@
 
     @Test
     void whatNoUsualClientHasAskedIsPassedOver() {
-        Scene scene = new Scene();
-        scene.judge.requestSent("x");
-        scene.arrived("a-1", "x").served("a-1", "x").answered("x", 503, "");
-        scene.judge.serverDidNotRun("a-1", 1, "x");
-        scene.judge.answerBroken("x", "closed", true);
-        scene.judge.clientGaveUp("x");
-        scene.judge.faultStruck("kill", "a-1", "x");
-        scene.judge.moduleAccepted(Scene.SIDE, 1, 1, 99);
-        scene.judge.moduleRefused(Scene.SIDE, 1, 1);
-        scene.after(Scene.S);
-        assertEquals(List.of(), scene.rules());
+        CheckerFixture fixture = new CheckerFixture();
+        fixture.checker.requestSent("x");
+        fixture.received("a-1", "x").served("a-1", "x").answered("x", 503, "");
+        fixture.checker.serverDidNotRun("a-1", 1, "x");
+        fixture.checker.answerBroken("x", "closed", true);
+        fixture.checker.clientGaveUp("x");
+        fixture.checker.faultStruck("kill", "a-1", "x");
+        fixture.checker.moduleAccepted(CheckerFixture.SIDE, 1, 1, 99);
+        fixture.checker.moduleRefused(CheckerFixture.SIDE, 1, 1);
+        fixture.after(CheckerFixture.S);
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void whatIsOverIsJudgedNoMore() {
-        Scene scene = new Scene();
-        scene.at(0).taken("r", Scene.STOCK_CHECK, 400 * MS).arrived("a-1", "r").at(300 * MS);
-        scene.judge.clientGaveUp("r");
-        scene.at(500 * MS);
-        scene.judge.answerBroken("r", "closed", false);
-        scene.judge.requestSent("r");
-        scene.after(Scene.S);
-        assertEquals(List.of(), scene.rules());
+        CheckerFixture fixture = new CheckerFixture();
+        fixture.at(0)
+                .taken("r", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .received("a-1", "r")
+                .at(300 * MS);
+        fixture.checker.clientGaveUp("r");
+        fixture.at(500 * MS);
+        fixture.checker.answerBroken("r", "closed", false);
+        fixture.checker.requestSent("r");
+        fixture.after(CheckerFixture.S);
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -6,20 +6,20 @@
 import org.junit.jupiter.api.Test;
 
 class LostRuleTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
     private void taken() {
-        scene.at(S)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+        fixture.at(S)
+                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
-                .arrived("a-1", "r")
+                .received("a-1", "r")
                 .after(50 * MS);
     }
 
-    private void broken(boolean begun) {
-        scene.judge.answerBroken("r", "reset", begun);
+    private void broken(boolean readId) {
+        fixture.checker.answerBroken("r", "reset", readId);
     }
 
     private void assertLost() {
@@ -32,7 +32,7 @@
 
     /** Whether a process has ended in time is another rule's. */
     private List<Rule> found() {
-        return scene.rules().stream().filter(each -> each != Rule.ENDING).toList();
+        return fixture.rules().stream().filter(each -> each != Rule.ENDING).toList();
     }
 
     @Test
@@ -44,8 +44,9 @@
 
     @Test
     void whatWasNotTakenIsNotLost() {
-        scene.judge.requestStarted(
-                new ClientAttempt("r", "r", 0, Scene.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
+        fixture.checker.requestStarted(
+                new ClientAttempt(
+                        "r", "r", 0, CheckerFixture.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
         broken(false);
         assertKept();
     }
@@ -53,7 +54,7 @@
     @Test
     void whoLeavesLosesNothing() {
         taken();
-        scene.judge.clientGaveUp("r");
+        fixture.checker.clientGaveUp("r");
         broken(false);
         assertKept();
     }
@@ -61,9 +62,9 @@
     @Test
     void aKilledSidecarLosesNothing() {
         taken();
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.after(MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.after(MS);
         broken(false);
         assertKept();
     }
@@ -71,10 +72,10 @@
     @Test
     void oneThatEndsByItselfDoes() {
         taken();
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.after(MS);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.after(MS);
         broken(false);
         assertLost();
     }
@@ -82,17 +83,17 @@
     @Test
     void aBrokenLinkExcusesIt() {
         taken();
-        scene.judge.clientLinkTroubled(Scene.SIDE, "r", scene.now, Long.MAX_VALUE);
-        scene.after(MS);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "r", fixture.now, Long.MAX_VALUE);
+        fixture.after(MS);
         broken(false);
         assertKept();
     }
 
     @Test
     void aLinkBrokenEarlierOrForAnotherDoesNot() {
-        scene.judge.clientLinkTroubled(Scene.SIDE, null, 0, 500 * MS);
-        scene.judge.clientLinkTroubled(Scene.SIDE, "s", 0, Long.MAX_VALUE);
-        scene.judge.clientLinkTroubled("side-1", null, 0, Long.MAX_VALUE);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, null, 0, 500 * MS);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "s", 0, Long.MAX_VALUE);
+        fixture.checker.clientLinkTroubled("side-1", null, 0, Long.MAX_VALUE);
         taken();
         broken(false);
         assertLost();
@@ -101,60 +102,60 @@
     @Test
     void whenItsTimeIsUpItHasFailedButIsLate() {
         taken();
-        scene.at(S + 1500 * MS);
+        fixture.at(S + 1500 * MS);
         broken(false);
         assertLost();
-        Scene other = new Scene();
+        CheckerFixture other = new CheckerFixture();
         other.at(S)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
-                .arrived("a-1", "r")
+                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
+                .received("a-1", "r")
                 .at(S + 1501 * MS);
-        other.judge.answerBroken("r", "closed", false);
+        other.checker.answerBroken("r", "closed", false);
         assertEquals(List.of(Rule.LATE), other.rules());
     }
 
     @Test
     void theFirstOnAConnectionMayCrossItsEnd() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.places.put("r", 1);
+        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.places.put("r", 1);
         broken(false);
         assertKept();
     }
 
     @Test
     void unlessItWasSentOn() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.places.put("r", 1);
+        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.places.put("r", 1);
         broken(false);
-        scene.after(40 * MS).begun("a-1", "r", S + 20 * MS);
+        fixture.after(40 * MS).readId("a-1", "r", S + 20 * MS);
         assertLost();
     }
 
     @Test
     void aLaterOneOnlyIfItWasNotRead() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.unread.add("r");
+        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unread.add("r");
         broken(false);
         assertKept();
     }
 
     @Test
     void aLaterOneThatWasReadIsLost() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
         broken(false);
         assertLost();
     }
 
     @Test
     void aClientMaySendOnceMoreWhatHasCrossed() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.unread.add("r");
+        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unread.add("r");
         broken(false);
-        scene.unread.clear();
-        scene.after(MS)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+        fixture.unread.clear();
+        fixture.after(MS)
+                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
-                .arrived("a-1", "r");
+                .received("a-1", "r");
         assertKept();
         broken(false);
         assertLost();
@@ -170,7 +171,7 @@
     @Test
     void oneThatWasMadeWholeMayNot() {
         taken();
-        scene.judge.serverAnswered("a-1", 1, "r", "whole");
+        fixture.checker.serverAnswered("a-1", 1, "r", "whole");
         broken(true);
         assertLost();
     }
@@ -178,20 +179,20 @@
     @Test
     void unlessAFaultStruckIt() {
         taken();
-        scene.judge.serverAnswered("a-1", 1, "r", "whole");
-        scene.judge.faultStruck("up-reset", "a-1", "r");
+        fixture.checker.serverAnswered("a-1", 1, "r", "whole");
+        fixture.checker.faultStruck("up-reset", "a-1", "r");
         broken(true);
         assertKept();
     }
 
     private void killedAfterTerm(long untilKill, long takenBefore) {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.at(S + untilKill - takenBefore)
-                .taken("r", Scene.STOCK_CHECK, 400 * MS)
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.at(S + untilKill - takenBefore)
+                .taken("r", CheckerFixture.STOCK_CHECK, 400 * MS)
                 .at(S + untilKill);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.after(MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
+        fixture.after(MS);
         broken(false);
     }
 
@@ -215,26 +216,26 @@
 
     @Test
     void sigkillConcernsItsOwnProcessAndWhatIsStillOpen() {
-        scene.judge.sidecarStarted("side-1", 1);
-        scene.at(S)
-                .taken("open", Scene.STOCK_CHECK, 400 * MS)
-                .taken("answered", Scene.STOCK_CHECK, 400 * MS);
-        scene.after(MS).answered("answered", 504, "");
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.requestStarted(
+        fixture.checker.sidecarStarted("side-1", 1);
+        fixture.at(S)
+                .taken("open", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .taken("answered", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.after(MS).answered("answered", 504, "");
+        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.requestStarted(
                 new ClientAttempt(
-                        "other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
-        scene.judge.requestSent("other");
-        scene.judge.sidecarSigterm(Scene.SIDE, 2);
-        scene.after(9 * S);
-        scene.judge.sidecarKilled(Scene.SIDE, 2);
+                        "other", "other", 0, "side-1", 0, 0, null, 99, fixture.now, 9 * S, 9 * S));
+        fixture.checker.requestSent("other");
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 2);
+        fixture.after(9 * S);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 2);
         assertKept();
     }
 
     @Test
     void aPauseBeforeSigkillExcusesWhatIsLeft() {
-        scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 2 * S, 3 * S);
         killedAfterTerm(2200 * MS, 100 * MS);
         assertKept();
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/NetworkFixture.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** An application, a sidecar and an order server on a simulated network, moved by hand. */
-final class Wire {
+final class NetworkFixture {
     static final String SIDE = "side-0";
     private static final int PORT = 80;
 
@@ -28,11 +28,11 @@
     final RequestStates states = new RequestStates();
 
     /** Each state that was entered, with the request. */
-    final List<String> entered = new ArrayList<>();
+    final List<String> enteredStates = new ArrayList<>();
 
     private long keys;
 
-    Wire() throws IOException {
+    NetworkFixture() throws IOException {
         SeededRandom chance = new SeededRandom(1);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
@@ -45,7 +45,7 @@
         states.server(server.name(), "a-1");
         network.tap(states);
         for (RequestState each : RequestState.values()) {
-            states.on(each, now -> entered.add(now.state() + " " + now.id()));
+            states.on(each, now -> enteredStates.add(now.state() + " " + now.id()));
         }
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -8,31 +8,31 @@
 
 /** The rules on what was given up, bad clients, ends, books and recovery. */
 class OtherRulesTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
     private void assertBroken(Rule... rules) {
-        assertEquals(List.of(rules), scene.rules());
+        assertEquals(List.of(rules), fixture.rules());
     }
 
     // ---- given up
 
     private void givenUp(boolean refused) {
-        scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleAccepted(Scene.SIDE, 1, 7, scene.key());
-        scene.after(100 * MS);
+        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleAccepted(CheckerFixture.SIDE, 1, 7, fixture.key());
+        fixture.after(100 * MS);
         if (refused) {
-            scene.judge.moduleRefused(Scene.SIDE, 1, 7);
+            fixture.checker.moduleRefused(CheckerFixture.SIDE, 1, 7);
         } else {
-            scene.judge.moduleFailed(Scene.SIDE, 1, 7);
+            fixture.checker.moduleFailed(CheckerFixture.SIDE, 1, 7);
         }
     }
 
     private void answeredAfter(long nanos) {
-        long written = scene.now + nanos;
-        scene.at(written + MS);
-        scene.judge.answered("r", 503, "", -1, written);
+        long written = fixture.now + nanos;
+        fixture.at(written + MS);
+        fixture.checker.answered("r", 503, "", -1, written);
     }
 
     @Test
@@ -58,23 +58,23 @@
 
     @Test
     void behindAnOpenOneItGoesAfterThat() {
-        scene.at(S).taken("first", Scene.ORDER_CONFIRM, 1500 * MS);
-        scene.ahead.put("r", "first");
+        fixture.at(S).taken("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
+        fixture.ahead.put("r", "first");
         givenUp(true);
-        long up = scene.now;
-        scene.at(up + 200 * MS);
-        scene.judge.answered("first", 504, "", -1, up + 199 * MS);
-        scene.judge.answered("r", 503, "", -1, up + 200 * MS);
+        long up = fixture.now;
+        fixture.at(up + 200 * MS);
+        fixture.checker.answered("first", 504, "", -1, up + 199 * MS);
+        fixture.checker.answered("r", 503, "", -1, up + 200 * MS);
         assertBroken();
     }
 
     @Test
     void anotherProcessesIdsAreOthers() {
         givenUp(true);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.taken("s", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleRefused(Scene.SIDE, 2, 7);
-        scene.after(100 * MS).answered("s", 503, "");
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.taken("s", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleRefused(CheckerFixture.SIDE, 2, 7);
+        fixture.after(100 * MS).answered("s", 503, "");
         assertBroken();
     }
 
@@ -82,34 +82,34 @@
 
     @Test
     void aBadClientGetsAnErrorOrAClose() {
-        scene.at(S);
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.badClientConnected("bad-2", 4 * S);
-        scene.judge.badClientConnected("bad-3", 4 * S);
-        scene.at(4 * S);
-        scene.judge.badClientEnded("bad-1", 400);
-        scene.judge.badClientEnded("bad-2", 0);
+        fixture.at(S);
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.badClientConnected("bad-2", 4 * S);
+        fixture.checker.badClientConnected("bad-3", 4 * S);
+        fixture.at(4 * S);
+        fixture.checker.badClientEnded("bad-1", 400);
+        fixture.checker.badClientEnded("bad-2", 0);
         assertBroken();
-        scene.after(1);
+        fixture.after(1);
         assertBroken(Rule.BAD_CLIENT);
-        assertEquals("bad-3", scene.judge.violations().get(0).subject());
+        assertEquals("bad-3", fixture.checker.violations().get(0).subject());
     }
 
     @Test
     void aPausePutsThatOff() {
-        scene.at(S);
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
-        scene.at(5 * S);
+        fixture.at(S);
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 2 * S, 3 * S);
+        fixture.at(5 * S);
         assertBroken();
-        scene.after(1);
+        fixture.after(1);
         assertBroken(Rule.BAD_CLIENT);
     }
 
     @Test
     void aBadClientIsNotServed() {
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.badClientEnded("bad-1", 200);
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.badClientEnded("bad-1", 200);
         assertBroken(Rule.BAD_CLIENT);
     }
 
@@ -117,24 +117,24 @@
 
     @Test
     void noOneEndsUntold() {
-        scene.judge.sidecarSighup(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
+        fixture.checker.sidecarSighup(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
         assertBroken(Rule.CRASH);
     }
 
     @Test
     void onSigtermItMay() {
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
         assertBroken();
     }
 
     @Test
     void anEarlierProcessesSigtermIsNotItsOwn() {
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.sidecarExited(Scene.SIDE, 2, 0);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarExited(CheckerFixture.SIDE, 2, 0);
         assertBroken(Rule.CRASH);
     }
 
@@ -143,9 +143,9 @@
     @Test
     void emptyBooksAreFine() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.checkResources(
-                Scene.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
-        scene.judge.checkResources(
+        fixture.checker.checkResources(
+                CheckerFixture.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
+        fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
         assertBroken();
     }
@@ -153,9 +153,9 @@
     @Test
     void connectionsThatAreNotCountedAreTold() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.checkResources(
-                Scene.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
-        scene.judge.checkResources(
+        fixture.checker.checkResources(
+                CheckerFixture.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
+        fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
         assertBroken(Rule.BOOKS, Rule.BOOKS);
     }
@@ -171,47 +171,47 @@
                         new ResourceCounts(0, 0, 0, 0, 1, 0, List.of()),
                                 new ResourceCounts(0, 0, 0, 0, 0, 1, List.of()));
         for (int i = 0; i < leaks.size(); i++) {
-            scene.judge.checkResources("side-" + i, leaks.get(i), ResourceCounts.empty());
-            assertEquals(i + 1, scene.rules().size());
-            assertEquals(Rule.LEAK, scene.rules().get(i));
+            fixture.checker.checkResources("side-" + i, leaks.get(i), ResourceCounts.empty());
+            assertEquals(i + 1, fixture.rules().size());
+            assertEquals(Rule.LEAK, fixture.rules().get(i));
         }
     }
 
     @Test
     void anExceptionThatEscapesIsACrash() {
         ResourceCounts now = new ResourceCounts(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
-        scene.judge.checkResources(Scene.SIDE, now, ResourceCounts.empty());
+        fixture.checker.checkResources(CheckerFixture.SIDE, now, ResourceCounts.empty());
         assertBroken(Rule.CRASH);
-        assertTrue(scene.judge.violations().get(0).what().contains("NullPointerException"));
+        assertTrue(fixture.checker.violations().get(0).what().contains("NullPointerException"));
     }
 
     // ---- recovery
 
     private void asksAndIsServed(int from, int count, int unserved) {
         for (int i = from; i < from + count; i++) {
-            scene.taken("r" + i, Scene.STOCK_CHECK, 400 * MS).after(MS);
+            fixture.taken("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS).after(MS);
             if (i - from < unserved) {
-                scene.answered("r" + i, 503, "");
+                fixture.answered("r" + i, 503, "");
             } else {
-                scene.served("a-1", "r" + i);
+                fixture.served("a-1", "r" + i);
             }
         }
     }
 
     private void recoveredBy(long after, int unserved) {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(S + after);
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(S + after);
         asksAndIsServed(0, 300, unserved);
-        scene.after(S);
-        scene.judge.dayEnded();
+        fixture.after(S);
+        fixture.checker.dayEnded();
     }
 
     @Test
     void tenSecondsAfterTheLastFaultAllIsServed() {
         recoveredBy(10 * S, 3);
         assertBroken();
-        assertEquals(300, scene.judge.judgedForRecovery());
+        assertEquals(300, fixture.checker.judgedForRecovery());
     }
 
     @Test
@@ -228,95 +228,95 @@
 
     @Test
     void aDayWhoseFaultsNeverEndIsNotJudged() {
-        scene.at(20 * S);
+        fixture.at(20 * S);
         asksAndIsServed(0, 300, 300);
-        scene.after(S);
-        scene.judge.dayEnded();
+        fixture.after(S);
+        fixture.checker.dayEnded();
         assertBroken();
     }
 
     @Test
     void oneThatGetsNoAnswerOrNoConnectionCounts() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 2; i++) {
-            scene.judge.requestStarted(
+            fixture.checker.requestStarted(
                     new ClientAttempt(
                             "r" + i,
                             "r" + i,
                             0,
-                            Scene.SIDE,
+                            CheckerFixture.SIDE,
                             0,
                             0,
                             null,
                             i,
-                            scene.now,
+                            fixture.now,
                             400 * MS,
                             500 * MS));
         }
-        scene.at(13 * S);
-        scene.judge.dayEnded();
+        fixture.at(13 * S);
+        fixture.checker.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
     }
 
     @Test
     void whoseConnectionAnotherClosesDoesNotButWhoLeavesUnansweredDoes() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 4; i++) {
-            scene.taken("r" + i, Scene.STOCK_CHECK, 400 * MS);
+            fixture.taken("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
-        scene.after(399 * MS);
-        scene.judge.clientGaveUp("r0");
-        scene.judge.clientGaveUp("r1");
-        scene.after(MS);
-        scene.judge.clientGaveUp("r2");
-        scene.judge.clientGaveUp("r3");
-        scene.after(S);
-        scene.judge.dayEnded();
+        fixture.after(399 * MS);
+        fixture.checker.clientGaveUp("r0");
+        fixture.checker.clientGaveUp("r1");
+        fixture.after(MS);
+        fixture.checker.clientGaveUp("r2");
+        fixture.checker.clientGaveUp("r3");
+        fixture.after(S);
+        fixture.checker.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
-        assertEquals(2, scene.judge.judgedForRecovery());
+        assertEquals(2, fixture.checker.judgedForRecovery());
     }
 
     @Test
     void theImpatientAndThoseStillWaitingDoNot() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 9; i++) {
-            scene.taken("i" + i, Scene.STOCK_CHECK, 400 * MS, 399 * MS);
-            scene.judge.clientGaveUp("i" + i);
+            fixture.taken("i" + i, CheckerFixture.STOCK_CHECK, 400 * MS, 399 * MS);
+            fixture.checker.clientGaveUp("i" + i);
         }
         for (int i = 0; i < 9; i++) {
-            scene.taken("w" + i, Scene.STOCK_CHECK, 400 * MS);
+            fixture.taken("w" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
-        scene.after(419 * MS);
-        scene.judge.dayEnded();
+        fixture.after(419 * MS);
+        fixture.checker.dayEnded();
         assertBroken();
-        assertEquals(0, scene.judge.judgedForRecovery());
+        assertEquals(0, fixture.checker.judgedForRecovery());
     }
 
     @Test
     void sidecarThatNeverBecomesReadyHasNotRecovered() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.sidecarStarted("side-1", 1);
-        scene.judge.sidecarReady("side-1", 1);
-        scene.at(11 * S);
-        scene.judge.dayEnded();
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarStarted("side-1", 1);
+        fixture.checker.sidecarReady("side-1", 1);
+        fixture.at(11 * S);
+        fixture.checker.dayEnded();
         assertBroken(Rule.NOT_RECOVERED);
     }
 
     @Test
     void oneThatHasJustBegunNeedNotBeReady() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.at(11 * S - 1);
-        scene.judge.dayEnded();
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.at(11 * S - 1);
+        fixture.checker.dayEnded();
         assertBroken();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
@@ -8,35 +8,36 @@
 import org.junit.jupiter.api.Test;
 
 class RequestRuleTest {
-    private static final long MS = Scene.MS;
+    private static final long MS = CheckerFixture.MS;
     private static final long DEADLINE = 400 * MS;
     private static final Message OWN =
             Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3);
-    private final Scene scene = new Scene();
+    private final CheckerFixture fixture = new CheckerFixture();
 
     @BeforeEach
     void begin() {
-        scene.at(Scene.S).taken("r", Scene.STOCK_HOLD, DEADLINE);
-        scene.judge.requestMessage("r", OWN);
-        scene.after(10 * MS);
+        fixture.at(CheckerFixture.S).taken("r", CheckerFixture.STOCK_HOLD, DEADLINE);
+        fixture.checker.requestMessage("r", OWN);
+        fixture.after(10 * MS);
     }
 
     private void reads(String id, Message message, long deadline) {
-        scene.judge.serverReadMessage("a-1", Scene.SIDE, id, message, deadline, scene.now - MS);
+        fixture.checker.serverReadMessage(
+                "a-1", CheckerFixture.SIDE, id, message, deadline, fixture.now - MS);
     }
 
     private void assertFound(String what) {
-        assertEquals(List.of(Rule.WRONG_REQUEST), scene.rules());
+        assertEquals(List.of(Rule.WRONG_REQUEST), fixture.rules());
         assertTrue(
-                scene.judge.violations().get(0).what().contains(what),
-                scene.judge.violations().toString());
+                fixture.checker.violations().get(0).what().contains(what),
+                fixture.checker.violations().toString());
     }
 
     @Test
     void whatComesAsItWasWrittenIsFine() {
         reads("r", Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3, 4}, 3), 390 * MS);
         reads("bad-1", OWN, 0);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
@@ -73,10 +74,12 @@
 
     @Test
     void theModuleIsToldWhatTheClientSaid() {
-        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 0, false);
-        scene.judge.moduleRequest(Scene.SIDE, 99, Scene.STOCK_CHECK, 4, true);
-        assertEquals(List.of(), scene.rules());
-        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 1, false);
+        fixture.checker.moduleRequest(
+                CheckerFixture.SIDE, fixture.key(), CheckerFixture.STOCK_HOLD, 0, false);
+        fixture.checker.moduleRequest(CheckerFixture.SIDE, 99, CheckerFixture.STOCK_CHECK, 4, true);
+        assertEquals(List.of(), fixture.rules());
+        fixture.checker.moduleRequest(
+                CheckerFixture.SIDE, fixture.key(), CheckerFixture.STOCK_HOLD, 1, false);
         assertFound("tenant 1, repeat false instead of class 1, tenant 0");
     }
 
@@ -88,20 +91,20 @@
 
     @Test
     void norThanWhatIsLeft() {
-        scene.after(100 * MS);
+        fixture.after(100 * MS);
         // Of the time that the loop and the link may take something is left to it.
         reads("r", OWN, 305 * MS);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
         reads("r", OWN, 307 * MS);
         assertFound("a deadline of 0.307000000s");
     }
 
     @Test
     void noneIsNoDeadlineButInTheLastMoments() {
-        scene.after(375 * MS);
+        fixture.after(375 * MS);
         reads("r", OWN, 0);
-        assertEquals(List.of(), scene.rules());
-        scene.at(scene.now - 20 * MS);
+        assertEquals(List.of(), fixture.rules());
+        fixture.at(fixture.now - 20 * MS);
         reads("r", OWN, 0);
         assertFound("a deadline of 0.000000000s");
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
@@ -6,49 +6,49 @@
 import org.junit.jupiter.api.Test;
 
 class SameIdRuleTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
 
-    private final Scene scene = new Scene();
+    private final CheckerFixture fixture = new CheckerFixture();
 
     private void passedOn(long sentAt, int status, long answeredAt) {
-        scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.badClientReusedId("bad-1", "bad-r", "r");
-        scene.at(S + 100 * MS).begun("a-1", "bad-r", sentAt);
-        scene.judge.answered("r", status, "", -1, answeredAt);
+        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.badClientReusedId("bad-1", "bad-r", "r");
+        fixture.at(S + 100 * MS).readId("a-1", "bad-r", sentAt);
+        fixture.checker.answered("r", status, "", -1, answeredAt);
     }
 
     @Test
     void nothingIsPassedOnUnderAnOpenId() {
         passedOn(S + 50 * MS, 504, S + 90 * MS);
-        assertEquals(List.of(Rule.DUPLICATE), scene.rules());
+        assertEquals(List.of(Rule.DUPLICATE), fixture.rules());
     }
 
     @Test
     void alsoIfTheServerReadsItLater() {
-        scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.badClientReusedId("bad-1", "bad-r", "r");
-        scene.judge.answered("r", 504, "", -1, S + 90 * MS);
-        scene.at(S + 100 * MS).begun("a-1", "bad-r", S + 50 * MS);
-        assertEquals(List.of(Rule.DUPLICATE), scene.rules());
+        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.badClientReusedId("bad-1", "bad-r", "r");
+        fixture.checker.answered("r", 504, "", -1, S + 90 * MS);
+        fixture.at(S + 100 * MS).readId("a-1", "bad-r", S + 50 * MS);
+        assertEquals(List.of(Rule.DUPLICATE), fixture.rules());
     }
 
     @Test
     void behindItsAnswerTheIdIsFree() {
         passedOn(S + 89 * MS, 504, S + 90 * MS);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void whoeverCameSecondWasTurnedAway() {
         passedOn(S + 50 * MS, 409, S + 90 * MS);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void oneThatIsStillUnreadMayBeTheSecond() {
-        scene.unread.add("r");
+        fixture.unread.add("r");
         passedOn(S + 50 * MS, 504, S + 90 * MS);
-        assertEquals(List.of(), scene.rules());
+        assertEquals(List.of(), fixture.rules());
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/SentAfterRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/SentAfterRuleTest.java
@@ -6,81 +6,85 @@
 import org.junit.jupiter.api.Test;
 
 class SentAfterRuleTest {
-    private static final long MS = Scene.MS;
+    private static final long MS = CheckerFixture.MS;
 
     /** One way, the quantum and the loop's work. */
     private static final long HEARD = 15 * MS;
 
-    private final Scene scene = new Scene();
+    private final CheckerFixture fixture = new CheckerFixture();
 
-    private Scene taken() {
-        return scene.at(Scene.S).taken("r", Scene.STOCK_CHECK, 400 * MS).after(10 * MS);
+    private CheckerFixture taken() {
+        return fixture.at(CheckerFixture.S)
+                .taken("r", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .after(10 * MS);
     }
 
     @Test
     void nothingIsSentAfterTheAnswer() {
         taken();
-        scene.judge.answered("r", 504, "", -1, scene.now - MS);
-        scene.after(MS).begun("a-1", "r", scene.now - 2 * MS);
-        assertEquals(List.of(), scene.rules());
-        scene.begun("a-1", "r", scene.now - 2 * MS + 1);
-        assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
+        fixture.checker.answered("r", 504, "", -1, fixture.now - MS);
+        fixture.after(MS).readId("a-1", "r", fixture.now - 2 * MS);
+        assertEquals(List.of(), fixture.rules());
+        fixture.readId("a-1", "r", fixture.now - 2 * MS + 1);
+        assertEquals(List.of(Rule.SENT_AFTER), fixture.rules());
     }
 
     @Test
     void alsoIfTheAnswerIsReadAfterTheServerHasBegunToRead() {
-        taken().begun("a-1", "r", scene.now - MS);
-        scene.judge.answered("r", 504, "", -1, scene.now - MS - 1);
-        assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
+        taken().readId("a-1", "r", fixture.now - MS);
+        fixture.checker.answered("r", 504, "", -1, fixture.now - MS - 1);
+        assertEquals(List.of(Rule.SENT_AFTER), fixture.rules());
     }
 
     @Test
     void whatWasSentBeforeIsFine() {
-        taken().begun("a-1", "r", scene.now - MS);
-        scene.judge.answered("r", 504, "", -1, scene.now - MS);
-        assertEquals(List.of(), scene.rules());
+        taken().readId("a-1", "r", fixture.now - MS);
+        fixture.checker.answered("r", 504, "", -1, fixture.now - MS);
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void nothingIsSentWhenTheClientIsKnownToHaveLeft() {
         taken();
-        scene.closed.put("r", scene.now);
-        scene.judge.clientGaveUp("r");
-        long left = scene.now;
-        scene.after(50 * MS).begun("a-1", "r", left + HEARD);
-        assertEquals(List.of(), scene.rules());
-        scene.begun("a-1", "r", left + HEARD + 1);
-        assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
+        fixture.closed.put("r", fixture.now);
+        fixture.checker.clientGaveUp("r");
+        long left = fixture.now;
+        fixture.after(50 * MS).readId("a-1", "r", left + HEARD);
+        assertEquals(List.of(), fixture.rules());
+        fixture.readId("a-1", "r", left + HEARD + 1);
+        assertEquals(List.of(Rule.SENT_AFTER), fixture.rules());
     }
 
     @Test
     void whoOnlyStopsWaitingIsNotHeard() {
         taken();
-        scene.judge.clientGaveUp("r");
-        scene.after(100 * MS).begun("a-1", "r");
-        assertEquals(List.of(), scene.rules());
+        fixture.checker.clientGaveUp("r");
+        fixture.after(100 * MS).readId("a-1", "r");
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
     void aPauseKeepsItFromBeingHeard() {
         taken();
-        long left = scene.now;
-        scene.closed.put("r", left);
-        scene.judge.clientGaveUp("r");
-        scene.judge.sidecarPaused(Scene.SIDE, left, left + 30 * MS);
-        scene.after(100 * MS).begun("a-1", "r", left + HEARD + 30 * MS);
-        assertEquals(List.of(), scene.rules());
-        scene.begun("a-1", "r", left + HEARD + 30 * MS + 1);
-        assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
+        long left = fixture.now;
+        fixture.closed.put("r", left);
+        fixture.checker.clientGaveUp("r");
+        fixture.checker.sidecarPaused(CheckerFixture.SIDE, left, left + 30 * MS);
+        fixture.after(100 * MS).readId("a-1", "r", left + HEARD + 30 * MS);
+        assertEquals(List.of(), fixture.rules());
+        fixture.readId("a-1", "r", left + HEARD + 30 * MS + 1);
+        assertEquals(List.of(Rule.SENT_AFTER), fixture.rules());
     }
 
     @Test
     void alsoItsLastByte() {
-        taken().begun("a-1", "r", scene.now - MS);
-        scene.judge.answered("r", 504, "", -1, scene.now);
-        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now, 0);
-        assertEquals(List.of(), scene.rules());
-        scene.judge.serverReceived("a-1", 1, Scene.SIDE, "r", scene.now - MS, scene.now + 1, 0);
-        assertEquals(List.of(Rule.SENT_AFTER), scene.rules());
+        taken().readId("a-1", "r", fixture.now - MS);
+        fixture.checker.answered("r", 504, "", -1, fixture.now);
+        fixture.checker.serverReceived(
+                "a-1", 1, CheckerFixture.SIDE, "r", fixture.now - MS, fixture.now, 0);
+        assertEquals(List.of(), fixture.rules());
+        fixture.checker.serverReceived(
+                "a-1", 1, CheckerFixture.SIDE, "r", fixture.now - MS, fixture.now + 1, 0);
+        assertEquals(List.of(Rule.SENT_AFTER), fixture.rules());
     }
 }
