--- a/testbed/src/main/java/appleridge/testbed/invariants/AnswerDeadlines.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/AnswerDeadlines.java
@@ -48,7 +48,7 @@
                                         + bounds.linkDelay()
                                         + bounds.loopDelay()
                                         + readDelay);
-        String ahead = context.sockets().ahead(request.id());
+        String ahead = context.sockets().idAhead(request.id());
         AttemptRecord previous = ahead == null ? null : context.requests().find(ahead);
         if (previous != null
                 && previous != request
--- a/testbed/src/main/java/appleridge/testbed/invariants/GivenUpRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/GivenUpRule.java
@@ -63,7 +63,7 @@
             return;
         }
         long from = request.givenUpAt;
-        String aheadId = context.sockets().ahead(id);
+        String aheadId = context.sockets().idAhead(id);
         AttemptRecord previous = aheadId == null ? null : context.requests().find(aheadId);
         if (previous != null) {
             from = Math.max(from, previous.answeredAt);
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -60,17 +60,17 @@
     }
 
     /** Registers a sidecar whose process runs on the host of this name. */
-    public void sidecar(String host, String sidecar) {
+    public void registerSidecar(String host, String sidecar) {
         sidecars.put(host, sidecar);
     }
 
     /** Registers the server that runs on the host of this name, in place of any earlier one. */
-    public void server(String host, String server) {
+    public void registerServer(String host, String server) {
         servers.put(host, server);
     }
 
     /** Calls the listener for each request that enters the state. */
-    public void on(RequestState state, Consumer<ObservedRequest> listener) {
+    public void onEnter(RequestState state, Consumer<ObservedRequest> listener) {
         listeners.computeIfAbsent(state, any -> new ArrayList<>(2)).add(listener);
     }
 
@@ -108,7 +108,7 @@
      * Returns the request on the connection with this end, of a client or of a sidecar; null if
      * there is none.
      */
-    public ObservedRequest on(SimSocket end) {
+    public ObservedRequest onConnection(SimSocket end) {
         for (TrackedRequest each : current.values()) {
             if (each.upstream == end && !each.answerBegun()
                     || each.client == end && each.state != RequestState.IDLE) {
@@ -130,13 +130,13 @@
     // ---- socket events
 
     @Override
-    public int place(String id) {
+    public int positionOnConnection(String id) {
         TrackedRequest request = requests.get(id);
         return request == null ? 0 : request.position;
     }
 
     @Override
-    public String ahead(String id) {
+    public String idAhead(String id) {
         TrackedRequest request = requests.get(id);
         return request == null ? null : request.ahead;
     }
@@ -172,10 +172,10 @@
             return;
         }
         request.state = state;
-        List<Consumer<ObservedRequest>> listener = listeners.get(state);
-        if (listener != null) {
+        List<Consumer<ObservedRequest>> stateListeners = listeners.get(state);
+        if (stateListeners != null) {
             ObservedRequest now = request.now();
-            for (Consumer<ObservedRequest> each : listener) {
+            for (Consumer<ObservedRequest> each : stateListeners) {
                 each.accept(now);
             }
         }
@@ -282,9 +282,9 @@
         int at = offset;
         int end = offset + length;
         while (at < end) {
-            boolean startsWriting = connection.answerScan.isBetweenMessages();
+            boolean answerBegins = connection.answerScan.isBetweenMessages();
             at += connection.answerScan.scan(bytes, at, end - at);
-            if (startsWriting && !connection.answerScan.isInterim()) {
+            if (answerBegins && !connection.answerScan.isInterim()) {
                 for (TrackedRequest each : connection.open) {
                     if (!each.answerBegun()) {
                         enter(each, RequestState.ANSWERED);
--- a/testbed/src/main/java/appleridge/testbed/invariants/RuleContext.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RuleContext.java
@@ -15,6 +15,7 @@
      */
     boolean crossed(AttemptRecord request) {
         return request.copies.isEmpty()
-                && (sockets.place(request.id()) == 1 || !sockets.wasRead(request.id()));
+                && (sockets.positionOnConnection(request.id()) == 1
+                        || !sockets.wasRead(request.id()));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/SocketObserver.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/SocketObserver.java
@@ -3,13 +3,13 @@
 /** What the sockets between clients and sidecars show beyond the stand-ins' events. */
 public interface SocketObserver {
     /** Returns the position of a request on its connection: 1 for the first, 0 if it is unknown. */
-    int place(String id);
+    int positionOnConnection(String id);
 
     /**
      * Returns the id of the request that was open on the connection when this one arrived; null if
      * there was none.
      */
-    String ahead(String id);
+    String idAhead(String id);
 
     /** Returns whether the sidecar's process has read the last byte. */
     boolean wasRead(String id);
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -119,7 +119,7 @@
         writer.resetAtByte(
                 position,
                 () -> {
-                    ObservedRequest met = states.on(end);
+                    ObservedRequest met = states.onConnection(end);
                     if (met != null) {
                         tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
                     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -46,9 +46,9 @@
 
     void begin(Day theDay) {
         day = theDay;
-        states.on(RequestState.CONNECTING, this::connects);
-        states.on(RequestState.RESEND_CONNECTING, this::connects);
-        states.on(RequestState.ARRIVING, this::arrives);
+        states.onEnter(RequestState.CONNECTING, this::connects);
+        states.onEnter(RequestState.RESEND_CONNECTING, this::connects);
+        states.onEnter(RequestState.ARRIVING, this::arrives);
     }
 
     // ---- what lasts
@@ -112,7 +112,7 @@
     void closed(List<SimSocket> sidecarsEnds, String server) {
         day.evidence.faultArmed(FaultKind.CLOSE_IDLE.word(), server);
         for (SimSocket each : sidecarsEnds) {
-            ObservedRequest request = states.on(each);
+            ObservedRequest request = states.onConnection(each);
             if (request != null) {
                 day.evidence.faultHit(FaultKind.CLOSE_IDLE.word(), request.id(), request.state());
             }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -65,7 +65,7 @@
     private void boot(String uid, int life, long bornAt) {
         server = new OrderServer(day, fleet, this, uid, life, bornAt, chance);
         server.listen();
-        states.server(name, uid);
+        states.registerServer(name, uid);
         day.evidence.serverState(uid, life, Instances.READY, bornAt);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -33,7 +33,7 @@
             }
             if (!waiting.isEmpty()) {
                 int[] visits = new int[1];
-                states.on(state, request -> entered(request, ++visits[0], waiting));
+                states.onEnter(state, request -> entered(request, ++visits[0], waiting));
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -151,7 +151,7 @@
             Host host =
                     network.host(
                             name, Site.address(1, 0, 1 + i), plan.count(ScenarioParameter.SOCKETS));
-            states.sidecar(name, name);
+            states.registerSidecar(name, name);
             ProcessSlot seat =
                     new ProcessSlot(
                             day,
--- a/testbed/src/test/java/appleridge/testbed/invariants/CheckerFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CheckerFixture.java
@@ -46,12 +46,12 @@
     }
 
     @Override
-    public int place(String id) {
+    public int positionOnConnection(String id) {
         return places.getOrDefault(id, 2);
     }
 
     @Override
-    public String ahead(String id) {
+    public String idAhead(String id) {
         return ahead.get(id);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -82,7 +82,7 @@
         NetworkFixture fixture = new NetworkFixture();
         Coverage coverage = new Coverage();
         FaultHitCounter strikes = new FaultHitCounter(fixture.states, coverage);
-        fixture.states.sidecar("side-1-process", "side-1");
+        fixture.states.registerSidecar("side-1-process", "side-1");
         fixture.asks("r");
         fixture.asks("s");
         fixture.states.requestSent("s");
--- a/testbed/src/test/java/appleridge/testbed/invariants/NetworkFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/NetworkFixture.java
@@ -41,11 +41,11 @@
         server = host("machine-1", 3);
         sideListens = side.listen(new InetSocketAddress(side.address(), PORT), 10);
         serverListens = server.listen(new InetSocketAddress(server.address(), PORT), 10);
-        states.sidecar(side.name(), SIDE);
-        states.server(server.name(), "a-1");
+        states.registerSidecar(side.name(), SIDE);
+        states.registerServer(server.name(), "a-1");
         network.tap(states);
         for (RequestState each : RequestState.values()) {
-            states.on(each, now -> enteredStates.add(now.state() + " " + now.id()));
+            states.onEnter(each, now -> enteredStates.add(now.state() + " " + now.id()));
         }
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
@@ -180,17 +180,17 @@
         fixture.asks("s");
         NetworkFixture.write(client, NetworkFixture.get("s").substring(50));
         states.requestSent("s");
-        assertEquals(1, states.place("r"));
-        assertEquals(2, states.place("s"));
-        assertNull(states.ahead("r"));
-        assertEquals("r", states.ahead("s"));
+        assertEquals(1, states.positionOnConnection("r"));
+        assertEquals(2, states.positionOnConnection("s"));
+        assertNull(states.idAhead("r"));
+        assertEquals("r", states.idAhead("s"));
         fixture.run();
         sideToClient.read(new byte[1000], 0, NetworkFixture.get("r").length() + 60);
         assertTrue(states.wasRead("r"));
         assertFalse(states.wasRead("s"));
         NetworkFixture.read(sideToClient);
         assertTrue(states.wasRead("s"));
-        assertEquals(0, states.place("unknown"));
+        assertEquals(0, states.positionOnConnection("unknown"));
     }
 
     @Test
@@ -253,8 +253,8 @@
     void aConnectionCanBeStruckInTheMiddleOfWhatBringsAStateAbout() throws IOException {
         writeRequest("r");
         fixture.sends(1);
-        states.on(RequestState.CONNECTING, now -> now.upstream().fault(SimSocket.Fault.RESET));
-        states.on(RequestState.ARRIVING, now -> now.client().fault(SimSocket.Fault.RESET));
+        states.onEnter(RequestState.CONNECTING, now -> now.upstream().fault(SimSocket.Fault.RESET));
+        states.onEnter(RequestState.ARRIVING, now -> now.client().fault(SimSocket.Fault.RESET));
         fixture.connect(fixture.side, fixture.serverListens);
         fixture.run();
         assertNull(fixture.serverListens.accept());
