--- a/testbed/src/test/java/appleridge/testbed/invariants/AnswerRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/AnswerRulesTest.java
@@ -9,28 +9,29 @@
 class AnswerRulesTest {
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private CheckerFixture taken() {
+    private CheckerFixture accepted() {
         return fixture.at(CheckerFixture.S)
-                .taken("r", CheckerFixture.STOCK_CHECK, 400 * CheckerFixture.MS)
+                .accepted("r", CheckerFixture.STOCK_CHECK, 400 * CheckerFixture.MS)
                 .after(5 * CheckerFixture.MS)
                 .received("a-1", "r");
     }
 
     @Test
-    void whatAServerMadeForItIsServed() {
-        taken().served("a-1", "r").at(60 * CheckerFixture.S);
+    void servedAnswerMadeByAServerIsAccepted() {
+        accepted().served("a-1", "r").at(60 * CheckerFixture.S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whatNoServerMadeIsWrong() {
-        taken().answered("r", 200, "invented");
+    void servedAnswerThatNoServerMadeIsReported() {
+        accepted().answered("r", 200, "invented");
         assertEquals(List.of(Rule.WRONG_ANSWER), fixture.rules());
     }
 
     @Test
-    void whatWasMadeForAnotherIsWrong() {
-        taken().taken("s", CheckerFixture.STOCK_CHECK, 400 * CheckerFixture.MS)
+    void answerMadeForAnotherRequestIsReported() {
+        accepted()
+                .accepted("s", CheckerFixture.STOCK_CHECK, 400 * CheckerFixture.MS)
                 .received("a-1", "s");
         fixture.checker.serverAnswered("a-1", 1, "r", "for r");
         fixture.checker.serverAnswered("a-1", 1, "s", "for s");
@@ -40,8 +41,8 @@
     }
 
     @Test
-    void eitherOfTwoAnswersMadeForItIsRight() {
-        taken().received("a-2", "r");
+    void anyOfTwoAnswersMadeForTheRequestIsAccepted() {
+        accepted().received("a-2", "r");
         fixture.checker.serverAnswered("a-1", 1, "r", "one");
         fixture.checker.serverAnswered("a-2", 1, "r", "two");
         fixture.answered("r", 200, "one");
@@ -49,27 +50,27 @@
     }
 
     @Test
-    void aBodyThatFailsNeedNotBeMade() {
-        taken().answered("r", 502, "bad gateway");
+    void errorAnswerNeedNotComeFromAServer() {
+        accepted().answered("r", 502, "bad gateway");
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void aSecondAnswerIsOneTooMany() {
-        taken().served("a-1", "r").answered("r", 504, "");
+    void secondAnswerIsReported() {
+        accepted().served("a-1", "r").answered("r", 504, "");
         assertEquals(List.of(Rule.TWO_ANSWERS), fixture.rules());
     }
 
     @Test
-    void bytesBehindAnAnswerAreOneTooMany() {
-        taken().served("a-1", "r");
+    void bytesAfterAnAnswerAreReported() {
+        accepted().served("a-1", "r");
         fixture.checker.answerBroken("r", "noise", true);
         assertEquals(List.of(Rule.TWO_ANSWERS), fixture.rules());
     }
 
     @Test
-    void aKeptConnectionMayEndAfterAnAnswer() {
-        taken().served("a-1", "r");
+    void connectionMayCloseAfterAnAnswer() {
+        accepted().served("a-1", "r");
         fixture.checker.answerBroken("r", "closed", false);
         assertEquals(List.of(), fixture.rules());
     }
--- a/testbed/src/test/java/appleridge/testbed/invariants/CheckerFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CheckerFixture.java
@@ -7,13 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * A judge with a clock set by hand and sockets that show what a test says; one sidecar that runs.
- */
+/** A checker with a manual clock, a running sidecar, and sockets and counts that the test sets. */
 final class CheckerFixture implements SocketObserver, LoopLoad, ResourceProbe {
     static final long MS = TimeSpans.MS;
     static final long S = TimeSpans.SECOND;
-    static final String SIDE = "side-0";
+    static final String SIDECAR = "side-0";
     static final int STOCK_CHECK = 0;
     static final int STOCK_HOLD = 1;
     static final int ORDER_CONFIRM = 2;
@@ -21,53 +19,56 @@
 
     final InvariantBounds bounds = InvariantBounds.defaults();
     final InvariantChecker checker;
-    final Set<String> unread = new HashSet<>();
-    final Map<String, Integer> places = new HashMap<>();
-    final Map<String, String> ahead = new HashMap<>();
-    final Map<String, Long> closed = new HashMap<>();
-    final Map<String, Long> accepted = new HashMap<>();
+    final Set<String> unreadIds = new HashSet<>();
+    final Map<String, Integer> positions = new HashMap<>();
+    final Map<String, String> idsAhead = new HashMap<>();
+    final Map<String, Long> closeTimes = new HashMap<>();
+    final Map<String, Long> acceptTimes = new HashMap<>();
     final List<Span> busy = new ArrayList<>();
 
-    /** What the sidecar says of itself, and what is there; null: no process runs. */
+    /** What the sidecar reports; null if no process runs. */
     ResourceCounts resources = ResourceCounts.empty();
 
-    int clients;
-    int upstreams;
+    int clientConnections;
+    int serverConnections;
     long now;
-    private long keys;
+    private long lastKey;
 
-    /** Servers named a-1, a-2, b-1 ...: their zones are their first letters. */
+    /**
+     * Creates the fixture. Servers are named a-1, a-2, b-1 and so on; their zone is the first
+     * letter.
+     */
     CheckerFixture() {
         checker =
                 InvariantChecker.ofDay(
                         bounds, () -> now, server -> server.substring(0, 1), this, this, this);
-        checker.sidecarStarted(SIDE, 1);
-        checker.sidecarReady(SIDE, 1);
+        checker.sidecarStarted(SIDECAR, 1);
+        checker.sidecarReady(SIDECAR, 1);
     }
 
     @Override
     public int positionOnConnection(String id) {
-        return places.getOrDefault(id, 2);
+        return positions.getOrDefault(id, 2);
     }
 
     @Override
     public String idAhead(String id) {
-        return ahead.get(id);
+        return idsAhead.get(id);
     }
 
     @Override
     public boolean wasRead(String id) {
-        return !unread.contains(id);
+        return !unreadIds.contains(id);
     }
 
     @Override
     public long acceptedAt(String id) {
-        return accepted.getOrDefault(id, -1L);
+        return acceptTimes.getOrDefault(id, -1L);
     }
 
     @Override
     public List<Span> busy(String sidecar) {
-        return sidecar.equals(SIDE) ? busy : List.of();
+        return sidecar.equals(SIDECAR) ? busy : List.of();
     }
 
     @Override
@@ -77,20 +78,20 @@
 
     @Override
     public int clientConnections(String sidecar) {
-        return clients;
+        return clientConnections;
     }
 
     @Override
     public int upstreamConnections(String sidecar) {
-        return upstreams;
+        return serverConnections;
     }
 
     @Override
     public long closedAt(String id) {
-        return closed.getOrDefault(id, -1L);
+        return closeTimes.getOrDefault(id, -1L);
     }
 
-    /** Goes to a moment, with a look at what is due on the way. */
+    /** Moves the clock and runs the checks that are due on the way. */
     CheckerFixture at(long moment) {
         now = moment;
         checker.check(now);
@@ -102,44 +103,54 @@
     }
 
     /**
-     * A request is asked and taken now, by a client that waits for a second longer than its
+     * Starts a request that is accepted at once, by a client that waits a second longer than its
      * deadline.
      */
-    CheckerFixture taken(String id, int requestClass, long deadline) {
-        return taken(id, requestClass, deadline, deadline + S);
+    CheckerFixture accepted(String id, int requestClass, long deadline) {
+        return accepted(id, requestClass, deadline, deadline + S);
     }
 
-    CheckerFixture taken(String id, int requestClass, long deadline, long patience) {
+    CheckerFixture accepted(String id, int requestClass, long deadline, long patience) {
         checker.requestStarted(
                 new ClientAttempt(
-                        id, id, 0, SIDE, requestClass, 0, null, ++keys, now, deadline, patience));
+                        id,
+                        id,
+                        0,
+                        SIDECAR,
+                        requestClass,
+                        0,
+                        null,
+                        ++lastKey,
+                        now,
+                        deadline,
+                        patience));
         checker.requestSent(id);
         return this;
     }
 
-    /** The key of the request that was asked last. */
+    /** Returns the key of the request that was started last. */
     long key() {
-        return keys;
+        return lastKey;
     }
 
-    /** A server reads the first bytes of a request, sent a little ago. */
+    /** A server reads the first bytes of a request that were sent one millisecond ago. */
     CheckerFixture readId(String server, String id) {
         return readId(server, id, now - MS);
     }
 
     CheckerFixture readId(String server, String id, long sentAt) {
-        checker.serverReadId(server, 1, SIDE, id, sentAt);
+        checker.serverReadId(server, 1, SIDECAR, id, sentAt);
         return this;
     }
 
-    /** A server reads all of a request, sent a little ago. */
+    /** A server reads all of a request that was sent one millisecond ago. */
     CheckerFixture received(String server, String id) {
         return received(server, id, now - MS);
     }
 
     CheckerFixture received(String server, String id, long sentAt) {
-        checker.serverReadId(server, 1, SIDE, id, sentAt);
-        checker.serverReceived(server, 1, SIDE, id, sentAt, sentAt, 5 * MS);
+        checker.serverReadId(server, 1, SIDECAR, id, sentAt);
+        checker.serverReceived(server, 1, SIDECAR, id, sentAt, sentAt, 5 * MS);
         return this;
     }
 
@@ -155,7 +166,7 @@
     }
 
     CheckerFixture delivered(String server, String state, long bornAt) {
-        checker.listDelivered(SIDE, server, state, bornAt);
+        checker.listDelivered(SIDECAR, server, state, bornAt);
         return this;
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ColdRuleTest.java
@@ -11,121 +11,121 @@
     private static final long S = CheckerFixture.S;
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private void born() {
+    private void serverStarts() {
         fixture.at(S);
         fixture.checker.serverState("a-1", 2, "Ready", S);
     }
 
-    private void arrives(String sidecar, long sentAt) {
+    private void receive(String sidecar, long sentAt) {
         fixture.checker.serverReceived("a-1", 2, sidecar, "x", sentAt, sentAt, MS);
     }
 
-    private void falls(double own, double others) {
+    private void collapse(double own, double others) {
         fixture.checker.serverCollapsed(
-                "a-1", 2, Map.of(CheckerFixture.SIDE, own, "side-1", others));
+                "a-1", 2, Map.of(CheckerFixture.SIDECAR, own, "side-1", others));
     }
 
     @Test
-    void twoThirdsOfTheWorkFromThoseWhoKnewIsTooMuch() {
-        born();
+    void twoThirdsOfTheWorkFromInformedSidecarsIsReported() {
+        serverStarts();
         fixture.delivered("a-1", "Ready", S).at(2 * S);
-        falls(2, 1);
+        collapse(2, 1);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
-    void lessIsNot() {
-        born();
+    void lessThanTwoThirdsIsAccepted() {
+        serverStarts();
         fixture.delivered("a-1", "Ready", S).at(2 * S);
-        falls(1.99, 1);
+        collapse(1.99, 1);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whoWasToldOfAnEarlierStartDoesNotKnow() {
+    void knowingAnEarlierStartDoesNotCount() {
         fixture.delivered("a-1", "Ready", 0);
-        born();
+        serverStarts();
         fixture.delivered("a-1", "Ready", 0).at(2 * S);
-        falls(3, 0);
+        collapse(3, 0);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void aStartMayBeToldToTheMillisecond() {
+    void startDeliveredToTheMillisecondCounts() {
         fixture.at(S);
         fixture.checker.serverState("a-1", 2, "Ready", S + MS - 1);
         fixture.delivered("a-1", "Ready", S).at(2 * S);
-        falls(3, 0);
+        collapse(3, 0);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
-    void whatCountsAsToldCounts() {
-        born();
+    void startThatCountsAsDeliveredCounts() {
+        serverStarts();
         fixture.discoveryKnows("a-1", "Ready", S);
-        fixture.checker.discoveryCall(CheckerFixture.SIDE, 1, true, 0);
+        fixture.checker.discoveryCall(CheckerFixture.SIDECAR, 1, true, 0);
         fixture.at(7 * S + 1);
-        falls(3, 0);
+        collapse(3, 0);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
-    void whatWasSentBeforeItWasToldDoesNotCount() {
-        born();
+    void workSentBeforeTheDeliveryDoesNotCount() {
+        serverStarts();
         fixture.at(2 * S).delivered("a-1", "Ready", S);
         for (int i = 0; i < 2; i++) {
-            arrives(CheckerFixture.SIDE, 2 * S);
+            receive(CheckerFixture.SIDECAR, 2 * S);
         }
         fixture.at(2 * S + 100 * MS);
-        arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
-        falls(3, 0);
+        receive(CheckerFixture.SIDECAR, 2 * S + 50 * MS);
+        collapse(3, 0);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whatWasSentAfterItDoes() {
-        born();
+    void workSentAfterTheDeliveryCounts() {
+        serverStarts();
         fixture.at(2 * S).delivered("a-1", "Ready", S);
-        arrives(CheckerFixture.SIDE, 2 * S);
+        receive(CheckerFixture.SIDECAR, 2 * S);
         fixture.at(2 * S + 100 * MS);
         for (int i = 0; i < 2; i++) {
-            arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
+            receive(CheckerFixture.SIDECAR, 2 * S + 50 * MS);
         }
-        falls(3, 0);
+        collapse(3, 0);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
-    void toldAgainItIsNoLater() {
-        born();
+    void repeatedDeliveryDoesNotPostponeTheFirst() {
+        serverStarts();
         fixture.at(2 * S)
                 .delivered("a-1", "Ready", S)
                 .at(2 * S + 100 * MS)
                 .delivered("a-1", "Ready", S);
-        arrives(CheckerFixture.SIDE, 2 * S + 50 * MS);
-        falls(3, 0);
+        receive(CheckerFixture.SIDECAR, 2 * S + 50 * MS);
+        collapse(3, 0);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 
     @Test
-    void othersWorkIsNotItsOwn() {
-        born();
+    void workOfOtherSidecarsDoesNotCountAsItsOwn() {
+        serverStarts();
         fixture.at(2 * S).delivered("a-1", "Ready", S);
-        arrives(CheckerFixture.SIDE, 2 * S);
-        arrives("side-1", 2 * S + 50 * MS);
-        arrives("side-1", 2 * S + 50 * MS);
-        falls(3, 0);
+        receive(CheckerFixture.SIDECAR, 2 * S);
+        receive("side-1", 2 * S + 50 * MS);
+        receive("side-1", 2 * S + 50 * MS);
+        collapse(3, 0);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whatCameBeforeTheWindowDoesNotCount() {
-        born();
-        arrives(CheckerFixture.SIDE, S);
-        arrives(CheckerFixture.SIDE, S);
+    void workBeforeTheWindowDoesNotCount() {
+        serverStarts();
+        receive(CheckerFixture.SIDECAR, S);
+        receive(CheckerFixture.SIDECAR, S);
         fixture.at(2 * S).delivered("a-1", "Ready", S).at(2600 * MS);
-        arrives(CheckerFixture.SIDE, 2600 * MS);
-        falls(3, 0);
+        receive(CheckerFixture.SIDECAR, 2600 * MS);
+        collapse(3, 0);
         assertEquals(List.of(Rule.COLD), fixture.rules());
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -13,7 +13,7 @@
     private static final int STATES = RequestState.values().length;
 
     @Test
-    void countsAndMerges() {
+    void countsAndMergesHits() {
         Coverage one = new Coverage();
         one.add("kill", RequestState.HELD);
         one.add("kill", RequestState.HELD);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void saysWhichCellsWereStruckTooSeldom() {
+    void countsPossibleCombinationsBelowTheMinimum() {
         Coverage coverage = new Coverage();
         coverage.expect("up-reset");
         assertEquals(STATES, coverage.cellsBelow(1, ImpossibleCombinations.none()));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void whatCannotHappenHasAReason() {
+    void impossibleCombinationsHaveAReason() {
         ImpossibleCombinations usual = ImpossibleCombinations.usual();
         assertNull(usual.why("kill", RequestState.IDLE));
         assertNull(usual.why("up-reset", RequestState.ANSWERING));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void printsATable() {
+    void printsTextAndMarkdownTables() {
         Coverage coverage = new Coverage();
         coverage.add("up-reset", RequestState.WRITTEN);
         coverage.add("kill", RequestState.IDLE);
@@ -78,42 +78,42 @@
     }
 
     @Test
-    void aFaultStrikesWhomItIsAimedAtOrAllThatAreThere() throws IOException {
+    void faultCountsItsTargetRequestOrAllRequestsAtItsTarget() throws IOException {
         NetworkFixture fixture = new NetworkFixture();
         Coverage coverage = new Coverage();
-        FaultHitCounter strikes = new FaultHitCounter(fixture.states, coverage);
+        FaultHitCounter counter = new FaultHitCounter(fixture.states, coverage);
         fixture.states.registerSidecar("side-1-process", "side-1");
-        fixture.asks("r");
-        fixture.asks("s");
+        fixture.startRequest("r");
+        fixture.startRequest("s");
         fixture.states.requestSent("s");
-        strikes.faultStruck("down-reset", "app", "s");
+        counter.faultStruck("down-reset", "app", "s");
         assertEquals(1, coverage.count("down-reset", RequestState.HELD));
         assertEquals(1, coverage.total());
-        strikes.faultStruck("kill", NetworkFixture.SIDE, null);
+        counter.faultStruck("kill", NetworkFixture.SIDECAR, null);
         assertEquals(1, coverage.count("kill", RequestState.HELD));
         assertEquals(1, coverage.count("kill", RequestState.ARRIVING));
-        strikes.faultStruck("kill", "side-1", null);
-        strikes.faultStruck("crash", "a-1", null);
-        strikes.faultStruck("down-reset", "app", "over");
+        counter.faultStruck("kill", "side-1", null);
+        counter.faultStruck("crash", "a-1", null);
+        counter.faultStruck("down-reset", "app", "over");
         assertEquals(3, coverage.total());
-        strikes.faultStruck("list-down", null, null);
-        strikes.faultStruck("zone-cut", "ebene", null);
+        counter.faultStruck("list-down", null, null);
+        counter.faultStruck("zone-cut", "ebene", null);
         assertEquals(3, coverage.total());
     }
 
     @Test
-    void whatLastsCountsWhomItMeets() throws IOException {
+    void lastingFaultCountsOnlyReportedHits() throws IOException {
         Coverage coverage = new Coverage();
-        FaultHitCounter strikes = new FaultHitCounter(new NetworkFixture().states, coverage);
-        strikes.faultArmed("connect-slow", "a-1");
+        FaultHitCounter counter = new FaultHitCounter(new NetworkFixture().states, coverage);
+        counter.faultArmed("connect-slow", "a-1");
         assertTrue(coverage.text(ImpossibleCombinations.none()).contains("connect-slow"));
         assertEquals(0, coverage.total());
-        strikes.faultHit("connect-slow", "r", RequestState.CONNECTING);
+        counter.faultHit("connect-slow", "r", RequestState.CONNECTING);
         assertEquals(1, coverage.count("connect-slow", RequestState.CONNECTING));
     }
 
     @Test
-    void whatMeetsOnlySomeCannotMeetOthers() {
+    void faultsOfOneStateAreImpossibleInOthers() {
         ImpossibleCombinations usual = ImpossibleCombinations.usual();
         assertNull(usual.why("connect-refused", RequestState.RESEND_CONNECTING));
         assertNull(usual.why("up-cut-answer", RequestState.RESEND_ANSWERING));
@@ -127,22 +127,22 @@
     }
 
     @Test
-    void aDayComesToAVerdict() {
-        RequestCounts tally = new RequestCounts();
+    void verdictSumsUpCountsAndViolations() {
+        RequestCounts outcomes = new RequestCounts();
         for (String id : List.of("a", "b", "c", "d", "e", "f", "g")) {
-            tally.requestStarted(new ClientAttempt(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
+            outcomes.requestStarted(new ClientAttempt(id, id, 0, "side-0", 0, 0, null, 1, 0, 1, 1));
         }
-        tally.answered("a", 200, "", -1, 0);
-        tally.answered("b", 503, "", -1, 0);
-        tally.answered("g", 429, "", -1, 0);
-        tally.answered("c", 504, "", -1, 0);
-        tally.answerBroken("d", "reset", false);
-        tally.answerBroken("d", "reset", false);
-        tally.clientGaveUp("e");
-        tally.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
-        tally.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
-        tally.serverReceived("s", 1, "side-0", "bad-1", 0, 0, 1);
-        Counts counts = tally.counts();
+        outcomes.answered("a", 200, "", -1, 0);
+        outcomes.answered("b", 503, "", -1, 0);
+        outcomes.answered("g", 429, "", -1, 0);
+        outcomes.answered("c", 504, "", -1, 0);
+        outcomes.answerBroken("d", "reset", false);
+        outcomes.answerBroken("d", "reset", false);
+        outcomes.clientGaveUp("e");
+        outcomes.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
+        outcomes.serverReceived("s", 1, "side-0", "a", 0, 0, 1);
+        outcomes.serverReceived("s", 1, "side-0", "bad-1", 0, 0, 1);
+        Counts counts = outcomes.counts();
         assertEquals(new Counts(7, 1, 2, 2, 1, 2, 1), counts);
         assertEquals(new Counts(14, 2, 4, 4, 2, 4, 2), counts.plus(counts));
         Verdict good = new Verdict(7, 255, List.of(), counts, new Coverage(), 20);
--- a/testbed/src/test/java/appleridge/testbed/invariants/DrainRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/DrainRuleTest.java
@@ -11,8 +11,11 @@
     private static final long GRACE = 2050 * MS;
     private final CheckerFixture fixture = new CheckerFixture();
 
-    /** Sends up to the grace after a moment are fine, and the next one isn't. */
-    private void assertToldAt(long moment) {
+    /**
+     * Expects that sends up to the grace period after this time are accepted and the next one is
+     * not.
+     */
+    private void assertDeliveredAt(long moment) {
         fixture.at(Math.max(fixture.now, moment + GRACE + 100 * MS))
                 .readId("a-1", "in time", moment + GRACE);
         assertEquals(List.of(), fixture.rules());
@@ -20,139 +23,139 @@
         assertEquals(List.of(Rule.DRAIN), fixture.rules());
     }
 
-    private void assertNotToldBy(long moment) {
+    private void assertNotDeliveredBy(long moment) {
         fixture.at(moment).readId("a-1", "r", moment);
         assertEquals(List.of(), fixture.rules());
     }
 
     private void called(long id, boolean whole, long wait) {
-        fixture.checker.discoveryCall(CheckerFixture.SIDE, id, whole, wait);
+        fixture.checker.discoveryCall(CheckerFixture.SIDECAR, id, whole, wait);
     }
 
     @Test
-    void aDrainIsTold() {
+    void deliveredDrainStartsTheGracePeriod() {
         fixture.at(S).delivered("a-1", "Terminating", 0);
-        assertToldAt(S);
+        assertDeliveredAt(S);
     }
 
     @Test
-    void anEndIsTold() {
+    void deliveredEndStartsTheGracePeriod() {
         fixture.at(S).delivered("a-1", "Gone", 0);
-        assertToldAt(S);
+        assertDeliveredAt(S);
     }
 
     @Test
-    void toldAgainItIsNoLater() {
+    void repeatedDeliveryDoesNotRestartTheGracePeriod() {
         fixture.at(S).delivered("a-1", "Terminating", 0).at(2 * S).delivered("a-1", "Gone", 0);
-        assertToldAt(S);
+        assertDeliveredAt(S);
     }
 
     @Test
-    void anotherServersOrSidecarsIsNot() {
+    void deliveryForAnotherServerOrSidecarDoesNotCount() {
         fixture.at(S).delivered("a-2", "Terminating", 0);
         fixture.checker.listDelivered("side-1", "a-1", "Terminating", 0);
-        assertNotToldBy(8 * S);
+        assertNotDeliveredBy(8 * S);
     }
 
     @Test
-    void readyAgainItMayBeSentTo() {
+    void serverThatIsReadyAgainMayBeSentTo() {
         fixture.at(S).delivered("a-1", "Terminating", 0).at(2 * S).delivered("a-1", "Ready", S);
-        assertNotToldBy(9 * S);
+        assertNotDeliveredBy(9 * S);
         fixture.delivered("a-1", "Gone", S);
-        assertToldAt(9 * S);
+        assertDeliveredAt(9 * S);
     }
 
     @Test
-    void whatCountsIsWhenTheFirstByteWasSent() {
+    void sendTimeOfTheFirstByteDecides() {
         fixture.at(S).delivered("a-1", "Terminating", 0).at(4 * S).delivered("a-1", "Ready", 0);
         fixture.readId("a-1", "r", S + GRACE + 1);
         assertEquals(List.of(Rule.DRAIN), fixture.rules());
     }
 
     @Test
-    void aNewProcessBeginsAnew() {
+    void newSidecarProcessStartsWithNothingDelivered() {
         fixture.at(S).delivered("a-1", "Terminating", 0).at(2 * S);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
-        assertNotToldBy(8 * S);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        assertNotDeliveredBy(8 * S);
         fixture.delivered("a-1", "Terminating", 0);
-        assertToldAt(8 * S);
+        assertDeliveredAt(8 * S);
     }
 
     @Test
-    void whatTheOldProcessSentIsJudgedByWhatItKnew() {
+    void requestOfTheOldProcessIsCheckedAgainstItsOwnDeliveries() {
         fixture.at(S).delivered("a-1", "Terminating", 0).at(4 * S);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.readId("a-1", "r", 4 * S - MS);
         assertEquals(List.of(Rule.DRAIN), fixture.rules());
     }
 
     @Test
-    void aLostWatchCountsTwoSecondsAfterItsWait() {
+    void lostWatchCountsAsDeliveredTwoSecondsAfterItsWait() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0);
-        assertToldAt(S + 4500 * MS);
+        assertDeliveredAt(S + 4500 * MS);
     }
 
     @Test
-    void whatDiscoveryLearnsAfterItsWaitDoesNot() {
+    void entryLearnedAfterTheWaitDoesNotCount() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(S + 2500 * MS + 1).discoveryKnows("a-1", "Terminating", 0);
-        assertNotToldBy(9 * S);
+        assertNotDeliveredBy(9 * S);
     }
 
     @Test
-    void aLostWholeListCountsAfterSixSeconds() {
+    void lostWholeListCountsAsDeliveredAfterSixSeconds() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0);
         called(1, true, 0);
-        assertToldAt(7 * S);
+        assertDeliveredAt(7 * S);
     }
 
     @Test
-    void anAnsweredCallSaysWhatItSays() {
+    void answeredCallDeliversOnlyItsContent() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0);
         fixture.at(3 * S);
-        fixture.checker.discoveryCallEnded(CheckerFixture.SIDE, 1, true);
-        assertNotToldBy(9 * S);
+        fixture.checker.discoveryCallEnded(CheckerFixture.SIDECAR, 1, true);
+        assertNotDeliveredBy(9 * S);
     }
 
     @Test
-    void aFailedCallSaysNothing() {
+    void failedCallDeliversNothing() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0);
         called(1, true, 0);
         fixture.at(2 * S);
-        fixture.checker.discoveryCallEnded(CheckerFixture.SIDE, 1, false);
-        assertNotToldBy(11 * S);
+        fixture.checker.discoveryCallEnded(CheckerFixture.SIDECAR, 1, false);
+        assertNotDeliveredBy(11 * S);
     }
 
     @Test
-    void readyAgainSinceOutweighsALostWatch() {
+    void laterReadyStateOverridesALostWatch() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0);
         fixture.at(3 * S).discoveryKnows("a-1", "Ready", 0).delivered("a-1", "Ready", 0);
-        assertNotToldBy(9 * S);
+        assertNotDeliveredBy(9 * S);
     }
 
     @Test
-    void aStaleListDoesNotOutweighIt() {
+    void staleReadyStateDoesNotOverrideALostWatch() {
         fixture.discoveryKnows("a-1", "Ready", 0).at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S)
                 .discoveryKnows("a-1", "Terminating", 0)
                 .at(3 * S)
                 .delivered("a-1", "Ready", 0);
-        assertToldAt(S + 4500 * MS);
+        assertDeliveredAt(S + 4500 * MS);
     }
 
-    /** Who was told of a later version knows better than a list that is older. */
+    /** A sidecar that was told of a later version may ignore an older list. */
     @Test
-    void aStaleDrainObligesToNothing() {
+    void staleDrainIsIgnored() {
         fixture.at(S)
                 .discoveryKnows("a-1", "Terminating", 0)
                 .at(2 * S)
@@ -160,114 +163,114 @@
                 .delivered("a-1", "Ready", 0);
         fixture.at(3 * S).delivered("a-1", "Terminating", 0);
         called(1, false, MS);
-        assertNotToldBy(6 * S);
+        assertNotDeliveredBy(6 * S);
         fixture.at(7 * S)
                 .discoveryKnows("a-1", "Terminating", 0)
                 .delivered("a-1", "Terminating", 0);
-        assertToldAt(7 * S);
+        assertDeliveredAt(7 * S);
     }
 
     @Test
-    void whatDidNotArriveWasNotTold() {
+    void undeliveredDrainDoesNotCount() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0).delivered("a-1", "Terminating", 0);
-        fixture.at(2 * S).checker.listNotDelivered(CheckerFixture.SIDE, S);
-        assertNotToldBy(4 * S);
+        fixture.at(2 * S).checker.listNotDelivered(CheckerFixture.SIDECAR, S);
+        assertNotDeliveredBy(4 * S);
         fixture.at(5 * S).delivered("a-1", "Terminating", 0);
-        assertToldAt(5 * S);
+        assertDeliveredAt(5 * S);
     }
 
     @Test
-    void whoStoodStillHasTheTimeOfACallToAskAgain() {
+    void pausedSidecarGetsTheTimeOfACallAfterThePause() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0);
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 3 * S, 7 * S);
-        assertToldAt(9 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 3 * S, 7 * S);
+        assertDeliveredAt(9 * S);
     }
 
     @Test
-    void whatALaterCallIsToTellIsDueWithThat() {
+    void missedEntryIsDueWithTheLaterCall() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0).at(4 * S);
         called(2, true, 0);
-        assertToldAt(10 * S);
+        assertDeliveredAt(10 * S);
     }
 
     @Test
-    void whileDiscoveryCannotBeReachedItDoesNotCount() {
+    void unreachableDiscoveryPostponesTheDelivery() {
         fixture.at(S);
         called(1, false, 2500 * MS);
         fixture.at(2 * S).discoveryKnows("a-1", "Terminating", 0);
-        fixture.checker.discoveryUnreachable(CheckerFixture.SIDE, 3 * S, 5 * S);
-        assertToldAt(11 * S);
+        fixture.checker.discoveryUnreachable(CheckerFixture.SIDECAR, 3 * S, 5 * S);
+        assertDeliveredAt(11 * S);
     }
 
     @Test
-    void sighupTellsWhatIsKnownAfterFourSeconds() {
+    void knownEntriesCountAsDeliveredFourSecondsAfterSighup() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0).at(2 * S);
-        fixture.checker.sidecarSighup(CheckerFixture.SIDE, 1);
-        assertToldAt(6 * S);
+        fixture.checker.sidecarSighup(CheckerFixture.SIDECAR, 1);
+        assertDeliveredAt(6 * S);
     }
 
     @Test
-    void aCallOfTheOldDiscoveryEndsWithIt() {
+    void sighupDropsPendingCallsThatAreDueLater() {
         fixture.at(S);
         called(1, false, 9 * S);
         fixture.at(2 * S);
-        fixture.checker.sidecarSighup(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSighup(CheckerFixture.SIDECAR, 1);
         fixture.at(3 * S).discoveryKnows("a-1", "Terminating", 0);
         called(2, false, 60 * S);
-        assertNotToldBy(30 * S);
+        assertNotDeliveredBy(30 * S);
     }
 
     @Test
-    void whatWasLostOnTheWayCountsAsToldWithWhatDidNotArrive() {
+    void undeliveredDrainCountsWhenItsCallIsDue() {
         fixture.at(S);
         called(1, true, 2 * S);
         fixture.discoveryKnows("a-1", "Terminating", 0)
                 .at(2 * S)
                 .delivered("a-1", "Terminating", 0);
-        fixture.checker.listNotDelivered(CheckerFixture.SIDE, 2 * S);
-        assertToldAt(5 * S);
+        fixture.checker.listNotDelivered(CheckerFixture.SIDECAR, 2 * S);
+        assertDeliveredAt(5 * S);
     }
 
     @Test
-    void whoDoesNotAskCountsAsToldWhatWasKnownThen() {
+    void silentSidecarCountsAsToldAfterTheSilenceLimit() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0);
-        assertToldAt(11 * S);
+        assertDeliveredAt(11 * S);
     }
 
     @Test
-    void alsoOfWhatComesLater() {
+    void silenceLimitAppliesToLaterEntries() {
         fixture.at(20 * S).discoveryKnows("a-1", "Terminating", 0);
-        assertToldAt(30 * S);
+        assertDeliveredAt(30 * S);
     }
 
     @Test
-    void aFailedCallIsNoWord() {
+    void failedCallStartsTheSilenceLimit() {
         fixture.at(S);
         called(1, true, 0);
         fixture.discoveryKnows("a-1", "Terminating", 0).at(2 * S);
-        fixture.checker.discoveryCallEnded(CheckerFixture.SIDE, 1, false);
-        assertNotToldBy(12 * S);
-        assertToldAt(12 * S);
+        fixture.checker.discoveryCallEnded(CheckerFixture.SIDECAR, 1, false);
+        assertNotDeliveredBy(12 * S);
+        assertDeliveredAt(12 * S);
     }
 
     @Test
-    void whereNobodyCouldBeAskedItTakesLonger() {
+    void unreachableDiscoveryExtendsTheSilenceLimit() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0);
-        fixture.checker.discoveryUnreachable(CheckerFixture.SIDE, 2 * S, 9 * S);
-        assertNotToldBy(15 * S);
-        assertToldAt(15 * S);
+        fixture.checker.discoveryUnreachable(CheckerFixture.SIDECAR, 2 * S, 9 * S);
+        assertNotDeliveredBy(15 * S);
+        assertDeliveredAt(15 * S);
     }
 
     @Test
-    void whoAsksIsNotSilent() {
+    void sidecarWithAPendingCallIsNotSilent() {
         fixture.at(S).discoveryKnows("a-1", "Terminating", 0).at(8 * S);
         called(1, false, 20 * S);
         fixture.at(27 * S);
-        fixture.checker.discoveryCallEnded(CheckerFixture.SIDE, 1, true);
-        assertNotToldBy(36 * S);
+        fixture.checker.discoveryCallEnded(CheckerFixture.SIDECAR, 1, true);
+        assertNotDeliveredBy(36 * S);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/IdleResourcesRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/IdleResourcesRuleTest.java
@@ -16,18 +16,18 @@
     @BeforeEach
     void begin() {
         fixture.resources = SOUND;
-        fixture.clients = 3;
-        fixture.upstreams = 2;
-        // The look that follows the process's beginning.
-        fixture.at(3 * S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.clientConnections = 3;
+        fixture.serverConnections = 2;
+        // Passes the check that follows the start of the process.
+        fixture.at(3 * S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
     }
 
-    private void quiet() {
+    private void finishAndWait() {
         fixture.after(10 * MS).received("a-1", "r").served("a-1", "r");
         fixture.after(3 * S);
     }
 
-    private void assertFound(String what) {
+    private void assertViolation(String what) {
         assertEquals(List.of(Rule.BOOKS), fixture.rules());
         assertTrue(
                 fixture.checker.violations().get(0).what().contains(what),
@@ -35,48 +35,48 @@
     }
 
     @Test
-    void booksThatAgreeAreFine() {
-        quiet();
+    void matchingCountsAreAccepted() {
+        finishAndWait();
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whileSomethingIsOpenNobodyLooks() {
+    void countsAreNotCheckedWhileARequestIsOpen() {
         fixture.resources = new ResourceCounts(1, 1, 0, 0, 9, 100, List.of());
         fixture.after(10 * S);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void anAttemptThatIsOut() {
+    void leftoverAttemptIsReported() {
         fixture.resources = new ResourceCounts(0, 1, 3, 2, 9, 100, List.of());
-        quiet();
-        assertFound("1 attempts instead of 0");
+        finishAndWait();
+        assertViolation("1 attempts instead of 0");
     }
 
     @Test
-    void aCallThatStays() {
+    void leftoverCallIsReported() {
         fixture.resources = new ResourceCounts(1, 0, 3, 2, 9, 100, List.of());
-        quiet();
-        assertFound("1 calls instead of 0");
+        finishAndWait();
+        assertViolation("1 calls instead of 0");
     }
 
     @Test
-    void aConnectionThatNobodyCounts() {
+    void uncountedConnectionIsReported() {
         fixture.resources = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
-        quiet();
-        assertFound("2 client connections instead of 3");
+        finishAndWait();
+        assertViolation("2 client connections instead of 3");
     }
 
     @Test
-    void orThatIsNoMore() {
+    void countedConnectionThatNoLongerExistsIsReported() {
         fixture.resources = new ResourceCounts(0, 0, 3, 3, 9, 100, List.of());
-        quiet();
-        assertFound("3 server connections instead of 2");
+        finishAndWait();
+        assertViolation("3 server connections instead of 2");
     }
 
     @Test
-    void whatIsSoForAMomentIsLookedAtAgain() {
+    void shortMismatchIsCheckedAgain() {
         fixture.after(10 * MS).received("a-1", "r").served("a-1", "r");
         fixture.resources = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
         fixture.after(2 * S + 100 * MS);
@@ -86,20 +86,20 @@
     }
 
     @Test
-    void whereNoProcessRunsThereAreNoBooks() {
+    void nothingIsCheckedWithoutAProcess() {
         fixture.resources = null;
-        quiet();
+        finishAndWait();
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whoStandsStillIsLookedAtLater() {
+    void pausedSidecarIsCheckedAfterThePause() {
         fixture.after(10 * MS).received("a-1", "r").served("a-1", "r");
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, fixture.now, fixture.now + 5 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, fixture.now, fixture.now + 5 * S);
         fixture.resources = new ResourceCounts(0, 0, 2, 2, 9, 100, List.of());
         fixture.after(6 * S);
         assertEquals(List.of(), fixture.rules());
         fixture.after(2 * S);
-        assertFound("2 client connections");
+        assertViolation("2 client connections");
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
@@ -14,9 +14,9 @@
     private static final long MS = CheckerFixture.MS;
 
     @Test
-    void whatIsDueIsLookedAtBeforeWhatHappensLater() {
+    void dueChecksRunBeforeLaterEvents() {
         CheckerFixture fixture = new CheckerFixture();
-        fixture.at(0).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.at(0).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
         fixture.now = CheckerFixture.S;
         fixture.checker.clientGaveUp("r");
         assertEquals(List.of(Rule.LATE), fixture.rules());
@@ -24,9 +24,9 @@
     }
 
     @Test
-    void aBrokenRuleIsSaidOncePerSubject() {
+    void violationIsReportedOncePerRuleAndSubject() {
         CheckerFixture fixture = new CheckerFixture();
-        fixture.at(CheckerFixture.S).taken("r", CheckerFixture.RAISE_INVOICE, 400 * MS);
+        fixture.at(CheckerFixture.S).accepted("r", CheckerFixture.RAISE_INVOICE, 400 * MS);
         fixture.received("a-1", "r").received("a-1", "r").received("a-1", "r");
         assertEquals(List.of(Rule.DUPLICATE), fixture.rules());
         assertTrue(
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void whatNoUsualClientHasAskedIsPassedOver() {
+    void eventsOfUnknownRequestsAreIgnored() {
         CheckerFixture fixture = new CheckerFixture();
         fixture.checker.requestSent("x");
         fixture.received("a-1", "x").served("a-1", "x").answered("x", 503, "");
@@ -46,17 +46,17 @@
         fixture.checker.answerBroken("x", "closed", true);
         fixture.checker.clientGaveUp("x");
         fixture.checker.faultStruck("kill", "a-1", "x");
-        fixture.checker.moduleAccepted(CheckerFixture.SIDE, 1, 1, 99);
-        fixture.checker.moduleRefused(CheckerFixture.SIDE, 1, 1);
+        fixture.checker.moduleAccepted(CheckerFixture.SIDECAR, 1, 1, 99);
+        fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 1, 1);
         fixture.after(CheckerFixture.S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whatIsOverIsJudgedNoMore() {
+    void endedRequestIsNotCheckedAgain() {
         CheckerFixture fixture = new CheckerFixture();
         fixture.at(0)
-                .taken("r", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS)
                 .received("a-1", "r")
                 .at(300 * MS);
         fixture.checker.clientGaveUp("r");
@@ -68,11 +68,11 @@
     }
 
     @Test
-    void allThatIsToldIsPassedOn() throws ReflectiveOperationException {
-        List<String> heard = new ArrayList<>();
-        InvocationHandler ear =
+    void fanOutForwardsEveryEventToEachListener() throws ReflectiveOperationException {
+        List<String> received = new ArrayList<>();
+        InvocationHandler handler =
                 (proxy, method, arguments) -> {
-                    heard.add(method.getName());
+                    received.add(method.getName());
                     return null;
                 };
         DayListener listener =
@@ -80,8 +80,8 @@
                         Proxy.newProxyInstance(
                                 getClass().getClassLoader(),
                                 new Class<?>[] {DayListener.class},
-                                ear);
-        DayListenerFanOut fan = new DayListenerFanOut(List.of(listener, listener));
+                                handler);
+        DayListenerFanOut fanOut = new DayListenerFanOut(List.of(listener, listener));
         for (Method each : DayListener.class.getMethods()) {
             Object[] arguments = new Object[each.getParameterCount()];
             for (int i = 0; i < arguments.length; i++) {
@@ -93,9 +93,9 @@
                                         ? (Object) 0
                                         : type == boolean.class ? (Object) false : null;
             }
-            heard.clear();
-            each.invoke(fan, arguments);
-            assertEquals(List.of(each.getName(), each.getName()), heard);
+            received.clear();
+            each.invoke(fanOut, arguments);
+            assertEquals(List.of(each.getName(), each.getName()), received);
         }
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/LateRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LateRuleTest.java
@@ -10,14 +10,15 @@
     private static final long S = CheckerFixture.S;
 
     /**
-     * Taken at one second: deadline, the rules' slack, the sockets', one way and the loop's work.
+     * Limit of a request accepted at one second: its deadline, the answer slack, the socket slack,
+     * the link delay and the loop delay.
      */
     private static final long DUE = S + (400 + 20 + 50 + 5 + 5) * MS;
 
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private CheckerFixture taken() {
-        return fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+    private CheckerFixture accepted() {
+        return fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
     }
 
     private void answeredAt(long written) {
@@ -26,23 +27,23 @@
     }
 
     @Test
-    void anAnswerAtTheLastMomentIsInTime() {
-        taken();
+    void answerAtTheLimitIsInTime() {
+        accepted();
         answeredAt(DUE);
         fixture.after(S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void oneBehindItIsLate() {
-        taken();
+    void answerAfterTheLimitIsLate() {
+        accepted();
         answeredAt(DUE + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void noneIsLateWhenItCouldHaveArrived() {
-        taken().at(DUE + 5 * MS);
+    void missingAnswerIsLateOnceItCouldHaveArrived() {
+        accepted().at(DUE + 5 * MS);
         assertEquals(List.of(), fixture.rules());
         fixture.after(1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
@@ -52,33 +53,33 @@
     }
 
     @Test
-    void whoLeavesIsNotOwedOne() {
-        taken().at(DUE - 1);
+    void clientThatGaveUpIsOwedNoAnswer() {
+        accepted().at(DUE - 1);
         fixture.checker.clientGaveUp("r");
         fixture.after(S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void aPausePutsItOffByAsMuch() {
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, S / 2, S + 100 * MS);
-        taken();
+    void pauseExtendsTheLimitByItsLength() {
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, S / 2, S + 100 * MS);
+        accepted();
         answeredAt(DUE + 100 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void andNoMore() {
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, S / 2, S + 100 * MS);
-        taken();
+    void pauseExtendsTheLimitByNoMoreThanItsLength() {
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, S / 2, S + 100 * MS);
+        accepted();
         answeredAt(DUE + 100 * MS + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void aPauseToldWhenItIsOpenPutsTheLookOff() {
-        taken().at(DUE - MS);
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, fixture.now, fixture.now + 200 * MS);
+    void pauseOfAnOpenRequestPostponesTheCheck() {
+        accepted().at(DUE - MS);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, fixture.now, fixture.now + 200 * MS);
         fixture.at(DUE + 205 * MS);
         assertEquals(List.of(), fixture.rules());
         fixture.after(1);
@@ -86,115 +87,120 @@
     }
 
     @Test
-    void anothersPauseOrLinkIsNoExcuse() {
+    void pauseOrLinkTroubleOfOthersIsNoExcuse() {
         fixture.checker.sidecarPaused("side-1", S, 2 * S);
         fixture.checker.clientLinkTroubled("side-1", null, S, 2 * S);
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "s", S, 2 * S);
-        taken();
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, "s", S, 2 * S);
+        accepted();
         answeredAt(DUE + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void aLinkInTroublePutsItOff() {
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, null, S, S + 100 * MS);
-        taken();
+    void linkTroubleExtendsTheLimit() {
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, null, S, S + 100 * MS);
+        accepted();
         answeredAt(DUE + 100 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void aConnectionThatFellSilentIsOwedNothing() {
-        taken().after(MS);
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "r", fixture.now, Long.MAX_VALUE);
+    void brokenConnectionIsOwedNoAnswer() {
+        accepted().after(MS);
+        fixture.checker.clientLinkTroubled(
+                CheckerFixture.SIDECAR, "r", fixture.now, Long.MAX_VALUE);
         fixture.after(60 * S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void aKilledSidecarOwesNothing() {
-        taken().after(MS);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
+    void killedSidecarOwesNoAnswer() {
+        accepted().after(MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
         fixture.after(60 * S);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void behindAnOpenOneItMayTakeAsLong() {
-        fixture.at(S).taken("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
-        fixture.ahead.put("r", "first");
-        taken().at(DUE + 500 * MS);
+    void pipelinedRequestMayTakeAsLongAsTheOneAhead() {
+        fixture.at(S).accepted("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
+        fixture.idsAhead.put("r", "first");
+        accepted().at(DUE + 500 * MS);
         assertEquals(List.of(), fixture.rules());
         fixture.after(S);
         assertEquals(List.of(Rule.LATE, Rule.LATE), fixture.rules());
     }
 
     @Test
-    void whatWaitedToBeAcceptedMayTakeAsMuchLonger() {
-        taken();
-        fixture.accepted.put("r", S + 300 * MS);
+    void acceptDelayExtendsTheLimit() {
+        accepted();
+        fixture.acceptTimes.put("r", S + 300 * MS);
         answeredAt(DUE + 300 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void andNoMoreThanThat() {
-        taken();
-        fixture.accepted.put("r", S + 300 * MS);
+    void acceptDelayExtendsTheLimitByNoMoreThanItsLength() {
+        accepted();
+        fixture.acceptTimes.put("r", S + 300 * MS);
         answeredAt(DUE + 300 * MS + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void aSecondAtMost() {
-        taken();
-        fixture.accepted.put("r", 3 * S);
+    void acceptDelayExtendsTheLimitByASecondAtMost() {
+        accepted();
+        fixture.acceptTimes.put("r", 3 * S);
         answeredAt(DUE + S + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void aLoopThatHasTooMuchToDoPutsItOffByAsLong() {
+    void overloadedLoopExtendsTheLimit() {
         fixture.busy.add(new Span(S + 100 * MS, S + 106 * MS));
-        taken();
+        accepted();
         answeredAt(DUE + 6 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void asLongAsItsUsualWorkIsNoExcuse() {
+    void normalBusyTimeIsNoExcuse() {
         fixture.busy.add(new Span(S + 100 * MS, S + 105 * MS));
-        taken();
+        accepted();
         answeredAt(DUE + 1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void aLoopThatSpinsForEverIsExcusedForASecond() {
+    void endlesslyBusyLoopIsExcusedForASecond() {
         fixture.busy.add(new Span(0, 60 * S));
-        taken().at(DUE + S + 5 * MS);
+        accepted().at(DUE + S + 5 * MS);
         assertEquals(List.of(), fixture.rules());
         fixture.after(1);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
     @Test
-    void closedWhenItsTimeIsUpItIsLateUnlessItCrossed() {
-        taken().at(S + 401 * MS);
-        fixture.unread.add("r");
+    void closeAfterTheDeadlineIsLateUnlessItCrossedTheRequest() {
+        accepted().at(S + 401 * MS);
+        fixture.unreadIds.add("r");
         fixture.checker.answerBroken("r", "closed", false);
         assertEquals(List.of(), fixture.rules());
-        fixture.taken("s", CheckerFixture.STOCK_CHECK, 400 * MS).after(401 * MS);
+        fixture.accepted("s", CheckerFixture.STOCK_CHECK, 400 * MS).after(401 * MS);
         fixture.checker.answerBroken("s", "closed", false);
         assertEquals(List.of(Rule.LATE), fixture.rules());
     }
 
-    /** Its client may leave before the time that is given to what was never read. */
+    /**
+     * Guards against a check at the longer limit for unread requests only: a request is read soon
+     * after it was sent, and its client may leave before that limit, so its late answer would go
+     * unnoticed.
+     */
     @Test
-    void whatIsReadSoonAfterItWasAskedHasNoMoreTime() {
-        fixture.unread.add("r");
-        taken().after(MS);
-        fixture.unread.remove("r");
+    void requestReadSoonAfterSendingGetsNoExtraTime() {
+        fixture.unreadIds.add("r");
+        accepted().after(MS);
+        fixture.unreadIds.remove("r");
         fixture.at(DUE + 5 * MS);
         assertEquals(List.of(), fixture.rules());
         fixture.after(1);
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -10,104 +10,105 @@
     private static final long S = CheckerFixture.S;
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private void taken() {
+    private void accepted() {
         fixture.at(S)
-                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
                 .received("a-1", "r")
                 .after(50 * MS);
     }
 
-    private void broken(boolean readId) {
-        fixture.checker.answerBroken("r", "reset", readId);
+    private void breakConnection(boolean answerBegun) {
+        fixture.checker.answerBroken("r", "reset", answerBegun);
     }
 
     private void assertLost() {
-        assertEquals(List.of(Rule.LOST), found());
+        assertEquals(List.of(Rule.LOST), violationsExceptEnding());
     }
 
-    private void assertKept() {
-        assertEquals(List.of(), found());
+    private void assertNotLost() {
+        assertEquals(List.of(), violationsExceptEnding());
     }
 
-    /** Whether a process has ended in time is another rule's. */
-    private List<Rule> found() {
+    /** Leaves out ENDING: another rule checks whether a process exits in time. */
+    private List<Rule> violationsExceptEnding() {
         return fixture.rules().stream().filter(each -> each != Rule.ENDING).toList();
     }
 
     @Test
-    void anEndWithNoAnswerLosesIt() {
-        taken();
-        broken(false);
+    void closeWithoutAnAnswerIsReported() {
+        accepted();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void whatWasNotTakenIsNotLost() {
+    void requestThatWasNotAcceptedIsNotLost() {
         fixture.checker.requestStarted(
                 new ClientAttempt(
-                        "r", "r", 0, CheckerFixture.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
-        broken(false);
-        assertKept();
+                        "r", "r", 0, CheckerFixture.SIDECAR, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void whoLeavesLosesNothing() {
-        taken();
+    void requestOfAClientThatGaveUpIsNotLost() {
+        accepted();
         fixture.checker.clientGaveUp("r");
-        broken(false);
-        assertKept();
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aKilledSidecarLosesNothing() {
-        taken();
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+    void killOfTheSidecarExcusesTheClose() {
+        accepted();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.after(MS);
-        broken(false);
-        assertKept();
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void oneThatEndsByItselfDoes() {
-        taken();
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+    void exitOfTheSidecarDoesNotExcuseTheClose() {
+        accepted();
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.after(MS);
-        broken(false);
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void aBrokenLinkExcusesIt() {
-        taken();
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "r", fixture.now, Long.MAX_VALUE);
+    void linkTroubleExcusesTheClose() {
+        accepted();
+        fixture.checker.clientLinkTroubled(
+                CheckerFixture.SIDECAR, "r", fixture.now, Long.MAX_VALUE);
         fixture.after(MS);
-        broken(false);
-        assertKept();
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aLinkBrokenEarlierOrForAnotherDoesNot() {
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, null, 0, 500 * MS);
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, "s", 0, Long.MAX_VALUE);
+    void earlierOrUnrelatedLinkTroubleIsNoExcuse() {
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, null, 0, 500 * MS);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, "s", 0, Long.MAX_VALUE);
         fixture.checker.clientLinkTroubled("side-1", null, 0, Long.MAX_VALUE);
-        taken();
-        broken(false);
+        accepted();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void whenItsTimeIsUpItHasFailedButIsLate() {
-        taken();
+    void closeAfterTheDeadlineIsLateInsteadOfLost() {
+        accepted();
         fixture.at(S + 1500 * MS);
-        broken(false);
+        breakConnection(false);
         assertLost();
         CheckerFixture other = new CheckerFixture();
         other.at(S)
-                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .received("a-1", "r")
                 .at(S + 1501 * MS);
         other.checker.answerBroken("r", "closed", false);
@@ -115,128 +116,128 @@
     }
 
     @Test
-    void theFirstOnAConnectionMayCrossItsEnd() {
-        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        fixture.places.put("r", 1);
-        broken(false);
-        assertKept();
+    void firstRequestOnAConnectionMayCrossItsClose() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.positions.put("r", 1);
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void unlessItWasSentOn() {
-        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        fixture.places.put("r", 1);
-        broken(false);
+    void forwardedRequestIsLostEvenIfFirstOnItsConnection() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.positions.put("r", 1);
+        breakConnection(false);
         fixture.after(40 * MS).readId("a-1", "r", S + 20 * MS);
         assertLost();
     }
 
     @Test
-    void aLaterOneOnlyIfItWasNotRead() {
-        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        fixture.unread.add("r");
-        broken(false);
-        assertKept();
+    void laterUnreadRequestMayCrossTheClose() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unreadIds.add("r");
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aLaterOneThatWasReadIsLost() {
-        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        broken(false);
+    void laterReadRequestIsLost() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void aClientMaySendOnceMoreWhatHasCrossed() {
-        fixture.at(S).taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        fixture.unread.add("r");
-        broken(false);
-        fixture.unread.clear();
+    void requestThatCrossedTheCloseMayBeSentAgain() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unreadIds.add("r");
+        breakConnection(false);
+        fixture.unreadIds.clear();
         fixture.after(MS)
-                .taken("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
                 .received("a-1", "r");
-        assertKept();
-        broken(false);
+        assertNotLost();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void anAnswerThatTheServerSpoiltMayBreakOff() {
-        taken();
-        broken(true);
-        assertKept();
+    void answerBrokenOffByTheServerIsExcused() {
+        accepted();
+        breakConnection(true);
+        assertNotLost();
     }
 
     @Test
-    void oneThatWasMadeWholeMayNot() {
-        taken();
+    void brokenOffAnswerThatAServerCompletedIsLost() {
+        accepted();
         fixture.checker.serverAnswered("a-1", 1, "r", "whole");
-        broken(true);
+        breakConnection(true);
         assertLost();
     }
 
     @Test
-    void unlessAFaultStruckIt() {
-        taken();
+    void faultAimedAtTheRequestExcusesABrokenOffAnswer() {
+        accepted();
         fixture.checker.serverAnswered("a-1", 1, "r", "whole");
         fixture.checker.faultStruck("up-reset", "a-1", "r");
-        broken(true);
-        assertKept();
+        breakConnection(true);
+        assertNotLost();
     }
 
-    private void killedAfterTerm(long untilKill, long takenBefore) {
+    private void killAfterTerm(long untilKill, long acceptedBefore) {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.at(S + untilKill - takenBefore)
-                .taken("r", CheckerFixture.STOCK_CHECK, 400 * MS)
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.at(S + untilKill - acceptedBefore)
+                .accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS)
                 .at(S + untilKill);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
         fixture.after(MS);
-        broken(false);
+        breakConnection(false);
     }
 
     @Test
-    void sigkillInItsTimeFindsNothingUnanswered() {
-        killedAfterTerm(2200 * MS, 100 * MS);
+    void requestUnansweredAtPromisedSigkillTimeIsLost() {
+        killAfterTerm(2200 * MS, 100 * MS);
         assertLost();
     }
 
     @Test
-    void butWhatCameInTheLastMoment() {
-        killedAfterTerm(2200 * MS, 50 * MS);
-        assertKept();
+    void requestAcceptedJustBeforeSigkillIsExcused() {
+        killAfterTerm(2200 * MS, 50 * MS);
+        assertNotLost();
     }
 
     @Test
-    void sigkillAheadOfItsTimeMayFindMore() {
-        killedAfterTerm(2199 * MS, 100 * MS);
-        assertKept();
+    void requestUnansweredAtEarlySigkillIsExcused() {
+        killAfterTerm(2199 * MS, 100 * MS);
+        assertNotLost();
     }
 
     @Test
-    void sigkillConcernsItsOwnProcessAndWhatIsStillOpen() {
+    void sigkillChecksOnlyOpenRequestsOfItsProcess() {
         fixture.checker.sidecarStarted("side-1", 1);
         fixture.at(S)
-                .taken("open", CheckerFixture.STOCK_CHECK, 400 * MS)
-                .taken("answered", CheckerFixture.STOCK_CHECK, 400 * MS);
+                .accepted("open", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .accepted("answered", CheckerFixture.STOCK_CHECK, 400 * MS);
         fixture.after(MS).answered("answered", 504, "");
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.checker.requestStarted(
                 new ClientAttempt(
                         "other", "other", 0, "side-1", 0, 0, null, 99, fixture.now, 9 * S, 9 * S));
         fixture.checker.requestSent("other");
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 2);
         fixture.after(9 * S);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 2);
-        assertKept();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 2);
+        assertNotLost();
     }
 
     @Test
-    void aPauseBeforeSigkillExcusesWhatIsLeft() {
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 2 * S, 3 * S);
-        killedAfterTerm(2200 * MS, 100 * MS);
-        assertKept();
+    void pauseBeforeSigkillExcusesUnansweredRequests() {
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
+        killAfterTerm(2200 * MS, 100 * MS);
+        assertNotLost();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/NetworkFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/NetworkFixture.java
@@ -13,35 +13,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An application, a sidecar and an order server on a simulated network, moved by hand. */
+/**
+ * An application, a sidecar and an order server on a simulated network; the test moves every byte.
+ */
 final class NetworkFixture {
-    static final String SIDE = "side-0";
+    static final String SIDECAR = "side-0";
     private static final int PORT = 80;
 
     final Simulation simulation;
     final Network network;
     final Host app;
-    final Host side;
+    final Host sidecar;
     final Host server;
-    final SimListener sideListens;
-    final SimListener serverListens;
+    final SimListener sidecarListener;
+    final SimListener serverListener;
     final RequestStates states = new RequestStates();
 
-    /** Each state that was entered, with the request. */
+    /** Each state that was entered, with the request's id. */
     final List<String> enteredStates = new ArrayList<>();
 
-    private long keys;
+    private long lastKey;
 
     NetworkFixture() throws IOException {
         SeededRandom chance = new SeededRandom(1);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
         app = host("app", 1);
-        side = host("side-0-process", 2);
+        sidecar = host("side-0-process", 2);
         server = host("machine-1", 3);
-        sideListens = side.listen(new InetSocketAddress(side.address(), PORT), 10);
-        serverListens = server.listen(new InetSocketAddress(server.address(), PORT), 10);
-        states.registerSidecar(side.name(), SIDE);
+        sidecarListener = sidecar.listen(new InetSocketAddress(sidecar.address(), PORT), 10);
+        serverListener = server.listen(new InetSocketAddress(server.address(), PORT), 10);
+        states.registerSidecar(sidecar.name(), SIDECAR);
         states.registerServer(server.name(), "a-1");
         network.tap(states);
         for (RequestState each : RequestState.values()) {
@@ -58,7 +60,7 @@
         return from.connect(to.address(), new SimSocket.Events() {});
     }
 
-    /** Both ends, client's first. */
+    /** Returns both ends, the connecting one first. */
     SimSocket[] connected(Host from, SimListener to) throws IOException {
         SimSocket client = connect(from, to);
         run();
@@ -69,30 +71,32 @@
         simulation.runUntil(simulation.now() + 5_000_000);
     }
 
-    void asks(String id) {
+    void startRequest(String id) {
         states.requestStarted(
                 new ClientAttempt(
                         id,
                         id,
                         0,
-                        SIDE,
+                        SIDECAR,
                         0,
                         0,
                         null,
-                        ++keys,
+                        ++lastKey,
                         simulation.now(),
                         400_000_000L,
                         500_000_000L));
-        states.moduleAccepted(SIDE, 1, keys, keys);
+        states.moduleAccepted(SIDECAR, 1, lastKey, lastKey);
     }
 
-    /** The module's number for the request that was asked as the n-th. */
-    void sends(long number) {
-        states.moduleStartedAttempt(SIDE, 1, number, "a-1");
+    /**
+     * Starts an attempt for the request with the module's number {@code number}, counted from 1.
+     */
+    void startAttempt(long number) {
+        states.moduleStartedAttempt(SIDECAR, 1, number, "a-1");
     }
 
-    void fails(long number, int attempt) {
-        states.moduleOutcome(SIDE, 1, number, attempt, "RESET", false);
+    void failAttempt(long number, int attempt) {
+        states.moduleOutcome(SIDECAR, 1, number, attempt, "RESET", false);
     }
 
     static void write(SimSocket by, String text) throws IOException {
--- a/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -6,26 +6,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on what was given up, bad clients, ends, books and recovery. */
+/**
+ * Tests the rules on refused and failed requests, bad clients, exits, resource counts and recovery.
+ */
 class OtherRulesTest {
     private static final long MS = CheckerFixture.MS;
     private static final long S = CheckerFixture.S;
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private void assertBroken(Rule... rules) {
+    private void assertViolations(Rule... rules) {
         assertEquals(List.of(rules), fixture.rules());
     }
 
-    // ---- given up
+    // ---- refused and failed requests
 
-    private void givenUp(boolean refused) {
-        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
-        fixture.checker.moduleAccepted(CheckerFixture.SIDE, 1, 7, fixture.key());
+    private void giveUp(boolean refused) {
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleAccepted(CheckerFixture.SIDECAR, 1, 7, fixture.key());
         fixture.after(100 * MS);
         if (refused) {
-            fixture.checker.moduleRefused(CheckerFixture.SIDE, 1, 7);
+            fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 1, 7);
         } else {
-            fixture.checker.moduleFailed(CheckerFixture.SIDE, 1, 7);
+            fixture.checker.moduleFailed(CheckerFixture.SIDECAR, 1, 7);
         }
     }
 
@@ -36,52 +38,52 @@
     }
 
     @Test
-    void whatIsGivenUpIsAnsweredAtOnce() {
-        givenUp(true);
+    void refusedRequestIsAnsweredAtOnce() {
+        giveUp(true);
         answeredAfter(10 * MS);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void heldBackItIsLate() {
-        givenUp(true);
+    void refusalThatIsHeldBackIsReported() {
+        giveUp(true);
         answeredAfter(10 * MS + 1);
-        assertBroken(Rule.GIVEN_UP_LATE);
+        assertViolations(Rule.GIVEN_UP_LATE);
     }
 
     @Test
-    void alsoWhatHasFailed() {
-        givenUp(false);
+    void failureThatIsHeldBackIsReported() {
+        giveUp(false);
         answeredAfter(10 * MS + 1);
-        assertBroken(Rule.GIVEN_UP_LATE);
+        assertViolations(Rule.GIVEN_UP_LATE);
     }
 
     @Test
-    void behindAnOpenOneItGoesAfterThat() {
-        fixture.at(S).taken("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
-        fixture.ahead.put("r", "first");
-        givenUp(true);
+    void refusalMayWaitForTheOpenRequestAhead() {
+        fixture.at(S).accepted("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
+        fixture.idsAhead.put("r", "first");
+        giveUp(true);
         long up = fixture.now;
         fixture.at(up + 200 * MS);
         fixture.checker.answered("first", 504, "", -1, up + 199 * MS);
         fixture.checker.answered("r", 503, "", -1, up + 200 * MS);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void anotherProcessesIdsAreOthers() {
-        givenUp(true);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
-        fixture.taken("s", CheckerFixture.STOCK_CHECK, 400 * MS);
-        fixture.checker.moduleRefused(CheckerFixture.SIDE, 2, 7);
+    void moduleIdsBelongToOneIncarnation() {
+        giveUp(true);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.accepted("s", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 2, 7);
         fixture.after(100 * MS).answered("s", 503, "");
-        assertBroken();
+        assertViolations();
     }
 
     // ---- bad clients
 
     @Test
-    void aBadClientGetsAnErrorOrAClose() {
+    void badClientWithoutAnErrorOrCloseIsReported() {
         fixture.at(S);
         fixture.checker.badClientConnected("bad-1", 4 * S);
         fixture.checker.badClientConnected("bad-2", 4 * S);
@@ -89,79 +91,79 @@
         fixture.at(4 * S);
         fixture.checker.badClientEnded("bad-1", 400);
         fixture.checker.badClientEnded("bad-2", 0);
-        assertBroken();
+        assertViolations();
         fixture.after(1);
-        assertBroken(Rule.BAD_CLIENT);
+        assertViolations(Rule.BAD_CLIENT);
         assertEquals("bad-3", fixture.checker.violations().get(0).subject());
     }
 
     @Test
-    void aPausePutsThatOff() {
+    void pauseExtendsTheLimitForBadClients() {
         fixture.at(S);
         fixture.checker.badClientConnected("bad-1", 4 * S);
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 2 * S, 3 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
         fixture.at(5 * S);
-        assertBroken();
+        assertViolations();
         fixture.after(1);
-        assertBroken(Rule.BAD_CLIENT);
+        assertViolations(Rule.BAD_CLIENT);
     }
 
     @Test
-    void aBadClientIsNotServed() {
+    void servedBadClientIsReported() {
         fixture.checker.badClientConnected("bad-1", 4 * S);
         fixture.checker.badClientEnded("bad-1", 200);
-        assertBroken(Rule.BAD_CLIENT);
+        assertViolations(Rule.BAD_CLIENT);
     }
 
-    // ---- ends
+    // ---- exits
 
     @Test
-    void noOneEndsUntold() {
-        fixture.checker.sidecarSighup(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
-        assertBroken(Rule.CRASH);
+    void exitWithoutSigtermIsReported() {
+        fixture.checker.sidecarSighup(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        assertViolations(Rule.CRASH);
     }
 
     @Test
-    void onSigtermItMay() {
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
-        assertBroken();
+    void exitAfterSigtermIsAccepted() {
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        assertViolations();
     }
 
     @Test
-    void anEarlierProcessesSigtermIsNotItsOwn() {
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 2, 0);
-        assertBroken(Rule.CRASH);
+    void sigtermOfAnEarlierProcessDoesNotCount() {
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 2, 0);
+        assertViolations(Rule.CRASH);
     }
 
-    // ---- books
+    // ---- resource counts
 
     @Test
-    void emptyBooksAreFine() {
+    void countsWithinTheBaselineAreAccepted() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
         fixture.checker.checkResources(
-                CheckerFixture.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
+                CheckerFixture.SIDECAR, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
         fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void connectionsThatAreNotCountedAreTold() {
+    void uncountedConnectionsAreReported() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
         fixture.checker.checkResources(
-                CheckerFixture.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
+                CheckerFixture.SIDECAR, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
         fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
-        assertBroken(Rule.BOOKS, Rule.BOOKS);
+        assertViolations(Rule.BOOKS, Rule.BOOKS);
     }
 
     @Test
-    void whateverIsLeftIsALeak() {
+    void anyCountAboveTheBaselineIsALeak() {
         List<ResourceCounts> leaks =
                 List.of(
                         new ResourceCounts(1, 0, 0, 0, 0, 0, List.of()),
@@ -178,18 +180,18 @@
     }
 
     @Test
-    void anExceptionThatEscapesIsACrash() {
+    void escapedExceptionIsACrash() {
         ResourceCounts now = new ResourceCounts(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
-        fixture.checker.checkResources(CheckerFixture.SIDE, now, ResourceCounts.empty());
-        assertBroken(Rule.CRASH);
+        fixture.checker.checkResources(CheckerFixture.SIDECAR, now, ResourceCounts.empty());
+        assertViolations(Rule.CRASH);
         assertTrue(fixture.checker.violations().get(0).what().contains("NullPointerException"));
     }
 
     // ---- recovery
 
-    private void asksAndIsServed(int from, int count, int unserved) {
+    private void sendRequests(int from, int count, int unserved) {
         for (int i = from; i < from + count; i++) {
-            fixture.taken("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS).after(MS);
+            fixture.accepted("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS).after(MS);
             if (i - from < unserved) {
                 fixture.answered("r" + i, 503, "");
             } else {
@@ -198,45 +200,45 @@
         }
     }
 
-    private void recoveredBy(long after, int unserved) {
+    private void playRecovery(long after, int unserved) {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
         fixture.at(S + after);
-        asksAndIsServed(0, 300, unserved);
+        sendRequests(0, 300, unserved);
         fixture.after(S);
         fixture.checker.dayEnded();
     }
 
     @Test
-    void tenSecondsAfterTheLastFaultAllIsServed() {
-        recoveredBy(10 * S, 3);
-        assertBroken();
+    void onePercentOfFailuresAfterRecoveryIsAccepted() {
+        playRecovery(10 * S, 3);
+        assertViolations();
         assertEquals(300, fixture.checker.judgedForRecovery());
     }
 
     @Test
-    void butForOneInAHundred() {
-        recoveredBy(10 * S, 4);
-        assertBroken(Rule.NOT_RECOVERED);
+    void moreThanOnePercentOfFailuresAfterRecoveryIsReported() {
+        playRecovery(10 * S, 4);
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void whatIsAskedBeforeDoesNotCount() {
-        recoveredBy(9 * S, 200);
-        assertBroken();
+    void requestsBeforeTheRecoveryTimeDoNotCount() {
+        playRecovery(9 * S, 200);
+        assertViolations();
     }
 
     @Test
-    void aDayWhoseFaultsNeverEndIsNotJudged() {
+    void dayWhoseFaultsNeverEndIsNotChecked() {
         fixture.at(20 * S);
-        asksAndIsServed(0, 300, 300);
+        sendRequests(0, 300, 300);
         fixture.after(S);
         fixture.checker.dayEnded();
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void oneThatGetsNoAnswerOrNoConnectionCounts() {
+    void requestWithoutAnAnswerOrConnectionCounts() {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
         fixture.at(12 * S);
@@ -246,7 +248,7 @@
                             "r" + i,
                             "r" + i,
                             0,
-                            CheckerFixture.SIDE,
+                            CheckerFixture.SIDECAR,
                             0,
                             0,
                             null,
@@ -257,16 +259,16 @@
         }
         fixture.at(13 * S);
         fixture.checker.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void whoseConnectionAnotherClosesDoesNotButWhoLeavesUnansweredDoes() {
+    void requestCountsOnlyIfItsClientWaitedForTheDeadline() {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
         fixture.at(12 * S);
         for (int i = 0; i < 4; i++) {
-            fixture.taken("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
+            fixture.accepted("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
         fixture.after(399 * MS);
         fixture.checker.clientGaveUp("r0");
@@ -276,25 +278,25 @@
         fixture.checker.clientGaveUp("r3");
         fixture.after(S);
         fixture.checker.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
+        assertViolations(Rule.NOT_RECOVERED);
         assertEquals(2, fixture.checker.judgedForRecovery());
     }
 
     @Test
-    void theImpatientAndThoseStillWaitingDoNot() {
+    void impatientAndStillWaitingClientsDoNotCount() {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
         fixture.at(12 * S);
         for (int i = 0; i < 9; i++) {
-            fixture.taken("i" + i, CheckerFixture.STOCK_CHECK, 400 * MS, 399 * MS);
+            fixture.accepted("i" + i, CheckerFixture.STOCK_CHECK, 400 * MS, 399 * MS);
             fixture.checker.clientGaveUp("i" + i);
         }
         for (int i = 0; i < 9; i++) {
-            fixture.taken("w" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
+            fixture.accepted("w" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
         fixture.after(419 * MS);
         fixture.checker.dayEnded();
-        assertBroken();
+        assertViolations();
         assertEquals(0, fixture.checker.judgedForRecovery());
     }
 
@@ -302,21 +304,21 @@
     void sidecarThatNeverBecomesReadyHasNotRecovered() {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.checker.sidecarStarted("side-1", 1);
         fixture.checker.sidecarReady("side-1", 1);
         fixture.at(11 * S);
         fixture.checker.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void oneThatHasJustBegunNeedNotBeReady() {
+    void sidecarThatHasJustStartedNeedNotBeReady() {
         fixture.at(S);
         fixture.checker.lastFaultEnded();
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
         fixture.at(11 * S - 1);
         fixture.checker.dayEnded();
-        assertBroken();
+        assertViolations();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
@@ -5,194 +5,194 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on what a process says of itself, how it ends, and how it asks discovery. */
+/** Tests the rules on Retry-After, readiness, shutdown and calls of discovery. */
 class ProcessRulesTest {
     private static final long MS = CheckerFixture.MS;
     private static final long S = CheckerFixture.S;
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private void assertBroken(Rule... rules) {
+    private void assertViolations(Rule... rules) {
         assertEquals(List.of(rules), fixture.rules());
     }
 
-    // ---- come again
+    // ---- Retry-After
 
     private void answered(int status, long retryAfter) {
-        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
         fixture.checker.answered("r", status, "", retryAfter, fixture.now);
     }
 
     @Test
-    void aRefusalSaysWhenToComeAgain() {
+    void refusalMayCarryRetryAfter() {
         answered(503, S);
         answered(429, -1);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void notAfterLongerThanIsAllowed() {
+    void retryAfterLongerThanAllowedIsReported() {
         answered(503, S + 1);
-        assertBroken(Rule.RETRY_AFTER);
+        assertViolations(Rule.RETRY_AFTER);
     }
 
     @Test
-    void norAnyOtherAnswer() {
+    void retryAfterOnAnotherAnswerIsReported() {
         answered(504, 0);
-        assertBroken(Rule.RETRY_AFTER);
+        assertViolations(Rule.RETRY_AFTER);
     }
 
-    // ---- ready
+    // ---- readiness
 
     private void ready(int status) {
-        fixture.checker.readinessAnswered(CheckerFixture.SIDE, status, fixture.now);
+        fixture.checker.readinessAnswered(CheckerFixture.SIDECAR, status, fixture.now);
     }
 
     @Test
-    void whoHasAServerIsReady() {
+    void sidecarWithAReadyServerMayReportReady() {
         fixture.at(S).delivered("a-1", "Ready", 0);
         ready(200);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void whoHasNoneIsNot() {
+    void sidecarWithoutAServerMustNotReportReady() {
         fixture.at(S);
         ready(503);
-        assertBroken();
+        assertViolations();
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void whereAllDrainItIsNotReadyWhenTheGraceIsOver() {
+    void sidecarWithDrainingServersOnlyIsNotReadyAfterTheGracePeriod() {
         fixture.at(S).delivered("a-1", "Ready", 0).at(2 * S).delivered("a-1", "Terminating", 0);
         fixture.after(fixture.bounds.drainGrace() + fixture.bounds.socketSlack() - 1);
         ready(200);
-        assertBroken();
+        assertViolations();
         fixture.after(1);
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void norAfterSigterm() {
+    void readyAfterSigtermIsReported() {
         fixture.at(S).delivered("a-1", "Ready", 0);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
         fixture.after(60 * MS);
         ready(200);
-        assertBroken();
+        assertViolations();
         fixture.after(1);
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void whoStoodStillMayNotHaveHeard() {
+    void pausedSidecarMayReportReadyAfterSigterm() {
         fixture.at(S).delivered("a-1", "Ready", 0);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, S, 2 * S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, S, 2 * S);
         fixture.at(2 * S);
         ready(200);
-        assertBroken();
+        assertViolations();
     }
 
-    // ---- ends
+    // ---- shutdown
 
     @Test
-    void connectionsAreTakenForAWhileAfterSigterm() {
+    void connectionRefusedSoonAfterSigtermIsReported() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
         fixture.after(400 * MS);
-        fixture.checker.connectRefused(CheckerFixture.SIDE, fixture.now);
-        assertBroken(Rule.ENDING);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whatIsRefusedLaterMayHaveComeLater() {
+    void connectionRefusedLaterMayHaveArrivedLater() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
         fixture.after(400 * MS + 1);
-        fixture.checker.connectRefused(CheckerFixture.SIDE, S + MS);
-        assertBroken();
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, S + MS);
+        assertViolations();
     }
 
     @Test
-    void alsoByAProcessThatHasEndedByItself() {
+    void refusalByAnExitedProcessIsReported() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarExited(CheckerFixture.SIDE, 1, 0);
-        fixture.checker.connectRefused(CheckerFixture.SIDE, fixture.now);
-        assertBroken(Rule.ENDING);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whoRunsRefusesNone() {
+    void refusalByARunningReadyProcessIsReported() {
         fixture.at(S);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        fixture.checker.connectRefused(CheckerFixture.SIDE, fixture.now);
-        fixture.checker.sidecarStarted(CheckerFixture.SIDE, 2);
-        fixture.checker.connectRefused(CheckerFixture.SIDE, fixture.now);
-        fixture.at(2 * S).checker.sidecarReady(CheckerFixture.SIDE, 2);
-        assertBroken();
-        fixture.checker.connectRefused(CheckerFixture.SIDE, fixture.now);
-        assertBroken(Rule.ENDING);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        fixture.at(2 * S).checker.sidecarReady(CheckerFixture.SIDECAR, 2);
+        assertViolations();
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void aProcessEndsByItselfBeforeItIsKilled() {
+    void earlySigkillIsNotAShutdownViolation() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
         fixture.at(S + 2250 * MS - 1);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        assertBroken();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     @Test
-    void killedLaterItHasNot() {
+    void processStillRunningAtSigkillIsReported() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
         fixture.at(S + 2250 * MS);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        assertBroken(Rule.ENDING);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whoStoodStillMeanwhileIsExcused() {
+    void pauseDuringShutdownIsExcused() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.sidecarPaused(CheckerFixture.SIDE, 2 * S, 3 * S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
         fixture.at(S + 2200 * MS);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        assertBroken();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     @Test
-    void soIsWhoCouldNotReachItsClients() {
+    void linkTroubleDuringShutdownIsExcused() {
         fixture.at(S);
-        fixture.checker.sidecarSigterm(CheckerFixture.SIDE, 1);
-        fixture.checker.clientLinkTroubled(CheckerFixture.SIDE, null, 2 * S, 3 * S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, null, 2 * S, 3 * S);
         fixture.at(S + 2200 * MS);
-        fixture.checker.sidecarKilled(CheckerFixture.SIDE, 1);
-        assertBroken();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     // ---- discovery
 
     @Test
-    void twoConnectionsToDiscoveryAreEnough() {
-        fixture.checker.discoveryConnecting(CheckerFixture.SIDE, 2);
-        assertBroken();
-        fixture.checker.discoveryConnecting(CheckerFixture.SIDE, 3);
-        assertBroken(Rule.DISCOVERY);
+    void thirdConnectionToDiscoveryIsReported() {
+        fixture.checker.discoveryConnecting(CheckerFixture.SIDECAR, 2);
+        assertViolations();
+        fixture.checker.discoveryConnecting(CheckerFixture.SIDECAR, 3);
+        assertViolations(Rule.DISCOVERY);
     }
 
     @Test
-    void itIsNotAskedTooOften() {
+    void tooManyDiscoveryCallsWithinASecondAreReported() {
         for (int i = 0; i < 100; i++) {
-            fixture.at(S + i * 50 * MS).checker.discoveryCall(CheckerFixture.SIDE, i, true, 0);
+            fixture.at(S + i * 50 * MS).checker.discoveryCall(CheckerFixture.SIDECAR, i, true, 0);
         }
-        assertBroken();
-        fixture.after(MS).checker.discoveryCall(CheckerFixture.SIDE, 100, true, 0);
-        assertBroken(Rule.DISCOVERY);
+        assertViolations();
+        fixture.after(MS).checker.discoveryCall(CheckerFixture.SIDECAR, 100, true, 0);
+        assertViolations(Rule.DISCOVERY);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestStatesTest.java
@@ -16,19 +16,19 @@
     private NetworkFixture fixture;
     private RequestStates states;
     private SimSocket client;
-    private SimSocket sideToClient;
+    private SimSocket sidecarToClient;
 
     @BeforeEach
     void connect() throws IOException {
         fixture = new NetworkFixture();
         states = fixture.states;
-        SimSocket[] ends = fixture.connected(fixture.app, fixture.sideListens);
+        SimSocket[] ends = fixture.connected(fixture.app, fixture.sidecarListener);
         client = ends[0];
-        sideToClient = ends[1];
+        sidecarToClient = ends[1];
     }
 
     private void writeRequest(String id) throws IOException {
-        fixture.asks(id);
+        fixture.startRequest(id);
         NetworkFixture.write(client, NetworkFixture.get(id));
         states.requestSent(id);
     }
@@ -39,19 +39,19 @@
     }
 
     @Test
-    void knowsWhenItsConnectionWasAccepted() throws IOException {
+    void recordsWhenAConnectionIsAccepted() throws IOException {
         assertEquals(AttemptRecord.NEVER, states.acceptedAt("r"));
         long accepted = fixture.simulation.now();
         fixture.run();
         writeRequest("r");
         assertEquals(accepted, states.acceptedAt("r"));
-        fixture.asks("s");
+        fixture.startRequest("s");
         assertEquals(AttemptRecord.NEVER, states.acceptedAt("s"));
     }
 
     @Test
     void followsARequestThroughAllItsStates() throws IOException {
-        fixture.asks("r");
+        fixture.startRequest("r");
         assertEquals(RequestState.ARRIVING, states.state("r"));
         NetworkFixture.write(client, "GET /api HTTP/1.1\r\nx-REQUEST-id:r\r");
         assertEntered();
@@ -61,9 +61,9 @@
         NetworkFixture.write(client, "\n");
         states.requestSent("r");
         assertEntered("HELD r");
-        fixture.sends(1);
+        fixture.startAttempt(1);
         assertEntered();
-        SimSocket upstream = fixture.connect(fixture.side, fixture.serverListens);
+        SimSocket upstream = fixture.connect(fixture.sidecar, fixture.serverListener);
         assertEntered("CONNECTING r");
         ObservedRequest connecting = states.all().get(0);
         assertSame(upstream, connecting.upstream());
@@ -74,28 +74,28 @@
         NetworkFixture.write(upstream, NetworkFixture.get("r").substring(1));
         assertEntered("WRITTEN r");
         fixture.run();
-        SimSocket server = fixture.serverListens.accept();
+        SimSocket server = fixture.serverListener.accept();
         NetworkFixture.write(server, "H");
         NetworkFixture.write(server, NetworkFixture.answer("good").substring(1));
         assertEntered("ANSWERING r");
-        NetworkFixture.write(sideToClient, NetworkFixture.answer("good"));
+        NetworkFixture.write(sidecarToClient, NetworkFixture.answer("good"));
         assertEntered("ANSWERED r");
         fixture.run();
         NetworkFixture.read(client);
         states.answered("r", 200, "good", -1, 0);
         assertEntered("IDLE r");
-        assertEquals(1, states.at(NetworkFixture.SIDE).size());
+        assertEquals(1, states.at(NetworkFixture.SIDECAR).size());
         writeRequest("s");
         assertEntered("ARRIVING s", "HELD s");
         assertNull(states.state("r"));
     }
 
     @Test
-    void aKeptConnectionIsWrittenToAtOnce() throws IOException {
-        SimSocket upstream = fixture.connected(fixture.side, fixture.serverListens)[0];
+    void keptAliveConnectionSkipsConnecting() throws IOException {
+        SimSocket upstream = fixture.connected(fixture.sidecar, fixture.serverListener)[0];
         writeRequest("r");
         fixture.enteredStates.clear();
-        fixture.sends(1);
+        fixture.startAttempt(1);
         NetworkFixture.write(upstream, NetworkFixture.get("r"));
         assertEntered("WRITING r", "WRITTEN r");
         assertSame(upstream, states.at("a-1").get(0).upstream());
@@ -103,23 +103,23 @@
         fixture.enteredStates.clear();
         writeRequest("s");
         fixture.enteredStates.clear();
-        fixture.sends(2);
+        fixture.startAttempt(2);
         NetworkFixture.write(upstream, NetworkFixture.get("s"));
         assertEntered("WRITING s", "WRITTEN s");
     }
 
     @Test
-    void knowsALaterAttemptFromTheFirst() throws IOException {
+    void distinguishesLaterAttemptsFromTheFirst() throws IOException {
         writeRequest("r");
-        fixture.sends(1);
-        SimSocket[] first = fixture.connected(fixture.side, fixture.serverListens);
+        fixture.startAttempt(1);
+        SimSocket[] first = fixture.connected(fixture.sidecar, fixture.serverListener);
         NetworkFixture.write(first[0], NetworkFixture.get("r"));
         fixture.enteredStates.clear();
-        fixture.fails(1, 0);
+        fixture.failAttempt(1, 0);
         assertEntered("RESEND_HELD r");
         assertNull(states.all().get(0).upstream());
-        fixture.sends(1);
-        SimSocket[] second = fixture.connected(fixture.side, fixture.serverListens);
+        fixture.startAttempt(1);
+        SimSocket[] second = fixture.connected(fixture.sidecar, fixture.serverListener);
         assertEntered("RESEND_CONNECTING r");
         NetworkFixture.write(second[0], "GET ");
         assertEntered("RESEND_WRITING r");
@@ -129,26 +129,26 @@
         assertEntered();
         NetworkFixture.write(second[1], NetworkFixture.answer("good"));
         assertEntered("RESEND_ANSWERING r");
-        fixture.fails(1, 0);
+        fixture.failAttempt(1, 0);
         assertEntered();
-        NetworkFixture.write(sideToClient, NetworkFixture.answer("good"));
+        NetworkFixture.write(sidecarToClient, NetworkFixture.answer("good"));
         assertEntered("ANSWERED r");
-        fixture.fails(1, 1);
+        fixture.failAttempt(1, 1);
         assertEntered();
     }
 
     @Test
-    void aBodyIsPartOfTheRequestInWhateverPiecesItComes() throws IOException {
+    void bodyBelongsToTheRequestInPiecesOfAnySize() throws IOException {
         String post =
                 "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 10\r\n\r\n0123456789";
-        fixture.asks("r");
+        fixture.startRequest("r");
         for (int i = 0; i < post.length(); i++) {
             NetworkFixture.write(client, post.substring(i, i + 1));
         }
         assertEntered("ARRIVING r");
         states.requestSent("r");
-        fixture.sends(1);
-        SimSocket upstream = fixture.connected(fixture.side, fixture.serverListens)[0];
+        fixture.startAttempt(1);
+        SimSocket upstream = fixture.connected(fixture.sidecar, fixture.serverListener)[0];
         fixture.enteredStates.clear();
         NetworkFixture.write(upstream, post.substring(0, post.length() - 1));
         assertEntered("WRITING r");
@@ -157,27 +157,27 @@
     }
 
     @Test
-    void chunksEndWithAnEmptyOne() throws IOException {
-        fixture.asks("r");
+    void chunkedBodyEndsWithTheEmptyChunk() throws IOException {
+        fixture.startRequest("r");
         NetworkFixture.write(
                 client,
                 "POST /api HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n");
         NetworkFixture.write(client, "3\r\n0\r\n\r\n0\r\n\r");
         assertFalse(states.wasRead("r"));
         fixture.run();
-        NetworkFixture.read(sideToClient);
+        NetworkFixture.read(sidecarToClient);
         assertFalse(states.wasRead("r"));
         NetworkFixture.write(client, "\n");
         fixture.run();
-        NetworkFixture.read(sideToClient);
+        NetworkFixture.read(sidecarToClient);
         assertTrue(states.wasRead("r"));
     }
 
     @Test
-    void knowsPlaceAndWhatIsAheadAndWhatWasRead() throws IOException {
+    void recordsPositionRequestAheadAndWhetherItWasRead() throws IOException {
         writeRequest("r");
         NetworkFixture.write(client, NetworkFixture.get("s").substring(0, 50));
-        fixture.asks("s");
+        fixture.startRequest("s");
         NetworkFixture.write(client, NetworkFixture.get("s").substring(50));
         states.requestSent("s");
         assertEquals(1, states.positionOnConnection("r"));
@@ -185,21 +185,21 @@
         assertNull(states.idAhead("r"));
         assertEquals("r", states.idAhead("s"));
         fixture.run();
-        sideToClient.read(new byte[1000], 0, NetworkFixture.get("r").length() + 60);
+        sidecarToClient.read(new byte[1000], 0, NetworkFixture.get("r").length() + 60);
         assertTrue(states.wasRead("r"));
         assertFalse(states.wasRead("s"));
-        NetworkFixture.read(sideToClient);
+        NetworkFixture.read(sidecarToClient);
         assertTrue(states.wasRead("s"));
         assertEquals(0, states.positionOnConnection("unknown"));
     }
 
     @Test
-    void answersGoOutInTheOrderOfTheRequests() throws IOException {
+    void answersAreAssignedInRequestOrder() throws IOException {
         writeRequest("r");
         writeRequest("s");
         fixture.enteredStates.clear();
         NetworkFixture.write(
-                sideToClient,
+                sidecarToClient,
                 NetworkFixture.answer("one") + NetworkFixture.answer("two").substring(0, 3));
         assertEntered("ANSWERED r", "ANSWERED s");
         states.answered("r", 200, "one", -1, 0);
@@ -210,17 +210,17 @@
     }
 
     @Test
-    void anInterimAnswerIsNone() throws IOException {
+    void interimResponseIsNotAnAnswer() throws IOException {
         writeRequest("r");
         fixture.enteredStates.clear();
-        NetworkFixture.write(sideToClient, "HTTP/1.1 100 Continue\r\n\r\n");
+        NetworkFixture.write(sidecarToClient, "HTTP/1.1 100 Continue\r\n\r\n");
         assertEntered();
-        NetworkFixture.write(sideToClient, NetworkFixture.answer("good"));
+        NetworkFixture.write(sidecarToClient, NetworkFixture.answer("good"));
         assertEntered("ANSWERED r");
     }
 
     @Test
-    void knowsWhenAClientHasClosed() throws IOException {
+    void recordsWhenAClientCloses() throws IOException {
         writeRequest("r");
         assertEquals(-1, states.closedAt("r"));
         states.clientGaveUp("r");
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void aKeptConnectionThatIsClosedIsIdleNoMore() throws IOException {
+    void closedConnectionIsNoLongerIdle() throws IOException {
         writeRequest("r");
         states.answered("r", 200, "", -1, 0);
         assertEquals(RequestState.IDLE, states.state("r"));
@@ -241,38 +241,38 @@
     }
 
     @Test
-    void anIdUsedByAnotherClientIsNotItsRequest() throws IOException {
+    void idReusedByAnotherClientKeepsTheFirstConnection() throws IOException {
         writeRequest("r");
-        SimSocket bad = fixture.connected(fixture.app, fixture.sideListens)[0];
+        SimSocket bad = fixture.connected(fixture.app, fixture.sidecarListener)[0];
         NetworkFixture.write(bad, NetworkFixture.get("r"));
         assertSame(client, states.all().get(0).client());
         assertEquals(1, states.all().size());
     }
 
     @Test
-    void aConnectionCanBeStruckInTheMiddleOfWhatBringsAStateAbout() throws IOException {
+    void listenerMayFaultTheConnectionWithinTheEvent() throws IOException {
         writeRequest("r");
-        fixture.sends(1);
+        fixture.startAttempt(1);
         states.onEnter(RequestState.CONNECTING, now -> now.upstream().fault(SimSocket.Fault.RESET));
         states.onEnter(RequestState.ARRIVING, now -> now.client().fault(SimSocket.Fault.RESET));
-        fixture.connect(fixture.side, fixture.serverListens);
+        fixture.connect(fixture.sidecar, fixture.serverListener);
         fixture.run();
-        assertNull(fixture.serverListens.accept());
-        fixture.asks("s");
-        SimSocket[] other = fixture.connected(fixture.app, fixture.sideListens);
+        assertNull(fixture.serverListener.accept());
+        fixture.startRequest("s");
+        SimSocket[] other = fixture.connected(fixture.app, fixture.sidecarListener);
         NetworkFixture.write(other[0], NetworkFixture.get("s"));
         fixture.run();
         assertEquals(0, other[1].available());
     }
 
     @Test
-    void aNewProcessCountsFromTheStart() throws IOException {
+    void newProcessForgetsPendingAttempts() throws IOException {
         writeRequest("r");
-        fixture.sends(1);
-        states.sidecarStarted(NetworkFixture.SIDE, 2);
+        fixture.startAttempt(1);
+        states.sidecarStarted(NetworkFixture.SIDECAR, 2);
         fixture.enteredStates.clear();
-        fixture.connect(fixture.side, fixture.serverListens);
-        fixture.fails(1, 0);
+        fixture.connect(fixture.sidecar, fixture.serverListener);
+        fixture.failAttempt(1, 0);
         assertEntered();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/SameIdRuleTest.java
@@ -11,22 +11,22 @@
 
     private final CheckerFixture fixture = new CheckerFixture();
 
-    private void passedOn(long sentAt, int status, long answeredAt) {
-        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+    private void forwardUnderOpenId(long sentAt, int status, long answeredAt) {
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
         fixture.checker.badClientReusedId("bad-1", "bad-r", "r");
         fixture.at(S + 100 * MS).readId("a-1", "bad-r", sentAt);
         fixture.checker.answered("r", status, "", -1, answeredAt);
     }
 
     @Test
-    void nothingIsPassedOnUnderAnOpenId() {
-        passedOn(S + 50 * MS, 504, S + 90 * MS);
+    void requestForwardedUnderAnOpenIdIsReported() {
+        forwardUnderOpenId(S + 50 * MS, 504, S + 90 * MS);
         assertEquals(List.of(Rule.DUPLICATE), fixture.rules());
     }
 
     @Test
-    void alsoIfTheServerReadsItLater() {
-        fixture.at(S).taken("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+    void requestReadByTheServerAfterTheAnswerIsReported() {
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
         fixture.checker.badClientReusedId("bad-1", "bad-r", "r");
         fixture.checker.answered("r", 504, "", -1, S + 90 * MS);
         fixture.at(S + 100 * MS).readId("a-1", "bad-r", S + 50 * MS);
@@ -34,21 +34,21 @@
     }
 
     @Test
-    void behindItsAnswerTheIdIsFree() {
-        passedOn(S + 89 * MS, 504, S + 90 * MS);
+    void requestForwardedAfterTheAnswerIsAccepted() {
+        forwardUnderOpenId(S + 89 * MS, 504, S + 90 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void whoeverCameSecondWasTurnedAway() {
-        passedOn(S + 50 * MS, 409, S + 90 * MS);
+    void conflictAnswerIsAccepted() {
+        forwardUnderOpenId(S + 50 * MS, 409, S + 90 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void oneThatIsStillUnreadMayBeTheSecond() {
-        fixture.unread.add("r");
-        passedOn(S + 50 * MS, 504, S + 90 * MS);
+    void unreadRequestMayBeTheSecondOne() {
+        fixture.unreadIds.add("r");
+        forwardUnderOpenId(S + 50 * MS, 504, S + 90 * MS);
         assertEquals(List.of(), fixture.rules());
     }
 }
