--- a/testbed/src/main/java/appleridge/testbed/invariants/DeliveredLists.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DeliveredLists.java
@@ -56,7 +56,7 @@
     private final ScheduledChecks checks;
     private final DiscoveryHistory history = new DiscoveryHistory();
     private final Map<String, DiscoveryClient> clients = new HashMap<>();
-    private final List<DiscoveryClient> inOrder = new ArrayList<>();
+    private final List<DiscoveryClient> clientsInOrder = new ArrayList<>();
 
     /**
      * Whether the registry is used at all; a sidecar that is not supposed to call it misses
@@ -128,7 +128,7 @@
             client = new DiscoveryClient();
             client.incarnations.add(new DeliveredUpdates(history, 0));
             clients.put(sidecar, client);
-            inOrder.add(client);
+            clientsInOrder.add(client);
         }
         return client;
     }
@@ -164,7 +164,7 @@
             return;
         }
         history.add(new DiscoveryHistory.Entry(checks.now(), uid, state, bornAt));
-        for (DiscoveryClient each : inOrder) {
+        for (DiscoveryClient each : clientsInOrder) {
             DeliveredUpdates updates = each.current();
             checks.at(checks.now() + bounds.askWithin(), () -> checkSilence(each, updates));
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/DuplicateEffectRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DuplicateEffectRule.java
@@ -67,7 +67,7 @@
 
     private void compare(
             AttemptRecord request, ClassRule rule, RequestCopy first, RequestCopy later) {
-        String both =
+        String places =
                 " at "
                         + first.server
                         + " and "
@@ -75,14 +75,14 @@
                         + " later at "
                         + later.server;
         if (rule.repeats() == Repeats.NEVER) {
-            findings.add(Rule.DUPLICATE, request.id(), "may have run twice:" + both);
+            findings.add(Rule.DUPLICATE, request.id(), "may have run twice:" + places);
         } else if (rule.repeats() != Repeats.FREELY
                 && later.lastByteAt > first.lastByteAt + rule.window() + bounds.socketSlack()) {
             findings.add(
-                    Rule.DUPLICATE, request.id(), "repeated after its window had passed:" + both);
+                    Rule.DUPLICATE, request.id(), "repeated after its window had passed:" + places);
         } else if (rule.repeats() == Repeats.WITHIN_ZONE
                 && !zoneOf.apply(first.server).equals(zoneOf.apply(later.server))) {
-            findings.add(Rule.DUPLICATE, request.id(), "repeated in another zone:" + both);
+            findings.add(Rule.DUPLICATE, request.id(), "repeated in another zone:" + places);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/HttpMessageScanner.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/HttpMessageScanner.java
@@ -41,7 +41,7 @@
         return part == Part.START;
     }
 
-    /** Returns whether the message is an interim response, which announces another one. */
+    /** Returns whether the message is an interim response, which precedes the final one. */
     boolean isInterim() {
         return interim;
     }
@@ -57,17 +57,17 @@
         if (part == Part.START && at < end) {
             begin();
         }
-        boolean known = id != null;
-        while (at < end && part != Part.START && (known || id == null)) {
+        boolean idKnown = id != null;
+        while (at < end && part != Part.START && (idKnown || id == null)) {
             if (part == Part.BODY || part == Part.CHUNK) {
-                int some = (int) Math.min(remaining, end - at);
-                at += some;
-                remaining -= some;
+                int consumed = (int) Math.min(remaining, end - at);
+                at += consumed;
+                remaining -= consumed;
                 if (remaining == 0) {
                     part = part == Part.BODY ? Part.START : Part.SIZE;
                 }
             } else {
-                appendToLine(bytes[at++]);
+                consumeLineByte(bytes[at++]);
             }
         }
         return at - offset;
@@ -83,7 +83,7 @@
         id = null;
     }
 
-    private void appendToLine(byte next) {
+    private void consumeLineByte(byte next) {
         if (next != '\n') {
             if (lineLength < MAX_LINE) {
                 line[lineLength++] = next;
@@ -96,13 +96,13 @@
         switch (part) {
             case HEAD -> {
                 if (lineLength > 0) {
-                    header();
+                    parseHeaderLine();
                 } else if (!first) {
                     part = chunked ? Part.SIZE : remaining > 0 ? Part.BODY : Part.START;
                 }
             }
             case SIZE -> {
-                long size = size();
+                long size = parseChunkSize();
                 remaining = size + 2;
                 part = size > 0 ? Part.CHUNK : Part.TRAILER;
             }
@@ -111,7 +111,7 @@
         lineLength = 0;
     }
 
-    private long size() {
+    private long parseChunkSize() {
         long size = 0;
         for (int i = 0; i < lineLength; i++) {
             int digit = Character.digit(line[i], 16);
@@ -123,13 +123,13 @@
         return size;
     }
 
-    private void header() {
+    private void parseHeaderLine() {
         if (first) {
             // An interim response begins with "HTTP/1.1 1xx".
             interim = lineLength > 9 && line[0] == 'H' && line[4] == '/' && line[9] == '1';
             first = false;
         } else if (startsWith(ID)) {
-            id = value(ID.length);
+            id = headerValue(ID.length);
         } else if (startsWith(LENGTH)) {
             for (int i = LENGTH.length; i < lineLength; i++) {
                 remaining =
@@ -155,7 +155,7 @@
         return true;
     }
 
-    private String value(int from) {
+    private String headerValue(int from) {
         int begin = from;
         int end = lineLength;
         while (begin < end && line[begin] == ' ') {
--- a/testbed/src/main/java/appleridge/testbed/invariants/IdleResourcesRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/IdleResourcesRule.java
@@ -34,26 +34,26 @@
         if (sidecarOfRequest.put(attempt.id(), attempt.sidecar()) == null) {
             openRequests.merge(attempt.sidecar(), 1, Integer::sum);
         }
-        changed(attempt.sidecar());
+        countChange(attempt.sidecar());
     }
 
     @Override
     public void answered(
             String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-        ended(id);
+        endRequest(id);
     }
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
-        ended(id);
+        endRequest(id);
     }
 
     @Override
     public void clientGaveUp(String id) {
-        ended(id);
+        endRequest(id);
     }
 
-    private void ended(String id) {
+    private void endRequest(String id) {
         String sidecar = sidecarOfRequest.remove(id);
         if (sidecar != null && openRequests.merge(sidecar, -1, Integer::sum) == 0) {
             scheduleCheck(sidecar, IDLE_TIME);
@@ -62,17 +62,17 @@
 
     @Override
     public void sidecarStarted(String sidecar, int incarnation) {
-        changed(sidecar);
+        countChange(sidecar);
         scheduleCheck(sidecar, IDLE_TIME);
     }
 
     @Override
     public void sidecarPaused(String sidecar, long from, long until) {
-        changed(sidecar);
+        countChange(sidecar);
         scheduleCheck(sidecar, until - from + IDLE_TIME);
     }
 
-    private void changed(String sidecar) {
+    private void countChange(String sidecar) {
         changes.merge(sidecar, 1, Integer::sum);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/ImpossibleCombinations.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ImpossibleCombinations.java
@@ -30,7 +30,7 @@
                     RequestState.RESEND_HELD,
                     RequestState.IDLE);
 
-    private static final Set<RequestState> FIRST =
+    private static final Set<RequestState> FIRST_ATTEMPT =
             EnumSet.complementOf(
                     EnumSet.of(
                             RequestState.RESEND_HELD,
@@ -76,8 +76,8 @@
                 List.of("ARRIVING", "HELD"),
                 "the request needs no further descriptor");
         usual.add("drain-told", NO_ATTEMPT, "no server that could drain has the request");
-        usual.add("window-closes", FIRST, "nothing is resent");
-        usual.add("pause-over-all", FIRST, "nothing is resent");
+        usual.add("window-closes", FIRST_ATTEMPT, "nothing is resent");
+        usual.add("pause-over-all", FIRST_ATTEMPT, "nothing is resent");
         return usual;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
@@ -11,7 +11,7 @@
 final class RecoveryRule implements DayListener {
     private final InvariantBounds bounds;
     private final RuleContext context;
-    private long lastFaultAt = AttemptRecord.NEVER;
+    private long lastFaultEndedAt = AttemptRecord.NEVER;
 
     /** Start times of the processes that have not become ready, by sidecar. */
     private final Map<String, Long> notReady = new TreeMap<>();
@@ -36,12 +36,12 @@
 
     @Override
     public void lastFaultEnded() {
-        lastFaultAt = context.checks().now();
+        lastFaultEndedAt = context.checks().now();
     }
 
     @Override
     public void dayEnded() {
-        if (lastFaultAt == AttemptRecord.NEVER) {
+        if (lastFaultEndedAt == AttemptRecord.NEVER) {
             return;
         }
         long end = context.checks().now();
@@ -50,9 +50,9 @@
             // A further attempt has only the rest of its operation's time, which may be less than
             // the work takes.
             if (attempt.number() == 0
-                    && attempt.askedAt() >= lastFaultAt + bounds.recovery()
+                    && attempt.askedAt() >= lastFaultEndedAt + bounds.recovery()
                     && attempt.askedAt() + attempt.deadlineNanos() + bounds.answerSlack() <= end
-                    && waited(each)
+                    && waitedForDeadline(each)
                     && !context.excuses()
                             .linkTroubled(
                                     attempt,
@@ -64,7 +64,7 @@
         }
         notReady.forEach(
                 (sidecar, since) -> {
-                    if (end - Math.max(since, lastFaultAt) >= bounds.recovery()) {
+                    if (end - Math.max(since, lastFaultEndedAt) >= bounds.recovery()) {
                         context.findings()
                                 .add(
                                         Rule.NOT_RECOVERED,
@@ -94,7 +94,7 @@
      * Returns whether the client waited for its whole deadline. Even a patient client's request can
      * end early: another client that leaves closes the connection they share.
      */
-    private static boolean waited(AttemptRecord request) {
+    private static boolean waitedForDeadline(AttemptRecord request) {
         long deadline = request.attempt.deadlineNanos();
         return request.attempt.patienceNanos() >= deadline
                 && (request.stage != AttemptRecord.Stage.LEFT
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -48,7 +48,7 @@
         private TrackedRequest arriving;
 
         private TrackedRequest idle;
-        private int count;
+        private int requestCount;
         private long acceptedAt = AttemptRecord.NEVER;
         private long closedAt = AttemptRecord.NEVER;
     }
@@ -239,11 +239,11 @@
         while (at < end) {
             if (connection.requestScan.isBetweenMessages()) {
                 connection.arriving = null;
-                connection.count++;
+                connection.requestCount++;
             }
             at += connection.requestScan.scan(bytes, at, end - at);
             if (connection.arriving == null && connection.requestScan.id() != null) {
-                arrives(connection, client, requests.get(connection.requestScan.id()));
+                assignToConnection(connection, client, requests.get(connection.requestScan.id()));
             }
             if (connection.requestScan.isBetweenMessages() && connection.arriving != null) {
                 connection.arriving.endsAt = client.bytesWritten() - (end - at);
@@ -255,7 +255,8 @@
      * Assigns the request to its connection. A bad client may use the id of an open request; the
      * first connection counts.
      */
-    private void arrives(ClientConnection connection, SimSocket client, TrackedRequest request) {
+    private void assignToConnection(
+            ClientConnection connection, SimSocket client, TrackedRequest request) {
         if (request == null || request.client != null || request.state != RequestState.ARRIVING) {
             return;
         }
@@ -265,7 +266,7 @@
         }
         connection.arriving = request;
         request.client = client;
-        request.position = connection.count;
+        request.position = connection.requestCount;
         request.ahead =
                 connection.open.isEmpty()
                         ? null
@@ -401,15 +402,15 @@
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
-        ended(id);
+        endRequest(id);
     }
 
     @Override
     public void clientGaveUp(String id) {
-        ended(id);
+        endRequest(id);
     }
 
-    private void ended(String id) {
+    private void endRequest(String id) {
         TrackedRequest request = current.get(id);
         if (request != null) {
             remove(request);
