--- a/testbed/src/main/java/appleridge/testbed/invariants/AnswerRules.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/AnswerRules.java
@@ -1,6 +1,9 @@
 package appleridge.testbed.invariants;
 
-/** One answer for each request, and none that no server made for it. */
+/**
+ * Checks that each request gets one answer at most, and that a served answer was made by a server
+ * for this request.
+ */
 final class AnswerRules implements DayListener {
     private final Requests requests;
     private final Findings findings;
@@ -20,13 +23,15 @@
         if (request.stage == AttemptRecord.Stage.ANSWERED) {
             findings.add(Rule.TWO_ANSWERS, id, "answered " + status + " after " + request.status);
         }
-        if (status == 200 && !request.made.contains(body)) {
+        if (status == 200 && !request.serverBodies.contains(body)) {
             findings.add(
                     Rule.WRONG_ANSWER,
                     id,
-                    request.made.isEmpty()
-                            ? "served, and no server made an answer for it" + otherOwner(body)
-                            : "served with another body than was made for it" + otherOwner(body));
+                    request.serverBodies.isEmpty()
+                            ? "served, but no server made an answer for it"
+                                    + otherRequestServedWith(body)
+                            : "served with a body other than the one made for it"
+                                    + otherRequestServedWith(body));
         }
     }
 
@@ -34,13 +39,13 @@
     public void answerBroken(String id, String how, boolean begun) {
         AttemptRecord request = requests.find(id);
         if (begun && request != null && request.stage == AttemptRecord.Stage.ANSWERED) {
-            findings.add(Rule.TWO_ANSWERS, id, "more than its answer came: " + how);
+            findings.add(Rule.TWO_ANSWERS, id, "bytes after its answer: " + how);
         }
     }
 
-    private String otherOwner(String body) {
+    private String otherRequestServedWith(String body) {
         for (AttemptRecord each : requests.all()) {
-            if (each.made.contains(body)) {
+            if (each.serverBodies.contains(body)) {
                 return "; it was made for " + each.id();
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Coverage.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Coverage.java
@@ -4,47 +4,47 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How often each kind of fault has struck a request in each state, over one day or many. */
+/** Counts how often each kind of fault has struck a request in each state, over one day or many. */
 public final class Coverage {
     private static final RequestState[] STATES = RequestState.values();
 
-    private final Map<String, long[]> struck = new TreeMap<>();
+    private final Map<String, long[]> hits = new TreeMap<>();
 
-    /** A fault strikes a request in that state. */
+    /** Counts a fault of this kind that strikes a request in this state. */
     public void add(String kind, RequestState state) {
-        of(kind)[state.ordinal()]++;
+        countsOf(kind)[state.ordinal()]++;
     }
 
-    /** The kind is on the table, though it may never strike. */
+    /** Lists the kind in the table even if it never strikes. */
     public void expect(String kind) {
-        of(kind);
+        countsOf(kind);
     }
 
-    private long[] of(String kind) {
-        return struck.computeIfAbsent(kind, name -> new long[STATES.length]);
+    private long[] countsOf(String kind) {
+        return hits.computeIfAbsent(kind, name -> new long[STATES.length]);
     }
 
-    /** Adds what another has counted. */
+    /** Adds the counts of another table. */
     public void merge(Coverage other) {
-        other.struck.forEach(
+        other.hits.forEach(
                 (kind, counts) -> {
-                    long[] own = of(kind);
+                    long[] own = countsOf(kind);
                     for (int i = 0; i < counts.length; i++) {
                         own[i] += counts[i];
                     }
                 });
     }
 
-    /** How often that happened. */
+    /** Returns how often this kind struck a request in this state. */
     public long count(String kind, RequestState state) {
-        long[] counts = struck.get(kind);
+        long[] counts = hits.get(kind);
         return counts == null ? 0 : counts[state.ordinal()];
     }
 
-    /** How often a fault struck a request, all in all. */
+    /** Returns how often any fault struck a request. */
     public long total() {
         long total = 0;
-        for (long[] counts : struck.values()) {
+        for (long[] counts : hits.values()) {
             for (long each : counts) {
                 total += each;
             }
@@ -52,12 +52,12 @@
         return total;
     }
 
-    /** How many cells that can happen were struck less often than that. */
-    public int cellsBelow(long least, ImpossibleCombinations impossible) {
+    /** Returns how many possible combinations were struck less often than {@code minimum}. */
+    public int cellsBelow(long minimum, ImpossibleCombinations impossible) {
         int below = 0;
-        for (Map.Entry<String, long[]> row : struck.entrySet()) {
+        for (Map.Entry<String, long[]> row : hits.entrySet()) {
             for (RequestState state : STATES) {
-                if (row.getValue()[state.ordinal()] < least
+                if (row.getValue()[state.ordinal()] < minimum
                         && impossible.why(row.getKey(), state) == null) {
                     below++;
                 }
@@ -66,28 +66,28 @@
         return below;
     }
 
-    /** For a terminal; what can't happen is a dash. */
+    /** Returns a table for a terminal; impossible combinations show a dash. */
     public String text(ImpossibleCombinations impossible) {
         int first = "fault".length();
-        for (String kind : struck.keySet()) {
+        for (String kind : hits.keySet()) {
             first = Math.max(first, kind.length());
         }
         StringBuilder out = new StringBuilder(4096);
-        out.append(padded("fault", -first));
+        out.append(pad("fault", -first));
         for (RequestState state : STATES) {
-            out.append("  ").append(padded(heading(state), width(state)));
+            out.append("  ").append(pad(heading(state), width(state)));
         }
-        for (Map.Entry<String, long[]> row : struck.entrySet()) {
-            out.append('\n').append(padded(row.getKey(), -first));
+        for (Map.Entry<String, long[]> row : hits.entrySet()) {
+            out.append('\n').append(pad(row.getKey(), -first));
             for (RequestState state : STATES) {
                 String cell = cell(row.getKey(), state, row.getValue(), impossible);
-                out.append("  ").append(padded(cell, width(state)));
+                out.append("  ").append(pad(cell, width(state)));
             }
         }
         return out.append('\n').toString();
     }
 
-    /** For a document, with the reasons for what can't happen below. */
+    /** Returns a Markdown table, followed by the reasons for the impossible combinations. */
     public String markdown(ImpossibleCombinations impossible) {
         StringBuilder out = new StringBuilder(4096).append("| fault |");
         StringBuilder rule = new StringBuilder("| --- |");
@@ -96,7 +96,7 @@
             rule.append(" ---: |");
         }
         out.append('\n').append(rule).append('\n');
-        struck.forEach(
+        hits.forEach(
                 (kind, counts) -> {
                     out.append("| ").append(kind).append(" |");
                     for (RequestState state : STATES) {
@@ -104,7 +104,7 @@
                     }
                     out.append('\n');
                 });
-        return out.append('\n').append(impossible.markdown(struck.keySet())).toString();
+        return out.append('\n').append(impossible.markdown(hits.keySet())).toString();
     }
 
     private static String cell(
@@ -121,9 +121,9 @@
         return Math.max(7, state.name().length());
     }
 
-    /** To the right of so many places; to the left if they are negative. */
-    private static String padded(String text, int width) {
-        String room = " ".repeat(Math.max(0, Math.abs(width) - text.length()));
-        return width > 0 ? room + text : text + room;
+    /** Pads on the left to {@code width} columns, or on the right if the width is negative. */
+    private static String pad(String text, int width) {
+        String padding = " ".repeat(Math.max(0, Math.abs(width) - text.length()));
+        return width > 0 ? padding + text : text + padding;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/DeliveredUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DeliveredUpdates.java
@@ -6,117 +6,125 @@
 import java.util.Map;
 
 /**
- * What one life of a sidecar has been told of the servers, or counts as having been told, and when.
+ * What one incarnation of a sidecar has been told of the servers, or counts as having been told,
+ * and when.
  */
 final class DeliveredUpdates {
-    /** A server's book. */
+    /** What was delivered about one server. */
     private static final class Server {
         /**
-         * Moments at which it became one that drains or is gone (even places), or ready again (odd
-         * places).
+         * Times at which the server became draining or gone (even positions) or ready again (odd
+         * positions).
          */
-        private final List<Long> turns = new ArrayList<>(2);
+        private final List<Long> transitions = new ArrayList<>(2);
 
-        /** Starts told of: when, and the start's own time. */
+        /** Delivered starts: time of delivery and start time. */
         private final List<long[]> starts = new ArrayList<>(2);
 
-        /** The last place in discovery's knowledge that this book takes account of. */
-        private int place = -1;
+        /** Index of the latest history entry that this state reflects. */
+        private int historyIndex = -1;
 
-        /** As it was before what was told last. */
-        private int placeBefore = -1;
+        /** Value of {@code historyIndex} before the latest delivery. */
+        private int previousHistoryIndex = -1;
 
-        private boolean drains() {
-            return turns.size() % 2 == 1;
+        private boolean isDraining() {
+            return transitions.size() % 2 == 1;
         }
     }
 
     private final Map<String, Server> servers = new HashMap<>();
-    private final DiscoveryHistory knowledge;
+    private final DiscoveryHistory history;
     private final long since;
 
-    /** Knowledge ahead of this place has been counted as told. */
-    private int counted;
+    /** History entries before this index have been counted as delivered. */
+    private int countedEntries;
 
-    DeliveredUpdates(DiscoveryHistory knowledge, long since) {
-        this.knowledge = knowledge;
+    DeliveredUpdates(DiscoveryHistory history, long since) {
+        this.history = history;
         this.since = since;
     }
 
-    /** When this life began. */
+    /** Returns when this incarnation started. */
     long since() {
         return since;
     }
 
     /**
-     * Discovery has written it to the sidecar. That a server drains, said by a list older than one
-     * that was told before, obliges to nothing: who knows better may go on.
+     * Records an entry that discovery has written to the sidecar. A draining state from a list
+     * older than one delivered before is ignored: the sidecar knows better and may go on.
      */
-    void told(long now, String uid, String state, long bornAt) {
+    void delivered(long now, String uid, String state, long bornAt) {
         Server server = server(uid);
-        int place = knowledge.lastPlace(uid, state, bornAt);
-        if (place < server.place && !state.equals("Ready")) {
+        int historyIndex = history.lastIndex(uid, state, bornAt);
+        if (historyIndex < server.historyIndex && !state.equals("Ready")) {
             return;
         }
-        server.placeBefore = server.place;
-        server.place = Math.max(server.place, place);
-        set(server, now, state, bornAt);
+        server.previousHistoryIndex = server.historyIndex;
+        server.historyIndex = Math.max(server.historyIndex, historyIndex);
+        apply(server, now, state, bornAt);
     }
 
     /**
-     * That servers drain, as was told at that moment, has not reached the sidecar; it counts as
-     * told when what did not arrive does.
+     * Reverts the draining states delivered at this time, which did not reach the sidecar. They
+     * count as delivered when the undelivered data does.
      */
-    void untold(long at) {
+    void withdraw(long at) {
         for (Server server : servers.values()) {
-            int last = server.turns.size() - 1;
-            if (server.drains() && server.turns.get(last) == at) {
-                server.turns.remove(last);
-                server.place = server.placeBefore;
+            int last = server.transitions.size() - 1;
+            if (server.isDraining() && server.transitions.get(last) == at) {
+                server.transitions.remove(last);
+                server.historyIndex = server.previousHistoryIndex;
             }
         }
     }
 
-    /** Nothing is known of a server any more. */
+    /** Forgets everything delivered about a server. */
     void forget(String uid) {
         servers.remove(uid);
     }
 
     /**
-     * Since when, at a moment, it was told that a server is ready; never if it was told otherwise,
-     * or nothing.
+     * Returns since when, as of {@code moment}, the sidecar has been told that a server is ready;
+     * NEVER if it was told otherwise or nothing.
      */
     long readySince(String uid, long moment) {
         Server server = servers.get(uid);
         if (server == null
                 || server.starts.isEmpty()
                 || server.starts.get(0)[0] > moment
-                || drainsSince(uid, moment) != AttemptRecord.NEVER) {
+                || drainingSince(uid, moment) != AttemptRecord.NEVER) {
             return AttemptRecord.NEVER;
         }
         long since = server.starts.get(0)[0];
-        for (int i = 1; i < server.turns.size() && server.turns.get(i) <= moment; i += 2) {
-            since = server.turns.get(i);
+        for (int i = 1;
+                i < server.transitions.size() && server.transitions.get(i) <= moment;
+                i += 2) {
+            since = server.transitions.get(i);
         }
         return since;
     }
 
-    /** The start that was told last; 0 for long ago. */
-    long lastStart(String uid) {
+    /** Returns the start that was delivered last; 0 for long ago. */
+    long latestStart(String uid) {
         Server server = servers.get(uid);
         return server == null || server.starts.isEmpty()
                 ? 0
                 : server.starts.get(server.starts.size() - 1)[1];
     }
 
-    /** All that discovery knew at a moment counts as told now, unless something newer was told. */
+    /**
+     * Counts everything that discovery knew at {@code horizon} as delivered now, except where
+     * something newer was delivered.
+     */
     void countUpTo(long horizon, long now) {
-        for (; counted < knowledge.size() && knowledge.get(counted).at() <= horizon; counted++) {
-            DiscoveryHistory.Entry entry = knowledge.get(counted);
+        for (;
+                countedEntries < history.size() && history.get(countedEntries).at() <= horizon;
+                countedEntries++) {
+            DiscoveryHistory.Entry entry = history.get(countedEntries);
             Server server = server(entry.uid());
-            if (counted > server.place) {
-                server.place = counted;
-                set(server, now, entry.state(), entry.bornAt());
+            if (countedEntries > server.historyIndex) {
+                server.historyIndex = countedEntries;
+                apply(server, now, entry.state(), entry.bornAt());
             }
         }
     }
@@ -125,10 +133,10 @@
         return servers.computeIfAbsent(uid, name -> new Server());
     }
 
-    private static void set(Server server, long now, String state, long bornAt) {
+    private static void apply(Server server, long now, String state, long bornAt) {
         boolean ready = state.equals("Ready");
-        if (ready == server.drains()) {
-            server.turns.add(now);
+        if (ready == server.isDraining()) {
+            server.transitions.add(now);
         }
         if (ready
                 && (server.starts.isEmpty()
@@ -138,35 +146,41 @@
     }
 
     /**
-     * Since when, at a moment, it was told that a server drains or is gone; never if it was told
-     * otherwise.
+     * Returns since when, as of {@code moment}, the sidecar has been told that a server is draining
+     * or gone; NEVER if it was told otherwise.
      */
-    long drainsSince(String uid, long moment) {
+    long drainingSince(String uid, long moment) {
         Server server = servers.get(uid);
         if (server == null) {
             return AttemptRecord.NEVER;
         }
-        int at = server.turns.size() - 1;
-        while (at >= 0 && server.turns.get(at) > moment) {
+        int at = server.transitions.size() - 1;
+        while (at >= 0 && server.transitions.get(at) > moment) {
             at--;
         }
-        return at >= 0 && at % 2 == 0 ? server.turns.get(at) : AttemptRecord.NEVER;
+        return at >= 0 && at % 2 == 0 ? server.transitions.get(at) : AttemptRecord.NEVER;
     }
 
-    /** Whether it was told of a server that had not been draining for it at that moment already. */
-    boolean mayHaveReady(long moment) {
+    /**
+     * Returns whether a server was delivered that was not yet known to be draining at {@code
+     * moment}.
+     */
+    boolean mayListReady(long moment) {
         for (Map.Entry<String, Server> each : servers.entrySet()) {
             if (!each.getValue().starts.isEmpty()
-                    && (!each.getValue().drains()
-                            || drainsSince(each.getKey(), moment) == AttemptRecord.NEVER)) {
+                    && (!each.getValue().isDraining()
+                            || drainingSince(each.getKey(), moment) == AttemptRecord.NEVER)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** When it was told of a start, given to the millisecond at least; never if it was not. */
-    long toldOfStart(String uid, long bornAt) {
+    /**
+     * Returns when a start was delivered; NEVER if it was not. Starts are compared to the
+     * millisecond.
+     */
+    long startDeliveredAt(String uid, long bornAt) {
         Server server = servers.get(uid);
         if (server != null) {
             for (long[] each : server.starts) {
--- a/testbed/src/main/java/appleridge/testbed/invariants/DiscoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DiscoveryRule.java
@@ -5,50 +5,50 @@
 import java.util.Map;
 
 /**
- * A sidecar has two connections to discovery at most, one that asks and one that is listened to
- * yet, and asks no more often than some times a second: discovery serves all sidecars.
+ * Checks that a sidecar has two connections to discovery at most, one for calls and one on which it
+ * still awaits an answer, and that it limits its call rate: discovery serves all sidecars.
  */
 final class DiscoveryRule implements DayListener {
-    /** Connections at once, with those that are being opened. */
-    static final int MOST_OPEN = 2;
+    /** Connections at once, including those being opened. */
+    static final int MAX_CONNECTIONS = 2;
 
-    /** Calls within a second. */
-    static final int MOST_CALLS = 20;
+    /** Calls within one second. */
+    static final int MAX_CALLS_PER_SECOND = 20;
 
-    private final Shared shared;
+    private final RuleContext context;
     private final Map<String, ArrayDeque<Long>> calls = new HashMap<>();
 
-    DiscoveryRule(Shared shared) {
-        this.shared = shared;
+    DiscoveryRule(RuleContext context) {
+        this.context = context;
     }
 
     @Override
-    public void sidecarStarted(String sidecar, int life) {
+    public void sidecarStarted(String sidecar, int incarnation) {
         calls.remove(sidecar);
     }
 
     @Override
     public void discoveryConnecting(String sidecar, int open) {
-        if (open > MOST_OPEN) {
-            shared.findings()
+        if (open > MAX_CONNECTIONS) {
+            context.findings()
                     .add(Rule.DISCOVERY, sidecar, "has " + open + " connections to discovery");
         }
     }
 
     @Override
     public void discoveryCall(String sidecar, long callId, boolean whole, long waitNanos) {
-        long now = shared.alarms().now();
+        long now = context.checks().now();
         ArrayDeque<Long> recent = calls.computeIfAbsent(sidecar, name -> new ArrayDeque<>());
         while (!recent.isEmpty() && recent.peek() <= now - TimeSpans.SECOND) {
             recent.poll();
         }
         recent.add(now);
-        if (recent.size() > MOST_CALLS) {
-            shared.findings()
+        if (recent.size() > MAX_CALLS_PER_SECOND) {
+            context.findings()
                     .add(
                             Rule.DISCOVERY,
                             sidecar,
-                            "has asked discovery " + recent.size() + " times within a second");
+                            "called discovery " + recent.size() + " times within a second");
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/EffectRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DuplicateEffectRule.java
@@ -5,23 +5,24 @@
 import java.util.function.UnaryOperator;
 
 /**
- * No effect happens twice, nor after it was said that it did not. A copy that a server has read to
- * its last byte may have run unless that server has said otherwise by then: whoever sends another,
- * or refuses the request, on the strength of what it can only hope is at fault even where the hope
- * comes true.
+ * Checks that no effect happens twice, or after the client was told that it did not happen.
+ *
+ * <p>A copy that a server has read completely may have run unless the server has said otherwise by
+ * then. Sending another copy, or refusing the request, on the mere hope that it did not run is a
+ * violation even if the hope comes true.
  */
-final class EffectRule implements DayListener {
-    private final InvariantBounds figures;
+final class DuplicateEffectRule implements DayListener {
+    private final InvariantBounds bounds;
     private final Requests requests;
     private final Findings findings;
     private final UnaryOperator<String> zoneOf;
 
-    EffectRule(
-            InvariantBounds figures,
+    DuplicateEffectRule(
+            InvariantBounds bounds,
             Requests requests,
             Findings findings,
             UnaryOperator<String> zoneOf) {
-        this.figures = figures;
+        this.bounds = bounds;
         this.requests = requests;
         this.findings = findings;
         this.zoneOf = zoneOf;
@@ -30,7 +31,7 @@
     @Override
     public void serverReceived(
             String server,
-            int life,
+            int incarnation,
             String sidecar,
             String id,
             long firstByteSentAt,
@@ -40,8 +41,8 @@
         if (request == null) {
             return;
         }
-        ClassRule rule = figures.of(request.asking);
-        RequestCopy newest = request.sent.get(request.sent.size() - 1);
+        ClassRule rule = bounds.classOf(request.attempt);
+        RequestCopy newest = request.copies.get(request.copies.size() - 1);
         if (!newest.mayHaveRun()) {
             return;
         }
@@ -49,15 +50,15 @@
             findings.add(
                     Rule.DUPLICATE,
                     id,
-                    "refused with " + request.status + ", and then it reached " + server);
+                    "refused with " + request.status + ", then it reached " + server);
         }
         RequestCopy first = newest;
-        for (RequestCopy each : request.sent) {
+        for (RequestCopy each : request.copies) {
             if (each.mayHaveRun() && each.lastByteAt < first.lastByteAt) {
                 first = each;
             }
         }
-        for (RequestCopy each : request.sent) {
+        for (RequestCopy each : request.copies) {
             if (each != first && each.mayHaveRun()) {
                 compare(request, rule, first, each);
             }
@@ -66,22 +67,22 @@
 
     private void compare(
             AttemptRecord request, ClassRule rule, RequestCopy first, RequestCopy later) {
-        String both =
+        String places =
                 " at "
                         + first.server
-                        + " and, sent "
+                        + " and "
                         + TimeSpans.text(later.lastByteAt - first.lastByteAt)
-                        + " later, at "
+                        + " later at "
                         + later.server;
         if (rule.repeats() == Repeats.NEVER) {
-            findings.add(Rule.DUPLICATE, request.id(), "may have run twice," + both);
+            findings.add(Rule.DUPLICATE, request.id(), "may have run twice:" + places);
         } else if (rule.repeats() != Repeats.FREELY
-                && later.lastByteAt > first.lastByteAt + rule.window() + figures.socketSlack()) {
+                && later.lastByteAt > first.lastByteAt + rule.window() + bounds.socketSlack()) {
             findings.add(
-                    Rule.DUPLICATE, request.id(), "repeated when its window had passed," + both);
+                    Rule.DUPLICATE, request.id(), "repeated after its window had passed:" + places);
         } else if (rule.repeats() == Repeats.WITHIN_ZONE
                 && !zoneOf.apply(first.server).equals(zoneOf.apply(later.server))) {
-            findings.add(Rule.DUPLICATE, request.id(), "repeated in another zone," + both);
+            findings.add(Rule.DUPLICATE, request.id(), "repeated in another zone:" + places);
         }
     }
 
@@ -91,15 +92,15 @@
         AttemptRecord request = requests.find(id);
         if (request == null
                 || status != 429 && status != 503
-                || figures.of(request.asking).repeats().mayBeRefused()) {
+                || bounds.classOf(request.attempt).repeats().mayBeRefused()) {
             return;
         }
-        for (RequestCopy each : request.sent) {
+        for (RequestCopy each : request.copies) {
             if (each.mayHaveRun()) {
                 findings.add(
                         Rule.DUPLICATE,
                         id,
-                        "refused with " + status + ", and it may have run at " + each.server);
+                        "refused with " + status + ", but it may have run at " + each.server);
                 return;
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/invariants/LateRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/LateRule.java
@@ -1,96 +1,100 @@
 package appleridge.testbed.invariants;
 
 /**
- * An answer comes by the deadline, and the slack that the rules give, or the request counts as
- * late: also where none comes at all, or the connection is ended once its time is up. Only a pause
- * or trouble of the client's link puts it off, by as long as it lasts; a client that leaves before
- * has no say. Behind an open request on the same connection the answer may come as late as that
+ * Checks that an answer comes by the deadline plus the allowed slack. A request without an answer,
+ * or whose connection ends after its deadline, is late too. A pause of the sidecar, overload of its
+ * loop or trouble of the client's link extends the limit; a client that leaves earlier is owed
+ * nothing. Behind an open request on the same connection, the answer may come as late as that
  * one's.
  */
 final class LateRule implements DayListener {
-    private final InvariantBounds figures;
-    private final Shared shared;
-    private final AnswerDeadlines dues;
+    private final InvariantBounds bounds;
+    private final RuleContext context;
+    private final AnswerDeadlines deadlines;
 
-    LateRule(InvariantBounds figures, Shared shared) {
-        this.figures = figures;
-        this.shared = shared;
-        this.dues = new AnswerDeadlines(figures, shared);
+    LateRule(InvariantBounds bounds, RuleContext context) {
+        this.bounds = bounds;
+        this.context = context;
+        this.deadlines = new AnswerDeadlines(bounds, context);
     }
 
     @Override
     public void requestSent(String id) {
-        AttemptRecord request = shared.requests().find(id);
+        AttemptRecord request = context.requests().find(id);
         if (request != null && request.isOpen()) {
-            look(request, dues.onceRead(request));
+            scheduleCheck(request, deadlines.forAnswerIfReadAtOnce(request));
         }
     }
 
     /**
-     * Danger: what is unread now will be read, and its client may leave before the time of what is
-     * not.
+     * Schedules a check. The first one assumes that the request is read at once: an unread request
+     * may be read later, and its client may leave before the longer limit for unread requests.
      */
-    private void look(AttemptRecord request, long due) {
-        long taken = request.takenAt;
-        shared.alarms().at(TimeSpans.plus(due, figures.link()), () -> overdue(request, taken));
+    private void scheduleCheck(AttemptRecord request, long deadline) {
+        long takenAt = request.takenAt;
+        context.checks()
+                .at(
+                        TimeSpans.saturatedAdd(deadline, bounds.linkDelay()),
+                        () -> checkOverdue(request, takenAt));
     }
 
-    private void overdue(AttemptRecord request, long taken) {
+    private void checkOverdue(AttemptRecord request, long takenAt) {
         if (!request.isOpen()
-                || request.takenAt != taken
-                || !shared.lives().runs(request.asking.sidecar(), request.life)) {
+                || request.takenAt != takenAt
+                || !context.incarnations().runs(request.attempt.sidecar(), request.incarnation)) {
             return;
         }
-        if (TimeSpans.plus(dues.answer(request), figures.link()) > shared.alarms().now()) {
-            look(request, dues.answer(request));
+        if (TimeSpans.saturatedAdd(deadlines.forAnswer(request), bounds.linkDelay())
+                > context.checks().now()) {
+            scheduleCheck(request, deadlines.forAnswer(request));
             return;
         }
-        shared.findings()
+        context.findings()
                 .add(
                         Rule.LATE,
                         request.id(),
                         "no answer "
-                                + TimeSpans.text(shared.alarms().now() - taken)
-                                + " after it was taken, with a deadline of "
-                                + TimeSpans.text(request.asking.deadlineNanos()));
+                                + TimeSpans.text(context.checks().now() - takenAt)
+                                + " after it was accepted, with a deadline of "
+                                + TimeSpans.text(request.attempt.deadlineNanos()));
     }
 
     @Override
     public void answered(
             String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-        AttemptRecord request = shared.requests().find(id);
-        if (request != null && request.isOpen() && lastByteSentAt > dues.answer(request)) {
-            shared.findings()
+        AttemptRecord request = context.requests().find(id);
+        if (request != null && request.isOpen() && lastByteSentAt > deadlines.forAnswer(request)) {
+            context.findings()
                     .add(
                             Rule.LATE,
                             id,
                             "answered "
                                     + TimeSpans.text(lastByteSentAt - request.takenAt)
-                                    + " after it was taken, with a deadline of "
-                                    + TimeSpans.text(request.asking.deadlineNanos()));
+                                    + " after it was accepted, with a deadline of "
+                                    + TimeSpans.text(request.attempt.deadlineNanos()));
         }
     }
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
-        AttemptRecord request = shared.requests().find(id);
+        AttemptRecord request = context.requests().find(id);
         if (request == null || !request.isOpen()) {
             return;
         }
-        long now = shared.alarms().now();
-        ClientAttempt asking = request.asking;
+        long now = context.checks().now();
+        ClientAttempt attempt = request.attempt;
         if (now
-                        > shared.excuses()
+                        > context.excuses()
                                 .extended(
-                                        asking,
+                                        attempt,
                                         request.takenAt,
-                                        request.takenAt + asking.deadlineNanos())
-                && !shared.crossed(request)
-                && !shared.excuses().linkTroubled(asking, request.takenAt, now)
-                && !(begun && request.made.isEmpty())
-                && !shared.lives().isKilled(asking.sidecar(), request.life)) {
-            shared.findings()
-                    .add(Rule.LATE, id, "its connection ended (" + how + ") when its time was up");
+                                        request.takenAt + attempt.deadlineNanos())
+                && !context.crossed(request)
+                && !context.excuses().linkTroubled(attempt, request.takenAt, now)
+                && !(begun && request.serverBodies.isEmpty())
+                && !context.incarnations().isKilled(attempt.sidecar(), request.incarnation)) {
+            context.findings()
+                    .add(Rule.LATE, id, "its connection ended (" + how + ") after its deadline");
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
@@ -4,130 +4,140 @@
 import java.util.Map;
 
 /**
- * Where nodes alone make the list, it is what they told: nobody is taken away of whom no end was
- * told, whatever else happens; soon after something was told it is so; and a process that began
- * anew is listed with its new start.
+ * Checks the module's list where the coordination service is its only source: no server is removed
+ * whose end was not delivered; a delivered change takes effect within the settle time; and a
+ * restarted process is listed with its new start.
  */
 final class ListRule implements DayListener {
-    /** What was told is in the list by then, if the process runs: a tick, and some ways. */
-    private static final long SETTLED = 1500 * TimeSpans.MS;
+    /**
+     * Time within which a running process applies what was delivered: a tick and some network
+     * delays.
+     */
+    private static final long SETTLE_TIME = 1500 * TimeSpans.MS;
 
-    /** Starts are named to the millisecond, and clocks are read some time apart. */
-    private static final long NEAR = 300 * TimeSpans.MS;
+    /** Starts are given to the millisecond, and the clocks are read at different times. */
+    private static final long START_TOLERANCE = 300 * TimeSpans.MS;
 
     private record Listed(boolean ready, long startedAt) {}
 
-    private final DeliveredNodes told;
-    private final Shared shared;
+    private final DeliveredNodes nodes;
+    private final RuleContext context;
 
-    /** By sidecar, what its present process lists. */
-    private final Map<String, Map<String, Listed>> lists = new HashMap<>();
+    /** By sidecar, what its current process lists. */
+    private final Map<String, Map<String, Listed>> listedBySidecar = new HashMap<>();
 
-    /** Who starts by a false clock takes what started before for older or younger than it is. */
-    private boolean falseClocks;
+    /**
+     * Set once a wall clock was stepped: a start by a wrong clock makes earlier starts look older
+     * or younger than they are.
+     */
+    private boolean clockStepped;
 
-    ListRule(DeliveredNodes told, Shared shared) {
-        this.told = told;
-        this.shared = shared;
+    ListRule(DeliveredNodes nodes, RuleContext context) {
+        this.nodes = nodes;
+        this.context = context;
     }
 
     @Override
-    public void sidecarStarted(String sidecar, int life) {
-        lists.put(sidecar, new HashMap<>());
+    public void sidecarStarted(String sidecar, int incarnation) {
+        listedBySidecar.put(sidecar, new HashMap<>());
     }
 
     @Override
     public void moduleHostUpdated(
-            String sidecar, int life, String uid, boolean ready, long startedAt) {
-        if (!told.alone()) {
+            String sidecar, int incarnation, String uid, boolean ready, long startedAt) {
+        if (!nodes.onlySource()) {
             return;
         }
-        Listed before = lists.get(sidecar).put(uid, new Listed(ready, startedAt));
-        long now = shared.alarms().now();
+        Listed before = listedBySidecar.get(sidecar).put(uid, new Listed(ready, startedAt));
+        long now = context.checks().now();
         if (!ready && before != null && before.ready) {
-            // Who takes its place may be told of in the same list.
-            shared.alarms()
+            // The list that removes a server may also name its successor, which is reported later
+            // at the same time.
+            context.checks()
                     .at(
                             now,
                             () -> {
-                                Listed after = lists.get(sidecar).get(uid);
+                                Listed after = listedBySidecar.get(sidecar).get(uid);
                                 if (after != null
                                         && !after.ready
-                                        && says(sidecar, uid, now)
-                                        && !replaced(sidecar, uid)) {
-                                    shared.findings()
+                                        && isStillReported(sidecar, uid, now)
+                                        && !isReplaced(sidecar, uid)) {
+                                    context.findings()
                                             .add(
                                                     Rule.LIST,
                                                     sidecar + ' ' + uid,
                                                     sidecar
-                                                            + " takes "
+                                                            + " removed "
                                                             + uid
-                                                            + " away, of which no end was told");
+                                                            + ", whose end was not delivered");
                                 }
                             });
         }
     }
 
-    /** Whether it was told that it is ready, and nothing else lately. */
-    private boolean says(String sidecar, String uid, long now) {
-        long ready = told.readySince(sidecar, uid, now);
-        return ready != AttemptRecord.NEVER
-                && ready <= now - SETTLED
-                && !shared.excuses().paused(sidecar, now - SETTLED, now);
+    /**
+     * Returns whether the server was delivered as ready, with nothing else within the settle time.
+     */
+    private boolean isStillReported(String sidecar, String uid, long now) {
+        long readySince = nodes.readySince(sidecar, uid, now);
+        return readySince != AttemptRecord.NEVER
+                && readySince <= now - SETTLE_TIME
+                && !context.excuses().paused(sidecar, now - SETTLE_TIME, now);
     }
 
     @Override
     public void faultStruck(String kind, String at, String id) {
-        falseClocks |= kind.equals("wall-step");
+        clockStepped |= kind.equals("wall-step");
     }
 
-    /** Whether another server is listed at its address, or a later one was. */
-    private boolean replaced(String sidecar, String uid) {
-        Listed own = lists.get(sidecar).get(uid);
+    /** Returns whether another server is listed on the same machine, now or with a later start. */
+    private boolean isReplaced(String sidecar, String uid) {
+        Listed own = listedBySidecar.get(sidecar).get(uid);
         long startedAt = own == null ? 0 : own.startedAt;
-        for (Map.Entry<String, Listed> each : lists.get(sidecar).entrySet()) {
+        for (Map.Entry<String, Listed> each : listedBySidecar.get(sidecar).entrySet()) {
             boolean later = each.getValue().ready || each.getValue().startedAt > startedAt;
             if (later
                     && !each.getKey().equals(uid)
-                    && machine(each.getKey()).equals(machine(uid))) {
+                    && machineOf(each.getKey()).equals(machineOf(uid))) {
                 return true;
             }
         }
         return false;
     }
 
-    private static String machine(String uid) {
+    private static String machineOf(String uid) {
         int dot = uid.indexOf('.');
         return dot < 0 ? uid : uid.substring(0, dot);
     }
 
     @Override
     public void nodeDelivered(String sidecar, String uid, String state, long bornAt) {
-        if (told.alone()) {
-            int life = shared.lives().current(sidecar);
-            long at = shared.alarms().now();
-            shared.alarms().at(at + SETTLED, () -> look(sidecar, life, uid, at));
+        if (nodes.onlySource()) {
+            int incarnation = context.incarnations().current(sidecar);
+            long at = context.checks().now();
+            context.checks().at(at + SETTLE_TIME, () -> checkListed(sidecar, incarnation, uid, at));
         }
     }
 
-    private void look(String sidecar, int life, String uid, long toldAt) {
-        long now = shared.alarms().now();
-        if (shared.lives().current(sidecar) != life
-                || !shared.lives().runs(sidecar, life)
-                || shared.lives().termAt(sidecar, life) != AttemptRecord.NEVER) {
+    private void checkListed(String sidecar, int incarnation, String uid, long deliveredAt) {
+        long now = context.checks().now();
+        if (context.incarnations().current(sidecar) != incarnation
+                || !context.incarnations().runs(sidecar, incarnation)
+                || context.incarnations().termAt(sidecar, incarnation) != AttemptRecord.NEVER) {
             return;
         }
-        if (shared.excuses().paused(sidecar, toldAt, now)) {
-            shared.alarms().at(now + SETTLED, () -> look(sidecar, life, uid, now));
+        if (context.excuses().paused(sidecar, deliveredAt, now)) {
+            context.checks()
+                    .at(now + SETTLE_TIME, () -> checkListed(sidecar, incarnation, uid, now));
             return;
         }
-        long ready = told.readySince(sidecar, uid, now);
-        long drains = told.drainsSince(sidecar, uid, now);
-        Listed listed = lists.get(sidecar).get(uid);
+        long readySince = nodes.readySince(sidecar, uid, now);
+        long draining = nodes.drainingSince(sidecar, uid, now);
+        Listed listed = listedBySidecar.get(sidecar).get(uid);
         boolean isReady = listed != null && listed.ready;
-        long start = told.lastStart(sidecar, uid, now);
-        if (drains != AttemptRecord.NEVER && drains <= now - SETTLED && isReady) {
-            shared.findings()
+        long latestStart = nodes.latestStart(sidecar, uid, now);
+        if (draining != AttemptRecord.NEVER && draining <= now - SETTLE_TIME && isReady) {
+            context.findings()
                     .add(
                             Rule.LIST,
                             sidecar + ' ' + uid,
@@ -135,14 +145,14 @@
                                     + " still lists "
                                     + uid
                                     + ' '
-                                    + TimeSpans.text(now - drains)
-                                    + " after it was told that it drains or is gone");
+                                    + TimeSpans.text(now - draining)
+                                    + " after its drain or end was delivered");
         }
-        if (ready == AttemptRecord.NEVER || ready > now - SETTLED) {
+        if (readySince == AttemptRecord.NEVER || readySince > now - SETTLE_TIME) {
             return;
         }
-        if (!isReady && !replaced(sidecar, uid)) {
-            shared.findings()
+        if (!isReady && !isReplaced(sidecar, uid)) {
+            context.findings()
                     .add(
                             Rule.LIST,
                             sidecar + ' ' + uid,
@@ -150,14 +160,17 @@
                                     + " does not list "
                                     + uid
                                     + ' '
-                                    + TimeSpans.text(now - ready)
-                                    + " after it was told that it is ready");
-        } else if (isReady && start > 0 && !falseClocks && listed.startedAt < start - NEAR) {
-            shared.findings()
+                                    + TimeSpans.text(now - readySince)
+                                    + " after it was delivered as ready");
+        } else if (isReady
+                && latestStart > 0
+                && !clockStepped
+                && listed.startedAt < latestStart - START_TOLERANCE) {
+            context.findings()
                     .add(
                             Rule.LIST,
                             sidecar + ' ' + uid,
-                            sidecar + " takes " + uid + " for the process that was there before");
+                            sidecar + " lists " + uid + " with the start of an earlier process");
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestRule.java
@@ -4,62 +4,64 @@
 import java.util.Map;
 
 /**
- * A request comes to a server as its client wrote it: method, path, query, body, X-Request-Id and
- * Idempotency-Key. Its X-Deadline is at most what the client said, no more than what was left of
- * that when it was sent, and above nothing; only in a request's last moments it may be written as
- * 0, for it is told in whole milliseconds, and the sidecar keeps some of the time to itself. The
- * module is told its class, its tenant and whether it is a client's repeat.
+ * Checks that a request reaches a server as its client wrote it: method, path, query, body,
+ * X-Request-Id and Idempotency-Key.
+ *
+ * <p>Its X-Deadline is positive, at most the client's, and no more than what was left of that when
+ * the request was sent. Only in a request's last moments it may be 0, because it is given in whole
+ * milliseconds and the sidecar reserves some of the time. The module is given the request's class,
+ * its tenant and whether it is a client's retry.
  */
 final class RequestRule implements DayListener {
-    /** Ids that begin so are those of bad clients, which are judged by other rules. */
-    private static final String BAD = "bad-";
+    /** Prefix of bad clients' ids, which other rules check. */
+    private static final String BAD_CLIENT_PREFIX = "bad-";
 
-    private final InvariantBounds figures;
-    private final Shared shared;
-    private final AnswerDeadlines dues;
-    private final Map<String, Message> written = new HashMap<>();
+    private final InvariantBounds bounds;
+    private final RuleContext context;
+    private final AnswerDeadlines deadlines;
+    private final Map<String, Message> messages = new HashMap<>();
     private final Map<Long, ClientAttempt> byKey = new HashMap<>();
 
-    RequestRule(InvariantBounds figures, Shared shared) {
-        this.figures = figures;
-        this.shared = shared;
-        this.dues = new AnswerDeadlines(figures, shared);
+    RequestRule(InvariantBounds bounds, RuleContext context) {
+        this.bounds = bounds;
+        this.context = context;
+        this.deadlines = new AnswerDeadlines(bounds, context);
     }
 
     @Override
-    public void requestStarted(ClientAttempt asking) {
-        byKey.put(asking.cookieKey(), asking);
+    public void requestStarted(ClientAttempt attempt) {
+        byKey.put(attempt.cookieKey(), attempt);
     }
 
     @Override
     public void moduleRequest(
             String sidecar, long key, int requestClass, int tenant, boolean clientRetry) {
-        ClientAttempt asking = byKey.get(key);
-        if (asking != null
-                && (asking.requestClass() != requestClass
-                        || asking.tenant() != tenant
-                        || asking.number() > 0 != clientRetry)) {
+        ClientAttempt attempt = byKey.get(key);
+        if (attempt != null
+                && (attempt.requestClass() != requestClass
+                        || attempt.tenant() != tenant
+                        || attempt.number() > 0 != clientRetry)) {
             add(
-                    asking.id(),
+                    attempt.id(),
                     sidecar
-                            + "'s module was told class "
+                            + "'s module was given class "
                             + requestClass
                             + ", tenant "
                             + tenant
-                            + ", repeat "
+                            + ", retry "
                             + clientRetry
                             + " instead of class "
-                            + asking.requestClass()
+                            + attempt.requestClass()
                             + ", tenant "
-                            + asking.tenant()
-                            + ", repeat "
-                            + (asking.number() > 0));
+                            + attempt.tenant()
+                            + ", retry "
+                            + (attempt.number() > 0));
         }
     }
 
     @Override
     public void requestMessage(String id, Message message) {
-        written.put(id, message);
+        messages.put(id, message);
     }
 
     @Override
@@ -70,10 +72,10 @@
             Message message,
             long deadlineNanos,
             long firstByteSentAt) {
-        if (id.startsWith(BAD)) {
+        if (id.startsWith(BAD_CLIENT_PREFIX)) {
             return;
         }
-        Message own = written.get(id);
+        Message own = messages.get(id);
         if (own == null) {
             add(
                     id.isEmpty() ? server : id,
@@ -81,39 +83,39 @@
                             + " sent "
                             + server
                             + (id.isEmpty()
-                                    ? " a request" + " without an id"
+                                    ? " a request without an id"
                                     : " an id that no client has used"));
             return;
         }
-        String unlike = own.unlike(message);
-        if (!unlike.isEmpty()) {
-            add(id, server + " has read " + unlike);
+        String differences = own.differences(message);
+        if (!differences.isEmpty()) {
+            add(id, server + " has read " + differences);
         }
-        AttemptRecord request = shared.requests().find(id);
+        AttemptRecord request = context.requests().find(id);
         if (request != null && request.takenAt != AttemptRecord.NEVER) {
             compare(request, server, deadlineNanos, firstByteSentAt);
         }
     }
 
     private void compare(AttemptRecord request, String server, long deadline, long sentAt) {
-        long said = request.asking.deadlineNanos();
-        long left = dues.patience(request) - sentAt;
-        boolean lastMoments = request.takenAt + said - sentAt <= figures.answerSlack();
-        if (deadline > Math.min(said, left) || deadline < 0 || deadline == 0 && !lastMoments) {
+        long requested = request.attempt.deadlineNanos();
+        long left = deadlines.forClient(request) - sentAt;
+        boolean lastMoments = request.takenAt + requested - sentAt <= bounds.answerSlack();
+        if (deadline > Math.min(requested, left) || deadline < 0 || deadline == 0 && !lastMoments) {
             add(
                     request.id(),
                     server
-                            + " was told a deadline of "
+                            + " received a deadline of "
                             + TimeSpans.text(deadline)
-                            + " when "
+                            + " with "
                             + TimeSpans.text(left)
                             + " of "
-                            + TimeSpans.text(said)
-                            + " were left");
+                            + TimeSpans.text(requested)
+                            + " left");
         }
     }
 
     private void add(String subject, String what) {
-        shared.findings().add(Rule.WRONG_REQUEST, subject, what);
+        context.findings().add(Rule.WRONG_REQUEST, subject, what);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RetryAfterRule.java
@@ -1,15 +1,15 @@
 package appleridge.testbed.invariants;
 
 /**
- * Only a refusal says when to come again, only where the settings allow it, and never later than
- * they do.
+ * Checks that only a refusal carries Retry-After, only if the settings allow it, and no longer than
+ * they allow.
  */
 final class RetryAfterRule implements DayListener {
-    private final InvariantBounds figures;
+    private final InvariantBounds bounds;
     private final Findings findings;
 
-    RetryAfterRule(InvariantBounds figures, Findings findings) {
-        this.figures = figures;
+    RetryAfterRule(InvariantBounds bounds, Findings findings) {
+        this.bounds = bounds;
         this.findings = findings;
     }
 
@@ -20,15 +20,18 @@
             return;
         }
         if (status != 429 && status != 503) {
-            findings.add(Rule.RETRY_AFTER, id, "an answer " + status + " says when to come again");
-        } else if (retryAfterNanos > figures.maxRetryAfter()) {
             findings.add(
                     Rule.RETRY_AFTER,
                     id,
-                    "come again after "
+                    "an answer with status " + status + " carries Retry-After");
+        } else if (retryAfterNanos > bounds.maxRetryAfter()) {
+            findings.add(
+                    Rule.RETRY_AFTER,
+                    id,
+                    "Retry-After of "
                             + TimeSpans.text(retryAfterNanos)
                             + ", allowed are "
-                            + TimeSpans.text(figures.maxRetryAfter()));
+                            + TimeSpans.text(bounds.maxRetryAfter()));
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/invariants/Tracked.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/TrackedRequest.java
@@ -2,38 +2,41 @@
 
 import appleridge.testbed.simnet.SimSocket;
 
-/** A request on its way, with the sockets it uses. */
-final class Tracked {
-    final ClientAttempt asking;
+/** A request in flight, with the sockets it uses. */
+final class TrackedRequest {
+    final ClientAttempt attempt;
     RequestState state = RequestState.ARRIVING;
     SimSocket client;
 
-    /** Which request on its connection it is; 0 before its first bytes are seen. */
-    int place;
+    /** Position of the request on its connection; 0 before its first bytes are seen. */
+    int position;
 
     String ahead;
 
-    /** Where on its client's end it ends; -1 before all of it is written. */
+    /**
+     * Offset of its end in the bytes that its client's socket has written; -1 before all of it is
+     * written.
+     */
     long endsAt = -1;
 
     int attempts;
 
-    /** Which server the module has named for the latest attempt. */
+    /** The server that the module has named for the latest attempt. */
     String target;
 
     SimSocket upstream;
     String server;
 
-    Tracked(ClientAttempt asking) {
-        this.asking = asking;
+    TrackedRequest(ClientAttempt attempt) {
+        this.attempt = attempt;
     }
 
     String id() {
-        return asking.id();
+        return attempt.id();
     }
 
-    /** The state of that name for a first attempt, or its like for a later one. */
-    RequestState attempt(RequestState first) {
+    /** Returns the given state for a first attempt, or its RESEND counterpart for a later one. */
+    RequestState stateOfAttempt(RequestState first) {
         if (attempts <= 1) {
             return first;
         }
@@ -52,6 +55,6 @@
 
     ObservedRequest now() {
         return new ObservedRequest(
-                asking.id(), asking, asking.sidecar(), state, client, upstream, server);
+                attempt.id(), attempt, attempt.sidecar(), state, client, upstream, server);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -6,236 +6,238 @@
 import org.junit.jupiter.api.Test;
 
 class LostRuleTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
-    private void taken() {
-        scene.at(S)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+    private void accepted() {
+        fixture.at(S)
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
-                .arrived("a-1", "r")
+                .received("a-1", "r")
                 .after(50 * MS);
     }
 
-    private void broken(boolean begun) {
-        scene.judge.answerBroken("r", "reset", begun);
+    private void breakConnection(boolean answerBegun) {
+        fixture.checker.answerBroken("r", "reset", answerBegun);
     }
 
     private void assertLost() {
-        assertEquals(List.of(Rule.LOST), found());
+        assertEquals(List.of(Rule.LOST), violationsExceptEnding());
     }
 
-    private void assertKept() {
-        assertEquals(List.of(), found());
+    private void assertNotLost() {
+        assertEquals(List.of(), violationsExceptEnding());
     }
 
-    /** Whether a process has ended in time is another rule's. */
-    private List<Rule> found() {
-        return scene.rules().stream().filter(each -> each != Rule.ENDING).toList();
+    /** Leaves out ENDING: another rule checks whether a process exits in time. */
+    private List<Rule> violationsExceptEnding() {
+        return fixture.rules().stream().filter(each -> each != Rule.ENDING).toList();
     }
 
     @Test
-    void anEndWithNoAnswerLosesIt() {
-        taken();
-        broken(false);
+    void closeWithoutAnAnswerIsReported() {
+        accepted();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void whatWasNotTakenIsNotLost() {
-        scene.judge.requestStarted(
-                new ClientAttempt("r", "r", 0, Scene.SIDE, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
-        broken(false);
-        assertKept();
+    void requestThatWasNotAcceptedIsNotLost() {
+        fixture.checker.requestStarted(
+                new ClientAttempt(
+                        "r", "r", 0, CheckerFixture.SIDECAR, 2, 0, "k", 1, 0, 1500 * MS, 2 * S));
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void whoLeavesLosesNothing() {
-        taken();
-        scene.judge.clientGaveUp("r");
-        broken(false);
-        assertKept();
+    void requestOfAClientThatGaveUpIsNotLost() {
+        accepted();
+        fixture.checker.clientGaveUp("r");
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aKilledSidecarLosesNothing() {
-        taken();
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.after(MS);
-        broken(false);
-        assertKept();
+    void killOfTheSidecarExcusesTheClose() {
+        accepted();
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.after(MS);
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void oneThatEndsByItselfDoes() {
-        taken();
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.after(MS);
-        broken(false);
+    void exitOfTheSidecarDoesNotExcuseTheClose() {
+        accepted();
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.after(MS);
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void aBrokenLinkExcusesIt() {
-        taken();
-        scene.judge.clientLinkTroubled(Scene.SIDE, "r", scene.now, Long.MAX_VALUE);
-        scene.after(MS);
-        broken(false);
-        assertKept();
+    void linkTroubleExcusesTheClose() {
+        accepted();
+        fixture.checker.clientLinkTroubled(
+                CheckerFixture.SIDECAR, "r", fixture.now, Long.MAX_VALUE);
+        fixture.after(MS);
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aLinkBrokenEarlierOrForAnotherDoesNot() {
-        scene.judge.clientLinkTroubled(Scene.SIDE, null, 0, 500 * MS);
-        scene.judge.clientLinkTroubled(Scene.SIDE, "s", 0, Long.MAX_VALUE);
-        scene.judge.clientLinkTroubled("side-1", null, 0, Long.MAX_VALUE);
-        taken();
-        broken(false);
+    void earlierOrUnrelatedLinkTroubleIsNoExcuse() {
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, null, 0, 500 * MS);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, "s", 0, Long.MAX_VALUE);
+        fixture.checker.clientLinkTroubled("side-1", null, 0, Long.MAX_VALUE);
+        accepted();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void whenItsTimeIsUpItHasFailedButIsLate() {
-        taken();
-        scene.at(S + 1500 * MS);
-        broken(false);
+    void closeAfterTheDeadlineIsLateInsteadOfLost() {
+        accepted();
+        fixture.at(S + 1500 * MS);
+        breakConnection(false);
         assertLost();
-        Scene other = new Scene();
+        CheckerFixture other = new CheckerFixture();
         other.at(S)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
-                .arrived("a-1", "r")
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
+                .received("a-1", "r")
                 .at(S + 1501 * MS);
-        other.judge.answerBroken("r", "closed", false);
+        other.checker.answerBroken("r", "closed", false);
         assertEquals(List.of(Rule.LATE), other.rules());
     }
 
     @Test
-    void theFirstOnAConnectionMayCrossItsEnd() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.places.put("r", 1);
-        broken(false);
-        assertKept();
+    void firstRequestOnAConnectionMayCrossItsClose() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.positions.put("r", 1);
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void unlessItWasSentOn() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.places.put("r", 1);
-        broken(false);
-        scene.after(40 * MS).begun("a-1", "r", S + 20 * MS);
+    void forwardedRequestIsLostEvenIfFirstOnItsConnection() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.positions.put("r", 1);
+        breakConnection(false);
+        fixture.after(40 * MS).readId("a-1", "r", S + 20 * MS);
         assertLost();
     }
 
     @Test
-    void aLaterOneOnlyIfItWasNotRead() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.unread.add("r");
-        broken(false);
-        assertKept();
+    void laterUnreadRequestMayCrossTheClose() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unreadIds.add("r");
+        breakConnection(false);
+        assertNotLost();
     }
 
     @Test
-    void aLaterOneThatWasReadIsLost() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        broken(false);
+    void laterReadRequestIsLost() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void aClientMaySendOnceMoreWhatHasCrossed() {
-        scene.at(S).taken("r", Scene.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
-        scene.unread.add("r");
-        broken(false);
-        scene.unread.clear();
-        scene.after(MS)
-                .taken("r", Scene.ORDER_CONFIRM, 1500 * MS)
+    void requestThatCrossedTheCloseMayBeSentAgain() {
+        fixture.at(S).accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS).after(50 * MS);
+        fixture.unreadIds.add("r");
+        breakConnection(false);
+        fixture.unreadIds.clear();
+        fixture.after(MS)
+                .accepted("r", CheckerFixture.ORDER_CONFIRM, 1500 * MS)
                 .after(5 * MS)
-                .arrived("a-1", "r");
-        assertKept();
-        broken(false);
+                .received("a-1", "r");
+        assertNotLost();
+        breakConnection(false);
         assertLost();
     }
 
     @Test
-    void anAnswerThatTheServerSpoiltMayBreakOff() {
-        taken();
-        broken(true);
-        assertKept();
+    void answerBrokenOffByTheServerIsExcused() {
+        accepted();
+        breakConnection(true);
+        assertNotLost();
     }
 
     @Test
-    void oneThatWasMadeWholeMayNot() {
-        taken();
-        scene.judge.serverAnswered("a-1", 1, "r", "whole");
-        broken(true);
+    void brokenOffAnswerThatAServerCompletedIsLost() {
+        accepted();
+        fixture.checker.serverAnswered("a-1", 1, "r", "whole");
+        breakConnection(true);
         assertLost();
     }
 
     @Test
-    void unlessAFaultStruckIt() {
-        taken();
-        scene.judge.serverAnswered("a-1", 1, "r", "whole");
-        scene.judge.faultStruck("up-reset", "a-1", "r");
-        broken(true);
-        assertKept();
+    void faultAimedAtTheRequestExcusesABrokenOffAnswer() {
+        accepted();
+        fixture.checker.serverAnswered("a-1", 1, "r", "whole");
+        fixture.checker.faultStruck("up-reset", "a-1", "r");
+        breakConnection(true);
+        assertNotLost();
     }
 
-    private void killedAfterTerm(long untilKill, long takenBefore) {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.at(S + untilKill - takenBefore)
-                .taken("r", Scene.STOCK_CHECK, 400 * MS)
+    private void killAfterTerm(long untilKill, long acceptedBefore) {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.at(S + untilKill - acceptedBefore)
+                .accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS)
                 .at(S + untilKill);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.after(MS);
-        broken(false);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.after(MS);
+        breakConnection(false);
     }
 
     @Test
-    void sigkillInItsTimeFindsNothingUnanswered() {
-        killedAfterTerm(2200 * MS, 100 * MS);
+    void requestUnansweredAtPromisedSigkillTimeIsLost() {
+        killAfterTerm(2200 * MS, 100 * MS);
         assertLost();
     }
 
     @Test
-    void butWhatCameInTheLastMoment() {
-        killedAfterTerm(2200 * MS, 50 * MS);
-        assertKept();
+    void requestAcceptedJustBeforeSigkillIsExcused() {
+        killAfterTerm(2200 * MS, 50 * MS);
+        assertNotLost();
     }
 
     @Test
-    void sigkillAheadOfItsTimeMayFindMore() {
-        killedAfterTerm(2199 * MS, 100 * MS);
-        assertKept();
+    void requestUnansweredAtEarlySigkillIsExcused() {
+        killAfterTerm(2199 * MS, 100 * MS);
+        assertNotLost();
     }
 
     @Test
-    void sigkillConcernsItsOwnProcessAndWhatIsStillOpen() {
-        scene.judge.sidecarStarted("side-1", 1);
-        scene.at(S)
-                .taken("open", Scene.STOCK_CHECK, 400 * MS)
-                .taken("answered", Scene.STOCK_CHECK, 400 * MS);
-        scene.after(MS).answered("answered", 504, "");
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.requestStarted(
+    void sigkillChecksOnlyOpenRequestsOfItsProcess() {
+        fixture.checker.sidecarStarted("side-1", 1);
+        fixture.at(S)
+                .accepted("open", CheckerFixture.STOCK_CHECK, 400 * MS)
+                .accepted("answered", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.after(MS).answered("answered", 504, "");
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.requestStarted(
                 new ClientAttempt(
-                        "other", "other", 0, "side-1", 0, 0, null, 99, scene.now, 9 * S, 9 * S));
-        scene.judge.requestSent("other");
-        scene.judge.sidecarSigterm(Scene.SIDE, 2);
-        scene.after(9 * S);
-        scene.judge.sidecarKilled(Scene.SIDE, 2);
-        assertKept();
+                        "other", "other", 0, "side-1", 0, 0, null, 99, fixture.now, 9 * S, 9 * S));
+        fixture.checker.requestSent("other");
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 2);
+        fixture.after(9 * S);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 2);
+        assertNotLost();
     }
 
     @Test
-    void aPauseBeforeSigkillExcusesWhatIsLeft() {
-        scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
-        killedAfterTerm(2200 * MS, 100 * MS);
-        assertKept();
+    void pauseBeforeSigkillExcusesUnansweredRequests() {
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
+        killAfterTerm(2200 * MS, 100 * MS);
+        assertNotLost();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/OtherRulesTest.java
@@ -6,162 +6,164 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on what was given up, bad clients, ends, books and recovery. */
+/**
+ * Tests the rules on refused and failed requests, bad clients, exits, resource counts and recovery.
+ */
 class OtherRulesTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
-    private void assertBroken(Rule... rules) {
-        assertEquals(List.of(rules), scene.rules());
+    private void assertViolations(Rule... rules) {
+        assertEquals(List.of(rules), fixture.rules());
     }
 
-    // ---- given up
+    // ---- refused and failed requests
 
-    private void givenUp(boolean refused) {
-        scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleAccepted(Scene.SIDE, 1, 7, scene.key());
-        scene.after(100 * MS);
+    private void giveUp(boolean refused) {
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleAccepted(CheckerFixture.SIDECAR, 1, 7, fixture.key());
+        fixture.after(100 * MS);
         if (refused) {
-            scene.judge.moduleRefused(Scene.SIDE, 1, 7);
+            fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 1, 7);
         } else {
-            scene.judge.moduleFailed(Scene.SIDE, 1, 7);
+            fixture.checker.moduleFailed(CheckerFixture.SIDECAR, 1, 7);
         }
     }
 
     private void answeredAfter(long nanos) {
-        long written = scene.now + nanos;
-        scene.at(written + MS);
-        scene.judge.answered("r", 503, "", -1, written);
+        long written = fixture.now + nanos;
+        fixture.at(written + MS);
+        fixture.checker.answered("r", 503, "", -1, written);
     }
 
     @Test
-    void whatIsGivenUpIsAnsweredAtOnce() {
-        givenUp(true);
+    void refusedRequestIsAnsweredAtOnce() {
+        giveUp(true);
         answeredAfter(10 * MS);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void heldBackItIsLate() {
-        givenUp(true);
+    void refusalThatIsHeldBackIsReported() {
+        giveUp(true);
         answeredAfter(10 * MS + 1);
-        assertBroken(Rule.GIVEN_UP_LATE);
+        assertViolations(Rule.GIVEN_UP_LATE);
     }
 
     @Test
-    void alsoWhatHasFailed() {
-        givenUp(false);
+    void failureThatIsHeldBackIsReported() {
+        giveUp(false);
         answeredAfter(10 * MS + 1);
-        assertBroken(Rule.GIVEN_UP_LATE);
+        assertViolations(Rule.GIVEN_UP_LATE);
     }
 
     @Test
-    void behindAnOpenOneItGoesAfterThat() {
-        scene.at(S).taken("first", Scene.ORDER_CONFIRM, 1500 * MS);
-        scene.ahead.put("r", "first");
-        givenUp(true);
-        long up = scene.now;
-        scene.at(up + 200 * MS);
-        scene.judge.answered("first", 504, "", -1, up + 199 * MS);
-        scene.judge.answered("r", 503, "", -1, up + 200 * MS);
-        assertBroken();
+    void refusalMayWaitForTheOpenRequestAhead() {
+        fixture.at(S).accepted("first", CheckerFixture.ORDER_CONFIRM, 1500 * MS);
+        fixture.idsAhead.put("r", "first");
+        giveUp(true);
+        long up = fixture.now;
+        fixture.at(up + 200 * MS);
+        fixture.checker.answered("first", 504, "", -1, up + 199 * MS);
+        fixture.checker.answered("r", 503, "", -1, up + 200 * MS);
+        assertViolations();
     }
 
     @Test
-    void anotherProcessesIdsAreOthers() {
-        givenUp(true);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.taken("s", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.moduleRefused(Scene.SIDE, 2, 7);
-        scene.after(100 * MS).answered("s", 503, "");
-        assertBroken();
+    void moduleIdsBelongToOneIncarnation() {
+        giveUp(true);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.accepted("s", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 2, 7);
+        fixture.after(100 * MS).answered("s", 503, "");
+        assertViolations();
     }
 
     // ---- bad clients
 
     @Test
-    void aBadClientGetsAnErrorOrAClose() {
-        scene.at(S);
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.badClientConnected("bad-2", 4 * S);
-        scene.judge.badClientConnected("bad-3", 4 * S);
-        scene.at(4 * S);
-        scene.judge.badClientEnded("bad-1", 400);
-        scene.judge.badClientEnded("bad-2", 0);
-        assertBroken();
-        scene.after(1);
-        assertBroken(Rule.BAD_CLIENT);
-        assertEquals("bad-3", scene.judge.violations().get(0).subject());
+    void badClientWithoutAnErrorOrCloseIsReported() {
+        fixture.at(S);
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.badClientConnected("bad-2", 4 * S);
+        fixture.checker.badClientConnected("bad-3", 4 * S);
+        fixture.at(4 * S);
+        fixture.checker.badClientEnded("bad-1", 400);
+        fixture.checker.badClientEnded("bad-2", 0);
+        assertViolations();
+        fixture.after(1);
+        assertViolations(Rule.BAD_CLIENT);
+        assertEquals("bad-3", fixture.checker.violations().get(0).subject());
     }
 
     @Test
-    void aPausePutsThatOff() {
-        scene.at(S);
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
-        scene.at(5 * S);
-        assertBroken();
-        scene.after(1);
-        assertBroken(Rule.BAD_CLIENT);
+    void pauseExtendsTheLimitForBadClients() {
+        fixture.at(S);
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
+        fixture.at(5 * S);
+        assertViolations();
+        fixture.after(1);
+        assertViolations(Rule.BAD_CLIENT);
     }
 
     @Test
-    void aBadClientIsNotServed() {
-        scene.judge.badClientConnected("bad-1", 4 * S);
-        scene.judge.badClientEnded("bad-1", 200);
-        assertBroken(Rule.BAD_CLIENT);
+    void servedBadClientIsReported() {
+        fixture.checker.badClientConnected("bad-1", 4 * S);
+        fixture.checker.badClientEnded("bad-1", 200);
+        assertViolations(Rule.BAD_CLIENT);
     }
 
-    // ---- ends
+    // ---- exits
 
     @Test
-    void noOneEndsUntold() {
-        scene.judge.sidecarSighup(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        assertBroken(Rule.CRASH);
+    void exitWithoutSigtermIsReported() {
+        fixture.checker.sidecarSighup(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        assertViolations(Rule.CRASH);
     }
 
     @Test
-    void onSigtermItMay() {
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        assertBroken();
+    void exitAfterSigtermIsAccepted() {
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        assertViolations();
     }
 
     @Test
-    void anEarlierProcessesSigtermIsNotItsOwn() {
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.sidecarExited(Scene.SIDE, 2, 0);
-        assertBroken(Rule.CRASH);
+    void sigtermOfAnEarlierProcessDoesNotCount() {
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 2, 0);
+        assertViolations(Rule.CRASH);
     }
 
-    // ---- books
+    // ---- resource counts
 
     @Test
-    void emptyBooksAreFine() {
+    void countsWithinTheBaselineAreAccepted() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.checkResources(
-                Scene.SIDE, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
-        scene.judge.checkResources(
+        fixture.checker.checkResources(
+                CheckerFixture.SIDECAR, new ResourceCounts(0, 0, 1, 2, 9, 64, List.of()), baseline);
+        fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 2, 0, 0, List.of()), baseline);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void connectionsThatAreNotCountedAreTold() {
+    void uncountedConnectionsAreReported() {
         ResourceCounts baseline = new ResourceCounts(0, 0, 1, 2, 9, 64, List.of());
-        scene.judge.checkResources(
-                Scene.SIDE, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
-        scene.judge.checkResources(
+        fixture.checker.checkResources(
+                CheckerFixture.SIDECAR, new ResourceCounts(0, 0, 0, 2, 9, 64, List.of()), baseline);
+        fixture.checker.checkResources(
                 "side-1", new ResourceCounts(0, 0, 1, 1, 9, 64, List.of()), baseline);
-        assertBroken(Rule.BOOKS, Rule.BOOKS);
+        assertViolations(Rule.BOOKS, Rule.BOOKS);
     }
 
     @Test
-    void whateverIsLeftIsALeak() {
+    void anyCountAboveTheBaselineIsALeak() {
         List<ResourceCounts> leaks =
                 List.of(
                         new ResourceCounts(1, 0, 0, 0, 0, 0, List.of()),
@@ -171,152 +173,152 @@
                         new ResourceCounts(0, 0, 0, 0, 1, 0, List.of()),
                                 new ResourceCounts(0, 0, 0, 0, 0, 1, List.of()));
         for (int i = 0; i < leaks.size(); i++) {
-            scene.judge.checkResources("side-" + i, leaks.get(i), ResourceCounts.empty());
-            assertEquals(i + 1, scene.rules().size());
-            assertEquals(Rule.LEAK, scene.rules().get(i));
+            fixture.checker.checkResources("side-" + i, leaks.get(i), ResourceCounts.empty());
+            assertEquals(i + 1, fixture.rules().size());
+            assertEquals(Rule.LEAK, fixture.rules().get(i));
         }
     }
 
     @Test
-    void anExceptionThatEscapesIsACrash() {
+    void escapedExceptionIsACrash() {
         ResourceCounts now = new ResourceCounts(0, 0, 0, 0, 0, 0, List.of("NullPointerException"));
-        scene.judge.checkResources(Scene.SIDE, now, ResourceCounts.empty());
-        assertBroken(Rule.CRASH);
-        assertTrue(scene.judge.violations().get(0).what().contains("NullPointerException"));
+        fixture.checker.checkResources(CheckerFixture.SIDECAR, now, ResourceCounts.empty());
+        assertViolations(Rule.CRASH);
+        assertTrue(fixture.checker.violations().get(0).what().contains("NullPointerException"));
     }
 
     // ---- recovery
 
-    private void asksAndIsServed(int from, int count, int unserved) {
+    private void sendRequests(int from, int count, int unserved) {
         for (int i = from; i < from + count; i++) {
-            scene.taken("r" + i, Scene.STOCK_CHECK, 400 * MS).after(MS);
+            fixture.accepted("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS).after(MS);
             if (i - from < unserved) {
-                scene.answered("r" + i, 503, "");
+                fixture.answered("r" + i, 503, "");
             } else {
-                scene.served("a-1", "r" + i);
+                fixture.served("a-1", "r" + i);
             }
         }
     }
 
-    private void recoveredBy(long after, int unserved) {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(S + after);
-        asksAndIsServed(0, 300, unserved);
-        scene.after(S);
-        scene.judge.dayEnded();
+    private void playRecovery(long after, int unserved) {
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(S + after);
+        sendRequests(0, 300, unserved);
+        fixture.after(S);
+        fixture.checker.dayEnded();
     }
 
     @Test
-    void tenSecondsAfterTheLastFaultAllIsServed() {
-        recoveredBy(10 * S, 3);
-        assertBroken();
-        assertEquals(300, scene.judge.judgedForRecovery());
+    void onePercentOfFailuresAfterRecoveryIsAccepted() {
+        playRecovery(10 * S, 3);
+        assertViolations();
+        assertEquals(300, fixture.checker.judgedForRecovery());
     }
 
     @Test
-    void butForOneInAHundred() {
-        recoveredBy(10 * S, 4);
-        assertBroken(Rule.NOT_RECOVERED);
+    void moreThanOnePercentOfFailuresAfterRecoveryIsReported() {
+        playRecovery(10 * S, 4);
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void whatIsAskedBeforeDoesNotCount() {
-        recoveredBy(9 * S, 200);
-        assertBroken();
+    void requestsBeforeTheRecoveryTimeDoNotCount() {
+        playRecovery(9 * S, 200);
+        assertViolations();
     }
 
     @Test
-    void aDayWhoseFaultsNeverEndIsNotJudged() {
-        scene.at(20 * S);
-        asksAndIsServed(0, 300, 300);
-        scene.after(S);
-        scene.judge.dayEnded();
-        assertBroken();
+    void dayWhoseFaultsNeverEndIsNotChecked() {
+        fixture.at(20 * S);
+        sendRequests(0, 300, 300);
+        fixture.after(S);
+        fixture.checker.dayEnded();
+        assertViolations();
     }
 
     @Test
-    void oneThatGetsNoAnswerOrNoConnectionCounts() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+    void requestWithoutAnAnswerOrConnectionCounts() {
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 2; i++) {
-            scene.judge.requestStarted(
+            fixture.checker.requestStarted(
                     new ClientAttempt(
                             "r" + i,
                             "r" + i,
                             0,
-                            Scene.SIDE,
+                            CheckerFixture.SIDECAR,
                             0,
                             0,
                             null,
                             i,
-                            scene.now,
+                            fixture.now,
                             400 * MS,
                             500 * MS));
         }
-        scene.at(13 * S);
-        scene.judge.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
+        fixture.at(13 * S);
+        fixture.checker.dayEnded();
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void whoseConnectionAnotherClosesDoesNotButWhoLeavesUnansweredDoes() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+    void requestCountsOnlyIfItsClientWaitedForTheDeadline() {
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 4; i++) {
-            scene.taken("r" + i, Scene.STOCK_CHECK, 400 * MS);
+            fixture.accepted("r" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
-        scene.after(399 * MS);
-        scene.judge.clientGaveUp("r0");
-        scene.judge.clientGaveUp("r1");
-        scene.after(MS);
-        scene.judge.clientGaveUp("r2");
-        scene.judge.clientGaveUp("r3");
-        scene.after(S);
-        scene.judge.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
-        assertEquals(2, scene.judge.judgedForRecovery());
+        fixture.after(399 * MS);
+        fixture.checker.clientGaveUp("r0");
+        fixture.checker.clientGaveUp("r1");
+        fixture.after(MS);
+        fixture.checker.clientGaveUp("r2");
+        fixture.checker.clientGaveUp("r3");
+        fixture.after(S);
+        fixture.checker.dayEnded();
+        assertViolations(Rule.NOT_RECOVERED);
+        assertEquals(2, fixture.checker.judgedForRecovery());
     }
 
     @Test
-    void theImpatientAndThoseStillWaitingDoNot() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.at(12 * S);
+    void impatientAndStillWaitingClientsDoNotCount() {
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.at(12 * S);
         for (int i = 0; i < 9; i++) {
-            scene.taken("i" + i, Scene.STOCK_CHECK, 400 * MS, 399 * MS);
-            scene.judge.clientGaveUp("i" + i);
+            fixture.accepted("i" + i, CheckerFixture.STOCK_CHECK, 400 * MS, 399 * MS);
+            fixture.checker.clientGaveUp("i" + i);
         }
         for (int i = 0; i < 9; i++) {
-            scene.taken("w" + i, Scene.STOCK_CHECK, 400 * MS);
+            fixture.accepted("w" + i, CheckerFixture.STOCK_CHECK, 400 * MS);
         }
-        scene.after(419 * MS);
-        scene.judge.dayEnded();
-        assertBroken();
-        assertEquals(0, scene.judge.judgedForRecovery());
+        fixture.after(419 * MS);
+        fixture.checker.dayEnded();
+        assertViolations();
+        assertEquals(0, fixture.checker.judgedForRecovery());
     }
 
     @Test
     void sidecarThatNeverBecomesReadyHasNotRecovered() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.sidecarStarted("side-1", 1);
-        scene.judge.sidecarReady("side-1", 1);
-        scene.at(11 * S);
-        scene.judge.dayEnded();
-        assertBroken(Rule.NOT_RECOVERED);
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.sidecarStarted("side-1", 1);
+        fixture.checker.sidecarReady("side-1", 1);
+        fixture.at(11 * S);
+        fixture.checker.dayEnded();
+        assertViolations(Rule.NOT_RECOVERED);
     }
 
     @Test
-    void oneThatHasJustBegunNeedNotBeReady() {
-        scene.at(S);
-        scene.judge.lastFaultEnded();
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.at(11 * S - 1);
-        scene.judge.dayEnded();
-        assertBroken();
+    void sidecarThatHasJustStartedNeedNotBeReady() {
+        fixture.at(S);
+        fixture.checker.lastFaultEnded();
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.at(11 * S - 1);
+        fixture.checker.dayEnded();
+        assertViolations();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/ProcessRulesTest.java
@@ -5,194 +5,194 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on what a process says of itself, how it ends, and how it asks discovery. */
+/** Tests the rules on Retry-After, readiness, shutdown and calls of discovery. */
 class ProcessRulesTest {
-    private static final long MS = Scene.MS;
-    private static final long S = Scene.S;
-    private final Scene scene = new Scene();
+    private static final long MS = CheckerFixture.MS;
+    private static final long S = CheckerFixture.S;
+    private final CheckerFixture fixture = new CheckerFixture();
 
-    private void assertBroken(Rule... rules) {
-        assertEquals(List.of(rules), scene.rules());
+    private void assertViolations(Rule... rules) {
+        assertEquals(List.of(rules), fixture.rules());
     }
 
-    // ---- come again
+    // ---- Retry-After
 
     private void answered(int status, long retryAfter) {
-        scene.at(S).taken("r", Scene.STOCK_CHECK, 400 * MS);
-        scene.judge.answered("r", status, "", retryAfter, scene.now);
+        fixture.at(S).accepted("r", CheckerFixture.STOCK_CHECK, 400 * MS);
+        fixture.checker.answered("r", status, "", retryAfter, fixture.now);
     }
 
     @Test
-    void aRefusalSaysWhenToComeAgain() {
+    void refusalMayCarryRetryAfter() {
         answered(503, S);
         answered(429, -1);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void notAfterLongerThanIsAllowed() {
+    void retryAfterLongerThanAllowedIsReported() {
         answered(503, S + 1);
-        assertBroken(Rule.RETRY_AFTER);
+        assertViolations(Rule.RETRY_AFTER);
     }
 
     @Test
-    void norAnyOtherAnswer() {
+    void retryAfterOnAnotherAnswerIsReported() {
         answered(504, 0);
-        assertBroken(Rule.RETRY_AFTER);
+        assertViolations(Rule.RETRY_AFTER);
     }
 
-    // ---- ready
+    // ---- readiness
 
     private void ready(int status) {
-        scene.judge.readinessAnswered(Scene.SIDE, status, scene.now);
+        fixture.checker.readinessAnswered(CheckerFixture.SIDECAR, status, fixture.now);
     }
 
     @Test
-    void whoHasAServerIsReady() {
-        scene.at(S).told("a-1", "Ready", 0);
+    void sidecarWithAReadyServerMayReportReady() {
+        fixture.at(S).delivered("a-1", "Ready", 0);
         ready(200);
-        assertBroken();
+        assertViolations();
     }
 
     @Test
-    void whoHasNoneIsNot() {
-        scene.at(S);
+    void sidecarWithoutAServerMustNotReportReady() {
+        fixture.at(S);
         ready(503);
-        assertBroken();
+        assertViolations();
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void whereAllDrainItIsNotReadyWhenTheGraceIsOver() {
-        scene.at(S).told("a-1", "Ready", 0).at(2 * S).told("a-1", "Terminating", 0);
-        scene.after(scene.figures.drainGrace() + scene.figures.socketSlack() - 1);
+    void sidecarWithDrainingServersOnlyIsNotReadyAfterTheGracePeriod() {
+        fixture.at(S).delivered("a-1", "Ready", 0).at(2 * S).delivered("a-1", "Terminating", 0);
+        fixture.after(fixture.bounds.drainGrace() + fixture.bounds.socketSlack() - 1);
         ready(200);
-        assertBroken();
-        scene.after(1);
+        assertViolations();
+        fixture.after(1);
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void norAfterSigterm() {
-        scene.at(S).told("a-1", "Ready", 0);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.after(60 * MS);
+    void readyAfterSigtermIsReported() {
+        fixture.at(S).delivered("a-1", "Ready", 0);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.after(60 * MS);
         ready(200);
-        assertBroken();
-        scene.after(1);
+        assertViolations();
+        fixture.after(1);
         ready(200);
-        assertBroken(Rule.READY);
+        assertViolations(Rule.READY);
     }
 
     @Test
-    void whoStoodStillMayNotHaveHeard() {
-        scene.at(S).told("a-1", "Ready", 0);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarPaused(Scene.SIDE, S, 2 * S);
-        scene.at(2 * S);
+    void pausedSidecarMayReportReadyAfterSigterm() {
+        fixture.at(S).delivered("a-1", "Ready", 0);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, S, 2 * S);
+        fixture.at(2 * S);
         ready(200);
-        assertBroken();
+        assertViolations();
     }
 
-    // ---- ends
+    // ---- shutdown
 
     @Test
-    void connectionsAreTakenForAWhileAfterSigterm() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.after(400 * MS);
-        scene.judge.connectRefused(Scene.SIDE, scene.now);
-        assertBroken(Rule.ENDING);
+    void connectionRefusedSoonAfterSigtermIsReported() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.after(400 * MS);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whatIsRefusedLaterMayHaveComeLater() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.after(400 * MS + 1);
-        scene.judge.connectRefused(Scene.SIDE, S + MS);
-        assertBroken();
+    void connectionRefusedLaterMayHaveArrivedLater() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.after(400 * MS + 1);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, S + MS);
+        assertViolations();
     }
 
     @Test
-    void alsoByAProcessThatHasEndedByItself() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarExited(Scene.SIDE, 1, 0);
-        scene.judge.connectRefused(Scene.SIDE, scene.now);
-        assertBroken(Rule.ENDING);
+    void refusalByAnExitedProcessIsReported() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarExited(CheckerFixture.SIDECAR, 1, 0);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whoRunsRefusesNone() {
-        scene.at(S);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        scene.judge.connectRefused(Scene.SIDE, scene.now);
-        scene.judge.sidecarStarted(Scene.SIDE, 2);
-        scene.judge.connectRefused(Scene.SIDE, scene.now);
-        scene.at(2 * S).judge.sidecarReady(Scene.SIDE, 2);
-        assertBroken();
-        scene.judge.connectRefused(Scene.SIDE, scene.now);
-        assertBroken(Rule.ENDING);
+    void refusalByARunningReadyProcessIsReported() {
+        fixture.at(S);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        fixture.checker.sidecarStarted(CheckerFixture.SIDECAR, 2);
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        fixture.at(2 * S).checker.sidecarReady(CheckerFixture.SIDECAR, 2);
+        assertViolations();
+        fixture.checker.connectRefused(CheckerFixture.SIDECAR, fixture.now);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void aProcessEndsByItselfBeforeItIsKilled() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.at(S + 2250 * MS - 1);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        assertBroken();
+    void earlySigkillIsNotAShutdownViolation() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.at(S + 2250 * MS - 1);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     @Test
-    void killedLaterItHasNot() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.at(S + 2250 * MS);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        assertBroken(Rule.ENDING);
+    void processStillRunningAtSigkillIsReported() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.at(S + 2250 * MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations(Rule.ENDING);
     }
 
     @Test
-    void whoStoodStillMeanwhileIsExcused() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.sidecarPaused(Scene.SIDE, 2 * S, 3 * S);
-        scene.at(S + 2200 * MS);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        assertBroken();
+    void pauseDuringShutdownIsExcused() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.sidecarPaused(CheckerFixture.SIDECAR, 2 * S, 3 * S);
+        fixture.at(S + 2200 * MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     @Test
-    void soIsWhoCouldNotReachItsClients() {
-        scene.at(S);
-        scene.judge.sidecarSigterm(Scene.SIDE, 1);
-        scene.judge.clientLinkTroubled(Scene.SIDE, null, 2 * S, 3 * S);
-        scene.at(S + 2200 * MS);
-        scene.judge.sidecarKilled(Scene.SIDE, 1);
-        assertBroken();
+    void linkTroubleDuringShutdownIsExcused() {
+        fixture.at(S);
+        fixture.checker.sidecarSigterm(CheckerFixture.SIDECAR, 1);
+        fixture.checker.clientLinkTroubled(CheckerFixture.SIDECAR, null, 2 * S, 3 * S);
+        fixture.at(S + 2200 * MS);
+        fixture.checker.sidecarKilled(CheckerFixture.SIDECAR, 1);
+        assertViolations();
     }
 
     // ---- discovery
 
     @Test
-    void twoConnectionsToDiscoveryAreEnough() {
-        scene.judge.discoveryConnecting(Scene.SIDE, 2);
-        assertBroken();
-        scene.judge.discoveryConnecting(Scene.SIDE, 3);
-        assertBroken(Rule.DISCOVERY);
+    void thirdConnectionToDiscoveryIsReported() {
+        fixture.checker.discoveryConnecting(CheckerFixture.SIDECAR, 2);
+        assertViolations();
+        fixture.checker.discoveryConnecting(CheckerFixture.SIDECAR, 3);
+        assertViolations(Rule.DISCOVERY);
     }
 
     @Test
-    void itIsNotAskedTooOften() {
+    void tooManyDiscoveryCallsWithinASecondAreReported() {
         for (int i = 0; i < 100; i++) {
-            scene.at(S + i * 50 * MS).judge.discoveryCall(Scene.SIDE, i, true, 0);
+            fixture.at(S + i * 50 * MS).checker.discoveryCall(CheckerFixture.SIDECAR, i, true, 0);
         }
-        assertBroken();
-        scene.after(MS).judge.discoveryCall(Scene.SIDE, 100, true, 0);
-        assertBroken(Rule.DISCOVERY);
+        assertViolations();
+        fixture.after(MS).checker.discoveryCall(CheckerFixture.SIDECAR, 100, true, 0);
+        assertViolations(Rule.DISCOVERY);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/RequestRuleTest.java
@@ -8,101 +8,106 @@
 import org.junit.jupiter.api.Test;
 
 class RequestRuleTest {
-    private static final long MS = Scene.MS;
+    private static final long MS = CheckerFixture.MS;
     private static final long DEADLINE = 400 * MS;
     private static final Message OWN =
             Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3);
-    private final Scene scene = new Scene();
+    private final CheckerFixture fixture = new CheckerFixture();
 
     @BeforeEach
     void begin() {
-        scene.at(Scene.S).taken("r", Scene.STOCK_HOLD, DEADLINE);
-        scene.judge.requestMessage("r", OWN);
-        scene.after(10 * MS);
+        fixture.at(CheckerFixture.S).accepted("r", CheckerFixture.STOCK_HOLD, DEADLINE);
+        fixture.checker.requestMessage("r", OWN);
+        fixture.after(10 * MS);
     }
 
-    private void reads(String id, Message message, long deadline) {
-        scene.judge.serverReadMessage("a-1", Scene.SIDE, id, message, deadline, scene.now - MS);
+    private void serverReads(String id, Message message, long deadline) {
+        fixture.checker.serverReadMessage(
+                "a-1", CheckerFixture.SIDECAR, id, message, deadline, fixture.now - MS);
     }
 
-    private void assertFound(String what) {
-        assertEquals(List.of(Rule.WRONG_REQUEST), scene.rules());
+    private void assertViolation(String what) {
+        assertEquals(List.of(Rule.WRONG_REQUEST), fixture.rules());
         assertTrue(
-                scene.judge.violations().get(0).what().contains(what),
-                scene.judge.violations().toString());
+                fixture.checker.violations().get(0).what().contains(what),
+                fixture.checker.violations().toString());
     }
 
     @Test
-    void whatComesAsItWasWrittenIsFine() {
-        reads("r", Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3, 4}, 3), 390 * MS);
-        reads("bad-1", OWN, 0);
-        assertEquals(List.of(), scene.rules());
+    void unchangedRequestIsAccepted() {
+        serverReads(
+                "r", Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 3, 4}, 3), 390 * MS);
+        serverReads("bad-1", OWN, 0);
+        assertEquals(List.of(), fixture.rules());
     }
 
     @Test
-    void noneOfItMayChange() {
-        reads("r", Message.of("GET", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3), 390 * MS);
-        assertFound("method GET instead of POST");
+    void changedMethodIsReported() {
+        serverReads("r", Message.of("GET", "/api/x?a=1", "k", new byte[] {1, 2, 3}, 3), 390 * MS);
+        assertViolation("method GET instead of POST");
     }
 
     @Test
-    void theQueryBelongsToIt() {
-        reads("r", Message.of("POST", "/api/x", null, new byte[] {1, 2}, 2), 390 * MS);
-        assertFound(
+    void changedQueryKeyAndLengthAreReported() {
+        serverReads("r", Message.of("POST", "/api/x", null, new byte[] {1, 2}, 2), 390 * MS);
+        assertViolation(
                 "path and query /api/x instead of /api/x?a=1, Idempotency-Key null instead of k, "
                         + "length 2 instead of 3");
     }
 
     @Test
-    void theBodyByEachByte() {
-        reads("r", Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 4}, 3), 390 * MS);
-        assertFound("another body");
+    void changedBodyIsReported() {
+        serverReads("r", Message.of("POST", "/api/x?a=1", "k", new byte[] {1, 2, 4}, 3), 390 * MS);
+        assertViolation("another body");
     }
 
     @Test
-    void anIdThatNobodyHasUsedIsNoOnes() {
-        reads("rr", OWN, 390 * MS);
-        assertFound("an id that no client has used");
+    void unknownIdIsReported() {
+        serverReads("rr", OWN, 390 * MS);
+        assertViolation("an id that no client has used");
     }
 
     @Test
-    void norMayItBeLeftOut() {
-        reads("", OWN, 390 * MS);
-        assertFound("without an id");
+    void missingIdIsReported() {
+        serverReads("", OWN, 390 * MS);
+        assertViolation("without an id");
     }
 
     @Test
-    void theModuleIsToldWhatTheClientSaid() {
-        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 0, false);
-        scene.judge.moduleRequest(Scene.SIDE, 99, Scene.STOCK_CHECK, 4, true);
-        assertEquals(List.of(), scene.rules());
-        scene.judge.moduleRequest(Scene.SIDE, scene.key(), Scene.STOCK_HOLD, 1, false);
-        assertFound("tenant 1, repeat false instead of class 1, tenant 0");
+    void moduleMustGetTheClientsAttributes() {
+        fixture.checker.moduleRequest(
+                CheckerFixture.SIDECAR, fixture.key(), CheckerFixture.STOCK_HOLD, 0, false);
+        fixture.checker.moduleRequest(
+                CheckerFixture.SIDECAR, 99, CheckerFixture.STOCK_CHECK, 4, true);
+        assertEquals(List.of(), fixture.rules());
+        fixture.checker.moduleRequest(
+                CheckerFixture.SIDECAR, fixture.key(), CheckerFixture.STOCK_HOLD, 1, false);
+        assertViolation("tenant 1, retry false instead of class 1, tenant 0");
     }
 
     @Test
-    void noLongerDeadlineThanTheClients() {
-        reads("r", OWN, 401 * MS);
-        assertFound("a deadline of 0.401000000s");
+    void deadlineLongerThanTheClientsIsReported() {
+        serverReads("r", OWN, 401 * MS);
+        assertViolation("a deadline of 0.401000000s");
     }
 
     @Test
-    void norThanWhatIsLeft() {
-        scene.after(100 * MS);
-        // Of the time that the loop and the link may take something is left to it.
-        reads("r", OWN, 305 * MS);
-        assertEquals(List.of(), scene.rules());
-        reads("r", OWN, 307 * MS);
-        assertFound("a deadline of 0.307000000s");
+    void deadlineLongerThanTheRemainingTimeIsReported() {
+        fixture.after(100 * MS);
+        // The delays of the loop and the link are granted on top of the remaining time.
+        serverReads("r", OWN, 305 * MS);
+        assertEquals(List.of(), fixture.rules());
+        serverReads("r", OWN, 307 * MS);
+        assertViolation("a deadline of 0.307000000s");
     }
 
     @Test
-    void noneIsNoDeadlineButInTheLastMoments() {
-        scene.after(375 * MS);
-        reads("r", OWN, 0);
-        assertEquals(List.of(), scene.rules());
-        scene.at(scene.now - 20 * MS);
-        reads("r", OWN, 0);
-        assertFound("a deadline of 0.000000000s");
+    void zeroDeadlineIsAcceptedOnlyInTheLastMoments() {
+        fixture.after(375 * MS);
+        serverReads("r", OWN, 0);
+        assertEquals(List.of(), fixture.rules());
+        fixture.at(fixture.now - 20 * MS);
+        serverReads("r", OWN, 0);
+        assertViolation("a deadline of 0.000000000s");
     }
 }
