--- a/testbed/src/main/java/appleridge/testbed/campaign/DayPlayer.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/DayPlayer.java
@@ -152,19 +152,19 @@
 
             @Override
             public int clientConnections(String sidecar) {
-                return world.clientsOf(sidecar);
+                return world.openClientConnections(sidecar);
             }
 
             @Override
             public int upstreamConnections(String sidecar) {
-                return world.upstreamsOf(sidecar);
+                return world.openUpstreamConnections(sidecar);
             }
         };
     }
 
     private InvariantBounds figures() {
         return InvariantBounds.usual()
-                .withDelays(plan.longestWay(), plan.longestWork())
+                .withDelays(plan.maxClientTransferNanos(), plan.maxLoopBacklogNanos())
                 .withAskWithin(plan.size(ScenarioParameter.ASK_WITHIN))
                 .withWindowOfZones(plan.size(ScenarioParameter.KEY_WINDOW))
                 .withLongestDeadline(plan.size(ScenarioParameter.LONGEST_DEADLINE))
--- a/testbed/src/main/java/appleridge/testbed/campaign/Shrink.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Shrink.java
@@ -3,8 +3,8 @@
 import appleridge.testbed.invariants.InvariantViolation;
 import appleridge.testbed.invariants.Rule;
 import appleridge.testbed.invariants.Verdict;
-import appleridge.testbed.simulation.Nearest;
 import appleridge.testbed.simulation.Plan;
+import appleridge.testbed.simulation.Suggestions;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -84,7 +84,7 @@
         List<String> known = Arrays.stream(Rule.values()).map(Rule::name).toList();
         String name = word.toUpperCase(Locale.ROOT).replace('-', '_');
         if (!known.contains(name)) {
-            throw new IllegalArgumentException(Nearest.unknown("rule", word, known));
+            throw new IllegalArgumentException(Suggestions.unknownName("rule", word, known));
         }
         return Rule.valueOf(name);
     }
@@ -111,9 +111,9 @@
                         + " of "
                         + plan.faults().size()
                         + " faults and "
-                        + left.unusual().size()
+                        + left.nonDefaultParameters().size()
                         + " of "
-                        + plan.unusual().size()
+                        + plan.nonDefaultParameters().size()
                         + " unusual sizes are left after "
                         + shrinker.plays()
                         + " plays");
--- a/testbed/src/main/java/appleridge/testbed/campaign/Shrinker.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/Shrinker.java
@@ -105,12 +105,12 @@
 
     private void resetSizes() {
         Plan usual = plan;
-        for (ScenarioParameter each : plan.unusual()) {
-            usual = usual.withUsual(each);
+        for (ScenarioParameter each : plan.nonDefaultParameters()) {
+            usual = usual.withDefault(each);
         }
         if (!take(usual)) {
-            for (ScenarioParameter each : new ArrayList<>(plan.unusual())) {
-                take(plan.withUsual(each));
+            for (ScenarioParameter each : new ArrayList<>(plan.nonDefaultParameters())) {
+                take(plan.withDefault(each));
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -196,7 +196,7 @@
                 day.evidence.connectRefused(seat.name(), openedAt);
             }
             if (waiting != null) {
-                seat.unreachable();
+                seat.connectFailed();
                 waiting.unsent();
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -88,7 +88,7 @@
         AppConnection opened = new AppConnection(day, this, seat, asking);
         if (opened.connect()) {
             connections.add(opened);
-            seat.connections(1);
+            seat.addConnections(1);
         } else {
             asking.unsent();
         }
@@ -155,7 +155,7 @@
 
     void closed(AppConnection connection) {
         if (connections.remove(connection)) {
-            connection.seat().connections(-1);
+            connection.seat().addConnections(-1);
         }
         free.remove(connection);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
@@ -105,7 +105,8 @@
         }
         Message message =
                 Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
-        day.asked.add(id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
+        day.asked.add(
+                id, new SentRequestRegistry.SentRequest(wish.requestClass, message, wish.work));
         day.evidence.requestStarted(
                 new ClientAttempt(
                         id,
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -64,7 +64,7 @@
     }
 
     private void one(BadKind kind, ProcessSlot seat, int again) {
-        String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clients;
+        String name = Site.BAD_CLIENT_ID_PREFIX + FaultKind.word(kind) + '-' + ++clients;
         if (kind == BadKind.HIDDEN) {
             day.evidence.badClientHidRequest(name, BadRequests.hiddenId(name));
         }
@@ -81,10 +81,10 @@
         for (Application each : applications) {
             String id = each.openId(seat);
             if (id != null) {
-                String name = Site.BAD_ID + "same-" + ++clients;
-                day.asked.borrow(id);
-                day.evidence.badClientReusedId(name, Site.BAD_ID + id, id);
-                Script script = requests.same(id, day.asked.form(id).method());
+                String name = Site.BAD_CLIENT_ID_PREFIX + "same-" + ++clients;
+                day.asked.markReused(id);
+                day.evidence.badClientReusedId(name, Site.BAD_CLIENT_ID_PREFIX + id, id);
+                Script script = requests.same(id, day.asked.find(id).method());
                 new BadClient(day, host, seat, BadKind.SAME_ID, name, script, () -> {}).connect();
                 return;
             }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
@@ -24,10 +24,10 @@
     boolean tips(long now, long work, String sidecar, double capacity) {
         window.add(new Sent(now, work, sidecar));
         sum += work;
-        while (window.peek().at() <= now - Site.TIP_AFTER) {
+        while (window.peek().at() <= now - Site.COLLAPSE_AFTER) {
             sum -= window.poll().work();
         }
-        return sum > Site.OVERLOAD_FACTOR * capacity * Site.TIP_AFTER + SLACK;
+        return sum > Site.OVERLOAD_FACTOR * capacity * Site.COLLAPSE_AFTER + SLACK;
     }
 
     /** Seconds of work in the window, by who sent them. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -136,9 +136,10 @@
     private void answer(Fault fault, ObservedRequest request) {
         tell(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
-            day.asked.spoil(request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
+            day.asked.corruptResponse(
+                    request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
         } else {
-            day.asked.extra(request.id(), FaultKind.of(ResponseExtra.class, fault.style()));
+            day.asked.addExtra(request.id(), FaultKind.of(ResponseExtra.class, fault.style()));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Nodes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoordinationService.java
@@ -3,7 +3,7 @@
 import appleridge.testbed.invariants.DayListener;
 
 /** The coordination service and the servers' registrations there, on days that have them. */
-final class Nodes implements DayListener {
+final class CoordinationService implements DayListener {
     private Ensemble ensemble;
     private Registrations registrations;
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Repeats.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Deduplicator.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /** What one group of order servers remembers together of the keys that it has taken. */
-final class Repeats {
+final class Deduplicator {
     private final long window;
     private final Map<String, Long> taken = new HashMap<>();
 
-    Repeats(long window) {
+    Deduplicator(long window) {
         this.window = window;
     }
 
     /** Whether this key was taken within the window; else it is now. */
-    boolean isRepeat(String key, long now) {
+    boolean isDuplicate(String key, long now) {
         Long before = taken.get(key);
         if (before != null && now - before < window) {
             return true;
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -33,13 +33,13 @@
      */
     void strike(Fault fault, ObservedRequest request) {
         if (day.isTroubled() && fault.kind().ofNodes()) {
-            nodes.strike(fault, request);
+            nodes.inject(fault, request);
         } else if (day.isTroubled()) {
             switch (fault.kind().target()) {
                 case UPSTREAM, ANSWER, CLIENT -> connections.strike(fault, request);
-                case SERVER -> servers.strike(fault, request);
+                case SERVER -> servers.inject(fault, request);
                 case LIST -> lists.strike(fault, request);
-                default -> sidecars.strike(fault, request);
+                default -> sidecars.inject(fault, request);
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -71,7 +71,7 @@
     /** It closes its idle connections. */
     CLOSE_IDLE(Target.SERVER),
     /** Its load reports are late, wrong or unreadable. */
-    REPORTS(Target.SERVER, Report.class, FaultParameter.FOR),
+    REPORTS(Target.SERVER, LoadReportQuality.class, FaultParameter.FOR),
 
     /** Discovery's process is down: watches end, calls are refused. */
     LIST_DOWN(Target.LIST, FaultParameter.FOR),
@@ -291,7 +291,7 @@
             }
         }
         throw new IllegalArgumentException(
-                Nearest.unknown(
+                Suggestions.unknownName(
                         what,
                         word,
                         Arrays.stream(type.getEnumConstants()).map(FaultKind::word).toList()));
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -145,7 +145,7 @@
             long firstByteSentAt,
             long lastByteSentAt,
             long work) {
-        SentRequestRegistry.Form form = day.asked.form(id);
+        SentRequestRegistry.SentRequest form = day.asked.find(id);
         if (form == null || form.key() == null || windows.containsKey(id)) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
@@ -10,7 +10,8 @@
 final class Fleet {
     private final List<Machine> machines = new ArrayList<>();
     private final Instances instances;
-    private final Repeats[][] repeats = new Repeats[Classes.ALL.size()][Site.ZONES.size()];
+    private final Deduplicator[][] repeats =
+            new Deduplicator[Classes.ALL.size()][Site.ZONES.size()];
 
     Fleet(Plan plan, Instances instances) {
         this.instances = instances;
@@ -18,9 +19,9 @@
             Classes.Kind kind = Classes.of(i);
             if (kind.keyed()) {
                 boolean all = kind.scope() == DeduplicationScope.ALL;
-                Repeats shared = new Repeats(plan.window(kind));
+                Deduplicator shared = new Deduplicator(plan.window(kind));
                 for (int zone = 0; zone < repeats[i].length; zone++) {
-                    repeats[i][zone] = all ? shared : new Repeats(plan.window(kind));
+                    repeats[i][zone] = all ? shared : new Deduplicator(plan.window(kind));
                 }
             }
         }
@@ -51,7 +52,7 @@
     }
 
     /** What the servers of a site remember of a class; null for one without keys. */
-    Repeats repeats(int requestClass, int zone) {
+    Deduplicator repeats(int requestClass, int zone) {
         return repeats[requestClass][zone];
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
@@ -27,7 +27,7 @@
                     + "\",\"az\":\""
                     + Site.ZONES.get(zone)
                     + "\",\"model\":\""
-                    + Site.KIND
+                    + Site.SERVER_KIND
                     + "\",\"pod_group\":"
                     + zone
                     + ",\"state\":\""
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -24,8 +24,8 @@
     }
 
     /** The value of X-Load; null for none. */
-    String text(long now, int queue, Report how) {
-        long due = how == Report.LATE ? age + 5 * Site.SECOND : age;
+    String text(long now, int queue, LoadReportQuality how) {
+        long due = how == LoadReportQuality.LATE ? age + 5 * Site.SECOND : age;
         if (now - since > due) {
             long micros = Math.max(1, (now - since) / 1000);
             text =
--- a/testbed/src/main/java/appleridge/testbed/simulation/Report.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReportQuality.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 /** How load reports can be of no use. */
-enum Report {
+enum LoadReportQuality {
     /** As they should be. */
     GOOD,
     /** Some seconds old. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -43,7 +43,7 @@
     private long failingUntil;
     private double failing;
     private long reportUntil;
-    private Report report = Report.GOOD;
+    private LoadReportQuality report = LoadReportQuality.GOOD;
 
     OrderServer(
             Day day,
@@ -137,7 +137,7 @@
     /** A request has come whole on this connection. */
     void take(ServerConnection on, ServerConnection.Received received) {
         String id = received.id();
-        SentRequestRegistry.Form form = day.asked.form(id);
+        SentRequestRegistry.SentRequest form = day.asked.find(id);
         boolean fits = form != null && form.message().equals(received.message());
         long work =
                 !fits
@@ -184,7 +184,7 @@
     private void admit(
             ServerConnection on,
             ServerConnection.Received received,
-            SentRequestRegistry.Form form,
+            SentRequestRegistry.SentRequest form,
             long work) {
         if (isDraining()
                 || on.isSurplus()
@@ -193,9 +193,9 @@
             turnAway(on, received.id(), isDraining() || on.isSurplus());
             return;
         }
-        Repeats repeats =
+        Deduplicator repeats =
                 form.key() == null ? null : fleet.repeats(form.requestClass(), machine.zone());
-        boolean repeat = repeats != null && repeats.isRepeat(form.key(), day.now());
+        boolean repeat = repeats != null && repeats.isDuplicate(form.key(), day.now());
         long began = day.now();
         engine.offer(
                 new Engine.Job() {
@@ -231,7 +231,7 @@
                                                 ? "503 Service Unavailable"
                                                 : "504 Gateway Timeout",
                                         "X-Not-Run: 1\r\n"
-                                                + report(Report.GOOD)
+                                                + report(LoadReportQuality.GOOD)
                                                 + (close ? "Connection: close\r\n" : ""),
                                         ""))
                         .ending(close ? Script.End.CLOSE : Script.End.KEEP));
@@ -250,7 +250,7 @@
                                     "X-Not-Run: 1\r\nConnection: close\r\n",
                                     "")));
         } else {
-            on.say(Script.of(answers.good(report(Report.GOOD), make(id), 0)));
+            on.say(Script.of(answers.good(report(LoadReportQuality.GOOD), make(id), 0)));
         }
         return runs;
     }
@@ -264,18 +264,18 @@
             endWhenDrained();
             return;
         }
-        ResponseCorruption spoil = day.asked.takeSpoil(id);
+        ResponseCorruption spoil = day.asked.takeCorruption(id);
         if (spoil == null
                 && day.isTroubled()
                 && chance.hits(day.plan.part(ScenarioParameter.SPOILT))) {
             spoil = chance.pick(List.of(ResponseCorruption.values()));
         }
         if (spoil == ResponseCorruption.PAUSES) {
-            on.say(answers.pausing(answers.good(report(Report.GOOD), make(id), 0)));
+            on.say(answers.pausing(answers.good(report(LoadReportQuality.GOOD), make(id), 0)));
         } else if (spoil != null) {
             on.say(answers.spoilt(spoil, "spoilt/" + uid + '/' + id));
         } else if (fails) {
-            on.say(Script.of(answers.failed(report(Report.GOOD))));
+            on.say(Script.of(answers.failed(report(LoadReportQuality.GOOD))));
         } else {
             sayGood(on, id);
         }
@@ -290,7 +290,10 @@
             extra = chance.pick(List.of(ResponseExtra.values()));
         }
         String headers =
-                report(extra == ResponseExtra.BAD_REPORT ? Report.UNREADABLE : Report.GOOD)
+                report(
+                                extra == ResponseExtra.BAD_REPORT
+                                        ? LoadReportQuality.UNREADABLE
+                                        : LoadReportQuality.GOOD)
                         + (isDraining() ? "Connection: close\r\n" : "");
         String good = answers.good(headers, make(id), day.plan.part(ScenarioParameter.CHUNKED));
         boolean behind = extra == ResponseExtra.COPY || extra == ResponseExtra.NOISE;
@@ -312,8 +315,11 @@
         return body;
     }
 
-    private String report(Report how) {
-        Report now = how != Report.GOOD ? how : day.now() < reportUntil ? report : Report.GOOD;
+    private String report(LoadReportQuality how) {
+        LoadReportQuality now =
+                how != LoadReportQuality.GOOD
+                        ? how
+                        : day.now() < reportUntil ? report : LoadReportQuality.GOOD;
         String text = load.text(day.now(), engine.waiting(), now);
         return text == null ? "" : "X-Load: " + text + "\r\n";
     }
@@ -385,7 +391,7 @@
         failing = part;
     }
 
-    void report(long duration, Report how) {
+    void report(long duration, LoadReportQuality how) {
         reportUntil = day.now() + duration;
         report = how;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -30,7 +30,7 @@
         this.seed = seed;
         EnumMap<ScenarioParameter, Long> all = new EnumMap<>(ScenarioParameter.class);
         for (ScenarioParameter each : ScenarioParameter.values()) {
-            all.put(each, each.checked(sizes.getOrDefault(each, each.usual())));
+            all.put(each, each.checked(sizes.getOrDefault(each, each.defaultValue())));
         }
         this.sizes = Collections.unmodifiableMap(all);
         this.faults = List.copyOf(faults);
@@ -80,11 +80,11 @@
     }
 
     /** The sizes that are not as usual. */
-    public List<ScenarioParameter> unusual() {
+    public List<ScenarioParameter> nonDefaultParameters() {
         List<ScenarioParameter> unusual = new ArrayList<>();
         sizes.forEach(
                 (knob, value) -> {
-                    if (value != knob.usual()) {
+                    if (value != knob.defaultValue()) {
                         unusual.add(knob);
                     }
                 });
@@ -92,8 +92,8 @@
     }
 
     /** The same day with a size as usual. */
-    public Plan withUsual(ScenarioParameter knob) {
-        return with(knob, knob.usual());
+    public Plan withDefault(ScenarioParameter knob) {
+        return with(knob, knob.defaultValue());
     }
 
     /** From which all of the day's chance comes. */
@@ -169,14 +169,14 @@
      * The longest that a whole message takes between a client and its sidecar, while no trouble is
      * told.
      */
-    public long longestWay() {
+    public long maxClientTransferNanos() {
         double way =
                 1.2 * size(ScenarioParameter.CLIENT_DELAY) * (1 + part(ScenarioParameter.JITTER));
         return (long) (way * (1 + 2.0 * BUFFERS_IN_A_BODY)) + 5 * Site.MS;
     }
 
     /** What work that waits in a sidecar's loop may add to all it does, in a time of no trouble. */
-    public long longestWork() {
+    public long maxLoopBacklogNanos() {
         return 50 * (size(ScenarioParameter.TASK_COST) + size(ScenarioParameter.READ_COST))
                 + 300 * size(ScenarioParameter.CLOCK_COST)
                 + 5 * Site.MS;
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -99,7 +99,7 @@
         stage.length(stageChance, sizes);
         double seconds =
                 (size(ScenarioParameter.FAULTS_END)
-                                + ScenarioParameter.RECOVERY.usual()
+                                + ScenarioParameter.RECOVERY.defaultValue()
                                 + size(ScenarioParameter.CALM))
                         / (double) S;
         sizes.put(
@@ -414,7 +414,7 @@
     }
 
     private long size(ScenarioParameter knob) {
-        return sizes.getOrDefault(knob, knob.usual());
+        return sizes.getOrDefault(knob, knob.defaultValue());
     }
 
     /** Whole milliseconds read better, and shift nothing that matters. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
@@ -24,7 +24,7 @@
                         + " ...\n");
         text.append("seed ").append(plan.seed()).append('\n');
         for (ScenarioParameter each : ScenarioParameter.values()) {
-            if (plan.size(each) != each.usual()) {
+            if (plan.size(each) != each.defaultValue()) {
                 text.append("set ")
                         .append(each.word())
                         .append(' ')
@@ -127,7 +127,7 @@
                 require(!kind.styles().isEmpty(), kind.word() + " has no style");
                 require(
                         kind.styles().contains(value),
-                        Nearest.unknown("style of " + kind.word(), value, kind.styles()));
+                        Suggestions.unknownName("style of " + kind.word(), value, kind.styles()));
                 style = value;
             } else {
                 FaultParameter param = FaultKind.of(FaultParameter.class, "figure", name);
@@ -178,7 +178,9 @@
                         case SIDECAR -> numbered('n', plan.count(ScenarioParameter.SIDECARS));
                         default -> Site.ZONES;
                     };
-            require(known.contains(fault.who()), Nearest.unknown("who", fault.who(), known));
+            require(
+                    known.contains(fault.who()),
+                    Suggestions.unknownName("who", fault.who(), known));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -41,7 +41,7 @@
     private boolean hupDue;
     private long restartAfter;
     private Simulation.Event killing;
-    private Readiness readiness;
+    private ReadinessProbe readiness;
     private int connections;
 
     ProcessSlot(
@@ -102,7 +102,7 @@
         return ready;
     }
 
-    void readiness(Readiness how) {
+    void readiness(ReadinessProbe how) {
         readiness = how;
     }
 
@@ -288,7 +288,7 @@
     // ---- what its clients make of it
 
     /** So many more of the usual clients' connections are open to it; or fewer. */
-    void connections(int more) {
+    void addConnections(int more) {
         connections += more;
     }
 
@@ -298,7 +298,7 @@
     }
 
     /** A client could not connect. */
-    void unreachable() {
+    void connectFailed() {
         if (ready) {
             ready = false;
             readiness.begin();
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlots.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlots.java
@@ -14,7 +14,7 @@
     }
 
     /** Null if there is none of that name. */
-    ProcessSlot seat(String name) {
+    ProcessSlot slot(String name) {
         for (ProcessSlot each : all) {
             if (each.name().equals(name)) {
                 return each;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Readiness.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ReadinessProbe.java
@@ -10,7 +10,7 @@
  * Asks one sidecar whether it is ready: often until it is, then now and then, and often again when
  * it has been told to end, as one more who comes with a new connection.
  */
-final class Readiness {
+final class ReadinessProbe {
     private static final long EVERY = 100 * Site.MS;
     private static final long WHEN_READY = 1300 * Site.MS;
     private static final long WHEN_ENDING = 60 * Site.MS;
@@ -23,7 +23,7 @@
     private Simulation.Event next;
     private Question question;
 
-    Readiness(Day day, Host host, ProcessSlot seat) {
+    ReadinessProbe(Day day, Host host, ProcessSlot seat) {
         this.day = day;
         this.host = host;
         this.seat = seat;
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
@@ -23,7 +23,7 @@
 
     @Override
     public void connecting(SimSocket socket) {
-        if (discovery.contains(socket.peerHost()) && seats.seat(socket.host().name()) != null) {
+        if (discovery.contains(socket.peerHost()) && seats.slot(socket.host().name()) != null) {
             evidence.discoveryConnecting(socket.host().name(), open(socket.host()));
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ScenarioParameter.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ScenarioParameter.java
@@ -183,7 +183,7 @@
             }
         }
         throw new IllegalArgumentException(
-                Nearest.unknown(
+                Suggestions.unknownName(
                         "size",
                         word,
                         Arrays.stream(values()).map(ScenarioParameter::word).toList()));
@@ -193,7 +193,7 @@
         return unit;
     }
 
-    long usual() {
+    long defaultValue() {
         return usual;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
@@ -16,7 +16,7 @@
      *
      * @param work nanoseconds that it costs a core, before the servers' own chance
      */
-    record Form(int requestClass, Message message, long work) {
+    record SentRequest(int requestClass, Message message, long work) {
         String key() {
             return message.key();
         }
@@ -26,7 +26,7 @@
         }
     }
 
-    private final Map<String, Form> forms = new HashMap<>();
+    private final Map<String, SentRequest> forms = new HashMap<>();
     private final Set<String> borrowed = new HashSet<>();
 
     /** What is to be done to the answers of some; by id. */
@@ -34,38 +34,38 @@
 
     private final Map<String, ResponseExtra> extras = new HashMap<>();
 
-    void add(String id, Form form) {
+    void add(String id, SentRequest form) {
         forms.put(id, form);
     }
 
     /** Null for an id that no usual client has sent. */
-    Form form(String id) {
+    SentRequest find(String id) {
         return forms.get(id);
     }
 
     /** A bad client asks under this id too, with another method. */
-    void borrow(String id) {
+    void markReused(String id) {
         borrowed.add(id);
     }
 
     /** What to call what came under this id: it may be another's who only says so. */
-    String name(String id, String method) {
-        Form form = forms.get(id);
+    String effectiveId(String id, String method) {
+        SentRequest form = forms.get(id);
         return form != null && borrowed.contains(id) && !form.method().equals(method)
-                ? Site.BAD_ID + id
+                ? Site.BAD_CLIENT_ID_PREFIX + id
                 : id;
     }
 
-    void spoil(String id, ResponseCorruption how) {
+    void corruptResponse(String id, ResponseCorruption how) {
         spoilt.put(id, how);
     }
 
-    void extra(String id, ResponseExtra what) {
+    void addExtra(String id, ResponseExtra what) {
         extras.put(id, what);
     }
 
     /** How this one's next answer is to be spoilt; told once. */
-    ResponseCorruption takeSpoil(String id) {
+    ResponseCorruption takeCorruption(String id) {
         return spoilt.isEmpty() ? null : spoilt.remove(id);
     }
 
@@ -73,7 +73,7 @@
         return extras.isEmpty() ? null : extras.remove(id);
     }
 
-    ResponseExtra extra(String id) {
+    ResponseExtra peekExtra(String id) {
         return extras.isEmpty() ? null : extras.get(id);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -161,7 +161,7 @@
                         server.uid(),
                         server.life(),
                         sidecar(),
-                        day.asked.name(id, method()),
+                        day.asked.effectiveId(id, method()),
                         firstByteSentAt);
             }
         }
@@ -174,8 +174,8 @@
     private void answerEarly() {
         String id = reader.header("x-request-id");
         if (id != null
-                && day.asked.extra(id) == ResponseExtra.EARLY
-                && day.asked.form(id) != null) {
+                && day.asked.peekExtra(id) == ResponseExtra.EARLY
+                && day.asked.find(id) != null) {
             day.asked.takeExtra(id);
             early = true;
             earlyRuns = server.answerEarly(this, id);
@@ -188,7 +188,7 @@
         long deadline = deadline();
         Received received =
                 new Received(
-                        id == null ? "" : day.asked.name(id, message.method()),
+                        id == null ? "" : day.asked.effectiveId(id, message.method()),
                         message,
                         firstByteSentAt,
                         socket.sentAt(),
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -24,7 +24,7 @@
         this.chance = day.faults("servers");
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         Machine machine = machine(fault, request);
         OrderServer server = machine.server();
         if (server == null) {
@@ -80,7 +80,8 @@
             case SLOW -> server.slow(duration, fault.value(FaultParameter.FACTOR) / 1e6);
             case FAILING -> server.fail(duration, fault.value(FaultParameter.COUNT) / 1e3);
             case FULL -> server.full(duration);
-            case REPORTS -> server.report(duration, FaultKind.of(Report.class, fault.style()));
+            case REPORTS ->
+                    server.report(duration, FaultKind.of(LoadReportQuality.class, fault.style()));
             default -> throw new IllegalArgumentException("no fault of a server: " + fault.text());
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -47,7 +47,7 @@
             text.append(i == 0 ? "\"" : ",\"").append(Site.ZONES.get(i)).append('"');
         }
         text.append("],\"kinds\":[\"")
-                .append(Site.KIND)
+                .append(Site.SERVER_KIND)
                 .append("\"],\"rank\":")
                 .append(rank)
                 .append(",\"replicasOfMe\":")
@@ -59,8 +59,8 @@
                 .append(",\"discovery\":\"subscribe\",\"overShareWorth\":")
                 .append(OVER_SHARE)
                 .append(",\"report\":{\"how\":\"piggyback\",\"fields\":[");
-        for (int i = 0; i < Site.REPORT.size(); i++) {
-            text.append(i == 0 ? "\"" : ",\"").append(Site.REPORT.get(i)).append('"');
+        for (int i = 0; i < Site.LOAD_REPORT_FIELDS.size(); i++) {
+            text.append(i == 0 ? "\"" : ",\"").append(Site.LOAD_REPORT_FIELDS.get(i)).append('"');
         }
         text.append("]},");
         caps(text, plan);
@@ -159,7 +159,7 @@
                 .append(",\"overloadFactor\":")
                 .append(Site.OVERLOAD_FACTOR)
                 .append(",\"tipAfter\":")
-                .append(Site.TIP_AFTER)
+                .append(Site.COLLAPSE_AFTER)
                 .append('}');
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -57,7 +57,7 @@
         this.copies = day.faults("copies");
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         String id = request == null ? null : request.id();
         if (fault.kind() == FaultKind.ZONE_CUT) {
             String zone = fault.who() != null ? fault.who() : chance.pick(Site.ZONES);
@@ -65,7 +65,7 @@
             cut(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
             return;
         }
-        ProcessSlot seat = seats.seat(fault.who() != null ? fault.who() : request.sidecar());
+        ProcessSlot seat = seats.slot(fault.who() != null ? fault.who() : request.sidecar());
         if (!seat.isRunning()) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
@@ -41,7 +41,7 @@
             left -= numbers(fault);
         }
         ScenarioParameter knob = ScenarioParameter.values()[left];
-        return plan.size(knob) == knob.usual()
+        return plan.size(knob) == knob.defaultValue()
                 ? List.of()
                 : rounder(plan.size(knob), value -> plan.with(knob, value));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Site.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Site.java
@@ -20,13 +20,13 @@
     public static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
 
     /** The one kind of order server. */
-    public static final String KIND = "std-3c";
+    public static final String SERVER_KIND = "std-3c";
 
     /** Nothing new goes to a server for longer than this after its drain was told. */
     public static final long DRAIN_GRACE = 2 * SECOND;
 
     /** For how long a cold server must be overloaded to fall over. */
-    public static final long TIP_AFTER = 1500 * MS;
+    public static final long COLLAPSE_AFTER = 1500 * MS;
 
     /** How much of a cold server's capacity is too much. */
     public static final double OVERLOAD_FACTOR = 4;
@@ -41,10 +41,11 @@
     public static final long ANSWER_SLACK = 20 * MS;
 
     /** Fields of a load report. */
-    public static final List<String> REPORT = List.of("rate", "lat_ms", "fail_rate", "q");
+    public static final List<String> LOAD_REPORT_FIELDS =
+            List.of("rate", "lat_ms", "fail_rate", "q");
 
     /** Ids that begin so are those of bad clients; servers turn them away. */
-    public static final String BAD_ID = "bad-";
+    public static final String BAD_CLIENT_ID_PREFIX = "bad-";
 
     static final int SIDECAR_PORT = 3000;
     static final int SERVER_PORT = 4000;
--- a/testbed/src/main/java/appleridge/testbed/simulation/StagedCombination.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StagedCombination.java
@@ -89,7 +89,7 @@
             case STILL -> {
                 sizes.put(ScenarioParameter.KEY_WINDOW, chance.between(80 * MS, 400 * MS));
                 // Through small buffers nothing large comes in time over a long way.
-                sizes.put(ScenarioParameter.FAR_DELAY, ScenarioParameter.FAR_DELAY.usual());
+                sizes.put(ScenarioParameter.FAR_DELAY, ScenarioParameter.FAR_DELAY.defaultValue());
                 sizes.put(ScenarioParameter.SEND_BUFFER, chance.between(64, 120));
                 sizes.put(ScenarioParameter.RECEIVE_BUFFER, chance.between(64, 120));
                 quickNews(chance, sizes);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Nearest.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Suggestions.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** Says of a word that nobody knows what is known instead. */
-public final class Nearest {
+public final class Suggestions {
     /** More than this are not all told: the nearest ones are. */
     private static final int MOST_TOLD = 8;
 
-    private Nearest() {}
+    private Suggestions() {}
 
     /** Such as {@code no such size: sidecar; known: sidecars, servers, ...}. */
-    public static String unknown(String what, String word, Collection<String> known) {
+    public static String unknownName(String what, String word, Collection<String> known) {
         List<String> nearest =
                 known.stream()
                         .sorted(Comparator.comparingInt(each -> distance(word, each)))
--- a/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /** Notes what the stand-ins tell, for the day's digest and for who reads its trace. */
-final class NarratedLog implements DayListener {
+final class TraceRecorder implements DayListener {
     private static final int ASKS = 101;
     private static final int ANSWERED = 102;
     private static final int BROKEN = 103;
@@ -26,7 +26,7 @@
 
     private final Simulation simulation;
 
-    NarratedLog(Simulation simulation) {
+    TraceRecorder(Simulation simulation) {
         this.simulation = simulation;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -19,20 +19,20 @@
  */
 public final class World {
     /** Makes what handles the processes of one sidecar. */
-    public interface Sidecars {
+    public interface SidecarHostFactory {
         /** {@code evidence}: for what the module in it says. */
-        SidecarHost of(String name, World world, DayListener evidence);
+        SidecarHost create(String name, World world, DayListener evidence);
     }
 
     /** Makes who watches the day. */
-    public interface Watch {
+    public interface DayListenerFactory {
         /**
          * Called once, before anything happens.
          *
          * @param states the state of each request; told of everything ahead of the watch
          * @param zoneOf the zone of an order server
          */
-        DayListener of(World world, RequestStates states, UnaryOperator<String> zoneOf);
+        DayListener create(World world, RequestStates states, UnaryOperator<String> zoneOf);
     }
 
     private static final int DESCRIPTORS = 20_000;
@@ -53,7 +53,7 @@
     private final RequestStates states = new RequestStates();
     private final Day day;
     private final ProcessSlots seats = new ProcessSlots();
-    private final Nodes nodes = new Nodes();
+    private final CoordinationService nodes = new CoordinationService();
     private final Fleet fleet;
     private final Links links;
     private final Discovery discovery;
@@ -62,7 +62,7 @@
     private boolean clientsCame;
 
     /** Makes the world as it is when the day begins. */
-    public World(Plan plan, Sidecars sidecars, Watch watch) {
+    public World(Plan plan, SidecarHostFactory sidecars, DayListenerFactory watch) {
         this.plan = plan;
         SeededRandom chance = new SeededRandom(plan.seed());
         simulation = new Simulation(chance.stream("ties"));
@@ -74,9 +74,9 @@
                         List.of(
                                 meetings,
                                 states,
-                                new NarratedLog(simulation),
+                                new TraceRecorder(simulation),
                                 nodes,
-                                watch.of(this, states, this::zoneOf)));
+                                watch.create(this, states, this::zoneOf)));
         day = new Day(plan, simulation, network, evidence, chance);
         meetings.begin(day);
         evidence.discoverySources(
@@ -142,7 +142,8 @@
         }
     }
 
-    private void addSeats(Sidecars sidecars, Instances instances, DeliveredEndpointUpdates told) {
+    private void addSeats(
+            SidecarHostFactory sidecars, Instances instances, DeliveredEndpointUpdates told) {
         int count = plan.count(ScenarioParameter.SIDECARS);
         long[] works = works();
         double[] shares = shares(count);
@@ -159,14 +160,14 @@
                             name,
                             i,
                             host,
-                            sidecars.of(name, this, day.evidence),
+                            sidecars.create(name, this, day.evidence),
                             told,
                             instances);
             seats.all().add(seat);
         }
         for (int i = 0; i < count; i++) {
             Host host = network.host("app" + i, Site.address(2, 0, 1 + i), DESCRIPTORS);
-            seats.all().get(i).readiness(new Readiness(day, host, seats.all().get(i)));
+            seats.all().get(i).readiness(new ReadinessProbe(day, host, seats.all().get(i)));
             Application application = new Application(day, i, host, seats, works);
             applications.add(application);
             traffic.add(
@@ -304,7 +305,7 @@
     }
 
     /** Connections that a sidecar's process has accepted and not closed. */
-    public int clientsOf(String sidecar) {
+    public int openClientConnections(String sidecar) {
         int clients = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
             clients += each.isListenersEnd() ? 1 : 0;
@@ -313,7 +314,7 @@
     }
 
     /** Connections to servers that it opens, or has opened and not closed. */
-    public int upstreamsOf(String sidecar) {
+    public int openUpstreamConnections(String sidecar) {
         int upstreams = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
             boolean discovery =
@@ -331,7 +332,7 @@
 
     /** Where a sidecar's processes run; null if there is none of that name. */
     public Host sidecarHost(String name) {
-        ProcessSlot seat = seats.seat(name);
+        ProcessSlot seat = seats.slot(name);
         return seat == null ? null : seat.host();
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/campaign/ShrinkerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/ShrinkerTest.java
@@ -32,7 +32,7 @@
             Plan left =
                     new Shrinker(plan -> kinds(plan).containsAll(needed), MANY).shrink(LONG_DAY);
             assertEquals(needed.size(), left.faults().size(), left.text());
-            assertEquals(List.of(), left.unusual());
+            assertEquals(List.of(), left.nonDefaultParameters());
         }
     }
 
@@ -50,7 +50,8 @@
                                 MANY)
                         .shrink(failing);
         assertEquals(
-                List.of(ScenarioParameter.SIDECARS, ScenarioParameter.CLOCK_COST), left.unusual());
+                List.of(ScenarioParameter.SIDECARS, ScenarioParameter.CLOCK_COST),
+                left.nonDefaultParameters());
         assertEquals(0, left.size(ScenarioParameter.CLOCK_COST) % 10_000);
         assertEquals(List.of(), left.faults());
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -15,19 +15,19 @@
 class ApplicationTest {
     private static final String QUIET = "seed 4\nset errors 0\nset impatient 0\nset bursts 0\n";
 
-    private static Map<String, Integer> tries(Played day) {
+    private static Map<String, Integer> tries(SimulatedDay day) {
         Map<String, Integer> tries = new HashMap<>();
-        day.told.asks.values().forEach(each -> tries.merge(each.origin(), 1, Integer::sum));
+        day.recorder.asks.values().forEach(each -> tries.merge(each.origin(), 1, Integer::sum));
         return tries;
     }
 
     @Test
     void idsAndKeysAreNewWithEachTryAndTheIdempotencyKeyIsNot() {
-        Played day =
-                Played.whole(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
+        SimulatedDay day =
+                SimulatedDay.run(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
         Set<Long> keys = new HashSet<>();
         Map<String, String> idempotency = new HashMap<>();
-        for (ClientAttempt each : day.told.asks.values()) {
+        for (ClientAttempt each : day.recorder.asks.values()) {
             assertTrue(keys.add(each.cookieKey()));
             assertEquals(Classes.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
             String before =
@@ -45,13 +45,13 @@
         }
         assertEquals(
                 1,
-                tries(Played.whole(QUIET + "set retries 0\n" + full)).values().stream()
+                tries(SimulatedDay.run(QUIET + "set retries 0\n" + full)).values().stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
         assertEquals(
                 3,
-                tries(Played.whole(QUIET + "set retries 2\n" + full)).values().stream()
+                tries(SimulatedDay.run(QUIET + "set retries 2\n" + full)).values().stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
@@ -59,9 +59,9 @@
 
     @Test
     void theImpatientLeaveBeforeTheirTime() {
-        Played day = Played.whole(QUIET.replace("set impatient 0", "set impatient 1"));
-        assertTrue(day.told.gaveUp.size() > 50);
-        day.told
+        SimulatedDay day = SimulatedDay.run(QUIET.replace("set impatient 0", "set impatient 1"));
+        assertTrue(day.recorder.gaveUp.size() > 50);
+        day.recorder
                 .asks
                 .values()
                 .forEach(each -> assertTrue(each.patienceNanos() < each.deadlineNanos()));
@@ -69,53 +69,54 @@
 
     @Test
     void someReadSlowlyAndAreAnsweredAllTheSame() {
-        Played day = Played.whole(QUIET + "set slow-readers 1");
-        assertTrue(day.told.served() > 0.9 * day.told.asks.size());
+        SimulatedDay day = SimulatedDay.run(QUIET + "set slow-readers 1");
+        assertTrue(day.recorder.served() > 0.9 * day.recorder.asks.size());
     }
 
     @Test
     void aFewAskBehindOneAnother() {
-        Played day = Played.whole(QUIET + "set pipelined 1\nset rate 100\nset sidecars 1");
+        SimulatedDay day =
+                SimulatedDay.run(QUIET + "set pipelined 1\nset rate 100\nset sidecars 1");
         assertTrue(
-                day.told.served() > 0.8 * day.told.asks.size(),
-                day.told.served() + " of " + day.told.asks.size());
-        assertEquals(Set.of(), day.told.broken.keySet());
+                day.recorder.served() > 0.8 * day.recorder.asks.size(),
+                day.recorder.served() + " of " + day.recorder.asks.size());
+        assertEquals(Set.of(), day.recorder.broken.keySet());
     }
 
     @Test
     void thoseWhoAskOnceKeepTheirConnections() {
-        Played day = new Played(Plan.parse(QUIET + "set ask-once 1\nset sidecars 1"));
+        SimulatedDay day = new SimulatedDay(Plan.parse(QUIET + "set ask-once 1\nset sidecars 1"));
         day.world.begin();
         day.world.simulation().runUntil(day.world.plan().quietFrom());
         long kept = day.world.network().sockets(host(day)).size();
         assertTrue(kept > 100, "kept " + kept);
-        assertTrue(day.told.served() > 0.9 * day.told.asks.size());
+        assertTrue(day.recorder.served() > 0.9 * day.recorder.asks.size());
     }
 
-    private static Host host(Played day) {
+    private static Host host(SimulatedDay day) {
         return day.world.network().sockets(day.world.sidecarHost("n0")).get(0).peerHost();
     }
 
     @Test
     void aFloodIsOneTenants() {
-        Played day = Played.whole(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
+        SimulatedDay day = SimulatedDay.run(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
         List<Integer> tenants =
-                day.told.asks.values().stream().map(ClientAttempt::tenant).distinct().toList();
+                day.recorder.asks.values().stream().map(ClientAttempt::tenant).distinct().toList();
         assertEquals(1, tenants.size());
-        assertTrue(day.told.asks.size() > 60 && day.told.asks.size() < 140);
+        assertTrue(day.recorder.asks.size() > 60 && day.recorder.asks.size() < 140);
     }
 
     @Test
     void largeBodiesArriveWhole() {
-        Played day =
-                Played.whole(
+        SimulatedDay day =
+                SimulatedDay.run(
                         QUIET
                                 + "set large-bodies 1\nset large-answers 1\nset chunked 0.5\n"
                                 + "set send-buffer 256\nset receive-buffer 256\nset chopped 0.3");
         assertTrue(
-                day.told.served() > 0.7 * day.told.asks.size(),
-                day.told.served() + " of " + day.told.asks.size());
-        day.told.bodies.forEach(
-                (id, body) -> assertTrue(body.isEmpty() || id.equals(day.told.made.get(body))));
+                day.recorder.served() > 0.7 * day.recorder.asks.size(),
+                day.recorder.served() + " of " + day.recorder.asks.size());
+        day.recorder.bodies.forEach(
+                (id, body) -> assertTrue(body.isEmpty() || id.equals(day.recorder.made.get(body))));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -15,60 +15,65 @@
     private static final Set<BadKind> UNSEEN =
             EnumSet.of(BadKind.HALF_CLOSE, BadKind.HALF_RESET, BadKind.NEVER_READS);
 
-    private static Played day(BadKind kind, int count) {
-        return Played.whole(
+    private static SimulatedDay day(BadKind kind, int count) {
+        return SimulatedDay.run(
                 "seed 2\nat 2 bad style=" + FaultKind.word(kind) + " who=n0 count=" + count);
     }
 
     @Test
     void eachKindComesAndSaysWhatItIsOwed() {
         for (BadKind kind : BadKind.values()) {
-            Played day = day(kind, 2);
-            assertEquals(1, day.told.faults.get("bad"), kind.name());
-            assertEquals(UNSEEN.contains(kind), day.told.badConnected.isEmpty(), kind.name());
-            day.told
+            SimulatedDay day = day(kind, 2);
+            assertEquals(1, day.recorder.faults.get("bad"), kind.name());
+            assertEquals(UNSEEN.contains(kind), day.recorder.badConnected.isEmpty(), kind.name());
+            day.recorder
                     .badEnded
                     .values()
                     .forEach(status -> assertTrue(status != 200, kind + " served"));
-            assertTrue(day.told.badConnected.keySet().containsAll(day.told.badEnded.keySet()));
+            assertTrue(
+                    day.recorder.badConnected.keySet().containsAll(day.recorder.badEnded.keySet()));
         }
     }
 
     @Test
     void whatIsWrongIsTurnedAwayAndToldOnce() {
-        Played day = day(BadKind.UNKNOWN_CLASS, 3);
-        assertEquals(3, day.told.badEnded.size());
-        day.told.badEnded.values().forEach(status -> assertEquals(400, status));
+        SimulatedDay day = day(BadKind.UNKNOWN_CLASS, 3);
+        assertEquals(3, day.recorder.badEnded.size());
+        day.recorder.badEnded.values().forEach(status -> assertEquals(400, status));
     }
 
     @Test
     void someComeAgainAtOnce() {
-        assertEquals(21, day(BadKind.AGAIN, 1).told.badConnected.size());
+        assertEquals(21, day(BadKind.AGAIN, 1).recorder.badConnected.size());
     }
 
     @Test
     void crowdsAreCrowds() {
-        Played day = day(BadKind.CROWD, 1);
-        assertTrue(day.told.badConnected.size() >= 30, "came " + day.told.badConnected.size());
+        SimulatedDay day = day(BadKind.CROWD, 1);
         assertTrue(
-                day.told.badEnded.size() == day.told.badConnected.size(), "they leave in the end");
+                day.recorder.badConnected.size() >= 30, "came " + day.recorder.badConnected.size());
+        assertTrue(
+                day.recorder.badEnded.size() == day.recorder.badConnected.size(),
+                "they leave in the end");
     }
 
     @Test
     void aHiddenRequestIsToldOfAndReachesServersThroughAProxyThatReadsOn() {
-        Played day = day(BadKind.HIDDEN, 1);
-        String hidden = BadRequests.hiddenId(day.told.hidden.get(1));
-        assertEquals(hidden, day.told.hidden.get(0));
-        assertTrue(day.told.arrived.contains(hidden));
+        SimulatedDay day = day(BadKind.HIDDEN, 1);
+        String hidden = BadRequests.hiddenId(day.recorder.hidden.get(1));
+        assertEquals(hidden, day.recorder.hidden.get(0));
+        assertTrue(day.recorder.arrived.contains(hidden));
     }
 
     @Test
     void anothersIdIsUsedWhileItIsOpenAndNeverTakenForTheOther() {
-        Played day = day(BadKind.SAME_ID, 3);
-        assertEquals(3, day.told.badConnected.size());
+        SimulatedDay day = day(BadKind.SAME_ID, 3);
+        assertEquals(3, day.recorder.badConnected.size());
         List<String> usual =
-                day.told.arrived.stream().filter(id -> !id.startsWith(Site.BAD_ID)).toList();
-        assertEquals(3, day.told.arrived.size() - usual.size(), "the proxy passes them on");
+                day.recorder.arrived.stream()
+                        .filter(id -> !id.startsWith(Site.BAD_CLIENT_ID_PREFIX))
+                        .toList();
+        assertEquals(3, day.recorder.arrived.size() - usual.size(), "the proxy passes them on");
         assertEquals(usual.size(), usual.stream().distinct().count());
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/Recorded.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DayRecorder.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** Keeps what the stand-ins tell, for tests to look at. */
-final class Recorded implements DayListener {
+final class DayRecorder implements DayListener {
     final Map<String, ClientAttempt> asks = new LinkedHashMap<>();
     final Map<String, Message> written = new LinkedHashMap<>();
     final Map<String, Message> read = new LinkedHashMap<>();
@@ -29,8 +29,8 @@
     final List<String> arrived = new ArrayList<>();
     final List<String> notRun = new ArrayList<>();
     final List<String> servers = new ArrayList<>();
-    final List<String> told = new ArrayList<>();
-    final List<String> untold = new ArrayList<>();
+    final List<String> delivered = new ArrayList<>();
+    final List<String> notDelivered = new ArrayList<>();
     final List<String> knows = new ArrayList<>();
     final List<String> sidecars = new ArrayList<>();
     final Map<String, Long> badConnected = new LinkedHashMap<>();
@@ -149,12 +149,12 @@
 
     @Override
     public void listDelivered(String sidecar, String uid, String state, long bornAt) {
-        told.add(sidecar + " " + uid + " " + state);
+        delivered.add(sidecar + " " + uid + " " + state);
     }
 
     @Override
     public void listNotDelivered(String sidecar, long at) {
-        untold.add(sidecar + " " + at / Site.MS + " ms");
+        notDelivered.add(sidecar + " " + at / Site.MS + " ms");
     }
 
     @Override
--- a/testbed/src/test/java/appleridge/testbed/simulation/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DeterminismTest.java
@@ -12,7 +12,7 @@
     private static final int SEEDS = 12;
 
     private static long digest(long seed) {
-        return Played.whole(Plan.draw(seed)).world.simulation().digest();
+        return SimulatedDay.run(Plan.draw(seed)).world.simulation().digest();
     }
 
     private static List<Long> digests(boolean backwards) {
@@ -51,7 +51,7 @@
 
     @Test
     void aTraceChangesNothing() {
-        Played traced = new Played(Plan.draw(3));
+        SimulatedDay traced = new SimulatedDay(Plan.draw(3));
         List<String> lines = new ArrayList<>();
         traced.world.simulation().trace(lines::add);
         traced.world.run();
@@ -64,10 +64,10 @@
         Plan plan =
                 Plan.parse(
                         "seed 5\nset retries 0\nat 5 list-503 for=0.1\nat 6 wall-step who=n0 by=1");
-        Played with = Played.whole(plan);
-        Played without = Played.whole(plan.without(Set.of(0, 1)));
+        SimulatedDay with = SimulatedDay.run(plan);
+        SimulatedDay without = SimulatedDay.run(plan.without(Set.of(0, 1)));
         assertEquals(
-                new ArrayList<>(with.told.asks.keySet()),
-                new ArrayList<>(without.told.asks.keySet()));
+                new ArrayList<>(with.recorder.asks.keySet()),
+                new ArrayList<>(without.recorder.asks.keySet()));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/HttpReaderTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/HttpReaderTest.java
@@ -11,7 +11,7 @@
 class HttpReaderTest {
     /** Feeds a text in pieces of one size, through a connection. */
     private static HttpReader read(boolean answers, int piece, String text) throws Exception {
-        Wire wire = new Wire();
+        SocketPair wire = new SocketPair();
         HttpReader reader = new HttpReader(answers);
         wire.client().write(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
         wire.settle();
@@ -102,7 +102,7 @@
 
     @Test
     void anAnswerWithNoLengthLastsUntilTheEnd() throws Exception {
-        Wire wire = new Wire();
+        SocketPair wire = new SocketPair();
         HttpReader reader = new HttpReader(true);
         String text = "HTTP/1.1 200 OK\r\n\r\nabc";
         wire.client().write(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
--- a/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
@@ -103,7 +103,8 @@
         assertEquals(2, plan.size(ScenarioParameter.SERVERS));
         assertEquals(0.25, plan.part(ScenarioParameter.LOSS));
         assertEquals(1, plan.size(ScenarioParameter.CALL_COST));
-        assertEquals(ScenarioParameter.SIDECARS.usual(), plan.size(ScenarioParameter.SIDECARS));
+        assertEquals(
+                ScenarioParameter.SIDECARS.defaultValue(), plan.size(ScenarioParameter.SIDECARS));
         Fault kill = plan.faults().get(0);
         assertEquals(3250 * Site.MS, kill.trigger().at());
         assertEquals("n1", kill.who());
--- a/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
@@ -19,15 +19,15 @@
                 + " HTTP/1.1\r\nHost: d\r\n\r\n";
     }
 
-    private static Stage stage() {
-        return new Stage(
+    private static ServerFixture fixture() {
+        return new ServerFixture(
                 "set call-cost 0.01\nset notice 0.5\nset silent-notice 2\nset add-notice 0.2");
     }
 
     @Test
     void givesTheWholeListAsTheProtocolHasIt() {
-        Stage stage = stage();
-        String answer = stage.toDiscovery().say(WHOLE).hear(50 * MS);
+        ServerFixture fixture = fixture();
+        String answer = fixture.toDiscovery().say(WHOLE).hear(50 * MS);
         assertTrue(
                 answer.endsWith(
                         "{\"rev\":2,\"all\":true,\"targets\":["
@@ -38,17 +38,17 @@
                             + "\"model\":\"std-3c\","
                             + "\"pod_group\":1,\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}]}"),
                 answer);
-        assertEquals(List.of("n0 s0.0 Ready", "n0 s1.0 Ready"), stage.told.told);
+        assertEquals(List.of("n0 s0.0 Ready", "n0 s1.0 Ready"), fixture.recorder.delivered);
     }
 
     @Test
     void aWatchWaitsForNewsOrItsTime() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery().say(watch(2, 1000));
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 1000));
         assertEquals("", line.hear(900 * MS));
         assertTrue(line.hear(200 * MS).endsWith("{\"rev\":2,\"all\":false,\"targets\":[]}"));
         line.say(watch(2, 5000));
-        stage.machine(0).crash(Site.SECOND, false);
+        fixture.machine(0).crash(Site.SECOND, false);
         assertEquals("", line.hear(1900 * MS - Site.SECOND));
         String added = line.hear(500 * MS);
         assertTrue(
@@ -59,10 +59,10 @@
 
     @Test
     void callsAreWorkedThroughInTurn() {
-        Stage stage = stage();
-        stage.registry.slow(Site.SECOND, 400 * MS);
-        Stage.Line one = stage.toDiscovery();
-        Stage.Line other = stage.toDiscovery();
+        ServerFixture fixture = fixture();
+        fixture.registry.slow(Site.SECOND, 400 * MS);
+        ServerFixture.Line one = fixture.toDiscovery();
+        ServerFixture.Line other = fixture.toDiscovery();
         one.say(WHOLE).hear(MS);
         other.say(WHOLE);
         assertFalse(one.hear(450 * MS).isEmpty());
@@ -72,120 +72,120 @@
 
     @Test
     void aVersionThatIsNotThereYetIsWaitedFor() {
-        Stage.Line line = stage().toDiscovery().say(watch(1002, 1000));
+        ServerFixture.Line line = fixture().toDiscovery().say(watch(1002, 1000));
         assertEquals("", line.hear(900 * MS));
         assertTrue(line.hear(200 * MS).contains("\"targets\":[]"));
     }
 
     @Test
     void whenItGoesDownWatchesEndAndCallsAreRefusedUntilItIsBack() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery().say(watch(2, 5000));
-        stage.after(100 * MS);
-        stage.registry.down(Site.SECOND);
-        stage.after(10 * MS);
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 5000));
+        fixture.after(100 * MS);
+        fixture.registry.down(Site.SECOND);
+        fixture.after(10 * MS);
         assertTrue(line.isEnded());
-        assertTrue(stage.toDiscovery().hasFailed());
-        stage.after(Site.SECOND);
-        assertTrue(stage.toDiscovery().say(WHOLE).hear(50 * MS).contains("\"all\":true"));
+        assertTrue(fixture.toDiscovery().hasFailed());
+        fixture.after(Site.SECOND);
+        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains("\"all\":true"));
     }
 
     @Test
     void aLostWatchIsNeverAnswered() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery().say(watch(2, 1000));
-        stage.after(100 * MS);
-        stage.registry.loseWatches();
-        stage.machine(0).crash(0, false);
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 1000));
+        fixture.after(100 * MS);
+        fixture.registry.loseWatches();
+        fixture.machine(0).crash(0, false);
         assertEquals("", line.hear(5 * Site.SECOND));
         assertFalse(line.isEnded());
-        assertTrue(stage.told.told.isEmpty());
+        assertTrue(fixture.recorder.delivered.isEmpty());
     }
 
     @Test
     void whatIsLostUnreadWasNotTold() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery().deaf().say(WHOLE);
-        stage.after(3 * Site.SECOND);
-        assertEquals(List.of(), stage.told.untold, "it may be read yet");
-        stage.registry.down(Site.SECOND);
-        stage.after(2 * Site.SECOND);
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery().deaf().say(WHOLE);
+        fixture.after(3 * Site.SECOND);
+        assertEquals(List.of(), fixture.recorder.notDelivered, "it may be read yet");
+        fixture.registry.down(Site.SECOND);
+        fixture.after(2 * Site.SECOND);
         assertTrue(line.hear(0).isEmpty());
-        assertEquals(List.of("n0 20 ms"), stage.told.untold);
+        assertEquals(List.of("n0 20 ms"), fixture.recorder.notDelivered);
     }
 
     @Test
     void whatIsOnItsWayWhenTheMachineFallsSilentWasNotTold() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery();
-        stage.slowFromDiscovery(300 * MS);
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery();
+        fixture.slowFromDiscovery(300 * MS);
         line.say(WHOLE).hear(50 * MS);
-        assertTrue(stage.told.told.contains("n0 s0.0 Ready"));
-        stage.registry.silent(500 * MS);
-        stage.after(3 * Site.SECOND);
-        assertEquals(1, stage.told.untold.size());
+        assertTrue(fixture.recorder.delivered.contains("n0 s0.0 Ready"));
+        fixture.registry.silent(500 * MS);
+        fixture.after(3 * Site.SECOND);
+        assertEquals(1, fixture.recorder.notDelivered.size());
     }
 
     @Test
     void whatWasReadOrGivenUpWasTold() {
-        Stage stage = stage();
-        stage.toDiscovery().say(WHOLE).hear(50 * MS);
-        Stage.Line leaves = stage.toDiscovery().deaf().say(WHOLE);
-        stage.after(50 * MS);
+        ServerFixture fixture = fixture();
+        fixture.toDiscovery().say(WHOLE).hear(50 * MS);
+        ServerFixture.Line leaves = fixture.toDiscovery().deaf().say(WHOLE);
+        fixture.after(50 * MS);
         leaves.close();
-        stage.after(MS);
-        stage.registry.down(Site.SECOND);
-        stage.after(3 * Site.SECOND);
-        assertEquals(List.of(), stage.told.untold);
+        fixture.after(MS);
+        fixture.registry.down(Site.SECOND);
+        fixture.after(3 * Site.SECOND);
+        assertEquals(List.of(), fixture.recorder.notDelivered);
     }
 
     @Test
     void answersAreCutAndGarbled() {
-        Stage stage = stage();
-        stage.registry.cut(1);
-        stage.registry.garble(1);
-        Stage.Line cut = stage.toDiscovery().say(WHOLE);
+        ServerFixture fixture = fixture();
+        fixture.registry.cut(1);
+        fixture.registry.garble(1);
+        ServerFixture.Line cut = fixture.toDiscovery().say(WHOLE);
         assertFalse(cut.hear(50 * MS).endsWith("]}"));
         assertTrue(cut.isEnded());
-        assertTrue(stage.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 200 "));
-        assertTrue(stage.told.told.isEmpty());
-        assertTrue(stage.toDiscovery().say(WHOLE).hear(50 * MS).endsWith("]}"));
+        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 200 "));
+        assertTrue(fixture.recorder.delivered.isEmpty());
+        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).endsWith("]}"));
     }
 
     @Test
     void itFailsHangsAndFallsSilent() {
-        Stage stage = stage();
-        stage.registry.failing(100 * MS);
-        assertTrue(stage.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 503 "));
-        stage.after(100 * MS);
-        stage.registry.hang(Site.SECOND);
-        Stage.Line line = stage.toDiscovery().say(WHOLE);
+        ServerFixture fixture = fixture();
+        fixture.registry.failing(100 * MS);
+        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 503 "));
+        fixture.after(100 * MS);
+        fixture.registry.hang(Site.SECOND);
+        ServerFixture.Line line = fixture.toDiscovery().say(WHOLE);
         assertEquals("", line.hear(900 * MS));
         assertTrue(line.hear(200 * MS).contains(" 200 "));
-        stage.registry.silent(Site.SECOND);
+        fixture.registry.silent(Site.SECOND);
         assertEquals("", line.say(WHOLE).hear(500 * MS));
         assertFalse(line.isEnded());
     }
 
     @Test
     void wholeListsCanBeOld() {
-        Stage stage = stage();
-        stage.machine(0).crash(0, false);
-        stage.after(3 * Site.SECOND);
-        assertFalse(stage.toDiscovery().say(WHOLE).hear(50 * MS).contains("s0.0"));
-        stage.registry.stale(Site.SECOND, 10 * Site.SECOND);
-        String old = stage.toDiscovery().say(WHOLE).hear(50 * MS);
+        ServerFixture fixture = fixture();
+        fixture.machine(0).crash(0, false);
+        fixture.after(3 * Site.SECOND);
+        assertFalse(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains("s0.0"));
+        fixture.registry.stale(Site.SECOND, 10 * Site.SECOND);
+        String old = fixture.toDiscovery().say(WHOLE).hear(50 * MS);
         assertTrue(old.contains("s0.0") && old.contains("\"rev\":2"), old);
         assertTrue(
-                stage.told.told.contains("n0 s0.1 Gone"),
+                fixture.recorder.delivered.contains("n0 s0.1 Gone"),
                 "what a whole list leaves out is told as gone");
     }
 
     @Test
     void entriesFlap() {
-        Stage stage = stage();
-        stage.instances.flap("s0.0", Instances.GONE, 2, 100 * MS);
-        stage.after(Site.SECOND);
+        ServerFixture fixture = fixture();
+        fixture.instances.flap("s0.0", Instances.GONE, 2, 100 * MS);
+        fixture.after(Site.SECOND);
         assertEquals(
                 List.of(
                         "s0.0 Ready",
@@ -194,26 +194,26 @@
                         "s0.0 Ready",
                         "s0.0 Gone",
                         "s0.0 Ready"),
-                stage.told.knows);
+                fixture.recorder.knows);
     }
 
     @Test
     void theOldAddressEndsWhatIsOpenAfterAWhile() {
-        Stage stage = stage();
-        Stage.Line line = stage.toDiscovery().say(watch(2, 9000));
-        stage.registry.retire();
-        stage.after(Site.SECOND);
+        ServerFixture fixture = fixture();
+        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 9000));
+        fixture.registry.retire();
+        fixture.after(Site.SECOND);
         assertFalse(line.isEnded());
-        assertTrue(stage.toDiscovery().hasFailed());
-        stage.after(Site.SECOND);
+        assertTrue(fixture.toDiscovery().hasFailed());
+        fixture.after(Site.SECOND);
         assertTrue(line.isEnded());
     }
 
     @Test
     void anOlderChangeThatIsNoticedLaterDoesNotCount() {
-        Stage stage = stage();
-        stage.machine(0).crash(100 * MS, true);
-        stage.after(3 * Site.SECOND);
-        assertEquals("s0.0 Ready", stage.told.knows.get(stage.told.knows.size() - 1));
+        ServerFixture fixture = fixture();
+        fixture.machine(0).crash(100 * MS, true);
+        fixture.after(3 * Site.SECOND);
+        assertEquals("s0.0 Ready", fixture.recorder.knows.get(fixture.recorder.knows.size() - 1));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ServerFixture.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Some order servers and a discovery with nothing before them but the test. */
-final class Stage {
-    final Recorded told = new Recorded();
+final class ServerFixture {
+    final DayRecorder recorder = new DayRecorder();
     final Simulation simulation = new Simulation(new SeededRandom(1));
     final Network network = new Network(simulation, new SeededRandom(2));
     final Day day;
@@ -22,7 +22,7 @@
     final Registry registry;
     private final Host sidecar = network.host("n0", Site.address(1, 0, 1), 1000);
 
-    Stage(String sizes) {
+    ServerFixture(String sizes) {
         day =
                 new Day(
                         Plan.parse(
@@ -35,7 +35,7 @@
                                         + sizes),
                         simulation,
                         network,
-                        told,
+                        recorder,
                         new SeededRandom(3));
         instances = new Instances(day);
         fleet = new Fleet(day.plan, instances);
@@ -49,7 +49,7 @@
                 new Registry(
                         day,
                         instances,
-                        new DeliveredEndpointUpdates(told),
+                        new DeliveredEndpointUpdates(recorder),
                         network.host("d", Site.address(4, 0, 1), 1000),
                         0,
                         0);
@@ -61,11 +61,11 @@
     }
 
     /** What a server is to know of a request. */
-    Stage knows(String id, int requestClass, String key, long work) {
+    ServerFixture knows(String id, int requestClass, String key, long work) {
         byte[] body = (requestClass == 0 ? "" : "abc").getBytes(StandardCharsets.ISO_8859_1);
         Message message =
                 Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
-        day.asked.add(id, new SentRequestRegistry.Form(requestClass, message, work));
+        day.asked.add(id, new SentRequestRegistry.SentRequest(requestClass, message, work));
         return this;
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -14,19 +14,19 @@
     void isWhatASidecarReads() throws Exception {
         for (long seed = 0; seed < 50; seed++) {
             Plan plan = Plan.draw(seed);
-            Stage stage = new Stage("");
+            ServerFixture fixture = new ServerFixture("");
             String text =
                     Settings.json(
                             plan,
                             "n1",
                             1,
-                            stage.machine(0).address(),
-                            stage.registry.address(),
+                            fixture.machine(0).address(),
+                            fixture.registry.address(),
                             -5,
-                            Instances.json(2, true, stage.instances.whole()));
+                            Instances.json(2, true, fixture.instances.whole()));
             SidecarConfig config = SidecarConfig.parse(text.getBytes(StandardCharsets.UTF_8));
             assertEquals("n1", config.name());
-            assertEquals(stage.registry.address(), config.registryAddress());
+            assertEquals(fixture.registry.address(), config.registryAddress());
             assertEquals(-5, config.seed());
             assertEquals(plan.size(ScenarioParameter.SOCKETS), config.maxDescriptors());
             assertEquals(plan.size(ScenarioParameter.CONN_IDLE), config.upstreamIdleTimeoutNanos());
--- a/testbed/src/test/java/appleridge/testbed/simulation/Played.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SimulatedDay.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /** A day played with stand-ins for the sidecars. */
-final class Played {
-    final Recorded told = new Recorded();
+final class SimulatedDay {
+    final DayRecorder recorder = new DayRecorder();
     final List<String> log = new ArrayList<>();
     final World world;
 
-    Played(Plan plan) {
+    SimulatedDay(Plan plan) {
         world =
                 new World(
                         plan,
                         (name, world, evidence) -> new DumbSidecar(world.simulation(), log),
-                        (world, states, zoneOf) -> told);
+                        (world, states, zoneOf) -> recorder);
     }
 
-    static Played whole(Plan plan) {
-        Played played = new Played(plan);
+    static SimulatedDay run(Plan plan) {
+        SimulatedDay played = new SimulatedDay(plan);
         played.world.run();
         return played;
     }
 
-    static Played whole(String scenario) {
-        return whole(Plan.parse(scenario));
+    static SimulatedDay run(String scenario) {
+        return run(Plan.parse(scenario));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/Wire.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SocketPair.java
@@ -10,7 +10,7 @@
 import java.net.InetSocketAddress;
 
 /** Two hosts and a connection between them. */
-final class Wire {
+final class SocketPair {
     final Simulation simulation = new Simulation(new SeededRandom(1));
     final Network network = new Network(simulation, new SeededRandom(2));
     private final Host one = network.host("one", Site.address(9, 0, 1), 100);
@@ -18,7 +18,7 @@
     private final SimSocket client;
     private final SimSocket server;
 
-    Wire() throws IOException {
+    SocketPair() throws IOException {
         InetSocketAddress at = new InetSocketAddress(other.address(), 80);
         SimListener listener = other.listen(at, 5);
         client = one.connect(at, new SimSocket.Events() {});
--- a/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
@@ -14,7 +14,7 @@
     private static Plan plan(StagedCombination staging, long seed) {
         Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
         for (ScenarioParameter each : ScenarioParameter.values()) {
-            sizes.put(each, each.usual());
+            sizes.put(each, each.defaultValue());
         }
         SeededRandom chance = new SeededRandom(seed);
         staging.length(chance, sizes);
