--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -62,7 +62,7 @@
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
             each.jitter = (long) (each.delay * day.plan.part(ScenarioParameter.JITTER));
             each.segment = segment;
-            int least = home ? Plan.LEAST_BUFFER_AT_HOME : 0;
+            int least = home ? Plan.MIN_LOCAL_BUFFER_BYTES : 0;
             each.sendBuffer = Math.max(least, day.plan.count(ScenarioParameter.SEND_BUFFER));
             each.receiveBuffer = Math.max(least, day.plan.count(ScenarioParameter.RECEIVE_BUFFER));
             if (home) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -309,7 +309,7 @@
         String token = uid + '/' + life + '/' + ++made + '/' + id;
         String body =
                 chance.hits(day.plan.part(ScenarioParameter.LARGE_ANSWERS))
-                        ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.largestBody()))
+                        ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.maxBodyBytes()))
                         : token;
         day.evidence.serverAnswered(uid, life, id, body);
         return body;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -9,18 +9,19 @@
 import java.util.Set;
 
 /**
- * What happens on a day: its sizes and its faults. All else is drawn from the seed, from streams
- * that no fault shifts. A plan is drawn from a seed, or read from a scenario: a small text with one
- * fault a line.
+ * The parameters and faults of one simulated day. Everything else is drawn from the seed, from
+ * random streams that do not depend on the faults, so that removing a fault leaves the rest of the
+ * day as it was. A plan is drawn from a seed or parsed from a scenario, a text with one fault per
+ * line. Immutable.
  */
 public final class Plan {
-    /** On one machine sockets hold at least so many bytes. */
-    static final int LEAST_BUFFER_AT_HOME = 4096;
+    /** Minimum size in bytes of a socket buffer between processes on one machine. */
+    static final int MIN_LOCAL_BUFFER_BYTES = 4096;
 
-    private static final int LARGEST_BODY = 30_000;
+    private static final int MAX_BODY_BYTES = 30_000;
 
-    /** Through a small buffer a body takes so many ways there and back at most. */
-    private static final int BUFFERS_IN_A_BODY = 20;
+    /** A body fills the smaller socket buffer at most this often: each fill costs a round trip. */
+    private static final int MAX_BUFFERS_PER_BODY = 20;
 
     private final long seed;
     private final Map<ScenarioParameter, Long> sizes;
@@ -30,135 +31,138 @@
         this.seed = seed;
         EnumMap<ScenarioParameter, Long> all = new EnumMap<>(ScenarioParameter.class);
         for (ScenarioParameter each : ScenarioParameter.values()) {
-            all.put(each, each.checked(sizes.getOrDefault(each, each.defaultValue())));
+            all.put(each, each.checkRange(sizes.getOrDefault(each, each.defaultValue())));
         }
         this.sizes = Collections.unmodifiableMap(all);
         this.faults = List.copyOf(faults);
     }
 
-    /** The plan of a seed. */
+    /** Draws the plan of a seed; the same seed always gives the same plan. */
     public static Plan draw(long seed) {
         return new PlanDraw(seed).draw();
     }
 
     /**
-     * Reads a scenario; what makes no sense is told by an exception's message, with the number of
-     * the line.
+     * Parses a scenario.
+     *
+     * @throws IllegalArgumentException with the line number, if a line is malformed or names an
+     *     unknown parameter, fault or target
      */
     public static Plan parse(String text) {
         return new PlanText().parse(text);
     }
 
-    /** The scenario that {@link #parse} reads as this plan. */
+    /** Returns the scenario that {@link #parse} reads as this plan. */
     public String text() {
         return PlanText.text(this);
     }
 
-    /** The same day without the faults at these places. */
-    public Plan without(Set<Integer> places) {
+    /** Returns this plan without the faults at these indices. */
+    public Plan without(Set<Integer> indices) {
         List<Fault> kept = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
-            if (!places.contains(i)) {
+            if (!indices.contains(i)) {
                 kept.add(faults.get(i));
             }
         }
         return new Plan(seed, sizes, kept);
     }
 
-    /** The same day with another size. */
-    public Plan with(ScenarioParameter knob, long value) {
+    /** Returns this plan with another value of one parameter. */
+    public Plan with(ScenarioParameter parameter, long value) {
         EnumMap<ScenarioParameter, Long> changed = new EnumMap<>(sizes);
-        changed.put(knob, value);
+        changed.put(parameter, value);
         return new Plan(seed, changed, faults);
     }
 
-    /** The same day with another fault at that place. */
-    Plan with(int place, Fault fault) {
+    /** Returns this plan with another fault at an index. */
+    Plan with(int index, Fault fault) {
         List<Fault> changed = new ArrayList<>(faults);
-        changed.set(place, fault);
+        changed.set(index, fault);
         return new Plan(seed, sizes, changed);
     }
 
-    /** The sizes that are not as usual. */
+    /** The parameters whose values differ from their defaults. */
     public List<ScenarioParameter> nonDefaultParameters() {
         List<ScenarioParameter> unusual = new ArrayList<>();
         sizes.forEach(
-                (knob, value) -> {
-                    if (value != knob.defaultValue()) {
-                        unusual.add(knob);
+                (parameter, value) -> {
+                    if (value != parameter.defaultValue()) {
+                        unusual.add(parameter);
                     }
                 });
         return unusual;
     }
 
-    /** The same day with a size as usual. */
-    public Plan withDefault(ScenarioParameter knob) {
-        return with(knob, knob.defaultValue());
+    /** Returns this plan with one parameter at its default. */
+    public Plan withDefault(ScenarioParameter parameter) {
+        return with(parameter, parameter.defaultValue());
     }
 
-    /** From which all of the day's chance comes. */
+    /** The seed of all random streams of the day. */
     public long seed() {
         return seed;
     }
 
-    /** A size, in the smallest unit that it is kept in: nanoseconds, millionths or ones. */
-    public long size(ScenarioParameter knob) {
-        return sizes.get(knob);
+    /** The value of a parameter in its stored unit: nanoseconds, millionths or a count. */
+    public long size(ScenarioParameter parameter) {
+        return sizes.get(parameter);
     }
 
-    /** A part, as a fraction. */
-    double part(ScenarioParameter knob) {
-        return sizes.get(knob) / 1e6;
+    /** The value of a parameter of unit {@code PART}, as a fraction. */
+    double part(ScenarioParameter parameter) {
+        return sizes.get(parameter) / 1e6;
     }
 
-    int count(ScenarioParameter knob) {
-        return Math.toIntExact(sizes.get(knob));
+    /** The value of a parameter as an int. */
+    int count(ScenarioParameter parameter) {
+        return Math.toIntExact(sizes.get(parameter));
     }
 
-    /** The faults, in the order of their places. */
+    /** The faults in the order of the scenario; their indices identify them. */
     public List<Fault> faults() {
         return faults;
     }
 
-    /** When faults and unusual traffic have ended. */
+    /** Time at which faults, bursts and corrupted responses end. */
     public long faultsEnd() {
         return size(ScenarioParameter.FAULTS_END);
     }
 
-    /** When the judge begins to measure what is served. */
+    /** Time from which the invariants measure how many requests are served. */
     public long calmFrom() {
         return faultsEnd() + size(ScenarioParameter.RECOVERY);
     }
 
-    /** When the last request is asked. */
+    /** Time after which clients send no new requests. */
     public long quietFrom() {
         return calmFrom() + size(ScenarioParameter.CALM);
     }
 
-    /** When the day ends. */
+    /** Time at which the day ends. */
     public long end() {
         return quietFrom() + size(ScenarioParameter.QUIET);
     }
 
-    /** What a client asks, or gets, has no longer body than this. */
-    int largestBody() {
+    /** The maximum length in bytes of a request or response body. */
+    int maxBodyBytes() {
         return (int)
                 Math.min(
-                        LARGEST_BODY,
-                        BUFFERS_IN_A_BODY
+                        MAX_BODY_BYTES,
+                        MAX_BUFFERS_PER_BODY
                                 * Math.min(
                                         size(ScenarioParameter.SEND_BUFFER),
                                         size(ScenarioParameter.RECEIVE_BUFFER)));
     }
 
-    /** The longest that clients of a class wait. */
+    /** The deadline in nanoseconds of requests of a class. */
     long deadline(Classes.Kind kind) {
         return kind.deadline() < Classes.LONGEST
                 ? kind.deadline()
                 : size(ScenarioParameter.LONGEST_DEADLINE);
     }
 
-    /** How long a keyed class's repeats are dropped. */
+    /** For how many nanoseconds servers drop duplicates of a request with an idempotency key. */
     long window(Classes.Kind kind) {
         return kind.scope() == DeduplicationScope.ALL
                 ? kind.keyTtl()
@@ -166,16 +170,16 @@
     }
 
     /**
-     * The longest that a whole message takes between a client and its sidecar, while no trouble is
-     * told.
+     * An upper bound in nanoseconds for transferring a whole message between a client and its
+     * sidecar while no fault affects their link.
      */
     public long maxClientTransferNanos() {
-        double way =
+        double oneWayNanos =
                 1.2 * size(ScenarioParameter.CLIENT_DELAY) * (1 + part(ScenarioParameter.JITTER));
-        return (long) (way * (1 + 2.0 * BUFFERS_IN_A_BODY)) + 5 * Site.MS;
+        return (long) (oneWayNanos * (1 + 2.0 * MAX_BUFFERS_PER_BODY)) + 5 * Site.MS;
     }
 
-    /** What work that waits in a sidecar's loop may add to all it does, in a time of no trouble. */
+    /** An upper bound in nanoseconds for the delay by queued work in a sidecar's event loop. */
     public long maxLoopBacklogNanos() {
         return 50 * (size(ScenarioParameter.TASK_COST) + size(ScenarioParameter.READ_COST))
                 + 300 * size(ScenarioParameter.CLOCK_COST)
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -11,22 +11,25 @@
 import java.util.stream.Stream;
 
 /**
- * Draws a day from a seed: usual sizes with some unusual ones, the kinds of fault that are on, the
- * faults.
+ * Draws the plan of a seed: its parameters, of which a few are unusual, the enabled kinds of fault,
+ * and the faults. The order of the draws is part of the result: another order gives other plans.
  */
 final class PlanDraw {
     private static final long S = Site.SECOND;
     private static final long MS = Site.MS;
     private static final long US = 1000;
 
-    /** How much of the traffic of a day is to come at least, with room for chance. */
-    private static final int LEAST_REQUESTS = 400;
+    /** Minimum expected number of requests on a day. */
+    private static final int MIN_REQUESTS = 400;
 
-    private static final int LEAST_TRAPS = 16;
-    private static final int MORE_TRAPS = 22;
+    private static final int MIN_STATE_FAULTS = 16;
+    private static final int STATE_FAULTS_SPREAD = 22;
 
-    /** Those that many days have few of, or for short times only, come more often. */
-    private static final List<RequestState> STATES =
+    /**
+     * The states for state triggers. States that few requests enter, or that are short, are listed
+     * several times and so drawn more often.
+     */
+    private static final List<RequestState> WEIGHTED_STATES =
             Stream.concat(
                             Arrays.stream(RequestState.values()),
                             Stream.of(
@@ -45,32 +48,35 @@
                                     RequestState.RESEND_ANSWERING))
                     .toList();
 
-    /** Later visits of a state than this are too rare to be waited for. */
-    private static final int RARE = 3;
+    /** Maximum ordinal of the visit that triggers a fault in states of resends: few are made. */
+    private static final int MAX_VISIT_RESEND = 3;
+
+    /** The same, for states that few requests enter. */
+    private static final int MAX_VISIT_RARE = 8;
 
-    private static final int SELDOM = 8;
-    private static final int COMMON = 60;
+    /** The same, for all other states. */
+    private static final int MAX_VISIT_COMMON = 60;
 
     /**
-     * Part of the days on which servers are learned of from nodes. None yet: some of these days
-     * break rules that are not understood; a scenario plays them with {@code set membership}.
+     * Fraction of the days with ephemeral nodes. Zero, because some of these days break invariants
+     * for reasons not yet understood; a scenario selects such a day with {@code set membership}.
      */
-    private static final double NODE_DAYS = 0;
+    private static final double EPHEMERAL_NODE_DAYS = 0;
 
     private final long seed;
-    private final SeededRandom sizeChance;
-    private final SeededRandom faultChance;
+    private final SeededRandom parameterRandom;
+    private final SeededRandom faultRandom;
     private final Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
-    private final SeededRandom stageChance;
+    private final SeededRandom stageRandom;
     private final StagedCombination stage;
 
     PlanDraw(long seed) {
         this.seed = seed;
         SeededRandom all = new SeededRandom(seed);
-        this.sizeChance = all.stream("plan.sizes");
-        this.faultChance = all.stream("plan.faults");
-        this.stageChance = all.stream("plan.stage");
-        this.stage = StagedCombination.draw(stageChance);
+        this.parameterRandom = all.stream("plan.sizes");
+        this.faultRandom = all.stream("plan.faults");
+        this.stageRandom = all.stream("plan.stage");
+        this.stage = StagedCombination.draw(stageRandom);
     }
 
     Plan draw() {
@@ -82,21 +88,21 @@
         drawDiscovery();
         drawWindow();
         drawKnown();
-        stage.sizes(stageChance, sizes);
+        stage.sizes(stageRandom, sizes);
         List<Fault> faults = drawFaults();
-        faults.addAll(stage.faults(stageChance, sizes));
+        faults.addAll(stage.faults(stageRandom, sizes));
         faults.addAll(drawMembership());
         return new Plan(seed, sizes, faults);
     }
 
     private void drawDay() {
-        between(ScenarioParameter.SIDECARS, 3, 3);
-        if (sizeChance.hits(0.1)) {
-            between(ScenarioParameter.SIDECARS, 1, 5);
+        drawBetween(ScenarioParameter.SIDECARS, 3, 3);
+        if (parameterRandom.hits(0.1)) {
+            drawBetween(ScenarioParameter.SIDECARS, 1, 5);
         }
-        between(ScenarioParameter.SERVERS, 6, 10);
-        between(ScenarioParameter.FAULTS_END, 6 * S, 13 * S);
-        stage.length(stageChance, sizes);
+        drawBetween(ScenarioParameter.SERVERS, 6, 10);
+        drawBetween(ScenarioParameter.FAULTS_END, 6 * S, 13 * S);
+        stage.length(stageRandom, sizes);
         double seconds =
                 (size(ScenarioParameter.FAULTS_END)
                                 + ScenarioParameter.RECOVERY.defaultValue()
@@ -104,40 +110,42 @@
                         / (double) S;
         sizes.put(
                 ScenarioParameter.RATE,
-                ScenarioParameter.part((LEAST_REQUESTS + sizeChance.nextInt(140)) / seconds));
-        between(ScenarioParameter.UNEVEN, ScenarioParameter.part(0.15), ScenarioParameter.part(1));
-        between(ScenarioParameter.BURSTS, 0, ScenarioParameter.part(0.6));
+                ScenarioParameter.part((MIN_REQUESTS + parameterRandom.nextInt(140)) / seconds));
+        drawBetween(
+                ScenarioParameter.UNEVEN, ScenarioParameter.part(0.15), ScenarioParameter.part(1));
+        drawBetween(ScenarioParameter.BURSTS, 0, ScenarioParameter.part(0.6));
     }
 
     private void drawClients() {
-        between(ScenarioParameter.RETRIES, 0, 2);
-        between(ScenarioParameter.BACKOFF, 10 * MS, 80 * MS);
-        between(ScenarioParameter.HONOUR, ScenarioParameter.part(0.8), ScenarioParameter.part(1));
-        seldom(
+        drawBetween(ScenarioParameter.RETRIES, 0, 2);
+        drawBetween(ScenarioParameter.BACKOFF, 10 * MS, 80 * MS);
+        drawBetween(
+                ScenarioParameter.HONOUR, ScenarioParameter.part(0.8), ScenarioParameter.part(1));
+        drawWithProbability(
                 ScenarioParameter.IMPATIENT,
                 0.3,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.2));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.SLOW_READERS,
                 0.3,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.2));
-        between(
+        drawBetween(
                 ScenarioParameter.SLOW_WRITERS,
                 ScenarioParameter.part(0.1),
                 ScenarioParameter.part(0.4));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.PIPELINED,
                 0.2,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.15));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.ASK_ONCE,
                 0.2,
                 ScenarioParameter.part(0.05),
                 ScenarioParameter.part(0.5));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.LARGE_BODIES,
                 0.3,
                 ScenarioParameter.part(0.02),
@@ -145,108 +153,109 @@
     }
 
     private void drawServers() {
-        between(ScenarioParameter.CORES, 1, 3);
-        between(ScenarioParameter.QUEUE, 9, 72);
-        seldom(ScenarioParameter.QUEUE, 0.1, 0, 4);
-        between(ScenarioParameter.CONNECTIONS, 360, 450);
-        seldom(ScenarioParameter.CONNECTIONS, 0.1, 4, 20);
-        between(ScenarioParameter.HANDSHAKE, 3100 * US, 6000 * US);
-        seldom(ScenarioParameter.SERVER_IDLE, 0.15, 100 * MS, 3 * S);
-        seldom(
+        drawBetween(ScenarioParameter.CORES, 1, 3);
+        drawBetween(ScenarioParameter.QUEUE, 9, 72);
+        drawWithProbability(ScenarioParameter.QUEUE, 0.1, 0, 4);
+        drawBetween(ScenarioParameter.CONNECTIONS, 360, 450);
+        drawWithProbability(ScenarioParameter.CONNECTIONS, 0.1, 4, 20);
+        drawBetween(ScenarioParameter.HANDSHAKE, 3100 * US, 6000 * US);
+        drawWithProbability(ScenarioParameter.SERVER_IDLE, 0.15, 100 * MS, 3 * S);
+        drawWithProbability(
                 ScenarioParameter.DROPS_EXPIRED,
                 0.3,
                 ScenarioParameter.part(0.3),
                 ScenarioParameter.part(1));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.CHUNKED,
                 0.3,
                 ScenarioParameter.part(0.2),
                 ScenarioParameter.part(1));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.LARGE_ANSWERS,
                 0.3,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.2));
-        between(ScenarioParameter.ERRORS, 0, ScenarioParameter.part(0.003));
-        seldom(
+        drawBetween(ScenarioParameter.ERRORS, 0, ScenarioParameter.part(0.003));
+        drawWithProbability(
                 ScenarioParameter.ERRORS,
                 0.15,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.3));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.SPOILT,
                 0.2,
                 ScenarioParameter.part(0.01),
                 ScenarioParameter.part(0.15));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.EXTRAS,
                 0.25,
                 ScenarioParameter.part(0.02),
                 ScenarioParameter.part(0.3));
-        between(ScenarioParameter.REPORT_AGE, 49 * MS, 410 * MS);
+        drawBetween(ScenarioParameter.REPORT_AGE, 49 * MS, 410 * MS);
     }
 
     private void drawLimits() {
-        between(ScenarioParameter.SOCKETS, 256, 1024);
-        seldom(ScenarioParameter.SOCKETS, 0.1, 64, 100);
-        seldom(ScenarioParameter.MAX_OPEN, 0.1, 8, 24);
-        seldom(ScenarioParameter.CONN_IDLE, 0.1, 300 * MS, 60 * S);
-        seldom(ScenarioParameter.CONNECT_TIMEOUT, 0.15, 30 * MS, 1 * S);
-        seldom(ScenarioParameter.RETRY_AFTER, 0.5, 0, 0);
-        seldom(ScenarioParameter.ASK_WITHIN, 0.15, 4 * S, 20 * S);
-        seldom(ScenarioParameter.KNOWN_AGE, 0.4, 1 * S, 600 * S);
-        between(ScenarioParameter.START, 200 * MS, 1500 * MS);
+        drawBetween(ScenarioParameter.SOCKETS, 256, 1024);
+        drawWithProbability(ScenarioParameter.SOCKETS, 0.1, 64, 100);
+        drawWithProbability(ScenarioParameter.MAX_OPEN, 0.1, 8, 24);
+        drawWithProbability(ScenarioParameter.CONN_IDLE, 0.1, 300 * MS, 60 * S);
+        drawWithProbability(ScenarioParameter.CONNECT_TIMEOUT, 0.15, 30 * MS, 1 * S);
+        drawWithProbability(ScenarioParameter.RETRY_AFTER, 0.5, 0, 0);
+        drawWithProbability(ScenarioParameter.ASK_WITHIN, 0.15, 4 * S, 20 * S);
+        drawWithProbability(ScenarioParameter.KNOWN_AGE, 0.4, 1 * S, 600 * S);
+        drawBetween(ScenarioParameter.START, 200 * MS, 1500 * MS);
     }
 
     private void drawNetwork() {
-        between(ScenarioParameter.CLIENT_DELAY, 40 * US, 100 * US);
-        between(ScenarioParameter.NEAR_DELAY, 160 * US, 320 * US);
-        between(ScenarioParameter.FAR_DELAY, 420 * US, 780 * US);
-        between(
+        drawBetween(ScenarioParameter.CLIENT_DELAY, 40 * US, 100 * US);
+        drawBetween(ScenarioParameter.NEAR_DELAY, 160 * US, 320 * US);
+        drawBetween(ScenarioParameter.FAR_DELAY, 420 * US, 780 * US);
+        drawBetween(
                 ScenarioParameter.JITTER,
                 ScenarioParameter.part(0.069),
                 ScenarioParameter.part(0.35));
-        boolean far = sizeChance.hits(0.1);
+        boolean far = parameterRandom.hits(0.1);
         if (far) {
-            between(ScenarioParameter.FAR_DELAY, 2 * MS, 8 * MS);
+            drawBetween(ScenarioParameter.FAR_DELAY, 2 * MS, 8 * MS);
         } else {
-            seldom(
+            drawWithProbability(
                     ScenarioParameter.JITTER,
                     0.1,
                     ScenarioParameter.part(1),
                     ScenarioParameter.part(5));
         }
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.CHOPPED,
                 0.25,
                 ScenarioParameter.part(0.05),
                 ScenarioParameter.part(0.4));
-        seldom(
+        drawWithProbability(
                 ScenarioParameter.LOSS,
                 0.15,
                 ScenarioParameter.part(0.001),
                 ScenarioParameter.part(0.01));
-        seldom(ScenarioParameter.BANDWIDTH, 0.1, 1_000_000, 5_000_000);
-        // Through small buffers and over a long way nothing large would come in time.
-        seldom(ScenarioParameter.SEND_BUFFER, far ? 0 : 0.15, 256, 4096);
-        seldom(ScenarioParameter.RECEIVE_BUFFER, far ? 0 : 0.15, 256, 4096);
-        if (!far && sizeChance.hits(0.55)) {
-            // Together less than any request has: each is a while in being written.
-            between(ScenarioParameter.SEND_BUFFER, 64, 120);
-            between(ScenarioParameter.RECEIVE_BUFFER, 64, 120);
+        drawWithProbability(ScenarioParameter.BANDWIDTH, 0.1, 1_000_000, 5_000_000);
+        // Small buffers with a long delay would make every large message miss its deadline.
+        drawWithProbability(ScenarioParameter.SEND_BUFFER, far ? 0 : 0.15, 256, 4096);
+        drawWithProbability(ScenarioParameter.RECEIVE_BUFFER, far ? 0 : 0.15, 256, 4096);
+        if (!far && parameterRandom.hits(0.55)) {
+            // Both buffers together hold less than any request, so that writing each one takes a
+            // while.
+            drawBetween(ScenarioParameter.SEND_BUFFER, 64, 120);
+            drawBetween(ScenarioParameter.RECEIVE_BUFFER, 64, 120);
         }
-        between(ScenarioParameter.TASK_COST, 0, 60 * US);
-        between(ScenarioParameter.READ_COST, 0, 30 * US);
-        between(ScenarioParameter.CLOCK_COST, 0, 1 * US);
-        seldom(ScenarioParameter.CLOCK_COST, 0.1, 10 * US, 200 * US);
-        seldom(ScenarioParameter.TASK_COST, 0.05, 100 * US, 300 * US);
+        drawBetween(ScenarioParameter.TASK_COST, 0, 60 * US);
+        drawBetween(ScenarioParameter.READ_COST, 0, 30 * US);
+        drawBetween(ScenarioParameter.CLOCK_COST, 0, 1 * US);
+        drawWithProbability(ScenarioParameter.CLOCK_COST, 0.1, 10 * US, 200 * US);
+        drawWithProbability(ScenarioParameter.TASK_COST, 0.05, 100 * US, 300 * US);
     }
 
     private void drawDiscovery() {
-        between(ScenarioParameter.NOTICE, 200 * MS, 3 * S);
-        between(ScenarioParameter.SILENT_NOTICE, 2 * S, 6 * S);
-        between(ScenarioParameter.ADD_NOTICE, 460 * MS, 2100 * MS);
-        between(ScenarioParameter.CALL_COST, 5 * MS, 250 * MS);
+        drawBetween(ScenarioParameter.NOTICE, 200 * MS, 3 * S);
+        drawBetween(ScenarioParameter.SILENT_NOTICE, 2 * S, 6 * S);
+        drawBetween(ScenarioParameter.ADD_NOTICE, 460 * MS, 2100 * MS);
+        drawBetween(ScenarioParameter.CALL_COST, 5 * MS, 250 * MS);
     }
 
     private void drawWindow() {
@@ -263,13 +272,13 @@
     }
 
     /**
-     * On some days there are ephemeral nodes, with their own troubles; all other draws are as they
-     * were.
+     * Draws ephemeral nodes and their faults for some days, from an own stream so that all other
+     * draws stay the same.
      */
     private List<Fault> drawMembership() {
         SeededRandom own = new SeededRandom(seed).stream("plan.membership");
         List<Fault> faults = new ArrayList<>();
-        if (!own.hits(NODE_DAYS)) {
+        if (!own.hits(EPHEMERAL_NODE_DAYS)) {
             return faults;
         }
         sizes.put(ScenarioParameter.MEMBERSHIP, own.between(1, 2));
@@ -286,80 +295,81 @@
                             millis(own.between(S, size(ScenarioParameter.FAULTS_END) - S)));
             faults.add(fault(trigger, own.pick(kinds)));
         }
-        int trapped = own.nextInt(6);
-        for (int i = 0; i < trapped; i++) {
-            faults.add(fault(trap(own.pick(STATES)), own.pick(kinds)));
+        int stateTriggered = own.nextInt(6);
+        for (int i = 0; i < stateTriggered; i++) {
+            faults.add(fault(stateTrigger(own.pick(WEIGHTED_STATES)), own.pick(kinds)));
         }
         return faults;
     }
 
-    /** Each kind is on or off for the day; what strikes is drawn from those that are on. */
+    /** Enables some kinds of fault for the day, and draws the faults from these. */
     private List<Fault> drawFaults() {
-        SeededRandom chance = faultChance;
-        double part = chance.pick(List.of(0.1, 0.25, 0.5, 1.0));
-        List<FaultKind> on = new ArrayList<>();
+        SeededRandom random = faultRandom;
+        double probability = random.pick(List.of(0.1, 0.25, 0.5, 1.0));
+        List<FaultKind> enabled = new ArrayList<>();
         for (FaultKind each : FaultKind.values()) {
-            if (!each.ofNodes() && chance.hits(part)) {
-                on.add(each);
+            if (!each.ofNodes() && random.hits(probability)) {
+                enabled.add(each);
             }
         }
         List<Fault> faults = new ArrayList<>();
-        if (on.isEmpty()) {
+        if (enabled.isEmpty()) {
             return faults;
         }
-        int timed = chance.nextInt(7);
+        int timed = random.nextInt(7);
         for (int i = 0; i < timed; i++) {
-            FaultKind kind = chance.pick(on);
+            FaultKind kind = random.pick(enabled);
             if (!kind.trappedOnly()) {
                 long latest = size(ScenarioParameter.FAULTS_END) - S;
-                faults.add(fault(FaultTrigger.time(millis(chance.between(S, latest))), kind));
+                faults.add(fault(FaultTrigger.time(millis(random.between(S, latest))), kind));
             }
         }
-        int trapped = LEAST_TRAPS + chance.nextInt(MORE_TRAPS);
-        for (int i = 0; i < trapped; i++) {
-            RequestState state = chance.pick(STATES);
-            List<FaultKind> possible = on.stream().filter(kind -> kind.isAimedAt(state)).toList();
-            if (!possible.isEmpty()) {
-                faults.add(fault(trap(state), chance.pick(possible)));
+        int stateTriggered = MIN_STATE_FAULTS + random.nextInt(STATE_FAULTS_SPREAD);
+        for (int i = 0; i < stateTriggered; i++) {
+            RequestState state = random.pick(WEIGHTED_STATES);
+            List<FaultKind> applicable =
+                    enabled.stream().filter(kind -> kind.isAimedAt(state)).toList();
+            if (!applicable.isEmpty()) {
+                faults.add(fault(stateTrigger(state), random.pick(applicable)));
             }
         }
         return faults;
     }
 
-    private FaultTrigger trap(RequestState state) {
-        SeededRandom chance = faultChance;
-        int most =
+    private FaultTrigger stateTrigger(RequestState state) {
+        SeededRandom random = faultRandom;
+        int maxVisit =
                 state.isResend()
-                        ? RARE
+                        ? MAX_VISIT_RESEND
                         : switch (state) {
-                            case CONNECTING, HELD -> SELDOM;
-                            default -> COMMON;
+                            case CONNECTING, HELD -> MAX_VISIT_RARE;
+                            default -> MAX_VISIT_COMMON;
                         };
         long after =
-                switch (chance.nextInt(4)) {
-                    case 0 -> chance.nextLong(2 * MS);
-                    case 1 -> chance.nextLong(100 * MS);
+                switch (random.nextInt(4)) {
+                    case 0 -> random.nextLong(2 * MS);
+                    case 1 -> random.nextLong(100 * MS);
                     default -> 0;
                 };
-        return new FaultTrigger(after - after % US, state, 1 + chance.nextInt(most));
+        return new FaultTrigger(after - after % US, state, 1 + random.nextInt(maxVisit));
     }
 
     private Fault fault(FaultTrigger trigger, FaultKind kind) {
-        SeededRandom chance = faultChance;
+        SeededRandom random = faultRandom;
         TreeMap<FaultParameter, Long> values = new TreeMap<>();
         for (FaultParameter each : kind.params()) {
             values.put(each, value(kind, each));
         }
-        String style = kind.styles().isEmpty() ? null : chance.pick(kind.styles());
+        String style = kind.styles().isEmpty() ? null : random.pick(kind.styles());
         String who = null;
-        boolean own = trigger.trap() && chance.hits(0.9);
+        boolean own = trigger.trap() && random.hits(0.9);
         if (!own) {
             who =
                     switch (kind.target()) {
-                        case SERVER -> "s" + chance.nextInt((int) size(ScenarioParameter.SERVERS));
+                        case SERVER -> "s" + random.nextInt((int) size(ScenarioParameter.SERVERS));
                         case SIDECAR ->
-                                "n" + chance.nextInt((int) size(ScenarioParameter.SIDECARS));
-                        case ZONE -> chance.pick(Site.ZONES);
+                                "n" + random.nextInt((int) size(ScenarioParameter.SIDECARS));
+                        case ZONE -> random.pick(Site.ZONES);
                         default -> null;
                     };
         }
@@ -367,57 +377,58 @@
     }
 
     private long value(FaultKind kind, FaultParameter param) {
-        SeededRandom chance = faultChance;
+        SeededRandom random = faultRandom;
         return switch (param) {
             case FOR ->
                     switch (kind) {
                         case PAUSE ->
-                                chance.hits(0.3)
-                                        ? millis(chance.between(2 * S, 8 * S))
-                                        : millis(chance.between(5 * MS, 600 * MS));
-                        case FLOOD -> millis(chance.between(500 * MS, 2 * S));
-                        default -> millis(chance.between(200 * MS, 6 * S));
+                                random.hits(0.3)
+                                        ? millis(random.between(2 * S, 8 * S))
+                                        : millis(random.between(5 * MS, 600 * MS));
+                        case FLOOD -> millis(random.between(500 * MS, 2 * S));
+                        default -> millis(random.between(200 * MS, 6 * S));
                     };
-            case DOWN -> millis(chance.between(100 * MS, 4 * S));
+            case DOWN -> millis(random.between(100 * MS, 4 * S));
             case BY ->
                     switch (kind) {
-                        case WALL_STEP -> millis(chance.between(-20 * S, 20 * S));
-                        case LIST_STALE -> millis(chance.between(S, 10 * S));
-                        case LIST_FLAPS, NODE_FLAPS -> millis(chance.between(20 * MS, 900 * MS));
-                        case NODES_LAG, NODES_SLOW -> millis(chance.between(100 * MS, 4 * S));
-                        default -> millis(chance.between(5 * MS, 300 * MS));
+                        case WALL_STEP -> millis(random.between(-20 * S, 20 * S));
+                        case LIST_STALE -> millis(random.between(S, 10 * S));
+                        case LIST_FLAPS, NODE_FLAPS -> millis(random.between(20 * MS, 900 * MS));
+                        case NODES_LAG, NODES_SLOW -> millis(random.between(100 * MS, 4 * S));
+                        default -> millis(random.between(5 * MS, 300 * MS));
                     };
-            case FACTOR -> ScenarioParameter.part(2 + chance.nextInt(80) / 10.0);
-            case RATE -> ScenarioParameter.part(20 + chance.nextInt(60));
+            case FACTOR -> ScenarioParameter.part(2 + random.nextInt(80) / 10.0);
+            case RATE -> ScenarioParameter.part(20 + random.nextInt(60));
             case COUNT ->
                     switch (kind) {
-                        case FAILING -> chance.between(50, 1000);
-                        case NO_DESCRIPTORS -> chance.between(0, 8);
-                        case LINK_CHOPPED -> chance.between(1, 40);
-                        default -> chance.between(1, 4);
+                        case FAILING -> random.between(50, 1000);
+                        case NO_DESCRIPTORS -> random.between(0, 8);
+                        case LINK_CHOPPED -> random.between(1, 40);
+                        default -> random.between(1, 4);
                     };
             case BYTES ->
                     kind == FaultKind.LINK_THIN
-                            ? chance.between(10_000, 200_000)
-                            : chance.between(0, 400);
+                            ? random.between(10_000, 200_000)
+                            : random.between(0, 400);
         };
     }
 
-    private void between(ScenarioParameter knob, long low, long high) {
-        sizes.put(knob, sizeChance.between(low, high));
+    private void drawBetween(ScenarioParameter parameter, long low, long high) {
+        sizes.put(parameter, parameterRandom.between(low, high));
     }
 
-    private void seldom(ScenarioParameter knob, double how, long low, long high) {
-        if (sizeChance.hits(how)) {
-            between(knob, low, high);
+    private void drawWithProbability(
+            ScenarioParameter parameter, double probability, long low, long high) {
+        if (parameterRandom.hits(probability)) {
+            drawBetween(parameter, low, high);
         }
     }
 
-    private long size(ScenarioParameter knob) {
-        return sizes.getOrDefault(knob, knob.defaultValue());
+    private long size(ScenarioParameter parameter) {
+        return sizes.getOrDefault(parameter, parameter.defaultValue());
     }
 
-    /** Whole milliseconds read better, and shift nothing that matters. */
+    /** Rounds down to whole milliseconds, which keeps scenarios readable. */
     private static long millis(long nanos) {
         return nanos - nanos % MS;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Scenarios: plans as text, read strictly. */
+/** Formats plans as scenarios and parses scenarios strictly. An instance parses one scenario. */
 final class PlanText {
     private final Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
     private final List<Fault> faults = new ArrayList<>();
 
-    /** The number of the line that each fault stands in. */
-    private final List<Integer> lines = new ArrayList<>();
+    /** The line number of each fault, for error messages. */
+    private final List<Integer> faultLines = new ArrayList<>();
 
     private Long seed;
 
@@ -37,19 +37,20 @@
     }
 
     Plan parse(String text) {
-        int number = 0;
+        int lineNumber = 0;
         for (String raw : text.split("\n", -1)) {
-            number++;
+            lineNumber++;
             int comment = raw.indexOf('#');
             String line = (comment < 0 ? raw : raw.substring(0, comment)).strip();
             if (!line.isEmpty()) {
                 try {
-                    line(line.split("\\s+"));
+                    parseLine(line.split("\\s+"));
                 } catch (IllegalArgumentException e) {
-                    throw new IllegalArgumentException("line " + number + ": " + e.getMessage(), e);
+                    throw new IllegalArgumentException(
+                            "line " + lineNumber + ": " + e.getMessage(), e);
                 }
-                while (lines.size() < faults.size()) {
-                    lines.add(number);
+                while (faultLines.size() < faults.size()) {
+                    faultLines.add(lineNumber);
                 }
             }
         }
@@ -59,10 +60,10 @@
         Plan plan = new Plan(seed, sizes, faults);
         for (int i = 0; i < faults.size(); i++) {
             try {
-                check(plan, faults.get(i));
+                checkFault(plan, faults.get(i));
             } catch (IllegalArgumentException e) {
                 throw new IllegalArgumentException(
-                        "line " + lines.get(i) + ": " + e.getMessage(), e);
+                        "line " + faultLines.get(i) + ": " + e.getMessage(), e);
             }
         }
         return plan;
@@ -72,34 +73,37 @@
         return String.join(", ", params.stream().map(FaultParameter::word).toList());
     }
 
-    private void line(String[] words) {
+    private void parseLine(String[] words) {
         switch (words[0]) {
             case "seed" -> {
                 require(words.length == 2, "seed NUMBER");
                 require(seed == null, "the seed is given twice");
-                seed = number(words[1]);
+                seed = parseNumber(words[1]);
             }
             case "set" -> {
                 require(words.length == 3, "set SIZE VALUE");
-                ScenarioParameter knob = ScenarioParameter.of(words[1]);
+                ScenarioParameter parameter = ScenarioParameter.of(words[1]);
                 require(
-                        sizes.put(knob, knob.checked(knob.unit().parse(words[2]))) == null,
+                        sizes.put(parameter, parameter.checkRange(parameter.unit().parse(words[2])))
+                                == null,
                         words[1] + " is set twice");
             }
             case "at" -> {
                 require(words.length >= 3, "at SECONDS KIND ...");
-                faults.add(fault(FaultTrigger.time(time(words[1])), words, 2));
+                faults.add(parseFault(FaultTrigger.time(parseTime(words[1])), words, 2));
             }
             case "on" -> {
                 require(words.length >= 4, "on STATE NTH [after SECONDS] KIND ...");
                 RequestState state = FaultKind.of(RequestState.class, "state", words[1]);
-                long nth = number(words[2]);
-                require(nth >= 1 && nth <= 1_000_000, "there is no such time: " + words[2]);
+                long nth = parseNumber(words[2]);
+                require(
+                        nth >= 1 && nth <= 1_000_000,
+                        "NTH is not between 1 and 1000000: " + words[2]);
                 boolean after = words[3].equals("after");
                 require(!after || words.length >= 6, "after SECONDS KIND ...");
                 faults.add(
-                        fault(
-                                new FaultTrigger(after ? time(words[4]) : 0, state, (int) nth),
+                        parseFault(
+                                new FaultTrigger(after ? parseTime(words[4]) : 0, state, (int) nth),
                                 words,
                                 after ? 5 : 3));
             }
@@ -109,7 +113,7 @@
         }
     }
 
-    private static Fault fault(FaultTrigger trigger, String[] words, int from) {
+    private static Fault parseFault(FaultTrigger trigger, String[] words, int from) {
         FaultKind kind = FaultKind.of(FaultKind.class, "fault", words[from]);
         String who = null;
         String style = null;
@@ -120,11 +124,11 @@
             String name = words[i].substring(0, equals);
             String value = words[i].substring(equals + 1);
             if (name.equals("who")) {
-                require(who == null && !value.isEmpty(), "who twice or empty");
+                require(who == null && !value.isEmpty(), "who is given twice or empty");
                 who = value;
             } else if (name.equals("style")) {
-                require(style == null, "style twice");
-                require(!kind.styles().isEmpty(), kind.word() + " has no style");
+                require(style == null, "style is given twice");
+                require(!kind.styles().isEmpty(), kind.word() + " takes no style");
                 require(
                         kind.styles().contains(value),
                         Suggestions.unknownName("style of " + kind.word(), value, kind.styles()));
@@ -134,12 +138,12 @@
                 require(
                         kind.params().contains(param),
                         kind.word()
-                                + " has no "
+                                + " takes no "
                                 + name
                                 + (kind.params().isEmpty()
                                         ? ""
-                                        : "; it has " + words(kind.params())));
-                require(values.put(param, param.parse(value)) == null, name + " twice");
+                                        : "; it takes " + words(kind.params())));
+                require(values.put(param, param.parse(value)) == null, name + " is given twice");
             }
         }
         require(
@@ -153,29 +157,29 @@
                 kind.word() + " needs a request: on STATE NTH ...");
         require(
                 !trigger.trap() || kind.canStrike(trigger.state()),
-                kind.word() + " can't strike a request there");
+                kind.word() + " can't be injected in state " + words[1]);
         boolean named =
                 switch (kind.target()) {
                     case SERVER, SIDECAR, ZONE -> true;
                     default -> false;
                 };
-        require(named || who == null, kind.word() + " has no who");
+        require(named || who == null, kind.word() + " takes no who");
         require(!named || who != null || trigger.trap(), kind.word() + " needs who=NAME");
         return new Fault(trigger, kind, who, style, values);
     }
 
-    /** Whether a fault strikes, and whom, can be told only when the day's sizes are known. */
-    private static void check(Plan plan, Fault fault) {
+    /** Checks the time and the target of a fault, which depend on the plan's parameters. */
+    private static void checkFault(Plan plan, Fault fault) {
         require(
                 fault.trigger().at() < plan.faultsEnd(),
-                "it can't strike: faults have ended at "
+                "the fault is too late: faults end at "
                         + Unit.TIME.text(plan.faultsEnd())
                         + " s (faults-end)");
         if (fault.who() != null) {
             List<String> known =
                     switch (fault.kind().target()) {
-                        case SERVER -> numbered('s', plan.count(ScenarioParameter.SERVERS));
-                        case SIDECAR -> numbered('n', plan.count(ScenarioParameter.SIDECARS));
+                        case SERVER -> names('s', plan.count(ScenarioParameter.SERVERS));
+                        case SIDECAR -> names('n', plan.count(ScenarioParameter.SIDECARS));
                         default -> Site.ZONES;
                     };
             require(
@@ -184,7 +188,7 @@
         }
     }
 
-    private static List<String> numbered(char letter, int count) {
+    private static List<String> names(char letter, int count) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             names.add(letter + Integer.toString(i));
@@ -192,13 +196,13 @@
         return names;
     }
 
-    private static long time(String text) {
+    private static long parseTime(String text) {
         long time = Unit.TIME.parse(text);
-        require(time >= 0, "before the day: " + text);
+        require(time >= 0, "negative time: " + text);
         return time;
     }
 
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
@@ -206,9 +210,9 @@
         }
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
@@ -74,7 +74,7 @@
         int length =
                 kind.semantics() == Idempotency.IDEMPOTENT
                         ? 0
-                        : 1 + chance.nextInt(large ? plan.largestBody() : SMALL_BODY);
+                        : 1 + chance.nextInt(large ? plan.maxBodyBytes() : SMALL_BODY);
         SeededRandom form = chance.stream("form");
         this.uri = "/api/" + kind.name() + query(form);
         this.body = body(form.nextLong(), length);
--- a/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
@@ -6,47 +6,50 @@
 import java.util.function.LongFunction;
 
 /**
- * Plans that differ from a given one in a single number, which is easier to read: rounder, or
- * nothing at all.
+ * Variants of a plan in which a single number is simpler, that is rounder or zero. Used to shrink
+ * failing plans.
  */
 public final class SimplerPlans {
-    /** Significant digits that a rounder number has. */
-    private static final int MOST_DIGITS = 2;
+    /** Maximum number of significant digits of a rounded number. */
+    private static final int MAX_DIGITS = 2;
 
     private SimplerPlans() {}
 
     /**
-     * How many numbers there are that may be simpler; it doesn't change when one of them is made
-     * so.
+     * Counts the numbers of a plan, each of which has an index below the result. The count is the
+     * same for the variants of a plan.
      */
     public static int places(Plan plan) {
-        int places = ScenarioParameter.values().length;
+        int count = ScenarioParameter.values().length;
         for (Fault each : plan.faults()) {
-            places += numbers(each);
+            count += numbers(each);
         }
-        return places;
+        return count;
     }
 
     /**
-     * The plans with another number at a place, the simplest first; none if it can't be simpler.
+     * Returns the variants with a simpler number at an index, the simplest first; empty if it can't
+     * be simpler.
      */
-    public static List<Plan> at(Plan plan, int place) {
-        int left = place;
+    public static List<Plan> at(Plan plan, int index) {
+        int remaining = index;
         for (int i = 0; i < plan.faults().size(); i++) {
             Fault fault = plan.faults().get(i);
-            if (left < numbers(fault)) {
-                int at = i;
-                return ofFault(fault, left).stream().map(each -> plan.with(at, each)).toList();
+            if (remaining < numbers(fault)) {
+                int faultIndex = i;
+                return ofFault(fault, remaining).stream()
+                        .map(each -> plan.with(faultIndex, each))
+                        .toList();
             }
-            left -= numbers(fault);
+            remaining -= numbers(fault);
         }
-        ScenarioParameter knob = ScenarioParameter.values()[left];
-        return plan.size(knob) == knob.defaultValue()
+        ScenarioParameter parameter = ScenarioParameter.values()[remaining];
+        return plan.size(parameter) == parameter.defaultValue()
                 ? List.of()
-                : rounder(plan.size(knob), value -> plan.with(knob, value));
+                : rounder(plan.size(parameter), value -> plan.with(parameter, value));
     }
 
-    /** Its trigger has two, of which a time's second never changes. */
+    /** A trigger has two numbers, its time and its visit; the visit is unused without a state. */
     private static int numbers(Fault fault) {
         return 2 + fault.values().size();
     }
@@ -87,14 +90,14 @@
         return new Fault(trigger, fault.kind(), fault.who(), fault.style(), fault.values());
     }
 
-    /** What comes of the number rounded to few digits; those that make no sense are left out. */
+    /** Builds variants with the number rounded to few digits, leaving out those out of bounds. */
     private static <T> List<T> rounder(long value, LongFunction<T> with) {
         List<T> simpler = new ArrayList<>();
         long unit = 1;
         while (Math.abs(value / unit) >= 10) {
             unit *= 10;
         }
-        for (int digits = 1; digits <= MOST_DIGITS && unit > 1; digits++, unit /= 10) {
+        for (int digits = 1; digits <= MAX_DIGITS && unit > 1; digits++, unit /= 10) {
             long rounded = Math.round(value / (double) unit) * unit;
             if (rounded == value) {
                 break;
@@ -102,7 +105,7 @@
             try {
                 simpler.add(with.apply(rounded));
             } catch (IllegalArgumentException e) {
-                // Out of its bounds: not a plan.
+                // The rounded number is out of the parameter's bounds.
                 continue;
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/StagedCombination.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StagedCombination.java
@@ -8,31 +8,32 @@
 import java.util.TreeMap;
 
 /**
- * What must come together to matter, and by chance alone would too seldom: on some days sizes and
- * faults are drawn for it, beside all others.
+ * Combinations of parameters and faults that matter only together and would rarely occur by chance.
+ * On some days one of them is added to everything else that is drawn.
  */
 enum StagedCombination {
-    /** Nothing of that kind. */
+    /** No staged combination. */
     NONE(0),
-    /** A sidecar stands still for an hour. */
+    /** A sidecar is paused for an hour. */
     HOUR(0.0007),
-    /** Sidecars stand still for up to two minutes. */
+    /** Sidecars are paused for up to two minutes. */
     MINUTES(0.012),
     /**
-     * Drains are told to sidecars that connect to those servers, for longer than the drains' grace.
+     * Servers start to drain while sidecars are connecting to them, and the connects take longer
+     * than the grace period of a drain.
      */
     DRAINS(0.05),
     /**
-     * Sidecars stand still over a resend's window, its request's deadline and a drain's grace at
-     * once.
+     * Sidecars are paused during a resend for longer than the deduplication window, the request's
+     * deadline and the grace period of a drain.
      */
     STILL(0.18),
-    /** Windows close within resends: while they connect, and within their bytes. */
+    /** Deduplication windows end during resends: while they connect or while they are written. */
     WINDOWS(0.05);
 
     private static final long S = Site.SECOND;
     private static final long MS = Site.MS;
-    private static final List<RequestState> RESENT =
+    private static final List<RequestState> RESEND_STATES =
             List.of(
                     RequestState.RESEND_HELD,
                     RequestState.RESEND_CONNECTING,
@@ -40,66 +41,66 @@
                     RequestState.RESEND_WRITTEN,
                     RequestState.RESEND_ANSWERING);
 
-    /** Keyed requests that break off are resent: so many are made to on a day. */
-    private static final int BROKEN = 24;
+    /** Number of upstream resets per day, so that requests with a key are resent. */
+    private static final int UPSTREAM_RESETS = 24;
 
-    private final double part;
+    private final double probability;
 
-    StagedCombination(double part) {
-        this.part = part;
+    StagedCombination(double probability) {
+        this.probability = probability;
     }
 
-    /** The one of a seed's day. */
-    static StagedCombination draw(SeededRandom chance) {
-        double drawn = chance.nextDouble();
+    /** Draws the combination of a day. */
+    static StagedCombination draw(SeededRandom random) {
+        double drawn = random.nextDouble();
         for (StagedCombination each : values()) {
-            if (drawn < each.part) {
+            if (drawn < each.probability) {
                 return each;
             }
-            drawn -= each.part;
+            drawn -= each.probability;
         }
         return NONE;
     }
 
-    /** How long the day is to be; ahead of all else that is drawn by its length. */
-    void length(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
+    /** Sets the length of the day, before any draw that depends on the length. */
+    void length(SeededRandom random, Map<ScenarioParameter, Long> sizes) {
         switch (this) {
             case HOUR -> {
                 sizes.put(ScenarioParameter.FAULTS_END, 3700 * S);
                 sizes.put(ScenarioParameter.CALM, 60 * S);
             }
             case MINUTES -> {
-                sizes.put(ScenarioParameter.FAULTS_END, chance.between(60 * S, 135 * S));
+                sizes.put(ScenarioParameter.FAULTS_END, random.between(60 * S, 135 * S));
                 sizes.put(ScenarioParameter.CALM, 20 * S);
             }
             default -> {}
         }
     }
 
-    /** What else is to be unlike what was drawn. */
-    void sizes(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
+    /** Overrides the other parameters that this combination needs. */
+    void sizes(SeededRandom random, Map<ScenarioParameter, Long> sizes) {
         switch (this) {
             case DRAINS -> {
-                sizes.put(ScenarioParameter.LONGEST_DEADLINE, chance.between(2800 * MS, 3 * S));
+                sizes.put(ScenarioParameter.LONGEST_DEADLINE, random.between(2800 * MS, 3 * S));
                 sizes.put(ScenarioParameter.RATE, 2 * sizes.get(ScenarioParameter.RATE));
                 sizes.put(ScenarioParameter.QUIET, 6 * S);
-                sizes.put(ScenarioParameter.CONNECT_TIMEOUT, chance.between(2300 * MS, 4 * S));
-                quickNews(chance, sizes);
+                sizes.put(ScenarioParameter.CONNECT_TIMEOUT, random.between(2300 * MS, 4 * S));
+                quickDiscovery(random, sizes);
             }
             case STILL -> {
-                sizes.put(ScenarioParameter.KEY_WINDOW, chance.between(80 * MS, 400 * MS));
-                // Through small buffers nothing large comes in time over a long way.
+                sizes.put(ScenarioParameter.KEY_WINDOW, random.between(80 * MS, 400 * MS));
+                // Small buffers with a long delay would make every large message miss its deadline.
                 sizes.put(ScenarioParameter.FAR_DELAY, ScenarioParameter.FAR_DELAY.defaultValue());
-                sizes.put(ScenarioParameter.SEND_BUFFER, chance.between(64, 120));
-                sizes.put(ScenarioParameter.RECEIVE_BUFFER, chance.between(64, 120));
-                quickNews(chance, sizes);
+                sizes.put(ScenarioParameter.SEND_BUFFER, random.between(64, 120));
+                sizes.put(ScenarioParameter.RECEIVE_BUFFER, random.between(64, 120));
+                quickDiscovery(random, sizes);
             }
             case WINDOWS -> {
-                sizes.put(ScenarioParameter.KEY_WINDOW, chance.between(50 * MS, 150 * MS));
-                sizes.put(ScenarioParameter.NEAR_DELAY, chance.between(1 * MS, 3 * MS));
-                sizes.put(ScenarioParameter.FAR_DELAY, chance.between(2 * MS, 4 * MS));
-                sizes.put(ScenarioParameter.SEND_BUFFER, chance.between(64, 120));
-                sizes.put(ScenarioParameter.RECEIVE_BUFFER, chance.between(64, 120));
+                sizes.put(ScenarioParameter.KEY_WINDOW, random.between(50 * MS, 150 * MS));
+                sizes.put(ScenarioParameter.NEAR_DELAY, random.between(1 * MS, 3 * MS));
+                sizes.put(ScenarioParameter.FAR_DELAY, random.between(2 * MS, 4 * MS));
+                sizes.put(ScenarioParameter.SEND_BUFFER, random.between(64, 120));
+                sizes.put(ScenarioParameter.RECEIVE_BUFFER, random.between(64, 120));
                 sizes.put(ScenarioParameter.LARGE_BODIES, ScenarioParameter.part(0.25));
                 sizes.put(ScenarioParameter.LARGE_ANSWERS, 0L);
             }
@@ -107,51 +108,52 @@
         }
     }
 
-    private static void quickNews(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
-        sizes.put(ScenarioParameter.NOTICE, chance.between(0, 200 * MS));
-        sizes.put(ScenarioParameter.CALL_COST, chance.between(5 * MS, 40 * MS));
+    private static void quickDiscovery(SeededRandom random, Map<ScenarioParameter, Long> sizes) {
+        sizes.put(ScenarioParameter.NOTICE, random.between(0, 200 * MS));
+        sizes.put(ScenarioParameter.CALL_COST, random.between(5 * MS, 40 * MS));
     }
 
-    /** The faults that belong to it. */
-    List<Fault> faults(SeededRandom chance, Map<ScenarioParameter, Long> sizes) {
+    /** Draws the faults of this combination. */
+    List<Fault> faults(SeededRandom random, Map<ScenarioParameter, Long> sizes) {
         List<Fault> faults = new ArrayList<>();
         long end = sizes.get(ScenarioParameter.FAULTS_END);
         int servers = Math.toIntExact(sizes.get(ScenarioParameter.SERVERS));
         String sidecar =
-                "n" + chance.nextInt(Math.toIntExact(sizes.get(ScenarioParameter.SIDECARS)));
+                "n" + random.nextInt(Math.toIntExact(sizes.get(ScenarioParameter.SIDECARS)));
         switch (this) {
             case HOUR ->
                     faults.add(
                             pause(
-                                    FaultTrigger.time(millis(chance.between(2 * S, 60 * S))),
+                                    FaultTrigger.time(millis(random.between(2 * S, 60 * S))),
                                     sidecar,
                                     3600 * S));
             case MINUTES -> {
                 faults.add(
                         pause(
-                                FaultTrigger.time(millis(chance.between(2 * S, end / 2))),
+                                FaultTrigger.time(millis(random.between(2 * S, end / 2))),
                                 sidecar,
-                                millis(chance.between(20 * S, 120 * S))));
+                                millis(random.between(20 * S, 120 * S))));
                 faults.add(
                         pause(
-                                new FaultTrigger(0, chance.pick(RESENT), 1 + chance.nextInt(3)),
+                                new FaultTrigger(
+                                        0, random.pick(RESEND_STATES), 1 + random.nextInt(3)),
                                 null,
-                                millis(chance.between(10 * S, 60 * S))));
+                                millis(random.between(10 * S, 60 * S))));
             }
             case DRAINS -> {
-                for (int i = 2 + chance.nextInt(3); i > 0; i--) {
+                for (int i = 2 + random.nextInt(3); i > 0; i--) {
                     drain(
                             faults,
-                            "s" + chance.nextInt(servers),
-                            millis(chance.between(S, end - 4 * S)),
-                            chance);
+                            "s" + random.nextInt(servers),
+                            millis(random.between(S, end - 4 * S)),
+                            random);
                 }
             }
             case STILL -> {
-                breaks(faults, chance);
-                closes(faults, chance);
-                for (RequestState each : RESENT) {
-                    int nth = 1 + chance.nextInt(8);
+                resetUpstreams(faults, random);
+                closeReusedConnections(faults, random);
+                for (RequestState each : RESEND_STATES) {
+                    int nth = 1 + random.nextInt(8);
                     faults.add(
                             fault(
                                     new FaultTrigger(0, each, nth),
@@ -163,19 +165,19 @@
                             pause(
                                     new FaultTrigger(0, each, nth),
                                     null,
-                                    millis(chance.between(3 * S, 5 * S))));
+                                    millis(random.between(3 * S, 5 * S))));
                 }
             }
             case WINDOWS -> {
-                breaks(faults, chance);
-                closes(faults, chance);
+                resetUpstreams(faults, random);
+                closeReusedConnections(faults, random);
                 for (int i = 0; i < 3; i++) {
                     faults.add(
-                            slow(
-                                    millis(chance.between(S, end - 2 * S)),
-                                    "s" + chance.nextInt(servers),
+                            slowConnect(
+                                    millis(random.between(S, end - 2 * S)),
+                                    "s" + random.nextInt(servers),
                                     4 * S,
-                                    millis(chance.between(20 * MS, 120 * MS))));
+                                    millis(random.between(20 * MS, 120 * MS))));
                 }
             }
             default -> {}
@@ -183,8 +185,11 @@
         return faults;
     }
 
-    /** All connect anew, which takes longer than the grace, and meanwhile it drains. */
-    private static void drain(List<Fault> faults, String server, long at, SeededRandom chance) {
+    /**
+     * Closes the idle connections of a server, so that all sidecars connect again, makes connects
+     * slower than the grace period of a drain, and drains the server meanwhile.
+     */
+    private static void drain(List<Fault> faults, String server, long at, SeededRandom random) {
         faults.add(
                 new Fault(
                         FaultTrigger.time(at),
@@ -192,26 +197,25 @@
                         server,
                         null,
                         new TreeMap<>()));
-        // What is written when the connection is up at last goes quickly: the server must not have
-        // ended by
-        // then.
-        faults.add(slow(at, server, 2 * S, millis(chance.between(2200 * MS, 2600 * MS))));
+        // The request is written as soon as the connection is up, which must be before the server
+        // ends.
+        faults.add(slowConnect(at, server, 2 * S, millis(random.between(2200 * MS, 2600 * MS))));
         faults.add(
                 fault(
-                        FaultTrigger.time(at + millis(chance.between(200 * MS, 900 * MS))),
+                        FaultTrigger.time(at + millis(random.between(200 * MS, 900 * MS))),
                         FaultKind.DRAIN,
                         server,
                         FaultParameter.DOWN,
                         S));
     }
 
-    private static void breaks(List<Fault> faults, SeededRandom chance) {
-        for (int i = 0; i < BROKEN; i++) {
-            // By then it has come, and no answer is on its way.
-            long after = millis(chance.between(6 * MS, 15 * MS));
+    private static void resetUpstreams(List<Fault> faults, SeededRandom random) {
+        for (int i = 0; i < UPSTREAM_RESETS; i++) {
+            // By then the request has arrived, and no response has been sent yet.
+            long after = millis(random.between(6 * MS, 15 * MS));
             faults.add(
                     new Fault(
-                            new FaultTrigger(after, RequestState.WRITTEN, 1 + chance.nextInt(100)),
+                            new FaultTrigger(after, RequestState.WRITTEN, 1 + random.nextInt(100)),
                             FaultKind.UP_RESET,
                             null,
                             null,
@@ -219,8 +223,8 @@
         }
     }
 
-    /** Idle connections are closed as they are taken, which needs one that was kept. */
-    private static void closes(List<Fault> faults, SeededRandom chance) {
+    /** Closes idle connections just as a sidecar reuses one. */
+    private static void closeReusedConnections(List<Fault> faults, SeededRandom random) {
         for (RequestState each :
                 List.of(
                         RequestState.WRITTEN,
@@ -229,7 +233,7 @@
                         RequestState.RESEND_WRITTEN)) {
             faults.add(
                     new Fault(
-                            new FaultTrigger(0, each, 1 + chance.nextInt(8)),
+                            new FaultTrigger(0, each, 1 + random.nextInt(8)),
                             FaultKind.CLOSE_IDLE,
                             null,
                             null,
@@ -237,7 +241,7 @@
         }
     }
 
-    private static Fault slow(long at, String server, long duration, long by) {
+    private static Fault slowConnect(long at, String server, long duration, long by) {
         TreeMap<FaultParameter, Long> values = new TreeMap<>();
         values.put(FaultParameter.FOR, duration);
         values.put(FaultParameter.BY, by);
@@ -255,7 +259,7 @@
         return new Fault(trigger, kind, who, null, values);
     }
 
-    /** Whole milliseconds read better. */
+    /** Rounds down to whole milliseconds, which keeps scenarios readable. */
     private static long millis(long nanos) {
         return nanos - nanos % MS;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Unit.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Unit.java
@@ -2,37 +2,43 @@
 
 import java.math.BigDecimal;
 
-/** How a number of a plan is written: as it is kept in a long, and as a person reads it. */
+/** Converts numbers of a plan between the long that stores them and decimal text. */
 enum Unit {
-    /** A whole number. */
+    /** An integer. */
     COUNT(0),
-    /** Kept in nanoseconds, written in seconds. */
+    /** A time: stored in nanoseconds, written in seconds. */
     TIME(9),
-    /** Kept in millionths, written as a decimal. */
+    /** A fraction: stored in millionths, written as a decimal. */
     PART(6);
 
-    private final int digits;
+    private final int decimals;
 
-    Unit(int digits) {
-        this.digits = digits;
+    Unit(int decimals) {
+        this.decimals = decimals;
     }
 
     String text(long value) {
-        return BigDecimal.valueOf(value, digits).stripTrailingZeros().toPlainString();
+        return BigDecimal.valueOf(value, decimals).stripTrailingZeros().toPlainString();
     }
 
-    /** The number that a text names; what it can't hold exactly is refused. */
+    /**
+     * Parses a decimal number without exponent.
+     *
+     * @throws IllegalArgumentException if the text is no such number, or the stored unit can't hold
+     *     it exactly
+     */
     long parse(String text) {
         try {
             if (!text.isEmpty()
                     && text.length() < 24
                     && text.indexOf('e') < 0
                     && text.indexOf('E') < 0) {
-                return new BigDecimal(text).movePointRight(digits).longValueExact();
+                return new BigDecimal(text).movePointRight(decimals).longValueExact();
             }
         } catch (ArithmeticException | NumberFormatException e) {
-            // Told below, together with what has a form that no plan has.
+            // Reported below, as are exponents and overlong texts.
         }
-        throw new IllegalArgumentException("not a number here: " + text);
+        throw new IllegalArgumentException(
+                "not a number of at most " + decimals + " decimals: " + text);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/campaign/SimulateTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/SimulateTest.java
@@ -94,7 +94,7 @@
         Path file = directory.resolve("late.txt");
         Files.writeString(file, "seed 3\nset faults-end 4\nat 9 move\n");
         refused(
-                file + ": line 3: it can't strike: faults have ended at 4 s",
+                file + ": line 3: the fault is too late: faults end at 4 s",
                 "--scenario",
                 file.toString());
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
@@ -17,7 +17,7 @@
     private static final int SEEDS = 500;
 
     @Test
-    void whatIsPrintedIsReadAsTheSamePlan() {
+    void aFormattedPlanParsesToAnEqualPlan() {
         for (long seed = 0; seed < SEEDS; seed++) {
             Plan plan = Plan.draw(seed);
             Plan read = Plan.parse(plan.text());
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aSeedAlwaysGivesTheSamePlanAndOthersAnother() {
+    void aSeedAlwaysDrawsTheSamePlanAndDifferentSeedsDifferentPlans() {
         assertEquals(Plan.draw(7), Plan.draw(7));
         Set<String> texts = new HashSet<>();
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aDayIsLongAndBusyEnough() {
+    void drawnDaysHaveAMinimumLengthAndRate() {
         for (long seed = 0; seed < SEEDS; seed++) {
             Plan plan = Plan.draw(seed);
             assertTrue(plan.end() >= 20 * Site.SECOND);
@@ -50,21 +50,21 @@
     }
 
     @Test
-    void eachKindAndStyleIsDrawnInEachStateThatItCanStrike() {
+    void everyFaultKindAndStyleIsDrawnForEveryApplicableState() {
         Set<FaultKind> timed = EnumSet.noneOf(FaultKind.class);
-        Set<String> trapped = new TreeSet<>();
+        Set<String> stateTriggered = new TreeSet<>();
         Set<String> styles = new TreeSet<>();
         for (long seed = 0; seed < 4000; seed++) {
             for (Fault each : Plan.draw(seed).faults()) {
                 if (each.trigger().trap()) {
-                    trapped.add(each.kind() + " " + each.trigger().state());
+                    stateTriggered.add(each.kind() + " " + each.trigger().state());
                 } else {
                     timed.add(each.kind());
                 }
                 styles.add(each.kind() + " " + each.style());
             }
         }
-        // Those of nodes are played by scenarios alone, as long as no day with nodes is drawn.
+        // Faults of ephemeral nodes are never drawn; only scenarios name them.
         for (FaultKind kind :
                 EnumSet.complementOf(
                         EnumSet.copyOf(
@@ -75,7 +75,7 @@
             for (RequestState state : RequestState.values()) {
                 assertEquals(
                         kind.isAimedAt(state),
-                        trapped.contains(kind + " " + state),
+                        stateTriggered.contains(kind + " " + state),
                         kind + " " + state);
             }
             for (String style : kind.styles()) {
@@ -85,11 +85,11 @@
     }
 
     @Test
-    void aScenarioSaysWhatDiffersFromAUsualDay() {
+    void aScenarioOverridesDefaults() {
         Plan plan =
                 Plan.parse(
                         """
-                        # a day by hand
+                        # a day written by hand
                         seed -3
 
                         set servers 2      # only
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void faultsAreTakenOutByTheirPlaces() {
+    void faultsAreRemovedByIndex() {
         Plan plan =
                 Plan.parse("seed 1\nat 1 close-idle who=s0\nat 2 close-idle who=s1\nat 3 move\n");
         Plan less = plan.without(Set.of(0, 2));
@@ -126,7 +126,7 @@
         assertEquals(3, plan.with(ScenarioParameter.SERVERS, 3).size(ScenarioParameter.SERVERS));
     }
 
-    private static void refused(String expected, String scenario) {
+    private static void assertRejected(String expected, String scenario) {
         String message =
                 assertThrows(IllegalArgumentException.class, () -> Plan.parse(scenario))
                         .getMessage();
@@ -134,49 +134,55 @@
     }
 
     @Test
-    void whatMakesNoSenseIsRefusedWithItsLine() {
-        refused("no line with the seed", "set servers 3");
-        refused("line 2: a line begins with", "seed 1\nfault kill");
-        refused("line 1: not a whole number: x", "seed x");
-        refused("line 2: the seed is given twice", "seed 1\nseed 2");
-        refused("line 3: no such size: sevrers", "seed 1\n\nset sevrers 3");
-        refused("line 2: servers 0 is not between 1 and 24", "seed 1\nset servers 0");
-        refused("line 2: not a number here: 1.5", "seed 1\nset servers 1.5");
-        refused("line 2: not a number here: 1e3", "seed 1\nset rate 1e3");
-        refused("line 3: servers is set twice", "seed 1\nset servers 3\nset servers 4");
-        refused("line 2: no such fault: kil; known: kill, ", "seed 1\nat 1 kil who=n0 down=1");
-        refused("line 2: kill needs down", "seed 1\nat 1 kill who=n0");
-        refused("line 2: kill needs who", "seed 1\nat 1 kill down=1");
-        refused("line 2: kill has no for", "seed 1\nat 1 kill who=n0 down=1 for=1");
-        refused("line 2: down twice", "seed 1\nat 1 kill who=n0 down=1 down=2");
-        refused("line 2: down=-1 is not between", "seed 1\nat 1 kill who=n0 down=-1");
-        refused("line 2: not NAME=VALUE: n0", "seed 1\nat 1 kill n0");
-        refused("line 2: no such figure: dwn; known: down, ", "seed 1\nat 1 kill who=n0 dwn=1");
-        refused("line 2: before the day", "seed 1\nat -1 kill who=n0 down=1");
-        refused("line 2: up-reset needs a request", "seed 1\nat 1 up-reset");
-        refused("line 2: up-reset can't strike a request there", "seed 1\non held 1 up-reset");
-        refused("line 2: move has no who", "seed 1\nat 1 move who=n0");
-        refused(
+    void parseErrorsNameTheLine() {
+        assertRejected("no line with the seed", "set servers 3");
+        assertRejected("line 2: a line begins with", "seed 1\nfault kill");
+        assertRejected("line 1: not a whole number: x", "seed x");
+        assertRejected("line 2: the seed is given twice", "seed 1\nseed 2");
+        assertRejected("line 3: no such size: sevrers", "seed 1\n\nset sevrers 3");
+        assertRejected("line 2: servers 0 is not between 1 and 24", "seed 1\nset servers 0");
+        assertRejected(
+                "line 2: not a number of at most 0 decimals: 1.5", "seed 1\nset servers 1.5");
+        assertRejected("line 2: not a number of at most 6 decimals: 1e3", "seed 1\nset rate 1e3");
+        assertRejected("line 3: servers is set twice", "seed 1\nset servers 3\nset servers 4");
+        assertRejected(
+                "line 2: no such fault: kil; known: kill, ", "seed 1\nat 1 kil who=n0 down=1");
+        assertRejected("line 2: kill needs down", "seed 1\nat 1 kill who=n0");
+        assertRejected("line 2: kill needs who", "seed 1\nat 1 kill down=1");
+        assertRejected("line 2: kill takes no for", "seed 1\nat 1 kill who=n0 down=1 for=1");
+        assertRejected("line 2: down is given twice", "seed 1\nat 1 kill who=n0 down=1 down=2");
+        assertRejected("line 2: down=-1 is not between", "seed 1\nat 1 kill who=n0 down=-1");
+        assertRejected("line 2: not NAME=VALUE: n0", "seed 1\nat 1 kill n0");
+        assertRejected(
+                "line 2: no such figure: dwn; known: down, ", "seed 1\nat 1 kill who=n0 dwn=1");
+        assertRejected("line 2: negative time: -1", "seed 1\nat -1 kill who=n0 down=1");
+        assertRejected("line 2: up-reset needs a request", "seed 1\nat 1 up-reset");
+        assertRejected(
+                "line 2: up-reset can't be injected in state held", "seed 1\non held 1 up-reset");
+        assertRejected("line 2: move takes no who", "seed 1\nat 1 move who=n0");
+        assertRejected(
                 "line 2: no such style of bad: odd; known: ",
                 "seed 1\nat 1 bad style=odd who=n0 count=1");
-        refused("line 2: bad needs a style", "seed 1\nat 1 bad who=n0 count=1");
-        refused("line 2: no such state: sleeping; known: ", "seed 1\non sleeping 1 move");
-        refused("line 2: there is no such time: 0", "seed 1\non held 0 move");
-        refused("line 2: after SECONDS KIND", "seed 1\non held 1 after 3");
-        refused("line 2: no such who: n3; known: n0, n1, n2", "seed 1\nat 1 kill who=n3 down=1");
-        refused(
+        assertRejected("line 2: bad needs a style", "seed 1\nat 1 bad who=n0 count=1");
+        assertRejected("line 2: no such state: sleeping; known: ", "seed 1\non sleeping 1 move");
+        assertRejected("line 2: NTH is not between 1 and 1000000: 0", "seed 1\non held 0 move");
+        assertRejected("line 2: after SECONDS KIND", "seed 1\non held 1 after 3");
+        assertRejected(
+                "line 2: no such who: n3; known: n0, n1, n2", "seed 1\nat 1 kill who=n3 down=1");
+        assertRejected(
                 "line 3: no such who: s9; known: s0, ",
                 "seed 1\nset servers 9\nat 1 close-idle who=s9");
-        refused(
-                "line 4: it can't strike: faults have ended at 5 s",
+        assertRejected(
+                "line 4: the fault is too late: faults end at 5 s",
                 "seed 1\nset faults-end 5\nat 4.9 move\nat 5 move");
-        refused(
-                "line 2: it can't strike: faults have ended at 8 s",
+        assertRejected(
+                "line 2: the fault is too late: faults end at 8 s",
                 "seed 1\non held 1 after 8 move");
-        refused("line 2: no such size: rats; known: rate, ", "seed 1\nset rats 3");
-        refused("line 2: move has no for", "seed 1\nat 1 move for=1");
-        refused("line 2: kill has no for; it has down", "seed 1\nat 1 kill who=n0 for=1");
-        refused(
+        assertRejected("line 2: no such size: rats; known: rate, ", "seed 1\nset rats 3");
+        assertRejected("line 2: move takes no for", "seed 1\nat 1 move for=1");
+        assertRejected(
+                "line 2: kill takes no for; it takes down", "seed 1\nat 1 kill who=n0 for=1");
+        assertRejected(
                 "line 2: no such who: paris; known: ebene, ",
                 "seed 1\nat 1 zone-cut who=paris for=1");
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
@@ -11,23 +11,23 @@
 import org.junit.jupiter.api.Test;
 
 class StagedCombinationTest {
-    private static Plan plan(StagedCombination staging, long seed) {
+    private static Plan plan(StagedCombination combination, long seed) {
         Map<ScenarioParameter, Long> sizes = new EnumMap<>(ScenarioParameter.class);
         for (ScenarioParameter each : ScenarioParameter.values()) {
             sizes.put(each, each.defaultValue());
         }
-        SeededRandom chance = new SeededRandom(seed);
-        staging.length(chance, sizes);
-        staging.sizes(chance, sizes);
-        return new Plan(seed, sizes, staging.faults(chance, sizes));
+        SeededRandom random = new SeededRandom(seed);
+        combination.length(random, sizes);
+        combination.sizes(random, sizes);
+        return new Plan(seed, sizes, combination.faults(random, sizes));
     }
 
-    private static List<Fault> of(Plan plan, FaultKind kind) {
+    private static List<Fault> faultsOf(Plan plan, FaultKind kind) {
         return plan.faults().stream().filter(each -> each.kind() == kind).toList();
     }
 
     @Test
-    void mostDaysHaveNoneAndEachIsDrawn() {
+    void mostDaysHaveNoCombinationAndEachIsDrawn() {
         Map<StagedCombination, Integer> drawn = new EnumMap<>(StagedCombination.class);
         for (int i = 0; i < 10_000; i++) {
             drawn.merge(StagedCombination.draw(new SeededRandom(i)), 1, Integer::sum);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatIsDrawnIsAScenario() {
+    void everyDrawnPlanIsAValidScenario() {
         for (StagedCombination each : StagedCombination.values()) {
             for (int seed = 0; seed < 50; seed++) {
                 Plan plan = plan(each, seed);
@@ -47,16 +47,16 @@
     }
 
     @Test
-    void sidecarsStandStillForMinutesAndForAnHour() {
+    void sidecarsArePausedForMinutesAndForAnHour() {
         assertEquals(
                 3600 * Site.SECOND,
-                of(plan(StagedCombination.HOUR, 1), FaultKind.PAUSE)
+                faultsOf(plan(StagedCombination.HOUR, 1), FaultKind.PAUSE)
                         .get(0)
                         .value(FaultParameter.FOR));
         List<Long> all = new ArrayList<>();
         for (int seed = 0; seed < 50; seed++) {
             all.add(
-                    of(plan(StagedCombination.MINUTES, seed), FaultKind.PAUSE)
+                    faultsOf(plan(StagedCombination.MINUTES, seed), FaultKind.PAUSE)
                                     .get(0)
                                     .value(FaultParameter.FOR)
                             / Site.SECOND);
@@ -66,10 +66,10 @@
     }
 
     @Test
-    void drainsComeWhileConnectsTakeLongerThanTheirGrace() {
+    void drainsStartWhileConnectsTakeLongerThanTheGracePeriod() {
         Plan plan = plan(StagedCombination.DRAINS, 1);
-        Fault slow = of(plan, FaultKind.CONNECT_SLOW).get(0);
-        Fault drain = of(plan, FaultKind.DRAIN).get(0);
+        Fault slow = faultsOf(plan, FaultKind.CONNECT_SLOW).get(0);
+        Fault drain = faultsOf(plan, FaultKind.DRAIN).get(0);
         assertEquals(slow.who(), drain.who());
         assertTrue(drain.trigger().at() > slow.trigger().at());
         assertTrue(slow.value(FaultParameter.BY) > Site.DRAIN_GRACE);
@@ -81,16 +81,16 @@
     }
 
     @Test
-    void standStillsCoverWindowDeadlineAndGrace() {
+    void pausesExceedWindowDeadlineAndGracePeriod() {
         Plan plan = plan(StagedCombination.STILL, 1);
         assertTrue(plan.size(ScenarioParameter.KEY_WINDOW) <= 400 * Site.MS);
-        for (Fault each : of(plan, FaultKind.PAUSE)) {
+        for (Fault each : faultsOf(plan, FaultKind.PAUSE)) {
             assertTrue(each.trigger().state().isResend());
             assertTrue(
                     each.value(FaultParameter.FOR)
                             > Site.DRAIN_GRACE + plan.size(ScenarioParameter.NOTICE));
             assertTrue(
-                    of(plan, FaultKind.DRAIN).stream()
+                    faultsOf(plan, FaultKind.DRAIN).stream()
                             .anyMatch(drain -> drain.trigger().equals(each.trigger())));
         }
     }
@@ -100,6 +100,6 @@
         Plan plan = plan(StagedCombination.WINDOWS, 1);
         assertTrue(plan.size(ScenarioParameter.KEY_WINDOW) < plan.deadline(Classes.of(1)));
         assertTrue(plan.size(ScenarioParameter.SEND_BUFFER) <= 120);
-        assertEquals(24, of(plan, FaultKind.UP_RESET).size());
+        assertEquals(24, faultsOf(plan, FaultKind.UP_RESET).size());
     }
 }
