--- a/testbed/src/main/java/appleridge/testbed/simulation/Deduplicator.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Deduplicator.java
@@ -3,27 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What one group of order servers remembers together of the keys that it has taken. */
+/** The idempotency keys that a group of order servers has processed within a time window. */
 final class Deduplicator {
     private final long window;
-    private final Map<String, Long> taken = new HashMap<>();
+    private final Map<String, Long> recordedAt = new HashMap<>();
 
+    /** {@code window}: nanoseconds for which a key is remembered. */
     Deduplicator(long window) {
         this.window = window;
     }
 
-    /** Whether this key was taken within the window; else it is now. */
+    /** Returns whether a key was recorded within the window; records it if not. */
     boolean isDuplicate(String key, long now) {
-        Long before = taken.get(key);
+        Long before = recordedAt.get(key);
         if (before != null && now - before < window) {
             return true;
         }
-        taken.put(key, now);
+        recordedAt.put(key, now);
         return false;
     }
 
-    /** What was taken under this key has not run after all. */
+    /** Removes a key whose request was not processed after all. */
     void forget(String key) {
-        taken.remove(key);
+        recordedAt.remove(key);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReportQuality.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReportQuality.java
@@ -1,15 +1,15 @@
 package appleridge.testbed.simulation;
 
-/** How load reports can be of no use. */
+/** Whether an order server's load reports are correct, and if not, what is wrong with them. */
 enum LoadReportQuality {
-    /** As they should be. */
+    /** Correct. */
     GOOD,
-    /** Some seconds old. */
+    /** Several seconds old. */
     LATE,
-    /** Figures that are not so. */
+    /** Readable, with wrong values. */
     WRONG,
-    /** No numbers, or none that make sense. */
+    /** Values that are no numbers or out of range. */
     UNREADABLE,
-    /** None at all. */
+    /** No load report is sent. */
     ABSENT
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -9,14 +9,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** One process that serves orders: its connections, its cores, its troubles. */
+/**
+ * One process of an order server, with its connections, its CPU cores and the faults injected into
+ * it. Runs within the events of the simulation.
+ */
 final class OrderServer {
     private static final int BACKLOG = 64;
 
-    /** What it costs to know a repeat. */
-    private static final long REPEAT_WORK = Site.MS;
+    /** CPU time in nanoseconds for recognizing a duplicate request. */
+    private static final long DUPLICATE_WORK_NANOS = Site.MS;
 
-    private static final long LONGEST_DRAIN = 5 * Site.SECOND;
+    private static final long MAX_DRAIN_NANOS = 5 * Site.SECOND;
 
     private final Day day;
     private final Fleet fleet;
@@ -24,26 +27,26 @@
     private final String uid;
     private final int life;
     private final long bornAt;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final Answers answers;
     private final Engine engine;
     private final LoadReport load;
-    private final ColdServerOverloadWatch tip = new ColdServerOverloadWatch();
+    private final ColdServerOverloadWatch overload = new ColdServerOverloadWatch();
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
     private SimListener listener;
-    private Runnable whenDrained;
-    private boolean mayEnd;
+    private Runnable onDrained;
+    private boolean mayStop;
     private boolean stopped;
-    private long made;
+    private long processed;
     private long hungUntil;
     private long fullUntil;
-    private long deafUntil;
+    private long acceptPausedUntil;
     private long slowUntil;
-    private double slowness = 1;
+    private double slowdown = 1;
     private long failingUntil;
-    private double failing;
+    private double failureFraction;
     private long reportUntil;
-    private LoadReportQuality report = LoadReportQuality.GOOD;
+    private LoadReportQuality reportQuality = LoadReportQuality.GOOD;
 
     OrderServer(
             Day day,
@@ -52,18 +55,18 @@
             String uid,
             int life,
             long bornAt,
-            SeededRandom chance) {
+            SeededRandom random) {
         this.day = day;
         this.fleet = fleet;
         this.machine = machine;
         this.uid = uid;
         this.life = life;
         this.bornAt = bornAt;
-        this.chance = chance;
-        this.answers = new Answers(chance);
+        this.random = random;
+        this.answers = new Answers(random);
         this.engine =
                 new Engine(day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
-        this.load = new LoadReport(day.plan.size(ScenarioParameter.REPORT_AGE), chance);
+        this.load = new LoadReport(day.plan.size(ScenarioParameter.REPORT_AGE), random);
     }
 
     String uid() {
@@ -78,21 +81,23 @@
         return bornAt;
     }
 
+    /** Whether {@link #drain} was called. */
     boolean isDraining() {
-        return whenDrained != null;
+        return onDrained != null;
     }
 
     void listen() {
         try {
             listener = machine.host().listen(machine.address(), BACKLOG);
         } catch (IOException e) {
-            throw new IllegalStateException(machine.name() + " can't listen", e);
+            throw new IllegalStateException(
+                    machine.name() + " can't listen on " + machine.address(), e);
         }
         listener.onAcceptable(this::accept);
     }
 
     private void accept() {
-        if (stopped || day.now() < deafUntil) {
+        if (stopped || day.now() < acceptPausedUntil) {
             return;
         }
         try {
@@ -102,132 +107,136 @@
                 connections.add(new ServerConnection(day, this, next, surplus));
             }
         } catch (IOException e) {
-            throw new IllegalStateException(machine.name() + " can't accept", e);
+            throw new IllegalStateException(
+                    machine.name() + " can't accept on " + machine.address(), e);
         }
     }
 
+    /** Called when a connection is closed. */
     void closed(ServerConnection connection) {
         connections.remove(connection);
-        endWhenDrained();
+        finishDrain();
     }
 
-    /** The process ends here; its sockets are its machine's to end. */
+    /** Stops all processing. The machine closes the sockets. */
     void stop() {
         stopped = true;
         engine.stop();
         connections.forEach(ServerConnection::stop);
     }
 
-    // ---- what it can do at present
+    // ---- capacity
 
-    private double share() {
+    /** Its current capacity as a fraction of that of a warm server. */
+    private double capacity() {
         if (bornAt == 0) {
             return 1;
         }
-        double warm = Math.min(1, (day.now() - bornAt) / (double) Site.RAMP_TIME);
-        return Site.COLD_SHARE + (1 - Site.COLD_SHARE) * warm;
+        double warmth = Math.min(1, (day.now() - bornAt) / (double) Site.RAMP_TIME);
+        return Site.COLD_SHARE + (1 - Site.COLD_SHARE) * warmth;
     }
 
     private double speed() {
-        return share() / (day.now() < slowUntil ? slowness : 1);
+        return capacity() / (day.now() < slowUntil ? slowdown : 1);
     }
 
     // ---- requests
 
-    /** A request has come whole on this connection. */
-    void take(ServerConnection on, ServerConnection.Received received) {
+    /** Handles a complete request that was received on a connection. */
+    void handle(ServerConnection connection, ServerConnection.Received received) {
         String id = received.id();
-        SentRequestRegistry.SentRequest form = day.asked.find(id);
-        boolean fits = form != null && form.message().equals(received.message());
+        SentRequestRegistry.SentRequest sent = day.asked.find(id);
+        boolean matches = sent != null && sent.message().equals(received.message());
         long work =
-                !fits
+                !matches
                         ? 0
-                        : (long) (form.work() * (0.7 + 0.6 * chance.nextDouble()))
+                        : (long) (sent.work() * (0.7 + 0.6 * random.nextDouble()))
                                 + (received.first()
                                         ? day.plan.size(ScenarioParameter.HANDSHAKE)
                                         : 0);
-        on.tellArrived(received, work);
-        if (!fits) {
-            on.say(
+        connection.reportReceived(received, work);
+        if (!matches) {
+            connection.send(
                     Script.of(
                             Answers.plain(
                                     id.isEmpty() ? "404 Not Found" : "400 Bad Request", "", "")));
             return;
         }
-        if (share() < 1
-                && tip.tips(
+        if (capacity() < 1
+                && overload.tips(
                         day.now(),
                         work,
-                        on.sidecar(),
-                        share() * day.plan.count(ScenarioParameter.CORES))) {
-            day.evidence.serverCollapsed(uid, life, tip.bySidecar());
+                        connection.sidecar(),
+                        capacity() * day.plan.count(ScenarioParameter.CORES))) {
+            day.evidence.serverCollapsed(uid, life, overload.bySidecar());
             machine.fell();
             return;
         }
-        whenAwake(() -> admit(on, received, form, work));
+        whenNotHung(() -> admit(connection, received, sent, work));
     }
 
-    private void whenAwake(Runnable what) {
+    private void whenNotHung(Runnable action) {
         if (day.now() < hungUntil) {
             day.after(
                     hungUntil - day.now(),
                     () -> {
                         if (!stopped) {
-                            whenAwake(what);
+                            whenNotHung(action);
                         }
                     });
         } else {
-            what.run();
+            action.run();
         }
     }
 
     private void admit(
-            ServerConnection on,
+            ServerConnection connection,
             ServerConnection.Received received,
-            SentRequestRegistry.SentRequest form,
+            SentRequestRegistry.SentRequest sent,
             long work) {
         if (isDraining()
-                || on.isSurplus()
+                || connection.isSurplus()
                 || day.now() < fullUntil
                 || engine.waiting() >= Math.max(1, day.plan.count(ScenarioParameter.QUEUE))) {
-            turnAway(on, received.id(), isDraining() || on.isSurplus());
+            reject(connection, received.id(), isDraining() || connection.isSurplus());
             return;
         }
-        Deduplicator repeats =
-                form.key() == null ? null : fleet.repeats(form.requestClass(), machine.zone());
-        boolean repeat = repeats != null && repeats.isDuplicate(form.key(), day.now());
-        long began = day.now();
+        Deduplicator deduplicator =
+                sent.key() == null ? null : fleet.repeats(sent.requestClass(), machine.zone());
+        boolean duplicate = deduplicator != null && deduplicator.isDuplicate(sent.key(), day.now());
+        long admittedAt = day.now();
         engine.offer(
                 new Engine.Job() {
                     @Override
                     public long begins() {
                         boolean late =
                                 day.now() > received.dueAt()
-                                        && chance.hits(
+                                        && random.hits(
                                                 day.plan.part(ScenarioParameter.DROPS_EXPIRED));
-                        if (late && !repeat) {
-                            if (repeats != null) {
-                                repeats.forget(form.key());
+                        if (late && !duplicate) {
+                            if (deduplicator != null) {
+                                deduplicator.forget(sent.key());
                             }
-                            turnAway(on, received.id(), false);
+                            reject(connection, received.id(), false);
                             return -1;
                         }
-                        return repeat ? REPEAT_WORK : work;
+                        return duplicate ? DUPLICATE_WORK_NANOS : work;
                     }
 
                     @Override
                     public void done() {
-                        whenAwake(() -> answer(on, received.id(), day.now() - began));
+                        whenNotHung(
+                                () -> answer(connection, received.id(), day.now() - admittedAt));
                     }
                 });
     }
 
-    private void turnAway(ServerConnection on, String id, boolean close) {
+    private void reject(ServerConnection connection, String id, boolean close) {
         day.evidence.serverDidNotRun(uid, life, id);
-        on.say(
+        connection.send(
                 Script.of(
                                 Answers.plain(
-                                        chance.hits(0.8)
+                                        random.hits(0.8)
                                                 ? "503 Service Unavailable"
                                                 : "504 Gateway Timeout",
                                         "X-Not-Run: 1\r\n"
@@ -235,59 +244,66 @@
                                                 + (close ? "Connection: close\r\n" : ""),
                                         ""))
                         .ending(close ? Script.End.CLOSE : Script.End.KEEP));
-        endWhenDrained();
+        finishDrain();
     }
 
-    /** Answers what has not come whole: turned away, which gives false, or as if all were known. */
-    boolean answerEarly(ServerConnection on, String id) {
-        boolean runs = chance.hits(0.5);
+    /**
+     * Responds before the whole request has arrived, either with an error or as if it had been
+     * processed.
+     *
+     * @return whether the response is that of a processed request
+     */
+    boolean answerEarly(ServerConnection connection, String id) {
+        boolean runs = random.hits(0.5);
         if (!runs) {
             day.evidence.serverDidNotRun(uid, life, id);
-            on.say(
+            connection.send(
                     Script.of(
                             Answers.plain(
                                     "503 Service Unavailable",
                                     "X-Not-Run: 1\r\nConnection: close\r\n",
                                     "")));
         } else {
-            on.say(Script.of(answers.good(report(LoadReportQuality.GOOD), make(id), 0)));
+            connection.send(
+                    Script.of(answers.good(report(LoadReportQuality.GOOD), process(id), 0)));
         }
         return runs;
     }
 
-    private void answer(ServerConnection on, String id, long took) {
+    private void answer(ServerConnection connection, String id, long responseNanos) {
         boolean fails =
-                chance.hits(day.isTroubled() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
-                        || day.now() < failingUntil && chance.hits(failing);
-        load.answered(took, fails);
-        if (!on.isOpen()) {
-            endWhenDrained();
+                random.hits(day.isTroubled() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
+                        || day.now() < failingUntil && random.hits(failureFraction);
+        load.answered(responseNanos, fails);
+        if (!connection.isOpen()) {
+            finishDrain();
             return;
         }
-        ResponseCorruption spoil = day.asked.takeCorruption(id);
-        if (spoil == null
+        ResponseCorruption corruption = day.asked.takeCorruption(id);
+        if (corruption == null
                 && day.isTroubled()
-                && chance.hits(day.plan.part(ScenarioParameter.SPOILT))) {
-            spoil = chance.pick(List.of(ResponseCorruption.values()));
+                && random.hits(day.plan.part(ScenarioParameter.SPOILT))) {
+            corruption = random.pick(List.of(ResponseCorruption.values()));
         }
-        if (spoil == ResponseCorruption.PAUSES) {
-            on.say(answers.pausing(answers.good(report(LoadReportQuality.GOOD), make(id), 0)));
-        } else if (spoil != null) {
-            on.say(answers.spoilt(spoil, "spoilt/" + uid + '/' + id));
+        if (corruption == ResponseCorruption.PAUSES) {
+            connection.send(
+                    answers.pausing(answers.good(report(LoadReportQuality.GOOD), process(id), 0)));
+        } else if (corruption != null) {
+            connection.send(answers.spoilt(corruption, "spoilt/" + uid + '/' + id));
         } else if (fails) {
-            on.say(Script.of(answers.failed(report(LoadReportQuality.GOOD))));
+            connection.send(Script.of(answers.failed(report(LoadReportQuality.GOOD))));
         } else {
-            sayGood(on, id);
+            answerSuccess(connection, id);
         }
-        endWhenDrained();
+        finishDrain();
     }
 
-    private void sayGood(ServerConnection on, String id) {
+    private void answerSuccess(ServerConnection connection, String id) {
         ResponseExtra extra = day.asked.takeExtra(id);
         if (extra == null
                 && day.isTroubled()
-                && chance.hits(day.plan.part(ScenarioParameter.EXTRAS))) {
-            extra = chance.pick(List.of(ResponseExtra.values()));
+                && random.hits(day.plan.part(ScenarioParameter.EXTRAS))) {
+            extra = random.pick(List.of(ResponseExtra.values()));
         }
         String headers =
                 report(
@@ -295,21 +311,22 @@
                                         ? LoadReportQuality.UNREADABLE
                                         : LoadReportQuality.GOOD)
                         + (isDraining() ? "Connection: close\r\n" : "");
-        String good = answers.good(headers, make(id), day.plan.part(ScenarioParameter.CHUNKED));
-        boolean behind = extra == ResponseExtra.COPY || extra == ResponseExtra.NOISE;
-        if (extra == null || behind && !on.carriesAtOnce(2 * good.length())) {
-            on.say(Script.of(good));
-            on.mayRepeat(good);
+        String good = answers.good(headers, process(id), day.plan.part(ScenarioParameter.CHUNKED));
+        boolean follows = extra == ResponseExtra.COPY || extra == ResponseExtra.NOISE;
+        if (extra == null || follows && !connection.carriesAtOnce(2 * good.length())) {
+            connection.send(Script.of(good));
+            connection.setRepeatable(good);
         } else {
-            on.say(answers.withExtra(extra, good));
+            connection.send(answers.withExtra(extra, good));
         }
     }
 
-    private String make(String id) {
-        String token = uid + '/' + life + '/' + ++made + '/' + id;
+    /** Processes a request: returns the body of its response, which is unique to this run. */
+    private String process(String id) {
+        String token = uid + '/' + life + '/' + ++processed + '/' + id;
         String body =
-                chance.hits(day.plan.part(ScenarioParameter.LARGE_ANSWERS))
-                        ? token + '/' + "y".repeat(1 + chance.nextInt(day.plan.maxBodyBytes()))
+                random.hits(day.plan.part(ScenarioParameter.LARGE_ANSWERS))
+                        ? token + '/' + "y".repeat(1 + random.nextInt(day.plan.maxBodyBytes()))
                         : token;
         day.evidence.serverAnswered(uid, life, id, body);
         return body;
@@ -319,50 +336,51 @@
         LoadReportQuality now =
                 how != LoadReportQuality.GOOD
                         ? how
-                        : day.now() < reportUntil ? report : LoadReportQuality.GOOD;
+                        : day.now() < reportUntil ? reportQuality : LoadReportQuality.GOOD;
         String text = load.text(day.now(), engine.waiting(), now);
         return text == null ? "" : "X-Load: " + text + "\r\n";
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** Finishes what it has, takes nothing new, and then tells so. */
-    void drain(Runnable whenEmpty) {
-        whenDrained = whenEmpty;
-        if (chance.hits(0.5)) {
+    /** Rejects new requests, finishes the open ones and then calls back. */
+    void drain(Runnable whenDone) {
+        onDrained = whenDone;
+        if (random.hits(0.5)) {
             closeIdle();
         }
         day.after(
-                day.bounded(chance.nextLong(LONGEST_DRAIN)),
+                day.bounded(random.nextLong(MAX_DRAIN_NANOS)),
                 () -> {
-                    mayEnd = true;
-                    endWhenDrained();
+                    mayStop = true;
+                    finishDrain();
                 });
     }
 
-    private void endWhenDrained() {
-        if (mayEnd
+    private void finishDrain() {
+        if (mayStop
                 && !stopped
                 && engine.isIdle()
                 && connections.stream().noneMatch(ServerConnection::isBusy)) {
-            mayEnd = false;
-            whenDrained.run();
+            mayStop = false;
+            onDrained.run();
         }
     }
 
     /**
-     * What it has answered to a sidecar comes once more, where nothing is open; its rest so much
-     * later.
+     * Sends the last response to a sidecar again on every idle connection.
+     *
+     * @param restAfter delay in nanoseconds of all but the first bytes; 0 for none
      */
-    void repeatAnswers(String sidecar, long cutFor) {
+    void repeatAnswers(String sidecar, long restAfter) {
         for (ServerConnection each : new ArrayList<>(connections)) {
             if (each.sidecar().equals(sidecar)) {
-                each.repeatAnswer(cutFor);
+                each.repeatAnswer(restAfter);
             }
         }
     }
 
-    /** All connections on which nothing is open; returns the other ends of those that were. */
+    /** Closes all idle connections; returns the sidecars' ends of them. */
     List<SimSocket> closeIdle() {
         List<SimSocket> closed = new ArrayList<>();
         for (ServerConnection each : new ArrayList<>(connections)) {
@@ -373,32 +391,37 @@
         return closed;
     }
 
+    /** Neither starts nor answers requests for a while. */
     void hang(long duration) {
         hungUntil = day.now() + duration;
     }
 
+    /** Rejects all requests for a while, as with a full queue. */
     void full(long duration) {
         fullUntil = day.now() + duration;
     }
 
+    /** Divides its speed by a factor for a while. */
     void slow(long duration, double factor) {
         slowUntil = day.now() + duration;
-        slowness = factor;
+        slowdown = factor;
     }
 
-    void fail(long duration, double part) {
+    /** Answers a fraction of the requests with an error for a while. */
+    void fail(long duration, double fraction) {
         failingUntil = day.now() + duration;
-        failing = part;
+        failureFraction = fraction;
     }
 
+    /** Sends load reports of another quality for a while. */
     void report(long duration, LoadReportQuality how) {
         reportUntil = day.now() + duration;
-        report = how;
+        reportQuality = how;
     }
 
-    /** Leaves what connects in its backlog for a while. */
+    /** Accepts no connections for a while, so that they stay in the backlog. */
     void backlog(long duration) {
-        deafUntil = day.now() + duration;
+        acceptPausedUntil = day.now() + duration;
         day.after(duration, this::accept);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Player.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Player.java
@@ -4,7 +4,10 @@
 import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 
-/** Plays scripts on one connection, one after the other, each piece when there is room for it. */
+/**
+ * Writes scripts to a connection, one at a time: each part after its pause and as the send buffer
+ * has room.
+ */
 final class Player {
     private final Simulation simulation;
     private final SimSocket socket;
@@ -20,34 +23,34 @@
         this.outbox = new Outbox(socket);
     }
 
-    /** Whether all that was to be written is in the socket's buffer. */
+    /** Whether no script is being played. */
     boolean isDone() {
         return script == null;
     }
 
     /**
-     * Told when all is written and the script's end is carried out, unless the connection breaks
-     * before.
+     * Starts a script. Calls back when all is in the socket's buffer and the script's end has been
+     * carried out; never, if the connection breaks before.
      */
-    void play(Script what, Runnable whenWritten) {
-        script = what;
+    void play(Script newScript, Runnable whenWritten) {
+        script = newScript;
         whenDone = whenWritten;
         next = 0;
-        goOn();
+        proceed();
     }
 
-    /** The socket has room again. */
+    /** To be called when the socket has room again. */
     void writable() {
         try {
             if (outbox.flush() && pause == null) {
-                goOn();
+                proceed();
             }
         } catch (IOException e) {
             stop();
         }
     }
 
-    /** Nothing more is written. */
+    /** Drops the rest of the script. */
     void stop() {
         script = null;
         if (pause != null) {
@@ -56,10 +59,10 @@
         }
     }
 
-    private void goOn() {
+    private void proceed() {
         while (script != null && outbox.isEmpty() && pause == null) {
             if (next == script.parts().size()) {
-                done();
+                finish();
                 return;
             }
             Script.Part part = script.parts().get(next++);
@@ -70,7 +73,7 @@
                                 () -> {
                                     pause = null;
                                     send(part);
-                                    goOn();
+                                    proceed();
                                 });
             } else {
                 send(part);
@@ -90,10 +93,10 @@
         }
     }
 
-    private void done() {
-        Script played = script;
+    private void finish() {
+        Script finished = script;
         script = null;
-        switch (played.end()) {
+        switch (finished.end()) {
             case CLOSE -> socket.close();
             case RESET -> socket.reset();
             default -> {}
--- a/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
@@ -4,17 +4,18 @@
 import appleridge.testbed.simnet.SeededRandom;
 import java.util.List;
 
-/** What a usual client wants done, in one try or several, and how that client is. */
+/**
+ * One operation that a regular client wants done, in one attempt or several, and how that client
+ * behaves.
+ */
 final class RequestIntent {
-    private static final int SMALL_BODY = 60;
+    private static final int SMALL_BODY_BYTES = 60;
 
-    /**
-     * A request takes at most so many times the mean work; fewer in the calm, where all are to be
-     * served.
-     */
-    private static final int MOST_WORK = 4;
+    /** Maximum work of a request as a multiple of the mean. */
+    private static final int MAX_WORK_FACTOR = 4;
 
-    private static final int MOST_WORK_IN_CALM = 2;
+    /** The same after the faults, when every request should be served. */
+    private static final int MAX_WORK_FACTOR_AFTER_FAULTS = 2;
 
     private static final List<String> QUERIES =
             List.of(
@@ -43,17 +44,15 @@
     final boolean impatient;
     final double share;
 
-    /** How many tries there were. */
+    /** Number of attempts so far. */
     int tries;
 
     int retriesLeft;
 
-    /** When the client waits no longer, whatever it tries; 0 before the first try. */
+    /** Time at which the client gives up for good; 0 before the first attempt. */
     long endsAt;
 
-    /**
-     * @param works mean work of each class on this day
-     */
+    /** {@code works}: mean work in nanoseconds of each class on this day. */
     RequestIntent(Day day, String origin, SeededRandom chance, long[] works, int tenant) {
         Plan plan = day.plan;
         this.origin = origin;
@@ -63,9 +62,9 @@
         this.kind = Classes.of(requestClass);
         this.deadline = plan.deadline(kind);
         double meanWork = works[requestClass];
-        double mostWork = meanWork * (day.isTroubled() ? MOST_WORK : MOST_WORK_IN_CALM);
-        this.work =
-                (long) Math.min(mostWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
+        double maxWork =
+                meanWork * (day.isTroubled() ? MAX_WORK_FACTOR : MAX_WORK_FACTOR_AFTER_FAULTS);
+        this.work = (long) Math.min(maxWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
         this.key =
                 kind.keyed()
                         ? Long.toHexString(chance.nextLong()) + Long.toHexString(chance.nextLong())
@@ -74,7 +73,7 @@
         int length =
                 kind.semantics() == Idempotency.IDEMPOTENT
                         ? 0
-                        : 1 + chance.nextInt(large ? plan.maxBodyBytes() : SMALL_BODY);
+                        : 1 + chance.nextInt(large ? plan.maxBodyBytes() : SMALL_BODY_BYTES);
         SeededRandom form = chance.stream("form");
         this.uri = "/api/" + kind.name() + query(form);
         this.body = body(form.nextLong(), length);
@@ -86,7 +85,7 @@
         this.retriesLeft = plan.count(ScenarioParameter.RETRIES);
     }
 
-    /** Now and then none, else with what a careless hand would change: signs, marks, escapes. */
+    /** A query of up to three parts, with characters and escapes that a proxy might alter. */
     private static String query(SeededRandom form) {
         StringBuilder query = new StringBuilder(32);
         for (int i = form.nextInt(4); i > 0; i--) {
@@ -97,7 +96,7 @@
         return query.toString();
     }
 
-    /** All kinds of bytes, other ones in each body. */
+    /** Pseudorandom bytes of all values, from a linear congruential generator. */
     private static byte[] body(long seed, int length) {
         byte[] bytes = new byte[length];
         long state = seed;
@@ -110,19 +109,19 @@
 
     private static int drawClass(SeededRandom chance) {
         double drawn = chance.nextDouble();
-        int place = 0;
-        while (place < Classes.ALL.size() - 1 && drawn >= Classes.of(place).share()) {
-            drawn -= Classes.of(place).share();
-            place++;
+        int index = 0;
+        while (index < Classes.ALL.size() - 1 && drawn >= Classes.of(index).share()) {
+            drawn -= Classes.of(index).share();
+            index++;
         }
-        return place;
+        return index;
     }
 
     String method() {
         return kind.semantics() == Idempotency.IDEMPOTENT ? "GET" : "POST";
     }
 
-    /** Whether its client may ask again after a failure: one more run does no harm. */
+    /** Whether the client may retry after a failure, because a second run does no harm. */
     boolean mayFollowFailure() {
         return kind.semantics() == Idempotency.IDEMPOTENT;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ResponseCorruption.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ResponseCorruption.java
@@ -1,49 +1,49 @@
 package appleridge.testbed.simulation;
 
-/** How an answer can be spoilt. */
+/** How a response can be corrupted. */
 enum ResponseCorruption {
-    /** Bytes that are no HTTP. */
+    /** Bytes that are not HTTP. */
     NOISE,
-    /** A first line that can't be read. */
+    /** An unparsable status line. */
     BAD_FIRST_LINE,
     /** A header line without a colon. */
     BAD_HEADER,
-    /** A header line folded into the one before. */
+    /** A folded header line. */
     FOLDED,
-    /** Control bytes within a header. */
+    /** Control characters in a header. */
     CONTROL_BYTES,
-    /** A head that goes on without end. */
+    /** A response head without end. */
     ENDLESS_HEAD,
-    /** A length above what comes; then silence. */
+    /** A Content-Length above the length of the body, and then nothing more. */
     LONG_LENGTH,
-    /** A negative length. */
+    /** A negative Content-Length. */
     NEGATIVE_LENGTH,
-    /** A length that no number holds. */
+    /** A Content-Length beyond the range of a long. */
     HUGE_LENGTH,
-    /** Two lengths that differ. */
+    /** Two different Content-Length headers. */
     TWO_LENGTHS,
-    /** Both a length and chunks. */
+    /** Both Content-Length and chunked encoding. */
     LENGTH_AND_CHUNKS,
-    /** Chunk sizes that are no numbers. */
+    /** Chunk sizes that are not numbers. */
     BAD_CHUNKS,
-    /** Neither a length nor chunks, and the connection stays open. */
+    /** Neither Content-Length nor chunked encoding, and the connection stays open. */
     NO_LENGTH,
-    /** Said to have 3 GB, and keeps coming. */
+    /** A Content-Length of 3 GB, with bytes that keep arriving. */
     THREE_GIGABYTES,
-    /** Cut in the middle of the head, by an end. */
+    /** The connection is closed in the middle of the head. */
     CUT_HEAD,
-    /** Cut in the middle of the body, by an end. */
+    /** The connection is closed in the middle of the body. */
     CUT_BODY,
-    /** Cut in the middle of the body, by a reset. */
+    /** The connection is reset in the middle of the body. */
     CUT_RESET,
-    /** Begins, and then nothing more. */
+    /** Stops after its first bytes, with the connection open. */
     STOPS,
     /** A pause in the middle, longer than a sidecar should wait. */
     PAUSES,
-    /** Nothing but interim answers. */
+    /** Only interim responses, no final one. */
     ONLY_INTERIM,
-    /** An answer that switches protocols. */
+    /** A 101 response, which switches protocols. */
     SWITCHES,
-    /** A status that is no number. */
+    /** A status code that is not a number. */
     STATUS_WITHOUT_NUMBER
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ResponseExtra.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ResponseExtra.java
@@ -1,24 +1,24 @@
 package appleridge.testbed.simulation;
 
 /**
- * What a good answer can bring beside what belongs to it. No second copy comes some time later:
- * where the next request crosses it, no reader could tell it from that one's answer.
+ * What a valid response can be combined with. There is no second copy that arrives later: where it
+ * crosses the next request on the connection, no reader could tell it from the response to that.
  */
 enum ResponseExtra {
-    /** An interim answer ahead of it. */
+    /** An interim response before it. */
     INTERIM,
-    /** Several interim answers ahead, some time apart. */
+    /** Several interim responses before it, with pauses between them. */
     INTERIMS,
-    /** A second copy right behind it. */
+    /** A second copy directly after it. */
     COPY,
-    /** Noise right behind it. */
+    /** Noise directly after it. */
     NOISE,
-    /** Noise some time later. */
+    /** Noise after a pause. */
     LATE_NOISE,
-    /** A load report that can't be read. */
+    /** An unreadable load report. */
     BAD_REPORT,
-    /** A good answer, and the connection is closed right behind it without a word of that. */
+    /** The connection is closed directly after it, without a Connection header that says so. */
     CLOSES,
-    /** The answer comes before the request has come whole. */
+    /** The response is sent before the whole request has arrived. */
     EARLY
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Script.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Script.java
@@ -4,16 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is written to a connection piece by piece, and how that ends. */
+/** The parts to write to a connection, and what happens to the connection afterwards. */
 final class Script {
-    /** How it ends. */
+    /** What happens to the connection after the last part. */
     enum End {
         KEEP,
         CLOSE,
         RESET
     }
 
-    /** Some bytes, so long after those before. */
+    /**
+     * Bytes to write.
+     *
+     * @param pause delay in nanoseconds after the part before
+     */
     record Part(byte[] bytes, long pause) {}
 
     private final List<Part> parts = new ArrayList<>(1);
@@ -23,6 +27,7 @@
         return new Script().then(0, text);
     }
 
+    /** Adds a part in ISO 8859-1 after a pause in nanoseconds. */
     Script then(long pause, CharSequence text) {
         parts.add(new Part(text.toString().getBytes(StandardCharsets.ISO_8859_1), pause));
         return this;
@@ -33,7 +38,7 @@
         return this;
     }
 
-    /** The same piece over and over. */
+    /** Adds the same part several times. */
     Script repeat(int times, long pause, CharSequence text) {
         Part part = new Part(text.toString().getBytes(StandardCharsets.ISO_8859_1), pause);
         for (int i = 0; i < times; i++) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /**
- * What the usual clients have asked, by id: from it servers know what a request is, and which are
- * none.
+ * The requests that the regular clients have sent, by request id. From it order servers know the
+ * work of a request, and recognize requests that no regular client has sent.
  */
 final class SentRequestRegistry {
     /**
-     * One try's form.
+     * A request as sent by its client, one attempt.
      *
-     * @param work nanoseconds that it costs a core, before the servers' own chance
+     * @param work CPU time in nanoseconds, before the servers' random variation
      */
     record SentRequest(int requestClass, Message message, long work) {
         String key() {
@@ -26,53 +26,55 @@
         }
     }
 
-    private final Map<String, SentRequest> forms = new HashMap<>();
-    private final Set<String> borrowed = new HashSet<>();
+    private final Map<String, SentRequest> requests = new HashMap<>();
+    private final Set<String> reusedIds = new HashSet<>();
 
-    /** What is to be done to the answers of some; by id. */
-    private final Map<String, ResponseCorruption> spoilt = new HashMap<>();
+    /** How to corrupt the next response, by request id. */
+    private final Map<String, ResponseCorruption> corruptions = new HashMap<>();
 
     private final Map<String, ResponseExtra> extras = new HashMap<>();
 
-    void add(String id, SentRequest form) {
-        forms.put(id, form);
+    void add(String id, SentRequest request) {
+        requests.put(id, request);
     }
 
-    /** Null for an id that no usual client has sent. */
+    /** Returns null for an id that no regular client has sent. */
     SentRequest find(String id) {
-        return forms.get(id);
+        return requests.get(id);
     }
 
-    /** A bad client asks under this id too, with another method. */
+    /** Records that a bad client uses this id too, with another method. */
     void markReused(String id) {
-        borrowed.add(id);
+        reusedIds.add(id);
     }
 
-    /** What to call what came under this id: it may be another's who only says so. */
+    /** The id to report for a received request: marked if a bad client reused another's id. */
     String effectiveId(String id, String method) {
-        SentRequest form = forms.get(id);
-        return form != null && borrowed.contains(id) && !form.method().equals(method)
+        SentRequest request = requests.get(id);
+        return request != null && reusedIds.contains(id) && !request.method().equals(method)
                 ? Site.BAD_CLIENT_ID_PREFIX + id
                 : id;
     }
 
     void corruptResponse(String id, ResponseCorruption how) {
-        spoilt.put(id, how);
+        corruptions.put(id, how);
     }
 
     void addExtra(String id, ResponseExtra what) {
         extras.put(id, what);
     }
 
-    /** How this one's next answer is to be spoilt; told once. */
+    /** Removes and returns how to corrupt the next response; null for none. */
     ResponseCorruption takeCorruption(String id) {
-        return spoilt.isEmpty() ? null : spoilt.remove(id);
+        return corruptions.isEmpty() ? null : corruptions.remove(id);
     }
 
+    /** Removes and returns the extra of the next response; null for none. */
     ResponseExtra takeExtra(String id) {
         return extras.isEmpty() ? null : extras.remove(id);
     }
 
+    /** The extra of the next response; null for none. */
     ResponseExtra peekExtra(String id) {
         return extras.isEmpty() ? null : extras.get(id);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -6,22 +6,25 @@
 import appleridge.testbed.simnet.Simulation;
 import java.io.IOException;
 
-/** A connection to an order server: one request at a time is read, and answered. */
+/**
+ * An order server's end of a connection from a sidecar. Reads and answers one request at a time,
+ * and closes the connection when it has been idle for long.
+ */
 final class ServerConnection implements SimSocket.Events {
-    private static final int BULK = 1 << 16;
+    private static final int READ_BYTES = 1 << 16;
 
-    /** What surely travels in one piece. */
-    private static final int ONE_SEGMENT = 1400;
+    /** A message of at most this many bytes fits into one segment. */
+    private static final int SEGMENT_BYTES = 1400;
 
-    /** Within an answer's first line. */
-    private static final int CUT = 12;
+    /** Where a repeated response is cut: within its status line. */
+    private static final int CUT_AT_BYTES = 12;
 
     /**
-     * A request that has come whole.
+     * A complete request.
      *
-     * @param id empty for none
-     * @param deadline its X-Deadline; 0 without one that can be read
-     * @param dueAt when that is over; Long.MAX_VALUE without one
+     * @param id its request id; empty without one
+     * @param deadline its X-Deadline in nanoseconds; 0 if absent or unreadable
+     * @param dueAt time at which the deadline passes; Long.MAX_VALUE without one
      * @param first whether it is the first on its connection
      */
     record Received(
@@ -39,17 +42,17 @@
     private final boolean surplus;
     private final HttpReader reader = new HttpReader(false);
     private final Player player;
-    private Simulation.Event idleEnd;
+    private Simulation.Event idleTimeout;
     private long firstByteSentAt;
-    private boolean begunTold;
-    private boolean early;
-    private boolean earlyRuns;
+    private boolean idReported;
+    private boolean answeredEarly;
+    private boolean earlyProcessed;
     private boolean busy;
     private boolean first = true;
     private boolean stopped;
 
-    /** The last answer, if it was a usual one; else null. */
-    private String last;
+    /** The last response, if it may be repeated; otherwise null. */
+    private String repeatable;
 
     ServerConnection(Day day, OrderServer server, SimSocket socket, boolean surplus) {
         this.day = day;
@@ -58,15 +61,15 @@
         this.surplus = surplus;
         this.player = new Player(day.simulation, socket);
         socket.events(this);
-        rest();
+        startIdleTimeout();
     }
 
-    /** Who asks on it. */
+    /** The name of the sidecar at the other end. */
     String sidecar() {
         return socket.peerHost().name();
     }
 
-    /** Whether there were as many as the server holds before it came. */
+    /** Whether the server was at its connection limit when it accepted this connection. */
     boolean isSurplus() {
         return surplus;
     }
@@ -75,18 +78,19 @@
         return !stopped && socket.isOpen();
     }
 
-    /** Whether a request is open on it, or its answer not yet written. */
+    /** Whether a request is being processed or its response is not yet written. */
     boolean isBusy() {
         return busy || !player.isDone();
     }
 
+    /** Stops reading and writing without closing the socket. */
     void stop() {
         stopped = true;
         player.stop();
-        awake();
+        cancelIdleTimeout();
     }
 
-    /** Whether it was idle, and is closed. */
+    /** Closes this connection if it is idle; returns whether it was. */
     boolean closeIfIdle() {
         boolean idle = !isBusy() && !reader.begun();
         if (idle) {
@@ -109,18 +113,18 @@
     public void readable() {
         try {
             while (isOpen() && socket.isReadable()) {
-                // The first byte alone, to learn when it was sent.
-                boolean begins = !reader.begun();
-                int read = reader.read(socket, begins ? 1 : BULK);
+                // Reads the first byte of a request alone, to learn when it was sent.
+                boolean newRequest = !reader.begun();
+                int read = reader.read(socket, newRequest ? 1 : READ_BYTES);
                 if (read <= 0) {
                     if (read < 0) {
                         close();
                     }
                     return;
                 }
-                if (begins) {
+                if (newRequest) {
                     firstByteSentAt = socket.sentAt();
-                    awake();
+                    cancelIdleTimeout();
                 }
                 proceed();
             }
@@ -134,7 +138,7 @@
         player.writable();
     }
 
-    /** Reads on, unless an answer is still owed. */
+    /** Parses the buffered bytes, unless a response is still to be written. */
     private void proceed() {
         if (busy || !player.isDone()) {
             return;
@@ -144,19 +148,19 @@
             close();
             return;
         }
-        tellBegun();
+        reportId();
         if (ended) {
-            take();
-        } else if (!early && reader.hasHead()) {
+            handleRequest();
+        } else if (!answeredEarly && reader.hasHead()) {
             answerEarly();
         }
     }
 
-    private void tellBegun() {
-        if (!begunTold) {
+    private void reportId() {
+        if (!idReported) {
             String id = reader.partialHeader("x-request-id");
             if (id != null && !id.isEmpty()) {
-                begunTold = true;
+                idReported = true;
                 day.evidence.serverReadId(
                         server.uid(),
                         server.life(),
@@ -177,12 +181,12 @@
                 && day.asked.peekExtra(id) == ResponseExtra.EARLY
                 && day.asked.find(id) != null) {
             day.asked.takeExtra(id);
-            early = true;
-            earlyRuns = server.answerEarly(this, id);
+            answeredEarly = true;
+            earlyProcessed = server.answerEarly(this, id);
         }
     }
 
-    private void take() {
+    private void handleRequest() {
         String id = reader.header("x-request-id");
         Message message = reader.message();
         long deadline = deadline();
@@ -195,30 +199,31 @@
                         deadline,
                         deadline > 0 ? day.now() + deadline : Long.MAX_VALUE,
                         first);
-        boolean answered = early;
+        boolean wasAnswered = answeredEarly;
         first = false;
-        begunTold = false;
-        early = false;
+        idReported = false;
+        answeredEarly = false;
         reader.next();
         if (reader.begun()) {
-            // What came with this one's last bytes was sent with them, as far as can be told.
+            // The start of the next request was read together with the end of this one; the time at
+            // which that was sent is the best known estimate.
             firstByteSentAt = socket.sentAt();
         }
-        if (answered) {
-            tellArrived(received, 0);
-            if (!earlyRuns) {
+        if (wasAnswered) {
+            reportReceived(received, 0);
+            if (!earlyProcessed) {
                 day.evidence.serverDidNotRun(server.uid(), server.life(), received.id());
             }
-            rest();
+            startIdleTimeout();
             return;
         }
         busy = true;
-        last = null;
-        server.take(this, received);
+        repeatable = null;
+        server.handle(this, received);
     }
 
-    /** Told of every request, one without an id too. */
-    void tellArrived(Received received, long work) {
+    /** Reports a received request to the listener; its message even without an id. */
+    void reportReceived(Received received, long work) {
         if (!received.id().isEmpty()) {
             day.evidence.serverReceived(
                     server.uid(),
@@ -239,16 +244,16 @@
     }
 
     private long deadline() {
-        String text = reader.header("x-deadline");
+        String header = reader.header("x-deadline");
         try {
-            return text == null ? 0 : Math.round(Double.parseDouble(text) * Site.SECOND);
+            return header == null ? 0 : Math.round(Double.parseDouble(header) * Site.SECOND);
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
-    /** Writes the answer to what was taken last; then the next request's turn comes. */
-    void say(Script script) {
+    /** Writes the response to the open request, then reads the next request. */
+    void send(Script script) {
         if (!isOpen()) {
             return;
         }
@@ -261,71 +266,75 @@
                         server.closed(this);
                         return;
                     }
-                    rest();
+                    startIdleTimeout();
                     if (reader.begun()) {
                         proceed();
                     }
                 });
     }
 
-    /** What it has said last. */
-    void mayRepeat(String answer) {
-        last = answer;
+    /** Sets the response that {@link #repeatAnswer} sends again. */
+    void setRepeatable(String answer) {
+        repeatable = answer;
     }
 
     /**
-     * Says its last answer once more, where nothing is open or on its way and the copy travels in
-     * one piece. For whom the other end doesn't listen meanwhile.
+     * Sends the last response again, if no request is open or in transit and the copy fits into one
+     * segment. To be called only while the sidecar reads nothing, so that no request can cross the
+     * copy.
      *
-     * @param restAfter how much later all but its first bytes come; 0 for at once
+     * @param restAfter delay in nanoseconds of all but the first bytes; 0 for none
      */
     void repeatAnswer(long restAfter) {
-        if (last == null
+        if (repeatable == null
                 || !isOpen()
                 || isBusy()
                 || reader.begun()
                 || socket.peer() == null
                 || socket.peer().bytesWritten() != socket.bytesRead()
-                || !carriesAtOnce(last.length())) {
+                || !carriesAtOnce(repeatable.length())) {
             return;
         }
-        int cut = restAfter > 0 ? Math.min(last.length(), CUT) : 0;
-        say(
+        int headBytes = restAfter > 0 ? Math.min(repeatable.length(), CUT_AT_BYTES) : 0;
+        send(
                 restAfter > 0
-                        ? Script.of(last.substring(0, cut)).then(restAfter, last.substring(cut))
-                        : Script.of(last));
+                        ? Script.of(repeatable.substring(0, headBytes))
+                                .then(restAfter, repeatable.substring(headBytes))
+                        : Script.of(repeatable));
     }
 
-    /** Whether so many bytes reach the other end in one piece. */
+    /** Whether this many bytes reach the other end in one segment. */
     boolean carriesAtOnce(int bytes) {
-        NetworkConditions weather = day.network.weather(socket.host(), socket.peerHost());
-        return bytes <= ONE_SEGMENT
-                && weather.segment == 0
-                && weather.bytesPerSecond == 0
-                && weather.sendBuffer > ONE_SEGMENT
-                && weather.receiveBuffer > ONE_SEGMENT;
+        NetworkConditions conditions = day.network.weather(socket.host(), socket.peerHost());
+        return bytes <= SEGMENT_BYTES
+                && conditions.segment == 0
+                && conditions.bytesPerSecond == 0
+                && conditions.sendBuffer > SEGMENT_BYTES
+                && conditions.receiveBuffer > SEGMENT_BYTES;
     }
 
-    /** From now on it stands idle, and is closed if it does so for long. */
-    private void rest() {
-        awake();
+    /** Starts the idle timeout. */
+    private void startIdleTimeout() {
+        cancelIdleTimeout();
         if (isOpen() && !reader.begun()) {
             long idle = day.plan.size(ScenarioParameter.SERVER_IDLE);
-            // What sidecars are told of servers' patience holds when the faults have ended.
-            long least = day.isTroubled() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
-            boolean asTold = Math.max(idle, least) >= day.plan.size(ScenarioParameter.CONN_IDLE);
-            boolean forgets = asTold && socket.id() % 2 == 0;
-            idleEnd =
+            // After the faults, connections stay open for at least the idle timeout that is in the
+            // sidecars' settings.
+            long minIdle = day.isTroubled() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
+            boolean asConfigured =
+                    Math.max(idle, minIdle) >= day.plan.size(ScenarioParameter.CONN_IDLE);
+            boolean drops = asConfigured && socket.id() % 2 == 0;
+            idleTimeout =
                     day.after(
-                            Math.max(idle, least),
-                            forgets ? this::forgetIfIdle : this::closeIfIdle);
+                            Math.max(idle, minIdle), drops ? this::dropIfIdle : this::closeIfIdle);
         }
     }
 
     /**
-     * What stood idle for as long as was said is forgotten without a word, as on the way it may be.
+     * Drops an idle connection without closing it, as a middlebox on the way may do after the idle
+     * timeout in the sidecars' settings.
      */
-    private void forgetIfIdle() {
+    private void dropIfIdle() {
         if (!isBusy() && !reader.begun()) {
             stop();
             socket.fault(SimSocket.Fault.BLACK_HOLE);
@@ -333,10 +342,10 @@
         }
     }
 
-    private void awake() {
-        if (idleEnd != null) {
-            idleEnd.cancel();
-            idleEnd = null;
+    private void cancelIdleTimeout() {
+        if (idleTimeout != null) {
+            idleTimeout.cancel();
+            idleTimeout = null;
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -4,19 +4,19 @@
 import appleridge.loadbalancing.Idempotency;
 import java.net.InetSocketAddress;
 
-/** The configuration that a sidecar gets, as text. */
+/** The configuration file of a sidecar, as JSON text. */
 public final class Settings {
-    /** Traffic above a tenant's part of this many times the usual is above its quota. */
-    private static final double QUOTA = 1.5;
+    /** A tenant's quota as a multiple of its expected rate. */
+    private static final double QUOTA_FACTOR = 1.5;
 
-    private static final String OVER_SHARE = "0.1";
+    private static final String OVER_QUOTA_WORTH = "0.1";
 
     private Settings() {}
 
     /**
-     * The file of one process.
+     * Formats the configuration of one process.
      *
-     * @param known the list as last had, as JSON; null for none
+     * @param known the endpoint list at its start as JSON; the text {@code null} for none
      */
     static String json(
             Plan plan,
@@ -40,8 +40,8 @@
                 .append("},\"known\":")
                 .append(known)
                 .append(",\"settings\":{");
-        profiles(text, plan);
-        parties(text, plan);
+        appendClasses(text, plan);
+        appendTenants(text, plan);
         text.append("\"zones\":[");
         for (int i = 0; i < Site.ZONES.size(); i++) {
             text.append(i == 0 ? "\"" : ",\"").append(Site.ZONES.get(i)).append('"');
@@ -57,18 +57,18 @@
                 .append(",\"quantum\":")
                 .append(5 * Site.MS)
                 .append(",\"discovery\":\"subscribe\",\"overShareWorth\":")
-                .append(OVER_SHARE)
+                .append(OVER_QUOTA_WORTH)
                 .append(",\"report\":{\"how\":\"piggyback\",\"fields\":[");
         for (int i = 0; i < Site.LOAD_REPORT_FIELDS.size(); i++) {
             text.append(i == 0 ? "\"" : ",\"").append(Site.LOAD_REPORT_FIELDS.get(i)).append('"');
         }
         text.append("]},");
-        caps(text, plan);
-        rules(text, plan);
+        appendCapabilities(text, plan);
+        appendRules(text, plan);
         return text.append("}}").toString();
     }
 
-    private static void profiles(StringBuilder text, Plan plan) {
+    private static void appendClasses(StringBuilder text, Plan plan) {
         text.append("\"profiles\":[");
         for (int i = 0; i < Classes.ALL.size(); i++) {
             Classes.Kind kind = Classes.of(i);
@@ -95,7 +95,7 @@
         text.append("],");
     }
 
-    private static void parties(StringBuilder text, Plan plan) {
+    private static void appendTenants(StringBuilder text, Plan plan) {
         text.append("\"parties\":[");
         for (int i = 0; i < Tenants.ALL.size(); i++) {
             Tenants.Tenant tenant = Tenants.ALL.get(i);
@@ -105,7 +105,7 @@
                     .append("\",\"portion\":")
                     .append(tenant.share())
                     .append(",\"quotaRps\":")
-                    .append(tenant.share() * QUOTA * plan.part(ScenarioParameter.RATE))
+                    .append(tenant.share() * QUOTA_FACTOR * plan.part(ScenarioParameter.RATE))
                     .append('}');
         }
         text.append("],");
@@ -127,7 +127,7 @@
         };
     }
 
-    private static void caps(StringBuilder text, Plan plan) {
+    private static void appendCapabilities(StringBuilder text, Plan plan) {
         long retryAfter = plan.size(ScenarioParameter.RETRY_AFTER);
         text.append("\"caps\":{\"mayCancel\":")
                 .append(plan.size(ScenarioParameter.MAY_CANCEL) > 0)
@@ -145,7 +145,7 @@
                 .append("},");
     }
 
-    private static void rules(StringBuilder text, Plan plan) {
+    private static void appendRules(StringBuilder text, Plan plan) {
         text.append("\"rules\":{\"answerSlack\":")
                 .append(Site.ANSWER_SLACK)
                 .append(",\"askWithin\":")
--- a/testbed/src/main/java/appleridge/testbed/simulation/Site.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Site.java
@@ -5,7 +5,7 @@
 import java.net.UnknownHostException;
 import java.util.List;
 
-/** What is the same on all days: names, addresses and the rules' figures. */
+/** Names, addresses and limits that are the same on all simulated days. */
 public final class Site {
     /** Unix time in milliseconds at the start of the day. */
     public static final long EPOCH_MILLIS = 1_767_225_600_000L;
@@ -16,35 +16,35 @@
     /** One millisecond. */
     public static final long MS = 1_000_000L;
 
-    /** The sites where order servers stand. */
+    /** The zones of the order servers. */
     public static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
 
-    /** The one kind of order server. */
+    /** The only kind of order server. */
     public static final String SERVER_KIND = "std-3c";
 
-    /** Nothing new goes to a server for longer than this after its drain was told. */
+    /** Grace period: a sidecar may start requests at a draining server for this long. */
     public static final long DRAIN_GRACE = 2 * SECOND;
 
-    /** For how long a cold server must be overloaded to fall over. */
+    /** For how long a cold server must be overloaded to collapse. */
     public static final long COLLAPSE_AFTER = 1500 * MS;
 
-    /** How much of a cold server's capacity is too much. */
+    /** Load of a cold server, as a multiple of its capacity, that counts as overload. */
     public static final double OVERLOAD_FACTOR = 4;
 
-    /** What a server can do at its start, as a part of what it can do when warm. */
+    /** Capacity of a server at its start, as a fraction of its capacity when warm. */
     public static final double COLD_SHARE = 0.39;
 
-    /** From a server's start until it is warm. */
+    /** Time from a server's start until it is warm. */
     public static final long RAMP_TIME = 7400 * MS;
 
-    /** By how much an answer may be later than the deadline. */
+    /** By how much an answer may exceed the deadline. */
     public static final long ANSWER_SLACK = 20 * MS;
 
-    /** Fields of a load report. */
+    /** The fields of a load report. */
     public static final List<String> LOAD_REPORT_FIELDS =
             List.of("rate", "lat_ms", "fail_rate", "q");
 
-    /** Ids that begin so are those of bad clients; servers turn them away. */
+    /** Prefix of the request ids of bad clients; servers reject such requests. */
     public static final String BAD_CLIENT_ID_PREFIX = "bad-";
 
     static final int SIDECAR_PORT = 3000;
@@ -53,6 +53,7 @@
 
     private Site() {}
 
+    /** The loopback address 127.b.c.d. */
     static InetAddress address(int b, int c, int d) {
         try {
             return InetAddress.getByAddress(new byte[] {127, (byte) b, (byte) c, (byte) d});
@@ -61,7 +62,7 @@
         }
     }
 
-    /** In {@code host:port}, from the address's bytes, so that nothing is looked up. */
+    /** Formats an address as {@code host:port} from its bytes, without a name lookup. */
     static String text(InetSocketAddress address) {
         byte[] bytes = address.getAddress().getAddress();
         return (bytes[0] & 0xff)
--- a/testbed/src/main/java/appleridge/testbed/simulation/Tenants.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Tenants.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** The wholesalers and their shares of the traffic. */
+/** The tenants and their shares of the traffic. */
 public final class Tenants {
-    /** One of them. */
+    /** A tenant; {@code share} is a fraction of the traffic, and all shares add up to 1. */
     public record Tenant(String name, double share) {}
 
-    /** All of them, by their place in a sidecar's settings. */
+    /** All tenants, in the order of a sidecar's settings. */
     public static final List<Tenant> ALL =
             List.of(
                     new Tenant("cycles-moris", 0.19),
--- a/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
@@ -2,104 +2,102 @@
 
 import appleridge.testbed.simnet.SeededRandom;
 
-/**
- * When the usual clients of one application want something: at chance times, some of them in
- * bursts.
- */
+/** Generates the requests of one application's clients at random times, some of them in bursts. */
 final class Traffic {
-    private static final long BURST_EVERY = 1500 * Site.MS;
-    private static final long BURST_LENGTH = 60 * Site.MS;
+    private static final long MEAN_BURST_INTERVAL_NANOS = 1500 * Site.MS;
+    private static final long BURST_NANOS = 60 * Site.MS;
 
     private final Day day;
     private final Application application;
 
-    /** Requests a second. */
+    /** Requests per second. */
     private final double rate;
 
-    private final SeededRandom chance;
-    private final SeededRandom floods;
+    private final SeededRandom random;
+    private final SeededRandom floodRandom;
 
     Traffic(Day day, Application application, int index, double rate) {
         this.day = day;
         this.application = application;
         this.rate = rate;
-        this.chance = day.work("traffic." + index);
-        this.floods = day.faults("flood." + index);
+        this.random = day.work("traffic." + index);
+        this.floodRandom = day.faults("flood." + index);
     }
 
     void begin() {
         if (rate > 0) {
-            goOn();
-            burst();
+            scheduleNext();
+            scheduleBurst();
         }
     }
 
-    private void goOn() {
+    private void scheduleNext() {
         if (day.now() >= day.plan.quietFrom()) {
             return;
         }
         double bursts = day.isTroubled() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
         double mean = Site.SECOND / (rate * Math.max(0.01, 1 - bursts));
         day.after(
-                (long) chance.exponential(mean),
+                (long) random.exponential(mean),
                 () -> {
                     if (day.now() < day.plan.quietFrom()) {
-                        application.wish(tenant(chance));
+                        application.wish(drawTenant(random));
                     }
-                    goOn();
+                    scheduleNext();
                 });
     }
 
-    private void burst() {
-        long wait = BURST_EVERY / 2 + chance.nextLong(BURST_EVERY);
+    private void scheduleBurst() {
+        long wait = MEAN_BURST_INTERVAL_NANOS / 2 + random.nextLong(MEAN_BURST_INTERVAL_NANOS);
         day.after(
                 wait,
                 () -> {
                     if (day.isTroubled()) {
-                        double due =
+                        double expected =
                                 rate
                                         * day.plan.part(ScenarioParameter.BURSTS)
-                                        * BURST_EVERY
+                                        * MEAN_BURST_INTERVAL_NANOS
                                         / Site.SECOND;
-                        int many = (int) due + (chance.hits(due - (int) due) ? 1 : 0);
-                        for (int i = 0; i < many; i++) {
+                        int count =
+                                (int) expected + (random.hits(expected - (int) expected) ? 1 : 0);
+                        for (int i = 0; i < count; i++) {
                             day.after(
-                                    chance.nextLong(BURST_LENGTH),
-                                    () -> application.wish(tenant(chance)));
+                                    random.nextLong(BURST_NANOS),
+                                    () -> application.wish(drawTenant(random)));
                         }
-                        burst();
+                        scheduleBurst();
                     }
                 });
     }
 
-    /** One tenant sends more for a while, on top of the rest. */
+    /** Adds requests of one tenant for a while, {@code more} per second. */
     void flood(long duration, double more) {
-        int tenant = tenant(floods);
+        int tenant = drawTenant(floodRandom);
         long ends = day.now() + duration;
-        floodOn(tenant, ends, more);
+        scheduleFlood(tenant, ends, more);
     }
 
-    private void floodOn(int tenant, long ends, double more) {
+    private void scheduleFlood(int tenant, long ends, double more) {
         if (more <= 0) {
             return;
         }
         day.after(
-                (long) floods.exponential(Site.SECOND / more),
+                (long) floodRandom.exponential(Site.SECOND / more),
                 () -> {
                     if (day.now() < ends && day.isTroubled()) {
                         application.wish(tenant);
-                        floodOn(tenant, ends, more);
+                        scheduleFlood(tenant, ends, more);
                     }
                 });
     }
 
-    private static int tenant(SeededRandom from) {
-        double drawn = from.nextDouble();
-        int place = 0;
-        while (place < Tenants.ALL.size() - 1 && drawn >= Tenants.ALL.get(place).share()) {
-            drawn -= Tenants.ALL.get(place).share();
-            place++;
+    private static int drawTenant(SeededRandom random) {
+        double drawn = random.nextDouble();
+        int index = 0;
+        while (index < Tenants.ALL.size() - 1 && drawn >= Tenants.ALL.get(index).share()) {
+            drawn -= Tenants.ALL.get(index).share();
+            index++;
         }
-        return place;
+        return index;
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
@@ -27,7 +27,7 @@
     @Test
     void givesTheWholeListAsTheProtocolHasIt() {
         ServerFixture fixture = fixture();
-        String answer = fixture.toDiscovery().say(WHOLE).hear(50 * MS);
+        String answer = fixture.connectToDiscovery().send(WHOLE).receive(50 * MS);
         assertTrue(
                 answer.endsWith(
                         "{\"rev\":2,\"all\":true,\"targets\":["
@@ -44,98 +44,106 @@
     @Test
     void aWatchWaitsForNewsOrItsTime() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 1000));
-        assertEquals("", line.hear(900 * MS));
-        assertTrue(line.hear(200 * MS).endsWith("{\"rev\":2,\"all\":false,\"targets\":[]}"));
-        line.say(watch(2, 5000));
+        ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 1000));
+        assertEquals("", connection.receive(900 * MS));
+        assertTrue(
+                connection.receive(200 * MS).endsWith("{\"rev\":2,\"all\":false,\"targets\":[]}"));
+        connection.send(watch(2, 5000));
         fixture.machine(0).crash(Site.SECOND, false);
-        assertEquals("", line.hear(1900 * MS - Site.SECOND));
-        String added = line.hear(500 * MS);
+        assertEquals("", connection.receive(1900 * MS - Site.SECOND));
+        String added = connection.receive(500 * MS);
         assertTrue(
                 added.contains("\"uid\":\"s0.1\"") && added.contains("\"state\":\"Ready\""), added);
         assertTrue(added.contains("\"boot_ms\":17"), added);
-        assertTrue(line.say(watch(3, 5000)).hear(Site.SECOND).contains("\"state\":\"Gone\""));
+        assertTrue(
+                connection
+                        .send(watch(3, 5000))
+                        .receive(Site.SECOND)
+                        .contains("\"state\":\"Gone\""));
     }
 
     @Test
     void callsAreWorkedThroughInTurn() {
         ServerFixture fixture = fixture();
         fixture.registry.slow(Site.SECOND, 400 * MS);
-        ServerFixture.Line one = fixture.toDiscovery();
-        ServerFixture.Line other = fixture.toDiscovery();
-        one.say(WHOLE).hear(MS);
-        other.say(WHOLE);
-        assertFalse(one.hear(450 * MS).isEmpty());
-        assertTrue(other.hear(10 * MS).isEmpty());
-        assertFalse(other.hear(450 * MS).isEmpty());
+        ServerFixture.Connection one = fixture.connectToDiscovery();
+        ServerFixture.Connection other = fixture.connectToDiscovery();
+        one.send(WHOLE).receive(MS);
+        other.send(WHOLE);
+        assertFalse(one.receive(450 * MS).isEmpty());
+        assertTrue(other.receive(10 * MS).isEmpty());
+        assertFalse(other.receive(450 * MS).isEmpty());
     }
 
     @Test
     void aVersionThatIsNotThereYetIsWaitedFor() {
-        ServerFixture.Line line = fixture().toDiscovery().say(watch(1002, 1000));
-        assertEquals("", line.hear(900 * MS));
-        assertTrue(line.hear(200 * MS).contains("\"targets\":[]"));
+        ServerFixture.Connection connection =
+                fixture().connectToDiscovery().send(watch(1002, 1000));
+        assertEquals("", connection.receive(900 * MS));
+        assertTrue(connection.receive(200 * MS).contains("\"targets\":[]"));
     }
 
     @Test
     void whenItGoesDownWatchesEndAndCallsAreRefusedUntilItIsBack() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 5000));
-        fixture.after(100 * MS);
+        ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 5000));
+        fixture.advance(100 * MS);
         fixture.registry.down(Site.SECOND);
-        fixture.after(10 * MS);
-        assertTrue(line.isEnded());
-        assertTrue(fixture.toDiscovery().hasFailed());
-        fixture.after(Site.SECOND);
-        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains("\"all\":true"));
+        fixture.advance(10 * MS);
+        assertTrue(connection.isClosed());
+        assertTrue(fixture.connectToDiscovery().hasConnectFailed());
+        fixture.advance(Site.SECOND);
+        assertTrue(
+                fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).contains("\"all\":true"));
     }
 
     @Test
     void aLostWatchIsNeverAnswered() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 1000));
-        fixture.after(100 * MS);
+        ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 1000));
+        fixture.advance(100 * MS);
         fixture.registry.loseWatches();
         fixture.machine(0).crash(0, false);
-        assertEquals("", line.hear(5 * Site.SECOND));
-        assertFalse(line.isEnded());
+        assertEquals("", connection.receive(5 * Site.SECOND));
+        assertFalse(connection.isClosed());
         assertTrue(fixture.recorder.delivered.isEmpty());
     }
 
     @Test
     void whatIsLostUnreadWasNotTold() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery().deaf().say(WHOLE);
-        fixture.after(3 * Site.SECOND);
+        ServerFixture.Connection connection =
+                fixture.connectToDiscovery().stopReading().send(WHOLE);
+        fixture.advance(3 * Site.SECOND);
         assertEquals(List.of(), fixture.recorder.notDelivered, "it may be read yet");
         fixture.registry.down(Site.SECOND);
-        fixture.after(2 * Site.SECOND);
-        assertTrue(line.hear(0).isEmpty());
+        fixture.advance(2 * Site.SECOND);
+        assertTrue(connection.receive(0).isEmpty());
         assertEquals(List.of("n0 20 ms"), fixture.recorder.notDelivered);
     }
 
     @Test
     void whatIsOnItsWayWhenTheMachineFallsSilentWasNotTold() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery();
-        fixture.slowFromDiscovery(300 * MS);
-        line.say(WHOLE).hear(50 * MS);
+        ServerFixture.Connection connection = fixture.connectToDiscovery();
+        fixture.delayFromDiscovery(300 * MS);
+        connection.send(WHOLE).receive(50 * MS);
         assertTrue(fixture.recorder.delivered.contains("n0 s0.0 Ready"));
         fixture.registry.silent(500 * MS);
-        fixture.after(3 * Site.SECOND);
+        fixture.advance(3 * Site.SECOND);
         assertEquals(1, fixture.recorder.notDelivered.size());
     }
 
     @Test
     void whatWasReadOrGivenUpWasTold() {
         ServerFixture fixture = fixture();
-        fixture.toDiscovery().say(WHOLE).hear(50 * MS);
-        ServerFixture.Line leaves = fixture.toDiscovery().deaf().say(WHOLE);
-        fixture.after(50 * MS);
+        fixture.connectToDiscovery().send(WHOLE).receive(50 * MS);
+        ServerFixture.Connection leaves = fixture.connectToDiscovery().stopReading().send(WHOLE);
+        fixture.advance(50 * MS);
         leaves.close();
-        fixture.after(MS);
+        fixture.advance(MS);
         fixture.registry.down(Site.SECOND);
-        fixture.after(3 * Site.SECOND);
+        fixture.advance(3 * Site.SECOND);
         assertEquals(List.of(), fixture.recorder.notDelivered);
     }
 
@@ -144,37 +152,37 @@
         ServerFixture fixture = fixture();
         fixture.registry.cut(1);
         fixture.registry.garble(1);
-        ServerFixture.Line cut = fixture.toDiscovery().say(WHOLE);
-        assertFalse(cut.hear(50 * MS).endsWith("]}"));
-        assertTrue(cut.isEnded());
-        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 200 "));
+        ServerFixture.Connection cut = fixture.connectToDiscovery().send(WHOLE);
+        assertFalse(cut.receive(50 * MS).endsWith("]}"));
+        assertTrue(cut.isClosed());
+        assertTrue(fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).contains(" 200 "));
         assertTrue(fixture.recorder.delivered.isEmpty());
-        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).endsWith("]}"));
+        assertTrue(fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).endsWith("]}"));
     }
 
     @Test
     void itFailsHangsAndFallsSilent() {
         ServerFixture fixture = fixture();
         fixture.registry.failing(100 * MS);
-        assertTrue(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains(" 503 "));
-        fixture.after(100 * MS);
+        assertTrue(fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).contains(" 503 "));
+        fixture.advance(100 * MS);
         fixture.registry.hang(Site.SECOND);
-        ServerFixture.Line line = fixture.toDiscovery().say(WHOLE);
-        assertEquals("", line.hear(900 * MS));
-        assertTrue(line.hear(200 * MS).contains(" 200 "));
+        ServerFixture.Connection connection = fixture.connectToDiscovery().send(WHOLE);
+        assertEquals("", connection.receive(900 * MS));
+        assertTrue(connection.receive(200 * MS).contains(" 200 "));
         fixture.registry.silent(Site.SECOND);
-        assertEquals("", line.say(WHOLE).hear(500 * MS));
-        assertFalse(line.isEnded());
+        assertEquals("", connection.send(WHOLE).receive(500 * MS));
+        assertFalse(connection.isClosed());
     }
 
     @Test
     void wholeListsCanBeOld() {
         ServerFixture fixture = fixture();
         fixture.machine(0).crash(0, false);
-        fixture.after(3 * Site.SECOND);
-        assertFalse(fixture.toDiscovery().say(WHOLE).hear(50 * MS).contains("s0.0"));
+        fixture.advance(3 * Site.SECOND);
+        assertFalse(fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).contains("s0.0"));
         fixture.registry.stale(Site.SECOND, 10 * Site.SECOND);
-        String old = fixture.toDiscovery().say(WHOLE).hear(50 * MS);
+        String old = fixture.connectToDiscovery().send(WHOLE).receive(50 * MS);
         assertTrue(old.contains("s0.0") && old.contains("\"rev\":2"), old);
         assertTrue(
                 fixture.recorder.delivered.contains("n0 s0.1 Gone"),
@@ -185,7 +193,7 @@
     void entriesFlap() {
         ServerFixture fixture = fixture();
         fixture.instances.flap("s0.0", Instances.GONE, 2, 100 * MS);
-        fixture.after(Site.SECOND);
+        fixture.advance(Site.SECOND);
         assertEquals(
                 List.of(
                         "s0.0 Ready",
@@ -200,20 +208,20 @@
     @Test
     void theOldAddressEndsWhatIsOpenAfterAWhile() {
         ServerFixture fixture = fixture();
-        ServerFixture.Line line = fixture.toDiscovery().say(watch(2, 9000));
+        ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 9000));
         fixture.registry.retire();
-        fixture.after(Site.SECOND);
-        assertFalse(line.isEnded());
-        assertTrue(fixture.toDiscovery().hasFailed());
-        fixture.after(Site.SECOND);
-        assertTrue(line.isEnded());
+        fixture.advance(Site.SECOND);
+        assertFalse(connection.isClosed());
+        assertTrue(fixture.connectToDiscovery().hasConnectFailed());
+        fixture.advance(Site.SECOND);
+        assertTrue(connection.isClosed());
     }
 
     @Test
     void anOlderChangeThatIsNoticedLaterDoesNotCount() {
         ServerFixture fixture = fixture();
         fixture.machine(0).crash(100 * MS, true);
-        fixture.after(3 * Site.SECOND);
+        fixture.advance(3 * Site.SECOND);
         assertEquals("s0.0 Ready", fixture.recorder.knows.get(fixture.recorder.knows.size() - 1));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/ServerFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ServerFixture.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** Some order servers and a discovery with nothing before them but the test. */
+/** Two order servers and a discovery service, to which a test connects directly. */
 final class ServerFixture {
     final DayRecorder recorder = new DayRecorder();
     final Simulation simulation = new Simulation(new SeededRandom(1));
@@ -22,7 +22,7 @@
     final Registry registry;
     private final Host sidecar = network.host("n0", Site.address(1, 0, 1), 1000);
 
-    ServerFixture(String sizes) {
+    ServerFixture(String parameters) {
         day =
                 new Day(
                         Plan.parse(
@@ -32,7 +32,7 @@
                                         + "set chunked 0\n"
                                         + "set servers 2\n"
                                         + "set large-answers 0\n"
-                                        + sizes),
+                                        + parameters),
                         simulation,
                         network,
                         recorder,
@@ -60,8 +60,8 @@
         return fleet.machines().get(number);
     }
 
-    /** What a server is to know of a request. */
-    ServerFixture knows(String id, int requestClass, String key, long work) {
+    /** Registers a request as sent by a regular client, so that the servers process it. */
+    ServerFixture addRequest(String id, int requestClass, String key, long work) {
         byte[] body = (requestClass == 0 ? "" : "abc").getBytes(StandardCharsets.ISO_8859_1);
         Message message =
                 Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
@@ -81,74 +81,76 @@
                 + "Content-Length: 3\r\n\r\nabc";
     }
 
-    void after(long wait) {
+    /** Runs the simulation for this many nanoseconds. */
+    void advance(long wait) {
         simulation.runUntil(simulation.now() + wait);
     }
 
-    /** What discovery says takes so long. */
-    void slowFromDiscovery(long delay) {
+    /** Sets the one-way delay from discovery to the test. */
+    void delayFromDiscovery(long delay) {
         network.weather(registry.host(), sidecar).delay = delay;
     }
 
-    Line connect(InetSocketAddress to) {
-        return new Line(to);
+    Connection connect(InetSocketAddress to) {
+        return new Connection(to);
     }
 
-    Line toServer(int number) {
+    Connection connectToServer(int number) {
         return connect(machine(number).address());
     }
 
-    Line toDiscovery() {
+    Connection connectToDiscovery() {
         return connect(registry.address());
     }
 
-    /** A connection that a test speaks on. */
-    final class Line implements SimSocket.Events {
-        private final StringBuilder heard = new StringBuilder();
+    /** The test's end of a connection; the tests act as a sidecar. */
+    final class Connection implements SimSocket.Events {
+        private final StringBuilder received = new StringBuilder();
         private final SimSocket socket;
-        private boolean ended;
-        private boolean failed;
-        private boolean deaf;
+        private boolean closed;
+        private boolean connectFailed;
+        private boolean readingStopped;
 
-        private Line(InetSocketAddress to) {
+        private Connection(InetSocketAddress to) {
             try {
                 socket = sidecar.connect(to, this);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            after(10 * Site.MS);
+            advance(10 * Site.MS);
         }
 
-        Line say(String text) {
+        Connection send(String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             try {
                 socket.write(bytes, 0, bytes.length);
             } catch (IOException e) {
-                ended = true;
+                closed = true;
             }
             return this;
         }
 
-        /** All that was heard since the last look, after so long. */
-        String hear(long wait) {
-            after(wait);
-            String all = heard.toString();
-            heard.setLength(0);
+        /** Waits, and returns all that has been received since the last call. */
+        String receive(long wait) {
+            advance(wait);
+            String all = received.toString();
+            received.setLength(0);
             return all;
         }
 
         /** Reads nothing from now on. */
-        Line deaf() {
-            deaf = true;
+        Connection stopReading() {
+            readingStopped = true;
             return this;
         }
 
-        boolean isEnded() {
-            return ended;
+        /** Whether the other end has closed or reset this connection. */
+        boolean isClosed() {
+            return closed;
         }
 
-        boolean hasFailed() {
-            return failed;
+        boolean hasConnectFailed() {
+            return connectFailed;
         }
 
         void close() {
@@ -157,24 +159,24 @@
 
         @Override
         public void failed(IOException why) {
-            failed = true;
+            connectFailed = true;
         }
 
         @Override
         public void readable() {
-            if (deaf) {
+            if (readingStopped) {
                 return;
             }
             byte[] bytes = new byte[4096];
             try {
                 int read = socket.read(bytes, 0, bytes.length);
                 while (read > 0) {
-                    heard.append(new String(bytes, 0, read, StandardCharsets.ISO_8859_1));
+                    received.append(new String(bytes, 0, read, StandardCharsets.ISO_8859_1));
                     read = socket.read(bytes, 0, bytes.length);
                 }
-                ended |= read < 0;
+                closed |= read < 0;
             } catch (IOException e) {
-                ended = true;
+                closed = true;
             }
         }
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -11,7 +11,7 @@
 
 class SettingsTest {
     @Test
-    void isWhatASidecarReads() throws Exception {
+    void sidecarsParseTheSettings() throws Exception {
         for (long seed = 0; seed < 50; seed++) {
             Plan plan = Plan.draw(seed);
             ServerFixture fixture = new ServerFixture("");
