--- a/testbed/src/main/java/appleridge/testbed/simulation/CoordinationService.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoordinationService.java
@@ -2,24 +2,24 @@
 
 import appleridge.testbed.invariants.DayListener;
 
-/** The coordination service and the servers' registrations there, on days that have them. */
+/** The coordination service and the servers' registrations in it, on days that have one. */
 final class CoordinationService implements DayListener {
     private Ensemble ensemble;
     private Registrations registrations;
 
-    /** From here on there is one. */
+    /** Creates the coordination service; without this call the day has none. */
     void begin(Day day, Fleet fleet) {
         ensemble = new Ensemble(day);
         registrations = new Registrations(day, ensemble, fleet);
     }
 
-    /** Null where there is none. */
+    /** Returns null on a day without a coordination service. */
     Ensemble ensemble() {
         return ensemble;
     }
 
-    NodeFaultInjector strikes(Day day, Fleet fleet, ProcessSlots seats) {
-        return new NodeFaultInjector(day, ensemble, registrations, fleet, seats);
+    NodeFaultInjector faultInjector(Day day, Fleet fleet, ProcessSlots slots) {
+        return new NodeFaultInjector(day, ensemble, registrations, fleet, slots);
     }
 
     @Override
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
@@ -4,30 +4,30 @@
 import appleridge.testbed.simnet.SeededRandom;
 
 /**
- * Faults of the coordination service, of its nodes and of sidecars' sessions; none where it is not
- * asked.
+ * Injects faults into the coordination service, its nodes and the sidecars' sessions; does nothing
+ * on days without one.
  */
 final class NodeFaultInjector {
     private final Day day;
     private final Ensemble ensemble;
     private final Registrations registrations;
     private final Fleet fleet;
-    private final ProcessSlots seats;
-    private final SeededRandom chance;
+    private final ProcessSlots slots;
+    private final SeededRandom random;
 
-    /** {@code ensemble} and {@code registrations} null: it is not asked. */
+    /** {@code ensemble} and {@code registrations}: null on days without a coordination service. */
     NodeFaultInjector(
             Day day,
             Ensemble ensemble,
             Registrations registrations,
             Fleet fleet,
-            ProcessSlots seats) {
+            ProcessSlots slots) {
         this.day = day;
         this.ensemble = ensemble;
         this.registrations = registrations;
         this.fleet = fleet;
-        this.seats = seats;
-        this.chance = day.faults("nodes");
+        this.slots = slots;
+        this.random = day.faults("nodes");
     }
 
     void inject(Fault fault, ObservedRequest request) {
@@ -56,18 +56,18 @@
             }
             case NODES_LOST -> {
                 String sidecar =
-                        fault.who() != null ? fault.who() : chance.pick(seats.all()).name();
+                        fault.who() != null ? fault.who() : random.pick(slots.all()).name();
                 day.evidence.faultStruck(fault.kind().word(), sidecar, id);
                 ensemble.lose(sidecar, duration);
             }
             default -> {
                 day.evidence.faultStruck(fault.kind().word(), null, id);
-                ofAll(fault, duration);
+                injectIntoService(fault, duration);
             }
         }
     }
 
-    private void ofAll(Fault fault, long duration) {
+    private void injectIntoService(Fault fault, long duration) {
         switch (fault.kind()) {
             case NODES_DOWN -> ensemble.down(duration);
             case NODES_READ_ONLY -> ensemble.readOnly(duration);
@@ -75,13 +75,15 @@
             case NODES_SLOW -> ensemble.slow(duration, fault.value(FaultParameter.BY));
             case NODES_WIPED -> {
                 ensemble.wipe();
-                registrations.again(day.bounded(fault.value(FaultParameter.DOWN)));
+                registrations.reregister(day.bounded(fault.value(FaultParameter.DOWN)));
             }
-            default -> throw new IllegalArgumentException("no fault of nodes: " + fault.text());
+            default ->
+                    throw new IllegalArgumentException(
+                            "not a fault of the coordination service: " + fault.text());
         }
     }
 
-    /** The one that is named, the request's, or any. */
+    /** The machine that the fault names, else that of the request's server, else a random one. */
     private Machine machine(Fault fault, ObservedRequest request) {
         if (fault.who() != null) {
             return fleet.machine(fault.who());
@@ -90,6 +92,6 @@
                 request == null || request.server() == null
                         ? null
                         : fleet.ofServer(request.server());
-        return own != null ? own : chance.pick(fleet.machines());
+        return own != null ? own : random.pick(fleet.machines());
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -6,63 +6,67 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The place of one sidecar: its processes come and go under one name and address. */
+/**
+ * The processes of one sidecar, one after the other, under one name and address. Starts, ends and
+ * restarts them, and tracks whether clients consider the sidecar ready.
+ */
 final class ProcessSlot {
-    /** SIGKILL comes no sooner after SIGTERM than this and the longest deadline. */
-    private static final long GRACE = 700 * Site.MS;
+    /** SIGKILL follows SIGTERM after at least this and the longest deadline. */
+    private static final long TERMINATION_GRACE_NANOS = 700 * Site.MS;
 
-    /** For how long clients go on opening connections after SIGTERM. */
-    private static final long STILL_OPEN_LEAST = 200 * Site.MS;
+    /** Minimum time for which clients open connections after SIGTERM. */
+    private static final long MIN_CONNECTS_AFTER_TERM_NANOS = 200 * Site.MS;
 
-    private static final long STILL_OPEN_MOST = 400 * Site.MS;
+    /** Maximum of the same. */
+    private static final long MAX_CONNECTS_AFTER_TERM_NANOS = 400 * Site.MS;
 
-    /** Whoever isn't ready for so long after discovery has moved will not be by itself. */
-    private static final long NEVER_READY = 2 * Site.SECOND;
+    /** A process that isn't ready this long after discovery has moved is restarted. */
+    private static final long STUCK_NANOS = 2 * Site.SECOND;
 
-    /** SIGHUP never comes sooner after a process has become ready. */
-    private static final long FIRST_SECOND = Site.SECOND;
+    /** Minimum time from a process becoming ready to SIGHUP. */
+    private static final long MIN_READY_BEFORE_HUP_NANOS = Site.SECOND;
 
     private final Day day;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
     private final String name;
     private final int rank;
     private final Host host;
     private final InetSocketAddress address;
     private final SidecarHost process;
-    private final DeliveredEndpointUpdates told;
+    private final DeliveredEndpointUpdates delivered;
     private final Instances instances;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private Registry discovery;
     private int life = -1;
     private boolean running;
-    private boolean leaving;
+    private boolean terminating;
     private boolean ready;
     private long readyAt;
-    private boolean hupDue;
+    private boolean hupPending;
     private long restartAfter;
-    private Simulation.Event killing;
-    private ReadinessProbe readiness;
+    private Simulation.Event pendingKill;
+    private ReadinessProbe probe;
     private int connections;
 
     ProcessSlot(
             Day day,
-            ProcessSlots seats,
+            ProcessSlots slots,
             String name,
             int rank,
             Host host,
             SidecarHost process,
-            DeliveredEndpointUpdates told,
+            DeliveredEndpointUpdates delivered,
             Instances instances) {
         this.day = day;
-        this.seats = seats;
+        this.slots = slots;
         this.name = name;
         this.rank = rank;
         this.host = host;
         this.address = new InetSocketAddress(host.address(), Site.SIDECAR_PORT);
         this.process = process;
-        this.told = told;
+        this.delivered = delivered;
         this.instances = instances;
-        this.chance = day.work("sidecar." + name);
+        this.random = day.work("sidecar." + name);
     }
 
     String name() {
@@ -85,46 +89,44 @@
         return running;
     }
 
-    /** Whether it has been told to end, and clients still open connections to it. */
-    boolean isLeaving() {
-        return leaving && ready;
+    /** Whether it has received SIGTERM and clients still open connections to it. */
+    boolean isTerminating() {
+        return terminating && ready;
     }
 
-    /**
-     * Whether anyone may ask whether it is ready: nobody comes any more some time after SIGTERM.
-     */
-    boolean isAsked() {
-        return running && (ready || !leaving);
+    /** Whether its readiness is probed: no longer once clients stop connecting after SIGTERM. */
+    boolean isProbed() {
+        return running && (ready || !terminating);
     }
 
-    /** Whether clients take it for ready, and open connections to it. */
+    /** Whether clients consider it ready and open connections to it. */
     boolean isUsable() {
         return ready;
     }
 
-    void readiness(ReadinessProbe how) {
-        readiness = how;
+    void setReadinessProbe(ReadinessProbe newProbe) {
+        probe = newProbe;
     }
 
-    // ---- its life
+    // ---- lifecycle
 
-    void start(Registry discoveryAt) {
-        discovery = discoveryAt;
+    void start(Registry firstDiscovery) {
+        discovery = firstDiscovery;
         start();
     }
 
     private void start() {
         life++;
         running = true;
-        leaving = false;
-        hupDue = false;
-        int mine = life;
-        // The list that it is given at its start is as old as the plan says, or there is none.
-        boolean given = day.plan.size(ScenarioParameter.KNOWN) > 0;
+        terminating = false;
+        hupPending = false;
+        int currentLife = life;
+        // The plan sets the age of the endpoint list at the start, and whether there is one.
+        boolean hasList = day.plan.size(ScenarioParameter.KNOWN) > 0;
         long version = instances.revisionAt(day.now() - day.plan.size(ScenarioParameter.KNOWN_AGE));
-        List<Instances.Entry> known = given ? instances.wholeAt(version) : List.of();
+        List<Instances.Entry> known = hasList ? instances.wholeAt(version) : List.of();
         day.evidence.sidecarStarted(name, life);
-        told.restart(name, known);
+        delivered.restart(name, known);
         SidecarHost.Costs costs =
                 new SidecarHost.Costs(
                         day.plan.size(ScenarioParameter.TASK_COST),
@@ -132,7 +134,9 @@
                         day.plan.size(ScenarioParameter.CLOCK_COST));
         host.maxDescriptors(day.plan.count(ScenarioParameter.SOCKETS));
         String list =
-                !given ? "null" : Instances.json(version + discovery.versionsFrom(), true, known);
+                !hasList
+                        ? "null"
+                        : Instances.json(version + discovery.versionOffset(), true, known);
         process.start(
                 new SidecarHost.Process(
                         name,
@@ -141,27 +145,27 @@
                         host,
                         day.loops(name + "." + life),
                         costs,
-                        status -> exited(mine, status)));
-        readiness.begin();
+                        status -> exited(currentLife, status)));
+        probe.begin();
     }
 
     private String config(String known) {
         return Settings.json(
-                day.plan, name, rank, address, discovery.address(), chance.nextLong(), known);
+                day.plan, name, rank, address, discovery.address(), random.nextLong(), known);
     }
 
-    /** It is killed at once, and starts again after so long. */
-    void kill(long down) {
-        if (running && !leaving) {
+    /** Kills the process at once and restarts it after a delay. */
+    void kill(long delay) {
+        if (running && !terminating) {
             killNow();
-            again(down);
+            scheduleRestart(delay);
         }
     }
 
     private void killNow() {
-        if (killing != null) {
-            killing.cancel();
-            killing = null;
+        if (pendingKill != null) {
+            pendingKill.cancel();
+            pendingKill = null;
         }
         running = false;
         ready = false;
@@ -170,70 +174,70 @@
         host.die();
     }
 
-    /** It is asked to end, killed if it does not, and starts again. */
-    void term(long down) {
-        if (!running || leaving) {
+    /** Sends SIGTERM, then SIGKILL if the process does not end, and restarts it after a delay. */
+    void term(long delay) {
+        if (!running || terminating) {
             return;
         }
-        leaving = true;
+        terminating = true;
         day.evidence.sidecarSigterm(name, life);
-        readiness.begin();
+        probe.begin();
         process.term();
-        int mine = life;
+        int currentLife = life;
         day.after(
-                chance.between(STILL_OPEN_LEAST, STILL_OPEN_MOST),
+                random.between(MIN_CONNECTS_AFTER_TERM_NANOS, MAX_CONNECTS_AFTER_TERM_NANOS),
                 () -> {
-                    if (life == mine) {
+                    if (life == currentLife) {
                         ready = false;
                     }
                 });
-        long wait =
+        long killDelay =
                 day.plan.size(ScenarioParameter.LONGEST_DEADLINE)
-                        + GRACE
-                        + chance.nextLong(500 * Site.MS);
-        killing =
+                        + TERMINATION_GRACE_NANOS
+                        + random.nextLong(500 * Site.MS);
+        pendingKill =
                 day.after(
-                        wait,
+                        killDelay,
                         () -> {
-                            killing = null;
+                            pendingKill = null;
                             killNow();
-                            again(down);
+                            scheduleRestart(delay);
                         });
-        restartAfter = down;
+        restartAfter = delay;
     }
 
-    private void exited(int ended, int status) {
-        if (!running || ended != life) {
+    private void exited(int exitedLife, int status) {
+        if (!running || exitedLife != life) {
             return;
         }
         running = false;
         ready = false;
         day.evidence.sidecarExited(name, life, status);
         host.die();
-        if (killing != null) {
-            killing.cancel();
-            killing = null;
+        if (pendingKill != null) {
+            pendingKill.cancel();
+            pendingKill = null;
         }
-        again(leaving ? restartAfter : 0);
+        scheduleRestart(terminating ? restartAfter : 0);
     }
 
-    private void again(long down) {
-        readiness.stop();
-        day.after(day.bounded(down) + day.plan.size(ScenarioParameter.START), this::start);
+    private void scheduleRestart(long delay) {
+        probe.stop();
+        day.after(day.bounded(delay) + day.plan.size(ScenarioParameter.START), this::start);
     }
 
-    /** Discovery has moved; it is told as soon as it may be. */
-    void hup(Registry discoveryAt) {
-        discovery = discoveryAt;
-        if (!running || leaving) {
+    /** Sends SIGHUP with the new address of discovery as soon as the process may receive it. */
+    void hup(Registry newDiscovery) {
+        discovery = newDiscovery;
+        if (!running || terminating) {
             return;
         }
-        if (!ready || day.now() - readyAt < FIRST_SECOND) {
-            hupDue = true;
+        if (!ready || day.now() - readyAt < MIN_READY_BEFORE_HUP_NANOS) {
+            hupPending = true;
             if (ready) {
-                hupLater();
+                scheduleHup();
             } else {
-                orAnew();
+                restartIfStuck();
             }
             return;
         }
@@ -241,33 +245,33 @@
     }
 
     /**
-     * One that waits for a list from where discovery is no more would never be ready: it is started
-     * anew.
+     * Restarts a process that waits for a list from the old address of discovery: it would never
+     * become ready.
      */
-    private void orAnew() {
-        int mine = life;
+    private void restartIfStuck() {
+        int currentLife = life;
         day.after(
-                NEVER_READY,
+                STUCK_NANOS,
                 () -> {
-                    if (hupDue && !ready && life == mine && running && !leaving) {
+                    if (hupPending && !ready && life == currentLife && running && !terminating) {
                         kill(0);
                     }
                 });
     }
 
-    private void hupLater() {
-        int mine = life;
+    private void scheduleHup() {
+        int currentLife = life;
         day.after(
-                readyAt + FIRST_SECOND - day.now(),
+                readyAt + MIN_READY_BEFORE_HUP_NANOS - day.now(),
                 () -> {
-                    if (hupDue && life == mine && running && !leaving) {
+                    if (hupPending && life == currentLife && running && !terminating) {
                         hupNow();
                     }
                 });
     }
 
     private void hupNow() {
-        hupDue = false;
+        hupPending = false;
         day.evidence.sidecarSighup(name, life);
         process.hup(config("null"));
     }
@@ -285,37 +289,37 @@
         }
     }
 
-    // ---- what its clients make of it
+    // ---- its clients
 
-    /** So many more of the usual clients' connections are open to it; or fewer. */
-    void addConnections(int more) {
-        connections += more;
+    /** Adds to the number of open connections from regular clients; negative for closed ones. */
+    void addConnections(int count) {
+        connections += count;
     }
 
-    /** Clients hold a third of its descriptors at most. */
+    /** Whether its clients hold a third of its descriptors, their maximum. */
     boolean isFull() {
         return connections >= day.plan.count(ScenarioParameter.SOCKETS) / 3;
     }
 
-    /** A client could not connect. */
+    /** Called when a client could not connect; it is probed again until it is ready. */
     void connectFailed() {
         if (ready) {
             ready = false;
-            readiness.begin();
+            probe.begin();
         }
     }
 
-    /** Its readiness was answered with 200. */
+    /** Called when its readiness endpoint has answered 200. */
     void becameReady() {
-        if (!running || leaving || ready) {
+        if (!running || terminating || ready) {
             return;
         }
         ready = true;
         readyAt = day.now();
         day.evidence.sidecarReady(name, life);
-        if (hupDue) {
-            hupLater();
+        if (hupPending) {
+            scheduleHup();
         }
-        seats.becameReady();
+        slots.becameReady();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlots.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlots.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The places of all sidecars. */
+/** The process slots of all sidecars. */
 final class ProcessSlots {
     private final List<ProcessSlot> all = new ArrayList<>();
-    private final List<Runnable> told = new ArrayList<>();
+    private final List<Runnable> readyCallbacks = new ArrayList<>();
 
     List<ProcessSlot> all() {
         return all;
     }
 
-    /** Null if there is none of that name. */
+    /** Returns null if there is no sidecar of that name. */
     ProcessSlot slot(String name) {
         for (ProcessSlot each : all) {
             if (each.name().equals(name)) {
@@ -23,22 +23,22 @@
         return null;
     }
 
-    /** Told when one has become ready. */
-    void onReady(Runnable what) {
-        told.add(what);
+    /** Adds a callback for when a sidecar becomes ready. */
+    void onReady(Runnable callback) {
+        readyCallbacks.add(callback);
     }
 
     void becameReady() {
-        told.forEach(Runnable::run);
+        readyCallbacks.forEach(Runnable::run);
     }
 
-    /** The own one, another one if that isn't ready, or null. */
-    ProcessSlot choose(int own, SeededRandom chance) {
+    /** Returns the client's own sidecar if it is ready, else any other that is, else null. */
+    ProcessSlot choose(int own, SeededRandom random) {
         if (all.get(own).isUsable()) {
             return all.get(own);
         }
         List<ProcessSlot> usable = new ArrayList<>(all);
-        usable.removeIf(seat -> !seat.isUsable());
-        return usable.isEmpty() ? null : chance.pick(usable);
+        usable.removeIf(slot -> !slot.isUsable());
+        return usable.isEmpty() ? null : random.pick(usable);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ReadinessProbe.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ReadinessProbe.java
@@ -7,32 +7,32 @@
 import java.net.ConnectException;
 
 /**
- * Asks one sidecar whether it is ready: often until it is, then now and then, and often again when
- * it has been told to end, as one more who comes with a new connection.
+ * Probes the readiness endpoint of one sidecar, each time on a new connection: often until it is
+ * ready, then at a longer interval, and most often after SIGTERM.
  */
 final class ReadinessProbe {
-    private static final long EVERY = 100 * Site.MS;
-    private static final long WHEN_READY = 1300 * Site.MS;
-    private static final long WHEN_ENDING = 60 * Site.MS;
-    private static final String ASK =
+    private static final long INTERVAL_NANOS = 100 * Site.MS;
+    private static final long READY_INTERVAL_NANOS = 1300 * Site.MS;
+    private static final long TERMINATING_INTERVAL_NANOS = 60 * Site.MS;
+    private static final String REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: origin.svc\r\n" + "Connection: close\r\n\r\n";
 
     private final Day day;
     private final Host host;
-    private final ProcessSlot seat;
+    private final ProcessSlot slot;
     private Simulation.Event next;
-    private Question question;
+    private Probe probe;
 
-    ReadinessProbe(Day day, Host host, ProcessSlot seat) {
+    ReadinessProbe(Day day, Host host, ProcessSlot slot) {
         this.day = day;
         this.host = host;
-        this.seat = seat;
+        this.slot = slot;
     }
 
-    /** Begins to ask. */
+    /** Starts probing, or starts anew after a state change. */
     void begin() {
         stop();
-        ask(EVERY);
+        scheduleProbe(INTERVAL_NANOS);
     }
 
     void stop() {
@@ -40,39 +40,41 @@
             next.cancel();
             next = null;
         }
-        if (question != null) {
-            question.end();
-            question = null;
+        if (probe != null) {
+            probe.end();
+            probe = null;
         }
     }
 
-    private void ask(long wait) {
+    private void scheduleProbe(long wait) {
         next =
                 day.after(
                         wait,
                         () -> {
                             stop();
-                            if (!seat.isAsked()) {
+                            if (!slot.isProbed()) {
                                 return;
                             }
-                            question = new Question();
-                            question.connect();
-                            ask(
-                                    seat.isLeaving()
-                                            ? WHEN_ENDING
-                                            : seat.isUsable() ? WHEN_READY : EVERY);
+                            probe = new Probe();
+                            probe.connect();
+                            scheduleProbe(
+                                    slot.isTerminating()
+                                            ? TERMINATING_INTERVAL_NANOS
+                                            : slot.isUsable()
+                                                    ? READY_INTERVAL_NANOS
+                                                    : INTERVAL_NANOS);
                         });
     }
 
-    private final class Question implements SimSocket.Events {
+    private final class Probe implements SimSocket.Events {
         private final HttpReader reader = new HttpReader(true);
         private SimSocket socket;
-        private long askedAt;
+        private long startedAt;
 
         void connect() {
-            askedAt = day.now();
+            startedAt = day.now();
             try {
-                socket = host.connect(seat.address(), this);
+                socket = host.connect(slot.address(), this);
             } catch (IOException e) {
                 socket = null;
             }
@@ -87,14 +89,14 @@
         @Override
         public void failed(IOException why) {
             if (why instanceof ConnectException) {
-                day.evidence.connectRefused(seat.name(), askedAt);
+                day.evidence.connectRefused(slot.name(), startedAt);
             }
         }
 
         @Override
         public void connected() {
             try {
-                new Outbox(socket).send(ASK);
+                new Outbox(socket).send(REQUEST);
             } catch (IOException e) {
                 end();
             }
@@ -111,10 +113,10 @@
                         long sentAt = socket.sentAt();
                         end();
                         if (reader.isWhole()) {
-                            day.evidence.readinessAnswered(seat.name(), reader.status(), sentAt);
+                            day.evidence.readinessAnswered(slot.name(), reader.status(), sentAt);
                         }
                         if (reader.isWhole() && reader.status() == 200) {
-                            seat.becameReady();
+                            slot.becameReady();
                         }
                     }
                 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -7,17 +7,18 @@
 import java.util.Map;
 
 /**
- * Each order server's node: made some time after it listens, marked when it drains, gone with it at
- * an orderly end, and when its session's time is out after any other one.
+ * The ephemeral nodes of the order servers. A node is created some time after its server listens
+ * and marked as draining with it. It is removed at once when the server stops in order, and when
+ * the session times out after a crash or while the machine is unreachable.
  */
 final class Registrations {
-    /** One life of a server. */
+    /** One process of a server. */
     private static final class Server {
         private final int life;
         private final long bornAt;
-        private boolean drains;
-        private boolean ended;
-        private long silentSince = -1;
+        private boolean draining;
+        private boolean stopped;
+        private long unreachableSince = -1;
 
         Server(int life, long bornAt) {
             this.life = life;
@@ -25,38 +26,39 @@
         }
     }
 
-    private static final long LONGEST_BOOT = 500 * Site.MS;
-    private static final long LONGEST_WORD = 40 * Site.MS;
-    private static final long LOOK = 250 * Site.MS;
-    private static final long LONG_AGO_MILLIS = 3_600_000;
-    private static final double NAMES_START = 0.85;
+    private static final long MAX_REGISTRATION_DELAY_NANOS = 500 * Site.MS;
+    private static final long MAX_UPDATE_DELAY_NANOS = 40 * Site.MS;
+    private static final long SESSION_CHECK_INTERVAL_NANOS = 250 * Site.MS;
+    private static final long AGE_BEFORE_DAY_MILLIS = 3_600_000;
+    private static final double STARTED_AT_PROBABILITY = 0.85;
 
     private final Day day;
     private final Ensemble ensemble;
     private final Fleet fleet;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<String, Boolean> namesStart = new LinkedHashMap<>();
+    private final Map<String, Boolean> publishesStart = new LinkedHashMap<>();
 
     Registrations(Day day, Ensemble ensemble, Fleet fleet) {
         this.day = day;
         this.ensemble = ensemble;
         this.fleet = fleet;
-        this.chance = day.work("registrations");
-        day.after(LOOK, this::look);
+        this.random = day.work("registrations");
+        day.after(SESSION_CHECK_INTERVAL_NANOS, this::checkSessions);
     }
 
-    /** The truth about a server. */
+    /** Called when the actual state of a server changes. */
     void serverState(String uid, int life, String state, long bornAt) {
         if (state.equals(Instances.READY)) {
             Server server = new Server(life, bornAt);
             servers.put(uid, server);
-            // Beside a registry a start that isn't named can't be told from a later one.
-            namesStart.put(uid, chance.hits(NAMES_START) || ensemble.isBoth());
+            // With a registry as a second source, a start without its time could not be told from
+            // a later one.
+            publishesStart.put(uid, random.hits(STARTED_AT_PROBABILITY) || ensemble.isBoth());
             if (bornAt == 0) {
                 put(uid, server);
             } else {
-                soon(chance.nextLong(LONGEST_BOOT), () -> put(uid, server));
+                later(random.nextLong(MAX_REGISTRATION_DELAY_NANOS), () -> put(uid, server));
             }
             return;
         }
@@ -65,31 +67,31 @@
             return;
         }
         if (state.equals(Instances.TERMINATING)) {
-            server.drains = true;
-            soon(
-                    chance.nextLong(LONGEST_WORD),
+            server.draining = true;
+            later(
+                    random.nextLong(MAX_UPDATE_DELAY_NANOS),
                     () -> {
                         if (ensemble.node(uid) != null) {
                             put(uid, server);
                         }
                     });
         } else {
-            server.ended = true;
+            server.stopped = true;
             long timeout = ensemble.timeout();
             long wait =
-                    server.drains
-                            ? chance.nextLong(LONGEST_WORD)
-                            : chance.between(timeout / 3, timeout);
-            soon(wait, () -> remove(uid, server));
+                    server.draining
+                            ? random.nextLong(MAX_UPDATE_DELAY_NANOS)
+                            : random.between(timeout / 3, timeout);
+            later(wait, () -> remove(uid, server));
         }
     }
 
-    private void soon(long wait, Runnable what) {
+    private void later(long wait, Runnable what) {
         day.after(wait, () -> ensemble.whenUp(what));
     }
 
     private void put(String uid, Server server) {
-        if (!server.ended && servers.get(uid) == server && server.silentSince < 0) {
+        if (!server.stopped && servers.get(uid) == server && server.unreachableSince < 0) {
             ensemble.put(uid, server.life, server.bornAt, data(uid, server));
         }
     }
@@ -97,52 +99,52 @@
     private NodeData data(String uid, Server server) {
         Machine machine = fleet.ofServer(uid);
         long started =
-                !namesStart.get(uid)
+                !publishesStart.get(uid)
                         ? 0
                         : server.bornAt == 0
-                                ? Site.EPOCH_MILLIS - LONG_AGO_MILLIS
+                                ? Site.EPOCH_MILLIS - AGE_BEFORE_DAY_MILLIS
                                 : Site.EPOCH_MILLIS + server.bornAt / Site.MS;
         return new NodeData(
                 machine.address(),
                 machine.zone(),
                 0,
                 machine.zone(),
-                server.drains ? HostState.DRAINING : HostState.READY,
+                server.draining ? HostState.DRAINING : HostState.READY,
                 1,
                 started,
                 null);
     }
 
-    /** A session is over: its node is gone, if it is its node still. */
+    /** Removes the node of an ended session, unless a later process owns it. */
     private void remove(String uid, Server server) {
         Znode node = ensemble.node(uid);
         if (node != null
                 && node.life() == server.life
-                && (server.ended || servers.get(uid) == server)) {
+                && (server.stopped || servers.get(uid) == server)) {
             ensemble.remove(uid);
         }
     }
 
-    /** Machines that say nothing lose their sessions, and have new ones when they are back. */
-    private void look() {
+    /** Ends the sessions of unreachable machines, and starts new ones when they are back. */
+    private void checkSessions() {
         for (Machine each : fleet.machines()) {
             Server server = each.server() == null ? null : servers.get(each.server().uid());
-            if (server != null && !server.ended) {
-                look(each.server().uid(), server, each.host().isVanished());
+            if (server != null && !server.stopped) {
+                checkSession(each.server().uid(), server, each.host().isVanished());
             }
         }
-        day.after(LOOK, this::look);
+        day.after(SESSION_CHECK_INTERVAL_NANOS, this::checkSessions);
     }
 
-    private void look(String uid, Server server, boolean silent) {
-        if (silent && server.silentSince < 0) {
-            server.silentSince = day.now();
-        } else if (silent && day.now() - server.silentSince >= ensemble.timeout()) {
+    private void checkSession(String uid, Server server, boolean unreachable) {
+        if (unreachable && server.unreachableSince < 0) {
+            server.unreachableSince = day.now();
+        } else if (unreachable && day.now() - server.unreachableSince >= ensemble.timeout()) {
             ensemble.whenUp(() -> remove(uid, server));
-        } else if (!silent && server.silentSince >= 0) {
-            server.silentSince = -1;
-            soon(
-                    chance.nextLong(LONGEST_BOOT),
+        } else if (!unreachable && server.unreachableSince >= 0) {
+            server.unreachableSince = -1;
+            later(
+                    random.nextLong(MAX_REGISTRATION_DELAY_NANOS),
                     () -> {
                         if (ensemble.node(uid) == null) {
                             put(uid, server);
@@ -151,40 +153,40 @@
         }
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** Its session goes and comes, and its process has nothing to do with that. */
-    void flap(String uid, int times, long apart) {
+    /** Removes and recreates a node several times while its process keeps running. */
+    void flap(String uid, int times, long interval) {
         Server server = servers.get(uid);
-        if (server == null || server.ended || times <= 0 || ensemble.isDown()) {
+        if (server == null || server.stopped || times <= 0 || ensemble.isDown()) {
             return;
         }
         remove(uid, server);
-        soon(
-                apart,
+        later(
+                interval,
                 () -> {
                     put(uid, server);
                     if (day.isTroubled()) {
-                        soon(apart, () -> flap(uid, times - 1, apart));
+                        later(interval, () -> flap(uid, times - 1, interval));
                     }
                 });
     }
 
-    /** Its node can't be read for so long. */
+    /** Makes the data of a node unreadable for a while. */
     void garble(String uid, long duration) {
         Server server = servers.get(uid);
-        if (server != null && !server.ended && ensemble.node(uid) != null && !ensemble.isDown()) {
+        if (server != null && !server.stopped && ensemble.node(uid) != null && !ensemble.isDown()) {
             ensemble.put(uid, server.life, server.bornAt, null);
-            soon(duration, () -> put(uid, server));
+            later(duration, () -> put(uid, server));
         }
     }
 
-    /** The ensemble has lost everything: each finds out some time within this. */
-    void again(long within) {
+    /** Registers all servers again after the ensemble lost its data, each within this time. */
+    void reregister(long within) {
         servers.forEach(
                 (uid, server) ->
-                        soon(
-                                1 + chance.nextLong(Math.max(1, within)),
+                        later(
+                                1 + random.nextLong(Math.max(1, within)),
                                 () -> {
                                     if (ensemble.node(uid) == null) {
                                         put(uid, server);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -12,55 +12,61 @@
 import java.util.Set;
 
 /**
- * Discovery at one address: it works through calls in turn, lets watches wait, and has troubles of
- * its own.
+ * The discovery service at one address. It processes calls one after the other, holds watches until
+ * there is a change, and can be made to fail.
  */
 final class Registry {
-    /** One call; {@code since} below zero for the whole list. */
-    record Call(long id, RegistryConnection from, long since, long mayWait, long at) {
+    /**
+     * A call on a connection.
+     *
+     * @param since the version that a watch knows; negative for the whole list
+     * @param maxWait how long a watch waits for a change, in nanoseconds
+     * @param at when the call was received
+     */
+    record Call(long id, RegistryConnection from, long since, long maxWait, long at) {
         boolean whole() {
             return since < 0;
         }
     }
 
-    /** The site where it stands. */
+    /** The index of the zone of the discovery service. */
     static final int ZONE = 0;
 
     /**
-     * What is written has been read by then, if all is well; well within the time that drains
-     * allow.
+     * When to check whether a response was read: normally it was by then, and this is well within
+     * the grace period of a drain.
      */
-    private static final long ARRIVES = Site.SECOND;
+    private static final long DELIVERY_CHECK_NANOS = Site.SECOND;
 
     private static final int BACKLOG = 128;
 
-    /** A call that has waited for so long for its turn fails. */
-    private static final long PATIENCE = 2 * Site.SECOND;
+    /** A call that has been queued for longer fails. */
+    private static final long MAX_QUEUE_NANOS = 2 * Site.SECOND;
 
-    /** The old address closes its connections so long after a move. */
-    private static final long LAST_WORDS = 1500 * Site.MS;
+    /** From a move until the old address closes its connections. */
+    private static final long RETIREMENT_NANOS = 1500 * Site.MS;
 
-    /** What the next address's calls begin with. */
-    private static final long CALLS_APART = 1_000_000_000L;
+    /** Distance of the call ids of different addresses, so that ids are unique. */
+    private static final long CALL_ID_RANGE = 1_000_000_000L;
 
-    /** How far apart the watches are told of news. */
-    private static final long SPREAD = 20 * Site.MS;
+    /** Watches are answered at random times within this after a change. */
+    private static final long WATCH_SPREAD_NANOS = 20 * Site.MS;
 
     private final Day day;
     private final Instances instances;
-    private final DeliveredEndpointUpdates told;
+    private final DeliveredEndpointUpdates delivered;
     private final Host host;
     private final InetSocketAddress address;
 
-    /** What its versions begin with. */
-    private final long offset;
+    /** Added to every version: addresses count versions from different starts. */
+    private final long versionOffset;
 
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final Set<RegistryConnection> connections = new LinkedHashSet<>();
-    private final List<Call> parked = new ArrayList<>();
+    private final List<Call> watches = new ArrayList<>();
     private SimListener listener;
     private boolean retired;
-    private long calls;
+    private long lastCallId;
     private long freeAt;
     private long hungUntil;
     private long failingUntil;
@@ -68,30 +74,30 @@
     private long slowBy;
     private long staleUntil;
     private long staleBy;
-    private long cuts;
-    private long garbles;
+    private long pendingCuts;
+    private long pendingGarbles;
 
     Registry(
             Day day,
             Instances instances,
-            DeliveredEndpointUpdates told,
+            DeliveredEndpointUpdates delivered,
             Host host,
             int number,
-            long versionsFrom) {
+            long versionOffset) {
         this.day = day;
         this.instances = instances;
-        this.told = told;
+        this.delivered = delivered;
         this.host = host;
         this.address = new InetSocketAddress(host.address(), Site.REGISTRY_PORT);
-        this.offset = versionsFrom;
-        this.calls = number * CALLS_APART;
-        this.chance = day.work("registry." + host.name());
-        instances.onChange(this::changed);
+        this.versionOffset = versionOffset;
+        this.lastCallId = number * CALL_ID_RANGE;
+        this.random = day.work("registry." + host.name());
+        instances.onChange(this::listChanged);
     }
 
-    /** What its versions begin with. */
-    long versionsFrom() {
-        return offset;
+    /** Added to every version of this address. */
+    long versionOffset() {
+        return versionOffset;
     }
 
     InetSocketAddress address() {
@@ -106,7 +112,7 @@
         try {
             listener = host.listen(address, BACKLOG);
         } catch (IOException e) {
-            throw new IllegalStateException("discovery can't listen", e);
+            throw new IllegalStateException("discovery can't listen on " + address, e);
         }
         listener.onAcceptable(this::accept);
     }
@@ -117,60 +123,62 @@
                 connections.add(new RegistryConnection(day, this, next));
             }
         } catch (IOException e) {
-            throw new IllegalStateException("discovery can't accept", e);
+            throw new IllegalStateException("discovery can't accept on " + address, e);
         }
     }
 
+    /** Called when a connection is closed. */
     void closed(RegistryConnection connection) {
         connections.remove(connection);
-        parked.removeIf(call -> call.from() == connection);
+        watches.removeIf(call -> call.from() == connection);
     }
 
     // ---- calls
 
+    /** Queues a call that was received on a connection. */
     void called(RegistryConnection from, long since, long wait) {
-        Call call = new Call(++calls, from, since, wait, day.now());
-        from.calls(call);
+        Call call = new Call(++lastCallId, from, since, wait, day.now());
+        from.setOpenCall(call);
         day.evidence.discoveryCall(from.sidecar(), call.id(), call.whole(), wait);
         long cost =
                 day.plan.size(ScenarioParameter.CALL_COST) + (day.now() < slowUntil ? slowBy : 0);
         freeAt = Math.max(day.now(), freeAt) + cost;
-        day.simulation.at(freeAt, () -> turn(call));
+        day.simulation.at(freeAt, () -> process(call));
     }
 
-    private void turn(Call call) {
-        if (!call.from().owes(call)) {
+    private void process(Call call) {
+        if (!call.from().isOpen(call)) {
             return;
         }
         if (day.now() < hungUntil) {
-            day.simulation.at(hungUntil, () -> turn(call));
-        } else if (day.now() < failingUntil || day.now() - call.at() > PATIENCE) {
+            day.simulation.at(hungUntil, () -> process(call));
+        } else if (day.now() < failingUntil || day.now() - call.at() > MAX_QUEUE_NANOS) {
             fail(call, "503 Service Unavailable");
-        } else if (call.whole() || news(call.since())) {
+        } else if (call.whole() || hasChangedSince(call.since())) {
             answer(call);
         } else {
-            parked.add(call);
-            long left = Math.max(0, call.at() + call.mayWait() - day.now());
+            watches.add(call);
+            long left = Math.max(0, call.at() + call.maxWait() - day.now());
             day.after(
                     left,
                     () -> {
-                        if (parked.remove(call)) {
+                        if (watches.remove(call)) {
                             answer(call);
                         }
                     });
         }
     }
 
-    private boolean news(long since) {
-        return since - offset < instances.revision();
+    private boolean hasChangedSince(long since) {
+        return since - versionOffset < instances.revision();
     }
 
-    private void changed() {
-        for (Call each : new ArrayList<>(parked)) {
+    private void listChanged() {
+        for (Call each : new ArrayList<>(watches)) {
             day.after(
-                    chance.nextLong(SPREAD),
+                    random.nextLong(WATCH_SPREAD_NANOS),
                     () -> {
-                        if (news(each.since()) && parked.remove(each)) {
+                        if (hasChangedSince(each.since()) && watches.remove(each)) {
                             answer(each);
                         }
                     });
@@ -179,7 +187,7 @@
 
     private void fail(Call call, String status) {
         call.from()
-                .say(
+                .send(
                         call,
                         Script.of(Answers.plain(status, "", "")),
                         () ->
@@ -192,50 +200,53 @@
             day.simulation.at(hungUntil, () -> answer(call));
             return;
         }
-        if (!call.from().owes(call)) {
+        if (!call.from().isOpen(call)) {
             return;
         }
         long version = instances.revision();
-        long since = call.since() - offset;
-        boolean stale = day.now() < staleUntil && (call.whole() || chance.hits(0.3));
-        boolean all = call.whole() || stale || since < 0 || chance.hits(0.05);
+        long clientVersion = call.since() - versionOffset;
+        boolean stale = day.now() < staleUntil && (call.whole() || random.hits(0.3));
+        boolean all = call.whole() || stale || clientVersion < 0 || random.hits(0.05);
         List<Instances.Entry> entries;
         if (stale) {
             version = instances.revisionAt(day.now() - staleBy);
             entries = instances.wholeAt(version);
         } else {
-            entries = all ? instances.whole() : instances.since(since);
+            entries = all ? instances.whole() : instances.since(clientVersion);
         }
-        String json = Instances.json(version + offset, all, entries);
+        String json = Instances.json(version + versionOffset, all, entries);
         String text = Answers.plain("200 OK", "Content-Type: application/json\r\n", json);
         String sidecar = call.from().sidecar();
-        if (cuts > 0 && day.isTroubled()) {
-            cuts--;
+        if (pendingCuts > 0 && day.isTroubled()) {
+            pendingCuts--;
             int half = text.length() / 2;
             call.from()
-                    .say(
+                    .send(
                             call,
                             Script.of(text.substring(0, half))
                                     .then(Site.MS, "")
-                                    .ending(chance.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
-                            () -> spoilt(sidecar, call));
-        } else if (garbles > 0 && day.isTroubled()) {
-            garbles--;
-            call.from().say(call, Script.of(garbled(json)), () -> spoilt(sidecar, call));
+                                    .ending(random.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
+                            () -> reportUnreadable(sidecar, call));
+        } else if (pendingGarbles > 0 && day.isTroubled()) {
+            pendingGarbles--;
+            call.from().send(call, Script.of(garbled(json)), () -> reportUnreadable(sidecar, call));
         } else {
             call.from()
-                    .say(
+                    .send(
                             call,
                             Script.of(text),
                             () -> {
-                                if (call.from().isHeard()) {
-                                    told.tell(sidecar, all, entries);
+                                if (call.from().canReachSidecar()) {
+                                    delivered.tell(sidecar, all, entries);
                                     day.evidence.discoveryCallEnded(sidecar, call.id(), true);
-                                    lookWhetherItArrives(
-                                            call.from(), call.from().written(), sidecar, day.now());
+                                    checkDelivery(
+                                            call.from(),
+                                            call.from().bytesWritten(),
+                                            sidecar,
+                                            day.now());
                                 } else {
-                                    // It may arrive when the way is open again.
-                                    told.tell(
+                                    // It may still arrive when the link is up again.
+                                    delivered.tell(
                                             sidecar,
                                             false,
                                             entries.stream()
@@ -251,29 +262,29 @@
         }
     }
 
-    /** What lies unread at a process that stands still may be lost with the connection yet. */
-    private void lookWhetherItArrives(
-            RegistryConnection connection, long bytes, String sidecar, long toldAt) {
+    /** A response that a paused process has not read yet may still be lost with the connection. */
+    private void checkDelivery(
+            RegistryConnection connection, long bytes, String sidecar, long sentAt) {
         day.after(
-                ARRIVES,
+                DELIVERY_CHECK_NANOS,
                 () -> {
                     if (connection.isLost(bytes)) {
-                        day.evidence.listNotDelivered(sidecar, toldAt);
+                        day.evidence.listNotDelivered(sidecar, sentAt);
                     } else if (!connection.wasRead(bytes)) {
-                        lookWhetherItArrives(connection, bytes, sidecar, toldAt);
+                        checkDelivery(connection, bytes, sidecar, sentAt);
                     }
                 });
     }
 
-    /** Nothing that could be read was told: as if it could not have been asked. */
-    private void spoilt(String sidecar, Call call) {
+    /** An unreadable response counts as if discovery had been unreachable during the call. */
+    private void reportUnreadable(String sidecar, Call call) {
         day.evidence.discoveryUnreachable(sidecar, call.at(), day.now());
         day.evidence.discoveryCallEnded(sidecar, call.id(), false);
     }
 
     private String garbled(String json) {
         String body =
-                switch (chance.nextInt(7)) {
+                switch (random.nextInt(7)) {
                     case 0 -> json.substring(0, json.length() / 2);
                     case 1 -> "<html>no list here</html>";
                     case 2 -> json.replace("\"Ready\"", "\"Sleeping\"").replace("[]", "[{}]");
@@ -289,9 +300,9 @@
         return Answers.plain("200 OK", "Content-Type: application/json\r\n", body);
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** Its process is away for a while; then it is there again, with its list. */
+    /** Its process is down for a while and then back with the same list. */
     void down(long duration) {
         if (!listener.isOpen()) {
             return;
@@ -312,55 +323,61 @@
             each.abort(call -> day.evidence.discoveryCallEnded(each.sidecar(), call.id(), false));
         }
         connections.clear();
-        parked.clear();
+        watches.clear();
         freeAt = day.now();
     }
 
-    /** Its machine says nothing for a while. */
+    /** Its machine is unreachable for a while. */
     void silent(long duration) {
         host.vanish();
         day.after(duration, host::back);
     }
 
+    /** Answers nothing for a while. */
     void hang(long duration) {
         hungUntil = day.now() + duration;
     }
 
+    /** Answers calls with 503 for a while. */
     void failing(long duration) {
         failingUntil = day.now() + duration;
     }
 
+    /** Takes longer for each call for a while. */
     void slow(long duration, long by) {
         slowUntil = day.now() + duration;
         slowBy = by;
     }
 
+    /** Answers from an older version for a while; {@code by}: its age. */
     void stale(long duration, long by) {
         staleUntil = day.now() + duration;
         staleBy = by;
     }
 
-    /** Forgets the watches that are out: their connections stay, and hear nothing of them. */
+    /** Drops all open watches without a response; their connections stay open. */
     void loseWatches() {
-        parked.clear();
+        watches.clear();
     }
 
+    /** Cuts the next responses in half. */
     void cut(long count) {
-        cuts += count;
+        pendingCuts += count;
     }
 
+    /** Garbles the lists in the next responses. */
     void garble(long count) {
-        garbles += count;
+        pendingGarbles += count;
     }
 
-    /** Another one takes its place: it accepts no more, and soon ends what is open. */
+    /** Called when discovery moves: accepts no connections, and closes the open ones soon after. */
     void retire() {
         retired = true;
         if (listener.isOpen()) {
             listener.close();
         }
         day.after(
-                LAST_WORDS,
+                RETIREMENT_NANOS,
                 () -> {
                     failAll();
                     host.die();
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
@@ -4,21 +4,23 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
-/** A sidecar's connection to discovery: one call at a time. */
+/** Discovery's end of a connection from a sidecar, which handles one call at a time. */
 final class RegistryConnection implements SimSocket.Events {
     private static final String LIST = "/registry/instances";
-    private static final int BULK = 1 << 16;
-    private static final long LONGEST_WAIT_MILLIS = 60_000;
+    private static final int READ_BYTES = 1 << 16;
+    private static final long MAX_WAIT_MILLIS = 60_000;
 
     private final Day day;
     private final Registry registry;
     private final SimSocket socket;
     private final HttpReader reader = new HttpReader(false);
     private final Player player;
-    private Registry.Call open;
+    private Registry.Call openCall;
 
-    /** The sidecar ended it, and had what was written to it or gave that up by itself. */
-    private boolean left;
+    /**
+     * Whether the sidecar closed it, and so read or deliberately dropped what was written to it.
+     */
+    private boolean closedBySidecar;
 
     RegistryConnection(Day day, Registry registry, SimSocket socket) {
         this.day = day;
@@ -32,28 +34,28 @@
         return socket.peerHost().name();
     }
 
-    /** Whether what is written here now can reach the sidecar: else nothing is told by it. */
-    boolean isHeard() {
+    /** Whether bytes written now can reach the sidecar. */
+    boolean canReachSidecar() {
         return !socket.host().isVanished()
                 && !day.network.weather(socket.host(), socket.peerHost()).blackHole;
     }
 
-    void calls(Registry.Call call) {
-        open = call;
+    void setOpenCall(Registry.Call call) {
+        openCall = call;
     }
 
-    /** Whether this call still waits for its answer here. */
-    boolean owes(Registry.Call call) {
-        return open == call && socket.isOpen();
+    /** Whether this call still waits for its response on this connection. */
+    boolean isOpen(Registry.Call call) {
+        return openCall == call && socket.isOpen();
     }
 
     @Override
     public void readable() {
         try {
             while (socket.isOpen() && socket.isReadable()) {
-                int read = reader.read(socket, BULK);
+                int read = reader.read(socket, READ_BYTES);
                 if (read < 0) {
-                    left = true;
+                    closedBySidecar = true;
                     close();
                 }
                 if (read <= 0) {
@@ -62,29 +64,30 @@
                 proceed();
             }
         } catch (IOException e) {
-            // Danger: what breaks here may have broken on the way, or as this machine came back.
-            left = socket.peer() != null && !socket.peer().isOpen();
+            // The connection may also have broken on the network, or when this machine came back
+            // after an outage: neither means that the sidecar closed it.
+            closedBySidecar = socket.peer() != null && !socket.peer().isOpen();
             close();
         }
     }
 
     /** Bytes written so far. */
-    long written() {
+    long bytesWritten() {
         return socket.bytesWritten();
     }
 
-    /** Whether the sidecar's process has read so many bytes, or gave them up by itself. */
+    /** Whether the sidecar's process has read this many bytes, or closed the connection. */
     boolean wasRead(long bytes) {
-        return left || socket.peer() != null && socket.peer().bytesRead() >= bytes;
+        return closedBySidecar || socket.peer() != null && socket.peer().bytesRead() >= bytes;
     }
 
     /**
-     * Whether it can't read so many any more, by no choice of its own: the connection broke before
-     * they came to its machine, or before it looked at what had come.
+     * Whether the sidecar can no longer read this many bytes and did not close the connection: it
+     * broke before the bytes arrived at its machine, or before its process read them.
      */
     boolean isLost(long bytes) {
         SimSocket peer = socket.peer();
-        return !left && (peer == null || peer.bytesRead() + peer.available() < bytes);
+        return !closedBySidecar && (peer == null || peer.bytesRead() + peer.available() < bytes);
     }
 
     @Override
@@ -93,7 +96,7 @@
     }
 
     private void proceed() {
-        if (open != null || !player.isDone() || !reader.advance()) {
+        if (openCall != null || !player.isDone() || !reader.advance()) {
             return;
         }
         if (reader.isBroken() || !reader.word(0).equals("GET")) {
@@ -107,36 +110,35 @@
             player.play(Script.of(Answers.plain("404 Not Found", "", "")), () -> {});
             return;
         }
-        long since = query < 0 ? -1 : number(uri, "since=", -1);
-        long wait = query < 0 ? 0 : Math.min(LONGEST_WAIT_MILLIS, number(uri, "timeout_ms=", 0));
+        long since = query < 0 ? -1 : queryNumber(uri, "since=", -1);
+        long wait = query < 0 ? 0 : Math.min(MAX_WAIT_MILLIS, queryNumber(uri, "timeout_ms=", 0));
         registry.called(this, since, since < 0 ? 0 : wait * Site.MS);
     }
 
-    private static long number(String uri, String name, long absent) {
+    private static long queryNumber(String uri, String name, long defaultValue) {
         int at = uri.indexOf(name);
         if (at < 0) {
-            return absent;
+            return defaultValue;
         }
         int from = at + name.length();
         int end = from;
         while (end < uri.length() && Character.isDigit(uri.charAt(end))) {
             end++;
         }
-        return end == from || end - from > 15 ? absent : Long.parseLong(uri.substring(from, end));
+        return end == from || end - from > 15
+                ? defaultValue
+                : Long.parseLong(uri.substring(from, end));
     }
 
-    /**
-     * Answers this call; what is given is told when the answer's last byte is in the socket's
-     * buffer.
-     */
-    void say(Registry.Call call, Script answer, Runnable whenWritten) {
-        if (!owes(call)) {
+    /** Writes the response to a call; calls back when its last byte is in the socket's buffer. */
+    void send(Registry.Call call, Script answer, Runnable whenWritten) {
+        if (!isOpen(call)) {
             return;
         }
         player.play(
                 answer,
                 () -> {
-                    open = null;
+                    openCall = null;
                     whenWritten.run();
                     if (!socket.isOpen()) {
                         registry.closed(this);
@@ -146,10 +148,10 @@
                 });
     }
 
-    /** Ends with its process, or as the old address does; a call that is open fails. */
+    /** Resets the connection; calls back with the open call, if any. */
     void abort(Consumer<Registry.Call> failed) {
-        Registry.Call call = open;
-        open = null;
+        Registry.Call call = openCall;
+        openCall = null;
         player.stop();
         socket.reset();
         if (call != null) {
@@ -158,7 +160,7 @@
     }
 
     private void close() {
-        open = null;
+        openCall = null;
         player.stop();
         socket.close();
         registry.closed(this);
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryTap.java
@@ -7,32 +7,32 @@
 import appleridge.testbed.simnet.Tap;
 import java.util.List;
 
-/** Tells of each connection to discovery that a sidecar opens, and how many it has then. */
+/** Reports each connection that a sidecar opens to discovery, with its number of open ones. */
 final class RegistryTap implements Tap {
     private final Network network;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
     private final List<Host> discovery;
     private final DayListener evidence;
 
-    RegistryTap(Network network, ProcessSlots seats, List<Host> discovery, DayListener evidence) {
+    RegistryTap(Network network, ProcessSlots slots, List<Host> discovery, DayListener evidence) {
         this.network = network;
-        this.seats = seats;
+        this.slots = slots;
         this.discovery = discovery;
         this.evidence = evidence;
     }
 
     @Override
     public void connecting(SimSocket socket) {
-        if (discovery.contains(socket.peerHost()) && seats.slot(socket.host().name()) != null) {
-            evidence.discoveryConnecting(socket.host().name(), open(socket.host()));
+        if (discovery.contains(socket.peerHost()) && slots.slot(socket.host().name()) != null) {
+            evidence.discoveryConnecting(socket.host().name(), openConnections(socket.host()));
         }
     }
 
-    private int open(Host sidecar) {
-        int open = 0;
+    private int openConnections(Host sidecar) {
+        int count = 0;
         for (SimSocket each : network.sockets(sidecar)) {
-            open += discovery.contains(each.peerHost()) ? 1 : 0;
+            count += discovery.contains(each.peerHost()) ? 1 : 0;
         }
-        return open;
+        return count;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -5,23 +5,23 @@
 import appleridge.testbed.simnet.SeededRandom;
 import java.util.function.Consumer;
 
-/** Faults of one order server, its machine, or the ways to it. */
+/** Injects faults into one order server, its machine or its links to the sidecars. */
 final class ServerFaultInjector {
     private final Day day;
     private final Fleet fleet;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
     private final Links links;
-    private final FaultOverlaps meetings;
-    private final SeededRandom chance;
+    private final FaultOverlaps overlaps;
+    private final SeededRandom random;
 
     ServerFaultInjector(
-            Day day, Fleet fleet, ProcessSlots seats, Links links, FaultOverlaps meetings) {
+            Day day, Fleet fleet, ProcessSlots slots, Links links, FaultOverlaps overlaps) {
         this.day = day;
         this.fleet = fleet;
-        this.seats = seats;
+        this.slots = slots;
         this.links = links;
-        this.meetings = meetings;
-        this.chance = day.faults("servers");
+        this.overlaps = overlaps;
+        this.random = day.faults("servers");
     }
 
     void inject(Fault fault, ObservedRequest request) {
@@ -36,9 +36,9 @@
                         : 0;
         switch (fault.kind()) {
             case CONNECT_SLOW, CONNECT_REFUSED, CONNECT_SILENT, BACKLOG ->
-                    meetings.connectsTo(machine, fault.kind(), duration);
+                    overlaps.connectsTo(machine, fault.kind(), duration);
             case CLOSE_IDLE -> {
-                meetings.closed(server.closeIdle(), server.uid());
+                overlaps.closed(server.closeIdle(), server.uid());
                 return;
             }
             default ->
@@ -49,16 +49,18 @@
         }
         switch (fault.kind()) {
             case CONNECT_SLOW ->
-                    ways(
+                    changeLinks(
                             machine,
                             duration,
-                            weather -> weather.delay += fault.value(FaultParameter.BY));
-            case CONNECT_REFUSED -> ways(machine, duration, weather -> weather.refuse = true);
-            case CONNECT_SILENT -> ways(machine, duration, weather -> weather.silentConnect = true);
+                            conditions -> conditions.delay += fault.value(FaultParameter.BY));
+            case CONNECT_REFUSED ->
+                    changeLinks(machine, duration, conditions -> conditions.refuse = true);
+            case CONNECT_SILENT ->
+                    changeLinks(machine, duration, conditions -> conditions.silentConnect = true);
             case DRAIN ->
                     machine.drain(
                             fault.value(FaultParameter.DOWN),
-                            chance.hits(0.5) ? 0 : day.plan.size(ScenarioParameter.NOTICE));
+                            random.hits(0.5) ? 0 : day.plan.size(ScenarioParameter.NOTICE));
             case CRASH -> machine.crash(fault.value(FaultParameter.DOWN), false);
             case RESTART -> machine.crash(fault.value(FaultParameter.DOWN), true);
             case VANISH -> machine.vanish(duration);
@@ -66,14 +68,14 @@
                     fleet.instances()
                             .flap(
                                     server.uid(),
-                                    chance.hits(0.5) ? Instances.TERMINATING : Instances.GONE,
+                                    random.hits(0.5) ? Instances.TERMINATING : Instances.GONE,
                                     (int) fault.value(FaultParameter.COUNT),
                                     fault.value(FaultParameter.BY));
-            default -> own(fault, server, duration);
+            default -> injectIntoServer(fault, server, duration);
         }
     }
 
-    private static void own(Fault fault, OrderServer server, long duration) {
+    private static void injectIntoServer(Fault fault, OrderServer server, long duration) {
         switch (fault.kind()) {
             case BACKLOG -> server.backlog(duration);
             case HANG -> server.hang(duration);
@@ -82,22 +84,23 @@
             case FULL -> server.full(duration);
             case REPORTS ->
                     server.report(duration, FaultKind.of(LoadReportQuality.class, fault.style()));
-            default -> throw new IllegalArgumentException("no fault of a server: " + fault.text());
+            default ->
+                    throw new IllegalArgumentException("not a fault of a server: " + fault.text());
         }
     }
 
-    private void ways(Machine machine, long duration, Consumer<NetworkConditions> how) {
-        for (ProcessSlot each : seats.all()) {
+    private void changeLinks(Machine machine, long duration, Consumer<NetworkConditions> how) {
+        for (ProcessSlot each : slots.all()) {
             links.change(each.host(), machine.host(), duration, how);
         }
     }
 
-    /** The one that is named, the request's, or any. */
+    /** The machine that the fault names, else that of the request's server, else a random one. */
     private Machine machine(Fault fault, ObservedRequest request) {
         if (fault.who() != null) {
             return fleet.machine(fault.who());
         }
         Machine own = request.server() == null ? null : fleet.ofServer(request.server());
-        return own != null ? own : chance.pick(fleet.machines());
+        return own != null ? own : random.pick(fleet.machines());
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -9,183 +9,189 @@
 import java.util.function.Consumer;
 
 /**
- * Faults of sidecars, of their links, of whole sites, and what too many or bad clients do to them.
+ * Injects faults into sidecars, their links and whole zones, and starts floods and bad clients
+ * against them.
  */
 final class SidecarFaultInjector {
-    /** What was held up goes on arriving for so long. */
-    private static final long AFTERMATH = 1100 * Site.MS;
+    /** For how long after a link fault delayed messages still arrive. */
+    private static final long LINK_RECOVERY_NANOS = 1100 * Site.MS;
 
-    /** A pause in which copies of answers arrive for certain. */
-    private static final long LEAST_FOR_COPIES = 60 * Site.MS;
+    /** Minimum length of a pause in which copies of responses arrive for certain. */
+    private static final long MIN_PAUSE_FOR_COPIES_NANOS = 60 * Site.MS;
 
-    private static final double COPIES = 0.5;
+    private static final double COPIES_PROBABILITY = 0.5;
 
-    /** What was sent ahead of a pause has arrived by then. */
-    private static final long SETTLE = 15 * Site.MS;
+    /** By this time after the start of a pause, requests sent before it have arrived. */
+    private static final long SETTLE_NANOS = 15 * Site.MS;
 
-    private static final long LONGEST_REST = 300 * Site.MS;
+    private static final long MAX_REST_DELAY_NANOS = 300 * Site.MS;
 
     private final Day day;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
     private final Fleet fleet;
     private final Discovery discovery;
     private final Links links;
     private final List<Traffic> traffic;
     private final BadClients badClients;
-    private final FaultOverlaps meetings;
-    private final SeededRandom chance;
-    private final SeededRandom copies;
+    private final FaultOverlaps overlaps;
+    private final SeededRandom random;
+    private final SeededRandom copyRandom;
 
     SidecarFaultInjector(
             Day day,
-            ProcessSlots seats,
+            ProcessSlots slots,
             Fleet fleet,
             Discovery discovery,
             Links links,
             List<Traffic> traffic,
             BadClients badClients,
-            FaultOverlaps meetings) {
+            FaultOverlaps overlaps) {
         this.day = day;
-        this.seats = seats;
+        this.slots = slots;
         this.fleet = fleet;
         this.discovery = discovery;
         this.links = links;
         this.traffic = traffic;
         this.badClients = badClients;
-        this.meetings = meetings;
-        this.chance = day.faults("sidecars");
-        this.copies = day.faults("copies");
+        this.overlaps = overlaps;
+        this.random = day.faults("sidecars");
+        this.copyRandom = day.faults("copies");
     }
 
     void inject(Fault fault, ObservedRequest request) {
         String id = request == null ? null : request.id();
         if (fault.kind() == FaultKind.ZONE_CUT) {
-            String zone = fault.who() != null ? fault.who() : chance.pick(Site.ZONES);
+            String zone = fault.who() != null ? fault.who() : random.pick(Site.ZONES);
             day.evidence.faultStruck(fault.kind().word(), zone, id);
-            cut(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
+            cutZone(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
             return;
         }
-        ProcessSlot seat = seats.slot(fault.who() != null ? fault.who() : request.sidecar());
-        if (!seat.isRunning()) {
+        ProcessSlot slot = slots.slot(fault.who() != null ? fault.who() : request.sidecar());
+        if (!slot.isRunning()) {
             return;
         }
         if (fault.kind() != FaultKind.NO_DESCRIPTORS) {
-            day.evidence.faultStruck(fault.kind().word(), seat.name(), id);
+            day.evidence.faultStruck(fault.kind().word(), slot.name(), id);
         }
         long duration =
                 fault.kind().params().contains(FaultParameter.FOR)
                         ? day.bounded(fault.value(FaultParameter.FOR))
                         : 0;
         switch (fault.kind()) {
-            case KILL -> seat.kill(fault.value(FaultParameter.DOWN));
-            case TERM -> seat.term(fault.value(FaultParameter.DOWN));
-            case PAUSE -> pause(seat, duration);
-            case WALL_STEP -> seat.stepWall(fault.value(FaultParameter.BY));
+            case KILL -> slot.kill(fault.value(FaultParameter.DOWN));
+            case TERM -> slot.term(fault.value(FaultParameter.DOWN));
+            case PAUSE -> pause(slot, duration);
+            case WALL_STEP -> slot.stepWall(fault.value(FaultParameter.BY));
             case NO_DESCRIPTORS -> {
-                // It can't accept meanwhile, and for a while after; its clients wait by no fault of
-                // its own.
-                troubled(seat, duration);
-                meetings.noDescriptors(seat.host(), duration);
-                seat.host()
+                // It can't accept connections meanwhile and for a while after, so that its clients
+                // wait through no failure of the sidecar.
+                reportLinkFault(slot, duration);
+                overlaps.noDescriptors(slot.host(), duration);
+                slot.host()
                         .maxDescriptors(
-                                seat.host().descriptors()
+                                slot.host().descriptors()
                                         + (int) fault.value(FaultParameter.COUNT));
                 day.after(
                         duration,
                         () ->
-                                seat.host()
+                                slot.host()
                                         .maxDescriptors(day.plan.count(ScenarioParameter.SOCKETS)));
             }
             case LINK_LATE ->
-                    link(
-                            seat,
+                    changeClientLinks(
+                            slot,
                             duration,
-                            weather -> weather.delay += fault.value(FaultParameter.BY));
+                            conditions -> conditions.delay += fault.value(FaultParameter.BY));
             case LINK_CHOPPED ->
-                    link(
-                            seat,
+                    changeClientLinks(
+                            slot,
                             duration,
-                            weather -> weather.segment = -(int) fault.value(FaultParameter.COUNT));
+                            conditions ->
+                                    conditions.segment = -(int) fault.value(FaultParameter.COUNT));
             case LINK_THIN ->
-                    link(
-                            seat,
+                    changeClientLinks(
+                            slot,
                             duration,
-                            weather -> weather.bytesPerSecond = fault.value(FaultParameter.BYTES));
+                            conditions ->
+                                    conditions.bytesPerSecond = fault.value(FaultParameter.BYTES));
             case FLOOD ->
-                    traffic.get(seats.all().indexOf(seat))
+                    traffic.get(slots.all().indexOf(slot))
                             .flood(duration, fault.value(FaultParameter.RATE) / 1e6);
             case BAD ->
                     badClients.come(
                             FaultKind.of(BadKind.class, fault.style()),
-                            seat,
+                            slot,
                             fault.value(FaultParameter.COUNT));
-            default -> throw new IllegalArgumentException("no fault of a sidecar: " + fault.text());
+            default ->
+                    throw new IllegalArgumentException("not a fault of a sidecar: " + fault.text());
         }
     }
 
     /**
-     * While it stands still nothing that it asks can cross an answer: servers repeat theirs, and it
-     * will find the copies unread.
+     * Pauses a sidecar; on some pauses the servers send their last responses again. No request can
+     * cross these copies, and the sidecar finds them unread when it continues.
      */
-    private void pause(ProcessSlot seat, long duration) {
-        seat.pause(duration);
-        if (duration < LEAST_FOR_COPIES || !copies.hits(COPIES)) {
+    private void pause(ProcessSlot slot, long duration) {
+        slot.pause(duration);
+        if (duration < MIN_PAUSE_FOR_COPIES_NANOS || !copyRandom.hits(COPIES_PROBABILITY)) {
             return;
         }
-        long rest = copies.hits(0.5) ? duration + copies.nextLong(LONGEST_REST) : 0;
+        long restAfter =
+                copyRandom.hits(0.5) ? duration + copyRandom.nextLong(MAX_REST_DELAY_NANOS) : 0;
         day.after(
-                SETTLE,
+                SETTLE_NANOS,
                 () -> {
                     for (Machine each : fleet.machines()) {
-                        NetworkConditions way = day.network.weather(each.host(), seat.host());
+                        NetworkConditions path = day.network.weather(each.host(), slot.host());
                         boolean quick =
-                                way.delay + way.jitter < duration / 4
-                                        && way.lossDelayProbability == 0
-                                        && !way.blackHole;
+                                path.delay + path.jitter < duration / 4
+                                        && path.lossDelayProbability == 0
+                                        && !path.blackHole;
                         if (each.server() != null && quick) {
-                            each.server().repeatAnswers(seat.name(), rest);
+                            each.server().repeatAnswers(slot.name(), restAfter);
                         }
                     }
                 });
     }
 
-    private void troubled(ProcessSlot seat, long duration) {
-        long until = day.now() + duration + AFTERMATH;
-        day.evidence.clientLinkTroubled(seat.name(), null, day.now() - 1, until);
+    private void reportLinkFault(ProcessSlot slot, long duration) {
+        long until = day.now() + duration + LINK_RECOVERY_NANOS;
+        day.evidence.clientLinkTroubled(slot.name(), null, day.now() - 1, until);
     }
 
-    private void link(ProcessSlot seat, long duration, Consumer<NetworkConditions> how) {
-        troubled(seat, duration);
-        links.change(seat.host(), duration, how);
+    private void changeClientLinks(
+            ProcessSlot slot, long duration, Consumer<NetworkConditions> how) {
+        reportLinkFault(slot, duration);
+        links.change(slot.host(), duration, how);
     }
 
     /**
-     * Nothing passes between a site and the others; afterwards connections go on, or turn out to be
+     * Drops everything between a zone and the others. Afterwards each connection continues or is
      * reset.
      */
-    private void cut(int zone, long duration) {
-        for (ProcessSlot seat : seats.all()) {
-            boolean inside = seat.zone() == zone;
+    private void cutZone(int zone, long duration) {
+        for (ProcessSlot slot : slots.all()) {
+            boolean inside = slot.zone() == zone;
             for (Machine each : fleet.machines()) {
                 if (inside != (each.zone() == zone)) {
-                    silence(seat, each.host(), duration);
+                    dropPackets(slot, each.host(), duration);
                 }
             }
             if (inside != (Registry.ZONE == zone)) {
-                day.evidence.discoveryUnreachable(seat.name(), day.now(), day.now() + duration);
-                discovery.addresses().forEach(each -> silence(seat, each.host(), duration));
+                day.evidence.discoveryUnreachable(slot.name(), day.now(), day.now() + duration);
+                discovery.addresses().forEach(each -> dropPackets(slot, each.host(), duration));
             }
         }
     }
 
-    private void silence(ProcessSlot seat, Host other, long duration) {
-        links.change(seat.host(), other, duration, weather -> weather.blackHole = true);
-        links.change(other, seat.host(), duration, weather -> weather.blackHole = true);
-        if (chance.hits(0.5)) {
+    private void dropPackets(ProcessSlot slot, Host other, long duration) {
+        links.change(slot.host(), other, duration, conditions -> conditions.blackHole = true);
+        links.change(other, slot.host(), duration, conditions -> conditions.blackHole = true);
+        if (random.hits(0.5)) {
             day.after(
                     duration,
                     () -> {
-                        for (SimSocket each : day.network.sockets(seat.host())) {
+                        for (SimSocket each : day.network.sockets(slot.host())) {
                             if (each.peerHost() == other) {
                                 each.fault(SimSocket.Fault.RESET);
                             }
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarHost.java
@@ -5,25 +5,22 @@
 import java.util.function.IntConsumer;
 
 /**
- * The real sidecar behind one name, as the world handles its processes. Everything is called from
- * within the simulation's events. The world ends the sockets of a killed process itself ({@link
- * PolicyHost#die}), after {@link #kill}.
+ * Controls the processes of one sidecar. All methods are called within the simulation's events.
+ * After {@link #kill} the world closes the sockets of the process itself, with {@link Host#die}.
  */
 public interface SidecarHost {
-    /**
-     * What loops cost: nanoseconds on average of a task, a socket's event and a look at the clock.
-     */
+    /** Mean nanoseconds that an event loop takes for a task, a socket event and a clock reading. */
     record Costs(long task, long read, long clock) {}
 
     /**
-     * A process that begins.
+     * A process to start.
      *
-     * @param life counts the processes of this name from 0
-     * @param config the file's text
-     * @param host where it listens and connects; dead before, if it was killed
-     * @param chance for its loop
-     * @param exited to be called once, with the status, if it ends by itself; its sockets are gone
-     *     by then
+     * @param life the number of earlier processes of this name
+     * @param config the text of its configuration file
+     * @param host where it listens and connects; it has no sockets of an earlier process
+     * @param chance the random stream of its event loop
+     * @param exited to be called once with the exit status if the process ends by itself, after its
+     *     sockets are closed
      */
     record Process(
             String name,
@@ -34,21 +31,21 @@
             Costs costs,
             IntConsumer exited) {}
 
-    /** A process begins; there is none of this name. */
+    /** Starts a process; no other one of this name is running. */
     void start(Process process);
 
-    /** SIGKILL: nothing of it runs any more. */
+    /** Ends the process at once, as by SIGKILL. */
     void kill();
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void term();
 
-    /** The file has been replaced by this text; SIGHUP. */
+    /** Replaces the text of the configuration file and sends SIGHUP. */
     void hup(String config);
 
-    /** Nothing of it runs for so long. */
+    /** Pauses the process for this long. */
     void pause(long nanos);
 
-    /** Its wall clock steps by so much; negative: back. */
+    /** Steps the wall clock of the process forward; backward for a negative value. */
     void stepWall(long nanos);
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -7,23 +7,22 @@
 import java.util.List;
 
 /**
- * Waits for the n-th request to enter a state, and has the fault struck that was planned for it.
- * Where that request is in the state for a moment within one step only, and the fault can but come
- * as a step of its own, the next request that stays there is struck; so is the next where a fault
- * would change nothing for that one.
+ * Injects planned faults when the n-th request enters a state. Some faults can only be injected in
+ * a later step of the simulation; if the request has left the state by then, the next request that
+ * enters it is taken. The next request is also taken if the fault would have no effect on this one.
  */
 final class StateTriggers {
     private final Day day;
-    private final FaultInjector strikes;
+    private final FaultInjector injector;
     private final RequestStates states;
 
-    StateTriggers(Day day, FaultInjector strikes, RequestStates states) {
+    StateTriggers(Day day, FaultInjector injector, RequestStates states) {
         this.day = day;
-        this.strikes = strikes;
+        this.injector = injector;
         this.states = states;
     }
 
-    void set(List<Fault> faults) {
+    void install(List<Fault> faults) {
         for (RequestState state : RequestState.values()) {
             List<Fault> waiting = new ArrayList<>();
             for (Fault each : faults) {
@@ -41,19 +40,19 @@
     private void entered(ObservedRequest request, int visit, List<Fault> waiting) {
         for (int i = waiting.size() - 1; i >= 0; i--) {
             if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().suits(request)) {
-                spring(waiting.remove(i), request, waiting);
+                trigger(waiting.remove(i), request, waiting);
             }
         }
     }
 
     /**
-     * Danger: this comes in the middle of what brought the state about. But for sockets, a step of
-     * its own.
+     * Called in the middle of the code that changed the state, where only socket faults are safe.
+     * All others are injected in a step of their own.
      */
-    private void spring(Fault fault, ObservedRequest request, List<Fault> waiting) {
+    private void trigger(Fault fault, ObservedRequest request, List<Fault> waiting) {
         long after = fault.trigger().at();
         if (after == 0 && FaultInjector.atOnce(fault.kind())) {
-            strikes.strike(fault, request);
+            injector.strike(fault, request);
             return;
         }
         day.after(
@@ -64,7 +63,7 @@
                         waiting.add(fault);
                     } else if (!fault.kind().trappedOnly()
                             || now != null && fault.kind().canStrike(now)) {
-                        strikes.strike(fault, request);
+                        injector.strike(fault, request);
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Notes what the stand-ins tell, for the day's digest and for who reads its trace. */
+/** Notes the events of a day in the simulation's digest, and as lines of its trace. */
 final class TraceRecorder implements DayListener {
-    private static final int ASKS = 101;
+    private static final int REQUEST_STARTED = 101;
     private static final int ANSWERED = 102;
-    private static final int BROKEN = 103;
+    private static final int RESPONSE_BROKEN = 103;
     private static final int GAVE_UP = 104;
-    private static final int ARRIVED = 105;
+    private static final int REQUEST_RECEIVED = 105;
     private static final int NOT_RUN = 106;
-    private static final int MADE = 107;
+    private static final int REQUEST_PROCESSED = 107;
     private static final int SERVER = 108;
     private static final int LIST = 109;
     private static final int SIDECAR = 110;
     private static final int FAULT = 111;
     private static final int DAY = 112;
-    private static final int BAD = 113;
+    private static final int BAD_CLIENT = 113;
     private static final int MODULE = 114;
 
     private final Simulation simulation;
@@ -30,45 +30,50 @@
         this.simulation = simulation;
     }
 
-    private void note(int kind, String who, long what, Supplier<String> text) {
-        simulation.note(kind, who == null ? 0 : who.hashCode(), what, text);
+    private void note(int kind, String subject, long value, Supplier<String> text) {
+        simulation.note(kind, subject == null ? 0 : subject.hashCode(), value, text);
     }
 
     @Override
-    public void requestStarted(ClientAttempt asking) {
+    public void requestStarted(ClientAttempt attempt) {
         note(
-                ASKS,
-                asking.id(),
-                asking.deadlineNanos(),
+                REQUEST_STARTED,
+                attempt.id(),
+                attempt.deadlineNanos(),
                 () ->
-                        "client asks "
-                                + asking.sidecar()
-                                + " for "
-                                + Classes.of(asking.requestClass()).name()
+                        "client sends request to "
+                                + attempt.sidecar()
+                                + ": "
+                                + Classes.of(attempt.requestClass()).name()
                                 + " "
-                                + asking.id()
+                                + attempt.id()
                                 + " ("
-                                + asking.origin()
-                                + ", try "
-                                + asking.number()
-                                + "), waits "
-                                + Unit.TIME.text(asking.deadlineNanos())
+                                + attempt.origin()
+                                + ", attempt "
+                                + attempt.number()
+                                + "), deadline "
+                                + Unit.TIME.text(attempt.deadlineNanos())
                                 + " s");
     }
 
     @Override
     public void answered(
             String id, int status, String body, long retryAfterNanos, long lastByteSentAt) {
-        note(ANSWERED, id, status, () -> "client has its answer: " + id + " " + status);
+        note(ANSWERED, id, status, () -> "client received response: " + id + " " + status);
     }
 
     @Override
     public void answerBroken(String id, String how, boolean begun) {
         note(
-                BROKEN,
+                RESPONSE_BROKEN,
                 id,
                 how.length(),
-                () -> "client has no answer: " + id + " " + how + (begun ? ", begun" : ""));
+                () ->
+                        "client received no complete response: "
+                                + id
+                                + " "
+                                + how
+                                + (begun ? ", begun" : ""));
     }
 
     @Override
@@ -83,17 +88,17 @@
 
     @Override
     public void readinessAnswered(String sidecar, int status, long lastByteSentAt) {
-        note(SIDECAR, sidecar, status, () -> sidecar + " says whether it is ready: " + status);
+        note(SIDECAR, sidecar, status, () -> sidecar + " readiness probe: status " + status);
     }
 
     @Override
     public void badClientConnected(String name, long owedBy) {
-        note(BAD, name, owedBy, () -> "bad client connects: " + name);
+        note(BAD_CLIENT, name, owedBy, () -> "bad client connected: " + name);
     }
 
     @Override
     public void badClientEnded(String name, int statusOr0) {
-        note(BAD, name, statusOr0, () -> "bad client is turned away: " + name + " " + statusOr0);
+        note(BAD_CLIENT, name, statusOr0, () -> "bad client rejected: " + name + " " + statusOr0);
     }
 
     @Override
@@ -106,12 +111,12 @@
             long lastByteSentAt,
             long work) {
         note(
-                ARRIVED,
+                REQUEST_RECEIVED,
                 id,
                 work,
                 () ->
                         server
-                                + " has "
+                                + " received "
                                 + id
                                 + " from "
                                 + sidecar
@@ -122,12 +127,12 @@
 
     @Override
     public void serverDidNotRun(String server, int life, String id) {
-        note(NOT_RUN, id, 0, () -> server + " turns away " + id);
+        note(NOT_RUN, id, 0, () -> server + " rejects " + id);
     }
 
     @Override
     public void serverAnswered(String server, int life, String id, String body) {
-        note(MADE, id, body.length(), () -> server + " has done " + id);
+        note(REQUEST_PROCESSED, id, body.length(), () -> server + " processed " + id);
     }
 
     @Override
@@ -138,7 +143,11 @@
     @Override
     public void serverCollapsed(
             String server, int life, Map<String, Double> workBySidecarInWindow) {
-        note(SERVER, server, -1, () -> server + " falls over: " + workBySidecarInWindow);
+        note(
+                SERVER,
+                server,
+                -1,
+                () -> server + " collapses, work by sidecar: " + workBySidecarInWindow);
     }
 
     @Override
@@ -147,17 +156,25 @@
                 LIST,
                 uid,
                 revision,
-                () -> "discovery knows, version " + revision + ": " + uid + " " + state);
+                () -> "discovery lists, version " + revision + ": " + uid + " " + state);
     }
 
     @Override
     public void listDelivered(String sidecar, String uid, String state, long bornAt) {
-        note(LIST, uid, state.length(), () -> sidecar + " is told: " + uid + " " + state);
+        note(
+                LIST,
+                uid,
+                state.length(),
+                () -> sidecar + " receives from discovery: " + uid + " " + state);
     }
 
     @Override
     public void nodeDelivered(String sidecar, String uid, String state, long bornAt) {
-        note(LIST, uid, state.length(), () -> sidecar + " is told by nodes: " + uid + " " + state);
+        note(
+                LIST,
+                uid,
+                state.length(),
+                () -> sidecar + " receives from ephemeral nodes: " + uid + " " + state);
     }
 
     @Override
@@ -167,7 +184,7 @@
                 MODULE,
                 uid,
                 startedAt,
-                () -> sidecar + "'s module has " + uid + (ready ? " ready" : " not ready"));
+                () -> sidecar + "'s module lists " + uid + (ready ? " ready" : " not ready"));
     }
 
     @Override
@@ -182,7 +199,7 @@
                                 + callId
                                 + (whole
                                         ? ", whole list"
-                                        : ", waits " + Unit.TIME.text(waitNanos) + " s"));
+                                        : ", waits up to " + Unit.TIME.text(waitNanos) + " s"));
     }
 
     @Override
@@ -221,7 +238,7 @@
 
     @Override
     public void sidecarExited(String sidecar, int life, int status) {
-        note(SIDECAR, sidecar, status, () -> sidecar + " ends with " + status);
+        note(SIDECAR, sidecar, status, () -> sidecar + " exits with status " + status);
     }
 
     @Override
@@ -230,7 +247,7 @@
                 SIDECAR,
                 sidecar,
                 until,
-                () -> sidecar + " stands still for " + Unit.TIME.text(until - from) + " s");
+                () -> sidecar + " is paused for " + Unit.TIME.text(until - from) + " s");
     }
 
     @Override
@@ -239,17 +256,17 @@
                 MODULE,
                 server,
                 moduleId,
-                () -> sidecar + "'s module sends its " + moduleId + " to " + server);
+                () -> sidecar + "'s module sends request " + moduleId + " to " + server);
     }
 
     @Override
     public void moduleRefused(String sidecar, int life, long moduleId) {
-        note(MODULE, sidecar, moduleId, () -> sidecar + "'s module refuses its " + moduleId);
+        note(MODULE, sidecar, moduleId, () -> sidecar + "'s module rejects request " + moduleId);
     }
 
     @Override
     public void moduleFailed(String sidecar, int life, long moduleId) {
-        note(MODULE, sidecar, -moduleId, () -> sidecar + "'s module fails its " + moduleId);
+        note(MODULE, sidecar, -moduleId, () -> sidecar + "'s module fails request " + moduleId);
     }
 
     @Override
@@ -261,7 +278,7 @@
                 moduleId,
                 () ->
                         sidecar
-                                + "'s module hears of its "
+                                + "'s module reports for request "
                                 + moduleId
                                 + ": attempt "
                                 + attempt
@@ -288,17 +305,21 @@
                 FAULT,
                 kind,
                 1,
-                () -> "FAULT " + kind + (at == null ? "" : " at " + at) + " for whom it meets");
+                () ->
+                        "FAULT "
+                                + kind
+                                + (at == null ? "" : " at " + at)
+                                + " for the requests that it affects");
     }
 
     @Override
     public void faultHit(String what, String id, RequestState state) {
-        note(FAULT, what, 2, () -> what + " meets " + id + ", " + FaultKind.word(state));
+        note(FAULT, what, 2, () -> what + " affects " + id + ", " + FaultKind.word(state));
     }
 
     @Override
     public void lastFaultEnded() {
-        note(DAY, null, 1, () -> "the last fault is over");
+        note(DAY, null, 1, () -> "the last fault has ended");
     }
 
     @Override
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -14,121 +14,123 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One day: real sidecars in a simulated world of clients, order servers and discovery. Everything
- * in it is made for the plan, and nothing outlives it.
+ * One simulated day: real sidecars in a simulated world of clients, order servers and discovery.
+ * The plan determines all of it. An instance runs one day, in the thread that calls {@link #run}.
  */
 public final class World {
-    /** Makes what handles the processes of one sidecar. */
+    /** Creates the host that controls the processes of one sidecar. */
     public interface SidecarHostFactory {
-        /** {@code evidence}: for what the module in it says. */
+        /** {@code evidence}: the listener for events of the load balancing module in it. */
         SidecarHost create(String name, World world, DayListener evidence);
     }
 
-    /** Makes who watches the day. */
+    /** Creates the listener that observes the day, such as the invariants. */
     public interface DayListenerFactory {
         /**
          * Called once, before anything happens.
          *
-         * @param states the state of each request; told of everything ahead of the watch
+         * @param states the state of each request; receives every event before the new listener
          * @param zoneOf the zone of an order server
          */
         DayListener create(World world, RequestStates states, UnaryOperator<String> zoneOf);
     }
 
-    private static final int DESCRIPTORS = 20_000;
+    /** File descriptor limit of all hosts but the sidecars. */
+    private static final int MAX_DESCRIPTORS = 20_000;
+
     private static final int DISCOVERY_ADDRESSES = 4;
 
-    /** With each move its versions begin lower, as those of one that begins anew. */
-    private static final long VERSIONS_APART = 1000;
+    /** By this much versions start lower after each move of discovery, as after a data loss. */
+    private static final long VERSION_STEP = 1000;
 
-    /** Clients come when all sidecars are ready, or after this. */
-    private static final long CLIENTS_COME = 3 * Site.SECOND;
+    /** Clients start when all sidecars are ready, but no later than this. */
+    private static final long MAX_CLIENT_START_NANOS = 3 * Site.SECOND;
 
-    /** From the last request's deadline until all clients have closed their connections. */
-    private static final long LAST_ANSWERS = 500 * Site.MS;
+    /** From the last request's deadline until clients close their connections. */
+    private static final long CLIENT_CLOSE_DELAY_NANOS = 500 * Site.MS;
 
     private final Plan plan;
     private final Simulation simulation;
     private final Network network;
     private final RequestStates states = new RequestStates();
     private final Day day;
-    private final ProcessSlots seats = new ProcessSlots();
+    private final ProcessSlots slots = new ProcessSlots();
     private final CoordinationService nodes = new CoordinationService();
     private final Fleet fleet;
     private final Links links;
     private final Discovery discovery;
     private final List<Application> applications = new ArrayList<>();
     private final List<Traffic> traffic = new ArrayList<>();
-    private boolean clientsCame;
+    private boolean clientsStarted;
 
-    /** Makes the world as it is when the day begins. */
-    public World(Plan plan, SidecarHostFactory sidecars, DayListenerFactory watch) {
+    /** Creates the world as it is before the day begins. */
+    public World(Plan plan, SidecarHostFactory sidecars, DayListenerFactory listenerFactory) {
         this.plan = plan;
-        SeededRandom chance = new SeededRandom(plan.seed());
-        simulation = new Simulation(chance.stream("ties"));
-        network = new Network(simulation, chance.stream("network"));
+        SeededRandom random = new SeededRandom(plan.seed());
+        simulation = new Simulation(random.stream("ties"));
+        network = new Network(simulation, random.stream("network"));
         network.tap(states);
-        FaultOverlaps meetings = new FaultOverlaps(states);
+        FaultOverlaps overlaps = new FaultOverlaps(states);
         DayListener evidence =
                 new DayListenerFanOut(
                         List.of(
-                                meetings,
+                                overlaps,
                                 states,
                                 new TraceRecorder(simulation),
                                 nodes,
-                                watch.create(this, states, this::zoneOf)));
-        day = new Day(plan, simulation, network, evidence, chance);
-        meetings.begin(day);
+                                listenerFactory.create(this, states, this::zoneOf)));
+        day = new Day(plan, simulation, network, evidence, random);
+        overlaps.begin(day);
         evidence.discoverySources(
                 plan.count(ScenarioParameter.MEMBERSHIP) != 1,
                 plan.count(ScenarioParameter.MEMBERSHIP) > 0);
         Instances instances = new Instances(day);
-        DeliveredEndpointUpdates told = new DeliveredEndpointUpdates(evidence);
+        DeliveredEndpointUpdates delivered = new DeliveredEndpointUpdates(evidence);
         fleet = new Fleet(plan, instances);
         if (plan.count(ScenarioParameter.MEMBERSHIP) > 0) {
             nodes.begin(day, fleet);
         }
         links = new Links(day);
-        discovery = new Discovery(registries(instances, told), seats);
+        discovery = new Discovery(registries(instances, delivered), slots);
         network.tap(
                 new RegistryTap(
                         network,
-                        seats,
+                        slots,
                         discovery.addresses().stream().map(Registry::host).toList(),
                         evidence));
         addMachines();
-        addSeats(sidecars, instances, told);
+        addSidecars(sidecars, instances, delivered);
         BadClients badClients = new BadClients(day, applications);
-        join(badClients);
-        FaultInjector strikes =
+        createLinks(badClients);
+        FaultInjector injector =
                 new FaultInjector(
                         day,
                         new ConnectionFaultInjector(day, applications, states),
-                        new ServerFaultInjector(day, fleet, seats, links, meetings),
-                        new ListFaultInjector(day, discovery, seats),
+                        new ServerFaultInjector(day, fleet, slots, links, overlaps),
+                        new ListFaultInjector(day, discovery, slots),
                         new SidecarFaultInjector(
-                                day, seats, fleet, discovery, links, traffic, badClients, meetings),
-                        nodes.strikes(day, fleet, seats));
-        new StateTriggers(day, strikes, states).set(plan.faults());
+                                day, slots, fleet, discovery, links, traffic, badClients, overlaps),
+                        nodes.faultInjector(day, fleet, slots));
+        new StateTriggers(day, injector, states).install(plan.faults());
         for (Fault each : plan.faults()) {
             if (!each.trigger().trap()) {
-                simulation.at(each.trigger().at(), () -> strikes.strike(each, null));
+                simulation.at(each.trigger().at(), () -> injector.strike(each, null));
             }
         }
     }
 
-    private List<Registry> registries(Instances instances, DeliveredEndpointUpdates told) {
+    private List<Registry> registries(Instances instances, DeliveredEndpointUpdates delivered) {
         List<Registry> registries = new ArrayList<>();
         for (int i = 0; i < DISCOVERY_ADDRESSES; i++) {
-            Host host = network.host("discovery" + i, Site.address(4, 0, 1 + i), DESCRIPTORS);
+            Host host = network.host("discovery" + i, Site.address(4, 0, 1 + i), MAX_DESCRIPTORS);
             registries.add(
                     new Registry(
                             day,
                             instances,
-                            told,
+                            delivered,
                             host,
                             i,
-                            (DISCOVERY_ADDRESSES - i) * VERSIONS_APART));
+                            (DISCOVERY_ADDRESSES - i) * VERSION_STEP));
         }
         return registries;
     }
@@ -137,15 +139,15 @@
         for (int i = 0; i < plan.count(ScenarioParameter.SERVERS); i++) {
             int zone = i % Site.ZONES.size();
             String name = "s" + i;
-            Host host = network.host(name, Site.address(3, zone, 1 + i), DESCRIPTORS);
+            Host host = network.host(name, Site.address(3, zone, 1 + i), MAX_DESCRIPTORS);
             fleet.machines().add(new Machine(day, fleet, name, zone, host));
         }
     }
 
-    private void addSeats(
-            SidecarHostFactory sidecars, Instances instances, DeliveredEndpointUpdates told) {
+    private void addSidecars(
+            SidecarHostFactory sidecars, Instances instances, DeliveredEndpointUpdates delivered) {
         int count = plan.count(ScenarioParameter.SIDECARS);
-        long[] works = works();
+        long[] meanWork = meanWork();
         double[] shares = shares(count);
         for (int i = 0; i < count; i++) {
             String name = "n" + i;
@@ -153,22 +155,22 @@
                     network.host(
                             name, Site.address(1, 0, 1 + i), plan.count(ScenarioParameter.SOCKETS));
             states.sidecar(name, name);
-            ProcessSlot seat =
+            ProcessSlot slot =
                     new ProcessSlot(
                             day,
-                            seats,
+                            slots,
                             name,
                             i,
                             host,
                             sidecars.create(name, this, day.evidence),
-                            told,
+                            delivered,
                             instances);
-            seats.all().add(seat);
+            slots.all().add(slot);
         }
         for (int i = 0; i < count; i++) {
-            Host host = network.host("app" + i, Site.address(2, 0, 1 + i), DESCRIPTORS);
-            seats.all().get(i).readiness(new ReadinessProbe(day, host, seats.all().get(i)));
-            Application application = new Application(day, i, host, seats, works);
+            Host host = network.host("app" + i, Site.address(2, 0, 1 + i), MAX_DESCRIPTORS);
+            slots.all().get(i).setReadinessProbe(new ReadinessProbe(day, host, slots.all().get(i)));
+            Application application = new Application(day, i, host, slots, meanWork);
             applications.add(application);
             traffic.add(
                     new Traffic(
@@ -176,29 +178,27 @@
         }
     }
 
-    /** The mean work of each class on this day. */
-    private long[] works() {
-        SeededRandom chance = day.work("works");
-        long[] works = new long[Classes.ALL.size()];
-        for (int i = 0; i < works.length; i++) {
+    /** Draws the mean work in nanoseconds of each request class on this day. */
+    private long[] meanWork() {
+        SeededRandom random = day.work("works");
+        long[] meanWork = new long[Classes.ALL.size()];
+        for (int i = 0; i < meanWork.length; i++) {
             Classes.Kind kind = Classes.of(i);
-            works[i] =
+            meanWork[i] =
                     (long)
-                            (chance.between(kind.leastWork(), kind.mostWork())
+                            (random.between(kind.leastWork(), kind.mostWork())
                                     * plan.part(ScenarioParameter.WORK));
         }
-        return works;
+        return meanWork;
     }
 
-    /**
-     * Which part of the traffic comes to each sidecar; the first one named need not have the most.
-     */
+    /** Draws the share of the traffic for each sidecar; a random one has the largest. */
     private double[] shares(int count) {
-        SeededRandom chance = day.work("shares");
+        SeededRandom random = day.work("shares");
         double[] shares = new double[count];
         double sum = 0;
         double share = 1;
-        int first = chance.nextInt(count);
+        int first = random.nextInt(count);
         for (int i = 0; i < count; i++) {
             shares[(first + i) % count] = share;
             sum += share;
@@ -210,24 +210,24 @@
         return shares;
     }
 
-    private void join(BadClients badClients) {
-        for (ProcessSlot seat : seats.all()) {
-            applications.forEach(each -> links.home(each.host(), seat.host()));
-            badClients.hosts().forEach(each -> links.home(each, seat.host()));
-            badClients.narrow(seat);
+    private void createLinks(BadClients badClients) {
+        for (ProcessSlot slot : slots.all()) {
+            applications.forEach(each -> links.home(each.host(), slot.host()));
+            badClients.hosts().forEach(each -> links.home(each, slot.host()));
+            badClients.narrow(slot);
             fleet.machines()
                     .forEach(
                             each ->
                                     links.join(
-                                            seat.host(), each.host(), seat.zone() == each.zone()));
+                                            slot.host(), each.host(), slot.zone() == each.zone()));
             discovery
                     .addresses()
                     .forEach(
                             each ->
                                     links.join(
-                                            seat.host(),
+                                            slot.host(),
                                             each.host(),
-                                            seat.zone() == Registry.ZONE));
+                                            slot.zone() == Registry.ZONE));
         }
     }
 
@@ -238,20 +238,22 @@
         day.evidence.dayEnded();
     }
 
-    /** All processes begin; the day goes on with the simulation's steps. */
+    /** Starts all processes; the day proceeds with the steps of the simulation. */
     public void begin() {
-        beginFleet();
+        startServers();
         discovery.registry().listen();
-        seats.onReady(
+        slots.onReady(
                 () -> {
-                    if (seats.all().stream().allMatch(ProcessSlot::isUsable)) {
-                        clientsCome();
+                    if (slots.all().stream().allMatch(ProcessSlot::isUsable)) {
+                        startClients();
                     }
                 });
-        seats.all().forEach(seat -> seat.start(discovery.registry()));
-        day.after(CLIENTS_COME, this::clientsCome);
+        slots.all().forEach(slot -> slot.start(discovery.registry()));
+        day.after(MAX_CLIENT_START_NANOS, this::startClients);
         simulation.at(
-                plan.quietFrom() + plan.size(ScenarioParameter.LONGEST_DEADLINE) + LAST_ANSWERS,
+                plan.quietFrom()
+                        + plan.size(ScenarioParameter.LONGEST_DEADLINE)
+                        + CLIENT_CLOSE_DELAY_NANOS,
                 () -> applications.forEach(Application::goHome));
         simulation.at(
                 plan.faultsEnd(),
@@ -261,23 +263,27 @@
                 });
     }
 
-    /** Long before the day there was a server that is gone, and the last machine was not there. */
-    private void beginFleet() {
+    /**
+     * Starts the order servers. Before the day a server existed that is gone by now, and the last
+     * machine did not exist yet.
+     */
+    private void startServers() {
         Instances instances = fleet.instances();
         List<Machine> machines = fleet.machines();
-        InetSocketAddress past =
+        InetSocketAddress removedAddress =
                 new InetSocketAddress(machines.get(0).host().address(), Site.SERVER_PORT + 1);
-        Instances.Entry old = new Instances.Entry("old.0", 0, past, 0, Instances.READY, 0);
-        instances.begins(old);
+        Instances.Entry removed =
+                new Instances.Entry("old.0", 0, removedAddress, 0, Instances.READY, 0);
+        instances.begins(removed);
         machines.subList(0, machines.size() - 1).forEach(machine -> machine.begin(states));
         instances.pastEnds();
-        instances.begins(old.in(Instances.GONE));
+        instances.begins(removed.in(Instances.GONE));
         machines.get(machines.size() - 1).begin(states);
     }
 
-    private void clientsCome() {
-        if (!clientsCame) {
-            clientsCame = true;
+    private void startClients() {
+        if (!clientsStarted) {
+            clientsStarted = true;
             traffic.forEach(Traffic::begin);
         }
     }
@@ -287,14 +293,14 @@
         return machine == null ? "" : Site.ZONES.get(machine.zone());
     }
 
-    // ---- for those who run and watch it
+    // ---- access for runners and listeners
 
-    /** What is planned. */
+    /** The plan of the day. */
     public Plan plan() {
         return plan;
     }
 
-    /** The time of the day. */
+    /** The simulation, which has the clock of the day. */
     public Simulation simulation() {
         return simulation;
     }
@@ -304,7 +310,7 @@
         return network;
     }
 
-    /** Connections that a sidecar's process has accepted and not closed. */
+    /** Counts the client connections that a sidecar has accepted and not closed. */
     public int openClientConnections(String sidecar) {
         int clients = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
@@ -313,7 +319,7 @@
         return clients;
     }
 
-    /** Connections to servers that it opens, or has opened and not closed. */
+    /** Counts a sidecar's connections to order servers that are connecting or open. */
     public int openUpstreamConnections(String sidecar) {
         int upstreams = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
@@ -325,14 +331,14 @@
         return upstreams;
     }
 
-    /** The coordination service; null on a day without. */
+    /** The coordination service; null on a day without one. */
     public Ensemble ensemble() {
         return nodes.ensemble();
     }
 
-    /** Where a sidecar's processes run; null if there is none of that name. */
+    /** The host of a sidecar's processes; null if there is no sidecar of that name. */
     public Host sidecarHost(String name) {
-        ProcessSlot seat = seats.slot(name);
-        return seat == null ? null : seat.host();
+        ProcessSlot slot = slots.slot(name);
+        return slot == null ? null : slot.host();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Znode.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Znode.java
@@ -4,10 +4,10 @@
 import appleridge.discovery.ephemeral.NodeRead;
 
 /**
- * A server's node.
+ * The ephemeral node of an order server.
  *
- * @param data null while it can't be read
- * @param bornAt when its server began, in the day's time; 0 for long ago
+ * @param data null while it is unreadable
+ * @param bornAt when its server started, in nanoseconds of the day; 0 for before the day
  */
 record Znode(
         String name,
--- a/testbed/src/main/java/appleridge/testbed/simulation/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The world around sidecars on the simulated network: plans of days, stand-ins, and their faults.
+ * The simulated world around the sidecars: plans of days, stand-ins for clients, order servers and
+ * discovery, and the faults injected into them.
  */
 package appleridge.testbed.simulation;
--- a/testbed/src/test/java/appleridge/testbed/simulation/DayRecorder.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DayRecorder.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keeps what the stand-ins tell, for tests to look at. */
+/** Records the events of a day for tests. */
 final class DayRecorder implements DayListener {
     final Map<String, ClientAttempt> asks = new LinkedHashMap<>();
     final Map<String, Message> written = new LinkedHashMap<>();
@@ -22,8 +22,8 @@
     final Map<String, String> broken = new LinkedHashMap<>();
     final List<String> readiness = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
-    final List<Integer> listConnects = new ArrayList<>();
-    final List<String> met = new ArrayList<>();
+    final List<Integer> discoveryConnects = new ArrayList<>();
+    final List<String> faultHits = new ArrayList<>();
     final List<String> gaveUp = new ArrayList<>();
     final Map<String, String> made = new LinkedHashMap<>();
     final List<String> arrived = new ArrayList<>();
@@ -31,19 +31,19 @@
     final List<String> servers = new ArrayList<>();
     final List<String> delivered = new ArrayList<>();
     final List<String> notDelivered = new ArrayList<>();
-    final List<String> knows = new ArrayList<>();
+    final List<String> listed = new ArrayList<>();
     final List<String> sidecars = new ArrayList<>();
     final Map<String, Long> badConnected = new LinkedHashMap<>();
     final Map<String, Integer> badEnded = new LinkedHashMap<>();
     final List<String> hidden = new ArrayList<>();
-    final List<String> fell = new ArrayList<>();
+    final List<String> collapsed = new ArrayList<>();
     final TreeMap<String, Integer> faults = new TreeMap<>();
     boolean ended;
 
     @Override
-    public void requestStarted(ClientAttempt asking) {
-        if (asks.put(asking.id(), asking) != null) {
-            throw new AssertionError("an id came twice");
+    public void requestStarted(ClientAttempt attempt) {
+        if (asks.put(attempt.id(), attempt) != null) {
+            throw new AssertionError("request id used twice: " + attempt.id());
         }
     }
 
@@ -93,12 +93,12 @@
 
     @Override
     public void discoveryConnecting(String sidecar, int open) {
-        listConnects.add(open);
+        discoveryConnects.add(open);
     }
 
     @Override
     public void faultHit(String what, String id, RequestState state) {
-        met.add(what + " " + FaultKind.word(state));
+        faultHits.add(what + " " + FaultKind.word(state));
     }
 
     @Override
@@ -121,7 +121,7 @@
             long lastByteSentAt,
             long work) {
         if (firstByteSentAt > lastByteSentAt) {
-            throw new AssertionError("the last byte came first");
+            throw new AssertionError("first byte of " + id + " sent after its last byte");
         }
         arrived.add(id);
     }
@@ -139,12 +139,12 @@
     @Override
     public void serverCollapsed(
             String server, int life, Map<String, Double> workBySidecarInWindow) {
-        fell.add(server);
+        collapsed.add(server);
     }
 
     @Override
     public void discoveryChanged(long revision, String uid, int life, String state, long bornAt) {
-        knows.add(uid + " " + state);
+        listed.add(uid + " " + state);
     }
 
     @Override
--- a/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
@@ -170,7 +170,7 @@
             fixture.addRequest("r" + i, 0, null, 100 * MS);
             fixture.connectToServer(0).send(ServerFixture.get("r" + i));
         }
-        assertEquals(List.of("s0.1"), fixture.recorder.fell);
+        assertEquals(List.of("s0.1"), fixture.recorder.collapsed);
         assertTrue(fixture.connectToServer(0).hasConnectFailed());
         fixture.advance(2 * Site.SECOND);
         assertTrue(
@@ -187,7 +187,7 @@
             fixture.addRequest("r" + i, 0, null, 500 * MS);
             fixture.connectToServer(0).send(ServerFixture.get("r" + i));
         }
-        assertTrue(fixture.recorder.fell.isEmpty());
+        assertTrue(fixture.recorder.collapsed.isEmpty());
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/RegistryTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void givesTheWholeListAsTheProtocolHasIt() {
+    void returnsTheWholeListInTheProtocolsFormat() {
         ServerFixture fixture = fixture();
         String answer = fixture.connectToDiscovery().send(WHOLE).receive(50 * MS);
         assertTrue(
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aWatchWaitsForNewsOrItsTime() {
+    void aWatchWaitsForAChangeOrItsTimeout() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 1000));
         assertEquals("", connection.receive(900 * MS));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void callsAreWorkedThroughInTurn() {
+    void callsAreProcessedOneAfterTheOther() {
         ServerFixture fixture = fixture();
         fixture.registry.slow(Site.SECOND, 400 * MS);
         ServerFixture.Connection one = fixture.connectToDiscovery();
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aVersionThatIsNotThereYetIsWaitedFor() {
+    void aWatchOfAFutureVersionWaits() {
         ServerFixture.Connection connection =
                 fixture().connectToDiscovery().send(watch(1002, 1000));
         assertEquals("", connection.receive(900 * MS));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void whenItGoesDownWatchesEndAndCallsAreRefusedUntilItIsBack() {
+    void anOutageEndsWatchesAndRefusesConnectionsUntilItIsOver() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 5000));
         fixture.advance(100 * MS);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aLostWatchIsNeverAnswered() {
+    void aDroppedWatchIsNeverAnswered() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 1000));
         fixture.advance(100 * MS);
@@ -110,12 +110,12 @@
     }
 
     @Test
-    void whatIsLostUnreadWasNotTold() {
+    void aResponseLostUnreadCountsAsNotDelivered() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection =
                 fixture.connectToDiscovery().stopReading().send(WHOLE);
         fixture.advance(3 * Site.SECOND);
-        assertEquals(List.of(), fixture.recorder.notDelivered, "it may be read yet");
+        assertEquals(List.of(), fixture.recorder.notDelivered, "it may still be read");
         fixture.registry.down(Site.SECOND);
         fixture.advance(2 * Site.SECOND);
         assertTrue(connection.receive(0).isEmpty());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatIsOnItsWayWhenTheMachineFallsSilentWasNotTold() {
+    void aResponseInTransitWhenTheMachineVanishesCountsAsNotDelivered() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection = fixture.connectToDiscovery();
         fixture.delayFromDiscovery(300 * MS);
@@ -135,12 +135,12 @@
     }
 
     @Test
-    void whatWasReadOrGivenUpWasTold() {
+    void aResponseReadOrDroppedByTheSidecarCountsAsDelivered() {
         ServerFixture fixture = fixture();
         fixture.connectToDiscovery().send(WHOLE).receive(50 * MS);
-        ServerFixture.Connection leaves = fixture.connectToDiscovery().stopReading().send(WHOLE);
+        ServerFixture.Connection closing = fixture.connectToDiscovery().stopReading().send(WHOLE);
         fixture.advance(50 * MS);
-        leaves.close();
+        closing.close();
         fixture.advance(MS);
         fixture.registry.down(Site.SECOND);
         fixture.advance(3 * Site.SECOND);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void answersAreCutAndGarbled() {
+    void responsesCanBeCutAndGarbled() {
         ServerFixture fixture = fixture();
         fixture.registry.cut(1);
         fixture.registry.garble(1);
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void itFailsHangsAndFallsSilent() {
+    void itCanFailHangAndBecomeUnreachable() {
         ServerFixture fixture = fixture();
         fixture.registry.failing(100 * MS);
         assertTrue(fixture.connectToDiscovery().send(WHOLE).receive(50 * MS).contains(" 503 "));
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void wholeListsCanBeOld() {
+    void wholeListsCanBeStale() {
         ServerFixture fixture = fixture();
         fixture.machine(0).crash(0, false);
         fixture.advance(3 * Site.SECOND);
@@ -186,11 +186,11 @@
         assertTrue(old.contains("s0.0") && old.contains("\"rev\":2"), old);
         assertTrue(
                 fixture.recorder.delivered.contains("n0 s0.1 Gone"),
-                "what a whole list leaves out is told as gone");
+                "an entry missing from a whole list counts as gone");
     }
 
     @Test
-    void entriesFlap() {
+    void entriesCanFlap() {
         ServerFixture fixture = fixture();
         fixture.instances.flap("s0.0", Instances.GONE, 2, 100 * MS);
         fixture.advance(Site.SECOND);
@@ -202,11 +202,11 @@
                         "s0.0 Ready",
                         "s0.0 Gone",
                         "s0.0 Ready"),
-                fixture.recorder.knows);
+                fixture.recorder.listed);
     }
 
     @Test
-    void theOldAddressEndsWhatIsOpenAfterAWhile() {
+    void theOldAddressClosesItsConnectionsAfterAMove() {
         ServerFixture fixture = fixture();
         ServerFixture.Connection connection = fixture.connectToDiscovery().send(watch(2, 9000));
         fixture.registry.retire();
@@ -218,10 +218,10 @@
     }
 
     @Test
-    void anOlderChangeThatIsNoticedLaterDoesNotCount() {
+    void anOlderChangeNoticedLaterIsIgnored() {
         ServerFixture fixture = fixture();
         fixture.machine(0).crash(100 * MS, true);
         fixture.advance(3 * Site.SECOND);
-        assertEquals("s0.0 Ready", fixture.recorder.knows.get(fixture.recorder.knows.size() - 1));
+        assertEquals("s0.0 Ready", fixture.recorder.listed.get(fixture.recorder.listed.size() - 1));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/SimulatedDay.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SimulatedDay.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A day played with stand-ins for the sidecars. */
+/** A simulated day with stand-ins for the sidecars, and a recorder of its events. */
 final class SimulatedDay {
     final DayRecorder recorder = new DayRecorder();
     final List<String> log = new ArrayList<>();
--- a/testbed/src/test/java/appleridge/testbed/simulation/SocketPair.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SocketPair.java
@@ -9,19 +9,19 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Two hosts and a connection between them. */
+/** Two simulated hosts and an open connection between them. */
 final class SocketPair {
     final Simulation simulation = new Simulation(new SeededRandom(1));
     final Network network = new Network(simulation, new SeededRandom(2));
-    private final Host one = network.host("one", Site.address(9, 0, 1), 100);
-    private final Host other = network.host("other", Site.address(9, 0, 2), 100);
+    private final Host clientHost = network.host("one", Site.address(9, 0, 1), 100);
+    private final Host serverHost = network.host("other", Site.address(9, 0, 2), 100);
     private final SimSocket client;
     private final SimSocket server;
 
     SocketPair() throws IOException {
-        InetSocketAddress at = new InetSocketAddress(other.address(), 80);
-        SimListener listener = other.listen(at, 5);
-        client = one.connect(at, new SimSocket.Events() {});
+        InetSocketAddress address = new InetSocketAddress(serverHost.address(), 80);
+        SimListener listener = serverHost.listen(address, 5);
+        client = clientHost.connect(address, new SimSocket.Events() {});
         settle();
         server = listener.accept();
     }
@@ -34,12 +34,12 @@
         return server;
     }
 
-    /** Until nothing more happens for a while. */
+    /** Runs the simulation for 100 ms, so that everything in transit arrives. */
     void settle() {
         simulation.runUntil(simulation.now() + 100 * Site.MS);
     }
 
-    /** All that has come to an end, as text. */
+    /** Reads all available bytes as ISO 8859-1 text. */
     static String text(SimSocket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         byte[] bytes = new byte[1000];
--- a/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 class WorldTest {
-    private static final String CALM = "seed 1\nset errors 0\nset impatient 0\nset bursts 0\n";
+    private static final String NO_FAULTS = "seed 1\nset errors 0\nset impatient 0\nset bursts 0\n";
 
     @Test
-    void aCalmDayIsServed() {
-        SimulatedDay day = SimulatedDay.run(CALM);
-        assertTrue(day.recorder.asks.size() >= 300, "asked " + day.recorder.asks.size());
+    void aDayWithoutFaultsIsServed() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS);
+        assertTrue(day.recorder.asks.size() >= 300, "requests: " + day.recorder.asks.size());
         assertTrue(
                 day.recorder.served() >= 0.95 * day.recorder.asks.size(),
                 day.recorder.answers.toString());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void clientsTellWhatTheyWriteAndServersWhatTheyRead() {
+    void serversReadTheMessagesThatClientsWrite() {
         DayRecorder recorder = SimulatedDay.run("seed 3\nset large-bodies 0.3\n").recorder;
         assertEquals(recorder.asks.keySet(), recorder.written.keySet());
         assertFalse(recorder.read.isEmpty());
@@ -41,51 +41,55 @@
     }
 
     @Test
-    void aKilledSidecarComesAgainAndItsClientsUseOthersMeanwhile() {
-        SimulatedDay day = SimulatedDay.run(CALM + "at 3 kill who=n0 down=1");
+    void aKilledSidecarRestartsAndItsClientsUseOthersMeanwhile() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS + "at 3 kill who=n0 down=1");
         assertTrue(day.recorder.sidecars.contains("n0 0 killed"));
         assertTrue(day.recorder.sidecars.contains("n0 1 ready"));
         assertTrue(day.recorder.served() >= 0.9 * day.recorder.asks.size());
     }
 
     @Test
-    void aSidecarThatIsToldToEndEndsByItselfAndComesAgain() {
-        SimulatedDay day = SimulatedDay.run(CALM + "at 3 term who=n1 down=0.5");
+    void aSidecarExitsOnSigtermAndRestarts() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS + "at 3 term who=n1 down=0.5");
         assertTrue(day.recorder.sidecars.contains("n1 0 exited 0"));
         assertTrue(day.recorder.sidecars.contains("n1 1 ready"));
     }
 
     @Test
-    void whetherOneIsReadyIsAskedAgainAndAgainAndOftenAfterSigterm() {
+    void readinessIsProbedRepeatedlyAndMoreOftenAfterSigterm() {
         long usual =
-                SimulatedDay.run(CALM).recorder.readiness.stream().filter("n1 200"::equals).count();
-        assertTrue(usual > 15, "asked " + usual);
-        DayRecorder recorder = SimulatedDay.run(CALM + "at 5 term who=n1 down=0").recorder;
+                SimulatedDay.run(NO_FAULTS).recorder.readiness.stream()
+                        .filter("n1 200"::equals)
+                        .count();
+        assertTrue(usual > 15, "probes: " + usual);
+        DayRecorder recorder = SimulatedDay.run(NO_FAULTS + "at 5 term who=n1 down=0").recorder;
         long more = recorder.readiness.stream().filter("n1 200"::equals).count();
-        assertTrue(more >= usual + 2, "asked " + more);
+        assertTrue(more >= usual + 2, "probes: " + more);
         assertTrue(recorder.refused.isEmpty(), recorder.refused.toString());
     }
 
     @Test
-    void whatOpensToDiscoveryIsCounted() {
+    void connectionsToDiscoveryAreCounted() {
         assertEquals(
                 List.of(1),
-                SimulatedDay.run(CALM).recorder.listConnects.stream().distinct().toList());
+                SimulatedDay.run(NO_FAULTS).recorder.discoveryConnects.stream()
+                        .distinct()
+                        .toList());
     }
 
     @Test
-    void aProcessMayBeGivenNoList() {
-        SimulatedDay usual = new SimulatedDay(Plan.parse(CALM));
+    void aProcessMayStartWithoutAnEndpointList() {
+        SimulatedDay usual = new SimulatedDay(Plan.parse(NO_FAULTS));
         usual.world.begin();
         assertFalse(usual.recorder.delivered.isEmpty());
-        SimulatedDay without = new SimulatedDay(Plan.parse(CALM + "set known 0"));
+        SimulatedDay without = new SimulatedDay(Plan.parse(NO_FAULTS + "set known 0"));
         without.world.begin();
         assertEquals(List.of(), without.recorder.delivered);
     }
 
     @Test
-    void discoveryMovesAndAllAreTold() {
-        SimulatedDay day = SimulatedDay.run(CALM + "at 3 move\nat 5 crash who=s0 down=1");
+    void allSidecarsFollowAMoveOfDiscovery() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS + "at 3 move\nat 5 crash who=s0 down=1");
         assertTrue(day.recorder.sidecars.containsAll(List.of("n0 0 hup", "n1 0 hup", "n2 0 hup")));
         assertTrue(
                 day.recorder.delivered.contains("n2 s0.1 Ready"),
@@ -93,8 +97,8 @@
     }
 
     @Test
-    void aServerThatDrainsIsFollowedByAnotherUnderANewId() {
-        SimulatedDay day = SimulatedDay.run(CALM + "at 3 drain who=s1 down=0.5");
+    void aDrainedServerIsReplacedUnderANewId() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS + "at 3 drain who=s1 down=0.5");
         List<String> own =
                 day.recorder.servers.stream().filter(line -> line.startsWith("s1.")).toList();
         assertEquals(
@@ -105,35 +109,38 @@
     }
 
     @Test
-    void aServerThatRestartsKeepsItsId() {
-        SimulatedDay day = SimulatedDay.run(CALM + "at 3 restart who=s1 down=0.5");
+    void aRestartedServerKeepsItsId() {
+        SimulatedDay day = SimulatedDay.run(NO_FAULTS + "at 3 restart who=s1 down=0.5");
         List<String> own =
                 day.recorder.servers.stream().filter(line -> line.startsWith("s1.")).toList();
         assertEquals(List.of("s1.0 0 Ready", "s1.0 0 Gone", "s1.0 1 Ready born"), own);
     }
 
     @Test
-    void aTrapStrikesTheRequestThatSprangIt() {
+    void aStateTriggerHitsTheRequestThatEnteredTheState() {
         SimulatedDay day =
-                SimulatedDay.run(CALM + "on arriving 20 client-reset\non answered 30 client-close");
+                SimulatedDay.run(
+                        NO_FAULTS + "on arriving 20 client-reset\non answered 30 client-close");
         assertEquals(1, day.recorder.faults.get("client-reset"));
         assertEquals(1, day.recorder.faults.get("client-close"));
         assertTrue(day.recorder.gaveUp.size() >= 2);
     }
 
     @Test
-    void nothingStrikesWhenTheFaultsHaveEnded() {
+    void noFaultIsInjectedAfterTheEndOfFaults() {
         SimulatedDay day =
                 SimulatedDay.run(
-                        CALM + "on arriving 250 kill who=n0 down=1\non arriving 250 client-reset");
+                        NO_FAULTS
+                                + "on arriving 250 kill who=n0 down=1\n"
+                                + "on arriving 250 client-reset");
         assertTrue(day.recorder.faults.isEmpty());
     }
 
     @Test
-    void allThatWasDoneToServersIsUndoneWhenTheFaultsEnd() {
-        StringBuilder worst = new StringBuilder(CALM);
+    void allFaultsAreUndoneAtTheEndOfFaults() {
+        StringBuilder scenario = new StringBuilder(NO_FAULTS);
         for (int i = 0; i < 8; i++) {
-            worst.append("at 7.")
+            scenario.append("at 7.")
                     .append(i)
                     .append(i % 2 == 0 ? " crash" : " drain")
                     .append(" who=s")
@@ -142,27 +149,27 @@
                     .append(i)
                     .append('\n');
         }
-        worst.append(
+        scenario.append(
                         "at 7 list-down for=60\n"
                                 + "at 7.5 kill who=n0 down=60\n"
                                 + "at 7.5 zone-cut who=ebene for=60\n")
                 .append(
                         "at 7 link-late who=n1 for=60 by=1\n"
                                 + "at 7 no-descriptors who=n2 for=60 count=0\n");
-        SimulatedDay day = SimulatedDay.run(worst.toString());
-        int asked = 0;
+        SimulatedDay day = SimulatedDay.run(scenario.toString());
+        int sent = 0;
         int served = 0;
         for (var each : day.recorder.asks.values()) {
             if (each.askedAt() > day.world.plan().calmFrom()) {
-                asked++;
+                sent++;
                 served += Integer.valueOf(200).equals(day.recorder.answers.get(each.id())) ? 1 : 0;
             }
         }
-        assertTrue(asked > 20 && served >= 0.9 * asked, served + " of " + asked);
+        assertTrue(sent > 20 && served >= 0.9 * sent, served + " of " + sent);
     }
 
     @Test
-    void whatIsDrawnKeepsClientsBusyInTheCalmToo() {
+    void drawnDaysHaveEnoughRequests() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedDay day = SimulatedDay.run(Plan.draw(seed));
             assertTrue(
