--- a/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
@@ -57,14 +57,14 @@
 
     @Test
     void readinessIsProbedRepeatedlyAndMoreOftenAfterSigterm() {
-        long usual =
+        long baseline =
                 SimulatedDay.run(NO_FAULTS).recorder.readiness.stream()
                         .filter("n1 200"::equals)
                         .count();
-        assertTrue(usual > 15, "probes: " + usual);
+        assertTrue(baseline > 15, "probes: " + baseline);
         DayRecorder recorder = SimulatedDay.run(NO_FAULTS + "at 5 term who=n1 down=0").recorder;
         long more = recorder.readiness.stream().filter("n1 200"::equals).count();
-        assertTrue(more >= usual + 2, "probes: " + more);
+        assertTrue(more >= baseline + 2, "probes: " + more);
         assertTrue(recorder.refused.isEmpty(), recorder.refused.toString());
     }
 
@@ -79,9 +79,9 @@
 
     @Test
     void aProcessMayStartWithoutAnEndpointList() {
-        SimulatedDay usual = new SimulatedDay(Plan.parse(NO_FAULTS));
-        usual.world.begin();
-        assertFalse(usual.recorder.delivered.isEmpty());
+        SimulatedDay baseline = new SimulatedDay(Plan.parse(NO_FAULTS));
+        baseline.world.begin();
+        assertFalse(baseline.recorder.delivered.isEmpty());
         SimulatedDay without = new SimulatedDay(Plan.parse(NO_FAULTS + "set known 0"));
         without.world.begin();
         assertEquals(List.of(), without.recorder.delivered);
