--- a/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SentRequestRegistry.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /**
- * What the usual clients have asked, by id: from it servers know what a request is, and which are
- * none.
+ * The requests that the regular clients have sent, by request id. From it order servers know the
+ * work of a request, and recognize requests that no regular client has sent.
  */
 final class SentRequestRegistry {
     /**
-     * One try's form.
+     * A request as sent by its client, one attempt.
      *
-     * @param work nanoseconds that it costs a core, before the servers' own chance
+     * @param work CPU time in nanoseconds, before the servers' random variation
      */
-    record Form(int requestClass, Message message, long work) {
+    record SentRequest(int requestClass, Message message, long work) {
         String key() {
             return message.key();
         }
@@ -26,54 +26,56 @@
         }
     }
 
-    private final Map<String, Form> forms = new HashMap<>();
-    private final Set<String> borrowed = new HashSet<>();
+    private final Map<String, SentRequest> requests = new HashMap<>();
+    private final Set<String> reusedIds = new HashSet<>();
 
-    /** What is to be done to the answers of some; by id. */
-    private final Map<String, ResponseCorruption> spoilt = new HashMap<>();
+    /** How to corrupt the next response, by request id. */
+    private final Map<String, ResponseCorruption> corruptions = new HashMap<>();
 
     private final Map<String, ResponseExtra> extras = new HashMap<>();
 
-    void add(String id, Form form) {
-        forms.put(id, form);
+    void add(String id, SentRequest request) {
+        requests.put(id, request);
     }
 
-    /** Null for an id that no usual client has sent. */
-    Form form(String id) {
-        return forms.get(id);
+    /** Returns null for an id that no regular client has sent. */
+    SentRequest find(String id) {
+        return requests.get(id);
     }
 
-    /** A bad client asks under this id too, with another method. */
-    void borrow(String id) {
-        borrowed.add(id);
+    /** Records that a bad client uses this id too, with another method. */
+    void markReused(String id) {
+        reusedIds.add(id);
     }
 
-    /** What to call what came under this id: it may be another's who only says so. */
-    String name(String id, String method) {
-        Form form = forms.get(id);
-        return form != null && borrowed.contains(id) && !form.method().equals(method)
-                ? Site.BAD_ID + id
+    /** The id to report for a received request: marked if a bad client reused another's id. */
+    String effectiveId(String id, String method) {
+        SentRequest request = requests.get(id);
+        return request != null && reusedIds.contains(id) && !request.method().equals(method)
+                ? Site.BAD_CLIENT_ID_PREFIX + id
                 : id;
     }
 
-    void spoil(String id, ResponseCorruption how) {
-        spoilt.put(id, how);
+    void corruptResponse(String id, ResponseCorruption how) {
+        corruptions.put(id, how);
     }
 
-    void extra(String id, ResponseExtra what) {
+    void addExtra(String id, ResponseExtra what) {
         extras.put(id, what);
     }
 
-    /** How this one's next answer is to be spoilt; told once. */
-    ResponseCorruption takeSpoil(String id) {
-        return spoilt.isEmpty() ? null : spoilt.remove(id);
+    /** Removes and returns how to corrupt the next response; null for none. */
+    ResponseCorruption takeCorruption(String id) {
+        return corruptions.isEmpty() ? null : corruptions.remove(id);
     }
 
+    /** Removes and returns the extra of the next response; null for none. */
     ResponseExtra takeExtra(String id) {
         return extras.isEmpty() ? null : extras.remove(id);
     }
 
-    ResponseExtra extra(String id) {
+    /** The extra of the next response; null for none. */
+    ResponseExtra peekExtra(String id) {
         return extras.isEmpty() ? null : extras.get(id);
     }
 }
