--- a/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimNodes.java
@@ -17,10 +17,10 @@
  * place.
  */
 record SimNodes(Ensemble ensemble, String sidecar) implements DiscoveryFactory {
-    private record Hearer(SidecarEventLoop loop, NodeDiscovery membership)
-            implements EnsembleClient.Hearer {
+    private record ProcessContext(SidecarEventLoop loop, NodeDiscovery membership)
+            implements EnsembleClient.ProcessContext {
         @Override
-        public void soon(Runnable what) {
+        public void execute(Runnable what) {
             loop.execute(what);
         }
 
@@ -66,6 +66,7 @@
                 config.seed(),
                 sink,
                 told -> DiscoveryFactory.registry(loop, sockets, config, told),
-                membership -> new Client(ensemble.client(sidecar, new Hearer(loop, membership))));
+                membership ->
+                        new Client(ensemble.client(sidecar, new ProcessContext(loop, membership))));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -21,14 +21,14 @@
     private final Application application;
     private final ProcessSlot seat;
     private final HttpReader reader = new HttpReader(true);
-    private final ArrayDeque<Asking> open = new ArrayDeque<>(2);
+    private final ArrayDeque<PendingAttempt> open = new ArrayDeque<>(2);
 
     /** How many bytes of earlier requests were written when each of the open ones began. */
     private final ArrayDeque<Long> begunAt = new ArrayDeque<>(2);
 
     private SimSocket socket;
     private Player player;
-    private Asking first;
+    private PendingAttempt first;
     private Simulation.Event connectEnd;
     private Simulation.Event sip;
     private long openedAt;
@@ -38,7 +38,7 @@
     private boolean stalled;
     private boolean troubled;
 
-    AppConnection(Day day, Application application, ProcessSlot seat, Asking first) {
+    AppConnection(Day day, Application application, ProcessSlot seat, PendingAttempt first) {
         this.day = day;
         this.application = application;
         this.seat = seat;
@@ -95,7 +95,7 @@
                 && open.peekLast().until() <= until;
     }
 
-    void ask(Asking asking) {
+    void ask(PendingAttempt asking) {
         open.add(asking);
         begunAt.add(socket.bytesWritten());
         asking.begins(this);
@@ -154,7 +154,7 @@
         open.forEach(this::tellTroubled);
     }
 
-    private void tellTroubled(Asking asking) {
+    private void tellTroubled(PendingAttempt asking) {
         // What the trouble brings about comes at this very instant, and is not to come before it.
         day.evidence.clientLinkTroubled(seat.name(), asking.id, day.now() - 1, Long.MAX_VALUE);
     }
@@ -181,7 +181,7 @@
     @Override
     public void connected() {
         connectEnd.cancel();
-        Asking begins = first;
+        PendingAttempt begins = first;
         first = null;
         ask(begins);
     }
@@ -189,7 +189,7 @@
     @Override
     public void failed(IOException why) {
         if (!closed) {
-            Asking waiting = first;
+            PendingAttempt waiting = first;
             first = null;
             close();
             if (why instanceof ConnectException) {
@@ -233,7 +233,7 @@
         }
         while (!closed && socket.isReadable()) {
             // Where several answers may have come, each byte alone tells when it was sent.
-            if (!read(open.size() > 1 ? reader.lacks() : BULK)) {
+            if (!read(open.size() > 1 ? reader.missingBytes() : BULK)) {
                 return;
             }
         }
@@ -244,7 +244,7 @@
         try {
             int read = reader.read(socket, most);
             if (read < 0 && !answers()) {
-                broke(reader.begun() ? "cut" : "closed");
+                broke(reader.hasPartialMessage() ? "cut" : "closed");
             } else if (read > 0) {
                 answers();
             }
@@ -279,7 +279,7 @@
         long retryAfter = retryAfter(reader.header("retry-after"));
         boolean last = "close".equalsIgnoreCase(reader.header("connection"));
         reader.next();
-        Asking done = open.poll();
+        PendingAttempt done = open.poll();
         begunAt.poll();
         answeredOnce = true;
         long sentAt = socket.sentAt();
@@ -310,7 +310,7 @@
         if (closed) {
             return;
         }
-        boolean begun = reader.begun();
+        boolean begun = reader.hasPartialMessage();
         long read = socket.peer() == null ? 0 : socket.peer().bytesRead();
         close();
         while (!open.isEmpty()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -45,7 +45,7 @@
     }
 
     /** A client of a tenant wants something done. */
-    void wish(int tenant) {
+    void submit(int tenant) {
         long number = wishes++;
         RequestIntent wish =
                 new RequestIntent(
@@ -63,7 +63,7 @@
         }
         AppConnection kept = keptOfOneThatEnds();
         if (kept != null) {
-            kept.ask(new Asking(day, this, wish, index * SERIALS + ++tries));
+            kept.ask(new PendingAttempt(day, this, wish, index * SERIALS + ++tries));
             return;
         }
         ProcessSlot seat = seats.choose(index, chance);
@@ -80,7 +80,7 @@
             await(wish);
             return;
         }
-        Asking asking = new Asking(day, this, wish, index * SERIALS + ++tries);
+        PendingAttempt asking = new PendingAttempt(day, this, wish, index * SERIALS + ++tries);
         if (connection != null) {
             connection.ask(asking);
             return;
@@ -161,13 +161,13 @@
     }
 
     /** Nobody asks any more: all connections are closed. */
-    void goHome() {
+    void closeAll() {
         waiting.clear();
         List.copyOf(connections).forEach(AppConnection::leave);
     }
 
     /** A try is over: its client is content, asks again, or leaves it at that. */
-    void ended(Asking asking, Asking.Outcome outcome, long retryAfter) {
+    void ended(PendingAttempt asking, PendingAttempt.Outcome outcome, long retryAfter) {
         RequestIntent wish = asking.wish;
         switch (outcome) {
             case SERVED, GAVE_UP -> {}
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -17,7 +17,7 @@
     private final Day day;
     private final Host host;
     private final ProcessSlot seat;
-    private final BadKind kind;
+    private final BadClientKind kind;
     private final String name;
     private final Script script;
     private final Runnable whenEnded;
@@ -33,7 +33,7 @@
             Day day,
             Host host,
             ProcessSlot seat,
-            BadKind kind,
+            BadClientKind kind,
             String name,
             Script script,
             Runnable whenEnded) {
@@ -50,7 +50,7 @@
         try {
             socket = host.connect(seat.address(), this);
             // Who never reads stays for as long as it is let.
-            if (kind != BadKind.NEVER_READS) {
+            if (kind != BadClientKind.NEVER_READS) {
                 day.after(LEAVES, this::leave);
             }
         } catch (IOException e) {
@@ -62,7 +62,7 @@
     @Override
     public void connected() {
         if (isOwed()) {
-            boolean much = kind == BadKind.BIG_BODY || kind == BadKind.BIG_CHUNKS;
+            boolean much = kind == BadClientKind.BIG_BODY || kind == BadClientKind.BIG_CHUNKS;
             day.evidence.badClientConnected(name, day.now() + (much ? OWED_FOR_MUCH : OWED));
         }
         player = new Player(day.simulation, socket);
@@ -91,7 +91,7 @@
 
     @Override
     public void readable() {
-        if (kind == BadKind.NEVER_READS) {
+        if (kind == BadClientKind.NEVER_READS) {
             return;
         }
         try {
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClientKind.java
@@ -1,7 +1,7 @@
 package appleridge.testbed.simulation;
 
 /** What bad clients do. */
-enum BadKind {
+enum BadClientKind {
     /** Sends what can't be read. */
     NOISE,
     /** A first line that can't be read. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -41,38 +41,38 @@
     }
 
     /** To be called when the links of all others are made. */
-    void narrow(ProcessSlot seat) {
+    void limitBuffers(ProcessSlot seat) {
         NetworkConditions back = day.network.weather(seat.host(), mute);
         back.receiveBuffer = SMALL_BUFFER;
         back.sendBuffer = SMALL_BUFFER;
     }
 
     /** So many of a kind come within moments. */
-    void come(BadKind kind, ProcessSlot seat, long count) {
-        long all = kind == BadKind.CROWD ? CROWD_LEAST + chance.nextInt(CROWD_MORE) : count;
+    void connect(BadClientKind kind, ProcessSlot seat, long count) {
+        long all = kind == BadClientKind.CROWD ? CROWD_LEAST + chance.nextInt(CROWD_MORE) : count;
         for (long i = 0; i < all; i++) {
             day.after(
                     chance.nextLong(SPREAD),
                     () -> {
-                        if (kind == BadKind.SAME_ID) {
+                        if (kind == BadClientKind.SAME_ID) {
                             same(seat, LOOKS);
                         } else {
-                            one(kind, seat, kind == BadKind.AGAIN ? AGAIN : 0);
+                            one(kind, seat, kind == BadClientKind.AGAIN ? AGAIN : 0);
                         }
                     });
         }
     }
 
-    private void one(BadKind kind, ProcessSlot seat, int again) {
+    private void one(BadClientKind kind, ProcessSlot seat, int again) {
         String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clients;
-        if (kind == BadKind.HIDDEN) {
+        if (kind == BadClientKind.HIDDEN) {
             day.evidence.badClientHidRequest(name, BadRequests.hiddenId(name));
         }
         if (kind.isSenseless()) {
             day.evidence.badClientHidRequest(name, name);
         }
         Runnable next = again > 0 ? () -> one(kind, seat, again - 1) : () -> {};
-        Host from = kind == BadKind.NEVER_READS ? mute : host;
+        Host from = kind == BadClientKind.NEVER_READS ? mute : host;
         new BadClient(day, from, seat, kind, name, requests.script(kind, name), next).connect();
     }
 
@@ -82,10 +82,11 @@
             String id = each.openId(seat);
             if (id != null) {
                 String name = Site.BAD_ID + "same-" + ++clients;
-                day.asked.borrow(id);
+                day.sentRequests.borrow(id);
                 day.evidence.badClientReusedId(name, Site.BAD_ID + id, id);
-                Script script = requests.same(id, day.asked.form(id).method());
-                new BadClient(day, host, seat, BadKind.SAME_ID, name, script, () -> {}).connect();
+                Script script = requests.same(id, day.sentRequests.form(id).method());
+                new BadClient(day, host, seat, BadClientKind.SAME_ID, name, script, () -> {})
+                        .connect();
                 return;
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
@@ -22,7 +22,7 @@
     /**
      * @param id the bad client's own, or another's open one
      */
-    Script script(BadKind kind, String id) {
+    Script script(BadClientKind kind, String id) {
         return switch (kind) {
             case NOISE -> Script.of("\u0000\u0016\u0003\u0001 what is this \u00ff\r\n\r\n");
             case BAD_FIRST_LINE -> Script.of("POST\r\nHost: a\r\n\r\n");
--- a/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
@@ -21,7 +21,7 @@
      * Counts what has arrived; true if it was too much. {@code capacity}: cores' worth of work at
      * present.
      */
-    boolean tips(long now, long work, String sidecar, double capacity) {
+    boolean recordArrival(long now, long work, String sidecar, double capacity) {
         window.add(new Sent(now, work, sidecar));
         sum += work;
         while (window.peek().at() <= now - Site.TIP_AFTER) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -21,7 +21,7 @@
         this.states = states;
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         switch (fault.kind().target()) {
             case UPSTREAM -> upstream(fault, request);
             case ANSWER -> answer(fault, request);
@@ -136,9 +136,10 @@
     private void answer(Fault fault, ObservedRequest request) {
         tell(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
-            day.asked.spoil(request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
+            day.sentRequests.spoil(
+                    request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
         } else {
-            day.asked.extra(request.id(), FaultKind.of(ResponseExtra.class, fault.style()));
+            day.sentRequests.extra(request.id(), FaultKind.of(ResponseExtra.class, fault.style()));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Engine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoreScheduler.java
@@ -7,11 +7,11 @@
 import java.util.function.DoubleSupplier;
 
 /** The cores of an order server and the queue before them, first come, first served. */
-final class Engine {
+final class CoreScheduler {
     /** What can be run; told when it begins whether it is to run at all. */
     interface Job {
         /** Nanoseconds of work of one core; below zero if it isn't to run after all. */
-        long begins();
+        long start();
 
         void done();
     }
@@ -26,7 +26,7 @@
     /**
      * @param speed what a core does of its work at present; 1 when all is well
      */
-    Engine(Simulation simulation, int cores, DoubleSupplier speed) {
+    CoreScheduler(Simulation simulation, int cores, DoubleSupplier speed) {
         this.simulation = simulation;
         this.cores = cores;
         this.speed = speed;
@@ -56,7 +56,7 @@
     private void pull() {
         while (!stopped && running.size() < cores && !queue.isEmpty()) {
             Job job = queue.poll();
-            long work = job.begins();
+            long work = job.start();
             if (work >= 0 && !stopped) {
                 Simulation.Event[] end = new Simulation.Event[1];
                 end[0] =
--- a/testbed/src/main/java/appleridge/testbed/simulation/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -11,7 +11,7 @@
     final Simulation simulation;
     final Network network;
     final DayListener evidence;
-    final SentRequestRegistry asked = new SentRequestRegistry();
+    final SentRequestRegistry sentRequests = new SentRequestRegistry();
     private final SeededRandom chance;
 
     Day(
@@ -47,7 +47,7 @@
     }
 
     /** Whether faults and unusual traffic may still come. */
-    boolean isTroubled() {
+    boolean faultsMayOccur() {
         return now() < plan.faultsEnd();
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
@@ -19,7 +19,7 @@
      * A list has been written to it; a whole one also says of those that it leaves out that they
      * are gone.
      */
-    void tell(String sidecar, boolean all, List<Instances.Entry> entries) {
+    void record(String sidecar, boolean all, List<Instances.Entry> entries) {
         Map<String, Instances.Entry> known =
                 bySidecar.computeIfAbsent(sidecar, any -> new LinkedHashMap<>());
         if (all) {
@@ -45,6 +45,6 @@
     /** Its process is a new one that knows nothing but this. */
     void restart(String sidecar, List<Instances.Entry> entries) {
         bySidecar.remove(sidecar);
-        tell(sidecar, true, entries);
+        record(sidecar, true, entries);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
@@ -54,11 +54,15 @@
     }
 
     /** The client of a process that begins; the one of the process before it hears no more. */
-    public EnsembleClient client(String sidecar, EnsembleClient.Hearer hearer) {
+    public EnsembleClient client(String sidecar, EnsembleClient.ProcessContext process) {
         int number = processes.merge(sidecar, 1, Integer::sum);
         EnsembleClient client =
                 new EnsembleClient(
-                        day, this, sidecar, hearer, day.work("ensemble." + sidecar + "." + number));
+                        day,
+                        this,
+                        sidecar,
+                        process,
+                        day.work("ensemble." + sidecar + "." + number));
         EnsembleClient before = clients.put(sidecar, client);
         if (before != null) {
             before.close();
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -23,9 +23,9 @@
  */
 public final class EnsembleClient {
     /** The process that hears. */
-    public interface Hearer {
+    public interface ProcessContext {
         /** Runs it as a task of the process's loop. */
-        void soon(Runnable what);
+        void execute(Runnable what);
 
         /** Now, on that loop's clock; asked in its tasks. */
         long now();
@@ -58,7 +58,7 @@
     private final Day day;
     private final Ensemble ensemble;
     private final String sidecar;
-    private final Hearer hearer;
+    private final ProcessContext process;
     private final SeededRandom chance;
     private final CoordinationUpdates word;
     private final Deque<Mail> mail = new ArrayDeque<>();
@@ -93,11 +93,16 @@
     private long highest;
     private Reading reading;
 
-    EnsembleClient(Day day, Ensemble ensemble, String sidecar, Hearer hearer, SeededRandom chance) {
+    EnsembleClient(
+            Day day,
+            Ensemble ensemble,
+            String sidecar,
+            ProcessContext process,
+            SeededRandom chance) {
         this.day = day;
         this.ensemble = ensemble;
         this.sidecar = sidecar;
-        this.hearer = hearer;
+        this.process = process;
         this.chance = chance;
         this.word = new CoordinationUpdates(day, sidecar);
         this.era = ensemble.era();
@@ -159,13 +164,13 @@
                 () -> {
                     if (!closed) {
                         mail.add(new Mail(day.now(), what));
-                        hearer.soon(this::catchUp);
+                        process.execute(this::catchUp);
                     }
                 });
     }
 
     private NodeDiscovery membership() {
-        return hearer.membership();
+        return process.membership();
     }
 
     // ---- its connection
@@ -185,12 +190,12 @@
         if (newSession) {
             seen = 0;
             if (!first) {
-                deliver(() -> membership().onSessionState(hearer.now(), SessionState.EXPIRED));
+                deliver(() -> membership().onSessionState(process.now(), SessionState.EXPIRED));
             }
         }
         begin();
         SessionState session = readOnly ? SessionState.READ_ONLY : SessionState.CONNECTED;
-        deliver(() -> membership().onSessionState(hearer.now(), session));
+        deliver(() -> membership().onSessionState(process.now(), session));
         watching = !newSession;
         newSession = false;
         day.after(first ? 0 : chance.nextLong(SPREAD), () -> read(mine));
@@ -267,7 +272,7 @@
             connection++;
             watching = false;
             reading = null;
-            deliver(() -> membership().onSessionState(hearer.now(), SessionState.SUSPENDED));
+            deliver(() -> membership().onSessionState(process.now(), SessionState.SUSPENDED));
             day.after(day.bounded(duration) + 1 + chance.nextLong(LONGEST_AGAIN), this::connect);
         }
     }
@@ -289,11 +294,11 @@
                 reading.nodes.remove(name);
                 reading.missing.remove(name);
             }
-            deliver(() -> membership().onNodeDeleted(hearer.now(), toldAt(), zxid, name));
+            deliver(() -> membership().onNodeDeleted(process.now(), toldAt(), zxid, name));
             complete();
         } else {
             word.changed(zxid, name);
-            deliver(() -> membership().onNodeChanged(hearer.now(), toldAt(), zxid, name));
+            deliver(() -> membership().onNodeChanged(process.now(), toldAt(), zxid, name));
             if (reading != null && reading.listed && !reading.nodes.containsKey(name)) {
                 reading.missing.add(name);
             }
@@ -303,7 +308,7 @@
 
     /** When it was heard, on the loop's clock. */
     private long toldAt() {
-        return hearer.now() - waited;
+        return process.now() - waited;
     }
 
     private void ask(List<String> names, boolean ofEvent) {
@@ -332,7 +337,7 @@
             NodeRead read = node.read();
             note(read.mzxid(), () -> "data of " + name + ' ' + read.mzxid() + ' ' + read.data());
             word.read(node, membership().staleness() == StalenessCause.NONE);
-            deliver(() -> membership().onNodeRead(hearer.now(), read.mzxid(), name, read));
+            deliver(() -> membership().onNodeRead(process.now(), read.mzxid(), name, read));
         }
     }
 
@@ -355,7 +360,7 @@
                                     () ->
                                             membership()
                                                     .markStale(
-                                                            hearer.now(),
+                                                            process.now(),
                                                             StalenessCause.ROOT_MISSING));
                             again(mine);
                         } else {
@@ -370,7 +375,7 @@
     private void rootIs(long made) {
         if (root != 0 && root != made && viewZxid < highest) {
             highest = viewZxid;
-            deliver(() -> membership().markStale(hearer.now(), StalenessCause.WIPED));
+            deliver(() -> membership().markStale(process.now(), StalenessCause.WIPED));
         }
         root = made;
     }
@@ -419,7 +424,7 @@
         }
         deliver(
                 () -> {
-                    membership().onSnapshot(hearer.now(), whole.asOf, zxid, whole.nodes);
+                    membership().onSnapshot(process.now(), whole.asOf, zxid, whole.nodes);
                     StalenessCause doubt = membership().staleness();
                     if (doubt == StalenessCause.NONE && of == era) {
                         word.accepted(view);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
@@ -23,7 +23,7 @@
     /** As a scenario has it. */
     public String text() {
         StringBuilder text = new StringBuilder(80);
-        if (trigger.trap()) {
+        if (trigger.waitsForRequest()) {
             text.append("on ")
                     .append(FaultKind.word(trigger.state()))
                     .append(' ')
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -31,15 +31,15 @@
      *
      * @param request the one that sprang the trap; null for a timed fault
      */
-    void strike(Fault fault, ObservedRequest request) {
-        if (day.isTroubled() && fault.kind().ofNodes()) {
-            nodes.strike(fault, request);
-        } else if (day.isTroubled()) {
+    void inject(Fault fault, ObservedRequest request) {
+        if (day.faultsMayOccur() && fault.kind().affectsCoordination()) {
+            nodes.inject(fault, request);
+        } else if (day.faultsMayOccur()) {
             switch (fault.kind().target()) {
-                case UPSTREAM, ANSWER, CLIENT -> connections.strike(fault, request);
-                case SERVER -> servers.strike(fault, request);
-                case LIST -> lists.strike(fault, request);
-                default -> sidecars.strike(fault, request);
+                case UPSTREAM, ANSWER, CLIENT -> connections.inject(fault, request);
+                case SERVER -> servers.inject(fault, request);
+                case LIST -> lists.inject(fault, request);
+                default -> sidecars.inject(fault, request);
             }
         }
     }
@@ -48,7 +48,7 @@
      * Whether it can be carried out in the middle of something else: it changes sockets from
      * outside alone.
      */
-    static boolean atOnce(FaultKind kind) {
+    static boolean isImmediate(FaultKind kind) {
         return switch (kind) {
             case UP_RESET,
                     UP_RESET_LATE,
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -118,7 +118,7 @@
     /** A tenant sends more by so many requests a second, through one sidecar. */
     FLOOD(Target.SIDECAR, FaultParameter.FOR, FaultParameter.RATE),
     /** So many bad clients come to a sidecar. */
-    BAD(Target.SIDECAR, BadKind.class, FaultParameter.COUNT),
+    BAD(Target.SIDECAR, BadClientKind.class, FaultParameter.COUNT),
 
     /** No server of the coordination service answers. */
     NODES_DOWN(Target.NODES, FaultParameter.FOR),
@@ -181,7 +181,7 @@
     }
 
     /** Whether it is one of the coordination service, and nothing on a day without. */
-    boolean ofNodes() {
+    boolean affectsCoordination() {
         return switch (this) {
             case NODES_DOWN,
                     NODES_READ_ONLY,
@@ -209,12 +209,12 @@
     }
 
     /** Whether it needs a request to be aimed at. */
-    public boolean trappedOnly() {
+    public boolean requiresRequest() {
         return target == Target.UPSTREAM || target == Target.CLIENT || target == Target.ANSWER;
     }
 
     /** Whether it can strike a request in that state. */
-    public boolean canStrike(RequestState state) {
+    public boolean canAffect(RequestState state) {
         boolean attempt =
                 switch (state) {
                     case CONNECTING,
@@ -241,17 +241,17 @@
     /**
      * Whether it is worth aiming at a request in that state: else it would meet none, or another.
      */
-    boolean isAimedAt(RequestState state) {
+    boolean isWorthInjecting(RequestState state) {
         boolean answering =
                 state == RequestState.ANSWERING || state == RequestState.RESEND_ANSWERING;
         return switch (this) {
             case CLOSE_IDLE ->
                     answering
-                            || UP_RESET.canStrike(state)
+                            || UP_RESET.canAffect(state)
                                     && state != RequestState.CONNECTING
                                     && state != RequestState.RESEND_CONNECTING;
-            case UP_CUT_REQUEST -> canStrike(state) && !answering;
-            default -> canStrike(state);
+            case UP_CUT_REQUEST -> canAffect(state) && !answering;
+            default -> canAffect(state);
         };
     }
 
@@ -259,7 +259,7 @@
      * Whether it would change anything for this request: on a new connection a server finds nothing
      * idle.
      */
-    boolean suits(ObservedRequest request) {
+    boolean affects(ObservedRequest request) {
         boolean sending =
                 switch (request.state()) {
                     case WRITING, WRITTEN, RESEND_WRITING, RESEND_WRITTEN -> true;
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -54,7 +54,7 @@
     // ---- what lasts
 
     /** Whoever connects there meanwhile meets it; also who is connecting now. */
-    void connectsTo(Machine machine, FaultKind kind, long duration) {
+    void connectFaultBegan(Machine machine, FaultKind kind, long duration) {
         day.evidence.faultArmed(kind.word(), machine.server().uid());
         lasting.add(new Lasting(kind, machine.host(), day.now() + duration));
         for (ObservedRequest each : states.at(machine.server().uid())) {
@@ -70,7 +70,7 @@
     }
 
     /** Whoever needs a descriptor of that process meanwhile, and there is none. */
-    void noDescriptors(Host sidecar, long duration) {
+    void descriptorLimitBegan(Host sidecar, long duration) {
         day.evidence.faultArmed(FaultKind.NO_DESCRIPTORS.word(), sidecar.name());
         lasting.add(new Lasting(FaultKind.NO_DESCRIPTORS, sidecar, day.now() + duration));
     }
@@ -109,7 +109,7 @@
     }
 
     /** Whoever has sent a request on one of these, just closed, with nothing of it read. */
-    void closed(List<SimSocket> sidecarsEnds, String server) {
+    void idleConnectionsClosed(List<SimSocket> sidecarsEnds, String server) {
         day.evidence.faultArmed(FaultKind.CLOSE_IDLE.word(), server);
         for (SimSocket each : sidecarsEnds) {
             ObservedRequest request = states.on(each);
@@ -145,11 +145,11 @@
             long firstByteSentAt,
             long lastByteSentAt,
             long work) {
-        SentRequestRegistry.Form form = day.asked.form(id);
+        SentRequestRegistry.Form form = day.sentRequests.form(id);
         if (form == null || form.key() == null || windows.containsKey(id)) {
             return;
         }
-        long closes = lastByteSentAt + day.plan.window(Classes.of(form.requestClass()));
+        long closes = lastByteSentAt + day.plan.window(RequestClasses.of(form.requestClass()));
         windows.put(id, closes);
         if (closes > day.now()) {
             day.simulation.at(
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultTrigger.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultTrigger.java
@@ -17,7 +17,7 @@
     }
 
     /** Whether it waits for a request. */
-    public boolean trap() {
+    public boolean waitsForRequest() {
         return state != null;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
@@ -10,12 +10,12 @@
 final class Fleet {
     private final List<Machine> machines = new ArrayList<>();
     private final Instances instances;
-    private final Repeats[][] repeats = new Repeats[Classes.ALL.size()][Site.ZONES.size()];
+    private final Repeats[][] repeats = new Repeats[RequestClasses.ALL.size()][Site.ZONES.size()];
 
     Fleet(Plan plan, Instances instances) {
         this.instances = instances;
         for (int i = 0; i < repeats.length; i++) {
-            Classes.Kind kind = Classes.of(i);
+            RequestClasses.Definition kind = RequestClasses.of(i);
             if (kind.keyed()) {
                 boolean all = kind.scope() == DeduplicationScope.ALL;
                 Repeats shared = new Repeats(plan.window(kind));
--- a/testbed/src/main/java/appleridge/testbed/simulation/HttpReader.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/HttpReader.java
@@ -69,13 +69,13 @@
     }
 
     /** How many bytes the message lacks; 1 while that is not known. */
-    int lacks() {
+    int missingBytes() {
         boolean known = step == Step.LENGTH || step == Step.CHUNK;
         return known ? (int) Math.min(Integer.MAX_VALUE, Math.max(1, missing - (to - from))) : 1;
     }
 
     /** Whether some bytes of a message have come that is not done with. */
-    boolean begun() {
+    boolean hasPartialMessage() {
         return to > from || step != Step.HEAD;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
@@ -15,7 +15,7 @@
     /** What is told of one server; {@code bornAt} 0 for long ago. */
     record Entry(
             String uid, int life, InetSocketAddress endpoint, int zone, String state, long bornAt) {
-        Entry in(String other) {
+        Entry withState(String other) {
             return new Entry(uid, life, endpoint, zone, other, bornAt);
         }
 
@@ -59,12 +59,12 @@
     }
 
     /** What is known when the day begins. */
-    void begins(Entry entry) {
+    void addInitial(Entry entry) {
         know(entry);
     }
 
     /** What has been told so far was known long before the day. */
-    void pastEnds() {
+    void endHistory() {
         past = revision;
     }
 
@@ -87,7 +87,7 @@
         if (entry == null || times <= 0 || !entry.state().equals(READY)) {
             return;
         }
-        Entry gone = entry.in(away);
+        Entry gone = entry.withState(away);
         know(gone);
         day.after(
                 apart,
@@ -98,7 +98,7 @@
                         day.after(
                                 apart,
                                 () -> {
-                                    if (known.get(uid) == entry && day.isTroubled()) {
+                                    if (known.get(uid) == entry && day.faultsMayOccur()) {
                                         flap(uid, away, times - 1, apart);
                                     }
                                 });
@@ -137,7 +137,7 @@
         return revision;
     }
 
-    List<Entry> whole() {
+    List<Entry> snapshot() {
         return List.copyOf(known.values());
     }
 
@@ -164,7 +164,7 @@
     }
 
     /** The whole list as it was in that version. */
-    List<Entry> wholeAt(long version) {
+    List<Entry> snapshotAt(long version) {
         Map<String, Entry> then = new LinkedHashMap<>();
         for (Version each : log) {
             if (each.revision() <= version) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -37,11 +37,11 @@
     }
 
     /** A client and its sidecar are on one machine, or close. */
-    void home(Host client, Host sidecar) {
+    void connectLocal(Host client, Host sidecar) {
         both(client, sidecar, day.plan.size(ScenarioParameter.CLIENT_DELAY), true);
     }
 
-    void join(Host one, Host other, boolean near) {
+    void connect(Host one, Host other, boolean near) {
         both(
                 one,
                 other,
@@ -79,7 +79,7 @@
     }
 
     /** No more losses from now on. */
-    void calm() {
+    void stopLosses() {
         natures.keySet().forEach(each -> each.lossDelayProbability = 0);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
@@ -14,7 +14,7 @@
         this.seats = seats;
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         Registry registry = discovery.registry();
         day.evidence.faultStruck(fault.kind().word(), null, request == null ? null : request.id());
         long duration =
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -17,7 +17,7 @@
         this.chance = chance;
     }
 
-    void answered(long took, boolean failed) {
+    void recordResponse(long took, boolean failed) {
         answers++;
         served += took;
         errors += failed ? 1 : 0;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -59,7 +59,7 @@
     void begin(RequestStates watchers) {
         states = watchers;
         boot(name + ".0", 0, 0);
-        fleet.instances().begins(entry(Instances.READY));
+        fleet.instances().addInitial(entry(Instances.READY));
     }
 
     private void boot(String uid, int life, long bornAt) {
@@ -111,7 +111,7 @@
     /**
      * It has fallen over and stays down; people see to another one when the day's faults are over.
      */
-    void fell() {
+    void failPermanently() {
         changing = true;
         end(day.plan.size(ScenarioParameter.SILENT_NOTICE));
         day.simulation.at(day.plan.faultsEnd(), () -> follow(name + "." + ++uids, 0, 0));
--- a/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NarratedLog.java
@@ -44,7 +44,7 @@
                         "client asks "
                                 + asking.sidecar()
                                 + " for "
-                                + Classes.of(asking.requestClass()).name()
+                                + RequestClasses.of(asking.requestClass()).name()
                                 + " "
                                 + asking.id()
                                 + " ("
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
@@ -30,7 +30,7 @@
         this.chance = day.faults("nodes");
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         if (ensemble == null) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -25,8 +25,8 @@
     private final int life;
     private final long bornAt;
     private final SeededRandom chance;
-    private final Answers answers;
-    private final Engine engine;
+    private final ServerResponses answers;
+    private final CoreScheduler engine;
     private final LoadReport load;
     private final ColdServerOverloadWatch tip = new ColdServerOverloadWatch();
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
@@ -60,9 +60,10 @@
         this.life = life;
         this.bornAt = bornAt;
         this.chance = chance;
-        this.answers = new Answers(chance);
+        this.answers = new ServerResponses(chance);
         this.engine =
-                new Engine(day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
+                new CoreScheduler(
+                        day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
         this.load = new LoadReport(day.plan.size(ScenarioParameter.REPORT_AGE), chance);
     }
 
@@ -137,7 +138,7 @@
     /** A request has come whole on this connection. */
     void take(ServerConnection on, ServerConnection.Received received) {
         String id = received.id();
-        SentRequestRegistry.Form form = day.asked.form(id);
+        SentRequestRegistry.Form form = day.sentRequests.form(id);
         boolean fits = form != null && form.message().equals(received.message());
         long work =
                 !fits
@@ -150,18 +151,18 @@
         if (!fits) {
             on.say(
                     Script.of(
-                            Answers.plain(
+                            ServerResponses.plain(
                                     id.isEmpty() ? "404 Not Found" : "400 Bad Request", "", "")));
             return;
         }
         if (share() < 1
-                && tip.tips(
+                && tip.recordArrival(
                         day.now(),
                         work,
                         on.sidecar(),
                         share() * day.plan.count(ScenarioParameter.CORES))) {
             day.evidence.serverCollapsed(uid, life, tip.bySidecar());
-            machine.fell();
+            machine.failPermanently();
             return;
         }
         whenAwake(() -> admit(on, received, form, work));
@@ -198,9 +199,9 @@
         boolean repeat = repeats != null && repeats.isRepeat(form.key(), day.now());
         long began = day.now();
         engine.offer(
-                new Engine.Job() {
+                new CoreScheduler.Job() {
                     @Override
-                    public long begins() {
+                    public long start() {
                         boolean late =
                                 day.now() > received.dueAt()
                                         && chance.hits(
@@ -226,7 +227,7 @@
         day.evidence.serverDidNotRun(uid, life, id);
         on.say(
                 Script.of(
-                                Answers.plain(
+                                ServerResponses.plain(
                                         chance.hits(0.8)
                                                 ? "503 Service Unavailable"
                                                 : "504 Gateway Timeout",
@@ -245,7 +246,7 @@
             day.evidence.serverDidNotRun(uid, life, id);
             on.say(
                     Script.of(
-                            Answers.plain(
+                            ServerResponses.plain(
                                     "503 Service Unavailable",
                                     "X-Not-Run: 1\r\nConnection: close\r\n",
                                     "")));
@@ -257,16 +258,16 @@
 
     private void answer(ServerConnection on, String id, long took) {
         boolean fails =
-                chance.hits(day.isTroubled() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
+                chance.hits(day.faultsMayOccur() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
                         || day.now() < failingUntil && chance.hits(failing);
-        load.answered(took, fails);
+        load.recordResponse(took, fails);
         if (!on.isOpen()) {
             endWhenDrained();
             return;
         }
-        ResponseCorruption spoil = day.asked.takeSpoil(id);
+        ResponseCorruption spoil = day.sentRequests.takeSpoil(id);
         if (spoil == null
-                && day.isTroubled()
+                && day.faultsMayOccur()
                 && chance.hits(day.plan.part(ScenarioParameter.SPOILT))) {
             spoil = chance.pick(List.of(ResponseCorruption.values()));
         }
@@ -283,9 +284,9 @@
     }
 
     private void sayGood(ServerConnection on, String id) {
-        ResponseExtra extra = day.asked.takeExtra(id);
+        ResponseExtra extra = day.sentRequests.takeExtra(id);
         if (extra == null
-                && day.isTroubled()
+                && day.faultsMayOccur()
                 && chance.hits(day.plan.part(ScenarioParameter.EXTRAS))) {
             extra = chance.pick(List.of(ResponseExtra.values()));
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Asking.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PendingAttempt.java
@@ -8,7 +8,7 @@
 /**
  * One try of a wish, from when it is due until its client knows how it ended, or no longer cares.
  */
-final class Asking {
+final class PendingAttempt {
     /** How it ended. */
     enum Outcome {
         SERVED,
@@ -52,7 +52,7 @@
     /**
      * @param serial unlike that of any other try of the day
      */
-    Asking(Day day, Application application, RequestIntent wish, long serial) {
+    PendingAttempt(Day day, Application application, RequestIntent wish, long serial) {
         this.day = day;
         this.application = application;
         this.wish = wish;
@@ -105,7 +105,8 @@
         }
         Message message =
                 Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
-        day.asked.add(id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
+        day.sentRequests.add(
+                id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
         day.evidence.requestStarted(
                 new ClientAttempt(
                         id,
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -152,14 +152,14 @@
     }
 
     /** The longest that clients of a class wait. */
-    long deadline(Classes.Kind kind) {
-        return kind.deadline() < Classes.LONGEST
+    long deadline(RequestClasses.Definition kind) {
+        return kind.deadline() < RequestClasses.LONGEST
                 ? kind.deadline()
                 : size(ScenarioParameter.LONGEST_DEADLINE);
     }
 
     /** How long a keyed class's repeats are dropped. */
-    long window(Classes.Kind kind) {
+    long window(RequestClasses.Definition kind) {
         return kind.scope() == DeduplicationScope.ALL
                 ? kind.keyTtl()
                 : size(ScenarioParameter.KEY_WINDOW);
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -277,7 +277,10 @@
         boolean wiped = own.hits(0.35);
         List<FaultKind> kinds =
                 Arrays.stream(FaultKind.values())
-                        .filter(kind -> kind.ofNodes() && (wiped || kind != FaultKind.NODES_WIPED))
+                        .filter(
+                                kind ->
+                                        kind.affectsCoordination()
+                                                && (wiped || kind != FaultKind.NODES_WIPED))
                         .toList();
         int timed = own.nextInt(7);
         for (int i = 0; i < timed; i++) {
@@ -299,7 +302,7 @@
         double part = chance.pick(List.of(0.1, 0.25, 0.5, 1.0));
         List<FaultKind> on = new ArrayList<>();
         for (FaultKind each : FaultKind.values()) {
-            if (!each.ofNodes() && chance.hits(part)) {
+            if (!each.affectsCoordination() && chance.hits(part)) {
                 on.add(each);
             }
         }
@@ -310,7 +313,7 @@
         int timed = chance.nextInt(7);
         for (int i = 0; i < timed; i++) {
             FaultKind kind = chance.pick(on);
-            if (!kind.trappedOnly()) {
+            if (!kind.requiresRequest()) {
                 long latest = size(ScenarioParameter.FAULTS_END) - S;
                 faults.add(fault(FaultTrigger.time(millis(chance.between(S, latest))), kind));
             }
@@ -318,7 +321,8 @@
         int trapped = LEAST_TRAPS + chance.nextInt(MORE_TRAPS);
         for (int i = 0; i < trapped; i++) {
             RequestState state = chance.pick(STATES);
-            List<FaultKind> possible = on.stream().filter(kind -> kind.isAimedAt(state)).toList();
+            List<FaultKind> possible =
+                    on.stream().filter(kind -> kind.isWorthInjecting(state)).toList();
             if (!possible.isEmpty()) {
                 faults.add(fault(trap(state), chance.pick(possible)));
             }
@@ -352,7 +356,7 @@
         }
         String style = kind.styles().isEmpty() ? null : chance.pick(kind.styles());
         String who = null;
-        boolean own = trigger.trap() && chance.hits(0.9);
+        boolean own = trigger.waitsForRequest() && chance.hits(0.9);
         if (!own) {
             who =
                     switch (kind.target()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanText.java
@@ -149,10 +149,10 @@
             require(values.containsKey(each), kind.word() + " needs " + each.word());
         }
         require(
-                trigger.trap() || !kind.trappedOnly(),
+                trigger.waitsForRequest() || !kind.requiresRequest(),
                 kind.word() + " needs a request: on STATE NTH ...");
         require(
-                !trigger.trap() || kind.canStrike(trigger.state()),
+                !trigger.waitsForRequest() || kind.canAffect(trigger.state()),
                 kind.word() + " can't strike a request there");
         boolean named =
                 switch (kind.target()) {
@@ -160,7 +160,9 @@
                     default -> false;
                 };
         require(named || who == null, kind.word() + " has no who");
-        require(!named || who != null || trigger.trap(), kind.word() + " needs who=NAME");
+        require(
+                !named || who != null || trigger.waitsForRequest(),
+                kind.word() + " needs who=NAME");
         return new Fault(trigger, kind, who, style, values);
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -122,7 +122,7 @@
         // The list that it is given at its start is as old as the plan says, or there is none.
         boolean given = day.plan.size(ScenarioParameter.KNOWN) > 0;
         long version = instances.revisionAt(day.now() - day.plan.size(ScenarioParameter.KNOWN_AGE));
-        List<Instances.Entry> known = given ? instances.wholeAt(version) : List.of();
+        List<Instances.Entry> known = given ? instances.snapshotAt(version) : List.of();
         day.evidence.sidecarStarted(name, life);
         told.restart(name, known);
         SidecarHost.Costs costs =
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -164,7 +164,7 @@
                 apart,
                 () -> {
                     put(uid, server);
-                    if (day.isTroubled()) {
+                    if (day.faultsMayOccur()) {
                         soon(apart, () -> flap(uid, times - 1, apart));
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -181,7 +181,7 @@
         call.from()
                 .say(
                         call,
-                        Script.of(Answers.plain(status, "", "")),
+                        Script.of(ServerResponses.plain(status, "", "")),
                         () ->
                                 day.evidence.discoveryCallEnded(
                                         call.from().sidecar(), call.id(), false));
@@ -202,14 +202,14 @@
         List<Instances.Entry> entries;
         if (stale) {
             version = instances.revisionAt(day.now() - staleBy);
-            entries = instances.wholeAt(version);
+            entries = instances.snapshotAt(version);
         } else {
-            entries = all ? instances.whole() : instances.since(since);
+            entries = all ? instances.snapshot() : instances.since(since);
         }
         String json = Instances.json(version + offset, all, entries);
-        String text = Answers.plain("200 OK", "Content-Type: application/json\r\n", json);
+        String text = ServerResponses.plain("200 OK", "Content-Type: application/json\r\n", json);
         String sidecar = call.from().sidecar();
-        if (cuts > 0 && day.isTroubled()) {
+        if (cuts > 0 && day.faultsMayOccur()) {
             cuts--;
             int half = text.length() / 2;
             call.from()
@@ -219,7 +219,7 @@
                                     .then(Site.MS, "")
                                     .ending(chance.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
                             () -> spoilt(sidecar, call));
-        } else if (garbles > 0 && day.isTroubled()) {
+        } else if (garbles > 0 && day.faultsMayOccur()) {
             garbles--;
             call.from().say(call, Script.of(garbled(json)), () -> spoilt(sidecar, call));
         } else {
@@ -229,13 +229,13 @@
                             Script.of(text),
                             () -> {
                                 if (call.from().isHeard()) {
-                                    told.tell(sidecar, all, entries);
+                                    told.record(sidecar, all, entries);
                                     day.evidence.discoveryCallEnded(sidecar, call.id(), true);
                                     lookWhetherItArrives(
                                             call.from(), call.from().written(), sidecar, day.now());
                                 } else {
                                     // It may arrive when the way is open again.
-                                    told.tell(
+                                    told.record(
                                             sidecar,
                                             false,
                                             entries.stream()
@@ -286,7 +286,7 @@
                     case 5 -> "";
                     default -> "null";
                 };
-        return Answers.plain("200 OK", "Content-Type: application/json\r\n", body);
+        return ServerResponses.plain("200 OK", "Content-Type: application/json\r\n", body);
     }
 
     // ---- troubles
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
@@ -104,7 +104,7 @@
         reader.next();
         int query = uri.indexOf('?');
         if (!(query < 0 ? uri : uri.substring(0, query)).equals(LIST)) {
-            player.play(Script.of(Answers.plain("404 Not Found", "", "")), () -> {});
+            player.play(Script.of(ServerResponses.plain("404 Not Found", "", "")), () -> {});
             return;
         }
         long since = query < 0 ? -1 : number(uri, "since=", -1);
@@ -140,7 +140,7 @@
                     whenWritten.run();
                     if (!socket.isOpen()) {
                         registry.closed(this);
-                    } else if (reader.begun()) {
+                    } else if (reader.hasPartialMessage()) {
                         proceed();
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/Classes.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestClasses.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** The classes of request in the world, by their place in a sidecar's settings. */
-public final class Classes {
+public final class RequestClasses {
     /**
      * One class; times in nanoseconds.
      *
@@ -14,12 +14,12 @@
      * @param leastWork the mean work of a day is drawn between this and {@code mostWork}
      * @param share part of the requests
      */
-    public record Kind(
+    public record Definition(
             String name,
             Idempotency semantics,
             DeduplicationScope scope,
             long keyTtl,
-            long aim,
+            long latencyObjective,
             long deadline,
             long leastWork,
             long mostWork,
@@ -37,9 +37,9 @@
     static final long LONGEST = 1500 * MS;
 
     /** All of them, in order. */
-    public static final List<Kind> ALL =
+    public static final List<Definition> ALL =
             List.of(
-                    new Kind(
+                    new Definition(
                             "stock-check",
                             Idempotency.IDEMPOTENT,
                             null,
@@ -50,7 +50,7 @@
                             45 * MS,
                             0.4,
                             1),
-                    new Kind(
+                    new Definition(
                             "stock-hold",
                             Idempotency.IDEMPOTENT_BY_KEY,
                             DeduplicationScope.ZONE,
@@ -61,7 +61,7 @@
                             81 * MS,
                             0.28,
                             3),
-                    new Kind(
+                    new Definition(
                             "order-confirm",
                             Idempotency.IDEMPOTENT_BY_KEY,
                             DeduplicationScope.ALL,
@@ -72,7 +72,7 @@
                             120 * MS,
                             0.22,
                             10),
-                    new Kind(
+                    new Definition(
                             "raise-invoice",
                             Idempotency.NON_IDEMPOTENT,
                             null,
@@ -84,10 +84,10 @@
                             0.1,
                             5));
 
-    private Classes() {}
+    private RequestClasses() {}
 
     /** The class at a place. */
-    public static Kind of(int place) {
+    public static Definition of(int place) {
         return ALL.get(place);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
@@ -30,7 +30,7 @@
     final String origin;
     final int requestClass;
     final int tenant;
-    final Classes.Kind kind;
+    final RequestClasses.Definition kind;
     final long deadline;
     final SeededRandom chance;
     final long work;
@@ -60,10 +60,10 @@
         this.chance = chance;
         this.requestClass = drawClass(chance);
         this.tenant = tenant;
-        this.kind = Classes.of(requestClass);
+        this.kind = RequestClasses.of(requestClass);
         this.deadline = plan.deadline(kind);
         double meanWork = works[requestClass];
-        double mostWork = meanWork * (day.isTroubled() ? MOST_WORK : MOST_WORK_IN_CALM);
+        double mostWork = meanWork * (day.faultsMayOccur() ? MOST_WORK : MOST_WORK_IN_CALM);
         this.work =
                 (long) Math.min(mostWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
         this.key =
@@ -111,8 +111,8 @@
     private static int drawClass(SeededRandom chance) {
         double drawn = chance.nextDouble();
         int place = 0;
-        while (place < Classes.ALL.size() - 1 && drawn >= Classes.of(place).share()) {
-            drawn -= Classes.of(place).share();
+        while (place < RequestClasses.ALL.size() - 1 && drawn >= RequestClasses.of(place).share()) {
+            drawn -= RequestClasses.of(place).share();
             place++;
         }
         return place;
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -88,7 +88,7 @@
 
     /** Whether it was idle, and is closed. */
     boolean closeIfIdle() {
-        boolean idle = !isBusy() && !reader.begun();
+        boolean idle = !isBusy() && !reader.hasPartialMessage();
         if (idle) {
             close();
         }
@@ -110,7 +110,7 @@
         try {
             while (isOpen() && socket.isReadable()) {
                 // The first byte alone, to learn when it was sent.
-                boolean begins = !reader.begun();
+                boolean begins = !reader.hasPartialMessage();
                 int read = reader.read(socket, begins ? 1 : BULK);
                 if (read <= 0) {
                     if (read < 0) {
@@ -161,7 +161,7 @@
                         server.uid(),
                         server.life(),
                         sidecar(),
-                        day.asked.name(id, method()),
+                        day.sentRequests.name(id, method()),
                         firstByteSentAt);
             }
         }
@@ -174,9 +174,9 @@
     private void answerEarly() {
         String id = reader.header("x-request-id");
         if (id != null
-                && day.asked.extra(id) == ResponseExtra.EARLY
-                && day.asked.form(id) != null) {
-            day.asked.takeExtra(id);
+                && day.sentRequests.extra(id) == ResponseExtra.EARLY
+                && day.sentRequests.form(id) != null) {
+            day.sentRequests.takeExtra(id);
             early = true;
             earlyRuns = server.answerEarly(this, id);
         }
@@ -188,7 +188,7 @@
         long deadline = deadline();
         Received received =
                 new Received(
-                        id == null ? "" : day.asked.name(id, message.method()),
+                        id == null ? "" : day.sentRequests.name(id, message.method()),
                         message,
                         firstByteSentAt,
                         socket.sentAt(),
@@ -200,7 +200,7 @@
         begunTold = false;
         early = false;
         reader.next();
-        if (reader.begun()) {
+        if (reader.hasPartialMessage()) {
             // What came with this one's last bytes was sent with them, as far as can be told.
             firstByteSentAt = socket.sentAt();
         }
@@ -262,7 +262,7 @@
                         return;
                     }
                     rest();
-                    if (reader.begun()) {
+                    if (reader.hasPartialMessage()) {
                         proceed();
                     }
                 });
@@ -283,7 +283,7 @@
         if (last == null
                 || !isOpen()
                 || isBusy()
-                || reader.begun()
+                || reader.hasPartialMessage()
                 || socket.peer() == null
                 || socket.peer().bytesWritten() != socket.bytesRead()
                 || !carriesAtOnce(last.length())) {
@@ -309,10 +309,10 @@
     /** From now on it stands idle, and is closed if it does so for long. */
     private void rest() {
         awake();
-        if (isOpen() && !reader.begun()) {
+        if (isOpen() && !reader.hasPartialMessage()) {
             long idle = day.plan.size(ScenarioParameter.SERVER_IDLE);
             // What sidecars are told of servers' patience holds when the faults have ended.
-            long least = day.isTroubled() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
+            long least = day.faultsMayOccur() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
             boolean asTold = Math.max(idle, least) >= day.plan.size(ScenarioParameter.CONN_IDLE);
             boolean forgets = asTold && socket.id() % 2 == 0;
             idleEnd =
@@ -326,7 +326,7 @@
      * What stood idle for as long as was said is forgotten without a word, as on the way it may be.
      */
     private void forgetIfIdle() {
-        if (!isBusy() && !reader.begun()) {
+        if (!isBusy() && !reader.hasPartialMessage()) {
             stop();
             socket.fault(SimSocket.Fault.BLACK_HOLE);
             server.closed(this);
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -24,7 +24,7 @@
         this.chance = day.faults("servers");
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         Machine machine = machine(fault, request);
         OrderServer server = machine.server();
         if (server == null) {
@@ -36,9 +36,9 @@
                         : 0;
         switch (fault.kind()) {
             case CONNECT_SLOW, CONNECT_REFUSED, CONNECT_SILENT, BACKLOG ->
-                    meetings.connectsTo(machine, fault.kind(), duration);
+                    meetings.connectFaultBegan(machine, fault.kind(), duration);
             case CLOSE_IDLE -> {
-                meetings.closed(server.closeIdle(), server.uid());
+                meetings.idleConnectionsClosed(server.closeIdle(), server.uid());
                 return;
             }
             default ->
--- a/testbed/src/main/java/appleridge/testbed/simulation/Answers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerResponses.java
@@ -3,7 +3,7 @@
 import appleridge.testbed.simnet.SeededRandom;
 
 /** How an order server words its answers: the good ones, the honest others, and the spoilt. */
-final class Answers {
+final class ServerResponses {
     private static final int MANY = 60;
     private static final String CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n";
     private static final String HINTS = "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n";
@@ -16,7 +16,7 @@
     private final SeededRandom chance;
     private int failures;
 
-    Answers(SeededRandom chance) {
+    ServerResponses(SeededRandom chance) {
         this.chance = chance;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Settings.java
@@ -70,13 +70,13 @@
 
     private static void profiles(StringBuilder text, Plan plan) {
         text.append("\"profiles\":[");
-        for (int i = 0; i < Classes.ALL.size(); i++) {
-            Classes.Kind kind = Classes.of(i);
+        for (int i = 0; i < RequestClasses.ALL.size(); i++) {
+            RequestClasses.Definition kind = RequestClasses.of(i);
             text.append(i == 0 ? "{" : ",{")
                     .append("\"name\":\"")
                     .append(kind.name())
                     .append("\",\"slo\":")
-                    .append(kind.aim())
+                    .append(kind.latencyObjective())
                     .append(",\"deadline\":")
                     .append(plan.deadline(kind))
                     .append(",\"worth\":")
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -57,7 +57,7 @@
         this.copies = day.faults("copies");
     }
 
-    void strike(Fault fault, ObservedRequest request) {
+    void inject(Fault fault, ObservedRequest request) {
         String id = request == null ? null : request.id();
         if (fault.kind() == FaultKind.ZONE_CUT) {
             String zone = fault.who() != null ? fault.who() : chance.pick(Site.ZONES);
@@ -85,7 +85,7 @@
                 // It can't accept meanwhile, and for a while after; its clients wait by no fault of
                 // its own.
                 troubled(seat, duration);
-                meetings.noDescriptors(seat.host(), duration);
+                meetings.descriptorLimitBegan(seat.host(), duration);
                 seat.host()
                         .maxDescriptors(
                                 seat.host().descriptors()
@@ -115,8 +115,8 @@
                     traffic.get(seats.all().indexOf(seat))
                             .flood(duration, fault.value(FaultParameter.RATE) / 1e6);
             case BAD ->
-                    badClients.come(
-                            FaultKind.of(BadKind.class, fault.style()),
+                    badClients.connect(
+                            FaultKind.of(BadClientKind.class, fault.style()),
                             seat,
                             fault.value(FaultParameter.COUNT));
             default -> throw new IllegalArgumentException("no fault of a sidecar: " + fault.text());
--- a/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SimplerPlans.java
@@ -55,7 +55,7 @@
         FaultTrigger trigger = fault.trigger();
         if (number == 0) {
             List<Fault> simpler = new ArrayList<>();
-            if (trigger.trap() && trigger.at() > 0) {
+            if (trigger.waitsForRequest() && trigger.at() > 0) {
                 simpler.add(with(fault, new FaultTrigger(0, trigger.state(), trigger.nth())));
             }
             simpler.addAll(
--- a/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -40,7 +40,7 @@
 
     private void entered(ObservedRequest request, int visit, List<Fault> waiting) {
         for (int i = waiting.size() - 1; i >= 0; i--) {
-            if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().suits(request)) {
+            if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().affects(request)) {
                 spring(waiting.remove(i), request, waiting);
             }
         }
@@ -52,8 +52,8 @@
      */
     private void spring(Fault fault, ObservedRequest request, List<Fault> waiting) {
         long after = fault.trigger().at();
-        if (after == 0 && FaultInjector.atOnce(fault.kind())) {
-            strikes.strike(fault, request);
+        if (after == 0 && FaultInjector.isImmediate(fault.kind())) {
+            strikes.inject(fault, request);
             return;
         }
         day.after(
@@ -62,9 +62,9 @@
                     RequestState now = states.state(request.id());
                     if (after == 0 && now != request.state()) {
                         waiting.add(fault);
-                    } else if (!fault.kind().trappedOnly()
-                            || now != null && fault.kind().canStrike(now)) {
-                        strikes.strike(fault, request);
+                    } else if (!fault.kind().requiresRequest()
+                            || now != null && fault.kind().canAffect(now)) {
+                        strikes.inject(fault, request);
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
@@ -38,13 +38,13 @@
         if (day.now() >= day.plan.quietFrom()) {
             return;
         }
-        double bursts = day.isTroubled() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
+        double bursts = day.faultsMayOccur() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
         double mean = Site.SECOND / (rate * Math.max(0.01, 1 - bursts));
         day.after(
                 (long) chance.exponential(mean),
                 () -> {
                     if (day.now() < day.plan.quietFrom()) {
-                        application.wish(tenant(chance));
+                        application.submit(tenant(chance));
                     }
                     goOn();
                 });
@@ -55,7 +55,7 @@
         day.after(
                 wait,
                 () -> {
-                    if (day.isTroubled()) {
+                    if (day.faultsMayOccur()) {
                         double due =
                                 rate
                                         * day.plan.part(ScenarioParameter.BURSTS)
@@ -65,7 +65,7 @@
                         for (int i = 0; i < many; i++) {
                             day.after(
                                     chance.nextLong(BURST_LENGTH),
-                                    () -> application.wish(tenant(chance)));
+                                    () -> application.submit(tenant(chance)));
                         }
                         burst();
                     }
@@ -86,8 +86,8 @@
         day.after(
                 (long) floods.exponential(Site.SECOND / more),
                 () -> {
-                    if (day.now() < ends && day.isTroubled()) {
-                        application.wish(tenant);
+                    if (day.now() < ends && day.faultsMayOccur()) {
+                        application.submit(tenant);
                         floodOn(tenant, ends, more);
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -111,8 +111,8 @@
                         nodes.strikes(day, fleet, seats));
         new StateTriggers(day, strikes, states).set(plan.faults());
         for (Fault each : plan.faults()) {
-            if (!each.trigger().trap()) {
-                simulation.at(each.trigger().at(), () -> strikes.strike(each, null));
+            if (!each.trigger().waitsForRequest()) {
+                simulation.at(each.trigger().at(), () -> strikes.inject(each, null));
             }
         }
     }
@@ -178,9 +178,9 @@
     /** The mean work of each class on this day. */
     private long[] works() {
         SeededRandom chance = day.work("works");
-        long[] works = new long[Classes.ALL.size()];
+        long[] works = new long[RequestClasses.ALL.size()];
         for (int i = 0; i < works.length; i++) {
-            Classes.Kind kind = Classes.of(i);
+            RequestClasses.Definition kind = RequestClasses.of(i);
             works[i] =
                     (long)
                             (chance.between(kind.leastWork(), kind.mostWork())
@@ -211,19 +211,19 @@
 
     private void join(BadClients badClients) {
         for (ProcessSlot seat : seats.all()) {
-            applications.forEach(each -> links.home(each.host(), seat.host()));
-            badClients.hosts().forEach(each -> links.home(each, seat.host()));
-            badClients.narrow(seat);
+            applications.forEach(each -> links.connectLocal(each.host(), seat.host()));
+            badClients.hosts().forEach(each -> links.connectLocal(each, seat.host()));
+            badClients.limitBuffers(seat);
             fleet.machines()
                     .forEach(
                             each ->
-                                    links.join(
+                                    links.connect(
                                             seat.host(), each.host(), seat.zone() == each.zone()));
             discovery
                     .addresses()
                     .forEach(
                             each ->
-                                    links.join(
+                                    links.connect(
                                             seat.host(),
                                             each.host(),
                                             seat.zone() == Registry.ZONE));
@@ -251,11 +251,11 @@
         day.after(CLIENTS_COME, this::clientsCome);
         simulation.at(
                 plan.quietFrom() + plan.size(ScenarioParameter.LONGEST_DEADLINE) + LAST_ANSWERS,
-                () -> applications.forEach(Application::goHome));
+                () -> applications.forEach(Application::closeAll));
         simulation.at(
                 plan.faultsEnd(),
                 () -> {
-                    links.calm();
+                    links.stopLosses();
                     day.evidence.lastFaultEnded();
                 });
     }
@@ -267,10 +267,10 @@
         InetSocketAddress past =
                 new InetSocketAddress(machines.get(0).host().address(), Site.SERVER_PORT + 1);
         Instances.Entry old = new Instances.Entry("old.0", 0, past, 0, Instances.READY, 0);
-        instances.begins(old);
+        instances.addInitial(old);
         machines.subList(0, machines.size() - 1).forEach(machine -> machine.begin(states));
-        instances.pastEnds();
-        instances.begins(old.in(Instances.GONE));
+        instances.endHistory();
+        instances.addInitial(old.withState(Instances.GONE));
         machines.get(machines.size() - 1).begin(states);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -29,11 +29,12 @@
         Map<String, String> idempotency = new HashMap<>();
         for (ClientAttempt each : day.told.asks.values()) {
             assertTrue(keys.add(each.cookieKey()));
-            assertEquals(Classes.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
+            assertEquals(
+                    RequestClasses.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
             String before =
                     idempotency.putIfAbsent(each.origin(), String.valueOf(each.idempotencyKey()));
             assertTrue(before == null || before.equals(String.valueOf(each.idempotencyKey())));
-            assertTrue(each.deadlineNanos() <= Classes.of(each.requestClass()).deadline());
+            assertTrue(each.deadlineNanos() <= RequestClasses.of(each.requestClass()).deadline());
         }
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -12,17 +12,18 @@
 import org.junit.jupiter.api.Test;
 
 class BadClientsTest {
-    private static final Set<BadKind> UNSEEN =
-            EnumSet.of(BadKind.HALF_CLOSE, BadKind.HALF_RESET, BadKind.NEVER_READS);
+    private static final Set<BadClientKind> UNSEEN =
+            EnumSet.of(
+                    BadClientKind.HALF_CLOSE, BadClientKind.HALF_RESET, BadClientKind.NEVER_READS);
 
-    private static Played day(BadKind kind, int count) {
+    private static Played day(BadClientKind kind, int count) {
         return Played.whole(
                 "seed 2\nat 2 bad style=" + FaultKind.word(kind) + " who=n0 count=" + count);
     }
 
     @Test
     void eachKindComesAndSaysWhatItIsOwed() {
-        for (BadKind kind : BadKind.values()) {
+        for (BadClientKind kind : BadClientKind.values()) {
             Played day = day(kind, 2);
             assertEquals(1, day.told.faults.get("bad"), kind.name());
             assertEquals(UNSEEN.contains(kind), day.told.badConnected.isEmpty(), kind.name());
@@ -36,19 +37,19 @@
 
     @Test
     void whatIsWrongIsTurnedAwayAndToldOnce() {
-        Played day = day(BadKind.UNKNOWN_CLASS, 3);
+        Played day = day(BadClientKind.UNKNOWN_CLASS, 3);
         assertEquals(3, day.told.badEnded.size());
         day.told.badEnded.values().forEach(status -> assertEquals(400, status));
     }
 
     @Test
     void someComeAgainAtOnce() {
-        assertEquals(21, day(BadKind.AGAIN, 1).told.badConnected.size());
+        assertEquals(21, day(BadClientKind.AGAIN, 1).told.badConnected.size());
     }
 
     @Test
     void crowdsAreCrowds() {
-        Played day = day(BadKind.CROWD, 1);
+        Played day = day(BadClientKind.CROWD, 1);
         assertTrue(day.told.badConnected.size() >= 30, "came " + day.told.badConnected.size());
         assertTrue(
                 day.told.badEnded.size() == day.told.badConnected.size(), "they leave in the end");
@@ -56,7 +57,7 @@
 
     @Test
     void aHiddenRequestIsToldOfAndReachesServersThroughAProxyThatReadsOn() {
-        Played day = day(BadKind.HIDDEN, 1);
+        Played day = day(BadClientKind.HIDDEN, 1);
         String hidden = BadRequests.hiddenId(day.told.hidden.get(1));
         assertEquals(hidden, day.told.hidden.get(0));
         assertTrue(day.told.arrived.contains(hidden));
@@ -64,7 +65,7 @@
 
     @Test
     void anothersIdIsUsedWhileItIsOpenAndNeverTakenForTheOther() {
-        Played day = day(BadKind.SAME_ID, 3);
+        Played day = day(BadClientKind.SAME_ID, 3);
         assertEquals(3, day.told.badConnected.size());
         List<String> usual =
                 day.told.arrived.stream().filter(id -> !id.startsWith(Site.BAD_ID)).toList();
@@ -75,18 +76,21 @@
     @Test
     void whatTheySendIsBadInItsOwnWay() {
         BadRequests requests = new BadRequests(new SeededRandom(1));
-        assertTrue(text(requests, BadKind.HIDDEN).contains("Content-Length: "));
-        assertTrue(text(requests, BadKind.HIDDEN).contains("Transfer-Encoding: chunked"));
-        assertTrue(text(requests, BadKind.HIDDEN).contains(BadRequests.hiddenId("bad-1")));
-        assertTrue(text(requests, BadKind.BIG_BODY).length() > 500_000);
-        assertFalse(text(requests, BadKind.ENDLESS_HEAD).contains("\r\n\r\n"));
-        assertFalse(text(requests, BadKind.SLOW_HEAD).contains("\r\n\r\n"));
-        assertEquals(201, text(requests, BadKind.HUNDREDS).split("GET /api", -1).length);
-        assertEquals(1001, text(requests, BadKind.NEVER_READS).split("GET /health", -1).length);
-        assertTrue(requests.script(BadKind.CROWD, "bad-1").parts().isEmpty());
-        assertEquals(Script.End.RESET, requests.script(BadKind.HALF_RESET, "bad-1").end());
-        for (BadKind each : BadKind.values()) {
-            if (each != BadKind.SAME_ID && each != BadKind.NO_ID && each != BadKind.HIDDEN) {
+        assertTrue(text(requests, BadClientKind.HIDDEN).contains("Content-Length: "));
+        assertTrue(text(requests, BadClientKind.HIDDEN).contains("Transfer-Encoding: chunked"));
+        assertTrue(text(requests, BadClientKind.HIDDEN).contains(BadRequests.hiddenId("bad-1")));
+        assertTrue(text(requests, BadClientKind.BIG_BODY).length() > 500_000);
+        assertFalse(text(requests, BadClientKind.ENDLESS_HEAD).contains("\r\n\r\n"));
+        assertFalse(text(requests, BadClientKind.SLOW_HEAD).contains("\r\n\r\n"));
+        assertEquals(201, text(requests, BadClientKind.HUNDREDS).split("GET /api", -1).length);
+        assertEquals(
+                1001, text(requests, BadClientKind.NEVER_READS).split("GET /health", -1).length);
+        assertTrue(requests.script(BadClientKind.CROWD, "bad-1").parts().isEmpty());
+        assertEquals(Script.End.RESET, requests.script(BadClientKind.HALF_RESET, "bad-1").end());
+        for (BadClientKind each : BadClientKind.values()) {
+            if (each != BadClientKind.SAME_ID
+                    && each != BadClientKind.NO_ID
+                    && each != BadClientKind.HIDDEN) {
                 assertTrue(
                         text(requests, each).split("X-Request-Id", -1).length <= 201, each.name());
             }
@@ -95,7 +99,7 @@
         assertTrue(requests.same("a", "POST").parts().get(0).bytes()[0] == 'G');
     }
 
-    private static String text(BadRequests requests, BadKind kind) {
+    private static String text(BadRequests requests, BadClientKind kind) {
         StringBuilder text = new StringBuilder();
         requests.script(kind, "bad-1")
                 .parts()
--- a/testbed/src/test/java/appleridge/testbed/simulation/DumbSidecar.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DumbSidecar.java
@@ -286,7 +286,7 @@
             String id = reader.header("x-request-id");
             String wait = reader.header("x-deadline");
             boolean known =
-                    Classes.ALL.stream()
+                    RequestClasses.ALL.stream()
                             .anyMatch(kind -> kind.name().equals(reader.header("x-class")));
             if (reader.word(1).equals("/health/ready")) {
                 say("200 OK", "", "ready");
@@ -339,7 +339,7 @@
             busy = false;
             try {
                 if (socket.isOpen()) {
-                    outbox.send(Answers.plain(status, headers, body));
+                    outbox.send(ServerResponses.plain(status, headers, body));
                 }
             } catch (IOException e) {
                 socket.close();
--- a/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
@@ -218,7 +218,7 @@
     void spoiltAnswersAreNoneThatAServerMade() {
         for (ResponseCorruption each : ResponseCorruption.values()) {
             Stage stage = stage("");
-            stage.day.asked.spoil("r1", each);
+            stage.day.sentRequests.spoil("r1", each);
             Stage.Line line = stage.toServer(0).say(Stage.get("r1"));
             String answer = line.hear(Site.SECOND);
             assertEquals(
@@ -226,7 +226,7 @@
                     stage.told.made.containsKey(body(answer)),
                     each.name());
             assertFalse(answer.isEmpty(), each.name());
-            stage.day.asked.takeSpoil("r1");
+            stage.day.sentRequests.takeSpoil("r1");
         }
     }
 
@@ -237,7 +237,7 @@
                 continue;
             }
             Stage stage = stage("");
-            stage.day.asked.extra("r1", each);
+            stage.day.sentRequests.extra("r1", each);
             Stage.Line line = stage.toServer(0).say(Stage.get("r1"));
             String answer = line.hear(Site.SECOND);
             assertTrue(answer.contains("s0.0/0/1/r1"), answer);
@@ -256,7 +256,7 @@
     @Test
     void anAnswerCanComeBeforeTheRequestHasComeWhole() {
         Stage stage = stage("");
-        stage.day.asked.extra("k1", ResponseExtra.EARLY);
+        stage.day.sentRequests.extra("k1", ResponseExtra.EARLY);
         String request = Stage.post("k1", "key");
         Stage.Line line = stage.toServer(0).say(request.substring(0, request.length() - 2));
         assertTrue(line.hear(LONG).startsWith("HTTP/1.1 "));
--- a/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/PlanTest.java
@@ -44,7 +44,8 @@
                     plan.part(ScenarioParameter.RATE) * plan.quietFrom() / Site.SECOND >= 399.9,
                     "seed " + seed);
             for (Fault each : plan.faults()) {
-                assertTrue(each.trigger().trap() || each.trigger().at() < plan.faultsEnd());
+                assertTrue(
+                        each.trigger().waitsForRequest() || each.trigger().at() < plan.faultsEnd());
             }
         }
     }
@@ -56,7 +57,7 @@
         Set<String> styles = new TreeSet<>();
         for (long seed = 0; seed < 4000; seed++) {
             for (Fault each : Plan.draw(seed).faults()) {
-                if (each.trigger().trap()) {
+                if (each.trigger().waitsForRequest()) {
                     trapped.add(each.kind() + " " + each.trigger().state());
                 } else {
                     timed.add(each.kind());
@@ -69,12 +70,12 @@
                 EnumSet.complementOf(
                         EnumSet.copyOf(
                                 Arrays.stream(FaultKind.values())
-                                        .filter(FaultKind::ofNodes)
+                                        .filter(FaultKind::affectsCoordination)
                                         .toList()))) {
-            assertTrue(kind.trappedOnly() || timed.contains(kind), "never timed: " + kind);
+            assertTrue(kind.requiresRequest() || timed.contains(kind), "never timed: " + kind);
             for (RequestState state : RequestState.values()) {
                 assertEquals(
-                        kind.isAimedAt(state),
+                        kind.isWorthInjecting(state),
                         trapped.contains(kind + " " + state),
                         kind + " " + state);
             }
--- a/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/SettingsTest.java
@@ -23,7 +23,7 @@
                             stage.machine(0).address(),
                             stage.registry.address(),
                             -5,
-                            Instances.json(2, true, stage.instances.whole()));
+                            Instances.json(2, true, stage.instances.snapshot()));
             SidecarConfig config = SidecarConfig.parse(text.getBytes(StandardCharsets.UTF_8));
             assertEquals("n1", config.name());
             assertEquals(stage.registry.address(), config.registryAddress());
@@ -42,15 +42,17 @@
                     plan.size(ScenarioParameter.RETRY_AFTER) > 0,
                     settings.capabilities().retryAfter());
             assertFalse(settings.capabilities().healthChecks());
-            assertEquals(Classes.ALL.size(), settings.classes().size());
-            for (int i = 0; i < Classes.ALL.size(); i++) {
-                assertEquals(Classes.of(i).semantics(), settings.classes().get(i).idempotency());
+            assertEquals(RequestClasses.ALL.size(), settings.classes().size());
+            for (int i = 0; i < RequestClasses.ALL.size(); i++) {
+                assertEquals(
+                        RequestClasses.of(i).semantics(), settings.classes().get(i).idempotency());
                 assertTrue(
-                        !Classes.of(i).keyed()
-                                || Classes.of(i).scope()
+                        !RequestClasses.of(i).keyed()
+                                || RequestClasses.of(i).scope()
                                         == settings.classes().get(i).deduplicationScope());
                 assertEquals(
-                        plan.deadline(Classes.of(i)), settings.classes().get(i).deadlineNanos());
+                        plan.deadline(RequestClasses.of(i)),
+                        settings.classes().get(i).deadlineNanos());
             }
         }
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
@@ -44,7 +44,7 @@
             fleet.machines().add(new Machine(day, fleet, "s" + i, i, host));
         }
         fleet.machines().forEach(each -> each.begin(new RequestStates()));
-        instances.pastEnds();
+        instances.endHistory();
         registry =
                 new Registry(
                         day,
@@ -65,7 +65,7 @@
         byte[] body = (requestClass == 0 ? "" : "abc").getBytes(StandardCharsets.ISO_8859_1);
         Message message =
                 Message.of(requestClass == 0 ? "GET" : "POST", "/api", key, body, body.length);
-        day.asked.add(id, new SentRequestRegistry.Form(requestClass, message, work));
+        day.sentRequests.add(id, new SentRequestRegistry.Form(requestClass, message, work));
         return this;
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/StagedCombinationTest.java
@@ -76,8 +76,8 @@
         assertTrue(
                 plan.size(ScenarioParameter.CONNECT_TIMEOUT)
                         > slow.value(FaultParameter.BY) - 300 * Site.MS);
-        assertTrue(plan.deadline(Classes.of(2)) > Site.DRAIN_GRACE);
-        assertEquals(Classes.of(0).deadline(), plan.deadline(Classes.of(0)));
+        assertTrue(plan.deadline(RequestClasses.of(2)) > Site.DRAIN_GRACE);
+        assertEquals(RequestClasses.of(0).deadline(), plan.deadline(RequestClasses.of(0)));
     }
 
     @Test
@@ -98,7 +98,7 @@
     @Test
     void windowsAreShortAndBuffersSmall() {
         Plan plan = plan(StagedCombination.WINDOWS, 1);
-        assertTrue(plan.size(ScenarioParameter.KEY_WINDOW) < plan.deadline(Classes.of(1)));
+        assertTrue(plan.size(ScenarioParameter.KEY_WINDOW) < plan.deadline(RequestClasses.of(1)));
         assertTrue(plan.size(ScenarioParameter.SEND_BUFFER) <= 120);
         assertEquals(24, of(plan, FaultKind.UP_RESET).size());
     }
