--- a/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -7,59 +7,60 @@
 import java.util.ArrayDeque;
 
 /**
- * A usual client's connection to a sidecar: mostly one request at a time, at times a few behind one
- * another.
+ * A well-behaved client's connection to a sidecar. It usually carries one request at a time and
+ * sometimes pipelines a few.
  */
 final class AppConnection implements SimSocket.Events {
-    private static final int BULK = 1 << 16;
-    private static final int SIP = 60;
-    private static final long SIP_PAUSE = 4 * Site.MS;
+    private static final int READ_SIZE = 1 << 16;
+    private static final int SLOW_READ_SIZE = 60;
+    private static final long SLOW_READ_PAUSE = 4 * Site.MS;
     private static final long CONNECT_TIMEOUT = Site.SECOND;
-    private static final int MOST_BEHIND = 3;
+    private static final int MAX_PIPELINED = 3;
 
     private final Day day;
     private final Application application;
-    private final ProcessSlot seat;
+    private final ProcessSlot slot;
     private final HttpReader reader = new HttpReader(true);
-    private final ArrayDeque<PendingAttempt> open = new ArrayDeque<>(2);
+    private final ArrayDeque<PendingAttempt> openAttempts = new ArrayDeque<>(2);
 
-    /** How many bytes of earlier requests were written when each of the open ones began. */
-    private final ArrayDeque<Long> begunAt = new ArrayDeque<>(2);
+    /** For each open attempt, the bytes written on this connection before its request. */
+    private final ArrayDeque<Long> startOffsets = new ArrayDeque<>(2);
 
     private SimSocket socket;
     private Player player;
-    private PendingAttempt first;
-    private Simulation.Event connectEnd;
-    private Simulation.Event sip;
+    private PendingAttempt firstAttempt;
+    private Simulation.Event connectTimeout;
+    private Simulation.Event slowRead;
     private long openedAt;
-    private boolean answeredOnce;
-    private boolean spent;
+    private boolean hasReceivedResponse;
+    private boolean keptOnly;
     private boolean closed;
     private boolean stalled;
-    private boolean troubled;
+    private boolean faulty;
 
-    AppConnection(Day day, Application application, ProcessSlot seat, PendingAttempt first) {
+    AppConnection(Day day, Application application, ProcessSlot slot, PendingAttempt firstAttempt) {
         this.day = day;
         this.application = application;
-        this.seat = seat;
-        this.first = first;
+        this.slot = slot;
+        this.firstAttempt = firstAttempt;
     }
 
-    ProcessSlot seat() {
-        return seat;
+    ProcessSlot slot() {
+        return slot;
     }
 
     SimSocket socket() {
         return socket;
     }
 
-    /** Connects; false if that can't even begin. */
+    /** Starts to connect; returns false if that fails at once. */
     boolean connect() {
         try {
             openedAt = day.now();
-            socket = application.host().connect(seat.address(), this);
+            socket = application.host().connect(slot.address(), this);
             player = new Player(day.simulation, socket);
-            connectEnd = day.after(CONNECT_TIMEOUT, () -> failed(new IOException("no answer")));
+            connectTimeout =
+                    day.after(CONNECT_TIMEOUT, () -> failed(new IOException("connect timeout")));
             return true;
         } catch (IOException e) {
             closed = true;
@@ -67,79 +68,82 @@
         }
     }
 
-    /** Whether it stands open with nothing asked on it. */
+    /** Whether the connection is open, idle and usable for another request. */
     boolean isFree() {
-        return !closed && first == null && open.isEmpty() && !spent && !stalled;
+        return !closed && firstAttempt == null && openAttempts.isEmpty() && !keptOnly && !stalled;
     }
 
-    /** Whether its client asked once and only keeps it. */
-    boolean isSpent() {
-        return !closed && spent && open.isEmpty();
+    /** Whether the client keeps the connection open but sends no further request on it. */
+    boolean isKeptOnly() {
+        return !closed && keptOnly && openAttempts.isEmpty();
     }
 
-    /** The id of the first request that is open on it, or null. */
+    /** Returns the id of the oldest open request, or null. */
     String openId() {
-        return open.isEmpty() ? null : open.peek().id;
+        return openAttempts.isEmpty() ? null : openAttempts.peek().id;
     }
 
-    /** Whether this one may be asked behind the others: it must not be due before them. */
-    boolean takesBehind(long until) {
+    /**
+     * Whether a request that expires at the given time may be pipelined behind the open ones: it
+     * must not expire before them.
+     */
+    boolean canPipeline(long expiresAt) {
         return !closed
-                && first == null
-                && !spent
+                && firstAttempt == null
+                && !keptOnly
                 && !stalled
-                && !open.isEmpty()
-                && open.size() < MOST_BEHIND
+                && !openAttempts.isEmpty()
+                && openAttempts.size() < MAX_PIPELINED
                 && player.isDone()
-                && !open.peekLast().wish.slowReader
-                && open.peekLast().until() <= until;
+                && !openAttempts.peekLast().intent.slowReader
+                && openAttempts.peekLast().expiresAt() <= expiresAt;
     }
 
-    void ask(PendingAttempt asking) {
-        open.add(asking);
-        begunAt.add(socket.bytesWritten());
-        asking.begins(this);
-        if (troubled) {
-            tellTroubled(asking);
+    void send(PendingAttempt attempt) {
+        openAttempts.add(attempt);
+        startOffsets.add(socket.bytesWritten());
+        attempt.start(this);
+        if (faulty) {
+            reportFaulty(attempt);
         }
-        player.play(asking.script(), asking::written);
+        player.play(attempt.script(), attempt::written);
     }
 
-    // ---- what the client does of itself
+    // ---- actions of the client
 
-    /** Closes the connection, whatever is open on it. */
-    void leave() {
+    /** Closes the connection and abandons the open attempts. */
+    void disconnect() {
         if (!closed) {
             close();
-            giveUpAll();
+            abandonAll();
         }
     }
 
-    /** Resets it. */
+    /** Resets the connection and abandons the open attempts. */
     void reset() {
         if (!closed) {
             closed = true;
             player.stop();
             socket.reset();
-            application.closed(this);
-            giveUpAll();
+            application.connectionClosed(this);
+            abandonAll();
         }
     }
 
-    /** Ends its sending: it counts as gone, and looks no longer for what it asked. */
-    void end() {
+    /** Shuts down the output. The client counts as gone and abandons the open attempts. */
+    void halfClose() {
         if (!closed) {
-            spent = true;
+            keptOnly = true;
             player.stop();
             socket.shutdownOutput();
-            giveUpAll();
-            day.after(Site.SECOND, this::leave);
+            abandonAll();
+            day.after(Site.SECOND, this::disconnect);
         }
     }
 
-    /** Reads no more from now on. */
+    /** Stops reading for good. */
     void stall() {
-        troubled();
+        markFaulty();
         stalled = true;
         if (socket.peer() != null) {
             socket.fault(SimSocket.Fault.STALL_READS);
@@ -147,57 +151,58 @@
     }
 
     /**
-     * Something is done to it for good: what happens to requests on it is not the sidecar's fault.
+     * Marks the connection as permanently affected by a fault: the sidecar is not responsible for
+     * what happens to requests on it.
      */
-    void troubled() {
-        troubled = true;
-        open.forEach(this::tellTroubled);
+    void markFaulty() {
+        faulty = true;
+        openAttempts.forEach(this::reportFaulty);
     }
 
-    private void tellTroubled(PendingAttempt asking) {
-        // What the trouble brings about comes at this very instant, and is not to come before it.
-        day.evidence.clientLinkTroubled(seat.name(), asking.id, day.now() - 1, Long.MAX_VALUE);
+    private void reportFaulty(PendingAttempt attempt) {
+        // The fault's effects have the same timestamp, so the affected time starts just before it.
+        day.evidence.clientLinkTroubled(slot.name(), attempt.id, day.now() - 1, Long.MAX_VALUE);
     }
 
-    private void giveUpAll() {
-        while (!open.isEmpty()) {
-            open.poll().gaveUp();
+    private void abandonAll() {
+        while (!openAttempts.isEmpty()) {
+            openAttempts.poll().abandon();
         }
-        begunAt.clear();
+        startOffsets.clear();
     }
 
     private void close() {
         closed = true;
-        if (connectEnd != null) {
-            connectEnd.cancel();
+        if (connectTimeout != null) {
+            connectTimeout.cancel();
         }
         player.stop();
         socket.close();
-        application.closed(this);
+        application.connectionClosed(this);
     }
 
-    // ---- what it hears
+    // ---- socket events
 
     @Override
     public void connected() {
-        connectEnd.cancel();
-        PendingAttempt begins = first;
-        first = null;
-        ask(begins);
+        connectTimeout.cancel();
+        PendingAttempt attempt = firstAttempt;
+        firstAttempt = null;
+        send(attempt);
     }
 
     @Override
-    public void failed(IOException why) {
+    public void failed(IOException cause) {
         if (!closed) {
-            PendingAttempt waiting = first;
-            first = null;
+            PendingAttempt unsent = firstAttempt;
+            firstAttempt = null;
             close();
-            if (why instanceof ConnectException) {
-                day.evidence.connectRefused(seat.name(), openedAt);
+            if (cause instanceof ConnectException) {
+                day.evidence.connectRefused(slot.name(), openedAt);
             }
-            if (waiting != null) {
-                seat.unreachable();
-                waiting.unsent();
+            if (unsent != null) {
+                slot.unreachable();
+                unsent.unsent();
             }
         }
     }
@@ -214,15 +219,15 @@
         if (closed || stalled) {
             return;
         }
-        if (!open.isEmpty() && open.peek().wish.slowReader) {
-            if (sip == null) {
-                sip =
+        if (!openAttempts.isEmpty() && openAttempts.peek().intent.slowReader) {
+            if (slowRead == null) {
+                slowRead =
                         day.after(
-                                SIP_PAUSE,
+                                SLOW_READ_PAUSE,
                                 () -> {
-                                    sip = null;
+                                    slowRead = null;
                                     if (!closed && !stalled) {
-                                        read(SIP);
+                                        read(SLOW_READ_SIZE);
                                         if (!closed && socket.isReadable()) {
                                             readable();
                                         }
@@ -232,44 +237,45 @@
             return;
         }
         while (!closed && socket.isReadable()) {
-            // Where several answers may have come, each byte alone tells when it was sent.
-            if (!read(open.size() > 1 ? reader.missingBytes() : BULK)) {
+            // Several responses may be readable at once. Reading no further than the end of the
+            // current one gives the time at which its last byte was sent.
+            if (!read(openAttempts.size() > 1 ? reader.missingBytes() : READ_SIZE)) {
                 return;
             }
         }
     }
 
-    /** Reads once; false if nothing is there to be read on. */
-    private boolean read(int most) {
+    /** Reads once; returns false if there is nothing more to read. */
+    private boolean read(int maxBytes) {
         try {
-            int read = reader.read(socket, most);
-            if (read < 0 && !answers()) {
-                broke(reader.hasPartialMessage() ? "cut" : "closed");
+            int read = reader.read(socket, maxBytes);
+            if (read < 0 && !readResponses()) {
+                connectionLost(reader.hasPartialMessage() ? "cut" : "closed");
             } else if (read > 0) {
-                answers();
+                readResponses();
             }
             return read > 0;
         } catch (IOException e) {
-            broke("reset");
+            connectionLost("reset");
             return false;
         }
     }
 
-    /** Takes the answers that are whole; false if the last thing read was none. */
-    private boolean answers() {
+    /** Takes all complete responses; returns false if nothing could be taken. */
+    private boolean readResponses() {
         boolean any = false;
         while (!closed && reader.advance()) {
-            if (reader.isBroken() || open.isEmpty()) {
-                broke("unreadable");
+            if (reader.isBroken() || openAttempts.isEmpty()) {
+                connectionLost("unreadable");
                 return true;
             }
             any = true;
-            answer();
+            takeResponse();
         }
         return any;
     }
 
-    private void answer() {
+    private void takeResponse() {
         int status = reader.status();
         if (status < 200) {
             reader.next();
@@ -277,24 +283,24 @@
         }
         String body = reader.body();
         long retryAfter = retryAfter(reader.header("retry-after"));
-        boolean last = "close".equalsIgnoreCase(reader.header("connection"));
+        boolean closing = "close".equalsIgnoreCase(reader.header("connection"));
         reader.next();
-        PendingAttempt done = open.poll();
-        begunAt.poll();
-        answeredOnce = true;
+        PendingAttempt done = openAttempts.poll();
+        startOffsets.poll();
+        hasReceivedResponse = true;
         long sentAt = socket.sentAt();
-        if (last && open.isEmpty()) {
+        if (closing && openAttempts.isEmpty()) {
             close();
-        } else if (done.wish.asksOnce) {
-            spent = true;
+        } else if (done.intent.asksOnce) {
+            keptOnly = true;
         }
         done.answered(status, body, retryAfter, sentAt);
         if (!closed && isFree()) {
-            application.free(this);
+            application.connectionFree(this);
         }
     }
 
-    /** -1 for none; what can't be read is for ever. */
+    /** Parses Retry-After: nanoseconds, -1 if absent, {@link Long#MAX_VALUE} if unreadable. */
     private static long retryAfter(String text) {
         try {
             return text == null
@@ -305,19 +311,20 @@
         }
     }
 
-    /** Ended by the other side, or by the network. */
-    private void broke(String how) {
+    /** The peer or the network ended the connection. */
+    private void connectionLost(String reason) {
         if (closed) {
             return;
         }
-        boolean begun = reader.hasPartialMessage();
+        boolean responseStarted = reader.hasPartialMessage();
         long read = socket.peer() == null ? 0 : socket.peer().bytesRead();
         close();
-        while (!open.isEmpty()) {
-            boolean crossed = answeredOnce && !begun && read <= begunAt.peek();
-            begunAt.poll();
-            open.poll().broken(how, begun, crossed);
-            begun = false;
+        while (!openAttempts.isEmpty()) {
+            boolean crossed =
+                    hasReceivedResponse && !responseStarted && read <= startOffsets.peek();
+            startOffsets.poll();
+            openAttempts.poll().broken(reason, responseStarted, crossed);
+            responseStarted = false;
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -8,112 +8,119 @@
 import java.util.List;
 
 /**
- * The calling application beside one sidecar: its clients, who keep connections and open more when
- * all are busy. While its own sidecar is away they use another one that is ready.
+ * The application next to one sidecar. Its clients reuse idle connections and open new ones when
+ * all are busy. While its own sidecar is not usable they connect to another one that is ready.
  */
 final class Application {
-    /** A client that finds no sidecar for so long does without. */
-    private static final long WAITS = 1500 * Site.MS;
+    /** A client drops its request when it has found no usable sidecar for this long. */
+    private static final long MAX_SIDECAR_WAIT = 1500 * Site.MS;
 
-    private static final long LEAST_LEFT = 50 * Site.MS;
-    private static final long SERIALS = 1L << 32;
+    private static final long MIN_TIME_LEFT = 50 * Site.MS;
+    private static final long SERIALS_PER_APPLICATION = 1L << 32;
 
     private final Day day;
     private final int index;
     private final Host host;
-    private final ProcessSlots seats;
-    private final long[] works;
+    private final ProcessSlots slots;
+    private final long[] meanWorks;
     private final SeededRandom chance;
     private final List<AppConnection> connections = new ArrayList<>();
     private final ArrayDeque<AppConnection> free = new ArrayDeque<>();
     private final ArrayDeque<RequestIntent> waiting = new ArrayDeque<>();
-    private long wishes;
-    private long tries;
+    private long intentCount;
+    private long attemptCount;
 
-    Application(Day day, int index, Host host, ProcessSlots seats, long[] works) {
+    Application(Day day, int index, Host host, ProcessSlots slots, long[] meanWorks) {
         this.day = day;
         this.index = index;
         this.host = host;
-        this.seats = seats;
-        this.works = works;
+        this.slots = slots;
+        this.meanWorks = meanWorks;
         this.chance = day.work("app." + index);
-        seats.onReady(this::serveWaiting);
+        slots.onReady(this::serveWaiting);
     }
 
     Host host() {
         return host;
     }
 
-    /** A client of a tenant wants something done. */
+    /** Starts a new request of a tenant. */
     void submit(int tenant) {
-        long number = wishes++;
-        RequestIntent wish =
+        long number = intentCount++;
+        RequestIntent intent =
                 new RequestIntent(
                         day,
                         "w" + index + "-" + number,
                         day.work("wish." + index + "." + number),
-                        works,
+                        meanWorks,
                         tenant);
-        ask(wish);
+        send(intent);
     }
 
-    private void ask(RequestIntent wish) {
-        if (wish.endsAt != 0 && wish.endsAt - day.now() < LEAST_LEFT) {
+    private void send(RequestIntent intent) {
+        if (intent.endsAt != 0 && intent.endsAt - day.now() < MIN_TIME_LEFT) {
             return;
         }
-        AppConnection kept = keptOfOneThatEnds();
-        if (kept != null) {
-            kept.ask(new PendingAttempt(day, this, wish, index * SERIALS + ++tries));
+        AppConnection existing = freeOnDrainingSidecar();
+        if (existing != null) {
+            existing.send(
+                    new PendingAttempt(
+                            day, this, intent, index * SERIALS_PER_APPLICATION + ++attemptCount));
             return;
         }
-        ProcessSlot seat = seats.choose(index, chance);
-        if (seat == null) {
-            await(wish);
+        ProcessSlot slot = slots.choose(index, chance);
+        if (slot == null) {
+            await(intent);
             return;
         }
-        AppConnection behind =
-                wish.chance.hits(day.plan.part(ScenarioParameter.PIPELINED))
-                        ? busy(seat, wish)
+        AppConnection pipelined =
+                intent.chance.hits(day.plan.part(ScenarioParameter.PIPELINED))
+                        ? findPipelinable(slot, intent)
                         : null;
-        AppConnection connection = behind != null ? behind : free(seat);
-        if (connection == null && seat.isFull() && !spare(seat)) {
-            await(wish);
+        AppConnection connection = pipelined != null ? pipelined : takeFree(slot);
+        if (connection == null && slot.isFull() && !closeIdle(slot)) {
+            await(intent);
             return;
         }
-        PendingAttempt asking = new PendingAttempt(day, this, wish, index * SERIALS + ++tries);
+        PendingAttempt attempt =
+                new PendingAttempt(
+                        day, this, intent, index * SERIALS_PER_APPLICATION + ++attemptCount);
         if (connection != null) {
-            connection.ask(asking);
+            connection.send(attempt);
             return;
         }
-        AppConnection opened = new AppConnection(day, this, seat, asking);
+        AppConnection opened = new AppConnection(day, this, slot, attempt);
         if (opened.connect()) {
             connections.add(opened);
-            seat.connections(1);
+            slot.connections(1);
         } else {
-            asking.unsent();
+            attempt.unsent();
         }
     }
 
-    private void await(RequestIntent wish) {
-        waiting.add(wish);
-        day.after(WAITS, () -> waiting.remove(wish));
+    private void await(RequestIntent intent) {
+        waiting.add(intent);
+        day.after(MAX_SIDECAR_WAIT, () -> waiting.remove(intent));
     }
 
     private void serveWaiting() {
         for (int i = waiting.size(); i > 0 && !waiting.isEmpty(); i--) {
-            ask(waiting.poll());
+            send(waiting.poll());
         }
     }
 
-    /** New connections go elsewhere; those that there are go on being used while they stay open. */
-    private AppConnection keptOfOneThatEnds() {
-        ProcessSlot own = seats.all().get(index);
-        return own.isRunning() && !own.isUsable() ? free(own) : null;
+    /**
+     * Returns an idle connection to the own sidecar while that is running but takes no new
+     * connections, or null. Existing connections stay in use as long as they are open.
+     */
+    private AppConnection freeOnDrainingSidecar() {
+        ProcessSlot own = slots.all().get(index);
+        return own.isRunning() && !own.isUsable() ? takeFree(own) : null;
     }
 
-    private AppConnection free(ProcessSlot seat) {
+    private AppConnection takeFree(ProcessSlot slot) {
         for (AppConnection each : free) {
-            if (each.seat() == seat && each.isFree()) {
+            if (each.slot() == slot && each.isFree()) {
                 free.remove(each);
                 return each;
             }
@@ -121,93 +128,100 @@
         return null;
     }
 
-    private AppConnection busy(ProcessSlot seat, RequestIntent wish) {
-        if (wish.asksOnce || wish.slowReader) {
+    private AppConnection findPipelinable(ProcessSlot slot, RequestIntent intent) {
+        if (intent.asksOnce || intent.slowReader) {
             return null;
         }
-        long until = day.now() + (long) (wish.share * wish.deadline);
+        long expiresAt = day.now() + (long) (intent.share * intent.deadline);
         for (AppConnection each : connections) {
-            if (each.seat() == seat && each.takesBehind(until)) {
+            if (each.slot() == slot && each.canPipeline(expiresAt)) {
                 return each;
             }
         }
         return null;
     }
 
-    /** Makes room for another connection: one on which nothing is open goes. */
-    private boolean spare(ProcessSlot seat) {
+    /** Closes a connection without open requests to make room; returns false if there is none. */
+    private boolean closeIdle(ProcessSlot slot) {
         for (AppConnection each : connections) {
-            if (each.seat() == seat && (each.isFree() || each.isSpent())) {
-                each.leave();
+            if (each.slot() == slot && (each.isFree() || each.isKeptOnly())) {
+                each.disconnect();
                 return true;
             }
         }
         return false;
     }
 
-    /** A connection has nothing open on it any more. */
-    void free(AppConnection connection) {
+    /** The connection has no open request any more. */
+    void connectionFree(AppConnection connection) {
         free.push(connection);
         if (!waiting.isEmpty()) {
             serveWaiting();
         }
     }
 
-    void closed(AppConnection connection) {
+    void connectionClosed(AppConnection connection) {
         if (connections.remove(connection)) {
-            connection.seat().connections(-1);
+            connection.slot().connections(-1);
         }
         free.remove(connection);
     }
 
-    /** Nobody asks any more: all connections are closed. */
+    /** Drops waiting requests and closes all connections. */
     void closeAll() {
         waiting.clear();
-        List.copyOf(connections).forEach(AppConnection::leave);
+        List.copyOf(connections).forEach(AppConnection::disconnect);
     }
 
-    /** A try is over: its client is content, asks again, or leaves it at that. */
-    void ended(PendingAttempt asking, PendingAttempt.Outcome outcome, long retryAfter) {
-        RequestIntent wish = asking.wish;
+    /**
+     * An attempt has ended: decides whether and when the client retries.
+     *
+     * @param retryAfter nanoseconds; -1 if absent, {@link Long#MAX_VALUE} if unreadable
+     */
+    void ended(PendingAttempt attempt, PendingAttempt.Outcome outcome, long retryAfter) {
+        RequestIntent intent = attempt.intent;
         switch (outcome) {
             case SERVED, GAVE_UP -> {}
-            case UNSENT -> again(wish, backoff(wish));
-            case CROSSED -> again(wish, 0);
-            case REFUSED -> retry(wish, heeds(wish, retryAfter) ? retryAfter : backoff(wish));
+            case UNSENT -> scheduleRetry(intent, backoff(intent));
+            case CROSSED -> scheduleRetry(intent, 0);
+            case REFUSED ->
+                    retry(
+                            intent,
+                            honoursRetryAfter(intent, retryAfter) ? retryAfter : backoff(intent));
             default -> {
-                if (wish.mayFollowFailure()) {
-                    retry(wish, backoff(wish));
+                if (intent.mayFollowFailure()) {
+                    retry(intent, backoff(intent));
                 }
             }
         }
     }
 
-    private boolean heeds(RequestIntent wish, long retryAfter) {
+    private boolean honoursRetryAfter(RequestIntent intent, long retryAfter) {
         return retryAfter >= 0
                 && retryAfter < Long.MAX_VALUE
-                && wish.chance.hits(day.plan.part(ScenarioParameter.HONOUR));
+                && intent.chance.hits(day.plan.part(ScenarioParameter.HONOUR));
     }
 
-    private long backoff(RequestIntent wish) {
-        long longest = day.plan.size(ScenarioParameter.BACKOFF) << Math.min(6, wish.tries);
-        return longest / 2 + wish.chance.nextLong(longest / 2 + 1);
+    private long backoff(RequestIntent intent) {
+        long max = day.plan.size(ScenarioParameter.BACKOFF) << Math.min(6, intent.tries);
+        return max / 2 + intent.chance.nextLong(max / 2 + 1);
     }
 
-    private void retry(RequestIntent wish, long wait) {
-        if (wish.retriesLeft > 0) {
-            wish.retriesLeft--;
-            again(wish, wait);
+    private void retry(RequestIntent intent, long delay) {
+        if (intent.retriesLeft > 0) {
+            intent.retriesLeft--;
+            scheduleRetry(intent, delay);
         }
     }
 
-    private void again(RequestIntent wish, long wait) {
-        long at = day.now() + wait;
-        if (wish.endsAt == 0 ? wish.tries < 20 : at + LEAST_LEFT < wish.endsAt) {
-            day.after(wait, () -> ask(wish));
+    private void scheduleRetry(RequestIntent intent, long delay) {
+        long at = day.now() + delay;
+        if (intent.endsAt == 0 ? intent.tries < 20 : at + MIN_TIME_LEFT < intent.endsAt) {
+            day.after(delay, () -> send(intent));
         }
     }
 
-    /** The connection with this end; null if it is none of this application's. */
+    /** Returns the connection with this socket; null if it is not one of this application's. */
     AppConnection connection(SimSocket socket) {
         for (AppConnection each : connections) {
             if (each.socket() == socket) {
@@ -217,10 +231,10 @@
         return null;
     }
 
-    /** An id that is open just now at this sidecar, or null. */
-    String openId(ProcessSlot seat) {
+    /** Returns the id of a request that is open at this sidecar, or null. */
+    String openId(ProcessSlot slot) {
         for (AppConnection each : connections) {
-            String id = each.seat() == seat ? each.openId() : null;
+            String id = each.slot() == slot ? each.openId() : null;
             if (id != null) {
                 return id;
             }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -5,72 +5,73 @@
 import java.io.IOException;
 
 /**
- * One bad client's connection: it plays its script, and waits for the error or the close that it is
- * owed.
+ * The connection of one misbehaving client. It plays its script, then waits for the error response
+ * or the close that the sidecar has to send.
  */
 final class BadClient implements SimSocket.Events {
-    private static final long OWED = 3 * Site.SECOND;
-    private static final long OWED_FOR_MUCH = 6 * Site.SECOND;
-    private static final long LEAVES = 7 * Site.SECOND;
-    private static final int BULK = 1 << 16;
+    private static final long RESPONSE_DEADLINE = 3 * Site.SECOND;
+    private static final long LARGE_BODY_RESPONSE_DEADLINE = 6 * Site.SECOND;
+    private static final long CLOSE_DELAY = 7 * Site.SECOND;
+    private static final int READ_SIZE = 1 << 16;
 
     private final Day day;
     private final Host host;
-    private final ProcessSlot seat;
+    private final ProcessSlot slot;
     private final BadClientKind kind;
     private final String name;
     private final Script script;
-    private final Runnable whenEnded;
+    private final Runnable onEnded;
     private final HttpReader reader = new HttpReader(true);
     private SimSocket socket;
     private Player player;
     private boolean ended;
 
     /**
-     * @param whenEnded told when it has been turned away
+     * @param onEnded runs once when the sidecar has rejected the client
      */
     BadClient(
             Day day,
             Host host,
-            ProcessSlot seat,
+            ProcessSlot slot,
             BadClientKind kind,
             String name,
             Script script,
-            Runnable whenEnded) {
+            Runnable onEnded) {
         this.day = day;
         this.host = host;
-        this.seat = seat;
+        this.slot = slot;
         this.kind = kind;
         this.name = name;
         this.script = script;
-        this.whenEnded = whenEnded;
+        this.onEnded = onEnded;
     }
 
     void connect() {
         try {
-            socket = host.connect(seat.address(), this);
-            // Who never reads stays for as long as it is let.
+            socket = host.connect(slot.address(), this);
+            // A client that never reads stays until the sidecar closes the connection.
             if (kind != BadClientKind.NEVER_READS) {
-                day.after(LEAVES, this::leave);
+                day.after(CLOSE_DELAY, this::leave);
             }
         } catch (IOException e) {
-            // The bad client has no descriptors left, which is nobody's concern.
+            // The host of the bad clients has no descriptors left; no invariant depends on that.
             ended = true;
         }
     }
 
     @Override
     public void connected() {
-        if (isOwed()) {
-            boolean much = kind == BadClientKind.BIG_BODY || kind == BadClientKind.BIG_CHUNKS;
-            day.evidence.badClientConnected(name, day.now() + (much ? OWED_FOR_MUCH : OWED));
+        if (expectsResponse()) {
+            boolean large = kind == BadClientKind.BIG_BODY || kind == BadClientKind.BIG_CHUNKS;
+            day.evidence.badClientConnected(
+                    name, day.now() + (large ? LARGE_BODY_RESPONSE_DEADLINE : RESPONSE_DEADLINE));
         }
         player = new Player(day.simulation, socket);
         player.play(script, () -> {});
     }
 
-    /** One that leaves by itself, or never looks, is owed nothing that it could see. */
-    private boolean isOwed() {
+    /** False for a client that closes the connection itself or never reads: it sees no response. */
+    private boolean expectsResponse() {
         return switch (kind) {
             case HALF_CLOSE, HALF_RESET, NEVER_READS -> false;
             default -> true;
@@ -96,7 +97,7 @@
         }
         try {
             while (socket.isOpen() && socket.isReadable()) {
-                int read = reader.read(socket, BULK);
+                int read = reader.read(socket, READ_SIZE);
                 if (read < 0) {
                     end(0);
                     close();
@@ -104,7 +105,7 @@
                 if (read <= 0) {
                     return;
                 }
-                answers();
+                readResponses();
             }
         } catch (IOException e) {
             end(0);
@@ -112,7 +113,7 @@
         }
     }
 
-    private void answers() {
+    private void readResponses() {
         while (reader.advance()) {
             int status = reader.isBroken() ? 0 : reader.status();
             if (status == 0 || status >= 200) {
@@ -126,20 +127,23 @@
         }
     }
 
-    /** The first word counts; but an answer that serves it is told whenever it comes. */
+    /** Reports the first response or close only; a 200 is reported whenever it arrives. */
     private void end(int status) {
-        if (isOwed() && (!ended || status == 200)) {
+        if (expectsResponse() && (!ended || status == 200)) {
             day.evidence.badClientEnded(name, status);
         }
         if (!ended) {
             ended = true;
-            whenEnded.run();
+            onEnded.run();
         }
     }
 
-    /** Long after what it is owed was due: whoever is excused until now need no longer answer. */
+    /**
+     * Closes the connection long after the response was due. A sidecar that had an excuse until now
+     * need not respond any more, so the client is reported as ended.
+     */
     private void leave() {
-        if (player != null && !ended && isOwed()) {
+        if (player != null && !ended && expectsResponse()) {
             ended = true;
             day.evidence.badClientEnded(name, 0);
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClientKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClientKind.java
@@ -1,79 +1,78 @@
 package appleridge.testbed.simulation;
 
-/** What bad clients do. */
+/** The ways in which a client misbehaves. */
 enum BadClientKind {
-    /** Sends what can't be read. */
+    /** Sends bytes that are not HTTP. */
     NOISE,
-    /** A first line that can't be read. */
+    /** Sends an invalid request line. */
     BAD_FIRST_LINE,
-    /** A header line without a colon. */
+    /** Sends a header line without a colon. */
     BAD_HEADER,
-    /** A header line folded into the one before. */
+    /** Sends a header line folded over two lines. */
     FOLDED,
-    /** A head without end, at full speed. */
+    /** Sends an endless head at full speed. */
     ENDLESS_HEAD,
-    /** A head without end, a byte now and then. */
+    /** Sends an endless head slowly, one byte at a time. */
     SLOW_HEAD,
-    /** Less body than the length says; then silence. */
+    /** Sends less body than its Content-Length says, then nothing. */
     LONG_LENGTH,
-    /** More body than the length says. */
+    /** Sends more body than its Content-Length says. */
     SHORT_LENGTH,
-    /** A negative length. */
+    /** Sends a negative Content-Length. */
     NEGATIVE_LENGTH,
-    /** A length that no number holds. */
+    /** Sends a Content-Length that exceeds every integer type. */
     HUGE_LENGTH,
-    /** A length that is no number. */
+    /** Sends a Content-Length that is not a number. */
     WORD_LENGTH,
-    /** Two lengths that differ. */
+    /** Sends two different Content-Length headers. */
     TWO_LENGTHS,
-    /** Both a length and chunks, and another request hidden in the body. */
+    /** Sends both Content-Length and chunked encoding, with a request smuggled in the body. */
     HIDDEN,
-    /** Chunk sizes that are no numbers. */
+    /** Sends chunk sizes that are not numbers. */
     BAD_CHUNKS,
-    /** A body far beyond what is allowed, with its length told. */
+    /** Sends a body far above the size limit, with its Content-Length. */
     BIG_BODY,
-    /** The same in chunks. */
+    /** Sends a body far above the size limit in chunks. */
     BIG_CHUNKS,
-    /** A class that doesn't exist. */
+    /** Names a request class that does not exist. */
     UNKNOWN_CLASS,
-    /** No class. */
+    /** Names no request class. */
     NO_CLASS,
-    /** A deadline that is no number. */
+    /** Sends a deadline that is not a number. */
     BAD_DEADLINE,
-    /** No deadline. */
+    /** Sends no deadline. */
     NO_DEADLINE,
-    /** A deadline below nothing. */
+    /** Sends a negative deadline. */
     NEGATIVE_DEADLINE,
-    /** No id. */
+    /** Sends no request id. */
     NO_ID,
-    /** The id of another client's open request. */
+    /** Sends the id of another client's open request. */
     SAME_ID,
-    /** A keyed class without a key. */
+    /** Names a class that is idempotent by key, without an idempotency key. */
     NO_KEY,
-    /** The wrong method for the class. */
+    /** Sends the wrong method for the class. */
     WRONG_METHOD,
-    /** A path that doesn't exist. */
+    /** Requests a path that does not exist. */
     WRONG_PATH,
-    /** Half a request and a close. */
+    /** Sends part of a request and closes. */
     HALF_CLOSE,
-    /** Half a request and a reset. */
+    /** Sends part of a request and resets the connection. */
     HALF_RESET,
-    /** Half a request and silence. */
+    /** Sends part of a request, then nothing. */
     HALF_SILENT,
-    /** Hundreds of requests at once on one connection. */
+    /** Pipelines hundreds of requests on one connection. */
     HUNDREDS,
-    /** The same again as soon as it is turned away. */
+    /** Reconnects with the same invalid request as soon as it is rejected. */
     AGAIN,
-    /** Connects by hundreds and says nothing. */
+    /** Opens many connections at once and sends nothing. */
     CROWD,
-    /** Pipelines much and never reads. */
+    /** Pipelines many requests and never reads. */
     NEVER_READS;
 
     /**
-     * Whether its request may reach no server: it is too large, or can be read in more than one
-     * way.
+     * Whether its request must not reach any server, because it is too large, invalid or ambiguous.
      */
-    boolean isSenseless() {
+    boolean mustNotReachServer() {
         return switch (this) {
             case BAD_HEADER,
                     FOLDED,
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -5,93 +5,100 @@
 import appleridge.testbed.simnet.SeededRandom;
 import java.util.List;
 
-/** The machines from which bad clients come, and how they come. */
+/** The hosts of misbehaving clients; starts these clients when a fault asks for them. */
 final class BadClients {
-    private static final int CROWD_LEAST = 30;
-    private static final int CROWD_MORE = 90;
-    private static final int AGAIN = 20;
+    private static final int MIN_CROWD = 30;
+    private static final int CROWD_RANGE = 90;
+    private static final int RECONNECTS = 20;
     private static final int DESCRIPTORS = 1000;
     private static final int SMALL_BUFFER = 512;
-    private static final long SPREAD = 50 * Site.MS;
-    private static final long LOOK_AGAIN = 5 * Site.MS;
-    private static final int LOOKS = 100;
+    private static final long ARRIVAL_SPREAD = 50 * Site.MS;
+    private static final long OPEN_REQUEST_POLL_INTERVAL = 5 * Site.MS;
+    private static final int MAX_OPEN_REQUEST_POLLS = 100;
 
     private final Day day;
     private final List<Application> applications;
     private final Host host;
 
-    /** From here come those that never read: little fits on the way to them. */
-    private final Host mute;
+    /** Host of the clients that never read; the buffers towards it are small. */
+    private final Host neverReadingHost;
 
     private final SeededRandom chance;
     private final BadRequests requests;
-    private int clients;
+    private int clientCount;
 
     BadClients(Day day, List<Application> applications) {
         this.day = day;
         this.applications = applications;
         this.host = day.network.host("bad", Site.address(2, 9, 1), DESCRIPTORS);
-        this.mute = day.network.host("mute", Site.address(2, 9, 2), DESCRIPTORS);
+        this.neverReadingHost = day.network.host("mute", Site.address(2, 9, 2), DESCRIPTORS);
         this.chance = day.faults("bad");
         this.requests = new BadRequests(chance);
     }
 
     List<Host> hosts() {
-        return List.of(host, mute);
+        return List.of(host, neverReadingHost);
     }
 
-    /** To be called when the links of all others are made. */
-    void limitBuffers(ProcessSlot seat) {
-        NetworkConditions back = day.network.weather(seat.host(), mute);
-        back.receiveBuffer = SMALL_BUFFER;
-        back.sendBuffer = SMALL_BUFFER;
+    /**
+     * Limits the buffers from a sidecar to the clients that never read. Call it after all links
+     * have been set up, because that overwrites the buffer sizes.
+     */
+    void limitBuffers(ProcessSlot slot) {
+        NetworkConditions toNeverReading = day.network.weather(slot.host(), neverReadingHost);
+        toNeverReading.receiveBuffer = SMALL_BUFFER;
+        toNeverReading.sendBuffer = SMALL_BUFFER;
     }
 
-    /** So many of a kind come within moments. */
-    void connect(BadClientKind kind, ProcessSlot seat, long count) {
-        long all = kind == BadClientKind.CROWD ? CROWD_LEAST + chance.nextInt(CROWD_MORE) : count;
-        for (long i = 0; i < all; i++) {
+    /**
+     * Connects clients of a kind to a sidecar at random times within a short interval.
+     *
+     * @param count how many; a {@link BadClientKind#CROWD} draws its own number
+     */
+    void connect(BadClientKind kind, ProcessSlot slot, long count) {
+        long total = kind == BadClientKind.CROWD ? MIN_CROWD + chance.nextInt(CROWD_RANGE) : count;
+        for (long i = 0; i < total; i++) {
             day.after(
-                    chance.nextLong(SPREAD),
+                    chance.nextLong(ARRIVAL_SPREAD),
                     () -> {
                         if (kind == BadClientKind.SAME_ID) {
-                            same(seat, LOOKS);
+                            reuseOpenId(slot, MAX_OPEN_REQUEST_POLLS);
                         } else {
-                            one(kind, seat, kind == BadClientKind.AGAIN ? AGAIN : 0);
+                            connectOne(kind, slot, kind == BadClientKind.AGAIN ? RECONNECTS : 0);
                         }
                     });
         }
     }
 
-    private void one(BadClientKind kind, ProcessSlot seat, int again) {
-        String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clients;
+    private void connectOne(BadClientKind kind, ProcessSlot slot, int reconnects) {
+        String name = Site.BAD_ID + FaultKind.word(kind) + '-' + ++clientCount;
         if (kind == BadClientKind.HIDDEN) {
             day.evidence.badClientHidRequest(name, BadRequests.hiddenId(name));
         }
-        if (kind.isSenseless()) {
+        if (kind.mustNotReachServer()) {
             day.evidence.badClientHidRequest(name, name);
         }
-        Runnable next = again > 0 ? () -> one(kind, seat, again - 1) : () -> {};
-        Host from = kind == BadClientKind.NEVER_READS ? mute : host;
-        new BadClient(day, from, seat, kind, name, requests.script(kind, name), next).connect();
+        Runnable next = reconnects > 0 ? () -> connectOne(kind, slot, reconnects - 1) : () -> {};
+        Host from = kind == BadClientKind.NEVER_READS ? neverReadingHost : host;
+        new BadClient(day, from, slot, kind, name, requests.script(kind, name), next).connect();
     }
 
-    /** Waits a little for a request that is open, and asks under its id. */
-    private void same(ProcessSlot seat, int looks) {
+    /** Polls for an open request of another client and sends a request with the same id. */
+    private void reuseOpenId(ProcessSlot slot, int pollsLeft) {
         for (Application each : applications) {
-            String id = each.openId(seat);
+            String id = each.openId(slot);
             if (id != null) {
-                String name = Site.BAD_ID + "same-" + ++clients;
+                String name = Site.BAD_ID + "same-" + ++clientCount;
                 day.sentRequests.borrow(id);
                 day.evidence.badClientReusedId(name, Site.BAD_ID + id, id);
-                Script script = requests.same(id, day.sentRequests.form(id).method());
-                new BadClient(day, host, seat, BadClientKind.SAME_ID, name, script, () -> {})
+                Script script = requests.reusingId(id, day.sentRequests.form(id).method());
+                new BadClient(day, host, slot, BadClientKind.SAME_ID, name, script, () -> {})
                         .connect();
                 return;
             }
         }
-        if (looks > 0) {
-            day.after(LOOK_AGAIN, () -> same(seat, looks - 1));
+        if (pollsLeft > 0) {
+            day.after(OPEN_REQUEST_POLL_INTERVAL, () -> reuseOpenId(slot, pollsLeft - 1));
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadRequests.java
@@ -2,16 +2,17 @@
 
 import appleridge.testbed.simnet.SeededRandom;
 
-/** What bad clients send, by kind. */
+/** The requests that misbehaving clients send, by kind. */
 final class BadRequests {
-    private static final int SPEED = 100;
-    private static final int MANY = 200;
-    private static final int VERY_MANY = 1000;
-    private static final int BIG_PIECE = 16_384;
-    private static final int BIG_PIECES = 40;
+    private static final int HEAD_PARTS = 100;
+    private static final long SLOW_HEAD_INTERVAL = 100 * Site.MS;
+    private static final int PIPELINED = 200;
+    private static final int NEVER_READ = 1000;
+    private static final int BIG_CHUNK_SIZE = 16_384;
+    private static final int BIG_CHUNK_COUNT = 40;
 
-    /** 60 MB are said; what is sent of them is bounded, for it is thrown away. */
-    private static final int SAID = 60_000_000;
+    /** Bytes announced for a big body. Only a bounded part is sent: the sidecar discards it. */
+    private static final int ANNOUNCED_LENGTH = 60_000_000;
 
     private final SeededRandom chance;
 
@@ -20,7 +21,7 @@
     }
 
     /**
-     * @param id the bad client's own, or another's open one
+     * @param id the request id to send
      */
     Script script(BadClientKind kind, String id) {
         return switch (kind) {
@@ -30,9 +31,10 @@
             case FOLDED -> Script.of(post(id, "X-Long: a\r\n b\r\nContent-Length: 3\r\n", "abc"));
             case ENDLESS_HEAD ->
                     Script.of("POST /api HTTP/1.1\r\n")
-                            .repeat(SPEED, 0, "X-More: " + "m".repeat(2000) + "\r\n");
+                            .repeat(HEAD_PARTS, 0, "X-More: " + "m".repeat(2000) + "\r\n");
             case SLOW_HEAD ->
-                    Script.of("POST /api HTTP/1.1\r\nX-Slow: ").repeat(SPEED, SPEED * Site.MS, "s");
+                    Script.of("POST /api HTTP/1.1\r\nX-Slow: ")
+                            .repeat(HEAD_PARTS, SLOW_HEAD_INTERVAL, "s");
             case LONG_LENGTH -> Script.of(post(id, "Content-Length: 300\r\n", "abc"));
             case SHORT_LENGTH ->
                     Script.of(
@@ -43,20 +45,20 @@
             case WORD_LENGTH -> Script.of(post(id, "Content-Length: three\r\n", "abc"));
             case TWO_LENGTHS ->
                     Script.of(post(id, "Content-Length: 3\r\nContent-Length: 30\r\n", "abc"));
-            case HIDDEN -> hidden(id);
+            case HIDDEN -> smuggling(id);
             case BAD_CHUNKS ->
                     Script.of(post(id, "Transfer-Encoding: chunked\r\n", "zz\r\nabc\r\n0\r\n\r\n"));
             case BIG_BODY ->
-                    Script.of(post(id, "Content-Length: " + SAID + "\r\n", ""))
-                            .repeat(BIG_PIECES, 0, "b".repeat(BIG_PIECE));
+                    Script.of(post(id, "Content-Length: " + ANNOUNCED_LENGTH + "\r\n", ""))
+                            .repeat(BIG_CHUNK_COUNT, 0, "b".repeat(BIG_CHUNK_SIZE));
             case BIG_CHUNKS ->
                     Script.of(post(id, "Transfer-Encoding: chunked\r\n", ""))
                             .repeat(
-                                    BIG_PIECES,
+                                    BIG_CHUNK_COUNT,
                                     0,
-                                    Integer.toHexString(BIG_PIECE)
+                                    Integer.toHexString(BIG_CHUNK_SIZE)
                                             + "\r\n"
-                                            + "c".repeat(BIG_PIECE)
+                                            + "c".repeat(BIG_CHUNK_SIZE)
                                             + "\r\n")
                             .then(0, "0\r\n\r\n");
             case UNKNOWN_CLASS, AGAIN ->
@@ -91,30 +93,32 @@
             case WRONG_PATH ->
                     Script.of(
                             "GET /nowhere HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\n\r\n");
-            case HALF_CLOSE -> half(id).ending(Script.End.CLOSE);
-            case HALF_RESET -> half(id).ending(Script.End.RESET);
-            case HALF_SILENT -> half(id);
+            case HALF_CLOSE -> partial(id).ending(Script.End.CLOSE);
+            case HALF_RESET -> partial(id).ending(Script.End.RESET);
+            case HALF_SILENT -> partial(id);
             case HUNDREDS ->
                     Script.of("")
                             .repeat(
-                                    MANY,
+                                    PIPELINED,
                                     0,
                                     get(id, "X-Class: stock-chess\r\nX-Deadline: 0.4\r\n"));
             case NEVER_READS ->
                     Script.of("")
-                            .repeat(VERY_MANY, 0, "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                            .repeat(NEVER_READ, 0, "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             case CROWD -> new Script();
-            default -> throw new IllegalArgumentException("needs another's request: " + kind);
+            default ->
+                    throw new IllegalArgumentException(
+                            "needs the open request of another client: " + kind);
         };
     }
 
     /**
-     * A request under the id of another's that is open, and of another method, so that no server
-     * takes it.
+     * Returns a request with the id of another client's open request. It has a different method, so
+     * that no server takes it for the original.
      */
-    Script same(String id, String othersMethod) {
+    Script reusingId(String id, String originalMethod) {
         return Script.of(
-                othersMethod.equals("GET")
+                originalMethod.equals("GET")
                         ? "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: "
                                 + id
                                 + "\r\n"
@@ -125,12 +129,12 @@
                         : get(id, "X-Class: stock-check\r\nX-Deadline: 0.4\r\n"));
     }
 
-    /** The id of the request that is hidden under this one. */
+    /** Returns the id of the request that is smuggled in the body of the request with this id. */
     static String hiddenId(String id) {
         return id + "-hidden";
     }
 
-    private static Script hidden(String id) {
+    private static Script smuggling(String id) {
         String inner =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: "
                         + hiddenId(id)
@@ -143,9 +147,9 @@
         return Script.of(post(id, lengths, "0\r\n\r\n" + inner));
     }
 
-    private Script half(String id) {
-        String whole = post(id, "Content-Length: 30\r\n", "abcdefghij");
-        return Script.of(whole.substring(0, 1 + chance.nextInt(whole.length() - 1)))
+    private Script partial(String id) {
+        String complete = post(id, "Content-Length: 30\r\n", "abcdefghij");
+        return Script.of(complete.substring(0, 1 + chance.nextInt(complete.length() - 1)))
                 .then(Site.MS, "");
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ColdServerOverloadWatch.java
@@ -4,36 +4,38 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Whether a cold server has been sent more, within the rule's time, than it can bear. */
+/** Detects whether a warming-up server has received more work than the invariant allows. */
 final class ColdServerOverloadWatch {
     /**
-     * Beyond the rule's limit, in nanoseconds of work, so that a judge's sums are not closer than
-     * the server's.
+     * Nanoseconds of work above the invariant's limit, so that the server fails only where the
+     * invariant checker's own sum is over the limit too.
      */
-    private static final long SLACK = 50 * Site.MS;
+    private static final long TOLERANCE = 50 * Site.MS;
 
-    private record Sent(long at, long work, String sidecar) {}
+    private record Arrival(long at, long work, String sidecar) {}
 
-    private final ArrayDeque<Sent> window = new ArrayDeque<>();
-    private long sum;
+    private final ArrayDeque<Arrival> window = new ArrayDeque<>();
+    private long totalWork;
 
     /**
-     * Counts what has arrived; true if it was too much. {@code capacity}: cores' worth of work at
-     * present.
+     * Records a request and returns whether the server is overloaded by it.
+     *
+     * @param work nanoseconds of one core
+     * @param capacity number of cores' worth of work that the server does at present
      */
     boolean recordArrival(long now, long work, String sidecar, double capacity) {
-        window.add(new Sent(now, work, sidecar));
-        sum += work;
+        window.add(new Arrival(now, work, sidecar));
+        totalWork += work;
         while (window.peek().at() <= now - Site.TIP_AFTER) {
-            sum -= window.poll().work();
+            totalWork -= window.poll().work();
         }
-        return sum > Site.OVERLOAD_FACTOR * capacity * Site.TIP_AFTER + SLACK;
+        return totalWork > Site.OVERLOAD_FACTOR * capacity * Site.TIP_AFTER + TOLERANCE;
     }
 
-    /** Seconds of work in the window, by who sent them. */
+    /** Returns the seconds of work in the window by sidecar. */
     Map<String, Double> bySidecar() {
         Map<String, Double> work = new TreeMap<>();
-        window.forEach(sent -> work.merge(sent.sidecar(), sent.work() / 1e9, Double::sum));
+        window.forEach(arrival -> work.merge(arrival.sidecar(), arrival.work() / 1e9, Double::sum));
         return work;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -6,10 +6,10 @@
 import appleridge.testbed.simnet.SimSocket;
 import java.util.List;
 
-/** Faults of one connection or one answer: those aimed at a request. */
+/** Injects faults into the connection or the response of a single request. */
 final class ConnectionFaultInjector {
-    /** No request and no answer is shorter. */
-    private static final int SHORTEST = 30;
+    /** Bytes; every request and every response is at least this long. */
+    private static final int MIN_MESSAGE_LENGTH = 30;
 
     private final Day day;
     private final List<Application> applications;
@@ -23,118 +23,126 @@
 
     void inject(Fault fault, ObservedRequest request) {
         switch (fault.kind().target()) {
-            case UPSTREAM -> upstream(fault, request);
-            case ANSWER -> answer(fault, request);
-            default -> client(fault, request);
+            case UPSTREAM -> injectUpstream(fault, request);
+            case ANSWER -> injectResponse(fault, request);
+            default -> injectClient(fault, request);
         }
     }
 
-    private void tell(Fault fault, ObservedRequest request, String at) {
+    private void reportStruck(Fault fault, ObservedRequest request, String at) {
         day.evidence.faultStruck(fault.kind().word(), at, request.id());
     }
 
-    private void upstream(Fault fault, ObservedRequest request) {
-        SimSocket near = request.upstream();
-        if (near == null || !near.isOpen() || near.isReset()) {
+    private void injectUpstream(Fault fault, ObservedRequest request) {
+        SimSocket sidecarEnd = request.upstream();
+        if (sidecarEnd == null || !sidecarEnd.isOpen() || sidecarEnd.isReset()) {
             return;
         }
-        SimSocket far = near.peer();
+        SimSocket serverEnd = sidecarEnd.peer();
         if (fault.kind() == FaultKind.UP_CUT_REQUEST) {
-            cutRequest(fault, request, near);
+            cutRequest(fault, request, sidecarEnd);
             return;
         }
         if (fault.kind() == FaultKind.UP_CUT_ANSWER) {
-            cutAnswer(
+            cutResponse(
                     fault,
-                    near,
-                    states.state(request.id()) == request.state() && isAnswering(request));
+                    sidecarEnd,
+                    states.state(request.id()) == request.state() && isResponding(request));
             return;
         }
-        tell(fault, request, request.server());
+        reportStruck(fault, request, request.server());
         switch (fault.kind()) {
-            case UP_RESET -> near.fault(SimSocket.Fault.RESET);
-            case UP_RESET_LATE -> near.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
-            case UP_SILENT -> near.fault(SimSocket.Fault.BLACK_HOLE);
+            case UP_RESET -> sidecarEnd.fault(SimSocket.Fault.RESET);
+            case UP_RESET_LATE -> sidecarEnd.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
+            case UP_SILENT -> sidecarEnd.fault(SimSocket.Fault.BLACK_HOLE);
             case UP_END -> {
-                if (far == null) {
-                    near.fault(SimSocket.Fault.RESET);
+                if (serverEnd == null) {
+                    sidecarEnd.fault(SimSocket.Fault.RESET);
                 } else {
-                    far.fault(SimSocket.Fault.END);
+                    serverEnd.fault(SimSocket.Fault.END);
                 }
             }
             default -> {
-                if (far == null) {
-                    near.fault(SimSocket.Fault.BLACK_HOLE);
+                if (serverEnd == null) {
+                    sidecarEnd.fault(SimSocket.Fault.BLACK_HOLE);
                 } else {
-                    far.fault(SimSocket.Fault.STALL_READS);
+                    serverEnd.fault(SimSocket.Fault.STALL_READS);
                 }
             }
         }
     }
 
     /**
-     * Somewhere in what has not left yet of the request, or at its next byte; whole and gone it
-     * can't be cut.
+     * Breaks the connection at a byte of the request that has not been sent yet, or at its next
+     * byte. A request that has been sent completely cannot be cut.
      */
-    private void cutRequest(Fault fault, ObservedRequest request, SimSocket near) {
-        int unsent = (int) (near.bytesWritten() - near.bytesLeft());
+    private void cutRequest(Fault fault, ObservedRequest request, SimSocket sidecarEnd) {
+        int unsent = (int) (sidecarEnd.bytesWritten() - sidecarEnd.bytesLeft());
         long bytes = fault.value(FaultParameter.BYTES);
         if (unsent > 0) {
-            cutAt(fault, near, near.bytesLeft() + bytes % unsent, near);
-        } else if (!near.isEstablished()) {
-            cutAt(fault, near, bytes % SHORTEST, near);
+            cutAt(fault, sidecarEnd, sidecarEnd.bytesLeft() + bytes % unsent, sidecarEnd);
+        } else if (!sidecarEnd.isEstablished()) {
+            cutAt(fault, sidecarEnd, bytes % MIN_MESSAGE_LENGTH, sidecarEnd);
         } else {
-            RequestState now = states.state(request.id());
-            if (now == RequestState.WRITING || now == RequestState.RESEND_WRITING) {
-                cutAt(fault, near, near.bytesWritten(), near);
+            RequestState current = states.state(request.id());
+            if (current == RequestState.WRITING || current == RequestState.RESEND_WRITING) {
+                cutAt(fault, sidecarEnd, sidecarEnd.bytesWritten(), sidecarEnd);
             }
         }
     }
 
     /**
-     * Somewhere in what has not left yet of the answer; before it has begun, in its first bytes;
-     * else at its next one, if there is one.
+     * Breaks the connection at a byte of the response that has not been sent yet. With no such
+     * byte: within the first bytes of a response that has not started, else at the next byte
+     * written.
      *
-     * @param near the end of the connection that reads the answer
+     * @param readingEnd the end of the connection that reads the response
+     * @param started whether the response has started
      */
-    private void cutAnswer(Fault fault, SimSocket near, boolean begun) {
-        SimSocket far = near.peer();
-        if (far == null) {
+    private void cutResponse(Fault fault, SimSocket readingEnd, boolean started) {
+        SimSocket peer = readingEnd.peer();
+        if (peer == null) {
             return;
         }
-        int unsent = (int) (far.bytesWritten() - far.bytesLeft());
+        int unsent = (int) (peer.bytesWritten() - peer.bytesLeft());
         long bytes = fault.value(FaultParameter.BYTES);
         cutAt(
                 fault,
-                far,
+                peer,
                 unsent > 0
-                        ? far.bytesLeft() + bytes % unsent
-                        : far.bytesWritten() + (begun ? 0 : bytes % SHORTEST),
-                near);
+                        ? peer.bytesLeft() + bytes % unsent
+                        : peer.bytesWritten() + (started ? 0 : bytes % MIN_MESSAGE_LENGTH),
+                readingEnd);
     }
 
-    /** Counts when it breaks, for the request that is on the connection then. */
+    /**
+     * Resets the connection at a byte position. The fault counts when the connection breaks, for
+     * the request that is on the connection at that time.
+     */
     private void cutAt(Fault fault, SimSocket writer, long position, SimSocket end) {
         day.evidence.faultArmed(fault.kind().word(), null);
         writer.resetAtByte(
                 position,
                 () -> {
-                    ObservedRequest met = states.on(end);
-                    if (met != null) {
-                        tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
+                    ObservedRequest affected = states.on(end);
+                    if (affected != null) {
+                        reportStruck(
+                                fault,
+                                affected,
+                                end.isListenersEnd() ? affected.server() : affected.sidecar());
                     }
                 });
     }
 
-    private static boolean isAnswering(ObservedRequest request) {
+    private static boolean isResponding(ObservedRequest request) {
         return switch (request.state()) {
             case ANSWERING, RESEND_ANSWERING, ANSWERED -> true;
             default -> false;
         };
     }
 
-    private void answer(Fault fault, ObservedRequest request) {
-        tell(fault, request, request.server());
+    private void injectResponse(Fault fault, ObservedRequest request) {
+        reportStruck(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
             day.sentRequests.spoil(
                     request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
@@ -143,31 +151,31 @@
         }
     }
 
-    private void client(Fault fault, ObservedRequest request) {
+    private void injectClient(Fault fault, ObservedRequest request) {
         SimSocket socket = request.client();
         AppConnection connection = socket == null ? null : connection(socket);
         if (connection == null || !socket.isOpen()) {
             return;
         }
         if (fault.kind() == FaultKind.DOWN_CUT_ANSWER) {
-            connection.troubled();
-            cutAnswer(fault, socket, isAnswering(request));
+            connection.markFaulty();
+            cutResponse(fault, socket, isResponding(request));
             return;
         }
-        tell(fault, request, request.sidecar());
+        reportStruck(fault, request, request.sidecar());
         switch (fault.kind()) {
-            case CLIENT_CLOSE -> connection.leave();
+            case CLIENT_CLOSE -> connection.disconnect();
             case CLIENT_RESET -> connection.reset();
-            case CLIENT_END -> connection.end();
+            case CLIENT_END -> connection.halfClose();
             case CLIENT_STALL -> connection.stall();
             default -> {
-                connection.troubled();
-                network(fault, socket);
+                connection.markFaulty();
+                injectNetwork(fault, socket);
             }
         }
     }
 
-    private static void network(Fault fault, SimSocket socket) {
+    private static void injectNetwork(Fault fault, SimSocket socket) {
         switch (fault.kind()) {
             case DOWN_RESET -> socket.fault(SimSocket.Fault.RESET);
             case DOWN_RESET_LATE -> socket.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
--- a/testbed/src/main/java/appleridge/testbed/simulation/CoordinationUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoordinationUpdates.java
@@ -7,117 +7,127 @@
 import java.util.Map;
 
 /**
- * What the coordination service has told one process, as the judge is to have it: said when it is
- * written. What comes from servers that lag, have lost the others or have lost their past is not
- * told, but for what the process may make of it.
+ * Reports to the invariant checker what the coordination service has delivered to one process, at
+ * the time at which it is written to the connection. Data from servers that lag, are partitioned or
+ * have lost their history is not reported as such; only what the process may conclude from it is.
  */
 final class CoordinationUpdates {
-    /** Nothing can be said of that server. */
+    /** The state of the server is undefined: the checker must assume nothing. */
     static final String UNKNOWN = "Unknown";
 
-    /** A change whose data has not come within this stops new work. */
-    private static final long READ_WITHIN = Site.SECOND;
+    /**
+     * Without the data of a changed node the process stops new requests to its server after this.
+     */
+    private static final long READ_TIMEOUT = Site.SECOND;
 
-    /** For so long what a new beginning has not got is kept. */
-    private static final long COME_BACK_WITHIN = 10 * Site.SECOND;
+    /** How long the process keeps a node that is missing after the ensemble lost its history. */
+    private static final long RETAIN_AFTER_WIPE = 10 * Site.SECOND;
 
-    /** What was said of a server. */
-    private record Said(long zxid, String state, long bornAt) {}
+    /** The last state reported for a server. */
+    private record Delivered(long zxid, String state, long bornAt) {}
 
     private final Day day;
     private final String sidecar;
-    private final Map<String, Said> said = new LinkedHashMap<>();
-    private long highest;
-    private boolean lost;
+    private final Map<String, Delivered> delivered = new LinkedHashMap<>();
+    private long highestZxid;
+    private boolean historyLost;
 
-    /** Counts beginnings; what was waited for in an earlier one is over. */
-    private int beginnings;
+    /** Counts losses of history; timers that were scheduled in an earlier generation do nothing. */
+    private int generation;
 
     CoordinationUpdates(Day day, String sidecar) {
         this.day = day;
         this.sidecar = sidecar;
     }
 
-    /** The process has ended: nothing is told any more. */
+    /** The process has ended: nothing is reported any more. */
     void end() {
-        lost = true;
-        beginnings++;
-        said.clear();
+        historyLost = true;
+        generation++;
+        delivered.clear();
     }
 
-    /** From now on it hears of an ensemble that has begun anew. */
+    /** The process is connected to an ensemble that has lost its history and started over. */
     void lost() {
-        lost = true;
-        beginnings++;
+        historyLost = true;
+        generation++;
     }
 
     private long zxid(String name) {
-        Said last = said.get(name);
+        Delivered last = delivered.get(name);
         return last == null ? 0 : last.zxid;
     }
 
-    private void say(String name, long zxid, String state, long bornAt) {
-        Said last = said.get(name);
-        if (beginnings > 0 && last != null && last.zxid == 0 && zxid > 0) {
-            // Made again in a new beginning: not the node that was there.
+    private void deliver(String name, long zxid, String state, long bornAt) {
+        Delivered last = delivered.get(name);
+        if (generation > 0 && last != null && last.zxid == 0 && zxid > 0) {
+            // The node was created again after the loss of history: it is not the former node.
             day.evidence.nodeDelivered(sidecar, name, UNKNOWN, bornAt);
         }
-        said.put(name, new Said(zxid, state, bornAt));
+        delivered.put(name, new Delivered(zxid, state, bornAt));
         day.evidence.nodeDelivered(sidecar, name, state, bornAt);
     }
 
     private void gone(String name, long zxid) {
-        say(name, zxid, Instances.GONE, said.containsKey(name) ? said.get(name).bornAt : 0);
+        deliver(
+                name,
+                zxid,
+                Instances.GONE,
+                delivered.containsKey(name) ? delivered.get(name).bornAt : 0);
     }
 
     void gone(long zxid, String name) {
-        if (lost) {
-            say(name, zxid(name), UNKNOWN, 0);
+        if (historyLost) {
+            deliver(name, zxid(name), UNKNOWN, 0);
         } else if (zxid >= zxid(name)) {
-            highest = Math.max(highest, zxid);
+            highestZxid = Math.max(highestZxid, zxid);
             gone(name, zxid);
         }
     }
 
     void changed(long zxid, String name) {
-        if (lost) {
-            if (said.containsKey(name)) {
-                say(name, zxid(name), UNKNOWN, 0);
+        if (historyLost) {
+            if (delivered.containsKey(name)) {
+                deliver(name, zxid(name), UNKNOWN, 0);
             }
             return;
         }
-        highest = Math.max(highest, zxid);
+        highestZxid = Math.max(highestZxid, zxid);
         if (zxid > zxid(name)) {
-            int mine = beginnings;
+            int scheduledIn = generation;
             day.after(
-                    READ_WITHIN,
+                    READ_TIMEOUT,
                     () -> {
-                        Said last = said.get(name);
+                        Delivered last = delivered.get(name);
                         if (last != null
                                 && last.zxid < zxid
                                 && last.state.equals(Instances.READY)) {
-                            say(
+                            deliver(
                                     name,
                                     last.zxid,
-                                    mine == beginnings ? Instances.TERMINATING : UNKNOWN,
+                                    scheduledIn == generation ? Instances.TERMINATING : UNKNOWN,
                                     last.bornAt);
                         }
                     });
         }
     }
 
-    /** An answer; {@code sure}: no doubt keeps the process from believing it. */
-    void read(Znode node, boolean sure) {
-        if (!lost && node.mzxid() >= zxid(node.name())) {
+    /**
+     * The data of a node has been written to the process.
+     *
+     * @param trusted whether the process uses the data: it does not consider its list stale
+     */
+    void read(Znode node, boolean trusted) {
+        if (!historyLost && node.mzxid() >= zxid(node.name())) {
             String state = state(node.read());
-            if (sure || !state.equals(Instances.READY) && said.containsKey(node.name())) {
-                say(node.name(), node.mzxid(), state, node.bornAt());
-            } else if (said.containsKey(node.name())) {
-                boolean asBefore = said.get(node.name()).state.equals(Instances.READY);
-                if (asBefore) {
-                    said.put(node.name(), new Said(node.mzxid(), state, node.bornAt()));
+            if (trusted || !state.equals(Instances.READY) && delivered.containsKey(node.name())) {
+                deliver(node.name(), node.mzxid(), state, node.bornAt());
+            } else if (delivered.containsKey(node.name())) {
+                boolean wasReady = delivered.get(node.name()).state.equals(Instances.READY);
+                if (wasReady) {
+                    delivered.put(node.name(), new Delivered(node.mzxid(), state, node.bornAt()));
                 } else {
-                    say(node.name(), zxid(node.name()), UNKNOWN, node.bornAt());
+                    deliver(node.name(), zxid(node.name()), UNKNOWN, node.bornAt());
                 }
             }
         }
@@ -130,66 +140,68 @@
     }
 
     /**
-     * A whole reading.
+     * A complete snapshot has been written to the process.
      *
-     * @param namesZxid how far the server had come when it told the names
-     * @param view what the nodes are
+     * @param namesZxid the last transaction that the server had applied when it listed the names
+     * @param view the nodes that the server has
      */
-    void whole(long zxid, long namesZxid, Map<String, NodeRead> nodes, Map<String, Znode> view) {
-        if (lost || zxid < highest) {
+    void snapshot(long zxid, long namesZxid, Map<String, NodeRead> nodes, Map<String, Znode> view) {
+        if (historyLost || zxid < highestZxid) {
             return;
         }
-        highest = zxid;
+        highestZxid = zxid;
         nodes.forEach(
                 (name, read) -> {
                     Znode node = view.get(name);
-                    // Who was never read is left out.
-                    boolean counts = read.data() != null || said.containsKey(name);
-                    if (counts
+                    // A node without readable data is ignored unless it was reported before.
+                    boolean relevant = read.data() != null || delivered.containsKey(name);
+                    if (relevant
                             && node != null
                             && read.mzxid() >= zxid(name)
                             && node.czxid() == read.czxid()) {
-                        say(name, read.mzxid(), state(read), node.bornAt());
+                        deliver(name, read.mzxid(), state(read), node.bornAt());
                     }
                 });
-        for (String name : new ArrayList<>(said.keySet())) {
-            // What an ensemble that began anew has not got yet is kept for a while.
+        for (String name : new ArrayList<>(delivered.keySet())) {
+            // zxid 0: the node has not come back since the ensemble lost its history, and is kept
+            // for
+            // a while.
             if (!nodes.containsKey(name)
                     && zxid(name) > 0
                     && zxid(name) <= namesZxid
-                    && !said.get(name).state.equals(Instances.GONE)) {
+                    && !delivered.get(name).state.equals(Instances.GONE)) {
                 gone(name, namesZxid);
             }
         }
     }
 
-    /** The process has taken a reading over, and that may be of a new beginning. */
+    /** The process has accepted a snapshot, possibly the first one after a loss of history. */
     void accepted(Map<String, Znode> view) {
-        if (!lost) {
+        if (!historyLost) {
             return;
         }
-        lost = false;
-        highest = 0;
-        Map<String, Said> old = new LinkedHashMap<>(said);
-        said.clear();
+        historyLost = false;
+        highestZxid = 0;
+        Map<String, Delivered> before = new LinkedHashMap<>(delivered);
+        delivered.clear();
         view.values()
                 .forEach(
                         node -> {
-                            highest = Math.max(highest, node.mzxid());
-                            // Made again: not the node that was there.
+                            highestZxid = Math.max(highestZxid, node.mzxid());
+                            // Created again: not the former node.
                             day.evidence.nodeDelivered(
                                     sidecar, node.name(), UNKNOWN, node.bornAt());
-                            say(node.name(), node.mzxid(), state(node.read()), node.bornAt());
+                            deliver(node.name(), node.mzxid(), state(node.read()), node.bornAt());
                         });
-        old.forEach(
+        before.forEach(
                 (name, last) -> {
-                    if (!said.containsKey(name)) {
-                        said.put(name, new Said(0, last.state, last.bornAt));
-                        int mine = beginnings;
+                    if (!delivered.containsKey(name)) {
+                        delivered.put(name, new Delivered(0, last.state, last.bornAt));
+                        int scheduledIn = generation;
                         day.after(
-                                COME_BACK_WITHIN,
+                                RETAIN_AFTER_WIPE,
                                 () -> {
-                                    if (mine == beginnings
+                                    if (scheduledIn == generation
                                             && zxid(name) == 0
                                             && !last.state.equals(Instances.GONE)) {
                                         gone(name, 0);
--- a/testbed/src/main/java/appleridge/testbed/simulation/CoreScheduler.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/CoreScheduler.java
@@ -6,11 +6,13 @@
 import java.util.List;
 import java.util.function.DoubleSupplier;
 
-/** The cores of an order server and the queue before them, first come, first served. */
+/** Runs jobs on the cores of an order server, first in, first out. */
 final class CoreScheduler {
-    /** What can be run; told when it begins whether it is to run at all. */
+    /** A unit of work. */
     interface Job {
-        /** Nanoseconds of work of one core; below zero if it isn't to run after all. */
+        /**
+         * Starts the job. Returns its work in nanoseconds of one core; negative to skip the job.
+         */
         long start();
 
         void done();
@@ -24,7 +26,7 @@
     private boolean stopped;
 
     /**
-     * @param speed what a core does of its work at present; 1 when all is well
+     * @param speed current speed of a core as a fraction of its normal speed
      */
     CoreScheduler(Simulation simulation, int cores, DoubleSupplier speed) {
         this.simulation = simulation;
@@ -34,7 +36,7 @@
 
     void offer(Job job) {
         queue.add(job);
-        pull();
+        startWaiting();
     }
 
     int waiting() {
@@ -45,7 +47,7 @@
         return queue.isEmpty() && running.isEmpty();
     }
 
-    /** Nothing that waits or runs comes to an end any more. */
+    /** Drops waiting and running jobs; none of them completes. */
     void stop() {
         stopped = true;
         queue.clear();
@@ -53,7 +55,7 @@
         running.clear();
     }
 
-    private void pull() {
+    private void startWaiting() {
         while (!stopped && running.size() < cores && !queue.isEmpty()) {
             Job job = queue.poll();
             long work = job.start();
@@ -65,7 +67,7 @@
                                 () -> {
                                     running.remove(end[0]);
                                     job.done();
-                                    pull();
+                                    startWaiting();
                                 });
                 running.add(end[0]);
             }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -5,12 +5,15 @@
 import appleridge.testbed.simnet.SeededRandom;
 import appleridge.testbed.simnet.Simulation;
 
-/** What all stand-ins of one day share. */
+/** The objects that all stand-ins of one simulated day share. */
 final class Day {
     final Plan plan;
     final Simulation simulation;
     final Network network;
+
+    /** Receives every event that the invariant checker evaluates. */
     final DayListener evidence;
+
     final SentRequestRegistry sentRequests = new SentRequestRegistry();
     private final SeededRandom chance;
 
@@ -27,17 +30,20 @@
         this.chance = chance;
     }
 
-    /** Chance for one stand-in's work, which no fault and no other stand-in shifts. */
+    /**
+     * Returns the random stream for the regular work of one stand-in. Faults and other stand-ins do
+     * not shift it.
+     */
     SeededRandom work(String name) {
         return chance.stream("work." + name);
     }
 
-    /** Chance for what faults draw when they strike. */
+    /** Returns the random stream for what faults draw when they are injected. */
     SeededRandom faults(String name) {
         return chance.stream("faults." + name);
     }
 
-    /** Chance for one process's loop. */
+    /** Returns the random stream for the event loop of one process. */
     SeededRandom loops(String name) {
         return chance.stream("loops." + name);
     }
@@ -46,12 +52,12 @@
         return simulation.now();
     }
 
-    /** Whether faults and unusual traffic may still come. */
+    /** Whether faults and unusual traffic may still occur. */
     boolean faultsMayOccur() {
         return now() < plan.faultsEnd();
     }
 
-    /** A duration, cut so that what lasts for it is over when the faults end. */
+    /** Shortens a duration so that it ends no later than the time for faults. */
     long bounded(long duration) {
         return Math.max(0, Math.min(duration, plan.faultsEnd() - now()));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/DeliveredEndpointUpdates.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What each sidecar has been told of the list, by whomever. */
+/** The endpoint list as it has been delivered to each sidecar, from any source. */
 final class DeliveredEndpointUpdates {
     private final DayListener evidence;
     private final Map<String, Map<String, Instances.Entry>> bySidecar = new LinkedHashMap<>();
@@ -16,18 +16,19 @@
     }
 
     /**
-     * A list has been written to it; a whole one also says of those that it leaves out that they
-     * are gone.
+     * Records a list that has been written to a sidecar.
+     *
+     * @param all whether the list is a snapshot; entries that it does not contain are then gone
      */
     void record(String sidecar, boolean all, List<Instances.Entry> entries) {
         Map<String, Instances.Entry> known =
                 bySidecar.computeIfAbsent(sidecar, any -> new LinkedHashMap<>());
         if (all) {
-            List<Instances.Entry> left = new ArrayList<>(known.values());
+            List<Instances.Entry> missing = new ArrayList<>(known.values());
             for (Instances.Entry each : entries) {
-                left.removeIf(entry -> entry.uid().equals(each.uid()));
+                missing.removeIf(entry -> entry.uid().equals(each.uid()));
             }
-            for (Instances.Entry each : left) {
+            for (Instances.Entry each : missing) {
                 known.remove(each.uid());
                 evidence.listDelivered(sidecar, each.uid(), Instances.GONE, each.bornAt());
             }
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Its process is a new one that knows nothing but this. */
+    /** A new process has started on this sidecar and knows only these entries. */
     void restart(String sidecar, List<Instances.Entry> entries) {
         bySidecar.remove(sidecar);
         record(sidecar, true, entries);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Discovery.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Discovery.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** Discovery as a whole: the address at which it is to be found just now, and its moves. */
+/** The discovery service: its current address, and its moves to other addresses. */
 final class Discovery {
     private final List<Registry> addresses;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
     private int current;
 
     /**
-     * @param addresses where it will be, one after the other
+     * @param addresses the addresses that it uses one after the other
      */
-    Discovery(List<Registry> addresses, ProcessSlots seats) {
+    Discovery(List<Registry> addresses, ProcessSlots slots) {
         this.addresses = addresses;
-        this.seats = seats;
+        this.slots = slots;
     }
 
     Registry registry() {
@@ -24,16 +24,16 @@
         return addresses;
     }
 
-    /** Goes to its next address, and has all sidecars told; false if there is none left. */
+    /** Moves to the next address and sends SIGHUP to all sidecars; false if there is none left. */
     boolean move() {
         if (current == addresses.size() - 1) {
             return false;
         }
-        Registry old = registry();
+        Registry previous = registry();
         current++;
         registry().listen();
-        old.retire();
-        seats.all().forEach(seat -> seat.hup(registry()));
+        previous.retire();
+        slots.all().forEach(slot -> slot.hup(registry()));
         return true;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -420,7 +420,7 @@
         highest = Math.max(highest, zxid);
         note(zxid, () -> "whole " + zxid + ' ' + whole.nodes.keySet());
         if (!readOnly) {
-            word.whole(zxid, whole.namesZxid, whole.nodes, view);
+            word.snapshot(zxid, whole.namesZxid, whole.nodes, view);
         }
         deliver(
                 () -> {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fault.java
@@ -5,10 +5,10 @@
 /**
  * One fault of a plan.
  *
- * @param who a sidecar, a machine or a site; null where the kind needs none, or a trap is to take
- *     the request's
- * @param style null where the kind has none
- * @param values a figure for each that the kind has
+ * @param who name of a sidecar, a machine or a zone; null where the kind needs none, or where a
+ *     state trigger uses the one that the request is at
+ * @param style the variant; null where the kind has none
+ * @param values a value for each parameter of the kind
  */
 public record Fault(
         FaultTrigger trigger,
@@ -20,7 +20,7 @@
         return values.get(param);
     }
 
-    /** As a scenario has it. */
+    /** Returns the fault as a line of a scenario file. */
     public String text() {
         StringBuilder text = new StringBuilder(80);
         if (trigger.waitsForRequest()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -2,7 +2,7 @@
 
 import appleridge.testbed.invariants.ObservedRequest;
 
-/** Carries faults out, each by the part of the world that it concerns. */
+/** Passes each fault to the injector for the part of the simulated world that it affects. */
 final class FaultInjector {
     private final Day day;
     private final ConnectionFaultInjector connections;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Strikes now; nothing happens where what it is aimed at is no more.
+     * Injects a fault now. Does nothing if its target no longer exists.
      *
-     * @param request the one that sprang the trap; null for a timed fault
+     * @param request the request that fired the state trigger; null for a timed fault
      */
     void inject(Fault fault, ObservedRequest request) {
         if (day.faultsMayOccur() && fault.kind().affectsCoordination()) {
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Whether it can be carried out in the middle of something else: it changes sockets from
-     * outside alone.
+     * Whether the fault can be injected while a state change is being processed, because it only
+     * changes sockets from outside.
      */
     static boolean isImmediate(FaultKind kind) {
         return switch (kind) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultParameter.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultParameter.java
@@ -2,31 +2,31 @@
 
 import java.util.Locale;
 
-/** A figure that a fault has. */
+/** A numeric parameter of a fault. */
 public enum FaultParameter {
-    /** How long it lasts. */
+    /** How long the fault lasts. */
     FOR(Unit.TIME, 0, 4000 * Site.SECOND),
-    /** How long what has ended stays away. */
+    /** How long a process stays down. */
     DOWN(Unit.TIME, 0, 120 * Site.SECOND),
-    /** By how much something is moved or delayed. */
+    /** By how much something is shifted or delayed. */
     BY(Unit.TIME, -86_400 * Site.SECOND, 86_400 * Site.SECOND),
-    /** By how much something is slower. */
+    /** By which factor something is slower. */
     FACTOR(Unit.PART, ScenarioParameter.part(1), ScenarioParameter.part(1000)),
-    /** How many a second. */
+    /** A rate per second. */
     RATE(Unit.PART, 0, ScenarioParameter.part(10_000)),
-    /** How many. */
+    /** A count. */
     COUNT(Unit.COUNT, 0, 100_000),
-    /** How many bytes on. */
+    /** A number of bytes. */
     BYTES(Unit.COUNT, 0, 100_000_000);
 
     private final Unit unit;
-    private final long least;
-    private final long most;
+    private final long min;
+    private final long max;
 
-    FaultParameter(Unit unit, long least, long most) {
+    FaultParameter(Unit unit, long min, long max) {
         this.unit = unit;
-        this.least = least;
-        this.most = most;
+        this.min = min;
+        this.max = max;
     }
 
     String word() {
@@ -39,15 +39,15 @@
 
     long parse(String text) {
         long value = unit.parse(text);
-        if (value < least || value > most) {
+        if (value < min || value > max) {
             throw new IllegalArgumentException(
                     word()
                             + "="
                             + text
                             + " is not between "
-                            + unit.text(least)
+                            + unit.text(min)
                             + " and "
-                            + unit.text(most));
+                            + unit.text(max));
         }
         return value;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Fleet.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * All machines with order servers, what they remember together, and what discovery knows of them.
+ * All machines with order servers, the deduplication state that the servers share, and the
+ * instances that discovery knows.
  */
 final class Fleet {
     private final List<Machine> machines = new ArrayList<>();
@@ -17,10 +18,10 @@
         for (int i = 0; i < repeats.length; i++) {
             RequestClasses.Definition kind = RequestClasses.of(i);
             if (kind.keyed()) {
-                boolean all = kind.scope() == DeduplicationScope.ALL;
+                boolean acrossZones = kind.scope() == DeduplicationScope.ALL;
                 Repeats shared = new Repeats(plan.window(kind));
                 for (int zone = 0; zone < repeats[i].length; zone++) {
-                    repeats[i][zone] = all ? shared : new Repeats(plan.window(kind));
+                    repeats[i][zone] = acrossZones ? shared : new Repeats(plan.window(kind));
                 }
             }
         }
@@ -34,7 +35,7 @@
         return machines;
     }
 
-    /** Null if there is none of that name. */
+    /** Returns the machine with this name; null if there is none. */
     Machine machine(String name) {
         for (Machine each : machines) {
             if (each.name().equals(name)) {
@@ -44,13 +45,16 @@
         return null;
     }
 
-    /** On which a server of that id runs, or ran; null if there is none. */
+    /** Returns the machine on which the server with this uid runs or ran; null if there is none. */
     Machine ofServer(String uid) {
         int dot = uid.indexOf('.');
         return dot < 0 ? null : machine(uid.substring(0, dot));
     }
 
-    /** What the servers of a site remember of a class; null for one without keys. */
+    /**
+     * Returns the deduplication state of a request class in a zone; null if the class is not
+     * idempotent by key.
+     */
     Repeats repeats(int requestClass, int zone) {
         return repeats[requestClass][zone];
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/PendingAttempt.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PendingAttempt.java
@@ -6,10 +6,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One try of a wish, from when it is due until its client knows how it ended, or no longer cares.
+ * One attempt of a client at a {@link RequestIntent}, from when it is due until it has ended or the
+ * client has given up.
  */
 final class PendingAttempt {
-    /** How it ended. */
+    /** How the attempt ended. */
     enum Outcome {
         SERVED,
         REFUSED,
@@ -22,57 +23,57 @@
     private static final char[] HEX = "0123456789abcdef".toCharArray();
 
     /**
-     * Clients look a little longer for an answer than they have said, so that a late one is seen.
+     * How long a client waits past its deadline, so that a response that is too late is observed.
      */
-    private static final long LOOKS_LONGER = 150 * Site.MS;
+    private static final long LATE_RESPONSE_MARGIN = 150 * Site.MS;
 
-    private static final int LONG_TEXT = 512;
-    private static final int MOST_PAUSES = 3;
-    private static final long LONGEST_PAUSE = 30 * Site.MS;
+    private static final int EXPECTED_HEAD_LENGTH = 512;
+    private static final int MAX_PAUSES = 3;
+    private static final long MAX_PAUSE = 30 * Site.MS;
 
     final String id;
-    final RequestIntent wish;
+    final RequestIntent intent;
     final long cookieKey;
     final long deadline;
     final long patience;
     private final int number;
 
-    /** A slow writer's, within its request. */
+    /** How often a slow writer pauses within its request. */
     private final int pauses;
 
     private final long pause;
     private final Day day;
     private final Application application;
-    private Simulation.Event end;
+    private Simulation.Event timeout;
     private AppConnection connection;
     private String sidecar;
-    private long askedAt;
-    private boolean over;
+    private long startedAt;
+    private boolean finished;
 
     /**
-     * @param serial unlike that of any other try of the day
+     * @param serial unique among all attempts of the day; the id derives from it
      */
-    PendingAttempt(Day day, Application application, RequestIntent wish, long serial) {
+    PendingAttempt(Day day, Application application, RequestIntent intent, long serial) {
         this.day = day;
         this.application = application;
-        this.wish = wish;
-        this.id = hex(spread(serial * 2));
-        this.cookieKey = spread(serial * 2 + 1);
-        this.number = wish.tries++;
-        long left = wish.endsAt == 0 ? wish.deadline : wish.endsAt - day.now();
-        // Whole milliseconds, as X-Deadline says them.
-        long wait = (long) (wish.share * wish.deadline);
-        this.deadline = Math.max(Site.MS, Math.min(left, wait) / Site.MS * Site.MS);
-        this.pauses = wish.slowWriter ? 1 + wish.chance.nextInt(MOST_PAUSES) : 0;
-        this.pause = 1 + wish.chance.nextLong(LONGEST_PAUSE);
+        this.intent = intent;
+        this.id = hex(mix(serial * 2));
+        this.cookieKey = mix(serial * 2 + 1);
+        this.number = intent.tries++;
+        long left = intent.endsAt == 0 ? intent.deadline : intent.endsAt - day.now();
+        // X-Deadline has whole milliseconds.
+        long share = (long) (intent.share * intent.deadline);
+        this.deadline = Math.max(Site.MS, Math.min(left, share) / Site.MS * Site.MS);
+        this.pauses = intent.slowWriter ? 1 + intent.chance.nextInt(MAX_PAUSES) : 0;
+        this.pause = 1 + intent.chance.nextLong(MAX_PAUSE);
         this.patience =
-                wish.impatient
-                        ? (long) (deadline * wish.chance.nextDouble() * 0.5)
-                        : deadline + LOOKS_LONGER + pauses * pause;
+                intent.impatient
+                        ? (long) (deadline * intent.chance.nextDouble() * 0.5)
+                        : deadline + LATE_RESPONSE_MARGIN + pauses * pause;
     }
 
-    /** One to one, so that no two numbers become the same; never 0 but for 0. */
-    private static long spread(long number) {
+    /** Mixes the bits; a bijection, so distinct inputs stay distinct, and only 0 maps to 0. */
+    private static long mix(long number) {
         long z = number * 0x9E3779B97F4A7C15L;
         z = (z ^ z >>> 32) * 0xD6E8FEB86659FD93L;
         return z ^ z >>> 32;
@@ -86,61 +87,62 @@
         return new String(digits);
     }
 
-    long askedAt() {
-        return askedAt;
+    long startedAt() {
+        return startedAt;
     }
 
-    /** When its answer is of no more use. */
-    long until() {
-        return askedAt + deadline;
+    /** When the deadline passes. */
+    long expiresAt() {
+        return startedAt + deadline;
     }
 
-    /** Its first byte is about to be written. */
-    void begins(AppConnection on) {
-        connection = on;
-        sidecar = on.seat().name();
-        askedAt = day.now();
-        if (wish.endsAt == 0) {
-            wish.endsAt = askedAt + wish.deadline;
+    /** Reports the attempt; called just before its first byte is written to the connection. */
+    void start(AppConnection newConnection) {
+        connection = newConnection;
+        sidecar = newConnection.slot().name();
+        startedAt = day.now();
+        if (intent.endsAt == 0) {
+            intent.endsAt = startedAt + intent.deadline;
         }
         Message message =
-                Message.of(wish.method(), wish.uri, wish.key, wish.body, wish.body.length);
+                Message.of(
+                        intent.method(), intent.uri, intent.key, intent.body, intent.body.length);
         day.sentRequests.add(
-                id, new SentRequestRegistry.Form(wish.requestClass, message, wish.work));
+                id, new SentRequestRegistry.Form(intent.requestClass, message, intent.work));
         day.evidence.requestStarted(
                 new ClientAttempt(
                         id,
-                        wish.origin,
+                        intent.origin,
                         number,
                         sidecar,
-                        wish.requestClass,
-                        wish.tenant,
-                        wish.key,
+                        intent.requestClass,
+                        intent.tenant,
+                        intent.key,
                         cookieKey,
-                        askedAt,
+                        startedAt,
                         deadline,
                         patience));
         day.evidence.requestMessage(id, message);
-        if (wish.slowReader) {
-            day.evidence.clientLinkTroubled(sidecar, id, askedAt, askedAt + patience);
+        if (intent.slowReader) {
+            day.evidence.clientLinkTroubled(sidecar, id, startedAt, startedAt + patience);
         }
-        end = day.after(patience, this::giveUp);
+        timeout = day.after(patience, this::giveUp);
     }
 
     void written() {
-        if (!over) {
+        if (!finished) {
             day.evidence.requestSent(id);
         }
     }
 
-    /** The client leaves: whatever it waits for on that connection is given up with it. */
+    /** Closes the connection, which also abandons every other attempt that is open on it. */
     void giveUp() {
-        if (!over) {
-            connection.leave();
+        if (!finished) {
+            connection.disconnect();
         }
     }
 
-    void gaveUp() {
+    void abandon() {
         if (finish()) {
             day.evidence.clientGaveUp(id);
             application.ended(this, Outcome.GAVE_UP, -1);
@@ -159,7 +161,8 @@
     }
 
     /**
-     * @param crossed whether the connection was closed with not a byte of this one read
+     * @param crossed whether the connection, reused after an earlier response, ended before the
+     *     sidecar read any byte of this request
      */
     void broken(String how, boolean begun, boolean crossed) {
         if (finish()) {
@@ -168,48 +171,48 @@
         }
     }
 
-    /** It never came to be asked. */
+    /** The attempt ends without having been sent. */
     void unsent() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             application.ended(this, Outcome.UNSENT, -1);
         }
     }
 
     private boolean finish() {
-        if (over) {
+        if (finished) {
             return false;
         }
-        over = true;
-        end.cancel();
+        finished = true;
+        timeout.cancel();
         return true;
     }
 
-    /** How it is written. */
+    /** Returns the request with the pauses of a slow writer. */
     Script script() {
-        String text = text();
+        String text = requestText();
         Script script = new Script();
         int from = 0;
         for (int i = 0; i < pauses; i++) {
-            int to = from + wish.chance.nextInt(text.length() - from);
+            int to = from + intent.chance.nextInt(text.length() - from);
             script.then(i == 0 ? 0 : pause, text.substring(from, to));
             from = to;
         }
         return script.then(pauses == 0 ? 0 : pause, text.substring(from));
     }
 
-    /** As it goes over the wire. */
-    private String text() {
-        StringBuilder text = new StringBuilder(LONG_TEXT + wish.body.length);
-        text.append(wish.method())
+    /** Returns the request as it is sent. */
+    private String requestText() {
+        StringBuilder text = new StringBuilder(EXPECTED_HEAD_LENGTH + intent.body.length);
+        text.append(intent.method())
                 .append(' ')
-                .append(wish.uri)
+                .append(intent.uri)
                 .append(" HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: ")
                 .append(id)
                 .append("\r\nX-Class: ")
-                .append(wish.kind.name())
+                .append(intent.kind.name())
                 .append("\r\nX-Tenant: ")
-                .append(Tenants.ALL.get(wish.tenant).name())
+                .append(Tenants.ALL.get(intent.tenant).name())
                 .append("\r\nCookie: user=")
                 .append(hex(cookieKey))
                 .append("\r\nX-Deadline: ")
@@ -218,13 +221,13 @@
         if (number > 0) {
             text.append("X-Retry: 1\r\n");
         }
-        if (wish.key != null) {
-            text.append("Idempotency-Key: ").append(wish.key).append("\r\n");
+        if (intent.key != null) {
+            text.append("Idempotency-Key: ").append(intent.key).append("\r\n");
         }
-        if (!wish.method().equals("GET")) {
-            text.append("Content-Length: ").append(wish.body.length).append("\r\n");
+        if (!intent.method().equals("GET")) {
+            text.append("Content-Length: ").append(intent.body.length).append("\r\n");
         }
         text.append("\r\n");
-        return text.append(new String(wish.body, StandardCharsets.ISO_8859_1)).toString();
+        return text.append(new String(intent.body, StandardCharsets.ISO_8859_1)).toString();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/RequestClasses.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestClasses.java
@@ -4,15 +4,17 @@
 import appleridge.loadbalancing.Idempotency;
 import java.util.List;
 
-/** The classes of request in the world, by their place in a sidecar's settings. */
+/** The request classes of the simulated world, in the order of a sidecar's settings. */
 public final class RequestClasses {
     /**
-     * One class; times in nanoseconds.
+     * One request class; all times in nanoseconds.
      *
-     * @param scope null unless keyed
-     * @param keyTtl how long a keyed one's repeats are dropped
-     * @param leastWork the mean work of a day is drawn between this and {@code mostWork}
-     * @param share part of the requests
+     * @param scope null unless idempotent by key
+     * @param keyTtl how long servers deduplicate requests with the same key; 0 unless idempotent by
+     *     key
+     * @param leastWork lower bound of the mean work per request, which is drawn anew for each day
+     * @param mostWork upper bound of the mean work
+     * @param share fraction of all requests
      */
     public record Definition(
             String name,
@@ -25,7 +27,7 @@
             long mostWork,
             double share,
             double worth) {
-        /** Whether its requests carry a key by which a repeat is known. */
+        /** Whether its requests carry an idempotency key. */
         public boolean keyed() {
             return semantics == Idempotency.IDEMPOTENT_BY_KEY;
         }
@@ -33,10 +35,10 @@
 
     private static final long MS = 1_000_000;
 
-    /** The longest deadline, which is another one on some days. */
+    /** The longest deadline in nanoseconds; some days replace it by another value. */
     static final long LONGEST = 1500 * MS;
 
-    /** All of them, in order. */
+    /** All request classes; the index of a class is its number. */
     public static final List<Definition> ALL =
             List.of(
                     new Definition(
@@ -86,8 +88,8 @@
 
     private RequestClasses() {}
 
-    /** The class at a place. */
-    public static Definition of(int place) {
-        return ALL.get(place);
+    /** Returns the class with this index. */
+    public static Definition of(int index) {
+        return ALL.get(index);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerResponses.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerResponses.java
@@ -2,25 +2,28 @@
 
 import appleridge.testbed.simnet.SeededRandom;
 
-/** How an order server words its answers: the good ones, the honest others, and the spoilt. */
+/**
+ * Builds the HTTP responses of an order server: successful ones, errors, and deliberately corrupted
+ * ones.
+ */
 final class ServerResponses {
-    private static final int MANY = 60;
+    private static final int REPETITIONS = 60;
     private static final String CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n";
     private static final String HINTS = "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n";
     private static final String NOISE = "\u0000\u0001\u00fe noise \r\n\r\n\u0016\u0003\u0001";
-    private static final long GIGABYTES = 3L << 30;
+    private static final long THREE_GIB = 3L << 30;
 
-    /** Nanoseconds from a body to the reset behind it. */
-    private static final long RESET_AFTER = 5 * Site.MS;
+    /** Nanoseconds between the end of a body and the reset that follows it. */
+    private static final long RESET_DELAY = 5 * Site.MS;
 
     private final SeededRandom chance;
-    private int failures;
+    private int failureCount;
 
     ServerResponses(SeededRandom chance) {
         this.chance = chance;
     }
 
-    /** An answer with a length. */
+    /** Returns a response that is delimited by a Content-Length. */
     static String plain(String status, String headers, String body) {
         return "HTTP/1.1 "
                 + status
@@ -32,9 +35,12 @@
                 + body;
     }
 
-    /** How a server fails: what was asked may have run, whatever else is said. */
+    /**
+     * Returns an error response of a failing server. The request may have been executed, even where
+     * the response says otherwise with {@code X-Not-Run}.
+     */
     String failed(String headers) {
-        SeededRandom how = chance.stream("failed" + ++failures);
+        SeededRandom how = chance.stream("failed" + ++failureCount);
         String status =
                 how.hits(0.5)
                         ? "500 Internal Server Error"
@@ -43,7 +49,11 @@
         return plain(status, headers + (odd ? "X-Not-Run: 1\r\n" : ""), "sorry");
     }
 
-    /** A good answer. */
+    /**
+     * Returns a successful response.
+     *
+     * @param chunked probability that the body is sent in chunks
+     */
     String good(String headers, String body, double chunked) {
         if (!chance.hits(chunked)) {
             return plain("200 OK", headers, body);
@@ -65,7 +75,7 @@
         return text.append("0\r\n\r\n").toString();
     }
 
-    /** A good answer with something beside it. */
+    /** Returns a successful response together with something that does not belong to it. */
     Script withExtra(ResponseExtra extra, String good) {
         return switch (extra) {
             case INTERIM -> Script.of((chance.hits(0.5) ? CONTINUE : HINTS) + good);
@@ -79,7 +89,10 @@
         };
     }
 
-    /** An answer that can't be told from a whole one must not bear what a server made. */
+    /**
+     * Returns a corrupted response. A corruption that a client cannot distinguish from a complete
+     * response must not carry the body that the server made.
+     */
     Script spoilt(ResponseCorruption how, String body) {
         String head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n";
         String sized = "Content-Length: " + body.length() + "\r\n";
@@ -93,7 +106,10 @@
             case CONTROL_BYTES -> Script.of(head + "X-Odd: a\u0000b\r\n" + sized + "\r\n" + body);
             case ENDLESS_HEAD ->
                     Script.of(head)
-                            .repeat(MANY, 2 * Site.MS, "X-More: " + "m".repeat(2000) + "\r\n");
+                            .repeat(
+                                    REPETITIONS,
+                                    2 * Site.MS,
+                                    "X-More: " + "m".repeat(2000) + "\r\n");
             case LONG_LENGTH ->
                     Script.of(
                             head + "Content-Length: " + (body.length() + 500) + "\r\n\r\n" + body);
@@ -116,12 +132,12 @@
                                     + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"
                                     + body
                                     + "\r\n0\r\n\r\n");
-            // An orderly end would be the answer's; a reset is none.
+            // An orderly end would delimit the body and make the response valid; a reset does not.
             case NO_LENGTH ->
-                    Script.of(head + "\r\n" + body).then(RESET_AFTER, "").ending(Script.End.RESET);
+                    Script.of(head + "\r\n" + body).then(RESET_DELAY, "").ending(Script.End.RESET);
             case THREE_GIGABYTES ->
-                    Script.of(head + "Content-Length: " + GIGABYTES + "\r\n\r\n")
-                            .repeat(MANY, Site.MS, "3".repeat(8192));
+                    Script.of(head + "Content-Length: " + THREE_GIB + "\r\n\r\n")
+                            .repeat(REPETITIONS, Site.MS, "3".repeat(8192));
             case CUT_HEAD ->
                     Script.of(head.substring(0, 10 + chance.nextInt(20))).ending(Script.End.CLOSE);
             case CUT_BODY ->
@@ -138,17 +154,19 @@
                             "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\n"
                                     + "Upgrade: x\r\n\r\n"
                                     + body);
-            default -> throw new IllegalArgumentException("not spoilt: " + how);
+            default ->
+                    throw new IllegalArgumentException(
+                            "not a corruption of a whole response: " + how);
         };
     }
 
-    /** A whole good answer that pauses in the middle. */
+    /** Returns a complete successful response with a pause at a random position. */
     Script pausing(String good) {
         int at = 1 + chance.nextInt(good.length() - 1);
         return Script.of(good.substring(0, at)).then(pause(400), good.substring(at));
     }
 
-    private long pause(int mostMillis) {
-        return 1 + chance.nextLong(mostMillis * Site.MS);
+    private long pause(int maxMillis) {
+        return 1 + chance.nextLong(maxMillis * Site.MS);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -95,8 +95,8 @@
                         text(requests, each).split("X-Request-Id", -1).length <= 201, each.name());
             }
         }
-        assertTrue(requests.same("a", "GET").parts().get(0).bytes()[0] == 'P');
-        assertTrue(requests.same("a", "POST").parts().get(0).bytes()[0] == 'G');
+        assertTrue(requests.reusingId("a", "GET").parts().get(0).bytes()[0] == 'P');
+        assertTrue(requests.reusingId("a", "POST").parts().get(0).bytes()[0] == 'G');
     }
 
     private static String text(BadRequests requests, BadClientKind kind) {
