--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -6,159 +6,163 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What can go wrong on a day. */
+/** The kinds of faults that can be injected on a simulated day. */
 public enum FaultKind {
-    /** The upstream connection of a request is reset, at both ends at once. */
+    /** The upstream connection of a request is reset at both ends at once. */
     UP_RESET(Target.UPSTREAM),
-    /** The same, behind all that is on its way. */
+    /** The upstream connection is reset after the bytes in transit have been delivered. */
     UP_RESET_LATE(Target.UPSTREAM),
-    /** The server ends its sending on it. */
+    /** The server shuts down its output on the upstream connection. */
     UP_END(Target.UPSTREAM),
-    /** It falls silent for good. */
+    /** The upstream connection delivers nothing any more. */
     UP_SILENT(Target.UPSTREAM),
-    /** The server reads no more from it. */
+    /** The server stops reading from the upstream connection. */
     UP_STALL(Target.UPSTREAM),
-    /** It breaks so many bytes further on in the request. */
+    /** The upstream connection breaks this many bytes later, within the request. */
     UP_CUT_REQUEST(Target.UPSTREAM, FaultParameter.BYTES),
-    /** It breaks so many bytes further on in the answer. */
+    /** The upstream connection breaks this many bytes later, within the response. */
     UP_CUT_ANSWER(Target.UPSTREAM, FaultParameter.BYTES),
-    /** The request's answer is spoilt. */
+    /** The server's response to the request is corrupted. */
     SPOIL(Target.ANSWER, ResponseCorruption.class),
-    /** The request's good answer brings more than belongs to it. */
+    /** The server's successful response comes with something that does not belong to it. */
     EXTRA(Target.ANSWER, ResponseExtra.class),
 
     /** The client closes its connection. */
     CLIENT_CLOSE(Target.CLIENT),
     /** The client resets its connection. */
     CLIENT_RESET(Target.CLIENT),
-    /** The client ends its sending. */
+    /** The client shuts down its output. */
     CLIENT_END(Target.CLIENT),
-    /** The client reads no more. */
+    /** The client stops reading. */
     CLIENT_STALL(Target.CLIENT),
     /** The client's connection is reset by the network. */
     DOWN_RESET(Target.CLIENT),
-    /** The same, behind all that is on its way. */
+    /** The client's connection is reset after the bytes in transit have been delivered. */
     DOWN_RESET_LATE(Target.CLIENT),
-    /** The client's connection falls silent for good. */
+    /** The client's connection delivers nothing any more. */
     DOWN_SILENT(Target.CLIENT),
-    /** It breaks so many bytes further on in the answer. */
+    /** The client's connection breaks this many bytes later, within the response. */
     DOWN_CUT_ANSWER(Target.CLIENT, FaultParameter.BYTES),
 
     /** New connections to a server take longer. */
     CONNECT_SLOW(Target.SERVER, FaultParameter.FOR, FaultParameter.BY),
-    /** New connections to it are refused. */
+    /** New connections to a server are refused. */
     CONNECT_REFUSED(Target.SERVER, FaultParameter.FOR),
-    /** New connections to it never come up. */
+    /** New connections to a server are never established. */
     CONNECT_SILENT(Target.SERVER, FaultParameter.FOR),
-    /** It accepts nothing, and its backlog fills. */
+    /** A server accepts no connections, so its backlog fills. */
     BACKLOG(Target.SERVER, FaultParameter.FOR),
-    /** It drains, ends, and a new one comes under a new id at its address. */
+    /** A server drains and ends; a new one with a new uid starts at its address. */
     DRAIN(Target.SERVER, FaultParameter.DOWN),
-    /** Its process dies; a new one comes under a new id at its address. */
+    /** A server's process crashes; a new one with a new uid starts at its address. */
     CRASH(Target.SERVER, FaultParameter.DOWN),
-    /** Its process dies and starts again under its id. */
+    /** A server's process crashes and restarts with the same uid. */
     RESTART(Target.SERVER, FaultParameter.DOWN),
-    /** Its machine says nothing for a while. */
+    /** A server's machine sends nothing for a while. */
     VANISH(Target.SERVER, FaultParameter.FOR),
-    /** It accepts and reads, and answers nothing for a while. */
+    /** A server accepts and reads, but does not respond for a while. */
     HANG(Target.SERVER, FaultParameter.FOR),
-    /** It is slower. */
+    /** A server is slower. */
     SLOW(Target.SERVER, FaultParameter.FOR, FaultParameter.FACTOR),
-    /** So many of its answers in a thousand are errors. */
+    /** This many of a thousand responses of a server are errors. */
     FAILING(Target.SERVER, FaultParameter.FOR, FaultParameter.COUNT),
-    /** It turns all away. */
+    /** A server rejects all requests. */
     FULL(Target.SERVER, FaultParameter.FOR),
-    /** It closes its idle connections. */
+    /** A server closes its idle connections. */
     CLOSE_IDLE(Target.SERVER),
-    /** Its load reports are late, wrong or unreadable. */
+    /** The load reports of a server are late, wrong or unreadable. */
     REPORTS(Target.SERVER, Report.class, FaultParameter.FOR),
 
-    /** Discovery's process is down: watches end, calls are refused. */
+    /** Discovery's process is down: watches end and connections are refused. */
     LIST_DOWN(Target.LIST, FaultParameter.FOR),
-    /** Discovery's machine says nothing. */
+    /** Discovery's machine sends nothing. */
     LIST_SILENT(Target.LIST, FaultParameter.FOR),
-    /** Discovery reads calls and answers none until then. */
+    /** Discovery reads calls but responds to none until the fault ends. */
     LIST_HANG(Target.LIST, FaultParameter.FOR),
-    /** Discovery answers each call with 503. */
+    /** Discovery responds to each call with status 503. */
     LIST_503(Target.LIST, FaultParameter.FOR),
-    /** Each call takes so much longer. */
+    /** Each call to discovery takes this much longer. */
     LIST_SLOW(Target.LIST, FaultParameter.FOR, FaultParameter.BY),
-    /** The watches that are out are forgotten: they will never be answered. */
+    /** Discovery forgets its pending watches and never responds to them. */
     LIST_LOSES_WATCHES(Target.LIST),
-    /** So many answers are cut in the middle. */
+    /** This many of discovery's responses are truncated. */
     LIST_CUT(Target.LIST, FaultParameter.COUNT),
-    /** So many answers can't be read. */
+    /** This many of discovery's responses are unreadable. */
     LIST_GARBLED(Target.LIST, FaultParameter.COUNT),
-    /** Whole lists are so old, for a while. */
+    /** Snapshots of the endpoint list are this old for a while. */
     LIST_STALE(Target.LIST, FaultParameter.FOR, FaultParameter.BY),
-    /** A server's entry goes and comes so often, so long apart. */
+    /** A server's entry disappears and reappears this many times, at this interval. */
     LIST_FLAPS(Target.SERVER, FaultParameter.COUNT, FaultParameter.BY),
 
-    /** A sidecar is killed, and starts again. */
+    /** A sidecar is killed and starts again. */
     KILL(Target.SIDECAR, FaultParameter.DOWN),
-    /** A sidecar is restarted in order. */
+    /** A sidecar is terminated gracefully and starts again. */
     TERM(Target.SIDECAR, FaultParameter.DOWN),
-    /** Discovery moves; all sidecars are told by SIGHUP. */
+    /** Discovery moves to another address; all sidecars get SIGHUP. */
     MOVE(Target.LIST),
-    /** A sidecar's loop stands still. */
+    /** A sidecar's event loop is paused. */
     PAUSE(Target.SIDECAR, FaultParameter.FOR),
-    /** A sidecar can open only so many descriptors more. */
+    /** A sidecar can open only this many more descriptors. */
     NO_DESCRIPTORS(Target.SIDECAR, FaultParameter.FOR, FaultParameter.COUNT),
     /** A sidecar's wall clock steps. */
     WALL_STEP(Target.SIDECAR, FaultParameter.BY),
-    /** What a sidecar sends and gets takes longer. */
+    /** Everything that a sidecar sends and receives is delayed. */
     LINK_LATE(Target.SIDECAR, FaultParameter.FOR, FaultParameter.BY),
-    /** What it sends and gets comes in pieces of so many bytes at most. */
+    /** Everything that a sidecar sends and receives arrives in segments of at most this size. */
     LINK_CHOPPED(Target.SIDECAR, FaultParameter.FOR, FaultParameter.COUNT),
-    /** No more than so many bytes a second pass. */
+    /** A sidecar's links carry at most this many bytes per second. */
     LINK_THIN(Target.SIDECAR, FaultParameter.FOR, FaultParameter.BYTES),
 
-    /** A site is cut off from the others. */
+    /** A zone is partitioned from the others. */
     ZONE_CUT(Target.ZONE, FaultParameter.FOR),
-    /** A tenant sends more by so many requests a second, through one sidecar. */
+    /** A tenant sends this many additional requests per second through one sidecar. */
     FLOOD(Target.SIDECAR, FaultParameter.FOR, FaultParameter.RATE),
-    /** So many bad clients come to a sidecar. */
+    /** This many misbehaving clients connect to a sidecar. */
     BAD(Target.SIDECAR, BadClientKind.class, FaultParameter.COUNT),
 
-    /** No server of the coordination service answers. */
+    /** No server of the coordination service responds. */
     NODES_DOWN(Target.NODES, FaultParameter.FOR),
-    /** Those that answer have lost the others. */
+    /** The servers that respond have lost the quorum and are read-only. */
     NODES_READ_ONLY(Target.NODES, FaultParameter.FOR),
-    /** Those that answer are behind by so much. */
+    /** The servers that respond lag behind by this much. */
     NODES_LAG(Target.NODES, FaultParameter.FOR, FaultParameter.BY),
-    /** Their answers take so much longer; what they tell by themselves does not. */
+    /** Responses of the servers take this much longer; watch events do not. */
     NODES_SLOW(Target.NODES, FaultParameter.FOR, FaultParameter.BY),
     /**
-     * The coordination service has lost everything; the servers' nodes are there again within so
-     * long.
+     * The coordination service has lost all data; the order servers create their nodes again within
+     * this time.
      */
     NODES_WIPED(Target.NODES, FaultParameter.DOWN),
-    /** A sidecar's connection to it is lost for so long; its session too, if it lives shorter. */
+    /**
+     * A sidecar's connection to the coordination service is lost for this long; its session expires
+     * too if the session timeout is shorter.
+     */
     NODES_LOST(Target.SIDECAR, FaultParameter.FOR),
     /**
-     * A server's session ends and is there again, so often and so long apart; its process goes on.
+     * A server's session ends and is established again this many times, at this interval, while its
+     * process keeps running.
      */
     NODE_FLAPS(Target.SERVER, FaultParameter.COUNT, FaultParameter.BY),
-    /** A server's node can't be read for a while. */
+    /** The data of a server's node is unreadable for a while. */
     NODE_GARBLED(Target.SERVER, FaultParameter.FOR);
 
-    /** What a fault is aimed at. */
+    /** The part of the simulated world that a fault affects. */
     enum Target {
-        /** The upstream connection of a request; only by a trap. */
+        /** The upstream connection of a request; needs a state trigger. */
         UPSTREAM,
-        /** The answer that a server makes for a request; only by a trap. */
+        /** The response of a server to a request; needs a state trigger. */
         ANSWER,
-        /** A client's connection; only by a trap. */
+        /** A client's connection; needs a state trigger. */
         CLIENT,
-        /** A machine with its server; by a trap without a name: the request's. */
+        /** A machine with its server; a state trigger without a name takes the request's. */
         SERVER,
         /** Discovery. */
         LIST,
         /** The coordination service. */
         NODES,
-        /** A sidecar; by a trap without a name: the request's. */
+        /** A sidecar; a state trigger without a name takes the request's. */
         SIDECAR,
-        /** A site; by a trap without a name: one by chance. */
+        /** A zone; a state trigger without a name draws one at random. */
         ZONE
     }
 
@@ -180,7 +184,9 @@
         return target;
     }
 
-    /** Whether it is one of the coordination service, and nothing on a day without. */
+    /**
+     * Whether the fault concerns the coordination service; it has no effect on a day without one.
+     */
     boolean affectsCoordination() {
         return switch (this) {
             case NODES_DOWN,
@@ -196,24 +202,24 @@
         };
     }
 
-    /** The figures that it has; all of them are always given. */
+    /** The parameters of the fault; each of them is required. */
     List<FaultParameter> params() {
         return params;
     }
 
-    /** The words of its styles; empty if it has none. */
+    /** The names of the variants of the fault; empty if it has none. */
     List<String> styles() {
         return styles == null
                 ? List.of()
                 : Arrays.stream(styles.getEnumConstants()).map(FaultKind::word).toList();
     }
 
-    /** Whether it needs a request to be aimed at. */
+    /** Whether the fault acts on a request and therefore needs a state trigger. */
     public boolean requiresRequest() {
         return target == Target.UPSTREAM || target == Target.CLIENT || target == Target.ANSWER;
     }
 
-    /** Whether it can strike a request in that state. */
+    /** Whether the fault can affect a request in this state. */
     public boolean canAffect(RequestState state) {
         boolean attempt =
                 switch (state) {
@@ -239,25 +245,26 @@
     }
 
     /**
-     * Whether it is worth aiming at a request in that state: else it would meet none, or another.
+     * Whether a random plan should inject the fault at a request in this state: otherwise it would
+     * affect no request, or a different one.
      */
     boolean isWorthInjecting(RequestState state) {
-        boolean answering =
+        boolean responding =
                 state == RequestState.ANSWERING || state == RequestState.RESEND_ANSWERING;
         return switch (this) {
             case CLOSE_IDLE ->
-                    answering
+                    responding
                             || UP_RESET.canAffect(state)
                                     && state != RequestState.CONNECTING
                                     && state != RequestState.RESEND_CONNECTING;
-            case UP_CUT_REQUEST -> canAffect(state) && !answering;
+            case UP_CUT_REQUEST -> canAffect(state) && !responding;
             default -> canAffect(state);
         };
     }
 
     /**
-     * Whether it would change anything for this request: on a new connection a server finds nothing
-     * idle.
+     * Whether the fault changes anything for this request. Closing idle connections does not while
+     * the request is sent on a new connection, which the server has not accepted yet.
      */
     boolean affects(ObservedRequest request) {
         boolean sending =
@@ -270,7 +277,7 @@
                 || request.upstream() != null && request.upstream().isAccepted();
     }
 
-    /** As a scenario names it. */
+    /** The name of the fault in a scenario file. */
     public String word() {
         return word(this);
     }
@@ -283,7 +290,11 @@
         return of(type, "word", word);
     }
 
-    /** What a person writes; {@code what} it is to be, for the error if it is none. */
+    /**
+     * Parses the name of a constant in a scenario file.
+     *
+     * @param what the kind of name that is expected, for the error message
+     */
     static <E extends Enum<E>> E of(Class<E> type, String what, String word) {
         for (E each : type.getEnumConstants()) {
             if (word(each).equals(word)) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -14,49 +14,52 @@
 import java.util.Set;
 
 /**
- * Tells which requests are met by what lasts for a while or comes by itself: a server to which
- * connects fail, a process without descriptors, a drain that is told, a window that closes, a
- * stand-still over a deadline, a drain's grace and a window at once. To be told of everything ahead
- * of the states.
+ * Reports which requests are affected by faults that last for a while and by events that no fault
+ * is aimed at: failing connects to a server, a process without descriptors, a drain that is
+ * announced, a deduplication window that ends, and a pause that spans a deadline, a drain's grace
+ * period and a deduplication window at once. It must receive each event before {@link
+ * RequestStates} does.
  */
 final class FaultOverlaps implements DayListener {
-    /** A request is resent, and the time for that ends. */
+    /** The deduplication window ends while the request is being resent. */
     static final String WINDOW_CLOSES = "window-closes";
 
-    /** A drain of the server of its attempt is told. */
+    /** The sidecar is told that the server of the current attempt is draining. */
     static final String DRAIN_TOLD = "drain-told";
 
-    /** Its sidecar stands still over its deadline, its window and a drain's grace. */
+    /** The sidecar is paused over the deadline, the window and a drain's grace period. */
     static final String PAUSE_OVER_ALL = "pause-over-all";
 
-    private record Lasting(FaultKind kind, Host host, long until) {}
+    private record LongFault(FaultKind kind, Host host, long until) {}
 
-    private record Grace(String sidecar, long endsAt) {}
+    private record GracePeriod(String sidecar, long endsAt) {}
 
     private final RequestStates states;
-    private final List<Lasting> lasting = new ArrayList<>();
-    private final Map<String, Long> windows = new LinkedHashMap<>();
-    private final Set<String> drains = new LinkedHashSet<>();
-    private final List<Grace> graces = new ArrayList<>();
+    private final List<LongFault> longFaults = new ArrayList<>();
+    private final Map<String, Long> windowEnds = new LinkedHashMap<>();
+    private final Set<String> reportedDrains = new LinkedHashSet<>();
+    private final List<GracePeriod> gracePeriods = new ArrayList<>();
     private Day day;
 
     FaultOverlaps(RequestStates states) {
         this.states = states;
     }
 
-    void begin(Day theDay) {
-        day = theDay;
-        states.on(RequestState.CONNECTING, this::connects);
-        states.on(RequestState.RESEND_CONNECTING, this::connects);
-        states.on(RequestState.ARRIVING, this::arrives);
+    void begin(Day simulatedDay) {
+        day = simulatedDay;
+        states.on(RequestState.CONNECTING, this::connecting);
+        states.on(RequestState.RESEND_CONNECTING, this::connecting);
+        states.on(RequestState.ARRIVING, this::arriving);
     }
 
-    // ---- what lasts
+    // ---- faults that last for a while
 
-    /** Whoever connects there meanwhile meets it; also who is connecting now. */
+    /**
+     * Connects to a machine fail for a while: affects requests that are connecting now or later.
+     */
     void connectFaultBegan(Machine machine, FaultKind kind, long duration) {
         day.evidence.faultArmed(kind.word(), machine.server().uid());
-        lasting.add(new Lasting(kind, machine.host(), day.now() + duration));
+        longFaults.add(new LongFault(kind, machine.host(), day.now() + duration));
         for (ObservedRequest each : states.at(machine.server().uid())) {
             if (isConnecting(each) && !each.upstream().isEstablished()) {
                 day.evidence.faultHit(kind.word(), each.id(), each.state());
@@ -69,20 +72,20 @@
                 || request.state() == RequestState.RESEND_CONNECTING;
     }
 
-    /** Whoever needs a descriptor of that process meanwhile, and there is none. */
+    /** A process may run out of descriptors for a while: affects requests that then need one. */
     void descriptorLimitBegan(Host sidecar, long duration) {
         day.evidence.faultArmed(FaultKind.NO_DESCRIPTORS.word(), sidecar.name());
-        lasting.add(new Lasting(FaultKind.NO_DESCRIPTORS, sidecar, day.now() + duration));
+        longFaults.add(new LongFault(FaultKind.NO_DESCRIPTORS, sidecar, day.now() + duration));
     }
 
-    private void connects(ObservedRequest request) {
-        meets(request, request.upstream().peerHost());
+    private void connecting(ObservedRequest request) {
+        reportHits(request, request.upstream().peerHost());
     }
 
-    private void arrives(ObservedRequest request) {
+    private void arriving(ObservedRequest request) {
         SimSocket client = request.client();
         if (client != null && !client.isAccepted() && client.peerHost().isFull()) {
-            meets(request, client.peerHost());
+            reportHits(request, client.peerHost());
         }
     }
 
@@ -95,23 +98,26 @@
                 && request.upstream() == null
                 && request.client() != null
                 && request.client().peerHost().isFull()) {
-            meets(request, request.client().peerHost());
+            reportHits(request, request.client().peerHost());
         }
     }
 
-    private void meets(ObservedRequest request, Host host) {
-        lasting.removeIf(each -> each.until() < day.now());
-        for (Lasting each : lasting) {
+    private void reportHits(ObservedRequest request, Host host) {
+        longFaults.removeIf(each -> each.until() < day.now());
+        for (LongFault each : longFaults) {
             if (each.host() == host) {
                 day.evidence.faultHit(each.kind().word(), request.id(), request.state());
             }
         }
     }
 
-    /** Whoever has sent a request on one of these, just closed, with nothing of it read. */
-    void idleConnectionsClosed(List<SimSocket> sidecarsEnds, String server) {
+    /**
+     * A server has closed idle connections: affects requests that were sent on one of them and of
+     * which the server has read nothing.
+     */
+    void idleConnectionsClosed(List<SimSocket> sidecarSockets, String server) {
         day.evidence.faultArmed(FaultKind.CLOSE_IDLE.word(), server);
-        for (SimSocket each : sidecarsEnds) {
+        for (SimSocket each : sidecarSockets) {
             ObservedRequest request = states.on(each);
             if (request != null) {
                 day.evidence.faultHit(FaultKind.CLOSE_IDLE.word(), request.id(), request.state());
@@ -119,15 +125,15 @@
         }
     }
 
-    // ---- what comes by itself
+    // ---- events that no fault is aimed at
 
     @Override
     public void listDelivered(String sidecar, String uid, String state, long bornAt) {
         String drain = sidecar + ' ' + uid;
         if (!state.equals(Instances.TERMINATING)) {
-            drains.remove(drain);
-        } else if (drains.add(drain)) {
-            graces.add(new Grace(sidecar, day.now() + Site.DRAIN_GRACE));
+            reportedDrains.remove(drain);
+        } else if (reportedDrains.add(drain)) {
+            gracePeriods.add(new GracePeriod(sidecar, day.now() + Site.DRAIN_GRACE));
             for (ObservedRequest each : states.at(sidecar)) {
                 if (uid.equals(each.server()) && each.state() != RequestState.ANSWERED) {
                     day.evidence.faultHit(DRAIN_TOLD, each.id(), each.state());
@@ -146,14 +152,14 @@
             long lastByteSentAt,
             long work) {
         SentRequestRegistry.Form form = day.sentRequests.form(id);
-        if (form == null || form.key() == null || windows.containsKey(id)) {
+        if (form == null || form.key() == null || windowEnds.containsKey(id)) {
             return;
         }
-        long closes = lastByteSentAt + day.plan.window(RequestClasses.of(form.requestClass()));
-        windows.put(id, closes);
-        if (closes > day.now()) {
+        long windowEnd = lastByteSentAt + day.plan.window(RequestClasses.of(form.requestClass()));
+        windowEnds.put(id, windowEnd);
+        if (windowEnd > day.now()) {
             day.simulation.at(
-                    closes,
+                    windowEnd,
                     () -> {
                         RequestState state = states.state(id);
                         if (state != null && state.isResend()) {
@@ -173,7 +179,7 @@
                                                 && within(
                                                         from,
                                                         until,
-                                                        windows.getOrDefault(each.id(), 0L))
+                                                        windowEnds.getOrDefault(each.id(), 0L))
                                                 && within(
                                                         from,
                                                         until,
@@ -184,7 +190,7 @@
             day.simulation.at(
                     until,
                     () -> {
-                        if (graces.stream()
+                        if (gracePeriods.stream()
                                 .anyMatch(
                                         each ->
                                                 each.sidecar().equals(sidecar)
@@ -198,7 +204,7 @@
         }
     }
 
-    private static boolean within(long from, long until, long moment) {
-        return from < moment && moment < until;
+    private static boolean within(long from, long until, long time) {
+        return from < time && time < until;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/HttpReader.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/HttpReader.java
@@ -7,13 +7,13 @@
 import java.util.Arrays;
 
 /**
- * Reads the HTTP/1.1 messages of one connection as their bytes come. It forgives much, as those do
- * whom it stands for: plain line ends, both a length and chunks (the chunks count), blank lines
- * ahead.
+ * Incremental parser for the HTTP/1.1 messages of one connection. It is as lenient as the clients
+ * and servers that it stands for: it accepts bare LF line ends, both Content-Length and chunked
+ * encoding (the chunks count), and blank lines before a message.
  */
 final class HttpReader {
-    private static final int MOST_HEAD = 64 * 1024;
-    private static final int MOST_BODY = 1 << 20;
+    private static final int MAX_HEAD = 64 * 1024;
+    private static final int MAX_BODY = 1 << 20;
 
     private enum Step {
         HEAD,
@@ -27,7 +27,7 @@
         BROKEN
     }
 
-    private final boolean answers;
+    private final boolean responses;
     private byte[] bytes = new byte[512];
     private int from;
     private int to;
@@ -37,18 +37,18 @@
     private byte[] body = new byte[0];
     private int bodyLength;
 
-    /** Bytes of the body, or of the chunk, that are still to come. */
-    private long missing;
+    /** Bytes of the body or of the current chunk that have not been consumed. */
+    private long remaining;
 
     /**
-     * @param answers whether it reads answers; requests otherwise
+     * @param responses whether to parse responses; otherwise requests
      */
-    HttpReader(boolean answers) {
-        this.answers = answers;
+    HttpReader(boolean responses) {
+        this.responses = responses;
     }
 
-    /** Reads up to so many bytes; 0 if none are there, -1 at the end. */
-    int read(SimSocket socket, int most) throws IOException {
+    /** Reads up to {@code maxBytes}; returns 0 if none are available, -1 at the end of input. */
+    int read(SimSocket socket, int maxBytes) throws IOException {
         if (to == bytes.length) {
             if (from > 0) {
                 System.arraycopy(bytes, from, bytes, 0, to - from);
@@ -59,7 +59,7 @@
                 bytes = Arrays.copyOf(bytes, 2 * bytes.length);
             }
         }
-        int read = socket.read(bytes, to, Math.min(most, bytes.length - to));
+        int read = socket.read(bytes, to, Math.min(maxBytes, bytes.length - to));
         if (read > 0) {
             to += read;
         } else if (read < 0 && step == Step.TO_END) {
@@ -68,13 +68,13 @@
         return read;
     }
 
-    /** How many bytes the message lacks; 1 while that is not known. */
+    /** How many bytes the message still needs; 1 while that is not known. */
     int missingBytes() {
         boolean known = step == Step.LENGTH || step == Step.CHUNK;
-        return known ? (int) Math.min(Integer.MAX_VALUE, Math.max(1, missing - (to - from))) : 1;
+        return known ? (int) Math.min(Integer.MAX_VALUE, Math.max(1, remaining - (to - from))) : 1;
     }
 
-    /** Whether some bytes of a message have come that is not done with. */
+    /** Whether there are bytes of a message that has not been finished with {@link #next}. */
     boolean hasPartialMessage() {
         return to > from || step != Step.HEAD;
     }
@@ -91,20 +91,20 @@
         return step == Step.BROKEN;
     }
 
-    /** Goes on with what has been read; true if the message is whole or broken. */
+    /** Parses the bytes read so far; returns true if the message is complete or invalid. */
     boolean advance() {
-        while (step != Step.WHOLE && step != Step.BROKEN && proceed()) {
+        while (step != Step.WHOLE && step != Step.BROKEN && step()) {
             continue;
         }
         return step == Step.WHOLE || step == Step.BROKEN;
     }
 
-    /** On to the next message. */
+    /** Moves on to the next message. */
     void next() {
         step = Step.HEAD;
         head = null;
         bodyLength = 0;
-        missing = 0;
+        remaining = 0;
         scanned = from;
         if (from == to) {
             from = 0;
@@ -113,15 +113,15 @@
         }
     }
 
-    /** One step; false if it takes more bytes. */
-    private boolean proceed() {
+    /** Performs one parsing step; returns false if more bytes are needed. */
+    private boolean step() {
         switch (step) {
             case HEAD:
                 return readHead();
             case LENGTH:
                 return readBody(Step.WHOLE);
             case TO_END:
-                missing = to - from;
+                remaining = to - from;
                 return readBody(Step.TO_END) && false;
             case CHUNK:
                 return readBody(Step.CHUNK_END);
@@ -135,47 +135,47 @@
             if (bytes[scanned] != '\n') {
                 continue;
             }
-            int before = scanned > from && bytes[scanned - 1] == '\r' ? scanned - 2 : scanned - 1;
-            if (before < from) {
-                // A blank line ahead of the head.
+            int lineEnd = scanned > from && bytes[scanned - 1] == '\r' ? scanned - 2 : scanned - 1;
+            if (lineEnd < from) {
+                // A blank line before the head.
                 from = scanned + 1;
-            } else if (bytes[before] == '\n') {
-                head = new String(bytes, from, before + 1 - from, StandardCharsets.ISO_8859_1);
+            } else if (bytes[lineEnd] == '\n') {
+                head = new String(bytes, from, lineEnd + 1 - from, StandardCharsets.ISO_8859_1);
                 from = scanned + 1;
                 scanned = from;
-                delimit();
+                selectFraming();
                 return true;
             }
         }
-        if (to - from > MOST_HEAD) {
+        if (to - from > MAX_HEAD) {
             step = Step.BROKEN;
         }
         return false;
     }
 
-    private void delimit() {
+    private void selectFraming() {
         String length = header("content-length");
-        if (answers && status() < 0 || !answers && !head.contains(" HTTP/1.")) {
+        if (responses && status() < 0 || !responses && !head.contains(" HTTP/1.")) {
             step = Step.BROKEN;
-        } else if (answers && (status() < 200 || status() == 204 || status() == 304)) {
+        } else if (responses && (status() < 200 || status() == 204 || status() == 304)) {
             step = Step.WHOLE;
         } else if ("chunked".equalsIgnoreCase(header("transfer-encoding"))) {
             step = Step.CHUNK_SIZE;
         } else if (length != null) {
             try {
-                missing = Long.parseLong(length);
-                step = missing < 0 || missing > MOST_BODY ? Step.BROKEN : Step.LENGTH;
+                remaining = Long.parseLong(length);
+                step = remaining < 0 || remaining > MAX_BODY ? Step.BROKEN : Step.LENGTH;
             } catch (NumberFormatException e) {
                 step = Step.BROKEN;
             }
         } else {
-            step = answers ? Step.TO_END : Step.WHOLE;
+            step = responses ? Step.TO_END : Step.WHOLE;
         }
     }
 
     private boolean readBody(Step after) {
-        int more = (int) Math.min(missing, to - from);
-        if (bodyLength + more > MOST_BODY) {
+        int more = (int) Math.min(remaining, to - from);
+        if (bodyLength + more > MAX_BODY) {
             step = Step.BROKEN;
             return false;
         }
@@ -186,15 +186,15 @@
         bodyLength += more;
         from += more;
         scanned = from;
-        missing -= more;
-        if (missing == 0) {
+        remaining -= more;
+        if (remaining == 0) {
             step = after;
             return true;
         }
         return false;
     }
 
-    /** A line between the chunks: a size, the end of one, or of the trailer. */
+    /** Reads a line of the chunked encoding: a chunk size, the end of a chunk, or a trailer. */
     private boolean readLine() {
         while (scanned < to && bytes[scanned] != '\n') {
             scanned++;
@@ -211,8 +211,8 @@
                 try {
                     int extension = line.indexOf(';');
                     String size = extension < 0 ? line : line.substring(0, extension);
-                    missing = Long.parseLong(size.trim(), 16);
-                    step = missing < 0 ? Step.BROKEN : missing == 0 ? Step.TRAILER : Step.CHUNK;
+                    remaining = Long.parseLong(size.trim(), 16);
+                    step = remaining < 0 ? Step.BROKEN : remaining == 0 ? Step.TRAILER : Step.CHUNK;
                 } catch (NumberFormatException e) {
                     step = Step.BROKEN;
                 }
@@ -223,7 +223,7 @@
         return true;
     }
 
-    /** An answer's status, or -1 if it can't be read. */
+    /** Returns the status of a response, or -1 if it is unreadable. */
     int status() {
         if (head == null || !head.startsWith("HTTP/1.") || head.length() < 12) {
             return -1;
@@ -239,14 +239,14 @@
         return status;
     }
 
-    /** The n-th word of a request's first line; empty if there is none. */
+    /** Returns the n-th word of the request line, counted from 0; empty if there is none. */
     String word(int number) {
         int end = head.indexOf('\n');
         String[] words = head.substring(0, end).strip().split(" ");
         return number < words.length ? words[number] : "";
     }
 
-    /** The first word of a head that has not come whole. */
+    /** Returns the first word of an incomplete head. */
     String firstPartialWord() {
         int end = from;
         while (end < to && bytes[end] != ' ') {
@@ -255,12 +255,12 @@
         return new String(bytes, from, end - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** The first header of that name (in lower case), or null. */
+    /** Returns the first header with this name (in lower case), or null. */
     String header(String name) {
         return head == null ? null : find(head, name);
     }
 
-    /** The same in a head that has not come whole. */
+    /** Returns the first header with this name, also from an incomplete head, or null. */
     String partialHeader(String name) {
         return head != null
                 ? header(name)
@@ -285,7 +285,7 @@
         return null;
     }
 
-    /** A request as it came. */
+    /** Returns the complete request. */
     Message message() {
         return Message.of(word(0), word(1), header("idempotency-key"), body, bodyLength);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
@@ -6,17 +6,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** What discovery itself knows of the order servers, in versions. */
+/** The order servers as discovery itself knows them, as a log of revisions. */
 final class Instances {
     static final String READY = "Ready";
     static final String TERMINATING = "Terminating";
     static final String GONE = "Gone";
 
-    /** What is told of one server; {@code bornAt} 0 for long ago. */
+    /**
+     * The entry of one server.
+     *
+     * @param bornAt when the server started, in nanoseconds of the day; 0 for long before
+     */
     record Entry(
             String uid, int life, InetSocketAddress endpoint, int zone, String state, long bornAt) {
-        Entry withState(String other) {
-            return new Entry(uid, life, endpoint, zone, other, bornAt);
+        Entry withState(String newState) {
+            return new Entry(uid, life, endpoint, zone, newState, bornAt);
         }
 
         String json() {
@@ -44,31 +48,36 @@
     private final List<Version> log = new ArrayList<>();
     private final Map<String, Entry> known = new LinkedHashMap<>();
 
-    /** For each uid how many changes there were, and which of them was the last to be known. */
+    /** By uid: the number of changes scheduled, and the last one that has been published. */
     private final Map<String, Integer> changes = new LinkedHashMap<>();
 
     private final Map<String, Integer> applied = new LinkedHashMap<>();
-    private final List<Runnable> told = new ArrayList<>();
+    private final List<Runnable> listeners = new ArrayList<>();
     private long revision;
 
-    /** The last version of long before the day. */
-    private long past;
+    /** The last revision from before the day. */
+    private long historyEnd;
 
     Instances(Day day) {
         this.day = day;
     }
 
-    /** What is known when the day begins. */
+    /** Publishes an entry that exists when the day begins. */
     void addInitial(Entry entry) {
-        know(entry);
+        publish(entry);
     }
 
-    /** What has been told so far was known long before the day. */
+    /** Marks all revisions so far as published before the day. */
     void endHistory() {
-        past = revision;
+        historyEnd = revision;
     }
 
-    /** Known after so long, unless what came later is known by then. */
+    /**
+     * Publishes an entry after a delay, unless a later change of the same server has been published
+     * by then.
+     *
+     * @param notice the delay in nanoseconds
+     */
     void change(Entry entry, long notice) {
         int serial = changes.merge(entry.uid(), 1, Integer::sum);
         day.after(
@@ -76,37 +85,43 @@
                 () -> {
                     if (applied.getOrDefault(entry.uid(), 0) < serial) {
                         applied.put(entry.uid(), serial);
-                        know(entry);
+                        publish(entry);
                     }
                 });
     }
 
-    /** An entry that is listed goes and comes again, by a mistake of discovery. */
-    void flap(String uid, String away, int times, long apart) {
+    /**
+     * Lets a ready entry leave and come back repeatedly, as a fault of discovery.
+     *
+     * @param awayState the state of the entry while it is away
+     */
+    void flap(String uid, String awayState, int times, long interval) {
         Entry entry = known.get(uid);
         if (entry == null || times <= 0 || !entry.state().equals(READY)) {
             return;
         }
-        Entry gone = entry.withState(away);
-        know(gone);
+        Entry removed = entry.withState(awayState);
+        publish(removed);
         day.after(
-                apart,
+                interval,
                 () -> {
-                    if (known.get(uid) == gone
-                            || away.equals(GONE) && !known.containsKey(uid) && last(uid) == gone) {
-                        know(entry);
+                    if (known.get(uid) == removed
+                            || awayState.equals(GONE)
+                                    && !known.containsKey(uid)
+                                    && latest(uid) == removed) {
+                        publish(entry);
                         day.after(
-                                apart,
+                                interval,
                                 () -> {
                                     if (known.get(uid) == entry && day.faultsMayOccur()) {
-                                        flap(uid, away, times - 1, apart);
+                                        flap(uid, awayState, times - 1, interval);
                                     }
                                 });
                     }
                 });
     }
 
-    private Entry last(String uid) {
+    private Entry latest(String uid) {
         for (int i = log.size() - 1; i >= 0; i--) {
             if (log.get(i).entry().uid().equals(uid)) {
                 return log.get(i).entry();
@@ -115,7 +130,7 @@
         return null;
     }
 
-    private void know(Entry entry) {
+    private void publish(Entry entry) {
         revision++;
         log.add(new Version(day.now(), revision, entry));
         if (entry.state().equals(GONE)) {
@@ -125,12 +140,12 @@
         }
         day.evidence.discoveryChanged(
                 revision, entry.uid(), entry.life(), entry.state(), entry.bornAt());
-        told.forEach(Runnable::run);
+        listeners.forEach(Runnable::run);
     }
 
-    /** Told whenever something new is known. */
+    /** Registers a listener that runs after each new revision. */
     void onChange(Runnable what) {
-        told.add(what);
+        listeners.add(what);
     }
 
     long revision() {
@@ -141,7 +156,7 @@
         return List.copyOf(known.values());
     }
 
-    /** The latest entry of each server that has changed since that version. */
+    /** Returns the latest entry of each server that has changed since this revision. */
     List<Entry> since(long version) {
         Map<String, Entry> changed = new LinkedHashMap<>();
         for (Version each : log) {
@@ -152,9 +167,9 @@
         return List.copyOf(changed.values());
     }
 
-    /** The version that was the newest at a moment, which may be before the day. */
+    /** Returns the newest revision at a time, which may be before the day. */
     long revisionAt(long moment) {
-        long newest = past;
+        long newest = historyEnd;
         for (Version each : log) {
             if (each.at() <= moment && each.revision() > newest) {
                 newest = each.revision();
@@ -163,19 +178,19 @@
         return newest;
     }
 
-    /** The whole list as it was in that version. */
+    /** Returns the endpoint list as of this revision. */
     List<Entry> snapshotAt(long version) {
-        Map<String, Entry> then = new LinkedHashMap<>();
+        Map<String, Entry> entries = new LinkedHashMap<>();
         for (Version each : log) {
             if (each.revision() <= version) {
                 if (each.entry().state().equals(GONE)) {
-                    then.remove(each.entry().uid());
+                    entries.remove(each.entry().uid());
                 } else {
-                    then.put(each.entry().uid(), each.entry());
+                    entries.put(each.entry().uid(), each.entry());
                 }
             }
         }
-        return List.copyOf(then.values());
+        return List.copyOf(entries.values());
     }
 
     static String json(long version, boolean all, List<Entry> entries) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -10,24 +10,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The links of the day: how they are by nature, and how troubles change them for a while. */
+/** The network links of the day: their regular conditions, and temporary changes by faults. */
 final class Links {
-    /** Cuts of a chopped link that are as small as they get, beside those of some size. */
-    private static final double BYTE_BY_BYTE = 0.1;
+    /** Probability that a chopped link delivers single bytes instead of small segments. */
+    private static final double SINGLE_BYTE_PROBABILITY = 0.1;
 
-    private static final int LARGEST_PIECE = 200;
-    private static final int SMALLEST_PIECE = 8;
+    private static final int SEGMENT_RANGE = 200;
+    private static final int MIN_SEGMENT = 8;
 
-    /** On one machine the pieces follow one another at once. */
-    private static final long GAP_AT_HOME = 100;
+    /** Nanoseconds between segments on one machine, where they follow each other almost at once. */
+    private static final long LOCAL_SEGMENT_GAP = 100;
 
-    /** How one direction is by nature. */
-    private record Nature(long delay, int segment, long bytesPerSecond) {}
+    /** The regular conditions of one direction. */
+    private record Baseline(long delay, int segment, long bytesPerSecond) {}
 
     private final Day day;
     private final Network network;
     private final SeededRandom chance;
-    private final Map<NetworkConditions, Nature> natures = new LinkedHashMap<>();
+    private final Map<NetworkConditions, Baseline> baselines = new LinkedHashMap<>();
     private final Map<Host, List<NetworkConditions>> ofHost = new LinkedHashMap<>();
 
     Links(Day day) {
@@ -36,74 +36,75 @@
         this.chance = day.work("links");
     }
 
-    /** A client and its sidecar are on one machine, or close. */
+    /** Connects a client with a sidecar: they are on one machine or close to each other. */
     void connectLocal(Host client, Host sidecar) {
-        both(client, sidecar, day.plan.size(ScenarioParameter.CLIENT_DELAY), true);
+        configure(client, sidecar, day.plan.size(ScenarioParameter.CLIENT_DELAY), true);
     }
 
-    void connect(Host one, Host other, boolean near) {
-        both(
-                one,
-                other,
+    void connect(Host first, Host second, boolean near) {
+        configure(
+                first,
+                second,
                 day.plan.size(near ? ScenarioParameter.NEAR_DELAY : ScenarioParameter.FAR_DELAY),
                 false);
     }
 
-    private void both(Host one, Host other, long delay, boolean home) {
+    private void configure(Host first, Host second, long delay, boolean local) {
         boolean chopped = chance.hits(day.plan.part(ScenarioParameter.CHOPPED));
         int segment =
                 !chopped
                         ? 0
-                        : chance.hits(BYTE_BY_BYTE)
+                        : chance.hits(SINGLE_BYTE_PROBABILITY)
                                 ? 1
-                                : -SMALLEST_PIECE - chance.nextInt(LARGEST_PIECE);
+                                : -MIN_SEGMENT - chance.nextInt(SEGMENT_RANGE);
         for (NetworkConditions each :
-                List.of(network.weather(one, other), network.weather(other, one))) {
+                List.of(network.weather(first, second), network.weather(second, first))) {
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
             each.jitter = (long) (each.delay * day.plan.part(ScenarioParameter.JITTER));
             each.segment = segment;
-            int least = home ? Plan.LEAST_BUFFER_AT_HOME : 0;
-            each.sendBuffer = Math.max(least, day.plan.count(ScenarioParameter.SEND_BUFFER));
-            each.receiveBuffer = Math.max(least, day.plan.count(ScenarioParameter.RECEIVE_BUFFER));
-            if (home) {
-                each.gap = GAP_AT_HOME;
+            int minBuffer = local ? Plan.LEAST_BUFFER_AT_HOME : 0;
+            each.sendBuffer = Math.max(minBuffer, day.plan.count(ScenarioParameter.SEND_BUFFER));
+            each.receiveBuffer =
+                    Math.max(minBuffer, day.plan.count(ScenarioParameter.RECEIVE_BUFFER));
+            if (local) {
+                each.gap = LOCAL_SEGMENT_GAP;
             } else {
                 each.bytesPerSecond = day.plan.size(ScenarioParameter.BANDWIDTH);
                 each.lossDelayProbability = day.plan.part(ScenarioParameter.LOSS);
                 each.lossDelay = day.plan.size(ScenarioParameter.LOSS_DELAY);
             }
-            natures.put(each, new Nature(each.delay, each.segment, each.bytesPerSecond));
-            ofHost.computeIfAbsent(one, host -> new ArrayList<>()).add(each);
-            ofHost.computeIfAbsent(other, host -> new ArrayList<>()).add(each);
+            baselines.put(each, new Baseline(each.delay, each.segment, each.bytesPerSecond));
+            ofHost.computeIfAbsent(first, host -> new ArrayList<>()).add(each);
+            ofHost.computeIfAbsent(second, host -> new ArrayList<>()).add(each);
         }
     }
 
-    /** No more losses from now on. */
+    /** Stops packet loss for the rest of the day. */
     void stopLosses() {
-        natures.keySet().forEach(each -> each.lossDelayProbability = 0);
+        baselines.keySet().forEach(each -> each.lossDelayProbability = 0);
     }
 
-    /** Changes all that goes to and from a host, for a while. */
-    void change(Host host, long duration, Consumer<NetworkConditions> how) {
+    /** Changes the conditions of all links from and to a host for a while. */
+    void change(Host host, long duration, Consumer<NetworkConditions> change) {
         List<NetworkConditions> all = ofHost.get(host);
-        all.forEach(how);
+        all.forEach(change);
         day.after(duration, () -> all.forEach(this::restore));
     }
 
-    /** Changes what goes from one host to another, for a while. */
-    void change(Host from, Host to, long duration, Consumer<NetworkConditions> how) {
-        NetworkConditions weather = network.weather(from, to);
-        how.accept(weather);
-        day.after(duration, () -> restore(weather));
+    /** Changes the conditions from one host to another for a while. */
+    void change(Host from, Host to, long duration, Consumer<NetworkConditions> change) {
+        NetworkConditions link = network.weather(from, to);
+        change.accept(link);
+        day.after(duration, () -> restore(link));
     }
 
-    private void restore(NetworkConditions weather) {
-        Nature nature = natures.get(weather);
-        weather.delay = nature.delay();
-        weather.segment = nature.segment();
-        weather.bytesPerSecond = nature.bytesPerSecond();
-        weather.refuse = false;
-        weather.silentConnect = false;
-        weather.blackHole = false;
+    private void restore(NetworkConditions link) {
+        Baseline baseline = baselines.get(link);
+        link.delay = baseline.delay();
+        link.segment = baseline.segment();
+        link.bytesPerSecond = baseline.bytesPerSecond();
+        link.refuse = false;
+        link.silentConnect = false;
+        link.blackHole = false;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
@@ -2,16 +2,16 @@
 
 import appleridge.testbed.invariants.ObservedRequest;
 
-/** Faults of discovery. */
+/** Injects faults into the discovery service. */
 final class ListFaultInjector {
     private final Day day;
     private final Discovery discovery;
-    private final ProcessSlots seats;
+    private final ProcessSlots slots;
 
-    ListFaultInjector(Day day, Discovery discovery, ProcessSlots seats) {
+    ListFaultInjector(Day day, Discovery discovery, ProcessSlots slots) {
         this.day = day;
         this.discovery = discovery;
-        this.seats = seats;
+        this.slots = slots;
     }
 
     void inject(Fault fault, ObservedRequest request) {
@@ -23,19 +23,19 @@
                         : 0;
         switch (fault.kind()) {
             case LIST_DOWN -> {
-                unreachable(duration);
+                reportUnreachable(duration);
                 registry.down(duration);
             }
             case LIST_SILENT -> {
-                unreachable(duration);
+                reportUnreachable(duration);
                 registry.silent(duration);
             }
             case LIST_HANG -> {
-                unreachable(duration);
+                reportUnreachable(duration);
                 registry.hang(duration);
             }
             case LIST_503 -> {
-                unreachable(duration);
+                reportUnreachable(duration);
                 registry.failing(duration);
             }
             case LIST_SLOW -> registry.slow(duration, fault.value(FaultParameter.BY));
@@ -44,12 +44,13 @@
             case LIST_GARBLED -> registry.garble(fault.value(FaultParameter.COUNT));
             case LIST_STALE -> registry.stale(duration, fault.value(FaultParameter.BY));
             case MOVE -> discovery.move();
-            default -> throw new IllegalArgumentException("no fault of discovery: " + fault.text());
+            default ->
+                    throw new IllegalArgumentException("not a fault of discovery: " + fault.text());
         }
     }
 
-    private void unreachable(long duration) {
-        for (ProcessSlot each : seats.all()) {
+    private void reportUnreachable(long duration) {
+        for (ProcessSlot each : slots.all()) {
             day.evidence.discoveryUnreachable(each.name(), day.now(), day.now() + duration);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -2,47 +2,47 @@
 
 import appleridge.testbed.simnet.SeededRandom;
 
-/** The load report of one server, refreshed now and then. */
+/** The load report that one server sends in X-Load, refreshed at an interval. */
 final class LoadReport {
-    private final long age;
+    private final long refreshInterval;
     private final SeededRandom chance;
     private long since;
-    private int answers;
+    private int responses;
     private int errors;
-    private long served;
+    private long totalTime;
     private String text = "rate=0,lat_ms=0,fail_rate=0,q=0";
 
-    LoadReport(long age, SeededRandom chance) {
-        this.age = age;
+    LoadReport(long refreshInterval, SeededRandom chance) {
+        this.refreshInterval = refreshInterval;
         this.chance = chance;
     }
 
     void recordResponse(long took, boolean failed) {
-        answers++;
-        served += took;
+        responses++;
+        totalTime += took;
         errors += failed ? 1 : 0;
     }
 
-    /** The value of X-Load; null for none. */
-    String text(long now, int queue, Report how) {
-        long due = how == Report.LATE ? age + 5 * Site.SECOND : age;
+    /** Returns the value of X-Load; null to send none. */
+    String text(long now, int queue, Report mode) {
+        long due = mode == Report.LATE ? refreshInterval + 5 * Site.SECOND : refreshInterval;
         if (now - since > due) {
             long micros = Math.max(1, (now - since) / 1000);
             text =
                     "rate="
-                            + decimal(answers * 1_000_000_000L / micros)
+                            + decimal(responses * 1_000_000_000L / micros)
                             + ",lat_ms="
-                            + decimal(answers == 0 ? 0 : served / answers / 1000)
+                            + decimal(responses == 0 ? 0 : totalTime / responses / 1000)
                             + ",fail_rate="
                             + decimal(errors * 1_000_000_000L / micros)
                             + ",q="
                             + queue;
             since = now;
-            answers = 0;
+            responses = 0;
             errors = 0;
-            served = 0;
+            totalTime = 0;
         }
-        return switch (how) {
+        return switch (mode) {
             case ABSENT -> null;
             case WRONG ->
                     "rate="
@@ -69,7 +69,7 @@
         };
     }
 
-    /** Thousandths as a decimal. */
+    /** Formats a number of thousandths as a decimal. */
     private static String decimal(long thousandths) {
         String fraction = Long.toString(1000 + thousandths % 1000).substring(1);
         return thousandths / 1000 + "." + fraction;
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -5,9 +5,9 @@
 import appleridge.testbed.simnet.SeededRandom;
 import java.net.InetSocketAddress;
 
-/** A machine on which one order server at a time runs; what comes after it has its address. */
+/** A machine that runs one order server at a time; its successors use the same address. */
 final class Machine {
-    /** What a server that has ended in order leaves to its connections, to be read. */
+    /** How long a drained server stays up, so that clients can read what it has written. */
     private static final long LINGER = 100 * Site.MS;
 
     private final Day day;
@@ -19,9 +19,9 @@
     private final SeededRandom chance;
     private RequestStates states;
     private OrderServer server;
-    private int uids;
+    private int successors;
 
-    /** Whether something is under way that ends with a server's being there again. */
+    /** Whether a change is in progress that ends with a server running again. */
     private boolean changing;
 
     Machine(Day day, Fleet fleet, String name, int zone, Host host) {
@@ -50,14 +50,14 @@
         return address;
     }
 
-    /** The one that runs; null while there is none. */
+    /** The running server; null while there is none. */
     OrderServer server() {
         return server;
     }
 
-    /** The server that has been there for long when the day begins. */
-    void begin(RequestStates watchers) {
-        states = watchers;
+    /** Starts the server that has been running since long before the day. */
+    void begin(RequestStates requestStates) {
+        states = requestStates;
         boot(name + ".0", 0, 0);
         fleet.instances().addInitial(entry(Instances.READY));
     }
@@ -74,7 +74,12 @@
                 server.uid(), server.life(), address, zone, state, server.bornAt());
     }
 
-    /** Ends in order, and a new one comes under a new id; discovery knows of it after so long. */
+    /**
+     * Drains the server; when it has ended, a new one with a new uid starts.
+     *
+     * @param down nanoseconds without a server
+     * @param notice nanoseconds until discovery publishes that the server is draining
+     */
     void drain(long down, long notice) {
         if (server == null || changing) {
             return;
@@ -91,30 +96,32 @@
                                 () -> {
                                     if (server == leaving) {
                                         end(day.plan.size(ScenarioParameter.NOTICE));
-                                        follow(name + "." + ++uids, 0, down);
+                                        startSuccessor(name + "." + ++successors, 0, down);
                                     }
                                 }));
     }
 
-    /** Dies at once; another comes under this id, or under a new one. */
+    /** Crashes the server; another one starts with the same uid or a new one. */
     void crash(long down, boolean sameId) {
         if (server == null || changing && !server.isDraining()) {
             return;
         }
         changing = true;
-        String uid = sameId ? server.uid() : name + "." + ++uids;
+        String uid = sameId ? server.uid() : name + "." + ++successors;
         int life = sameId ? server.life() + 1 : 0;
         end(day.plan.size(ScenarioParameter.SILENT_NOTICE));
-        follow(uid, life, down);
+        startSuccessor(uid, life, down);
     }
 
     /**
-     * It has fallen over and stays down; people see to another one when the day's faults are over.
+     * The server has collapsed under load and stays down. A new one starts only when the day's
+     * faults are over, as if operators had replaced it.
      */
     void failPermanently() {
         changing = true;
         end(day.plan.size(ScenarioParameter.SILENT_NOTICE));
-        day.simulation.at(day.plan.faultsEnd(), () -> follow(name + "." + ++uids, 0, 0));
+        day.simulation.at(
+                day.plan.faultsEnd(), () -> startSuccessor(name + "." + ++successors, 0, 0));
     }
 
     private void end(long notice) {
@@ -126,7 +133,7 @@
         host.die();
     }
 
-    private void follow(String uid, int life, long down) {
+    private void startSuccessor(String uid, int life, long down) {
         day.after(
                 day.bounded(down),
                 () -> {
@@ -139,7 +146,10 @@
                 });
     }
 
-    /** Says nothing for a while; discovery sees that late, and its return. */
+    /**
+     * The machine sends nothing for a while. Discovery removes the server after the notice time, if
+     * it is still away, and adds it again after its return.
+     */
     void vanish(long duration) {
         if (server == null || changing || host.isVanished()) {
             return;
@@ -148,15 +158,15 @@
         long away = day.bounded(duration);
         OrderServer hidden = server;
         long notice = day.plan.size(ScenarioParameter.SILENT_NOTICE);
-        boolean seen = away > notice;
-        if (seen) {
+        boolean noticed = away > notice;
+        if (noticed) {
             fleet.instances().change(entry(Instances.GONE), notice);
         }
         day.after(
                 away,
                 () -> {
                     host.back();
-                    if (seen && server == hidden && !hidden.isDraining()) {
+                    if (noticed && server == hidden && !hidden.isDraining()) {
                         fleet.instances()
                                 .change(
                                         entry(Instances.READY),
