--- a/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
@@ -8,54 +8,58 @@
 import java.util.Map;
 
 /**
- * The coordination service: what its nodes have come to, one transaction after the other, and the
- * troubles of its servers. What each sidecar hears of it is its {@link EnsembleClient}'s.
+ * The coordination service: its nodes, its log of transactions and the faults of its servers. An
+ * {@link EnsembleClient} decides what each sidecar receives of it.
  */
 public final class Ensemble {
-    /** One transaction; {@code after} null: the node is gone. */
+    /**
+     * One transaction.
+     *
+     * @param after the node as it is afterwards; null if it was deleted
+     */
     record Change(long at, long zxid, String name, Znode after) {}
 
-    /** Whatever begins anew is so far below what was. */
-    private static final long ERA = 10_000;
+    /** After each wipe the transaction ids start this far below the previous start. */
+    private static final long ZXIDS_PER_ERA = 10_000;
 
-    private static final long FIRST_ZXID = 100 * ERA;
-    private static final long MOST_WAIT = 500 * Site.MS;
+    private static final long FIRST_ZXID = 100 * ZXIDS_PER_ERA;
+    private static final long MAX_RETRY_DELAY = 500 * Site.MS;
 
     private final Day day;
     private final SeededRandom chance;
-    private final List<Change> past = new ArrayList<>();
-    private final Map<String, Znode> present = new LinkedHashMap<>();
+    private final List<Change> transactions = new ArrayList<>();
+    private final Map<String, Znode> nodes = new LinkedHashMap<>();
     private final Map<String, EnsembleClient> clients = new LinkedHashMap<>();
-    private final Map<String, Integer> processes = new LinkedHashMap<>();
+    private final Map<String, Integer> processCounts = new LinkedHashMap<>();
 
-    /** Counts how often it was wiped. */
+    /** The number of wipes so far. */
     private int era;
 
     private long zxid = FIRST_ZXID;
 
-    /** The transaction that made the path of the nodes; 0 while it is not there. */
-    private long root = FIRST_ZXID;
+    /** The transaction that created the parent path of the nodes; 0 while it does not exist. */
+    private long rootCzxid = FIRST_ZXID;
 
     private long downUntil;
     private long readOnlyUntil;
     private long lagUntil;
-    private long lagBy;
+    private long lagDuration;
     private long slowUntil;
-    private long slowBy;
+    private long extraDelay;
 
     Ensemble(Day day) {
         this.day = day;
         this.chance = day.work("ensemble");
     }
 
-    /** Whether the registry is asked too. */
+    /** Whether the sidecars use the registry too. */
     public boolean isBoth() {
         return day.plan.count(ScenarioParameter.MEMBERSHIP) == 2;
     }
 
-    /** The client of a process that begins; the one of the process before it hears no more. */
+    /** Creates the client of a new process and closes the client of the sidecar's previous one. */
     public EnsembleClient client(String sidecar, EnsembleClient.ProcessContext process) {
-        int number = processes.merge(sidecar, 1, Integer::sum);
+        int number = processCounts.merge(sidecar, 1, Integer::sum);
         EnsembleClient client =
                 new EnsembleClient(
                         day,
@@ -63,14 +67,14 @@
                         sidecar,
                         process,
                         day.work("ensemble." + sidecar + "." + number));
-        EnsembleClient before = clients.put(sidecar, client);
-        if (before != null) {
-            before.close();
+        EnsembleClient previous = clients.put(sidecar, client);
+        if (previous != null) {
+            previous.close();
         }
         return client;
     }
 
-    /** Its process has ended. */
+    /** The sidecar's process has ended. */
     void ended(String sidecar) {
         EnsembleClient client = clients.remove(sidecar);
         if (client != null) {
@@ -78,7 +82,7 @@
         }
     }
 
-    /** Its process stands still: whoever answers no pings loses its session. */
+    /** The sidecar is paused: without pings it loses its session after the timeout. */
     void paused(String sidecar, long from, long until) {
         if (until - from > timeout() && clients.containsKey(sidecar)) {
             EnsembleClient client = clients.get(sidecar);
@@ -90,33 +94,33 @@
         return day.plan.size(ScenarioParameter.SESSION_TIMEOUT);
     }
 
-    // ---- its nodes
+    // ---- nodes
 
-    /** A server's node, as this or with these data from now on. */
+    /** Creates the node of a server or sets its data. */
     void put(String name, int life, long bornAt, NodeData data) {
-        Znode before = present.get(name);
-        if (root == 0) {
-            root = ++zxid;
+        Znode previous = nodes.get(name);
+        if (rootCzxid == 0) {
+            rootCzxid = ++zxid;
         }
-        if (before != null && before.life() != life) {
-            // The node of a session that is about to die: never taken over.
+        if (previous != null && previous.life() != life) {
+            // The node belongs to a session that is about to expire. It is never taken over.
             remove(name);
-            before = null;
+            previous = null;
         }
         zxid++;
-        long made =
+        long createdMillis =
                 day.now() == 0
                         ? Site.EPOCH_MILLIS - 3_000_000
                         : Site.EPOCH_MILLIS + day.now() / Site.MS;
         change(
                 name,
-                before == null
-                        ? new Znode(name, zxid, zxid, made, data, life, bornAt)
-                        : before.with(zxid, data));
+                previous == null
+                        ? new Znode(name, zxid, zxid, createdMillis, data, life, bornAt)
+                        : previous.with(zxid, data));
     }
 
     void remove(String name) {
-        if (present.containsKey(name)) {
+        if (nodes.containsKey(name)) {
             zxid++;
             change(name, null);
         }
@@ -124,40 +128,40 @@
 
     private void change(String name, Znode after) {
         if (after == null) {
-            present.remove(name);
+            nodes.remove(name);
         } else {
-            present.put(name, after);
+            nodes.put(name, after);
         }
-        past.add(new Change(day.now(), zxid, name, after));
+        transactions.add(new Change(day.now(), zxid, name, after));
         clients.values().forEach(EnsembleClient::committed);
     }
 
-    /** Null if there is none. */
+    /** Returns the node with this name; null if there is none. */
     Znode node(String name) {
-        return present.get(name);
+        return nodes.get(name);
     }
 
-    /** Runs it when transactions are taken: now, or some time after an outage. */
+    /** Runs a task when transactions are accepted: now, or some time after an outage. */
     void whenUp(Runnable what) {
         if (day.now() < downUntil) {
-            day.simulation.at(downUntil + chance.nextLong(MOST_WAIT), () -> whenUp(what));
+            day.simulation.at(downUntil + chance.nextLong(MAX_RETRY_DELAY), () -> whenUp(what));
         } else {
             what.run();
         }
     }
 
-    // ---- what its servers have come to
+    // ---- state of the servers
 
     int era() {
         return era;
     }
 
     long root() {
-        return root;
+        return rootCzxid;
     }
 
-    List<Change> past() {
-        return past;
+    List<Change> transactions() {
+        return transactions;
     }
 
     boolean isDown() {
@@ -168,25 +172,25 @@
         return day.now() < readOnlyUntil;
     }
 
-    /** By how much the servers that answer are behind. */
+    /** By how many nanoseconds the servers that respond lag behind. */
     long lag() {
-        return day.now() < lagUntil ? lagBy : 0;
+        return day.now() < lagUntil ? lagDuration : 0;
     }
 
-    /** By how much answers take longer. */
+    /** By how many nanoseconds responses take longer. */
     long slowness() {
-        return day.now() < slowUntil ? slowBy : 0;
+        return day.now() < slowUntil ? extraDelay : 0;
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** No server answers; sessions go on afterwards, or not. */
+    /** No server responds; a session may survive or expire. */
     void down(long duration) {
         downUntil = Math.max(downUntil, day.now() + duration);
         clients.values().forEach(each -> each.lose(chance.hits(0.4), 0));
     }
 
-    /** The servers that answer have lost the others. */
+    /** The servers that respond have lost the quorum and are read-only. */
     void readOnly(long duration) {
         downUntil = Math.max(downUntil, day.now() + duration);
         readOnlyUntil = downUntil;
@@ -195,29 +199,31 @@
                 readOnlyUntil, () -> clients.values().forEach(each -> each.lose(false, 0)));
     }
 
-    /** All are sent to servers that are behind; new sessions are not refused there. */
+    /** All clients reconnect to servers that lag; these do not refuse new sessions. */
     void lag(long duration, long by) {
         lagUntil = day.now() + duration;
-        lagBy = by;
+        lagDuration = by;
         clients.values().forEach(each -> each.lose(chance.hits(0.6), 0));
     }
 
     void slow(long duration, long by) {
         slowUntil = day.now() + duration;
-        slowBy = by;
+        extraDelay = by;
     }
 
-    /** All that it knew is lost, and so is every session. */
+    /** All data and every session are lost. */
     void wipe() {
         era++;
-        past.clear();
-        present.clear();
-        zxid = FIRST_ZXID - era * ERA;
-        root = 0;
+        transactions.clear();
+        nodes.clear();
+        zxid = FIRST_ZXID - era * ZXIDS_PER_ERA;
+        rootCzxid = 0;
         clients.values().forEach(each -> each.lose(true, 0));
     }
 
-    /** One sidecar's connection is lost for so long. */
+    /**
+     * One sidecar's connection is lost; its session expires if that exceeds the session timeout.
+     */
     void lose(String sidecar, long duration) {
         EnsembleClient client = clients.get(sidecar);
         if (client != null) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -16,29 +16,30 @@
 import java.util.function.Supplier;
 
 /**
- * One process's connection with the {@link Ensemble}, as a client keeps it: a watch over all nodes,
- * whose events carry no data; whole readings after each connect; what was missed in between is
- * lost. What is written to it arrives in order, also before the news that the connection is gone,
- * and waits for the process's loop.
+ * The connection of one process to the {@link Ensemble}, with the behaviour of a ZooKeeper client:
+ * a persistent watch on all nodes whose events carry no data, and a snapshot after each connect.
+ * Events between two connections are lost. Everything written to the client arrives in order, also
+ * ahead of the notice that the connection is lost, and waits until the process's event loop runs
+ * it.
  */
 public final class EnsembleClient {
-    /** The process that hears. */
+    /** The process that uses the client. */
     public interface ProcessContext {
-        /** Runs it as a task of the process's loop. */
+        /** Runs a task on the process's event loop. */
         void execute(Runnable what);
 
-        /** Now, on that loop's clock; asked in its tasks. */
+        /** Returns the time on that loop's clock; called within its tasks. */
         long now();
 
-        /** Who is told, in its tasks. */
+        /** Receives the events; called within tasks of the loop. */
         NodeDiscovery membership();
     }
 
-    /** What has arrived, and when. */
-    private record Mail(long at, Runnable what) {}
+    /** A callback that has arrived, and when. */
+    private record Delivery(long at, Runnable what) {}
 
-    /** A reading of the whole. */
-    private static final class Reading {
+    /** A snapshot that is being read. */
+    private static final class SnapshotRead {
         private final Map<String, NodeRead> nodes = new LinkedHashMap<>();
         private final Set<String> missing = new LinkedHashSet<>();
         private boolean listed;
@@ -47,12 +48,12 @@
         private long zxid;
     }
 
-    private static final int NOTED = 115;
-    private static final long LONGEST_WAY = 3 * Site.MS;
-    private static final long LONGEST_DELAY = 5 * Site.MS;
-    private static final long LONGEST_AGAIN = 400 * Site.MS;
-    private static final long SPREAD = 300 * Site.MS;
-    private static final long AGAIN_OLDER = 2 * Site.SECOND;
+    private static final int NOTE_CATEGORY = 115;
+    private static final long MAX_LATENCY = 3 * Site.MS;
+    private static final long MAX_REPLICATION_DELAY = 5 * Site.MS;
+    private static final long MAX_RECONNECT_DELAY = 400 * Site.MS;
+    private static final long SNAPSHOT_DELAY_RANGE = 300 * Site.MS;
+    private static final long SNAPSHOT_RETRY_RANGE = 2 * Site.SECOND;
     private static final int BATCH = 4;
 
     private final Day day;
@@ -60,11 +61,11 @@
     private final String sidecar;
     private final ProcessContext process;
     private final SeededRandom chance;
-    private final CoordinationUpdates word;
-    private final Deque<Mail> mail = new ArrayDeque<>();
+    private final CoordinationUpdates updates;
+    private final Deque<Delivery> inbox = new ArrayDeque<>();
     private long lastArrival;
 
-    /** How long the mail that is being read has waited for the loop. */
+    /** How long the delivery that is being processed has waited for the loop. */
     private long waited;
 
     private boolean closed;
@@ -73,25 +74,27 @@
     private boolean watching;
     private boolean readOnly;
 
-    /** Counts connections; what belongs to an earlier one is over. */
+    /** Counts connections; timers that belong to an earlier one do nothing. */
     private int connection;
 
     private boolean first = true;
 
-    /** The server that it is connected to: what that has come to. */
+    /** The nodes as known to the server that this client is connected to. */
     private final Map<String, Znode> view = new LinkedHashMap<>();
 
-    private int applied;
-    private long viewZxid;
-    private long lastApply;
+    private int appliedCount;
+    private long appliedZxid;
+    private long nextApplyAt;
     private int era;
 
-    /** What this handle has seen, which servers behind it refuse. */
-    private long seen;
+    /**
+     * The last transaction that this client has seen; servers that lag behind it refuse the client.
+     */
+    private long seenZxid;
 
-    private long root;
-    private long highest;
-    private Reading reading;
+    private long rootCzxid;
+    private long highestZxid;
+    private SnapshotRead snapshot;
 
     EnsembleClient(
             Day day,
@@ -104,66 +107,66 @@
         this.sidecar = sidecar;
         this.process = process;
         this.chance = chance;
-        this.word = new CoordinationUpdates(day, sidecar);
+        this.updates = new CoordinationUpdates(day, sidecar);
         this.era = ensemble.era();
     }
 
-    // ---- as the process has it
+    // ---- interface of the process
 
-    /** Begins to connect. */
+    /** Starts to connect. */
     public void start() {
-        day.after(chance.nextLong(LONGEST_WAY), this::connect);
+        day.after(chance.nextLong(MAX_LATENCY), this::connect);
     }
 
-    /** What has arrived is told now. */
+    /** Processes everything that has arrived. */
     public void catchUp() {
-        for (Mail next = mail.poll(); next != null; next = mail.poll()) {
+        for (Delivery next = inbox.poll(); next != null; next = inbox.poll()) {
             waited = day.now() - next.at;
             next.what.run();
         }
     }
 
-    /** Runs it on the loop when a question that is asked now has been answered. */
+    /** Runs a task on the loop when the response to a request sent now has arrived. */
     public void confirm(Runnable heard) {
-        int mine = connection;
+        int connectionId = connection;
         day.after(
-                way(),
+                latency(),
                 () -> {
-                    if (isOn(mine)) {
+                    if (isCurrent(connectionId)) {
                         deliver(heard);
                     }
                 });
     }
 
-    /** Ends. */
+    /** Closes the client; nothing is delivered any more. */
     public void close() {
         closed = true;
         connected = false;
         connection++;
-        word.end();
+        updates.end();
     }
 
-    private boolean isOn(int which) {
-        return connected && connection == which;
+    private boolean isCurrent(int connectionId) {
+        return connected && connection == connectionId;
     }
 
-    private long way() {
-        return 1 + chance.nextLong(LONGEST_WAY);
+    private long latency() {
+        return 1 + chance.nextLong(MAX_LATENCY);
     }
 
     private void note(long number, Supplier<String> text) {
         day.simulation.note(
-                NOTED, number, connection, () -> "nodes -> " + sidecar + ": " + text.get());
+                NOTE_CATEGORY, number, connection, () -> "nodes -> " + sidecar + ": " + text.get());
     }
 
-    /** Written now; arrives in order. */
+    /** Writes a callback to the connection now; it arrives in order. */
     private void deliver(Runnable what) {
-        lastArrival = Math.max(lastArrival + 1, day.now() + way());
+        lastArrival = Math.max(lastArrival + 1, day.now() + latency());
         day.simulation.at(
                 lastArrival,
                 () -> {
                     if (!closed) {
-                        mail.add(new Mail(day.now(), what));
+                        inbox.add(new Delivery(day.now(), what));
                         process.execute(this::catchUp);
                     }
                 });
@@ -173,57 +176,60 @@
         return process.membership();
     }
 
-    // ---- its connection
+    // ---- connection
 
     private void connect() {
         if (closed || connected) {
             return;
         }
         if (ensemble.isDown() && !ensemble.isReadOnly()) {
-            day.after(1 + chance.nextLong(LONGEST_AGAIN), this::connect);
+            day.after(1 + chance.nextLong(MAX_RECONNECT_DELAY), this::connect);
             return;
         }
         connected = true;
-        int mine = ++connection;
-        note(seen, () -> "connected" + (newSession ? ", a new session" : ""));
+        int connectionId = ++connection;
+        note(seenZxid, () -> "connected" + (newSession ? ", a new session" : ""));
         readOnly = ensemble.isReadOnly();
         if (newSession) {
-            seen = 0;
+            seenZxid = 0;
             if (!first) {
                 deliver(() -> membership().onSessionState(process.now(), SessionState.EXPIRED));
             }
         }
-        begin();
+        resetView();
         SessionState session = readOnly ? SessionState.READ_ONLY : SessionState.CONNECTED;
         deliver(() -> membership().onSessionState(process.now(), session));
         watching = !newSession;
         newSession = false;
-        day.after(first ? 0 : chance.nextLong(SPREAD), () -> read(mine));
+        day.after(
+                first ? 0 : chance.nextLong(SNAPSHOT_DELAY_RANGE),
+                () -> readSnapshot(connectionId));
         first = false;
         committed();
     }
 
-    /** The server that answers may be behind, but never behind what this handle has seen. */
-    private void begin() {
+    /** The server may lag, but never behind the last transaction that this client has seen. */
+    private void resetView() {
         if (era != ensemble.era()) {
             era = ensemble.era();
-            word.lost();
+            updates.lost();
         }
         view.clear();
-        applied = 0;
-        viewZxid = 0;
-        lastApply = 0;
+        appliedCount = 0;
+        appliedZxid = 0;
+        nextApplyAt = 0;
         long asOf = day.now() - ensemble.lag();
-        List<Ensemble.Change> past = ensemble.past();
-        while (applied < past.size()
-                && (past.get(applied).at() <= asOf || past.get(applied).zxid() <= seen)) {
-            take(past.get(applied));
+        List<Ensemble.Change> transactions = ensemble.transactions();
+        while (appliedCount < transactions.size()
+                && (transactions.get(appliedCount).at() <= asOf
+                        || transactions.get(appliedCount).zxid() <= seenZxid)) {
+            apply(transactions.get(appliedCount));
         }
     }
 
-    private void take(Ensemble.Change change) {
-        applied++;
-        viewZxid = change.zxid();
+    private void apply(Ensemble.Change change) {
+        appliedCount++;
+        appliedZxid = change.zxid();
         if (change.after() == null) {
             view.remove(change.name());
         } else {
@@ -231,36 +237,41 @@
         }
     }
 
-    /** The ensemble has taken a transaction, or this has connected: its server follows. */
+    /**
+     * The ensemble has a new transaction or this client has connected: the server applies the next.
+     */
     void committed() {
         if (!connected || readOnly) {
             return;
         }
-        int mine = connection;
+        int connectionId = connection;
         Ensemble.Change next =
-                applied < ensemble.past().size() ? ensemble.past().get(applied) : null;
-        if (next == null || lastApply > day.now()) {
+                appliedCount < ensemble.transactions().size()
+                        ? ensemble.transactions().get(appliedCount)
+                        : null;
+        if (next == null || nextApplyAt > day.now()) {
             return;
         }
-        lastApply =
+        nextApplyAt =
                 Math.max(
-                        day.now() + 1, next.at() + ensemble.lag() + chance.nextLong(LONGEST_DELAY));
+                        day.now() + 1,
+                        next.at() + ensemble.lag() + chance.nextLong(MAX_REPLICATION_DELAY));
         day.simulation.at(
-                lastApply,
+                nextApplyAt,
                 () -> {
-                    if (isOn(mine)) {
-                        lastApply = 0;
-                        take(next);
-                        event(next);
+                    if (isCurrent(connectionId)) {
+                        nextApplyAt = 0;
+                        apply(next);
+                        deliverEvent(next);
                         committed();
                     }
                 });
     }
 
     /**
-     * The connection is lost; it connects again after so long.
+     * The connection is lost; the client reconnects after the duration.
      *
-     * @param expires its session has ended too
+     * @param expires whether the session has expired too
      */
     void lose(boolean expires, long duration) {
         if (closed) {
@@ -271,89 +282,92 @@
             connected = false;
             connection++;
             watching = false;
-            reading = null;
+            snapshot = null;
             deliver(() -> membership().onSessionState(process.now(), SessionState.SUSPENDED));
-            day.after(day.bounded(duration) + 1 + chance.nextLong(LONGEST_AGAIN), this::connect);
+            day.after(
+                    day.bounded(duration) + 1 + chance.nextLong(MAX_RECONNECT_DELAY),
+                    this::connect);
         }
     }
 
-    // ---- what is told
+    // ---- deliveries
 
-    private void event(Ensemble.Change change) {
+    private void deliverEvent(Ensemble.Change change) {
         if (!watching) {
             return;
         }
-        seen = viewZxid;
-        highest = Math.max(highest, change.zxid());
+        seenZxid = appliedZxid;
+        highestZxid = Math.max(highestZxid, change.zxid());
         String name = change.name();
         long zxid = change.zxid();
         note(zxid, () -> (change.after() == null ? "gone " : "changed ") + name + ' ' + zxid);
         if (change.after() == null) {
-            word.gone(zxid, name);
-            if (reading != null) {
-                reading.nodes.remove(name);
-                reading.missing.remove(name);
+            updates.gone(zxid, name);
+            if (snapshot != null) {
+                snapshot.nodes.remove(name);
+                snapshot.missing.remove(name);
             }
-            deliver(() -> membership().onNodeDeleted(process.now(), toldAt(), zxid, name));
-            complete();
+            deliver(() -> membership().onNodeDeleted(process.now(), receivedAt(), zxid, name));
+            completeSnapshot();
         } else {
-            word.changed(zxid, name);
-            deliver(() -> membership().onNodeChanged(process.now(), toldAt(), zxid, name));
-            if (reading != null && reading.listed && !reading.nodes.containsKey(name)) {
-                reading.missing.add(name);
+            updates.changed(zxid, name);
+            deliver(() -> membership().onNodeChanged(process.now(), receivedAt(), zxid, name));
+            if (snapshot != null && snapshot.listed && !snapshot.nodes.containsKey(name)) {
+                snapshot.missing.add(name);
             }
-            ask(List.of(name), true);
+            readData(List.of(name), true);
         }
     }
 
-    /** When it was heard, on the loop's clock. */
-    private long toldAt() {
+    /** When the current delivery arrived, on the loop's clock. */
+    private long receivedAt() {
         return process.now() - waited;
     }
 
-    private void ask(List<String> names, boolean ofEvent) {
-        int mine = connection;
+    private void readData(List<String> names, boolean afterEvent) {
+        int connectionId = connection;
         day.after(
-                2 * way() + ensemble.slowness(),
+                2 * latency() + ensemble.slowness(),
                 () -> {
-                    if (isOn(mine)) {
-                        names.forEach(name -> answer(name, ofEvent));
-                        complete();
+                    if (isCurrent(connectionId)) {
+                        names.forEach(name -> deliverData(name, afterEvent));
+                        completeSnapshot();
                     }
                 });
     }
 
-    private void answer(String name, boolean ofEvent) {
+    private void deliverData(String name, boolean afterEvent) {
         Znode node = view.get(name);
-        if (reading != null && reading.listed) {
-            reading.missing.remove(name);
+        if (snapshot != null && snapshot.listed) {
+            snapshot.missing.remove(name);
             if (node != null) {
-                reading.nodes.put(name, node.read());
-                reading.zxid = Math.max(reading.zxid, node.mzxid());
+                snapshot.nodes.put(name, node.read());
+                snapshot.zxid = Math.max(snapshot.zxid, node.mzxid());
             }
         }
-        if (node != null && ofEvent) {
-            seen = viewZxid;
+        if (node != null && afterEvent) {
+            seenZxid = appliedZxid;
             NodeRead read = node.read();
             note(read.mzxid(), () -> "data of " + name + ' ' + read.mzxid() + ' ' + read.data());
-            word.read(node, membership().staleness() == StalenessCause.NONE);
+            updates.read(node, membership().staleness() == StalenessCause.NONE);
             deliver(() -> membership().onNodeRead(process.now(), read.mzxid(), name, read));
         }
     }
 
     /**
-     * Reads all: first whether the path is there, then the names, then the data of some at a time.
+     * Reads a snapshot: first whether the parent path exists, then the names, then the data in
+     * batches.
      */
-    private void read(int mine) {
-        if (!isOn(mine)) {
+    private void readSnapshot(int connectionId) {
+        if (!isCurrent(connectionId)) {
             return;
         }
-        Reading now = new Reading();
-        reading = now;
+        SnapshotRead started = new SnapshotRead();
+        snapshot = started;
         day.after(
-                way() + ensemble.slowness(),
+                latency() + ensemble.slowness(),
                 () -> {
-                    if (isOn(mine) && reading == now) {
+                    if (isCurrent(connectionId) && snapshot == started) {
                         watching = true;
                         if (ensemble.root() == 0 && era == ensemble.era()) {
                             deliver(
@@ -362,74 +376,76 @@
                                                     .markStale(
                                                             process.now(),
                                                             StalenessCause.ROOT_MISSING));
-                            again(mine);
+                            retrySnapshot(connectionId);
                         } else {
-                            rootIs(ensemble.root());
-                            names(mine, now);
+                            checkRoot(ensemble.root());
+                            readNames(connectionId, started);
                         }
                     }
                 });
     }
 
-    /** As a client tells that the ensemble has begun anew. */
-    private void rootIs(long made) {
-        if (root != 0 && root != made && viewZxid < highest) {
-            highest = viewZxid;
+    /** Detects, like the real client, that the ensemble has lost its data and started over. */
+    private void checkRoot(long czxid) {
+        if (rootCzxid != 0 && rootCzxid != czxid && appliedZxid < highestZxid) {
+            highestZxid = appliedZxid;
             deliver(() -> membership().markStale(process.now(), StalenessCause.WIPED));
         }
-        root = made;
+        rootCzxid = czxid;
     }
 
-    private void again(int mine) {
-        day.after(AGAIN_OLDER / 4 + chance.nextLong(AGAIN_OLDER), () -> read(mine));
+    private void retrySnapshot(int connectionId) {
+        day.after(
+                SNAPSHOT_RETRY_RANGE / 4 + chance.nextLong(SNAPSHOT_RETRY_RANGE),
+                () -> readSnapshot(connectionId));
     }
 
-    private void names(int mine, Reading now) {
+    private void readNames(int connectionId, SnapshotRead started) {
         day.after(
-                way() + ensemble.slowness(),
+                latency() + ensemble.slowness(),
                 () -> {
-                    if (!isOn(mine) || reading != now) {
+                    if (!isCurrent(connectionId) || snapshot != started) {
                         return;
                     }
-                    now.listed = true;
-                    now.zxid = viewZxid;
-                    now.namesZxid = viewZxid;
-                    now.missing.addAll(view.keySet());
-                    note(viewZxid, () -> "names " + viewZxid + ' ' + view.keySet());
-                    deliver(() -> now.asOf = toldAt());
+                    started.listed = true;
+                    started.zxid = appliedZxid;
+                    started.namesZxid = appliedZxid;
+                    started.missing.addAll(view.keySet());
+                    note(appliedZxid, () -> "names " + appliedZxid + ' ' + view.keySet());
+                    deliver(() -> started.asOf = receivedAt());
                     List<String> names = new ArrayList<>(view.keySet());
                     for (int i = 0; i < names.size(); i += BATCH) {
-                        ask(
+                        readData(
                                 List.copyOf(names.subList(i, Math.min(names.size(), i + BATCH))),
                                 false);
                     }
-                    complete();
+                    completeSnapshot();
                 });
     }
 
-    private void complete() {
-        Reading whole = reading;
-        if (whole == null || !whole.listed || !whole.missing.isEmpty()) {
+    private void completeSnapshot() {
+        SnapshotRead complete = snapshot;
+        if (complete == null || !complete.listed || !complete.missing.isEmpty()) {
             return;
         }
-        reading = null;
-        int mine = connection;
-        int of = era;
-        long zxid = Math.max(whole.zxid, watching ? viewZxid : 0);
-        seen = viewZxid;
-        highest = Math.max(highest, zxid);
-        note(zxid, () -> "whole " + zxid + ' ' + whole.nodes.keySet());
+        snapshot = null;
+        int connectionId = connection;
+        int readEra = era;
+        long zxid = Math.max(complete.zxid, watching ? appliedZxid : 0);
+        seenZxid = appliedZxid;
+        highestZxid = Math.max(highestZxid, zxid);
+        note(zxid, () -> "whole " + zxid + ' ' + complete.nodes.keySet());
         if (!readOnly) {
-            word.snapshot(zxid, whole.namesZxid, whole.nodes, view);
+            updates.snapshot(zxid, complete.namesZxid, complete.nodes, view);
         }
         deliver(
                 () -> {
-                    membership().onSnapshot(process.now(), whole.asOf, zxid, whole.nodes);
-                    StalenessCause doubt = membership().staleness();
-                    if (doubt == StalenessCause.NONE && of == era) {
-                        word.accepted(view);
-                    } else if (doubt == StalenessCause.OLDER || doubt == StalenessCause.WIPED) {
-                        again(mine);
+                    membership().onSnapshot(process.now(), complete.asOf, zxid, complete.nodes);
+                    StalenessCause cause = membership().staleness();
+                    if (cause == StalenessCause.NONE && readEra == era) {
+                        updates.accepted(view);
+                    } else if (cause == StalenessCause.OLDER || cause == StalenessCause.WIPED) {
+                        retrySnapshot(connectionId);
                     }
                 });
     }
