--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -13,18 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 class ApplicationTest {
-    private static final String QUIET = "seed 4\nset errors 0\nset impatient 0\nset bursts 0\n";
+    private static final String NO_RANDOM_FAULTS =
+            "seed 4\nset errors 0\nset impatient 0\nset bursts 0\n";
 
-    private static Map<String, Integer> tries(Played day) {
-        Map<String, Integer> tries = new HashMap<>();
-        day.told.asks.values().forEach(each -> tries.merge(each.origin(), 1, Integer::sum));
-        return tries;
+    private static Map<String, Integer> attemptsByIntent(Played day) {
+        Map<String, Integer> attempts = new HashMap<>();
+        day.told.asks.values().forEach(each -> attempts.merge(each.origin(), 1, Integer::sum));
+        return attempts;
     }
 
     @Test
-    void idsAndKeysAreNewWithEachTryAndTheIdempotencyKeyIsNot() {
+    void cookieKeysAreUniquePerAttemptAndIdempotencyKeysStayPerIntent() {
         Played day =
-                Played.whole(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
+                Played.whole(
+                        NO_RANDOM_FAULTS
+                                + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
         Set<Long> keys = new HashSet<>();
         Map<String, String> idempotency = new HashMap<>();
         for (ClientAttempt each : day.told.asks.values()) {
@@ -39,28 +42,32 @@
     }
 
     @Test
-    void whoIsRefusedAsksAgainSoOftenAtMost() {
+    void refusedRequestsAreRetriedAtMostTheConfiguredNumberOfTimes() {
         StringBuilder full = new StringBuilder();
         for (int i = 0; i < 8; i++) {
             full.append("at 1 full who=s").append(i).append(" for=9\n");
         }
         assertEquals(
                 1,
-                tries(Played.whole(QUIET + "set retries 0\n" + full)).values().stream()
+                attemptsByIntent(Played.whole(NO_RANDOM_FAULTS + "set retries 0\n" + full))
+                        .values()
+                        .stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
         assertEquals(
                 3,
-                tries(Played.whole(QUIET + "set retries 2\n" + full)).values().stream()
+                attemptsByIntent(Played.whole(NO_RANDOM_FAULTS + "set retries 2\n" + full))
+                        .values()
+                        .stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
     }
 
     @Test
-    void theImpatientLeaveBeforeTheirTime() {
-        Played day = Played.whole(QUIET.replace("set impatient 0", "set impatient 1"));
+    void impatientClientsGiveUpBeforeTheirDeadline() {
+        Played day = Played.whole(NO_RANDOM_FAULTS.replace("set impatient 0", "set impatient 1"));
         assertTrue(day.told.gaveUp.size() > 50);
         day.told
                 .asks
@@ -69,14 +76,15 @@
     }
 
     @Test
-    void someReadSlowlyAndAreAnsweredAllTheSame() {
-        Played day = Played.whole(QUIET + "set slow-readers 1");
+    void slowReadersAreServed() {
+        Played day = Played.whole(NO_RANDOM_FAULTS + "set slow-readers 1");
         assertTrue(day.told.served() > 0.9 * day.told.asks.size());
     }
 
     @Test
-    void aFewAskBehindOneAnother() {
-        Played day = Played.whole(QUIET + "set pipelined 1\nset rate 100\nset sidecars 1");
+    void pipelinedRequestsAreServed() {
+        Played day =
+                Played.whole(NO_RANDOM_FAULTS + "set pipelined 1\nset rate 100\nset sidecars 1");
         assertTrue(
                 day.told.served() > 0.8 * day.told.asks.size(),
                 day.told.served() + " of " + day.told.asks.size());
@@ -84,8 +92,8 @@
     }
 
     @Test
-    void thoseWhoAskOnceKeepTheirConnections() {
-        Played day = new Played(Plan.parse(QUIET + "set ask-once 1\nset sidecars 1"));
+    void clientsThatSendOneRequestKeepTheirConnections() {
+        Played day = new Played(Plan.parse(NO_RANDOM_FAULTS + "set ask-once 1\nset sidecars 1"));
         day.world.begin();
         day.world.simulation().runUntil(day.world.plan().quietFrom());
         long kept = day.world.network().sockets(host(day)).size();
@@ -98,8 +106,8 @@
     }
 
     @Test
-    void aFloodIsOneTenants() {
-        Played day = Played.whole(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
+    void aFloodComesFromOneTenant() {
+        Played day = Played.whole(NO_RANDOM_FAULTS + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
         List<Integer> tenants =
                 day.told.asks.values().stream().map(ClientAttempt::tenant).distinct().toList();
         assertEquals(1, tenants.size());
@@ -107,10 +115,10 @@
     }
 
     @Test
-    void largeBodiesArriveWhole() {
+    void largeBodiesArriveComplete() {
         Played day =
                 Played.whole(
-                        QUIET
+                        NO_RANDOM_FAULTS
                                 + "set large-bodies 1\nset large-answers 1\nset chunked 0.5\n"
                                 + "set send-buffer 256\nset receive-buffer 256\nset chopped 0.3");
         assertTrue(
--- a/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/BadClientsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class BadClientsTest {
-    private static final Set<BadClientKind> UNSEEN =
+    private static final Set<BadClientKind> WITHOUT_RESPONSE =
             EnumSet.of(
                     BadClientKind.HALF_CLOSE, BadClientKind.HALF_RESET, BadClientKind.NEVER_READS);
 
@@ -22,11 +22,12 @@
     }
 
     @Test
-    void eachKindComesAndSaysWhatItIsOwed() {
+    void everyKindIsInjectedAndNeverServed() {
         for (BadClientKind kind : BadClientKind.values()) {
             Played day = day(kind, 2);
             assertEquals(1, day.told.faults.get("bad"), kind.name());
-            assertEquals(UNSEEN.contains(kind), day.told.badConnected.isEmpty(), kind.name());
+            assertEquals(
+                    WITHOUT_RESPONSE.contains(kind), day.told.badConnected.isEmpty(), kind.name());
             day.told
                     .badEnded
                     .values()
@@ -36,27 +37,29 @@
     }
 
     @Test
-    void whatIsWrongIsTurnedAwayAndToldOnce() {
+    void invalidRequestsAreRejectedAndReportedOnce() {
         Played day = day(BadClientKind.UNKNOWN_CLASS, 3);
         assertEquals(3, day.told.badEnded.size());
         day.told.badEnded.values().forEach(status -> assertEquals(400, status));
     }
 
     @Test
-    void someComeAgainAtOnce() {
+    void someClientsReconnectAfterARejection() {
         assertEquals(21, day(BadClientKind.AGAIN, 1).told.badConnected.size());
     }
 
     @Test
-    void crowdsAreCrowds() {
+    void aCrowdOpensManyConnectionsAndLeavesInTheEnd() {
         Played day = day(BadClientKind.CROWD, 1);
-        assertTrue(day.told.badConnected.size() >= 30, "came " + day.told.badConnected.size());
         assertTrue(
-                day.told.badEnded.size() == day.told.badConnected.size(), "they leave in the end");
+                day.told.badConnected.size() >= 30, "connected: " + day.told.badConnected.size());
+        assertTrue(
+                day.told.badEnded.size() == day.told.badConnected.size(),
+                "every client of the crowd is reported as ended");
     }
 
     @Test
-    void aHiddenRequestIsToldOfAndReachesServersThroughAProxyThatReadsOn() {
+    void aSmuggledRequestIsReportedAndReachesServersThroughALenientProxy() {
         Played day = day(BadClientKind.HIDDEN, 1);
         String hidden = BadRequests.hiddenId(day.told.hidden.get(1));
         assertEquals(hidden, day.told.hidden.get(0));
@@ -64,17 +67,17 @@
     }
 
     @Test
-    void anothersIdIsUsedWhileItIsOpenAndNeverTakenForTheOther() {
+    void theIdOfAnOpenRequestIsReusedWithoutConfusingTheTwoRequests() {
         Played day = day(BadClientKind.SAME_ID, 3);
         assertEquals(3, day.told.badConnected.size());
-        List<String> usual =
+        List<String> regular =
                 day.told.arrived.stream().filter(id -> !id.startsWith(Site.BAD_ID)).toList();
-        assertEquals(3, day.told.arrived.size() - usual.size(), "the proxy passes them on");
-        assertEquals(usual.size(), usual.stream().distinct().count());
+        assertEquals(3, day.told.arrived.size() - regular.size(), "the proxy passes them on");
+        assertEquals(regular.size(), regular.stream().distinct().count());
     }
 
     @Test
-    void whatTheySendIsBadInItsOwnWay() {
+    void eachKindSendsItsSpecificInvalidRequest() {
         BadRequests requests = new BadRequests(new SeededRandom(1));
         assertTrue(text(requests, BadClientKind.HIDDEN).contains("Content-Length: "));
         assertTrue(text(requests, BadClientKind.HIDDEN).contains("Transfer-Encoding: chunked"));
--- a/testbed/src/test/java/appleridge/testbed/simulation/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DeterminismTest.java
@@ -15,30 +15,30 @@
         return Played.whole(Plan.draw(seed)).world.simulation().digest();
     }
 
-    private static List<Long> digests(boolean backwards) {
+    private static List<Long> digests(boolean reverse) {
         Long[] digests = new Long[SEEDS];
         for (int i = 0; i < SEEDS; i++) {
-            int seed = backwards ? SEEDS - 1 - i : i;
+            int seed = reverse ? SEEDS - 1 - i : i;
             digests[seed] = digest(seed);
         }
         return List.of(digests);
     }
 
     @Test
-    void theSameSeedGivesTheSameDayInAnyOrderAndOnAnyThread() throws Exception {
-        List<Long> alone = digests(false);
-        assertEquals(SEEDS, alone.stream().distinct().count());
-        assertEquals(alone, digests(true));
-        List<List<Long>> beside = new ArrayList<>();
+    void theSameSeedGivesTheSameDigestInAnyOrderAndOnAnyThread() throws Exception {
+        List<Long> sequential = digests(false);
+        assertEquals(SEEDS, sequential.stream().distinct().count());
+        assertEquals(sequential, digests(true));
+        List<List<Long>> concurrent = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            boolean backwards = i == 0;
+            boolean reverse = i == 0;
             threads.add(
                     new Thread(
                             () -> {
-                                List<Long> own = digests(backwards);
-                                synchronized (beside) {
-                                    beside.add(own);
+                                List<Long> digests = digests(reverse);
+                                synchronized (concurrent) {
+                                    concurrent.add(digests);
                                 }
                             }));
         }
@@ -46,11 +46,11 @@
         for (Thread each : threads) {
             each.join();
         }
-        assertEquals(List.of(alone, alone), beside);
+        assertEquals(List.of(sequential, sequential), concurrent);
     }
 
     @Test
-    void aTraceChangesNothing() {
+    void tracingDoesNotChangeTheDigest() {
         Played traced = new Played(Plan.draw(3));
         List<String> lines = new ArrayList<>();
         traced.world.simulation().trace(lines::add);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aFaultTakenOutShiftsNothingElseThatIsDrawn() {
+    void removingAFaultDoesNotShiftOtherRandomDraws() {
         Plan plan =
                 Plan.parse(
                         "seed 5\nset retries 0\nat 5 list-503 for=0.1\nat 6 wall-step who=n0 by=1");
--- a/testbed/src/test/java/appleridge/testbed/simulation/DumbSidecar.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DumbSidecar.java
@@ -14,15 +14,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Stands in for a sidecar: passes each request on to the next server of its list, once, and knows
- * no rules.
+ * Minimal stand-in for a sidecar: forwards each request once to the next server of its list and
+ * implements none of the balancing rules.
  */
 final class DumbSidecar implements SidecarHost {
     private static final Pattern ENTRY =
             Pattern.compile(
                     "\"uid\":\"([^\"]*)\",\"endpoint\":\"([0-9.]+:[0-9]+)\".*?\"state\":\"([^\"]*)\"");
-    private static final long STARTS = 20 * Site.MS;
-    private static final long DRAINS = 600 * Site.MS;
+    private static final long START_DELAY = 20 * Site.MS;
+    private static final long DRAIN_DELAY = 600 * Site.MS;
 
     private final Simulation simulation;
     private final Map<String, InetSocketAddress> servers = new LinkedHashMap<>();
@@ -32,7 +32,7 @@
     private InetSocketAddress discovery;
     private SimSocket watch;
     private long revision;
-    private int turn;
+    private int nextServer;
     private long pausedUntil;
 
     DumbSidecar(Simulation simulation, List<String> log) {
@@ -46,13 +46,13 @@
         log.add("start " + starting.name() + " " + starting.life());
         discovery = discovery(starting.config());
         servers.clear();
-        take(starting.config());
+        applyList(starting.config());
         simulation.after(
-                STARTS,
+                START_DELAY,
                 () -> {
                     if (process == starting) {
                         listen();
-                        follow();
+                        watchDiscovery();
                     }
                 });
     }
@@ -60,7 +60,7 @@
     private static InetSocketAddress discovery(String config) {
         Matcher matcher = Pattern.compile("\"discovery\":\"([0-9.]+:[0-9]+)\"").matcher(config);
         if (!matcher.find()) {
-            throw new IllegalArgumentException("no discovery in " + config);
+            throw new IllegalArgumentException("no discovery address in " + config);
         }
         return address(matcher.group(1));
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    private void take(String list) {
+    private void applyList(String list) {
         Matcher matcher = ENTRY.matcher(list);
         if (list.contains("\"all\":true")) {
             servers.clear();
@@ -105,40 +105,40 @@
                                     64);
             listener.onAcceptable(this::accept);
         } catch (IOException e) {
-            log.add("can't listen");
+            log.add("cannot listen");
         }
     }
 
     private void accept() {
         try {
             for (SimSocket next = listener.accept(); next != null; next = listener.accept()) {
-                new Front(next);
+                new ClientSide(next);
             }
         } catch (IOException e) {
-            log.add("can't accept");
+            log.add("cannot accept");
         }
     }
 
-    private void follow() {
-        Process mine = process;
+    private void watchDiscovery() {
+        Process current = process;
         InetSocketAddress from = discovery;
-        if (mine == null) {
+        if (current == null) {
             return;
         }
         HttpReader reader = new HttpReader(true);
         try {
             watch =
-                    mine.host()
+                    current.host()
                             .connect(
                                     from,
                                     new SimSocket.Events() {
-                                        private final SimSocket[] own = new SimSocket[1];
+                                        private final SimSocket[] connection = new SimSocket[1];
 
                                         @Override
                                         public void connected() {
-                                            own[0] = watch;
+                                            connection[0] = watch;
                                             try {
-                                                new Outbox(own[0])
+                                                new Outbox(connection[0])
                                                         .send(
                                                                 "GET /registry/instances?since="
                                                                         + revision
@@ -146,21 +146,21 @@
                                                                         + " HTTP/1.1\r\n"
                                                                         + "Host: a\r\n\r\n");
                                             } catch (IOException e) {
-                                                log.add("can't ask discovery");
+                                                log.add("cannot send the request to discovery");
                                             }
                                         }
 
                                         @Override
-                                        public void failed(IOException why) {
-                                            again();
+                                        public void failed(IOException cause) {
+                                            scheduleRetry();
                                         }
 
-                                        private void again() {
+                                        private void scheduleRetry() {
                                             simulation.after(
                                                     100 * Site.MS,
                                                     () -> {
-                                                        if (process == mine) {
-                                                            follow();
+                                                        if (process == current) {
+                                                            watchDiscovery();
                                                         }
                                                     });
                                         }
@@ -168,27 +168,28 @@
                                         @Override
                                         public void readable() {
                                             try {
-                                                while (own[0].isOpen() && own[0].isReadable()) {
-                                                    int read = reader.read(own[0], 1 << 16);
+                                                while (connection[0].isOpen()
+                                                        && connection[0].isReadable()) {
+                                                    int read = reader.read(connection[0], 1 << 16);
                                                     if (read <= 0 || reader.advance()) {
                                                         if (read > 0
                                                                 && reader.isWhole()
                                                                 && reader.status() == 200
                                                                 && reader.body().endsWith("]}")) {
-                                                            take(reader.body());
+                                                            applyList(reader.body());
                                                         }
-                                                        own[0].close();
-                                                        again();
+                                                        connection[0].close();
+                                                        scheduleRetry();
                                                     }
                                                 }
                                             } catch (IOException e) {
-                                                own[0].close();
-                                                again();
+                                                connection[0].close();
+                                                scheduleRetry();
                                             }
                                         }
                                     });
         } catch (IOException e) {
-            log.add("no descriptor for discovery");
+            log.add("no descriptor left to connect to discovery");
         }
     }
 
@@ -201,13 +202,13 @@
     @Override
     public void term() {
         log.add("term " + process.name());
-        Process mine = process;
+        Process current = process;
         simulation.after(
-                DRAINS,
+                DRAIN_DELAY,
                 () -> {
-                    if (process == mine) {
+                    if (process == current) {
                         process = null;
-                        mine.exited().accept(0);
+                        current.exited().accept(0);
                     }
                 });
     }
@@ -230,14 +231,14 @@
         log.add("step " + process.name());
     }
 
-    /** A client's connection. */
-    private final class Front implements SimSocket.Events {
+    /** The connection of a client. */
+    private final class ClientSide implements SimSocket.Events {
         private final SimSocket socket;
         private final HttpReader reader = new HttpReader(false);
         private final Outbox outbox;
         private boolean busy;
 
-        Front(SimSocket socket) {
+        ClientSide(SimSocket socket) {
             this.socket = socket;
             this.outbox = new Outbox(socket);
             socket.events(this);
@@ -279,36 +280,36 @@
                 return;
             }
             if (reader.isBroken()) {
-                say("400 Bad Request", "Connection: close\r\n", "");
+                respond("400 Bad Request", "Connection: close\r\n", "");
                 socket.close();
                 return;
             }
             String id = reader.header("x-request-id");
-            String wait = reader.header("x-deadline");
+            String deadline = reader.header("x-deadline");
             boolean known =
                     RequestClasses.ALL.stream()
                             .anyMatch(kind -> kind.name().equals(reader.header("x-class")));
             if (reader.word(1).equals("/health/ready")) {
-                say("200 OK", "", "ready");
+                respond("200 OK", "", "ready");
             } else if (id == null
-                    || wait == null
+                    || deadline == null
                     || !known
                     || !reader.word(1).startsWith("/api")
                     || reader.header("content-length") != null
                             && reader.header("transfer-encoding") != null) {
-                say("400 Bad Request", "", "");
+                respond("400 Bad Request", "", "");
             } else {
-                pass();
+                forward();
                 return;
             }
             reader.next();
             proceed();
         }
 
-        private void pass() {
+        private void forward() {
             List<InetSocketAddress> all = new ArrayList<>(servers.values());
             if (all.isEmpty()) {
-                say("503 Service Unavailable", "Retry-After: 0.1\r\n", "");
+                respond("503 Service Unavailable", "Retry-After: 0.1\r\n", "");
                 reader.next();
                 return;
             }
@@ -332,10 +333,10 @@
             }
             text.append("\r\n").append(reader.body());
             reader.next();
-            new Back(this, all.get(turn++ % all.size()), text.toString());
+            new UpstreamSide(this, all.get(nextServer++ % all.size()), text.toString());
         }
 
-        void say(String status, String headers, String body) {
+        void respond(String status, String headers, String body) {
             busy = false;
             try {
                 if (socket.isOpen()) {
@@ -347,24 +348,24 @@
         }
 
         void answered(int status, String body) {
-            say(status + " Said", "", status == 200 ? body : "");
+            respond(status + " Said", "", status == 200 ? body : "");
             proceed();
         }
     }
 
-    /** A request on its way to a server. */
-    private final class Back implements SimSocket.Events {
-        private final Front front;
+    /** The upstream connection that forwards one request to a server. */
+    private final class UpstreamSide implements SimSocket.Events {
+        private final ClientSide client;
         private final String text;
         private final HttpReader reader = new HttpReader(true);
         private SimSocket socket;
         private Outbox outbox;
         private boolean done;
 
-        Back(Front front, InetSocketAddress to, String text) {
-            this.front = front;
+        UpstreamSide(ClientSide client, InetSocketAddress to, String text) {
+            this.client = client;
             this.text = text;
-            simulation.after(390 * Site.MS, () -> end(504, ""));
+            simulation.after(390 * Site.MS, () -> finish(504, ""));
             if (process == null) {
                 return;
             }
@@ -372,17 +373,17 @@
                 socket = process.host().connect(to, this);
                 outbox = new Outbox(socket);
             } catch (IOException e) {
-                end(503, "");
+                finish(503, "");
             }
         }
 
-        private void end(int status, String body) {
+        private void finish(int status, String body) {
             if (!done) {
                 done = true;
                 if (socket != null) {
                     socket.close();
                 }
-                front.answered(status, body);
+                client.answered(status, body);
             }
         }
 
@@ -391,13 +392,13 @@
             try {
                 outbox.send(text);
             } catch (IOException e) {
-                end(502, "");
+                finish(502, "");
             }
         }
 
         @Override
-        public void failed(IOException why) {
-            end(503, "");
+        public void failed(IOException cause) {
+            finish(503, "");
         }
 
         @Override
@@ -405,7 +406,7 @@
             try {
                 outbox.flush();
             } catch (IOException e) {
-                end(502, "");
+                finish(502, "");
             }
         }
 
@@ -415,21 +416,21 @@
                 while (!done && socket.isReadable()) {
                     int read = reader.read(socket, 1 << 16);
                     if (read < 0) {
-                        end(502, "");
+                        finish(502, "");
                     }
                     if (read <= 0) {
                         return;
                     }
                     while (reader.advance() && !done) {
                         if (reader.isBroken() || reader.status() >= 200) {
-                            end(reader.isBroken() ? 502 : reader.status(), reader.body());
+                            finish(reader.isBroken() ? 502 : reader.status(), reader.body());
                         } else {
                             reader.next();
                         }
                     }
                 }
             } catch (IOException e) {
-                end(502, "");
+                finish(502, "");
             }
         }
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/HttpReaderTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/HttpReaderTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.api.Test;
 
 class HttpReaderTest {
-    /** Feeds a text in pieces of one size, through a connection. */
-    private static HttpReader read(boolean answers, int piece, String text) throws Exception {
+    /** Parses a text that arrives over a connection in segments of the given size. */
+    private static HttpReader read(boolean responses, int segment, String text) throws Exception {
         Wire wire = new Wire();
-        HttpReader reader = new HttpReader(answers);
+        HttpReader reader = new HttpReader(responses);
         wire.client().write(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
         wire.settle();
-        while (!reader.advance() && reader.read(wire.server(), piece) > 0) {
+        while (!reader.advance() && reader.read(wire.server(), segment) > 0) {
             continue;
         }
         return reader;
     }
 
     @Test
-    void readsARequestInPiecesOfAnySize() throws Exception {
+    void readsARequestInSegmentsOfAnySize() throws Exception {
         String text =
                 "\r\nPOST /api/x HTTP/1.1\r\nX-Request-Id: a1\r\nContent-Length: 5\r\n\r\nhelloGET";
-        for (int piece = 1; piece < text.length(); piece++) {
-            HttpReader reader = read(false, piece, text);
+        for (int segment = 1; segment < text.length(); segment++) {
+            HttpReader reader = read(false, segment, text);
             assertTrue(reader.isWhole());
             assertEquals("POST", reader.word(0));
             assertEquals("/api/x", reader.word(1));
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void readsChunks() throws Exception {
+    void readsChunkedBodies() throws Exception {
         String text =
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: t\r\n\r\n";
-        for (int piece : new int[] {1, 2, 7, 1000}) {
-            HttpReader reader = read(true, piece, text);
+        for (int segment : new int[] {1, 2, 7, 1000}) {
+            HttpReader reader = read(true, segment, text);
             assertTrue(reader.isWhole());
             assertEquals(200, reader.status());
             assertEquals("abcde", reader.body());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void chunksCountWhereThereIsALengthToo() throws Exception {
+    void chunkedEncodingOverridesContentLength() throws Exception {
         HttpReader reader =
                 read(
                         false,
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void interimAnswersHaveNoBody() throws Exception {
+    void interimAndNoContentResponsesHaveNoBody() throws Exception {
         HttpReader reader =
                 read(true, 50, "HTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 204 No\r\n\r\n");
         assertEquals(103, reader.status());
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void whatCannotBeReadIsBroken() throws Exception {
+    void invalidMessagesAreBroken() throws Exception {
         assertTrue(read(true, 50, "HTTP/1.1 good\r\n\r\n").isBroken());
         assertTrue(read(true, 50, "noise\r\n\r\n").isBroken());
         assertTrue(read(false, 50, "GET /\r\n\r\n").isBroken());
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void tellsWhatAnUnfinishedHeadAlreadyHas() throws Exception {
+    void exposesHeadersOfAnIncompleteHead() throws Exception {
         HttpReader reader = read(false, 100, "GET / HTTP/1.1\r\nX-Request-Id: a1\r\nX-Class: st");
         assertFalse(reader.hasHead());
         assertEquals("a1", reader.partialHeader("x-request-id"));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void anAnswerWithNoLengthLastsUntilTheEnd() throws Exception {
+    void aResponseWithoutLengthEndsWithTheConnection() throws Exception {
         Wire wire = new Wire();
         HttpReader reader = new HttpReader(true);
         String text = "HTTP/1.1 200 OK\r\n\r\nabc";
