--- a/testbed/src/main/java/appleridge/testbed/simulation/Application.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Application.java
@@ -18,6 +18,13 @@
     private static final long MIN_TIME_LEFT = 50 * Site.MS;
     private static final long SERIALS_PER_APPLICATION = 1L << 32;
 
+    /**
+     * Attempts of a request of which no byte has been sent, so that its deadline has not started.
+     */
+    private static final int MAX_UNSENT_ATTEMPTS = 20;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
     private final Day day;
     private final int index;
     private final Host host;
@@ -203,7 +210,9 @@
     }
 
     private long backoff(RequestIntent intent) {
-        long max = day.plan.size(ScenarioParameter.BACKOFF) << Math.min(6, intent.tries);
+        long max =
+                day.plan.size(ScenarioParameter.BACKOFF)
+                        << Math.min(MAX_BACKOFF_DOUBLINGS, intent.tries);
         return max / 2 + intent.chance.nextLong(max / 2 + 1);
     }
 
@@ -216,7 +225,9 @@
 
     private void scheduleRetry(RequestIntent intent, long delay) {
         long at = day.now() + delay;
-        if (intent.endsAt == 0 ? intent.tries < 20 : at + MIN_TIME_LEFT < intent.endsAt) {
+        if (intent.endsAt == 0
+                ? intent.tries < MAX_UNSENT_ATTEMPTS
+                : at + MIN_TIME_LEFT < intent.endsAt) {
             day.after(delay, () -> send(intent));
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -99,7 +99,7 @@
             while (socket.isOpen() && socket.isReadable()) {
                 int read = reader.read(socket, READ_SIZE);
                 if (read < 0) {
-                    end(0);
+                    reportEnd(0);
                     close();
                 }
                 if (read <= 0) {
@@ -108,7 +108,7 @@
                 readResponses();
             }
         } catch (IOException e) {
-            end(0);
+            reportEnd(0);
             close();
         }
     }
@@ -117,7 +117,7 @@
         while (reader.advance()) {
             int status = reader.isBroken() ? 0 : reader.status();
             if (status == 0 || status >= 200) {
-                end(status);
+                reportEnd(status);
             }
             if (reader.isBroken()) {
                 close();
@@ -128,7 +128,7 @@
     }
 
     /** Reports the first response or close only; a 200 is reported whenever it arrives. */
-    private void end(int status) {
+    private void reportEnd(int status) {
         if (expectsResponse() && (!ended || status == 200)) {
             day.evidence.badClientEnded(name, status);
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Day.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Day.java
@@ -62,7 +62,7 @@
         return Math.max(0, Math.min(duration, plan.faultsEnd() - now()));
     }
 
-    Simulation.Event after(long delay, Runnable what) {
-        return simulation.after(delay, what);
+    Simulation.Event after(long delay, Runnable task) {
+        return simulation.after(delay, task);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Ensemble.java
@@ -142,11 +142,11 @@
     }
 
     /** Runs a task when transactions are accepted: now, or some time after an outage. */
-    void whenUp(Runnable what) {
+    void whenUp(Runnable task) {
         if (day.now() < downUntil) {
-            day.simulation.at(downUntil + chance.nextLong(MAX_RETRY_DELAY), () -> whenUp(what));
+            day.simulation.at(downUntil + chance.nextLong(MAX_RETRY_DELAY), () -> whenUp(task));
         } else {
-            what.run();
+            task.run();
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -26,7 +26,7 @@
     /** The process that uses the client. */
     public interface ProcessContext {
         /** Runs a task on the process's event loop. */
-        void execute(Runnable what);
+        void execute(Runnable task);
 
         /** Returns the time on that loop's clock; called within its tasks. */
         long now();
@@ -36,7 +36,7 @@
     }
 
     /** A callback that has arrived, and when. */
-    private record Delivery(long at, Runnable what) {}
+    private record Delivery(long at, Runnable task) {}
 
     /** A snapshot that is being read. */
     private static final class SnapshotRead {
@@ -122,7 +122,7 @@
     public void catchUp() {
         for (Delivery next = inbox.poll(); next != null; next = inbox.poll()) {
             waited = day.now() - next.at;
-            next.what.run();
+            next.task.run();
         }
     }
 
@@ -160,13 +160,13 @@
     }
 
     /** Writes a callback to the connection now; it arrives in order. */
-    private void deliver(Runnable what) {
+    private void deliver(Runnable task) {
         lastArrival = Math.max(lastArrival + 1, day.now() + latency());
         day.simulation.at(
                 lastArrival,
                 () -> {
                     if (!closed) {
-                        inbox.add(new Delivery(day.now(), what));
+                        inbox.add(new Delivery(day.now(), task));
                         process.execute(this::catchUp);
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultKind.java
@@ -293,9 +293,9 @@
     /**
      * Parses the name of a constant in a scenario file.
      *
-     * @param what the kind of name that is expected, for the error message
+     * @param expected the kind of name that is expected, for the error message
      */
-    static <E extends Enum<E>> E of(Class<E> type, String what, String word) {
+    static <E extends Enum<E>> E of(Class<E> type, String expected, String word) {
         for (E each : type.getEnumConstants()) {
             if (word(each).equals(word)) {
                 return each;
@@ -303,7 +303,7 @@
         }
         throw new IllegalArgumentException(
                 Nearest.unknown(
-                        what,
+                        expected,
                         word,
                         Arrays.stream(type.getEnumConstants()).map(FaultKind::word).toList()));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Instances.java
@@ -144,8 +144,8 @@
     }
 
     /** Registers a listener that runs after each new revision. */
-    void onChange(Runnable what) {
-        listeners.add(what);
+    void onChange(Runnable task) {
+        listeners.add(task);
     }
 
     long revision() {
--- a/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/LoadReport.java
@@ -4,6 +4,9 @@
 
 /** The load report that one server sends in X-Load, refreshed at an interval. */
 final class LoadReport {
+    /** How much later than usual a late report is refreshed, in nanoseconds. */
+    private static final long LATE_DELAY = 5 * Site.SECOND;
+
     private final long refreshInterval;
     private final SeededRandom chance;
     private long since;
@@ -25,7 +28,7 @@
 
     /** Returns the value of X-Load; null to send none. */
     String text(long now, int queue, Report mode) {
-        long due = mode == Report.LATE ? refreshInterval + 5 * Site.SECOND : refreshInterval;
+        long due = mode == Report.LATE ? refreshInterval + LATE_DELAY : refreshInterval;
         if (now - since > due) {
             long micros = Math.max(1, (now - since) / 1000);
             text =
--- a/testbed/src/main/java/appleridge/testbed/simulation/PendingAttempt.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PendingAttempt.java
@@ -12,11 +12,17 @@
 final class PendingAttempt {
     /** How the attempt ended. */
     enum Outcome {
+        /** Status 200. */
         SERVED,
+        /** Status 429 or 503. */
         REFUSED,
+        /** Any other status, or an incomplete response. */
         FAILED,
+        /** The connection ended before the sidecar read any byte of the request. */
         CROSSED,
+        /** The client did not wait for the response. */
         GAVE_UP,
+        /** No connection could be established. */
         UNSENT
     }
 
