--- a/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/EnsembleClient.java
@@ -127,13 +127,13 @@
     }
 
     /** Runs a task on the loop when the response to a request sent now has arrived. */
-    public void confirm(Runnable heard) {
+    public void confirm(Runnable onResponse) {
         int connectionId = connection;
         day.after(
                 latency(),
                 () -> {
                     if (isCurrent(connectionId)) {
-                        deliver(heard);
+                        deliver(onResponse);
                     }
                 });
     }
