--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultInjector.java
@@ -2,7 +2,7 @@
 
 import appleridge.testbed.invariants.ObservedRequest;
 
-/** Carries faults out, each by the part of the world that it concerns. */
+/** Passes each fault to the injector for the part of the simulated world that it affects. */
 final class FaultInjector {
     private final Day day;
     private final ConnectionFaultInjector connections;
@@ -27,28 +27,28 @@
     }
 
     /**
-     * Strikes now; nothing happens where what it is aimed at is no more.
+     * Injects a fault now. Does nothing if its target no longer exists.
      *
-     * @param request the one that sprang the trap; null for a timed fault
+     * @param request the request that fired the state trigger; null for a timed fault
      */
-    void strike(Fault fault, ObservedRequest request) {
-        if (day.isTroubled() && fault.kind().ofNodes()) {
+    void inject(Fault fault, ObservedRequest request) {
+        if (day.faultsMayOccur() && fault.kind().affectsCoordination()) {
             nodes.inject(fault, request);
-        } else if (day.isTroubled()) {
+        } else if (day.faultsMayOccur()) {
             switch (fault.kind().target()) {
-                case UPSTREAM, ANSWER, CLIENT -> connections.strike(fault, request);
+                case UPSTREAM, ANSWER, CLIENT -> connections.inject(fault, request);
                 case SERVER -> servers.inject(fault, request);
-                case LIST -> lists.strike(fault, request);
+                case LIST -> lists.inject(fault, request);
                 default -> sidecars.inject(fault, request);
             }
         }
     }
 
     /**
-     * Whether it can be carried out in the middle of something else: it changes sockets from
-     * outside alone.
+     * Whether the fault can be injected while a state change is being processed, because it only
+     * changes sockets from outside.
      */
-    static boolean atOnce(FaultKind kind) {
+    static boolean isImmediate(FaultKind kind) {
         return switch (kind) {
             case UP_RESET,
                     UP_RESET_LATE,
--- a/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/OrderServer.java
@@ -28,8 +28,8 @@
     private final int life;
     private final long bornAt;
     private final SeededRandom random;
-    private final Answers answers;
-    private final Engine engine;
+    private final ServerResponses answers;
+    private final CoreScheduler engine;
     private final LoadReport load;
     private final ColdServerOverloadWatch overload = new ColdServerOverloadWatch();
     private final Set<ServerConnection> connections = new LinkedHashSet<>();
@@ -63,9 +63,10 @@
         this.life = life;
         this.bornAt = bornAt;
         this.random = random;
-        this.answers = new Answers(random);
+        this.answers = new ServerResponses(random);
         this.engine =
-                new Engine(day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
+                new CoreScheduler(
+                        day.simulation, day.plan.count(ScenarioParameter.CORES), this::speed);
         this.load = new LoadReport(day.plan.size(ScenarioParameter.REPORT_AGE), random);
     }
 
@@ -145,7 +146,7 @@
     /** Handles a complete request that was received on a connection. */
     void handle(ServerConnection connection, ServerConnection.Received received) {
         String id = received.id();
-        SentRequestRegistry.SentRequest sent = day.asked.find(id);
+        SentRequestRegistry.SentRequest sent = day.sentRequests.find(id);
         boolean matches = sent != null && sent.message().equals(received.message());
         long work =
                 !matches
@@ -158,18 +159,18 @@
         if (!matches) {
             connection.send(
                     Script.of(
-                            Answers.plain(
+                            ServerResponses.plain(
                                     id.isEmpty() ? "404 Not Found" : "400 Bad Request", "", "")));
             return;
         }
         if (capacity() < 1
-                && overload.tips(
+                && overload.recordArrival(
                         day.now(),
                         work,
                         connection.sidecar(),
                         capacity() * day.plan.count(ScenarioParameter.CORES))) {
             day.evidence.serverCollapsed(uid, life, overload.bySidecar());
-            machine.fell();
+            machine.failPermanently();
             return;
         }
         whenNotHung(() -> admit(connection, received, sent, work));
@@ -206,9 +207,9 @@
         boolean duplicate = deduplicator != null && deduplicator.isDuplicate(sent.key(), day.now());
         long admittedAt = day.now();
         engine.offer(
-                new Engine.Job() {
+                new CoreScheduler.Job() {
                     @Override
-                    public long begins() {
+                    public long start() {
                         boolean late =
                                 day.now() > received.dueAt()
                                         && random.hits(
@@ -235,7 +236,7 @@
         day.evidence.serverDidNotRun(uid, life, id);
         connection.send(
                 Script.of(
-                                Answers.plain(
+                                ServerResponses.plain(
                                         random.hits(0.8)
                                                 ? "503 Service Unavailable"
                                                 : "504 Gateway Timeout",
@@ -259,7 +260,7 @@
             day.evidence.serverDidNotRun(uid, life, id);
             connection.send(
                     Script.of(
-                            Answers.plain(
+                            ServerResponses.plain(
                                     "503 Service Unavailable",
                                     "X-Not-Run: 1\r\nConnection: close\r\n",
                                     "")));
@@ -272,16 +273,16 @@
 
     private void answer(ServerConnection connection, String id, long responseNanos) {
         boolean fails =
-                random.hits(day.isTroubled() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
+                random.hits(day.faultsMayOccur() ? day.plan.part(ScenarioParameter.ERRORS) : 0)
                         || day.now() < failingUntil && random.hits(failureFraction);
-        load.answered(responseNanos, fails);
+        load.recordResponse(responseNanos, fails);
         if (!connection.isOpen()) {
             finishDrain();
             return;
         }
-        ResponseCorruption corruption = day.asked.takeCorruption(id);
+        ResponseCorruption corruption = day.sentRequests.takeCorruption(id);
         if (corruption == null
-                && day.isTroubled()
+                && day.faultsMayOccur()
                 && random.hits(day.plan.part(ScenarioParameter.SPOILT))) {
             corruption = random.pick(List.of(ResponseCorruption.values()));
         }
@@ -299,9 +300,9 @@
     }
 
     private void answerSuccess(ServerConnection connection, String id) {
-        ResponseExtra extra = day.asked.takeExtra(id);
+        ResponseExtra extra = day.sentRequests.takeExtra(id);
         if (extra == null
-                && day.isTroubled()
+                && day.faultsMayOccur()
                 && random.hits(day.plan.part(ScenarioParameter.EXTRAS))) {
             extra = random.pick(List.of(ResponseExtra.values()));
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Plan.java
@@ -15,6 +15,7 @@
  * line. Immutable.
  */
 public final class Plan {
+
     /** Minimum size in bytes of a socket buffer between processes on one machine. */
     static final int MIN_LOCAL_BUFFER_BYTES = 4096;
 
@@ -156,14 +157,14 @@
     }
 
     /** The deadline in nanoseconds of requests of a class. */
-    long deadline(Classes.Kind kind) {
-        return kind.deadline() < Classes.LONGEST
+    long deadline(RequestClasses.Definition kind) {
+        return kind.deadline() < RequestClasses.LONGEST
                 ? kind.deadline()
                 : size(ScenarioParameter.LONGEST_DEADLINE);
     }
 
     /** For how many nanoseconds servers drop duplicates of a request with an idempotency key. */
-    long window(Classes.Kind kind) {
+    long window(RequestClasses.Definition kind) {
         return kind.scope() == DeduplicationScope.ALL
                 ? kind.keyTtl()
                 : size(ScenarioParameter.KEY_WINDOW);
--- a/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/PlanDraw.java
@@ -235,11 +235,14 @@
                 ScenarioParameter.part(0.001),
                 ScenarioParameter.part(0.01));
         drawWithProbability(ScenarioParameter.BANDWIDTH, 0.1, 1_000_000, 5_000_000);
+
         // Small buffers with a long delay would make every large message miss its deadline.
         drawWithProbability(ScenarioParameter.SEND_BUFFER, far ? 0 : 0.15, 256, 4096);
         drawWithProbability(ScenarioParameter.RECEIVE_BUFFER, far ? 0 : 0.15, 256, 4096);
         if (!far && parameterRandom.hits(0.55)) {
+
             // Both buffers together hold less than any request, so that writing each one takes a
+
             // while.
             drawBetween(ScenarioParameter.SEND_BUFFER, 64, 120);
             drawBetween(ScenarioParameter.RECEIVE_BUFFER, 64, 120);
@@ -286,7 +289,10 @@
         boolean wiped = own.hits(0.35);
         List<FaultKind> kinds =
                 Arrays.stream(FaultKind.values())
-                        .filter(kind -> kind.ofNodes() && (wiped || kind != FaultKind.NODES_WIPED))
+                        .filter(
+                                kind ->
+                                        kind.affectsCoordination()
+                                                && (wiped || kind != FaultKind.NODES_WIPED))
                         .toList();
         int timed = own.nextInt(7);
         for (int i = 0; i < timed; i++) {
@@ -308,7 +314,7 @@
         double probability = random.pick(List.of(0.1, 0.25, 0.5, 1.0));
         List<FaultKind> enabled = new ArrayList<>();
         for (FaultKind each : FaultKind.values()) {
-            if (!each.ofNodes() && random.hits(probability)) {
+            if (!each.affectsCoordination() && random.hits(probability)) {
                 enabled.add(each);
             }
         }
@@ -319,7 +325,7 @@
         int timed = random.nextInt(7);
         for (int i = 0; i < timed; i++) {
             FaultKind kind = random.pick(enabled);
-            if (!kind.trappedOnly()) {
+            if (!kind.requiresRequest()) {
                 long latest = size(ScenarioParameter.FAULTS_END) - S;
                 faults.add(fault(FaultTrigger.time(millis(random.between(S, latest))), kind));
             }
@@ -328,7 +334,7 @@
         for (int i = 0; i < stateTriggered; i++) {
             RequestState state = random.pick(WEIGHTED_STATES);
             List<FaultKind> applicable =
-                    enabled.stream().filter(kind -> kind.isAimedAt(state)).toList();
+                    enabled.stream().filter(kind -> kind.isWorthInjecting(state)).toList();
             if (!applicable.isEmpty()) {
                 faults.add(fault(stateTrigger(state), random.pick(applicable)));
             }
@@ -362,7 +368,7 @@
         }
         String style = kind.styles().isEmpty() ? null : random.pick(kind.styles());
         String who = null;
-        boolean own = trigger.trap() && random.hits(0.9);
+        boolean own = trigger.waitsForRequest() && random.hits(0.9);
         if (!own) {
             who =
                     switch (kind.target()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ProcessSlot.java
@@ -11,6 +11,7 @@
  * restarts them, and tracks whether clients consider the sidecar ready.
  */
 final class ProcessSlot {
+
     /** SIGKILL follows SIGTERM after at least this and the longest deadline. */
     private static final long TERMINATION_GRACE_NANOS = 700 * Site.MS;
 
@@ -121,10 +122,11 @@
         terminating = false;
         hupPending = false;
         int currentLife = life;
+
         // The plan sets the age of the endpoint list at the start, and whether there is one.
         boolean hasList = day.plan.size(ScenarioParameter.KNOWN) > 0;
         long version = instances.revisionAt(day.now() - day.plan.size(ScenarioParameter.KNOWN_AGE));
-        List<Instances.Entry> known = hasList ? instances.wholeAt(version) : List.of();
+        List<Instances.Entry> known = hasList ? instances.snapshotAt(version) : List.of();
         day.evidence.sidecarStarted(name, life);
         delivered.restart(name, known);
         SidecarHost.Costs costs =
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -12,6 +12,7 @@
  * the session times out after a crash or while the machine is unreachable.
  */
 final class Registrations {
+
     /** One process of a server. */
     private static final class Server {
         private final int life;
@@ -52,7 +53,9 @@
         if (state.equals(Instances.READY)) {
             Server server = new Server(life, bornAt);
             servers.put(uid, server);
+
             // With a registry as a second source, a start without its time could not be told from
+
             // a later one.
             publishesStart.put(uid, random.hits(STARTED_AT_PROBABILITY) || ensemble.isBoth());
             if (bornAt == 0) {
@@ -166,7 +169,7 @@
                 interval,
                 () -> {
                     put(uid, server);
-                    if (day.isTroubled()) {
+                    if (day.faultsMayOccur()) {
                         later(interval, () -> flap(uid, times - 1, interval));
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -16,6 +16,7 @@
  * there is a change, and can be made to fail.
  */
 final class Registry {
+
     /**
      * A call on a connection.
      *
@@ -189,7 +190,7 @@
         call.from()
                 .send(
                         call,
-                        Script.of(Answers.plain(status, "", "")),
+                        Script.of(ServerResponses.plain(status, "", "")),
                         () ->
                                 day.evidence.discoveryCallEnded(
                                         call.from().sidecar(), call.id(), false));
@@ -210,14 +211,14 @@
         List<Instances.Entry> entries;
         if (stale) {
             version = instances.revisionAt(day.now() - staleBy);
-            entries = instances.wholeAt(version);
+            entries = instances.snapshotAt(version);
         } else {
-            entries = all ? instances.whole() : instances.since(clientVersion);
+            entries = all ? instances.snapshot() : instances.since(clientVersion);
         }
         String json = Instances.json(version + versionOffset, all, entries);
-        String text = Answers.plain("200 OK", "Content-Type: application/json\r\n", json);
+        String text = ServerResponses.plain("200 OK", "Content-Type: application/json\r\n", json);
         String sidecar = call.from().sidecar();
-        if (pendingCuts > 0 && day.isTroubled()) {
+        if (pendingCuts > 0 && day.faultsMayOccur()) {
             pendingCuts--;
             int half = text.length() / 2;
             call.from()
@@ -227,7 +228,7 @@
                                     .then(Site.MS, "")
                                     .ending(random.hits(0.5) ? Script.End.CLOSE : Script.End.RESET),
                             () -> reportUnreadable(sidecar, call));
-        } else if (pendingGarbles > 0 && day.isTroubled()) {
+        } else if (pendingGarbles > 0 && day.faultsMayOccur()) {
             pendingGarbles--;
             call.from().send(call, Script.of(garbled(json)), () -> reportUnreadable(sidecar, call));
         } else {
@@ -237,7 +238,7 @@
                             Script.of(text),
                             () -> {
                                 if (call.from().canReachSidecar()) {
-                                    delivered.tell(sidecar, all, entries);
+                                    delivered.record(sidecar, all, entries);
                                     day.evidence.discoveryCallEnded(sidecar, call.id(), true);
                                     checkDelivery(
                                             call.from(),
@@ -245,8 +246,9 @@
                                             sidecar,
                                             day.now());
                                 } else {
+
                                     // It may still arrive when the link is up again.
-                                    delivered.tell(
+                                    delivered.record(
                                             sidecar,
                                             false,
                                             entries.stream()
@@ -297,7 +299,7 @@
                     case 5 -> "";
                     default -> "null";
                 };
-        return Answers.plain("200 OK", "Content-Type: application/json\r\n", body);
+        return ServerResponses.plain("200 OK", "Content-Type: application/json\r\n", body);
     }
 
     // ---- faults
--- a/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RequestIntent.java
@@ -31,7 +31,7 @@
     final String origin;
     final int requestClass;
     final int tenant;
-    final Classes.Kind kind;
+    final RequestClasses.Definition kind;
     final long deadline;
     final SeededRandom chance;
     final long work;
@@ -59,11 +59,11 @@
         this.chance = chance;
         this.requestClass = drawClass(chance);
         this.tenant = tenant;
-        this.kind = Classes.of(requestClass);
+        this.kind = RequestClasses.of(requestClass);
         this.deadline = plan.deadline(kind);
         double meanWork = works[requestClass];
         double maxWork =
-                meanWork * (day.isTroubled() ? MAX_WORK_FACTOR : MAX_WORK_FACTOR_AFTER_FAULTS);
+                meanWork * (day.faultsMayOccur() ? MAX_WORK_FACTOR : MAX_WORK_FACTOR_AFTER_FAULTS);
         this.work = (long) Math.min(maxWork, Math.max(meanWork / 10, chance.exponential(meanWork)));
         this.key =
                 kind.keyed()
@@ -110,8 +110,8 @@
     private static int drawClass(SeededRandom chance) {
         double drawn = chance.nextDouble();
         int index = 0;
-        while (index < Classes.ALL.size() - 1 && drawn >= Classes.of(index).share()) {
-            drawn -= Classes.of(index).share();
+        while (index < RequestClasses.ALL.size() - 1 && drawn >= RequestClasses.of(index).share()) {
+            drawn -= RequestClasses.of(index).share();
             index++;
         }
         return index;
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -92,7 +92,7 @@
 
     /** Closes this connection if it is idle; returns whether it was. */
     boolean closeIfIdle() {
-        boolean idle = !isBusy() && !reader.begun();
+        boolean idle = !isBusy() && !reader.hasPartialMessage();
         if (idle) {
             close();
         }
@@ -113,8 +113,9 @@
     public void readable() {
         try {
             while (isOpen() && socket.isReadable()) {
+
                 // Reads the first byte of a request alone, to learn when it was sent.
-                boolean newRequest = !reader.begun();
+                boolean newRequest = !reader.hasPartialMessage();
                 int read = reader.read(socket, newRequest ? 1 : READ_BYTES);
                 if (read <= 0) {
                     if (read < 0) {
@@ -165,7 +166,7 @@
                         server.uid(),
                         server.life(),
                         sidecar(),
-                        day.asked.effectiveId(id, method()),
+                        day.sentRequests.effectiveId(id, method()),
                         firstByteSentAt);
             }
         }
@@ -178,9 +179,9 @@
     private void answerEarly() {
         String id = reader.header("x-request-id");
         if (id != null
-                && day.asked.peekExtra(id) == ResponseExtra.EARLY
-                && day.asked.find(id) != null) {
-            day.asked.takeExtra(id);
+                && day.sentRequests.peekExtra(id) == ResponseExtra.EARLY
+                && day.sentRequests.find(id) != null) {
+            day.sentRequests.takeExtra(id);
             answeredEarly = true;
             earlyProcessed = server.answerEarly(this, id);
         }
@@ -192,7 +193,7 @@
         long deadline = deadline();
         Received received =
                 new Received(
-                        id == null ? "" : day.asked.effectiveId(id, message.method()),
+                        id == null ? "" : day.sentRequests.effectiveId(id, message.method()),
                         message,
                         firstByteSentAt,
                         socket.sentAt(),
@@ -204,8 +205,10 @@
         idReported = false;
         answeredEarly = false;
         reader.next();
-        if (reader.begun()) {
+        if (reader.hasPartialMessage()) {
+
             // The start of the next request was read together with the end of this one; the time at
+
             // which that was sent is the best known estimate.
             firstByteSentAt = socket.sentAt();
         }
@@ -267,7 +270,7 @@
                         return;
                     }
                     startIdleTimeout();
-                    if (reader.begun()) {
+                    if (reader.hasPartialMessage()) {
                         proceed();
                     }
                 });
@@ -289,7 +292,7 @@
         if (repeatable == null
                 || !isOpen()
                 || isBusy()
-                || reader.begun()
+                || reader.hasPartialMessage()
                 || socket.peer() == null
                 || socket.peer().bytesWritten() != socket.bytesRead()
                 || !carriesAtOnce(repeatable.length())) {
@@ -316,11 +319,13 @@
     /** Starts the idle timeout. */
     private void startIdleTimeout() {
         cancelIdleTimeout();
-        if (isOpen() && !reader.begun()) {
+        if (isOpen() && !reader.hasPartialMessage()) {
             long idle = day.plan.size(ScenarioParameter.SERVER_IDLE);
+
             // After the faults, connections stay open for at least the idle timeout that is in the
+
             // sidecars' settings.
-            long minIdle = day.isTroubled() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
+            long minIdle = day.faultsMayOccur() ? 0 : day.plan.size(ScenarioParameter.CONN_IDLE);
             boolean asConfigured =
                     Math.max(idle, minIdle) >= day.plan.size(ScenarioParameter.CONN_IDLE);
             boolean drops = asConfigured && socket.id() % 2 == 0;
@@ -335,7 +340,7 @@
      * timeout in the sidecars' settings.
      */
     private void dropIfIdle() {
-        if (!isBusy() && !reader.begun()) {
+        if (!isBusy() && !reader.hasPartialMessage()) {
             stop();
             socket.fault(SimSocket.Fault.BLACK_HOLE);
             server.closed(this);
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -36,9 +36,9 @@
                         : 0;
         switch (fault.kind()) {
             case CONNECT_SLOW, CONNECT_REFUSED, CONNECT_SILENT, BACKLOG ->
-                    overlaps.connectsTo(machine, fault.kind(), duration);
+                    overlaps.connectFaultBegan(machine, fault.kind(), duration);
             case CLOSE_IDLE -> {
-                overlaps.closed(server.closeIdle(), server.uid());
+                overlaps.idleConnectionsClosed(server.closeIdle(), server.uid());
                 return;
             }
             default ->
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -13,6 +13,7 @@
  * against them.
  */
 final class SidecarFaultInjector {
+
     /** For how long after a link fault delayed messages still arrive. */
     private static final long LINK_RECOVERY_NANOS = 1100 * Site.MS;
 
@@ -83,10 +84,12 @@
             case PAUSE -> pause(slot, duration);
             case WALL_STEP -> slot.stepWall(fault.value(FaultParameter.BY));
             case NO_DESCRIPTORS -> {
+
                 // It can't accept connections meanwhile and for a while after, so that its clients
+
                 // wait through no failure of the sidecar.
                 reportLinkFault(slot, duration);
-                overlaps.noDescriptors(slot.host(), duration);
+                overlaps.descriptorLimitBegan(slot.host(), duration);
                 slot.host()
                         .maxDescriptors(
                                 slot.host().descriptors()
@@ -118,8 +121,8 @@
                     traffic.get(slots.all().indexOf(slot))
                             .flood(duration, fault.value(FaultParameter.RATE) / 1e6);
             case BAD ->
-                    badClients.come(
-                            FaultKind.of(BadKind.class, fault.style()),
+                    badClients.connect(
+                            FaultKind.of(BadClientKind.class, fault.style()),
                             slot,
                             fault.value(FaultParameter.COUNT));
             default ->
--- a/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/StateTriggers.java
@@ -39,7 +39,7 @@
 
     private void entered(ObservedRequest request, int visit, List<Fault> waiting) {
         for (int i = waiting.size() - 1; i >= 0; i--) {
-            if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().suits(request)) {
+            if (waiting.get(i).trigger().nth() <= visit && waiting.get(i).kind().affects(request)) {
                 trigger(waiting.remove(i), request, waiting);
             }
         }
@@ -51,8 +51,8 @@
      */
     private void trigger(Fault fault, ObservedRequest request, List<Fault> waiting) {
         long after = fault.trigger().at();
-        if (after == 0 && FaultInjector.atOnce(fault.kind())) {
-            injector.strike(fault, request);
+        if (after == 0 && FaultInjector.isImmediate(fault.kind())) {
+            injector.inject(fault, request);
             return;
         }
         day.after(
@@ -61,9 +61,9 @@
                     RequestState now = states.state(request.id());
                     if (after == 0 && now != request.state()) {
                         waiting.add(fault);
-                    } else if (!fault.kind().trappedOnly()
-                            || now != null && fault.kind().canStrike(now)) {
-                        injector.strike(fault, request);
+                    } else if (!fault.kind().requiresRequest()
+                            || now != null && fault.kind().canAffect(now)) {
+                        injector.inject(fault, request);
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
@@ -44,7 +44,7 @@
                         "client sends request to "
                                 + attempt.sidecar()
                                 + ": "
-                                + Classes.of(attempt.requestClass()).name()
+                                + RequestClasses.of(attempt.requestClass()).name()
                                 + " "
                                 + attempt.id()
                                 + " ("
--- a/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Traffic.java
@@ -35,13 +35,13 @@
         if (day.now() >= day.plan.quietFrom()) {
             return;
         }
-        double bursts = day.isTroubled() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
+        double bursts = day.faultsMayOccur() ? day.plan.part(ScenarioParameter.BURSTS) : 0;
         double mean = Site.SECOND / (rate * Math.max(0.01, 1 - bursts));
         day.after(
                 (long) random.exponential(mean),
                 () -> {
                     if (day.now() < day.plan.quietFrom()) {
-                        application.wish(drawTenant(random));
+                        application.submit(drawTenant(random));
                     }
                     scheduleNext();
                 });
@@ -52,7 +52,7 @@
         day.after(
                 wait,
                 () -> {
-                    if (day.isTroubled()) {
+                    if (day.faultsMayOccur()) {
                         double expected =
                                 rate
                                         * day.plan.part(ScenarioParameter.BURSTS)
@@ -63,7 +63,7 @@
                         for (int i = 0; i < count; i++) {
                             day.after(
                                     random.nextLong(BURST_NANOS),
-                                    () -> application.wish(drawTenant(random)));
+                                    () -> application.submit(drawTenant(random)));
                         }
                         scheduleBurst();
                     }
@@ -84,8 +84,8 @@
         day.after(
                 (long) floodRandom.exponential(Site.SECOND / more),
                 () -> {
-                    if (day.now() < ends && day.isTroubled()) {
-                        application.wish(tenant);
+                    if (day.now() < ends && day.faultsMayOccur()) {
+                        application.submit(tenant);
                         scheduleFlood(tenant, ends, more);
                     }
                 });
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -18,14 +18,17 @@
  * The plan determines all of it. An instance runs one day, in the thread that calls {@link #run}.
  */
 public final class World {
+
     /** Creates the host that controls the processes of one sidecar. */
     public interface SidecarHostFactory {
+
         /** {@code evidence}: the listener for events of the load balancing module in it. */
         SidecarHost create(String name, World world, DayListener evidence);
     }
 
     /** Creates the listener that observes the day, such as the invariants. */
     public interface DayListenerFactory {
+
         /**
          * Called once, before anything happens.
          *
@@ -113,8 +116,8 @@
                         nodes.faultInjector(day, fleet, slots));
         new StateTriggers(day, injector, states).install(plan.faults());
         for (Fault each : plan.faults()) {
-            if (!each.trigger().trap()) {
-                simulation.at(each.trigger().at(), () -> injector.strike(each, null));
+            if (!each.trigger().waitsForRequest()) {
+                simulation.at(each.trigger().at(), () -> injector.inject(each, null));
             }
         }
     }
@@ -181,9 +184,9 @@
     /** Draws the mean work in nanoseconds of each request class on this day. */
     private long[] meanWork() {
         SeededRandom random = day.work("works");
-        long[] meanWork = new long[Classes.ALL.size()];
+        long[] meanWork = new long[RequestClasses.ALL.size()];
         for (int i = 0; i < meanWork.length; i++) {
-            Classes.Kind kind = Classes.of(i);
+            RequestClasses.Definition kind = RequestClasses.of(i);
             meanWork[i] =
                     (long)
                             (random.between(kind.leastWork(), kind.mostWork())
@@ -212,19 +215,19 @@
 
     private void createLinks(BadClients badClients) {
         for (ProcessSlot slot : slots.all()) {
-            applications.forEach(each -> links.home(each.host(), slot.host()));
-            badClients.hosts().forEach(each -> links.home(each, slot.host()));
-            badClients.narrow(slot);
+            applications.forEach(each -> links.connectLocal(each.host(), slot.host()));
+            badClients.hosts().forEach(each -> links.connectLocal(each, slot.host()));
+            badClients.limitBuffers(slot);
             fleet.machines()
                     .forEach(
                             each ->
-                                    links.join(
+                                    links.connect(
                                             slot.host(), each.host(), slot.zone() == each.zone()));
             discovery
                     .addresses()
                     .forEach(
                             each ->
-                                    links.join(
+                                    links.connect(
                                             slot.host(),
                                             each.host(),
                                             slot.zone() == Registry.ZONE));
@@ -254,11 +257,11 @@
                 plan.quietFrom()
                         + plan.size(ScenarioParameter.LONGEST_DEADLINE)
                         + CLIENT_CLOSE_DELAY_NANOS,
-                () -> applications.forEach(Application::goHome));
+                () -> applications.forEach(Application::closeAll));
         simulation.at(
                 plan.faultsEnd(),
                 () -> {
-                    links.calm();
+                    links.stopLosses();
                     day.evidence.lastFaultEnded();
                 });
     }
@@ -274,10 +277,10 @@
                 new InetSocketAddress(machines.get(0).host().address(), Site.SERVER_PORT + 1);
         Instances.Entry removed =
                 new Instances.Entry("old.0", 0, removedAddress, 0, Instances.READY, 0);
-        instances.begins(removed);
+        instances.addInitial(removed);
         machines.subList(0, machines.size() - 1).forEach(machine -> machine.begin(states));
-        instances.pastEnds();
-        instances.begins(removed.in(Instances.GONE));
+        instances.endHistory();
+        instances.addInitial(removed.withState(Instances.GONE));
         machines.get(machines.size() - 1).begin(states);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -13,53 +13,62 @@
 import org.junit.jupiter.api.Test;
 
 class ApplicationTest {
-    private static final String QUIET = "seed 4\nset errors 0\nset impatient 0\nset bursts 0\n";
+    private static final String NO_RANDOM_FAULTS =
+            "seed 4\nset errors 0\nset impatient 0\nset bursts 0\n";
 
-    private static Map<String, Integer> tries(SimulatedDay day) {
-        Map<String, Integer> tries = new HashMap<>();
-        day.recorder.asks.values().forEach(each -> tries.merge(each.origin(), 1, Integer::sum));
-        return tries;
+    private static Map<String, Integer> attemptsByIntent(SimulatedDay day) {
+        Map<String, Integer> attempts = new HashMap<>();
+        day.recorder.asks.values().forEach(each -> attempts.merge(each.origin(), 1, Integer::sum));
+        return attempts;
     }
 
     @Test
-    void idsAndKeysAreNewWithEachTryAndTheIdempotencyKeyIsNot() {
+    void cookieKeysAreUniquePerAttemptAndIdempotencyKeysStayPerIntent() {
         SimulatedDay day =
-                SimulatedDay.run(QUIET + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
+                SimulatedDay.run(
+                        NO_RANDOM_FAULTS
+                                + "set retries 2\nat 2 no-descriptors who=n0 for=6 count=0");
         Set<Long> keys = new HashSet<>();
         Map<String, String> idempotency = new HashMap<>();
         for (ClientAttempt each : day.recorder.asks.values()) {
             assertTrue(keys.add(each.cookieKey()));
-            assertEquals(Classes.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
+            assertEquals(
+                    RequestClasses.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
             String before =
                     idempotency.putIfAbsent(each.origin(), String.valueOf(each.idempotencyKey()));
             assertTrue(before == null || before.equals(String.valueOf(each.idempotencyKey())));
-            assertTrue(each.deadlineNanos() <= Classes.of(each.requestClass()).deadline());
+            assertTrue(each.deadlineNanos() <= RequestClasses.of(each.requestClass()).deadline());
         }
     }
 
     @Test
-    void whoIsRefusedAsksAgainSoOftenAtMost() {
+    void refusedRequestsAreRetriedAtMostTheConfiguredNumberOfTimes() {
         StringBuilder full = new StringBuilder();
         for (int i = 0; i < 8; i++) {
             full.append("at 1 full who=s").append(i).append(" for=9\n");
         }
         assertEquals(
                 1,
-                tries(SimulatedDay.run(QUIET + "set retries 0\n" + full)).values().stream()
+                attemptsByIntent(SimulatedDay.run(NO_RANDOM_FAULTS + "set retries 0\n" + full))
+                        .values()
+                        .stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
         assertEquals(
                 3,
-                tries(SimulatedDay.run(QUIET + "set retries 2\n" + full)).values().stream()
+                attemptsByIntent(SimulatedDay.run(NO_RANDOM_FAULTS + "set retries 2\n" + full))
+                        .values()
+                        .stream()
                         .mapToInt(Integer::intValue)
                         .max()
                         .orElseThrow());
     }
 
     @Test
-    void theImpatientLeaveBeforeTheirTime() {
-        SimulatedDay day = SimulatedDay.run(QUIET.replace("set impatient 0", "set impatient 1"));
+    void impatientClientsGiveUpBeforeTheirDeadline() {
+        SimulatedDay day =
+                SimulatedDay.run(NO_RANDOM_FAULTS.replace("set impatient 0", "set impatient 1"));
         assertTrue(day.recorder.gaveUp.size() > 50);
         day.recorder
                 .asks
@@ -68,15 +77,16 @@
     }
 
     @Test
-    void someReadSlowlyAndAreAnsweredAllTheSame() {
-        SimulatedDay day = SimulatedDay.run(QUIET + "set slow-readers 1");
+    void slowReadersAreServed() {
+        SimulatedDay day = SimulatedDay.run(NO_RANDOM_FAULTS + "set slow-readers 1");
         assertTrue(day.recorder.served() > 0.9 * day.recorder.asks.size());
     }
 
     @Test
-    void aFewAskBehindOneAnother() {
+    void pipelinedRequestsAreServed() {
         SimulatedDay day =
-                SimulatedDay.run(QUIET + "set pipelined 1\nset rate 100\nset sidecars 1");
+                SimulatedDay.run(
+                        NO_RANDOM_FAULTS + "set pipelined 1\nset rate 100\nset sidecars 1");
         assertTrue(
                 day.recorder.served() > 0.8 * day.recorder.asks.size(),
                 day.recorder.served() + " of " + day.recorder.asks.size());
@@ -84,8 +94,9 @@
     }
 
     @Test
-    void thoseWhoAskOnceKeepTheirConnections() {
-        SimulatedDay day = new SimulatedDay(Plan.parse(QUIET + "set ask-once 1\nset sidecars 1"));
+    void clientsThatSendOneRequestKeepTheirConnections() {
+        SimulatedDay day =
+                new SimulatedDay(Plan.parse(NO_RANDOM_FAULTS + "set ask-once 1\nset sidecars 1"));
         day.world.begin();
         day.world.simulation().runUntil(day.world.plan().quietFrom());
         long kept = day.world.network().sockets(host(day)).size();
@@ -98,8 +109,9 @@
     }
 
     @Test
-    void aFloodIsOneTenants() {
-        SimulatedDay day = SimulatedDay.run(QUIET + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
+    void aFloodComesFromOneTenant() {
+        SimulatedDay day =
+                SimulatedDay.run(NO_RANDOM_FAULTS + "set rate 0\nat 4 flood who=n0 for=2 rate=50");
         List<Integer> tenants =
                 day.recorder.asks.values().stream().map(ClientAttempt::tenant).distinct().toList();
         assertEquals(1, tenants.size());
@@ -107,10 +119,10 @@
     }
 
     @Test
-    void largeBodiesArriveWhole() {
+    void largeBodiesArriveComplete() {
         SimulatedDay day =
                 SimulatedDay.run(
-                        QUIET
+                        NO_RANDOM_FAULTS
                                 + "set large-bodies 1\nset large-answers 1\nset chunked 0.5\n"
                                 + "set send-buffer 256\nset receive-buffer 256\nset chopped 0.3");
         assertTrue(
--- a/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
@@ -273,7 +273,7 @@
     void corruptedResponsesNeverMatchAProcessedRequest() {
         for (ResponseCorruption each : ResponseCorruption.values()) {
             ServerFixture fixture = fixture("");
-            fixture.day.asked.corruptResponse("r1", each);
+            fixture.day.sentRequests.corruptResponse("r1", each);
             ServerFixture.Connection connection =
                     fixture.connectToServer(0).send(ServerFixture.get("r1"));
             String answer = connection.receive(Site.SECOND);
@@ -282,7 +282,7 @@
                     fixture.recorder.made.containsKey(body(answer)),
                     each.name());
             assertFalse(answer.isEmpty(), each.name());
-            fixture.day.asked.takeCorruption("r1");
+            fixture.day.sentRequests.takeCorruption("r1");
         }
     }
 
@@ -293,7 +293,7 @@
                 continue;
             }
             ServerFixture fixture = fixture("");
-            fixture.day.asked.addExtra("r1", each);
+            fixture.day.sentRequests.addExtra("r1", each);
             ServerFixture.Connection connection =
                     fixture.connectToServer(0).send(ServerFixture.get("r1"));
             String answer = connection.receive(Site.SECOND);
@@ -313,7 +313,7 @@
     @Test
     void aResponseCanBeSentBeforeTheWholeRequestHasArrived() {
         ServerFixture fixture = fixture("");
-        fixture.day.asked.addExtra("k1", ResponseExtra.EARLY);
+        fixture.day.sentRequests.addExtra("k1", ResponseExtra.EARLY);
         String request = ServerFixture.post("k1", "key");
         ServerFixture.Connection connection =
                 fixture.connectToServer(0).send(request.substring(0, request.length() - 2));
