--- a/testbed/src/main/java/appleridge/testbed/coordination/Change.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Change.java
@@ -9,23 +9,23 @@
  */
 sealed interface Change {
     /** A node is made; {@code owner}: the session that it ends with, or 0. */
-    record Make(String path, byte[] data, List<ACL> acl, long owner) implements Change {}
+    record CreateNode(String path, byte[] data, List<ACL> acl, long owner) implements Change {}
 
     /** A node is taken away. */
-    record Drop(String path) implements Change {}
+    record DeleteNode(String path) implements Change {}
 
     /** A node holds other data. */
-    record Write(String path, byte[] data) implements Change {}
+    record SetData(String path, byte[] data) implements Change {}
 
     /** Others may do something with a node. */
-    record Guard(String path, List<ACL> acl) implements Change {}
+    record SetAcl(String path, List<ACL> acl) implements Change {}
 
     /** Nothing changes: a version was only looked at. */
-    record Look(String path) implements Change {}
+    record CheckVersion(String path) implements Change {}
 
     /** A session begins. */
-    record Begin(long session, int timeout) implements Change {}
+    record OpenSession(long session, int timeout) implements Change {}
 
     /** A session ends, and its nodes with it. */
-    record End(long session) implements Change {}
+    record CloseSession(long session) implements Change {}
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
@@ -30,34 +30,34 @@
 
 /** One connection's frames, read enough to say what is told of nodes. */
 final class Conversation {
-    private static final int NOTIFICATION = -1;
+    private static final int NOTIFICATION_XID = -1;
 
-    private record Asked(int kind, List<String> paths) {}
+    private record PendingRequest(int kind, List<String> paths) {}
 
-    private final Map<Integer, Asked> open = new HashMap<>();
-    private boolean begun;
-    private boolean answered;
+    private final Map<Integer, PendingRequest> pending = new HashMap<>();
+    private boolean connectRequestSeen;
+    private boolean connectResponseSeen;
     private long session;
 
     /** Takes a client's frame in. */
-    void asks(ByteBuf frame) {
-        if (!begun) {
-            begun = true;
+    void clientFrame(ByteBuf frame) {
+        if (!connectRequestSeen) {
+            connectRequestSeen = true;
             return;
         }
         BinaryInputArchive in = archive(frame);
         RequestHeader head = read(in, new RequestHeader());
         switch (head.getType()) {
             case OpCode.getData ->
-                    open.put(
+                    pending.put(
                             head.getXid(),
-                            new Asked(
+                            new PendingRequest(
                                     OpCode.getData,
                                     List.of(read(in, new GetDataRequest()).getPath())));
             case OpCode.getChildren, OpCode.getChildren2 ->
-                    open.put(
+                    pending.put(
                             head.getXid(),
-                            new Asked(
+                            new PendingRequest(
                                     head.getType(),
                                     List.of(read(in, new GetChildrenRequest()).getPath())));
             case OpCode.multiRead -> {
@@ -65,37 +65,37 @@
                 for (Op each : read(in, new MultiOperationRecord())) {
                     paths.add(each.getPath());
                 }
-                open.put(head.getXid(), new Asked(OpCode.multiRead, paths));
+                pending.put(head.getXid(), new PendingRequest(OpCode.multiRead, paths));
             }
             default -> {}
         }
     }
 
     /** Takes a server's frame in, and says what it tells. */
-    List<NodeReply> answers(ByteBuf frame) {
+    List<NodeReply> serverFrame(ByteBuf frame) {
         BinaryInputArchive in = archive(frame);
-        if (!answered) {
-            answered = true;
+        if (!connectResponseSeen) {
+            connectResponseSeen = true;
             session = read(in, new ConnectResponse()).getSessionId();
             return List.of();
         }
         ReplyHeader head = read(in, new ReplyHeader());
-        if (head.getXid() == NOTIFICATION) {
-            return notified(read(in, new WatcherEvent()), head.getZxid());
+        if (head.getXid() == NOTIFICATION_XID) {
+            return notification(read(in, new WatcherEvent()), head.getZxid());
         }
-        Asked asked = open.remove(head.getXid());
-        if (asked == null) {
+        PendingRequest request = pending.remove(head.getXid());
+        if (request == null) {
             return List.of();
         }
         if (head.getErr() != 0) {
-            return asked.kind == OpCode.getData
-                    ? missing(asked.paths.get(0), head.getErr(), head.getZxid())
+            return request.kind == OpCode.getData
+                    ? missing(request.paths.get(0), head.getErr(), head.getZxid())
                     : List.of();
         }
-        String path = asked.paths.get(0);
-        return switch (asked.kind) {
+        String path = request.paths.get(0);
+        return switch (request.kind) {
             case OpCode.getData ->
-                    holds(path, read(in, new GetDataResponse()).getData(), head.getZxid());
+                    nodeData(path, read(in, new GetDataResponse()).getData(), head.getZxid());
             case OpCode.getChildren ->
                     children(
                             path,
@@ -106,45 +106,45 @@
                             path,
                             read(in, new GetChildren2Response()).getChildren(),
                             head.getZxid());
-            default -> many(asked.paths, read(in, new MultiResponse()), head.getZxid());
+            default -> multiRead(request.paths, read(in, new MultiResponse()), head.getZxid());
         };
     }
 
-    private List<NodeReply> many(List<String> paths, MultiResponse response, long zxid) {
-        List<NodeReply> heard = new ArrayList<>();
+    private List<NodeReply> multiRead(List<String> paths, MultiResponse response, long zxid) {
+        List<NodeReply> replies = new ArrayList<>();
         for (int i = 0; i < paths.size(); i++) {
             OpResult result = response.getResultList().get(i);
             if (result instanceof OpResult.GetDataResult got) {
-                heard.addAll(holds(paths.get(i), got.getData(), zxid));
+                replies.addAll(nodeData(paths.get(i), got.getData(), zxid));
             } else if (result instanceof OpResult.ErrorResult failed) {
-                heard.addAll(missing(paths.get(i), failed.getErr(), zxid));
+                replies.addAll(missing(paths.get(i), failed.getErr(), zxid));
             }
         }
-        return heard;
+        return replies;
     }
 
-    private List<NodeReply> notified(WatcherEvent event, long zxid) {
-        NodeReply.What what =
+    private List<NodeReply> notification(WatcherEvent event, long zxid) {
+        NodeReply.Kind what =
                 switch (EventType.fromInt(event.getType())) {
-                    case NodeCreated -> NodeReply.What.MADE;
-                    case NodeDataChanged -> NodeReply.What.CHANGED;
-                    case NodeDeleted -> NodeReply.What.GONE;
+                    case NodeCreated -> NodeReply.Kind.MADE;
+                    case NodeDataChanged -> NodeReply.Kind.CHANGED;
+                    case NodeDeleted -> NodeReply.Kind.GONE;
                     default -> null;
                 };
-        return what == null ? List.of() : List.of(heard(what, event.getPath(), zxid));
+        return what == null ? List.of() : List.of(reply(what, event.getPath(), zxid));
     }
 
     private List<NodeReply> missing(String path, int error, long zxid) {
         return error == Code.NONODE.intValue()
-                ? List.of(heard(NodeReply.What.GONE, path, zxid))
+                ? List.of(reply(NodeReply.Kind.GONE, path, zxid))
                 : List.of();
     }
 
-    private List<NodeReply> holds(String path, byte[] data, long zxid) {
+    private List<NodeReply> nodeData(String path, byte[] data, long zxid) {
         return List.of(
                 new NodeReply(
                         session,
-                        NodeReply.What.HOLDS,
+                        NodeReply.Kind.HOLDS,
                         path,
                         zxid,
                         data == null ? "" : new String(data, StandardCharsets.UTF_8),
@@ -152,16 +152,16 @@
     }
 
     private List<NodeReply> children(String path, List<String> names, long zxid) {
-        return List.of(new NodeReply(session, NodeReply.What.CHILDREN, path, zxid, "", names));
+        return List.of(new NodeReply(session, NodeReply.Kind.CHILDREN, path, zxid, "", names));
     }
 
-    private NodeReply heard(NodeReply.What what, String path, long zxid) {
+    private NodeReply reply(NodeReply.Kind what, String path, long zxid) {
         return new NodeReply(session, what, path, zxid, "", List.of());
     }
 
     /** Whether the next answer is the first, which says how the session stands. */
-    boolean beforeFirstAnswer() {
-        return !answered;
+    boolean awaitsConnectResponse() {
+        return !connectResponseSeen;
     }
 
     long session() {
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
@@ -37,12 +37,12 @@
     static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
 
     /** The least that a sidecar takes, so that sessions end often. */
-    static final String LEAST_SESSION = "2s";
+    static final String MIN_SESSION_TIMEOUT = "2s";
 
     private static final int CLIENTS = 36;
 
     /** Longer than any request takes that is answered at all. */
-    private static final long OVERTIME = TimeUnit.SECONDS.toNanos(1);
+    private static final long TIMEOUT_SLACK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final int LAG_MILLIS = 5;
     private static final int SESSION_MILLIS = 4000;
@@ -58,21 +58,21 @@
 
     final RealTime time = new RealTime();
     final RepeatMemory memory = new RepeatMemory(0);
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final EventLoop loop;
     final CoordinationServer coordination;
     final Relay relay;
-    final DrainBook book;
+    final DrainTracker drains;
     final Traffic traffic;
     final LoopbackRegistry registry;
-    final List<ProcessSlot> seats = new ArrayList<>();
-    final Clock lag = new Clock();
+    final List<ProcessSlot> slots = new ArrayList<>();
+    final LoopLag lag = new LoopLag();
     private final EventLoopGroup group;
     private final long seed;
     private final String session;
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final List<Arrivals> listeners = new ArrayList<>();
-    private NodeWriter ground;
+    private NodeWriter rootWriter;
     LoopbackClients clients;
     SidecarProcess sidecar;
 
@@ -82,7 +82,7 @@
     }
 
     CoordinatedSite(long seed, long drainGrace) throws IOException, InterruptedException {
-        this(seed, drainGrace, LEAST_SESSION);
+        this(seed, drainGrace, MIN_SESSION_TIMEOUT);
     }
 
     /** With the session time-out that the sidecar asks for, as its operator's file says it. */
@@ -90,16 +90,16 @@
             throws IOException, InterruptedException {
         this.seed = seed;
         this.session = session;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         this.group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("site", true), NioIoHandler.newFactory());
         this.loop = group.next();
-        this.coordination = CoordinationServer.alone(CoordinationServer.Times.QUICK);
-        this.book = new DrainBook(ROOT, drainGrace);
+        this.coordination = CoordinationServer.standalone(CoordinationServer.Times.QUICK);
+        this.drains = new DrainTracker(ROOT, drainGrace);
         this.traffic = new Traffic(time, this::arrived);
         this.registry = new LoopbackRegistry(loop, time, traffic);
-        this.relay = new Relay(loop, time, coordination.address(), book);
+        this.relay = new Relay(loop, time, coordination.address(), drains);
     }
 
     /** Opens all that a sidecar needs to start, with so many servers. */
@@ -107,18 +107,18 @@
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         registry.listen();
         relay.listen();
-        ground = new NodeWriter(coordination.address(), ROOT, PATIENCE_MILLIS);
-        ground.ground();
+        rootWriter = new NodeWriter(coordination.address(), ROOT, PATIENCE_MILLIS);
+        rootWriter.createPersistent();
         for (int i = 0; i < servers; i++) {
-            ProcessSlot seat = new ProcessSlot(this, "s" + (i + 1), ZONES.get(i % ZONES.size()));
-            seat.begin(false, false);
-            seats.add(seat);
+            ProcessSlot slot = new ProcessSlot(this, "s" + (i + 1), ZONES.get(i % ZONES.size()));
+            slot.startProcess(false, false);
+            slots.add(slot);
         }
     }
 
     /** A session that stays. */
-    NodeWriter ground() {
-        return ground;
+    NodeWriter rootWriter() {
+        return rootWriter;
     }
 
     int sessionMillis() {
@@ -128,7 +128,7 @@
     /** Starts the sidecar, and clients that ask it so often a second. */
     void start(Path jar, Source source, double rate)
             throws IOException, InterruptedException, ExecutionException {
-        sidecar = new SidecarProcess(jar, operator(source));
+        sidecar = new SidecarProcess(jar, operatorConfiguration(source));
         SidecarSettings settings = new SidecarSettings(ZONES, seed);
         sidecar.start(port -> settings.configuration(port, registry.endpoint(), registry.whole()));
         clients =
@@ -136,8 +136,8 @@
                         loop,
                         time,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecar.port()),
-                        new LoopbackClients.Habits(CLIENTS, rate, 0, OVERTIME),
-                        chance.split(),
+                        new LoopbackClients.Habits(CLIENTS, rate, 0, TIMEOUT_SLACK_NANOS),
+                        random.split(),
                         traffic);
         loop.execute(
                 () -> {
@@ -146,7 +146,7 @@
                 });
     }
 
-    private String operator(Source source) {
+    private String operatorConfiguration(Source source) {
         return source == Source.REGISTRY
                 ? ""
                 : "version = 1\n[membership]\nsource = \""
@@ -161,13 +161,13 @@
     }
 
     /** A server's process listens. */
-    void stands(LoopbackServer server) throws InterruptedException, ExecutionException {
+    void addServer(LoopbackServer server) throws InterruptedException, ExecutionException {
         onLoop(() -> addresses.put(server.identity().name(), server.endpoint()));
     }
 
     private void arrived(StandInListener.Arrival arrival) {
         String address = addresses.get(arrival.server());
-        book.arrived(address, arrival.server(), arrival.id(), arrival.firstByte());
+        drains.arrived(address, arrival.server(), arrival.id(), arrival.firstByte());
         listeners.forEach(each -> each.arrived(address, arrival));
     }
 
@@ -197,7 +197,7 @@
     }
 
     /** Stops asking and waits for the last answers. */
-    void quiet() throws InterruptedException, ExecutionException {
+    void stopClients() throws InterruptedException, ExecutionException {
         loop.execute(clients::stop);
         await(() -> clients.open() == 0);
         loop.execute(clients::closeIdle);
@@ -208,16 +208,16 @@
         if (sidecar != null) {
             sidecar.close();
         }
-        seats.forEach(ProcessSlot::close);
+        slots.forEach(ProcessSlot::close);
         loop.execute(relay::close);
         loop.execute(registry::close);
-        ground.close();
+        rootWriter.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
         coordination.close();
     }
 
     /** How late the loop itself is, which is added to whatever it stamps. */
-    final class Clock {
+    final class LoopLag {
         private long worst;
         private long due;
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
@@ -113,8 +113,8 @@
     private void play(BufferedReader lines) throws IOException, InterruptedException {
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
-                String told = play(List.of(line.trim().split(" +")));
-                out.println(told.isEmpty() ? "ok" : "ok " + told);
+                String result = play(List.of(line.trim().split(" +")));
+                out.println(result.isEmpty() ? "ok" : "ok " + result);
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
                 out.println("no: " + e.getMessage());
             }
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
@@ -35,7 +35,8 @@
     }
 
     /** Starts one that is an ensemble of its own, on any free port, with no data. */
-    public static CoordinationServer alone(Times times) throws IOException, InterruptedException {
+    public static CoordinationServer standalone(Times times)
+            throws IOException, InterruptedException {
         return new CoordinationServers(times, 1).members().get(0);
     }
 
@@ -129,7 +130,7 @@
                 () ->
                         member.lag(
                                 millis < 0
-                                        ? Member.STANDS
+                                        ? Member.LAG_FOREVER
                                         : TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServers.java
@@ -95,17 +95,17 @@
      * together.
      */
     public void cut(CoordinationServer... apart) {
-        run(() -> ensemble.sides(Stream.of(apart).map(CoordinationServer::member).toList()));
+        run(() -> ensemble.partition(Stream.of(apart).map(CoordinationServer::member).toList()));
     }
 
     /** Ends a session now; false if there is none such, or no quorum. */
     public boolean expire(long session) {
-        return onLoop(() -> ensemble.end(session));
+        return onLoop(() -> ensemble.closeSession(session));
     }
 
     /** From now on no session ends by itself, or each does again after its whole time. */
     public void sessionsLast(boolean last) {
-        run(() -> ensemble.lasting(last));
+        run(() -> ensemble.suspendExpiry(last));
     }
 
     /** The sessions that there are. */
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
@@ -48,7 +48,7 @@
             int ends,
             int withRequests,
             Samples delays,
-            List<DrainBook.Late> late,
+            List<DrainTracker.Late> late,
             int arrivals,
             boolean right) {
         boolean held() {
@@ -60,25 +60,25 @@
     private static final long[] STEPS_MILLIS = {1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000};
 
     /** At most this part of the servers goes through something at once. */
-    private static final int PART = 3;
+    private static final int CONCURRENT_FRACTION = 3;
 
-    private static final int MOST_TOLD = 40;
+    private static final int MAX_LATE_PRINTED = 40;
 
     /** Where in a moment's text the time of day begins. */
-    private static final int CLOCK = 11;
+    private static final int TIME_OF_DAY_OFFSET = 11;
 
     private final Plan plan;
     private final PrintStream out;
-    private final AtomicInteger left;
-    private final Map<Sequence, Integer> played = new EnumMap<>(Sequence.class);
-    private final Map<CoordinationFault, Integer> struck = new EnumMap<>(CoordinationFault.class);
+    private final AtomicInteger remaining;
+    private final Map<Sequence, Integer> completed = new EnumMap<>(Sequence.class);
+    private final Map<CoordinationFault, Integer> injected = new EnumMap<>(CoordinationFault.class);
     private final List<String> times = new ArrayList<>();
     private volatile boolean over;
 
     DrainCheck(Plan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
-        this.left = new AtomicInteger(plan.sequences());
+        this.remaining = new AtomicInteger(plan.sequences());
     }
 
     Result run(Path jar)
@@ -86,24 +86,24 @@
         ExecutorService threads = Executors.newCachedThreadPool();
         try (CoordinatedSite site = new CoordinatedSite(plan.seed(), GRACE, plan.session())) {
             site.open(plan.servers());
-            for (ProcessSlot seat : site.seats) {
-                seat.register();
+            for (ProcessSlot slot : site.slots) {
+                slot.register();
             }
             site.start(jar, plan.source(), plan.rate());
-            SplittableRandom chance = new SplittableRandom(plan.seed());
-            Semaphore room = new Semaphore(Math.max(1, plan.servers() / PART));
-            List<Future<?>> players = new ArrayList<>();
-            for (ProcessSlot seat : site.seats) {
-                SplittableRandom own = chance.split();
-                players.add(threads.submit(task(() -> sequences(seat, own, room))));
+            SplittableRandom random = new SplittableRandom(plan.seed());
+            Semaphore permits = new Semaphore(Math.max(1, plan.servers() / CONCURRENT_FRACTION));
+            List<Future<?>> workers = new ArrayList<>();
+            for (ProcessSlot slot : site.slots) {
+                SplittableRandom own = random.split();
+                workers.add(threads.submit(task(() -> sequences(slot, own, permits))));
             }
-            SplittableRandom own = chance.split();
-            Future<?> strikes = threads.submit(task(() -> strikes(site, own)));
-            for (Future<?> player : players) {
-                player.get();
+            SplittableRandom own = random.split();
+            Future<?> injector = threads.submit(task(() -> injectFaults(site, own)));
+            for (Future<?> worker : workers) {
+                worker.get();
             }
             over = true;
-            strikes.get();
+            injector.get();
             return result(site);
         } finally {
             threads.shutdownNow();
@@ -121,34 +121,34 @@
         };
     }
 
-    private void sequences(ProcessSlot seat, SplittableRandom chance, Semaphore room)
+    private void sequences(ProcessSlot slot, SplittableRandom random, Semaphore permits)
             throws IOException, InterruptedException, ExecutionException {
-        TimeUnit.MILLISECONDS.sleep(chance.nextInt(2000));
-        while (left.getAndDecrement() > 0) {
-            Sequence next = Sequence.values()[chance.nextInt(Sequence.values().length)];
-            room.acquire();
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(2000));
+        while (remaining.getAndDecrement() > 0) {
+            Sequence next = Sequence.values()[random.nextInt(Sequence.values().length)];
+            permits.acquire();
             try {
-                next.play(seat, chance);
+                next.play(slot, random);
             } finally {
-                room.release();
+                permits.release();
             }
-            synchronized (played) {
-                played.merge(next, 1, Integer::sum);
+            synchronized (completed) {
+                completed.merge(next, 1, Integer::sum);
             }
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(200, 2500));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(200, 2500));
         }
     }
 
-    private void strikes(CoordinatedSite site, SplittableRandom chance)
+    private void injectFaults(CoordinatedSite site, SplittableRandom random)
             throws IOException, InterruptedException, ExecutionException {
         List<CoordinationFault> all = List.copyOf(new TreeSet<>(plan.strikes()));
         while (!all.isEmpty() && !over) {
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(500, 5000));
-            CoordinationFault next = all.get(chance.nextInt(all.size()));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(500, 5000));
+            CoordinationFault next = all.get(random.nextInt(all.size()));
             String from = clock(site, site.time.nanos());
-            next.play(site, chance);
+            next.play(site, random);
             times.add(next + " " + from + " to " + clock(site, site.time.nanos()));
-            struck.merge(next, 1, Integer::sum);
+            injected.merge(next, 1, Integer::sum);
         }
     }
 
@@ -158,31 +158,34 @@
         boolean right =
                 site.await(
                         () ->
-                                site.seats.stream()
-                                        .allMatch(seat -> site.book.there(seat.address())));
-        long righted = site.time.nanos() - began;
+                                site.slots.stream()
+                                        .allMatch(slot -> site.drains.isPresent(slot.address())));
+        long settledAfter = site.time.nanos() - began;
         // What would still be sent to those that are gone is seen before the end.
         TimeUnit.MILLISECONDS.sleep(2500);
-        site.quiet();
-        List<DrainBook.End> ends = site.onLoop(() -> List.copyOf(site.book.ends()));
+        site.stopClients();
+        List<DrainTracker.End> ends = site.onLoop(() -> List.copyOf(site.drains.ends()));
         Samples delays =
                 new Samples(
-                        ends.stream().map(DrainBook.End::delay).filter(each -> each >= 0).toList());
+                        ends.stream()
+                                .map(DrainTracker.End::delay)
+                                .filter(each -> each >= 0)
+                                .toList());
         Result result =
                 new Result(
                         ends.size(),
                         delays.count(),
                         delays,
-                        site.book.late(),
+                        site.drains.lateRequests(),
                         site.traffic.answers().size(),
                         right);
-        print(site, result, righted);
+        print(site, result, settledAfter);
         return result;
     }
 
-    private void print(CoordinatedSite site, Result result, long righted) throws IOException {
-        out.println("sequences: " + played);
-        out.println("strikes: " + struck);
+    private void print(CoordinatedSite site, Result result, long settledAfter) throws IOException {
+        out.println("sequences: " + completed);
+        out.println("strikes: " + injected);
         out.println(
                 "requests asked "
                         + site.traffic.asked()
@@ -191,9 +194,9 @@
                         + ", without an answer "
                         + site.traffic.endings()
                         + ", servers pushed over "
-                        + site.traffic.fallen()
+                        + site.traffic.crashedServers()
                         + ", at addresses never told "
-                        + site.book.untold());
+                        + site.drains.unknownAddresses());
         out.println(
                 "ends told " + result.ends() + ", followed by requests " + result.withRequests());
         out.println("last request after the word of an end: " + result.delays().millis());
@@ -202,7 +205,7 @@
             steps.append(' ')
                     .append(step)
                     .append(" ms: ")
-                    .append(result.delays().upTo(TimeUnit.MILLISECONDS.toNanos(step)))
+                    .append(result.delays().countUpTo(TimeUnit.MILLISECONDS.toNanos(step)))
                     .append(',');
         }
         out.println(steps.substring(0, steps.length() - 1));
@@ -212,10 +215,12 @@
                         + " ms");
         out.println(
                 result.right()
-                        ? "all servers were told " + Samples.millis(righted) + " ms after the end"
+                        ? "all servers were told "
+                                + Samples.millis(settledAfter)
+                                + " ms after the end"
                         : "THE LIST IS NOT RIGHT at the end");
         result.late().stream()
-                .limit(MOST_TOLD)
+                .limit(MAX_LATE_PRINTED)
                 .forEach(
                         each ->
                                 out.println(
@@ -226,7 +231,7 @@
                                                 + " "
                                                 + Samples.millis(each.delay())
                                                 + " ms after the word of its end, "
-                                                + each.end().word
+                                                + each.end().reason
                                                 + " of "
                                                 + each.end().name
                                                 + " at "
@@ -241,7 +246,9 @@
     }
 
     private static String clock(CoordinatedSite site, long at) {
-        return Instant.ofEpochMilli(site.time.unixMillis(at)).toString().substring(CLOCK);
+        return Instant.ofEpochMilli(site.time.unixMillis(at))
+                .toString()
+                .substring(TIME_OF_DAY_OFFSET);
     }
 
     private static Map<Integer, Integer> statuses(CoordinatedSite site) {
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainBook.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainTracker.java
@@ -13,21 +13,21 @@
  * address counts as ended from when the last node that names it was said to be gone, to be of
  * another address, not to be ready or to be unreadable, until one names it again.
  */
-final class DrainBook implements Relay.Hearing {
+final class DrainTracker implements Relay.ReplyListener {
     /** A time for which an address counts as ended; times in nanoseconds. */
     static final class End {
         final String address;
         final long from;
-        final NodeReply.What word;
+        final NodeReply.Kind reason;
         final String name;
         private long until = Long.MAX_VALUE;
         private long last = -1;
         private int requests;
 
-        private End(String address, long from, NodeReply.What word, String name) {
+        private End(String address, long from, NodeReply.Kind reason, String name) {
             this.address = address;
             this.from = from;
-            this.word = word;
+            this.reason = reason;
             this.name = name;
         }
 
@@ -51,92 +51,92 @@
 
     private final String root;
     private final long allowed;
-    private final Map<String, String> addresses = new HashMap<>();
-    private final Map<String, Set<String>> holders = new HashMap<>();
+    private final Map<String, String> addressByNode = new HashMap<>();
+    private final Map<String, Set<String>> nodesByAddress = new HashMap<>();
     private final Map<String, List<End>> ends = new LinkedHashMap<>();
-    private final List<Late> late = new ArrayList<>();
-    private long highest;
-    private int untold;
+    private final List<Late> lateRequests = new ArrayList<>();
+    private long highestZxid;
+    private int unknownAddresses;
 
     /** With the path above the nodes, and how long after an end requests may still come. */
-    DrainBook(String root, long allowed) {
+    DrainTracker(String root, long allowed) {
         this.root = root + "/";
         this.allowed = allowed;
     }
 
     @Override
-    public void heard(NodeReply what, long at) {
-        if (what.zxid() > 0 && what.zxid() < highest) {
+    public void onReply(NodeReply reply, long at) {
+        if (reply.zxid() > 0 && reply.zxid() < highestZxid) {
             // An older state is no word of anything.
             return;
         }
-        highest = Math.max(highest, what.zxid());
-        String path = what.path();
+        highestZxid = Math.max(highestZxid, reply.zxid());
+        String path = reply.path();
         boolean node = path.startsWith(root);
-        switch (what.what()) {
+        switch (reply.kind()) {
             case GONE -> {
                 if (node) {
-                    forget(path.substring(root.length()), what.what(), at);
+                    removeNode(path.substring(root.length()), reply.kind(), at);
                 }
             }
             case HOLDS -> {
                 if (node) {
-                    holds(path.substring(root.length()), ServerNode.read(what.data()), at);
+                    updateNode(path.substring(root.length()), ServerNode.read(reply.data()), at);
                 }
             }
             case CHILDREN -> {
                 if (root.equals(path + "/")) {
-                    Set<String> gone = new LinkedHashSet<>(addresses.keySet());
-                    what.children().forEach(gone::remove);
-                    gone.forEach(name -> forget(name, what.what(), at));
+                    Set<String> gone = new LinkedHashSet<>(addressByNode.keySet());
+                    reply.children().forEach(gone::remove);
+                    gone.forEach(name -> removeNode(name, reply.kind(), at));
                 }
             }
             default -> {}
         }
     }
 
-    private void holds(String name, ServerNode node, long at) {
+    private void updateNode(String name, ServerNode node, long at) {
         if (node == null || !node.ready()) {
-            forget(name, NodeReply.What.HOLDS, at);
+            removeNode(name, NodeReply.Kind.HOLDS, at);
             return;
         }
-        if (!node.address().equals(addresses.get(name))) {
-            forget(name, NodeReply.What.HOLDS, at);
-            addresses.put(name, node.address());
-            holders.computeIfAbsent(node.address(), any -> new LinkedHashSet<>()).add(name);
+        if (!node.address().equals(addressByNode.get(name))) {
+            removeNode(name, NodeReply.Kind.HOLDS, at);
+            addressByNode.put(name, node.address());
+            nodesByAddress.computeIfAbsent(node.address(), any -> new LinkedHashSet<>()).add(name);
         }
-        List<End> known = ends.computeIfAbsent(node.address(), any -> new ArrayList<>());
-        if (!known.isEmpty() && known.get(known.size() - 1).until == Long.MAX_VALUE) {
-            known.get(known.size() - 1).until = at;
+        List<End> periods = ends.computeIfAbsent(node.address(), any -> new ArrayList<>());
+        if (!periods.isEmpty() && periods.get(periods.size() - 1).until == Long.MAX_VALUE) {
+            periods.get(periods.size() - 1).until = at;
         }
     }
 
-    private void forget(String name, NodeReply.What word, long at) {
-        String address = addresses.remove(name);
+    private void removeNode(String name, NodeReply.Kind reason, long at) {
+        String address = addressByNode.remove(name);
         if (address != null
-                && holders.get(address).remove(name)
-                && holders.get(address).isEmpty()) {
+                && nodesByAddress.get(address).remove(name)
+                && nodesByAddress.get(address).isEmpty()) {
             ends.computeIfAbsent(address, any -> new ArrayList<>())
-                    .add(new End(address, at, word, name));
+                    .add(new End(address, at, reason, name));
         }
     }
 
     /** A request's first byte has come to the server at an address. */
     void arrived(String address, String server, String id, long firstByte) {
-        List<End> known = ends.get(address);
-        if (known == null) {
-            untold++;
+        List<End> periods = ends.get(address);
+        if (periods == null) {
+            unknownAddresses++;
             return;
         }
-        for (int i = known.size() - 1; i >= 0; i--) {
-            End end = known.get(i);
+        for (int i = periods.size() - 1; i >= 0; i--) {
+            End end = periods.get(i);
             if (end.from <= firstByte) {
                 if (firstByte < end.until) {
                     long delay = firstByte - end.from;
                     end.last = Math.max(end.last, delay);
                     end.requests++;
                     if (delay > allowed) {
-                        late.add(new Late(server, id, delay, end));
+                        lateRequests.add(new Late(server, id, delay, end));
                     }
                 }
                 return;
@@ -149,22 +149,22 @@
         return ends.values().stream().flatMap(List::stream).toList();
     }
 
-    List<Late> late() {
-        return late;
+    List<Late> lateRequests() {
+        return lateRequests;
     }
 
     /** Requests at addresses of which nothing was told. */
-    int untold() {
-        return untold;
+    int unknownAddresses() {
+        return unknownAddresses;
     }
 
     /** Whether the last word of an address was that it is there. */
-    boolean there(String address) {
-        return !holders.getOrDefault(address, Set.of()).isEmpty();
+    boolean isPresent(String address) {
+        return !nodesByAddress.getOrDefault(address, Set.of()).isEmpty();
     }
 
     /** How many addresses are said to be there. */
     int size() {
-        return addresses.size();
+        return addressByNode.size();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
@@ -23,7 +23,7 @@
     /** Nanoseconds that never run back, and what they are in Unix time. */
     record Time(LongSupplier nanos, LongUnaryOperator unixMillis) {}
 
-    private static final Tree.Told NOBODY = (what, path, acl) -> {};
+    private static final Tree.NodeListener NO_LISTENER = (what, path, acl) -> {};
     private static final int NANOS = 1_000_000;
     private static final int ID_BITS = 16;
 
@@ -33,19 +33,19 @@
     private final List<Entry> log = new ArrayList<>();
     private final List<Member> quorum = new ArrayList<>();
     private final Map<Long, Integer> timeouts = new HashMap<>();
-    private final Map<Long, Long> overAt = new HashMap<>();
+    private final Map<Long, Long> expiresAt = new HashMap<>();
     private final Map<Long, MemberConnection> owners = new HashMap<>();
     private Tree head = new Tree();
     private long nextSession;
-    private long ticked;
-    private boolean lasting;
+    private long lastTick;
+    private boolean expirySuspended;
 
     /** With so many members, none of which is up. */
     Ensemble(CoordinationServer.Times times, Time time, int size) {
         this.times = times;
         this.time = time;
         // 0 is nobody's; and no other life's session may be taken for one of this.
-        this.ticked = now();
+        this.lastTick = now();
         this.nextSession = (unixMillis() << ID_BITS) + 1;
         for (int i = 0; i < size; i++) {
             members.add(new Member(this));
@@ -70,7 +70,7 @@
     }
 
     /** The last transaction. */
-    long last() {
+    long lastZxid() {
         return log.size();
     }
 
@@ -83,7 +83,7 @@
         return head.sessions();
     }
 
-    boolean has(Member member) {
+    boolean inQuorum(Member member) {
         return quorum.contains(member);
     }
 
@@ -91,36 +91,36 @@
     Tree replay(long zxid) {
         Tree tree = new Tree();
         for (int i = 1; i <= zxid; i++) {
-            apply(tree, i, NOBODY);
+            apply(tree, i, NO_LISTENER);
         }
         return tree;
     }
 
-    void apply(Tree tree, long zxid, Tree.Told told) {
+    void apply(Tree tree, long zxid, Tree.NodeListener listener) {
         Entry entry = entry(zxid);
         Tree.Stamp stamp = new Tree.Stamp(zxid, entry.unixMillis());
-        entry.changes().forEach(each -> tree.apply(each, stamp, told));
+        entry.changes().forEach(each -> tree.apply(each, stamp, listener));
     }
 
     /** Cuts these members off from the others, but not from one another. */
-    void sides(List<Member> apart) {
-        members.forEach(each -> each.side(apart.contains(each)));
+    void partition(List<Member> apart) {
+        members.forEach(each -> each.setApart(apart.contains(each)));
         regroup();
     }
 
     /** Finds out anew who has a quorum, after a member came, went or was cut off. */
     void regroup() {
         List<Member> next = members.stream().filter(this::reachesMajority).toList();
-        boolean anew = quorum.isEmpty() && !next.isEmpty();
-        List<Member> left = quorum.stream().filter(each -> !next.contains(each)).toList();
-        List<Member> joined = next.stream().filter(each -> !quorum.contains(each)).toList();
-        quorum.removeAll(left);
-        left.forEach(Member::leaves);
-        if (anew) {
+        boolean quorumFormed = quorum.isEmpty() && !next.isEmpty();
+        List<Member> leaving = quorum.stream().filter(each -> !next.contains(each)).toList();
+        List<Member> joining = next.stream().filter(each -> !quorum.contains(each)).toList();
+        quorum.removeAll(leaving);
+        leaving.forEach(Member::leaveQuorum);
+        if (quorumFormed) {
             truncate(next.stream().mapToLong(Member::remembered).max().orElse(0));
         }
-        quorum.addAll(joined);
-        joined.forEach(Member::joins);
+        quorum.addAll(joining);
+        joining.forEach(Member::joinQuorum);
     }
 
     private boolean reachesMajority(Member member) {
@@ -138,7 +138,7 @@
         head = replay(zxid);
         owners.clear();
         timeouts.clear();
-        overAt.clear();
+        expiresAt.clear();
         head.sessions().forEach(this::touch);
     }
 
@@ -148,42 +148,42 @@
      */
     void tick() {
         long now = now();
-        long still = now - ticked - times.tickMillis() * (long) NANOS;
-        ticked = now;
-        if (still > times.tickMillis() * (long) NANOS) {
+        long stall = now - lastTick - times.tickMillis() * (long) NANOS;
+        lastTick = now;
+        if (stall > times.tickMillis() * (long) NANOS) {
             // Danger: what clients said meanwhile waits unread, and would count as their silence.
-            overAt.replaceAll((session, at) -> at + still);
+            expiresAt.replaceAll((session, at) -> at + stall);
         }
-        if (!quorum.isEmpty() && !lasting) {
+        if (!quorum.isEmpty() && !expirySuspended) {
             List<Long> over = new ArrayList<>();
-            overAt.forEach(
+            expiresAt.forEach(
                     (session, at) -> {
                         if (at - now < 0) {
                             over.add(session);
                         }
                     });
-            over.stream().sorted().forEach(this::end);
+            over.stream().sorted().forEach(this::closeSession);
         }
         members.forEach(Member::catchUp);
     }
 
     /** From now on no session ends by itself, or each does again after its whole time. */
-    void lasting(boolean isLasting) {
-        lasting = isLasting;
+    void suspendExpiry(boolean isSuspended) {
+        expirySuspended = isSuspended;
         List.copyOf(timeouts.keySet()).forEach(this::touch);
     }
 
     /** Begins a session, and returns it. */
-    long begin(int timeout, MemberConnection owner) {
+    long openSession(int timeout, MemberConnection owner) {
         long session = nextSession++;
-        append(List.of(new Change.Begin(session, timeout)), true);
+        append(List.of(new Change.OpenSession(session, timeout)), true);
         owners.put(session, owner);
         touch(session, timeout);
         return session;
     }
 
     /** Whether a session is there; it is this connection's then, with this time-out. */
-    boolean resume(long session, int timeout, MemberConnection owner) {
+    boolean resumeSession(long session, int timeout, MemberConnection owner) {
         boolean there = head.sessions().containsKey(session);
         if (there) {
             owners.put(session, owner);
@@ -202,48 +202,49 @@
 
     private void touch(long session, int timeout) {
         timeouts.put(session, timeout);
-        overAt.put(session, now() + (long) timeout * NANOS);
+        expiresAt.put(session, now() + (long) timeout * NANOS);
     }
 
-    int granted(int asked) {
-        return Math.max(times.leastSessionMillis(), Math.min(times.mostSessionMillis(), asked));
+    int grantedTimeout(int requested) {
+        return Math.max(times.leastSessionMillis(), Math.min(times.mostSessionMillis(), requested));
     }
 
     /** Ends a session; false if there is none such, or nobody who could. */
-    boolean end(long session) {
+    boolean closeSession(long session) {
         if (quorum.isEmpty() || !head.sessions().containsKey(session)) {
             return false;
         }
-        append(List.of(new Change.End(session)), true);
+        append(List.of(new Change.CloseSession(session)), true);
         timeouts.remove(session);
-        overAt.remove(session);
+        expiresAt.remove(session);
         owners.remove(session);
         members.forEach(Member::catchUp);
         return true;
     }
 
     /** Does all of it or nothing. One result for each; of those that failed, an error. */
-    List<OpResult> write(List<Rules.Asked> asked, MemberConnection by) throws KeeperException {
-        if (!head.sessions().containsKey(by.session)) {
+    List<OpResult> write(List<Rules.Operation> requested, MemberConnection connection)
+            throws KeeperException {
+        if (!head.sessions().containsKey(connection.session)) {
             throw KeeperException.create(Code.SESSIONEXPIRED);
         }
-        if (owners.get(by.session) != by) {
+        if (owners.get(connection.session) != connection) {
             throw KeeperException.create(Code.SESSIONMOVED);
         }
         List<Change> changes = new ArrayList<>();
         List<Runnable> undo = new ArrayList<>();
         List<OpResult> results = new ArrayList<>();
-        Tree.Stamp stamp = new Tree.Stamp(last() + 1, unixMillis());
-        for (Rules.Asked each : asked) {
+        Tree.Stamp stamp = new Tree.Stamp(lastZxid() + 1, unixMillis());
+        for (Rules.Operation each : requested) {
             try {
-                Change change = Rules.change(head, each, by.asker());
+                Change change = Rules.change(head, each, connection.caller());
                 changes.add(change);
-                undo.add(head.apply(change, stamp, NOBODY));
+                undo.add(head.apply(change, stamp, NO_LISTENER));
                 results.add(Rules.result(head, each, change));
             } catch (KeeperException e) {
                 Collections.reverse(undo);
                 undo.forEach(Runnable::run);
-                return failed(asked.size(), results.size(), e.code());
+                return failed(requested.size(), results.size(), e.code());
             }
         }
         append(changes, false);
@@ -264,10 +265,10 @@
         return time.unixMillis.applyAsLong(now());
     }
 
-    private void append(List<Change> changes, boolean toHead) {
+    private void append(List<Change> changes, boolean applyToHead) {
         log.add(new Entry(now(), unixMillis(), List.copyOf(changes)));
-        if (toHead) {
-            apply(head, last(), NOBODY);
+        if (applyToHead) {
+            apply(head, lastZxid(), NO_LISTENER);
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -35,7 +35,7 @@
     record Plan(int sessions, int nodes, long seed) {}
 
     private static final String ROOT = "/orders/servers";
-    private static final Map<Integer, String> NAMES =
+    private static final Map<Integer, String> REQUEST_NAMES =
             Map.of(
                     OpCode.createSession,
                     "sessions",
@@ -63,7 +63,7 @@
     private static final int BIN_MILLIS = 100;
     private static final int PATIENCE_MILLIS = 120_000;
     private static final int IN_FLIGHT = 500;
-    private static final int BYTE = 256;
+    private static final int VALUES_PER_BYTE = 256;
 
     private final Plan plan;
     private final PrintStream out;
@@ -87,9 +87,10 @@
     }
 
     boolean run() throws IOException, InterruptedException, KeeperException {
-        try (CoordinationServer server = CoordinationServer.alone(CoordinationServer.Times.QUICK)) {
+        try (CoordinationServer server =
+                CoordinationServer.standalone(CoordinationServer.Times.QUICK)) {
             NodeWriter writer = new NodeWriter(server.address(), ROOT, WRITER_MILLIS);
-            writer.ground();
+            writer.createPersistent();
             nodes(writer);
             boolean right =
                     step(
@@ -129,28 +130,28 @@
         }
     }
 
-    private interface Cause {
+    private interface Trigger {
         void run() throws IOException, InterruptedException;
     }
 
     /** Plays it, and counts what is asked until all know of a node that was made right after. */
-    private boolean step(CoordinationServer server, String what, Cause cause, NodeWriter writer)
+    private boolean step(CoordinationServer server, String what, Trigger trigger, NodeWriter writer)
             throws IOException, InterruptedException, KeeperException {
         Map<Integer, Long> before = server.asked();
         long from = time.nanos();
-        cause.run();
+        trigger.run();
         long begun = time.nanos();
-        Thread marker = new Thread(() -> mark(writer), "marker");
+        Thread marker = new Thread(() -> createMarker(writer), "marker");
         marker.start();
         steps++;
         int wanted = plan.nodes() + steps;
-        long most = 0;
+        long maxPerBin = 0;
         long last = total(server.asked());
         boolean right = false;
         for (int waited = 0; waited < PATIENCE_MILLIS && !right; waited += BIN_MILLIS) {
             TimeUnit.MILLISECONDS.sleep(BIN_MILLIS);
             long now = total(server.asked());
-            most = Math.max(most, now - last);
+            maxPerBin = Math.max(maxPerBin, now - last);
             last = now;
             right = followers.stream().allMatch(each -> each.size == wanted);
         }
@@ -169,7 +170,7 @@
                 "  asked: "
                         + asked(before, server.asked())
                         + "; at most "
-                        + most
+                        + maxPerBin
                         + " in "
                         + BIN_MILLIS
                         + " ms");
@@ -177,7 +178,7 @@
     }
 
     /** One more node, which tells who has read what. */
-    private void mark(NodeWriter writer) {
+    private void createMarker(NodeWriter writer) {
         String path = ROOT + "/marker-" + (steps + 1);
         for (int i = 0; i < PATIENCE_MILLIS / BIN_MILLIS; i++) {
             try {
@@ -186,7 +187,7 @@
                                 path,
                                 new ServerNode("127.2.0." + (steps + 1) + ":80", "z", true, 1)
                                         .bytes(),
-                                Rules.OPEN,
+                                Rules.OPEN_ACL,
                                 CreateMode.PERSISTENT);
                 return;
             } catch (KeeperException.NodeExistsException e) {
@@ -212,12 +213,12 @@
             int until = Math.min(plan.nodes(), from + IN_FLIGHT);
             CountDownLatch made = new CountDownLatch(until - from);
             for (int i = from; i < until; i++) {
-                String address = "127.1." + i / BYTE + "." + i % BYTE + ":80";
+                String address = "127.1." + i / VALUES_PER_BYTE + "." + i % VALUES_PER_BYTE + ":80";
                 writer.client()
                         .create(
                                 ROOT + "/s" + i,
                                 new ServerNode(address, "z", true, 1).bytes(),
-                                Rules.OPEN,
+                                Rules.OPEN_ACL,
                                 CreateMode.PERSISTENT,
                                 (code, path, context, name) -> made.countDown(),
                                 null);
@@ -285,7 +286,7 @@
         after.forEach(
                 (type, count) ->
                         named.merge(
-                                NAMES.getOrDefault(type, "other"),
+                                REQUEST_NAMES.getOrDefault(type, "other"),
                                 count - before.getOrDefault(type, 0L),
                                 Long::sum));
         named.values().removeIf(count -> count == 0);
--- a/testbed/src/main/java/appleridge/testbed/coordination/LatencyCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/LatencyCheck.java
@@ -34,10 +34,10 @@
             boolean cold) {}
 
     /** All in nanoseconds; a {@code last} of 0 is no request at all after the end. */
-    record Result(Samples last, Samples first, int without) {}
+    record Result(Samples last, Samples first, int withoutRequest) {}
 
     /** Servers that come and go at once. */
-    private static final int AT_ONCE = 2;
+    private static final int WORKERS = 2;
 
     private static final int SEEN_MILLIS = 1500;
     private static final int SETTLE_MILLIS = 1000;
@@ -51,7 +51,7 @@
     private final Map<String, Long> last = new HashMap<>();
     private final List<Long> lasts = new ArrayList<>();
     private final List<Long> firsts = new ArrayList<>();
-    private int without;
+    private int withoutRequest;
 
     LatencyCheck(Plan plan, PrintStream out) {
         this.plan = plan;
@@ -60,11 +60,11 @@
 
     Result run(Path jar)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
-        ExecutorService threads = Executors.newFixedThreadPool(AT_ONCE);
+        ExecutorService threads = Executors.newFixedThreadPool(WORKERS);
         try (CoordinatedSite site = new CoordinatedSite(plan.seed(), DrainCheck.GRACE)) {
             site.open(plan.servers());
-            for (ProcessSlot seat : site.seats) {
-                up(site, seat);
+            for (ProcessSlot slot : site.slots) {
+                up(site, slot);
             }
             site.start(jar, plan.source(), plan.rate());
             site.onLoop(
@@ -78,16 +78,16 @@
                     });
             TimeUnit.MILLISECONDS.sleep(2 * SETTLE_MILLIS);
             AtomicInteger left = new AtomicInteger(plan.rounds());
-            List<Future<Void>> players = new ArrayList<>();
-            for (int i = 0; i < AT_ONCE; i++) {
-                int mine = i;
-                players.add(threads.submit(rounds(site, mine, left)));
+            List<Future<Void>> workers = new ArrayList<>();
+            for (int i = 0; i < WORKERS; i++) {
+                int workerNumber = i;
+                workers.add(threads.submit(rounds(site, workerNumber, left)));
             }
-            for (Future<Void> player : players) {
-                player.get();
+            for (Future<Void> worker : workers) {
+                worker.get();
             }
-            site.quiet();
-            Result result = new Result(new Samples(lasts), new Samples(firsts), without);
+            site.stopClients();
+            Result result = new Result(new Samples(lasts), new Samples(firsts), withoutRequest);
             print(site, result);
             return result;
         } finally {
@@ -95,62 +95,63 @@
         }
     }
 
-    private Callable<Void> rounds(CoordinatedSite site, int mine, AtomicInteger left) {
+    private Callable<Void> rounds(CoordinatedSite site, int workerNumber, AtomicInteger left) {
         return () -> {
-            for (int turn = mine; left.getAndDecrement() > 0; turn += AT_ONCE) {
-                int many = site.seats.size() / AT_ONCE * AT_ONCE;
-                round(site, site.seats.get(turn % many));
+            for (int turn = workerNumber; left.getAndDecrement() > 0; turn += WORKERS) {
+                int usableSlots = site.slots.size() / WORKERS * WORKERS;
+                round(site, site.slots.get(turn % usableSlots));
             }
             return null;
         };
     }
 
-    private void round(CoordinatedSite site, ProcessSlot seat)
+    private void round(CoordinatedSite site, ProcessSlot slot)
             throws IOException, InterruptedException, ExecutionException {
-        LoopbackServer old = seat.server();
+        LoopbackServer old = slot.server();
         String address = old.endpoint();
         long ended = site.time.nanos();
-        down(site, seat);
+        down(site, slot);
         TimeUnit.MILLISECONDS.sleep(SEEN_MILLIS);
         long lastAt = site.onLoop(() -> last.getOrDefault(address, 0L));
-        seat.crash(old);
-        seat.begin(plan.cold(), false);
-        up(site, seat);
-        long made = site.time.nanos();
-        String next = seat.address();
+        slot.crash(old);
+        slot.startProcess(plan.cold(), false);
+        up(site, slot);
+        long registeredAt = site.time.nanos();
+        String next = slot.address();
         boolean asked = site.await(() -> first.containsKey(next));
         synchronized (this) {
             lasts.add(Math.max(0, lastAt - ended));
             if (asked) {
-                firsts.add(site.onLoop(() -> first.get(next)) - made);
+                firsts.add(site.onLoop(() -> first.get(next)) - registeredAt);
             } else {
-                without++;
+                withoutRequest++;
             }
         }
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
     }
 
-    private void up(CoordinatedSite site, ProcessSlot seat)
+    private void up(CoordinatedSite site, ProcessSlot slot)
             throws IOException, InterruptedException, ExecutionException {
         if (plan.source() == CoordinatedSite.Source.REGISTRY) {
-            say(site, seat, LoopbackRegistry.State.READY);
+            announce(site, slot, LoopbackRegistry.State.READY);
         } else {
-            seat.register();
+            slot.register();
         }
     }
 
-    private void down(CoordinatedSite site, ProcessSlot seat)
+    private void down(CoordinatedSite site, ProcessSlot slot)
             throws InterruptedException, ExecutionException {
         if (plan.source() == CoordinatedSite.Source.REGISTRY) {
-            say(site, seat, LoopbackRegistry.State.GONE);
+            announce(site, slot, LoopbackRegistry.State.GONE);
         } else {
-            seat.expire();
+            slot.expire();
         }
     }
 
-    private static void say(CoordinatedSite site, ProcessSlot seat, LoopbackRegistry.State state)
+    private static void announce(
+            CoordinatedSite site, ProcessSlot slot, LoopbackRegistry.State state)
             throws InterruptedException, ExecutionException {
-        LoopbackServer server = seat.server();
+        LoopbackServer server = slot.server();
         site.onLoop(
                 () -> {
                     site.registry.set(
@@ -173,12 +174,12 @@
                 "  from the end to the last request: "
                         + result.last().millis()
                         + ", of them with none "
-                        + result.last().upTo(0));
+                        + result.last().countUpTo(0));
         out.println(
                 "  from the node to the first request: "
                         + result.first().millis()
                         + ", never asked "
-                        + result.without());
+                        + result.withoutRequest());
         out.println(
                 "  the stand-ins' own loop was late by at most "
                         + Samples.millis(site.lag.worst())
--- a/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
@@ -17,8 +17,8 @@
 
 /** One socket that answers at once on every loopback address, as if a server stood at each. */
 final class ManyServers implements AutoCloseable {
-    private static final int MOST_BODY = 64 * 1024;
-    private static final int BYTE = 256;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int VALUES_PER_BYTE = 256;
 
     private final Channel listening;
 
@@ -34,7 +34,7 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpRequestDecoder(),
-                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                                         new Answers());
                                     }
                                 })
@@ -46,9 +46,9 @@
     /** The address of one of them. */
     String address(int number) {
         return "127.1."
-                + number / BYTE
+                + number / VALUES_PER_BYTE
                 + "."
-                + number % BYTE
+                + number % VALUES_PER_BYTE
                 + ":"
                 + ((InetSocketAddress) listening.localAddress()).getPort();
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
@@ -47,18 +47,21 @@
     /** Cold servers are warm again after it, and what was told has had its time. */
     private static final int SETTLE_MILLIS = 10_000;
 
-    private static final Logger CLIENT = Logger.getLogger("appleridge.zookeeper");
+    private static final Logger CLIENT_LOGGER = Logger.getLogger("appleridge.zookeeper");
 
     /** Returns the exit status: 0 if what was measured is as it has to be. */
     public int run(String... args) {
         // The stand-ins' own clients lose their sessions all the time, as they should.
-        CLIENT.setLevel(Level.OFF);
+        CLIENT_LOGGER.setLevel(Level.OFF);
         try {
-            Words words =
-                    new Words(Arrays.copyOfRange(args, Math.min(1, args.length), args.length));
+            Options words =
+                    new Options(Arrays.copyOfRange(args, Math.min(1, args.length), args.length));
             Path jar = words.path("--jar");
             boolean held =
-                    run(args.length == 0 ? "" : args[0], words, jar == null ? besideOurs() : jar);
+                    run(
+                            args.length == 0 ? "" : args[0],
+                            words,
+                            jar == null ? jarBesideThisOne() : jar);
             return held ? 0 : 1;
         } catch (IllegalArgumentException e) {
             err.println("measure: " + e.getMessage());
@@ -73,7 +76,7 @@
         }
     }
 
-    private boolean run(String what, Words words, Path jar)
+    private boolean run(String what, Options words, Path jar)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         long seed = words.number("--seed", 1);
         int rate = words.number("--rate", 150);
@@ -90,8 +93,8 @@
                                 seed,
                                 words.strikes(),
                                 words.source(),
-                                words.text("--session", CoordinatedSite.LEAST_SESSION));
-                words.done();
+                                words.text("--session", CoordinatedSite.MIN_SESSION_TIMEOUT));
+                words.requireAllUsed();
                 return new DrainCheck(plan, out).run(jar).held();
             }
             case "membership-outage" -> {
@@ -105,7 +108,7 @@
                                         seed,
                                         SETTLE_MILLIS),
                                 out);
-                words.done();
+                words.requireAllUsed();
                 return check.held(check.run(jar));
             }
             case "membership-latency" -> {
@@ -117,8 +120,8 @@
                                 seed,
                                 words.source(),
                                 !words.flag("--warm"));
-                words.done();
-                return new LatencyCheck(plan, out).run(jar).without() == 0;
+                words.requireAllUsed();
+                return new LatencyCheck(plan, out).run(jar).withoutRequest() == 0;
             }
             case "membership-scale" -> {
                 ScaleCheck.Plan plan =
@@ -128,7 +131,7 @@
                                 words.number("--seconds", 60),
                                 rate,
                                 seed);
-                words.done();
+                words.requireAllUsed();
                 return new ScaleCheck(plan, out).run(jar);
             }
             case "membership-herd" -> {
@@ -137,7 +140,7 @@
                                 words.number("--sessions", 300),
                                 words.number("--nodes", 1000),
                                 seed);
-                words.done();
+                words.requireAllUsed();
                 return new HerdCheck(plan, out).run();
             }
             default -> throw new IllegalArgumentException("unknown: " + what);
@@ -147,16 +150,17 @@
     /**
      * In a built checkout the two jars, or our classes, lie in two modules' {@code target} folders.
      */
-    private static Path besideOurs() {
+    private static Path jarBesideThisOne() {
         try {
-            Path ours =
+            Path location =
                     Path.of(
                             Measure.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            return ours.resolveSibling(Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
+            return location.resolveSibling(
+                            Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
                     .normalize();
         } catch (URISyntaxException e) {
             throw new IllegalArgumentException("--jar is needed", e);
@@ -164,10 +168,10 @@
     }
 
     /** The words of a command line. */
-    private static final class Words {
+    private static final class Options {
         private final List<String> words;
 
-        Words(String... words) {
+        Options(String... words) {
             this.words = new ArrayList<>(List.of(words));
         }
 
@@ -187,18 +191,18 @@
             return words.remove(at);
         }
 
-        int number(String name, int absent) {
+        int number(String name, int defaultValue) {
             String value = value(name);
             try {
-                return value == null ? absent : Integer.parseInt(value);
+                return value == null ? defaultValue : Integer.parseInt(value);
             } catch (NumberFormatException e) {
                 throw new IllegalArgumentException(name + " makes no sense: " + value, e);
             }
         }
 
-        String text(String name, String absent) {
+        String text(String name, String defaultValue) {
             String value = value(name);
-            return value == null ? absent : value;
+            return value == null ? defaultValue : value;
         }
 
         Path path(String name) {
@@ -227,7 +231,7 @@
                     : CoordinatedSite.Source.valueOf(value.toUpperCase(Locale.ROOT));
         }
 
-        void done() {
+        void requireAllUsed() {
             if (!words.isEmpty()) {
                 throw new IllegalArgumentException("unknown: " + String.join(" ", words));
             }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Member.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Member.java
@@ -1,6 +1,6 @@
 package appleridge.testbed.coordination;
 
-import appleridge.testbed.coordination.Rules.Asked;
+import appleridge.testbed.coordination.Rules.Operation;
 import appleridge.testbed.coordination.Watches.Kind;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
@@ -64,14 +64,14 @@
  */
 final class Member {
     /** A lag without end. */
-    static final long STANDS = Long.MAX_VALUE;
+    static final long LAG_FOREVER = Long.MAX_VALUE;
 
-    private static final int EVENT = -1;
+    private static final int NOTIFICATION_XID = -1;
     private static final int PASSWORD_BYTES = 16;
     private static final long PASSWORD_SEED = 0x61707072;
 
     private final Ensemble ensemble;
-    private final Set<MemberConnection> visits = new LinkedHashSet<>();
+    private final Set<MemberConnection> connections = new LinkedHashSet<>();
     private final Map<Integer, Long> asked = new TreeMap<>();
     private Tree tree = new Tree();
     private long applied;
@@ -81,9 +81,9 @@
     private boolean up;
     private boolean readOnly;
     private boolean hung;
-    private int breakAt;
-    private boolean breakDone;
-    private long nextLocal = 1;
+    private int breakOnType;
+    private boolean breakAfterApplying;
+    private long nextLocalSession = 1;
 
     Member(Ensemble ensemble) {
         this.ensemble = ensemble;
@@ -104,7 +104,7 @@
     }
 
     /** Out of reach for those who are not, and they for it. */
-    void side(boolean isApart) {
+    void setApart(boolean isApart) {
         apart = isApart;
     }
 
@@ -121,7 +121,7 @@
         return remembered;
     }
 
-    /** Applies changes so many nanoseconds late from now on; {@link #STANDS}: not at all. */
+    /** Applies changes so many nanoseconds late from now on; {@link #LAG_FOREVER}: not at all. */
     void lag(long nanos) {
         lag = nanos;
         catchUp();
@@ -137,15 +137,15 @@
      */
     void hung(boolean isHung) {
         hung = isHung;
-        List.copyOf(visits).forEach(this::goOn);
+        List.copyOf(connections).forEach(this::processQueued);
     }
 
     /**
      * The next request of this kind ends its connection, unanswered: once it is done, or undone.
      */
     void breakNext(int type, boolean done) {
-        breakAt = type;
-        breakDone = done;
+        breakOnType = type;
+        breakAfterApplying = done;
     }
 
     long applied() {
@@ -156,65 +156,70 @@
         return new TreeMap<>(asked);
     }
 
-    void joins() {
+    void joinQuorum() {
         closeAll();
-        remembered = ensemble.last();
+        remembered = ensemble.lastZxid();
         applied = remembered;
         tree = ensemble.replay(applied);
     }
 
-    void leaves() {
+    void leaveQuorum() {
         closeAll();
-        remembered = ensemble.last();
+        remembered = ensemble.lastZxid();
     }
 
     private void closeAll() {
-        List.copyOf(visits).forEach(this::close);
+        List.copyOf(connections).forEach(this::close);
     }
 
-    private void close(MemberConnection visit) {
-        gone(visit);
-        visit.close();
+    private void close(MemberConnection connection) {
+        closed(connection);
+        connection.close();
     }
 
-    private boolean leads() {
-        return ensemble.has(this);
+    private boolean inQuorum() {
+        return ensemble.inQuorum(this);
     }
 
     /** Applies what it may by now, and answers who waited for it. */
     void catchUp() {
-        while (leads()
-                && lag != STANDS
-                && applied < ensemble.last()
+        while (inQuorum()
+                && lag != LAG_FOREVER
+                && applied < ensemble.lastZxid()
                 && ensemble.entry(applied + 1).at() + lag - ensemble.now() <= 0) {
             applied++;
-            ensemble.apply(tree, applied, this::tell);
+            ensemble.apply(tree, applied, this::notify);
             for (Change each : ensemble.entry(applied).changes()) {
-                if (each instanceof Change.End end) {
-                    visits.stream()
-                            .filter(visit -> visit.session == end.session() && !visit.leaving)
+                if (each instanceof Change.CloseSession end) {
+                    connections.stream()
+                            .filter(
+                                    connection ->
+                                            connection.session == end.session()
+                                                    && !connection.closing)
                             .toList()
                             .forEach(this::close);
                 }
             }
         }
-        for (MemberConnection visit : List.copyOf(visits)) {
-            visit.reached(applied);
-            goOn(visit);
+        for (MemberConnection connection : List.copyOf(connections)) {
+            connection.appliedUpTo(applied);
+            processQueued(connection);
         }
     }
 
-    private void tell(EventType what, String path, List<ACL> acl) {
-        for (MemberConnection visit : List.copyOf(visits)) {
-            if (visit.watches.hit(what, path) && Rules.may(acl, Perms.READ, visit.asker())) {
-                tell(visit, what, path, applied);
+    private void notify(EventType what, String path, List<ACL> acl) {
+        for (MemberConnection connection : List.copyOf(connections)) {
+            if (connection.watches.notifies(what, path)
+                    && Rules.allows(acl, Perms.READ, connection.caller())) {
+                notify(connection, what, path, applied);
             }
         }
     }
 
-    private static void tell(MemberConnection visit, EventType what, String path, long zxid) {
-        visit.answer(
-                EVENT,
+    private static void notify(
+            MemberConnection connection, EventType what, String path, long zxid) {
+        connection.answer(
+                NOTIFICATION_XID,
                 zxid,
                 0,
                 new WatcherEvent(
@@ -222,85 +227,97 @@
     }
 
     /** A connection was opened. */
-    void came(MemberConnection visit) {
-        visits.add(visit);
+    void opened(MemberConnection connection) {
+        connections.add(connection);
     }
 
     /** A connection was closed. */
-    void gone(MemberConnection visit) {
-        visits.remove(visit);
+    void closed(MemberConnection connection) {
+        connections.remove(connection);
     }
 
     /** Takes a whole frame, without its length; an empty one asks whether it only reads. */
-    void received(MemberConnection visit, byte[] frame) {
-        if (!visits.contains(visit)) {
+    void received(MemberConnection connection, byte[] frame) {
+        if (!connections.contains(connection)) {
             return;
         }
         if (frame.length == 0) {
-            visit.send((leads() ? "rw" : "ro").getBytes(StandardCharsets.US_ASCII));
-            close(visit);
-        } else if (!visit.greeted) {
-            greet(visit, new Wire.In(frame).read(new ConnectRequest()));
+            connection.send((inQuorum() ? "rw" : "ro").getBytes(StandardCharsets.US_ASCII));
+            close(connection);
+        } else if (!connection.handshakeSeen) {
+            handshake(connection, new Wire.In(frame).read(new ConnectRequest()));
         } else {
             RequestHeader head = new Wire.In(frame).read(new RequestHeader());
             asked.merge(head.getType(), 1L, Long::sum);
-            if (leads()) {
-                ensemble.touch(visit.session);
+            if (inQuorum()) {
+                ensemble.touch(connection.session);
             }
             if (head.getType() == OpCode.ping) {
-                visit.answer(head.getXid(), applied, 0, null);
+                connection.answer(head.getXid(), applied, 0, null);
             } else {
-                visit.waiting.add(frame);
-                goOn(visit);
+                connection.queuedFrames.add(frame);
+                processQueued(connection);
             }
         }
     }
 
     /** Takes what waits, up to what has to wait for the member itself. */
-    private void goOn(MemberConnection visit) {
-        if (visit.busy) {
+    private void processQueued(MemberConnection connection) {
+        if (connection.busy) {
             return;
         }
-        visit.busy = true;
-        while (!hung && !visit.awaits() && !visit.waiting.isEmpty() && visits.contains(visit)) {
-            take(visit, visit.waiting.remove());
+        connection.busy = true;
+        while (!hung
+                && !connection.hasPending()
+                && !connection.queuedFrames.isEmpty()
+                && connections.contains(connection)) {
+            process(connection, connection.queuedFrames.remove());
         }
-        visit.busy = false;
+        connection.busy = false;
     }
 
-    private void greet(MemberConnection visit, ConnectRequest ask) {
-        visit.greeted = true;
-        if (!leads() && !(readOnly && ask.getReadOnly()) || ask.getLastZxidSeen() > applied) {
-            close(visit);
+    private void handshake(MemberConnection connection, ConnectRequest request) {
+        connection.handshakeSeen = true;
+        if (!inQuorum() && !(readOnly && request.getReadOnly())
+                || request.getLastZxidSeen() > applied) {
+            close(connection);
             return;
         }
-        int timeout = ensemble.granted(ask.getTimeOut());
-        if (ask.getSessionId() == 0) {
+        int timeout = ensemble.grantedTimeout(request.getTimeOut());
+        if (request.getSessionId() == 0) {
             asked.merge(OpCode.createSession, 1L, Long::sum);
-            visit.session = leads() ? ensemble.begin(timeout, visit) : nextLocal++;
-            visit.await(leads() ? ensemble.last() : applied, () -> welcome(visit, timeout));
+            connection.session =
+                    inQuorum() ? ensemble.openSession(timeout, connection) : nextLocalSession++;
+            connection.answerAt(
+                    inQuorum() ? ensemble.lastZxid() : applied,
+                    () -> sendConnectResponse(connection, timeout));
             ensemble.members().forEach(Member::catchUp);
-        } else if (Arrays.equals(ask.getPasswd(), password(ask.getSessionId()))
-                && (leads()
-                        ? ensemble.resume(ask.getSessionId(), timeout, visit)
-                        : tree.sessions().containsKey(ask.getSessionId()))) {
-            visits.stream()
-                    .filter(old -> old.session == ask.getSessionId())
+        } else if (Arrays.equals(request.getPasswd(), password(request.getSessionId()))
+                && (inQuorum()
+                        ? ensemble.resumeSession(request.getSessionId(), timeout, connection)
+                        : tree.sessions().containsKey(request.getSessionId()))) {
+            connections.stream()
+                    .filter(old -> old.session == request.getSessionId())
                     .toList()
                     .forEach(this::close);
-            visit.session = ask.getSessionId();
-            welcome(visit, timeout);
+            connection.session = request.getSessionId();
+            sendConnectResponse(connection, timeout);
         } else {
-            visit.send(Wire.frame(new ConnectResponse(0, 0, 0, new byte[PASSWORD_BYTES], false)));
-            close(visit);
+            connection.send(
+                    Wire.frame(new ConnectResponse(0, 0, 0, new byte[PASSWORD_BYTES], false)));
+            close(connection);
         }
     }
 
-    private void welcome(MemberConnection visit, int timeout) {
-        visit.send(
+    private void sendConnectResponse(MemberConnection connection, int timeout) {
+        connection.send(
                 Wire.frame(
                         new ConnectResponse(
-                                0, timeout, visit.session, password(visit.session), !leads())));
+                                0,
+                                timeout,
+                                connection.session,
+                                password(connection.session),
+                                !inQuorum())));
     }
 
     private static byte[] password(long session) {
@@ -309,53 +326,57 @@
         return password;
     }
 
-    private void take(MemberConnection visit, byte[] frame) {
+    private void process(MemberConnection connection, byte[] frame) {
         Wire.In in = new Wire.In(frame);
         RequestHeader head = in.read(new RequestHeader());
-        boolean breaks = breakAt != 0 && head.getType() == breakAt;
+        boolean breaks = breakOnType != 0 && head.getType() == breakOnType;
         if (breaks) {
-            breakAt = 0;
-            visit.mute();
+            breakOnType = 0;
+            connection.mute();
         }
         try {
-            if (!breaks || breakDone) {
-                take(visit, head, in);
+            if (!breaks || breakAfterApplying) {
+                process(connection, head, in);
             }
         } catch (KeeperException.SessionMovedException
                 | UncheckedIOException
                 | IllegalArgumentException e) {
             // What no client of ours may ask ends its own connection, whoever's turn it is.
-            close(visit);
+            close(connection);
         } catch (KeeperException e) {
-            visit.answer(head.getXid(), applied, e.code().intValue(), null);
+            connection.answer(head.getXid(), applied, e.code().intValue(), null);
         }
         if (breaks) {
-            close(visit);
+            close(connection);
         }
     }
 
-    private void take(MemberConnection visit, RequestHeader head, Wire.In in)
+    private void process(MemberConnection connection, RequestHeader head, Wire.In in)
             throws KeeperException {
         switch (head.getType()) {
-            case OpCode.create, OpCode.create2 -> write(visit, head, in.read(new CreateRequest()));
-            case OpCode.delete -> write(visit, head, in.read(new DeleteRequest()));
-            case OpCode.setData -> write(visit, head, in.read(new SetDataRequest()));
-            case OpCode.setACL -> write(visit, head, in.read(new SetACLRequest()));
-            case OpCode.check -> write(visit, head, in.read(new CheckVersionRequest()));
-            case OpCode.multi -> multi(visit, head, in.read(new MultiOperationRecord()));
+            case OpCode.create, OpCode.create2 ->
+                    write(connection, head, in.read(new CreateRequest()));
+            case OpCode.delete -> write(connection, head, in.read(new DeleteRequest()));
+            case OpCode.setData -> write(connection, head, in.read(new SetDataRequest()));
+            case OpCode.setACL -> write(connection, head, in.read(new SetACLRequest()));
+            case OpCode.check -> write(connection, head, in.read(new CheckVersionRequest()));
+            case OpCode.multi -> multi(connection, head, in.read(new MultiOperationRecord()));
             case OpCode.multiRead ->
-                    answer(visit, head, multiRead(visit, in.read(new MultiOperationRecord())));
+                    answer(
+                            connection,
+                            head,
+                            multiRead(connection, in.read(new MultiOperationRecord())));
             case OpCode.sync -> {
-                needQuorum();
+                requireQuorum();
                 SyncRequest sync = in.read(new SyncRequest());
-                later(visit, head, new SyncResponse(sync.getPath()));
+                answerOnceApplied(connection, head, new SyncResponse(sync.getPath()));
             }
-            case OpCode.closeSession -> leave(visit, head);
-            case OpCode.auth -> identify(visit, head, in.read(new AuthPacket()));
+            case OpCode.closeSession -> closeSession(connection, head);
+            case OpCode.auth -> authenticate(connection, head, in.read(new AuthPacket()));
             case OpCode.setWatches -> {
                 SetWatches set = in.read(new SetWatches());
-                watchAgain(
-                        visit,
+                restoreWatches(
+                        connection,
                         new SetWatches2(
                                 set.getRelativeZxid(),
                                 set.getDataWatches(),
@@ -363,95 +384,101 @@
                                 set.getChildWatches(),
                                 List.of(),
                                 List.of()));
-                answer(visit, head, null);
+                answer(connection, head, null);
             }
             case OpCode.setWatches2 -> {
-                watchAgain(visit, in.read(new SetWatches2()));
-                answer(visit, head, null);
+                restoreWatches(connection, in.read(new SetWatches2()));
+                answer(connection, head, null);
             }
             case OpCode.addWatch -> {
                 AddWatchRequest add = in.read(new AddWatchRequest());
-                visit.watches.add(
+                connection.watches.add(
                         add.getMode() == AddWatchModes.persistent
                                 ? Kind.PERSISTENT
                                 : Kind.RECURSIVE,
                         add.getPath());
-                answer(visit, head, new ErrorResponse(0));
+                answer(connection, head, new ErrorResponse(0));
             }
             case OpCode.removeWatches -> {
                 RemoveWatchesRequest remove = in.read(new RemoveWatchesRequest());
-                unwatch(visit, remove.getPath(), remove.getType(), true);
-                answer(visit, head, null);
+                removeWatches(connection, remove.getPath(), remove.getType(), true);
+                answer(connection, head, null);
             }
             case OpCode.checkWatches -> {
                 CheckWatchesRequest check = in.read(new CheckWatchesRequest());
-                unwatch(visit, check.getPath(), check.getType(), false);
-                answer(visit, head, null);
+                removeWatches(connection, check.getPath(), check.getType(), false);
+                answer(connection, head, null);
             }
-            default -> answer(visit, head, read(visit, head.getType(), in));
+            default -> answer(connection, head, read(connection, head.getType(), in));
         }
     }
 
-    private void answer(MemberConnection visit, RequestHeader head, Record record) {
-        visit.answer(head.getXid(), applied, 0, record);
+    private void answer(MemberConnection connection, RequestHeader head, Record record) {
+        connection.answer(head.getXid(), applied, 0, record);
     }
 
     /** Answers once it has applied all that there is now. */
-    private void later(MemberConnection visit, RequestHeader head, Record record) {
-        long zxid = ensemble.last();
-        visit.await(zxid, () -> visit.answer(head.getXid(), zxid, 0, record));
-        visit.reached(applied);
+    private void answerOnceApplied(MemberConnection connection, RequestHeader head, Record record) {
+        long zxid = ensemble.lastZxid();
+        connection.answerAt(zxid, () -> connection.answer(head.getXid(), zxid, 0, record));
+        connection.appliedUpTo(applied);
     }
 
-    private void needQuorum() throws KeeperException {
-        if (!leads()) {
+    private void requireQuorum() throws KeeperException {
+        if (!inQuorum()) {
             throw KeeperException.create(Code.NOTREADONLY);
         }
     }
 
-    private Record read(MemberConnection visit, int type, Wire.In in) throws KeeperException {
+    private Record read(MemberConnection connection, int type, Wire.In in) throws KeeperException {
         switch (type) {
             case OpCode.exists -> {
-                ExistsRequest ask = in.read(new ExistsRequest());
-                watch(visit, ask.getWatch(), Kind.DATA, ask.getPath());
-                return new ExistsResponse(Rules.stat(tree, ask.getPath()));
+                ExistsRequest request = in.read(new ExistsRequest());
+                watch(connection, request.getWatch(), Kind.DATA, request.getPath());
+                return new ExistsResponse(Rules.stat(tree, request.getPath()));
             }
             case OpCode.getData -> {
-                GetDataRequest ask = in.read(new GetDataRequest());
-                Tree.Node node = Rules.permitted(tree, ask.getPath(), Perms.READ, visit.asker());
-                watch(visit, ask.getWatch(), Kind.DATA, ask.getPath());
+                GetDataRequest request = in.read(new GetDataRequest());
+                Tree.Node node =
+                        Rules.permitted(tree, request.getPath(), Perms.READ, connection.caller());
+                watch(connection, request.getWatch(), Kind.DATA, request.getPath());
                 return new GetDataResponse(node.data(), node.stat());
             }
             case OpCode.getChildren, OpCode.getChildren2 -> {
-                GetChildrenRequest ask = in.read(new GetChildrenRequest());
-                Tree.Node node = Rules.permitted(tree, ask.getPath(), Perms.READ, visit.asker());
-                watch(visit, ask.getWatch(), Kind.CHILDREN, ask.getPath());
+                GetChildrenRequest request = in.read(new GetChildrenRequest());
+                Tree.Node node =
+                        Rules.permitted(tree, request.getPath(), Perms.READ, connection.caller());
+                watch(connection, request.getWatch(), Kind.CHILDREN, request.getPath());
                 return type == OpCode.getChildren
                         ? new GetChildrenResponse(node.children())
                         : new GetChildren2Response(node.children(), node.stat());
             }
             case OpCode.getACL -> {
-                GetACLRequest ask = in.read(new GetACLRequest());
+                GetACLRequest request = in.read(new GetACLRequest());
                 Tree.Node node =
                         Rules.permitted(
-                                tree, ask.getPath(), Perms.READ | Perms.ADMIN, visit.asker());
-                return new GetACLResponse(Rules.shown(node, visit.asker()), node.stat());
+                                tree,
+                                request.getPath(),
+                                Perms.READ | Perms.ADMIN,
+                                connection.caller());
+                return new GetACLResponse(Rules.visibleAcl(node, connection.caller()), node.stat());
             }
             default -> throw KeeperException.create(Code.UNIMPLEMENTED);
         }
     }
 
-    private static void watch(MemberConnection visit, boolean wanted, Kind kind, String path) {
+    private static void watch(MemberConnection connection, boolean wanted, Kind kind, String path) {
         if (wanted) {
-            visit.watches.add(kind, path);
+            connection.watches.add(kind, path);
         }
     }
 
-    private Record multiRead(MemberConnection visit, MultiOperationRecord many) {
+    private Record multiRead(MemberConnection connection, MultiOperationRecord many) {
         MultiResponse response = new MultiResponse();
         for (Op each : many) {
             try {
-                Tree.Node node = Rules.permitted(tree, each.getPath(), Perms.READ, visit.asker());
+                Tree.Node node =
+                        Rules.permitted(tree, each.getPath(), Perms.READ, connection.caller());
                 response.add(
                         each.getType() == OpCode.getData
                                 ? new OpResult.GetDataResult(node.data(), node.stat())
@@ -463,10 +490,11 @@
         return response;
     }
 
-    private void write(MemberConnection visit, RequestHeader head, Record request)
+    private void write(MemberConnection connection, RequestHeader head, Record request)
             throws KeeperException {
-        needQuorum();
-        OpResult result = ensemble.write(List.of(new Asked(head.getType(), request)), visit).get(0);
+        requireQuorum();
+        OpResult result =
+                ensemble.write(List.of(new Operation(head.getType(), request)), connection).get(0);
         if (result instanceof OpResult.ErrorResult failed) {
             throw KeeperException.create(Code.get(failed.getErr()));
         }
@@ -482,52 +510,52 @@
                             ? new SetACLResponse(set.getStat())
                             : new SetDataResponse(set.getStat());
         }
-        later(visit, head, response);
+        answerOnceApplied(connection, head, response);
     }
 
-    private void multi(MemberConnection visit, RequestHeader head, MultiOperationRecord many)
+    private void multi(MemberConnection connection, RequestHeader head, MultiOperationRecord many)
             throws KeeperException {
-        needQuorum();
-        List<Asked> all = new ArrayList<>();
+        requireQuorum();
+        List<Operation> all = new ArrayList<>();
         for (Op each : many) {
-            all.add(new Asked(each.getType(), each.toRequestRecord()));
+            all.add(new Operation(each.getType(), each.toRequestRecord()));
         }
         MultiResponse response = new MultiResponse();
-        ensemble.write(all, visit).forEach(response::add);
-        later(visit, head, response);
+        ensemble.write(all, connection).forEach(response::add);
+        answerOnceApplied(connection, head, response);
     }
 
-    private void leave(MemberConnection visit, RequestHeader head) {
-        visit.leaving = true;
-        if (leads()) {
-            ensemble.end(visit.session);
+    private void closeSession(MemberConnection connection, RequestHeader head) {
+        connection.closing = true;
+        if (inQuorum()) {
+            ensemble.closeSession(connection.session);
         }
-        visit.await(
-                leads() ? ensemble.last() : applied,
+        connection.answerAt(
+                inQuorum() ? ensemble.lastZxid() : applied,
                 () -> {
-                    answer(visit, head, null);
-                    close(visit);
+                    answer(connection, head, null);
+                    close(connection);
                 });
-        visit.reached(applied);
+        connection.appliedUpTo(applied);
     }
 
-    private void identify(MemberConnection visit, RequestHeader head, AuthPacket auth) {
+    private void authenticate(MemberConnection connection, RequestHeader head, AuthPacket auth) {
         if (auth.getScheme().equals("digest")) {
-            visit.ids.add(Rules.digest(auth.getAuth()));
-            answer(visit, head, null);
+            connection.ids.add(Rules.digest(auth.getAuth()));
+            answer(connection, head, null);
         } else {
-            visit.answer(head.getXid(), applied, Code.AUTHFAILED.intValue(), null);
-            close(visit);
+            connection.answer(head.getXid(), applied, Code.AUTHFAILED.intValue(), null);
+            close(connection);
         }
     }
 
     /** After a reconnect: what was missed is told now, and watches stand for the rest. */
-    private void watchAgain(MemberConnection visit, SetWatches2 set) {
+    private void restoreWatches(MemberConnection connection, SetWatches2 set) {
         long since = set.getRelativeZxid();
         for (String path : set.getDataWatches()) {
             Tree.Node node = tree.node(path);
-            again(
-                    visit,
+            restoreWatch(
+                    connection,
                     Kind.DATA,
                     path,
                     node == null
@@ -535,12 +563,16 @@
                             : node.stat().getMzxid() > since ? EventType.NodeDataChanged : null);
         }
         for (String path : set.getExistWatches()) {
-            again(visit, Kind.DATA, path, tree.node(path) == null ? null : EventType.NodeCreated);
+            restoreWatch(
+                    connection,
+                    Kind.DATA,
+                    path,
+                    tree.node(path) == null ? null : EventType.NodeCreated);
         }
         for (String path : set.getChildWatches()) {
             Tree.Node node = tree.node(path);
-            again(
-                    visit,
+            restoreWatch(
+                    connection,
                     Kind.CHILDREN,
                     path,
                     node == null
@@ -549,22 +581,24 @@
                                     ? EventType.NodeChildrenChanged
                                     : null);
         }
-        set.getPersistentWatches().forEach(path -> visit.watches.add(Kind.PERSISTENT, path));
+        set.getPersistentWatches().forEach(path -> connection.watches.add(Kind.PERSISTENT, path));
         set.getPersistentRecursiveWatches()
-                .forEach(path -> visit.watches.add(Kind.RECURSIVE, path));
+                .forEach(path -> connection.watches.add(Kind.RECURSIVE, path));
     }
 
-    private static void again(MemberConnection visit, Kind kind, String path, EventType missed) {
+    private static void restoreWatch(
+            MemberConnection connection, Kind kind, String path, EventType missed) {
         if (missed == null) {
-            visit.watches.add(kind, path);
+            connection.watches.add(kind, path);
         } else {
-            tell(visit, missed, path, EVENT);
+            notify(connection, missed, path, NOTIFICATION_XID);
         }
     }
 
-    private static void unwatch(MemberConnection visit, String path, int type, boolean end)
+    private static void removeWatches(
+            MemberConnection connection, String path, int type, boolean end)
             throws KeeperException {
-        if (!visit.watches.find(path, WatcherType.fromInt(type), end)) {
+        if (!connection.watches.find(path, WatcherType.fromInt(type), end)) {
             throw KeeperException.create(Code.NOWATCHER, path);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
@@ -11,7 +11,7 @@
 /** One client's connection with one member, as the member knows it. Pure. */
 final class MemberConnection {
     /** Where the answers go. */
-    interface Line {
+    interface Transport {
         /** Whole frames, in order. */
         void send(byte[] bytes);
 
@@ -20,16 +20,16 @@
     }
 
     /** The one request under way, which is answered once its member has come as far as this. */
-    private record Open(long zxid, Runnable answer) {}
+    private record PendingAnswer(long zxid, Runnable answer) {}
 
     final Watches watches = new Watches();
     final Set<Id> ids = new LinkedHashSet<>();
-    final Queue<byte[]> waiting = new ArrayDeque<>();
-    private final Line line;
-    private Open open;
+    final Queue<byte[]> queuedFrames = new ArrayDeque<>();
+    private final Transport transport;
+    private PendingAnswer pending;
     private boolean mute;
-    boolean greeted;
-    boolean leaving;
+    boolean handshakeSeen;
+    boolean closing;
 
     /**
      * Danger: a request that is taken while one before it is not answered yet is answered first.
@@ -38,12 +38,12 @@
 
     long session;
 
-    MemberConnection(Line line) {
-        this.line = line;
+    MemberConnection(Transport transport) {
+        this.transport = transport;
     }
 
-    Rules.Asker asker() {
-        return new Rules.Asker(session, ids);
+    Rules.Caller caller() {
+        return new Rules.Caller(session, ids);
     }
 
     /** Nothing more is answered, and the next to be sent is lost. */
@@ -53,7 +53,7 @@
 
     void send(byte[] bytes) {
         if (!mute) {
-            line.send(bytes);
+            transport.send(bytes);
         }
     }
 
@@ -62,23 +62,23 @@
     }
 
     void close() {
-        line.close();
+        transport.close();
     }
 
     /** All that comes waits until the member has come as far as this. */
-    void await(long zxid, Runnable answer) {
-        open = new Open(zxid, answer);
+    void answerAt(long zxid, Runnable answer) {
+        pending = new PendingAnswer(zxid, answer);
     }
 
-    boolean awaits() {
-        return open != null;
+    boolean hasPending() {
+        return pending != null;
     }
 
     /** Its member has come so far. */
-    void reached(long zxid) {
-        if (open != null && open.zxid <= zxid) {
-            Runnable answer = open.answer;
-            open = null;
+    void appliedUpTo(long zxid) {
+        if (pending != null && pending.zxid <= zxid) {
+            Runnable answer = pending.answer;
+            pending = null;
             answer.run();
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
@@ -29,15 +29,15 @@
         if (tls != null) {
             channel.pipeline().addLast(tls.newHandler(channel.alloc()));
         }
-        channel.pipeline().addLast(new Frames(), new Connection(channel, member));
+        channel.pipeline().addLast(new FrameDecoder(), new Connection(channel, member));
     }
 
     /** One client's bytes. */
     private static final class Connection extends SimpleChannelInboundHandler<ByteBuf>
-            implements MemberConnection.Line {
+            implements MemberConnection.Transport {
         private final Channel channel;
         private final Member member;
-        private final MemberConnection visit = new MemberConnection(this);
+        private final MemberConnection connection = new MemberConnection(this);
 
         Connection(Channel channel, Member member) {
             this.channel = channel;
@@ -46,17 +46,17 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            member.came(visit);
+            member.opened(connection);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            member.gone(visit);
+            member.closed(connection);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            member.received(visit, ByteBufUtil.getBytes(frame.skipBytes(Integer.BYTES)));
+            member.received(connection, ByteBufUtil.getBytes(frame.skipBytes(Integer.BYTES)));
         }
 
         @Override
--- a/testbed/src/main/java/appleridge/testbed/coordination/NodeReply.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/NodeReply.java
@@ -11,9 +11,9 @@
  * @param children their names; empty if they aren't said
  */
 public record NodeReply(
-        long session, What what, String path, long zxid, String data, List<String> children) {
+        long session, Kind kind, String path, long zxid, String data, List<String> children) {
     /** What is said. */
-    enum What {
+    enum Kind {
         /** It was made; not what it holds. */
         MADE,
         /** What it holds has changed; not to what. */
--- a/testbed/src/main/java/appleridge/testbed/coordination/NodeWriter.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/NodeWriter.java
@@ -38,16 +38,16 @@
     }
 
     /** Makes a node that stays, if there is none, and those above it. */
-    public void ground() throws KeeperException, InterruptedException {
+    public void createPersistent() throws KeeperException, InterruptedException {
         for (int slash = path.indexOf('/', 1); slash > 0; slash = path.indexOf('/', slash + 1)) {
-            permanent(path.substring(0, slash));
+            createIfAbsent(path.substring(0, slash));
         }
-        permanent(path);
+        createIfAbsent(path);
     }
 
-    private void permanent(String at) throws KeeperException, InterruptedException {
+    private void createIfAbsent(String at) throws KeeperException, InterruptedException {
         try {
-            client.create(at, new byte[0], Rules.OPEN, CreateMode.PERSISTENT);
+            client.create(at, new byte[0], Rules.OPEN_ACL, CreateMode.PERSISTENT);
         } catch (KeeperException.NodeExistsException e) {
             // As wanted.
         }
@@ -57,7 +57,7 @@
     void create(ServerNode node) throws KeeperException, InterruptedException {
         while (true) {
             try {
-                client.create(path, node.bytes(), Rules.OPEN, CreateMode.EPHEMERAL);
+                client.create(path, node.bytes(), Rules.OPEN_ACL, CreateMode.EPHEMERAL);
                 return;
             } catch (KeeperException.NodeExistsException e) {
                 delete();
--- a/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
@@ -25,12 +25,12 @@
     /** What came of it: medians over the pairs; times in nanoseconds. */
     record Result(int lost, int refused, double p99Ratio, Samples righted) {}
 
-    private static final double MOST_RATIO = 1.1;
+    private static final double MAX_P99_RATIO = 1.1;
     private static final int LAST_ANSWERS_MILLIS = 2500;
 
     private final Plan plan;
     private final PrintStream out;
-    private final List<Long> righted = new ArrayList<>();
+    private final List<Long> settleTimes = new ArrayList<>();
     private final List<Double> ratios = new ArrayList<>();
     private int lost;
     private int refused;
@@ -44,16 +44,16 @@
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         try (CoordinatedSite site = new CoordinatedSite(plan.seed(), DrainCheck.GRACE)) {
             site.open(plan.servers());
-            for (ProcessSlot seat : site.seats) {
-                seat.register();
+            for (ProcessSlot slot : site.slots) {
+                slot.register();
             }
             site.start(jar, CoordinatedSite.Source.NODES, plan.rate());
             TimeUnit.MILLISECONDS.sleep(plan.settleMillis() / 2);
             for (int i = 0; i < plan.pairs(); i++) {
                 pair(site, i);
             }
-            site.quiet();
-            Result result = new Result(lost, refused, median(ratios), new Samples(righted));
+            site.stopClients();
+            Result result = new Result(lost, refused, median(ratios), new Samples(settleTimes));
             out.println(
                     "without an answer "
                             + lost
@@ -73,24 +73,24 @@
     boolean held(Result result) {
         return result.lost() == 0
                 && result.refused() == 0
-                && result.p99Ratio() <= MOST_RATIO
+                && result.p99Ratio() <= MAX_P99_RATIO
                 && result.righted().count() == plan.pairs();
     }
 
     private void pair(CoordinatedSite site, int number)
             throws IOException, InterruptedException, ExecutionException {
         Window calm = null;
-        Window away = null;
+        Window outage = null;
         for (int half = 0; half < 2; half++) {
             if ((number + half) % 2 == 0) {
                 calm = window(site);
             } else {
-                away = outage(site, number);
+                outage = runOutage(site, number);
             }
         }
-        lost += away.asked - away.served - away.refused;
-        refused += away.refused;
-        ratios.add(away.p99 / (double) calm.p99);
+        lost += outage.asked - outage.served - outage.refused;
+        refused += outage.refused;
+        ratios.add(outage.p99 / (double) calm.p99);
         out.println(
                 "pair "
                         + (number + 1)
@@ -98,42 +98,45 @@
                         + "calm "
                         + text(calm)
                         + "; outage "
-                        + text(away)
+                        + text(outage)
                         + "; p99 ratio "
-                        + round(away.p99 / (double) calm.p99));
+                        + round(outage.p99 / (double) calm.p99));
     }
 
-    private Window outage(CoordinatedSite site, int number)
+    private Window runOutage(CoordinatedSite site, int number)
             throws IOException, InterruptedException, ExecutionException {
         boolean refuses = number % 4 < 2;
         site.onLoop(
                 () -> {
-                    site.relay.door(refuses ? Relay.Door.REFUSES : Relay.Door.SILENT);
+                    site.relay.mode(refuses ? Relay.Mode.REFUSES : Relay.Mode.SILENT);
                     if (refuses) {
                         site.relay.reset();
                     }
                     return null;
                 });
-        ProcessSlot seat = site.seats.get(number % site.seats.size());
-        LoopbackServer old = seat.server();
+        ProcessSlot slot = site.slots.get(number % site.slots.size());
+        LoopbackServer old = slot.server();
         String oldAddress = old.endpoint();
-        seat.expire();
+        slot.expire();
         Window window = window(site);
-        seat.begin(true, false);
-        seat.register();
+        slot.startProcess(true, false);
+        slot.register();
         long ends = site.time.nanos();
         site.onLoop(
                 () -> {
-                    site.relay.door(Relay.Door.OPEN);
+                    site.relay.mode(Relay.Mode.OPEN);
                     return null;
                 });
         boolean right =
-                site.await(() -> !site.book.there(oldAddress) && site.book.there(seat.address()));
+                site.await(
+                        () ->
+                                !site.drains.isPresent(oldAddress)
+                                        && site.drains.isPresent(slot.address()));
         if (right) {
-            righted.add(site.time.nanos() - ends);
+            settleTimes.add(site.time.nanos() - ends);
         }
         TimeUnit.MILLISECONDS.sleep(plan.settleMillis());
-        seat.crash(old);
+        slot.crash(old);
         return window;
     }
 
@@ -163,7 +166,7 @@
                             took.size(),
                             denied,
                             figures.median(),
-                            figures.at(0.99));
+                            figures.quantile(0.99));
                 });
     }
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
@@ -14,14 +14,14 @@
  * that its loop is in, so that the slowest is no quicker than the longest turn met.
  */
 final class Probe implements AutoCloseable {
-    private static final byte[] ASK =
+    private static final byte[] REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: probe\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final int PAUSE_MILLIS = 2;
 
     private final int port;
-    private final Thread thread = new Thread(this::ask, "probe");
+    private final Thread thread = new Thread(this::run, "probe");
     private final List<Long> took = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean closed;
 
     Probe(int port) {
         this.port = port;
@@ -29,20 +29,20 @@
         thread.start();
     }
 
-    private void ask() {
-        while (!over) {
+    private void run() {
+        while (!closed) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setTcpNoDelay(true);
                 byte[] answer = new byte[4096];
-                while (!over) {
+                while (!closed) {
                     long from = System.nanoTime();
-                    socket.getOutputStream().write(ASK);
+                    socket.getOutputStream().write(REQUEST);
                     InputStream in = socket.getInputStream();
                     int read = in.read(answer);
                     if (read < 0) {
                         break;
                     }
-                    note(System.nanoTime() - from);
+                    record(System.nanoTime() - from);
                     TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
                 }
             } catch (IOException e) {
@@ -53,12 +53,12 @@
         }
     }
 
-    private synchronized void note(long nanos) {
+    private synchronized void record(long nanos) {
         took.add(nanos);
     }
 
     /** All since this was last asked. */
-    synchronized Samples taken() {
+    synchronized Samples drainSamples() {
         Samples all = new Samples(took);
         took.clear();
         return all;
@@ -66,7 +66,7 @@
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         thread.interrupt();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessFigures.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessFigures.java
@@ -8,9 +8,9 @@
 /** What a process has used, as Linux counts it. */
 final class ProcessFigures {
     /** Ticks of the kernel's count, which has been so on every machine for long. */
-    private static final long TICKS_A_SECOND = 100;
+    private static final long TICKS_PER_SECOND = 100;
 
-    private static final int USER = 11;
+    private static final int USER_TIME_FIELD = 11;
 
     private ProcessFigures() {}
 
@@ -18,8 +18,9 @@
     static long cpu(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[USER]) + Long.parseLong(fields[USER + 1]))
-                * (TimeUnit.SECONDS.toNanos(1) / TICKS_A_SECOND);
+        return (Long.parseLong(fields[USER_TIME_FIELD])
+                        + Long.parseLong(fields[USER_TIME_FIELD + 1]))
+                * (TimeUnit.SECONDS.toNanos(1) / TICKS_PER_SECOND);
     }
 
     /** KiB in memory, now ({@code VmRSS}) or at most ({@code VmHWM}). */
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
@@ -14,16 +14,16 @@
  */
 final class ProcessSlot implements AutoCloseable {
     /** Within so long a node is made, whatever the coordination server does meanwhile. */
-    private static final int TRIES = 200;
+    private static final int MAX_TRIES = 200;
 
-    private static final int AGAIN_MILLIS = 100;
-    private static final int QUEUE = 96;
+    private static final int RETRY_PAUSE_MILLIS = 100;
+    private static final int QUEUE_LIMIT = 96;
     private static final long LONG_AGO = TimeUnit.HOURS.toMillis(1);
 
     private final CoordinatedSite site;
     private final String name;
     private final String zone;
-    private int lives;
+    private int processCount;
     private LoopbackServer server;
     private NodeWriter writer;
     private ServerNode node;
@@ -47,7 +47,8 @@
     }
 
     /** A process starts, at an address of its own or at the last one's. */
-    void begin(boolean cold, boolean sameAddress) throws InterruptedException, ExecutionException {
+    void startProcess(boolean cold, boolean sameAddress)
+            throws InterruptedException, ExecutionException {
         int port = sameAddress ? server.port() : 0;
         LoopbackServer next =
                 site.onLoop(
@@ -56,13 +57,13 @@
                                         site.loop,
                                         site.time,
                                         new LoopbackServer.Identity(
-                                                name + "#" + ++lives,
+                                                name + "#" + ++processCount,
                                                 zone,
                                                 ColdStart.Figures.USUAL,
-                                                QUEUE,
+                                                QUEUE_LIMIT,
                                                 cold),
                                         site.memory,
-                                        site.chance.split(),
+                                        site.random.split(),
                                         site.traffic));
         CountDownLatch listens = new CountDownLatch(1);
         site.onLoop(
@@ -72,7 +73,7 @@
                 });
         listens.await();
         server = next;
-        site.stands(next);
+        site.addServer(next);
         // 0 would say that it began with its node.
         node =
                 new ServerNode(
@@ -116,12 +117,12 @@
         write(() -> writer.garble());
     }
 
-    private interface Write {
+    private interface NodeWrite {
         void run() throws KeeperException, InterruptedException;
     }
 
-    private void write(Write what) throws IOException, InterruptedException {
-        for (int i = 0; i < TRIES; i++) {
+    private void write(NodeWrite what) throws IOException, InterruptedException {
+        for (int i = 0; i < MAX_TRIES; i++) {
             try {
                 if (writer == null) {
                     writer =
@@ -136,8 +137,8 @@
             } catch (KeeperException | IOException e) {
                 // A session that is lost or a server that is away: with another session, once it
                 // answers.
-                drop();
-                TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+                closeWriter();
+                TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MILLIS);
             }
         }
         throw new IOException(name + " can't register");
@@ -147,7 +148,7 @@
     void expire() {
         if (writer != null) {
             site.coordination.expire(writer.session());
-            drop();
+            closeWriter();
         }
     }
 
@@ -158,7 +159,7 @@
 
     /** The session ends in order. */
     void leave() {
-        drop();
+        closeWriter();
     }
 
     /** The session is left alone, to end when the caller says so. */
@@ -168,7 +169,7 @@
         return left;
     }
 
-    private void drop() {
+    private void closeWriter() {
         if (writer != null) {
             writer.close();
             writer = null;
@@ -177,7 +178,7 @@
 
     @Override
     public void close() {
-        drop();
+        closeWriter();
         if (server != null) {
             site.loop.execute(server::crash);
         }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
@@ -22,12 +22,12 @@
     /**
      * Told what servers said, when the last byte of it was with the socket, on the relay's loop.
      */
-    public interface Hearing {
-        void heard(NodeReply what, long at);
+    public interface ReplyListener {
+        void onReply(NodeReply what, long at);
     }
 
     /** What becomes of a connection that a client opens. */
-    public enum Door {
+    public enum Mode {
         OPEN,
         REFUSES,
         SILENT
@@ -35,21 +35,22 @@
 
     final EventLoop loop;
     final RealTime time;
-    final Hearing hearing;
+    final ReplyListener replyListener;
     private final Set<RelayLink> links = new LinkedHashSet<>();
     private InetSocketAddress server;
     private Channel listening;
-    private Door door = Door.OPEN;
+    private Mode mode = Mode.OPEN;
     private long delay;
-    private boolean halves;
+    private boolean truncateNext;
     private boolean readOnly;
-    private long carried;
+    private long bytesToClients;
 
-    public Relay(EventLoop loop, RealTime time, InetSocketAddress server, Hearing hearing) {
+    public Relay(
+            EventLoop loop, RealTime time, InetSocketAddress server, ReplyListener replyListener) {
         this.loop = loop;
         this.time = time;
         this.server = server;
-        this.hearing = hearing;
+        this.replyListener = replyListener;
     }
 
     /** Begins, on any free port; blocks. */
@@ -76,7 +77,7 @@
     }
 
     private void accept(Channel client) {
-        if (door == Door.REFUSES) {
+        if (mode == Mode.REFUSES) {
             RelayLink.reset(client);
             return;
         }
@@ -87,7 +88,7 @@
     }
 
     /** New connections go to another server from now on; those that are open stay. */
-    void leadTo(InetSocketAddress other) {
+    void redirectTo(InetSocketAddress other) {
         server = other;
     }
 
@@ -104,15 +105,15 @@
      * Opens, or refuses new connections, or keeps all bytes of new and old ones until it is open
      * again.
      */
-    public void door(Door next) {
-        door = next;
-        if (door == Door.OPEN) {
+    public void mode(Mode next) {
+        mode = next;
+        if (mode == Mode.OPEN) {
             List.copyOf(links).forEach(RelayLink::pass);
         }
     }
 
     boolean silent() {
-        return door == Door.SILENT;
+        return mode == Mode.SILENT;
     }
 
     /** Ends all connections in order, with what was written. */
@@ -126,13 +127,13 @@
     }
 
     /** Of the next word to a client only half is passed; then its connection breaks. */
-    public void halves() {
-        halves = true;
+    public void truncateNext() {
+        truncateNext = true;
     }
 
-    boolean takesHalf() {
-        boolean now = halves;
-        halves = false;
+    boolean consumeTruncation() {
+        boolean now = truncateNext;
+        truncateNext = false;
         return now;
     }
 
@@ -145,13 +146,13 @@
         return readOnly;
     }
 
-    void carried(int bytes) {
-        carried += bytes;
+    void bytesToClients(int bytes) {
+        bytesToClients += bytes;
     }
 
     /** Bytes that were passed to clients. */
-    long carried() {
-        return carried;
+    long bytesToClients() {
+        return bytesToClients;
     }
 
     /** The sessions of those that are connected, 0 for one that has none yet. */
--- a/testbed/src/main/java/appleridge/testbed/coordination/RelayLink.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/RelayLink.java
@@ -23,21 +23,21 @@
     private final Relay relay;
     private final Conversation conversation = new Conversation();
     private final Channel client;
-    private final Way toClient;
-    private final Way toServer = new Way(null);
+    private final Direction toClient;
+    private final Direction toServer = new Direction(null);
     private Channel server;
 
     RelayLink(Relay relay, Channel client) {
         this.relay = relay;
         this.client = client;
-        this.toClient = new Way(client);
+        this.toClient = new Direction(client);
         client.pipeline()
                 .addLast(
-                        new Frames(),
+                        new FrameDecoder(),
                         new SimpleChannelInboundHandler<ByteBuf>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                                asked(frame);
+                                fromClient(frame);
                             }
 
                             @Override
@@ -59,7 +59,7 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
-                .handler(new Frames())
+                .handler(new FrameDecoder())
                 .connect(to)
                 .addListener(
                         done -> {
@@ -78,7 +78,7 @@
                         new SimpleChannelInboundHandler<ByteBuf>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-                                answered(frame);
+                                fromServer(frame);
                             }
 
                             @Override
@@ -100,23 +100,23 @@
         }
     }
 
-    private void asked(ByteBuf frame) {
+    private void fromClient(ByteBuf frame) {
         if (frame.readableBytes() == Integer.BYTES
-                && frame.getInt(frame.readerIndex()) == Frames.IS_READ_ONLY) {
+                && frame.getInt(frame.readerIndex()) == FrameDecoder.IS_READ_ONLY) {
             client.writeAndFlush(
                     Unpooled.copiedBuffer(
                             relay.readOnly() ? "ro" : "rw", StandardCharsets.US_ASCII));
             return;
         }
-        conversation.asks(frame);
+        conversation.clientFrame(frame);
         toServer.take(frame.retain(), List.of());
     }
 
-    private void answered(ByteBuf frame) {
-        if (conversation.beforeFirstAnswer() && relay.readOnly()) {
+    private void fromServer(ByteBuf frame) {
+        if (conversation.awaitsConnectResponse() && relay.readOnly()) {
             frame.setByte(frame.writerIndex() - 1, 1);
         }
-        toClient.take(frame.retain(), conversation.answers(frame));
+        toClient.take(frame.retain(), conversation.serverFrame(frame));
     }
 
     long session() {
@@ -154,33 +154,33 @@
         }
     }
 
-    private record Kept(ByteBuf frame, List<NodeReply> heard, long due) {}
+    private record QueuedFrame(ByteBuf frame, List<NodeReply> replies, long due) {}
 
     /** One direction: frames leave in the order of their coming, when their time has come. */
-    private final class Way {
-        private final Queue<Kept> kept = new ArrayDeque<>();
+    private final class Direction {
+        private final Queue<QueuedFrame> queue = new ArrayDeque<>();
         private Channel to;
-        private long last;
+        private long lastDue;
         private boolean ended;
 
-        Way(Channel to) {
+        Direction(Channel to) {
             this.to = to;
         }
 
-        void take(ByteBuf frame, List<NodeReply> heard) {
-            last = Math.max(last, relay.time.nanos() + relay.delay());
-            kept.add(new Kept(frame, heard, last));
-            later();
+        void take(ByteBuf frame, List<NodeReply> replies) {
+            lastDue = Math.max(lastDue, relay.time.nanos() + relay.delay());
+            queue.add(new QueuedFrame(frame, replies, lastDue));
+            schedulePass();
         }
 
         /** Nothing comes after what was taken. */
         void end() {
             ended = true;
-            later();
+            schedulePass();
         }
 
-        private void later() {
-            long wait = last - relay.time.nanos();
+        private void schedulePass() {
+            long wait = lastDue - relay.time.nanos();
             if (wait <= 0) {
                 pass();
             } else {
@@ -192,17 +192,17 @@
             if (to == null || relay.silent()) {
                 return;
             }
-            while (!kept.isEmpty() && kept.peek().due <= relay.time.nanos()) {
-                write(kept.poll());
+            while (!queue.isEmpty() && queue.peek().due <= relay.time.nanos()) {
+                write(queue.poll());
             }
-            if (ended && kept.isEmpty()) {
+            if (ended && queue.isEmpty()) {
                 close();
             }
         }
 
-        private void write(Kept next) {
+        private void write(QueuedFrame next) {
             ByteBuf frame = next.frame;
-            if (to == client && relay.takesHalf()) {
+            if (to == client && relay.consumeTruncation()) {
                 to.writeAndFlush(frame.readSlice(frame.readableBytes() / 2))
                         .addListener(done -> reset());
                 return;
@@ -212,16 +212,18 @@
                     .addListener(
                             done -> {
                                 if (done.isSuccess() && to == client) {
-                                    relay.carried(size);
-                                    next.heard.forEach(
-                                            each -> relay.hearing.heard(each, relay.time.nanos()));
+                                    relay.bytesToClients(size);
+                                    next.replies.forEach(
+                                            each ->
+                                                    relay.replyListener.onReply(
+                                                            each, relay.time.nanos()));
                                 }
                             });
         }
 
         void drop() {
-            kept.forEach(each -> each.frame.release());
-            kept.clear();
+            queue.forEach(each -> each.frame.release());
+            queue.clear();
             to = null;
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
@@ -29,80 +29,81 @@
 /** Whether what somebody asks of a tree is right, and the change that it then is. Pure. */
 final class Rules {
     /** One write that is asked for, alone or among several. */
-    record Asked(int type, Record request) {}
+    record Operation(int type, Record request) {}
 
     /** Who asks. */
-    record Asker(long session, Set<Id> ids) {}
+    record Caller(long session, Set<Id> ids) {}
 
     /**
      * Everybody may do everything. Danger: the client asks for a null in it, which other lists
      * refuse.
      */
-    static final List<ACL> OPEN = Arrays.asList(new ACL(Perms.ALL, new Id("world", "anyone")));
+    static final List<ACL> OPEN_ACL = Arrays.asList(new ACL(Perms.ALL, new Id("world", "anyone")));
 
     private static final String DIGEST = "digest";
 
     private Rules() {}
 
     /** The change that this is, to be applied at once. */
-    static Change change(Tree tree, Asked asked, Asker asker) throws KeeperException {
-        if (asked.request() instanceof CreateRequest create) {
-            return create(tree, create, asker);
-        } else if (asked.request() instanceof DeleteRequest delete) {
-            Tree.Node node = at(tree, delete.getPath());
+    static Change change(Tree tree, Operation operation, Caller caller) throws KeeperException {
+        if (operation.request() instanceof CreateRequest create) {
+            return create(tree, create, caller);
+        } else if (operation.request() instanceof DeleteRequest delete) {
+            Tree.Node node = existing(tree, delete.getPath());
             if (delete.getPath().equals("/")) {
                 throw KeeperException.create(Code.BADARGUMENTS, delete.getPath());
             }
-            permitted(tree, Tree.parent(delete.getPath()), Perms.DELETE, asker);
+            permitted(tree, Tree.parent(delete.getPath()), Perms.DELETE, caller);
             version(delete.getVersion(), node.stat().getVersion(), delete.getPath());
             if (!node.children().isEmpty()) {
                 throw KeeperException.create(Code.NOTEMPTY, delete.getPath());
             }
-            return new Change.Drop(delete.getPath());
-        } else if (asked.request() instanceof SetDataRequest set) {
-            Tree.Node node = permitted(tree, set.getPath(), Perms.WRITE, asker);
+            return new Change.DeleteNode(delete.getPath());
+        } else if (operation.request() instanceof SetDataRequest set) {
+            Tree.Node node = permitted(tree, set.getPath(), Perms.WRITE, caller);
             version(set.getVersion(), node.stat().getVersion(), set.getPath());
-            return new Change.Write(set.getPath(), set.getData());
-        } else if (asked.request() instanceof CheckVersionRequest check) {
-            Tree.Node node = permitted(tree, check.getPath(), Perms.READ, asker);
+            return new Change.SetData(set.getPath(), set.getData());
+        } else if (operation.request() instanceof CheckVersionRequest check) {
+            Tree.Node node = permitted(tree, check.getPath(), Perms.READ, caller);
             version(check.getVersion(), node.stat().getVersion(), check.getPath());
-            return new Change.Look(check.getPath());
-        } else if (asked.request() instanceof SetACLRequest set) {
-            Tree.Node node = permitted(tree, set.getPath(), Perms.ADMIN, asker);
+            return new Change.CheckVersion(check.getPath());
+        } else if (operation.request() instanceof SetACLRequest set) {
+            Tree.Node node = permitted(tree, set.getPath(), Perms.ADMIN, caller);
             version(set.getVersion(), node.stat().getAversion(), set.getPath());
-            return new Change.Guard(set.getPath(), acl(set.getAcl(), asker));
+            return new Change.SetAcl(set.getPath(), acl(set.getAcl(), caller));
         }
         throw KeeperException.create(Code.UNIMPLEMENTED);
     }
 
     /** What the asker is told of a change once it is done. */
-    static OpResult result(Tree tree, Asked asked, Change done) {
-        if (done instanceof Change.Make make) {
-            return asked.type() == OpCode.create
+    static OpResult result(Tree tree, Operation operation, Change applied) {
+        if (applied instanceof Change.CreateNode make) {
+            return operation.type() == OpCode.create
                     ? new OpResult.CreateResult(make.path())
                     : new OpResult.CreateResult(make.path(), tree.node(make.path()).stat());
-        } else if (done instanceof Change.Write write) {
+        } else if (applied instanceof Change.SetData write) {
             return new OpResult.SetDataResult(tree.node(write.path()).stat());
-        } else if (done instanceof Change.Guard guard) {
+        } else if (applied instanceof Change.SetAcl guard) {
             return new OpResult.SetDataResult(tree.node(guard.path()).stat());
         }
-        return done instanceof Change.Drop
+        return applied instanceof Change.DeleteNode
                 ? new OpResult.DeleteResult()
                 : new OpResult.CheckResult();
     }
 
-    private static Change create(Tree tree, CreateRequest create, Asker asker)
+    private static Change create(Tree tree, CreateRequest create, Caller caller)
             throws KeeperException {
         CreateMode mode = CreateMode.fromFlag(create.getFlags());
         if (mode.isContainer() || mode.isTTL()) {
             throw KeeperException.create(Code.UNIMPLEMENTED, create.getPath());
         }
         path(create.getPath(), mode.isSequential());
-        List<ACL> acl = acl(create.getAcl(), asker);
-        Tree.Node parent = permitted(tree, Tree.parent(create.getPath()), Perms.CREATE, asker);
+        List<ACL> acl = acl(create.getAcl(), caller);
+        Tree.Node parent = permitted(tree, Tree.parent(create.getPath()), Perms.CREATE, caller);
         String path =
                 mode.isSequential()
-                        ? create.getPath() + String.format(Locale.ROOT, "%010d", parent.made())
+                        ? create.getPath()
+                                + String.format(Locale.ROOT, "%010d", parent.childrenCreated())
                         : create.getPath();
         if (tree.node(path) != null) {
             throw KeeperException.create(Code.NODEEXISTS, path);
@@ -110,8 +111,8 @@
         if (parent.stat().getEphemeralOwner() != 0) {
             throw KeeperException.create(Code.NOCHILDRENFOREPHEMERALS, path);
         }
-        return new Change.Make(
-                path, create.getData(), acl, mode.isEphemeral() ? asker.session() : 0);
+        return new Change.CreateNode(
+                path, create.getData(), acl, mode.isEphemeral() ? caller.session() : 0);
     }
 
     private static void path(String path, boolean isSequential) throws KeeperException {
@@ -122,7 +123,7 @@
         }
     }
 
-    private static Tree.Node at(Tree tree, String path) throws KeeperException {
+    private static Tree.Node existing(Tree tree, String path) throws KeeperException {
         Tree.Node node = tree.node(path);
         if (node == null) {
             throw KeeperException.create(Code.NONODE, path);
@@ -136,22 +137,22 @@
         }
     }
 
-    static boolean may(List<ACL> acl, int perms, Asker asker) {
+    static boolean allows(List<ACL> acl, int perms, Caller caller) {
         return acl.stream()
                 .anyMatch(
                         each ->
                                 (each.getPerms() & perms) != 0
                                         && (each.getId().getScheme().equals("world")
-                                                || asker.ids().contains(each.getId())));
+                                                || caller.ids().contains(each.getId())));
     }
 
     /** What a node's list is, where {@code auth} stands for the asker's own ids. */
-    private static List<ACL> acl(List<ACL> asked, Asker asker) throws KeeperException {
+    private static List<ACL> acl(List<ACL> requested, Caller caller) throws KeeperException {
         List<ACL> acl = new ArrayList<>();
-        for (ACL each : asked == null ? List.<ACL>of() : asked) {
+        for (ACL each : requested == null ? List.<ACL>of() : requested) {
             Id id = each.getId();
             if (id.getScheme().equals("auth")) {
-                asker.ids().forEach(own -> acl.add(new ACL(each.getPerms(), own)));
+                caller.ids().forEach(own -> acl.add(new ACL(each.getPerms(), own)));
             } else if (id.getScheme().equals("world") && id.getId().equals("anyone")
                     || id.getScheme().equals(DIGEST) && id.getId().split(":", -1).length == 2) {
                 acl.add(each);
@@ -166,8 +167,8 @@
     }
 
     /** What somebody may see of a node's list: no digests but for those who could change them. */
-    static List<ACL> shown(Tree.Node node, Asker asker) {
-        if (may(node.acl(), Perms.ADMIN, asker)) {
+    static List<ACL> visibleAcl(Tree.Node node, Caller caller) {
+        if (allows(node.acl(), Perms.ADMIN, caller)) {
             return node.acl();
         }
         return node.acl().stream()
@@ -198,14 +199,14 @@
 
     /** A stat alone, of what {@code exists} asks. */
     static Stat stat(Tree tree, String path) throws KeeperException {
-        return at(tree, path).stat();
+        return existing(tree, path).stat();
     }
 
     /** A node with which the asker may do one of these. */
-    static Tree.Node permitted(Tree tree, String path, int perms, Asker asker)
+    static Tree.Node permitted(Tree tree, String path, int perms, Caller caller)
             throws KeeperException {
-        Tree.Node node = at(tree, path);
-        if (!may(node.acl(), perms, asker)) {
+        Tree.Node node = existing(tree, path);
+        if (!allows(node.acl(), perms, caller)) {
             throw KeeperException.create(Code.NOAUTH, path);
         }
         return node;
--- a/testbed/src/main/java/appleridge/testbed/coordination/Samples.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Samples.java
@@ -5,7 +5,7 @@
 
 /** Numbers in order, and what is said of many of them. */
 final class Samples {
-    private static final double MILLION = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     private final long[] sorted;
 
@@ -18,33 +18,33 @@
     }
 
     /** The number that this part of all is not above; 0 if there are none. */
-    long at(double part) {
+    long quantile(double fraction) {
         return sorted.length == 0
                 ? 0
                 : sorted[
                         Math.min(
                                 sorted.length - 1,
-                                Math.max(0, (int) Math.ceil(part * sorted.length) - 1))];
+                                Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1))];
     }
 
     long median() {
-        return at(0.5);
+        return quantile(0.5);
     }
 
-    long most() {
-        return at(1);
+    long max() {
+        return quantile(1);
     }
 
     /** How many are at most so much. */
-    int upTo(long number) {
-        int at = Arrays.binarySearch(sorted, number);
-        if (at < 0) {
-            return -at - 1;
+    int countUpTo(long number) {
+        int index = Arrays.binarySearch(sorted, number);
+        if (index < 0) {
+            return -index - 1;
         }
-        while (at < sorted.length && sorted[at] == number) {
-            at++;
+        while (index < sorted.length && sorted[index] == number) {
+            index++;
         }
-        return at;
+        return index;
     }
 
     /** Median, 90th and 99th percentile and the largest of nanoseconds, in milliseconds. */
@@ -54,17 +54,17 @@
                 : "median "
                         + millis(median())
                         + ", p90 "
-                        + millis(at(0.9))
+                        + millis(quantile(0.9))
                         + ", p99 "
-                        + millis(at(0.99))
+                        + millis(quantile(0.99))
                         + ", max "
-                        + millis(most())
+                        + millis(max())
                         + " ms ("
                         + count()
                         + ")";
     }
 
     static String millis(long nanos) {
-        return String.valueOf(Math.round(nanos / MILLION * 10) / 10.0);
+        return String.valueOf(Math.round(nanos / NANOS_PER_MILLI * 10) / 10.0);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/ScaleCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ScaleCheck.java
@@ -18,18 +18,18 @@
     /** What is played; {@code changes}: a second. */
     record Plan(int nodes, int changes, int seconds, double rate, long seed) {}
 
-    private static final double MOST_CPU = 0.1;
+    private static final double MAX_CPU_SHARE = 0.1;
     private static final int SETTLE_MILLIS = 5000;
     private static final int SESSION_MILLIS = 30_000;
-    private static final long LONG_AGO = TimeUnit.HOURS.toMillis(1);
+    private static final long STARTED_AGO_MILLIS = TimeUnit.HOURS.toMillis(1);
     private static final int IN_FLIGHT = 500;
     private static final int SESSIONS = 10;
 
     private final Plan plan;
     private final PrintStream out;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final List<NodeWriter> writers = new ArrayList<>();
-    private boolean[] there;
+    private boolean[] present;
     private boolean[] terminating;
 
     /** One measured while. */
@@ -38,7 +38,7 @@
     ScaleCheck(Plan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
-        this.chance = new SplittableRandom(plan.seed());
+        this.random = new SplittableRandom(plan.seed());
     }
 
     boolean run(Path jar)
@@ -53,14 +53,14 @@
             }
             make(site, servers);
             site.start(jar, CoordinatedSite.Source.NODES, plan.rate());
-            site.await(() -> site.book.size() == plan.nodes());
+            site.await(() -> site.drains.size() == plan.nodes());
             out.println(
                     plan.nodes()
                             + " nodes; told when "
                             + Samples.millis(site.time.nanos())
                             + " ms of the run had passed");
             boolean held = spans(site, servers);
-            site.quiet();
+            site.stopClients();
             for (NodeWriter writer : writers) {
                 writer.close();
             }
@@ -107,7 +107,7 @@
                                                 .count())
                         + ", without an answer "
                         + site.traffic.endings());
-        return restChanges.cpu <= MOST_CPU;
+        return restChanges.cpu <= MAX_CPU_SHARE;
     }
 
     /** First what it costs, then, with a probe that costs something too, how long answers wait. */
@@ -116,13 +116,13 @@
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
         long cpu = ProcessFigures.cpu(site.sidecar.pid());
         long from = site.time.nanos();
-        pass(site, servers, changing);
+        runSpan(site, servers, changing);
         double share =
                 (ProcessFigures.cpu(site.sidecar.pid()) - cpu)
                         / (double) (site.time.nanos() - from);
         try (Probe probe = new Probe(site.sidecar.port())) {
-            pass(site, servers, changing);
-            Span span = new Span(share, probe.taken());
+            runSpan(site, servers, changing);
+            Span span = new Span(share, probe.drainSamples());
             out.println(
                     what
                             + ": "
@@ -132,13 +132,13 @@
                             + " MiB, health answered in "
                             + span.turns.millis()
                             + ", p99.9 "
-                            + Samples.millis(span.turns.at(0.999))
+                            + Samples.millis(span.turns.quantile(0.999))
                             + " ms");
             return span;
         }
     }
 
-    private void pass(CoordinatedSite site, ManyServers servers, boolean changing)
+    private void runSpan(CoordinatedSite site, ManyServers servers, boolean changing)
             throws InterruptedException {
         if (changing) {
             change(site, servers);
@@ -160,23 +160,23 @@
                         servers.address(number),
                         CoordinatedSite.ZONES.get(number % 3),
                         !terminating[number],
-                        site.time.unixMillis(0) - LONG_AGO)
+                        site.time.unixMillis(0) - STARTED_AGO_MILLIS)
                 .bytes();
     }
 
     private void make(CoordinatedSite site, ManyServers servers) throws InterruptedException {
-        there = new boolean[plan.nodes()];
+        present = new boolean[plan.nodes()];
         terminating = new boolean[plan.nodes()];
         for (int from = 0; from < plan.nodes(); from += IN_FLIGHT) {
             int until = Math.min(plan.nodes(), from + IN_FLIGHT);
             CountDownLatch made = new CountDownLatch(until - from);
             for (int i = from; i < until; i++) {
-                there[i] = true;
+                present[i] = true;
                 writer(i)
                         .create(
                                 path(i),
                                 data(site, servers, i),
-                                Rules.OPEN,
+                                Rules.OPEN_ACL,
                                 CreateMode.EPHEMERAL,
                                 (code, path, context, name) -> made.countDown(),
                                 null);
@@ -194,25 +194,25 @@
             if (wait > 0) {
                 TimeUnit.NANOSECONDS.sleep(wait);
             }
-            change(site, servers, chance.nextInt(plan.nodes()));
+            change(site, servers, random.nextInt(plan.nodes()));
             next += gap;
         }
     }
 
     /** It goes, or is back, or says another state. */
     private void change(CoordinatedSite site, ManyServers servers, int number) {
-        if (!there[number]) {
-            there[number] = true;
+        if (!present[number]) {
+            present[number] = true;
             writer(number)
                     .create(
                             path(number),
                             data(site, servers, number),
-                            Rules.OPEN,
+                            Rules.OPEN_ACL,
                             CreateMode.EPHEMERAL,
                             (code, path, context, name) -> {},
                             null);
-        } else if (chance.nextBoolean()) {
-            there[number] = false;
+        } else if (random.nextBoolean()) {
+            present[number] = false;
             writer(number).delete(path(number), -1, (code, path, context) -> {}, null);
         } else {
             terminating[number] = !terminating[number];
--- a/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
@@ -14,95 +14,95 @@
     /** The session ends and the process goes on answering; later it has a session again. */
     VANISH {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
-            end(seat, chance);
-            away(chance);
-            seat.register();
+            end(slot, random);
+            away(random);
+            slot.register();
         }
     },
     /** It says that it is terminating, then ends, and another one starts elsewhere. */
     DRAIN {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException, ExecutionException {
-            seat.change(seat.node().terminating());
-            away(chance);
-            seat.leave();
-            seat.crash();
-            seat.begin(true, false);
-            seat.register();
+            slot.change(slot.node().terminating());
+            away(random);
+            slot.leave();
+            slot.crash();
+            slot.startProcess(true, false);
+            slot.register();
         }
     },
     /** It says that it is terminating and then thinks better of it. */
     WAVER {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
-            seat.change(seat.node().terminating());
-            pause(chance, 0, 3500);
-            seat.change(seat.node());
+            slot.change(slot.node().terminating());
+            pause(random, 0, 3500);
+            slot.change(slot.node());
         }
     },
     /** Its node goes and comes back up to ten times, for less than a second each; same process. */
     FLAP {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
-            for (int left = 1 + chance.nextInt(10); left > 0; left--) {
-                end(seat, chance);
-                pause(chance, 0, 900);
-                seat.register();
-                pause(chance, 0, 500);
+            for (int left = 1 + random.nextInt(10); left > 0; left--) {
+                end(slot, random);
+                pause(random, 0, 900);
+                slot.register();
+                pause(random, 0, 500);
             }
-            if (chance.nextBoolean()) {
-                end(seat, chance);
-                away(chance);
-                seat.register();
+            if (random.nextBoolean()) {
+                end(slot, random);
+                away(random);
+                slot.register();
             }
         }
     },
     /** It is started again and again at its address. */
     RESTARTS {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException, ExecutionException {
-            for (int left = 1 + chance.nextInt(4); left > 0; left--) {
-                seat.crash();
-                end(seat, chance);
-                pause(chance, 0, 900);
-                seat.begin(true, true);
-                seat.register();
-                pause(chance, 0, 500);
+            for (int left = 1 + random.nextInt(4); left > 0; left--) {
+                slot.crash();
+                end(slot, random);
+                pause(random, 0, 900);
+                slot.startProcess(true, true);
+                slot.register();
+                pause(random, 0, 500);
             }
         }
     },
     /** Its process dies and its session lives on for a while. */
     CRASH {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException, ExecutionException {
-            seat.crash();
-            pause(chance, 200, 4000);
-            end(seat, chance);
-            pause(chance, 0, 3000);
-            seat.begin(true, false);
-            seat.register();
+            slot.crash();
+            pause(random, 200, 4000);
+            end(slot, random);
+            pause(random, 0, 3000);
+            slot.startProcess(true, false);
+            slot.register();
         }
     },
     /** Another one takes its address and its node's name before the old node has vanished. */
     TAKEN {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException, ExecutionException {
-            seat.crash();
-            try (NodeWriter old = seat.abandon()) {
-                seat.begin(true, true);
-                seat.register();
-                pause(chance, 0, 2000);
-                seat.expire(old);
+            slot.crash();
+            try (NodeWriter old = slot.abandon()) {
+                slot.startProcess(true, true);
+                slot.register();
+                pause(random, 0, 2000);
+                slot.expire(old);
             }
-            pause(chance, 0, 2000);
+            pause(random, 0, 2000);
         }
     },
     /**
@@ -110,48 +110,48 @@
      */
     MOVES {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException, ExecutionException {
-            LoopbackServer old = seat.server();
-            seat.begin(true, false);
-            seat.change(seat.node());
-            away(chance);
-            seat.crash(old);
+            LoopbackServer old = slot.server();
+            slot.startProcess(true, false);
+            slot.change(slot.node());
+            away(random);
+            slot.crash(old);
         }
     },
     /** Its node can't be read for a while. */
     GARBLED {
         @Override
-        void play(ProcessSlot seat, SplittableRandom chance)
+        void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
-            seat.garble();
-            away(chance);
-            seat.change(seat.node());
+            slot.garble();
+            away(random);
+            slot.change(slot.node());
         }
     };
 
     /** Long enough that a late request would be seen: drains allow 2 s. */
-    private static final int AWAY = 2300;
+    private static final int MIN_AWAY_MILLIS = 2300;
 
-    private static final int LONGEST_AWAY = 4000;
+    private static final int MAX_AWAY_MILLIS = 4000;
 
-    abstract void play(ProcessSlot seat, SplittableRandom chance)
+    abstract void play(ProcessSlot slot, SplittableRandom random)
             throws IOException, InterruptedException, ExecutionException;
 
-    private static void end(ProcessSlot seat, SplittableRandom chance) {
-        if (chance.nextBoolean()) {
-            seat.expire();
+    private static void end(ProcessSlot slot, SplittableRandom random) {
+        if (random.nextBoolean()) {
+            slot.expire();
         } else {
-            seat.leave();
+            slot.leave();
         }
     }
 
-    private static void away(SplittableRandom chance) throws InterruptedException {
-        pause(chance, AWAY, LONGEST_AWAY);
+    private static void away(SplittableRandom random) throws InterruptedException {
+        pause(random, MIN_AWAY_MILLIS, MAX_AWAY_MILLIS);
     }
 
-    private static void pause(SplittableRandom chance, int leastMillis, int mostMillis)
+    private static void pause(SplittableRandom random, int leastMillis, int mostMillis)
             throws InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(chance.nextInt(leastMillis, mostMillis + 1));
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(leastMillis, mostMillis + 1));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Traffic.java
@@ -22,7 +22,7 @@
     private final Map<Ending, Integer> endings = new HashMap<>();
     private final List<Answer> answers = new ArrayList<>();
     private int asked;
-    private int fallen;
+    private int crashedServers;
 
     Traffic(RealTime time, Consumer<Arrival> arrivals) {
         this.time = time;
@@ -33,8 +33,8 @@
         return asked;
     }
 
-    int fallen() {
-        return fallen;
+    int crashedServers() {
+        return crashedServers;
     }
 
     List<Answer> answers() {
@@ -77,7 +77,7 @@
 
     @Override
     public void fellOver(String server, long at) {
-        fallen++;
+        crashedServers++;
     }
 
     long now() {
--- a/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
@@ -13,7 +13,7 @@
 /** What a coordination service holds at one point of its history. Pure. */
 final class Tree {
     /** Told of what became of nodes. */
-    interface Told {
+    interface NodeListener {
         void changed(EventType what, String path, List<ACL> acl);
     }
 
@@ -47,17 +47,17 @@
         }
 
         /** How many children it ever had: the next sequential one's number. */
-        int made() {
+        int childrenCreated() {
             return stat.getCversion();
         }
 
         Stat stat() {
-            Stat told = copy(stat);
+            Stat full = copy(stat);
             // Each child made and each one gone counts.
-            told.setCversion(2 * stat.getCversion() - children.size());
-            told.setNumChildren(children.size());
-            told.setDataLength(data == null ? 0 : data.length);
-            return told;
+            full.setCversion(2 * stat.getCversion() - children.size());
+            full.setNumChildren(children.size());
+            full.setDataLength(data == null ? 0 : data.length);
+            return full;
         }
 
         private static Stat copy(Stat stat) {
@@ -67,7 +67,7 @@
         }
 
         /** Brings back how its stat is now. */
-        private Runnable asItIs() {
+        private Runnable saveStat() {
             Stat before = copy(stat);
             return () -> stat.copyFrom(before);
         }
@@ -75,10 +75,10 @@
 
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<Long, Integer> sessions = new TreeMap<>();
-    private final Map<Long, Set<String>> owned = new HashMap<>();
+    private final Map<Long, Set<String>> ephemerals = new HashMap<>();
 
     Tree() {
-        nodes.put("/", new Node(new byte[0], Rules.OPEN, new Stat()));
+        nodes.put("/", new Node(new byte[0], Rules.OPEN_ACL, new Stat()));
     }
 
     /** What a path holds; null if nothing. */
@@ -97,35 +97,35 @@
     }
 
     /** Does it and says so; returns what undoes a change of nodes, while nothing came after it. */
-    Runnable apply(Change change, Stamp at, Told told) {
-        if (change instanceof Change.Make make) {
-            return make(make, at, told);
-        } else if (change instanceof Change.Drop drop) {
-            return drop(drop.path(), at, told);
-        } else if (change instanceof Change.Write write) {
-            return write(write, at, told);
-        } else if (change instanceof Change.Guard guard) {
+    Runnable apply(Change change, Stamp at, NodeListener listener) {
+        if (change instanceof Change.CreateNode create) {
+            return create(create, at, listener);
+        } else if (change instanceof Change.DeleteNode delete) {
+            return delete(delete.path(), at, listener);
+        } else if (change instanceof Change.SetData write) {
+            return write(write, at, listener);
+        } else if (change instanceof Change.SetAcl guard) {
             Node node = nodes.get(guard.path());
             List<ACL> before = node.acl;
-            Runnable stat = node.asItIs();
+            Runnable stat = node.saveStat();
             node.acl = guard.acl();
             node.stat.setAversion(node.stat.getAversion() + 1);
             return () -> {
                 node.acl = before;
                 stat.run();
             };
-        } else if (change instanceof Change.Begin begin) {
+        } else if (change instanceof Change.OpenSession begin) {
             sessions.put(begin.session(), begin.timeout());
-        } else if (change instanceof Change.End end) {
+        } else if (change instanceof Change.CloseSession end) {
             sessions.remove(end.session());
-            for (String path : List.copyOf(owned.getOrDefault(end.session(), Set.of()))) {
-                drop(path, at, told);
+            for (String path : List.copyOf(ephemerals.getOrDefault(end.session(), Set.of()))) {
+                delete(path, at, listener);
             }
         }
         return () -> {};
     }
 
-    private Runnable make(Change.Make make, Stamp at, Told told) {
+    private Runnable create(Change.CreateNode create, Stamp at, NodeListener listener) {
         Stat stat =
                 new Stat(
                         at.zxid(),
@@ -135,47 +135,47 @@
                         0,
                         0,
                         0,
-                        make.owner(),
+                        create.owner(),
                         0,
                         0,
                         at.zxid());
-        String above = parent(make.path());
+        String above = parent(create.path());
         Node parent = nodes.get(above);
-        Runnable undo = parent.asItIs();
-        put(make.path(), new Node(make.data(), make.acl(), stat));
+        Runnable undo = parent.saveStat();
+        put(create.path(), new Node(create.data(), create.acl(), stat));
         parent.stat.setCversion(parent.stat.getCversion() + 1);
         parent.stat.setPzxid(at.zxid());
-        told.changed(EventType.NodeCreated, make.path(), make.acl());
-        told.changed(EventType.NodeChildrenChanged, above, parent.acl);
+        listener.changed(EventType.NodeCreated, create.path(), create.acl());
+        listener.changed(EventType.NodeChildrenChanged, above, parent.acl);
         return () -> {
-            take(make.path());
+            remove(create.path());
             undo.run();
         };
     }
 
-    private Runnable drop(String path, Stamp at, Told told) {
+    private Runnable delete(String path, Stamp at, NodeListener listener) {
         String above = parent(path);
         Node parent = nodes.get(above);
-        Runnable undo = parent.asItIs();
-        Node node = take(path);
+        Runnable undo = parent.saveStat();
+        Node node = remove(path);
         parent.stat.setPzxid(at.zxid());
-        told.changed(EventType.NodeDeleted, path, node.acl);
-        told.changed(EventType.NodeChildrenChanged, above, parent.acl);
+        listener.changed(EventType.NodeDeleted, path, node.acl);
+        listener.changed(EventType.NodeChildrenChanged, above, parent.acl);
         return () -> {
             put(path, node);
             undo.run();
         };
     }
 
-    private Runnable write(Change.Write write, Stamp at, Told told) {
+    private Runnable write(Change.SetData write, Stamp at, NodeListener listener) {
         Node node = nodes.get(write.path());
         byte[] before = node.data;
-        Runnable undo = node.asItIs();
+        Runnable undo = node.saveStat();
         node.data = write.data();
         node.stat.setVersion(node.stat.getVersion() + 1);
         node.stat.setMzxid(at.zxid());
         node.stat.setMtime(at.unixMillis());
-        told.changed(EventType.NodeDataChanged, write.path(), node.acl);
+        listener.changed(EventType.NodeDataChanged, write.path(), node.acl);
         return () -> {
             node.data = before;
             undo.run();
@@ -187,17 +187,17 @@
         nodes.get(parent(path)).children.add(path.substring(path.lastIndexOf('/') + 1));
         long owner = node.stat.getEphemeralOwner();
         if (owner != 0) {
-            owned.computeIfAbsent(owner, any -> new TreeSet<>()).add(path);
+            ephemerals.computeIfAbsent(owner, any -> new TreeSet<>()).add(path);
         }
     }
 
-    private Node take(String path) {
+    private Node remove(String path) {
         Node node = nodes.remove(path);
         nodes.get(parent(path)).children.remove(path.substring(path.lastIndexOf('/') + 1));
         long owner = node.stat.getEphemeralOwner();
         if (owner != 0) {
-            owned.get(owner).remove(path);
-            owned.computeIfPresent(owner, (any, paths) -> paths.isEmpty() ? null : paths);
+            ephemerals.get(owner).remove(path);
+            ephemerals.computeIfPresent(owner, (any, paths) -> paths.isEmpty() ? null : paths);
         }
         return node;
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
@@ -17,35 +17,35 @@
         RECURSIVE
     }
 
-    private final Map<Kind, Set<String>> held = new EnumMap<>(Kind.class);
+    private final Map<Kind, Set<String>> paths = new EnumMap<>(Kind.class);
 
     Watches() {
         for (Kind kind : Kind.values()) {
-            held.put(kind, new HashSet<>());
+            paths.put(kind, new HashSet<>());
         }
     }
 
     void add(Kind kind, String path) {
-        held.get(kind).add(path);
+        paths.get(kind).add(path);
     }
 
     /** Whether this is to be told, once however many watches ask for it. */
-    boolean hit(EventType what, String path) {
-        boolean hit = held.get(Kind.PERSISTENT).contains(path);
+    boolean notifies(EventType what, String path) {
+        boolean found = paths.get(Kind.PERSISTENT).contains(path);
         if (what != EventType.NodeChildrenChanged) {
-            hit |= held.get(Kind.DATA).remove(path);
-            Set<String> above = held.get(Kind.RECURSIVE);
-            for (String at = path; !hit && !above.isEmpty(); at = Tree.parent(at)) {
-                hit = above.contains(at);
+            found |= paths.get(Kind.DATA).remove(path);
+            Set<String> above = paths.get(Kind.RECURSIVE);
+            for (String at = path; !found && !above.isEmpty(); at = Tree.parent(at)) {
+                found = above.contains(at);
                 if (at.equals("/")) {
                     break;
                 }
             }
         }
         if (what == EventType.NodeChildrenChanged || what == EventType.NodeDeleted) {
-            hit |= held.get(Kind.CHILDREN).remove(path);
+            found |= paths.get(Kind.CHILDREN).remove(path);
         }
-        return hit;
+        return found;
     }
 
     /** Whether there are watches of this type on a path, which end if wanted. */
@@ -60,7 +60,7 @@
                 };
         boolean found = false;
         for (Kind kind : kinds) {
-            found |= end ? held.get(kind).remove(path) : held.get(kind).contains(path);
+            found |= end ? paths.get(kind).remove(path) : paths.get(kind).contains(path);
         }
         return found;
     }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFault.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFault.java
@@ -82,7 +82,7 @@
         @Override
         void inject(TaskFleet fleet, int holder, SplittableRandom chance)
                 throws InterruptedException {
-            fleet.onLoop(fleet.relays.get(holder)::halves);
+            fleet.onLoop(fleet.relays.get(holder)::truncateNext);
         }
     },
     /** Its connection to the store breaks. */
--- a/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
@@ -87,7 +87,7 @@
         Runtime.getRuntime().addShutdownHook(atExit);
         folder = Files.createTempDirectory("leases");
         lease = folder.getFileName().toString();
-        server = CoordinationServer.alone(new CoordinationServer.Times(50, 2000, 60_000));
+        server = CoordinationServer.standalone(new CoordinationServer.Times(50, 2000, 60_000));
         witness = new OperationWitness();
         ground();
         Path script = Files.writeString(folder.resolve("acts.pl"), ACTS);
@@ -124,7 +124,7 @@
 
     private void ground() throws IOException, InterruptedException, KeeperException {
         NodeWriter writer = new NodeWriter(server.address(), ROOT, SESSION_MILLIS);
-        writer.ground();
+        writer.createPersistent();
         writer.close();
     }
 
@@ -142,7 +142,7 @@
 
     /** Nothing passes between a task and the store, or all of it again. */
     void cut(int which, boolean cut) throws InterruptedException {
-        onLoop(() -> relays.get(which).door(cut ? Relay.Door.SILENT : Relay.Door.OPEN));
+        onLoop(() -> relays.get(which).mode(cut ? Relay.Mode.SILENT : Relay.Mode.OPEN));
     }
 
     void onLoop(Runnable what) throws InterruptedException {
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationIT.java
@@ -71,7 +71,7 @@
                             event -> states.add(event.getState()));
             await(states, KeeperState.SyncConnected);
             assertEquals(5000, client.getSessionTimeout());
-            client.create("/a", new byte[0], Rules.OPEN, CreateMode.EPHEMERAL);
+            client.create("/a", new byte[0], Rules.OPEN_ACL, CreateMode.EPHEMERAL);
             tell.println("sessions");
             assertEquals("ok 0x" + Long.toHexString(client.getSessionId()), said.readLine());
             tell.println("cut 3");
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServerTest.java
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        server = CoordinationServer.alone(CoordinationServer.Times.QUICK);
+        server = CoordinationServer.standalone(CoordinationServer.Times.QUICK);
     }
 
     @AfterEach
@@ -67,7 +67,7 @@
     }
 
     private static void create(ZooKeeper client, String path, CreateMode mode) throws Exception {
-        client.create(path, new byte[0], Rules.OPEN, mode);
+        client.create(path, new byte[0], Rules.OPEN_ACL, mode);
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServersTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServersTest.java
@@ -112,7 +112,7 @@
     }
 
     private static String make(ZooKeeper client, String path, CreateMode mode) throws Exception {
-        return client.create(path, new byte[0], Rules.OPEN, mode);
+        return client.create(path, new byte[0], Rules.OPEN_ACL, mode);
     }
 
     private static Code code(Executable what) {
@@ -153,7 +153,7 @@
         late.create(
                 "/other",
                 new byte[0],
-                Rules.OPEN,
+                Rules.OPEN_ACL,
                 CreateMode.PERSISTENT,
                 (code, path, any, name) -> made.add(code + " " + name),
                 null);
@@ -239,7 +239,7 @@
                                 Op.create(
                                         "/a/n",
                                         new byte[0],
-                                        Rules.OPEN,
+                                        Rules.OPEN_ACL,
                                         CreateMode.PERSISTENT_SEQUENTIAL),
                                 Op.delete("/a/n0000000000", 0)));
         assertEquals("/a/n0000000000", ((OpResult.CreateResult) done.get(2)).getPath());
@@ -256,7 +256,7 @@
                                                 Op.create(
                                                         "/b",
                                                         new byte[0],
-                                                        Rules.OPEN,
+                                                        Rules.OPEN_ACL,
                                                         CreateMode.PERSISTENT),
                                                 Op.check("/a", 1),
                                                 Op.delete("/a", -1))));
@@ -313,7 +313,7 @@
                                 client.create(
                                         "/t",
                                         new byte[0],
-                                        Rules.OPEN,
+                                        Rules.OPEN_ACL,
                                         CreateMode.PERSISTENT_WITH_TTL,
                                         new Stat(),
                                         1000)));
@@ -346,10 +346,10 @@
         assertTrue(
                 other.getACL("/a", null).contains(new ACL(Perms.ALL, new Id("digest", "owner:x"))));
         other.addAuthInfo("digest", "owner:wrong".getBytes(StandardCharsets.UTF_8));
-        assertEquals(Code.NOAUTH, code(() -> other.setACL("/a", Rules.OPEN, -1)));
+        assertEquals(Code.NOAUTH, code(() -> other.setACL("/a", Rules.OPEN_ACL, -1)));
         other.addAuthInfo("digest", "owner:secret".getBytes(StandardCharsets.UTF_8));
-        assertEquals(1, other.setACL("/a", Rules.OPEN, 0).getAversion());
-        assertEquals(Code.BADVERSION, code(() -> other.setACL("/a", Rules.OPEN, 0)));
+        assertEquals(1, other.setACL("/a", Rules.OPEN_ACL, 0).getAversion());
+        assertEquals(Code.BADVERSION, code(() -> other.setACL("/a", Rules.OPEN_ACL, 0)));
         client(2).setData("/a", new byte[0], -1);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -50,17 +50,18 @@
                     CoordinationServer.Times.QUICK, new Ensemble.Time(() -> now, at -> at / MS), 3);
 
     /** One client's end of a line, and what came over it. */
-    private final class Client implements MemberConnection.Line {
+    private final class Client implements MemberConnection.Transport {
         private final Member member;
-        private final MemberConnection visit = new MemberConnection(this);
+        private final MemberConnection connection = new MemberConnection(this);
         private final Queue<byte[]> answers = new ArrayDeque<>();
         private boolean closed;
         private int xid;
 
         Client(int number) {
             member = ensemble.members().get(number);
-            member.came(visit);
-            member.received(visit, body(new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false)));
+            member.opened(connection);
+            member.received(
+                    connection, body(new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false)));
         }
 
         @Override
@@ -74,7 +75,7 @@
         }
 
         private void ask(int type, Record record) {
-            member.received(visit, body(new RequestHeader(++xid, type), record));
+            member.received(connection, body(new RequestHeader(++xid, type), record));
         }
 
         private ReplyHeader head() {
@@ -93,7 +94,7 @@
     }
 
     private static CreateRequest create(String path, CreateMode mode) {
-        return new CreateRequest(path, new byte[0], Rules.OPEN, mode.toFlag());
+        return new CreateRequest(path, new byte[0], Rules.OPEN_ACL, mode.toFlag());
     }
 
     private void start() {
@@ -212,10 +213,10 @@
         ensemble.members().get(0).remembers(0);
         ensemble.members().get(1).remembers(0);
         ensemble.members().get(0).up(true);
-        assertTrue(!ensemble.has(ensemble.members().get(0)));
+        assertTrue(!ensemble.inQuorum(ensemble.members().get(0)));
         ensemble.members().get(1).up(true);
         ensemble.members().get(2).up(true);
-        assertEquals(0, ensemble.last());
+        assertEquals(0, ensemble.lastZxid());
         assertEquals(0, ensemble.members().get(2).applied());
         assertEquals(0, ensemble.sessions().size());
     }
@@ -223,9 +224,9 @@
     /** Guards against a stand-in that can only be played on real sockets and real time. */
     @Test
     void onTheSimulatedLoopItIsTheSame() throws Exception {
-        SeededRandom chance = new SeededRandom(1);
-        Simulation simulation = new Simulation(chance.stream("ties"));
-        Network network = new Network(simulation, chance.stream("network"));
+        SeededRandom random = new SeededRandom(1);
+        Simulation simulation = new Simulation(random.stream("ties"));
+        Network network = new Network(simulation, random.stream("network"));
         SimLoop.Costs costs = new SimLoop.Costs(10_000, 2_000, 100);
         InetAddress there = InetAddress.getByAddress(new byte[] {10, 0, 0, 2});
         SimLoop client =
@@ -233,13 +234,13 @@
                         simulation,
                         network.host(
                                 "client", InetAddress.getByAddress(new byte[] {10, 0, 0, 1}), 100),
-                        chance.stream("client"),
+                        random.stream("client"),
                         costs);
         SimLoop server =
                 new SimLoop(
                         simulation,
                         network.host("server", there, 100),
-                        chance.stream("server"),
+                        random.stream("server"),
                         costs);
         Ensemble simulated =
                 new Ensemble(
@@ -270,7 +271,8 @@
                                         new ChannelInitializer<SimChannel>() {
                                             @Override
                                             protected void initChannel(SimChannel each) {
-                                                each.pipeline().addLast(new Frames(), recorder);
+                                                each.pipeline()
+                                                        .addLast(new FrameDecoder(), recorder);
                                             }
                                         })
                                 .connect(new InetSocketAddress(there, 2181))
@@ -292,7 +294,7 @@
             simulated.tick();
         }
         assertTrue(!channel.isOpen());
-        assertEquals(3, simulated.last());
+        assertEquals(3, simulated.lastZxid());
         assertEquals(List.of(), server.escaped());
         client.die();
         server.die();
--- a/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
@@ -39,7 +39,7 @@
                                         1,
                                         strikes,
                                         CoordinatedSite.Source.NODES,
-                                        CoordinatedSite.LEAST_SESSION),
+                                        CoordinatedSite.MIN_SESSION_TIMEOUT),
                                 out)
                         .run(JAR);
         assertTrue(result.held(), said::toString);
--- a/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
@@ -43,7 +43,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        server = CoordinationServer.alone(CoordinationServer.Times.QUICK);
+        server = CoordinationServer.standalone(CoordinationServer.Times.QUICK);
         relay =
                 new Relay(
                         group.next(),
@@ -52,7 +52,7 @@
                         (what, at) -> told.add(new Told(what, at)));
         relay.listen();
         writer = new NodeWriter(server.address(), "/s", SESSION_MILLIS);
-        writer.ground();
+        writer.createPersistent();
     }
 
     @AfterEach
@@ -101,9 +101,9 @@
         assertEquals(wanted, next);
     }
 
-    private NodeReply heard(NodeReply.What what) throws InterruptedException {
+    private NodeReply heard(NodeReply.Kind what) throws InterruptedException {
         Told next = told.poll(20, TimeUnit.SECONDS);
-        while (next != null && next.what.what() != what) {
+        while (next != null && next.what.kind() != what) {
             next = told.poll(20, TimeUnit.SECONDS);
         }
         assertNotNull(next, what.name());
@@ -122,21 +122,21 @@
         ZooKeeper client = connected();
         client.addWatch("/s", AddWatchMode.PERSISTENT_RECURSIVE);
         NodeWriter node = node("a");
-        NodeReply made = heard(NodeReply.What.MADE);
+        NodeReply made = heard(NodeReply.Kind.MADE);
         assertEquals("/s/a", made.path());
         assertEquals(client.getSessionId(), made.session());
         assertEquals(server.lastChange(), made.zxid());
         client.getData("/s/a", false, null);
-        assertEquals("127.0.0.1:1", ServerNode.read(heard(NodeReply.What.HOLDS).data()).address());
+        assertEquals("127.0.0.1:1", ServerNode.read(heard(NodeReply.Kind.HOLDS).data()).address());
         client.getChildren("/s", false);
-        assertEquals(List.of("a"), heard(NodeReply.What.CHILDREN).children());
+        assertEquals(List.of("a"), heard(NodeReply.Kind.CHILDREN).children());
         client.multi(List.of(Op.getData("/s/a"), Op.getData("/s/b")));
-        assertEquals("/s/a", heard(NodeReply.What.HOLDS).path());
-        assertEquals("/s/b", heard(NodeReply.What.GONE).path());
+        assertEquals("/s/a", heard(NodeReply.Kind.HOLDS).path());
+        assertEquals("/s/b", heard(NodeReply.Kind.GONE).path());
         node.change(new ServerNode("127.0.0.1:1", "z", false, 0));
-        assertEquals("/s/a", heard(NodeReply.What.CHANGED).path());
+        assertEquals("/s/a", heard(NodeReply.Kind.CHANGED).path());
         server.expire(node.session());
-        assertEquals("/s/a", heard(NodeReply.What.GONE).path());
+        assertEquals("/s/a", heard(NodeReply.Kind.GONE).path());
     }
 
     @Test
@@ -160,7 +160,7 @@
         onLoop(relay::cut);
         await(KeeperState.Disconnected);
         await(KeeperState.SyncConnected);
-        onLoop(relay::halves);
+        onLoop(relay::truncateNext);
         await(KeeperState.Disconnected);
         await(KeeperState.SyncConnected);
         assertNotNull(client.exists("/s", false));
@@ -170,16 +170,16 @@
     void nothingPassesUntilTheDoorIsOpen() throws Exception {
         ZooKeeper client = connected();
         BlockingQueue<Integer> answers = new LinkedBlockingQueue<>();
-        onLoop(() -> relay.door(Relay.Door.SILENT));
+        onLoop(() -> relay.mode(Relay.Mode.SILENT));
         client.exists("/s", false, (code, path, context, stat) -> answers.add(code), null);
         assertNull(answers.poll(300, TimeUnit.MILLISECONDS));
-        onLoop(() -> relay.door(Relay.Door.OPEN));
+        onLoop(() -> relay.mode(Relay.Mode.OPEN));
         assertEquals(0, answers.poll(20, TimeUnit.SECONDS));
-        onLoop(() -> relay.door(Relay.Door.REFUSES));
+        onLoop(() -> relay.mode(Relay.Mode.REFUSES));
         onLoop(relay::reset);
         await(KeeperState.Disconnected);
         assertNull(states.poll(300, TimeUnit.MILLISECONDS));
-        onLoop(() -> relay.door(Relay.Door.OPEN));
+        onLoop(() -> relay.mode(Relay.Mode.OPEN));
         await(KeeperState.SyncConnected);
         assertNotNull(client.exists("/s", false));
     }
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -121,7 +121,7 @@
         all = new CoordinationServers(CoordinationServer.Times.QUICK, 3);
         server = all.members().get(0);
         NodeWriter writer = new NodeWriter(server.address(), ROOT, SESSION_MILLIS);
-        writer.ground();
+        writer.createPersistent();
         writer.close();
     }
 
