--- a/testbed/src/main/java/appleridge/testbed/coordination/Change.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Change.java
@@ -4,28 +4,31 @@
 import org.apache.zookeeper.data.ACL;
 
 /**
- * One step of a coordination service's history, found right by {@link Rules}, which any member can
- * apply.
+ * One entry of the replicated log. {@link Rules} has already validated it, so every member applies
+ * it without further checks.
  */
 sealed interface Change {
-    /** A node is made; {@code owner}: the session that it ends with, or 0. */
+    /**
+     * Creates a node. {@code owner} is the session that the node is ephemeral to, or 0 if it is
+     * persistent.
+     */
     record CreateNode(String path, byte[] data, List<ACL> acl, long owner) implements Change {}
 
-    /** A node is taken away. */
+    /** Deletes a node without children. */
     record DeleteNode(String path) implements Change {}
 
-    /** A node holds other data. */
+    /** Replaces a node's data. */
     record SetData(String path, byte[] data) implements Change {}
 
-    /** Others may do something with a node. */
+    /** Replaces a node's access control list. */
     record SetAcl(String path, List<ACL> acl) implements Change {}
 
-    /** Nothing changes: a version was only looked at. */
+    /** Changes nothing; records a version check inside a multi request. */
     record CheckVersion(String path) implements Change {}
 
-    /** A session begins. */
+    /** Opens a session with a time-out in milliseconds. */
     record OpenSession(long session, int timeout) implements Change {}
 
-    /** A session ends, and its nodes with it. */
+    /** Closes a session and deletes its ephemeral nodes. */
     record CloseSession(long session) implements Change {}
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
@@ -28,7 +28,10 @@
 import org.apache.zookeeper.proto.RequestHeader;
 import org.apache.zookeeper.proto.WatcherEvent;
 
-/** One connection's frames, read enough to say what is told of nodes. */
+/**
+ * Parses the frames of one client connection in both directions and extracts what the server
+ * reports about nodes. Matches responses to requests by xid.
+ */
 final class Conversation {
     private static final int NOTIFICATION_XID = -1;
 
@@ -39,7 +42,7 @@
     private boolean connectResponseSeen;
     private long session;
 
-    /** Takes a client's frame in. */
+    /** Records a frame from the client, so that its response can be interpreted later. */
     void clientFrame(ByteBuf frame) {
         if (!connectRequestSeen) {
             connectRequestSeen = true;
@@ -71,7 +74,10 @@
         }
     }
 
-    /** Takes a server's frame in, and says what it tells. */
+    /**
+     * Parses a frame from the server and returns the node states and events that it carries,
+     * possibly none.
+     */
     List<NodeReply> serverFrame(ByteBuf frame) {
         BinaryInputArchive in = archive(frame);
         if (!connectResponseSeen) {
@@ -159,7 +165,7 @@
         return new NodeReply(session, what, path, zxid, "", List.of());
     }
 
-    /** Whether the next answer is the first, which says how the session stands. */
+    /** Whether the next frame from the server is the connect response. */
     boolean awaitsConnectResponse() {
         return !connectResponseSeen;
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
@@ -29,19 +29,20 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Order servers that register with a coordination server, clients, and one real sidecar that learns
- * of the servers through a relay. All stand-ins but the coordination server live on one event loop.
+ * A test site on loopback: order servers that register with a coordination server, clients, and one
+ * real sidecar process that discovers the servers through a relay. All stand-ins except the
+ * coordination server run on one event loop.
  */
 final class CoordinatedSite implements AutoCloseable {
     static final String ROOT = "/orders/servers";
     static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
 
-    /** The least that a sidecar takes, so that sessions end often. */
+    /** The shortest session time-out that a sidecar accepts, so that sessions expire often. */
     static final String MIN_SESSION_TIMEOUT = "2s";
 
     private static final int CLIENTS = 36;
 
-    /** Longer than any request takes that is answered at all. */
+    /** Exceeds the duration of any request that is answered at all. */
     private static final long TIMEOUT_SLACK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final int LAG_MILLIS = 5;
@@ -49,7 +50,7 @@
     private static final int PATIENCE_MILLIS = 60_000;
     private static final int POLL_MILLIS = 10;
 
-    /** How the sidecar learns of servers. */
+    /** Where the sidecar discovers servers; written in lower case into its configuration. */
     enum Source {
         NODES,
         BOTH,
@@ -76,7 +77,10 @@
     LoopbackClients clients;
     SidecarProcess sidecar;
 
-    /** Told of each request at a server, with the server's address. */
+    /**
+     * Receives each request that arrives at a server, with the server's address; called on the
+     * loop.
+     */
     interface Arrivals {
         void arrived(String address, StandInListener.Arrival arrival);
     }
@@ -85,7 +89,10 @@
         this(seed, drainGrace, MIN_SESSION_TIMEOUT);
     }
 
-    /** With the session time-out that the sidecar asks for, as its operator's file says it. */
+    /**
+     * Creates a site whose sidecar requests the given session time-out, in the notation of the
+     * operator's configuration.
+     */
     CoordinatedSite(long seed, long drainGrace, String session)
             throws IOException, InterruptedException {
         this.seed = seed;
@@ -102,7 +109,7 @@
         this.relay = new Relay(loop, time, coordination.address(), drains);
     }
 
-    /** Opens all that a sidecar needs to start, with so many servers. */
+    /** Starts everything that the sidecar depends on, with the given number of servers. */
     void open(int servers)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         registry.listen();
@@ -116,7 +123,7 @@
         }
     }
 
-    /** A session that stays. */
+    /** Returns a writer whose session lives as long as the site. */
     NodeWriter rootWriter() {
         return rootWriter;
     }
@@ -125,7 +132,7 @@
         return SESSION_MILLIS;
     }
 
-    /** Starts the sidecar, and clients that ask it so often a second. */
+    /** Starts the sidecar and clients that send it {@code rate} requests a second. */
     void start(Path jar, Source source, double rate)
             throws IOException, InterruptedException, ExecutionException {
         sidecar = new SidecarProcess(jar, operatorConfiguration(source));
@@ -160,7 +167,7 @@
                         + "\"\n";
     }
 
-    /** A server's process listens. */
+    /** Records the address of a server that now listens. */
     void addServer(LoopbackServer server) throws InterruptedException, ExecutionException {
         onLoop(() -> addresses.put(server.identity().name(), server.endpoint()));
     }
@@ -171,7 +178,7 @@
         listeners.forEach(each -> each.arrived(address, arrival));
     }
 
-    /** On the loop. */
+    /** Adds a listener; call on the loop. */
     void listen(Arrivals arrivals) {
         listeners.add(arrivals);
     }
@@ -180,7 +187,9 @@
         return loop.submit(what).get();
     }
 
-    /** Waits until something holds, asked on the loop; false if it did not for too long. */
+    /**
+     * Polls a condition on the loop until it holds; returns false if it does not within a minute.
+     */
     boolean await(Callable<Boolean> what) throws InterruptedException, ExecutionException {
         for (int waited = 0; waited < PATIENCE_MILLIS; waited += POLL_MILLIS) {
             if (onLoop(what)) {
@@ -191,12 +200,12 @@
         return false;
     }
 
-    /** The sidecar's session; 0 if it is not connected. */
+    /** Returns the id of the sidecar's session; 0 if it is not connected. */
     long sidecarSession() throws InterruptedException, ExecutionException {
         return onLoop(() -> relay.sessions().stream().reduce(0L, (first, last) -> last));
     }
 
-    /** Stops asking and waits for the last answers. */
+    /** Stops the clients and waits until no request is open. */
     void stopClients() throws InterruptedException, ExecutionException {
         loop.execute(clients::stop);
         await(() -> clients.open() == 0);
@@ -216,7 +225,9 @@
         coordination.close();
     }
 
-    /** How late the loop itself is, which is added to whatever it stamps. */
+    /**
+     * Measures the worst lag of the event loop, which is part of every time that the loop records.
+     */
     final class LoopLag {
         private long worst;
         private long due;
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
@@ -14,7 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * The command {@code coordination}: the stand-in as a process, which plays scripts from its input.
+ * The command {@code coordination}: runs the stand-in ensemble as a process and executes commands
+ * that it reads from standard input.
  */
 public final class CoordinationCommand {
     private static final String USAGE =
@@ -40,7 +41,7 @@
         this.err = err;
     }
 
-    /** Runs until the process is ended; returns the exit status only if it could not begin. */
+    /** Runs until the process is killed; returns an exit status only if it cannot start. */
     public int run(InputStream in, String... args) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         CoordinationServer.Times times = CoordinationServer.Times.QUICK;
@@ -69,11 +70,12 @@
                                             times.tickMillis(),
                                             times.leastSessionMillis(),
                                             Integer.parseInt(value));
-                            default -> throw new IllegalArgumentException("unknown: " + word);
+                            default ->
+                                    throw new IllegalArgumentException("unknown option: " + word);
                         };
             }
             if (addresses.isEmpty()) {
-                throw new IllegalArgumentException("--listen is needed");
+                throw new IllegalArgumentException("--listen is required");
             }
             servers = new CoordinationServers(times, null, addresses);
             servers.members()
@@ -84,7 +86,7 @@
                                                     + each.address().getAddress().getHostAddress()
                                                     + ":"
                                                     + each.address().getPort()));
-            play(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8)));
+            execute(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8)));
             new CountDownLatch(1).await();
             return 0;
         } catch (IllegalArgumentException e) {
@@ -100,20 +102,20 @@
         }
     }
 
-    /** A port of 0 is any free one. */
+    /** Parses HOST:PORT; port 0 selects any free port. */
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
-            throw new IllegalArgumentException("not an address: " + text);
+            throw new IllegalArgumentException("not HOST:PORT: " + text);
         }
         return new InetSocketAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private void play(BufferedReader lines) throws IOException, InterruptedException {
+    private void execute(BufferedReader lines) throws IOException, InterruptedException {
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
-                String result = play(List.of(line.trim().split(" +")));
+                String result = execute(List.of(line.trim().split(" +")));
                 out.println(result.isEmpty() ? "ok" : "ok " + result);
             } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
                 out.println("no: " + e.getMessage());
@@ -121,7 +123,7 @@
         }
     }
 
-    private String play(List<String> words) throws IOException, InterruptedException {
+    private String execute(List<String> words) throws IOException, InterruptedException {
         switch (words.get(0)) {
             case "stop" -> each(words, 1, CoordinationServer::stop);
             case "start" -> {
@@ -140,7 +142,8 @@
             case "read-only" -> each(words, 1, server -> server.readOnly(true));
             case "break" -> {
                 if (!List.of("before", "after").contains(words.get(1))) {
-                    throw new IllegalArgumentException("before or after");
+                    throw new IllegalArgumentException(
+                            "expected before or after, not " + words.get(1));
                 }
                 each(
                         words,
@@ -162,8 +165,8 @@
                                 .map(each -> "0x" + Long.toHexString(each))
                                 .toList());
             }
-            case "sessions-last" -> servers.sessionsLast(true);
-            case "sessions-end" -> servers.sessionsLast(false);
+            case "sessions-last" -> servers.suspendExpiry(true);
+            case "sessions-end" -> servers.suspendExpiry(false);
             case "changes" -> {
                 return String.join(
                         " ",
@@ -171,7 +174,7 @@
                                 .map(each -> Long.toString(each.lastChange()))
                                 .toList());
             }
-            default -> throw new IllegalArgumentException("unknown: " + words.get(0));
+            default -> throw new IllegalArgumentException("unknown command: " + words.get(0));
         }
         return "";
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationFault.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationFault.java
@@ -6,50 +6,51 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What may come between the sidecar and the coordination service; over when {@link #play} returns.
+ * A fault of the connection between the sidecar and the coordination service, or of either end. The
+ * fault has ended when {@link #play} returns. The names are values of {@code --strikes}.
  */
 enum CoordinationFault {
-    /** Connections end, and are made again. */
+    /** Closes all connections in order; the sidecar reconnects. */
     CUT {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) {
             site.loop.execute(site.relay::cut);
         }
     },
-    /** Connections break, and are made again. */
+    /** Resets all connections; the sidecar reconnects. */
     RESET {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) {
             site.loop.execute(site.relay::reset);
         }
     },
-    /** One answer or event comes by half. */
+    /** Cuts the next response or notification in half, then resets its connection. */
     HALF {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) {
             site.loop.execute(site.relay::truncateNext);
         }
     },
-    /** Nothing passes for a while. */
+    /** Holds all bytes back for a while; connections stay open. */
     SILENT {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) throws InterruptedException {
-            door(site, Relay.Mode.SILENT);
+            setMode(site, Relay.Mode.SILENT);
             pause(random, 200, 8000);
-            door(site, Relay.Mode.OPEN);
+            setMode(site, Relay.Mode.OPEN);
         }
     },
-    /** The service is away. */
+    /** Resets all connections and refuses new ones for a while. */
     OUTAGE {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) throws InterruptedException {
-            door(site, Relay.Mode.REFUSES);
+            setMode(site, Relay.Mode.REFUSES);
             site.loop.execute(site.relay::reset);
             pause(random, 200, 8000);
-            door(site, Relay.Mode.OPEN);
+            setMode(site, Relay.Mode.OPEN);
         }
     },
-    /** All is late. */
+    /** Delays all bytes for a while. */
     LATE {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) throws InterruptedException {
@@ -59,7 +60,7 @@
             site.loop.execute(() -> site.relay.delay(0));
         }
     },
-    /** The sidecar's own session ends. */
+    /** Expires the sidecar's session. */
     EXPIRED {
         @Override
         void play(CoordinatedSite site, SplittableRandom random)
@@ -67,7 +68,7 @@
             site.coordination.expire(site.sidecarSession());
         }
     },
-    /** The coordination server answers pings and nothing else. */
+    /** Lets the coordination server answer only pings and new connections for a while. */
     HUNG {
         @Override
         void play(CoordinatedSite site, SplittableRandom random) throws InterruptedException {
@@ -76,7 +77,7 @@
             site.coordination.hung(false);
         }
     },
-    /** The coordination server is started again, with its data. */
+    /** Restarts the coordination server with its data. */
     RESTART {
         @Override
         void play(CoordinatedSite site, SplittableRandom random)
@@ -86,7 +87,7 @@
             site.coordination.start();
         }
     },
-    /** The sidecar stands still, longer than its session lasts at times. */
+    /** Suspends the sidecar process, sometimes for longer than its session time-out. */
     STILL {
         @Override
         void play(CoordinatedSite site, SplittableRandom random)
@@ -100,12 +101,12 @@
     abstract void play(CoordinatedSite site, SplittableRandom random)
             throws IOException, InterruptedException, ExecutionException;
 
-    private static void door(CoordinatedSite site, Relay.Mode door) {
-        site.loop.execute(() -> site.relay.mode(door));
+    private static void setMode(CoordinatedSite site, Relay.Mode mode) {
+        site.loop.execute(() -> site.relay.mode(mode));
     }
 
-    private static void pause(SplittableRandom random, int leastMillis, int mostMillis)
+    private static void pause(SplittableRandom random, int minMillis, int maxMillis)
             throws InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(random.nextInt(leastMillis, mostMillis + 1));
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(minMillis, maxMillis + 1));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
@@ -9,14 +9,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for a coordination server: one member of an ensemble on a socket of its own, alone or
- * among others. It keeps its port and, if wanted, its data over restarts. Blocks; not for an event
- * loop.
+ * A stand-in for a coordination server: one member of an ensemble on its own socket. It keeps its
+ * port over restarts, and its data unless told to wipe it. Methods block and must not be called on
+ * an event loop.
  */
 public final class CoordinationServer implements AutoCloseable {
-    /** How finely it looks at the clock, and the session time-outs that it grants. */
+    /**
+     * The interval at which sessions are checked for expiry, and the bounds of the session
+     * time-outs that are granted.
+     */
     public record Times(int tickMillis, int leastSessionMillis, int mostSessionMillis) {
-        /** Fine enough for tests that last seconds. */
+        /** Allows tests that last seconds. */
         public static final Times QUICK = new Times(50, 200, 60_000);
     }
 
@@ -34,15 +37,15 @@
         this.address = address;
     }
 
-    /** Starts one that is an ensemble of its own, on any free port, with no data. */
+    /** Starts an ensemble of one member on any free port, with no data. */
     public static CoordinationServer standalone(Times times)
             throws IOException, InterruptedException {
         return new CoordinationServers(times, 1).members().get(0);
     }
 
     /**
-     * Another one on a port of its own with what this one's ensemble holds now: it lags from then
-     * on.
+     * Starts a separate server on any free port with a copy of this ensemble's data. The copy
+     * receives no further changes, like a server that lags.
      */
     public CoordinationServer lagging() throws IOException, InterruptedException {
         return all.lagging().members().get(0);
@@ -52,7 +55,7 @@
         return member;
     }
 
-    /** Starts again at its port, with its data. */
+    /** Starts the member at its port, with its data; does nothing if it runs. */
     public synchronized void start() throws IOException, InterruptedException {
         if (listening != null) {
             return;
@@ -64,15 +67,15 @@
                 listening = bound.channel();
                 address = (InetSocketAddress) listening.localAddress();
             } else if (i == BIND_TRIES) {
-                throw new IOException(bound.cause());
+                throw new IOException("cannot listen on " + address, bound.cause());
             } else {
-                // What held the port last may not be gone altogether.
+                // The previous socket on this port may not be released yet.
                 Thread.sleep(BIND_PAUSE_MILLIS);
             }
         }
     }
 
-    /** Ends; its data stays. */
+    /** Stops the member; its data stays. */
     public synchronized void stop() {
         if (listening != null) {
             listening.close().awaitUninterruptibly();
@@ -81,50 +84,50 @@
         }
     }
 
-    /** It remembers nothing when it starts next; only while it is stopped. */
+    /** Discards the member's data. Call only while it is stopped. */
     public void wipe() {
         restore(0);
     }
 
-    /** It remembers nothing after this change when it starts next; only while it is stopped. */
+    /** Discards the member's changes after this transaction. Call only while it is stopped. */
     public void restore(long zxid) {
         all.run(() -> member.remembers(Math.min(member.remembered(), zxid)));
     }
 
-    /** Where it listens. */
+    /** The address that the member listens on, or listened on last. */
     public synchronized InetSocketAddress address() {
         return address;
     }
 
-    /** The ensemble that it is a member of. */
+    /** The ensemble of this member. */
     public CoordinationServers all() {
         return all;
     }
 
-    /** Ends a session now; false if there is none such, or no quorum. */
+    /** Expires a session now; returns false if it does not exist or there is no quorum. */
     public boolean expire(long session) {
         return all.expire(session);
     }
 
-    /** From now on no session ends by itself, or each does again after its whole time. */
-    public void sessionsLast(boolean last) {
-        all.sessionsLast(last);
+    /** Suspends the expiry of sessions, or resumes it with the full time-out of each session. */
+    public void suspendExpiry(boolean isSuspended) {
+        all.suspendExpiry(isSuspended);
     }
 
-    /** The sessions that there are. */
+    /** The ids of the open sessions. */
     public List<Long> sessions() {
         return all.sessions();
     }
 
-    /** From now on it answers pings and new connections and nothing else, or everything again. */
+    /**
+     * If hung, the member answers only pings and new connections; it queues other requests and
+     * processes them when it resumes.
+     */
     public void hung(boolean hung) {
         all.run(() -> member.hung(hung));
     }
 
-    /**
-     * Knows of changes so much later than the others from now on; less than 0: knows of none any
-     * more.
-     */
+    /** Applies changes this much after their commit; a negative lag applies none any more. */
     public void lag(long millis) {
         all.run(
                 () ->
@@ -134,30 +137,30 @@
                                         : TimeUnit.MILLISECONDS.toNanos(millis)));
     }
 
-    /** Whether clients that are content to read may come while it has no quorum. */
+    /** Whether clients that accept a read-only server may connect while there is no quorum. */
     public void readOnly(boolean isAllowed) {
         all.run(() -> member.readOnly(isAllowed));
     }
 
     /**
-     * The next request of this kind (as in {@code ZooDefs.OpCode}) ends its connection unanswered:
-     * once it was done, or not done at all.
+     * Closes the connection of the next request of this type (see {@code ZooDefs.OpCode}) without a
+     * response, after applying the request if {@code done}, otherwise without applying it.
      */
     public void breakNext(int type, boolean done) {
         all.run(() -> member.breakNext(type, done));
     }
 
-    /** The id of the last change that it knows of. */
+    /** The zxid of the last transaction that the member has applied. */
     public long lastChange() {
         return all.onLoop(member::applied);
     }
 
-    /** How many requests of each kind (as in {@code ZooDefs.OpCode}) it took since its making. */
-    public Map<Integer, Long> asked() {
-        return all.onLoop(member::asked);
+    /** The number of requests received so far, by type (see {@code ZooDefs.OpCode}). */
+    public Map<Integer, Long> requestCounts() {
+        return all.onLoop(member::requestCounts);
     }
 
-    /** Ends its whole ensemble. */
+    /** Stops the whole ensemble. */
     @Override
     public void close() {
         all.close();
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServers.java
@@ -22,7 +22,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** An {@link Ensemble} on sockets, all of it on one event loop of its own. Its methods block. */
+/**
+ * An {@link Ensemble} on sockets, on one event loop of its own. Methods block and must not be
+ * called on an event loop.
+ */
 public final class CoordinationServers implements AutoCloseable {
     private static final int BACKLOG = 4096;
 
@@ -35,7 +38,7 @@
     private final Ensemble ensemble;
     private final List<CoordinationServer> servers = new ArrayList<>();
 
-    /** Starts so many members on any free ports, with no data. */
+    /** Starts {@code size} members on any free ports, with no data. */
     public CoordinationServers(CoordinationServer.Times times, int size)
             throws IOException, InterruptedException {
         this(
@@ -45,7 +48,9 @@
                         size, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
 
-    /** Starts a member at each of these addresses; with {@code tls} they speak nothing else. */
+    /**
+     * Starts a member at each of these addresses. If {@code tls} is not null, they accept only TLS.
+     */
     public CoordinationServers(
             CoordinationServer.Times times, SslContext tls, List<InetSocketAddress> addresses)
             throws IOException, InterruptedException {
@@ -76,12 +81,15 @@
         return new Ensemble.Time(time::nanos, time::unixMillis);
     }
 
-    /** Its members. */
+    /** The members, in the order of their addresses. */
     public List<CoordinationServer> members() {
         return Collections.unmodifiableList(servers);
     }
 
-    /** One of one member with what these hold now, on a port of its own: it lags from then on. */
+    /**
+     * Starts an ensemble of one member with a copy of this one's data, on any free port. The copy
+     * receives no further changes.
+     */
     CoordinationServers lagging() throws IOException, InterruptedException {
         return new CoordinationServers(
                 times,
@@ -91,24 +99,24 @@
     }
 
     /**
-     * Cuts these members off from the others, but not from one another; with none, all are
-     * together.
+     * Partitions the ensemble into these members and the others; without members, heals the
+     * partition.
      */
     public void cut(CoordinationServer... apart) {
         run(() -> ensemble.partition(Stream.of(apart).map(CoordinationServer::member).toList()));
     }
 
-    /** Ends a session now; false if there is none such, or no quorum. */
+    /** Expires a session now; returns false if it does not exist or there is no quorum. */
     public boolean expire(long session) {
         return onLoop(() -> ensemble.closeSession(session));
     }
 
-    /** From now on no session ends by itself, or each does again after its whole time. */
-    public void sessionsLast(boolean last) {
-        run(() -> ensemble.suspendExpiry(last));
+    /** Suspends the expiry of sessions, or resumes it with the full time-out of each session. */
+    public void suspendExpiry(boolean isSuspended) {
+        run(() -> ensemble.suspendExpiry(isSuspended));
     }
 
-    /** The sessions that there are. */
+    /** The ids of the open sessions. */
     public List<Long> sessions() {
         return onLoop(() -> List.copyOf(ensemble.sessions().keySet()));
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
@@ -23,16 +23,17 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Order servers vanish, flap, restart and drain while the coordination service has outages, all as
- * drawn from a seed; each request's first byte is held against the time at which its server's end
- * was with the sidecar's socket.
+ * Checks that the sidecar stops sending requests to servers that have ended. Order servers vanish,
+ * flap, restart and drain while the coordination service has outages, as drawn from a seed. The
+ * first byte of each request is compared with the time at which the report of its server's end was
+ * written to the sidecar's socket.
  */
 final class DrainCheck {
     /**
-     * What is played.
+     * The parameters of a run.
      *
-     * @param session the sidecar's session time-out, as its operator's file says it
-     * @param strikes what may come between the sidecar and the coordination service
+     * @param session the sidecar's session time-out, in the notation of its configuration
+     * @param strikes the faults to inject between the sidecar and the coordination service
      */
     record Plan(
             int sequences,
@@ -43,7 +44,10 @@
             CoordinatedSite.Source source,
             String session) {}
 
-    /** What came of it. */
+    /**
+     * The result of a run; {@code right} says whether the sidecar was told of all servers at the
+     * end.
+     */
     record Result(
             int ends,
             int withRequests,
@@ -59,12 +63,12 @@
     static final long GRACE = TimeUnit.SECONDS.toNanos(2);
     private static final long[] STEPS_MILLIS = {1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000};
 
-    /** At most this part of the servers goes through something at once. */
+    /** At most one server in so many goes through a sequence at the same time. */
     private static final int CONCURRENT_FRACTION = 3;
 
     private static final int MAX_LATE_PRINTED = 40;
 
-    /** Where in a moment's text the time of day begins. */
+    /** Index of the time of day in an ISO-8601 timestamp. */
     private static final int TIME_OF_DAY_OFFSET = 11;
 
     private final Plan plan;
@@ -161,7 +165,7 @@
                                 site.slots.stream()
                                         .allMatch(slot -> site.drains.isPresent(slot.address())));
         long settledAfter = site.time.nanos() - began;
-        // What would still be sent to those that are gone is seen before the end.
+        // Requests that are still sent to ended servers arrive before the clients stop.
         TimeUnit.MILLISECONDS.sleep(2500);
         site.stopClients();
         List<DrainTracker.End> ends = site.onLoop(() -> List.copyOf(site.drains.ends()));
@@ -185,21 +189,24 @@
 
     private void print(CoordinatedSite site, Result result, long settledAfter) throws IOException {
         out.println("sequences: " + completed);
-        out.println("strikes: " + injected);
+        out.println("faults: " + injected);
         out.println(
-                "requests asked "
-                        + site.traffic.asked()
+                "requests sent "
+                        + site.traffic.sent()
                         + ", statuses "
                         + statuses(site)
                         + ", without an answer "
                         + site.traffic.endings()
-                        + ", servers pushed over "
+                        + ", servers crashed by overload "
                         + site.traffic.crashedServers()
-                        + ", at addresses never told "
-                        + site.drains.unknownAddresses());
+                        + ", at unknown addresses "
+                        + site.drains.requestsAtUnknownAddresses());
         out.println(
-                "ends told " + result.ends() + ", followed by requests " + result.withRequests());
-        out.println("last request after the word of an end: " + result.delays().millis());
+                "ends reported "
+                        + result.ends()
+                        + ", followed by requests "
+                        + result.withRequests());
+        out.println("last request after the report of an end: " + result.delays().millis());
         StringBuilder steps = new StringBuilder("of them up to");
         for (long step : STEPS_MILLIS) {
             steps.append(' ')
@@ -210,15 +217,15 @@
         }
         out.println(steps.substring(0, steps.length() - 1));
         out.println(
-                "the stand-ins' own loop was late by at most "
+                "longest lag of the stand-ins' own loop: "
                         + Samples.millis(site.lag.worst())
                         + " ms");
         out.println(
                 result.right()
-                        ? "all servers were told "
+                        ? "the sidecar was told of all servers "
                                 + Samples.millis(settledAfter)
                                 + " ms after the end"
-                        : "THE LIST IS NOT RIGHT at the end");
+                        : "THE SERVER LIST IS WRONG at the end");
         result.late().stream()
                 .limit(MAX_LATE_PRINTED)
                 .forEach(
@@ -230,7 +237,7 @@
                                                 + each.id()
                                                 + " "
                                                 + Samples.millis(each.delay())
-                                                + " ms after the word of its end, "
+                                                + " ms after the report of its end, "
                                                 + each.end().reason
                                                 + " of "
                                                 + each.end().name
@@ -238,7 +245,7 @@
                                                 + clock(site, each.end().from)));
         out.println(result.held() ? "held: no new work after 2 s" : "NOT HELD");
         if (!result.held()) {
-            out.println("Strikes:");
+            out.println("Faults:");
             times.forEach(out::println);
             out.println("The sidecar's log:");
             site.sidecar.log().forEach(out::println);
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainTracker.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainTracker.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 
 /**
- * Holds the requests that order servers get against what the sidecar was told of their nodes. An
- * address counts as ended from when the last node that names it was said to be gone, to be of
- * another address, not to be ready or to be unreadable, until one names it again.
+ * Compares the requests that order servers receive with what the coordination service has told the
+ * sidecar about their nodes. An address counts as ended from the moment when the last node that
+ * names it is reported deleted, moved to another address, not ready or unreadable, until a ready
+ * node names the address again. Times in nanoseconds; not thread-safe.
  */
 final class DrainTracker implements Relay.ReplyListener {
-    /** A time for which an address counts as ended; times in nanoseconds. */
+    /** A period during which an address counts as ended. */
     static final class End {
         final String address;
         final long from;
@@ -31,7 +32,7 @@
             this.name = name;
         }
 
-        /** How long after its beginning the last request came; -1 if none did. */
+        /** The delay from the start of the period to its last request; -1 if there was none. */
         long delay() {
             return last;
         }
@@ -40,13 +41,13 @@
             return requests;
         }
 
-        /** How long it lasted, as far as it was seen. */
+        /** The length of the period, up to {@code now} if it still lasts. */
         long length(long now) {
             return Math.min(until, now) - from;
         }
     }
 
-    /** A request that should not have been sent. */
+    /** A request that arrived more than the allowed delay after its server's end. */
     record Late(String server, String id, long delay, End end) {}
 
     private final String root;
@@ -56,9 +57,12 @@
     private final Map<String, List<End>> ends = new LinkedHashMap<>();
     private final List<Late> lateRequests = new ArrayList<>();
     private long highestZxid;
-    private int unknownAddresses;
+    private int requestsAtUnknownAddresses;
 
-    /** With the path above the nodes, and how long after an end requests may still come. */
+    /**
+     * Tracks the children of {@code root}; requests may still arrive within {@code allowed} after
+     * an end.
+     */
     DrainTracker(String root, long allowed) {
         this.root = root + "/";
         this.allowed = allowed;
@@ -67,7 +71,7 @@
     @Override
     public void onReply(NodeReply reply, long at) {
         if (reply.zxid() > 0 && reply.zxid() < highestZxid) {
-            // An older state is no word of anything.
+            // A server that lags reports an old state.
             return;
         }
         highestZxid = Math.max(highestZxid, reply.zxid());
@@ -121,11 +125,11 @@
         }
     }
 
-    /** A request's first byte has come to the server at an address. */
+    /** Records a request whose first byte arrived at the server at an address. */
     void arrived(String address, String server, String id, long firstByte) {
         List<End> periods = ends.get(address);
         if (periods == null) {
-            unknownAddresses++;
+            requestsAtUnknownAddresses++;
             return;
         }
         for (int i = periods.size() - 1; i >= 0; i--) {
@@ -144,7 +148,7 @@
         }
     }
 
-    /** All ends, those of one address in their order. */
+    /** All periods; those of one address are in chronological order. */
     List<End> ends() {
         return ends.values().stream().flatMap(List::stream).toList();
     }
@@ -153,17 +157,17 @@
         return lateRequests;
     }
 
-    /** Requests at addresses of which nothing was told. */
-    int unknownAddresses() {
-        return unknownAddresses;
+    /** The number of requests at addresses that no node has named. */
+    int requestsAtUnknownAddresses() {
+        return requestsAtUnknownAddresses;
     }
 
-    /** Whether the last word of an address was that it is there. */
+    /** Whether at least one ready node names the address, as far as the sidecar was told. */
     boolean isPresent(String address) {
         return !nodesByAddress.getOrDefault(address, Set.of()).isEmpty();
     }
 
-    /** How many addresses are said to be there. */
+    /** The number of ready nodes that the sidecar was told of. */
     int size() {
         return addressByNode.size();
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
@@ -12,20 +12,22 @@
 import org.apache.zookeeper.OpResult;
 
 /**
- * One history of changes that several members share, its sessions, and which members have a quorum.
- * What no member of a new quorum remembers never was. Pure: bytes go in and out at the members,
- * time comes from outside, and all of it lives on one thread.
+ * The replicated log of an ensemble, its sessions, and the members that belong to the quorum. When
+ * a new quorum forms, log entries that none of its members remembers are discarded. Free of I/O:
+ * bytes enter and leave through the members and the caller supplies the time. Not thread-safe.
  */
 final class Ensemble {
-    /** What was changed together, and when; its place in the list is its transaction's number. */
+    /**
+     * A transaction: changes that are applied together. Its index in the log plus one is its zxid.
+     */
     record Entry(long at, long unixMillis, List<Change> changes) {}
 
-    /** Nanoseconds that never run back, and what they are in Unix time. */
+    /** A monotonic clock in nanoseconds, and its conversion to Unix time in milliseconds. */
     record Time(LongSupplier nanos, LongUnaryOperator unixMillis) {}
 
     private static final Tree.NodeListener NO_LISTENER = (what, path, acl) -> {};
-    private static final int NANOS = 1_000_000;
-    private static final int ID_BITS = 16;
+    private static final int NANOS_PER_MILLI = 1_000_000;
+    private static final int SESSION_COUNTER_BITS = 16;
 
     private final CoordinationServer.Times times;
     private final Time time;
@@ -40,19 +42,20 @@
     private long lastTick;
     private boolean expirySuspended;
 
-    /** With so many members, none of which is up. */
+    /** Creates an ensemble of {@code size} members that are all down. */
     Ensemble(CoordinationServer.Times times, Time time, int size) {
         this.times = times;
         this.time = time;
-        // 0 is nobody's; and no other life's session may be taken for one of this.
         this.lastTick = now();
-        this.nextSession = (unixMillis() << ID_BITS) + 1;
+        // Session id 0 means no session. Ids contain the start time, so that an id from before a
+        // restart never names a session of this run.
+        this.nextSession = (unixMillis() << SESSION_COUNTER_BITS) + 1;
         for (int i = 0; i < size; i++) {
             members.add(new Member(this));
         }
     }
 
-    /** Another one of one member with what this one holds now; nothing is shared from then on. */
+    /** Returns an independent ensemble of one member with a copy of this log. */
     Ensemble copy() {
         Ensemble copy = new Ensemble(times, time, 1);
         copy.log.addAll(log);
@@ -69,7 +72,7 @@
         return time.nanos.getAsLong();
     }
 
-    /** The last transaction. */
+    /** The zxid of the last transaction; 0 if there is none. */
     long lastZxid() {
         return log.size();
     }
@@ -78,7 +81,7 @@
         return log.get((int) zxid - 1);
     }
 
-    /** What is told of sessions that there are. */
+    /** The open sessions with their requested time-outs in milliseconds. */
     Map<Long, Integer> sessions() {
         return head.sessions();
     }
@@ -87,7 +90,7 @@
         return quorum.contains(member);
     }
 
-    /** What a member holds that has applied all up to there. */
+    /** Returns the state after all transactions up to and including {@code zxid}. */
     Tree replay(long zxid) {
         Tree tree = new Tree();
         for (int i = 1; i <= zxid; i++) {
@@ -102,13 +105,13 @@
         entry.changes().forEach(each -> tree.apply(each, stamp, listener));
     }
 
-    /** Cuts these members off from the others, but not from one another. */
+    /** Partitions the ensemble into these members and the others. */
     void partition(List<Member> apart) {
         members.forEach(each -> each.setApart(apart.contains(each)));
         regroup();
     }
 
-    /** Finds out anew who has a quorum, after a member came, went or was cut off. */
+    /** Recomputes the quorum after a member started, stopped or changed its side of a partition. */
     void regroup() {
         List<Member> next = members.stream().filter(this::reachesMajority).toList();
         boolean quorumFormed = quorum.isEmpty() && !next.isEmpty();
@@ -131,7 +134,7 @@
         return member.up() && 2 * reached > members.size();
     }
 
-    /** All after this never was; and sessions have their whole time again. */
+    /** Discards all transactions after {@code zxid} and restarts the time-outs of all sessions. */
     private void truncate(long zxid) {
         log.subList((int) zxid, log.size()).clear();
         members.forEach(each -> each.remembers(Math.min(each.remembered(), zxid)));
@@ -143,37 +146,38 @@
     }
 
     /**
-     * Ends sessions whose time is over; called at each tick. A stand-still of its own is no
-     * client's.
+     * Expires sessions that have timed out; called at each tick. A stall of this process does not
+     * count as silence of its clients.
      */
     void tick() {
         long now = now();
-        long stall = now - lastTick - times.tickMillis() * (long) NANOS;
+        long stall = now - lastTick - times.tickMillis() * (long) NANOS_PER_MILLI;
         lastTick = now;
-        if (stall > times.tickMillis() * (long) NANOS) {
-            // Danger: what clients said meanwhile waits unread, and would count as their silence.
+        if (stall > times.tickMillis() * (long) NANOS_PER_MILLI) {
+            // Messages that clients sent during the stall are still unread; without this
+            // extension their sessions would expire although the clients were not silent.
             expiresAt.replaceAll((session, at) -> at + stall);
         }
         if (!quorum.isEmpty() && !expirySuspended) {
-            List<Long> over = new ArrayList<>();
+            List<Long> expired = new ArrayList<>();
             expiresAt.forEach(
                     (session, at) -> {
                         if (at - now < 0) {
-                            over.add(session);
+                            expired.add(session);
                         }
                     });
-            over.stream().sorted().forEach(this::closeSession);
+            expired.stream().sorted().forEach(this::closeSession);
         }
         members.forEach(Member::catchUp);
     }
 
-    /** From now on no session ends by itself, or each does again after its whole time. */
+    /** Suspends the expiry of sessions, or resumes it with the full time-out of each session. */
     void suspendExpiry(boolean isSuspended) {
         expirySuspended = isSuspended;
         List.copyOf(timeouts.keySet()).forEach(this::touch);
     }
 
-    /** Begins a session, and returns it. */
+    /** Opens a session and returns its id. */
     long openSession(int timeout, MemberConnection owner) {
         long session = nextSession++;
         append(List.of(new Change.OpenSession(session, timeout)), true);
@@ -182,17 +186,17 @@
         return session;
     }
 
-    /** Whether a session is there; it is this connection's then, with this time-out. */
+    /** Moves a session to this connection and time-out; returns false if it does not exist. */
     boolean resumeSession(long session, int timeout, MemberConnection owner) {
-        boolean there = head.sessions().containsKey(session);
-        if (there) {
+        boolean exists = head.sessions().containsKey(session);
+        if (exists) {
             owners.put(session, owner);
             touch(session, timeout);
         }
-        return there;
+        return exists;
     }
 
-    /** Something was heard of a session. */
+    /** Restarts the time-out of a session after a message from its client. */
     void touch(long session) {
         Integer timeout = timeouts.get(session);
         if (timeout != null) {
@@ -202,14 +206,14 @@
 
     private void touch(long session, int timeout) {
         timeouts.put(session, timeout);
-        expiresAt.put(session, now() + (long) timeout * NANOS);
+        expiresAt.put(session, now() + (long) timeout * NANOS_PER_MILLI);
     }
 
     int grantedTimeout(int requested) {
         return Math.max(times.leastSessionMillis(), Math.min(times.mostSessionMillis(), requested));
     }
 
-    /** Ends a session; false if there is none such, or nobody who could. */
+    /** Closes a session; returns false if it does not exist or there is no quorum. */
     boolean closeSession(long session) {
         if (quorum.isEmpty() || !head.sessions().containsKey(session)) {
             return false;
@@ -222,7 +226,10 @@
         return true;
     }
 
-    /** Does all of it or nothing. One result for each; of those that failed, an error. */
+    /**
+     * Applies all operations or none. Returns one result for each operation; if one fails, all
+     * results are errors, as in the ZooKeeper protocol.
+     */
     List<OpResult> write(List<Rules.Operation> requested, MemberConnection connection)
             throws KeeperException {
         if (!head.sessions().containsKey(connection.session)) {
--- a/testbed/src/main/java/appleridge/testbed/coordination/FrameDecoder.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/FrameDecoder.java
@@ -5,10 +5,11 @@
 import io.netty.handler.codec.ByteToMessageDecoder;
 import java.util.List;
 
-/** Cuts a connection's bytes into whole frames, each with the length that stands before it. */
+/** Splits a byte stream into frames; each output frame includes its length prefix. */
 final class FrameDecoder extends ByteToMessageDecoder {
     /**
-     * Asked by a client that would rather write: the one thing on a connection that is no frame.
+     * The four-letter command {@code isro}, which a client sends instead of a frame to ask whether
+     * the server is read-only.
      */
     static final int IS_READ_ONLY = 0x6973726f;
 
@@ -23,7 +24,8 @@
         if (length == IS_READ_ONLY) {
             length = 0;
         } else if (length < 0 || length > MAX_LENGTH) {
-            throw new IllegalStateException("no frame: " + length);
+            throw new IllegalStateException(
+                    "frame length " + length + " is not in 0.." + MAX_LENGTH);
         }
         if (in.readableBytes() >= Integer.BYTES + length) {
             out.add(in.readRetainedSlice(Integer.BYTES + length));
--- a/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -26,12 +26,12 @@
 import org.apache.zookeeper.ZooDefs.OpCode;
 
 /**
- * The sidecar's own source of nodes, many times over in this process, on one coordination server:
- * what that is asked when all begin at once, when it is started again, and when it was away for
- * longer than sessions last.
+ * Measures the load of many sidecars on one coordination server: the requests that it receives when
+ * all connect at once, when it restarts, and when it returns after all sessions have expired. Runs
+ * the sidecar's node discovery many times in this process.
  */
 final class HerdCheck {
-    /** What is played. */
+    /** The parameters of a run. */
     record Plan(int sessions, int nodes, long seed) {}
 
     private static final String ROOT = "/orders/servers";
@@ -73,7 +73,7 @@
     private final List<Follower> followers = new ArrayList<>();
     private int steps;
 
-    /** One sidecar's source, and how many servers it knows. */
+    /** The node discovery of one sidecar, and the number of servers it knows. */
     private static final class Follower {
         private ZooKeeperDiscovery source;
         private NodeDiscovery membership;
@@ -92,29 +92,29 @@
             NodeWriter writer = new NodeWriter(server.address(), ROOT, WRITER_MILLIS);
             writer.createPersistent();
             nodes(writer);
-            boolean right =
+            boolean upToDate =
                     step(
                             server,
-                            "all begin at once",
+                            "all connect at once",
                             () -> {
                                 for (int i = 0; i < plan.sessions(); i++) {
                                     follow(server, i);
                                 }
                             },
                             writer);
-            right &=
+            upToDate &=
                     step(
                             server,
-                            "the server is started again",
+                            "the server restarts",
                             () -> {
                                 server.stop();
                                 server.start();
                             },
                             writer);
-            right &=
+            upToDate &=
                     step(
                             server,
-                            "the server was away for longer than sessions last",
+                            "the server was down for longer than the session time-out",
                             () -> {
                                 server.stop();
                                 TimeUnit.MILLISECONDS.sleep(2 * SESSION_MILLIS);
@@ -124,7 +124,7 @@
             followers.forEach(each -> each.source.close());
             TimeUnit.SECONDS.sleep(1);
             writer.close();
-            return right;
+            return upToDate;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -134,10 +134,13 @@
         void run() throws IOException, InterruptedException;
     }
 
-    /** Plays it, and counts what is asked until all know of a node that was made right after. */
+    /**
+     * Runs a trigger, then creates a marker node, and counts the requests until all followers know
+     * that node.
+     */
     private boolean step(CoordinationServer server, String what, Trigger trigger, NodeWriter writer)
             throws IOException, InterruptedException, KeeperException {
-        Map<Integer, Long> before = server.asked();
+        Map<Integer, Long> before = server.requestCounts();
         long from = time.nanos();
         trigger.run();
         long begun = time.nanos();
@@ -146,38 +149,40 @@
         steps++;
         int wanted = plan.nodes() + steps;
         long maxPerBin = 0;
-        long last = total(server.asked());
-        boolean right = false;
-        for (int waited = 0; waited < PATIENCE_MILLIS && !right; waited += BIN_MILLIS) {
+        long last = total(server.requestCounts());
+        boolean upToDate = false;
+        for (int waited = 0; waited < PATIENCE_MILLIS && !upToDate; waited += BIN_MILLIS) {
             TimeUnit.MILLISECONDS.sleep(BIN_MILLIS);
-            long now = total(server.asked());
+            long now = total(server.requestCounts());
             maxPerBin = Math.max(maxPerBin, now - last);
             last = now;
-            right = followers.stream().allMatch(each -> each.size == wanted);
+            upToDate = followers.stream().allMatch(each -> each.size == wanted);
         }
         marker.join();
         Samples took = new Samples(followers.stream().map(each -> each.at - begun).toList());
         out.println(
                 what
                         + ": "
-                        + (right ? "all " + plan.sessions() + " right" : "NOT ALL RIGHT")
+                        + (upToDate
+                                ? "all " + plan.sessions() + " up to date"
+                                : "NOT ALL UP TO DATE")
                         + " after "
                         + took.millis()
-                        + " (the server was away for "
+                        + " (the server was down for "
                         + Samples.millis(begun - from)
                         + " ms)");
         out.println(
-                "  asked: "
-                        + asked(before, server.asked())
+                "  requests: "
+                        + requestsSince(before, server.requestCounts())
                         + "; at most "
                         + maxPerBin
                         + " in "
                         + BIN_MILLIS
                         + " ms");
-        return right;
+        return upToDate;
     }
 
-    /** One more node, which tells who has read what. */
+    /** Creates a node that shows which followers have read the current list. */
     private void createMarker(NodeWriter writer) {
         String path = ROOT + "/marker-" + (steps + 1);
         for (int i = 0; i < PATIENCE_MILLIS / BIN_MILLIS; i++) {
@@ -277,11 +282,11 @@
                 });
     }
 
-    private static long total(Map<Integer, Long> asked) {
-        return asked.values().stream().mapToLong(Long::longValue).sum();
+    private static long total(Map<Integer, Long> counts) {
+        return counts.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    private static String asked(Map<Integer, Long> before, Map<Integer, Long> after) {
+    private static String requestsSince(Map<Integer, Long> before, Map<Integer, Long> after) {
         Map<String, Long> named = new TreeMap<>();
         after.forEach(
                 (type, count) ->
--- a/testbed/src/main/java/appleridge/testbed/coordination/LatencyCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/LatencyCheck.java
@@ -20,11 +20,14 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * From a session's end to the last request that is sent to its server, and from a new node to its
- * server's first one; with the registry in the place of the nodes, from when it knows.
+ * Measures the time from the expiry of a server's session to the last request that the server
+ * receives, and from the creation of a node to the first request at its server. With the registry
+ * as the source, both times start when the registry's entry changes.
  */
 final class LatencyCheck {
-    /** What is played; {@code cold}: whether the new server is said to have started just now. */
+    /**
+     * The parameters of a run; {@code cold} says whether new servers register as started just now.
+     */
     record Plan(
             int rounds,
             int servers,
@@ -33,10 +36,13 @@
             CoordinatedSite.Source source,
             boolean cold) {}
 
-    /** All in nanoseconds; a {@code last} of 0 is no request at all after the end. */
+    /**
+     * The result in nanoseconds. A {@code last} of 0 means no request after the end; {@code
+     * withoutRequest} counts the new servers that received none.
+     */
     record Result(Samples last, Samples first, int withoutRequest) {}
 
-    /** Servers that come and go at once. */
+    /** The number of servers that are replaced concurrently. */
     private static final int WORKERS = 2;
 
     private static final int SEEN_MILLIS = 1500;
@@ -45,7 +51,7 @@
     private final Plan plan;
     private final PrintStream out;
 
-    /** On the loop: the first and the last request at an address since it was looked at. */
+    /** The times of the first and the last request at each address; accessed on the loop. */
     private final Map<String, Long> first = new HashMap<>();
 
     private final Map<String, Long> last = new HashMap<>();
@@ -118,10 +124,10 @@
         up(site, slot);
         long registeredAt = site.time.nanos();
         String next = slot.address();
-        boolean asked = site.await(() -> first.containsKey(next));
+        boolean reached = site.await(() -> first.containsKey(next));
         synchronized (this) {
             lasts.add(Math.max(0, lastAt - ended));
-            if (asked) {
+            if (reached) {
                 firsts.add(site.onLoop(() -> first.get(next)) - registeredAt);
             } else {
                 withoutRequest++;
@@ -173,15 +179,15 @@
         out.println(
                 "  from the end to the last request: "
                         + result.last().millis()
-                        + ", of them with none "
+                        + ", without any request "
                         + result.last().countUpTo(0));
         out.println(
                 "  from the node to the first request: "
                         + result.first().millis()
-                        + ", never asked "
+                        + ", servers without a request "
                         + result.withoutRequest());
         out.println(
-                "  the stand-ins' own loop was late by at most "
+                "  longest lag of the stand-ins' own loop: "
                         + Samples.millis(site.lag.worst())
                         + " ms");
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
@@ -15,7 +15,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** One socket that answers at once on every loopback address, as if a server stood at each. */
+/** One socket that answers on every loopback address, like a server at each address. */
 final class ManyServers implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int VALUES_PER_BYTE = 256;
@@ -43,7 +43,9 @@
                         .channel();
     }
 
-    /** The address of one of them. */
+    /**
+     * The HOST:PORT of the server with this number; numbers up to 65535 have distinct addresses.
+     */
     String address(int number) {
         return "127.1."
                 + number / VALUES_PER_BYTE
--- a/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
@@ -16,7 +16,10 @@
 import java.util.logging.Logger;
 import org.apache.zookeeper.KeeperException;
 
-/** The command {@code measure}: the membership on real sockets, with a real sidecar process. */
+/**
+ * The command {@code measure}: measures service discovery on real sockets with a real sidecar
+ * process.
+ */
 public final class Measure {
     private static final String USAGE =
             """
@@ -44,23 +47,23 @@
         this.err = err;
     }
 
-    /** Cold servers are warm again after it, and what was told has had its time. */
+    /** Time for cold servers to warm up and for the last updates to take effect. */
     private static final int SETTLE_MILLIS = 10_000;
 
     private static final Logger CLIENT_LOGGER = Logger.getLogger("appleridge.zookeeper");
 
-    /** Returns the exit status: 0 if what was measured is as it has to be. */
+    /** Returns the exit status: 0 if the measured values are within their bounds. */
     public int run(String... args) {
-        // The stand-ins' own clients lose their sessions all the time, as they should.
+        // The stand-ins' own clients lose their sessions by design; their log is noise.
         CLIENT_LOGGER.setLevel(Level.OFF);
         try {
-            Options words =
+            Options options =
                     new Options(Arrays.copyOfRange(args, Math.min(1, args.length), args.length));
-            Path jar = words.path("--jar");
+            Path jar = options.path("--jar");
             boolean held =
                     run(
                             args.length == 0 ? "" : args[0],
-                            words,
+                            options,
                             jar == null ? jarBesideThisOne() : jar);
             return held ? 0 : 1;
         } catch (IllegalArgumentException e) {
@@ -76,10 +79,10 @@
         }
     }
 
-    private boolean run(String what, Options words, Path jar)
+    private boolean run(String what, Options options, Path jar)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
-        long seed = words.number("--seed", 1);
-        int rate = words.number("--rate", 150);
+        long seed = options.number("--seed", 1);
+        int rate = options.number("--rate", 150);
         if (!Files.isRegularFile(jar)) {
             throw new IllegalArgumentException("no such file: " + jar);
         }
@@ -87,68 +90,69 @@
             case "membership-drain" -> {
                 DrainCheck.Plan plan =
                         new DrainCheck.Plan(
-                                words.number("--sequences", 300),
-                                words.number("--servers", 12),
+                                options.number("--sequences", 300),
+                                options.number("--servers", 12),
                                 rate,
                                 seed,
-                                words.strikes(),
-                                words.source(),
-                                words.text("--session", CoordinatedSite.MIN_SESSION_TIMEOUT));
-                words.requireAllUsed();
+                                options.strikes(),
+                                options.source(),
+                                options.text("--session", CoordinatedSite.MIN_SESSION_TIMEOUT));
+                options.requireAllUsed();
                 return new DrainCheck(plan, out).run(jar).held();
             }
             case "membership-outage" -> {
                 OutageCheck check =
                         new OutageCheck(
                                 new OutageCheck.Plan(
-                                        words.number("--pairs", 10),
-                                        words.number("--seconds", 60),
-                                        words.number("--servers", 9),
+                                        options.number("--pairs", 10),
+                                        options.number("--seconds", 60),
+                                        options.number("--servers", 9),
                                         rate,
                                         seed,
                                         SETTLE_MILLIS),
                                 out);
-                words.requireAllUsed();
+                options.requireAllUsed();
                 return check.held(check.run(jar));
             }
             case "membership-latency" -> {
                 LatencyCheck.Plan plan =
                         new LatencyCheck.Plan(
-                                words.number("--rounds", 100),
-                                words.number("--servers", 9),
+                                options.number("--rounds", 100),
+                                options.number("--servers", 9),
                                 rate,
                                 seed,
-                                words.source(),
-                                !words.flag("--warm"));
-                words.requireAllUsed();
+                                options.source(),
+                                !options.flag("--warm"));
+                options.requireAllUsed();
                 return new LatencyCheck(plan, out).run(jar).withoutRequest() == 0;
             }
             case "membership-scale" -> {
                 ScaleCheck.Plan plan =
                         new ScaleCheck.Plan(
-                                words.number("--nodes", 10_000),
-                                words.number("--changes", 100),
-                                words.number("--seconds", 60),
+                                options.number("--nodes", 10_000),
+                                options.number("--changes", 100),
+                                options.number("--seconds", 60),
                                 rate,
                                 seed);
-                words.requireAllUsed();
+                options.requireAllUsed();
                 return new ScaleCheck(plan, out).run(jar);
             }
             case "membership-herd" -> {
                 HerdCheck.Plan plan =
                         new HerdCheck.Plan(
-                                words.number("--sessions", 300),
-                                words.number("--nodes", 1000),
+                                options.number("--sessions", 300),
+                                options.number("--nodes", 1000),
                                 seed);
-                words.requireAllUsed();
+                options.requireAllUsed();
                 return new HerdCheck(plan, out).run();
             }
-            default -> throw new IllegalArgumentException("unknown: " + what);
+            default -> throw new IllegalArgumentException("unknown measurement: " + what);
         }
     }
 
     /**
-     * In a built checkout the two jars, or our classes, lie in two modules' {@code target} folders.
+     * Finds the sidecar's jar relative to this one; both modules of a built checkout have a {@code
+     * target} folder.
      */
     private static Path jarBesideThisOne() {
         try {
@@ -163,11 +167,11 @@
                             Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
                     .normalize();
         } catch (URISyntaxException e) {
-            throw new IllegalArgumentException("--jar is needed", e);
+            throw new IllegalArgumentException("--jar is required", e);
         }
     }
 
-    /** The words of a command line. */
+    /** The options of a command line; each is removed when it is read. */
     private static final class Options {
         private final List<String> words;
 
@@ -185,7 +189,7 @@
                 return null;
             }
             if (at + 1 == words.size()) {
-                throw new IllegalArgumentException(name + " wants a value");
+                throw new IllegalArgumentException(name + " needs a value");
             }
             words.remove(at);
             return words.remove(at);
@@ -196,7 +200,7 @@
             try {
                 return value == null ? defaultValue : Integer.parseInt(value);
             } catch (NumberFormatException e) {
-                throw new IllegalArgumentException(name + " makes no sense: " + value, e);
+                throw new IllegalArgumentException(name + " is not an integer: " + value, e);
             }
         }
 
@@ -233,7 +237,7 @@
 
         void requireAllUsed() {
             if (!words.isEmpty()) {
-                throw new IllegalArgumentException("unknown: " + String.join(" ", words));
+                throw new IllegalArgumentException("unknown option: " + String.join(" ", words));
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Member.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Member.java
@@ -59,20 +59,21 @@
 import org.apache.zookeeper.proto.WatcherEvent;
 
 /**
- * One member of an ensemble, with its own copy of what is held, which may be older than the
- * others', and its clients' connections. Pure: frames go in and out.
+ * One member of an ensemble: its copy of the tree, which may lag behind the log, and its client
+ * connections. Free of I/O: frames go in and out.
  */
 final class Member {
-    /** A lag without end. */
+    /** A lag at which the member applies no changes. */
     static final long LAG_FOREVER = Long.MAX_VALUE;
 
     private static final int NOTIFICATION_XID = -1;
+    private static final long NO_ZXID = -1;
     private static final int PASSWORD_BYTES = 16;
     private static final long PASSWORD_SEED = 0x61707072;
 
     private final Ensemble ensemble;
     private final Set<MemberConnection> connections = new LinkedHashSet<>();
-    private final Map<Integer, Long> asked = new TreeMap<>();
+    private final Map<Integer, Long> requestCounts = new TreeMap<>();
     private Tree tree = new Tree();
     private long applied;
     private long remembered;
@@ -89,7 +90,7 @@
         this.ensemble = ensemble;
     }
 
-    /** Takes part, or has ended; what it remembers stays. */
+    /** Starts or stops the member; its log stays. */
     void up(boolean isUp) {
         up = isUp;
         hung = false;
@@ -103,7 +104,7 @@
         return up;
     }
 
-    /** Out of reach for those who are not, and they for it. */
+    /** Puts the member on one side of a partition; the two sides cannot reach each other. */
     void setApart(boolean isApart) {
         apart = isApart;
     }
@@ -112,7 +113,10 @@
         return apart;
     }
 
-    /** What it remembers of the history; only while it has no part in it. */
+    /**
+     * Sets the last transaction of the log that the member keeps. Call only while it is not in the
+     * quorum.
+     */
     void remembers(long zxid) {
         remembered = zxid;
     }
@@ -121,19 +125,23 @@
         return remembered;
     }
 
-    /** Applies changes so many nanoseconds late from now on; {@link #LAG_FOREVER}: not at all. */
+    /**
+     * Applies changes this many nanoseconds after their commit; with {@link #LAG_FOREVER} applies
+     * none.
+     */
     void lag(long nanos) {
         lag = nanos;
         catchUp();
     }
 
-    /** Whether clients that only read may come while it has no quorum. */
+    /** Whether read-only clients may connect while there is no quorum. */
     void readOnly(boolean isAllowed) {
         readOnly = isAllowed;
     }
 
     /**
-     * From now on it answers pings and new connections and nothing else, or everything, held first.
+     * While hung, the member answers only pings and new connections and queues other requests; it
+     * processes the queue when it resumes.
      */
     void hung(boolean isHung) {
         hung = isHung;
@@ -141,7 +149,8 @@
     }
 
     /**
-     * The next request of this kind ends its connection, unanswered: once it is done, or undone.
+     * Closes the connection of the next request of this type without a response, after applying the
+     * request if {@code done}, otherwise without applying it.
      */
     void breakNext(int type, boolean done) {
         breakOnType = type;
@@ -152,8 +161,8 @@
         return applied;
     }
 
-    Map<Integer, Long> asked() {
-        return new TreeMap<>(asked);
+    Map<Integer, Long> requestCounts() {
+        return new TreeMap<>(requestCounts);
     }
 
     void joinQuorum() {
@@ -181,7 +190,7 @@
         return ensemble.inQuorum(this);
     }
 
-    /** Applies what it may by now, and answers who waited for it. */
+    /** Applies the changes that are due, then answers the requests that waited for them. */
     void catchUp() {
         while (inQuorum()
                 && lag != LAG_FOREVER
@@ -236,7 +245,10 @@
         connections.remove(connection);
     }
 
-    /** Takes a whole frame, without its length; an empty one asks whether it only reads. */
+    /**
+     * Receives a frame without its length prefix; an empty one asks whether the member is
+     * read-only.
+     */
     void received(MemberConnection connection, byte[] frame) {
         if (!connections.contains(connection)) {
             return;
@@ -248,7 +260,7 @@
             handshake(connection, new Wire.In(frame).read(new ConnectRequest()));
         } else {
             RequestHeader head = new Wire.In(frame).read(new RequestHeader());
-            asked.merge(head.getType(), 1L, Long::sum);
+            requestCounts.merge(head.getType(), 1L, Long::sum);
             if (inQuorum()) {
                 ensemble.touch(connection.session);
             }
@@ -261,7 +273,9 @@
         }
     }
 
-    /** Takes what waits, up to what has to wait for the member itself. */
+    /**
+     * Processes queued requests in order until one has to wait for the member to apply a change.
+     */
     private void processQueued(MemberConnection connection) {
         if (connection.busy) {
             return;
@@ -285,7 +299,7 @@
         }
         int timeout = ensemble.grantedTimeout(request.getTimeOut());
         if (request.getSessionId() == 0) {
-            asked.merge(OpCode.createSession, 1L, Long::sum);
+            requestCounts.merge(OpCode.createSession, 1L, Long::sum);
             connection.session =
                     inQuorum() ? ensemble.openSession(timeout, connection) : nextLocalSession++;
             connection.answerAt(
@@ -341,7 +355,9 @@
         } catch (KeeperException.SessionMovedException
                 | UncheckedIOException
                 | IllegalArgumentException e) {
-            // What no client of ours may ask ends its own connection, whoever's turn it is.
+            // A malformed request, or a session that moved, closes only its own connection, also
+            // when
+            // another client's request triggered the processing.
             close(connection);
         } catch (KeeperException e) {
             connection.answer(head.getXid(), applied, e.code().intValue(), null);
@@ -417,7 +433,7 @@
         connection.answer(head.getXid(), applied, 0, record);
     }
 
-    /** Answers once it has applied all that there is now. */
+    /** Answers once the member has applied the whole current log. */
     private void answerOnceApplied(MemberConnection connection, RequestHeader head, Record record) {
         long zxid = ensemble.lastZxid();
         connection.answerAt(zxid, () -> connection.answer(head.getXid(), zxid, 0, record));
@@ -549,7 +565,10 @@
         }
     }
 
-    /** After a reconnect: what was missed is told now, and watches stand for the rest. */
+    /**
+     * Restores watches after a reconnect. A watch whose node changed while the client was
+     * disconnected fires at once; the others are set again.
+     */
     private void restoreWatches(MemberConnection connection, SetWatches2 set) {
         long since = set.getRelativeZxid();
         for (String path : set.getDataWatches()) {
@@ -591,7 +610,7 @@
         if (missed == null) {
             connection.watches.add(kind, path);
         } else {
-            notify(connection, missed, path, NOTIFICATION_XID);
+            notify(connection, missed, path, NO_ZXID);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
@@ -8,18 +8,18 @@
 import org.apache.zookeeper.data.Id;
 import org.apache.zookeeper.proto.ReplyHeader;
 
-/** One client's connection with one member, as the member knows it. Pure. */
+/** The state of one client's connection with one member. Free of I/O. */
 final class MemberConnection {
-    /** Where the answers go. */
+    /** Sends frames to the client. */
     interface Transport {
-        /** Whole frames, in order. */
+        /** Sends a whole frame; frames keep their order. */
         void send(byte[] bytes);
 
-        /** Ends the connection, with what was sent before. */
+        /** Closes the connection after everything sent before. */
         void close();
     }
 
-    /** The one request under way, which is answered once its member has come as far as this. */
+    /** The response to the request in progress, due once the member has applied {@code zxid}. */
     private record PendingAnswer(long zxid, Runnable answer) {}
 
     final Watches watches = new Watches();
@@ -32,7 +32,8 @@
     boolean closing;
 
     /**
-     * Danger: a request that is taken while one before it is not answered yet is answered first.
+     * Set while the member processes the queue, to prevent re-entrance: processing a write may call
+     * back into the queue, and a later request would then be answered before the write.
      */
     boolean busy;
 
@@ -46,7 +47,7 @@
         return new Rules.Caller(session, ids);
     }
 
-    /** Nothing more is answered, and the next to be sent is lost. */
+    /** Drops everything that is sent from now on. */
     void mute() {
         mute = true;
     }
@@ -65,7 +66,7 @@
         transport.close();
     }
 
-    /** All that comes waits until the member has come as far as this. */
+    /** Defers the response, and all later requests, until the member has applied {@code zxid}. */
     void answerAt(long zxid, Runnable answer) {
         pending = new PendingAnswer(zxid, answer);
     }
@@ -74,7 +75,7 @@
         return pending != null;
     }
 
-    /** Its member has come so far. */
+    /** Sends the deferred response if the member has applied its transaction. */
     void appliedUpTo(long zxid) {
         if (pending != null && pending.zxid <= zxid) {
             Runnable answer = pending.answer;
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
@@ -11,14 +11,13 @@
 import io.netty.handler.ssl.SslContext;
 
 /**
- * Makes channels of any kind, real or simulated, speak with a member, all on the ensemble's one
- * loop.
+ * Connects channels, real or simulated, with a member. All channels run on the ensemble's one loop.
  */
 final class MemberSocket extends ChannelInitializer<Channel> {
     private final Member member;
     private final SslContext tls;
 
-    /** Without TLS if there is no context. */
+    /** Creates an initializer; {@code tls} is null for plain text. */
     MemberSocket(Member member, SslContext tls) {
         this.member = member;
         this.tls = tls;
@@ -32,7 +31,7 @@
         channel.pipeline().addLast(new FrameDecoder(), new Connection(channel, member));
     }
 
-    /** One client's bytes. */
+    /** Adapts one client's channel to the member. */
     private static final class Connection extends SimpleChannelInboundHandler<ByteBuf>
             implements MemberConnection.Transport {
         private final Channel channel;
--- a/testbed/src/main/java/appleridge/testbed/coordination/NodeReply.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/NodeReply.java
@@ -3,26 +3,27 @@
 import java.util.List;
 
 /**
- * What a coordination server said of a node to a client, in an answer or because it changed.
+ * What a coordination server reported about a node to a client, in a response or a notification.
  *
- * @param session whose client it is
- * @param zxid the change that it tells of; for an answer, the last one that the server had made
- * @param data what the node holds; empty if that isn't said
- * @param children their names; empty if they aren't said
+ * @param session the client's session
+ * @param zxid the transaction that is reported; in a response, the last one that the server had
+ *     applied
+ * @param data the node's data; empty unless the kind is {@code HOLDS}
+ * @param children the children's names; empty unless the kind is {@code CHILDREN}
  */
 public record NodeReply(
         long session, Kind kind, String path, long zxid, String data, List<String> children) {
-    /** What is said. */
+    /** What is reported. */
     enum Kind {
-        /** It was made; not what it holds. */
+        /** The node was created; the data is not included. */
         MADE,
-        /** What it holds has changed; not to what. */
+        /** The node's data has changed; the new data is not included. */
         CHANGED,
-        /** It is no more, or there is none. */
+        /** The node was deleted or does not exist. */
         GONE,
-        /** What it holds. */
+        /** The node's data. */
         HOLDS,
-        /** Which children it has. */
+        /** The names of the node's children. */
         CHILDREN
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/NodeWriter.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/NodeWriter.java
@@ -9,7 +9,7 @@
 import org.apache.zookeeper.Watcher.Event.KeeperState;
 import org.apache.zookeeper.ZooKeeper;
 
-/** An order server's session with a coordination server, and its node while it has one. Blocks. */
+/** A session with a coordination server that creates and changes one node. Methods block. */
 public final class NodeWriter implements AutoCloseable {
     private static final int CONNECT_SECONDS = 30;
     private static final int CLOSE_MILLIS = 1000;
@@ -17,7 +17,7 @@
     private final ZooKeeper client;
     private final String path;
 
-    /** Opens a session; the node comes with {@link #create}. */
+    /** Opens a session; {@link #create} creates the node. */
     public NodeWriter(InetSocketAddress server, String path, int sessionMillis)
             throws IOException, InterruptedException {
         this.path = path;
@@ -33,11 +33,12 @@
                         });
         if (!connected.await(CONNECT_SECONDS, TimeUnit.SECONDS)) {
             client.close(CLOSE_MILLIS);
-            throw new IOException("no session with " + server);
+            throw new IOException(
+                    "no session with " + server + " within " + CONNECT_SECONDS + " s");
         }
     }
 
-    /** Makes a node that stays, if there is none, and those above it. */
+    /** Creates the node as a persistent one, with its ancestors, where they do not exist. */
     public void createPersistent() throws KeeperException, InterruptedException {
         for (int slash = path.indexOf('/', 1); slash > 0; slash = path.indexOf('/', slash + 1)) {
             createIfAbsent(path.substring(0, slash));
@@ -49,11 +50,11 @@
         try {
             client.create(at, new byte[0], Rules.OPEN_ACL, CreateMode.PERSISTENT);
         } catch (KeeperException.NodeExistsException e) {
-            // As wanted.
+            // Another session has created it.
         }
     }
 
-    /** Makes the node, in the place of any other session's. */
+    /** Creates the node as an ephemeral one; replaces a node of another session. */
     void create(ServerNode node) throws KeeperException, InterruptedException {
         while (true) {
             try {
@@ -65,36 +66,36 @@
         }
     }
 
-    /** Changes what the node holds. */
+    /** Replaces the node's data. */
     void change(ServerNode node) throws KeeperException, InterruptedException {
         client.setData(path, node.bytes(), -1);
     }
 
-    /** Changes what the node holds to what nobody can read. */
+    /** Replaces the node's data by invalid JSON. */
     void garble() throws KeeperException, InterruptedException {
         client.setData(path, new byte[] {'{'}, -1);
     }
 
-    /** Takes the node away; the session stays. */
+    /** Deletes the node if it exists; the session stays open. */
     void delete() throws KeeperException, InterruptedException {
         try {
             client.delete(path, -1);
         } catch (KeeperException.NoNodeException e) {
-            // Gone, as wanted.
+            // Already deleted.
         }
     }
 
-    /** Its id, by which a server can be told to end it. */
+    /** The session's id, with which a server can expire it. */
     long session() {
         return client.getSessionId();
     }
 
-    /** The raw client, for what is written in bulk. */
+    /** The underlying client, for bulk writes. */
     ZooKeeper client() {
         return client;
     }
 
-    /** Ends the session in order. */
+    /** Closes the session, which deletes its ephemeral node. */
     @Override
     public void close() {
         try {
--- a/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
@@ -11,18 +11,22 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * The same load with the coordination service there and away, in turns. While it is away one
- * server's session ends and another server registers; at the outage's end it is seen how soon the
- * sidecar knows.
+ * Compares the same load with the coordination service available and during an outage, in
+ * alternating order. During each outage one server's session expires and another server registers;
+ * after the outage, the time until the sidecar is told is measured.
  */
 final class OutageCheck {
-    /** What is played; {@code settleMillis}: between an outage and what follows. */
+    /** The parameters of a run; {@code settleMillis} is the pause after each outage. */
     record Plan(int pairs, int seconds, int servers, double rate, long seed, int settleMillis) {}
 
-    /** One window's requests. */
-    private record Window(int asked, int served, int refused, long median, long p99) {}
+    /** The requests of one measurement window; latencies in nanoseconds. */
+    private record Window(int sent, int served, int refused, long median, long p99) {}
 
-    /** What came of it: medians over the pairs; times in nanoseconds. */
+    /**
+     * The result: requests lost and refused during outages, the median over the pairs of the p99
+     * ratio, and the times in nanoseconds from an outage's end until the sidecar was told of the
+     * change.
+     */
     record Result(int lost, int refused, double p99Ratio, Samples righted) {}
 
     private static final double MAX_P99_RATIO = 1.1;
@@ -64,7 +68,7 @@
                             + " pairs: "
                             + round(result.p99Ratio()));
             out.println(
-                    "from the outage's end until the list was told and right: "
+                    "from the end of the outage until the sidecar was told the current list: "
                             + result.righted().millis());
             return result;
         }
@@ -88,7 +92,7 @@
                 outage = runOutage(site, number);
             }
         }
-        lost += outage.asked - outage.served - outage.refused;
+        lost += outage.sent - outage.served - outage.refused;
         refused += outage.refused;
         ratios.add(outage.p99 / (double) calm.p99);
         out.println(
@@ -140,7 +144,7 @@
         return window;
     }
 
-    /** Requests that were asked within the next so many seconds, with their answers. */
+    /** Measures the requests sent within the next {@code seconds} seconds, with their answers. */
     private Window window(CoordinatedSite site) throws InterruptedException, ExecutionException {
         Moment begin = moment(site);
         TimeUnit.SECONDS.sleep(plan.seconds());
@@ -151,8 +155,8 @@
                     List<Long> took = new ArrayList<>();
                     int denied = 0;
                     for (Traffic.Answer answer : site.traffic.answers()) {
-                        long asked = answer.at() - answer.took();
-                        if (asked >= begin.at && asked < end.at) {
+                        long sentAt = answer.at() - answer.took();
+                        if (sentAt >= begin.at && sentAt < end.at) {
                             if (answer.status() == 200) {
                                 took.add(answer.took());
                             } else {
@@ -162,7 +166,7 @@
                     }
                     Samples figures = new Samples(took);
                     return new Window(
-                            end.asked - begin.asked,
+                            end.sent - begin.sent,
                             took.size(),
                             denied,
                             figures.median(),
@@ -170,18 +174,18 @@
                 });
     }
 
-    /** A time, and how many requests were asked before it. */
-    private record Moment(long at, int asked) {}
+    /** A time, and the number of requests sent before it. */
+    private record Moment(long at, int sent) {}
 
-    /** Both read on the loop, so that no request is before the one and after the other. */
+    /** Reads both on the loop, so that no request falls between the two readings. */
     private static Moment moment(CoordinatedSite site)
             throws InterruptedException, ExecutionException {
-        return site.onLoop(() -> new Moment(site.time.nanos(), site.traffic.asked()));
+        return site.onLoop(() -> new Moment(site.time.nanos(), site.traffic.sent()));
     }
 
     private static String text(Window window) {
-        return window.asked
-                + " asked, "
+        return window.sent
+                + " sent, "
                 + window.served
                 + " served, "
                 + window.refused
--- a/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks a sidecar for its health again and again on one connection: an answer waits for the turn
- * that its loop is in, so that the slowest is no quicker than the longest turn met.
+ * Requests a sidecar's health repeatedly on one connection. A response waits until the event loop
+ * finishes its current turn, so the slowest response bounds the longest turn that a probe met.
  */
 final class Probe implements AutoCloseable {
     private static final byte[] REQUEST =
@@ -46,7 +46,7 @@
                     TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
                 }
             } catch (IOException e) {
-                // Another connection.
+                // Reconnects in the next iteration.
             } catch (InterruptedException e) {
                 return;
             }
@@ -57,7 +57,7 @@
         took.add(nanos);
     }
 
-    /** All since this was last asked. */
+    /** Returns and clears the response times in nanoseconds since the last call. */
     synchronized Samples drainSamples() {
         Samples all = new Samples(took);
         took.clear();
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessFigures.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessFigures.java
@@ -5,16 +5,18 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** What a process has used, as Linux counts it. */
+/** The CPU time and memory of a process, read from {@code /proc}. */
 final class ProcessFigures {
-    /** Ticks of the kernel's count, which has been so on every machine for long. */
+    /**
+     * The kernel's clock ticks per second ({@code USER_HZ}), which is 100 on all common platforms.
+     */
     private static final long TICKS_PER_SECOND = 100;
 
-    private static final int USER_TIME_FIELD = 11;
+    private static final int USER_TIME_FIELD = 11; // after the command name; system time follows
 
     private ProcessFigures() {}
 
-    /** Nanoseconds of processor time so far. */
+    /** The CPU time used so far, user and system, in nanoseconds. */
     static long cpu(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -23,7 +25,10 @@
                 * (TimeUnit.SECONDS.toNanos(1) / TICKS_PER_SECOND);
     }
 
-    /** KiB in memory, now ({@code VmRSS}) or at most ({@code VmHWM}). */
+    /**
+     * The resident memory in KiB, current ({@code VmRSS}) or peak ({@code VmHWM}); 0 if the field
+     * is missing.
+     */
     static long memory(long pid, String which) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                 .filter(line -> line.startsWith(which + ":"))
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
@@ -9,11 +9,11 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * One place for an order server: the process that stands there now, and its session with the
- * coordination service. Blocks; used by one thread at a time.
+ * A slot for an order server: the process that currently runs in it and its session with the
+ * coordination service. Methods block; used by one thread at a time.
  */
 final class ProcessSlot implements AutoCloseable {
-    /** Within so long a node is made, whatever the coordination server does meanwhile. */
+    /** Tries before a write fails; spans every outage of the coordination server. */
     private static final int MAX_TRIES = 200;
 
     private static final int RETRY_PAUSE_MILLIS = 100;
@@ -46,7 +46,7 @@
         return node;
     }
 
-    /** A process starts, at an address of its own or at the last one's. */
+    /** Starts a process, at a new address or at the previous process's address. */
     void startProcess(boolean cold, boolean sameAddress)
             throws InterruptedException, ExecutionException {
         int port = sameAddress ? server.port() : 0;
@@ -74,7 +74,7 @@
         listens.await();
         server = next;
         site.addServer(next);
-        // 0 would say that it began with its node.
+        // A start time of 0 means that the process started when its node was created.
         node =
                 new ServerNode(
                         next.endpoint(),
@@ -102,17 +102,17 @@
         return server;
     }
 
-    /** Its node is there from now on, as its own. */
+    /** Creates the node of the current process. */
     void register() throws IOException, InterruptedException {
         write(() -> writer.create(node));
     }
 
-    /** The node says something else from now on. */
+    /** Replaces the node's data. */
     void change(ServerNode next) throws IOException, InterruptedException {
         write(() -> writer.change(next));
     }
 
-    /** The node holds something that nobody can read. */
+    /** Replaces the node's data by invalid JSON. */
     void garble() throws IOException, InterruptedException {
         write(() -> writer.garble());
     }
@@ -135,16 +135,15 @@
                 what.run();
                 return;
             } catch (KeeperException | IOException e) {
-                // A session that is lost or a server that is away: with another session, once it
-                // answers.
+                // The session is lost or the server is down: retries with a new session.
                 closeWriter();
                 TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MILLIS);
             }
         }
-        throw new IOException(name + " can't register");
+        throw new IOException(name + " cannot write its node: " + MAX_TRIES + " tries failed");
     }
 
-    /** The session ends, as if its time were over. */
+    /** Expires the session on the server. */
     void expire() {
         if (writer != null) {
             site.coordination.expire(writer.session());
@@ -152,17 +151,17 @@
         }
     }
 
-    /** One that was left alone ends. */
+    /** Expires an abandoned session on the server. */
     void expire(NodeWriter abandoned) {
         site.coordination.expire(abandoned.session());
     }
 
-    /** The session ends in order. */
+    /** Closes the session from the client's side. */
     void leave() {
         closeWriter();
     }
 
-    /** The session is left alone, to end when the caller says so. */
+    /** Hands the open session over to the caller, who expires or closes it. */
     NodeWriter abandon() {
         NodeWriter left = writer;
         writer = null;
--- a/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
@@ -14,19 +14,23 @@
 import java.util.Set;
 
 /**
- * Stands between a client and a coordination server, and does what networks do. It reads what it
- * carries, so that it can tell when word of a node was with the client's socket. Lives on its event
- * loop; only {@link #listen()} and {@link #address()} are called from elsewhere.
+ * A TCP relay between clients and a coordination server that injects network faults. It parses the
+ * traffic, so that it can report when a node's state was written to the client's socket. Call its
+ * methods on its event loop, except {@link #listen()} and {@link #address()}.
  */
 public final class Relay {
     /**
-     * Told what servers said, when the last byte of it was with the socket, on the relay's loop.
+     * Receives what servers report about nodes, once its last byte is written to the client's
+     * socket; called on the relay's loop, with the time in nanoseconds.
      */
     public interface ReplyListener {
-        void onReply(NodeReply what, long at);
+        void onReply(NodeReply reply, long at);
     }
 
-    /** What becomes of a connection that a client opens. */
+    /**
+     * What the relay does with connections. OPEN passes everything; REFUSES resets new connections;
+     * SILENT accepts connections and holds all bytes back.
+     */
     public enum Mode {
         OPEN,
         REFUSES,
@@ -53,7 +57,7 @@
         this.replyListener = replyListener;
     }
 
-    /** Begins, on any free port; blocks. */
+    /** Starts listening on any free loopback port; blocks. */
     public void listen() throws InterruptedException {
         listening =
                 new ServerBootstrap()
@@ -87,12 +91,12 @@
         link.connect(server);
     }
 
-    /** New connections go to another server from now on; those that are open stay. */
+    /** Sends new connections to another server; open connections stay. */
     void redirectTo(InetSocketAddress other) {
         server = other;
     }
 
-    /** All that passes from now on takes so long, in nanoseconds, and stays in order. */
+    /** Delays all frames by this many nanoseconds from now on; their order is kept. */
     public void delay(long nanos) {
         delay = nanos;
     }
@@ -101,10 +105,7 @@
         return delay;
     }
 
-    /**
-     * Opens, or refuses new connections, or keeps all bytes of new and old ones until it is open
-     * again.
-     */
+    /** Switches the mode; on OPEN, passes the bytes that were held back. */
     public void mode(Mode next) {
         mode = next;
         if (mode == Mode.OPEN) {
@@ -116,28 +117,28 @@
         return mode == Mode.SILENT;
     }
 
-    /** Ends all connections in order, with what was written. */
+    /** Closes all connections in order, after the bytes already written. */
     void cut() {
         List.copyOf(links).forEach(RelayLink::close);
     }
 
-    /** Breaks all connections. */
+    /** Resets all connections. */
     public void reset() {
         List.copyOf(links).forEach(RelayLink::reset);
     }
 
-    /** Of the next word to a client only half is passed; then its connection breaks. */
+    /** Passes only half of the next frame to a client, then resets its connection. */
     public void truncateNext() {
         truncateNext = true;
     }
 
     boolean consumeTruncation() {
-        boolean now = truncateNext;
+        boolean truncate = truncateNext;
         truncateNext = false;
-        return now;
+        return truncate;
     }
 
-    /** New connections are told that the server behind is read-only, or not. */
+    /** Whether the relay tells new connections that the server is read-only. */
     void readOnly(boolean isReadOnly) {
         readOnly = isReadOnly;
     }
@@ -146,16 +147,19 @@
         return readOnly;
     }
 
-    void bytesToClients(int bytes) {
+    void addBytesToClients(int bytes) {
         bytesToClients += bytes;
     }
 
-    /** Bytes that were passed to clients. */
+    /** The number of bytes written to clients. */
     long bytesToClients() {
         return bytesToClients;
     }
 
-    /** The sessions of those that are connected, 0 for one that has none yet. */
+    /**
+     * The session ids of the open connections, in the order of connecting; 0 for one without a
+     * session.
+     */
     List<Long> sessions() {
         return links.stream().map(RelayLink::session).toList();
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/RelayLink.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/RelayLink.java
@@ -16,7 +16,7 @@
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
 
-/** One client's connection and the one to the server that it stands for. */
+/** One client's connection and the matching connection to the server. */
 final class RelayLink {
     private static final int CONNECT_MILLIS = 5000;
 
@@ -109,21 +109,21 @@
             return;
         }
         conversation.clientFrame(frame);
-        toServer.take(frame.retain(), List.of());
+        toServer.enqueue(frame.retain(), List.of());
     }
 
     private void fromServer(ByteBuf frame) {
         if (conversation.awaitsConnectResponse() && relay.readOnly()) {
             frame.setByte(frame.writerIndex() - 1, 1);
         }
-        toClient.take(frame.retain(), conversation.serverFrame(frame));
+        toClient.enqueue(frame.retain(), conversation.serverFrame(frame));
     }
 
     long session() {
         return conversation.session();
     }
 
-    /** What was kept back goes on. */
+    /** Passes the frames that were held back and are due. */
     void pass() {
         toServer.pass();
         toClient.pass();
@@ -156,7 +156,7 @@
 
     private record QueuedFrame(ByteBuf frame, List<NodeReply> replies, long due) {}
 
-    /** One direction: frames leave in the order of their coming, when their time has come. */
+    /** One direction of the link: a FIFO queue whose frames leave when they are due. */
     private final class Direction {
         private final Queue<QueuedFrame> queue = new ArrayDeque<>();
         private Channel to;
@@ -167,13 +167,13 @@
             this.to = to;
         }
 
-        void take(ByteBuf frame, List<NodeReply> replies) {
+        void enqueue(ByteBuf frame, List<NodeReply> replies) {
             lastDue = Math.max(lastDue, relay.time.nanos() + relay.delay());
             queue.add(new QueuedFrame(frame, replies, lastDue));
             schedulePass();
         }
 
-        /** Nothing comes after what was taken. */
+        /** Marks the end of the stream; closes the link once the queue is empty. */
         void end() {
             ended = true;
             schedulePass();
@@ -212,7 +212,7 @@
                     .addListener(
                             done -> {
                                 if (done.isSuccess() && to == client) {
-                                    relay.bytesToClients(size);
+                                    relay.addBytesToClients(size);
                                     next.replies.forEach(
                                             each ->
                                                     relay.replyListener.onReply(
--- a/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
@@ -26,17 +26,23 @@
 import org.apache.zookeeper.proto.SetACLRequest;
 import org.apache.zookeeper.proto.SetDataRequest;
 
-/** Whether what somebody asks of a tree is right, and the change that it then is. Pure. */
+/**
+ * Validates write operations against a tree and translates them into changes; evaluates access
+ * control lists. Free of side effects.
+ */
 final class Rules {
-    /** One write that is asked for, alone or among several. */
+    /**
+     * One requested write, alone or as part of a multi request; {@code type} as in {@code
+     * ZooDefs.OpCode}.
+     */
     record Operation(int type, Record request) {}
 
-    /** Who asks. */
+    /** The session that sends a request and the ids that it has proven. */
     record Caller(long session, Set<Id> ids) {}
 
     /**
-     * Everybody may do everything. Danger: the client asks for a null in it, which other lists
-     * refuse.
+     * Permits everything to everyone. The client calls {@code contains(null)} on it, for which
+     * {@code List.of} throws.
      */
     static final List<ACL> OPEN_ACL = Arrays.asList(new ACL(Perms.ALL, new Id("world", "anyone")));
 
@@ -44,7 +50,11 @@
 
     private Rules() {}
 
-    /** The change that this is, to be applied at once. */
+    /**
+     * Validates an operation and returns its change, which has to be applied before the tree
+     * changes otherwise. Throws the exception that the protocol prescribes for an invalid
+     * operation.
+     */
     static Change change(Tree tree, Operation operation, Caller caller) throws KeeperException {
         if (operation.request() instanceof CreateRequest create) {
             return create(tree, create, caller);
@@ -54,28 +64,28 @@
                 throw KeeperException.create(Code.BADARGUMENTS, delete.getPath());
             }
             permitted(tree, Tree.parent(delete.getPath()), Perms.DELETE, caller);
-            version(delete.getVersion(), node.stat().getVersion(), delete.getPath());
+            requireVersion(delete.getVersion(), node.stat().getVersion(), delete.getPath());
             if (!node.children().isEmpty()) {
                 throw KeeperException.create(Code.NOTEMPTY, delete.getPath());
             }
             return new Change.DeleteNode(delete.getPath());
         } else if (operation.request() instanceof SetDataRequest set) {
             Tree.Node node = permitted(tree, set.getPath(), Perms.WRITE, caller);
-            version(set.getVersion(), node.stat().getVersion(), set.getPath());
+            requireVersion(set.getVersion(), node.stat().getVersion(), set.getPath());
             return new Change.SetData(set.getPath(), set.getData());
         } else if (operation.request() instanceof CheckVersionRequest check) {
             Tree.Node node = permitted(tree, check.getPath(), Perms.READ, caller);
-            version(check.getVersion(), node.stat().getVersion(), check.getPath());
+            requireVersion(check.getVersion(), node.stat().getVersion(), check.getPath());
             return new Change.CheckVersion(check.getPath());
         } else if (operation.request() instanceof SetACLRequest set) {
             Tree.Node node = permitted(tree, set.getPath(), Perms.ADMIN, caller);
-            version(set.getVersion(), node.stat().getAversion(), set.getPath());
-            return new Change.SetAcl(set.getPath(), acl(set.getAcl(), caller));
+            requireVersion(set.getVersion(), node.stat().getAversion(), set.getPath());
+            return new Change.SetAcl(set.getPath(), resolveAcl(set.getAcl(), caller));
         }
         throw KeeperException.create(Code.UNIMPLEMENTED);
     }
 
-    /** What the asker is told of a change once it is done. */
+    /** Returns the result of an operation whose change has been applied. */
     static OpResult result(Tree tree, Operation operation, Change applied) {
         if (applied instanceof Change.CreateNode make) {
             return operation.type() == OpCode.create
@@ -97,8 +107,8 @@
         if (mode.isContainer() || mode.isTTL()) {
             throw KeeperException.create(Code.UNIMPLEMENTED, create.getPath());
         }
-        path(create.getPath(), mode.isSequential());
-        List<ACL> acl = acl(create.getAcl(), caller);
+        requireValidPath(create.getPath(), mode.isSequential());
+        List<ACL> acl = resolveAcl(create.getAcl(), caller);
         Tree.Node parent = permitted(tree, Tree.parent(create.getPath()), Perms.CREATE, caller);
         String path =
                 mode.isSequential()
@@ -115,7 +125,7 @@
                 path, create.getData(), acl, mode.isEphemeral() ? caller.session() : 0);
     }
 
-    private static void path(String path, boolean isSequential) throws KeeperException {
+    private static void requireValidPath(String path, boolean isSequential) throws KeeperException {
         try {
             PathUtils.validatePath(path, isSequential);
         } catch (IllegalArgumentException e) {
@@ -131,8 +141,9 @@
         return node;
     }
 
-    private static void version(int wanted, int is, String path) throws KeeperException {
-        if (wanted != -1 && wanted != is) {
+    private static void requireVersion(int expected, int actual, String path)
+            throws KeeperException {
+        if (expected != -1 && expected != actual) {
             throw KeeperException.create(Code.BADVERSION, path);
         }
     }
@@ -146,8 +157,8 @@
                                                 || caller.ids().contains(each.getId())));
     }
 
-    /** What a node's list is, where {@code auth} stands for the asker's own ids. */
-    private static List<ACL> acl(List<ACL> requested, Caller caller) throws KeeperException {
+    /** Resolves a requested list for storage; {@code auth} stands for the caller's own ids. */
+    private static List<ACL> resolveAcl(List<ACL> requested, Caller caller) throws KeeperException {
         List<ACL> acl = new ArrayList<>();
         for (ACL each : requested == null ? List.<ACL>of() : requested) {
             Id id = each.getId();
@@ -166,7 +177,10 @@
         return List.copyOf(acl);
     }
 
-    /** What somebody may see of a node's list: no digests but for those who could change them. */
+    /**
+     * Returns a node's list as the caller may see it; digests are masked unless the caller may
+     * change the list.
+     */
     static List<ACL> visibleAcl(Tree.Node node, Caller caller) {
         if (allows(node.acl(), Perms.ADMIN, caller)) {
             return node.acl();
@@ -186,7 +200,7 @@
                 .toList();
     }
 
-    /** The id that a name with a password proves. */
+    /** Returns the id that {@code name:password} proves in the digest scheme. */
     static Id digest(byte[] nameAndPassword) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-1").digest(nameAndPassword);
@@ -197,12 +211,14 @@
         }
     }
 
-    /** A stat alone, of what {@code exists} asks. */
+    /** Returns a node's stat; no permission is required, as for {@code exists}. */
     static Stat stat(Tree tree, String path) throws KeeperException {
         return existing(tree, path).stat();
     }
 
-    /** A node with which the asker may do one of these. */
+    /**
+     * Returns a node for which the caller has at least one of the permissions; throws otherwise.
+     */
     static Tree.Node permitted(Tree tree, String path, int perms, Caller caller)
             throws KeeperException {
         Tree.Node node = existing(tree, path);
--- a/testbed/src/main/java/appleridge/testbed/coordination/Samples.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Samples.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Collection;
 
-/** Numbers in order, and what is said of many of them. */
+/** A sorted set of measured values with its quantiles; durations in nanoseconds. */
 final class Samples {
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -17,7 +17,10 @@
         return sorted.length;
     }
 
-    /** The number that this part of all is not above; 0 if there are none. */
+    /**
+     * Returns the smallest value that at least this fraction of all values does not exceed; 0 if
+     * there are none.
+     */
     long quantile(double fraction) {
         return sorted.length == 0
                 ? 0
@@ -35,7 +38,7 @@
         return quantile(1);
     }
 
-    /** How many are at most so much. */
+    /** Returns how many values are at most {@code number}. */
     int countUpTo(long number) {
         int index = Arrays.binarySearch(sorted, number);
         if (index < 0) {
@@ -47,7 +50,9 @@
         return index;
     }
 
-    /** Median, 90th and 99th percentile and the largest of nanoseconds, in milliseconds. */
+    /**
+     * Formats median, 90th and 99th percentile and maximum of nanosecond values in milliseconds.
+     */
     String millis() {
         return count() == 0
                 ? "none"
--- a/testbed/src/main/java/appleridge/testbed/coordination/ScaleCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ScaleCheck.java
@@ -13,9 +13,12 @@
 import org.apache.zookeeper.KeeperException;
 import org.apache.zookeeper.ZooKeeper;
 
-/** A long list of servers and many changes of it a second: what they cost the sidecar. */
+/**
+ * Measures the CPU time, memory and response times of a sidecar with a long server list that
+ * changes many times a second.
+ */
 final class ScaleCheck {
-    /** What is played; {@code changes}: a second. */
+    /** The parameters of a run; {@code changes} per second. */
     record Plan(int nodes, int changes, int seconds, double rate, long seed) {}
 
     private static final double MAX_CPU_SHARE = 0.1;
@@ -32,7 +35,9 @@
     private boolean[] present;
     private boolean[] terminating;
 
-    /** One measured while. */
+    /**
+     * One measured span: the share of a core, and response times that bound the turns of the loop.
+     */
     private record Span(double cpu, Samples turns) {}
 
     ScaleCheck(Plan plan, PrintStream out) {
@@ -51,14 +56,14 @@
                         new NodeWriter(
                                 site.coordination.address(), CoordinatedSite.ROOT, SESSION_MILLIS));
             }
-            make(site, servers);
+            createNodes(site, servers);
             site.start(jar, CoordinatedSite.Source.NODES, plan.rate());
             site.await(() -> site.drains.size() == plan.nodes());
             out.println(
                     plan.nodes()
-                            + " nodes; told when "
+                            + " nodes; the sidecar was told of all after "
                             + Samples.millis(site.time.nanos())
-                            + " ms of the run had passed");
+                            + " ms of the run");
             boolean held = spans(site, servers);
             site.stopClients();
             for (NodeWriter writer : writers) {
@@ -110,7 +115,10 @@
         return restChanges.cpu <= MAX_CPU_SHARE;
     }
 
-    /** First what it costs, then, with a probe that costs something too, how long answers wait. */
+    /**
+     * Measures the CPU time first and the response times second, because the probe itself uses CPU
+     * time.
+     */
     private Span span(CoordinatedSite site, ManyServers servers, String what, boolean changing)
             throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(SETTLE_MILLIS);
@@ -129,7 +137,7 @@
                             + round(share)
                             + " of a core, "
                             + ProcessFigures.memory(site.sidecar.pid(), "VmRSS") / 1024
-                            + " MiB, health answered in "
+                            + " MiB, health responses in "
                             + span.turns.millis()
                             + ", p99.9 "
                             + Samples.millis(span.turns.quantile(0.999))
@@ -164,7 +172,8 @@
                 .bytes();
     }
 
-    private void make(CoordinatedSite site, ManyServers servers) throws InterruptedException {
+    private void createNodes(CoordinatedSite site, ManyServers servers)
+            throws InterruptedException {
         present = new boolean[plan.nodes()];
         terminating = new boolean[plan.nodes()];
         for (int from = 0; from < plan.nodes(); from += IN_FLIGHT) {
@@ -199,7 +208,7 @@
         }
     }
 
-    /** It goes, or is back, or says another state. */
+    /** Deletes a node, creates it again or flips its state. */
     private void change(CoordinatedSite site, ManyServers servers, int number) {
         if (!present[number]) {
             present[number] = true;
--- a/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
@@ -7,11 +7,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one order server may go through; at the end of each it, or another in its place, is ready
- * again.
+ * A sequence of events in the life of one order server. At the end of each, this server or a
+ * replacement is ready again.
  */
 enum Sequence {
-    /** The session ends and the process goes on answering; later it has a session again. */
+    /**
+     * The session ends while the process goes on answering; later the process opens a new session.
+     */
     VANISH {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -21,7 +23,10 @@
             slot.register();
         }
     },
-    /** It says that it is terminating, then ends, and another one starts elsewhere. */
+    /**
+     * The server reports that it is terminating, then exits; a replacement starts at another
+     * address.
+     */
     DRAIN {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -34,7 +39,7 @@
             slot.register();
         }
     },
-    /** It says that it is terminating and then thinks better of it. */
+    /** The server reports that it is terminating, then that it is ready again. */
     WAVER {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -44,7 +49,7 @@
             slot.change(slot.node());
         }
     },
-    /** Its node goes and comes back up to ten times, for less than a second each; same process. */
+    /** The node vanishes up to ten times, for less than a second each, while the process stays. */
     FLAP {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -62,7 +67,7 @@
             }
         }
     },
-    /** It is started again and again at its address. */
+    /** The process restarts up to four times at the same address. */
     RESTARTS {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -77,7 +82,7 @@
             }
         }
     },
-    /** Its process dies and its session lives on for a while. */
+    /** The process crashes and its session outlives it for a while. */
     CRASH {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -90,7 +95,9 @@
             slot.register();
         }
     },
-    /** Another one takes its address and its node's name before the old node has vanished. */
+    /**
+     * A new process takes over the address and the node's name before the old session has expired.
+     */
     TAKEN {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -105,9 +112,7 @@
             pause(random, 0, 2000);
         }
     },
-    /**
-     * Its node says another address from now on, and the process at the old one goes on answering.
-     */
+    /** The node changes to another address while the process at the old one goes on answering. */
     MOVES {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -119,7 +124,7 @@
             slot.crash(old);
         }
     },
-    /** Its node can't be read for a while. */
+    /** The node's data is invalid for a while. */
     GARBLED {
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
@@ -130,7 +135,7 @@
         }
     };
 
-    /** Long enough that a late request would be seen: drains allow 2 s. */
+    /** Exceeds the 2 s within which requests may still arrive, so that a later one is detected. */
     private static final int MIN_AWAY_MILLIS = 2300;
 
     private static final int MAX_AWAY_MILLIS = 4000;
@@ -150,8 +155,8 @@
         pause(random, MIN_AWAY_MILLIS, MAX_AWAY_MILLIS);
     }
 
-    private static void pause(SplittableRandom random, int leastMillis, int mostMillis)
+    private static void pause(SplittableRandom random, int minMillis, int maxMillis)
             throws InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(random.nextInt(leastMillis, mostMillis + 1));
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(minMillis, maxMillis + 1));
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/ServerNode.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ServerNode.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What an order server's node holds.
+ * The data of an order server's node, stored as JSON.
  *
- * @param started in Unix milliseconds, 0 for long ago
+ * @param started the start of the process in Unix milliseconds, 0 for long ago
  */
 record ServerNode(String address, String zone, boolean ready, long started) {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,7 +28,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads it again; null if it is none. */
+    /** Parses a node's data; returns null if it is not valid JSON or has no address. */
     static ServerNode read(String text) {
         try {
             JsonNode node = JSON.readTree(text);
--- a/testbed/src/main/java/appleridge/testbed/coordination/Traffic.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Traffic.java
@@ -9,9 +9,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What clients and order servers saw, counted. Lives on the site's loop. */
+/**
+ * Records the requests and answers that clients and order servers report. Accessed on the site's
+ * loop.
+ */
 final class Traffic implements StandInListener {
-    /** One answered request. */
+    /** An answered request: the time of the answer, its status and the duration, in nanoseconds. */
     record Answer(long at, int status, long took) {}
 
     private record Open(long at, String wish) {}
@@ -21,7 +24,7 @@
     private final Map<String, Open> open = new HashMap<>();
     private final Map<Ending, Integer> endings = new HashMap<>();
     private final List<Answer> answers = new ArrayList<>();
-    private int asked;
+    private int sent;
     private int crashedServers;
 
     Traffic(RealTime time, Consumer<Arrival> arrivals) {
@@ -29,8 +32,8 @@
         this.arrivals = arrivals;
     }
 
-    int asked() {
-        return asked;
+    int sent() {
+        return sent;
     }
 
     int crashedServers() {
@@ -41,7 +44,7 @@
         return answers;
     }
 
-    /** Requests that have no answer and never will, by how they ended. */
+    /** The number of requests that ended without an answer, by how they ended. */
     Map<Ending, Integer> endings() {
         return endings;
     }
@@ -52,15 +55,15 @@
 
     @Override
     public void asks(Ask ask) {
-        asked++;
+        sent++;
         open.put(ask.id(), new Open(ask.at(), ask.wish()));
     }
 
     @Override
     public void answered(String id, int status, String body, long at) {
-        Open asked = open.remove(id);
-        if (asked != null) {
-            answers.add(new Answer(at, status, at - asked.at));
+        Open request = open.remove(id);
+        if (request != null) {
+            answers.add(new Answer(at, status, at - request.at));
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
@@ -10,24 +10,26 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Stat;
 
-/** What a coordination service holds at one point of its history. Pure. */
+/** The nodes and sessions after some prefix of the log. Free of I/O; not thread-safe. */
 final class Tree {
-    /** Told of what became of nodes. */
+    /** Receives the events of changed nodes, with the access control list that applies to each. */
     interface NodeListener {
         void changed(EventType what, String path, List<ACL> acl);
     }
 
-    /** The place of a change in the history. */
+    /** The transaction and the time of a change. */
     record Stamp(long zxid, long unixMillis) {}
 
-    /** What one path holds. */
+    /** The data, access control list and children of one path. */
     static final class Node {
         private byte[] data;
         private List<ACL> acl;
         private final Stat stat;
         private final Set<String> children = new TreeSet<>();
 
-        /** As it holds these, with the stat's {@code cversion} counting children made. */
+        /**
+         * Creates a node; in the stored stat, {@code cversion} counts only the children created.
+         */
         private Node(byte[] data, List<ACL> acl, Stat stat) {
             this.data = data;
             this.acl = acl;
@@ -46,14 +48,14 @@
             return List.copyOf(children);
         }
 
-        /** How many children it ever had: the next sequential one's number. */
+        /** The number of children ever created, which is the next sequence number. */
         int childrenCreated() {
             return stat.getCversion();
         }
 
         Stat stat() {
             Stat full = copy(stat);
-            // Each child made and each one gone counts.
+            // On the wire, cversion counts the children created and the children deleted.
             full.setCversion(2 * stat.getCversion() - children.size());
             full.setNumChildren(children.size());
             full.setDataLength(data == null ? 0 : data.length);
@@ -66,7 +68,7 @@
             return copy;
         }
 
-        /** Brings back how its stat is now. */
+        /** Returns an action that restores the stat to its current value. */
         private Runnable saveStat() {
             Stat before = copy(stat);
             return () -> stat.copyFrom(before);
@@ -81,12 +83,12 @@
         nodes.put("/", new Node(new byte[0], Rules.OPEN_ACL, new Stat()));
     }
 
-    /** What a path holds; null if nothing. */
+    /** Returns the node at a path; null if there is none. */
     Node node(String path) {
         return nodes.get(path);
     }
 
-    /** The sessions that there are, and their time-outs. */
+    /** The open sessions with their time-outs in milliseconds. */
     Map<Long, Integer> sessions() {
         return sessions;
     }
@@ -96,29 +98,32 @@
         return slash <= 0 ? "/" : path.substring(0, slash);
     }
 
-    /** Does it and says so; returns what undoes a change of nodes, while nothing came after it. */
+    /**
+     * Applies a change and notifies the listener. Returns an action that undoes a change of nodes,
+     * provided that no later change is applied; changes of sessions are not undone.
+     */
     Runnable apply(Change change, Stamp at, NodeListener listener) {
         if (change instanceof Change.CreateNode create) {
             return create(create, at, listener);
         } else if (change instanceof Change.DeleteNode delete) {
             return delete(delete.path(), at, listener);
-        } else if (change instanceof Change.SetData write) {
-            return write(write, at, listener);
-        } else if (change instanceof Change.SetAcl guard) {
-            Node node = nodes.get(guard.path());
+        } else if (change instanceof Change.SetData set) {
+            return setData(set, at, listener);
+        } else if (change instanceof Change.SetAcl set) {
+            Node node = nodes.get(set.path());
             List<ACL> before = node.acl;
             Runnable stat = node.saveStat();
-            node.acl = guard.acl();
+            node.acl = set.acl();
             node.stat.setAversion(node.stat.getAversion() + 1);
             return () -> {
                 node.acl = before;
                 stat.run();
             };
-        } else if (change instanceof Change.OpenSession begin) {
-            sessions.put(begin.session(), begin.timeout());
-        } else if (change instanceof Change.CloseSession end) {
-            sessions.remove(end.session());
-            for (String path : List.copyOf(ephemerals.getOrDefault(end.session(), Set.of()))) {
+        } else if (change instanceof Change.OpenSession open) {
+            sessions.put(open.session(), open.timeout());
+        } else if (change instanceof Change.CloseSession close) {
+            sessions.remove(close.session());
+            for (String path : List.copyOf(ephemerals.getOrDefault(close.session(), Set.of()))) {
                 delete(path, at, listener);
             }
         }
@@ -167,15 +172,15 @@
         };
     }
 
-    private Runnable write(Change.SetData write, Stamp at, NodeListener listener) {
-        Node node = nodes.get(write.path());
+    private Runnable setData(Change.SetData set, Stamp at, NodeListener listener) {
+        Node node = nodes.get(set.path());
         byte[] before = node.data;
         Runnable undo = node.saveStat();
-        node.data = write.data();
+        node.data = set.data();
         node.stat.setVersion(node.stat.getVersion() + 1);
         node.stat.setMzxid(at.zxid());
         node.stat.setMtime(at.unixMillis());
-        listener.changed(EventType.NodeDataChanged, write.path(), node.acl);
+        listener.changed(EventType.NodeDataChanged, set.path(), node.acl);
         return () -> {
             node.data = before;
             undo.run();
--- a/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
@@ -7,9 +7,9 @@
 import org.apache.zookeeper.Watcher.Event.EventType;
 import org.apache.zookeeper.Watcher.WatcherType;
 
-/** What one connection watches. Pure. */
+/** The watches of one connection. */
 final class Watches {
-    /** Kinds of watches: the first two end with what they tell. */
+    /** Kinds of watches. DATA and CHILDREN are removed when they fire; the others stay. */
     enum Kind {
         DATA,
         CHILDREN,
@@ -29,7 +29,10 @@
         paths.get(kind).add(path);
     }
 
-    /** Whether this is to be told, once however many watches ask for it. */
+    /**
+     * Whether an event matches any watch, and so is sent once; removes the one-time watches that it
+     * fires.
+     */
     boolean notifies(EventType what, String path) {
         boolean found = paths.get(Kind.PERSISTENT).contains(path);
         if (what != EventType.NodeChildrenChanged) {
@@ -48,7 +51,7 @@
         return found;
     }
 
-    /** Whether there are watches of this type on a path, which end if wanted. */
+    /** Whether there are watches of this type on a path; removes them if {@code end}. */
     boolean find(String path, WatcherType type, boolean end) {
         Set<Kind> kinds =
                 switch (type) {
--- a/testbed/src/main/java/appleridge/testbed/coordination/Wire.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Wire.java
@@ -9,9 +9,9 @@
 import org.apache.jute.BinaryOutputArchive;
 import org.apache.jute.Record;
 
-/** The published protocol's frames: records, with the length of all of them before. */
+/** Encodes and decodes the ZooKeeper protocol's frames: a length prefix and serialized records. */
 final class Wire {
-    /** A frame's records, read one after the other; without the length. */
+    /** Reads the records of a frame in order; the frame has no length prefix. */
     static final class In {
         private final BinaryInputArchive archive;
 
@@ -31,7 +31,7 @@
 
     private Wire() {}
 
-    /** One frame with its length; a null record is none. */
+    /** Encodes the records as one frame with its length prefix; null records are skipped. */
     static byte[] frame(Record... records) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/testbed/src/main/java/appleridge/testbed/coordination/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/package-info.java
@@ -1,2 +1,5 @@
-/** A stand-in for a coordination service, a relay before it, servers that register, and checks. */
+/**
+ * A stand-in for a coordination service, a relay in front of it, order servers that register with
+ * it, and measurements of a sidecar that discovers them.
+ */
 package appleridge.testbed.coordination;
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The packaged stand-in as a process of its own. */
+/** Runs the packaged stand-in as a separate process. */
 @Timeout(60)
 class CoordinationIT {
     private static Process start(String... words) throws Exception {
@@ -40,12 +40,12 @@
         KeeperState next;
         do {
             next = states.poll(30, TimeUnit.SECONDS);
-            assertNotNull(next, "never " + wanted);
+            assertNotNull(next, "no event " + wanted);
         } while (next != wanted);
     }
 
     @Test
-    void threeMembersInOneProcessPlayTheScriptsOfItsInput() throws Exception {
+    void executesCommandsFromStandardInput() throws Exception {
         Process process =
                 start(
                         "--listen",
@@ -56,12 +56,12 @@
                         "127.0.0.1:0",
                         "--most",
                         "5000");
-        try (BufferedReader said = process.inputReader();
-                PrintWriter tell =
+        try (BufferedReader output = process.inputReader();
+                PrintWriter input =
                         new PrintWriter(process.getOutputStream(), true, StandardCharsets.UTF_8)) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                addresses.add(said.readLine().replace("listening ", ""));
+                addresses.add(output.readLine().replace("listening ", ""));
             }
             BlockingQueue<KeeperState> states = new LinkedBlockingQueue<>();
             ZooKeeper client =
@@ -72,23 +72,23 @@
             await(states, KeeperState.SyncConnected);
             assertEquals(5000, client.getSessionTimeout());
             client.create("/a", new byte[0], Rules.OPEN_ACL, CreateMode.EPHEMERAL);
-            tell.println("sessions");
-            assertEquals("ok 0x" + Long.toHexString(client.getSessionId()), said.readLine());
-            tell.println("cut 3");
-            assertEquals("ok", said.readLine());
-            tell.println("stop 2");
-            assertEquals("ok", said.readLine());
+            input.println("sessions");
+            assertEquals("ok 0x" + Long.toHexString(client.getSessionId()), output.readLine());
+            input.println("cut 3");
+            assertEquals("ok", output.readLine());
+            input.println("stop 2");
+            assertEquals("ok", output.readLine());
             await(states, KeeperState.Disconnected);
-            tell.println("heal");
-            assertEquals("ok", said.readLine());
+            input.println("heal");
+            assertEquals("ok", output.readLine());
             await(states, KeeperState.SyncConnected);
             assertEquals(client.getSessionId(), client.exists("/a", false).getEphemeralOwner());
-            tell.println("changes");
-            assertTrue(said.readLine().startsWith("ok 2 "));
-            tell.println("expire 1");
-            assertEquals("no: no such session", said.readLine());
-            tell.println("expire 0x" + Long.toHexString(client.getSessionId()));
-            assertEquals("ok", said.readLine());
+            input.println("changes");
+            assertTrue(output.readLine().startsWith("ok 2 "));
+            input.println("expire 1");
+            assertEquals("no: no such session", output.readLine());
+            input.println("expire 0x" + Long.toHexString(client.getSessionId()));
+            assertEquals("ok", output.readLine());
             await(states, KeeperState.Expired);
             process.destroy();
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void senselessWordsAreRefused() throws Exception {
+    void rejectsInvalidOptions() throws Exception {
         assertEquals(2, start("--listen", "nowhere").waitFor());
         assertEquals(2, start("--tick", "50").waitFor());
     }
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-in, asked by the project's own client. */
+/** Tests the stand-in with the ZooKeeper client library. */
 @Timeout(60)
 class CoordinationServerTest {
     private static final int SESSION_MILLIS = 500;
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aSessionEndsAsTheScriptSays() throws Exception {
+    void expireEndsTheSessionAndItsEphemeralNodes() throws Exception {
         ZooKeeper client = client();
         ZooKeeper other = client();
         create(client, "/a", CreateMode.EPHEMERAL);
@@ -83,14 +83,14 @@
     }
 
     @Test
-    void sessionsOutlastTheirTimeIfTold() throws Exception {
+    void sessionsDoNotExpireWhileExpiryIsSuspended() throws Exception {
         ZooKeeper client = client();
-        server.sessionsLast(true);
+        server.suspendExpiry(true);
         client.getTestable().injectSessionExpiration();
         await(KeeperState.Expired);
         TimeUnit.MILLISECONDS.sleep(2 * SESSION_MILLIS);
         assertEquals(List.of(client.getSessionId()), server.sessions());
-        server.sessionsLast(false);
+        server.suspendExpiry(false);
         for (int i = 0; i < 200 && !server.sessions().isEmpty(); i++) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void sessionsAndDataAreThereAfterARestart() throws Exception {
+    void sessionsAndDataSurviveARestart() throws Exception {
         ZooKeeper client = client(server, LONG_MILLIS);
         create(client, "/a", CreateMode.EPHEMERAL);
         server.stop();
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void wipedItBeginsAnew() throws Exception {
+    void wipedServerStartsWithoutData() throws Exception {
         create(client(), "/b", CreateMode.PERSISTENT);
         long before = server.lastChange();
         server.stop();
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void oneThatLagsKeepsWhatItHadThen() throws Exception {
+    void laggingCopyReceivesNoLaterChanges() throws Exception {
         ZooKeeper client = client();
         create(client, "/b", CreateMode.PERSISTENT);
         try (CoordinationServer old = server.lagging()) {
@@ -131,14 +131,14 @@
     }
 
     @Test
-    void hungItAnswersPingsAndNothingElse() throws Exception {
+    void hungServerAnswersOnlyPings() throws Exception {
         ZooKeeper client = client();
         server.hung(true);
         BlockingQueue<Integer> answers = new LinkedBlockingQueue<>();
         client.exists("/b", false, (code, path, context, stat) -> answers.add(code), null);
-        long pings = server.asked().getOrDefault(OpCode.ping, 0L);
+        long pings = server.requestCounts().getOrDefault(OpCode.ping, 0L);
         assertNull(answers.poll(2 * SESSION_MILLIS, TimeUnit.MILLISECONDS));
-        assertTrue(server.asked().get(OpCode.ping) > pings);
+        assertTrue(server.requestCounts().get(OpCode.ping) > pings);
         assertTrue(client.getState().isConnected());
         server.hung(false);
         assertNotNull(answers.poll(20, TimeUnit.SECONDS));
--- a/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServersTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/CoordinationServersTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.function.Executable;
 
-/** Three members with one history, asked by the published client library. */
+/** Tests an ensemble of three members with the ZooKeeper client library. */
 @Timeout(60)
 class CoordinationServersTest {
     private static final int SESSION_MILLIS = 10_000;
@@ -65,7 +65,7 @@
             KeeperState next;
             do {
                 next = states.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-                assertNotNull(next, "never " + wanted);
+                assertNotNull(next, "no event " + wanted);
             } while (next != wanted);
         }
 
@@ -120,16 +120,16 @@
     }
 
     @Test
-    void aSessionMovesToAnotherMemberAndKeepsWhatIsItsOwn() throws Exception {
+    void sessionMovesToAnotherMemberWithItsEphemeralNodes() throws Exception {
         Events events = new Events();
         ZooKeeper client = client(events, false, member(0), member(1));
         events.await(KeeperState.SyncConnected);
         make(client, "/a", CreateMode.EPHEMERAL);
         long session = client.getSessionId();
         String address = client.toString();
-        CoordinationServer there =
+        CoordinationServer connected =
                 address.contains(":" + member(0).address().getPort()) ? member(0) : member(1);
-        there.stop();
+        connected.stop();
         events.await(KeeperState.Disconnected);
         events.await(KeeperState.SyncConnected);
         assertEquals(session, client.getSessionId());
@@ -139,14 +139,14 @@
     }
 
     @Test
-    void whoLagsReadsWhatWasUntilItHasCaughtUp() throws Exception {
+    void laggingMemberServesOldReadsAndDefersSyncAndWrites() throws Exception {
         ZooKeeper here = client(0);
         ZooKeeper late = client(2);
         make(here, "/lease", CreateMode.PERSISTENT);
         late.sync("/lease");
         member(2).lag(-1);
         here.delete("/lease", -1);
-        assertNotNull(late.exists("/lease", false), "an old copy");
+        assertNotNull(late.exists("/lease", false), "reads the old copy");
         BlockingQueue<Integer> synced = new LinkedBlockingQueue<>();
         late.sync("/lease", (code, path, any) -> synced.add(code), null);
         BlockingQueue<String> made = new LinkedBlockingQueue<>();
@@ -157,7 +157,9 @@
                 CreateMode.PERSISTENT,
                 (code, path, any, name) -> made.add(code + " " + name),
                 null);
-        assertNull(made.poll(300, TimeUnit.MILLISECONDS), "answers wait until its own copy has it");
+        assertNull(
+                made.poll(300, TimeUnit.MILLISECONDS),
+                "responses wait until the member has applied the change");
         assertEquals(0, synced.size());
         member(2).lag(0);
         assertEquals(0, synced.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
@@ -166,7 +168,7 @@
     }
 
     @Test
-    void whoIsCutOffTakesNoPartAndReadsOnlyIfAllowed() throws Exception {
+    void memberInTheMinorityServesOnlyReadOnlyClients() throws Exception {
         ZooKeeper here = client(0);
         make(here, "/a", CreateMode.PERSISTENT);
         Events events = new Events();
@@ -190,7 +192,7 @@
     }
 
     @Test
-    void aMemberWithoutMemoryLearnsAllAndAMajorityWithoutForgets() throws Exception {
+    void wipedMemberCatchesUpButARestoredMajorityLosesChanges() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.PERSISTENT);
         long then = member(0).lastChange();
@@ -213,7 +215,7 @@
     }
 
     @Test
-    void aRequestWithoutAnAnswerWasDoneOrNot() throws Exception {
+    void brokenRequestIsAppliedOrNotAsConfigured() throws Exception {
         Events events = new Events();
         ZooKeeper client = client(events, false, member(0));
         events.await(KeeperState.SyncConnected);
@@ -228,7 +230,7 @@
     }
 
     @Test
-    void manyWritesAreDoneAllOrNone() throws Exception {
+    void multiAppliesAllOperationsOrNone() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.PERSISTENT);
         List<OpResult> done =
@@ -277,7 +279,7 @@
     }
 
     @Test
-    void nodesAreNumberedByAllThatWereThere() throws Exception {
+    void sequenceNumbersCountDeletedChildren() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/q", CreateMode.PERSISTENT);
         assertEquals("/q/n0000000000", make(client, "/q/n", CreateMode.EPHEMERAL_SEQUENTIAL));
@@ -291,7 +293,7 @@
     }
 
     @Test
-    void whatIsNotRightIsRefusedByItsName() throws Exception {
+    void invalidOperationsFailWithTheProtocolsErrorCodes() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.EPHEMERAL);
         assertEquals(Code.NODEEXISTS, code(() -> make(client, "/a", CreateMode.PERSISTENT)));
@@ -329,7 +331,7 @@
     }
 
     @Test
-    void aDigestOpensWhatItsOwnerShut() throws Exception {
+    void digestIdGrantsAccessToItsOwnersNodes() throws Exception {
         ZooKeeper owner = client(0);
         owner.addAuthInfo("digest", "owner:secret".getBytes(StandardCharsets.UTF_8));
         owner.create(
@@ -354,7 +356,7 @@
     }
 
     @Test
-    void aWatchTellsOnceAndAPersistentOneOn() throws Exception {
+    void oneTimeWatchesFireOnceAndPersistentOnesRepeatedly() throws Exception {
         ZooKeeper writer = client(0);
         ZooKeeper client = client(1);
         make(writer, "/r", CreateMode.PERSISTENT);
@@ -391,9 +393,13 @@
                 code(() -> client.removeWatches("/r/a", on, WatcherType.Any, false)));
     }
 
-    /** Guards against watches that end with the connection, and changes that nobody tells. */
+    /**
+     * Guards against lost watches and missed events: the client disconnects, nodes change, the
+     * client reconnects to the same member. Changed nodes must fire their watches at once, and the
+     * other watches must still be set.
+     */
     @Test
-    void whatWasMissedIsToldAfterAReconnectAndWatchesStand() throws Exception {
+    void reconnectDeliversMissedEventsAndRestoresWatches() throws Exception {
         Events events = new Events();
         ZooKeeper client = client(events, false, member(2));
         events.await(KeeperState.SyncConnected);
@@ -435,7 +441,7 @@
     }
 
     @Test
-    void aSessionThatIsTakenOverIsNoLongerTheOldConnections() throws Exception {
+    void takenOverSessionRejectsItsOldConnection() throws Exception {
         ZooKeeper client = client(0);
         make(client, "/a", CreateMode.EPHEMERAL);
         Events events = new Events();
--- a/testbed/src/test/java/appleridge/testbed/coordination/DrainTrackerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/DrainTrackerTest.java
@@ -14,12 +14,13 @@
     private final DrainTracker drains = new DrainTracker("/s", 20);
     private long zxid = 100;
 
-    private void tell(NodeReply.Kind what, String path, String data, long at, String... children) {
+    private void report(
+            NodeReply.Kind what, String path, String data, long at, String... children) {
         drains.onReply(new NodeReply(1, what, path, ++zxid, data, List.of(children)), at);
     }
 
     private void holds(String name, String address, boolean ready, long at) {
-        tell(
+        report(
                 NodeReply.Kind.HOLDS,
                 "/s/" + name,
                 new String(new ServerNode(address, "z", ready, 5).bytes(), StandardCharsets.UTF_8),
@@ -27,9 +28,9 @@
     }
 
     @Test
-    void aRequestLongAfterItsServersEndIsLate() {
+    void requestIsLateOnceTheAllowanceHasPassed() {
         holds("a", ADDRESS, true, 0);
-        tell(NodeReply.Kind.GONE, "/s/a", "", 100);
+        report(NodeReply.Kind.GONE, "/s/a", "", 100);
         drains.arrived(ADDRESS, "p", "early", 99);
         drains.arrived(ADDRESS, "p", "allowed", 120);
         assertEquals(List.of(), drains.lateRequests());
@@ -41,28 +42,28 @@
     }
 
     @Test
-    void oneThatIsBackMayGetRequestsAgain() {
+    void requestsAreAllowedAgainAfterTheNodeReturns() {
         holds("a", ADDRESS, true, 0);
-        tell(NodeReply.Kind.GONE, "/s/a", "", 100);
+        report(NodeReply.Kind.GONE, "/s/a", "", 100);
         holds("a", ADDRESS, true, 150);
         drains.arrived(ADDRESS, "p", "back", 160);
         assertEquals(List.of(), drains.lateRequests());
-        drains.arrived(ADDRESS, "p", "between, told of after it was back", 149);
+        drains.arrived(ADDRESS, "p", "between, recorded after the return", 149);
         assertEquals(49, drains.lateRequests().get(0).delay());
     }
 
     @Test
-    void absenceFromTheListIsAnEnd() {
+    void absenceFromTheChildrenEndsTheAddress() {
         holds("a", ADDRESS, true, 0);
         holds("b", "127.0.0.1:2", true, 0);
-        tell(NodeReply.Kind.CHILDREN, "/s", "", 50, "b", "c");
+        report(NodeReply.Kind.CHILDREN, "/s", "", 50, "b", "c");
         assertFalse(drains.isPresent(ADDRESS));
         assertTrue(drains.isPresent("127.0.0.1:2"));
         assertEquals(50, drains.ends().get(0).from);
     }
 
     @Test
-    void anOlderStateIsNoWord() {
+    void replyWithAnOlderZxidIsIgnored() {
         holds("a", ADDRESS, true, 0);
         drains.onReply(
                 new NodeReply(1, NodeReply.Kind.CHILDREN, "/s", zxid - 1, "", List.of()), 50);
@@ -70,25 +71,25 @@
     }
 
     @Test
-    void terminatingMovedOrUnreadableIsAnEnd() {
+    void terminatingMovedOrUnreadableNodeEndsTheAddress() {
         holds("a", ADDRESS, true, 0);
         holds("a", ADDRESS, false, 10);
         assertFalse(drains.isPresent(ADDRESS));
         holds("a", ADDRESS, true, 20);
         holds("a", "127.0.0.1:2", true, 30);
         assertFalse(drains.isPresent(ADDRESS));
-        tell(NodeReply.Kind.HOLDS, "/s/a", "{", 40);
+        report(NodeReply.Kind.HOLDS, "/s/a", "{", 40);
         assertEquals(0, drains.size());
         assertEquals(3, drains.ends().size());
     }
 
     @Test
-    void anAddressOfTwoNodesEndsWithTheLast() {
+    void addressOfTwoNodesEndsWithTheLastNode() {
         holds("old", ADDRESS, true, 0);
         holds("new", ADDRESS, true, 10);
-        tell(NodeReply.Kind.GONE, "/s/old", "", 20);
+        report(NodeReply.Kind.GONE, "/s/old", "", 20);
         assertTrue(drains.isPresent(ADDRESS));
-        tell(NodeReply.Kind.GONE, "/s/new", "", 30);
+        report(NodeReply.Kind.GONE, "/s/new", "", 30);
         assertEquals(30, drains.ends().get(0).from);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -37,7 +37,7 @@
 import org.apache.zookeeper.proto.SetDataRequest;
 import org.junit.jupiter.api.Test;
 
-/** The ensemble without sockets, threads or clocks. */
+/** Tests the ensemble without sockets, threads or a real clock. */
 class EnsembleTest {
     private static final long MS = 1_000_000;
     private static final int TIMEOUT = 1000;
@@ -49,7 +49,7 @@
             new Ensemble(
                     CoordinationServer.Times.QUICK, new Ensemble.Time(() -> now, at -> at / MS), 3);
 
-    /** One client's end of a line, and what came over it. */
+    /** A client's end of a connection; records the frames that it receives. */
     private final class Client implements MemberConnection.Transport {
         private final Member member;
         private final MemberConnection connection = new MemberConnection(this);
@@ -101,7 +101,7 @@
         ensemble.members().forEach(each -> each.up(true));
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= TICK) {
             now += Math.min(left, TICK) * MS;
             ensemble.tick();
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aSessionEndsAfterItsTimeAndNotBefore() {
+    void sessionExpiresAfterItsTimeoutAndNotBefore() {
         start();
         Client client = new Client(0);
         assertEquals(
@@ -119,13 +119,13 @@
                         .getTimeOut());
         client.ask(OpCode.create, create(PATH, CreateMode.EPHEMERAL));
         assertEquals(0, client.head().getErr());
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertTrue(!client.closed);
         client.ask(OpCode.ping, null);
         assertEquals(0, client.head().getErr());
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertTrue(!client.closed);
-        pass(1);
+        advance(1);
         assertTrue(client.closed);
         Client other = new Client(1);
         other.answers.clear();
@@ -134,22 +134,24 @@
     }
 
     /**
-     * Guards against sessions that a stand-in ends which stood still itself, as on a busy machine.
+     * Guards against sessions that expire because the stand-in itself stalls, as on a busy machine:
+     * the clients' messages wait unread during the stall, and the next tick would count it as
+     * silence.
      */
     @Test
-    void itsOwnStandStillIsNobodysSilence() {
+    void ownStallDoesNotExpireSessions() {
         start();
-        pass(TICK);
+        advance(TICK);
         Client client = new Client(0);
         now += 5 * TIMEOUT * MS;
         ensemble.tick();
         assertTrue(!client.closed);
-        pass(TIMEOUT + 2 * TICK);
+        advance(TIMEOUT + 2 * TICK);
         assertTrue(client.closed);
     }
 
     @Test
-    void withoutAMajorityNobodyIsServedAndNoSessionEnds() {
+    void withoutAMajorityClientsAreDisconnectedAndSessionsDoNotExpire() {
         start();
         Client client = new Client(0);
         ensemble.members().get(1).up(false);
@@ -157,17 +159,17 @@
         ensemble.members().get(2).up(false);
         assertTrue(client.closed);
         assertTrue(new Client(0).closed);
-        pass(10 * TIMEOUT);
+        advance(10 * TIMEOUT);
         assertEquals(1, ensemble.sessions().size());
         ensemble.members().get(1).up(true);
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertEquals(1, ensemble.sessions().size());
-        pass(1);
+        advance(1);
         assertEquals(0, ensemble.sessions().size());
     }
 
     @Test
-    void answersKeepTheirOrderBehindOneThatWaitsForItsMember() {
+    void responsesKeepTheirOrderBehindADeferredOne() {
         start();
         Client client = new Client(2);
         client.answers.clear();
@@ -175,18 +177,18 @@
         client.ask(OpCode.create, create(PATH, CreateMode.PERSISTENT));
         client.ask(OpCode.setData, new SetDataRequest(PATH, new byte[1], 0));
         client.ask(OpCode.exists, new ExistsRequest(PATH, false));
-        pass(299);
+        advance(299);
         assertNull(client.head());
-        pass(1);
+        advance(1);
         assertEquals(1, client.head().getXid());
-        assertNull(client.head(), "the second began when the first was answered");
-        pass(300);
+        assertNull(client.head(), "the second request starts after the first response");
+        advance(300);
         assertEquals(2, client.head().getXid());
         assertEquals(3, client.head().getXid());
     }
 
     @Test
-    void whatItHeldWhileItHungIsAnsweredInOrder() {
+    void requestsQueuedWhileHungAreAnsweredInOrder() {
         start();
         Client client = new Client(0);
         client.answers.clear();
@@ -205,7 +207,7 @@
     }
 
     @Test
-    void aMajorityThatForgotForgetsForAll() {
+    void majorityWithoutTheLogDiscardsIt() {
         start();
         Client client = new Client(0);
         client.ask(OpCode.create, create(PATH, CreateMode.PERSISTENT));
@@ -221,9 +223,9 @@
         assertEquals(0, ensemble.sessions().size());
     }
 
-    /** Guards against a stand-in that can only be played on real sockets and real time. */
+    /** Guards against a stand-in that works only on real sockets and in real time. */
     @Test
-    void onTheSimulatedLoopItIsTheSame() throws Exception {
+    void worksOnTheSimulatedLoop() throws Exception {
         SeededRandom random = new SeededRandom(1);
         Simulation simulation = new Simulation(random.stream("ties"));
         Network network = new Network(simulation, random.stream("network"));
--- a/testbed/src/test/java/appleridge/testbed/coordination/MeasureTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/MeasureTest.java
@@ -14,41 +14,41 @@
 class MeasureTest {
     @TempDir private Path folder;
 
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-    private void refused(String why, String... args) throws Exception {
+    private void assertRejected(String message, String... args) throws Exception {
         Path jar = Files.createFile(folder.resolve("a.jar"));
-        PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8);
+        PrintStream err = new PrintStream(output, true, StandardCharsets.UTF_8);
         String[] all = new String[args.length + 2];
         System.arraycopy(args, 0, all, 0, args.length);
         all[args.length] = "--jar";
         all[args.length + 1] = jar.toString();
         assertEquals(2, new Measure(err, err).run(all));
-        String text = said.toString(StandardCharsets.UTF_8);
-        assertTrue(text.startsWith("measure: " + why + "\nusage:"), text);
+        String text = output.toString(StandardCharsets.UTF_8);
+        assertTrue(text.startsWith("measure: " + message + "\nusage:"), text);
     }
 
     @Test
-    void whatIsNotThereIsNamed() throws Exception {
-        refused("unknown: membership-weather", "membership-weather");
+    void namesAnUnknownMeasurement() throws Exception {
+        assertRejected("unknown measurement: membership-weather", "membership-weather");
     }
 
     @Test
-    void aWordThatNobodyAskedForIsNamed() throws Exception {
-        refused("unknown: --fast", "membership-drain", "--fast");
+    void namesAnUnknownOption() throws Exception {
+        assertRejected("unknown option: --fast", "membership-drain", "--fast");
     }
 
     @Test
-    void aSenselessNumberIsNamed() throws Exception {
-        refused("--seed makes no sense: x", "membership-herd", "--seed", "x");
+    void namesAnInvalidNumber() throws Exception {
+        assertRejected("--seed is not an integer: x", "membership-herd", "--seed", "x");
     }
 
     @Test
-    void aMissingJarIsNamed() {
-        PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8);
+    void namesAMissingJar() {
+        PrintStream err = new PrintStream(output, true, StandardCharsets.UTF_8);
         assertEquals(2, new Measure(err, err).run("membership-drain", "--jar", "no-such.jar"));
         assertTrue(
-                said.toString(StandardCharsets.UTF_8)
+                output.toString(StandardCharsets.UTF_8)
                         .startsWith("measure: no such file: no-such.jar"));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/MembershipIT.java
@@ -12,16 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The packaged sidecar on real sockets, told of its servers by the coordination stand-in. */
+/**
+ * Runs the packaged sidecar on real sockets; it discovers its servers from the coordination
+ * stand-in.
+ */
 @Timeout(180)
 class MembershipIT {
     private static final Path JAR = Path.of("..", "sidecar", "target", "appleridge.jar");
 
-    private final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
 
     @Test
-    void newWorkStopsWithinTwoSecondsOfTheWord() throws Exception {
+    void newRequestsStopWithinTwoSecondsOfTheReport() throws Exception {
         Set<CoordinationFault> strikes =
                 EnumSet.of(
                         CoordinationFault.CUT,
@@ -42,16 +45,16 @@
                                         CoordinatedSite.MIN_SESSION_TIMEOUT),
                                 out)
                         .run(JAR);
-        assertTrue(result.held(), said::toString);
-        assertTrue(result.ends() > 0, said::toString);
+        assertTrue(result.held(), output::toString);
+        assertTrue(result.ends() > 0, output::toString);
     }
 
     @Test
-    void anOutageCostsNoRequest() throws Exception {
+    void outageCausesNoLostOrRefusedRequest() throws Exception {
         OutageCheck.Result result =
                 new OutageCheck(new OutageCheck.Plan(1, 3, 6, 100, 1, 2000), out).run(JAR);
-        assertEquals(0, result.lost(), said::toString);
-        assertEquals(0, result.refused(), said::toString);
-        assertEquals(1, result.righted().count(), said::toString);
+        assertEquals(0, result.lost(), output::toString);
+        assertEquals(0, result.refused(), output::toString);
+        assertEquals(1, result.righted().count(), output::toString);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/RelayTest.java
@@ -28,12 +28,12 @@
 class RelayTest {
     private static final int SESSION_MILLIS = 15_000;
 
-    private record Told(NodeReply what, long at) {}
+    private record Report(NodeReply reply, long at) {}
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final RealTime time = new RealTime();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
     private final BlockingQueue<KeeperState> states = new LinkedBlockingQueue<>();
     private final BlockingQueue<Long> events = new LinkedBlockingQueue<>();
     private final List<AutoCloseable> open = new ArrayList<>();
@@ -49,7 +49,7 @@
                         group.next(),
                         time,
                         server.address(),
-                        (what, at) -> told.add(new Told(what, at)));
+                        (reply, at) -> reports.add(new Report(reply, at)));
         relay.listen();
         writer = new NodeWriter(server.address(), "/s", SESSION_MILLIS);
         writer.createPersistent();
@@ -101,13 +101,13 @@
         assertEquals(wanted, next);
     }
 
-    private NodeReply heard(NodeReply.Kind what) throws InterruptedException {
-        Told next = told.poll(20, TimeUnit.SECONDS);
-        while (next != null && next.what.kind() != what) {
-            next = told.poll(20, TimeUnit.SECONDS);
+    private NodeReply nextReply(NodeReply.Kind kind) throws InterruptedException {
+        Report next = reports.poll(20, TimeUnit.SECONDS);
+        while (next != null && next.reply.kind() != kind) {
+            next = reports.poll(20, TimeUnit.SECONDS);
         }
-        assertNotNull(next, what.name());
-        return next.what;
+        assertNotNull(next, "no reply of kind " + kind);
+        return next.reply;
     }
 
     private NodeWriter node(String name) throws Exception {
@@ -118,41 +118,42 @@
     }
 
     @Test
-    void itHearsWhatIsToldOfNodes() throws Exception {
+    void reportsWhatTheServerSaysAboutNodes() throws Exception {
         ZooKeeper client = connected();
         client.addWatch("/s", AddWatchMode.PERSISTENT_RECURSIVE);
         NodeWriter node = node("a");
-        NodeReply made = heard(NodeReply.Kind.MADE);
+        NodeReply made = nextReply(NodeReply.Kind.MADE);
         assertEquals("/s/a", made.path());
         assertEquals(client.getSessionId(), made.session());
         assertEquals(server.lastChange(), made.zxid());
         client.getData("/s/a", false, null);
-        assertEquals("127.0.0.1:1", ServerNode.read(heard(NodeReply.Kind.HOLDS).data()).address());
+        assertEquals(
+                "127.0.0.1:1", ServerNode.read(nextReply(NodeReply.Kind.HOLDS).data()).address());
         client.getChildren("/s", false);
-        assertEquals(List.of("a"), heard(NodeReply.Kind.CHILDREN).children());
+        assertEquals(List.of("a"), nextReply(NodeReply.Kind.CHILDREN).children());
         client.multi(List.of(Op.getData("/s/a"), Op.getData("/s/b")));
-        assertEquals("/s/a", heard(NodeReply.Kind.HOLDS).path());
-        assertEquals("/s/b", heard(NodeReply.Kind.GONE).path());
+        assertEquals("/s/a", nextReply(NodeReply.Kind.HOLDS).path());
+        assertEquals("/s/b", nextReply(NodeReply.Kind.GONE).path());
         node.change(new ServerNode("127.0.0.1:1", "z", false, 0));
-        assertEquals("/s/a", heard(NodeReply.Kind.CHANGED).path());
+        assertEquals("/s/a", nextReply(NodeReply.Kind.CHANGED).path());
         server.expire(node.session());
-        assertEquals("/s/a", heard(NodeReply.Kind.GONE).path());
+        assertEquals("/s/a", nextReply(NodeReply.Kind.GONE).path());
     }
 
     @Test
-    void whatItDelaysComesLaterAndIsStampedWhenItLeaves() throws Exception {
+    void delayedFramesAreReportedWhenTheyLeave() throws Exception {
         connected().addWatch("/s", AddWatchMode.PERSISTENT_RECURSIVE);
         onLoop(() -> relay.delay(TimeUnit.MILLISECONDS.toNanos(300)));
         long before = time.nanos();
         node("a");
         long came = events.take();
-        long at = told.take().at;
+        long at = reports.take().at;
         assertTrue(at - before >= TimeUnit.MILLISECONDS.toNanos(300));
         assertTrue(came - before >= TimeUnit.MILLISECONDS.toNanos(300));
     }
 
     @Test
-    void brokenConnectionsAreMadeAgain() throws Exception {
+    void clientsReconnectAfterEachKindOfBreak() throws Exception {
         ZooKeeper client = connected();
         onLoop(relay::reset);
         await(KeeperState.Disconnected);
@@ -167,7 +168,7 @@
     }
 
     @Test
-    void nothingPassesUntilTheDoorIsOpen() throws Exception {
+    void silentAndRefusingModesLastUntilOpen() throws Exception {
         ZooKeeper client = connected();
         BlockingQueue<Integer> answers = new LinkedBlockingQueue<>();
         onLoop(() -> relay.mode(Relay.Mode.SILENT));
@@ -185,7 +186,7 @@
     }
 
     @Test
-    void aServerCanLookReadOnly() throws Exception {
+    void relayCanPresentAServerAsReadOnly() throws Exception {
         onLoop(() -> relay.readOnly(true));
         client();
         await(KeeperState.ConnectedReadOnly);
--- a/testbed/src/test/java/appleridge/testbed/coordination/ServerNodeTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/ServerNodeTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.api.Test;
 
 class ServerNodeTest {
-    private static ServerNode again(ServerNode node) {
+    private static ServerNode roundTrip(ServerNode node) {
         return ServerNode.read(new String(node.bytes(), StandardCharsets.UTF_8));
     }
 
     @Test
-    void whatIsWrittenIsRead() {
+    void readsWhatItWrites() {
         ServerNode node = new ServerNode("127.0.0.1:80", "ebene", true, 5);
-        assertEquals(node, again(node));
-        assertFalse(again(node.terminating()).ready());
+        assertEquals(node, roundTrip(node));
+        assertFalse(roundTrip(node.terminating()).ready());
     }
 
     @Test
-    void whatIsNoNodeIsNone() {
+    void invalidDataIsReadAsNull() {
         assertNull(ServerNode.read("{"));
         assertNull(ServerNode.read("{}"));
         assertNull(ServerNode.read(""));
