--- a/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Conversation.java
@@ -130,14 +130,14 @@
     }
 
     private List<NodeReply> notification(WatcherEvent event, long zxid) {
-        NodeReply.Kind what =
+        NodeReply.Kind kind =
                 switch (EventType.fromInt(event.getType())) {
                     case NodeCreated -> NodeReply.Kind.MADE;
                     case NodeDataChanged -> NodeReply.Kind.CHANGED;
                     case NodeDeleted -> NodeReply.Kind.GONE;
                     default -> null;
                 };
-        return what == null ? List.of() : List.of(reply(what, event.getPath(), zxid));
+        return kind == null ? List.of() : List.of(reply(kind, event.getPath(), zxid));
     }
 
     private List<NodeReply> missing(String path, int error, long zxid) {
@@ -161,8 +161,8 @@
         return List.of(new NodeReply(session, NodeReply.Kind.CHILDREN, path, zxid, "", names));
     }
 
-    private NodeReply reply(NodeReply.Kind what, String path, long zxid) {
-        return new NodeReply(session, what, path, zxid, "", List.of());
+    private NodeReply reply(NodeReply.Kind kind, String path, long zxid) {
+        return new NodeReply(session, kind, path, zxid, "", List.of());
     }
 
     /** Whether the next frame from the server is the connect response. */
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationCommand.java
@@ -22,13 +22,13 @@
             """
             usage: java -jar testbed.jar coordination --listen HOST:PORT [--listen HOST:PORT ...]
                     [--tick 50] [--least 200] [--most 60000]
-              one member of one ensemble for each --listen; milliseconds of its clock \
-              and of session
-              time-outs.
-              Lines on its input, with members numbered from 1, each answered by ok or no:
+              one member of one ensemble for each --listen; tick and session time-outs \
+              in milliseconds.
+              Commands on standard input, one per line, each answered by ok or no; N is a \
+              member, from 1:
                 stop N.. | start N.. | wipe N.. | restore CHANGE N.. | cut N.. | heal | \
                 hang N.. | unhang N..
-                lag MILLIS N.. (-1: without end) | read-only N.. | break before|after KIND N
+                lag MILLIS N.. (-1: apply nothing) | read-only N.. | break before|after KIND N
                 expire SESSION | sessions | sessions-last | sessions-end | changes\
             """;
 
@@ -58,17 +58,17 @@
                             case "--tick" ->
                                     new CoordinationServer.Times(
                                             Integer.parseInt(value),
-                                            times.leastSessionMillis(),
-                                            times.mostSessionMillis());
+                                            times.minSessionMillis(),
+                                            times.maxSessionMillis());
                             case "--least" ->
                                     new CoordinationServer.Times(
                                             times.tickMillis(),
                                             Integer.parseInt(value),
-                                            times.mostSessionMillis());
+                                            times.maxSessionMillis());
                             case "--most" ->
                                     new CoordinationServer.Times(
                                             times.tickMillis(),
-                                            times.leastSessionMillis(),
+                                            times.minSessionMillis(),
                                             Integer.parseInt(value));
                             default ->
                                     throw new IllegalArgumentException("unknown option: " + word);
--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinationServer.java
@@ -18,7 +18,7 @@
      * The interval at which sessions are checked for expiry, and the bounds of the session
      * time-outs that are granted.
      */
-    public record Times(int tickMillis, int leastSessionMillis, int mostSessionMillis) {
+    public record Times(int tickMillis, int minSessionMillis, int maxSessionMillis) {
         /** Allows tests that last seconds. */
         public static final Times QUICK = new Times(50, 200, 60_000);
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
@@ -45,7 +45,7 @@
             String session) {}
 
     /**
-     * The result of a run; {@code right} says whether the sidecar was told of all servers at the
+     * The result of a run; {@code complete} says whether the sidecar was told of all servers at the
      * end.
      */
     record Result(
@@ -54,9 +54,9 @@
             Samples delays,
             List<DrainTracker.Late> late,
             int arrivals,
-            boolean right) {
+            boolean complete) {
         boolean held() {
-            return late.isEmpty() && right && arrivals > 0;
+            return late.isEmpty() && complete && arrivals > 0;
         }
     }
 
@@ -159,7 +159,7 @@
     private Result result(CoordinatedSite site)
             throws InterruptedException, ExecutionException, IOException {
         long began = site.time.nanos();
-        boolean right =
+        boolean complete =
                 site.await(
                         () ->
                                 site.slots.stream()
@@ -182,7 +182,7 @@
                         delays,
                         site.drains.lateRequests(),
                         site.traffic.answers().size(),
-                        right);
+                        complete);
         print(site, result, settledAfter);
         return result;
     }
@@ -221,7 +221,7 @@
                         + Samples.millis(site.lag.worst())
                         + " ms");
         out.println(
-                result.right()
+                result.complete()
                         ? "the sidecar was told of all servers "
                                 + Samples.millis(settledAfter)
                                 + " ms after the end"
--- a/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
@@ -210,7 +210,7 @@
     }
 
     int grantedTimeout(int requested) {
-        return Math.max(times.leastSessionMillis(), Math.min(times.mostSessionMillis(), requested));
+        return Math.max(times.minSessionMillis(), Math.min(times.maxSessionMillis(), requested));
     }
 
     /** Closes a session; returns false if it does not exist or there is no quorum. */
--- a/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
@@ -27,16 +27,16 @@
               membership-drain [--sequences 300] [--servers 12] [--strikes all|none|cut,\
               reset,...]
                           [--source nodes|both] [--session 2s]
-                  servers vanish, flap and restart: how long new work went on
+                  servers vanish, flap and restart: how long requests still reach them
               membership-outage [--pairs 10] [--seconds 60] [--servers 9]
-                  calm and outage in turns: requests lost or refused, latencies
+                  normal operation and outage in turns: requests lost or refused, latencies
               membership-latency [--rounds 100] [--servers 9] [--source \
               nodes|both|registry] [--warm]
                   from a session's end to the last request, from a new node to the first
               membership-scale [--nodes 10000] [--changes 100] [--seconds 60]
-                  what a long list with many changes costs the sidecar
+                  CPU time and memory of a sidecar with a long list and many changes
               membership-herd [--sessions 300] [--nodes 1000]
-                  what a coordination server is asked when all come back at once\
+                  requests at a coordination server when all sidecars reconnect at once\
             """;
 
     private final PrintStream out;
--- a/testbed/src/main/java/appleridge/testbed/coordination/Member.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Member.java
@@ -256,7 +256,7 @@
         if (frame.length == 0) {
             connection.send((inQuorum() ? "rw" : "ro").getBytes(StandardCharsets.US_ASCII));
             close(connection);
-        } else if (!connection.handshakeSeen) {
+        } else if (!connection.handshakeReceived) {
             handshake(connection, new Wire.In(frame).read(new ConnectRequest()));
         } else {
             RequestHeader head = new Wire.In(frame).read(new RequestHeader());
@@ -291,7 +291,7 @@
     }
 
     private void handshake(MemberConnection connection, ConnectRequest request) {
-        connection.handshakeSeen = true;
+        connection.handshakeReceived = true;
         if (!inQuorum() && !(readOnly && request.getReadOnly())
                 || request.getLastZxidSeen() > applied) {
             close(connection);
@@ -356,8 +356,7 @@
                 | UncheckedIOException
                 | IllegalArgumentException e) {
             // A malformed request, or a session that moved, closes only its own connection, also
-            // when
-            // another client's request triggered the processing.
+            // when another client's request triggered the processing.
             close(connection);
         } catch (KeeperException e) {
             connection.answer(head.getXid(), applied, e.code().intValue(), null);
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
@@ -28,7 +28,7 @@
     private final Transport transport;
     private PendingAnswer pending;
     private boolean mute;
-    boolean handshakeSeen;
+    boolean handshakeReceived;
     boolean closing;
 
     /**
--- a/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
@@ -131,12 +131,12 @@
                     site.relay.mode(Relay.Mode.OPEN);
                     return null;
                 });
-        boolean right =
+        boolean settled =
                 site.await(
                         () ->
                                 !site.drains.isPresent(oldAddress)
                                         && site.drains.isPresent(slot.address()));
-        if (right) {
+        if (settled) {
             settleTimes.add(site.time.nanos() - ends);
         }
         TimeUnit.MILLISECONDS.sleep(plan.settleMillis());
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
@@ -74,7 +74,7 @@
         listens.await();
         server = next;
         site.addServer(next);
-        // A start time of 0 means that the process started when its node was created.
+        // With a start time of 0 the process would count as started when its node was created.
         node =
                 new ServerNode(
                         next.endpoint(),
--- a/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
@@ -87,14 +87,14 @@
 
     /** Returns the result of an operation whose change has been applied. */
     static OpResult result(Tree tree, Operation operation, Change applied) {
-        if (applied instanceof Change.CreateNode make) {
+        if (applied instanceof Change.CreateNode create) {
             return operation.type() == OpCode.create
-                    ? new OpResult.CreateResult(make.path())
-                    : new OpResult.CreateResult(make.path(), tree.node(make.path()).stat());
-        } else if (applied instanceof Change.SetData write) {
-            return new OpResult.SetDataResult(tree.node(write.path()).stat());
-        } else if (applied instanceof Change.SetAcl guard) {
-            return new OpResult.SetDataResult(tree.node(guard.path()).stat());
+                    ? new OpResult.CreateResult(create.path())
+                    : new OpResult.CreateResult(create.path(), tree.node(create.path()).stat());
+        } else if (applied instanceof Change.SetData set) {
+            return new OpResult.SetDataResult(tree.node(set.path()).stat());
+        } else if (applied instanceof Change.SetAcl set) {
+            return new OpResult.SetDataResult(tree.node(set.path()).stat());
         }
         return applied instanceof Change.DeleteNode
                 ? new OpResult.DeleteResult()
--- a/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Sequence.java
@@ -18,7 +18,7 @@
         @Override
         void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
-            end(slot, random);
+            endSession(slot, random);
             away(random);
             slot.register();
         }
@@ -55,13 +55,13 @@
         void play(ProcessSlot slot, SplittableRandom random)
                 throws IOException, InterruptedException {
             for (int left = 1 + random.nextInt(10); left > 0; left--) {
-                end(slot, random);
+                endSession(slot, random);
                 pause(random, 0, 900);
                 slot.register();
                 pause(random, 0, 500);
             }
             if (random.nextBoolean()) {
-                end(slot, random);
+                endSession(slot, random);
                 away(random);
                 slot.register();
             }
@@ -74,7 +74,7 @@
                 throws IOException, InterruptedException, ExecutionException {
             for (int left = 1 + random.nextInt(4); left > 0; left--) {
                 slot.crash();
-                end(slot, random);
+                endSession(slot, random);
                 pause(random, 0, 900);
                 slot.startProcess(true, true);
                 slot.register();
@@ -89,7 +89,7 @@
                 throws IOException, InterruptedException, ExecutionException {
             slot.crash();
             pause(random, 200, 4000);
-            end(slot, random);
+            endSession(slot, random);
             pause(random, 0, 3000);
             slot.startProcess(true, false);
             slot.register();
@@ -143,7 +143,7 @@
     abstract void play(ProcessSlot slot, SplittableRandom random)
             throws IOException, InterruptedException, ExecutionException;
 
-    private static void end(ProcessSlot slot, SplittableRandom random) {
+    private static void endSession(ProcessSlot slot, SplittableRandom random) {
         if (random.nextBoolean()) {
             slot.expire();
         } else {
--- a/testbed/src/main/java/appleridge/testbed/coordination/ServerNode.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ServerNode.java
@@ -8,7 +8,7 @@
 /**
  * The data of an order server's node, stored as JSON.
  *
- * @param started the start of the process in Unix milliseconds, 0 for long ago
+ * @param started the start of the process in Unix milliseconds, 0 if the node does not state it
  */
 record ServerNode(String address, String zone, boolean ready, long started) {
     private static final ObjectMapper JSON = new ObjectMapper();
