--- a/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Ensemble.java
@@ -81,7 +81,7 @@
         return log.get((int) zxid - 1);
     }
 
-    /** The open sessions with their requested time-outs in milliseconds. */
+    /** The open sessions with their granted time-outs in milliseconds. */
     Map<Long, Integer> sessions() {
         return head.sessions();
     }
