--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
@@ -29,27 +29,28 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Order servers that register with a coordination server, clients, and one real sidecar that learns
- * of the servers through a relay. All stand-ins but the coordination server live on one event loop.
+ * A test site on loopback: order servers that register with a coordination server, clients, and one
+ * real sidecar process that discovers the servers through a relay. All stand-ins except the
+ * coordination server run on one event loop.
  */
 final class CoordinatedSite implements AutoCloseable {
     static final String ROOT = "/orders/servers";
     static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
 
-    /** The least that a sidecar takes, so that sessions end often. */
-    static final String LEAST_SESSION = "2s";
+    /** The shortest session time-out that a sidecar accepts, so that sessions expire often. */
+    static final String MIN_SESSION_TIMEOUT = "2s";
 
     private static final int CLIENTS = 36;
 
-    /** Longer than any request takes that is answered at all. */
-    private static final long OVERTIME = TimeUnit.SECONDS.toNanos(1);
+    /** Exceeds the duration of any request that is answered at all. */
+    private static final long TIMEOUT_SLACK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final int LAG_MILLIS = 5;
     private static final int SESSION_MILLIS = 4000;
     private static final int PATIENCE_MILLIS = 60_000;
     private static final int POLL_MILLIS = 10;
 
-    /** How the sidecar learns of servers. */
+    /** Where the sidecar discovers servers; written in lower case into its configuration. */
     enum Source {
         NODES,
         BOTH,
@@ -58,77 +59,83 @@
 
     final RealTime time = new RealTime();
     final RepeatMemory memory = new RepeatMemory(0);
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final EventLoop loop;
     final CoordinationServer coordination;
     final Relay relay;
-    final DrainBook book;
+    final DrainTracker drains;
     final Traffic traffic;
     final LoopbackRegistry registry;
-    final List<ProcessSlot> seats = new ArrayList<>();
-    final Clock lag = new Clock();
+    final List<ProcessSlot> slots = new ArrayList<>();
+    final LoopLag lag = new LoopLag();
     private final EventLoopGroup group;
     private final long seed;
     private final String session;
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final List<Arrivals> listeners = new ArrayList<>();
-    private NodeWriter ground;
+    private NodeWriter rootWriter;
     LoopbackClients clients;
     SidecarProcess sidecar;
 
-    /** Told of each request at a server, with the server's address. */
+    /**
+     * Receives each request that arrives at a server, with the server's address; called on the
+     * loop.
+     */
     interface Arrivals {
         void arrived(String address, StandInListener.Arrival arrival);
     }
 
     CoordinatedSite(long seed, long drainGrace) throws IOException, InterruptedException {
-        this(seed, drainGrace, LEAST_SESSION);
+        this(seed, drainGrace, MIN_SESSION_TIMEOUT);
     }
 
-    /** With the session time-out that the sidecar asks for, as its operator's file says it. */
+    /**
+     * Creates a site whose sidecar requests the given session time-out, in the notation of the
+     * operator's configuration.
+     */
     CoordinatedSite(long seed, long drainGrace, String session)
             throws IOException, InterruptedException {
         this.seed = seed;
         this.session = session;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         this.group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("site", true), NioIoHandler.newFactory());
         this.loop = group.next();
-        this.coordination = CoordinationServer.alone(CoordinationServer.Times.QUICK);
-        this.book = new DrainBook(ROOT, drainGrace);
+        this.coordination = CoordinationServer.standalone(CoordinationServer.Times.QUICK);
+        this.drains = new DrainTracker(ROOT, drainGrace);
         this.traffic = new Traffic(time, this::arrived);
         this.registry = new LoopbackRegistry(loop, time, traffic);
-        this.relay = new Relay(loop, time, coordination.address(), book);
+        this.relay = new Relay(loop, time, coordination.address(), drains);
     }
 
-    /** Opens all that a sidecar needs to start, with so many servers. */
+    /** Starts everything that the sidecar depends on, with the given number of servers. */
     void open(int servers)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         registry.listen();
         relay.listen();
-        ground = new NodeWriter(coordination.address(), ROOT, PATIENCE_MILLIS);
-        ground.ground();
+        rootWriter = new NodeWriter(coordination.address(), ROOT, PATIENCE_MILLIS);
+        rootWriter.createPersistent();
         for (int i = 0; i < servers; i++) {
-            ProcessSlot seat = new ProcessSlot(this, "s" + (i + 1), ZONES.get(i % ZONES.size()));
-            seat.begin(false, false);
-            seats.add(seat);
+            ProcessSlot slot = new ProcessSlot(this, "s" + (i + 1), ZONES.get(i % ZONES.size()));
+            slot.startProcess(false, false);
+            slots.add(slot);
         }
     }
 
-    /** A session that stays. */
-    NodeWriter ground() {
-        return ground;
+    /** Returns a writer whose session lives as long as the site. */
+    NodeWriter rootWriter() {
+        return rootWriter;
     }
 
     int sessionMillis() {
         return SESSION_MILLIS;
     }
 
-    /** Starts the sidecar, and clients that ask it so often a second. */
+    /** Starts the sidecar and clients that send it {@code rate} requests a second. */
     void start(Path jar, Source source, double rate)
             throws IOException, InterruptedException, ExecutionException {
-        sidecar = new SidecarProcess(jar, operator(source));
+        sidecar = new SidecarProcess(jar, operatorConfiguration(source));
         SidecarSettings settings = new SidecarSettings(ZONES, seed);
         sidecar.start(port -> settings.configuration(port, registry.endpoint(), registry.whole()));
         clients =
@@ -136,8 +143,8 @@
                         loop,
                         time,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecar.port()),
-                        new LoopbackClients.Habits(CLIENTS, rate, 0, OVERTIME),
-                        chance.split(),
+                        new LoopbackClients.Habits(CLIENTS, rate, 0, TIMEOUT_SLACK_NANOS),
+                        random.split(),
                         traffic);
         loop.execute(
                 () -> {
@@ -146,7 +153,7 @@
                 });
     }
 
-    private String operator(Source source) {
+    private String operatorConfiguration(Source source) {
         return source == Source.REGISTRY
                 ? ""
                 : "version = 1\n[membership]\nsource = \""
@@ -160,18 +167,18 @@
                         + "\"\n";
     }
 
-    /** A server's process listens. */
-    void stands(LoopbackServer server) throws InterruptedException, ExecutionException {
+    /** Records the address of a server that now listens. */
+    void addServer(LoopbackServer server) throws InterruptedException, ExecutionException {
         onLoop(() -> addresses.put(server.identity().name(), server.endpoint()));
     }
 
     private void arrived(StandInListener.Arrival arrival) {
         String address = addresses.get(arrival.server());
-        book.arrived(address, arrival.server(), arrival.id(), arrival.firstByte());
+        drains.arrived(address, arrival.server(), arrival.id(), arrival.firstByte());
         listeners.forEach(each -> each.arrived(address, arrival));
     }
 
-    /** On the loop. */
+    /** Adds a listener; call on the loop. */
     void listen(Arrivals arrivals) {
         listeners.add(arrivals);
     }
@@ -180,7 +187,9 @@
         return loop.submit(what).get();
     }
 
-    /** Waits until something holds, asked on the loop; false if it did not for too long. */
+    /**
+     * Polls a condition on the loop until it holds; returns false if it does not within a minute.
+     */
     boolean await(Callable<Boolean> what) throws InterruptedException, ExecutionException {
         for (int waited = 0; waited < PATIENCE_MILLIS; waited += POLL_MILLIS) {
             if (onLoop(what)) {
@@ -191,13 +200,13 @@
         return false;
     }
 
-    /** The sidecar's session; 0 if it is not connected. */
+    /** Returns the id of the sidecar's session; 0 if it is not connected. */
     long sidecarSession() throws InterruptedException, ExecutionException {
         return onLoop(() -> relay.sessions().stream().reduce(0L, (first, last) -> last));
     }
 
-    /** Stops asking and waits for the last answers. */
-    void quiet() throws InterruptedException, ExecutionException {
+    /** Stops the clients and waits until no request is open. */
+    void stopClients() throws InterruptedException, ExecutionException {
         loop.execute(clients::stop);
         await(() -> clients.open() == 0);
         loop.execute(clients::closeIdle);
@@ -208,16 +217,18 @@
         if (sidecar != null) {
             sidecar.close();
         }
-        seats.forEach(ProcessSlot::close);
+        slots.forEach(ProcessSlot::close);
         loop.execute(relay::close);
         loop.execute(registry::close);
-        ground.close();
+        rootWriter.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
         coordination.close();
     }
 
-    /** How late the loop itself is, which is added to whatever it stamps. */
-    final class Clock {
+    /**
+     * Measures the worst lag of the event loop, which is part of every time that the loop records.
+     */
+    final class LoopLag {
         private long worst;
         private long due;
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
@@ -23,16 +23,17 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Order servers vanish, flap, restart and drain while the coordination service has outages, all as
- * drawn from a seed; each request's first byte is held against the time at which its server's end
- * was with the sidecar's socket.
+ * Checks that the sidecar stops sending requests to servers that have ended. Order servers vanish,
+ * flap, restart and drain while the coordination service has outages, as drawn from a seed. The
+ * first byte of each request is compared with the time at which the report of its server's end was
+ * written to the sidecar's socket.
  */
 final class DrainCheck {
     /**
-     * What is played.
+     * The parameters of a run.
      *
-     * @param session the sidecar's session time-out, as its operator's file says it
-     * @param strikes what may come between the sidecar and the coordination service
+     * @param session the sidecar's session time-out, in the notation of its configuration
+     * @param strikes the faults to inject between the sidecar and the coordination service
      */
     record Plan(
             int sequences,
@@ -43,42 +44,45 @@
             CoordinatedSite.Source source,
             String session) {}
 
-    /** What came of it. */
+    /**
+     * The result of a run; {@code complete} says whether the sidecar was told of all servers at the
+     * end.
+     */
     record Result(
             int ends,
             int withRequests,
             Samples delays,
-            List<DrainBook.Late> late,
+            List<DrainTracker.Late> late,
             int arrivals,
-            boolean right) {
+            boolean complete) {
         boolean held() {
-            return late.isEmpty() && right && arrivals > 0;
+            return late.isEmpty() && complete && arrivals > 0;
         }
     }
 
     static final long GRACE = TimeUnit.SECONDS.toNanos(2);
     private static final long[] STEPS_MILLIS = {1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000};
 
-    /** At most this part of the servers goes through something at once. */
-    private static final int PART = 3;
+    /** At most one server in so many goes through a sequence at the same time. */
+    private static final int CONCURRENT_FRACTION = 3;
 
-    private static final int MOST_TOLD = 40;
+    private static final int MAX_LATE_PRINTED = 40;
 
-    /** Where in a moment's text the time of day begins. */
-    private static final int CLOCK = 11;
+    /** Index of the time of day in an ISO-8601 timestamp. */
+    private static final int TIME_OF_DAY_OFFSET = 11;
 
     private final Plan plan;
     private final PrintStream out;
-    private final AtomicInteger left;
-    private final Map<Sequence, Integer> played = new EnumMap<>(Sequence.class);
-    private final Map<CoordinationFault, Integer> struck = new EnumMap<>(CoordinationFault.class);
+    private final AtomicInteger remaining;
+    private final Map<Sequence, Integer> completed = new EnumMap<>(Sequence.class);
+    private final Map<CoordinationFault, Integer> injected = new EnumMap<>(CoordinationFault.class);
     private final List<String> times = new ArrayList<>();
     private volatile boolean over;
 
     DrainCheck(Plan plan, PrintStream out) {
         this.plan = plan;
         this.out = out;
-        this.left = new AtomicInteger(plan.sequences());
+        this.remaining = new AtomicInteger(plan.sequences());
     }
 
     Result run(Path jar)
@@ -86,24 +90,24 @@
         ExecutorService threads = Executors.newCachedThreadPool();
         try (CoordinatedSite site = new CoordinatedSite(plan.seed(), GRACE, plan.session())) {
             site.open(plan.servers());
-            for (ProcessSlot seat : site.seats) {
-                seat.register();
+            for (ProcessSlot slot : site.slots) {
+                slot.register();
             }
             site.start(jar, plan.source(), plan.rate());
-            SplittableRandom chance = new SplittableRandom(plan.seed());
-            Semaphore room = new Semaphore(Math.max(1, plan.servers() / PART));
-            List<Future<?>> players = new ArrayList<>();
-            for (ProcessSlot seat : site.seats) {
-                SplittableRandom own = chance.split();
-                players.add(threads.submit(task(() -> sequences(seat, own, room))));
+            SplittableRandom random = new SplittableRandom(plan.seed());
+            Semaphore permits = new Semaphore(Math.max(1, plan.servers() / CONCURRENT_FRACTION));
+            List<Future<?>> workers = new ArrayList<>();
+            for (ProcessSlot slot : site.slots) {
+                SplittableRandom own = random.split();
+                workers.add(threads.submit(task(() -> sequences(slot, own, permits))));
             }
-            SplittableRandom own = chance.split();
-            Future<?> strikes = threads.submit(task(() -> strikes(site, own)));
-            for (Future<?> player : players) {
-                player.get();
+            SplittableRandom own = random.split();
+            Future<?> injector = threads.submit(task(() -> injectFaults(site, own)));
+            for (Future<?> worker : workers) {
+                worker.get();
             }
             over = true;
-            strikes.get();
+            injector.get();
             return result(site);
         } finally {
             threads.shutdownNow();
@@ -121,101 +125,109 @@
         };
     }
 
-    private void sequences(ProcessSlot seat, SplittableRandom chance, Semaphore room)
+    private void sequences(ProcessSlot slot, SplittableRandom random, Semaphore permits)
             throws IOException, InterruptedException, ExecutionException {
-        TimeUnit.MILLISECONDS.sleep(chance.nextInt(2000));
-        while (left.getAndDecrement() > 0) {
-            Sequence next = Sequence.values()[chance.nextInt(Sequence.values().length)];
-            room.acquire();
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(2000));
+        while (remaining.getAndDecrement() > 0) {
+            Sequence next = Sequence.values()[random.nextInt(Sequence.values().length)];
+            permits.acquire();
             try {
-                next.play(seat, chance);
+                next.play(slot, random);
             } finally {
-                room.release();
+                permits.release();
             }
-            synchronized (played) {
-                played.merge(next, 1, Integer::sum);
+            synchronized (completed) {
+                completed.merge(next, 1, Integer::sum);
             }
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(200, 2500));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(200, 2500));
         }
     }
 
-    private void strikes(CoordinatedSite site, SplittableRandom chance)
+    private void injectFaults(CoordinatedSite site, SplittableRandom random)
             throws IOException, InterruptedException, ExecutionException {
         List<CoordinationFault> all = List.copyOf(new TreeSet<>(plan.strikes()));
         while (!all.isEmpty() && !over) {
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(500, 5000));
-            CoordinationFault next = all.get(chance.nextInt(all.size()));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(500, 5000));
+            CoordinationFault next = all.get(random.nextInt(all.size()));
             String from = clock(site, site.time.nanos());
-            next.play(site, chance);
+            next.play(site, random);
             times.add(next + " " + from + " to " + clock(site, site.time.nanos()));
-            struck.merge(next, 1, Integer::sum);
+            injected.merge(next, 1, Integer::sum);
         }
     }
 
     private Result result(CoordinatedSite site)
             throws InterruptedException, ExecutionException, IOException {
         long began = site.time.nanos();
-        boolean right =
+        boolean complete =
                 site.await(
                         () ->
-                                site.seats.stream()
-                                        .allMatch(seat -> site.book.there(seat.address())));
-        long righted = site.time.nanos() - began;
-        // What would still be sent to those that are gone is seen before the end.
+                                site.slots.stream()
+                                        .allMatch(slot -> site.drains.isPresent(slot.address())));
+        long settledAfter = site.time.nanos() - began;
+        // Requests that are still sent to ended servers arrive before the clients stop.
         TimeUnit.MILLISECONDS.sleep(2500);
-        site.quiet();
-        List<DrainBook.End> ends = site.onLoop(() -> List.copyOf(site.book.ends()));
+        site.stopClients();
+        List<DrainTracker.End> ends = site.onLoop(() -> List.copyOf(site.drains.ends()));
         Samples delays =
                 new Samples(
-                        ends.stream().map(DrainBook.End::delay).filter(each -> each >= 0).toList());
+                        ends.stream()
+                                .map(DrainTracker.End::delay)
+                                .filter(each -> each >= 0)
+                                .toList());
         Result result =
                 new Result(
                         ends.size(),
                         delays.count(),
                         delays,
-                        site.book.late(),
+                        site.drains.lateRequests(),
                         site.traffic.answers().size(),
-                        right);
-        print(site, result, righted);
+                        complete);
+        print(site, result, settledAfter);
         return result;
     }
 
-    private void print(CoordinatedSite site, Result result, long righted) throws IOException {
-        out.println("sequences: " + played);
-        out.println("strikes: " + struck);
+    private void print(CoordinatedSite site, Result result, long settledAfter) throws IOException {
+        out.println("sequences: " + completed);
+        out.println("faults: " + injected);
         out.println(
-                "requests asked "
-                        + site.traffic.asked()
+                "requests sent "
+                        + site.traffic.sent()
                         + ", statuses "
                         + statuses(site)
                         + ", without an answer "
                         + site.traffic.endings()
-                        + ", servers pushed over "
-                        + site.traffic.fallen()
-                        + ", at addresses never told "
-                        + site.book.untold());
+                        + ", servers crashed by overload "
+                        + site.traffic.crashedServers()
+                        + ", at unknown addresses "
+                        + site.drains.requestsAtUnknownAddresses());
         out.println(
-                "ends told " + result.ends() + ", followed by requests " + result.withRequests());
-        out.println("last request after the word of an end: " + result.delays().millis());
+                "ends reported "
+                        + result.ends()
+                        + ", followed by requests "
+                        + result.withRequests());
+        out.println("last request after the report of an end: " + result.delays().millis());
         StringBuilder steps = new StringBuilder("of them up to");
         for (long step : STEPS_MILLIS) {
             steps.append(' ')
                     .append(step)
                     .append(" ms: ")
-                    .append(result.delays().upTo(TimeUnit.MILLISECONDS.toNanos(step)))
+                    .append(result.delays().countUpTo(TimeUnit.MILLISECONDS.toNanos(step)))
                     .append(',');
         }
         out.println(steps.substring(0, steps.length() - 1));
         out.println(
-                "the stand-ins' own loop was late by at most "
+                "longest lag of the stand-ins' own loop: "
                         + Samples.millis(site.lag.worst())
                         + " ms");
         out.println(
-                result.right()
-                        ? "all servers were told " + Samples.millis(righted) + " ms after the end"
-                        : "THE LIST IS NOT RIGHT at the end");
+                result.complete()
+                        ? "the sidecar was told of all servers "
+                                + Samples.millis(settledAfter)
+                                + " ms after the end"
+                        : "THE SERVER LIST IS WRONG at the end");
         result.late().stream()
-                .limit(MOST_TOLD)
+                .limit(MAX_LATE_PRINTED)
                 .forEach(
                         each ->
                                 out.println(
@@ -225,15 +237,15 @@
                                                 + each.id()
                                                 + " "
                                                 + Samples.millis(each.delay())
-                                                + " ms after the word of its end, "
-                                                + each.end().word
+                                                + " ms after the report of its end, "
+                                                + each.end().reason
                                                 + " of "
                                                 + each.end().name
                                                 + " at "
                                                 + clock(site, each.end().from)));
         out.println(result.held() ? "held: no new work after 2 s" : "NOT HELD");
         if (!result.held()) {
-            out.println("Strikes:");
+            out.println("Faults:");
             times.forEach(out::println);
             out.println("The sidecar's log:");
             site.sidecar.log().forEach(out::println);
@@ -241,7 +253,9 @@
     }
 
     private static String clock(CoordinatedSite site, long at) {
-        return Instant.ofEpochMilli(site.time.unixMillis(at)).toString().substring(CLOCK);
+        return Instant.ofEpochMilli(site.time.unixMillis(at))
+                .toString()
+                .substring(TIME_OF_DAY_OFFSET);
     }
 
     private static Map<Integer, Integer> statuses(CoordinatedSite site) {
--- a/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/HerdCheck.java
@@ -26,16 +26,16 @@
 import org.apache.zookeeper.ZooDefs.OpCode;
 
 /**
- * The sidecar's own source of nodes, many times over in this process, on one coordination server:
- * what that is asked when all begin at once, when it is started again, and when it was away for
- * longer than sessions last.
+ * Measures the load of many sidecars on one coordination server: the requests that it receives when
+ * all connect at once, when it restarts, and when it returns after all sessions have expired. Runs
+ * the sidecar's node discovery many times in this process.
  */
 final class HerdCheck {
-    /** What is played. */
+    /** The parameters of a run. */
     record Plan(int sessions, int nodes, long seed) {}
 
     private static final String ROOT = "/orders/servers";
-    private static final Map<Integer, String> NAMES =
+    private static final Map<Integer, String> REQUEST_NAMES =
             Map.of(
                     OpCode.createSession,
                     "sessions",
@@ -63,7 +63,7 @@
     private static final int BIN_MILLIS = 100;
     private static final int PATIENCE_MILLIS = 120_000;
     private static final int IN_FLIGHT = 500;
-    private static final int BYTE = 256;
+    private static final int VALUES_PER_BYTE = 256;
 
     private final Plan plan;
     private final PrintStream out;
@@ -73,7 +73,7 @@
     private final List<Follower> followers = new ArrayList<>();
     private int steps;
 
-    /** One sidecar's source, and how many servers it knows. */
+    /** The node discovery of one sidecar, and the number of servers it knows. */
     private static final class Follower {
         private ZooKeeperDiscovery source;
         private NodeDiscovery membership;
@@ -87,33 +87,34 @@
     }
 
     boolean run() throws IOException, InterruptedException, KeeperException {
-        try (CoordinationServer server = CoordinationServer.alone(CoordinationServer.Times.QUICK)) {
+        try (CoordinationServer server =
+                CoordinationServer.standalone(CoordinationServer.Times.QUICK)) {
             NodeWriter writer = new NodeWriter(server.address(), ROOT, WRITER_MILLIS);
-            writer.ground();
+            writer.createPersistent();
             nodes(writer);
-            boolean right =
+            boolean upToDate =
                     step(
                             server,
-                            "all begin at once",
+                            "all connect at once",
                             () -> {
                                 for (int i = 0; i < plan.sessions(); i++) {
                                     follow(server, i);
                                 }
                             },
                             writer);
-            right &=
+            upToDate &=
                     step(
                             server,
-                            "the server is started again",
+                            "the server restarts",
                             () -> {
                                 server.stop();
                                 server.start();
                             },
                             writer);
-            right &=
+            upToDate &=
                     step(
                             server,
-                            "the server was away for longer than sessions last",
+                            "the server was down for longer than the session time-out",
                             () -> {
                                 server.stop();
                                 TimeUnit.MILLISECONDS.sleep(2 * SESSION_MILLIS);
@@ -123,61 +124,66 @@
             followers.forEach(each -> each.source.close());
             TimeUnit.SECONDS.sleep(1);
             writer.close();
-            return right;
+            return upToDate;
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
-    private interface Cause {
+    private interface Trigger {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Plays it, and counts what is asked until all know of a node that was made right after. */
-    private boolean step(CoordinationServer server, String what, Cause cause, NodeWriter writer)
+    /**
+     * Runs a trigger, then creates a marker node, and counts the requests until all followers know
+     * that node.
+     */
+    private boolean step(CoordinationServer server, String what, Trigger trigger, NodeWriter writer)
             throws IOException, InterruptedException, KeeperException {
-        Map<Integer, Long> before = server.asked();
+        Map<Integer, Long> before = server.requestCounts();
         long from = time.nanos();
-        cause.run();
+        trigger.run();
         long begun = time.nanos();
-        Thread marker = new Thread(() -> mark(writer), "marker");
+        Thread marker = new Thread(() -> createMarker(writer), "marker");
         marker.start();
         steps++;
         int wanted = plan.nodes() + steps;
-        long most = 0;
-        long last = total(server.asked());
-        boolean right = false;
-        for (int waited = 0; waited < PATIENCE_MILLIS && !right; waited += BIN_MILLIS) {
+        long maxPerBin = 0;
+        long last = total(server.requestCounts());
+        boolean upToDate = false;
+        for (int waited = 0; waited < PATIENCE_MILLIS && !upToDate; waited += BIN_MILLIS) {
             TimeUnit.MILLISECONDS.sleep(BIN_MILLIS);
-            long now = total(server.asked());
-            most = Math.max(most, now - last);
+            long now = total(server.requestCounts());
+            maxPerBin = Math.max(maxPerBin, now - last);
             last = now;
-            right = followers.stream().allMatch(each -> each.size == wanted);
+            upToDate = followers.stream().allMatch(each -> each.size == wanted);
         }
         marker.join();
         Samples took = new Samples(followers.stream().map(each -> each.at - begun).toList());
         out.println(
                 what
                         + ": "
-                        + (right ? "all " + plan.sessions() + " right" : "NOT ALL RIGHT")
+                        + (upToDate
+                                ? "all " + plan.sessions() + " up to date"
+                                : "NOT ALL UP TO DATE")
                         + " after "
                         + took.millis()
-                        + " (the server was away for "
+                        + " (the server was down for "
                         + Samples.millis(begun - from)
                         + " ms)");
         out.println(
-                "  asked: "
-                        + asked(before, server.asked())
+                "  requests: "
+                        + requestsSince(before, server.requestCounts())
                         + "; at most "
-                        + most
+                        + maxPerBin
                         + " in "
                         + BIN_MILLIS
                         + " ms");
-        return right;
+        return upToDate;
     }
 
-    /** One more node, which tells who has read what. */
-    private void mark(NodeWriter writer) {
+    /** Creates a node that shows which followers have read the current list. */
+    private void createMarker(NodeWriter writer) {
         String path = ROOT + "/marker-" + (steps + 1);
         for (int i = 0; i < PATIENCE_MILLIS / BIN_MILLIS; i++) {
             try {
@@ -186,7 +192,7 @@
                                 path,
                                 new ServerNode("127.2.0." + (steps + 1) + ":80", "z", true, 1)
                                         .bytes(),
-                                Rules.OPEN,
+                                Rules.OPEN_ACL,
                                 CreateMode.PERSISTENT);
                 return;
             } catch (KeeperException.NodeExistsException e) {
@@ -212,12 +218,12 @@
             int until = Math.min(plan.nodes(), from + IN_FLIGHT);
             CountDownLatch made = new CountDownLatch(until - from);
             for (int i = from; i < until; i++) {
-                String address = "127.1." + i / BYTE + "." + i % BYTE + ":80";
+                String address = "127.1." + i / VALUES_PER_BYTE + "." + i % VALUES_PER_BYTE + ":80";
                 writer.client()
                         .create(
                                 ROOT + "/s" + i,
                                 new ServerNode(address, "z", true, 1).bytes(),
-                                Rules.OPEN,
+                                Rules.OPEN_ACL,
                                 CreateMode.PERSISTENT,
                                 (code, path, context, name) -> made.countDown(),
                                 null);
@@ -276,16 +282,16 @@
                 });
     }
 
-    private static long total(Map<Integer, Long> asked) {
-        return asked.values().stream().mapToLong(Long::longValue).sum();
+    private static long total(Map<Integer, Long> counts) {
+        return counts.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    private static String asked(Map<Integer, Long> before, Map<Integer, Long> after) {
+    private static String requestsSince(Map<Integer, Long> before, Map<Integer, Long> after) {
         Map<String, Long> named = new TreeMap<>();
         after.forEach(
                 (type, count) ->
                         named.merge(
-                                NAMES.getOrDefault(type, "other"),
+                                REQUEST_NAMES.getOrDefault(type, "other"),
                                 count - before.getOrDefault(type, 0L),
                                 Long::sum));
         named.values().removeIf(count -> count == 0);
--- a/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ManyServers.java
@@ -15,10 +15,10 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** One socket that answers at once on every loopback address, as if a server stood at each. */
+/** One socket that answers on every loopback address, like a server at each address. */
 final class ManyServers implements AutoCloseable {
-    private static final int MOST_BODY = 64 * 1024;
-    private static final int BYTE = 256;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int VALUES_PER_BYTE = 256;
 
     private final Channel listening;
 
@@ -34,7 +34,7 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpRequestDecoder(),
-                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                                         new Answers());
                                     }
                                 })
@@ -43,12 +43,14 @@
                         .channel();
     }
 
-    /** The address of one of them. */
+    /**
+     * The HOST:PORT of the server with this number; numbers up to 65535 have distinct addresses.
+     */
     String address(int number) {
         return "127.1."
-                + number / BYTE
+                + number / VALUES_PER_BYTE
                 + "."
-                + number % BYTE
+                + number % VALUES_PER_BYTE
                 + ":"
                 + ((InetSocketAddress) listening.localAddress()).getPort();
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Measure.java
@@ -16,7 +16,10 @@
 import java.util.logging.Logger;
 import org.apache.zookeeper.KeeperException;
 
-/** The command {@code measure}: the membership on real sockets, with a real sidecar process. */
+/**
+ * The command {@code measure}: measures service discovery on real sockets with a real sidecar
+ * process.
+ */
 public final class Measure {
     private static final String USAGE =
             """
@@ -24,16 +27,16 @@
               membership-drain [--sequences 300] [--servers 12] [--strikes all|none|cut,\
               reset,...]
                           [--source nodes|both] [--session 2s]
-                  servers vanish, flap and restart: how long new work went on
+                  servers vanish, flap and restart: how long requests still reach them
               membership-outage [--pairs 10] [--seconds 60] [--servers 9]
-                  calm and outage in turns: requests lost or refused, latencies
+                  normal operation and outage in turns: requests lost or refused, latencies
               membership-latency [--rounds 100] [--servers 9] [--source \
               nodes|both|registry] [--warm]
                   from a session's end to the last request, from a new node to the first
               membership-scale [--nodes 10000] [--changes 100] [--seconds 60]
-                  what a long list with many changes costs the sidecar
+                  CPU time and memory of a sidecar with a long list and many changes
               membership-herd [--sessions 300] [--nodes 1000]
-                  what a coordination server is asked when all come back at once\
+                  requests at a coordination server when all sidecars reconnect at once\
             """;
 
     private final PrintStream out;
@@ -44,21 +47,24 @@
         this.err = err;
     }
 
-    /** Cold servers are warm again after it, and what was told has had its time. */
+    /** Time for cold servers to warm up and for the last updates to take effect. */
     private static final int SETTLE_MILLIS = 10_000;
 
-    private static final Logger CLIENT = Logger.getLogger("appleridge.zookeeper");
+    private static final Logger CLIENT_LOGGER = Logger.getLogger("appleridge.zookeeper");
 
-    /** Returns the exit status: 0 if what was measured is as it has to be. */
+    /** Returns the exit status: 0 if the measured values are within their bounds. */
     public int run(String... args) {
-        // The stand-ins' own clients lose their sessions all the time, as they should.
-        CLIENT.setLevel(Level.OFF);
+        // The stand-ins' own clients lose their sessions by design; their log is noise.
+        CLIENT_LOGGER.setLevel(Level.OFF);
         try {
-            Words words =
-                    new Words(Arrays.copyOfRange(args, Math.min(1, args.length), args.length));
-            Path jar = words.path("--jar");
+            Options options =
+                    new Options(Arrays.copyOfRange(args, Math.min(1, args.length), args.length));
+            Path jar = options.path("--jar");
             boolean held =
-                    run(args.length == 0 ? "" : args[0], words, jar == null ? besideOurs() : jar);
+                    run(
+                            args.length == 0 ? "" : args[0],
+                            options,
+                            jar == null ? jarBesideThisOne() : jar);
             return held ? 0 : 1;
         } catch (IllegalArgumentException e) {
             err.println("measure: " + e.getMessage());
@@ -73,10 +79,10 @@
         }
     }
 
-    private boolean run(String what, Words words, Path jar)
+    private boolean run(String what, Options options, Path jar)
             throws IOException, InterruptedException, ExecutionException, KeeperException {
-        long seed = words.number("--seed", 1);
-        int rate = words.number("--rate", 150);
+        long seed = options.number("--seed", 1);
+        int rate = options.number("--rate", 150);
         if (!Files.isRegularFile(jar)) {
             throw new IllegalArgumentException("no such file: " + jar);
         }
@@ -84,90 +90,92 @@
             case "membership-drain" -> {
                 DrainCheck.Plan plan =
                         new DrainCheck.Plan(
-                                words.number("--sequences", 300),
-                                words.number("--servers", 12),
+                                options.number("--sequences", 300),
+                                options.number("--servers", 12),
                                 rate,
                                 seed,
-                                words.strikes(),
-                                words.source(),
-                                words.text("--session", CoordinatedSite.LEAST_SESSION));
-                words.done();
+                                options.strikes(),
+                                options.source(),
+                                options.text("--session", CoordinatedSite.MIN_SESSION_TIMEOUT));
+                options.requireAllUsed();
                 return new DrainCheck(plan, out).run(jar).held();
             }
             case "membership-outage" -> {
                 OutageCheck check =
                         new OutageCheck(
                                 new OutageCheck.Plan(
-                                        words.number("--pairs", 10),
-                                        words.number("--seconds", 60),
-                                        words.number("--servers", 9),
+                                        options.number("--pairs", 10),
+                                        options.number("--seconds", 60),
+                                        options.number("--servers", 9),
                                         rate,
                                         seed,
                                         SETTLE_MILLIS),
                                 out);
-                words.done();
+                options.requireAllUsed();
                 return check.held(check.run(jar));
             }
             case "membership-latency" -> {
                 LatencyCheck.Plan plan =
                         new LatencyCheck.Plan(
-                                words.number("--rounds", 100),
-                                words.number("--servers", 9),
+                                options.number("--rounds", 100),
+                                options.number("--servers", 9),
                                 rate,
                                 seed,
-                                words.source(),
-                                !words.flag("--warm"));
-                words.done();
-                return new LatencyCheck(plan, out).run(jar).without() == 0;
+                                options.source(),
+                                !options.flag("--warm"));
+                options.requireAllUsed();
+                return new LatencyCheck(plan, out).run(jar).withoutRequest() == 0;
             }
             case "membership-scale" -> {
                 ScaleCheck.Plan plan =
                         new ScaleCheck.Plan(
-                                words.number("--nodes", 10_000),
-                                words.number("--changes", 100),
-                                words.number("--seconds", 60),
+                                options.number("--nodes", 10_000),
+                                options.number("--changes", 100),
+                                options.number("--seconds", 60),
                                 rate,
                                 seed);
-                words.done();
+                options.requireAllUsed();
                 return new ScaleCheck(plan, out).run(jar);
             }
             case "membership-herd" -> {
                 HerdCheck.Plan plan =
                         new HerdCheck.Plan(
-                                words.number("--sessions", 300),
-                                words.number("--nodes", 1000),
+                                options.number("--sessions", 300),
+                                options.number("--nodes", 1000),
                                 seed);
-                words.done();
+                options.requireAllUsed();
                 return new HerdCheck(plan, out).run();
             }
-            default -> throw new IllegalArgumentException("unknown: " + what);
+            default -> throw new IllegalArgumentException("unknown measurement: " + what);
         }
     }
 
     /**
-     * In a built checkout the two jars, or our classes, lie in two modules' {@code target} folders.
+     * Finds the sidecar's jar relative to this one; both modules of a built checkout have a {@code
+     * target} folder.
      */
-    private static Path besideOurs() {
+    private static Path jarBesideThisOne() {
         try {
-            Path ours =
+            Path location =
                     Path.of(
                             Measure.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            return ours.resolveSibling(Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
+            return location.resolveSibling(
+                            Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
                     .normalize();
         } catch (URISyntaxException e) {
-            throw new IllegalArgumentException("--jar is needed", e);
+            throw new IllegalArgumentException("--jar is required", e);
         }
     }
 
-    /** The words of a command line. */
-    private static final class Words {
+    /** The options of a command line; each is removed when it is read. */
+    private static final class Options {
         private final List<String> words;
 
-        Words(String... words) {
+        Options(String... words) {
             this.words = new ArrayList<>(List.of(words));
         }
 
@@ -181,24 +189,24 @@
                 return null;
             }
             if (at + 1 == words.size()) {
-                throw new IllegalArgumentException(name + " wants a value");
+                throw new IllegalArgumentException(name + " needs a value");
             }
             words.remove(at);
             return words.remove(at);
         }
 
-        int number(String name, int absent) {
+        int number(String name, int defaultValue) {
             String value = value(name);
             try {
-                return value == null ? absent : Integer.parseInt(value);
+                return value == null ? defaultValue : Integer.parseInt(value);
             } catch (NumberFormatException e) {
-                throw new IllegalArgumentException(name + " makes no sense: " + value, e);
+                throw new IllegalArgumentException(name + " is not an integer: " + value, e);
             }
         }
 
-        String text(String name, String absent) {
+        String text(String name, String defaultValue) {
             String value = value(name);
-            return value == null ? absent : value;
+            return value == null ? defaultValue : value;
         }
 
         Path path(String name) {
@@ -227,9 +235,9 @@
                     : CoordinatedSite.Source.valueOf(value.toUpperCase(Locale.ROOT));
         }
 
-        void done() {
+        void requireAllUsed() {
             if (!words.isEmpty()) {
-                throw new IllegalArgumentException("unknown: " + String.join(" ", words));
+                throw new IllegalArgumentException("unknown option: " + String.join(" ", words));
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberConnection.java
@@ -8,52 +8,53 @@
 import org.apache.zookeeper.data.Id;
 import org.apache.zookeeper.proto.ReplyHeader;
 
-/** One client's connection with one member, as the member knows it. Pure. */
+/** The state of one client's connection with one member. Free of I/O. */
 final class MemberConnection {
-    /** Where the answers go. */
-    interface Line {
-        /** Whole frames, in order. */
+    /** Sends frames to the client. */
+    interface Transport {
+        /** Sends a whole frame; frames keep their order. */
         void send(byte[] bytes);
 
-        /** Ends the connection, with what was sent before. */
+        /** Closes the connection after everything sent before. */
         void close();
     }
 
-    /** The one request under way, which is answered once its member has come as far as this. */
-    private record Open(long zxid, Runnable answer) {}
+    /** The response to the request in progress, due once the member has applied {@code zxid}. */
+    private record PendingAnswer(long zxid, Runnable answer) {}
 
     final Watches watches = new Watches();
     final Set<Id> ids = new LinkedHashSet<>();
-    final Queue<byte[]> waiting = new ArrayDeque<>();
-    private final Line line;
-    private Open open;
+    final Queue<byte[]> queuedFrames = new ArrayDeque<>();
+    private final Transport transport;
+    private PendingAnswer pending;
     private boolean mute;
-    boolean greeted;
-    boolean leaving;
+    boolean handshakeReceived;
+    boolean closing;
 
     /**
-     * Danger: a request that is taken while one before it is not answered yet is answered first.
+     * Set while the member processes the queue, to prevent re-entrance: processing a write may call
+     * back into the queue, and a later request would then be answered before the write.
      */
     boolean busy;
 
     long session;
 
-    MemberConnection(Line line) {
-        this.line = line;
+    MemberConnection(Transport transport) {
+        this.transport = transport;
     }
 
-    Rules.Asker asker() {
-        return new Rules.Asker(session, ids);
+    Rules.Caller caller() {
+        return new Rules.Caller(session, ids);
     }
 
-    /** Nothing more is answered, and the next to be sent is lost. */
+    /** Drops everything that is sent from now on. */
     void mute() {
         mute = true;
     }
 
     void send(byte[] bytes) {
         if (!mute) {
-            line.send(bytes);
+            transport.send(bytes);
         }
     }
 
@@ -62,23 +63,23 @@
     }
 
     void close() {
-        line.close();
+        transport.close();
     }
 
-    /** All that comes waits until the member has come as far as this. */
-    void await(long zxid, Runnable answer) {
-        open = new Open(zxid, answer);
+    /** Defers the response, and all later requests, until the member has applied {@code zxid}. */
+    void answerAt(long zxid, Runnable answer) {
+        pending = new PendingAnswer(zxid, answer);
     }
 
-    boolean awaits() {
-        return open != null;
+    boolean hasPending() {
+        return pending != null;
     }
 
-    /** Its member has come so far. */
-    void reached(long zxid) {
-        if (open != null && open.zxid <= zxid) {
-            Runnable answer = open.answer;
-            open = null;
+    /** Sends the deferred response if the member has applied its transaction. */
+    void appliedUpTo(long zxid) {
+        if (pending != null && pending.zxid <= zxid) {
+            Runnable answer = pending.answer;
+            pending = null;
             answer.run();
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/MemberSocket.java
@@ -11,14 +11,13 @@
 import io.netty.handler.ssl.SslContext;
 
 /**
- * Makes channels of any kind, real or simulated, speak with a member, all on the ensemble's one
- * loop.
+ * Connects channels, real or simulated, with a member. All channels run on the ensemble's one loop.
  */
 final class MemberSocket extends ChannelInitializer<Channel> {
     private final Member member;
     private final SslContext tls;
 
-    /** Without TLS if there is no context. */
+    /** Creates an initializer; {@code tls} is null for plain text. */
     MemberSocket(Member member, SslContext tls) {
         this.member = member;
         this.tls = tls;
@@ -29,15 +28,15 @@
         if (tls != null) {
             channel.pipeline().addLast(tls.newHandler(channel.alloc()));
         }
-        channel.pipeline().addLast(new Frames(), new Connection(channel, member));
+        channel.pipeline().addLast(new FrameDecoder(), new Connection(channel, member));
     }
 
-    /** One client's bytes. */
+    /** Adapts one client's channel to the member. */
     private static final class Connection extends SimpleChannelInboundHandler<ByteBuf>
-            implements MemberConnection.Line {
+            implements MemberConnection.Transport {
         private final Channel channel;
         private final Member member;
-        private final MemberConnection visit = new MemberConnection(this);
+        private final MemberConnection connection = new MemberConnection(this);
 
         Connection(Channel channel, Member member) {
             this.channel = channel;
@@ -46,17 +45,17 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            member.came(visit);
+            member.opened(connection);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            member.gone(visit);
+            member.closed(connection);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            member.received(visit, ByteBufUtil.getBytes(frame.skipBytes(Integer.BYTES)));
+            member.received(connection, ByteBufUtil.getBytes(frame.skipBytes(Integer.BYTES)));
         }
 
         @Override
--- a/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/OutageCheck.java
@@ -11,26 +11,30 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * The same load with the coordination service there and away, in turns. While it is away one
- * server's session ends and another server registers; at the outage's end it is seen how soon the
- * sidecar knows.
+ * Compares the same load with the coordination service available and during an outage, in
+ * alternating order. During each outage one server's session expires and another server registers;
+ * after the outage, the time until the sidecar is told is measured.
  */
 final class OutageCheck {
-    /** What is played; {@code settleMillis}: between an outage and what follows. */
+    /** The parameters of a run; {@code settleMillis} is the pause after each outage. */
     record Plan(int pairs, int seconds, int servers, double rate, long seed, int settleMillis) {}
 
-    /** One window's requests. */
-    private record Window(int asked, int served, int refused, long median, long p99) {}
+    /** The requests of one measurement window; latencies in nanoseconds. */
+    private record Window(int sent, int served, int refused, long median, long p99) {}
 
-    /** What came of it: medians over the pairs; times in nanoseconds. */
+    /**
+     * The result: requests lost and refused during outages, the median over the pairs of the p99
+     * ratio, and the times in nanoseconds from an outage's end until the sidecar was told of the
+     * change.
+     */
     record Result(int lost, int refused, double p99Ratio, Samples righted) {}
 
-    private static final double MOST_RATIO = 1.1;
+    private static final double MAX_P99_RATIO = 1.1;
     private static final int LAST_ANSWERS_MILLIS = 2500;
 
     private final Plan plan;
     private final PrintStream out;
-    private final List<Long> righted = new ArrayList<>();
+    private final List<Long> settleTimes = new ArrayList<>();
     private final List<Double> ratios = new ArrayList<>();
     private int lost;
     private int refused;
@@ -44,16 +48,16 @@
             throws IOException, InterruptedException, ExecutionException, KeeperException {
         try (CoordinatedSite site = new CoordinatedSite(plan.seed(), DrainCheck.GRACE)) {
             site.open(plan.servers());
-            for (ProcessSlot seat : site.seats) {
-                seat.register();
+            for (ProcessSlot slot : site.slots) {
+                slot.register();
             }
             site.start(jar, CoordinatedSite.Source.NODES, plan.rate());
             TimeUnit.MILLISECONDS.sleep(plan.settleMillis() / 2);
             for (int i = 0; i < plan.pairs(); i++) {
                 pair(site, i);
             }
-            site.quiet();
-            Result result = new Result(lost, refused, median(ratios), new Samples(righted));
+            site.stopClients();
+            Result result = new Result(lost, refused, median(ratios), new Samples(settleTimes));
             out.println(
                     "without an answer "
                             + lost
@@ -64,7 +68,7 @@
                             + " pairs: "
                             + round(result.p99Ratio()));
             out.println(
-                    "from the outage's end until the list was told and right: "
+                    "from the end of the outage until the sidecar was told the current list: "
                             + result.righted().millis());
             return result;
         }
@@ -73,24 +77,24 @@
     boolean held(Result result) {
         return result.lost() == 0
                 && result.refused() == 0
-                && result.p99Ratio() <= MOST_RATIO
+                && result.p99Ratio() <= MAX_P99_RATIO
                 && result.righted().count() == plan.pairs();
     }
 
     private void pair(CoordinatedSite site, int number)
             throws IOException, InterruptedException, ExecutionException {
         Window calm = null;
-        Window away = null;
+        Window outage = null;
         for (int half = 0; half < 2; half++) {
             if ((number + half) % 2 == 0) {
                 calm = window(site);
             } else {
-                away = outage(site, number);
+                outage = runOutage(site, number);
             }
         }
-        lost += away.asked - away.served - away.refused;
-        refused += away.refused;
-        ratios.add(away.p99 / (double) calm.p99);
+        lost += outage.sent - outage.served - outage.refused;
+        refused += outage.refused;
+        ratios.add(outage.p99 / (double) calm.p99);
         out.println(
                 "pair "
                         + (number + 1)
@@ -98,46 +102,49 @@
                         + "calm "
                         + text(calm)
                         + "; outage "
-                        + text(away)
+                        + text(outage)
                         + "; p99 ratio "
-                        + round(away.p99 / (double) calm.p99));
+                        + round(outage.p99 / (double) calm.p99));
     }
 
-    private Window outage(CoordinatedSite site, int number)
+    private Window runOutage(CoordinatedSite site, int number)
             throws IOException, InterruptedException, ExecutionException {
         boolean refuses = number % 4 < 2;
         site.onLoop(
                 () -> {
-                    site.relay.door(refuses ? Relay.Door.REFUSES : Relay.Door.SILENT);
+                    site.relay.mode(refuses ? Relay.Mode.REFUSES : Relay.Mode.SILENT);
                     if (refuses) {
                         site.relay.reset();
                     }
                     return null;
                 });
-        ProcessSlot seat = site.seats.get(number % site.seats.size());
-        LoopbackServer old = seat.server();
+        ProcessSlot slot = site.slots.get(number % site.slots.size());
+        LoopbackServer old = slot.server();
         String oldAddress = old.endpoint();
-        seat.expire();
+        slot.expire();
         Window window = window(site);
-        seat.begin(true, false);
-        seat.register();
+        slot.startProcess(true, false);
+        slot.register();
         long ends = site.time.nanos();
         site.onLoop(
                 () -> {
-                    site.relay.door(Relay.Door.OPEN);
+                    site.relay.mode(Relay.Mode.OPEN);
                     return null;
                 });
-        boolean right =
-                site.await(() -> !site.book.there(oldAddress) && site.book.there(seat.address()));
-        if (right) {
-            righted.add(site.time.nanos() - ends);
+        boolean settled =
+                site.await(
+                        () ->
+                                !site.drains.isPresent(oldAddress)
+                                        && site.drains.isPresent(slot.address()));
+        if (settled) {
+            settleTimes.add(site.time.nanos() - ends);
         }
         TimeUnit.MILLISECONDS.sleep(plan.settleMillis());
-        seat.crash(old);
+        slot.crash(old);
         return window;
     }
 
-    /** Requests that were asked within the next so many seconds, with their answers. */
+    /** Measures the requests sent within the next {@code seconds} seconds, with their answers. */
     private Window window(CoordinatedSite site) throws InterruptedException, ExecutionException {
         Moment begin = moment(site);
         TimeUnit.SECONDS.sleep(plan.seconds());
@@ -148,8 +155,8 @@
                     List<Long> took = new ArrayList<>();
                     int denied = 0;
                     for (Traffic.Answer answer : site.traffic.answers()) {
-                        long asked = answer.at() - answer.took();
-                        if (asked >= begin.at && asked < end.at) {
+                        long sentAt = answer.at() - answer.took();
+                        if (sentAt >= begin.at && sentAt < end.at) {
                             if (answer.status() == 200) {
                                 took.add(answer.took());
                             } else {
@@ -159,26 +166,26 @@
                     }
                     Samples figures = new Samples(took);
                     return new Window(
-                            end.asked - begin.asked,
+                            end.sent - begin.sent,
                             took.size(),
                             denied,
                             figures.median(),
-                            figures.at(0.99));
+                            figures.quantile(0.99));
                 });
     }
 
-    /** A time, and how many requests were asked before it. */
-    private record Moment(long at, int asked) {}
+    /** A time, and the number of requests sent before it. */
+    private record Moment(long at, int sent) {}
 
-    /** Both read on the loop, so that no request is before the one and after the other. */
+    /** Reads both on the loop, so that no request falls between the two readings. */
     private static Moment moment(CoordinatedSite site)
             throws InterruptedException, ExecutionException {
-        return site.onLoop(() -> new Moment(site.time.nanos(), site.traffic.asked()));
+        return site.onLoop(() -> new Moment(site.time.nanos(), site.traffic.sent()));
     }
 
     private static String text(Window window) {
-        return window.asked
-                + " asked, "
+        return window.sent
+                + " sent, "
                 + window.served
                 + " served, "
                 + window.refused
--- a/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Probe.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks a sidecar for its health again and again on one connection: an answer waits for the turn
- * that its loop is in, so that the slowest is no quicker than the longest turn met.
+ * Requests a sidecar's health repeatedly on one connection. A response waits until the event loop
+ * finishes its current turn, so the slowest response bounds the longest turn that a probe met.
  */
 final class Probe implements AutoCloseable {
-    private static final byte[] ASK =
+    private static final byte[] REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: probe\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final int PAUSE_MILLIS = 2;
 
     private final int port;
-    private final Thread thread = new Thread(this::ask, "probe");
+    private final Thread thread = new Thread(this::run, "probe");
     private final List<Long> took = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean closed;
 
     Probe(int port) {
         this.port = port;
@@ -29,36 +29,36 @@
         thread.start();
     }
 
-    private void ask() {
-        while (!over) {
+    private void run() {
+        while (!closed) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.setTcpNoDelay(true);
                 byte[] answer = new byte[4096];
-                while (!over) {
+                while (!closed) {
                     long from = System.nanoTime();
-                    socket.getOutputStream().write(ASK);
+                    socket.getOutputStream().write(REQUEST);
                     InputStream in = socket.getInputStream();
                     int read = in.read(answer);
                     if (read < 0) {
                         break;
                     }
-                    note(System.nanoTime() - from);
+                    record(System.nanoTime() - from);
                     TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
                 }
             } catch (IOException e) {
-                // Another connection.
+                // Reconnects in the next iteration.
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private synchronized void note(long nanos) {
+    private synchronized void record(long nanos) {
         took.add(nanos);
     }
 
-    /** All since this was last asked. */
-    synchronized Samples taken() {
+    /** Returns and clears the response times in nanoseconds since the last call. */
+    synchronized Samples drainSamples() {
         Samples all = new Samples(took);
         took.clear();
         return all;
@@ -66,7 +66,7 @@
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         thread.interrupt();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/ProcessSlot.java
@@ -9,21 +9,21 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * One place for an order server: the process that stands there now, and its session with the
- * coordination service. Blocks; used by one thread at a time.
+ * A slot for an order server: the process that currently runs in it and its session with the
+ * coordination service. Methods block; used by one thread at a time.
  */
 final class ProcessSlot implements AutoCloseable {
-    /** Within so long a node is made, whatever the coordination server does meanwhile. */
-    private static final int TRIES = 200;
+    /** Tries before a write fails; spans every outage of the coordination server. */
+    private static final int MAX_TRIES = 200;
 
-    private static final int AGAIN_MILLIS = 100;
-    private static final int QUEUE = 96;
+    private static final int RETRY_PAUSE_MILLIS = 100;
+    private static final int QUEUE_LIMIT = 96;
     private static final long LONG_AGO = TimeUnit.HOURS.toMillis(1);
 
     private final CoordinatedSite site;
     private final String name;
     private final String zone;
-    private int lives;
+    private int processCount;
     private LoopbackServer server;
     private NodeWriter writer;
     private ServerNode node;
@@ -46,8 +46,9 @@
         return node;
     }
 
-    /** A process starts, at an address of its own or at the last one's. */
-    void begin(boolean cold, boolean sameAddress) throws InterruptedException, ExecutionException {
+    /** Starts a process, at a new address or at the previous process's address. */
+    void startProcess(boolean cold, boolean sameAddress)
+            throws InterruptedException, ExecutionException {
         int port = sameAddress ? server.port() : 0;
         LoopbackServer next =
                 site.onLoop(
@@ -56,13 +57,13 @@
                                         site.loop,
                                         site.time,
                                         new LoopbackServer.Identity(
-                                                name + "#" + ++lives,
+                                                name + "#" + ++processCount,
                                                 zone,
                                                 ColdStart.Figures.USUAL,
-                                                QUEUE,
+                                                QUEUE_LIMIT,
                                                 cold),
                                         site.memory,
-                                        site.chance.split(),
+                                        site.random.split(),
                                         site.traffic));
         CountDownLatch listens = new CountDownLatch(1);
         site.onLoop(
@@ -72,8 +73,8 @@
                 });
         listens.await();
         server = next;
-        site.stands(next);
-        // 0 would say that it began with its node.
+        site.addServer(next);
+        // With a start time of 0 the process would count as started when its node was created.
         node =
                 new ServerNode(
                         next.endpoint(),
@@ -101,27 +102,27 @@
         return server;
     }
 
-    /** Its node is there from now on, as its own. */
+    /** Creates the node of the current process. */
     void register() throws IOException, InterruptedException {
         write(() -> writer.create(node));
     }
 
-    /** The node says something else from now on. */
+    /** Replaces the node's data. */
     void change(ServerNode next) throws IOException, InterruptedException {
         write(() -> writer.change(next));
     }
 
-    /** The node holds something that nobody can read. */
+    /** Replaces the node's data by invalid JSON. */
     void garble() throws IOException, InterruptedException {
         write(() -> writer.garble());
     }
 
-    private interface Write {
+    private interface NodeWrite {
         void run() throws KeeperException, InterruptedException;
     }
 
-    private void write(Write what) throws IOException, InterruptedException {
-        for (int i = 0; i < TRIES; i++) {
+    private void write(NodeWrite what) throws IOException, InterruptedException {
+        for (int i = 0; i < MAX_TRIES; i++) {
             try {
                 if (writer == null) {
                     writer =
@@ -134,41 +135,40 @@
                 what.run();
                 return;
             } catch (KeeperException | IOException e) {
-                // A session that is lost or a server that is away: with another session, once it
-                // answers.
-                drop();
-                TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+                // The session is lost or the server is down: retries with a new session.
+                closeWriter();
+                TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MILLIS);
             }
         }
-        throw new IOException(name + " can't register");
+        throw new IOException(name + " cannot write its node: " + MAX_TRIES + " tries failed");
     }
 
-    /** The session ends, as if its time were over. */
+    /** Expires the session on the server. */
     void expire() {
         if (writer != null) {
             site.coordination.expire(writer.session());
-            drop();
+            closeWriter();
         }
     }
 
-    /** One that was left alone ends. */
+    /** Expires an abandoned session on the server. */
     void expire(NodeWriter abandoned) {
         site.coordination.expire(abandoned.session());
     }
 
-    /** The session ends in order. */
+    /** Closes the session from the client's side. */
     void leave() {
-        drop();
+        closeWriter();
     }
 
-    /** The session is left alone, to end when the caller says so. */
+    /** Hands the open session over to the caller, who expires or closes it. */
     NodeWriter abandon() {
         NodeWriter left = writer;
         writer = null;
         return left;
     }
 
-    private void drop() {
+    private void closeWriter() {
         if (writer != null) {
             writer.close();
             writer = null;
@@ -177,7 +177,7 @@
 
     @Override
     public void close() {
-        drop();
+        closeWriter();
         if (server != null) {
             site.loop.execute(server::crash);
         }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Relay.java
@@ -14,20 +14,24 @@
 import java.util.Set;
 
 /**
- * Stands between a client and a coordination server, and does what networks do. It reads what it
- * carries, so that it can tell when word of a node was with the client's socket. Lives on its event
- * loop; only {@link #listen()} and {@link #address()} are called from elsewhere.
+ * A TCP relay between clients and a coordination server that injects network faults. It parses the
+ * traffic, so that it can report when a node's state was written to the client's socket. Call its
+ * methods on its event loop, except {@link #listen()} and {@link #address()}.
  */
 public final class Relay {
     /**
-     * Told what servers said, when the last byte of it was with the socket, on the relay's loop.
+     * Receives what servers report about nodes, once its last byte is written to the client's
+     * socket; called on the relay's loop, with the time in nanoseconds.
      */
-    public interface Hearing {
-        void heard(NodeReply what, long at);
+    public interface ReplyListener {
+        void onReply(NodeReply reply, long at);
     }
 
-    /** What becomes of a connection that a client opens. */
-    public enum Door {
+    /**
+     * What the relay does with connections. OPEN passes everything; REFUSES resets new connections;
+     * SILENT accepts connections and holds all bytes back.
+     */
+    public enum Mode {
         OPEN,
         REFUSES,
         SILENT
@@ -35,24 +39,25 @@
 
     final EventLoop loop;
     final RealTime time;
-    final Hearing hearing;
+    final ReplyListener replyListener;
     private final Set<RelayLink> links = new LinkedHashSet<>();
     private InetSocketAddress server;
     private Channel listening;
-    private Door door = Door.OPEN;
+    private Mode mode = Mode.OPEN;
     private long delay;
-    private boolean halves;
+    private boolean truncateNext;
     private boolean readOnly;
-    private long carried;
+    private long bytesToClients;
 
-    public Relay(EventLoop loop, RealTime time, InetSocketAddress server, Hearing hearing) {
+    public Relay(
+            EventLoop loop, RealTime time, InetSocketAddress server, ReplyListener replyListener) {
         this.loop = loop;
         this.time = time;
         this.server = server;
-        this.hearing = hearing;
+        this.replyListener = replyListener;
     }
 
-    /** Begins, on any free port; blocks. */
+    /** Starts listening on any free loopback port; blocks. */
     public void listen() throws InterruptedException {
         listening =
                 new ServerBootstrap()
@@ -76,7 +81,7 @@
     }
 
     private void accept(Channel client) {
-        if (door == Door.REFUSES) {
+        if (mode == Mode.REFUSES) {
             RelayLink.reset(client);
             return;
         }
@@ -86,12 +91,12 @@
         link.connect(server);
     }
 
-    /** New connections go to another server from now on; those that are open stay. */
-    void leadTo(InetSocketAddress other) {
+    /** Sends new connections to another server; open connections stay. */
+    void redirectTo(InetSocketAddress other) {
         server = other;
     }
 
-    /** All that passes from now on takes so long, in nanoseconds, and stays in order. */
+    /** Delays all frames by this many nanoseconds from now on; their order is kept. */
     public void delay(long nanos) {
         delay = nanos;
     }
@@ -100,43 +105,40 @@
         return delay;
     }
 
-    /**
-     * Opens, or refuses new connections, or keeps all bytes of new and old ones until it is open
-     * again.
-     */
-    public void door(Door next) {
-        door = next;
-        if (door == Door.OPEN) {
+    /** Switches the mode; on OPEN, passes the bytes that were held back. */
+    public void mode(Mode next) {
+        mode = next;
+        if (mode == Mode.OPEN) {
             List.copyOf(links).forEach(RelayLink::pass);
         }
     }
 
     boolean silent() {
-        return door == Door.SILENT;
+        return mode == Mode.SILENT;
     }
 
-    /** Ends all connections in order, with what was written. */
+    /** Closes all connections in order, after the bytes already written. */
     void cut() {
         List.copyOf(links).forEach(RelayLink::close);
     }
 
-    /** Breaks all connections. */
+    /** Resets all connections. */
     public void reset() {
         List.copyOf(links).forEach(RelayLink::reset);
     }
 
-    /** Of the next word to a client only half is passed; then its connection breaks. */
-    public void halves() {
-        halves = true;
+    /** Passes only half of the next frame to a client, then resets its connection. */
+    public void truncateNext() {
+        truncateNext = true;
     }
 
-    boolean takesHalf() {
-        boolean now = halves;
-        halves = false;
-        return now;
+    boolean consumeTruncation() {
+        boolean truncate = truncateNext;
+        truncateNext = false;
+        return truncate;
     }
 
-    /** New connections are told that the server behind is read-only, or not. */
+    /** Whether the relay tells new connections that the server is read-only. */
     void readOnly(boolean isReadOnly) {
         readOnly = isReadOnly;
     }
@@ -145,16 +147,19 @@
         return readOnly;
     }
 
-    void carried(int bytes) {
-        carried += bytes;
+    void addBytesToClients(int bytes) {
+        bytesToClients += bytes;
     }
 
-    /** Bytes that were passed to clients. */
-    long carried() {
-        return carried;
+    /** The number of bytes written to clients. */
+    long bytesToClients() {
+        return bytesToClients;
     }
 
-    /** The sessions of those that are connected, 0 for one that has none yet. */
+    /**
+     * The session ids of the open connections, in the order of connecting; 0 for one without a
+     * session.
+     */
     List<Long> sessions() {
         return links.stream().map(RelayLink::session).toList();
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Rules.java
@@ -26,83 +26,94 @@
 import org.apache.zookeeper.proto.SetACLRequest;
 import org.apache.zookeeper.proto.SetDataRequest;
 
-/** Whether what somebody asks of a tree is right, and the change that it then is. Pure. */
+/**
+ * Validates write operations against a tree and translates them into changes; evaluates access
+ * control lists. Free of side effects.
+ */
 final class Rules {
-    /** One write that is asked for, alone or among several. */
-    record Asked(int type, Record request) {}
+    /**
+     * One requested write, alone or as part of a multi request; {@code type} as in {@code
+     * ZooDefs.OpCode}.
+     */
+    record Operation(int type, Record request) {}
 
-    /** Who asks. */
-    record Asker(long session, Set<Id> ids) {}
+    /** The session that sends a request and the ids that it has proven. */
+    record Caller(long session, Set<Id> ids) {}
 
     /**
-     * Everybody may do everything. Danger: the client asks for a null in it, which other lists
-     * refuse.
+     * Permits everything to everyone. The client calls {@code contains(null)} on it, for which
+     * {@code List.of} throws.
      */
-    static final List<ACL> OPEN = Arrays.asList(new ACL(Perms.ALL, new Id("world", "anyone")));
+    static final List<ACL> OPEN_ACL = Arrays.asList(new ACL(Perms.ALL, new Id("world", "anyone")));
 
     private static final String DIGEST = "digest";
 
     private Rules() {}
 
-    /** The change that this is, to be applied at once. */
-    static Change change(Tree tree, Asked asked, Asker asker) throws KeeperException {
-        if (asked.request() instanceof CreateRequest create) {
-            return create(tree, create, asker);
-        } else if (asked.request() instanceof DeleteRequest delete) {
-            Tree.Node node = at(tree, delete.getPath());
+    /**
+     * Validates an operation and returns its change, which has to be applied before the tree
+     * changes otherwise. Throws the exception that the protocol prescribes for an invalid
+     * operation.
+     */
+    static Change change(Tree tree, Operation operation, Caller caller) throws KeeperException {
+        if (operation.request() instanceof CreateRequest create) {
+            return create(tree, create, caller);
+        } else if (operation.request() instanceof DeleteRequest delete) {
+            Tree.Node node = existing(tree, delete.getPath());
             if (delete.getPath().equals("/")) {
                 throw KeeperException.create(Code.BADARGUMENTS, delete.getPath());
             }
-            permitted(tree, Tree.parent(delete.getPath()), Perms.DELETE, asker);
-            version(delete.getVersion(), node.stat().getVersion(), delete.getPath());
+            permitted(tree, Tree.parent(delete.getPath()), Perms.DELETE, caller);
+            requireVersion(delete.getVersion(), node.stat().getVersion(), delete.getPath());
             if (!node.children().isEmpty()) {
                 throw KeeperException.create(Code.NOTEMPTY, delete.getPath());
             }
-            return new Change.Drop(delete.getPath());
-        } else if (asked.request() instanceof SetDataRequest set) {
-            Tree.Node node = permitted(tree, set.getPath(), Perms.WRITE, asker);
-            version(set.getVersion(), node.stat().getVersion(), set.getPath());
-            return new Change.Write(set.getPath(), set.getData());
-        } else if (asked.request() instanceof CheckVersionRequest check) {
-            Tree.Node node = permitted(tree, check.getPath(), Perms.READ, asker);
-            version(check.getVersion(), node.stat().getVersion(), check.getPath());
-            return new Change.Look(check.getPath());
-        } else if (asked.request() instanceof SetACLRequest set) {
-            Tree.Node node = permitted(tree, set.getPath(), Perms.ADMIN, asker);
-            version(set.getVersion(), node.stat().getAversion(), set.getPath());
-            return new Change.Guard(set.getPath(), acl(set.getAcl(), asker));
+            return new Change.DeleteNode(delete.getPath());
+        } else if (operation.request() instanceof SetDataRequest set) {
+            Tree.Node node = permitted(tree, set.getPath(), Perms.WRITE, caller);
+            requireVersion(set.getVersion(), node.stat().getVersion(), set.getPath());
+            return new Change.SetData(set.getPath(), set.getData());
+        } else if (operation.request() instanceof CheckVersionRequest check) {
+            Tree.Node node = permitted(tree, check.getPath(), Perms.READ, caller);
+            requireVersion(check.getVersion(), node.stat().getVersion(), check.getPath());
+            return new Change.CheckVersion(check.getPath());
+        } else if (operation.request() instanceof SetACLRequest set) {
+            Tree.Node node = permitted(tree, set.getPath(), Perms.ADMIN, caller);
+            requireVersion(set.getVersion(), node.stat().getAversion(), set.getPath());
+            return new Change.SetAcl(set.getPath(), resolveAcl(set.getAcl(), caller));
         }
         throw KeeperException.create(Code.UNIMPLEMENTED);
     }
 
-    /** What the asker is told of a change once it is done. */
-    static OpResult result(Tree tree, Asked asked, Change done) {
-        if (done instanceof Change.Make make) {
-            return asked.type() == OpCode.create
-                    ? new OpResult.CreateResult(make.path())
-                    : new OpResult.CreateResult(make.path(), tree.node(make.path()).stat());
-        } else if (done instanceof Change.Write write) {
-            return new OpResult.SetDataResult(tree.node(write.path()).stat());
-        } else if (done instanceof Change.Guard guard) {
-            return new OpResult.SetDataResult(tree.node(guard.path()).stat());
+    /** Returns the result of an operation whose change has been applied. */
+    static OpResult result(Tree tree, Operation operation, Change applied) {
+        if (applied instanceof Change.CreateNode create) {
+            return operation.type() == OpCode.create
+                    ? new OpResult.CreateResult(create.path())
+                    : new OpResult.CreateResult(create.path(), tree.node(create.path()).stat());
+        } else if (applied instanceof Change.SetData set) {
+            return new OpResult.SetDataResult(tree.node(set.path()).stat());
+        } else if (applied instanceof Change.SetAcl set) {
+            return new OpResult.SetDataResult(tree.node(set.path()).stat());
         }
-        return done instanceof Change.Drop
+        return applied instanceof Change.DeleteNode
                 ? new OpResult.DeleteResult()
                 : new OpResult.CheckResult();
     }
 
-    private static Change create(Tree tree, CreateRequest create, Asker asker)
+    private static Change create(Tree tree, CreateRequest create, Caller caller)
             throws KeeperException {
         CreateMode mode = CreateMode.fromFlag(create.getFlags());
         if (mode.isContainer() || mode.isTTL()) {
             throw KeeperException.create(Code.UNIMPLEMENTED, create.getPath());
         }
-        path(create.getPath(), mode.isSequential());
-        List<ACL> acl = acl(create.getAcl(), asker);
-        Tree.Node parent = permitted(tree, Tree.parent(create.getPath()), Perms.CREATE, asker);
+        requireValidPath(create.getPath(), mode.isSequential());
+        List<ACL> acl = resolveAcl(create.getAcl(), caller);
+        Tree.Node parent = permitted(tree, Tree.parent(create.getPath()), Perms.CREATE, caller);
         String path =
                 mode.isSequential()
-                        ? create.getPath() + String.format(Locale.ROOT, "%010d", parent.made())
+                        ? create.getPath()
+                                + String.format(Locale.ROOT, "%010d", parent.childrenCreated())
                         : create.getPath();
         if (tree.node(path) != null) {
             throw KeeperException.create(Code.NODEEXISTS, path);
@@ -110,11 +121,11 @@
         if (parent.stat().getEphemeralOwner() != 0) {
             throw KeeperException.create(Code.NOCHILDRENFOREPHEMERALS, path);
         }
-        return new Change.Make(
-                path, create.getData(), acl, mode.isEphemeral() ? asker.session() : 0);
+        return new Change.CreateNode(
+                path, create.getData(), acl, mode.isEphemeral() ? caller.session() : 0);
     }
 
-    private static void path(String path, boolean isSequential) throws KeeperException {
+    private static void requireValidPath(String path, boolean isSequential) throws KeeperException {
         try {
             PathUtils.validatePath(path, isSequential);
         } catch (IllegalArgumentException e) {
@@ -122,7 +133,7 @@
         }
     }
 
-    private static Tree.Node at(Tree tree, String path) throws KeeperException {
+    private static Tree.Node existing(Tree tree, String path) throws KeeperException {
         Tree.Node node = tree.node(path);
         if (node == null) {
             throw KeeperException.create(Code.NONODE, path);
@@ -130,28 +141,29 @@
         return node;
     }
 
-    private static void version(int wanted, int is, String path) throws KeeperException {
-        if (wanted != -1 && wanted != is) {
+    private static void requireVersion(int expected, int actual, String path)
+            throws KeeperException {
+        if (expected != -1 && expected != actual) {
             throw KeeperException.create(Code.BADVERSION, path);
         }
     }
 
-    static boolean may(List<ACL> acl, int perms, Asker asker) {
+    static boolean allows(List<ACL> acl, int perms, Caller caller) {
         return acl.stream()
                 .anyMatch(
                         each ->
                                 (each.getPerms() & perms) != 0
                                         && (each.getId().getScheme().equals("world")
-                                                || asker.ids().contains(each.getId())));
+                                                || caller.ids().contains(each.getId())));
     }
 
-    /** What a node's list is, where {@code auth} stands for the asker's own ids. */
-    private static List<ACL> acl(List<ACL> asked, Asker asker) throws KeeperException {
+    /** Resolves a requested list for storage; {@code auth} stands for the caller's own ids. */
+    private static List<ACL> resolveAcl(List<ACL> requested, Caller caller) throws KeeperException {
         List<ACL> acl = new ArrayList<>();
-        for (ACL each : asked == null ? List.<ACL>of() : asked) {
+        for (ACL each : requested == null ? List.<ACL>of() : requested) {
             Id id = each.getId();
             if (id.getScheme().equals("auth")) {
-                asker.ids().forEach(own -> acl.add(new ACL(each.getPerms(), own)));
+                caller.ids().forEach(own -> acl.add(new ACL(each.getPerms(), own)));
             } else if (id.getScheme().equals("world") && id.getId().equals("anyone")
                     || id.getScheme().equals(DIGEST) && id.getId().split(":", -1).length == 2) {
                 acl.add(each);
@@ -165,9 +177,12 @@
         return List.copyOf(acl);
     }
 
-    /** What somebody may see of a node's list: no digests but for those who could change them. */
-    static List<ACL> shown(Tree.Node node, Asker asker) {
-        if (may(node.acl(), Perms.ADMIN, asker)) {
+    /**
+     * Returns a node's list as the caller may see it; digests are masked unless the caller may
+     * change the list.
+     */
+    static List<ACL> visibleAcl(Tree.Node node, Caller caller) {
+        if (allows(node.acl(), Perms.ADMIN, caller)) {
             return node.acl();
         }
         return node.acl().stream()
@@ -185,7 +200,7 @@
                 .toList();
     }
 
-    /** The id that a name with a password proves. */
+    /** Returns the id that {@code name:password} proves in the digest scheme. */
     static Id digest(byte[] nameAndPassword) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-1").digest(nameAndPassword);
@@ -196,16 +211,18 @@
         }
     }
 
-    /** A stat alone, of what {@code exists} asks. */
+    /** Returns a node's stat; no permission is required, as for {@code exists}. */
     static Stat stat(Tree tree, String path) throws KeeperException {
-        return at(tree, path).stat();
+        return existing(tree, path).stat();
     }
 
-    /** A node with which the asker may do one of these. */
-    static Tree.Node permitted(Tree tree, String path, int perms, Asker asker)
+    /**
+     * Returns a node for which the caller has at least one of the permissions; throws otherwise.
+     */
+    static Tree.Node permitted(Tree tree, String path, int perms, Caller caller)
             throws KeeperException {
-        Tree.Node node = at(tree, path);
-        if (!may(node.acl(), perms, asker)) {
+        Tree.Node node = existing(tree, path);
+        if (!allows(node.acl(), perms, caller)) {
             throw KeeperException.create(Code.NOAUTH, path);
         }
         return node;
--- a/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Tree.java
@@ -10,24 +10,26 @@
 import org.apache.zookeeper.data.ACL;
 import org.apache.zookeeper.data.Stat;
 
-/** What a coordination service holds at one point of its history. Pure. */
+/** The nodes and sessions after some prefix of the log. Free of I/O; not thread-safe. */
 final class Tree {
-    /** Told of what became of nodes. */
-    interface Told {
+    /** Receives the events of changed nodes, with the access control list that applies to each. */
+    interface NodeListener {
         void changed(EventType what, String path, List<ACL> acl);
     }
 
-    /** The place of a change in the history. */
+    /** The transaction and the time of a change. */
     record Stamp(long zxid, long unixMillis) {}
 
-    /** What one path holds. */
+    /** The data, access control list and children of one path. */
     static final class Node {
         private byte[] data;
         private List<ACL> acl;
         private final Stat stat;
         private final Set<String> children = new TreeSet<>();
 
-        /** As it holds these, with the stat's {@code cversion} counting children made. */
+        /**
+         * Creates a node; in the stored stat, {@code cversion} counts only the children created.
+         */
         private Node(byte[] data, List<ACL> acl, Stat stat) {
             this.data = data;
             this.acl = acl;
@@ -46,18 +48,18 @@
             return List.copyOf(children);
         }
 
-        /** How many children it ever had: the next sequential one's number. */
-        int made() {
+        /** The number of children ever created, which is the next sequence number. */
+        int childrenCreated() {
             return stat.getCversion();
         }
 
         Stat stat() {
-            Stat told = copy(stat);
-            // Each child made and each one gone counts.
-            told.setCversion(2 * stat.getCversion() - children.size());
-            told.setNumChildren(children.size());
-            told.setDataLength(data == null ? 0 : data.length);
-            return told;
+            Stat full = copy(stat);
+            // On the wire, cversion counts the children created and the children deleted.
+            full.setCversion(2 * stat.getCversion() - children.size());
+            full.setNumChildren(children.size());
+            full.setDataLength(data == null ? 0 : data.length);
+            return full;
         }
 
         private static Stat copy(Stat stat) {
@@ -66,8 +68,8 @@
             return copy;
         }
 
-        /** Brings back how its stat is now. */
-        private Runnable asItIs() {
+        /** Returns an action that restores the stat to its current value. */
+        private Runnable saveStat() {
             Stat before = copy(stat);
             return () -> stat.copyFrom(before);
         }
@@ -75,18 +77,18 @@
 
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<Long, Integer> sessions = new TreeMap<>();
-    private final Map<Long, Set<String>> owned = new HashMap<>();
+    private final Map<Long, Set<String>> ephemerals = new HashMap<>();
 
     Tree() {
-        nodes.put("/", new Node(new byte[0], Rules.OPEN, new Stat()));
+        nodes.put("/", new Node(new byte[0], Rules.OPEN_ACL, new Stat()));
     }
 
-    /** What a path holds; null if nothing. */
+    /** Returns the node at a path; null if there is none. */
     Node node(String path) {
         return nodes.get(path);
     }
 
-    /** The sessions that there are, and their time-outs. */
+    /** The open sessions with their time-outs in milliseconds. */
     Map<Long, Integer> sessions() {
         return sessions;
     }
@@ -96,36 +98,39 @@
         return slash <= 0 ? "/" : path.substring(0, slash);
     }
 
-    /** Does it and says so; returns what undoes a change of nodes, while nothing came after it. */
-    Runnable apply(Change change, Stamp at, Told told) {
-        if (change instanceof Change.Make make) {
-            return make(make, at, told);
-        } else if (change instanceof Change.Drop drop) {
-            return drop(drop.path(), at, told);
-        } else if (change instanceof Change.Write write) {
-            return write(write, at, told);
-        } else if (change instanceof Change.Guard guard) {
-            Node node = nodes.get(guard.path());
+    /**
+     * Applies a change and notifies the listener. Returns an action that undoes a change of nodes,
+     * provided that no later change is applied; changes of sessions are not undone.
+     */
+    Runnable apply(Change change, Stamp at, NodeListener listener) {
+        if (change instanceof Change.CreateNode create) {
+            return create(create, at, listener);
+        } else if (change instanceof Change.DeleteNode delete) {
+            return delete(delete.path(), at, listener);
+        } else if (change instanceof Change.SetData set) {
+            return setData(set, at, listener);
+        } else if (change instanceof Change.SetAcl set) {
+            Node node = nodes.get(set.path());
             List<ACL> before = node.acl;
-            Runnable stat = node.asItIs();
-            node.acl = guard.acl();
+            Runnable stat = node.saveStat();
+            node.acl = set.acl();
             node.stat.setAversion(node.stat.getAversion() + 1);
             return () -> {
                 node.acl = before;
                 stat.run();
             };
-        } else if (change instanceof Change.Begin begin) {
-            sessions.put(begin.session(), begin.timeout());
-        } else if (change instanceof Change.End end) {
-            sessions.remove(end.session());
-            for (String path : List.copyOf(owned.getOrDefault(end.session(), Set.of()))) {
-                drop(path, at, told);
+        } else if (change instanceof Change.OpenSession open) {
+            sessions.put(open.session(), open.timeout());
+        } else if (change instanceof Change.CloseSession close) {
+            sessions.remove(close.session());
+            for (String path : List.copyOf(ephemerals.getOrDefault(close.session(), Set.of()))) {
+                delete(path, at, listener);
             }
         }
         return () -> {};
     }
 
-    private Runnable make(Change.Make make, Stamp at, Told told) {
+    private Runnable create(Change.CreateNode create, Stamp at, NodeListener listener) {
         Stat stat =
                 new Stat(
                         at.zxid(),
@@ -135,47 +140,47 @@
                         0,
                         0,
                         0,
-                        make.owner(),
+                        create.owner(),
                         0,
                         0,
                         at.zxid());
-        String above = parent(make.path());
+        String above = parent(create.path());
         Node parent = nodes.get(above);
-        Runnable undo = parent.asItIs();
-        put(make.path(), new Node(make.data(), make.acl(), stat));
+        Runnable undo = parent.saveStat();
+        put(create.path(), new Node(create.data(), create.acl(), stat));
         parent.stat.setCversion(parent.stat.getCversion() + 1);
         parent.stat.setPzxid(at.zxid());
-        told.changed(EventType.NodeCreated, make.path(), make.acl());
-        told.changed(EventType.NodeChildrenChanged, above, parent.acl);
+        listener.changed(EventType.NodeCreated, create.path(), create.acl());
+        listener.changed(EventType.NodeChildrenChanged, above, parent.acl);
         return () -> {
-            take(make.path());
+            remove(create.path());
             undo.run();
         };
     }
 
-    private Runnable drop(String path, Stamp at, Told told) {
+    private Runnable delete(String path, Stamp at, NodeListener listener) {
         String above = parent(path);
         Node parent = nodes.get(above);
-        Runnable undo = parent.asItIs();
-        Node node = take(path);
+        Runnable undo = parent.saveStat();
+        Node node = remove(path);
         parent.stat.setPzxid(at.zxid());
-        told.changed(EventType.NodeDeleted, path, node.acl);
-        told.changed(EventType.NodeChildrenChanged, above, parent.acl);
+        listener.changed(EventType.NodeDeleted, path, node.acl);
+        listener.changed(EventType.NodeChildrenChanged, above, parent.acl);
         return () -> {
             put(path, node);
             undo.run();
         };
     }
 
-    private Runnable write(Change.Write write, Stamp at, Told told) {
-        Node node = nodes.get(write.path());
+    private Runnable setData(Change.SetData set, Stamp at, NodeListener listener) {
+        Node node = nodes.get(set.path());
         byte[] before = node.data;
-        Runnable undo = node.asItIs();
-        node.data = write.data();
+        Runnable undo = node.saveStat();
+        node.data = set.data();
         node.stat.setVersion(node.stat.getVersion() + 1);
         node.stat.setMzxid(at.zxid());
         node.stat.setMtime(at.unixMillis());
-        told.changed(EventType.NodeDataChanged, write.path(), node.acl);
+        listener.changed(EventType.NodeDataChanged, set.path(), node.acl);
         return () -> {
             node.data = before;
             undo.run();
@@ -187,17 +192,17 @@
         nodes.get(parent(path)).children.add(path.substring(path.lastIndexOf('/') + 1));
         long owner = node.stat.getEphemeralOwner();
         if (owner != 0) {
-            owned.computeIfAbsent(owner, any -> new TreeSet<>()).add(path);
+            ephemerals.computeIfAbsent(owner, any -> new TreeSet<>()).add(path);
         }
     }
 
-    private Node take(String path) {
+    private Node remove(String path) {
         Node node = nodes.remove(path);
         nodes.get(parent(path)).children.remove(path.substring(path.lastIndexOf('/') + 1));
         long owner = node.stat.getEphemeralOwner();
         if (owner != 0) {
-            owned.get(owner).remove(path);
-            owned.computeIfPresent(owner, (any, paths) -> paths.isEmpty() ? null : paths);
+            ephemerals.get(owner).remove(path);
+            ephemerals.computeIfPresent(owner, (any, paths) -> paths.isEmpty() ? null : paths);
         }
         return node;
     }
--- a/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/Watches.java
@@ -7,9 +7,9 @@
 import org.apache.zookeeper.Watcher.Event.EventType;
 import org.apache.zookeeper.Watcher.WatcherType;
 
-/** What one connection watches. Pure. */
+/** The watches of one connection. */
 final class Watches {
-    /** Kinds of watches: the first two end with what they tell. */
+    /** Kinds of watches. DATA and CHILDREN are removed when they fire; the others stay. */
     enum Kind {
         DATA,
         CHILDREN,
@@ -17,38 +17,41 @@
         RECURSIVE
     }
 
-    private final Map<Kind, Set<String>> held = new EnumMap<>(Kind.class);
+    private final Map<Kind, Set<String>> paths = new EnumMap<>(Kind.class);
 
     Watches() {
         for (Kind kind : Kind.values()) {
-            held.put(kind, new HashSet<>());
+            paths.put(kind, new HashSet<>());
         }
     }
 
     void add(Kind kind, String path) {
-        held.get(kind).add(path);
+        paths.get(kind).add(path);
     }
 
-    /** Whether this is to be told, once however many watches ask for it. */
-    boolean hit(EventType what, String path) {
-        boolean hit = held.get(Kind.PERSISTENT).contains(path);
+    /**
+     * Whether an event matches any watch, and so is sent once; removes the one-time watches that it
+     * fires.
+     */
+    boolean notifies(EventType what, String path) {
+        boolean found = paths.get(Kind.PERSISTENT).contains(path);
         if (what != EventType.NodeChildrenChanged) {
-            hit |= held.get(Kind.DATA).remove(path);
-            Set<String> above = held.get(Kind.RECURSIVE);
-            for (String at = path; !hit && !above.isEmpty(); at = Tree.parent(at)) {
-                hit = above.contains(at);
+            found |= paths.get(Kind.DATA).remove(path);
+            Set<String> above = paths.get(Kind.RECURSIVE);
+            for (String at = path; !found && !above.isEmpty(); at = Tree.parent(at)) {
+                found = above.contains(at);
                 if (at.equals("/")) {
                     break;
                 }
             }
         }
         if (what == EventType.NodeChildrenChanged || what == EventType.NodeDeleted) {
-            hit |= held.get(Kind.CHILDREN).remove(path);
+            found |= paths.get(Kind.CHILDREN).remove(path);
         }
-        return hit;
+        return found;
     }
 
-    /** Whether there are watches of this type on a path, which end if wanted. */
+    /** Whether there are watches of this type on a path; removes them if {@code end}. */
     boolean find(String path, WatcherType type, boolean end) {
         Set<Kind> kinds =
                 switch (type) {
@@ -60,7 +63,7 @@
                 };
         boolean found = false;
         for (Kind kind : kinds) {
-            found |= end ? held.get(kind).remove(path) : held.get(kind).contains(path);
+            found |= end ? paths.get(kind).remove(path) : paths.get(kind).contains(path);
         }
         return found;
     }
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -37,7 +37,7 @@
 import org.apache.zookeeper.proto.SetDataRequest;
 import org.junit.jupiter.api.Test;
 
-/** The ensemble without sockets, threads or clocks. */
+/** Tests the ensemble without sockets, threads or a real clock. */
 class EnsembleTest {
     private static final long MS = 1_000_000;
     private static final int TIMEOUT = 1000;
@@ -49,18 +49,19 @@
             new Ensemble(
                     CoordinationServer.Times.QUICK, new Ensemble.Time(() -> now, at -> at / MS), 3);
 
-    /** One client's end of a line, and what came over it. */
-    private final class Client implements MemberConnection.Line {
+    /** A client's end of a connection; records the frames that it receives. */
+    private final class Client implements MemberConnection.Transport {
         private final Member member;
-        private final MemberConnection visit = new MemberConnection(this);
+        private final MemberConnection connection = new MemberConnection(this);
         private final Queue<byte[]> answers = new ArrayDeque<>();
         private boolean closed;
         private int xid;
 
         Client(int number) {
             member = ensemble.members().get(number);
-            member.came(visit);
-            member.received(visit, body(new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false)));
+            member.opened(connection);
+            member.received(
+                    connection, body(new ConnectRequest(0, 0, TIMEOUT, 0, new byte[16], false)));
         }
 
         @Override
@@ -74,7 +75,7 @@
         }
 
         private void ask(int type, Record record) {
-            member.received(visit, body(new RequestHeader(++xid, type), record));
+            member.received(connection, body(new RequestHeader(++xid, type), record));
         }
 
         private ReplyHeader head() {
@@ -93,14 +94,14 @@
     }
 
     private static CreateRequest create(String path, CreateMode mode) {
-        return new CreateRequest(path, new byte[0], Rules.OPEN, mode.toFlag());
+        return new CreateRequest(path, new byte[0], Rules.OPEN_ACL, mode.toFlag());
     }
 
     private void start() {
         ensemble.members().forEach(each -> each.up(true));
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= TICK) {
             now += Math.min(left, TICK) * MS;
             ensemble.tick();
@@ -108,7 +109,7 @@
     }
 
     @Test
-    void aSessionEndsAfterItsTimeAndNotBefore() {
+    void sessionExpiresAfterItsTimeoutAndNotBefore() {
         start();
         Client client = new Client(0);
         assertEquals(
@@ -118,13 +119,13 @@
                         .getTimeOut());
         client.ask(OpCode.create, create(PATH, CreateMode.EPHEMERAL));
         assertEquals(0, client.head().getErr());
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertTrue(!client.closed);
         client.ask(OpCode.ping, null);
         assertEquals(0, client.head().getErr());
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertTrue(!client.closed);
-        pass(1);
+        advance(1);
         assertTrue(client.closed);
         Client other = new Client(1);
         other.answers.clear();
@@ -133,22 +134,24 @@
     }
 
     /**
-     * Guards against sessions that a stand-in ends which stood still itself, as on a busy machine.
+     * Guards against sessions that expire because the stand-in itself stalls, as on a busy machine:
+     * the clients' messages wait unread during the stall, and the next tick would count it as
+     * silence.
      */
     @Test
-    void itsOwnStandStillIsNobodysSilence() {
+    void ownStallDoesNotExpireSessions() {
         start();
-        pass(TICK);
+        advance(TICK);
         Client client = new Client(0);
         now += 5 * TIMEOUT * MS;
         ensemble.tick();
         assertTrue(!client.closed);
-        pass(TIMEOUT + 2 * TICK);
+        advance(TIMEOUT + 2 * TICK);
         assertTrue(client.closed);
     }
 
     @Test
-    void withoutAMajorityNobodyIsServedAndNoSessionEnds() {
+    void withoutAMajorityClientsAreDisconnectedAndSessionsDoNotExpire() {
         start();
         Client client = new Client(0);
         ensemble.members().get(1).up(false);
@@ -156,17 +159,17 @@
         ensemble.members().get(2).up(false);
         assertTrue(client.closed);
         assertTrue(new Client(0).closed);
-        pass(10 * TIMEOUT);
+        advance(10 * TIMEOUT);
         assertEquals(1, ensemble.sessions().size());
         ensemble.members().get(1).up(true);
-        pass(TIMEOUT);
+        advance(TIMEOUT);
         assertEquals(1, ensemble.sessions().size());
-        pass(1);
+        advance(1);
         assertEquals(0, ensemble.sessions().size());
     }
 
     @Test
-    void answersKeepTheirOrderBehindOneThatWaitsForItsMember() {
+    void responsesKeepTheirOrderBehindADeferredOne() {
         start();
         Client client = new Client(2);
         client.answers.clear();
@@ -174,18 +177,18 @@
         client.ask(OpCode.create, create(PATH, CreateMode.PERSISTENT));
         client.ask(OpCode.setData, new SetDataRequest(PATH, new byte[1], 0));
         client.ask(OpCode.exists, new ExistsRequest(PATH, false));
-        pass(299);
+        advance(299);
         assertNull(client.head());
-        pass(1);
+        advance(1);
         assertEquals(1, client.head().getXid());
-        assertNull(client.head(), "the second began when the first was answered");
-        pass(300);
+        assertNull(client.head(), "the second request starts after the first response");
+        advance(300);
         assertEquals(2, client.head().getXid());
         assertEquals(3, client.head().getXid());
     }
 
     @Test
-    void whatItHeldWhileItHungIsAnsweredInOrder() {
+    void requestsQueuedWhileHungAreAnsweredInOrder() {
         start();
         Client client = new Client(0);
         client.answers.clear();
@@ -204,7 +207,7 @@
     }
 
     @Test
-    void aMajorityThatForgotForgetsForAll() {
+    void majorityWithoutTheLogDiscardsIt() {
         start();
         Client client = new Client(0);
         client.ask(OpCode.create, create(PATH, CreateMode.PERSISTENT));
@@ -212,20 +215,20 @@
         ensemble.members().get(0).remembers(0);
         ensemble.members().get(1).remembers(0);
         ensemble.members().get(0).up(true);
-        assertTrue(!ensemble.has(ensemble.members().get(0)));
+        assertTrue(!ensemble.inQuorum(ensemble.members().get(0)));
         ensemble.members().get(1).up(true);
         ensemble.members().get(2).up(true);
-        assertEquals(0, ensemble.last());
+        assertEquals(0, ensemble.lastZxid());
         assertEquals(0, ensemble.members().get(2).applied());
         assertEquals(0, ensemble.sessions().size());
     }
 
-    /** Guards against a stand-in that can only be played on real sockets and real time. */
+    /** Guards against a stand-in that works only on real sockets and in real time. */
     @Test
-    void onTheSimulatedLoopItIsTheSame() throws Exception {
-        SeededRandom chance = new SeededRandom(1);
-        Simulation simulation = new Simulation(chance.stream("ties"));
-        Network network = new Network(simulation, chance.stream("network"));
+    void worksOnTheSimulatedLoop() throws Exception {
+        SeededRandom random = new SeededRandom(1);
+        Simulation simulation = new Simulation(random.stream("ties"));
+        Network network = new Network(simulation, random.stream("network"));
         SimLoop.Costs costs = new SimLoop.Costs(10_000, 2_000, 100);
         InetAddress there = InetAddress.getByAddress(new byte[] {10, 0, 0, 2});
         SimLoop client =
@@ -233,13 +236,13 @@
                         simulation,
                         network.host(
                                 "client", InetAddress.getByAddress(new byte[] {10, 0, 0, 1}), 100),
-                        chance.stream("client"),
+                        random.stream("client"),
                         costs);
         SimLoop server =
                 new SimLoop(
                         simulation,
                         network.host("server", there, 100),
-                        chance.stream("server"),
+                        random.stream("server"),
                         costs);
         Ensemble simulated =
                 new Ensemble(
@@ -270,7 +273,8 @@
                                         new ChannelInitializer<SimChannel>() {
                                             @Override
                                             protected void initChannel(SimChannel each) {
-                                                each.pipeline().addLast(new Frames(), recorder);
+                                                each.pipeline()
+                                                        .addLast(new FrameDecoder(), recorder);
                                             }
                                         })
                                 .connect(new InetSocketAddress(there, 2181))
@@ -292,7 +296,7 @@
             simulated.tick();
         }
         assertTrue(!channel.isOpen());
-        assertEquals(3, simulated.last());
+        assertEquals(3, simulated.lastZxid());
         assertEquals(List.of(), server.escaped());
         client.die();
         server.die();
