--- a/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
+++ b/testbed/src/main/java/appleridge/testbed/campaign/SimSidecar.java
@@ -135,11 +135,11 @@
     }
 
     private void end() {
-        for (Throwable each : loop.escaped()) {
+        for (Throwable each : loop.uncaughtExceptions()) {
             escaped.add(String.valueOf(each));
         }
-        if (loop.trespass() != null) {
-            escaped.add(String.valueOf(loop.trespass()));
+        if (loop.foreignThreadCall() != null) {
+            escaped.add(String.valueOf(loop.foreignThreadCall()));
         }
         loop.die();
     }
@@ -166,7 +166,9 @@
 
     /** Whiles in which the loop of the present process was busy throughout. */
     List<Span> busy() {
-        return loop.busy().stream().map(each -> new Span(each.from(), each.until())).toList();
+        return loop.busyPeriods().stream()
+                .map(each -> new Span(each.from(), each.until()))
+                .toList();
     }
 
     /** Whether a process runs and has begun. */
@@ -178,7 +180,7 @@
     ResourceCounts books() {
         List<String> failures = new ArrayList<>(escaped);
         if (!loop.isDead()) {
-            loop.escaped().forEach(each -> failures.add(String.valueOf(each)));
+            loop.uncaughtExceptions().forEach(each -> failures.add(String.valueOf(each)));
         }
         appleridge.request.InFlightCounts own = node.inFlightCounts();
         return new ResourceCounts(
--- a/testbed/src/main/java/appleridge/testbed/demo/Faults.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Faults.java
@@ -74,7 +74,7 @@
                     when,
                     () -> {
                         mention("bad clients");
-                        site.badClients.strike();
+                        site.badClients.sendAll();
                     });
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RequestStates.java
@@ -206,7 +206,7 @@
 
     @Override
     public void written(SimSocket by, byte[] bytes, int offset, int length) {
-        if (by.isListenersEnd()) {
+        if (by.isServerEnd()) {
             if (sidecars.containsKey(by.host().name())) {
                 sidecarWritesToClient(by, bytes, offset, length);
             } else {
@@ -356,7 +356,7 @@
     @Override
     public void ended(SimSocket socket, String how) {
         ClientConnection connection =
-                socket.isListenersEnd() ? null : clientConnections.get(socket.id());
+                socket.isServerEnd() ? null : clientConnections.get(socket.id());
         if (connection == null) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
@@ -30,8 +30,8 @@
         this.target = target;
         network = client.host().network();
         simulation = network.simulation();
-        there = network.weather(client.host(), target);
-        back = network.weather(target, client.host());
+        there = network.conditions(client.host(), target);
+        back = network.conditions(target, client.host());
     }
 
     static void begin(SimSocket client, Host target) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Host.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Host.java
@@ -143,7 +143,7 @@
      * The machine speaks again and knows nothing of its old connections; listeners are as they
      * were.
      */
-    public void back() {
+    public void reappear() {
         if (!vanished) {
             return;
         }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Network.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Network.java
@@ -44,7 +44,7 @@
     }
 
     /** Of what goes from the one to the other; what follows is subject to it. */
-    public NetworkConditions weather(Host from, Host to) {
+    public NetworkConditions conditions(Host from, Host to) {
         List<NetworkConditions> row = weathers.get(from.index());
         while (row.size() <= to.index()) {
             row.add(null);
--- a/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
@@ -57,8 +57,8 @@
         Network network = from.host().network();
         simulation = network.simulation();
         chance = network.chance();
-        there = network.weather(from.host(), to.host());
-        back = network.weather(to.host(), from.host());
+        there = network.conditions(from.host(), to.host());
+        back = network.conditions(to.host(), from.host());
         sendLimit = Math.max(1, there.sendBuffer);
         receiveLimit = Math.max(1, there.receiveBuffer);
         window = receiveLimit;
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -34,7 +34,7 @@
  */
 public final class SimLoop extends SteppedExecutor {
     /** Shorter whiles of being busy are not kept. */
-    public static final long NOTED = 10_000_000;
+    public static final long MIN_BUSY_PERIOD = 10_000_000;
 
     private static final int SCRATCH = 64 * 1024;
     private static final int ORIGIN = 1_000_000_000;
@@ -49,7 +49,7 @@
     public record Costs(long task, long read, long clock) {}
 
     /** A while in which there was always something to do. */
-    public record Busy(long from, long until) {}
+    public record BusyPeriod(long from, long until) {}
 
     private final Simulation simulation;
     private final Host host;
@@ -64,7 +64,7 @@
     private final Heap<SimTimer.Entry> timers = new Heap<>();
     private final List<SimIo> ready = new ArrayList<>();
     private final Set<Channel> channels = new LinkedHashSet<>();
-    private final List<Throwable> escaped = new ArrayList<>();
+    private final List<Throwable> uncaughtExceptions = new ArrayList<>();
     private final Promise<Void> termination = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
     private final Runnable turning = this::turn;
     private final Ticker ticker;
@@ -75,14 +75,14 @@
     /** Since when there was always something to do, up to {@link #freeAt}. */
     private long busySince;
 
-    private final List<Busy> busy = new ArrayList<>();
+    private final List<BusyPeriod> busy = new ArrayList<>();
     private long spent;
     private long serials;
     private long channelNumbers;
     private boolean running;
     private boolean dead;
     private boolean shuttingDown;
-    private volatile Throwable trespass;
+    private volatile Throwable foreignThreadCall;
 
     /** Belongs to the thread that makes it, as the whole simulation does. */
     public SimLoop(Simulation simulation, Host host, SeededRandom chance, Costs costs) {
@@ -185,13 +185,13 @@
     }
 
     /** What was thrown out of tasks, timers and channels; a real loop logs it and goes on. */
-    public List<Throwable> escaped() {
-        return escaped;
+    public List<Throwable> uncaughtExceptions() {
+        return uncaughtExceptions;
     }
 
     /** Who came last from a thread that is not this loop's; null if nobody did. */
-    public Throwable trespass() {
-        return trespass;
+    public Throwable foreignThreadCall() {
+        return foreignThreadCall;
     }
 
     /** The process's own present, in the simulation's time. */
@@ -205,22 +205,22 @@
     }
 
     /**
-     * Whiles, no shorter than {@link #NOTED}, in which it was busy throughout, in their order; the
-     * last may go on yet. To stand still is not to be busy.
+     * Periods of at least {@link #MIN_BUSY_PERIOD} in which the loop was busy throughout, in order;
+     * the last one may still be going on. A pause does not count as busy.
      */
-    public List<Busy> busy() {
-        if (freeAt - busySince < NOTED) {
+    public List<BusyPeriod> busyPeriods() {
+        if (freeAt - busySince < MIN_BUSY_PERIOD) {
             return busy;
         }
-        List<Busy> all = new ArrayList<>(busy);
-        all.add(new Busy(busySince, freeAt));
+        List<BusyPeriod> all = new ArrayList<>(busy);
+        all.add(new BusyPeriod(busySince, freeAt));
         return all;
     }
 
     /** What it was busy with is done. */
     private void idle() {
-        if (freeAt - busySince >= NOTED) {
-            busy.add(new Busy(busySince, freeAt));
+        if (freeAt - busySince >= MIN_BUSY_PERIOD) {
+            busy.add(new BusyPeriod(busySince, freeAt));
         }
     }
 
@@ -258,7 +258,7 @@
                     tasks.poll().run();
                 }
             } catch (Throwable e) {
-                escaped.add(e);
+                uncaughtExceptions.add(e);
             }
             running = false;
             freeAt = Math.max(freeAt, now + spent + cost - before);
@@ -411,10 +411,10 @@
 
     private void checkThread() {
         if (Thread.currentThread() != thread) {
-            trespass =
+            foreignThreadCall =
                     new IllegalStateException(
                             "a second thread: " + Thread.currentThread().getName());
-            throw new IllegalStateException(trespass);
+            throw new IllegalStateException(foreignThreadCall);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
@@ -198,7 +198,7 @@
             failure = new IOException("Connection reset");
             gone = true;
             in.discard();
-            out.reset(network.chance().hits(network.weather(host, peerHost).resetDiscards));
+            out.reset(network.chance().hits(network.conditions(host, peerHost).resetDiscards));
         }
         leave("reset");
     }
@@ -222,7 +222,7 @@
     }
 
     /** Whether a process took this end from a listener or is to. */
-    public boolean isListenersEnd() {
+    public boolean isServerEnd() {
         return listener != null;
     }
 
@@ -329,7 +329,7 @@
     }
 
     /** How many of the bytes written have left this end. */
-    public long bytesLeft() {
+    public long bytesTransmitted() {
         return out == null ? 0 : out.left();
     }
 
@@ -465,7 +465,7 @@
             return;
         }
         out.kill();
-        breakOff(network.chance().hits(network.weather(peerHost, host).resetDiscards));
+        breakOff(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
         network.simulation().after(0, this::tell);
     }
 
@@ -492,7 +492,7 @@
         } else if (!gone) {
             out.kill();
             in.kill();
-            breakOff(network.chance().hits(network.weather(peerHost, host).resetDiscards));
+            breakOff(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
             network.simulation().after(0, this::tell);
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -42,7 +42,7 @@
 
     /** To be called when the links of all others are made. */
     void narrow(ProcessSlot seat) {
-        NetworkConditions back = day.network.weather(seat.host(), mute);
+        NetworkConditions back = day.network.conditions(seat.host(), mute);
         back.receiveBuffer = SMALL_BUFFER;
         back.sendBuffer = SMALL_BUFFER;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -77,10 +77,10 @@
      * can't be cut.
      */
     private void cutRequest(Fault fault, ObservedRequest request, SimSocket near) {
-        int unsent = (int) (near.bytesWritten() - near.bytesLeft());
+        int unsent = (int) (near.bytesWritten() - near.bytesTransmitted());
         long bytes = fault.value(FaultParameter.BYTES);
         if (unsent > 0) {
-            cutAt(fault, near, near.bytesLeft() + bytes % unsent, near);
+            cutAt(fault, near, near.bytesTransmitted() + bytes % unsent, near);
         } else if (!near.isEstablished()) {
             cutAt(fault, near, bytes % SHORTEST, near);
         } else {
@@ -102,13 +102,13 @@
         if (far == null) {
             return;
         }
-        int unsent = (int) (far.bytesWritten() - far.bytesLeft());
+        int unsent = (int) (far.bytesWritten() - far.bytesTransmitted());
         long bytes = fault.value(FaultParameter.BYTES);
         cutAt(
                 fault,
                 far,
                 unsent > 0
-                        ? far.bytesLeft() + bytes % unsent
+                        ? far.bytesTransmitted() + bytes % unsent
                         : far.bytesWritten() + (begun ? 0 : bytes % SHORTEST),
                 near);
     }
@@ -121,7 +121,7 @@
                 () -> {
                     ObservedRequest met = states.onConnection(end);
                     if (met != null) {
-                        tell(fault, met, end.isListenersEnd() ? met.server() : met.sidecar());
+                        tell(fault, met, end.isServerEnd() ? met.server() : met.sidecar());
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -58,7 +58,7 @@
                                 ? 1
                                 : -SMALLEST_PIECE - chance.nextInt(LARGEST_PIECE);
         for (NetworkConditions each :
-                List.of(network.weather(one, other), network.weather(other, one))) {
+                List.of(network.conditions(one, other), network.conditions(other, one))) {
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
             each.jitter = (long) (each.delay * day.plan.part(ScenarioParameter.JITTER));
             each.segment = segment;
@@ -92,7 +92,7 @@
 
     /** Changes what goes from one host to another, for a while. */
     void change(Host from, Host to, long duration, Consumer<NetworkConditions> how) {
-        NetworkConditions weather = network.weather(from, to);
+        NetworkConditions weather = network.conditions(from, to);
         how.accept(weather);
         day.after(duration, () -> restore(weather));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -155,7 +155,7 @@
         day.after(
                 away,
                 () -> {
-                    host.back();
+                    host.reappear();
                     if (seen && server == hidden && !hidden.isDraining()) {
                         fleet.instances()
                                 .change(
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -319,7 +319,7 @@
     /** Its machine says nothing for a while. */
     void silent(long duration) {
         host.vanish();
-        day.after(duration, host::back);
+        day.after(duration, host::reappear);
     }
 
     void hang(long duration) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
@@ -35,7 +35,7 @@
     /** Whether what is written here now can reach the sidecar: else nothing is told by it. */
     boolean isHeard() {
         return !socket.host().isVanished()
-                && !day.network.weather(socket.host(), socket.peerHost()).blackHole;
+                && !day.network.conditions(socket.host(), socket.peerHost()).blackHole;
     }
 
     void calls(Registry.Call call) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -298,7 +298,7 @@
 
     /** Whether so many bytes reach the other end in one piece. */
     boolean carriesAtOnce(int bytes) {
-        NetworkConditions weather = day.network.weather(socket.host(), socket.peerHost());
+        NetworkConditions weather = day.network.conditions(socket.host(), socket.peerHost());
         return bytes <= ONE_SEGMENT
                 && weather.segment == 0
                 && weather.bytesPerSecond == 0
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -137,7 +137,7 @@
                 SETTLE,
                 () -> {
                     for (Machine each : fleet.machines()) {
-                        NetworkConditions way = day.network.weather(each.host(), seat.host());
+                        NetworkConditions way = day.network.conditions(each.host(), seat.host());
                         boolean quick =
                                 way.delay + way.jitter < duration / 4
                                         && way.lossDelayProbability == 0
--- a/testbed/src/main/java/appleridge/testbed/simulation/World.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/World.java
@@ -307,7 +307,7 @@
     public int clientsOf(String sidecar) {
         int clients = 0;
         for (SimSocket each : network.sockets(sidecarHost(sidecar))) {
-            clients += each.isListenersEnd() ? 1 : 0;
+            clients += each.isServerEnd() ? 1 : 0;
         }
         return clients;
     }
@@ -319,7 +319,7 @@
             boolean discovery =
                     this.discovery.addresses().stream()
                             .anyMatch(registry -> registry.host() == each.peerHost());
-            upstreams += each.isListenersEnd() || discovery ? 0 : 1;
+            upstreams += each.isServerEnd() || discovery ? 0 : 1;
         }
         return upstreams;
     }
--- a/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
@@ -62,7 +62,7 @@
     }
 
     /** One of each kind connects and sends. */
-    public void strike() {
+    public void sendAll() {
         lines.forEach(this::connect);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -293,7 +293,7 @@
         }
         assertTrue(!channel.isOpen());
         assertEquals(3, simulated.last());
-        assertEquals(List.of(), server.escaped());
+        assertEquals(List.of(), server.uncaughtExceptions());
         client.die();
         server.die();
     }
--- a/testbed/src/test/java/appleridge/testbed/simnet/ChannelTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/ChannelTest.java
@@ -29,8 +29,8 @@
 
     @AfterEach
     void nothingEscaped() {
-        assertEquals(List.of(), site.client.escaped());
-        assertEquals(List.of(), site.server.escaped());
+        assertEquals(List.of(), site.client.uncaughtExceptions());
+        assertEquals(List.of(), site.server.uncaughtExceptions());
         site.end();
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
@@ -45,7 +45,7 @@
                 });
         world.run(5 * World.SECOND);
         assertTrue(site.answers > 0);
-        assertEquals(List.of(), site.server.escaped());
+        assertEquals(List.of(), site.server.uncaughtExceptions());
         assertEquals(List.of(), site.heard);
         site.end();
         return world.simulation.digest();
--- a/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
@@ -202,7 +202,7 @@
         World.write(client, "into the dark");
         world.run(World.SECOND);
         assertFalse(client.isReset());
-        world.b.back();
+        world.b.reappear();
         world.run(World.SECOND);
         assertTrue(client.isReset());
         assertTrue(server.isReset());
@@ -215,7 +215,7 @@
     void anIdleConnectionHearsOnlyWhenItSpeaks() throws IOException {
         world.b.vanish();
         world.run(World.SECOND);
-        world.b.back();
+        world.b.reappear();
         world.run(World.SECOND);
         assertFalse(client.isReset());
         World.write(client, "hello");
@@ -283,7 +283,7 @@
         World.write(client, "abc");
         world.run(MS);
         assertEquals(List.of(), told);
-        assertEquals(3, client.bytesLeft());
+        assertEquals(3, client.bytesTransmitted());
         World.write(client, "d");
         assertEquals(List.of("broke"), told);
     }
--- a/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
@@ -83,9 +83,15 @@
         }
         loaded.schedule(() -> loaded.pause(9 * MS), 20, TimeUnit.MILLISECONDS);
         world.run(5 * MS);
-        assertEquals(List.of(new SimLoop.Busy(0, 10 * MS)), loaded.busy(), "as far as it is known");
+        assertEquals(
+                List.of(new SimLoop.BusyPeriod(0, 10 * MS)),
+                loaded.busyPeriods(),
+                "as far as it is known");
         world.run(35 * MS);
-        assertEquals(List.of(new SimLoop.Busy(0, 15 * MS)), loaded.busy(), "another is too short");
+        assertEquals(
+                List.of(new SimLoop.BusyPeriod(0, 15 * MS)),
+                loaded.busyPeriods(),
+                "another is too short");
     }
 
     @Test
@@ -97,8 +103,10 @@
         loop.execute(() -> loop.pause(11 * MS));
         world.run(300 * MS);
         assertEquals(
-                List.of(new SimLoop.Busy(MS, 13 * MS), new SimLoop.Busy(151 * MS, 162 * MS)),
-                loop.busy());
+                List.of(
+                        new SimLoop.BusyPeriod(MS, 13 * MS),
+                        new SimLoop.BusyPeriod(151 * MS, 162 * MS)),
+                loop.busyPeriods());
     }
 
     @Test
@@ -149,7 +157,7 @@
         world.run(5 * MS);
         assertEquals(
                 List.of("task", "timer"),
-                loop.escaped().stream().map(Throwable::getMessage).toList());
+                loop.uncaughtExceptions().stream().map(Throwable::getMessage).toList());
         assertEquals("timer", timer.cause().getMessage());
         assertEquals(List.of("2 goes on"), done);
     }
@@ -181,7 +189,7 @@
         other.start();
         other.join();
         assertEquals(0, loop.pendingTasks());
-        assertTrue(loop.trespass().getMessage().startsWith("a second thread"));
+        assertTrue(loop.foreignThreadCall().getMessage().startsWith("a second thread"));
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/simnet/World.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/World.java
@@ -38,11 +38,11 @@
     }
 
     NetworkConditions there() {
-        return network.weather(a, b);
+        return network.conditions(a, b);
     }
 
     NetworkConditions back() {
-        return network.weather(b, a);
+        return network.conditions(b, a);
     }
 
     void run(long nanos) {
--- a/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/Stage.java
@@ -87,7 +87,7 @@
 
     /** What discovery says takes so long. */
     void slowFromDiscovery(long delay) {
-        network.weather(registry.host(), sidecar).delay = delay;
+        network.conditions(registry.host(), sidecar).delay = delay;
     }
 
     Line connect(InetSocketAddress to) {
