--- a/testbed/src/main/java/appleridge/testbed/simnet/ByteRing.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/ByteRing.java
@@ -1,8 +1,8 @@
 package appleridge.testbed.simnet;
 
 /**
- * Bytes by their position in a stream, from the first one kept to the last one put in; grows as
- * needed.
+ * A growable ring buffer over a byte stream. Positions count from the start of the stream; the ring
+ * holds the bytes from {@link #start} (inclusive) to {@link #end} (exclusive).
  */
 final class ByteRing {
     private static final int FIRST = 512;
@@ -36,7 +36,7 @@
         start += length;
     }
 
-    /** Holds nothing any more. */
+    /** Drops all bytes held; {@link #start} moves to {@link #end}. */
     void clear() {
         bytes = new byte[0];
         start = end;
--- a/testbed/src/main/java/appleridge/testbed/simnet/DuplexBase.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/DuplexBase.java
@@ -8,7 +8,7 @@
 import io.netty.channel.socket.DuplexChannel;
 import java.nio.channels.ClosedChannelException;
 
-/** The two halves of a connection, each of which can be shut by itself. */
+/** A duplex channel whose input and output can be shut down separately. */
 abstract class DuplexBase extends AbstractChannel implements DuplexChannel {
     private boolean inputShut;
     private boolean outputShut;
@@ -17,7 +17,7 @@
         super(parent, id);
     }
 
-    /** Null as long as it does not connect. */
+    /** Null before the first connect. */
     public abstract SimSocket socket();
 
     final boolean isInputShut() {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Gathered.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/GatheringCopier.java
@@ -3,12 +3,12 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelOutboundBuffer;
 
-/** Copies flushed messages one behind the other, as far as there is room. */
-final class Gathered implements ChannelOutboundBuffer.MessageProcessor {
+/** Copies flushed messages one after the other into an array until the array is full. */
+final class GatheringCopier implements ChannelOutboundBuffer.MessageProcessor {
     private final byte[] bytes;
     private int length;
 
-    Gathered(byte[] bytes) {
+    GatheringCopier(byte[] bytes) {
         this.bytes = bytes;
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
@@ -6,42 +6,42 @@
 import java.net.NoRouteToHostException;
 
 /**
- * A connect under way: its first word is said again after 1, 3, 7 ... seconds until something
- * answers.
+ * A connect in progress. The SYN is sent again after 1, 3, 7 ... seconds until the target accepts
+ * or refuses it, or the attempts are used up.
  */
 final class Handshake {
     private static final long SECOND = 1_000_000_000L;
     private static final long NO_ROUTE = 3 * SECOND;
-    private static final int TRIES = 7;
+    private static final int MAX_ATTEMPTS = 7;
 
     private final Network network;
     private final Simulation simulation;
     private final SimSocket client;
     private final Host target;
-    private final NetworkConditions there;
-    private final NetworkConditions back;
+    private final NetworkConditions forward;
+    private final NetworkConditions reverse;
     private SimSocket server;
     private SimListener listener;
     private Simulation.Event retry;
-    private int tries;
+    private int attempts;
 
     Handshake(SimSocket client, Host target) {
         this.client = client;
         this.target = target;
         network = client.host().network();
         simulation = network.simulation();
-        there = network.conditions(client.host(), target);
-        back = network.conditions(target, client.host());
+        forward = network.conditions(client.host(), target);
+        reverse = network.conditions(target, client.host());
     }
 
     static void begin(SimSocket client, Host target) {
         Handshake handshake = new Handshake(client, target);
         client.onAbandoned(handshake::abandon);
-        handshake.call(client.host().localNow());
+        handshake.sendSyn(client.host().localNow());
     }
 
-    /** There is no machine at that address. */
-    static void lost(SimSocket client) {
+    /** Fails a connect to an address that no machine has, after {@link #NO_ROUTE}. */
+    static void failUnroutable(SimSocket client) {
         Simulation simulation = client.host().network().simulation();
         Simulation.Event end =
                 simulation.after(
@@ -53,14 +53,14 @@
         client.onAbandoned(end::cancel);
     }
 
-    private void call(long when) {
-        if (tries == TRIES) {
+    private void sendSyn(long when) {
+        if (attempts == MAX_ATTEMPTS) {
             client.fail(new ConnectException("Connection timed out: " + client.remote()));
             return;
         }
-        simulation.at(when + there.travel(network.chance()), this::called);
-        long wait = SECOND << tries++;
-        retry = simulation.at(when + wait, () -> call(simulation.now()));
+        simulation.at(when + forward.travel(network.chance()), this::onSyn);
+        long wait = SECOND << attempts++;
+        retry = simulation.at(when + wait, () -> sendSyn(simulation.now()));
     }
 
     private void abandon() {
@@ -69,18 +69,18 @@
         }
     }
 
-    private boolean isDark() {
+    private boolean isCutOff() {
         return client.host().isVanished() || target.isVanished();
     }
 
-    private void called() {
-        if (!isWaiting() || isDark() || there.blackHole || there.silentConnect) {
+    private void onSyn() {
+        if (!isWaiting() || isCutOff() || forward.blackHole || forward.silentConnect) {
             return;
         }
         InetSocketAddress to = client.remote();
-        SimListener found = there.refuse ? null : network.listener(to, target);
+        SimListener found = forward.refuse ? null : network.listener(to, target);
         if (found == null) {
-            answer(this::refused);
+            reply(this::onRefused);
         } else if (!found.isFull()) {
             if (server == null || server.isForgotten() || found != listener) {
                 listener = found;
@@ -89,16 +89,16 @@
                                 target, client.host(), to, client.local(), client.id(), found);
                 SimSocket.join(client, server);
             }
-            answer(this::welcomed);
+            reply(this::onAccepted);
         }
     }
 
-    private void answer(Runnable heard) {
+    private void reply(Runnable action) {
         simulation.after(
-                back.travel(network.chance()),
+                reverse.travel(network.chance()),
                 () -> {
-                    if (isWaiting() && !isDark() && !back.blackHole) {
-                        heard.run();
+                    if (isWaiting() && !isCutOff() && !reverse.blackHole) {
+                        action.run();
                     }
                 });
     }
@@ -107,12 +107,12 @@
         return client.isOpen() && !client.isEstablished() && !client.isMute();
     }
 
-    private void refused() {
+    private void onRefused() {
         IOException why = new ConnectException("Connection refused: " + client.remote());
         client.fail(why);
     }
 
-    private void welcomed() {
+    private void onAccepted() {
         retry.cancel();
         client.establish();
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Heap.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Heap.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** What is planned, the first on top; what is taken back leaves at once. */
-final class Heap<T extends Planned> {
-    private Planned[] planned = new Planned[64];
+/** A binary heap ordered by due time. Entries can be removed from any position. */
+final class Heap<T extends HeapEntry> {
+    private HeapEntry[] entries = new HeapEntry[64];
     private int size;
 
     int size() {
@@ -15,29 +15,29 @@
         return size == 0;
     }
 
-    /** Null if there is none. */
+    /** The entry that is due first; null if the heap is empty. */
     @SuppressWarnings("unchecked")
     T first() {
-        return (T) planned[0];
+        return (T) entries[0];
     }
 
-    void add(T one) {
-        if (size == planned.length) {
-            planned = Arrays.copyOf(planned, 2 * size);
+    void add(T entry) {
+        if (size == entries.length) {
+            entries = Arrays.copyOf(entries, 2 * size);
         }
-        rise(size++, one);
+        rise(size++, entry);
     }
 
-    void remove(T one) {
-        int at = one.index();
+    void remove(T entry) {
+        int at = entry.index();
         if (at < 0) {
             return;
         }
-        one.index(-1);
-        Planned last = planned[--size];
-        planned[size] = null;
-        if (last != one) {
-            if (at > 0 && last.before(planned[(at - 1) >>> 1])) {
+        entry.index(-1);
+        HeapEntry last = entries[--size];
+        entries[size] = null;
+        if (last != entry) {
+            if (at > 0 && last.before(entries[(at - 1) >>> 1])) {
                 rise(at, last);
             } else {
                 sink(at, last);
@@ -47,42 +47,42 @@
 
     void clear() {
         for (int i = 0; i < size; i++) {
-            planned[i].index(-1);
-            planned[i] = null;
+            entries[i].index(-1);
+            entries[i] = null;
         }
         size = 0;
     }
 
-    private void rise(int from, Planned one) {
+    private void rise(int from, HeapEntry entry) {
         int at = from;
         while (at > 0) {
             int parent = (at - 1) >>> 1;
-            if (!one.before(planned[parent])) {
+            if (!entry.before(entries[parent])) {
                 break;
             }
-            put(at, planned[parent]);
+            put(at, entries[parent]);
             at = parent;
         }
-        put(at, one);
+        put(at, entry);
     }
 
-    private void sink(int from, Planned one) {
+    private void sink(int from, HeapEntry entry) {
         int at = from;
         for (int child = 2 * at + 1; child < size; child = 2 * at + 1) {
-            if (child + 1 < size && planned[child + 1].before(planned[child])) {
+            if (child + 1 < size && entries[child + 1].before(entries[child])) {
                 child++;
             }
-            if (!planned[child].before(one)) {
+            if (!entries[child].before(entry)) {
                 break;
             }
-            put(at, planned[child]);
+            put(at, entries[child]);
             at = child;
         }
-        put(at, one);
+        put(at, entry);
     }
 
-    private void put(int at, Planned one) {
-        planned[at] = one;
-        one.index(at);
+    private void put(int at, HeapEntry entry) {
+        entries[at] = entry;
+        entry.index(at);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Planned.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/HeapEntry.java
@@ -1,15 +1,17 @@
 package appleridge.testbed.simnet;
 
-/** Something with a moment; what has the same one is ordered by a drawn tie. */
-abstract class Planned {
+/**
+ * A heap entry with a due time; entries due at the same time are ordered by a random tie-breaker.
+ */
+abstract class HeapEntry {
     private final long tie;
     private final long serial;
     private long when;
 
-    /** Where its heap has it; -1: nowhere. */
+    /** The position in the heap; -1 if not in a heap. */
     private int index = -1;
 
-    Planned(long when, long tie, long serial) {
+    HeapEntry(long when, long tie, long serial) {
         this.when = when;
         this.tie = tie;
         this.serial = serial;
@@ -19,7 +21,7 @@
         return when;
     }
 
-    /** Only while no heap has it. */
+    /** Sets the due time; allowed only while the entry is in no heap. */
     final void due(long then) {
         when = then;
     }
@@ -36,7 +38,7 @@
         index = at;
     }
 
-    final boolean before(Planned other) {
+    final boolean before(HeapEntry other) {
         if (when != other.when) {
             return when < other.when;
         }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Host.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Host.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A process on a machine of its own, as the network sees it. Several may share an address. */
+/** A process on its own machine, as the network sees it. Several hosts may share an address. */
 public final class Host {
     private static final int FIRST_PORT = 32_768;
     private static final int PORTS = 28_232;
@@ -49,15 +49,15 @@
     }
 
     /**
-     * Port 0 takes a free one. Throws if it is taken or descriptors are out. A dead process lives
-     * again.
+     * Opens a listener; port 0 picks a free port. Throws if the port is in use or no descriptor is
+     * left. A dead process is alive again afterwards.
      */
     public SimListener listen(InetSocketAddress at, int backlog) throws IOException {
         checkDescriptors();
         return open(at, backlog);
     }
 
-    /** Listens without asking for a descriptor. */
+    /** Opens a listener without checking the descriptor limit. */
     SimListener open(InetSocketAddress at, int backlog) throws IOException {
         InetSocketAddress own =
                 new InetSocketAddress(address, at.getPort() == 0 ? port() : at.getPort());
@@ -70,13 +70,16 @@
         return listener;
     }
 
-    /** Throws if out of descriptors; all else is told to `events`. A dead process lives again. */
+    /**
+     * Opens a connection. Throws if no descriptor is left; every other outcome is reported to
+     * `events`. A dead process is alive again afterwards.
+     */
     public SimSocket connect(InetSocketAddress to, SimSocket.Events events) throws IOException {
         checkDescriptors();
         return open(to, events);
     }
 
-    /** Connects without asking for a descriptor. */
+    /** Opens a connection without checking the descriptor limit. */
     SimSocket open(InetSocketAddress to, SimSocket.Events events) {
         alive = true;
         Host target = network.route(this, to);
@@ -95,30 +98,32 @@
             return socket;
         }
         if (target == null) {
-            Handshake.lost(socket);
+            Handshake.failUnroutable(socket);
         } else {
             Handshake.begin(socket, target);
         }
         return socket;
     }
 
-    /** Open files: listeners, and sockets connecting, connected or not yet closed. */
+    /**
+     * Open descriptors: listeners, and sockets that are connecting, connected or not yet closed.
+     */
     public int descriptors() {
         return reserved + listeners.size() + sockets.size();
     }
 
-    /** Whether nothing can be opened or accepted now. */
+    /** Whether the descriptor limit is reached, so that nothing can be opened or accepted. */
     public boolean isFull() {
         return descriptors() >= maxDescriptors;
     }
 
-    public void maxDescriptors(int most) {
-        maxDescriptors = most;
+    public void maxDescriptors(int limit) {
+        maxDescriptors = limit;
     }
 
     /**
-     * The process ends: every connection is reset and listeners closed; peers hear of it after the
-     * delay.
+     * Ends the process: listeners are closed and every connection is reset. Peers receive the
+     * resets after the network delay.
      */
     public void die() {
         alive = false;
@@ -132,16 +137,16 @@
     }
 
     /**
-     * The machine says nothing any more, and hears nothing. Its process goes on unless it is ended
-     * too.
+     * Cuts the machine off: it sends and receives nothing. Its process keeps running unless it is
+     * ended as well.
      */
     public void vanish() {
         vanished = true;
     }
 
     /**
-     * The machine speaks again and knows nothing of its old connections; listeners are as they
-     * were.
+     * Reconnects a machine that had vanished. It has lost its connections and backlogs; its
+     * listeners stay open.
      */
     public void reappear() {
         if (!vanished) {
@@ -166,13 +171,14 @@
     }
 
     /**
-     * This process's own present: ahead of the simulation's while it is in the middle of a task.
+     * The local time of this process, in nanoseconds: ahead of the simulation's time while a task
+     * is running.
      */
     public long localNow() {
         return network.simulation().now() + ahead;
     }
 
-    /** Set by who runs the process's tasks. */
+    /** Sets how far local time is ahead of the simulation's; called by the process's event loop. */
     void ahead(long nanos) {
         ahead = nanos;
     }
@@ -181,7 +187,7 @@
         return index;
     }
 
-    /** Grows when the machine has lost its connections. */
+    /** Incremented each time the machine loses its connections. */
     int epoch() {
         return epoch;
     }
@@ -200,7 +206,7 @@
         }
     }
 
-    /** A descriptor for a socket that neither listens nor connects so far. */
+    /** Takes a descriptor for a socket that neither listens nor connects yet. */
     void reserve() throws IOException {
         checkDescriptors();
         reserved++;
--- a/testbed/src/main/java/appleridge/testbed/simnet/Network.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Network.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 /**
- * A simulated IP network of hosts that carry bytes; what it does to them is set per pair and
- * direction.
+ * A simulated IP network that carries byte streams between hosts. Its conditions (delay, loss,
+ * bandwidth and so on) are set per pair of hosts and direction.
  */
 public final class Network {
     private static final int CONNECTING = 1;
@@ -24,7 +24,7 @@
     private final SeededRandom chance;
     private final List<Host> hosts = new ArrayList<>();
     private final Map<InetAddress, List<Host>> byAddress = new LinkedHashMap<>();
-    private final List<List<NetworkConditions>> weathers = new ArrayList<>();
+    private final List<List<NetworkConditions>> conditions = new ArrayList<>();
     private final List<Tap> taps = new ArrayList<>(2);
     private long ids;
     private long tapTime;
@@ -34,27 +34,30 @@
         this.chance = chance;
     }
 
-    /** Several hosts may have one address: who listens on a port there gets what comes for it. */
+    /**
+     * Adds a host. Several hosts may share an address; a connect goes to the one that listens on
+     * the port.
+     */
     public Host host(String name, InetAddress address, int maxDescriptors) {
         Host host = new Host(this, name, address, maxDescriptors, hosts.size());
         hosts.add(host);
         byAddress.computeIfAbsent(address, any -> new ArrayList<>(1)).add(host);
-        weathers.add(new ArrayList<>());
+        conditions.add(new ArrayList<>());
         return host;
     }
 
-    /** Of what goes from the one to the other; what follows is subject to it. */
+    /** The conditions from one host to another. Changes apply to whatever is sent afterwards. */
     public NetworkConditions conditions(Host from, Host to) {
-        List<NetworkConditions> row = weathers.get(from.index());
+        List<NetworkConditions> row = conditions.get(from.index());
         while (row.size() <= to.index()) {
             row.add(null);
         }
-        NetworkConditions weather = row.get(to.index());
-        if (weather == null) {
-            weather = new NetworkConditions();
-            row.set(to.index(), weather);
+        NetworkConditions existing = row.get(to.index());
+        if (existing == null) {
+            existing = new NetworkConditions();
+            row.set(to.index(), existing);
         }
-        return weather;
+        return existing;
     }
 
     public void tap(Tap tap) {
@@ -62,13 +65,14 @@
     }
 
     /**
-     * Within a tap: the time of the process that does what is seen; never before the simulation's.
+     * The local time of the process whose call is being reported; valid only within a tap. Never
+     * earlier than the simulation's time.
      */
     public long tapTime() {
         return tapTime;
     }
 
-    /** Open ends on that host, in the order of their making. */
+    /** The open sockets of a host, in order of creation. */
     public List<SimSocket> sockets(Host of) {
         return new ArrayList<>(of.sockets());
     }
@@ -85,7 +89,7 @@
         return ++ids;
     }
 
-    /** Where a connect to that address goes; null if no machine has it. */
+    /** The host that a connect to this address reaches; null if no machine has the address. */
     Host route(Host from, InetSocketAddress to) {
         List<Host> there = byAddress.get(to.getAddress());
         if (there == null) {
@@ -96,7 +100,10 @@
         return listener == null ? last : listener.host();
     }
 
-    /** Who listens there: another process at the address of `first`, or itself; null if none. */
+    /**
+     * The listener on the port of `at`, searched among all hosts that share the address of `first`
+     * (if null: the address of `at`), the last added first; null if there is none.
+     */
     SimListener listener(InetSocketAddress at, Host first) {
         List<Host> there = byAddress.get(first == null ? at.getAddress() : first.address());
         for (int i = there.size() - 1; i >= 0; i--) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/NetworkConditions.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/NetworkConditions.java
@@ -1,93 +1,99 @@
 package appleridge.testbed.simnet;
 
 /**
- * What one direction between a pair of hosts does to bytes. Changed at any time; what leaves from
- * then on is subject to it. By itself: 200 us of delay, nothing else.
+ * The conditions of one direction between a pair of hosts. Fields may change at any time and apply
+ * to segments sent afterwards. The default is a delay of 200 us and no faults.
  */
 public final class NetworkConditions {
-    private static final int BUFFER = 64 * 1024;
-    private static final int MOST = 1460;
+    private static final int DEFAULT_BUFFER_BYTES = 64 * 1024;
+    private static final int DEFAULT_SEGMENT_BYTES = 1460;
 
-    /** Nanoseconds that each segment takes. */
+    /** One-way delay of each segment, in nanoseconds. */
     public long delay = 200_000;
 
-    /** Up to so many more, drawn for each segment; the order within a connection is kept. */
+    /**
+     * Upper bound of an extra delay drawn for each segment, in nanoseconds. Segments of a
+     * connection stay in order.
+     */
     public long jitter;
 
-    /** The line's width, shared by all connections; 0: no bound. */
+    /** Bandwidth, shared by all connections; 0: unlimited. */
     public long bytesPerSecond;
 
-    /** Largest segment; 0: up to 1460 bytes; 1: byte by byte; -n: each drawn from 1 to n. */
+    /**
+     * Largest segment in bytes; 0: 1460; 1: byte by byte; -n: the limit of each segment is drawn
+     * from 1 to n.
+     */
     public int segment;
 
     /**
-     * If `segment` is set: each arrives up to so long (drawn) behind the one before, so that cuts
-     * show.
+     * Upper bound of the gap between arriving segments, in nanoseconds; used only if `segment` is
+     * set. Without a gap the receiver would read consecutive segments in one piece.
      */
     public long gap = 2_000;
 
-    /** How often a segment is lost and sent again ... */
+    /** The probability that a segment is lost and retransmitted. */
     public double lossDelayProbability;
 
-    /** ... and arrives so much later for it. */
+    /** How much later a retransmitted segment arrives, in nanoseconds. */
     public long lossDelay;
 
     /**
-     * Nothing arrives, nothing is refused, no reset is heard. What was sent arrives once this is
-     * over.
+     * Nothing arrives: no bytes, no refusals, no resets. Bytes sent meanwhile arrive after it ends;
+     * resets do not.
      */
     public boolean blackHole;
 
     /** Connects in this direction are refused. */
     public boolean refuse;
 
-    /** Connects in this direction get no answer. */
+    /** Connects in this direction get no response. */
     public boolean silentConnect;
 
-    /** Bytes that the sending end holds, for connections made from now on. */
-    public int sendBuffer = BUFFER;
+    /** Send buffer in bytes, for connections opened afterwards. */
+    public int sendBuffer = DEFAULT_BUFFER_BYTES;
 
-    /** Bytes that the receiving end holds, for connections made from now on. */
-    public int receiveBuffer = BUFFER;
+    /** Receive buffer in bytes, for connections opened afterwards. */
+    public int receiveBuffer = DEFAULT_BUFFER_BYTES;
 
-    /** How often a reset discards what had arrived and was not yet read. */
+    /** The probability that a reset discards bytes that have arrived but were not read yet. */
     public double resetDiscards = 0.9;
 
-    /** When the line is free again. */
+    /** When the line is next idle, if its bandwidth is limited. */
     long free;
 
     NetworkConditions() {}
 
-    /** Makes everything as it was at first. */
-    public void calm() {
-        NetworkConditions first = new NetworkConditions();
-        delay = first.delay;
-        jitter = first.jitter;
-        bytesPerSecond = first.bytesPerSecond;
-        segment = first.segment;
-        gap = first.gap;
-        lossDelayProbability = first.lossDelayProbability;
-        lossDelay = first.lossDelay;
-        blackHole = first.blackHole;
-        refuse = first.refuse;
-        silentConnect = first.silentConnect;
-        sendBuffer = first.sendBuffer;
-        receiveBuffer = first.receiveBuffer;
-        resetDiscards = first.resetDiscards;
+    /** Restores the defaults. */
+    public void restoreDefaults() {
+        NetworkConditions defaults = new NetworkConditions();
+        delay = defaults.delay;
+        jitter = defaults.jitter;
+        bytesPerSecond = defaults.bytesPerSecond;
+        segment = defaults.segment;
+        gap = defaults.gap;
+        lossDelayProbability = defaults.lossDelayProbability;
+        lossDelay = defaults.lossDelay;
+        blackHole = defaults.blackHole;
+        refuse = defaults.refuse;
+        silentConnect = defaults.silentConnect;
+        sendBuffer = defaults.sendBuffer;
+        receiveBuffer = defaults.receiveBuffer;
+        resetDiscards = defaults.resetDiscards;
     }
 
-    /** How much of `bytes` the next segment takes. */
+    /** The size of the next segment if `bytes` are waiting. */
     int cut(int bytes, SeededRandom chance) {
-        int most = segment;
-        if (most == 0) {
-            most = MOST;
-        } else if (most < 0) {
-            most = 1 + chance.nextInt(-most);
+        int limit = segment;
+        if (limit == 0) {
+            limit = DEFAULT_SEGMENT_BYTES;
+        } else if (limit < 0) {
+            limit = 1 + chance.nextInt(-limit);
         }
-        return Math.min(bytes, most);
+        return Math.min(bytes, limit);
     }
 
-    /** How long a segment takes that leaves now. */
+    /** Draws the travel time of a segment, in nanoseconds. */
     long travel(SeededRandom chance) {
         long travel = delay;
         if (jitter > 0) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 
 /**
- * One direction of a connection: a bounded send buffer, segments on the way, a bounded receive
- * buffer. All bytes stand in one ring; what they are is told by positions: read &lt;= arrived &lt;=
- * left &lt;= written.
+ * One direction of a connection: a bounded send buffer, segments in flight and a bounded receive
+ * buffer. All bytes are in one ring; stream positions separate the parts: read &lt;= arrived &lt;=
+ * transmitted &lt;= written.
  */
 final class Pipe {
-    /** The first wait of a sender that hears nothing; doubled each time, as TCP does. */
-    private static final long RETRY = 200_000_000L;
+    /** First retransmission timeout in nanoseconds; doubled each time, as in TCP. */
+    private static final long MIN_RETRANSMIT = 200_000_000L;
 
-    private static final long LONGEST_RETRY = 120_000_000_000L;
+    private static final long MAX_RETRANSMIT = 120_000_000_000L;
     private static final long SECOND = 1_000_000_000L;
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -19,37 +19,37 @@
     private final SeededRandom chance;
     private final SimSocket from;
     private final SimSocket to;
-    private final NetworkConditions there;
-    private final NetworkConditions back;
+    private final NetworkConditions forward;
+    private final NetworkConditions reverse;
     private final int sendLimit;
     private final int receiveLimit;
     private final ByteRing ring = new ByteRing();
-    private final ArrayDeque<Segment> flight = new ArrayDeque<>(4);
+    private final ArrayDeque<Segment> inFlight = new ArrayDeque<>(4);
 
-    /** Up to which byte was written when. */
-    private final Marks stamps = new Marks();
+    /** The position after each write, with the time of the write. */
+    private final PositionQueue writeTimes = new PositionQueue();
 
-    /** Up to which byte was read, and when the sender hears of it. */
-    private final Marks heard = new Marks();
+    /** The position after each read, with the time at which the sender learns of it. */
+    private final PositionQueue windowUpdates = new PositionQueue();
 
-    private final Runnable landing = this::land;
-    private final Runnable pumping = this::pump;
+    private final Runnable arrivalTask = this::arrive;
+    private final Runnable pumpTask = this::pump;
     private long arrived;
-    private long left;
+    private long transmitted;
     private long window;
     private long breakAt = NEVER;
-    private Runnable whenBreaking = () -> {};
+    private Runnable onBreak = () -> {};
     private long lastDue;
     private long lastRead;
-    private long retry = RETRY;
-    private long endStamp = -1;
+    private long retransmitDelay = MIN_RETRANSMIT;
+    private long endTime = -1;
     private boolean wantsRoom;
     private boolean windowShut;
     private boolean silent;
     private boolean stopped;
     private boolean broken;
-    private Simulation.Event next;
-    private Simulation.Event pump;
+    private Simulation.Event nextArrival;
+    private Simulation.Event pumpEvent;
 
     Pipe(SimSocket from, SimSocket to) {
         this.from = from;
@@ -57,26 +57,29 @@
         Network network = from.host().network();
         simulation = network.simulation();
         chance = network.chance();
-        there = network.conditions(from.host(), to.host());
-        back = network.conditions(to.host(), from.host());
-        sendLimit = Math.max(1, there.sendBuffer);
-        receiveLimit = Math.max(1, there.receiveBuffer);
+        forward = network.conditions(from.host(), to.host());
+        reverse = network.conditions(to.host(), from.host());
+        sendLimit = Math.max(1, forward.sendBuffer);
+        receiveLimit = Math.max(1, forward.receiveBuffer);
         window = receiveLimit;
     }
 
     // ---- the sender
 
-    /** Behind a break of which the sender has not heard it writes on, as far as its buffer goes. */
+    /**
+     * Free bytes in the send buffer. A sender that has not learned of a break yet may still fill
+     * the buffer.
+     */
     int room() {
-        return sendLimit - (int) (ring.end() - left);
+        return sendLimit - (int) (ring.end() - transmitted);
     }
 
     void put(byte[] bytes, int offset, int length) {
         ring.put(bytes, offset, length);
-        stamps.add(ring.end(), from.host().localNow());
+        writeTimes.add(ring.end(), from.host().localNow());
     }
 
-    /** Whether the sender is to hear of room again. */
+    /** Sets whether the sender is notified when the send buffer has room again. */
     void wantsRoom(boolean wants) {
         wantsRoom = wants;
     }
@@ -86,18 +89,18 @@
     }
 
     void end() {
-        if (endStamp < 0 && !stopped) {
+        if (endTime < 0 && !stopped) {
             wantsRoom = false;
-            endStamp = from.host().localNow();
+            endTime = from.host().localNow();
             pump();
         }
     }
 
     void handshake() {
-        fly(Segment.Kind.HANDSHAKE, simulation.now());
+        transmit(Segment.Kind.HANDSHAKE, simulation.now());
     }
 
-    /** Nothing leaves any more; what is on the way goes on. */
+    /** Stops sending; segments in flight still arrive. */
     void stop() {
         stopped = true;
         wantsRoom = false;
@@ -108,36 +111,40 @@
         stop();
         broken = true;
         if (discard) {
-            flight.clear();
-            cancelNext();
+            inFlight.clear();
+            cancelNextArrival();
         }
-        fly(Segment.Kind.RESET, from.host().localNow());
+        transmit(Segment.Kind.RESET, from.host().localNow());
     }
 
-    /** The connection breaks behind all that is on the way. */
+    /** Breaks the connection after all segments in flight have arrived. */
     void breakNow() {
         if (!broken) {
             stop();
             broken = true;
-            fly(Segment.Kind.BREAK, simulation.now());
+            transmit(Segment.Kind.BREAK, simulation.now());
         }
     }
 
-    /** Whether it breaks there, which is then told; false if that byte has left. */
-    boolean breakAt(long position, Runnable told) {
-        if (stopped || position < left) {
+    /**
+     * Breaks the connection before the byte at this position is transmitted and then calls
+     * `callback`. Returns false, and does nothing, if that byte is already transmitted or sending
+     * has stopped.
+     */
+    boolean breakAt(long position, Runnable callback) {
+        if (stopped || position < transmitted) {
             return false;
         }
         if (position <= breakAt) {
             breakAt = position;
-            whenBreaking = told;
+            onBreak = callback;
         }
         return true;
     }
 
-    /** Up to which byte all has left the send buffer. */
-    long left() {
-        return left;
+    /** The number of bytes transmitted, that is no longer in the send buffer. */
+    long transmitted() {
+        return transmitted;
     }
 
     void silence() {
@@ -153,17 +160,17 @@
     void take(byte[] into, int offset, int length) {
         ring.take(into, offset, length);
         long position = ring.start();
-        while (!stamps.isEmpty() && stamps.position(0) < position) {
-            stamps.removeFirst();
+        while (!writeTimes.isEmpty() && writeTimes.position(0) < position) {
+            writeTimes.removeFirst();
         }
-        lastRead = stamps.time(0);
+        lastRead = writeTimes.time(0);
         if (stopped || windowShut) {
             return;
         }
-        hear(simulation.now());
-        long when = to.host().localNow() + back.delay;
-        heard.add(position, when);
-        if (left < ring.end()) {
+        applyWindowUpdates(simulation.now());
+        long when = to.host().localNow() + reverse.delay;
+        windowUpdates.add(position, when);
+        if (transmitted < ring.end()) {
             pumpAt(when);
         }
     }
@@ -172,185 +179,188 @@
         return lastRead;
     }
 
-    /** The window stays as it is: what is on the way still fits. */
+    /** Closes the window at what is already transmitted; segments in flight still fit. */
     void shutWindow() {
         windowShut = true;
-        window = left;
+        window = transmitted;
     }
 
-    /** What has arrived and was not read is lost. */
+    /** Discards bytes that have arrived but were not read. */
     void discard() {
         ring.clear();
         arrived = ring.start();
     }
 
-    /** Nothing moves here any more. */
+    /** Stops sending and drops all segments in flight. */
     void kill() {
         stop();
         broken = true;
-        flight.clear();
-        cancelNext();
+        inFlight.clear();
+        cancelNextArrival();
     }
 
-    // ---- on the way
+    // ---- in flight
 
-    /** Lets leave what may leave. */
+    /** Transmits as much as the window, the bandwidth and a planned break allow. */
     void pump() {
         long now = simulation.now();
-        while (!stopped && left < ring.end()) {
-            if (there.bytesPerSecond > 0 && there.free > now) {
-                pumpAt(there.free);
+        while (!stopped && transmitted < ring.end()) {
+            if (forward.bytesPerSecond > 0 && forward.free > now) {
+                pumpAt(forward.free);
                 break;
             }
-            if (left == breakAt) {
-                whenBreaking.run();
+            if (transmitted == breakAt) {
+                onBreak.run();
                 breakNow();
                 return;
             }
-            hear(now);
-            if (window <= left) {
+            applyWindowUpdates(now);
+            if (window <= transmitted) {
                 awaitWindow(now);
                 break;
             }
-            leave(now);
+            sendSegment(now);
         }
-        if (endStamp >= 0 && !stopped && left == ring.end()) {
+        if (endTime >= 0 && !stopped && transmitted == ring.end()) {
             stop();
-            fly(Segment.Kind.END, Math.max(now, endStamp));
+            transmit(Segment.Kind.END, Math.max(now, endTime));
         }
         if (wantsRoom && 3 * room() >= sendLimit) {
             wantsRoom = false;
-            from.hasRoom();
+            from.onRoom();
         }
     }
 
-    private void leave(long now) {
-        long most = Math.min(Math.min(ring.end(), window), breakAt);
+    private void sendSegment(long now) {
+        long limit = Math.min(Math.min(ring.end(), window), breakAt);
         long departs = now;
-        int last = stamps.size() - 1;
-        if (stamps.time(last) > now) {
+        int last = writeTimes.size() - 1;
+        if (writeTimes.time(last) > now) {
             int first = last;
-            while (first > 0 && stamps.position(first - 1) > left) {
+            while (first > 0 && writeTimes.position(first - 1) > transmitted) {
                 first--;
             }
-            departs = Math.max(now, stamps.time(first));
-            most = Math.min(most, stamps.position(first));
+            departs = Math.max(now, writeTimes.time(first));
+            limit = Math.min(limit, writeTimes.position(first));
         }
-        int bytes = there.cut((int) (most - left), chance);
-        left += bytes;
-        if (there.bytesPerSecond > 0) {
-            departs = Math.max(there.free, departs) + bytes * SECOND / there.bytesPerSecond;
-            there.free = departs;
+        int bytes = forward.cut((int) (limit - transmitted), chance);
+        transmitted += bytes;
+        if (forward.bytesPerSecond > 0) {
+            departs = Math.max(forward.free, departs) + bytes * SECOND / forward.bytesPerSecond;
+            forward.free = departs;
         }
-        fly(Segment.Kind.BYTES, departs);
+        transmit(Segment.Kind.BYTES, departs);
     }
 
-    private void fly(Segment.Kind kind, long departs) {
-        long due = departs + there.travel(chance);
-        if (kind == Segment.Kind.BYTES && there.segment != 0 && there.gap > 0) {
-            due = Math.max(due, lastDue + 1 + chance.nextLong(there.gap));
+    private void transmit(Segment.Kind kind, long departs) {
+        long due = departs + forward.travel(chance);
+        if (kind == Segment.Kind.BYTES && forward.segment != 0 && forward.gap > 0) {
+            due = Math.max(due, lastDue + 1 + chance.nextLong(forward.gap));
         }
-        if (dark() && kind != Segment.Kind.RESET) {
-            due += RETRY;
+        if (isCutOff() && kind != Segment.Kind.RESET) {
+            due += MIN_RETRANSMIT;
         }
         lastDue = Math.max(due, lastDue);
-        flight.add(new Segment(kind, left, lastDue));
-        if (flight.size() == 1) {
-            next = simulation.at(lastDue, landing);
+        inFlight.add(new Segment(kind, transmitted, lastDue));
+        if (inFlight.size() == 1) {
+            nextArrival = simulation.at(lastDue, arrivalTask);
         }
     }
 
-    private boolean dark() {
-        return silent || there.blackHole || from.host().isVanished() || to.host().isVanished();
+    private boolean isCutOff() {
+        return silent || forward.blackHole || from.host().isVanished() || to.host().isVanished();
     }
 
-    private void land() {
-        Segment segment = flight.peek();
+    private void arrive() {
+        Segment segment = inFlight.peek();
         boolean reset = segment.kind() == Segment.Kind.RESET;
-        if (!reset && (from.isForgotten() || from.isGone() && dark())) {
+        if (!reset && (from.isForgotten() || from.isGone() && isCutOff())) {
             kill();
             return;
         }
         boolean handshake = segment.kind() == Segment.Kind.HANDSHAKE;
-        if (dark() && !reset || handshake && !to.mayEnter()) {
+        if (isCutOff() && !reset || handshake && !to.mayEnterBacklog()) {
             if (!silent) {
-                next = simulation.after(retry, landing);
-                retry = Math.min(2 * retry, LONGEST_RETRY);
+                nextArrival = simulation.after(retransmitDelay, arrivalTask);
+                retransmitDelay = Math.min(2 * retransmitDelay, MAX_RETRANSMIT);
             }
             return;
         }
-        retry = RETRY;
-        flight.poll();
-        if (!flight.isEmpty()) {
-            next = simulation.at(flight.peek().due(), landing);
+        retransmitDelay = MIN_RETRANSMIT;
+        inFlight.poll();
+        if (!inFlight.isEmpty()) {
+            nextArrival = simulation.at(inFlight.peek().due(), arrivalTask);
         }
         deliver(segment);
     }
 
     private void deliver(Segment segment) {
         switch (segment.kind()) {
-            case HANDSHAKE -> to.enter();
+            case HANDSHAKE -> to.enterBacklog();
             case BYTES -> {
                 if (to.takesInput()) {
                     arrived = segment.end();
-                    to.hasInput();
+                    to.onInput();
                 } else {
-                    to.refuseInput();
+                    to.rejectSegment();
                 }
             }
-            case END -> to.hearEnd();
+            case END -> to.onEnd();
             case RESET -> {
-                if (!dark()) {
-                    to.hearReset(chance.hits(there.resetDiscards));
+                if (!isCutOff()) {
+                    to.onReset(chance.hits(forward.resetDiscards));
                 }
             }
             case BREAK -> {
-                to.breakBack();
-                to.hearReset(false);
+                to.propagateBreak();
+                to.onReset(false);
             }
-            default -> throw new IllegalStateException();
+            default -> throw new IllegalStateException("unknown segment kind " + segment.kind());
         }
     }
 
-    private void hear(long now) {
-        while (!heard.isEmpty() && heard.time(0) <= now && !deaf()) {
+    private void applyWindowUpdates(long now) {
+        while (!windowUpdates.isEmpty() && windowUpdates.time(0) <= now && !isReverseCutOff()) {
             if (!windowShut) {
-                window = heard.position(0) + receiveLimit;
+                window = windowUpdates.position(0) + receiveLimit;
             }
-            heard.removeFirst();
+            windowUpdates.removeFirst();
         }
     }
 
-    /** Whether what the receiver says about its window can't be heard. */
-    private boolean deaf() {
-        return back.blackHole || from.host().isVanished() || to.host().isVanished() || to.isMute();
+    /** Whether window updates of the receiver cannot reach the sender. */
+    private boolean isReverseCutOff() {
+        return reverse.blackHole
+                || from.host().isVanished()
+                || to.host().isVanished()
+                || to.isMute();
     }
 
     private void awaitWindow(long now) {
-        if (!heard.isEmpty()) {
-            pumpAt(heard.time(0) > now ? heard.time(0) : now + RETRY);
+        if (!windowUpdates.isEmpty()) {
+            pumpAt(windowUpdates.time(0) > now ? windowUpdates.time(0) : now + MIN_RETRANSMIT);
         }
     }
 
     private void pumpAt(long when) {
-        if (pump != null && pump.isPending()) {
-            if (pump.when() <= when) {
+        if (pumpEvent != null && pumpEvent.isPending()) {
+            if (pumpEvent.when() <= when) {
                 return;
             }
-            pump.cancel();
+            pumpEvent.cancel();
         }
-        pump = simulation.at(when, pumping);
+        pumpEvent = simulation.at(when, pumpTask);
     }
 
     private void cancelPump() {
-        if (pump != null) {
-            pump.cancel();
+        if (pumpEvent != null) {
+            pumpEvent.cancel();
         }
     }
 
-    private void cancelNext() {
-        if (next != null) {
-            next.cancel();
+    private void cancelNextArrival() {
+        if (nextArrival != null) {
+            nextArrival.cancel();
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Marks.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/PositionQueue.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 
-/** A queue of byte positions with the moment of each, both rising. */
-final class Marks {
+/** A queue of stream positions with a time for each; both increase from entry to entry. */
+final class PositionQueue {
     private long[] positions = new long[8];
     private long[] times = new long[8];
     private int head;
@@ -25,7 +25,10 @@
         return times[head + index & times.length - 1];
     }
 
-    /** Time never runs back here: an earlier one counts as the last. */
+    /**
+     * Appends a position. If `time` is not later than that of the last entry, the position replaces
+     * the last entry's and keeps its time.
+     */
     void add(long position, long time) {
         if (size > 0) {
             int last = head + size - 1 & positions.length - 1;
--- a/testbed/src/main/java/appleridge/testbed/simnet/SeededRandom.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SeededRandom.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * Seeded chance. Streams are split off by name, so that one more draw in one shifts nothing in
- * another: a stream depends on the seed and its name alone, never on what has been drawn so far.
+ * A seeded random generator. Streams are derived by name: a stream depends only on the seed and its
+ * name, never on what was drawn before, so an additional draw in one stream does not change
+ * another.
  */
 public final class SeededRandom {
     private static final long STEP = 0x9E3779B97F4A7C15L;
@@ -17,10 +18,7 @@
         state = mix(seed);
     }
 
-    /**
-     * The stream of this name; the same however often it is asked for, from its beginning each
-     * time.
-     */
+    /** Returns the stream of this name, always from its beginning. */
     public SeededRandom stream(String name) {
         long hash = 0xCBF29CE484222325L;
         for (int i = 0; i < name.length(); i++) {
@@ -40,19 +38,19 @@
 
     public int nextInt(int bound) {
         if (bound <= 0) {
-            throw new IllegalArgumentException("bound " + bound);
+            throw new IllegalArgumentException("bound must be positive: " + bound);
         }
         return (int) Math.multiplyHigh(nextLong() >>> 1, (long) bound << 1);
     }
 
     public long nextLong(long bound) {
         if (bound <= 0) {
-            throw new IllegalArgumentException("bound " + bound);
+            throw new IllegalArgumentException("bound must be positive: " + bound);
         }
         return (long) (nextDouble() * bound);
     }
 
-    /** True as often as `probability` says; draws nothing where nothing is to be decided. */
+    /** Returns true with this probability; draws nothing if it is 0 or less, or 1 or more. */
     public boolean hits(double probability) {
         return probability > 0 && (probability >= 1 || nextDouble() < probability);
     }
@@ -70,7 +68,7 @@
         return from.get(nextInt(from.size()));
     }
 
-    /** Spreads each bit over all others; also what digests are made with. */
+    /** A bit mixer (the finalizer of SplitMix64); digests use it too. */
     public static long mix(long value) {
         long z = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
--- a/testbed/src/main/java/appleridge/testbed/simnet/Segment.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Segment.java
@@ -1,14 +1,18 @@
 package appleridge.testbed.simnet;
 
-/** What travels: bytes up to a position of the stream, or a word about the connection. */
+/**
+ * A segment in flight: the bytes up to position `end` of the stream, or a control message.
+ *
+ * @param due when it arrives
+ */
 record Segment(Kind kind, long end, long due) {
     enum Kind {
-        /** The last part of the handshake: the connection enters the backlog. */
+        /** The last message of the handshake: the connection enters the backlog. */
         HANDSHAKE,
         BYTES,
         END,
         RESET,
-        /** Something on the way breaks the connection here, and tells both ends. */
+        /** A fault in the network breaks the connection here and resets both ends. */
         BREAK
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimChannel.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimChannel.java
@@ -23,7 +23,7 @@
 import java.nio.channels.UnresolvedAddressException;
 import java.util.concurrent.TimeUnit;
 
-/** A Netty channel on a simulated connection, which behaves as Netty's NIO socket channel does. */
+/** A Netty channel on a simulated connection; behaves like Netty's NIO socket channel. */
 public final class SimChannel extends DuplexBase implements SimIo {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
 
@@ -36,13 +36,13 @@
     private IOException connectFailure;
     private ChannelPromise connectPromise;
     private Future<?> connectTimeout;
-    private boolean listed;
+    private boolean queued;
     private boolean readInterest;
     private boolean readPending;
     private boolean writeInterest;
     private boolean errorSeenAfterInput;
 
-    /** One that is to connect; throws if the process is out of descriptors. */
+    /** Creates an unconnected channel; throws if the process has no descriptor left. */
     SimChannel(SimLoop loop) {
         super(null, loop.newChannelId());
         this.loop = loop;
@@ -54,7 +54,7 @@
         config = newConfig();
     }
 
-    /** One that was accepted. */
+    /** Creates the channel of an accepted connection. */
     SimChannel(Channel parent, SimLoop loop, SimSocket accepted) {
         super(parent, loop.newChannelId());
         this.loop = loop;
@@ -62,7 +62,7 @@
         socket = accepted;
         connected = true;
         connectDone = true;
-        accepted.events(new Ears());
+        accepted.events(new SocketEvents());
     }
 
     private SimConfig newConfig() {
@@ -75,7 +75,7 @@
         return socket;
     }
 
-    /** Reads at once, within the caller's event, what the system holds. */
+    /** Reads what is available immediately, without waiting for the loop's next turn. */
     public void readNow() {
         if (isActive()) {
             ((SimUnsafe) unsafe()).read();
@@ -109,13 +109,13 @@
     }
 
     @Override
-    public boolean isListed() {
-        return listed;
+    public boolean isQueued() {
+        return queued;
     }
 
     @Override
-    public void listed(boolean now) {
-        listed = now;
+    public void queued(boolean now) {
+        queued = now;
     }
 
     @Override
@@ -189,7 +189,7 @@
         loop.deregistered(this);
     }
 
-    /** The port is the system's choice here. */
+    /** Does nothing: the local port is always assigned by the simulated host. */
     @Override
     protected void doBind(SocketAddress localAddress) {}
 
@@ -202,7 +202,7 @@
     protected void doClose() {
         if (open) {
             open = false;
-            leave();
+            releaseSocket();
         }
         ChannelPromise promise = connectPromise;
         if (promise != null) {
@@ -215,7 +215,7 @@
         }
     }
 
-    private void leave() {
+    private void releaseSocket() {
         if (socket == null) {
             loop.host().unreserve();
         } else if (config.resetsOnClose()) {
@@ -239,21 +239,21 @@
         readInterest = false;
     }
 
-    /** All that is flushed goes to the system in one piece, as with a gathering write. */
+    /** Writes all flushed messages in one call, like a gathering write. */
     @Override
     protected void doWrite(ChannelOutboundBuffer pending) throws Exception {
         byte[] bytes = loop.scratch();
         while (true) {
-            Gathered gathered = new Gathered(bytes);
-            pending.forEachFlushedMessage(gathered);
+            GatheringCopier copier = new GatheringCopier(bytes);
+            pending.forEachFlushedMessage(copier);
             int done = 0;
-            if (gathered.length() > 0) {
-                loop.touchSocket();
-                done = socket.write(bytes, 0, gathered.length());
+            if (copier.length() > 0) {
+                loop.chargeSocketCall();
+                done = socket.write(bytes, 0, copier.length());
             }
             pending.removeBytes(done);
-            if (done < gathered.length() || pending.isEmpty()) {
-                writeInterest = done < gathered.length();
+            if (done < copier.length() || pending.isEmpty()) {
+                writeInterest = done < copier.length();
                 return;
             }
         }
@@ -268,7 +268,7 @@
     }
 
     private int readBytes(ByteBuf into) throws IOException {
-        loop.touchSocket();
+        loop.chargeSocketCall();
         int most = into.writableBytes();
         if (into.hasArray()) {
             int length = socket.read(into.array(), into.arrayOffset() + into.writerIndex(), most);
@@ -285,8 +285,8 @@
         return length;
     }
 
-    /** Hears of the socket; the loop acts when it is free. */
-    private final class Ears implements SimSocket.Events {
+    /** PositionQueue the channel ready on socket events; the loop handles it on its next turn. */
+    private final class SocketEvents implements SimSocket.Events {
         @Override
         public void connected() {
             connectDone = true;
@@ -327,11 +327,11 @@
                 if (((InetSocketAddress) remote).isUnresolved()) {
                     throw new UnresolvedAddressException();
                 }
-                loop.touchSocket();
+                loop.chargeSocketCall();
                 loop.host().unreserve();
-                socket = loop.host().open((InetSocketAddress) remote, new Ears());
+                socket = loop.host().open((InetSocketAddress) remote, new SocketEvents());
                 connectPromise = promise;
-                planTimeout(remote);
+                scheduleTimeout(remote);
                 promise.addListener(
                         future -> {
                             if (future.isCancelled()) {
@@ -345,7 +345,7 @@
             }
         }
 
-        private void planTimeout(SocketAddress remote) {
+        private void scheduleTimeout(SocketAddress remote) {
             int millis = config.getConnectTimeoutMillis();
             if (millis > 0) {
                 connectTimeout =
@@ -374,7 +374,7 @@
                 connectTimeout.cancel(false);
                 connectTimeout = null;
             }
-            loop.touchSocket();
+            loop.chargeSocketCall();
             if (connectFailure == null && socket.isReset()) {
                 socket.close();
                 connectFailure = new IOException("Connection reset by peer");
@@ -386,9 +386,9 @@
                 return;
             }
             connected = true;
-            boolean told = promise.trySuccess();
+            boolean notified = promise.trySuccess();
             pipeline().fireChannelActive();
-            if (!told) {
+            if (!notified) {
                 close(voidPromise());
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimChannelId.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimChannelId.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.ChannelId;
 
-/** A channel's number within its process. */
+/** Identifies a channel by its host and its number within that process. */
 record SimChannelId(String host, long number) implements ChannelId {
     private static final long serialVersionUID = 1;
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimConfig.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimConfig.java
@@ -7,7 +7,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a channel is told about itself; options of real sockets are taken and given back. */
+/**
+ * Channel configuration. Socket options are stored and returned; only SO_LINGER 0, SO_BACKLOG and
+ * ALLOW_HALF_CLOSURE have an effect.
+ */
 class SimConfig extends DefaultChannelConfig {
     private static final ChannelOption<?>[] SOCKET_OPTIONS = {
         ChannelOption.TCP_NODELAY,
@@ -38,7 +41,7 @@
         return Boolean.TRUE.equals(options.get(ChannelOption.ALLOW_HALF_CLOSURE));
     }
 
-    /** Closing sends a reset at once. */
+    /** Whether closing sends a reset, as SO_LINGER 0 does. */
     boolean resetsOnClose() {
         return Integer.valueOf(0).equals(options.get(ChannelOption.SO_LINGER));
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimIo.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimIo.java
@@ -1,17 +1,18 @@
 package appleridge.testbed.simnet;
 
-/** A channel as its loop sees it. */
+/** A channel as seen by its event loop. */
 interface SimIo {
-    /** Whether there is something to do that its owner is interested in. */
+    /** Whether an I/O event is pending that the channel is interested in. */
     boolean isReady();
 
+    /** Handles the pending I/O events. */
     void handle();
 
-    /** Whether the loop has it on its list; kept for the loop. */
-    boolean isListed();
+    /** Whether the channel is in the loop's ready list; maintained by the loop. */
+    boolean isQueued();
 
-    void listed(boolean now);
+    void queued(boolean now);
 
-    /** Its process is dead. */
+    /** Detaches the channel because its process has died. */
     void forget();
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimListener.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimListener.java
@@ -4,13 +4,16 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 
-/** A socket that listens; accepted connections wait in its backlog, with bytes arriving. */
+/**
+ * A listening socket. Established connections wait in its backlog until accepted; their bytes may
+ * arrive before.
+ */
 public final class SimListener {
     private final Host host;
     private final InetSocketAddress address;
     private final int backlog;
     private final ArrayDeque<SimSocket> waiting = new ArrayDeque<>();
-    private Runnable told = () -> {};
+    private Runnable onEnter = () -> {};
     private boolean open = true;
 
     SimListener(Host host, InetSocketAddress address, int backlog) {
@@ -20,7 +23,8 @@
     }
 
     /**
-     * Null if none waits; throws when out of descriptors, the connection then stays in the backlog.
+     * Accepts the oldest waiting connection; null if there is none. Throws if no descriptor is
+     * left; the connection then stays in the backlog.
      */
     public SimSocket accept() throws IOException {
         SimSocket first = waiting.peek();
@@ -33,16 +37,16 @@
         return first;
     }
 
-    /** Told of every connection that enters the backlog. */
+    /** Sets a callback that runs whenever a connection enters the backlog. */
     public void onAcceptable(Runnable what) {
-        told = what;
+        onEnter = what;
     }
 
     public int waiting() {
         return waiting.size();
     }
 
-    /** Connections still in the backlog are reset. */
+    /** Closes the listener and resets the connections in its backlog. */
     public void close() {
         if (open) {
             open = false;
@@ -69,12 +73,12 @@
         return waiting.size() >= backlog;
     }
 
-    void enter(SimSocket socket) {
+    void enterBacklog(SimSocket socket) {
         waiting.add(socket);
-        told.run();
+        onEnter.run();
     }
 
-    /** The machine has lost what waited. */
+    /** Drops the backlog, because the machine has lost its connections. */
     void forget() {
         waiting.clear();
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -22,40 +22,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process's event loop, stepped by the simulation. While the process is busy, as its last
- * task's cost is not over or it stands still, whatever comes waits. When it is free it takes one
- * of: a due timer, the first queued task, a channel with something to do; which one is drawn. All
- * it does is done at its local time, which runs ahead of the simulation's by what the task has cost
- * so far.
+ * The event loop of one process, stepped by the simulation. While the process is busy (the cost of
+ * its last task has not elapsed) or paused, events wait. When it is free, each turn handles one of:
+ * a due timer, the first queued task, a ready channel; which of them is drawn at random. A task
+ * runs at the process's local time, which is ahead of the simulation's by what the task has cost so
+ * far.
  *
- * <p>Nothing may wait for a future here: there is no other thread that could complete it. At the
- * end of a run each loop is ended with {@link #die()}, or what Netty keeps for every executor would
- * stay for ever.
+ * <p>Never block on a future here: no other thread could complete it. At the end of a run call
+ * {@link #die()} on each loop; otherwise the state that Netty keeps per executor leaks.
  */
 public final class SimLoop extends SteppedExecutor {
-    /** Shorter whiles of being busy are not kept. */
+    /** Busy periods shorter than this are not recorded; nanoseconds. */
     public static final long MIN_BUSY_PERIOD = 10_000_000;
 
-    private static final int SCRATCH = 64 * 1024;
-    private static final int ORIGIN = 1_000_000_000;
+    private static final int SCRATCH_BYTES = 64 * 1024;
+    private static final int ORIGIN_RANGE = 1_000_000_000;
 
     /**
-     * Mean nanoseconds that things take, drawn exponentially; 0: nothing.
+     * Mean simulated costs in nanoseconds, drawn from exponential distributions; 0: free.
      *
-     * @param task a task, timer or turn of a channel
-     * @param read each reading, writing, accepting or connecting of a socket on top of it
+     * @param task a task, a timer or the handling of a ready channel
+     * @param read each read, write, accept or connect of a socket, in addition
      * @param clock a reading of the clock
      */
     public record Costs(long task, long read, long clock) {}
 
-    /** A while in which there was always something to do. */
+    /** A period during which the loop always had work; times in the simulation's nanoseconds. */
     public record BusyPeriod(long from, long until) {}
 
     private final Simulation simulation;
     private final Host host;
     private final SeededRandom order;
     private final SeededRandom ties;
-    private final SeededRandom prices;
+    private final SeededRandom costRandom;
     private final Costs costs;
     private final Thread thread = Thread.currentThread();
     private final UnpooledByteBufAllocator memory = new UnpooledByteBufAllocator(false, true);
@@ -66,16 +65,16 @@
     private final Set<Channel> channels = new LinkedHashSet<>();
     private final List<Throwable> uncaughtExceptions = new ArrayList<>();
     private final Promise<Void> termination = new DefaultPromise<>(ImmediateEventExecutor.INSTANCE);
-    private final Runnable turning = this::turn;
+    private final Runnable turnTask = this::turn;
     private final Ticker ticker;
     private byte[] scratch;
     private Simulation.Event wake;
     private long freeAt;
 
-    /** Since when there was always something to do, up to {@link #freeAt}. */
+    /** Start of the current busy period, which ends at {@link #freeAt}. */
     private long busySince;
 
-    private final List<BusyPeriod> busy = new ArrayList<>();
+    private final List<BusyPeriod> busyPeriods = new ArrayList<>();
     private long spent;
     private long serials;
     private long channelNumbers;
@@ -84,15 +83,15 @@
     private boolean shuttingDown;
     private volatile Throwable foreignThreadCall;
 
-    /** Belongs to the thread that makes it, as the whole simulation does. */
+    /** The loop may be used only on the thread that creates it, like the whole simulation. */
     public SimLoop(Simulation simulation, Host host, SeededRandom chance, Costs costs) {
         this.simulation = simulation;
         this.host = host;
         this.costs = costs;
         order = chance.stream("order");
         ties = chance.stream("timers");
-        prices = chance.stream("costs");
-        ticker = new SimTicker(this, chance.stream("clock").nextLong(ORIGIN) * ORIGIN);
+        costRandom = chance.stream("costs");
+        ticker = new SimTicker(this, chance.stream("clock").nextLong(ORIGIN_RANGE) * ORIGIN_RANGE);
     }
 
     // ---- the process
@@ -101,20 +100,18 @@
         return host;
     }
 
-    /** This process's monotonic clock, with an origin of its own; never goes back. */
+    /** The monotonic clock of this process; its origin differs from process to process. */
     @Override
     public Ticker ticker() {
         return ticker;
     }
 
-    /**
-     * Heap buffers, counted; all of this loop's channels take theirs here unless told otherwise.
-     */
+    /** The default allocator of this loop's channels: heap buffers, whose memory use is counted. */
     public ByteBufAllocator allocator() {
         return allocator;
     }
 
-    /** Bytes in buffers that were taken from the allocator and not yet given back. */
+    /** Bytes of the allocator's buffers that are not released yet. */
     public long usedMemory() {
         return memory.metric().usedHeapMemory() + memory.metric().usedDirectMemory();
     }
@@ -128,14 +125,14 @@
     }
 
     /**
-     * Stands still for so long from now on; in the middle of a task, if one is running. What
-     * overlaps does not add up.
+     * Pauses the process from now on; within a task, the time is added to the task's cost.
+     * Overlapping pauses between tasks do not add up.
      */
     public void pause(long nanos) {
         if (running) {
             spend(nanos);
         } else {
-            idle();
+            endBusyPeriod();
             freeAt = Math.max(freeAt, simulation.now() + nanos);
             busySince = freeAt;
             arm();
@@ -143,8 +140,8 @@
     }
 
     /**
-     * Nothing runs here any more; all that was planned is forgotten. The host's sockets are the
-     * host's.
+     * Stops the loop and discards its tasks and timers. Does not close the sockets: they belong to
+     * the host.
      */
     public void die() {
         if (!dead) {
@@ -152,7 +149,7 @@
             tasks.clear();
             timers.clear();
             for (SimIo io : ready) {
-                io.listed(false);
+                io.queued(false);
             }
             ready.clear();
             List<Channel> all = new ArrayList<>(channels);
@@ -179,27 +176,27 @@
         return timers.size();
     }
 
-    /** Channels registered here, in the order of their registration. */
+    /** The channels registered with this loop, in order of registration. */
     public List<Channel> channels() {
         return new ArrayList<>(channels);
     }
 
-    /** What was thrown out of tasks, timers and channels; a real loop logs it and goes on. */
+    /** Exceptions thrown by tasks, timers and channels. A real loop logs them and continues. */
     public List<Throwable> uncaughtExceptions() {
         return uncaughtExceptions;
     }
 
-    /** Who came last from a thread that is not this loop's; null if nobody did. */
+    /** The last call from a thread other than this loop's, as an exception; null if none. */
     public Throwable foreignThreadCall() {
         return foreignThreadCall;
     }
 
-    /** The process's own present, in the simulation's time. */
+    /** The process's local time, on the simulation's time scale. */
     public long localNow() {
         return simulation.now() + spent;
     }
 
-    /** When the process is done with what it did last, or no longer stands still. */
+    /** When the cost of the last task has elapsed and any pause is over. */
     public long freeAt() {
         return freeAt;
     }
@@ -210,17 +207,17 @@
      */
     public List<BusyPeriod> busyPeriods() {
         if (freeAt - busySince < MIN_BUSY_PERIOD) {
-            return busy;
+            return busyPeriods;
         }
-        List<BusyPeriod> all = new ArrayList<>(busy);
+        List<BusyPeriod> all = new ArrayList<>(busyPeriods);
         all.add(new BusyPeriod(busySince, freeAt));
         return all;
     }
 
-    /** What it was busy with is done. */
-    private void idle() {
+    /** Records the current busy period, if it was long enough. */
+    private void endBusyPeriod() {
         if (freeAt - busySince >= MIN_BUSY_PERIOD) {
-            busy.add(new BusyPeriod(busySince, freeAt));
+            busyPeriods.add(new BusyPeriod(busySince, freeAt));
         }
     }
 
@@ -231,24 +228,24 @@
             return;
         }
         long now = simulation.now();
-        SimIo io = drawIo();
+        SimIo io = drawReadyChannel();
         SimTimer.Entry timer = timers.first();
         boolean due = timer != null && timer.due() <= now;
         int choices = (io == null ? 0 : 1) + (due ? 1 : 0) + (tasks.isEmpty() ? 0 : 1);
         if (choices > 0) {
             if (now > freeAt) {
-                idle();
+                endBusyPeriod();
                 busySince = now;
             }
             int choice = choices == 1 ? 0 : order.nextInt(choices);
             long cost = draw(costs.task());
-            long before = cost > 0 ? prices.nextLong(cost + 1) : 0;
+            long before = cost > 0 ? costRandom.nextLong(cost + 1) : 0;
             running = true;
             spend(before);
             try {
                 if (io != null && choice-- == 0) {
                     ready.remove(ready.size() - 1);
-                    io.listed(false);
+                    io.queued(false);
                     io.handle();
                     isReady(io);
                 } else if (due && choice == 0) {
@@ -272,9 +269,10 @@
     }
 
     /**
-     * One of the channels that have something to do, put at the end of the list; null if none has.
+     * Draws one of the ready channels and moves it to the end of the list; null if none is ready.
+     * Channels that are no longer ready are dropped from the list.
      */
-    private SimIo drawIo() {
+    private SimIo drawReadyChannel() {
         int last = ready.size() - 1;
         while (last >= 0) {
             int at = last == 0 ? 0 : order.nextInt(last + 1);
@@ -285,15 +283,15 @@
                 return drawn;
             }
             ready.remove(last--);
-            drawn.listed(false);
+            drawn.queued(false);
         }
         return null;
     }
 
-    /** The loop looks at it at its next free moment, if it has something to do. */
+    /** Queues the channel for a later turn if it has pending I/O events. */
     void isReady(SimIo io) {
-        if (!dead && !io.isListed() && io.isReady()) {
-            io.listed(true);
+        if (!dead && !io.isQueued() && io.isReady()) {
+            io.queued(true);
             ready.add(io);
             arm();
         }
@@ -318,18 +316,18 @@
             }
             wake.cancel();
         }
-        wake = simulation.at(when, turning);
+        wake = simulation.at(when, turnTask);
     }
 
-    // ---- what things cost
+    // ---- costs
 
-    void readClock() {
+    void chargeClockReading() {
         if (running) {
             spend(draw(costs.clock()));
         }
     }
 
-    void touchSocket() {
+    void chargeSocketCall() {
         if (running) {
             spend(draw(costs.read()));
         }
@@ -341,7 +339,7 @@
     }
 
     private long draw(long mean) {
-        return mean == 0 ? 0 : (long) prices.exponential(mean);
+        return mean == 0 ? 0 : (long) costRandom.exponential(mean);
     }
 
     // ---- channels
@@ -360,7 +358,7 @@
 
     byte[] scratch() {
         if (scratch == null) {
-            scratch = new byte[SCRATCH];
+            scratch = new byte[SCRATCH_BYTES];
         }
         return scratch;
     }
@@ -405,7 +403,7 @@
         }
     }
 
-    void drop(SimTimer.Entry timer) {
+    void remove(SimTimer.Entry timer) {
         timers.remove(timer);
     }
 
@@ -413,14 +411,14 @@
         if (Thread.currentThread() != thread) {
             foreignThreadCall =
                     new IllegalStateException(
-                            "a second thread: " + Thread.currentThread().getName());
+                            "call from a foreign thread: " + Thread.currentThread().getName());
             throw new IllegalStateException(foreignThreadCall);
         }
     }
 
     // ---- the end
 
-    /** All channels are closed, the queue is run to its end, then the future is done. */
+    /** Closes all channels, runs the queued tasks and then completes the future. */
     @Override
     public Future<?> shutdownGracefully(long quietPeriod, long timeout, TimeUnit unit) {
         if (!shuttingDown && !dead) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimServerChannel.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimServerChannel.java
@@ -17,20 +17,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A Netty channel that listens on the simulated network, as Netty's NIO server channel does. */
+/** A Netty server channel on the simulated network; behaves like Netty's NIO server channel. */
 public final class SimServerChannel extends AbstractChannel implements ServerChannel, SimIo {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
-    private static final int BACKLOG = 4096;
+    private static final int DEFAULT_BACKLOG = 4096;
 
     private final SimLoop loop;
     private final SimConfig config;
     private SimListener listener;
     private boolean open = true;
-    private boolean listed;
+    private boolean queued;
     private boolean readInterest;
     private boolean readPending;
 
-    /** Throws if the process is out of descriptors. */
+    /** Throws if the process has no descriptor left. */
     SimServerChannel(SimLoop loop) {
         super(null, loop.newChannelId());
         this.loop = loop;
@@ -47,7 +47,7 @@
                         this::clearReadPending);
     }
 
-    /** Null as long as it is not bound. */
+    /** Null until the channel is bound. */
     public SimListener listener() {
         return listener;
     }
@@ -68,7 +68,7 @@
         IOException failure = null;
         try {
             do {
-                loop.touchSocket();
+                loop.chargeSocketCall();
                 SimSocket socket = listener.accept();
                 if (socket == null) {
                     break;
@@ -94,13 +94,13 @@
     }
 
     @Override
-    public boolean isListed() {
-        return listed;
+    public boolean isQueued() {
+        return queued;
     }
 
     @Override
-    public void listed(boolean now) {
-        listed = now;
+    public void queued(boolean now) {
+        queued = now;
     }
 
     @Override
@@ -171,7 +171,8 @@
         if (loop.isDead()) {
             throw new ClosedChannelException();
         }
-        listener = loop.host().open((InetSocketAddress) localAddress, config.backlog(BACKLOG));
+        listener =
+                loop.host().open((InetSocketAddress) localAddress, config.backlog(DEFAULT_BACKLOG));
         loop.host().unreserve();
         listener.onAcceptable(() -> loop.isReady(this));
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
@@ -6,38 +6,38 @@
 import java.nio.channels.NotYetConnectedException;
 
 /**
- * One end of a connection. Its events are told from within the simulation's steps, never from
- * within a call of the same end's methods.
+ * One end of a connection. Events are delivered from the simulation's steps, never from within a
+ * call to the same end.
  */
 public final class SimSocket {
-    private static final Events NOBODY = new Events() {};
+    private static final Events NO_EVENTS = new Events() {};
 
-    /** What its owner hears. */
+    /** Callbacks to the owner of a socket. */
     public interface Events {
         default void connected() {}
 
         default void failed(IOException why) {}
 
-        /** Bytes, the end or a reset wait to be read. */
+        /** Bytes, the end of the stream or a reset can be read. */
         default void readable() {}
 
-        /** There is room after a short write. */
+        /** The send buffer has room again after a short write. */
         default void writable() {}
     }
 
-    /** What can be done to a connection from outside. */
+    /** Faults that can be injected into a connection. */
     public enum Fault {
-        /** Both ends are reset now, and all that is on the way is lost. */
+        /** Resets both ends now; segments in flight are lost. */
         RESET,
-        /** What is on the way in both directions still arrives; behind it each end is reset. */
+        /** Resets each end after the segments in flight to it have arrived. */
         RESET_AFTER_DELIVERY,
-        /** A half close from this end, as if its process had shut down its output. */
+        /** Half-closes this end, as if its process had shut down its output. */
         END,
-        /** Silence in both directions from now on; nothing is ever heard, a reset neither. */
+        /** Nothing arrives in either direction from now on, not even a reset. */
         BLACK_HOLE,
-        /** What this end sends from now on never arrives; it still hears the other. */
+        /** Nothing that this end sends from now on arrives; it still receives. */
         SILENCE,
-        /** This end's window stays shut from now on. */
+        /** The receive window of this end stays closed from now on. */
         STALL_READS
     }
 
@@ -49,7 +49,7 @@
     private final long id;
     private final int epoch;
     private final SimListener listener;
-    private Events events = NOBODY;
+    private Events events = NO_EVENTS;
     private SimSocket peer;
     private Pipe in;
     private Pipe out;
@@ -64,14 +64,14 @@
     private boolean outputShut;
     private boolean mute;
     private long breakAt = -1;
-    private Runnable whenBreaking = () -> {};
+    private Runnable onBreak = () -> {};
     private long written;
     private long read;
 
-    /** What its owner, a judge or a stand-in, wants to find here again. */
+    /** An attachment for the use of stand-ins and invariants. */
     public Object tag;
 
-    /** With a listener: the end which that one will accept. */
+    /** `listener` is the one that accepts this end; null for the connecting end. */
     SimSocket(
             Host host,
             Host peerHost,
@@ -90,17 +90,20 @@
     }
 
     /**
-     * From now on these are told; if something waits to be read already, they hear it at this
-     * instant.
+     * Sets the receiver of events. If something can be read already, `readable` is delivered at the
+     * current simulated time.
      */
-    public void events(Events told) {
-        events = told;
+    public void events(Events receiver) {
+        events = receiver;
         if (isReadable()) {
-            network.simulation().after(0, this::hasInput);
+            network.simulation().after(0, this::onInput);
         }
     }
 
-    /** Copies what the send buffer has room for, from nothing to all; throws if reset or closed. */
+    /**
+     * Copies as many bytes as the send buffer has room for and returns their number, possibly 0.
+     * Throws if the socket is reset or closed.
+     */
     public int write(byte[] from, int offset, int length) throws IOException {
         checkOpen();
         if (!established) {
@@ -129,7 +132,9 @@
         return done;
     }
 
-    /** 0: nothing there; -1: the end; throws after a reset. */
+    /**
+     * Returns the number of bytes read; 0: none available; -1: end of stream. Throws after a reset.
+     */
     public int read(byte[] into, int offset, int length) throws IOException {
         checkOpen();
         int part = in == null ? 0 : Math.min(length, in.available());
@@ -149,17 +154,17 @@
         return in == null ? 0 : in.available();
     }
 
-    /** Whether a read would give bytes, the end or a reset. */
+    /** Whether a read would return bytes or the end of the stream, or throw. */
     public boolean isReadable() {
         return open && (available() > 0 || inputShut || failure != null);
     }
 
-    /** Whether a write would take something, or throw. */
+    /** Whether a write would accept bytes, or throw. */
     public boolean isWritable() {
         return open && established && (failure != null || outputShut || !out.wantsRoom());
     }
 
-    /** Reads give what has arrived and then the end; the peer hears nothing of it. */
+    /** Reads return what has arrived and then the end of the stream; the peer is not notified. */
     public void shutdownInput() {
         inputShut = true;
     }
@@ -171,7 +176,9 @@
         }
     }
 
-    /** With unread input the peer hears a reset, else the end behind all bytes. */
+    /**
+     * Closes the socket. With unread input the peer is reset, otherwise it reads the end of stream.
+     */
     public void close() {
         if (!open) {
             return;
@@ -183,12 +190,12 @@
         if (established) {
             shutdownOutput();
         }
-        leave("closed");
+        release("closed");
     }
 
     /**
-     * Closes at once with a reset to the peer; what was not sent is lost, mostly also what is on
-     * the way.
+     * Closes the socket and resets the peer. Unsent bytes are lost, and with probability {@link
+     * NetworkConditions#resetDiscards} also the segments in flight.
      */
     public void reset() {
         if (!open) {
@@ -200,38 +207,35 @@
             in.discard();
             out.reset(network.chance().hits(network.conditions(host, peerHost).resetDiscards));
         }
-        leave("reset");
+        release("reset");
     }
 
-    /** Whether its process holds it: connecting, connected, or reset and not yet closed. */
+    /** Whether the socket is not closed: connecting, connected, or reset but not closed yet. */
     public boolean isOpen() {
         return open;
     }
 
-    /** Whether the handshake is over. */
+    /** Whether the handshake is complete. */
     public boolean isEstablished() {
         return established;
     }
 
-    /**
-     * At the listening end whether its process has taken it; at the connecting end whether the
-     * other has.
-     */
+    /** Whether the listening process has accepted the connection; the same at both ends. */
     public boolean isAccepted() {
         return listener != null ? accepted : peer != null && peer.accepted;
     }
 
-    /** Whether a process took this end from a listener or is to. */
+    /** Whether this is the listening side's end, accepted or still in the backlog. */
     public boolean isServerEnd() {
         return listener != null;
     }
 
-    /** Whether the end has arrived; bytes before it may still wait to be read. */
+    /** Whether the end of the stream has arrived; bytes before it may still be unread. */
     public boolean inputEnded() {
         return inputShut;
     }
 
-    /** Whether a reset was heard, or made here. */
+    /** Whether the connection was reset from either side or its connect failed. */
     public boolean isReset() {
         return failure != null;
     }
@@ -252,12 +256,12 @@
         return remote;
     }
 
-    /** The other end, null before there is one; for faults and judges alone. */
+    /** The other end; null before the SYN arrives. Only for fault injection and invariants. */
     public SimSocket peer() {
         return peer;
     }
 
-    /** Shared by both ends; counts up from 1 within a network. */
+    /** The connection's number, the same at both ends; counted from 1 within a network. */
     public long id() {
         return id;
     }
@@ -270,12 +274,12 @@
         return read;
     }
 
-    /** When the last byte that a read has returned was put into the peer's send buffer. */
+    /** When the last byte returned by a read was written by the peer. */
     public long sentAt() {
         return in == null ? 0 : in.lastRead();
     }
 
-    /** Strikes this connection; those told hear of it at this instant, after what runs now. */
+    /** Injects a fault; events follow at the same simulated time, after the current step. */
     public void fault(Fault fault) {
         switch (fault) {
             case RESET -> {
@@ -305,32 +309,32 @@
                     in.shutWindow();
                 }
             }
-            default -> throw new IllegalArgumentException();
+            default -> throw new IllegalArgumentException("unknown fault " + fault);
         }
     }
 
     /**
-     * The connection breaks at this position of what this end sends: bytes before it are delivered,
-     * that one is not, and both ends are reset as soon as it would have arrived; at once if that
-     * byte has left.
+     * Breaks the connection at this position of the stream that this end sends: bytes before it are
+     * delivered, and both ends are reset when the byte at it would have arrived; immediately if
+     * that byte is already transmitted.
      */
     public void resetAtByte(long position) {
         resetAtByte(position, () -> {});
     }
 
-    /** The same, telling of the moment in which it breaks, just before it does. */
-    public void resetAtByte(long position, Runnable told) {
+    /** Like {@link #resetAtByte(long)}; `callback` runs just before the connection breaks. */
+    public void resetAtByte(long position, Runnable callback) {
         breakAt = position;
-        whenBreaking = told;
-        if (out != null && !out.breakAt(position, told)) {
-            told.run();
+        onBreak = callback;
+        if (out != null && !out.breakAt(position, callback)) {
+            callback.run();
             fault(Fault.RESET);
         }
     }
 
-    /** How many of the bytes written have left this end. */
+    /** How many of the written bytes have left the send buffer. */
     public long bytesTransmitted() {
-        return out == null ? 0 : out.left();
+        return out == null ? 0 : out.transmitted();
     }
 
     @Override
@@ -347,9 +351,9 @@
                 + remote.getPort();
     }
 
-    // ---- the system's side
+    // ---- called by the network
 
-    /** Both ends know each other from the moment in which the first word of the client arrives. */
+    /** Links both ends when the client's SYN arrives. */
     static void join(SimSocket client, SimSocket server) {
         client.out = new Pipe(client, server);
         client.in = new Pipe(server, client);
@@ -359,15 +363,15 @@
         server.peer = client;
         server.established = true;
         if (client.breakAt >= 0) {
-            client.out.breakAt(client.breakAt, client.whenBreaking);
+            client.out.breakAt(client.breakAt, client.onBreak);
         }
     }
 
-    void onAbandoned(Runnable told) {
-        abandoned = told;
+    void onAbandoned(Runnable callback) {
+        abandoned = callback;
     }
 
-    /** The connecting end has heard that it is welcome. */
+    /** Completes the handshake at the connecting end. */
     void establish() {
         established = true;
         network.connected(this);
@@ -381,21 +385,21 @@
         if (open && !established) {
             failure = why;
             gone = true;
-            leave("failed");
+            release("failed");
             events.failed(why);
         }
     }
 
-    boolean mayEnter() {
+    boolean mayEnterBacklog() {
         return isForgotten() || !listener.isOpen() || !listener.isFull();
     }
 
-    /** The listening end enters its listener's backlog. */
-    void enter() {
+    /** Adds the listening end to its listener's backlog. */
+    void enterBacklog() {
         if (isForgotten() || !listener.isOpen() || !open) {
-            refuseInput();
+            rejectSegment();
         } else {
-            listener.enter(this);
+            listener.enterBacklog(this);
         }
     }
 
@@ -405,7 +409,7 @@
         network.accepted(this);
     }
 
-    /** Whether the machine has lost this connection, having been away. */
+    /** Whether the machine has lost this connection because it vanished. */
     boolean isForgotten() {
         return epoch != host.epoch();
     }
@@ -414,67 +418,67 @@
         return open && !gone && !isForgotten();
     }
 
-    void hasInput() {
+    void onInput() {
         if (open) {
             events.readable();
         }
     }
 
-    void hasRoom() {
+    void onRoom() {
         if (open) {
             events.writable();
         }
     }
 
-    /** Something came for a connection that isn't any more: a reset is the answer. */
-    void refuseInput() {
+    /** Sends a reset in response to a segment for a connection that no longer exists. */
+    void rejectSegment() {
         gone = true;
         if (!peer.gone) {
             out.reset(false);
         }
     }
 
-    void hearEnd() {
+    void onEnd() {
         if (takesInput()) {
             inputShut = true;
             events.readable();
         } else if (gone || isForgotten()) {
-            refuseInput();
+            rejectSegment();
         }
     }
 
-    void hearReset(boolean discard) {
+    void onReset(boolean discard) {
         if (gone) {
             return;
         }
-        breakOff(discard);
-        tell();
+        markReset(discard);
+        notifyOwner();
     }
 
-    /** A break on the way is told to the sender, unless it is on its way to it. */
-    void breakBack() {
+    /** Sends the reset of a break back to the sender, unless this end is already reset. */
+    void propagateBreak() {
         if (!gone) {
             out.breakNow();
         }
     }
 
-    /** The machine has come back and knows nothing of this connection. */
+    /** Resets this end because its machine has lost the connection. */
     void forget() {
         if (!established) {
             fail(new IOException("Connection reset"));
             return;
         }
         out.kill();
-        breakOff(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
-        network.simulation().after(0, this::tell);
+        markReset(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
+        network.simulation().after(0, this::notifyOwner);
     }
 
-    /** Whether nothing of it is left, except what its process may still read. */
+    /** Whether the connection no longer exists; its process may still read received bytes. */
     boolean isGone() {
         return gone;
     }
 
-    /** Whether nothing that it says is heard. */
+    /** Whether nothing that this end sends arrives. */
     boolean isMute() {
         return mute;
     }
@@ -492,29 +496,29 @@
         } else if (!gone) {
             out.kill();
             in.kill();
-            breakOff(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
-            network.simulation().after(0, this::tell);
+            markReset(network.chance().hits(network.conditions(peerHost, host).resetDiscards));
+            network.simulation().after(0, this::notifyOwner);
         }
     }
 
-    private void breakOff(boolean discard) {
+    private void markReset(boolean discard) {
         gone = true;
         failure = new IOException("Connection reset by peer");
         if (discard) {
             in.discard();
         }
         out.stop();
-        end("reset");
+        notifyEnded("reset");
     }
 
-    private void tell() {
+    private void notifyOwner() {
         if (open) {
             events.readable();
             events.writable();
         }
     }
 
-    private void leave(String how) {
+    private void release(String how) {
         open = false;
         if (listener == null || accepted) {
             host.release(this);
@@ -522,10 +526,10 @@
         if (!established && abandoned != null) {
             abandoned.run();
         }
-        end(how);
+        notifyEnded(how);
     }
 
-    private void end(String how) {
+    private void notifyEnded(String how) {
         if (!ended) {
             ended = true;
             network.ended(this, how);
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimTicker.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimTicker.java
@@ -3,7 +3,7 @@
 import io.netty.util.concurrent.Ticker;
 import java.util.concurrent.TimeUnit;
 
-/** The monotonic clock of a process: its own origin, and each reading within a task costs time. */
+/** The monotonic clock of a process, with its own origin. A reading within a task costs time. */
 final class SimTicker implements Ticker {
     private final SimLoop loop;
     private final long origin;
@@ -22,13 +22,13 @@
 
     @Override
     public long nanoTime() {
-        loop.readClock();
+        loop.chargeClockReading();
         last = Math.max(last, loop.localNow());
         return origin + last;
     }
 
     @Override
     public void sleep(long delay, TimeUnit unit) {
-        throw new UnsupportedOperationException("a loop never sleeps");
+        throw new UnsupportedOperationException("an event loop must not sleep");
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimTimer.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimTimer.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.Delayed;
 import java.util.concurrent.TimeUnit;
 
-/** Something that a loop is to do at a moment of its time, once or again and again. */
+/** A one-shot or periodic timer of a loop. */
 final class SimTimer<V> extends DefaultPromise<V> implements ScheduledFuture<V> {
     private final SimLoop loop;
     private final Callable<V> task;
 
-    /** 0: once; above: from due time to due time; below: from end to begin. */
+    /** 0: one-shot; positive: fixed rate; negative: fixed delay. Nanoseconds. */
     private final long period;
 
     private final Entry entry;
@@ -29,7 +29,7 @@
         return entry;
     }
 
-    /** Runs in the loop; what is thrown fails the future, and goes on to the loop. */
+    /** Runs the task. An exception fails the future and is rethrown to the loop. */
     void fire() throws Exception {
         if (period == 0) {
             if (setUncancellable()) {
@@ -58,7 +58,7 @@
     public boolean cancel(boolean mayInterruptIfRunning) {
         boolean cancelled = super.cancel(mayInterruptIfRunning);
         if (cancelled) {
-            loop.drop(entry);
+            loop.remove(entry);
         }
         return cancelled;
     }
@@ -88,8 +88,8 @@
         return loop;
     }
 
-    /** The timer's place among the loop's others. */
-    static final class Entry extends Planned {
+    /** The timer's entry in the heap of its loop. */
+    static final class Entry extends HeapEntry {
         private final SimTimer<?> timer;
 
         private Entry(SimTimer<?> timer, long due, long tie, long serial) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Simulation.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Simulation.java
@@ -6,9 +6,9 @@
 import java.util.function.Supplier;
 
 /**
- * Virtual time, and everything that is to happen in it. Nanoseconds from the start of the day. What
- * is due at one instant runs in an order drawn from the chance for ties, so that all orders get
- * played.
+ * A discrete-event simulation: virtual time, in nanoseconds from the start of the day, and the
+ * events scheduled in it. Events due at the same time run in an order drawn at random, so that over
+ * many seeds every order occurs.
  */
 public final class Simulation {
     private static final long SECOND = 1_000_000_000L;
@@ -30,7 +30,7 @@
         return now;
     }
 
-    /** Plans `what` for that moment; for now if the moment is past. */
+    /** Schedules `what` for a time; for now if that time is past. */
     public Event at(long when, Runnable what) {
         Event event = new Event(heap, Math.max(when, now), ties.nextLong(), serials++, what);
         heap.add(event);
@@ -58,7 +58,7 @@
         return true;
     }
 
-    /** Runs all that is due up to that moment, which is then the present. */
+    /** Runs all events due up to that time and advances the clock to it. */
     public void runUntil(long when) {
         while (!heap.isEmpty() && heap.first().due() <= when) {
             step();
@@ -66,12 +66,12 @@
         now = Math.max(now, when);
     }
 
-    /** When the next event is due; Long.MAX_VALUE if there is none. */
+    /** The due time of the next event; Long.MAX_VALUE if there is none. */
     public long next() {
         return heap.isEmpty() ? Long.MAX_VALUE : heap.first().due();
     }
 
-    /** How many events are planned. */
+    /** The number of scheduled events. */
     public int pending() {
         return heap.size();
     }
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Everything that matters is noted: goes into the digest with its time; text is made for a
-     * trace.
+     * Adds an occurrence, with the current time, to the digest. `text` is evaluated only while a
+     * trace is set.
      */
     public void note(int kind, long a, long b, Supplier<String> text) {
         digest =
@@ -109,12 +109,12 @@
         }
     }
 
-    /** A hash over every event with its time, and every note. */
+    /** A hash over all events with their times, and all notes; equal runs have equal digests. */
     public long digest() {
         return SeededRandom.mix(digest);
     }
 
-    /** From now on each note is a line of text for `sink`; null: no longer. */
+    /** Passes a line of text for each note to `sink` from now on; null stops it. */
     public void trace(Consumer<String> sink) {
         trace = sink;
     }
@@ -134,8 +134,8 @@
                 + text;
     }
 
-    /** Something planned, which can be taken back as long as it is pending. */
-    public static final class Event extends Planned {
+    /** A scheduled event, which can be cancelled while it is pending. */
+    public static final class Event extends HeapEntry {
         private final Heap<Event> heap;
         private final Runnable what;
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/SteppedExecutor.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SteppedExecutor.java
@@ -13,9 +13,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** The forms that Netty wants an event loop to have, brought down to a few. */
+/**
+ * Maps the scheduling and registration methods of Netty's event loop interface to {@link #plan}.
+ */
 abstract class SteppedExecutor extends AbstractEventExecutor implements EventLoop {
-    /** A period of 0: once; above: from due time to due time; below: from end to begin. */
+    /** Schedules a timer; a period of 0: one-shot; positive: fixed rate; negative: fixed delay. */
     abstract <V> ScheduledFuture<V> plan(Callable<V> task, long delay, long period);
 
     @Override
@@ -43,7 +45,7 @@
 
     private static long positive(long nanos) {
         if (nanos <= 0) {
-            throw new IllegalArgumentException("period " + nanos);
+            throw new IllegalArgumentException("period must be positive: " + nanos);
         }
         return nanos;
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Tap.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Tap.java
@@ -1,9 +1,9 @@
 package appleridge.testbed.simnet;
 
 /**
- * Sees what happens on every socket, at the moment it happens, before anything else does. What a
- * process does in the middle of a task carries that process's own time, which may be a little ahead
- * of the simulation's: {@link Network#tapTime()}.
+ * Observes every socket of a network. Each call is made when the operation happens, before any
+ * other effect of it. The operation's time is {@link Network#tapTime()}: the local time of the
+ * process, which within a task may be slightly ahead of the simulation's.
  */
 public interface Tap {
     default void connecting(SimSocket socket) {}
@@ -16,6 +16,6 @@
 
     default void read(SimSocket by, byte[] bytes, int offset, int length) {}
 
-    /** Once for each end: it was closed, reset, or its connect failed. */
+    /** Called once for each end: `how` is `closed`, `reset`, or `failed` for a connect. */
     default void ended(SimSocket socket, String how) {}
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Virtual time, a simulated network that carries bytes, and Netty's channels and event loop on top
- * of it.
+ * A discrete-event simulation with a byte-level network, and Netty channels and event loops that
+ * run on it.
  */
 package appleridge.testbed.simnet;
--- a/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
@@ -189,7 +189,10 @@
         other.start();
         other.join();
         assertEquals(0, loop.pendingTasks());
-        assertTrue(loop.foreignThreadCall().getMessage().startsWith("a second thread"));
+        assertTrue(
+                loop.foreignThreadCall()
+                        .getMessage()
+                        .startsWith("call from a foreign thread: Thread-"));
     }
 
     @Test
