--- a/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/BadClients.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Clients that send what no client should; each is owed an error or a close. */
+/** Clients that send malformed requests; each must get an error response or a close. */
 public final class BadClients {
-    /** What is told of one that got neither an error nor a close in time. */
+    /** The reported ending of a client that got neither an error nor a close in time. */
     public static final String LEFT_WAITING = "left waiting";
 
     private static final String HEAD = " HTTP/1.1\r\nHost: orders.svc\r\n";
@@ -33,40 +33,40 @@
     private final EventLoop loop;
     private final InetSocketAddress sidecar;
     private final long patience;
-    private final StandInListener witness;
-    private final Map<String, String> lines = new LinkedHashMap<>();
+    private final StandInListener events;
+    private final Map<String, String> requests = new LinkedHashMap<>();
     private int open;
 
-    /** With how long an error or a close may take, in nanoseconds. */
+    /** `patience` is how long an error response or a close may take, in nanoseconds. */
     public BadClients(
-            EventLoop loop, InetSocketAddress sidecar, long patience, StandInListener witness) {
+            EventLoop loop, InetSocketAddress sidecar, long patience, StandInListener events) {
         this.loop = loop;
         this.sidecar = sidecar;
         this.patience = patience;
-        this.witness = witness;
-        lines.put("noise", "\u0001\u0002 what is this?\r\n\r\n");
-        lines.put("half a request", "POST /api/order-confirm HTTP/1.1\r\nX-Requ");
-        lines.put(
+        this.events = events;
+        requests.put("noise", "\u0001\u0002 what is this?\r\n\r\n");
+        requests.put("half a request", "POST /api/order-confirm HTTP/1.1\r\nX-Requ");
+        requests.put(
                 "a class that does not exist",
                 "GET /api/gold"
                         + HEAD
                         + "X-Class: gold\r\nX-Request-Id: bad-client\r\nX-Deadline: 1.0\r\n\r\n");
-        lines.put("no id", CHECK + "X-Deadline: 0.4\r\n\r\n");
-        lines.put(
+        requests.put("no id", CHECK + "X-Deadline: 0.4\r\n\r\n");
+        requests.put(
                 "a deadline that is no number",
                 CHECK + "X-Request-Id: bad-client\r\nX-Deadline: soon\r\n\r\n");
-        lines.put("a huge length", CONFIRM + "Content-Length: 62914560\r\n\r\n{}");
-        lines.put(
+        requests.put("a huge length", CONFIRM + "Content-Length: 62914560\r\n\r\n{}");
+        requests.put(
                 "two ways to read a length",
                 CONFIRM + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     }
 
-    /** One of each kind connects and sends. */
+    /** Opens a connection for each kind of malformed request and sends it. */
     public void sendAll() {
-        lines.forEach(this::connect);
+        requests.forEach(this::connect);
     }
 
-    /** How many wait for what they are owed. */
+    /** The number of clients that still wait for an error response or a close. */
     public int open() {
         return open;
     }
@@ -80,7 +80,7 @@
                         new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                channel.pipeline().addLast(new Owed(what, text));
+                                channel.pipeline().addLast(new BadRequest(what, text));
                             }
                         })
                 .connect(sidecar)
@@ -94,15 +94,15 @@
 
     private void ended(String what, String how, boolean served) {
         open--;
-        witness.badClient(what, how, served);
+        events.badClient(what, how, served);
     }
 
-    private final class Owed extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class BadRequest extends SimpleChannelInboundHandler<ByteBuf> {
         private final String what;
         private final String text;
-        private boolean over;
+        private boolean finished;
 
-        Owed(String what, String text) {
+        BadRequest(String what, String text) {
             this.what = what;
             this.text = text;
         }
@@ -131,8 +131,8 @@
         }
 
         private void end(ChannelHandlerContext ctx, String how, boolean served) {
-            if (!over) {
-                over = true;
+            if (!finished) {
+                finished = true;
                 ended(what, how, served);
                 ctx.close();
             }
--- a/testbed/src/main/java/appleridge/testbed/standin/ClientConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ClientConnection.java
@@ -15,24 +15,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection of a client, with one request at a time. */
+/** A client's connection; carries one request at a time. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
     private final LoopbackClient client;
     private final RealTime time;
-    private final StandInListener witness;
+    private final StandInListener events;
     private final Channel channel;
     private LoopbackClient.Exchange exchange;
     private boolean written;
     private boolean first = true;
     private HttpResponse head;
     private final StringBuilder body = new StringBuilder();
-    private Future<?> patience;
+    private Future<?> timeout;
 
     ClientConnection(
-            LoopbackClient client, RealTime time, StandInListener witness, Channel channel) {
+            LoopbackClient client, RealTime time, StandInListener events, Channel channel) {
         this.client = client;
         this.time = time;
-        this.witness = witness;
+        this.events = events;
         this.channel = channel;
     }
 
@@ -49,19 +49,19 @@
                                 channel.close();
                             } else if (exchange == next) {
                                 written = true;
-                                witness.taken(ask.id(), time.nanos());
+                                events.taken(ask.id(), time.nanos());
                             }
                         });
         if (exchange == next) {
-            patience =
+            timeout =
                     channel.eventLoop()
                             .schedule(
                                     () ->
                                             end(
-                                                    next.leaves() < next.listens()
+                                                    next.leaveAfter() < next.listenFor()
                                                             ? StandInListener.Ending.GAVE_UP
                                                             : StandInListener.Ending.SILENT),
-                                    Math.min(next.leaves(), next.listens()),
+                                    Math.min(next.leaveAfter(), next.listenFor()),
                                     TimeUnit.NANOSECONDS);
         }
     }
@@ -99,7 +99,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (exchange == null || message.decoderResult().isFailure()) {
             if (exchange == null) {
-                witness.unasked(channel.localAddress().toString(), time.nanos());
+                events.unasked(channel.localAddress().toString(), time.nanos());
             }
             channel.close();
             return;
@@ -110,24 +110,24 @@
         if (message instanceof HttpContent content) {
             body.append(content.content().toString(StandardCharsets.ISO_8859_1));
             if (message instanceof LastHttpContent && head.status().code() >= 200) {
-                answered();
+                responseComplete();
             }
         }
     }
 
-    private void answered() {
+    private void responseComplete() {
         LoopbackClient.Exchange done = exchange;
         exchange = null;
         first = false;
-        patience.cancel(false);
+        timeout.cancel(false);
         int status = head.status().code();
-        witness.answered(done.ask().id(), status, body.toString(), time.nanos());
+        events.answered(done.ask().id(), status, body.toString(), time.nanos());
         if (HttpUtil.isKeepAlive(head)) {
             client.keep(this);
         } else {
             channel.close();
         }
-        client.over(done, status == 429 || status == 503, retryAfter());
+        client.finished(done, status == 429 || status == 503, retryAfter());
     }
 
     private long retryAfter() {
@@ -140,14 +140,14 @@
         }
     }
 
-    /** Without an answer. */
+    /** Ends the exchange without a complete answer and closes the connection. */
     private void end(StandInListener.Ending how) {
         if (exchange != null) {
             LoopbackClient.Exchange ended = exchange;
             exchange = null;
-            patience.cancel(false);
-            witness.ended(ended.ask().id(), how, time.nanos());
-            client.over(ended, false, 0);
+            timeout.cancel(false);
+            events.ended(ended.ask().id(), how, time.nanos());
+            client.finished(ended, false, 0);
             channel.close();
         }
     }
@@ -159,12 +159,12 @@
             return;
         }
         if (head == null && !first) {
-            // A kept connection may be closed just as a request comes: that one is sent once more.
+            // A kept connection may be closed just as a request is sent; the request is sent again.
             LoopbackClient.Exchange again = exchange;
             exchange = null;
-            patience.cancel(false);
-            witness.sentAgain(again.ask().id(), time.nanos());
-            client.askAnew(again);
+            timeout.cancel(false);
+            events.sentAgain(again.ask().id(), time.nanos());
+            client.sendOnNewConnection(again);
         } else if (head != null) {
             end(StandInListener.Ending.CUT);
         } else {
--- a/testbed/src/main/java/appleridge/testbed/standin/ColdStart.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ColdStart.java
@@ -4,17 +4,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a fresh server can do while it warms up, and how near the work sent to it comes to tipping
- * it.
+ * The capacity of a server while it warms up, and how close the work sent to it comes to making it
+ * fall over.
  */
 public final class ColdStart {
     /**
-     * A kind of machine; times in nanoseconds.
+     * The figures of a machine model; times in nanoseconds.
      *
-     * @param coldShare the part of its capacity that a server starts with
-     * @param ramp the time until it has all of it
-     * @param factor times what it can do at that moment: sent more, a cold server falls over
-     * @param tipAfter how long it stands that
+     * @param coldShare the share of its capacity that a server starts with
+     * @param ramp the time from the start until full capacity
+     * @param factor a cold server falls over if it is sent more than this multiple of its current
+     *     capacity over {@code tipAfter}
+     * @param tipAfter the length of the window over which work is summed
      */
     public record Figures(int cores, double coldShare, long ramp, double factor, long tipAfter) {
         /** The ordering platform's machines. */
@@ -41,15 +42,15 @@
         this.startedAt = startedAt;
     }
 
-    /** The part of its capacity that it has at this moment. */
+    /** The share of its capacity, from 0 to 1, that the server has at time `now`. */
     public double share(long now) {
         double passed = (now - startedAt) / (double) figures.ramp();
         return !cold || passed >= 1 ? 1 : figures.coldShare() + (1 - figures.coldShare()) * passed;
     }
 
     /**
-     * Takes a request's work in; returns all that came lately as a part of what tips it, 0 once
-     * warm.
+     * Adds the work of a request, in core nanoseconds. Returns the work of the current window
+     * relative to the limit: above 1 the server falls over. Always 0 once the server is warm.
      */
     public double sent(long now, double work) {
         if (share(now) >= 1) {
--- a/testbed/src/main/java/appleridge/testbed/standin/FirstByteTimer.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/FirstByteTimer.java
@@ -3,13 +3,13 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Stands before the decoder and notes when a request's first byte came. */
-final class FirstByte extends ChannelInboundHandlerAdapter {
+/** A handler in front of the HTTP decoder that records when a request's first byte arrives. */
+final class FirstByteTimer extends ChannelInboundHandlerAdapter {
     private final RealTime time;
     private boolean begun;
     private long at;
 
-    FirstByte(RealTime time) {
+    FirstByteTimer(RealTime time) {
         this.time = time;
     }
 
@@ -22,8 +22,11 @@
         super.channelRead(ctx, message);
     }
 
-    /** The request has come whole; returns when it began. The next byte begins another. */
-    long whole() {
+    /**
+     * Call when a request is complete. Returns the time of its first byte; the next byte starts
+     * another.
+     */
+    long requestComplete() {
         begun = false;
         return at;
     }
--- a/testbed/src/main/java/appleridge/testbed/standin/HttpResponses.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/HttpResponses.java
@@ -6,9 +6,11 @@
 import io.netty.channel.ChannelOption;
 import java.nio.charset.StandardCharsets;
 
-/** Answers as bytes, so that stand-ins can also send a part of one; and an end with a reset. */
-final class Replies {
-    private Replies() {}
+/**
+ * Builds HTTP responses as bytes, so that a stand-in can send part of one, and resets connections.
+ */
+final class HttpResponses {
+    private HttpResponses() {}
 
     static ByteBuf bytes(String status, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 ").append(status).append("\r\n");
--- a/testbed/src/main/java/appleridge/testbed/standin/Listener.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/Listener.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A listening loopback socket and the connections that it accepted. */
+/** A listening loopback socket and its accepted connections. */
 final class Listener {
-    private static final long AGAIN_MILLIS = 20;
+    private static final long BIND_RETRY_MILLIS = 20;
 
     private final EventLoop loop;
     private final Consumer<Channel> install;
@@ -32,12 +32,12 @@
         this.install = install;
     }
 
-    /** Listens on any free port; blocks, so never to be called on the loop. */
+    /** Listens on any free port. Blocks: must not be called on the event loop. */
     void listen() throws InterruptedException {
         channel = bind(0).sync().channel();
     }
 
-    /** Listens on this port as soon as it is free: what held it last may not be gone altogether. */
+    /** Listens on this port; retries while its previous owner has not released it yet. */
     void listen(int port, Runnable listening) {
         bind(port)
                 .addListener(
@@ -52,7 +52,7 @@
                             } else if (!closed) {
                                 loop.schedule(
                                         () -> listen(port, listening),
-                                        AGAIN_MILLIS,
+                                        BIND_RETRY_MILLIS,
                                         TimeUnit.MILLISECONDS);
                             }
                         });
@@ -72,7 +72,7 @@
                                 accepted.closeFuture()
                                         .addListener(done -> connections.remove(accepted));
                                 install.accept(accepted);
-                                accepted.pipeline().addLast(new Deaf());
+                                accepted.pipeline().addLast(new ErrorHandler());
                             }
                         })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -82,7 +82,7 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Accepts no more; what is open stays. */
+    /** Stops accepting; open connections stay open. */
     void close() {
         closed = true;
         if (channel != null) {
@@ -91,11 +91,11 @@
     }
 
     void resetAll() {
-        List.copyOf(connections).forEach(Replies::reset);
+        List.copyOf(connections).forEach(HttpResponses::reset);
     }
 
-    /** The other end may go at any time: nothing to be told. */
-    private static final class Deaf extends ChannelInboundHandlerAdapter {
+    /** Closes the connection on an error; the peer may disconnect at any time. */
+    private static final class ErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/testbed/src/main/java/appleridge/testbed/standin/LoadReport.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoadReport.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The load that a server reports in its answers: some time old, as reports are. */
+/** The load that a server reports in its responses, updated at most every {@link #PERIOD}. */
 final class LoadReport {
-    /** Names of the figures. */
+    /** The names of the reported figures, in order. */
     static final List<String> FIELDS = List.of("qps", "latency_ms", "eps", "queue");
 
     private static final long PERIOD = TimeUnit.MILLISECONDS.toNanos(100);
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackClient.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackClient.java
@@ -12,11 +12,11 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** One application: its kept connections, and another one when all are busy. */
+/** A client application: reuses its idle connections and opens another when all are busy. */
 final class LoopbackClient {
     private final RealTime time;
     private final LoopbackClients all;
-    private final StandInListener witness;
+    private final StandInListener events;
     private final Bootstrap bootstrap;
     private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
 
@@ -25,10 +25,10 @@
             RealTime time,
             InetSocketAddress sidecar,
             LoopbackClients all,
-            StandInListener witness) {
+            StandInListener events) {
         this.time = time;
         this.all = all;
-        this.witness = witness;
+        this.events = events;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -46,28 +46,31 @@
                                                         new ClientConnection(
                                                                 LoopbackClient.this,
                                                                 time,
-                                                                witness,
+                                                                events,
                                                                 channel));
                                     }
                                 });
     }
 
-    /** Sends it; the client leaves after so many nanoseconds, or stops listening for the answer. */
-    void ask(StandInListener.Ask ask, long leaves, long listens) {
-        Exchange exchange = new Exchange(ask, leaves, listens);
+    /**
+     * Sends a request. The client disconnects after {@code leaveAfter} nanoseconds, or gives up
+     * waiting for the answer after {@code listenFor}.
+     */
+    void send(StandInListener.Ask ask, long leaveAfter, long listenFor) {
+        Exchange exchange = new Exchange(ask, leaveAfter, listenFor);
         ClientConnection kept = idle.pollLast();
         if (kept != null) {
             kept.send(exchange);
         } else {
-            askAnew(exchange);
+            sendOnNewConnection(exchange);
         }
     }
 
     /**
-     * On a connection of its own: the first one, or because a kept one ended as the request was
-     * sent.
+     * Sends a request on a new connection: none was idle, or the kept one was closed as the request
+     * was sent.
      */
-    void askAnew(Exchange exchange) {
+    void sendOnNewConnection(Exchange exchange) {
         bootstrap
                 .connect()
                 .addListener(
@@ -76,17 +79,17 @@
                             if (done.isSuccess()) {
                                 channel.pipeline().get(ClientConnection.class).send(exchange);
                             } else {
-                                witness.ended(
+                                events.ended(
                                         exchange.ask().id(),
                                         StandInListener.Ending.NOT_TAKEN,
                                         time.nanos());
-                                over(exchange, false, 0);
+                                finished(exchange, false, 0);
                             }
                         });
     }
 
-    void over(Exchange exchange, boolean refused, long wait) {
-        all.over(exchange.ask(), refused, wait);
+    void finished(Exchange exchange, boolean refused, long wait) {
+        all.finished(exchange.ask(), refused, wait);
     }
 
     void keep(ClientConnection connection) {
@@ -101,6 +104,6 @@
         List.copyOf(idle).forEach(ClientConnection::close);
     }
 
-    /** A request and how long its client stays, in nanoseconds from its sending. */
-    record Exchange(StandInListener.Ask ask, long leaves, long listens) {}
+    /** A request and how long its client stays connected, in nanoseconds from the sending. */
+    record Exchange(StandInListener.Ask ask, long leaveAfter, long listenFor) {}
 }
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackClients.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackClients.java
@@ -8,39 +8,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The applications beside a sidecar: they ask at random times, whether or not earlier requests are
- * answered, and after a refusal once more. Lives on its event loop.
+ * The client applications of a sidecar: an open-loop load generator with random arrival times. A
+ * refused request (429 or 503) is sent once more. Use only on its event loop.
  */
 public final class LoopbackClients {
     /**
-     * What they ask.
+     * The load to generate.
      *
-     * @param clients how many there are; each keeps connections of its own
-     * @param rate requests a second, of all together, retries not counted
-     * @param impatient the part of requests whose client leaves before its time is over
-     * @param overtime how long beyond its time a client goes on listening, in nanoseconds
+     * @param clients the number of clients; each has its own connections
+     * @param rate requests per second of all clients together, without retries
+     * @param impatient the share of requests whose client disconnects before its deadline
+     * @param overtime how long a client still waits after its deadline, in nanoseconds
      */
     public record Habits(int clients, double rate, double impatient, long overtime) {}
 
     private static final int SECOND = 1_000_000_000;
 
-    /**
-     * After the process stood still for longer, what should have been asked meanwhile is left out.
-     */
-    private static final long CATCHES_UP = TimeUnit.MILLISECONDS.toNanos(250);
+    /** After a longer pause of this process, the requests missed meanwhile are skipped. */
+    private static final long MAX_CATCH_UP = TimeUnit.MILLISECONDS.toNanos(250);
 
-    private static final long USUAL_WAIT = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long LEAST_TIME = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long DEFAULT_RETRY_DELAY = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long MIN_TIME_LEFT = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final EventLoop loop;
     private final RealTime time;
     private final Habits habits;
     private final SplittableRandom chance;
-    private final StandInListener witness;
+    private final StandInListener events;
     private final List<LoopbackClient> clients = new ArrayList<>();
     private String flooding = "";
     private double flood = 1;
-    private boolean asking;
+    private boolean sending;
     private long nextAt;
     private int open;
 
@@ -50,41 +48,41 @@
             InetSocketAddress sidecar,
             Habits habits,
             SplittableRandom chance,
-            StandInListener witness) {
+            StandInListener events) {
         this.loop = loop;
         this.time = time;
         this.habits = habits;
         this.chance = chance;
-        this.witness = witness;
+        this.events = events;
         for (int i = 0; i < habits.clients(); i++) {
-            clients.add(new LoopbackClient(loop, time, sidecar, this, witness));
+            clients.add(new LoopbackClient(loop, time, sidecar, this, events));
         }
     }
 
-    /** Begins to ask. */
+    /** Starts sending requests. */
     public void start() {
-        asking = true;
+        sending = true;
         nextAt = time.nanos();
         scheduleNext();
     }
 
-    /** Asks nothing more; what is open goes on. */
+    /** Stops sending; open requests continue. */
     public void stop() {
-        asking = false;
+        sending = false;
     }
 
-    /** From now on this wholesaler sends so many times what it usually does. */
+    /** Multiplies the request rate of this wholesaler from now on. */
     public void flood(String wholesaler, double times) {
         flooding = wholesaler;
         flood = times;
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     public int open() {
         return open;
     }
 
-    /** Closes the connections that are kept. */
+    /** Closes all idle connections. */
     public void closeIdle() {
         clients.forEach(LoopbackClient::closeIdle);
     }
@@ -93,13 +91,13 @@
         nextAt +=
                 (long) (-Math.log(1 - chance.nextDouble()) * SECOND / (habits.rate() * weights()));
         long now = time.nanos();
-        if (nextAt < now - CATCHES_UP) {
+        if (nextAt < now - MAX_CATCH_UP) {
             nextAt = now;
         }
         loop.schedule(
                 () -> {
-                    if (asking) {
-                        wish();
+                    if (sending) {
+                        sendNewRequest();
                         scheduleNext();
                     }
                 },
@@ -115,8 +113,8 @@
         return wholesaler.share() * (wholesaler.name().equals(flooding) ? flood : 1);
     }
 
-    private void wish() {
-        String id = hex();
+    private void sendNewRequest() {
+        String id = randomId();
         RequestKind kind = kind();
         send(
                 new StandInListener.Ask(
@@ -124,7 +122,7 @@
                         id,
                         kind,
                         wholesaler(),
-                        kind.repeats().keyed() ? hex() + hex() : null,
+                        kind.repeats().keyed() ? randomId() + randomId() : null,
                         0,
                         time.nanos(),
                         kind.patience()));
@@ -132,27 +130,27 @@
 
     private void send(StandInListener.Ask ask) {
         open++;
-        witness.asks(ask);
-        long leaves =
+        events.asks(ask);
+        long leaveAfter =
                 chance.nextDouble() < habits.impatient()
                         ? (long) (ask.patience() * chance.nextDouble())
                         : Long.MAX_VALUE;
         clients.get(chance.nextInt(clients.size()))
-                .ask(ask, leaves, ask.patience() + habits.overtime());
+                .send(ask, leaveAfter, ask.patience() + habits.overtime());
     }
 
-    /** A request is over; one that was refused is sent once more, if there is time. */
-    void over(StandInListener.Ask ask, boolean refused, long wait) {
+    /** Ends a request; one that was refused is sent once more if enough time is left. */
+    void finished(StandInListener.Ask ask, boolean refused, long wait) {
         open--;
-        long pause = wait < 0 ? USUAL_WAIT : wait;
+        long pause = wait < 0 ? DEFAULT_RETRY_DELAY : wait;
         long left = ask.patience() - (time.nanos() - ask.at()) - pause;
-        if (refused && asking && ask.number() == 0 && left > LEAST_TIME) {
+        if (refused && sending && ask.number() == 0 && left > MIN_TIME_LEFT) {
             loop.schedule(
                     () -> {
-                        if (asking) {
+                        if (sending) {
                             send(
                                     new StandInListener.Ask(
-                                            hex(),
+                                            randomId(),
                                             ask.wish(),
                                             ask.kind(),
                                             ask.wholesaler(),
@@ -168,10 +166,10 @@
     }
 
     private RequestKind kind() {
-        double drawn = chance.nextDouble();
+        double remaining = chance.nextDouble();
         for (RequestKind kind : RequestKind.ALL) {
-            drawn -= kind.share();
-            if (drawn < 0) {
+            remaining -= kind.share();
+            if (remaining < 0) {
                 return kind;
             }
         }
@@ -179,17 +177,17 @@
     }
 
     private String wholesaler() {
-        double drawn = chance.nextDouble() * weights();
+        double remaining = chance.nextDouble() * weights();
         for (TenantShare wholesaler : TenantShare.ALL) {
-            drawn -= weight(wholesaler);
-            if (drawn < 0) {
+            remaining -= weight(wholesaler);
+            if (remaining < 0) {
                 return wholesaler.name();
             }
         }
         return TenantShare.ALL.get(0).name();
     }
 
-    private String hex() {
+    private String randomId() {
         String digits = Long.toHexString(chance.nextLong());
         return "0".repeat(16 - digits.length()) + digits;
     }
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackRegistry.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackRegistry.java
@@ -19,40 +19,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery: the list of servers, whole or as a watch on changes, and times at which it is away.
- * Lives on its event loop; only the constructor and {@link #listen()} are called from elsewhere.
+ * A stand-in for service discovery: serves the list of servers, whole or by long poll for changes,
+ * and can be made unavailable. Use only on its event loop, except for the constructor and {@link
+ * #listen()}.
  */
 public final class LoopbackRegistry {
-    /** What discovery knows of a server. */
+    /** The state of a server in the list. */
     public enum State {
-        /** Wants requests. */
+        /** Accepts requests. */
         READY,
-        /** Finishes what it has, wants nothing new. */
+        /** Finishes open requests and accepts no new ones. */
         TERMINATING,
-        /** Is no more. */
+        /** Has ended. */
         GONE;
 
-        /** As the list says it. */
-        String word() {
+        /** The value in the JSON list. */
+        String wireName() {
             return name().charAt(0) + name().substring(1).toLowerCase(Locale.ROOT);
         }
     }
 
-    /** One line of the list; {@code bootMillis} in Unix time, 0 for long ago. */
+    /** A server in the list; {@code bootMillis} in Unix time, 0 if it started long ago. */
     public record Entry(String uid, String endpoint, String zone, State state, long bootMillis) {}
 
     private record Known(Entry entry, long revision) {}
 
     private record Watch(Channel channel, long since) {}
 
-    /** The one kind of machine that the list knows. */
+    /** The machine model of all servers. */
     public static final String MODEL = "std-3c";
 
-    private static final long OLD_CLOSES_MILLIS = 1500;
+    private static final long MOVE_GRACE_MILLIS = 1500;
 
     private final EventLoop loop;
     private final RealTime time;
-    private final StandInListener witness;
+    private final StandInListener events;
     private final ObjectMapper json = new ObjectMapper();
     private final Map<String, Known> list = new LinkedHashMap<>();
     private final List<Watch> watches = new ArrayList<>();
@@ -60,39 +61,41 @@
     private boolean away;
     private long revision;
 
-    public LoopbackRegistry(EventLoop loop, RealTime time, StandInListener witness) {
+    public LoopbackRegistry(EventLoop loop, RealTime time, StandInListener events) {
         this.loop = loop;
         this.time = time;
-        this.witness = witness;
+        this.events = events;
     }
 
-    /** Starts on any free port; blocks, so never to be called on the loop. */
+    /** Listens on any free port. Blocks: must not be called on the event loop. */
     public void listen() throws InterruptedException {
         listener = new Listener(loop, this::install);
         listener.listen();
     }
 
-    /** Where it listens. */
+    /** The address it listens on, as host:port. */
     public String endpoint() {
         return "127.0.0.1:" + listener.port();
     }
 
-    /** Takes a change in and tells those that watch. */
+    /** Adds or changes a server and answers the open watches. */
     public void set(Entry entry) {
         revision++;
         list.put(entry.uid(), new Known(entry, revision));
-        witness.changed(entry.uid(), entry.state(), time.nanos());
+        events.changed(entry.uid(), entry.state(), time.nanos());
         List<Watch> waiting = List.copyOf(watches);
         watches.clear();
         waiting.forEach(watch -> answer(watch.channel(), watch.since()));
     }
 
-    /** Whether anyone waits for a change. */
+    /** Whether a client waits for a change. */
     public boolean watched() {
         return !watches.isEmpty();
     }
 
-    /** Goes down or comes back: while it is down, calls end with a reset and nothing is told. */
+    /**
+     * Makes the registry unavailable or available; while unavailable, it resets all connections.
+     */
     public void away(boolean isAway) {
         away = isAway;
         if (away) {
@@ -100,7 +103,10 @@
         }
     }
 
-    /** Moves to another address; the old one takes nothing new and soon closes what is open. */
+    /**
+     * Moves to another port. The old listener accepts nothing new, and its connections are reset
+     * after a short time.
+     */
     public void move(Runnable moved) {
         Listener old = listener;
         Listener other = new Listener(loop, this::install);
@@ -109,18 +115,18 @@
                 () -> {
                     listener = other;
                     old.close();
-                    loop.schedule(old::resetAll, OLD_CLOSES_MILLIS, TimeUnit.MILLISECONDS);
+                    loop.schedule(old::resetAll, MOVE_GRACE_MILLIS, TimeUnit.MILLISECONDS);
                     moved.run();
                 });
     }
 
-    /** Ends. */
+    /** Closes the listener and resets all connections. */
     public void close() {
         listener.close();
         listener.resetAll();
     }
 
-    /** The whole list in its own form. */
+    /** The whole list as JSON. */
     public ObjectNode whole() {
         return body(
                 list.values().stream()
@@ -132,13 +138,16 @@
 
     private void install(Channel channel) {
         channel.pipeline()
-                .addLast(new HttpRequestDecoder(), new HttpObjectAggregator(1024), new Calls());
+                .addLast(
+                        new HttpRequestDecoder(),
+                        new HttpObjectAggregator(1024),
+                        new RequestHandler());
     }
 
-    private void call(Channel channel, String uri) {
+    private void handle(Channel channel, String uri) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         if (!query.path().equals("/registry/instances")) {
-            channel.writeAndFlush(Replies.bytes("404 Not Found", ""));
+            channel.writeAndFlush(HttpResponses.bytes("404 Not Found", ""));
             return;
         }
         long since = number(query, "since", -1);
@@ -163,22 +172,23 @@
         return values.isEmpty() ? absent : Long.parseLong(values.get(0));
     }
 
-    /** What is newer than a version; the whole list if there is none. */
+    /** Responds with the changes after revision `since`; with the whole list if it is negative. */
     private void answer(Channel channel, long since) {
-        List<Entry> told =
+        List<Entry> sent =
                 list.values().stream()
                         .filter(known -> known.revision() > since)
                         .map(Known::entry)
                         .toList();
-        ObjectNode body = since < 0 ? whole() : body(told, false);
+        ObjectNode body = since < 0 ? whole() : body(sent, false);
         channel.writeAndFlush(
-                        Replies.bytes("200 OK", body.toString(), "Content-Type: application/json"))
+                        HttpResponses.bytes(
+                                "200 OK", body.toString(), "Content-Type: application/json"))
                 .addListener(
                         done -> {
                             if (done.isSuccess()) {
-                                told.forEach(
+                                sent.forEach(
                                         entry ->
-                                                witness.told(
+                                                events.told(
                                                         entry.uid(), entry.state(), time.nanos()));
                             }
                         });
@@ -196,25 +206,25 @@
                     .put("az", entry.zone())
                     .put("model", MODEL)
                     .put("pod_group", 0)
-                    .put("state", entry.state().word())
+                    .put("state", entry.state().wireName())
                     .put("capacity_hint", 1.0)
                     .put("boot_ms", entry.bootMillis());
         }
         return body;
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             if (away) {
-                Replies.reset(ctx.channel());
+                HttpResponses.reset(ctx.channel());
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (!away) {
-                call(ctx.channel(), request.uri());
+                handle(ctx.channel(), request.uri());
             }
         }
 
--- a/testbed/src/main/java/appleridge/testbed/standin/LoopbackServer.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/LoopbackServer.java
@@ -13,17 +13,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process of an order server: cores, a queue, a cold start, and faults that can be set. What is
- * called off runs on, as the real ones do. Lives on its event loop; only {@link #listen()} is
- * called from elsewhere.
+ * One process of an order server: cores, a queue, a cold start, and faults that can be injected. A
+ * request that its client cancels still runs to the end, as in the real servers. Use only on its
+ * event loop, except for {@link #listen()}.
  */
 public final class LoopbackServer {
     /**
-     * Who a server is.
+     * Identity and size of a server process.
      *
-     * @param name new with each process
-     * @param queue how many requests may wait for a core
-     * @param cold whether it starts now; else it has been running for long
+     * @param name unique per process, not per address
+     * @param queue the number of requests that may wait for a core
+     * @param cold whether it starts now; otherwise it has been running for long and is warm
      */
     public record Identity(
             String name, String zone, ColdStart.Figures figures, int queue, boolean cold) {}
@@ -31,45 +31,46 @@
     private static final int MAX_BODY = 64 * 1024;
     private static final int IDLE_SECONDS = 10;
 
-    /** What a new connection costs, before its first request. */
-    private static final double HANDSHAKE = TimeUnit.MICROSECONDS.toNanos(4500);
+    /** Work of setting up a connection, added to its first request; core nanoseconds. */
+    private static final double HANDSHAKE_NANOS = TimeUnit.MICROSECONDS.toNanos(4500);
 
-    private static final double REPEAT = TimeUnit.MILLISECONDS.toNanos(1);
+    /** Work of a repeat without effect; core nanoseconds. */
+    private static final double REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    /** Times the mean; no request is more work than that. */
-    private static final double MOST = 5;
+    /** Bound of a request's work, as a multiple of its class's mean. */
+    private static final double MAX_WORK_FACTOR = 5;
 
     private final RealTime time;
     private final Identity identity;
     private final RepeatMemory memory;
     private final SplittableRandom chance;
-    private final StandInListener witness;
+    private final StandInListener events;
     private final Listener listener;
-    private final ServerCores workshop;
+    private final ServerCores cores;
     private final ColdStart coldStart;
     private final LoadReport report = new LoadReport();
     private final long startedAt;
     private double slowness = 1;
-    private double resetPart;
+    private double resetShare;
     private boolean running = true;
     private int answers;
 
-    /** With the memory of repeats that all servers of a site share. */
+    /** `memory` is shared by all servers of a site. */
     public LoopbackServer(
             EventLoop loop,
             RealTime time,
             Identity identity,
             RepeatMemory memory,
             SplittableRandom chance,
-            StandInListener witness) {
+            StandInListener events) {
         this.time = time;
         this.identity = identity;
         this.memory = memory;
         this.chance = chance;
-        this.witness = witness;
+        this.events = events;
         this.startedAt = time.nanos();
         this.coldStart = new ColdStart(identity.figures(), identity.cold(), startedAt);
-        this.workshop =
+        this.cores =
                 new ServerCores(
                         loop,
                         identity.figures().cores(),
@@ -78,12 +79,12 @@
         this.listener = new Listener(loop, this::install);
     }
 
-    /** Starts on any free port; blocks, so never to be called on the loop. */
+    /** Listens on any free port. Blocks: must not be called on the event loop. */
     public void listen() throws InterruptedException {
         listener.listen();
     }
 
-    /** Starts on a port that another one had, as soon as it can. */
+    /** Listens on the port of an earlier process as soon as it is free. */
     public void listen(int port, Runnable listening) {
         listener.listen(port, listening);
     }
@@ -93,65 +94,67 @@
         return listener.port();
     }
 
-    /** Where it listens, as discovery says it. */
+    /** The address it listens on, as host:port, the form used by discovery. */
     public String endpoint() {
         return "127.0.0.1:" + port();
     }
 
-    /** Who it is. */
+    /** Its identity. */
     public Identity identity() {
         return identity;
     }
 
-    /** When it started, in Unix milliseconds; 0 for long ago. */
+    /** When it started, in Unix milliseconds; 0 if that is long ago. */
     public long bootMillis() {
         return identity.cold() ? time.unixMillis(startedAt) : 0;
     }
 
-    /** Takes this many times as long as usual from now on. */
+    /** Multiplies the service time of requests started from now on. */
     public void slow(double times) {
         slowness = times;
     }
 
-    /** Resets the connection within this part of its answers from now on. */
-    public void resets(double part) {
-        resetPart = part;
+    /** From now on resets the connection in the middle of this share of the responses. */
+    public void resets(double share) {
+        resetShare = share;
     }
 
-    /** The process ends: connections are reset, and new ones refused. */
+    /** Ends the process: connections are reset and new ones refused. */
     public void crash() {
         running = false;
-        workshop.stop();
+        cores.stop();
         listener.close();
         listener.resetAll();
     }
 
     private void install(Channel channel) {
-        FirstByte firstByte = new FirstByte(time);
+        FirstByteTimer firstByte = new FirstByteTimer(time);
         channel.pipeline()
                 .addLast(
                         new ReadTimeoutHandler(IDLE_SECONDS),
                         firstByte,
                         new HttpRequestDecoder(),
                         new HttpObjectAggregator(MAX_BODY),
-                        new Requests(firstByte));
+                        new RequestHandler(firstByte));
     }
 
-    private void take(
+    private void handle(
             Channel channel, FullHttpRequest request, long firstByte, boolean firstOfConnection) {
         long now = time.nanos();
         String id = request.headers().get("X-Request-Id");
         RequestKind kind = RequestKind.ofPath(request.uri());
         if (request.decoderResult().isFailure() || id == null || kind == null) {
             channel.writeAndFlush(
-                    Replies.bytes(id == null ? "404 Not Found" : "400 Bad Request", ""));
+                    HttpResponses.bytes(id == null ? "404 Not Found" : "400 Bad Request", ""));
             return;
         }
         String key = request.headers().get("Idempotency-Key");
         double drawn = -Math.log(1 - chance.nextDouble()) * kind.work();
-        double work = Math.min(drawn, MOST * kind.work()) + (firstOfConnection ? HANDSHAKE : 0);
-        boolean full = workshop.full();
-        witness.arrived(
+        double work =
+                Math.min(drawn, MAX_WORK_FACTOR * kind.work())
+                        + (firstOfConnection ? HANDSHAKE_NANOS : 0);
+        boolean full = cores.full();
+        events.arrived(
                 new StandInListener.Arrival(
                         identity.name(),
                         identity.zone(),
@@ -163,20 +166,20 @@
                         work,
                         full));
         if (coldStart.sent(now, work) > 1) {
-            witness.fellOver(identity.name(), now);
+            events.fellOver(identity.name(), now);
             crash();
         } else if (full) {
             channel.writeAndFlush(
-                    Replies.bytes("503 Service Unavailable", "", "X-Not-Run: 1", load(now)));
+                    HttpResponses.bytes("503 Service Unavailable", "", "X-Not-Run: 1", load(now)));
         } else {
             boolean takesEffect = memory.takesEffect(kind, key, identity.zone(), now);
-            double cost = takesEffect ? work : Math.min(work, REPEAT);
-            workshop.add(cost, () -> answer(channel, id, cost, takesEffect));
+            double cost = takesEffect ? work : Math.min(work, REPEAT_NANOS);
+            cores.add(cost, () -> answer(channel, id, cost, takesEffect));
         }
     }
 
     private void answer(Channel channel, String id, double work, boolean takesEffect) {
-        boolean cut = chance.nextDouble() < resetPart;
+        boolean cut = chance.nextDouble() < resetShare;
         report.answered(work, cut);
         String body =
                 id
@@ -184,35 +187,35 @@
                         + identity.name()
                         + " #"
                         + ++answers;
-        witness.made(identity.name(), id, body);
+        events.made(identity.name(), id, body);
         ByteBuf reply =
-                Replies.bytes("200 OK", body, "Content-Type: text/plain", load(time.nanos()));
+                HttpResponses.bytes("200 OK", body, "Content-Type: text/plain", load(time.nanos()));
         if (cut) {
             channel.writeAndFlush(reply.readSlice(reply.readableBytes() / 2))
-                    .addListener(done -> Replies.reset(channel));
+                    .addListener(done -> HttpResponses.reset(channel));
         } else {
             channel.writeAndFlush(reply);
         }
     }
 
     private String load(long now) {
-        return "X-Load: " + report.text(now, workshop.queued());
+        return "X-Load: " + report.text(now, cores.queued());
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final FirstByte firstByte;
-        private boolean asked;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final FirstByteTimer firstByte;
+        private boolean used;
 
-        Requests(FirstByte firstByte) {
+        RequestHandler(FirstByteTimer firstByte) {
             this.firstByte = firstByte;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            // What the system still holds of a process that has ended was never read.
+            // Requests that the crashed process had not read yet are lost.
             if (running) {
-                take(ctx.channel(), request, firstByte.whole(), !asked);
-                asked = true;
+                handle(ctx.channel(), request, firstByte.requestComplete(), !used);
+                used = true;
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/standin/RealTime.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/RealTime.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The system's clocks, read nowhere else here: nanoseconds from the making of this object. */
+/** Access to the system's clocks for all stand-ins; time starts when this object is created. */
 public final class RealTime {
     private final long start = System.nanoTime();
     private final long unixStart = System.currentTimeMillis();
 
-    /** Nanoseconds since the start; never runs back. */
+    /** Nanoseconds since the start; monotonic. */
     public long nanos() {
         return System.nanoTime() - start;
     }
 
-    /** A moment of {@link #nanos()} as Unix time in milliseconds. */
+    /** Converts a time of {@link #nanos()} to Unix time in milliseconds. */
     public long unixMillis(long at) {
         return unixStart + TimeUnit.NANOSECONDS.toMillis(at);
     }
--- a/testbed/src/main/java/appleridge/testbed/standin/RepeatMemory.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/RepeatMemory.java
@@ -3,19 +3,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What groups of servers remember of keyed requests, so that a repeat has no effect. */
+/** The idempotency keys that groups of servers remember, so that a repeat has no effect. */
 public final class RepeatMemory {
     private record Group(String zone, String key) {}
 
     private final long extra;
     private final Map<Group, Long> since = new HashMap<>();
 
-    /** With a time that is added to each class's window. */
+    /** `extra` nanoseconds are added to the window of each class. */
     public RepeatMemory(long extra) {
         this.extra = extra;
     }
 
-    /** Whether this one takes effect: it carries no key, or its group remembers none like it. */
+    /** Whether a request takes effect: its class has no key, or its group does not know the key. */
     public boolean takesEffect(RequestKind kind, String key, String zone, long now) {
         if (!kind.repeats().keyed()) {
             return true;
--- a/testbed/src/main/java/appleridge/testbed/standin/RequestKind.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/RequestKind.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A class of request; times in nanoseconds.
+ * A request class; times in nanoseconds.
  *
- * @param share its part of the traffic
- * @param work mean of the work that it is to a server
- * @param aim an answer within this time is worth all
- * @param patience the longest that a client waits, over all its tries
- * @param worth of an answer in time
- * @param window for a keyed one: how long servers drop its repeats
+ * @param share its share of the traffic
+ * @param work the mean work of a request, in core nanoseconds
+ * @param aim the latency objective: an answer within this time has full value
+ * @param patience the deadline: how long a client waits, over all its attempts
+ * @param worth the value of an answer in time
+ * @param window for a class with keys: how long servers drop its repeats
  */
 public record RequestKind(
         String name,
@@ -22,24 +22,24 @@
         double worth,
         Repeats repeats,
         long window) {
-    /** What may happen to it again, and which servers drop a repeat. */
+    /** Whether a request may be repeated, and which servers drop a repeat. */
     public enum Repeats {
-        /** Safe to repeat. */
+        /** Idempotent. */
         SAFE,
-        /** Carries a key; the servers of one zone drop a repeat. */
+        /** Idempotent by key; the servers of the same zone drop a repeat. */
         KEYED_BY_ZONE,
-        /** Carries a key; all servers drop a repeat. */
+        /** Idempotent by key; all servers drop a repeat. */
         KEYED_BY_ALL,
-        /** Must not run twice, and nothing drops a repeat. */
+        /** Not idempotent: must not run twice, and no server drops a repeat. */
         UNSAFE;
 
-        /** Whether requests carry a key. */
+        /** Whether requests carry an idempotency key. */
         public boolean keyed() {
             return this == KEYED_BY_ZONE || this == KEYED_BY_ALL;
         }
     }
 
-    /** The ordering platform's classes, and one that must not be repeated. */
+    /** The request classes of the ordering platform, and one that must not be repeated. */
     public static final List<RequestKind> ALL =
             List.of(
                     new RequestKind(
@@ -81,12 +81,14 @@
 
     private static final String PATH = "/api/";
 
-    /** Where requests of this class go: the one thing that surely reaches a server unchanged. */
+    /**
+     * The path of this class, by which servers recognize it: a path is always forwarded unchanged.
+     */
     public String path() {
         return PATH + name;
     }
 
-    /** The class of a request to this path; null if there is none. */
+    /** The class with this path; null if there is none. */
     public static RequestKind ofPath(String path) {
         for (RequestKind kind : ALL) {
             if (path.equals(kind.path())) {
--- a/testbed/src/main/java/appleridge/testbed/standin/ServerCores.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/ServerCores.java
@@ -6,29 +6,29 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A server's cores and the queue before them. Work is time that passes; no processor is kept busy.
+ * The cores of a server and their queue. Work is simulated by timers; no processor time is used.
  */
 final class ServerCores {
     private record Job(double work, Runnable done) {}
 
     private final EventLoop loop;
     private final int cores;
-    private final int places;
+    private final int queueLimit;
     private final DoubleSupplier speed;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private int busy;
     private boolean stopped;
 
-    /** With how many may wait, and how fast each core is at a moment (1 is usual). */
-    ServerCores(EventLoop loop, int cores, int places, DoubleSupplier speed) {
+    /** At most `queueLimit` jobs wait; `speed` is the current speed of a core, 1 being normal. */
+    ServerCores(EventLoop loop, int cores, int queueLimit, DoubleSupplier speed) {
         this.loop = loop;
         this.cores = cores;
-        this.places = places;
+        this.queueLimit = queueLimit;
         this.speed = speed;
     }
 
     boolean full() {
-        return waiting.size() >= places;
+        return waiting.size() >= queueLimit;
     }
 
     int queued() {
@@ -38,13 +38,13 @@
     void add(double work, Runnable done) {
         Job job = new Job(work, done);
         if (busy < cores) {
-            begin(job);
+            start(job);
         } else {
             waiting.add(job);
         }
     }
 
-    private void begin(Job job) {
+    private void start(Job job) {
         busy++;
         loop.schedule(
                 () -> end(job), (long) (job.work() / speed.getAsDouble()), TimeUnit.NANOSECONDS);
@@ -56,12 +56,12 @@
         }
         busy--;
         if (!waiting.isEmpty()) {
-            begin(waiting.poll());
+            start(waiting.poll());
         }
         job.done().run();
     }
 
-    /** Whatever waits or runs comes to nothing. */
+    /** Discards all waiting and running jobs. */
     void stop() {
         stopped = true;
         waiting.clear();
--- a/testbed/src/main/java/appleridge/testbed/standin/StandInListener.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/StandInListener.java
@@ -1,18 +1,20 @@
 package appleridge.testbed.standin;
 
 /**
- * Told by stand-ins what they did and saw, as it happens, on their event loop. Times are those of
+ * Receives the events of the stand-ins as they happen, on their event loop. Times are those of
  * {@link RealTime#nanos()}.
  */
 public interface StandInListener {
     /**
-     * One try of a client.
+     * One attempt of a client.
      *
-     * @param id new with every try
-     * @param wish the same for all tries of what the client wants done once
-     * @param key the idempotency key, the same for all tries of a wish; null for a class without
-     * @param number of this try, from 0
-     * @param patience how long the client says that it will wait, from the last byte
+     * @param id unique per attempt
+     * @param wish the same for all attempts of one logical request
+     * @param key the idempotency key, the same for all attempts of a logical request; null for a
+     *     class without keys
+     * @param number the number of the attempt, from 0
+     * @param at when the client begins to send it
+     * @param patience the deadline that the client announces, from the last byte
      */
     record Ask(
             String id,
@@ -24,26 +26,28 @@
             long at,
             long patience) {}
 
-    /** How a try ends that has no whole answer. */
+    /** How an attempt without a complete answer ends. */
     enum Ending {
-        /** It never left: no connection came up, or it broke before the last byte was written. */
+        /**
+         * Not sent: no connection was established, or it broke before the last byte was written.
+         */
         NOT_TAKEN,
-        /** The first request of a connection that ended with no byte of an answer. */
+        /** The first request of a connection that was closed without a byte of an answer. */
         CLOSED_FIRST,
-        /** The connection ended within an answer. */
+        /** The connection ended in the middle of an answer. */
         CUT,
-        /** No answer came, long after the client's time. */
+        /** No answer came until long after the client's deadline. */
         SILENT,
-        /** The client left of its own. */
+        /** The client disconnected before its deadline. */
         GAVE_UP
     }
 
     /**
-     * A whole request at a server.
+     * A complete request received by a server.
      *
-     * @param server the process, not the machine: another one at the same address has another name
-     * @param work what it is to this server, in nanoseconds of a core
-     * @param turnedAway the server answered that it has not run and never will
+     * @param server the process: a later process at the same address has another name
+     * @param work the work of the request, in core nanoseconds
+     * @param turnedAway whether the server rejected it with the promise never to run it
      */
     record Arrival(
             String server,
@@ -56,44 +60,42 @@
             double work,
             boolean turnedAway) {}
 
-    /** A client begins to send. */
+    /** A client begins to send an attempt. */
     void asks(Ask ask);
 
-    /** The last byte is written to a connection that was accepted. */
+    /** The last byte of an attempt is written to an established connection. */
     void taken(String id, long at);
 
-    /** A whole answer has come. */
+    /** A client has received a complete answer. */
     void answered(String id, int status, String body, long at);
 
-    /** A kept connection ended with no byte of an answer; it is sent once more, on a new one. */
+    /** A kept connection ended without a byte of an answer; the attempt is sent on a new one. */
     void sentAgain(String id, long at);
 
-    /** A try has ended with no whole answer. */
+    /** An attempt ended without a complete answer. */
     void ended(String id, Ending how, long at);
 
-    /** Bytes came on a client's connection that waited for none. */
+    /** A client received a response on a connection without an open request. */
     void unasked(String connection, long at);
 
-    /**
-     * What became of a client that does not speak as it should; {@code served} is what must not be.
-     */
+    /** The outcome of a malformed request; {@code served} must be false. */
     void badClient(String what, String how, boolean served);
 
-    /** A server process begins; a cold one warms up from then on. */
+    /** A server process started; a cold one warms up from then on. */
     void started(String server, boolean cold, long at);
 
-    /** A request has come whole to a server. */
+    /** A server has received a complete request. */
     void arrived(Arrival arrival);
 
-    /** A server has made the answer to a request. */
+    /** A server has produced the answer to a request. */
     void made(String server, String id, String body);
 
-    /** A cold server was sent more than it can stand. */
+    /** A cold server was sent more work than it can take and crashed. */
     void fellOver(String server, long at);
 
-    /** Discovery knows a new state, and has it to tell. */
+    /** Discovery has a new state of a server. */
     void changed(String server, LoopbackRegistry.State state, long at);
 
-    /** Discovery has written an answer that says this state. */
+    /** Discovery has written a response that contains this state. */
     void told(String server, LoopbackRegistry.State state, long at);
 }
--- a/testbed/src/main/java/appleridge/testbed/standin/TenantShare.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/TenantShare.java
@@ -5,10 +5,10 @@
 /**
  * A tenant of the ordering platform.
  *
- * @param share its part of the traffic
+ * @param share its share of the traffic, from 0 to 1
  */
 public record TenantShare(String name, double share) {
-    /** Those of the ordering platform. */
+    /** The tenants of the ordering platform. */
     public static final List<TenantShare> ALL =
             List.of(
                     new TenantShare("cycles-moris", 0.19),
--- a/testbed/src/main/java/appleridge/testbed/standin/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Order servers, discovery and clients on real loopback sockets, with what they saw told to a
- * witness.
+ * Stand-ins for order servers, discovery and clients on real loopback sockets. They report their
+ * events to a listener.
  */
 package appleridge.testbed.standin;
