--- a/testbed/src/test/java/appleridge/testbed/simnet/ChannelTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/ChannelTest.java
@@ -21,17 +21,17 @@
 import org.junit.jupiter.api.Test;
 
 class ChannelTest {
-    private static final long MS = World.MS;
+    private static final long MS = TwoHosts.MS;
 
-    private final Site site = new Site(1, Site.COSTS);
-    private final World world = site.world;
-    private final List<String> heard = site.heard;
+    private final NettyPair pair = new NettyPair(1, NettyPair.COSTS);
+    private final TwoHosts world = pair.world;
+    private final List<String> events = pair.events;
 
     @AfterEach
-    void nothingEscaped() {
-        assertEquals(List.of(), site.client.uncaughtExceptions());
-        assertEquals(List.of(), site.server.uncaughtExceptions());
-        site.end();
+    void noUncaughtExceptions() {
+        assertEquals(List.of(), pair.client.uncaughtExceptions());
+        assertEquals(List.of(), pair.server.uncaughtExceptions());
+        pair.stop();
     }
 
     private static ByteBuf bytes(String text) {
@@ -39,30 +39,30 @@
     }
 
     private SimChannel connect() {
-        site.serveNoting(10);
-        SimChannel channel = site.connectNoting();
-        heard.clear();
+        pair.serveRecording(10);
+        SimChannel channel = pair.connectRecording();
+        events.clear();
         return channel;
     }
 
     @Test
-    void speaksHttpInSingleBytes() {
-        world.there().segment = 1;
-        world.back().segment = 1;
-        site.serveHttp();
-        site.ask(20, 100);
-        world.run(World.SECOND);
-        assertEquals(20, site.answers);
-        assertEquals(0, site.client.usedMemory());
-        assertEquals(0, site.server.usedMemory());
+    void carriesHttpInOneByteSegments() {
+        world.aToB().segment = 1;
+        world.bToA().segment = 1;
+        pair.serveHttp();
+        pair.sendRequests(20, 100);
+        world.run(TwoHosts.SECOND);
+        assertEquals(20, pair.responses);
+        assertEquals(0, pair.client.usedMemory());
+        assertEquals(0, pair.server.usedMemory());
         assertEquals(0, world.a.descriptors());
         assertEquals(1, world.b.descriptors());
-        assertEquals(List.of(site.listener), site.server.channels());
-        assertEquals(List.of(), site.client.channels());
+        assertEquals(List.of(pair.listener), pair.server.channels());
+        assertEquals(List.of(), pair.client.channels());
     }
 
     @Test
-    void carriesBuffersOfAllKindsInOnePiece() {
+    void writesBuffersOfAllKindsInOneCall() {
         SimChannel channel = connect();
         channel.write(bytes("heap "));
         channel.write(
@@ -70,27 +70,27 @@
         channel.write(Unpooled.EMPTY_BUFFER);
         channel.writeAndFlush(Unpooled.wrappedBuffer(bytes("com"), bytes("posite")));
         world.run(MS);
-        assertEquals(List.of("server reads heap direct composite"), heard);
+        assertEquals(List.of("server reads heap direct composite"), events);
     }
 
     @Test
-    void aPromiseIsKeptWhenTheLastByteIsInTheSystemsBuffer() {
-        world.there().sendBuffer = 1_000;
-        world.there().receiveBuffer = 1_000;
+    void completesAWriteWhenItsLastByteIsInTheSendBuffer() {
+        world.aToB().sendBuffer = 1_000;
+        world.aToB().receiveBuffer = 1_000;
         SimChannel channel = connect();
         channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(500, 4_000));
-        site.server.pause(World.SECOND);
+        pair.server.pause(TwoHosts.SECOND);
         ChannelFuture first = channel.writeAndFlush(bytes("x".repeat(2_000)));
         ChannelFuture second = channel.writeAndFlush(bytes("y".repeat(5_000)));
         world.run(900 * MS);
         assertTrue(first.isSuccess());
         assertFalse(second.isDone());
         assertFalse(channel.isWritable());
-        assertEquals("client writable false", heard.get(heard.size() - 1));
-        world.run(World.SECOND);
+        assertEquals("client writable false", events.get(events.size() - 1));
+        world.run(TwoHosts.SECOND);
         assertTrue(second.isSuccess() && channel.isWritable());
         int length =
-                heard.stream()
+                events.stream()
                         .filter(each -> each.startsWith("server reads "))
                         .mapToInt(each -> each.length() - "server reads ".length())
                         .sum();
@@ -98,29 +98,29 @@
     }
 
     @Test
-    void anEndClosesTheChannel() {
+    void closesTheChannelAtTheEndOfTheStream() {
         SimChannel channel = connect();
         channel.write(bytes("bye"));
         channel.flush();
         channel.close();
         world.run(MS);
-        assertEquals(List.of("client inactive", "server reads bye", "server inactive"), heard);
+        assertEquals(List.of("client inactive", "server reads bye", "server inactive"), events);
         assertEquals(0, world.a.descriptors());
         assertEquals(1, world.b.descriptors());
     }
 
     @Test
-    void halfCloseIsHeardWhereItIsAllowed() {
+    void reportsAHalfCloseIfAllowed() {
         SimChannel channel = connect();
-        site.served.get(0).config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
+        pair.served.get(0).config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
         ChannelFuture shut = channel.shutdownOutput();
         world.run(MS);
         assertTrue(shut.isSuccess() && channel.isOutputShutdown() && !channel.isInputShutdown());
-        assertTrue(site.served.get(0).isInputShutdown());
-        assertTrue(heard.contains("server ChannelInputShutdownEvent"), heard.toString());
-        site.served.get(0).writeAndFlush(bytes("still there"));
+        assertTrue(pair.served.get(0).isInputShutdown());
+        assertTrue(events.contains("server ChannelInputShutdownEvent"), events.toString());
+        pair.served.get(0).writeAndFlush(bytes("still there"));
         world.run(MS);
-        assertTrue(heard.contains("client reads still there"));
+        assertTrue(events.contains("client reads still there"));
         ChannelFuture late = channel.writeAndFlush(bytes("x"));
         world.run(MS);
         assertFalse(late.isSuccess());
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aResetIsAnExceptionAndThenTheEnd() {
+    void reportsAResetAsAnExceptionAndThenInactive() {
         SimChannel channel = connect();
         channel.socket().fault(SimSocket.Fault.RESET);
         world.run(MS);
@@ -140,41 +140,41 @@
                         "client inactive",
                         "server Connection reset by peer",
                         "server inactive"),
-                heard.stream().sorted().toList());
+                events.stream().sorted().toList());
     }
 
     @Test
-    void withoutAutoReadNothingIsReadUntilAsked() {
+    void readsOnlyOnRequestWithoutAutoRead() {
         SimChannel channel = connect();
         channel.config().setAutoRead(false);
-        site.served.get(0).writeAndFlush(bytes("waits"));
+        pair.served.get(0).writeAndFlush(bytes("waits"));
         world.run(MS);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), events);
         channel.read();
         world.run(MS);
-        assertEquals(List.of("client reads waits"), heard);
-        site.served.get(0).writeAndFlush(bytes("at once"));
+        assertEquals(List.of("client reads waits"), events);
+        pair.served.get(0).writeAndFlush(bytes("at once"));
         world.run(MS);
-        site.client.execute(channel::readNow);
+        pair.client.execute(channel::readNow);
         world.run(MS);
-        assertEquals("client reads at once", heard.get(1));
+        assertEquals("client reads at once", events.get(1));
     }
 
     @Test
-    void refusedConnectsFail() {
-        ChannelFuture refused = site.connect(1_000, new ChannelInboundHandlerAdapter());
+    void failsARefusedConnect() {
+        ChannelFuture refused = pair.connect(1_000, new ChannelInboundHandlerAdapter());
         world.run(MS);
         assertInstanceOf(ConnectException.class, refused.cause());
         assertFalse(refused.channel().isOpen());
         assertEquals(0, world.a.descriptors());
-        assertEquals(0, site.client.pendingTimers());
+        assertEquals(0, pair.client.pendingTimers());
     }
 
     @Test
-    void silentConnectsTimeOut() {
-        site.serveNoting(10);
-        world.there().silentConnect = true;
-        ChannelFuture silent = site.connect(300, new ChannelInboundHandlerAdapter());
+    void timesOutAConnectWithoutResponse() {
+        pair.serveRecording(10);
+        world.aToB().silentConnect = true;
+        ChannelFuture silent = pair.connect(300, new ChannelInboundHandlerAdapter());
         world.run(299 * MS);
         assertFalse(silent.isDone());
         world.run(2 * MS);
@@ -183,11 +183,11 @@
     }
 
     @Test
-    void aConnectThatIsResetBeforeTheLoopLooksHasFailed() {
-        site.serveNoting(10);
-        ChannelFuture connecting = site.connect(1_000, new ChannelInboundHandlerAdapter());
+    void failsAConnectThatIsResetBeforeTheLoopHandlesIt() {
+        pair.serveRecording(10);
+        ChannelFuture connecting = pair.connect(1_000, new ChannelInboundHandlerAdapter());
         world.run(50_000);
-        site.client.pause(10 * MS);
+        pair.client.pause(10 * MS);
         world.run(5 * MS);
         ((SimChannel) connecting.channel()).socket().fault(SimSocket.Fault.RESET);
         world.run(10 * MS);
@@ -196,76 +196,76 @@
     }
 
     @Test
-    void cancelledConnectsLeaveNothing() {
-        site.serveNoting(10);
-        ChannelFuture connecting = site.connect(300, new ChannelInboundHandlerAdapter());
+    void releasesEverythingOfACancelledConnect() {
+        pair.serveRecording(10);
+        ChannelFuture connecting = pair.connect(300, new ChannelInboundHandlerAdapter());
         world.run(100_000);
         assertTrue(connecting.cancel(false));
         world.run(MS);
         assertFalse(connecting.channel().isOpen());
         assertEquals(0, world.a.descriptors());
-        assertEquals(0, site.client.pendingTimers());
+        assertEquals(0, pair.client.pendingTimers());
     }
 
     @Test
-    void aBacklogFillsWhileTheServerStandsStill() {
-        site.serveNoting(2);
-        site.server.pause(3 * World.SECOND / 2);
+    void fillsTheBacklogWhileTheServerIsPaused() {
+        pair.serveRecording(2);
+        pair.server.pause(3 * TwoHosts.SECOND / 2);
         List<ChannelFuture> connects = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            connects.add(site.connect(5_000, new ChannelInboundHandlerAdapter()));
+            connects.add(pair.connect(5_000, new ChannelInboundHandlerAdapter()));
             world.run(2 * MS);
         }
-        world.run(World.SECOND);
+        world.run(TwoHosts.SECOND);
         assertEquals(
                 List.of(true, true, false),
                 connects.stream().map(ChannelFuture::isSuccess).toList());
-        world.run(3 * World.SECOND);
+        world.run(3 * TwoHosts.SECOND);
         assertTrue(connects.get(2).isSuccess());
-        assertEquals(3, site.served.size());
+        assertEquals(3, pair.served.size());
     }
 
     @Test
-    void descriptorsRunOutOnConnect() {
-        site.serveNoting(2);
+    void failsAConnectWithoutDescriptors() {
+        pair.serveRecording(2);
         world.a.maxDescriptors(0);
-        ChannelFuture failed = site.connect(1_000, new ChannelInboundHandlerAdapter());
+        ChannelFuture failed = pair.connect(1_000, new ChannelInboundHandlerAdapter());
         assertEquals("Too many open files", failed.cause().getCause().getMessage());
         assertEquals(0, world.a.descriptors());
     }
 
     @Test
-    void descriptorsRunOutOnAccept() {
-        site.serveNoting(2);
+    void stopsAcceptingWithoutDescriptors() {
+        pair.serveRecording(2);
         world.b.maxDescriptors(1);
-        ChannelFuture waiting = site.connect(1_000, new ChannelInboundHandlerAdapter());
+        ChannelFuture waiting = pair.connect(1_000, new ChannelInboundHandlerAdapter());
         world.run(10 * MS);
         assertTrue(waiting.isSuccess());
-        assertEquals(0, site.served.size());
-        assertFalse(site.listener.config().isAutoRead());
+        assertEquals(0, pair.served.size());
+        assertFalse(pair.listener.config().isAutoRead());
         world.b.maxDescriptors(9);
-        world.run(World.SECOND);
-        assertEquals(1, site.served.size());
+        world.run(TwoHosts.SECOND);
+        assertEquals(1, pair.served.size());
     }
 
     @Test
     void knowsItsAddresses() {
         SimChannel channel = connect();
-        assertEquals(World.at(2, 80), channel.remoteAddress());
-        assertEquals(channel.localAddress(), site.served.get(0).remoteAddress());
-        assertEquals(World.at(2, 80), site.listener.localAddress());
-        assertEquals(site.listener, site.served.get(0).parent());
+        assertEquals(TwoHosts.at(2, 80), channel.remoteAddress());
+        assertEquals(channel.localAddress(), pair.served.get(0).remoteAddress());
+        assertEquals(TwoHosts.at(2, 80), pair.listener.localAddress());
+        assertEquals(pair.listener, pair.served.get(0).parent());
         assertNull(channel.parent());
         assertEquals("a-1", channel.id().asShortText());
     }
 
     @Test
-    void aClosingProcessEndsItsChannelsAndThenItself() {
+    void closesItsChannelsOnGracefulShutdown() {
         SimChannel channel = connect();
-        assertFalse(site.client.isTerminated());
-        var done = site.client.shutdownGracefully();
+        assertFalse(pair.client.isTerminated());
+        var done = pair.client.shutdownGracefully();
         world.run(MS);
-        assertTrue(done.isSuccess() && site.client.isTerminated() && !channel.isOpen());
-        assertEquals(List.of("client inactive", "server inactive"), heard);
+        assertTrue(done.isSuccess() && pair.client.isTerminated() && !channel.isOpen());
+        assertEquals(List.of("client inactive", "server inactive"), events);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/DeterminismTest.java
@@ -17,45 +17,45 @@
 class DeterminismTest {
     private static final int SEEDS = 40;
 
-    /** HTTP through bad weather, with resets, a pause and a black hole. */
-    private static long play(long seed) {
-        Site site = new Site(seed, Site.COSTS);
-        World world = site.world;
+    /** Runs HTTP traffic over a bad network, with a reset, a pause and a black hole. */
+    private static long run(long seed) {
+        NettyPair pair = new NettyPair(seed, NettyPair.COSTS);
+        TwoHosts world = pair.world;
         SeededRandom chance = world.chance.stream("plan");
-        world.there().jitter = chance.between(0, 2 * World.MS);
-        world.there().segment = (int) chance.between(-50, 3);
-        world.back().segment = (int) chance.between(-50, 3);
-        world.back().lossDelayProbability = 0.01;
-        world.back().lossDelay = 50 * World.MS;
-        world.there().receiveBuffer = (int) chance.between(10, 1_000);
-        site.serveHttp();
+        world.aToB().jitter = chance.between(0, 2 * TwoHosts.MS);
+        world.aToB().segment = (int) chance.between(-50, 3);
+        world.bToA().segment = (int) chance.between(-50, 3);
+        world.bToA().lossDelayProbability = 0.01;
+        world.bToA().lossDelay = 50 * TwoHosts.MS;
+        world.aToB().receiveBuffer = (int) chance.between(10, 1_000);
+        pair.serveHttp();
         for (int i = 0; i < 5; i++) {
-            site.ask(10, 200);
+            pair.sendRequests(10, 200);
         }
-        world.simulation.after(50 * World.MS, () -> site.server.pause(30 * World.MS));
-        world.simulation.after(100 * World.MS, () -> world.there().blackHole = true);
-        world.simulation.after(200 * World.MS, () -> world.there().blackHole = false);
+        world.simulation.after(50 * TwoHosts.MS, () -> pair.server.pause(30 * TwoHosts.MS));
+        world.simulation.after(100 * TwoHosts.MS, () -> world.aToB().blackHole = true);
+        world.simulation.after(200 * TwoHosts.MS, () -> world.aToB().blackHole = false);
         world.simulation.after(
-                chance.nextLong(World.SECOND),
+                chance.nextLong(TwoHosts.SECOND),
                 () -> {
                     List<SimSocket> sockets = world.network.sockets(world.a);
                     if (!sockets.isEmpty()) {
                         chance.pick(sockets).fault(SimSocket.Fault.RESET);
                     }
                 });
-        world.run(5 * World.SECOND);
-        assertTrue(site.answers > 0);
-        assertEquals(List.of(), site.server.uncaughtExceptions());
-        assertEquals(List.of(), site.heard);
-        site.end();
+        world.run(5 * TwoHosts.SECOND);
+        assertTrue(pair.responses > 0);
+        assertEquals(List.of(), pair.server.uncaughtExceptions());
+        assertEquals(List.of(), pair.events);
+        pair.stop();
         return world.simulation.digest();
     }
 
     @Test
-    void equalSeedsGiveEqualRunsAloneAfterOthersAndOnManyThreads() throws Exception {
+    void equalSeedsGiveEqualRunsInAnyOrderAndOnManyThreads() throws Exception {
         Map<Long, Long> alone = new LinkedHashMap<>();
         for (long seed = 0; seed < SEEDS; seed++) {
-            alone.put(seed, play(seed));
+            alone.put(seed, run(seed));
         }
         assertEquals(SEEDS, alone.values().stream().distinct().count());
         assertNotEquals(alone.get(0L), alone.get(1L));
@@ -65,7 +65,7 @@
         try {
             Map<Long, Future<Long>> beside = new LinkedHashMap<>();
             for (long seed : order) {
-                beside.put(seed, threads.submit(() -> play(seed)));
+                beside.put(seed, threads.submit(() -> run(seed)));
             }
             for (long seed : order) {
                 assertEquals(alone.get(seed), beside.get(seed).get(), "seed " + seed);
--- a/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
@@ -14,21 +14,21 @@
 import org.junit.jupiter.api.Test;
 
 class FaultTest {
-    private static final long MS = World.MS;
+    private static final long MS = TwoHosts.MS;
 
-    private World world;
+    private TwoHosts world;
     private SimListener listener;
     private SimSocket client;
     private SimSocket server;
     private final List<String> ended = new ArrayList<>();
 
     @BeforeEach
-    void begin() throws IOException {
-        begin(1);
+    void setUp() throws IOException {
+        setUp(1);
     }
 
-    private void begin(long seed) throws IOException {
-        world = new World(seed);
+    private void setUp(long seed) throws IOException {
+        world = new TwoHosts(seed);
         world.network.tap(
                 new Tap() {
                     @Override
@@ -36,58 +36,58 @@
                         ended.add(socket.host().name() + " " + how);
                     }
                 });
-        listener = world.b.listen(World.at(2, 80), 5);
+        listener = world.b.listen(TwoHosts.at(2, 80), 5);
         client = world.connect(listener, new SimSocket.Events() {});
         server = client.peer();
     }
 
     @Test
-    void aResetLosesWhatIsOnTheWayAndMostlyWhatHasArrived() throws IOException {
+    void resetLosesSegmentsInFlightAndMostlyUnreadBytes() throws IOException {
         Set<String> seen = new TreeSet<>();
         for (int seed = 0; seed < 50; seed++) {
-            begin(seed);
-            World.write(client, "arrived");
+            setUp(seed);
+            TwoHosts.write(client, "arrived");
             world.run(MS);
-            World.write(client, "on the way");
+            TwoHosts.write(client, "on the way");
             client.fault(SimSocket.Fault.RESET);
-            assertThrows(IOException.class, () -> World.write(client, "x"));
+            assertThrows(IOException.class, () -> TwoHosts.write(client, "x"));
             world.run(MS);
-            seen.add(World.read(server));
-            assertEquals("?", World.read(client));
+            seen.add(TwoHosts.read(server));
+            assertEquals("?", TwoHosts.read(client));
         }
         assertEquals(Set.of("?", "arrived?"), seen);
     }
 
     @Test
-    void aResetBehindDeliveryLetsAllArrive() throws IOException {
-        World.write(client, "request");
-        World.write(server, "answer");
+    void resetAfterDeliveryLetsSegmentsInFlightArrive() throws IOException {
+        TwoHosts.write(client, "request");
+        TwoHosts.write(server, "answer");
         client.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
         world.run(MS);
-        assertEquals("request?", World.read(server));
-        assertEquals("answer?", World.read(client));
+        assertEquals("request?", TwoHosts.read(server));
+        assertEquals("answer?", TwoHosts.read(client));
         assertEquals(List.of("a reset", "b reset"), ended.stream().sorted().toList());
     }
 
     @Test
     void breaksAtEachByte() throws IOException {
         for (int position = 0; position <= 8; position++) {
-            begin();
-            world.there().segment = position % 2;
+            setUp();
+            world.aToB().segment = position % 2;
             client.resetAtByte(position);
-            assertEquals(7, World.write(client, "request"));
+            assertEquals(7, TwoHosts.write(client, "request"));
             world.run(MS);
             boolean broken = position < 7;
             assertEquals(
                     "request".substring(0, Math.min(7, position)) + (broken ? "?" : ""),
-                    World.read(server));
-            assertEquals(broken ? "?" : "", World.read(client));
+                    TwoHosts.read(server));
+            assertEquals(broken ? "?" : "", TwoHosts.read(client));
             assertEquals(7, client.bytesWritten());
         }
     }
 
     @Test
-    void theSenderHearsOfABreakHalfATripLater() throws IOException {
+    void senderLearnsOfABreakOneTripAfterItHappens() throws IOException {
         List<Long> heard = new ArrayList<>();
         client.events(
                 new SimSocket.Events() {
@@ -98,112 +98,112 @@
                 });
         long sent = world.simulation.now();
         client.resetAtByte(3);
-        World.write(client, "request");
+        TwoHosts.write(client, "request");
         world.run(MS);
         assertEquals(List.of(sent + 400_000), heard);
     }
 
     @Test
-    void aSenderWritesIntoTheVoidUntilItHearsOfABreak() throws IOException {
+    void senderKeepsWritingUntilItLearnsOfABreak() throws IOException {
         client.resetAtByte(3);
-        assertEquals(7, World.write(client, "request"));
-        assertEquals(4, World.write(client, "more"));
+        assertEquals(7, TwoHosts.write(client, "request"));
+        assertEquals(4, TwoHosts.write(client, "more"));
         world.run(MS);
-        assertEquals("req?", World.read(server));
-        assertThrows(IOException.class, () -> World.write(client, "x"));
+        assertEquals("req?", TwoHosts.read(server));
+        assertThrows(IOException.class, () -> TwoHosts.write(client, "x"));
     }
 
     @Test
-    void aBreakAtAByteThatHasLeftIsAResetNow() throws IOException {
-        World.write(client, "request");
+    void breakAtATransmittedByteResetsImmediately() throws IOException {
+        TwoHosts.write(client, "request");
         client.resetAtByte(3);
         world.run(MS);
-        assertEquals("?", World.read(server));
+        assertEquals("?", TwoHosts.read(server));
     }
 
     @Test
-    void aBreakPlannedWhileItConnectsStrikesToo() throws IOException {
-        client = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
+    void breakPlannedWhileConnectingTakesEffect() throws IOException {
+        client = world.a.connect(TwoHosts.at(2, 80), new SimSocket.Events() {});
         client.resetAtByte(2);
         world.run(MS);
-        World.write(client, "abc");
+        TwoHosts.write(client, "abc");
         world.run(MS);
-        assertEquals("ab?", World.read(client.peer()));
+        assertEquals("ab?", TwoHosts.read(client.peer()));
     }
 
     @Test
-    void anEndFromOutsideIsAHalfClose() throws IOException {
-        World.write(server, "last words");
+    void endFaultIsAHalfClose() throws IOException {
+        TwoHosts.write(server, "last words");
         server.fault(SimSocket.Fault.END);
         world.run(MS);
-        assertEquals("last words!", World.read(client));
-        World.write(client, "heard");
+        assertEquals("last words!", TwoHosts.read(client));
+        TwoHosts.write(client, "heard");
         world.run(MS);
-        assertEquals("heard", World.read(server));
+        assertEquals("heard", TwoHosts.read(server));
     }
 
     @Test
-    void silenceIsNeverBroken() throws IOException {
+    void nothingArrivesThroughABlackHoleOrFromASilencedEnd() throws IOException {
         client.fault(SimSocket.Fault.BLACK_HOLE);
-        World.write(client, "into the void");
+        TwoHosts.write(client, "into the void");
         server.reset();
-        world.run(500 * World.SECOND);
-        assertEquals("", World.read(client));
-        begin();
+        world.run(500 * TwoHosts.SECOND);
+        assertEquals("", TwoHosts.read(client));
+        setUp();
         client.fault(SimSocket.Fault.SILENCE);
-        World.write(client, "not heard");
-        World.write(server, "heard");
+        TwoHosts.write(client, "not heard");
+        TwoHosts.write(server, "heard");
         world.run(MS);
-        assertEquals("heard", World.read(client));
-        assertEquals("", World.read(server));
+        assertEquals("heard", TwoHosts.read(client));
+        assertEquals("", TwoHosts.read(server));
     }
 
     @Test
-    void aShutWindowStaysShut() throws IOException {
+    void stalledReaderKeepsItsWindowClosed() throws IOException {
         server.fault(SimSocket.Fault.STALL_READS);
-        World.write(client, "x".repeat(100));
-        world.run(100 * World.SECOND);
-        assertEquals("", World.read(server));
-        begin();
-        World.write(client, "before");
+        TwoHosts.write(client, "x".repeat(100));
+        world.run(100 * TwoHosts.SECOND);
+        assertEquals("", TwoHosts.read(server));
+        setUp();
+        TwoHosts.write(client, "before");
         server.fault(SimSocket.Fault.STALL_READS);
-        world.run(World.SECOND);
-        assertEquals("before", World.read(server));
+        world.run(TwoHosts.SECOND);
+        assertEquals("before", TwoHosts.read(server));
     }
 
     @Test
-    void aBlackHoleThatEndsDeliversLate() throws IOException {
-        world.there().blackHole = true;
-        World.write(client, "late");
+    void bytesSentIntoABlackHoleArriveAfterItEnds() throws IOException {
+        world.aToB().blackHole = true;
+        TwoHosts.write(client, "late");
         client.shutdownOutput();
-        world.run(World.SECOND);
-        assertEquals("", World.read(server));
-        world.there().blackHole = false;
-        world.run(World.SECOND);
-        assertEquals("late!", World.read(server));
+        world.run(TwoHosts.SECOND);
+        assertEquals("", TwoHosts.read(server));
+        world.aToB().blackHole = false;
+        world.run(TwoHosts.SECOND);
+        assertEquals("late!", TwoHosts.read(server));
     }
 
     @Test
-    void aResetIntoABlackHoleIsLostAndTheNextSegmentDrawsAnother() throws IOException {
-        world.back().blackHole = true;
+    void resetIntoABlackHoleIsLostAndTheNextSegmentCausesAnother() throws IOException {
+        world.bToA().blackHole = true;
         server.reset();
-        world.run(World.SECOND);
-        world.back().blackHole = false;
-        world.run(World.SECOND);
+        world.run(TwoHosts.SECOND);
+        world.bToA().blackHole = false;
+        world.run(TwoHosts.SECOND);
         assertFalse(client.isReset());
-        World.write(client, "anybody there");
+        TwoHosts.write(client, "anybody there");
         world.run(MS);
-        assertEquals("?", World.read(client));
+        assertEquals("?", TwoHosts.read(client));
     }
 
     @Test
-    void aMachineThatComesBackResetsAtTheNextSegment() throws IOException {
+    void machineThatReappearsResetsOnTheNextSegment() throws IOException {
         world.b.vanish();
-        World.write(client, "into the dark");
-        world.run(World.SECOND);
+        TwoHosts.write(client, "into the dark");
+        world.run(TwoHosts.SECOND);
         assertFalse(client.isReset());
         world.b.reappear();
-        world.run(World.SECOND);
+        world.run(TwoHosts.SECOND);
         assertTrue(client.isReset());
         assertTrue(server.isReset());
         assertEquals(0, listener.waiting());
@@ -212,20 +212,20 @@
     }
 
     @Test
-    void anIdleConnectionHearsOnlyWhenItSpeaks() throws IOException {
+    void idlePeerLearnsOfALostConnectionOnlyByWriting() throws IOException {
         world.b.vanish();
-        world.run(World.SECOND);
+        world.run(TwoHosts.SECOND);
         world.b.reappear();
-        world.run(World.SECOND);
+        world.run(TwoHosts.SECOND);
         assertFalse(client.isReset());
-        World.write(client, "hello");
+        TwoHosts.write(client, "hello");
         world.run(MS);
         assertTrue(client.isReset());
     }
 
     @Test
-    void aDeadProcessResetsItsConnectionsAndRefusesNewOnes() throws IOException {
-        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
+    void deadProcessResetsItsConnectionsAndRefusesNewOnes() throws IOException {
+        SimSocket waiting = world.a.connect(TwoHosts.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         world.b.die();
         world.run(199_000);
@@ -234,27 +234,27 @@
         assertTrue(client.isReset() && waiting.isReset());
         assertFalse(world.b.alive());
         assertEquals(0, world.b.descriptors());
-        SimSocket late = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
+        SimSocket late = world.a.connect(TwoHosts.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         assertFalse(late.isOpen());
-        world.b.listen(World.at(2, 80), 5);
+        world.b.listen(TwoHosts.at(2, 80), 5);
         assertTrue(world.b.alive());
     }
 
     @Test
     void anotherProcessTakesOverTheAddress() throws IOException {
-        Host next = world.network.host("b2", World.address(2), 100);
-        assertThrows(IOException.class, () -> next.listen(World.at(2, 80), 5));
+        Host next = world.network.host("b2", TwoHosts.address(2), 100);
+        assertThrows(IOException.class, () -> next.listen(TwoHosts.at(2, 80), 5));
         world.b.die();
-        SimListener its = next.listen(World.at(2, 80), 5);
+        SimListener its = next.listen(TwoHosts.at(2, 80), 5);
         SimSocket socket = world.connect(its, new SimSocket.Events() {});
         assertEquals(next, socket.peerHost());
         assertEquals(next, socket.peer().host());
     }
 
     @Test
-    void aListenerThatClosesResetsItsBacklog() throws IOException {
-        SimSocket waiting = world.a.connect(World.at(2, 80), new SimSocket.Events() {});
+    void closingAListenerResetsItsBacklog() throws IOException {
+        SimSocket waiting = world.a.connect(TwoHosts.at(2, 80), new SimSocket.Events() {});
         world.run(MS);
         listener.close();
         world.run(MS);
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void aFaultFromWithinATapStrikesThatVeryWrite() throws IOException {
+    void faultInjectedByATapAffectsTheCurrentWrite() throws IOException {
         world.network.tap(
                 new Tap() {
                     @Override
@@ -271,35 +271,35 @@
                         by.resetAtByte(by.bytesWritten() - 1);
                     }
                 });
-        World.write(client, "request");
+        TwoHosts.write(client, "request");
         world.run(MS);
-        assertEquals("reques?", World.read(server));
+        assertEquals("reques?", TwoHosts.read(server));
     }
 
     @Test
-    void theMomentInWhichItBreaksAtAByteIsTold() throws IOException {
+    void callbackRunsWhenTheConnectionBreaksAtAByte() throws IOException {
         List<String> told = new ArrayList<>();
         client.resetAtByte(3, () -> told.add("broke"));
-        World.write(client, "abc");
+        TwoHosts.write(client, "abc");
         world.run(MS);
         assertEquals(List.of(), told);
         assertEquals(3, client.bytesTransmitted());
-        World.write(client, "d");
+        TwoHosts.write(client, "d");
         assertEquals(List.of("broke"), told);
     }
 
     @Test
-    void nobodyAtThatAddressMeansNoRoute() throws IOException {
+    void connectToAnUnknownAddressHasNoRoute() throws IOException {
         List<String> why = new ArrayList<>();
         world.a.connect(
-                World.at(9, 80),
+                TwoHosts.at(9, 80),
                 new SimSocket.Events() {
                     @Override
                     public void failed(IOException e) {
                         why.add(e.getClass().getSimpleName());
                     }
                 });
-        world.run(5 * World.SECOND);
+        world.run(5 * TwoHosts.SECOND);
         assertEquals(List.of("NoRouteToHostException"), why);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/LoopTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 class LoopTest {
-    private static final long MS = World.MS;
+    private static final long MS = TwoHosts.MS;
 
-    private final World world = new World(3);
+    private final TwoHosts world = new TwoHosts(3);
     private final List<String> done = new ArrayList<>();
     private SimLoop loop = loop(new SimLoop.Costs(0, 0, 0));
 
@@ -42,10 +42,10 @@
     }
 
     @Test
-    void playsTimersOfOneInstantInBothOrders() {
+    void runsSimultaneousTimersInBothOrders() {
         Set<String> orders = new HashSet<>();
         for (int seed = 0; seed < 30; seed++) {
-            World other = new World(seed);
+            TwoHosts other = new TwoHosts(seed);
             SimLoop its =
                     new SimLoop(
                             other.simulation, other.a, other.chance, new SimLoop.Costs(0, 0, 0));
@@ -59,24 +59,24 @@
     }
 
     @Test
-    void playsATimerAndBytesOfOneInstantInBothOrders() throws Exception {
+    void handlesASimultaneousTimerAndReadInBothOrders() throws Exception {
         Set<String> orders = new HashSet<>();
         for (int seed = 0; seed < 30; seed++) {
-            Site site = new Site(seed, new SimLoop.Costs(0, 0, 0));
-            site.serveNoting(10);
-            SimChannel channel = site.connectNoting();
-            site.heard.clear();
-            World.write(channel.socket(), "bytes");
-            site.server.schedule(() -> site.heard.add("timer"), 200_000, TimeUnit.NANOSECONDS);
-            site.world.run(MS);
-            orders.add(site.heard.toString());
-            site.end();
+            NettyPair pair = new NettyPair(seed, new SimLoop.Costs(0, 0, 0));
+            pair.serveRecording(10);
+            SimChannel channel = pair.connectRecording();
+            pair.events.clear();
+            TwoHosts.write(channel.socket(), "bytes");
+            pair.server.schedule(() -> pair.events.add("timer"), 200_000, TimeUnit.NANOSECONDS);
+            pair.world.run(MS);
+            orders.add(pair.events.toString());
+            pair.stop();
         }
         assertEquals(Set.of("[timer, server reads bytes]", "[server reads bytes, timer]"), orders);
     }
 
     @Test
-    void tellsForHowLongItHadAlwaysSomethingToDo() {
+    void reportsPeriodsInWhichItAlwaysHadWork() {
         SimLoop loaded = loop(new SimLoop.Costs(0, 0, 0));
         for (int i = 0; i < 3; i++) {
             loaded.execute(() -> loaded.pause(5 * MS));
@@ -86,16 +86,16 @@
         assertEquals(
                 List.of(new SimLoop.BusyPeriod(0, 10 * MS)),
                 loaded.busyPeriods(),
-                "as far as it is known");
+                "the period so far");
         world.run(35 * MS);
         assertEquals(
                 List.of(new SimLoop.BusyPeriod(0, 15 * MS)),
                 loaded.busyPeriods(),
-                "another is too short");
+                "the second period is too short");
     }
 
     @Test
-    void standingStillIsNotBeingBusyButWhatWaitedThenIs() {
+    void countsWorkAfterAPauseAsBusyButNotThePause() {
         world.run(MS);
         loop.execute(() -> loop.pause(12 * MS));
         world.run(50 * MS);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void cancelledTimersLeaveAtOnce() {
+    void removesCancelledTimersImmediately() {
         ScheduledFuture<?> timer = loop.schedule(note("never"), 10, TimeUnit.MILLISECONDS);
         assertEquals(10 * MS, timer.getDelay(TimeUnit.NANOSECONDS));
         assertTrue(timer.cancel(false));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void repeatsAtARateOrWithAGap() {
+    void repeatsAtAFixedRateOrWithAFixedDelay() {
         ScheduledFuture<?> rate =
                 loop.scheduleAtFixedRate(note("rate"), 10, 10, TimeUnit.MILLISECONDS);
         world.run(35 * MS);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void keepsWhatEscapesAndGoesOn() {
+    void recordsUncaughtExceptionsAndContinues() {
         loop.execute(
                 () -> {
                     throw new IllegalStateException("task");
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void standsStillWhilePaused() {
+    void runsNothingWhilePaused() {
         loop.pause(50 * MS);
         loop.execute(note("task"));
         loop.schedule(note("timer"), 10, TimeUnit.MILLISECONDS);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void isInTheLoopWhileItRunsSomethingOnItsThread() throws InterruptedException {
+    void isInEventLoopOnlyWhileRunningATaskOnItsThread() throws InterruptedException {
         assertFalse(loop.inEventLoop());
         loop.execute(() -> done.add("in " + loop.inEventLoop()));
         world.run(MS);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void tasksAndReadingsOfTheClockCostTime() {
+    void tasksAndClockReadingsCostTime() {
         loop = loop(new SimLoop.Costs(10_000, 2_000, 1_000));
         List<Long> readings = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -218,38 +218,38 @@
     }
 
     @Test
-    void whatATaskWritesLeavesAtItsOwnTime() {
-        Site site = new Site(4, new SimLoop.Costs(0, 0, 0));
-        site.serveNoting(10);
-        SimChannel channel = site.connectNoting();
+    void bytesWrittenByATaskAreSentAtItsLocalTime() {
+        NettyPair pair = new NettyPair(4, new SimLoop.Costs(0, 0, 0));
+        pair.serveRecording(10);
+        SimChannel channel = pair.connectRecording();
         List<Long> written = new ArrayList<>();
-        site.world.network.tap(
+        pair.world.network.tap(
                 new Tap() {
                     @Override
                     public void written(SimSocket by, byte[] bytes, int offset, int length) {
-                        written.add(site.world.network.tapTime());
+                        written.add(pair.world.network.tapTime());
                     }
                 });
-        long before = site.world.simulation.now();
-        site.client.execute(
+        long before = pair.world.simulation.now();
+        pair.client.execute(
                 () -> {
                     channel.writeAndFlush(channel.alloc().buffer().writeByte('a'));
-                    site.client.pause(5 * MS);
+                    pair.client.pause(5 * MS);
                     channel.writeAndFlush(channel.alloc().buffer().writeByte('b'));
                 });
-        site.world.run(MS);
+        pair.world.run(MS);
         assertEquals(List.of(before, before + 5 * MS), written);
-        assertEquals("server reads a", site.heard.get(site.heard.size() - 1));
-        site.world.run(4 * MS);
-        assertEquals("server reads a", site.heard.get(site.heard.size() - 1));
-        site.world.run(MS);
-        assertEquals("server reads b", site.heard.get(site.heard.size() - 1));
+        assertEquals("server reads a", pair.events.get(pair.events.size() - 1));
+        pair.world.run(4 * MS);
+        assertEquals("server reads a", pair.events.get(pair.events.size() - 1));
+        pair.world.run(MS);
+        assertEquals("server reads b", pair.events.get(pair.events.size() - 1));
         assertEquals(before + 5 * MS, channel.socket().peer().sentAt());
-        site.end();
+        pair.stop();
     }
 
     @Test
-    void theDeadDoNothing() {
+    void deadLoopRunsNothing() {
         loop.execute(note("never"));
         loop.schedule(note("never"), 1, TimeUnit.MILLISECONDS);
         loop.die();
--- a/testbed/src/test/java/appleridge/testbed/simnet/Site.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/NettyPair.java
@@ -30,25 +30,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Two processes with loops: b serves HTTP or plain bytes with Netty, a asks. For tests. */
-final class Site {
+/** Two Netty processes for tests: the server on b serves HTTP or raw bytes, the client is on a. */
+final class NettyPair {
     static final SimLoop.Costs COSTS = new SimLoop.Costs(10_000, 2_000, 100);
 
-    final World world;
+    final TwoHosts world;
     final SimLoop client;
     final SimLoop server;
-    final List<String> heard = new ArrayList<>();
+    final List<String> events = new ArrayList<>();
     final List<SimChannel> served = new ArrayList<>();
     SimServerChannel listener;
-    int answers;
+    int responses;
 
-    Site(long seed, SimLoop.Costs costs) {
-        world = new World(seed);
+    NettyPair(long seed, SimLoop.Costs costs) {
+        world = new TwoHosts(seed);
         client = new SimLoop(world.simulation, world.a, world.chance.stream("client"), costs);
         server = new SimLoop(world.simulation, world.b, world.chance.stream("server"), costs);
     }
 
-    void end() {
+    void stop() {
         client.die();
         server.die();
     }
@@ -68,12 +68,12 @@
                                         channel.pipeline().addLast(children);
                                     }
                                 })
-                        .bind(World.at(2, 80));
+                        .bind(TwoHosts.at(2, 80));
         listener = (SimServerChannel) bound.channel();
-        world.run(World.MS);
+        world.run(TwoHosts.MS);
     }
 
-    /** Answers each request with its path and body. */
+    /** Serves HTTP; echoes the path and body of each request. */
     void serveHttp() {
         serve(
                 100,
@@ -89,14 +89,14 @@
                 });
     }
 
-    /** Notes all that happens on its channels. */
-    void serveNoting(int backlog) {
+    /** Serves raw bytes; records the events of its channels. */
+    void serveRecording(int backlog) {
         serve(
                 backlog,
                 new ChannelInitializer<SimChannel>() {
                     @Override
                     protected void initChannel(SimChannel channel) {
-                        channel.pipeline().addLast(new Noting("server", heard));
+                        channel.pipeline().addLast(new RecordingHandler("server", events));
                     }
                 });
     }
@@ -114,17 +114,18 @@
                                 channel.pipeline().addLast(handlers);
                             }
                         })
-                .connect(World.at(2, 80));
+                .connect(TwoHosts.at(2, 80));
     }
 
-    SimChannel connectNoting() {
-        SimChannel channel = (SimChannel) connect(1_000, new Noting("client", heard)).channel();
-        world.run(2 * World.MS);
+    SimChannel connectRecording() {
+        SimChannel channel =
+                (SimChannel) connect(1_000, new RecordingHandler("client", events)).channel();
+        world.run(2 * TwoHosts.MS);
         return channel;
     }
 
-    /** Asks one after the other; each next one as soon as an answer is there. */
-    void ask(int requests, int bodyBytes) {
+    /** Sends requests on one connection, each after the response to the one before. */
+    void sendRequests(int requests, int bodyBytes) {
         new Bootstrap()
                 .group(client)
                 .channelFactory(client.socketFactory())
@@ -136,61 +137,61 @@
                                         .addLast(
                                                 new HttpClientCodec(),
                                                 new HttpObjectAggregator(1 << 20),
-                                                new Asking(requests, bodyBytes));
+                                                new RequestSender(requests, bodyBytes));
                             }
                         })
-                .connect(World.at(2, 80));
+                .connect(TwoHosts.at(2, 80));
     }
 
-    private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class RequestSender extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int requests;
         private final int bodyBytes;
-        private int asked;
+        private int sent;
 
-        Asking(int requests, int bodyBytes) {
+        RequestSender(int requests, int bodyBytes) {
             this.requests = requests;
             this.bodyBytes = bodyBytes;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx.channel());
+            sendNext(ctx.channel());
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (answer.decoderResult().cause() instanceof PrematureChannelClosureException) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (response.decoderResult().cause() instanceof PrematureChannelClosureException) {
                 ctx.close();
                 return;
             }
-            String expected = "/" + asked + "x".repeat(bodyBytes);
-            String body = answer.content().toString(StandardCharsets.US_ASCII);
+            String expected = "/" + sent + "x".repeat(bodyBytes);
+            String body = response.content().toString(StandardCharsets.US_ASCII);
             if (!body.equals(expected)) {
-                throw new IllegalStateException(body + " instead of " + expected);
+                throw new IllegalStateException("response body " + body + ", expected " + expected);
             }
-            answers++;
-            if (asked < requests) {
-                ask(ctx.channel());
+            responses++;
+            if (sent < requests) {
+                sendNext(ctx.channel());
             } else {
                 ctx.close();
             }
         }
 
-        /** A reset is no news here. */
+        /** Resets are expected; any other exception is recorded. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable why) {
             if (!(why instanceof IOException || why instanceof CodecException)) {
-                heard.add(why.toString());
+                events.add(why.toString());
             }
             ctx.close();
         }
 
-        private void ask(Channel channel) {
+        private void sendNext(Channel channel) {
             ByteBuf body = channel.alloc().buffer(Math.max(1, bodyBytes));
             body.writeBytes("x".repeat(bodyBytes).getBytes(StandardCharsets.US_ASCII));
             DefaultFullHttpRequest request =
                     new DefaultFullHttpRequest(
-                            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + ++asked, body);
+                            HttpVersion.HTTP_1_1, HttpMethod.POST, "/" + ++sent, body);
             request.headers()
                     .set(HttpHeaderNames.HOST, "b")
                     .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes);
@@ -204,61 +205,61 @@
             ByteBuf body = ctx.alloc().buffer();
             ByteBufUtil.writeAscii(body, request.uri());
             body.writeBytes(request.content());
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-            ctx.writeAndFlush(answer);
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+            ctx.writeAndFlush(response);
         }
 
-        /** A reset is no news here. */
+        /** Resets are expected; any other exception is recorded. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable why) {
             if (!(why instanceof IOException || why instanceof CodecException)) {
-                heard.add(why.toString());
+                events.add(why.toString());
             }
             ctx.close();
         }
     }
 
-    /** Writes down what it hears. */
-    static final class Noting extends ChannelInboundHandlerAdapter {
+    /** Records the events of a channel. */
+    static final class RecordingHandler extends ChannelInboundHandlerAdapter {
         private final String who;
-        private final List<String> heard;
+        private final List<String> events;
 
-        Noting(String who, List<String> heard) {
+        RecordingHandler(String who, List<String> events) {
             this.who = who;
-            this.heard = heard;
+            this.events = events;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            heard.add(who + " active");
+            events.add(who + " active");
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            heard.add(who + " reads " + ((ByteBuf) message).toString(StandardCharsets.US_ASCII));
+            events.add(who + " reads " + ((ByteBuf) message).toString(StandardCharsets.US_ASCII));
             ReferenceCountUtil.release(message);
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            heard.add(who + " writable " + ctx.channel().isWritable());
+            events.add(who + " writable " + ctx.channel().isWritable());
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            heard.add(who + " " + event.getClass().getSimpleName());
+            events.add(who + " " + event.getClass().getSimpleName());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable why) {
-            heard.add(who + " " + why.getMessage());
+            events.add(who + " " + why.getMessage());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            heard.add(who + " inactive");
+            events.add(who + " inactive");
         }
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simnet/SimulationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/SimulationTest.java
@@ -13,7 +13,7 @@
 
 class SimulationTest {
     @Test
-    void runsInTheOrderOfTime() {
+    void runsEventsInOrderOfTime() {
         Simulation simulation = new Simulation(new SeededRandom(1));
         List<Long> seen = new ArrayList<>();
         SeededRandom chance = new SeededRandom(2);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void playsTiesInAllOrders() {
+    void runsSimultaneousEventsInAllOrders() {
         Set<String> orders = new HashSet<>();
         for (int seed = 0; seed < 100; seed++) {
             orders.add(ties(seed));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void digestTellsRunsApart() {
+    void digestDistinguishesRuns() {
         assertEquals(digest(3, "x"), digest(3, "x"));
         assertNotEquals(digest(3, "x"), digest(4, "x"));
         assertNotEquals(digest(3, "x"), digest(3, "y"));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void tracesWhatIsNoted() {
+    void tracesNotes() {
         Simulation simulation = new Simulation(new SeededRandom(1));
         List<String> lines = new ArrayList<>();
         simulation.trace(lines::add);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void checksAfterEachStep() {
+    void runsChecksAfterEachStep() {
         Simulation simulation = new Simulation(new SeededRandom(1));
         int[] checks = new int[1];
         simulation.afterEachStep(() -> checks[0]++);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void streamsDependOnSeedAndNameAlone() {
+    void streamsDependOnlyOnSeedAndName() {
         SeededRandom one = new SeededRandom(7);
         SeededRandom other = new SeededRandom(7);
         other.nextLong();
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void chanceKeepsItsBounds() {
+    void randomDrawsStayWithinTheirBounds() {
         SeededRandom chance = new SeededRandom(9);
         double sum = 0;
         boolean[] seen = new boolean[3];
--- a/testbed/src/test/java/appleridge/testbed/simnet/Speed.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/Speed.java
@@ -1,29 +1,29 @@
 package appleridge.testbed.simnet;
 
-/** Run by hand: how many HTTP exchanges one core simulates in a second of its time. */
+/** A benchmark, run by hand: how many HTTP exchanges one core simulates per second. */
 final class Speed {
     private static final int REQUESTS = 20_000;
 
     private Speed() {}
 
-    /** An argument cuts into segments of up to so many bytes. */
+    /** The optional argument is the {@link NetworkConditions#segment} to use. */
     public static void main(String[] args) {
         for (int round = 0; round < 8; round++) {
-            Site site = new Site(round, Site.COSTS);
-            site.world.there().segment = args.length == 0 ? 0 : Integer.parseInt(args[0]);
-            site.serveHttp();
+            NettyPair pair = new NettyPair(round, NettyPair.COSTS);
+            pair.world.aToB().segment = args.length == 0 ? 0 : Integer.parseInt(args[0]);
+            pair.serveHttp();
             long begin = System.nanoTime();
             for (int i = 0; i < 10; i++) {
-                site.ask(REQUESTS / 10, 100);
+                pair.sendRequests(REQUESTS / 10, 100);
             }
-            site.world.run(1_000 * World.SECOND);
+            pair.world.run(1_000 * TwoHosts.SECOND);
             double seconds = (System.nanoTime() - begin) / 1e9;
             System.out.println(
-                    (int) (site.answers / seconds)
+                    (int) (pair.responses / seconds)
                             + " exchanges a second, "
-                            + (int) (site.world.simulation.steps() / seconds)
+                            + (int) (pair.world.simulation.steps() / seconds)
                             + " steps a second");
-            site.end();
+            pair.stop();
         }
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/simnet/World.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/TwoHosts.java
@@ -6,8 +6,8 @@
 import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
 
-/** Two machines, for tests. */
-final class World {
+/** A simulated network with two hosts, for tests. */
+final class TwoHosts {
     static final long MS = 1_000_000;
     static final long SECOND = 1_000 * MS;
 
@@ -17,7 +17,7 @@
     final Host a;
     final Host b;
 
-    World(long seed) {
+    TwoHosts(long seed) {
         chance = new SeededRandom(seed);
         simulation = new Simulation(chance.stream("ties"));
         network = new Network(simulation, chance.stream("network"));
@@ -37,11 +37,11 @@
         return new InetSocketAddress(address(last), port);
     }
 
-    NetworkConditions there() {
+    NetworkConditions aToB() {
         return network.conditions(a, b);
     }
 
-    NetworkConditions back() {
+    NetworkConditions bToA() {
         return network.conditions(b, a);
     }
 
@@ -49,7 +49,7 @@
         simulation.runUntil(simulation.now() + nanos);
     }
 
-    /** A connection from a to b that both have taken. */
+    /** Opens a connection from a to b and accepts it. */
     SimSocket connect(SimListener listener, SimSocket.Events events) throws IOException {
         SimSocket client = a.connect(listener.address(), events);
         run(MS);
@@ -62,7 +62,7 @@
         return socket.write(bytes, 0, bytes.length);
     }
 
-    /** What is there, with "!" for the end and "?" for a reset. */
+    /** Reads what is available, followed by "!" at the end of the stream or "?" after a reset. */
     static String read(SimSocket socket) {
         byte[] bytes = new byte[100_000];
         StringBuilder text = new StringBuilder();
--- a/testbed/src/test/java/appleridge/testbed/standin/ColdStartTest.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/ColdStartTest.java
@@ -5,11 +5,13 @@
 import org.junit.jupiter.api.Test;
 
 class ColdStartTest {
-    /** Two cores; sent 4 × 2 × 0.5 × 10 = 40 within 10, a server that just started tips. */
+    /**
+     * Two cores; a server that just started falls over above 4 × 2 × 0.5 × 10 = 40 within 10 ns.
+     */
     private static final ColdStart.Figures FIGURES = new ColdStart.Figures(2, 0.5, 100, 4, 10);
 
     @Test
-    void whatItCanDoGrowsUntilItIsWarm() {
+    void capacityGrowsUntilTheServerIsWarm() {
         ColdStart start = new ColdStart(FIGURES, true, 1000);
         assertEquals(0.5, start.share(1000));
         assertEquals(0.75, start.share(1050));
@@ -19,7 +21,7 @@
     }
 
     @Test
-    void whatWasSentLatelyCountsAndWhatWasSentBeforeDoesNot() {
+    void countsOnlyWorkSentWithinTheWindow() {
         ColdStart start = new ColdStart(FIGURES, true, 0);
         assertEquals(0.25, start.sent(0, 10));
         assertEquals(30 / (4 * 0.55 * 2 * 10), start.sent(10, 20), 1e-9);
@@ -28,7 +30,7 @@
     }
 
     @Test
-    void aWarmOneIsNotTipped() {
+    void warmServerNeverFallsOver() {
         assertEquals(0, new ColdStart(FIGURES, true, 0).sent(100, 1e9));
         assertEquals(0, new ColdStart(FIGURES, false, 0).sent(0, 1e9));
     }
--- a/testbed/src/test/java/appleridge/testbed/standin/Notes.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/RecordingListener.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What stand-ins told, a line each. */
-final class Notes implements StandInListener {
+/** Records the events of stand-ins, one line each. */
+final class RecordingListener implements StandInListener {
     final List<String> lines = new ArrayList<>();
 
     @Override
--- a/testbed/src/test/java/appleridge/testbed/standin/RepeatMemoryTest.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/RepeatMemoryTest.java
@@ -13,7 +13,7 @@
     private final RepeatMemory memory = new RepeatMemory(5);
 
     @Test
-    void aZoneRemembersItsOwnHoldsForTheirWindow() {
+    void zoneRemembersItsHoldsForTheirWindow() {
         assertTrue(memory.takesEffect(HOLD, "k", "a", 0));
         assertFalse(memory.takesEffect(HOLD, "k", "a", HOLD.window() + 5));
         assertTrue(memory.takesEffect(HOLD, "k", "b", 1));
@@ -22,14 +22,14 @@
     }
 
     @Test
-    void allRememberConfirmations() {
+    void allZonesRememberConfirmations() {
         assertTrue(memory.takesEffect(CONFIRM, "k", "a", 0));
         assertFalse(memory.takesEffect(CONFIRM, "k", "b", 1));
         assertTrue(memory.takesEffect(HOLD, "k", "a", 1));
     }
 
     @Test
-    void nothingIsRememberedOfWhatHasNoKey() {
+    void classWithoutKeysAlwaysTakesEffect() {
         assertTrue(memory.takesEffect(INVOICE, null, "a", 0));
         assertTrue(memory.takesEffect(INVOICE, null, "a", 1));
     }
--- a/testbed/src/test/java/appleridge/testbed/standin/StandInsTest.java
+++ b/testbed/src/test/java/appleridge/testbed/standin/StandInsTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Order server and discovery, asked by a client that nobody here wrote. */
+/** Tests the order server and discovery stand-ins with the JDK's HTTP client. */
 @Timeout(60)
 class StandInsTest {
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final RealTime time = new RealTime();
-    private final Notes notes = new Notes();
+    private final RecordingListener events = new RecordingListener();
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -50,7 +50,7 @@
                                 "s1", "a", ColdStart.Figures.USUAL, queue, false),
                         new RepeatMemory(0),
                         new SplittableRandom(1),
-                        notes);
+                        events);
         server.listen();
         return server;
     }
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aServerDoesWorkOnceAndReportsItsLoad() throws Exception {
+    void serverRunsAKeyedRequestOnceAndReportsItsLoad() throws Exception {
         LoopbackServer server = server(10);
         HttpResponse<String> first = confirm(server, "one");
         assertEquals(200, first.statusCode());
@@ -81,33 +81,33 @@
         assertTrue(first.headers().firstValue("X-Load").orElseThrow().startsWith("qps="));
         assertEquals("two known to s1 #2", confirm(server, "two").body());
         assertEquals(
-                "[arrived one, made one, arrived two, made two]", onLoop(notes.lines::toString));
+                "[arrived one, made one, arrived two, made two]", onLoop(events.lines::toString));
     }
 
     @Test
-    void aFullServerSaysThatNothingHasRun() throws Exception {
+    void fullServerRejectsWithANotRunHeader() throws Exception {
         LoopbackServer server = server(0);
         HttpResponse<String> answer = confirm(server, "one");
         assertEquals(503, answer.statusCode());
         assertEquals("1", answer.headers().firstValue("X-Not-Run").orElseThrow());
-        assertEquals("[arrived one, turned away]", onLoop(notes.lines::toString));
+        assertEquals("[arrived one, turned away]", onLoop(events.lines::toString));
     }
 
     @Test
-    void aResetComesWithinTheAnswerAndAfterTheWork() throws Exception {
+    void resetFaultCutsTheResponseAfterTheWorkIsDone() throws Exception {
         LoopbackServer server = server(10);
         onLoop(
                 () -> {
                     server.resets(1);
                     return null;
                 });
-        // With a body the client does not try again by itself.
+        // The JDK client does not retry a request with a body.
         assertThrows(IOException.class, () -> confirm(server, "one"));
-        assertTrue(onLoop(notes.lines::toString).startsWith("[arrived one, made one"));
+        assertTrue(onLoop(events.lines::toString).startsWith("[arrived one, made one"));
     }
 
     @Test
-    void oneThatCrashedIsReplacedAtItsAddress() throws Exception {
+    void newProcessListensOnTheAddressOfACrashedOne() throws Exception {
         LoopbackServer server = server(10);
         int port = server.port();
         onLoop(
@@ -117,7 +117,7 @@
                 });
         CompletableFuture<HttpResponse<String>> open =
                 http.sendAsync(request(server, "one"), HttpResponse.BodyHandlers.ofString());
-        while (onLoop(notes.lines::isEmpty)) {
+        while (onLoop(events.lines::isEmpty)) {
             Thread.onSpinWait();
         }
         CountDownLatch listening = new CountDownLatch(1);
@@ -128,7 +128,7 @@
                         new LoopbackServer.Identity("s2", "a", ColdStart.Figures.USUAL, 10, true),
                         new RepeatMemory(0),
                         new SplittableRandom(1),
-                        notes);
+                        events);
         onLoop(
                 () -> {
                     server.crash();
@@ -141,15 +141,15 @@
     }
 
     @Test
-    void discoveryTellsTheWholeListAndThenWhatChanges() throws Exception {
-        LoopbackRegistry registry = new LoopbackRegistry(loop, time, notes);
+    void discoverySendsTheWholeListAndThenChanges() throws Exception {
+        LoopbackRegistry registry = new LoopbackRegistry(loop, time, events);
         registry.listen();
         set(registry, "s1", State.READY);
         set(registry, "s2", State.READY);
-        JsonNode whole = ask(registry, "").get();
+        JsonNode whole = get(registry, "").get();
         assertTrue(whole.path("all").asBoolean());
         assertEquals(2, whole.path("targets").size());
-        CompletableFuture<JsonNode> watch = ask(registry, "?since=2&timeout_ms=60000");
+        CompletableFuture<JsonNode> watch = get(registry, "?since=2&timeout_ms=60000");
         while (onLoop(() -> !registry.watched())) {
             Thread.onSpinWait();
         }
@@ -158,28 +158,28 @@
         assertEquals(3, change.path("rev").asInt());
         assertEquals("Gone", change.path("targets").path(0).path("state").asText());
         assertEquals(1, change.path("targets").size());
-        assertEquals(1, ask(registry, "").get().path("targets").size());
-        assertEquals(0, ask(registry, "?since=3&timeout_ms=1").get().path("targets").size());
+        assertEquals(1, get(registry, "").get().path("targets").size());
+        assertEquals(0, get(registry, "?since=3&timeout_ms=1").get().path("targets").size());
         assertTrue(
-                onLoop(notes.lines::toString)
+                onLoop(events.lines::toString)
                         .startsWith(
                                 "[changed s1 READY, changed s2 READY, told s1 READY, told s2 READY,"
                                         + " changed s1 GONE, told s1 GONE"));
     }
 
     @Test
-    void discoveryThatIsAwayEndsWatchesAndAnswersNothing() throws Exception {
-        LoopbackRegistry registry = new LoopbackRegistry(loop, time, notes);
+    void unavailableDiscoveryEndsWatchesAndAnswersNothing() throws Exception {
+        LoopbackRegistry registry = new LoopbackRegistry(loop, time, events);
         registry.listen();
-        CompletableFuture<JsonNode> watch = ask(registry, "?since=0&timeout_ms=60000");
+        CompletableFuture<JsonNode> watch = get(registry, "?since=0&timeout_ms=60000");
         while (onLoop(() -> !registry.watched())) {
             Thread.onSpinWait();
         }
         away(registry, true);
         assertThrows(Exception.class, watch::get);
-        assertThrows(Exception.class, () -> ask(registry, "").get());
+        assertThrows(Exception.class, () -> get(registry, "").get());
         away(registry, false);
-        assertEquals(0, ask(registry, "").get().path("targets").size());
+        assertEquals(0, get(registry, "").get().path("targets").size());
     }
 
     private void away(LoopbackRegistry registry, boolean away) throws Exception {
@@ -198,7 +198,7 @@
                 });
     }
 
-    private CompletableFuture<JsonNode> ask(LoopbackRegistry registry, String query) {
+    private CompletableFuture<JsonNode> get(LoopbackRegistry registry, String query) {
         URI uri = URI.create("http://" + registry.endpoint() + "/registry/instances" + query);
         return http.sendAsync(
                         HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
