--- a/testbed/src/main/java/appleridge/testbed/simnet/Heap.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Heap.java
@@ -25,7 +25,7 @@
         if (size == entries.length) {
             entries = Arrays.copyOf(entries, 2 * size);
         }
-        rise(size++, entry);
+        siftUp(size++, entry);
     }
 
     void remove(T entry) {
@@ -38,9 +38,9 @@
         entries[size] = null;
         if (last != entry) {
             if (at > 0 && last.before(entries[(at - 1) >>> 1])) {
-                rise(at, last);
+                siftUp(at, last);
             } else {
-                sink(at, last);
+                siftDown(at, last);
             }
         }
     }
@@ -53,7 +53,7 @@
         size = 0;
     }
 
-    private void rise(int from, HeapEntry entry) {
+    private void siftUp(int from, HeapEntry entry) {
         int at = from;
         while (at > 0) {
             int parent = (at - 1) >>> 1;
@@ -66,7 +66,7 @@
         put(at, entry);
     }
 
-    private void sink(int from, HeapEntry entry) {
+    private void siftDown(int from, HeapEntry entry) {
         int at = from;
         for (int child = 2 * at + 1; child < size; child = 2 * at + 1) {
             if (child + 1 < size && entries[child + 1].before(entries[child])) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Network.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Network.java
@@ -72,7 +72,7 @@
         return tapTime;
     }
 
-    /** The open sockets of a host, in order of creation. */
+    /** The open sockets of a host, in the order in which they were opened or accepted. */
     public List<SimSocket> sockets(Host of) {
         return new ArrayList<>(of.sockets());
     }
--- a/testbed/src/main/java/appleridge/testbed/simnet/NetworkConditions.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/NetworkConditions.java
@@ -27,8 +27,9 @@
     public int segment;
 
     /**
-     * Upper bound of the gap between arriving segments, in nanoseconds; used only if `segment` is
-     * set. Without a gap the receiver would read consecutive segments in one piece.
+     * Upper bound of the minimum gap between arriving segments, which is drawn for each segment, in
+     * nanoseconds; used only if `segment` is set. Without a gap the receiver would read consecutive
+     * segments in one piece.
      */
     public long gap = 2_000;
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -203,7 +203,7 @@
 
     /**
      * Periods of at least {@link #MIN_BUSY_PERIOD} in which the loop was busy throughout, in order;
-     * the last one may still be going on. A pause does not count as busy.
+     * the last one may still be going on. A pause between tasks does not count as busy.
      */
     public List<BusyPeriod> busyPeriods() {
         if (freeAt - busySince < MIN_BUSY_PERIOD) {
