--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClients.java
@@ -45,7 +45,7 @@
      * have been set up, because that overwrites the buffer sizes.
      */
     void limitBuffers(ProcessSlot slot) {
-        NetworkConditions toNeverReading = day.network.weather(slot.host(), neverReadingHost);
+        NetworkConditions toNeverReading = day.network.conditions(slot.host(), neverReadingHost);
         toNeverReading.receiveBuffer = SMALL_BUFFER;
         toNeverReading.sendBuffer = SMALL_BUFFER;
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -78,10 +78,10 @@
      * byte. A request that has been sent completely cannot be cut.
      */
     private void cutRequest(Fault fault, ObservedRequest request, SimSocket sidecarEnd) {
-        int unsent = (int) (sidecarEnd.bytesWritten() - sidecarEnd.bytesLeft());
+        int unsent = (int) (sidecarEnd.bytesWritten() - sidecarEnd.bytesTransmitted());
         long bytes = fault.value(FaultParameter.BYTES);
         if (unsent > 0) {
-            cutAt(fault, sidecarEnd, sidecarEnd.bytesLeft() + bytes % unsent, sidecarEnd);
+            cutAt(fault, sidecarEnd, sidecarEnd.bytesTransmitted() + bytes % unsent, sidecarEnd);
         } else if (!sidecarEnd.isEstablished()) {
             cutAt(fault, sidecarEnd, bytes % MIN_MESSAGE_LENGTH, sidecarEnd);
         } else {
@@ -105,13 +105,13 @@
         if (peer == null) {
             return;
         }
-        int unsent = (int) (peer.bytesWritten() - peer.bytesLeft());
+        int unsent = (int) (peer.bytesWritten() - peer.bytesTransmitted());
         long bytes = fault.value(FaultParameter.BYTES);
         cutAt(
                 fault,
                 peer,
                 unsent > 0
-                        ? peer.bytesLeft() + bytes % unsent
+                        ? peer.bytesTransmitted() + bytes % unsent
                         : peer.bytesWritten() + (started ? 0 : bytes % MIN_MESSAGE_LENGTH),
                 readingEnd);
     }
@@ -130,7 +130,7 @@
                         reportStruck(
                                 fault,
                                 affected,
-                                end.isListenersEnd() ? affected.server() : affected.sidecar());
+                                end.isServerEnd() ? affected.server() : affected.sidecar());
                     }
                 });
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Links.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Links.java
@@ -59,7 +59,7 @@
                                 ? 1
                                 : -MIN_SEGMENT - chance.nextInt(SEGMENT_RANGE);
         for (NetworkConditions each :
-                List.of(network.weather(first, second), network.weather(second, first))) {
+                List.of(network.conditions(first, second), network.conditions(second, first))) {
             each.delay = (long) (delay * (0.8 + 0.4 * chance.nextDouble()));
             each.jitter = (long) (each.delay * day.plan.part(ScenarioParameter.JITTER));
             each.segment = segment;
@@ -94,7 +94,7 @@
 
     /** Changes the conditions from one host to another for a while. */
     void change(Host from, Host to, long duration, Consumer<NetworkConditions> change) {
-        NetworkConditions link = network.weather(from, to);
+        NetworkConditions link = network.conditions(from, to);
         change.accept(link);
         day.after(duration, () -> restore(link));
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -7,6 +7,7 @@
 
 /** A machine that runs one order server at a time; its successors use the same address. */
 final class Machine {
+
     /** How long a drained server stays up, so that clients can read what it has written. */
     private static final long LINGER = 100 * Site.MS;
 
@@ -165,7 +166,7 @@
         day.after(
                 away,
                 () -> {
-                    host.back();
+                    host.reappear();
                     if (noticed && server == hidden && !hidden.isDraining()) {
                         fleet.instances()
                                 .change(
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -332,7 +332,7 @@
     /** Its machine is unreachable for a while. */
     void silent(long duration) {
         host.vanish();
-        day.after(duration, host::back);
+        day.after(duration, host::reappear);
     }
 
     /** Answers nothing for a while. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
@@ -37,7 +37,7 @@
     /** Whether bytes written now can reach the sidecar. */
     boolean canReachSidecar() {
         return !socket.host().isVanished()
-                && !day.network.weather(socket.host(), socket.peerHost()).blackHole;
+                && !day.network.conditions(socket.host(), socket.peerHost()).blackHole;
     }
 
     void setOpenCall(Registry.Call call) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -308,7 +308,7 @@
 
     /** Whether this many bytes reach the other end in one segment. */
     boolean carriesAtOnce(int bytes) {
-        NetworkConditions conditions = day.network.weather(socket.host(), socket.peerHost());
+        NetworkConditions conditions = day.network.conditions(socket.host(), socket.peerHost());
         return bytes <= SEGMENT_BYTES
                 && conditions.segment == 0
                 && conditions.bytesPerSecond == 0
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -145,7 +145,7 @@
                 SETTLE_NANOS,
                 () -> {
                     for (Machine each : fleet.machines()) {
-                        NetworkConditions path = day.network.weather(each.host(), slot.host());
+                        NetworkConditions path = day.network.conditions(each.host(), slot.host());
                         boolean quick =
                                 path.delay + path.jitter < duration / 4
                                         && path.lossDelayProbability == 0
--- a/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/coordination/EnsembleTest.java
@@ -297,7 +297,7 @@
         }
         assertTrue(!channel.isOpen());
         assertEquals(3, simulated.lastZxid());
-        assertEquals(List.of(), server.escaped());
+        assertEquals(List.of(), server.uncaughtExceptions());
         client.die();
         server.die();
     }
--- a/testbed/src/test/java/appleridge/testbed/simulation/ServerFixture.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ServerFixture.java
@@ -88,7 +88,7 @@
 
     /** Sets the one-way delay from discovery to the test. */
     void delayFromDiscovery(long delay) {
-        network.weather(registry.host(), sidecar).delay = delay;
+        network.conditions(registry.host(), sidecar).delay = delay;
     }
 
     Connection connect(InetSocketAddress to) {
