--- a/testbed/src/main/java/appleridge/testbed/lease/BudgetShareModel.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/BudgetShareModel.java
@@ -11,51 +11,55 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Gives the permits of a budget to two holders in every way, and adds up what they may spend. */
+/**
+ * Checks that the shares of two holders never exceed their budget, for every assignment of permits.
+ */
 final class BudgetShareModel {
-    static final String WORDS = "parts";
-    private static final LeaseParameters TERMS = LeaseParameters.fenced(100, 0, 0, 30);
-    private static final int MOST_PERMITS = 5;
-    private static final int MOST_WHOLE = 12;
+    static final String SCOPE = "parts";
+    private static final LeaseParameters PARAMETERS = LeaseParameters.fenced(100, 0, 0, 30);
+    private static final int MAX_PERMITS = 5;
+    private static final int MAX_BUDGET = 12;
 
-    /** A permit is the first one's, the second one's, or nobody's. */
-    private static final int OWNERS = 3;
+    /** A permit belongs to the first holder, to the second, or to nobody. */
+    private static final int OWNER_CHOICES = 3;
 
     private BudgetShareModel() {}
 
     static String explore() {
-        int ways = 0;
-        for (int count = 1; count <= MOST_PERMITS; count++) {
-            for (int way = 0; way < Math.pow(OWNERS, count); way++) {
-                List<Permits> holders = List.of(held(count, way, 0), held(count, way, 1));
-                for (int whole = 0; whole <= MOST_WHOLE; whole++) {
+        int combinations = 0;
+        for (int count = 1; count <= MAX_PERMITS; count++) {
+            for (int assignment = 0; assignment < Math.pow(OWNER_CHOICES, count); assignment++) {
+                List<Permits> holders =
+                        List.of(held(count, assignment, 0), held(count, assignment, 1));
+                for (int budget = 0; budget <= MAX_BUDGET; budget++) {
                     long sum = 0;
                     for (Permits permits : holders) {
-                        sum += new BudgetShare(whole, permits).available(1, 0);
+                        sum += new BudgetShare(budget, permits).available(1, 0);
                     }
-                    if (sum > whole) {
-                        return "broken: parts sum to "
+                    if (sum > budget) {
+                        return "broken: shares sum to "
                                 + sum
                                 + " of "
-                                + whole
+                                + budget
                                 + ", with "
                                 + count
                                 + " permits\n";
                     }
-                    ways++;
+                    combinations++;
                 }
             }
         }
-        return "sound: " + ways + " ways to part a whole, all";
+        return "sound: " + combinations + " assignments of permits and budgets, all";
     }
 
-    private static Permits held(int count, int way, int owner) {
+    private static Permits held(int count, int assignment, int owner) {
         List<Integer> owners = new ArrayList<>();
-        for (int i = 0, rest = way; i < count; i++, rest /= OWNERS) {
-            owners.add(rest % OWNERS);
+        for (int i = 0, rest = assignment; i < count; i++, rest /= OWNER_CHOICES) {
+            owners.add(rest % OWNER_CHOICES);
         }
         Permits permits =
-                new Permits(count, i -> new Lease(TERMS, "", owner + "-" + i, new Nothing()));
+                new Permits(
+                        count, i -> new Lease(PARAMETERS, "", owner + "-" + i, new NoActions()));
         permits.setWanted(0, count);
         for (int i = 0; i < count; i++) {
             if (owners.get(i) == owner) {
@@ -68,8 +72,8 @@
         return permits;
     }
 
-    /** What a lease asks is known: first a read, then a write. */
-    private static final class Nothing implements LeaseActions {
+    /** Ignores the actions of a lease: its requests are known, a read and then a write. */
+    private static final class NoActions implements LeaseActions {
         @Override
         public void readRecord(long question) {}
 
--- a/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/CheckLeases.java
@@ -8,18 +8,23 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The command line that explores the lease, and what is left of it without each assumption. */
+/**
+ * The command {@code check-leases}: explores the state space of the lease, and of the lease without
+ * each safety assumption.
+ */
 public final class CheckLeases {
     private static final String USAGE =
             """
             usage: check-leases [--deeper N] [--stories] [NAME...]
-              explores the product's lease in every order of events, to a depth of each \
-              scope and N deeper;
-              then without the assumptions of these names, or each: a story must come of it
+              explores the product's lease in every order of events, to the depth of each \
+              scope plus N;
+              then without each of the named assumptions (default: all), where a violation \
+              must be found;
+              --stories prints the events that lead to each violation
             """;
 
-    /** Two holders and three, clocks at their bounds or alike. */
-    private static final List<String> SOUND =
+    /** Scopes with two and three holders, with clocks at their drift bounds or at equal rates. */
+    private static final List<String> SOUND_SCOPES =
             List.of(
                     "timed held 35 1 all 0 0 1 26",
                     "timed asked 35 1 all 1 1 1 13",
@@ -32,21 +37,26 @@
 
     private final PrintStream out;
 
-    /** With where it writes what it has to say. */
+    /** Creates the command; it writes its results to {@code out}. */
     public CheckLeases(PrintStream out) {
         this.out = out;
     }
 
-    /** The exit status is 0 only if the product is sound and nothing else is. */
-    public int run(String... words) throws IOException {
-        List<String> names = new ArrayList<>(Arrays.asList(words));
+    /**
+     * Returns the exit status: 0 if the product has no violation and one is found without each
+     * assumption, 1 otherwise, 2 for invalid arguments.
+     */
+    public int run(String... args) throws IOException {
+        List<String> names = new ArrayList<>(Arrays.asList(args));
         boolean stories = names.remove("--stories");
         int deeper = 0;
-        int at = names.indexOf("--deeper");
+        int deeperIndex = names.indexOf("--deeper");
         try {
-            if (at >= 0) {
-                names.remove(at);
-                deeper = Integer.parseInt(at < names.size() ? names.remove(at) : "");
+            if (deeperIndex >= 0) {
+                names.remove(deeperIndex);
+                deeper =
+                        Integer.parseInt(
+                                deeperIndex < names.size() ? names.remove(deeperIndex) : "");
             }
         } catch (NumberFormatException e) {
             names.add(USAGE);
@@ -64,39 +74,41 @@
     }
 
     /**
-     * The product as it is; also in the scopes of the assumptions, for what is found without one
-     * says little unless nothing is found there with it.
+     * Explores the unchanged product, including in the scopes of the assumptions: a violation found
+     * without an assumption is conclusive only if none is found in that scope with it.
      */
     private boolean exploreSound(int deeper) {
         List<String> scopes =
                 Stream.concat(
                                 SafetyAssumption.ALL.stream()
-                                        .filter(its -> !its.edits().isEmpty())
+                                        .filter(assumption -> !assumption.edits().isEmpty())
                                         .map(SafetyAssumption::scope)
-                                        .filter(its -> !its.equals(BudgetShareModel.WORDS)),
-                                SOUND.stream())
+                                        .filter(scope -> !scope.equals(BudgetShareModel.SCOPE)),
+                                SOUND_SCOPES.stream())
                         .distinct()
                         .toList();
         boolean sound = true;
-        for (String words : scopes) {
-            ExplorationScope scope = ExplorationScope.of(words);
-            String result = StateExplorer.explore(scope.withDepth(scope.depth() + deeper).words());
-            out.println(words + ": " + result);
+        for (String text : scopes) {
+            ExplorationScope scope = ExplorationScope.of(text);
+            String result = StateExplorer.explore(scope.withDepth(scope.depth() + deeper).text());
+            out.println(text + ": " + result);
             sound &= result.startsWith("sound");
         }
-        String shares = StateExplorer.explore(BudgetShareModel.WORDS);
-        out.println(BudgetShareModel.WORDS + ": " + shares);
+        String shares = StateExplorer.explore(BudgetShareModel.SCOPE);
+        out.println(BudgetShareModel.SCOPE + ": " + shares);
         return sound && shares.startsWith("sound");
     }
 
-    /** The product without each of these assumptions, or of all: a violation must be found. */
+    /**
+     * Explores the product without each named assumption, or without each of all if none is named.
+     */
     private boolean exploreWithoutAssumptions(List<String> names, boolean stories)
             throws IOException {
         Planter planter = new Planter();
         boolean broken = true;
         for (SafetyAssumption assumption : SafetyAssumption.ALL) {
             if (names.isEmpty() || names.contains(assumption.name())) {
-                String result = without(assumption, planter);
+                String result = exploreWithout(assumption, planter);
                 out.println(
                         assumption.name()
                                 + ": "
@@ -109,7 +121,10 @@
         return broken;
     }
 
-    static String without(SafetyAssumption assumption, Planter planter) {
+    /**
+     * Returns the result of {@link StateExplorer#explore} on the product without this assumption.
+     */
+    static String exploreWithout(SafetyAssumption assumption, Planter planter) {
         try {
             ClassLoader loader = planter.plant(assumption.fault());
             return (String)
--- a/testbed/src/main/java/appleridge/testbed/lease/ExplorationScope.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ExplorationScope.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * What is explored. A tick is four units of true time; a clock at its bound counts three or five of
- * them.
+ * The bounds of one exploration. A tick is four units of true time; a clock at its drift bound
+ * counts three or five units in a tick.
  *
- * @param fenced whether the thing acted on refuses older tokens
+ * @param fenced whether the protected resource rejects older tokens
  * @param held whether the first holder has the lease at the start
- * @param rates the units that each holder's clock counts in a tick, a digit each: as many holders
- * @param faults how often in all a message is lost, delayed or doubled, a connection breaks or a
- *     holder stops; else nothing takes a tick but a pause
- * @param kinds the faults of the first holder, their names joined by commas, or "all" for all of
- *     each
- * @param leaves how often a holder may leave, in all
- * @param again how often a holder may ask again, in all
- * @param pause ticks between a check and its act, at most
- * @param depth events in a row
+ * @param rates one digit per holder: the units that its clock counts in a tick
+ * @param faults maximum number of faults: a message is lost, delayed or duplicated, a connection
+ *     breaks or a holder stops; without faults only a pause lasts a tick or longer
+ * @param kinds the kinds of faults of the first holder, separated by commas, or "all" for all kinds
+ *     at every holder
+ * @param releases maximum number of releases by all holders
+ * @param reacquisitions maximum number of further acquisitions by all holders
+ * @param pause maximum ticks between a check and the operation that it permits
+ * @param depth maximum number of consecutive events
  */
 record ExplorationScope(
         boolean fenced,
@@ -25,27 +25,27 @@
         String rates,
         int faults,
         String kinds,
-        int leaves,
-        int again,
+        int releases,
+        int reacquisitions,
         int pause,
         int depth) {
-    static final int UNITS = 4;
+    static final int UNITS_PER_TICK = 4;
 
-    /** The ticks for which an act goes on. */
-    static final int ACT = 1;
+    /** Ticks that an operation lasts. */
+    static final int OPERATION_TICKS = 1;
 
-    /** What all clocks show at the start. */
-    static final int START = 10;
+    /** Reading of every clock at the start, in units. */
+    static final int START_UNITS = 10;
 
-    private static final int TERM = 16;
-    private static final int QUARTER_PPM = 250_000;
+    private static final int TERM_UNITS = 16;
+    private static final int DRIFT_PPM = 250_000;
 
-    /** Units by which a time may be old that a holder reads. */
-    static final int OLD = 5;
+    /** Maximum age of the clock reading that a holder uses, in units. */
+    static final int MAX_READING_AGE_UNITS = 5;
 
-    /** From its own words. */
-    static ExplorationScope of(String words) {
-        String[] word = words.split(" ");
+    /** Parses the format of {@link #text}. */
+    static ExplorationScope of(String text) {
+        String[] word = text.split(" ");
         int[] number = new int[word.length];
         for (int i = 5; i < word.length; i++) {
             number[i] = Integer.parseInt(word[i]);
@@ -62,7 +62,8 @@
                 number[8]);
     }
 
-    String words() {
+    /** The components in their order, separated by spaces. */
+    String text() {
         return String.join(
                 " ",
                 fenced ? "fenced" : "timed",
@@ -70,26 +71,33 @@
                 rates,
                 "" + faults,
                 kinds,
-                "" + leaves,
-                "" + again,
+                "" + releases,
+                "" + reacquisitions,
                 "" + pause,
                 "" + depth);
     }
 
-    ExplorationScope withDepth(int other) {
+    ExplorationScope withDepth(int newDepth) {
         return new ExplorationScope(
-                fenced, held, rates, faults, kinds, leaves, again, pause, other);
+                fenced, held, rates, faults, kinds, releases, reacquisitions, pause, newDepth);
     }
 
-    boolean has(LeaseModel.Kind fault, int holder) {
+    /** Whether faults of this kind happen to this holder. */
+    boolean includes(LeaseModel.Kind fault, int holder) {
         return kinds.equals("all")
                 || holder == 0 && List.of(kinds.split(",")).contains(fault.name());
     }
 
-    /** The terms that hold here if a pause lasts no longer than a tick. */
-    LeaseParameters terms() {
+    /** Lease parameters that are safe in this scope if a pause lasts at most one tick. */
+    LeaseParameters parameters() {
         return fenced
-                ? LeaseParameters.fenced(TERM, QUARTER_PPM, OLD, 5)
-                : LeaseParameters.timed(TERM, QUARTER_PPM, OLD, 5, UNITS, ACT * UNITS);
+                ? LeaseParameters.fenced(TERM_UNITS, DRIFT_PPM, MAX_READING_AGE_UNITS, 5)
+                : LeaseParameters.timed(
+                        TERM_UNITS,
+                        DRIFT_PPM,
+                        MAX_READING_AGE_UNITS,
+                        5,
+                        UNITS_PER_TICK,
+                        OPERATION_TICKS * UNITS_PER_TICK);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFault.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFault.java
@@ -4,36 +4,36 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** What is done to a holder, a waiter or the store; with it passes whatever time it takes. */
+/** A fault of a holder, a waiter or the store. {@link #inject} blocks for as long as it lasts. */
 enum LeaseFault {
-    /** SIGSTOP of the holder's {@code task} for half a term: it may go on. */
+    /** SIGSTOP of the holder's {@code task} for half a term; the holder may keep the lease. */
     STOPPED_HALF(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() / 2);
         }
     },
-    /** For nine tenths of one: its command is ended, or just not. */
+    /** SIGSTOP for 90 % of a term; the command may or may not be ended. */
     STOPPED_NEARLY(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 9 / 10);
         }
     },
-    /** For a little more than one. */
+    /** SIGSTOP for 110 % of a term. */
     STOPPED_LONGER(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 11 / 10);
         }
     },
-    /** For four. */
+    /** SIGSTOP for four terms. */
     STOPPED_LONG(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             stop(fleet.tasks.get(holder), fleet.termMillis() * 4);
         }
@@ -41,135 +41,136 @@
     /** SIGKILL of the holder's {@code task}. */
     KILLED(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom random) {
             fleet.tasks.get(holder).kill();
         }
     },
-    /** SIGKILL of its guardian alone. */
+    /** SIGKILL of only the guardian of the holder. */
     GUARDIAN_KILLED(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom random) {
             fleet.tasks.get(holder).guardian().ifPresent(ProcessHandle::destroyForcibly);
         }
     },
-    /** Its guardian is stopped, and the holder cut off from the store. */
+    /** SIGSTOP of the guardian while the holder is cut off from the store, for two terms. */
     GUARDIAN_STOPPED(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             ProcessHandle guardian = fleet.tasks.get(holder).guardian().orElse(null);
             if (guardian != null) {
                 TaskProcess.signal(guardian.pid(), "STOP");
-                fleet.cut(holder, true);
+                fleet.setCutOff(holder, true);
                 TimeUnit.MILLISECONDS.sleep(2L * fleet.termMillis());
-                fleet.cut(holder, false);
+                fleet.setCutOff(holder, false);
                 TaskProcess.signal(guardian.pid(), "CONT");
             }
         }
     },
-    /** The holder reaches what it acts on, and not the store. */
+    /** The holder reaches the protected resource but not the store. */
     CUT_OFF(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws InterruptedException {
-            fleet.cut(holder, true);
-            TimeUnit.MILLISECONDS.sleep(fleet.termMillis() + chance.nextInt(fleet.termMillis()));
-            fleet.cut(holder, false);
+            fleet.setCutOff(holder, true);
+            TimeUnit.MILLISECONDS.sleep(fleet.termMillis() + random.nextInt(fleet.termMillis()));
+            fleet.setCutOff(holder, false);
         }
     },
     /** Of the store's next word to the holder only half arrives. */
     HALF(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws InterruptedException {
             fleet.onLoop(fleet.relays.get(holder)::halves);
         }
     },
-    /** Its connection to the store breaks. */
+    /** The connection of the holder to the store is reset. */
     RESET(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws InterruptedException {
             fleet.onLoop(fleet.relays.get(holder)::reset);
         }
     },
-    /** The store is late for all. */
+    /** Responses of the store are delayed for all processes. */
     LATE(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws InterruptedException {
-            delay(fleet, TimeUnit.MILLISECONDS.toNanos(50 + chance.nextInt(200)));
+            delay(fleet, TimeUnit.MILLISECONDS.toNanos(50 + random.nextInt(200)));
             TimeUnit.MILLISECONDS.sleep(fleet.termMillis());
             delay(fleet, 0);
         }
     },
-    /** All sessions end. */
+    /** All sessions expire. */
     EXPIRED(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom random) {
             for (long session : fleet.server.sessions()) {
                 fleet.server.expire(session);
             }
         }
     },
-    /** The store is away for a moment. */
+    /** The store is down for less than half a second. */
     RESTARTED(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             fleet.server.stop();
-            TimeUnit.MILLISECONDS.sleep(chance.nextInt(500));
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(500));
             fleet.server.start();
         }
     },
-    /** A waiter is killed. */
+    /** SIGKILL of a waiter. */
     WAITER_KILLED(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
-            fleet.tasks.get(other(fleet, holder, chance)).kill();
+        void inject(TaskFleet fleet, int holder, SplittableRandom random) {
+            fleet.tasks.get(randomWaiter(fleet, holder, random)).kill();
         }
     },
-    /** A waiter is stopped for half a term. */
+    /** SIGSTOP of a waiter for half a term. */
     WAITER_STOPPED(false) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
-            stop(fleet.tasks.get(other(fleet, holder, chance)), fleet.termMillis() / 2);
+            stop(fleet.tasks.get(randomWaiter(fleet, holder, random)), fleet.termMillis() / 2);
         }
     },
-    /** SIGTERM of the holder's {@code task}: it hands over. */
+    /** SIGTERM of the holder's {@code task}, which then releases the lease. */
     TERMINATED(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance) {
+        void inject(TaskFleet fleet, int holder, SplittableRandom random) {
             fleet.tasks.get(holder).term();
         }
     },
-    /** The command ends well. */
+    /** The command ends with status 0. */
     DONE(true) {
         @Override
-        void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+        void inject(TaskFleet fleet, int holder, SplittableRandom random)
                 throws IOException, InterruptedException {
             TaskProcess.signal(fleet.witness.pid(), "USR1");
         }
     };
 
-    /** Whether another one has to hold after it. */
+    /** Whether another process must take over the lease. */
     final boolean changesHolder;
 
-    LeaseFault(boolean changes) {
-        this.changesHolder = changes;
+    LeaseFault(boolean changesHolder) {
+        this.changesHolder = changesHolder;
     }
 
-    abstract void inject(TaskFleet fleet, int holder, SplittableRandom chance)
+    /** Injects the fault into this holder and blocks until it is over. */
+    abstract void inject(TaskFleet fleet, int holder, SplittableRandom random)
             throws IOException, InterruptedException;
 
-    /** Whether the holder gives the lease away itself. */
+    /** Whether the holder releases the lease itself. */
     boolean handsOver() {
         return this == TERMINATED || this == DONE;
     }
 
-    private static int other(TaskFleet fleet, int holder, SplittableRandom chance) {
-        return (holder + 1 + chance.nextInt(fleet.tasks.size() - 1)) % fleet.tasks.size();
+    private static int randomWaiter(TaskFleet fleet, int holder, SplittableRandom random) {
+        return (holder + 1 + random.nextInt(fleet.tasks.size() - 1)) % fleet.tasks.size();
     }
 
     private static void stop(TaskProcess task, long millis)
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFaultsCommand.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFaultsCommand.java
@@ -16,8 +16,8 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * The command {@code leases}: real {@code task} processes take over from one another, by a seed's
- * faults.
+ * The command {@code leases}: real {@code task} processes take over a lease from one another under
+ * random faults that follow from a seed.
  */
 public final class LeaseFaultsCommand {
     private static final String USAGE =
@@ -25,37 +25,42 @@
                     + " [--seed 1] [--seconds 600] [--jar FILE]";
 
     /**
-     * Beyond what is promised: starting a guardian on a busy machine, and finding the store again.
+     * Exceeds the promised time to leave room for starting a guardian on a busy machine and for
+     * reconnecting to the store.
      */
-    private static final long LONGEST_MILLIS = 30_000;
+    private static final long MAX_WAIT_MILLIS = 30_000;
 
-    private static final int MOST_DWELL_MILLIS = 400;
-    private static final long MOST_MILLIS = TimeUnit.HOURS.toMillis(1);
-    private static final int DIGITS = 3;
+    private static final int MAX_DWELL_MILLIS = 400;
+    private static final long MAX_GAP_MILLIS = TimeUnit.HOURS.toMillis(1);
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final PrintStream out;
     private final PrintStream err;
-    private final Map<LeaseFault, Integer> strikes = new EnumMap<>(LeaseFault.class);
-    private final Histogram handedOver = new Histogram(MOST_MILLIS, DIGITS);
-    private final Histogram lost = new Histogram(MOST_MILLIS, DIGITS);
-    private final List<String> late = new ArrayList<>();
+    private final Map<LeaseFault, Integer> injections = new EnumMap<>(LeaseFault.class);
+    private final Histogram gapsAfterRelease = new Histogram(MAX_GAP_MILLIS, SIGNIFICANT_DIGITS);
+    private final Histogram gapsAfterLoss = new Histogram(MAX_GAP_MILLIS, SIGNIFICANT_DIGITS);
+    private final List<String> longGaps = new ArrayList<>();
 
-    /** Changes of which the time is in a histogram. */
-    private int counted;
+    /** Number of holder changes recorded in a histogram. */
+    private int recorded;
 
+    /** Creates the command; results go to {@code out}, errors to {@code err}. */
     public LeaseFaultsCommand(PrintStream out, PrintStream err) {
         this.out = out;
         this.err = err;
     }
 
-    /** Returns the exit status: 0 if no two acted at once and each change came. */
+    /**
+     * Returns the exit status: 0 if no operations overlapped and each expected takeover happened, 1
+     * otherwise, 2 for invalid arguments.
+     */
     public int run(String... args) {
         try {
             int changes = number(args, "--changes", 100);
             int processes = number(args, "--processes", 8);
             int seed = number(args, "--seed", 1);
             int seconds = number(args, "--seconds", 600);
-            Path jar = Path.of(word(args, "--jar", besideOurs()));
+            Path jar = Path.of(option(args, "--jar", defaultJar()));
             if (args.length % 2 != 0 || processes < 2 || !Files.isRegularFile(jar)) {
                 throw new IllegalArgumentException(
                         processes < 2 ? "--processes is less than 2" : "no such file: " + jar);
@@ -74,83 +79,85 @@
         }
     }
 
-    private int run(Path jar, int processes, int changes, long seed, long longest)
+    private int run(Path jar, int processes, int changes, long seed, long maxDurationNanos)
             throws IOException, InterruptedException, KeeperException {
-        SplittableRandom chance = new SplittableRandom(seed);
-        long by = System.nanoTime() + longest;
+        SplittableRandom random = new SplittableRandom(seed);
+        long deadline = System.nanoTime() + maxDurationNanos;
         try (TaskFleet fleet =
-                new TaskFleet(jar, processes, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.values())) {
+                new TaskFleet(
+                        jar,
+                        processes,
+                        TaskFleet.SHORT_TERM_MILLIS,
+                        TaskFleet.CommandBehavior.values())) {
             for (TaskProcess each : fleet.tasks) {
                 each.start();
             }
-            boolean goesOn = fleet.witness.awaitAbove(0, LONGEST_MILLIS);
-            while (goesOn
+            boolean active = fleet.witness.awaitAbove(0, MAX_WAIT_MILLIS);
+            while (active
                     && fleet.witness.changes().size() < changes
-                    && System.nanoTime() < by
+                    && System.nanoTime() < deadline
                     && fleet.witness.findings().isEmpty()) {
-                goesOn = strike(fleet, chance);
+                active = injectFault(fleet, random);
             }
-            boolean gone = fleet.end();
-            return report(fleet, goesOn, gone);
+            boolean gone = fleet.killAll();
+            return report(fleet, active, gone);
         }
     }
 
-    /** One strike and what follows; false if nobody acts any more. */
-    private boolean strike(TaskFleet fleet, SplittableRandom chance)
+    /** Injects one fault and awaits its consequences; returns false if operations have ceased. */
+    private boolean injectFault(TaskFleet fleet, SplittableRandom random)
             throws IOException, InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(chance.nextInt(MOST_DWELL_MILLIS));
-        if (!fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS)) {
+        TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_DWELL_MILLIS));
+        if (!fleet.witness.awaitOperation(fleet.witness.operations(), MAX_WAIT_MILLIS)) {
             return false;
         }
-        LeaseFault strike = LeaseFault.values()[chance.nextInt(LeaseFault.values().length)];
+        LeaseFault fault = LeaseFault.values()[random.nextInt(LeaseFault.values().length)];
         long token = fleet.witness.token();
-        strikes.merge(strike, 1, Integer::sum);
-        strike.inject(fleet, fleet.witness.holder(), chance);
-        boolean goesOn =
-                strike.changesHolder
-                        ? fleet.witness.awaitAbove(token, LONGEST_MILLIS)
-                        : fleet.witness.awaitAct(fleet.witness.acts(), LONGEST_MILLIS);
+        injections.merge(fault, 1, Integer::sum);
+        fault.inject(fleet, fleet.witness.holder(), random);
+        boolean active =
+                fault.changesHolder
+                        ? fleet.witness.awaitAbove(token, MAX_WAIT_MILLIS)
+                        : fleet.witness.awaitOperation(fleet.witness.operations(), MAX_WAIT_MILLIS);
         for (TaskProcess each : fleet.tasks) {
             if (!each.alive()) {
                 each.start();
             }
         }
-        List<OperationWitness.Change> all = fleet.witness.changes();
-        for (; counted < all.size(); counted++) {
-            OperationWitness.Change each = all.get(counted);
-            long millis = TimeUnit.NANOSECONDS.toMillis(each.without());
-            (strike.handsOver() ? handedOver : lost).recordValue(millis);
-            if (millis > TaskFleet.promisedMillis(TaskFleet.SHORT_MILLIS)) {
-                late.add(strike.name().toLowerCase(Locale.ROOT) + " " + millis + " ms");
+        List<OperationWitness.HolderChange> all = fleet.witness.changes();
+        for (; recorded < all.size(); recorded++) {
+            OperationWitness.HolderChange each = all.get(recorded);
+            long millis = TimeUnit.NANOSECONDS.toMillis(each.gapNanos());
+            (fault.handsOver() ? gapsAfterRelease : gapsAfterLoss).recordValue(millis);
+            if (millis > TaskFleet.promisedGapMillis(TaskFleet.SHORT_TERM_MILLIS)) {
+                longGaps.add(fault.name().toLowerCase(Locale.ROOT) + " " + millis + " ms");
             }
         }
-        return goesOn;
+        return active;
     }
 
-    private int report(TaskFleet fleet, boolean goesOn, boolean gone) throws IOException {
+    private int report(TaskFleet fleet, boolean active, boolean gone) throws IOException {
         List<String> findings = fleet.witness.findings();
-        out.println("strikes: " + strikes.toString().toLowerCase(Locale.ROOT));
+        out.println("faults injected: " + injections.toString().toLowerCase(Locale.ROOT));
         out.println(
                 fleet.witness.changes().size()
-                        + " changes of holder, "
-                        + fleet.witness.acts()
-                        + " acts; overlaps and old tokens: "
+                        + " holder changes, "
+                        + fleet.witness.operations()
+                        + " operations; overlaps and outdated tokens: "
                         + findings.size()
-                        + (gone ? "" : "; something was left at the end")
-                        + (goesOn
-                                ? ""
-                                : "; at the end nobody acted for " + LONGEST_MILLIS + " ms"));
+                        + (gone ? "" : "; processes were left at the end")
+                        + (active ? "" : "; no operation in the last " + MAX_WAIT_MILLIS + " ms"));
         findings.forEach(each -> out.println("  " + each));
-        out.println("without a holder after it gave the lease away: " + text(handedOver));
-        out.println("without a holder after it was lost: " + text(lost));
+        out.println("gap without a holder after a release: " + describe(gapsAfterRelease));
+        out.println("gap without a holder after a loss: " + describe(gapsAfterLoss));
         out.println(
                 "promised: "
-                        + TaskFleet.promisedMillis(TaskFleet.SHORT_MILLIS)
-                        + " ms and what the store takes to answer; longer: "
-                        + late.size()
+                        + TaskFleet.promisedGapMillis(TaskFleet.SHORT_TERM_MILLIS)
+                        + " ms plus the response time of the store; longer gaps: "
+                        + longGaps.size()
                         + " "
-                        + late);
-        boolean held = findings.isEmpty() && gone && goesOn;
+                        + longGaps);
+        boolean held = findings.isEmpty() && gone && active;
         if (!held) {
             for (TaskProcess each : fleet.tasks) {
                 out.println("log:");
@@ -160,7 +167,7 @@
         return held ? 0 : 1;
     }
 
-    private static String text(Histogram times) {
+    private static String describe(Histogram times) {
         return times.getTotalCount()
                 + " times, median "
                 + times.getValueAtPercentile(50)
@@ -173,24 +180,24 @@
                 + " ms";
     }
 
-    private static int number(String[] args, String name, int usual) {
+    private static int number(String[] args, String name, int defaultValue) {
         try {
-            return Integer.parseInt(word(args, name, Integer.toString(usual)));
+            return Integer.parseInt(option(args, name, Integer.toString(defaultValue)));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException(name + " makes no sense", e);
+            throw new IllegalArgumentException(name + " must be an integer", e);
         }
     }
 
-    private static String word(String[] args, String name, String usual) {
+    private static String option(String[] args, String name, String defaultValue) {
         for (int i = 0; i + 1 < args.length; i += 2) {
             if (args[i].equals(name)) {
                 return args[i + 1];
             }
         }
-        return usual;
+        return defaultValue;
     }
 
-    private static String besideOurs() {
+    private static String defaultJar() {
         try {
             return Path.of(
                             LeaseFaultsCommand.class
@@ -202,7 +209,8 @@
                     .normalize()
                     .toString();
         } catch (URISyntaxException e) {
-            throw new IllegalArgumentException("--jar is needed", e);
+            throw new IllegalArgumentException(
+                    "the location of testbed.jar is unknown: --jar is required", e);
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseFields.java
@@ -17,21 +17,24 @@
 import java.util.stream.Stream;
 
 /**
- * Copies what a lease knows, and writes it down so that states come together which differ in
- * nothing that matters: times as how long ago, versions and questions by their order alone. So it
- * takes two rounds: what is there is gathered, then written.
+ * Copies the state of a lease, and appends it to a state key in canonical form, so that equivalent
+ * states have equal keys: times are relative to now, versions and request ids are replaced by their
+ * rank. This takes two passes: the first gathers versions and request ids, the second writes.
  */
 final class LeaseFields {
-    /** What is longer ago can't be told apart by any wait of the terms, nor by sums of two. */
-    private static final long LONG_AGO = -64;
+    /**
+     * Earlier times are written as this one: no wait of the lease parameters, nor the sum of two,
+     * distinguishes them.
+     */
+    private static final long MIN_RELATIVE_TIME = -64;
 
-    /** What a lease is made with, and never changes. */
+    /** Types of the constructor arguments of a lease, which never change. */
     private static final Set<Class<?>> CONSTANTS =
             Set.of(String.class, LeaseParameters.class, LeaseActions.class);
 
     private static final List<FieldPath> FIELDS = paths(Lease.class, List.of()).toList();
 
-    /** A field that changes: of the lease itself, or of an object that it owns. */
+    /** A mutable field of the lease or of an object that it owns. */
     private record FieldPath(List<Field> owners, Field field) {
         Object get(Lease lease) throws IllegalAccessException {
             return field.get(owner(lease));
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Every field that changes; a final one is either a constant or an object whose own fields are
-     * gone through, so that no part of a lease is left out of a state.
+     * Finds every mutable field. A final field is either a constant or an object whose fields are
+     * searched in turn, so that a state covers the whole lease.
      */
     private static Stream<FieldPath> paths(Class<?> type, List<Field> owners) {
         return Arrays.stream(type.getDeclaredFields())
@@ -74,12 +77,14 @@
 
     private final StringBuilder key;
 
-    /** New numbers of the holders, and the time by the clock of each. */
+    /** The canonical number of each holder. */
     private final int[] rank;
 
+    /** The clock reading of each holder. */
     private final long[] now;
+
     private final TreeSet<Long> versions = new TreeSet<>();
-    private final TreeSet<Long>[] questions;
+    private final TreeSet<Long>[] requestIds;
     private boolean gathering = true;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
@@ -87,8 +92,8 @@
         this.key = key;
         this.rank = rank;
         this.now = now;
-        questions = new TreeSet[rank.length];
-        Arrays.setAll(questions, i -> new TreeSet<>());
+        requestIds = new TreeSet[rank.length];
+        Arrays.setAll(requestIds, i -> new TreeSet<>());
     }
 
     static void copy(Lease from, Lease to) {
@@ -101,7 +106,7 @@
         }
     }
 
-    /** The second round. */
+    /** Starts the second pass and clears the key. */
     void write() {
         gathering = false;
         key.setLength(0);
@@ -128,15 +133,15 @@
                 .append(' ')
                 .append(rank[process])
                 .append(entry.released() ? "r " : " ");
-        question(process, Long.parseLong(entry.nonce().substring(2)));
+        requestId(process, Long.parseLong(entry.nonce().substring(2)));
     }
 
     void version(long version) {
         number(versions, version);
     }
 
-    void question(int holder, long question) {
-        number(questions[holder], question);
+    void requestId(int holder, long requestId) {
+        number(requestIds[holder], requestId);
     }
 
     private void number(TreeSet<Long> all, long number) {
@@ -158,9 +163,12 @@
             key.append(number).append(' ');
         } else if (value instanceof Long number
                 && (name.equals("requestId") || name.endsWith("RequestId"))) {
-            question(holder, number);
+            requestId(holder, number);
         } else if (value instanceof Long time) {
-            key.append(time == Long.MAX_VALUE ? time : Math.max(LONG_AGO, time - now[holder]))
+            key.append(
+                            time == Long.MAX_VALUE
+                                    ? time
+                                    : Math.max(MIN_RELATIVE_TIME, time - now[holder]))
                     .append(' ');
         } else {
             key.append(value instanceof Enum<?> constant ? constant.ordinal() : value).append(' ');
--- a/testbed/src/main/java/appleridge/testbed/lease/LeaseModel.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/LeaseModel.java
@@ -11,43 +11,61 @@
 import java.util.stream.LongStream;
 
 /**
- * All of it at one moment: holders, the store's record, what is on its way. Not changed once it is
- * made.
+ * A state of the model: the holders, the record in the store, and the messages in flight. Immutable
+ * after construction; {@link #after} makes the next state.
  */
 final class LeaseModel {
-    /** What a step does; in the order in which they are tried. */
+    /** The kinds of events, in the order in which the explorer tries them. */
     enum Kind {
+        /** A message reaches its receiver. */
         ARRIVES,
+        /** A request is lost before the store executes it. */
         LOST,
+        /** The store executes a request, but its response is lost. */
         UNANSWERED,
+        /** A message is delayed for any time. */
         DELAYED,
+        /** The store executes a request twice, the second time after any delay. */
         DOUBLED,
+        /** The timer of a lease fires. */
         WAKES,
+        /** A holder asks its lease for the permission to operate. */
         CHECKS,
+        /** A permitted operation begins. */
         BEGINS,
+        /** A fenced operation reaches the protected resource. */
         REACHES,
+        /** An idle holder releases its lease. */
         LEAVES,
+        /** A busy holder releases its lease after the grace period. */
         GIVES_UP,
+        /** A holder acquires again after it lost or released its lease. */
         ASKS_AGAIN,
+        /** A waiter is notified of a change of the record. */
         HEARS,
+        /** A holder loses its connection to the store. */
         DISCONNECTS,
+        /** A holder is connected to the store again. */
         CONNECTS,
+        /** A holder is suspended. */
         STOPS,
+        /** A suspended holder resumes. */
         GOES_ON,
+        /** Time advances by one tick. */
         TICK
     }
 
-    /** One event; the message is null where it is about none. */
+    /** One event; the message is null if the event concerns none. */
     record Step(Kind kind, int holder, ModelMessage message) {}
 
-    /** A write that changed the holder; the later, the newer. */
+    /** A write that changed the holder. */
     private record TakeOver(int holder, long token) {}
 
-    /** Stands in a key for a tick that there is none of; no real one is ahead of now. */
+    /** Written to a key for an absent tick; present ones are never in the future. */
     private static final int ABSENT_TICKS = 9;
 
-    /** A version that no sound lease expects: the write is done whatever the store has. */
-    private static final long WHATEVER = -2;
+    /** An expected version that only a faulty lease uses: the write is unconditional. */
+    private static final long ANY_VERSION = -2;
 
     private final ExplorationScope scope;
     private final ModelHolder[] holders;
@@ -56,32 +74,33 @@
     private int tick;
     private VersionedLease record;
     private int faults;
-    private int leaves;
-    private int again;
+    private int releases;
+    private int reacquisitions;
 
-    /** The newest that the fenced thing has taken: its token, and which take-over it came from. */
-    private long taken;
+    /** The newest token that the protected resource has accepted. */
+    private long acceptedToken;
 
-    private int takenFrom = ModelHolder.NONE;
+    /** Index of the takeover from which the newest accepted operation came. */
+    private int acceptedTakeOver = ModelHolder.NONE;
 
-    /** What is broken; null for nothing. */
+    /** The violation in this state; null if there is none. */
     private String violation;
 
-    /** All ask at once; the first one has the lease already where the scope says so. */
+    /** Creates the initial state: all holders acquire; the first may have the lease already. */
     LeaseModel(ExplorationScope scope) {
         this.scope = scope;
         holders = new ModelHolder[scope.rates().length()];
         messages = new ArrayList<>();
         takeOvers = new ArrayList<>();
         faults = scope.faults();
-        leaves = scope.leaves();
-        again = scope.again();
+        releases = scope.releases();
+        reacquisitions = scope.reacquisitions();
         for (int i = 0; i < holders.length; i++) {
             holders[i] = new ModelHolder(scope, i);
-            seek(holders[i]);
+            acquire(holders[i]);
         }
         while (scope.held() && holders[0].lease.grant() == null) {
-            take(
+            apply(
                     Kind.ARRIVES,
                     holders[0],
                     messages.stream().filter(its -> its.holder() == 0).findFirst().orElseThrow());
@@ -96,10 +115,10 @@
         tick = before.tick;
         record = before.record;
         faults = before.faults;
-        leaves = before.leaves;
-        again = before.again;
-        taken = before.taken;
-        takenFrom = before.takenFrom;
+        releases = before.releases;
+        reacquisitions = before.reacquisitions;
+        acceptedToken = before.acceptedToken;
+        acceptedTakeOver = before.acceptedTakeOver;
         if (touched >= 0) {
             holders[touched] = holders[touched].copy();
         }
@@ -110,11 +129,11 @@
     }
 
     private long now(ModelHolder holder) {
-        return ExplorationScope.START + (long) tick * holder.rate;
+        return ExplorationScope.START_UNITS + (long) tick * holder.unitsPerTick;
     }
 
-    /** The line isn't trusted: everyone is told at once to be in front. */
-    private void seek(ModelHolder holder) {
+    /** Safety must not depend on the queue: each holder is told at once that it is at its head. */
+    private void acquire(ModelHolder holder) {
         holder.lease.acquire(now(holder));
         holder.lease.onHeadOfQueue(now(holder));
         collect(holder);
@@ -125,15 +144,16 @@
         holder.sent.clear();
     }
 
+    /** Returns the possible next events in a fixed order. */
     List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         boolean canWait = true;
         for (ModelMessage message : messages.stream().distinct().toList()) {
             if (message.isRequest() || !holders[message.holder()].stopped) {
-                canWait &= message.late();
+                canWait &= message.delayed();
                 steps.add(new Step(Kind.ARRIVES, message.holder(), message));
-                if (faults > 0 && !message.late()) {
-                    faultsOf(message, steps);
+                if (faults > 0 && !message.delayed()) {
+                    addFaults(message, steps);
                 }
             }
         }
@@ -145,7 +165,7 @@
                 add(steps, Kind.GOES_ON, holder, true);
             } else {
                 canWait &= now(holder) < holder.wakeAt;
-                stepsOf(holder, steps);
+                addSteps(holder, steps);
             }
         }
         if (canWait) {
@@ -154,21 +174,21 @@
         return steps;
     }
 
-    private void faultsOf(ModelMessage message, List<Step> steps) {
+    private void addFaults(ModelMessage message, List<Step> steps) {
         List<Kind> faults =
                 message.isRequest()
                         ? List.of(Kind.LOST, Kind.UNANSWERED, Kind.DELAYED, Kind.DOUBLED)
                         : List.of(Kind.DELAYED);
         int holder = message.holder();
         faults.stream()
-                .filter(fault -> scope.has(fault, holder))
+                .filter(fault -> scope.includes(fault, holder))
                 .forEach(fault -> steps.add(new Step(fault, holder, message)));
     }
 
-    private void stepsOf(ModelHolder holder, List<Step> steps) {
+    private void addSteps(ModelHolder holder, List<Step> steps) {
         LeaseState state = holder.lease.state();
         boolean isIdle = holder.isIdle(tick);
-        boolean isAway = state == LeaseState.LOST || state == LeaseState.RELEASED;
+        boolean isWithoutLease = state == LeaseState.LOST || state == LeaseState.RELEASED;
         add(steps, Kind.WAKES, holder, now(holder) >= holder.wakeAt);
         add(
                 steps,
@@ -177,16 +197,16 @@
                 isIdle && readings(holder).anyMatch(at -> holder.lease.mayStart(at, 0)));
         add(steps, Kind.BEGINS, holder, holder.permittedAtTick != ModelHolder.NONE);
         add(steps, Kind.REACHES, holder, holder.tokenInFlight != ModelHolder.NONE);
-        add(steps, Kind.LEAVES, holder, leaves > 0 && isIdle && state != LeaseState.RELEASED);
+        add(steps, Kind.LEAVES, holder, releases > 0 && isIdle && state != LeaseState.RELEASED);
         add(
                 steps,
                 Kind.GIVES_UP,
                 holder,
-                leaves > 0
+                releases > 0
                         && !isIdle
                         && state != LeaseState.RELEASED
                         && holder.permittedAtTick == ModelHolder.NONE);
-        add(steps, Kind.ASKS_AGAIN, holder, again > 0 && isAway);
+        add(steps, Kind.ASKS_AGAIN, holder, reacquisitions > 0 && isWithoutLease);
         VersionedLease seen = holder.lease.latestRecord();
         add(
                 steps,
@@ -197,9 +217,9 @@
                 steps,
                 Kind.DISCONNECTS,
                 holder,
-                faults > 0 && holder.connected && scope.has(Kind.DISCONNECTS, holder.index));
+                faults > 0 && holder.connected && scope.includes(Kind.DISCONNECTS, holder.index));
         add(steps, Kind.CONNECTS, holder, !holder.connected);
-        add(steps, Kind.STOPS, holder, faults > 0 && scope.has(Kind.STOPS, holder.index));
+        add(steps, Kind.STOPS, holder, faults > 0 && scope.includes(Kind.STOPS, holder.index));
     }
 
     private static void add(List<Step> steps, Kind kind, ModelHolder holder, boolean possible) {
@@ -208,18 +228,19 @@
         }
     }
 
+    /** Returns the state after this event. */
     LeaseModel after(Step step) {
         LeaseModel next = new LeaseModel(this, step.holder);
-        next.take(step.kind, step.holder < 0 ? null : next.holders[step.holder], step.message);
+        next.apply(step.kind, step.holder < 0 ? null : next.holders[step.holder], step.message);
         return next;
     }
 
-    private void take(Kind kind, ModelHolder holder, ModelMessage message) {
+    private void apply(Kind kind, ModelHolder holder, ModelMessage message) {
         if (message != null) {
             messages.remove(message);
-            takeMessage(kind, holder, message);
+            applyMessageEvent(kind, holder, message);
         } else if (holder != null) {
-            takeHolder(kind, holder);
+            applyHolderEvent(kind, holder);
         } else {
             tick++;
         }
@@ -228,8 +249,8 @@
         }
     }
 
-    /** An event of a message on its way. */
-    private void takeMessage(Kind kind, ModelHolder holder, ModelMessage message) {
+    /** Applies an event of a message in flight. */
+    private void applyMessageEvent(Kind kind, ModelHolder holder, ModelMessage message) {
         switch (kind) {
             case ARRIVES -> {
                 if (message.isRequest()) {
@@ -238,42 +259,42 @@
                     deliver(holder, message);
                 }
             }
-            case LOST -> fault(message);
+            case LOST -> loseResponse(message);
             case UNANSWERED -> {
                 applyToStore(message);
-                fault(message);
+                loseResponse(message);
             }
             case DELAYED -> {
                 faults--;
-                messages.add(message.delayed());
+                messages.add(message.asDelayed());
             }
             case DOUBLED -> {
                 faults--;
-                messages.add(message.delayed());
+                messages.add(message.asDelayed());
                 messages.add(applyToStore(message));
             }
-            default -> throw new IllegalArgumentException("not of a message: " + kind);
+            default -> throw new IllegalArgumentException("not an event of a message: " + kind);
         }
     }
 
-    /** An event of a holder itself. */
-    private void takeHolder(Kind kind, ModelHolder holder) {
+    /** Applies an event of a holder. */
+    private void applyHolderEvent(Kind kind, ModelHolder holder) {
         switch (kind) {
             case WAKES -> holder.lease.onTimer(now(holder));
-            case CHECKS -> check(holder);
-            case BEGINS -> begin(holder);
-            case REACHES -> reach(holder);
+            case CHECKS -> requestPermission(holder);
+            case BEGINS -> beginOperation(holder);
+            case REACHES -> deliverOperation(holder);
             case LEAVES -> {
-                leaves--;
+                releases--;
                 holder.lease.release(now(holder));
             }
             case GIVES_UP -> {
-                leaves--;
+                releases--;
                 holder.lease.releaseAfterGracePeriod(now(holder));
             }
             case ASKS_AGAIN -> {
-                again--;
-                seek(holder);
+                reacquisitions--;
+                acquire(holder);
             }
             case HEARS -> holder.lease.onRecordChanged(now(holder));
             case DISCONNECTS -> {
@@ -291,23 +312,23 @@
                 holder.stopped = true;
             }
             case GOES_ON -> holder.stopped = false;
-            default -> throw new IllegalArgumentException("not of a holder: " + kind);
+            default -> throw new IllegalArgumentException("not an event of a holder: " + kind);
         }
     }
 
-    private void fault(ModelMessage message) {
+    private void loseResponse(ModelMessage message) {
         faults--;
-        messages.add(message.answer(ModelMessage.Kind.UNKNOWN, 0, null));
+        messages.add(message.response(ModelMessage.Kind.UNKNOWN, 0, null));
     }
 
-    /** What the store does of a request: one at a time, and at once. */
+    /** Executes a request atomically and returns the response. */
     private ModelMessage applyToStore(ModelMessage request) {
         if (request.kind() == ModelMessage.Kind.READ) {
-            return request.answer(ModelMessage.Kind.RECORD, 0, record);
+            return request.response(ModelMessage.Kind.RECORD, 0, record);
         }
         long version = record == null ? -1 : record.version();
-        if (request.version() != version && request.version() != WHATEVER) {
-            return request.answer(ModelMessage.Kind.CONFLICT, 0, null);
+        if (request.version() != version && request.version() != ANY_VERSION) {
+            return request.response(ModelMessage.Kind.CONFLICT, 0, null);
         }
         VersionedLease next = request.entry();
         boolean isRenewal =
@@ -325,71 +346,80 @@
                         next.nonce(),
                         next.termNanos(),
                         next.released());
-        return request.answer(ModelMessage.Kind.WRITTEN, record.version(), null);
+        return request.response(ModelMessage.Kind.WRITTEN, record.version(), null);
     }
 
-    /** A holder may pause after it reads its clock, so a record's time is told as old as may be. */
-    private void deliver(ModelHolder holder, ModelMessage answer) {
+    /**
+     * Delivers a response. A holder may pause after it reads its clock, so a record arrives with
+     * the oldest permitted reading.
+     */
+    private void deliver(ModelHolder holder, ModelMessage response) {
         long now = now(holder);
-        long question = answer.question();
-        switch (answer.kind()) {
+        long requestId = response.requestId();
+        switch (response.kind()) {
             case RECORD ->
-                    holder.lease.onRead(now - ExplorationScope.OLD, question, answer.entry());
-            case WRITTEN -> holder.lease.onWritten(now, question, answer.version());
-            case CONFLICT -> holder.lease.onConflict(now, question);
-            default -> holder.lease.onOutcomeUnknown(now, question);
+                    holder.lease.onRead(
+                            now - ExplorationScope.MAX_READING_AGE_UNITS,
+                            requestId,
+                            response.entry());
+            case WRITTEN -> holder.lease.onWritten(now, requestId, response.version());
+            case CONFLICT -> holder.lease.onConflict(now, requestId);
+            default -> holder.lease.onOutcomeUnknown(now, requestId);
         }
     }
 
-    /** What a holder may take the time to be. */
+    /** The newest and the oldest clock reading that a holder may use. */
     private LongStream readings(ModelHolder holder) {
-        return LongStream.of(now(holder), now(holder) - ExplorationScope.OLD);
+        return LongStream.of(now(holder), now(holder) - ExplorationScope.MAX_READING_AGE_UNITS);
     }
 
-    private void check(ModelHolder holder) {
-        Permission allowed =
+    private void requestPermission(ModelHolder holder) {
+        Permission permission =
                 readings(holder)
                         .mapToObj(reading -> holder.lease.tryStart(reading, 0))
                         .filter(Objects::nonNull)
                         .findFirst()
                         .orElseThrow();
-        if (allowed instanceof Permission.FencedPermission act) {
-            holder.tokenInFlight = act.token();
+        if (permission instanceof Permission.FencedPermission fenced) {
+            holder.tokenInFlight = fenced.token();
         } else {
             holder.permittedAtTick = tick;
         }
     }
 
-    private void begin(ModelHolder holder) {
+    private void beginOperation(ModelHolder holder) {
         holder.permittedAtTick = ModelHolder.NONE;
         holder.startedAtTick = tick;
         for (ModelHolder other : holders) {
             if (other != holder && other.isOperating(tick)) {
                 violation =
                         ModelHolder.name(holder.index)
-                                + " acts while "
+                                + " operates while "
                                 + ModelHolder.name(other.index)
                                 + " does";
             }
         }
     }
 
-    private void reach(ModelHolder holder) {
+    private void deliverOperation(ModelHolder holder) {
         int from = takeOvers.lastIndexOf(new TakeOver(holder.index, holder.tokenInFlight));
-        if (holder.tokenInFlight >= taken) {
-            if (from < takenFrom) {
+        if (holder.tokenInFlight >= acceptedToken) {
+            if (from < acceptedTakeOver) {
                 violation =
-                        "an act of "
+                        "an operation of "
                                 + ModelHolder.name(holder.index)
-                                + " is taken after one of a newer holder";
+                                + " is accepted after one of a newer holder";
             }
-            taken = holder.tokenInFlight;
-            takenFrom = from;
+            acceptedToken = holder.tokenInFlight;
+            acceptedTakeOver = from;
         }
         holder.tokenInFlight = ModelHolder.NONE;
     }
 
-    /** The same for worlds that differ only in which of two like holders is which. */
+    /**
+     * Returns the key of this state with the holders renumbered by {@code rank}. States that differ
+     * only in the numbering of holders with equal clock rates have equal keys under some rank.
+     */
     String key(int... rank) {
         StringBuilder key = new StringBuilder(500);
         long[] now = Arrays.stream(holders).mapToLong(this::now).toArray();
@@ -402,12 +432,12 @@
 
     private void write(LeaseFields fields, StringBuilder key, int... rank) {
         key.append(faults)
-                .append(leaves)
-                .append(again)
+                .append(releases)
+                .append(reacquisitions)
                 .append(' ')
-                .append(taken)
+                .append(acceptedToken)
                 .append(' ')
-                .append(takenFrom)
+                .append(acceptedTakeOver)
                 .append(' ');
         fields.entry(record);
         takeOvers.forEach(
@@ -439,16 +469,16 @@
         fields.lease(holder.index, holder.lease);
     }
 
-    /** In an order of their own: the model's messages have none. */
+    /** Writes the messages sorted, because their order is not part of the state. */
     private void writeMessages(LeaseFields fields, StringBuilder key, int... rank) {
         int start = key.length();
         List<String> sent = new ArrayList<>();
         for (ModelMessage message : messages) {
             key.append(message.kind().ordinal())
-                    .append(message.late())
+                    .append(message.delayed())
                     .append(rank[message.holder()]);
             fields.version(message.version());
-            fields.question(message.holder(), message.question());
+            fields.requestId(message.holder(), message.requestId());
             fields.entry(message.entry());
             sent.add(key.substring(start));
             key.setLength(start);
@@ -457,10 +487,10 @@
         key.append(sent);
     }
 
-    /** A sentence for a story. */
+    /** Describes an event of this state in one line. */
     String describe(Step step) {
         if (step.kind == Kind.TICK) {
-            return "tick " + tick + ": time goes on";
+            return "tick " + tick + ": time advances";
         }
         ModelHolder holder = holders[step.holder];
         String kind = step.kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
--- a/testbed/src/main/java/appleridge/testbed/lease/ModelHolder.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ModelHolder.java
@@ -8,39 +8,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process with the product's own lease; not changed any more once its event is over. */
+/** A process that runs the product's lease. Not modified after the event that created it. */
 final class ModelHolder implements LeaseActions {
     static final int NONE = -1;
 
     final int index;
-    final int rate;
+    final int unitsPerTick;
     final Lease lease;
     private final ExplorationScope scope;
 
-    /** What the event under way has sent. */
+    /** Messages sent by the current event. */
     final List<ModelMessage> sent = new ArrayList<>();
 
     boolean connected = true;
 
-    /** Whether it stands still: it takes nothing in and does nothing. */
+    /** Whether the process is suspended: it receives nothing and does nothing. */
     boolean stopped;
 
-    /** When an act was found to be allowed, and when it began; {@link #NONE} for not. */
+    /**
+     * Tick at which an operation was permitted that has not begun; {@link #NONE} if there is none.
+     */
     int permittedAtTick = NONE;
 
+    /** Tick at which the last operation began; {@link #NONE} if there is none. */
     int startedAtTick = NONE;
 
-    /** The token of a fenced act on its way. */
+    /** Token of a fenced operation in flight; {@link #NONE} if there is none. */
     long tokenInFlight = NONE;
 
+    /** Reading of the clock at which the timer of the lease fires. */
     long wakeAt = Long.MAX_VALUE;
 
     ModelHolder(ExplorationScope scope, int index) {
         this.scope = scope;
         this.index = index;
-        this.rate = scope.rates().charAt(index) - '0';
+        this.unitsPerTick = scope.rates().charAt(index) - '0';
         String name = name(index);
-        this.lease = new Lease(scope.terms(), name, name, this);
+        this.lease = new Lease(scope.parameters(), name, name, this);
     }
 
     static String name(int index) {
@@ -60,7 +64,7 @@
     }
 
     boolean isOperating(int tick) {
-        return startedAtTick != NONE && tick < startedAtTick + ExplorationScope.ACT;
+        return startedAtTick != NONE && tick < startedAtTick + ExplorationScope.OPERATION_TICKS;
     }
 
     boolean isIdle(int tick) {
@@ -68,29 +72,29 @@
     }
 
     @Override
-    public void readRecord(long question) {
-        sent.add(new ModelMessage(ModelMessage.Kind.READ, index, question, 0, null, false));
+    public void readRecord(long requestId) {
+        sent.add(new ModelMessage(ModelMessage.Kind.READ, index, requestId, 0, null, false));
     }
 
     @Override
-    public void writeRecord(long question, long expectedVersion, VersionedLease next) {
+    public void writeRecord(long requestId, long expectedVersion, VersionedLease next) {
         sent.add(
                 new ModelMessage(
-                        ModelMessage.Kind.WRITE, index, question, expectedVersion, next, false));
+                        ModelMessage.Kind.WRITE, index, requestId, expectedVersion, next, false));
     }
 
     @Override
-    public void setTimer(long at) {
-        wakeAt = at;
+    public void setTimer(long clockReading) {
+        wakeAt = clockReading;
     }
 
     @Override
     public void onGranted(Grant grant) {}
 
-    /** What has begun goes on to its end: the worst that a holder may do. */
+    /** Lets an operation that has begun run to its end: the worst case that is permitted. */
     @Override
-    public void stopOperations(TransitionCause why) {}
+    public void stopOperations(TransitionCause cause) {}
 
     @Override
-    public void setQueued(boolean in) {}
+    public void setQueued(boolean queued) {}
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/ModelMessage.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/ModelMessage.java
@@ -3,13 +3,18 @@
 import appleridge.lease.VersionedLease;
 
 /**
- * Something on its way between a holder and the store; of what doesn't apply there is 0 or null.
+ * A message in flight between a holder and the store. Components that don't apply are 0 or null.
  *
- * @param version of a write: the one expected; of an answer: the one that was made
- * @param late whether time may go on before it arrives
+ * @param version the expected version of a write, or the new version in its response
+ * @param delayed whether time may advance before it arrives
  */
 record ModelMessage(
-        Kind kind, int holder, long question, long version, VersionedLease entry, boolean late) {
+        Kind kind,
+        int holder,
+        long requestId,
+        long version,
+        VersionedLease entry,
+        boolean delayed) {
     enum Kind {
         READ,
         WRITE,
@@ -23,7 +28,7 @@
         return kind == Kind.READ || kind == Kind.WRITE;
     }
 
-    /** Words for a story. */
+    /** Describes the message for a line of a violation trace. */
     String describe() {
         return entry == null
                 ? kind.name()
@@ -35,11 +40,12 @@
                         + (entry.released() ? " released" : "");
     }
 
-    ModelMessage delayed() {
-        return new ModelMessage(kind, holder, question, version, entry, true);
+    ModelMessage asDelayed() {
+        return new ModelMessage(kind, holder, requestId, version, entry, true);
     }
 
-    ModelMessage answer(Kind answer, long made, VersionedLease record) {
-        return new ModelMessage(answer, holder, question, made, record, false);
+    /** Returns the response to this request. */
+    ModelMessage response(Kind response, long newVersion, VersionedLease record) {
+        return new ModelMessage(response, holder, requestId, newVersion, record, false);
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/lease/OperationWitness.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/OperationWitness.java
@@ -15,35 +15,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is acted on: commands write their token and who they are to it, all the time. It keeps its
- * own record, by its own clock, and refuses nothing. Datagrams of a machine come in the order of
- * their sending.
+ * The protected resource: commands continually send it datagrams with their token and identity. It
+ * records them with its own clock and rejects nothing. Datagrams within one machine arrive in the
+ * order in which they were sent.
  */
 final class OperationWitness implements AutoCloseable {
-    /** From the last act under one token to the first under the next. */
-    record Change(long token, long lastAct, long firstAct) {
-        /** How long nobody acted, in nanoseconds. */
-        long without() {
-            return firstAct - lastAct;
+    /** The last operation under one token and the first under the next, as timed by the witness. */
+    record HolderChange(long token, long lastOperation, long firstOperation) {
+        /** The time without an operation, in nanoseconds. */
+        long gapNanos() {
+            return firstOperation - lastOperation;
         }
     }
 
-    private static final int LONGEST = 64;
-    private static final int BUFFER = 1 << 20;
+    private static final int MAX_DATAGRAM_BYTES = 64;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
     private final DatagramSocket socket;
     private final Thread reader = new Thread(this::read, "witness");
-    private final List<Change> changes = new ArrayList<>();
+    private final List<HolderChange> changes = new ArrayList<>();
     private final List<String> findings = new ArrayList<>();
     private long token;
     private long pid;
     private int holder = -1;
-    private long last;
-    private long acts;
+    private long lastOperationAt;
+    private long operations;
 
     OperationWitness() throws SocketException {
         socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        socket.setReceiveBufferSize(BUFFER);
+        socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         reader.setDaemon(true);
         reader.start();
     }
@@ -53,10 +53,11 @@
     }
 
     private void read() {
-        DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
+        DatagramPacket packet =
+                new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
         while (true) {
             try {
-                packet.setLength(LONGEST);
+                packet.setLength(MAX_DATAGRAM_BYTES);
                 socket.receive(packet);
             } catch (IOException e) {
                 return;
@@ -64,7 +65,7 @@
             String[] words =
                     new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII)
                             .split(" ");
-            heard(
+            onOperation(
                     Long.parseLong(words[0]),
                     Long.parseLong(words[1]),
                     words[2],
@@ -73,47 +74,48 @@
         }
     }
 
-    private synchronized void heard(long itsToken, long itsPid, String lease, int its, long now) {
-        acts++;
-        if (itsToken > token) {
+    private synchronized void onOperation(
+            long operationToken, long operationPid, String lease, int operationHolder, long now) {
+        operations++;
+        if (operationToken > token) {
             if (token > 0) {
-                changes.add(new Change(itsToken, last, now));
-                left(lease, itsToken);
+                changes.add(new HolderChange(operationToken, lastOperationAt, now));
+                reportLeftoverProcesses(lease, operationToken);
             }
-            token = itsToken;
-            pid = itsPid;
-            holder = its;
-        } else if (itsToken < token) {
-            findings.add("token " + itsToken + " acts after " + token);
-        } else if (itsPid != pid) {
-            findings.add("two processes act under token " + itsToken);
+            token = operationToken;
+            pid = operationPid;
+            holder = operationHolder;
+        } else if (operationToken < token) {
+            findings.add("token " + operationToken + " operates after token " + token);
+        } else if (operationPid != pid) {
+            findings.add("two processes operate under token " + operationToken);
         }
-        last = now;
+        lastOperationAt = now;
         notifyAll();
     }
 
-    /** What has begun under an older token must be gone, also where it does not act any more. */
-    private void left(String lease, long newer) {
+    /** Reports processes started under an older token, even if they no longer operate. */
+    private void reportLeftoverProcesses(String lease, long newer) {
         try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc"), "[0-9]*")) {
             for (Path each : all) {
-                long its = tokenOf(each, lease);
-                if (its > 0 && its < newer) {
+                long processToken = tokenOf(each, lease);
+                if (processToken > 0 && processToken < newer) {
                     findings.add(
                             "process "
                                     + each.getFileName()
                                     + " of token "
-                                    + its
-                                    + " is there after token "
+                                    + processToken
+                                    + " still exists after token "
                                     + newer
-                                    + " has begun");
+                                    + " began to operate");
                 }
             }
         } catch (IOException e) {
-            findings.add("can't look at processes: " + e);
+            findings.add("can't list processes: " + e);
         }
     }
 
-    /** 0 for none. */
+    /** Returns the token under which a process was started, 0 if there is none for this lease. */
     private static long tokenOf(Path process, String lease) {
         try {
             String environment =
@@ -131,8 +133,8 @@
         }
     }
 
-    /** Whether a process that a command of this lease has started is there. */
-    static boolean anyOf(String lease) throws IOException {
+    /** Whether any process exists that a command of this lease has started. */
+    static boolean existsProcessOf(String lease) throws IOException {
         try (DirectoryStream<Path> all = Files.newDirectoryStream(Path.of("/proc"), "[0-9]*")) {
             for (Path each : all) {
                 if (tokenOf(each, lease) > 0) {
@@ -147,21 +149,21 @@
         return token;
     }
 
-    /** The number that the last command was given; -1 if none has acted. */
+    /** The number of the process whose command has the newest token; -1 if there is none. */
     synchronized int holder() {
         return holder;
     }
 
-    /** The process that acted last. */
+    /** The id of the process that operates under the newest token. */
     synchronized long pid() {
         return pid;
     }
 
-    synchronized long acts() {
-        return acts;
+    synchronized long operations() {
+        return operations;
     }
 
-    synchronized List<Change> changes() {
+    synchronized List<HolderChange> changes() {
         return List.copyOf(changes);
     }
 
@@ -169,28 +171,30 @@
         return List.copyOf(findings);
     }
 
-    /** Waits until a token above this one acts; whether it does in time. */
+    /** Waits for an operation under a newer token; returns whether there was one in time. */
     synchronized boolean awaitAbove(long old, long millis) throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (token <= old) {
-            long left = TimeUnit.NANOSECONDS.toMillis(by - System.nanoTime());
-            if (left <= 0) {
+            long remaining = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            if (remaining <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remaining);
         }
         return true;
     }
 
-    /** Waits until there was an act after so many; whether there was in time. */
-    synchronized boolean awaitAct(long after, long millis) throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (acts <= after) {
-            long left = TimeUnit.NANOSECONDS.toMillis(by - System.nanoTime());
-            if (left <= 0) {
+    /**
+     * Waits until there were more than this many operations; returns whether there were in time.
+     */
+    synchronized boolean awaitOperation(long after, long millis) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (operations <= after) {
+            long remaining = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            if (remaining <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remaining);
         }
         return true;
     }
--- a/testbed/src/main/java/appleridge/testbed/lease/SafetyAssumption.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/SafetyAssumption.java
@@ -6,27 +6,27 @@
 import java.util.List;
 
 /**
- * One thing on which safety rests, and what takes it away: an edit of the product, or a holder's
- * conduct.
+ * An assumption on which safety depends, and what invalidates it: edits of the product, or a scope
+ * in which holders behave differently.
  *
- * @param name short, of lower-case words joined by hyphens
- * @param what what is wrong without it
- * @param scope where that is looked for, to the depth at which it must have been found
- * @param edits more than one place only where another line guards against the same; none for a
- *     conduct
+ * @param name lower-case words joined by hyphens
+ * @param what describes what is wrong without the assumption
+ * @param scope the scope to explore; its depth is the one by which a violation must be found
+ * @param edits the edits of the product; more than one only if another line prevents the same
+ *     violation, none if the scope alone invalidates the assumption
  */
 record SafetyAssumption(String name, String what, String scope, List<Edit> edits) {
     private static final String LEASE = "lease/Lease";
     private static final String PARAMETERS = "lease/LeaseParameters";
     private static final String REQUESTS = "lease/StoreRequests";
     private static final String STOPPED = "timed held 35 1 STOPS 0 0 1 ";
-    private static final String LEAVING = "timed held 35 1 STOPS 1 1 1 ";
+    private static final String STOPPED_WITH_RELEASE = "timed held 35 1 STOPS 1 1 1 ";
 
     static final List<SafetyAssumption> ALL =
             List.of(
                     of(
                             "counted-from-answer",
-                            "a grant counts from the answer",
+                            "a grant is counted from the response",
                             STOPPED + 30,
                             in(
                                     LEASE,
@@ -35,12 +35,12 @@
                                     "nowNanos + parameters.grantNanos()")),
                     of(
                             "no-guard",
-                            "a holder's reading of its clock may be older than it allows for",
+                            "a holder uses a clock reading that is older than its guard time",
                             STOPPED + 30,
                             in(PARAMETERS, "public long grantNanos() {", " - clockGuardNanos", "")),
                     of(
                             "no-guard-of-waiter",
-                            "a waiter's reading may be older than it allows for",
+                            "a waiter uses a clock reading that is older than its guard time",
                             STOPPED + 30,
                             in(
                                     PARAMETERS,
@@ -49,7 +49,7 @@
                                     "")),
                     of(
                             "drift-ignored",
-                            "all clocks are taken to run alike",
+                            "all clocks are assumed to run at the same rate",
                             STOPPED + 30,
                             in(
                                     PARAMETERS,
@@ -60,15 +60,15 @@
                                     "0")),
                     of(
                             "checked-when-queued",
-                            "an act is checked when it is queued, and begins when its turn comes",
+                            "an operation is checked when it is queued, and begins later",
                             "timed held 35 1 STOPS 0 0 9 30"),
                     of(
                             "pause-longer",
-                            "a pause between check and act is longer than assumed",
+                            "a pause between check and operation is longer than assumed",
                             "timed held 35 1 STOPS 0 0 2 30"),
                     of(
                             "take-over-not-waited-out",
-                            "the new holder acts while acts of the old go on",
+                            "the new holder operates while operations of the old one are running",
                             STOPPED + 30,
                             in(
                                     LEASE,
@@ -77,8 +77,9 @@
                                     "noneBefore ? 0 : 0")),
                     of(
                             "take-over-passed-on",
-                            "a new holder that leaves at once hides that acts of the old go on",
-                            LEAVING + 24,
+                            "a new holder that releases at once hides running operations of the old"
+                                    + " one",
+                            STOPPED_WITH_RELEASE + 24,
                             in(
                                     LEASE,
                                     null,
@@ -86,7 +87,7 @@
                                     "notBeforeNanos")),
                     of(
                             "shrunk-at-once",
-                            "a part that shrinks is given to another while acts under it go on",
+                            "permits are given away while operations under them are running",
                             "timed held 35 0 - 1 0 1 24",
                             in(
                                     LEASE,
@@ -95,7 +96,7 @@
                                     "")),
                     of(
                             "doubt-taken-for-held",
-                            "a renewal of which nothing is known extends the grant",
+                            "a renewal with unknown outcome extends the grant",
                             "timed held 35 2 LOST,STOPS 0 0 1 27",
                             in(
                                     LEASE,
@@ -106,7 +107,7 @@
                                             + " extendGrant(nowNanos); }")),
                     of(
                             "renewed-by-pings",
-                            "a connection that is there again extends the grant",
+                            "a restored connection extends the grant",
                             "timed held 35 2 DISCONNECTS 0 0 1 27",
                             in(
                                     LEASE,
@@ -118,12 +119,12 @@
                                             + "        observed")),
                     of(
                             "token-repeats",
-                            "a new holder goes on with the token of the old",
+                            "a new holder reuses the token of the old one",
                             "fenced held 44 1 STOPS 0 0 1 24",
                             in(LEASE, null, "(takesOver ? 1 : 0)", "0")),
                     of(
                             "release-undone",
-                            "a late renewal undoes a release",
+                            "a delayed renewal undoes a release",
                             "timed held 35 0 - 1 1 1 18",
                             in(
                                     REQUESTS,
@@ -133,13 +134,13 @@
                             in(LEASE, null, "proven && !releasePending", "proven")),
                     of(
                             "written-whatever-the-version",
-                            "a late write undoes what came after",
+                            "a delayed write overwrites newer records",
                             "timed held 35 1 DELAYED 1 1 1 18",
                             in(LEASE, null, "seen == null ? NO_VERSION : seen.version()", "-2")),
                     of(
                             "parts-rounded-up",
-                            "what is left over is given to each",
-                            BudgetShareModel.WORDS,
+                            "the remainder of the budget is given to each holder",
+                            BudgetShareModel.SCOPE,
                             in(
                                     "lease/BudgetShare",
                                     null,
--- a/testbed/src/main/java/appleridge/testbed/lease/StateExplorer.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/StateExplorer.java
@@ -6,25 +6,25 @@
 import java.util.stream.IntStream;
 
 /**
- * Goes through every order of events, shallow ones first, each state once. States are told apart by
- * 64 bits of their keys: of ten million, two would be taken for one with a chance of three in a
- * million.
+ * Explores every order of events breadth-first, visiting each state once. States are identified by
+ * 64-bit hashes of their keys: among ten million states, the probability of a collision is about
+ * three in a million.
  */
 public final class StateExplorer {
-    /** The step that led here, and the state before. */
+    /** The index of the step that led to a state, and the trace of the state before. */
     private record Trace(Trace before, byte step) {}
 
-    private record Reached(LeaseModel world, Trace trace, long key) {}
+    private record Reached(LeaseModel state, Trace trace, long key) {}
 
     /**
-     * States of which the next ones are made side by side; they are looked at in order all the
-     * same.
+     * Number of states whose successors are computed in parallel. The successors are examined in
+     * order, so the result does not depend on threads.
      */
     private static final int BATCH = 4096;
 
     private final ExplorationScope scope;
-    private final List<int[]> ranks = new ArrayList<>();
-    private final LongSet known = new LongSet();
+    private final List<int[]> permutations = new ArrayList<>();
+    private final LongSet visited = new LongSet();
 
     private StateExplorer(ExplorationScope scope) {
         this.scope = scope;
@@ -32,18 +32,20 @@
     }
 
     /**
-     * What came of it, in words that cross the border between loaders; a story if something broke.
+     * Explores a scope and returns the result, starting with "sound" or "broken"; after "broken"
+     * follows the trace of events. Takes and returns strings because the caller may use another
+     * class loader.
      */
     public static String explore(String scope) {
-        return scope.equals(BudgetShareModel.WORDS)
+        return scope.equals(BudgetShareModel.SCOPE)
                 ? BudgetShareModel.explore()
                 : new StateExplorer(ExplorationScope.of(scope)).explore();
     }
 
-    /** Only holders whose clocks run alike can be taken for one another. */
+    /** Adds all permutations that exchange only holders with equal clock rates. */
     private void permute(int[] rank, int at, int used) {
         if (at == rank.length) {
-            ranks.add(rank.clone());
+            permutations.add(rank.clone());
         }
         for (int place = 0; at < rank.length && place < rank.length; place++) {
             if ((used & 1 << place) == 0
@@ -57,18 +59,18 @@
     private String explore() {
         LeaseModel start = new LeaseModel(scope);
         List<Reached> level = List.of(new Reached(start, null, key(start)));
-        known.add(key(start));
+        visited.add(key(start));
         int depth = 0;
         while (depth < scope.depth() && !level.isEmpty()) {
             List<Reached> next = new ArrayList<>();
             depth++;
             for (int from = 0; from < level.size(); from += BATCH) {
                 for (Reached reached :
-                        after(level.subList(from, Math.min(level.size(), from + BATCH)))) {
-                    if (reached.world.violation() != null) {
-                        return story(reached.trace, reached.world.violation(), depth);
+                        successors(level.subList(from, Math.min(level.size(), from + BATCH)))) {
+                    if (reached.state.violation() != null) {
+                        return describeViolation(reached.trace, reached.state.violation(), depth);
                     }
-                    if (known.add(reached.key)) {
+                    if (visited.add(reached.key)) {
                         next.add(reached);
                     }
                 }
@@ -76,69 +78,69 @@
             level = next;
         }
         return "sound: "
-                + known.size()
+                + visited.size()
                 + " states to depth "
                 + depth
                 + (level.isEmpty() ? ", all" : "");
     }
 
-    private List<Reached> after(List<Reached> batch) {
+    private List<Reached> successors(List<Reached> batch) {
         return batch.parallelStream()
                 .flatMap(
                         reached -> {
-                            List<LeaseModel.Step> steps = reached.world.steps();
+                            List<LeaseModel.Step> steps = reached.state.steps();
                             return IntStream.range(0, steps.size())
                                     .mapToObj(
                                             i -> {
-                                                LeaseModel world =
-                                                        reached.world.after(steps.get(i));
+                                                LeaseModel state =
+                                                        reached.state.after(steps.get(i));
                                                 return new Reached(
-                                                        world,
+                                                        state,
                                                         new Trace(reached.trace, (byte) i),
-                                                        key(world));
+                                                        key(state));
                                             });
                         })
                 .toList();
     }
 
-    private long key(LeaseModel world) {
-        String least = null;
-        for (int[] rank : ranks) {
-            String key = world.key(rank);
-            least = least == null || key.compareTo(least) < 0 ? key : least;
+    private long key(LeaseModel state) {
+        String canonical = null;
+        for (int[] rank : permutations) {
+            String key = state.key(rank);
+            canonical = canonical == null || key.compareTo(canonical) < 0 ? key : canonical;
         }
         long hash = 0xcbf29ce484222325L;
-        for (int i = 0; i < least.length(); i++) {
-            hash = (hash ^ least.charAt(i)) * 0x9E3779B97F4A7C15L;
+        for (int i = 0; i < canonical.length(); i++) {
+            hash = (hash ^ canonical.charAt(i)) * 0x9E3779B97F4A7C15L;
             hash ^= hash >>> 29;
         }
         return hash;
     }
 
-    private String story(Trace last, String broken, int depth) {
+    private String describeViolation(Trace last, String violation, int depth) {
         List<Byte> steps = new ArrayList<>();
         for (Trace trace = last; trace != null; trace = trace.before) {
             steps.add(0, trace.step);
         }
-        StringBuilder story =
+        StringBuilder text =
                 new StringBuilder(
                         "broken: "
-                                + broken
+                                + violation
                                 + ", at depth "
                                 + depth
                                 + " after "
-                                + known.size()
+                                + visited.size()
                                 + " states\n");
-        LeaseModel world = new LeaseModel(scope);
+        LeaseModel state = new LeaseModel(scope);
         for (byte step : steps) {
-            LeaseModel.Step taken = world.steps().get(step);
-            story.append("  ").append(world.describe(taken)).append('\n');
-            world = world.after(taken);
+            LeaseModel.Step taken = state.steps().get(step);
+            text.append("  ").append(state.describe(taken)).append('\n');
+            state = state.after(taken);
         }
-        return story.toString();
+        return text.toString();
     }
 
-    /** A set of numbers other than 0 that takes eight bytes for each, twice over. */
+    /** A set of longs with open addressing, at most half full; 0 is stored as 1. */
     private static final class LongSet {
         private long[] slots = new long[1 << 16];
         private int size;
@@ -147,7 +149,7 @@
             if (size * 2 >= slots.length) {
                 long[] old = slots;
                 slots = new long[old.length * 2];
-                Arrays.stream(old).filter(its -> its != 0).forEach(this::put);
+                Arrays.stream(old).filter(each -> each != 0).forEach(this::put);
             }
             boolean added = put(value == 0 ? 1 : value);
             size += added ? 1 : 0;
--- a/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/TaskFleet.java
@@ -19,37 +19,40 @@
 import org.apache.zookeeper.KeeperException;
 
 /**
- * Some {@code task} processes that seek one lease on a stand-in, each through a relay of its own,
- * and the witness that their commands act on. Closed, nothing of it is left.
+ * Several {@code task} processes that compete for one lease in a coordination stand-in, each
+ * through its own relay, and the witness to which their commands send. {@link #close} ends all
+ * processes and deletes all files.
  */
 final class TaskFleet implements AutoCloseable {
-    /** What the command does beside acting all the time. */
-    enum Manner {
-        /** Ends on SIGTERM; with status 0 on SIGUSR1. */
+    /** How a command behaves besides operating continually. */
+    enum CommandBehavior {
+        /** Ends on SIGTERM, and with status 0 on SIGUSR1. */
         PLAIN,
         /** Ignores SIGTERM. */
         STUBBORN,
-        /** Acts in a session of its own, without a parent, and ignores SIGTERM. */
+        /** Operates as an orphan in its own session, and ignores SIGTERM. */
         APART
     }
 
-    /** The shortest term that the other times below allow. */
-    static final int SHORT_MILLIS = 2000;
+    /** The shortest term that is valid with the other durations below. */
+    static final int SHORT_TERM_MILLIS = 2000;
 
-    /** Of a term, the longest time without a holder after one has died: by check-config. */
-    static long promisedMillis(int termMillis) {
+    /**
+     * The longest time without a holder after one has died, as {@code check-config} computes it.
+     */
+    static long promisedGapMillis(int termMillis) {
         return (termMillis + 1500) * 101L / 100 + 200;
     }
 
-    private static final String TIMES =
+    private static final String DURATION_SETTINGS =
             "renew-every = \"400ms\"\nguard = \"200ms\"\nkill-after = \"300ms\"\n"
                     + "longest-act = \"1s\"\nlongest-pause = \"500ms\"\nsession-timeout = \"2s\"\n";
-    private static final String ACTS =
+    private static final String COMMAND_SCRIPT =
             """
             use IO::Socket::INET; use POSIX;
             my ($port, $manner, $number) = @ARGV;
-            # Not of the block: Perl would close them at its end, and the command be \
-            over while it acts.
+            # Declared outside the block: Perl would close them at its end, and the \
+            command would exit while it still operates.
             my ($over, $acting);
             if ($manner eq 'APART') {
                 pipe($over, $acting);
@@ -67,7 +70,7 @@
             """;
     private static final String ROOT = "/appleridge/leases";
     private static final int SESSION_MILLIS = 10_000;
-    private static final int GONE_TRIES = 1000;
+    private static final int EXIT_POLLS = 1000;
 
     final CoordinationServer server;
     final OperationWitness witness;
@@ -81,7 +84,7 @@
     private final int termMillis;
     private final Thread atExit = new Thread(this::kill, "fleet's end");
 
-    TaskFleet(Path jar, int size, int termMillis, Manner... manners)
+    TaskFleet(Path jar, int size, int termMillis, CommandBehavior... behaviors)
             throws IOException, InterruptedException, KeeperException {
         this.termMillis = termMillis;
         Runtime.getRuntime().addShutdownHook(atExit);
@@ -89,8 +92,8 @@
         lease = folder.getFileName().toString();
         server = CoordinationServer.alone(new CoordinationServer.Times(50, 2000, 60_000));
         witness = new OperationWitness();
-        ground();
-        Path script = Files.writeString(folder.resolve("acts.pl"), ACTS);
+        createRoot();
+        Path script = Files.writeString(folder.resolve("acts.pl"), COMMAND_SCRIPT);
         for (int i = 0; i < size; i++) {
             Relay relay =
                     new Relay(group.next(), new RealTime(), server.address(), (what, at) -> {});
@@ -106,7 +109,7 @@
                                     + "\"\nterm = \""
                                     + termMillis
                                     + "ms\"\n"
-                                    + TIMES);
+                                    + DURATION_SETTINGS);
             tasks.add(
                     new TaskProcess(
                             jar,
@@ -116,49 +119,49 @@
                                     "perl",
                                     script.toString(),
                                     Integer.toString(witness.port()),
-                                    manners[i % manners.length].name(),
+                                    behaviors[i % behaviors.length].name(),
                                     Integer.toString(i)),
                             folder.resolve("task" + i + ".log")));
         }
     }
 
-    private void ground() throws IOException, InterruptedException, KeeperException {
+    private void createRoot() throws IOException, InterruptedException, KeeperException {
         NodeWriter writer = new NodeWriter(server.address(), ROOT, SESSION_MILLIS);
         writer.ground();
         writer.close();
     }
 
-    /** The store starts again and knows nothing but the path of all leases. */
+    /** Restarts the store with no data except the root path of the leases. */
     void wipe() throws IOException, InterruptedException, KeeperException {
         server.stop();
         server.wipe();
         server.start();
-        ground();
+        createRoot();
     }
 
     int termMillis() {
         return termMillis;
     }
 
-    /** Nothing passes between a task and the store, or all of it again. */
-    void cut(int which, boolean cut) throws InterruptedException {
-        onLoop(() -> relays.get(which).door(cut ? Relay.Door.SILENT : Relay.Door.OPEN));
+    /** Blocks or restores the traffic between a task and the store. */
+    void setCutOff(int task, boolean cutOff) throws InterruptedException {
+        onLoop(() -> relays.get(task).door(cutOff ? Relay.Door.SILENT : Relay.Door.OPEN));
     }
 
-    void onLoop(Runnable what) throws InterruptedException {
-        group.next().submit(what).sync();
+    void onLoop(Runnable action) throws InterruptedException {
+        group.next().submit(action).sync();
     }
 
-    /** Tasks end, and with them all that they have started; whether all has gone. */
-    boolean end() throws IOException, InterruptedException {
+    /** Kills all tasks; returns whether every process that they started has ended in time. */
+    boolean killAll() throws IOException, InterruptedException {
         kill();
-        for (int i = 0; i < GONE_TRIES && OperationWitness.anyOf(lease); i++) {
+        for (int i = 0; i < EXIT_POLLS && OperationWitness.existsProcessOf(lease); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        return !OperationWitness.anyOf(lease);
+        return !OperationWitness.existsProcessOf(lease);
     }
 
-    /** A process that is stopped dies of it as well. */
+    /** SIGKILL, which also ends stopped processes. */
     private void kill() {
         tasks.forEach(TaskProcess::kill);
     }
@@ -166,13 +169,13 @@
     @Override
     public void close() throws IOException {
         try {
-            end();
+            killAll();
             for (Relay relay : relays) {
                 onLoop(relay::close);
             }
             Runtime.getRuntime().removeShutdownHook(atExit);
         } catch (IllegalStateException e) {
-            // The process is ending already, and the hook does the same.
+            // The JVM is shutting down, and the shutdown hook kills the processes.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/testbed/src/main/java/appleridge/testbed/lease/TaskProcess.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/TaskProcess.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** One {@code task} of the packaged jar, which is started again and again. */
+/** A {@code task} process of the packaged jar; it may be started repeatedly. */
 final class TaskProcess {
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of(
                     "-Xmx40m",
                     "-Xss256k",
@@ -18,7 +18,7 @@
                     "-XX:TieredStopAtLevel=1",
                     "-XX:-UsePerfData",
                     "-Djava.util.logging.SimpleFormatter.format=%1$tT.%1$tL %5$s%n");
-    private static final int ENDS_SECONDS = 20;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
 
     private final Path jar;
     private final Path operator;
@@ -38,7 +38,7 @@
     void start() throws IOException {
         List<String> words = new ArrayList<>();
         words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        words.addAll(FLAGS);
+        words.addAll(JVM_FLAGS);
         words.addAll(
                 List.of(
                         "-jar",
@@ -61,17 +61,17 @@
         return process.isAlive();
     }
 
-    /** Its guardian, if it has one. */
+    /** The guardian process of the task, if it has one. */
     Optional<ProcessHandle> guardian() {
         return process.children().findFirst();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void term() {
         process.destroy();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL, if it was ever started. */
     void kill() {
         if (process != null) {
             process.destroyForcibly();
@@ -90,9 +90,9 @@
                 .waitFor();
     }
 
-    /** How it ended; -1 if it had to be killed. */
+    /** Waits for the exit and returns its status; kills it after a timeout and returns -1. */
     int awaitExit() throws InterruptedException {
-        if (process.waitFor(ENDS_SECONDS, TimeUnit.SECONDS)) {
+        if (process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             return process.exitValue();
         }
         process.destroyForcibly().waitFor();
--- a/testbed/src/main/java/appleridge/testbed/lease/package-info.java
+++ b/testbed/src/main/java/appleridge/testbed/lease/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases on trial: a checker of all orders of events, and real processes that hold in turn under
- * faults.
+ * Tests of the leases: a model checker that explores every order of events, and real processes that
+ * take over from one another under faults.
  */
 package appleridge.testbed.lease;
--- a/testbed/src/test/java/appleridge/testbed/lease/CheckLeasesTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/CheckLeasesTest.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The short form of {@code check-leases}, and that what it says of states holds. */
+/** Runs {@code check-leases} on small scopes, and tests how states are merged. */
 class CheckLeasesTest {
-    /** Those that are found within ten thousand states; the command finds all. */
-    private static final Set<String> SHORT =
+    /** Assumptions whose violation is found within ten thousand states; the command checks all. */
+    private static final Set<String> QUICKLY_VIOLATED =
             Set.of(
                     "no-guard",
                     "no-guard-of-waiter",
@@ -33,10 +33,10 @@
                         "timed asked 35 1 all 1 0 1 8",
                         "timed held 355 1 all 0 0 1 8",
                         "fenced held 44 1 STOPS 0 1 1 16")) {
-            String said = StateExplorer.explore(scope);
-            assertTrue(said.startsWith("sound"), scope + ": " + said);
+            String output = StateExplorer.explore(scope);
+            assertTrue(output.startsWith("sound"), scope + ": " + output);
         }
-        assertTrue(StateExplorer.explore(BudgetShareModel.WORDS).startsWith("sound"));
+        assertTrue(StateExplorer.explore(BudgetShareModel.SCOPE).startsWith("sound"));
     }
 
     @Test
@@ -44,16 +44,16 @@
         Planter planter = new Planter();
         int found = 0;
         for (SafetyAssumption assumption : SafetyAssumption.ALL) {
-            if (SHORT.contains(assumption.name())) {
-                String said = CheckLeases.without(assumption, planter);
-                assertTrue(said.startsWith("broken: "), assumption.name() + ": " + said);
+            if (QUICKLY_VIOLATED.contains(assumption.name())) {
+                String output = CheckLeases.exploreWithout(assumption, planter);
+                assertTrue(output.startsWith("broken: "), assumption.name() + ": " + output);
                 found++;
             }
         }
-        assertEquals(SHORT.size(), found);
+        assertEquals(QUICKLY_VIOLATED.size(), found);
     }
 
-    /** Holders with like clocks are merged, others are not. */
+    /** Guards against states that are merged without renumbering the holders. */
     @Test
     void statesThatDifferInHoldersWithEqualClocksAreMerged() {
         LeaseModel two = new LeaseModel(ExplorationScope.of("timed asked 44 0 - 0 0 1 9"));
@@ -66,9 +66,9 @@
 
     @Test
     void unknownArgumentPrintsTheUsage() throws IOException {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        assertEquals(2, new CheckLeases(new PrintStream(said)).run("no-such-assumption"));
-        assertEquals(2, new CheckLeases(new PrintStream(said)).run("--deeper", "x"));
-        assertTrue(said.toString().startsWith("usage: check-leases"));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        assertEquals(2, new CheckLeases(new PrintStream(output)).run("no-such-assumption"));
+        assertEquals(2, new CheckLeases(new PrintStream(output)).run("--deeper", "x"));
+        assertTrue(output.toString().startsWith("usage: check-leases"));
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the store tells a lease of the stand-in's answers, and of answers that never come. */
+/** Tests which events the store reports for responses of the stand-in, and for missing ones. */
 @Timeout(60)
 class LeaseStoreTest {
     private static final String ROOT = "/leases";
@@ -38,73 +38,73 @@
     private static final int SESSION_MILLIS = 2000;
     private static final List<ACL> OPEN = ZooKeeperClientFactory.acl(settings());
 
-    /** What was told, in words; a record's content beside. */
-    private static final class Told implements LeaseStore.Events {
-        private final BlockingQueue<String> words = new LinkedBlockingQueue<>();
+    /** Records the reported events as text, and the last record that was read. */
+    private static final class EventLog implements LeaseStore.Events {
+        private final BlockingQueue<String> texts = new LinkedBlockingQueue<>();
         private volatile VersionedLease entry;
 
         @Override
         public void onConnected() {
-            words.add("connected");
+            texts.add("connected");
         }
 
         @Override
         public void onDisconnected() {
-            words.add("disconnected");
+            texts.add("disconnected");
         }
 
         @Override
-        public void onRead(long question, VersionedLease orNull) {
+        public void onRead(long requestId, VersionedLease orNull) {
             entry = orNull;
-            words.add("read " + question);
+            texts.add("read " + requestId);
         }
 
         @Override
-        public void onWritten(long question, long version) {
-            words.add("written " + question + " version " + version);
+        public void onWritten(long requestId, long version) {
+            texts.add("written " + requestId + " version " + version);
         }
 
         @Override
-        public void onConflict(long question) {
-            words.add("conflicted " + question);
+        public void onConflict(long requestId) {
+            texts.add("conflicted " + requestId);
         }
 
         @Override
-        public void onOutcomeUnknown(long question) {
-            words.add("unknown " + question);
+        public void onOutcomeUnknown(long requestId) {
+            texts.add("unknown " + requestId);
         }
 
         @Override
         public void onRecordChanged() {
-            words.add("changed");
+            texts.add("changed");
         }
 
         @Override
         public void onHeadOfQueue() {
-            words.add("front");
+            texts.add("front");
         }
 
         @Override
-        public void onRecordRecreated(String why) {
-            words.add("broken");
+        public void onRecordRecreated(String reason) {
+            texts.add("broken");
         }
 
-        /** Waits for it; what else is told before is passed over. */
+        /** Waits for this event and discards earlier ones. */
         void await(String wanted) throws InterruptedException {
-            List<String> passed = new ArrayList<>();
+            List<String> discarded = new ArrayList<>();
             String next = "";
             while (!next.equals(wanted)) {
-                next = words.poll(20, TimeUnit.SECONDS);
-                assertNotNull(next, "never told: " + wanted + " but " + passed);
-                passed.add(next);
+                next = texts.poll(20, TimeUnit.SECONDS);
+                assertNotNull(next, "event missing: " + wanted + "; reported: " + discarded);
+                discarded.add(next);
             }
         }
 
-        /** The next of these two, whatever else is told. */
+        /** Waits for one of two events, discards others, and returns it; null after a timeout. */
         String either(String one, String other) throws InterruptedException {
-            String next = words.poll(20, TimeUnit.SECONDS);
+            String next = texts.poll(20, TimeUnit.SECONDS);
             while (next != null && !next.equals(one) && !next.equals(other)) {
-                next = words.poll(20, TimeUnit.SECONDS);
+                next = texts.poll(20, TimeUnit.SECONDS);
             }
             return next;
         }
@@ -112,14 +112,14 @@
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-    private CoordinationServers all;
+    private CoordinationServers ensemble;
     private CoordinationServer server;
     private ZooKeeper operator;
 
     @BeforeEach
     void begin() throws Exception {
-        all = new CoordinationServers(CoordinationServer.Times.QUICK, 3);
-        server = all.members().get(0);
+        ensemble = new CoordinationServers(CoordinationServer.Times.QUICK, 3);
+        server = ensemble.members().get(0);
         NodeWriter writer = new NodeWriter(server.address(), ROOT, SESSION_MILLIS);
         writer.ground();
         writer.close();
@@ -130,7 +130,7 @@
         for (AutoCloseable each : open) {
             each.close();
         }
-        all.close();
+        ensemble.close();
     }
 
     private static ZooKeeperSettings settings(InetSocketAddress... servers) {
@@ -138,14 +138,14 @@
                 List.of(servers), "", ROOT, false, SESSION_MILLIS, false, null, null, 1 << 20);
     }
 
-    private LeaseStore store(String nonce, Told told, InetSocketAddress... servers) {
+    private LeaseStore store(String nonce, EventLog events, InetSocketAddress... servers) {
         LeaseStore store =
                 new ZooKeeperLeaseStore(
                         settings(servers),
                         "nightly",
                         "host/" + nonce,
                         nonce,
-                        told,
+                        events,
                         Runnable::run,
                         log::add);
         open.add(store);
@@ -153,9 +153,9 @@
         return store;
     }
 
-    private LeaseStore connected(String nonce, Told told) throws InterruptedException {
-        LeaseStore store = store(nonce, told, server.address());
-        told.await("connected");
+    private LeaseStore connected(String nonce, EventLog events) throws InterruptedException {
+        LeaseStore store = store(nonce, events, server.address());
+        events.await("connected");
         return store;
     }
 
@@ -173,59 +173,57 @@
 
     @Test
     void writesAreConditionalOnTheVersion() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         store.read(1);
-        told.await("read 1");
-        assertNull(told.entry);
+        events.await("read 1");
+        assertNull(events.entry);
         store.write(2, -1, entry(1, "a/2", false));
-        told.await("written 2 version 0");
+        events.await("written 2 version 0");
         store.write(3, -1, entry(1, "a/3", false));
-        told.await("conflicted 3");
+        events.await("conflicted 3");
         store.write(4, 0, entry(1, "a/4", false));
-        told.await("written 4 version 1");
+        events.await("written 4 version 1");
         store.write(5, 0, entry(1, "a/5", false));
-        told.await("conflicted 5");
+        events.await("conflicted 5");
         store.read(6);
-        told.await("read 6");
+        events.await("read 6");
         assertEquals(
                 new VersionedLease(1, 1, "host", "a/4", TimeUnit.SECONDS.toNanos(2), false),
-                told.entry);
+                events.entry);
         String json =
                 new String(operator().getData(RECORD, false, new Stat()), StandardCharsets.UTF_8);
         assertTrue(json.startsWith("{\"holder\":\"host\",\"token\":1,\"since\":\"20"), json);
     }
 
-    /**
-     * Guards against a write that was done and is taken for one that was not, and the other way.
-     */
+    /** Guards against an executed write that is taken for a failed one, and the reverse. */
     @Test
     void lostAnswerIsReportedAsUnknownOutcome() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         for (boolean done : new boolean[] {false, true}) {
             server.breakNext(OpCode.create2, done);
             store.write(done ? 3 : 1, -1, entry(1, "a/1", false));
-            told.await(done ? "unknown 3" : "unknown 1");
-            told.await("connected");
+            events.await(done ? "unknown 3" : "unknown 1");
+            events.await("connected");
             store.read(done ? 4 : 2);
-            told.await(done ? "read 4" : "read 2");
-            assertEquals(done, told.entry != null);
+            events.await(done ? "read 4" : "read 2");
+            assertEquals(done, events.entry != null);
         }
         server.breakNext(OpCode.setData, true);
         store.write(5, 0, entry(2, "a/5", true));
-        told.await("unknown 5");
-        told.await("connected");
+        events.await("unknown 5");
+        events.await("connected");
         store.read(6);
-        told.await("read 6");
-        assertEquals(entry(2, "a/5", true).nonce(), told.entry.nonce());
-        assertEquals(1, told.entry.version());
+        events.await("read 6");
+        assertEquals(entry(2, "a/5", true).nonce(), events.entry.nonce());
+        assertEquals(1, events.entry.version());
     }
 
     @Test
     void changeOfTheRecordIsNotified() throws Exception {
-        Told one = new Told();
-        Told other = new Told();
+        EventLog one = new EventLog();
+        EventLog other = new EventLog();
         LeaseStore reads = connected("a", one);
         LeaseStore writes = connected("b", other);
         reads.read(1);
@@ -236,70 +234,77 @@
         one.await("read 2");
         writes.read(2);
         other.await("read 2");
-        other.words.clear();
+        other.texts.clear();
         writes.write(3, 0, entry(1, "b/3", true));
         one.await("changed");
         other.await("written 3 version 1");
         writes.read(4);
-        assertEquals("read 4", other.words.poll(20, TimeUnit.SECONDS), "of its own write it knows");
+        assertEquals(
+                "read 4",
+                other.texts.poll(20, TimeUnit.SECONDS),
+                "a store is not notified of its own write");
     }
 
-    /** Guards against a herd, and against a place that ends with a session of before. */
+    /**
+     * Guards against notifying all waiters at once, and against losing the place in the queue with
+     * an expired session.
+     */
     @Test
     void queueMovesUpOneByOneAndIsRejoinedAfterSessionExpiry() throws Exception {
-        Told[] told = {new Told(), new Told(), new Told()};
-        LeaseStore[] stores = new LeaseStore[told.length];
-        for (int i = 0; i < told.length; i++) {
-            stores[i] = connected("n" + i, told[i]);
+        EventLog[] events = {new EventLog(), new EventLog(), new EventLog()};
+        LeaseStore[] stores = new LeaseStore[events.length];
+        for (int i = 0; i < events.length; i++) {
+            stores[i] = connected("n" + i, events[i]);
             stores[i].setQueued(true);
             while (operator().getChildren(ROOT + "/nightly/line", false).size() <= i) {
                 Thread.onSpinWait();
             }
         }
-        told[0].await("front");
+        events[0].await("front");
         stores[0].setQueued(false);
-        told[1].await("front");
+        events[1].await("front");
         stores[1].setQueued(false);
         stores[1].setQueued(true);
-        told[1].await("front");
+        events[1].await("front");
         stores[1].setQueued(false);
-        told[2].await("front");
+        events[2].await("front");
         stores[1].setQueued(true);
         stores[2].close();
-        told[1].await("front");
+        events[1].await("front");
         for (long session : server.sessions()) {
             server.expire(session);
         }
-        told[1].await("disconnected");
-        told[1].await("front");
+        events[1].await("disconnected");
+        events[1].await("front");
         assertEquals(1, operator().getChildren(ROOT + "/nightly/line", false).size());
     }
 
     @Test
     void serverThatAnswersOnlyPingsIsReplaced() throws Exception {
-        Told told = new Told();
-        LeaseStore store = store("a", told, server.address(), all.members().get(1).address());
-        told.await("connected");
+        EventLog events = new EventLog();
+        LeaseStore store =
+                store("a", events, server.address(), ensemble.members().get(1).address());
+        events.await("connected");
         server.hung(true);
-        all.members().get(1).hung(true);
+        ensemble.members().get(1).hung(true);
         store.read(1);
-        told.await("unknown 1");
+        events.await("unknown 1");
         server.hung(false);
-        all.members().get(1).hung(false);
-        told.await("connected");
+        ensemble.members().get(1).hung(false);
+        events.await("connected");
         store.read(2);
-        told.await("read 2");
+        events.await("read 2");
     }
 
-    /** Guards against a member that lags and tells that a lease is free, or is as it was. */
+    /** Guards against a stale read at a lagging member, and against a write based on one. */
     @Test
     void laggingServerReadsNothingStaleAndItsWritesConflict() throws Exception {
-        Told one = new Told();
-        Told other = new Told();
+        EventLog one = new EventLog();
+        EventLog other = new EventLog();
         LeaseStore first = connected("a", one);
         first.write(1, -1, entry(1, "a/1", false));
         one.await("written 1 version 0");
-        CoordinationServer lags = all.members().get(2);
+        CoordinationServer lags = ensemble.members().get(2);
         LeaseStore behind = store("b", other, lags.address());
         other.await("connected");
         lags.lag(700);
@@ -307,7 +312,8 @@
         one.await("written 2 version 1");
         behind.read(1);
         other.await("read 1");
-        assertEquals(1, other.entry.version(), "what the others had written before it was asked");
+        assertEquals(
+                1, other.entry.version(), "a read returns what was written before it was sent");
         first.write(3, 1, entry(1, "a/3", false));
         one.await("written 3 version 2");
         behind.write(2, 1, entry(2, "b/2", false));
@@ -316,84 +322,83 @@
 
     @Test
     void writeWithoutAQuorumHasUnknownOutcome() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
-        all.cut(server);
-        told.await("disconnected");
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
+        ensemble.cut(server);
+        events.await("disconnected");
         store.write(1, -1, entry(1, "a/1", false));
-        told.await("unknown 1");
-        all.cut();
-        told.await("connected");
+        events.await("unknown 1");
+        ensemble.cut();
+        events.await("connected");
         store.read(2);
-        assertEquals("read 2", told.either("read 2", "unknown 2"));
+        assertEquals("read 2", events.either("read 2", "unknown 2"));
     }
 
     /**
-     * Guards against a version that comes twice: whose record it overwrites would not know of it.
+     * Guards against a recreated record whose versions start again: a write with an old version
+     * would overwrite the record of another holder, which would not notice.
      */
     @Test
     void recordRecreatedAfterAReadIsReported() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         store.write(1, -1, entry(1, "a/1", false));
-        told.await("written 1 version 0");
+        events.await("written 1 version 0");
         store.read(2);
-        told.await("read 2");
+        events.await("read 2");
         byte[] data = operator().getData(RECORD, false, new Stat());
         operator.delete(RECORD, -1);
         operator.create(RECORD, data, OPEN, CreateMode.PERSISTENT);
         store.write(3, 0, entry(1, "a/3", false));
-        told.await("broken");
+        events.await("broken");
     }
 
     @Test
     void malformedRecordIsNotTakenForAFreeLease() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         operator().create(RECORD, new byte[] {'x'}, OPEN, CreateMode.PERSISTENT);
         store.read(1);
-        told.await("unknown 1");
+        events.await("unknown 1");
         assertTrue(log.contains(RECORD + ": not a valid lease record"), log::toString);
     }
 
-    /** Guards against an ensemble that was wiped and is taken for one where nobody holds yet. */
+    /** Guards against a wiped ensemble that is taken for one in which no lease is held yet. */
     @Test
     void rootOfAllLeasesIsNeverCreated() throws Exception {
         operator().delete(ROOT, -1);
-        Told told = new Told();
-        LeaseStore store = store("a", told, server.address());
+        EventLog events = new EventLog();
+        LeaseStore store = store("a", events, server.address());
         store.read(1);
-        told.await("unknown 1");
+        events.await("unknown 1");
         assertEquals(
                 "the root path of the leases does not exist: " + ROOT,
                 log.poll(20, TimeUnit.SECONDS));
         operator.create(ROOT, new byte[0], OPEN, CreateMode.PERSISTENT);
-        told.await("connected");
+        events.await("connected");
     }
 
-    /** As above, by a holder that made the record itself and has had no cause to read it. */
+    /** The same as above for a holder that created the record itself and never read it. */
     @Test
     void recordRecreatedAfterItsCreationIsReported() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         store.write(1, -1, entry(1, "a/1", false));
-        told.await("written 1 version 0");
+        events.await("written 1 version 0");
         byte[] data = operator().getData(RECORD, false, new Stat());
         operator.delete(RECORD, -1);
         operator.create(RECORD, data, OPEN, CreateMode.PERSISTENT);
         store.write(3, 0, entry(1, "a/3", false));
-        assertEquals("broken", told.either("broken", "written 3 version 1"));
+        assertEquals("broken", events.either("broken", "written 3 version 1"));
     }
 
-    /**
-     * Guards against who waits for good, and says nothing, at a line that an operator has deleted.
-     */
+    /** Guards against a waiter that waits forever after an operator has deleted the queue node. */
     @Test
     void missingQueueNodeIsCreatedAgain() throws Exception {
-        Told told = new Told();
-        LeaseStore store = connected("a", told);
+        EventLog events = new EventLog();
+        LeaseStore store = connected("a", events);
         operator().delete(ROOT + "/nightly/line", -1);
         store.setQueued(true);
-        told.await("front");
+        events.await("front");
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/lease/LeasedTaskIT.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeasedTaskIT.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Real {@code task} processes on the stand-in, with faults between them: no two commands act at
- * once.
+ * Real {@code task} processes on the stand-in under faults: no two commands operate at the same
+ * time.
  */
 @Timeout(60)
 class LeasedTaskIT {
     private static final Path JAR = Path.of("..", "sidecar", "target", "appleridge.jar");
-    private static final long LONGEST_MILLIS = 25_000;
-    private static final int LONG_MILLIS = 6000;
+    private static final long MAX_WAIT_MILLIS = 25_000;
+    private static final int LONG_TERM_MILLIS = 6000;
 
-    /** More than a term's, at one each hundredth of a second. */
-    private static final int ACTS = 500;
+    /** More operations than fit in a term at one every 10 ms. */
+    private static final int OPERATIONS = 500;
 
     private static final int EXIT_TERMINATED = 143;
     private static final int EXIT_NO_GUARDIAN = 70;
 
-    private static TaskFleet fleet(int size, int termMillis, TaskFleet.Manner... manners)
+    private static TaskFleet fleet(int size, int termMillis, TaskFleet.CommandBehavior... behaviors)
             throws Exception {
-        TaskFleet fleet = new TaskFleet(JAR, size, termMillis, manners);
+        TaskFleet fleet = new TaskFleet(JAR, size, termMillis, behaviors);
         fleet.tasks.get(0).start();
-        assertTrue(fleet.witness.awaitAbove(0, LONGEST_MILLIS), () -> logs(fleet));
+        assertTrue(fleet.witness.awaitAbove(0, MAX_WAIT_MILLIS), () -> logs(fleet));
         for (int i = 1; i < size; i++) {
             fleet.tasks.get(i).start();
         }
@@ -49,69 +49,75 @@
         return all.toString();
     }
 
-    private static void changes(TaskFleet fleet, long old) throws InterruptedException {
-        assertTrue(fleet.witness.awaitAbove(old, LONGEST_MILLIS), () -> logs(fleet));
+    private static void assertHolderChanges(TaskFleet fleet, long oldToken)
+            throws InterruptedException {
+        assertTrue(fleet.witness.awaitAbove(oldToken, MAX_WAIT_MILLIS), () -> logs(fleet));
         assertEquals(List.of(), fleet.witness.findings(), () -> logs(fleet));
     }
 
     /**
-     * Guards against a command that goes on beside the next one because its parent can do nothing.
+     * Guards against a command that runs beside its successor because its stopped parent can't end
+     * it.
      */
     @Test
     void commandOfAHolderStoppedBeyondItsLeaseIsEnded() throws Exception {
-        try (TaskFleet fleet = fleet(2, TaskFleet.SHORT_MILLIS, TaskFleet.Manner.PLAIN)) {
+        try (TaskFleet fleet =
+                fleet(2, TaskFleet.SHORT_TERM_MILLIS, TaskFleet.CommandBehavior.PLAIN)) {
             fleet.tasks.get(0).signal("STOP");
-            changes(fleet, 1);
+            assertHolderChanges(fleet, 1);
             fleet.tasks.get(0).signal("CONT");
             fleet.tasks.get(1).term();
             assertEquals(EXIT_TERMINATED, fleet.tasks.get(1).awaitExit());
-            changes(fleet, 2);
-            assertTrue(fleet.end());
+            assertHolderChanges(fleet, 2);
+            assertTrue(fleet.killAll());
         }
     }
 
-    /** Guards against what a command does that ignores SIGTERM, and has a session of its own. */
+    /**
+     * Guards against a command that survives by ignoring SIGTERM or by running in its own session.
+     */
     @Test
     void commandIsEndedWhenItsHolderIsKilledOrCutOff() throws Exception {
         try (TaskFleet fleet =
                 fleet(
                         3,
-                        TaskFleet.SHORT_MILLIS,
-                        TaskFleet.Manner.APART,
-                        TaskFleet.Manner.STUBBORN)) {
+                        TaskFleet.SHORT_TERM_MILLIS,
+                        TaskFleet.CommandBehavior.APART,
+                        TaskFleet.CommandBehavior.STUBBORN)) {
             fleet.tasks.get(0).kill();
-            changes(fleet, 1);
+            assertHolderChanges(fleet, 1);
             fleet.tasks.get(0).start();
             int cutOff = fleet.witness.holder();
-            fleet.cut(cutOff, true);
-            changes(fleet, 2);
+            fleet.setCutOff(cutOff, true);
+            assertHolderChanges(fleet, 2);
             assertTrue(fleet.tasks.get(cutOff).alive(), () -> logs(fleet));
-            fleet.cut(cutOff, false);
+            fleet.setCutOff(cutOff, false);
             int holder = fleet.witness.holder();
             fleet.tasks.get(holder).guardian().orElseThrow().destroyForcibly();
             assertEquals(EXIT_NO_GUARDIAN, fleet.tasks.get(holder).awaitExit());
-            changes(fleet, 3);
-            assertTrue(fleet.end());
+            assertHolderChanges(fleet, 3);
+            assertTrue(fleet.killAll());
         }
     }
 
     /**
-     * Guards against a lease that rests on a session, and against tokens that are given out twice.
+     * Guards against a lease that ends with its session, and against tokens that are issued twice.
      */
     @Test
     void sessionExpiryEndsNoCommandAndAWipedStoreIsDistrusted() throws Exception {
-        try (TaskFleet fleet = fleet(2, LONG_MILLIS, TaskFleet.Manner.PLAIN)) {
+        try (TaskFleet fleet = fleet(2, LONG_TERM_MILLIS, TaskFleet.CommandBehavior.PLAIN)) {
             fleet.server.stop();
             fleet.server.start();
             for (long session : fleet.server.sessions()) {
                 fleet.server.expire(session);
             }
             assertTrue(
-                    fleet.witness.awaitAct(fleet.witness.acts() + ACTS, LONGEST_MILLIS),
+                    fleet.witness.awaitOperation(
+                            fleet.witness.operations() + OPERATIONS, MAX_WAIT_MILLIS),
                     () -> logs(fleet));
             assertEquals(1, fleet.witness.token(), () -> logs(fleet));
             fleet.tasks.get(0).term();
-            changes(fleet, 1);
+            assertHolderChanges(fleet, 1);
             fleet.wipe();
             while (fleet.tasks.get(1).log().stream()
                     .noneMatch(line -> line.contains("state=refusing why=wiped"))) {
@@ -120,7 +126,7 @@
             }
             assertEquals(EXIT_TERMINATED, fleet.tasks.get(0).awaitExit());
             assertEquals(List.of(), fleet.witness.findings());
-            assertTrue(fleet.end());
+            assertTrue(fleet.killAll());
         }
     }
 }
