--- a/testbed/src/main/java/appleridge/testbed/Main.java
+++ b/testbed/src/main/java/appleridge/testbed/Main.java
@@ -11,11 +11,11 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Entry point of the testbed's jar. */
+/** Entry point of {@code testbed.jar}. */
 public final class Main {
     private Main() {}
 
-    /** Runs what the first argument names. */
+    /** Runs the command named by the first argument and exits with its status. */
     public static void main(String[] args) throws IOException {
         String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
         switch (args.length == 0 ? "" : args[0]) {
--- a/testbed/src/main/java/appleridge/testbed/demo/Board.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Board.java
@@ -7,11 +7,14 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** A line each second: what became of the requests that ended in it, and what is wrong just now. */
+/**
+ * Prints one line per second: the outcomes of the requests that ended in it and the faults that are
+ * active; at the end, the verdict. Not thread-safe.
+ */
 final class Board {
     private static final String HEAD = "  time  served  refused  failed     p50     p99   just now";
 
-    private static final int MOST_SHOWN = 10;
+    private static final int MAX_SHOWN = 10;
 
     private final PrintStream out;
     private int seconds;
@@ -21,6 +24,7 @@
         out.println(HEAD);
     }
 
+    /** Prints the line of one second; {@code now} describes the active faults, empty for none. */
     void line(List<SiteLog.Try> ended, String now) {
         int refused = (int) ended.stream().filter(SiteLog.Try::refused).count();
         int left = (int) ended.stream().filter(each -> each.ending == Ending.GAVE_UP).count();
@@ -44,16 +48,20 @@
         out.flush();
     }
 
-    private static String millis(long[] sorted, double part) {
+    private static String millis(long[] sorted, double quantile) {
         return sorted.length == 0
                 ? "      -"
                 : String.format(
                         Locale.ROOT,
                         "%4d ms",
-                        TimeUnit.NANOSECONDS.toMillis(sorted[(int) (part * (sorted.length - 1))]));
+                        TimeUnit.NANOSECONDS.toMillis(
+                                sorted[(int) (quantile * (sorted.length - 1))]));
     }
 
-    /** The four rules, and whether all held, with a sidecar that served and ended in order. */
+    /**
+     * Prints the findings of the four rules. Returns whether all held, a request was served, and
+     * the sidecar exited with status 0.
+     */
     boolean verdict(List<Finding> findings, SiteLog log, int status) {
         out.println();
         for (Finding finding : findings) {
@@ -64,9 +72,9 @@
                             finding.rule(),
                             finding.kept() ? "kept" : "BROKEN",
                             finding.seen()));
-            finding.broken().stream().limit(MOST_SHOWN).forEach(each -> out.println("    " + each));
-            if (finding.broken().size() > MOST_SHOWN) {
-                out.println("    and " + (finding.broken().size() - MOST_SHOWN) + " more");
+            finding.broken().stream().limit(MAX_SHOWN).forEach(each -> out.println("    " + each));
+            if (finding.broken().size() > MAX_SHOWN) {
+                out.println("    and " + (finding.broken().size() - MAX_SHOWN) + " more");
             }
         }
         long waiting =
@@ -77,11 +85,11 @@
         boolean held = findings.stream().allMatch(Finding::kept);
         boolean served = log.tries.values().stream().anyMatch(SiteLog.Try::served);
         if (!served) {
-            out.println("nothing was served");
+            out.println("no request was served");
         }
         if (status != 0) {
             out.println(
-                    "the sidecar did not end in order" + (status > 0 ? ": status " + status : ""));
+                    "the sidecar did not exit cleanly" + (status > 0 ? ": status " + status : ""));
         }
         out.println(held ? "the four rules held" : "the four rules did not hold");
         out.flush();
--- a/testbed/src/main/java/appleridge/testbed/demo/Demo.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Demo.java
@@ -13,13 +13,16 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Puts the site and one real sidecar together, plays them, and says how the four rules fared. */
+/**
+ * The command {@code demo}: runs a simulated site with one real sidecar under traffic and faults,
+ * and reports whether the four rules held.
+ */
 public final class Demo {
-    /** New requests go on coming for so long after SIGTERM. */
-    private static final int AFTER_TERM_MILLIS = 300;
+    /** Time after SIGTERM in which clients still send new requests. */
+    private static final int TRAFFIC_AFTER_TERM_MILLIS = 300;
 
-    /** Longer than any client listens. */
-    private static final int LAST_ANSWERS_MILLIS = 5000;
+    /** Longer than any client waits for its answer. */
+    private static final int FINAL_ANSWERS_MILLIS = 5000;
 
     private static final int POLL_MILLIS = 20;
 
@@ -32,8 +35,8 @@
     }
 
     /**
-     * Returns the process's exit status: 0 only if the four rules held and the sidecar ended in
-     * order.
+     * Returns the process's exit status: 0 if the four rules held and the sidecar exited cleanly, 1
+     * if not, 2 for invalid arguments.
      */
     public static int run(PrintStream out, PrintStream err, String... args) {
         try {
@@ -44,7 +47,7 @@
                                 + options.jar()
                                 + " (built by: mvn -q -DskipTests package; or named by --jar)");
             }
-            return new Demo(options, out).play();
+            return new Demo(options, out).runSite();
         } catch (IllegalArgumentException e) {
             err.println("demo: " + e.getMessage());
             err.println(Options.USAGE);
@@ -58,7 +61,7 @@
         }
     }
 
-    private int play() throws IOException, InterruptedException, ExecutionException {
+    private int runSite() throws IOException, InterruptedException, ExecutionException {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("site", true), NioIoHandler.newFactory());
@@ -67,7 +70,7 @@
             site.open();
             out.println(
                     "Six order servers in three zones, discovery, and one sidecar; "
-                            + "the sidecar starts ...");
+                            + "the sidecar is starting ...");
             SidecarSettings settings = new SidecarSettings(Site.ZONES, options.seed());
             sidecar.start(
                     port ->
@@ -83,10 +86,10 @@
                             + options.seconds()
                             + " s.\n");
             Board board = new Board(out);
-            boolean lived = traffic(board, site, sidecar, settings);
+            boolean alive = traffic(board, site, sidecar, settings);
             int status = sidecar.awaitExit();
             List<Finding> findings = onLoop(site, () -> new Verdict(site.log).findings());
-            boolean held = board.verdict(findings, site.log, lived ? status : -1);
+            boolean held = board.verdict(findings, site.log, alive ? status : -1);
             if (!held) {
                 out.println("\nThe end of the sidecar's log:");
                 sidecar.lastLines().forEach(out::println);
@@ -98,7 +101,7 @@
         }
     }
 
-    /** Returns whether the sidecar lived until it was told to end. */
+    /** Runs traffic and faults. Returns whether the sidecar was alive until SIGTERM. */
     private boolean traffic(
             Board board, Site site, SidecarProcess sidecar, SidecarSettings settings)
             throws InterruptedException, ExecutionException {
@@ -119,15 +122,15 @@
                 });
         Future<?> lines =
                 site.loop.scheduleAtFixedRate(
-                        () -> line(board, site, faults.now()), 1, 1, TimeUnit.SECONDS);
+                        () -> line(board, site, faults.active()), 1, 1, TimeUnit.SECONDS);
         for (int second = 0; second < options.seconds() && sidecar.alive(); second++) {
             TimeUnit.SECONDS.sleep(1);
         }
-        boolean lived = sidecar.alive();
+        boolean alive = sidecar.alive();
         sidecar.term();
-        TimeUnit.MILLISECONDS.sleep(AFTER_TERM_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(TRAFFIC_AFTER_TERM_MILLIS);
         site.loop.execute(site.clients::stop);
-        for (int waited = 0; waited < LAST_ANSWERS_MILLIS; waited += POLL_MILLIS) {
+        for (int waited = 0; waited < FINAL_ANSWERS_MILLIS; waited += POLL_MILLIS) {
             if (onLoop(site, () -> site.clients.open() + site.badClients.open()) == 0) {
                 break;
             }
@@ -136,10 +139,10 @@
         lines.cancel(false);
         site.loop.execute(
                 () -> {
-                    line(board, site, "SIGTERM, the last answers");
+                    line(board, site, "SIGTERM, final answers");
                     site.clients.closeIdle();
                 });
-        return lived;
+        return alive;
     }
 
     private static void line(Board board, Site site, String now) {
@@ -147,8 +150,8 @@
         site.log.fresh.clear();
     }
 
-    private static <T> T onLoop(Site site, Callable<T> what)
+    private static <T> T onLoop(Site site, Callable<T> action)
             throws InterruptedException, ExecutionException {
-        return site.loop.submit(what).get();
+        return site.loop.submit(action).get();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/demo/Faults.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Faults.java
@@ -7,39 +7,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What goes wrong and when, as parts of the time that is played; and what is wrong just now, in
- * words.
+ * Schedules the faults of a demo, at fractions of its duration, and describes the active ones. Used
+ * on the event loop of the site only.
  */
 final class Faults {
     /**
-     * A drained server leaves when nothing new has come for long: after the grace, and some more.
+     * Time from a drain to the exit of the server: the grace period within which requests may still
+     * arrive, and some more.
      */
-    private static final long LEAVES_MILLIS = 3200;
+    private static final long DRAIN_TO_EXIT_MILLIS = 3200;
 
     private static final long MENTION_MILLIS = 1000;
-    private static final double SLOW_TIMES = 6;
-    private static final double RESET_PART = 0.4;
-    private static final double FLOOD_TIMES = 5;
-    private static final String FLOODS = "roue-dor";
+    private static final double SLOWDOWN_FACTOR = 6;
+    private static final double RESET_PROBABILITY = 0.4;
+    private static final double FLOOD_FACTOR = 5;
+    private static final String FLOODING_TENANT = "roue-dor";
 
     private final Site site;
     private final int seconds;
     private final Runnable reload;
-    private final Set<String> now = new LinkedHashSet<>();
+    private final Set<String> active = new LinkedHashSet<>();
 
-    /** With what replaces the sidecar's configuration once discovery has moved. */
+    /**
+     * Creates the schedule of a demo that lasts this long.
+     *
+     * @param reload replaces the sidecar's configuration after discovery has moved
+     */
     Faults(Site site, int seconds, Runnable reload) {
         this.site = site;
         this.seconds = seconds;
         this.reload = reload;
     }
 
-    /** What is wrong just now. */
-    String now() {
-        return String.join("; ", now);
+    /** Describes the active faults, separated by semicolons; empty if there are none. */
+    String active() {
+        return String.join("; ", active);
     }
 
-    /** To be called on the loop, as traffic begins. */
+    /** Schedules all faults; to be called on the event loop when traffic begins. */
     void begin() {
         at(0.06, this::slow);
         at(0.20, this::resets);
@@ -50,15 +55,18 @@
                 () ->
                         during(
                                 0.14,
-                                FLOODS + " floods: " + (int) FLOOD_TIMES + " times its usual",
-                                () -> site.clients.flood(FLOODS, FLOOD_TIMES),
+                                FLOODING_TENANT
+                                        + " floods: "
+                                        + (int) FLOOD_FACTOR
+                                        + " times its usual rate",
+                                () -> site.clients.flood(FLOODING_TENANT, FLOOD_FACTOR),
                                 () -> site.clients.flood("", 1)));
         at(
                 0.72,
                 () ->
                         during(
                                 0.12,
-                                "discovery is away",
+                                "discovery is down",
                                 () -> site.registry.away(true),
                                 () -> site.registry.away(false)));
         at(
@@ -69,9 +77,9 @@
                                     mention("discovery has moved, SIGHUP");
                                     reload.run();
                                 }));
-        for (double when : new double[] {0.10, 0.40, 0.75}) {
+        for (double fraction : new double[] {0.10, 0.40, 0.75}) {
             at(
-                    when,
+                    fraction,
                     () -> {
                         mention("bad clients");
                         site.badClients.strike();
@@ -80,73 +88,73 @@
     }
 
     private void slow() {
-        LoopbackServer victim = site.another();
+        LoopbackServer victim = site.nextServer();
         during(
                 0.18,
-                name(victim) + " is " + (int) SLOW_TIMES + " times slower",
-                () -> victim.slow(SLOW_TIMES),
+                name(victim) + " is " + (int) SLOWDOWN_FACTOR + " times slower",
+                () -> victim.slow(SLOWDOWN_FACTOR),
                 () -> victim.slow(1));
     }
 
     private void resets() {
-        LoopbackServer victim = site.another();
+        LoopbackServer victim = site.nextServer();
         during(
                 0.13,
-                name(victim) + " resets within answers",
-                () -> victim.resets(RESET_PART),
+                name(victim) + " resets connections within responses",
+                () -> victim.resets(RESET_PROBABILITY),
                 () -> victim.resets(0));
     }
 
     private void crash() {
-        LoopbackServer victim = site.another();
+        LoopbackServer victim = site.nextServer();
         during(
                 0.04,
                 name(victim) + " has crashed",
                 () -> site.end(victim),
                 () -> {
-                    site.say(victim, State.GONE);
+                    site.announce(victim, State.GONE);
                     LoopbackServer next = site.replace(victim);
                     mention(next.identity().name() + " starts cold at its address");
                 });
     }
 
     private void drain() {
-        LoopbackServer victim = site.another();
-        String words = name(victim) + " drains";
-        now.add(words);
-        site.say(victim, State.TERMINATING);
+        LoopbackServer victim = site.nextServer();
+        String description = name(victim) + " is draining";
+        active.add(description);
+        site.announce(victim, State.TERMINATING);
         LoopbackServer next = site.add(victim.identity().zone());
         mention(next.identity().name() + " starts cold");
         site.loop.schedule(
                 () -> {
-                    now.remove(words);
+                    active.remove(description);
                     site.end(victim);
-                    site.say(victim, State.GONE);
+                    site.announce(victim, State.GONE);
                 },
-                LEAVES_MILLIS,
+                DRAIN_TO_EXIT_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void during(double part, String words, Runnable begins, Runnable ends) {
-        now.add(words);
+    private void during(double fraction, String description, Runnable begins, Runnable ends) {
+        active.add(description);
         begins.run();
         at(
-                part,
+                fraction,
                 () -> {
-                    now.remove(words);
+                    active.remove(description);
                     ends.run();
                 });
     }
 
-    /** What is over in a moment stays on the board for a line. */
-    private void mention(String words) {
-        now.add(words);
-        site.loop.schedule(() -> now.remove(words), MENTION_MILLIS, TimeUnit.MILLISECONDS);
+    /** Shows a momentary event on one line of the board. */
+    private void mention(String event) {
+        active.add(event);
+        site.loop.schedule(() -> active.remove(event), MENTION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** After this part of the whole. */
-    private void at(double part, Runnable what) {
-        site.loop.schedule(what, (long) (part * seconds * 1000), TimeUnit.MILLISECONDS);
+    /** Runs an action after this fraction of the duration, counted from now. */
+    private void at(double fraction, Runnable action) {
+        site.loop.schedule(action, (long) (fraction * seconds * 1000), TimeUnit.MILLISECONDS);
     }
 
     private static String name(LoopbackServer server) {
--- a/testbed/src/main/java/appleridge/testbed/demo/Finding.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Finding.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * What is to be said of one rule.
+ * The result of checking one rule.
  *
- * @param seen what was looked at, in words
- * @param broken each time that it was broken, in words
+ * @param rule the rule, as a sentence
+ * @param seen summary of what was checked
+ * @param broken a description of each violation; empty if the rule was kept
  */
 record Finding(String rule, String seen, List<String> broken) {
     boolean kept() {
--- a/testbed/src/main/java/appleridge/testbed/demo/Options.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Options.java
@@ -4,26 +4,27 @@
 import java.nio.file.Path;
 
 /**
- * The demo's command line.
+ * The options of the command {@code demo}.
  *
- * @param seconds how long traffic is played
- * @param seed of all that is drawn
- * @param rate requests a second
- * @param jar the product's
+ * @param seconds duration of the traffic
+ * @param seed seed of all random draws
+ * @param rate requests per second
+ * @param jar the jar of the sidecar
  */
 record Options(int seconds, long seed, double rate, Path jar) {
     static final String USAGE =
             """
             usage: java -jar testbed.jar demo [--seconds N] [--seed N] [--rate N] [--jar FILE]
-              --seconds N   how long traffic is played: 5 to 3600, usually 30
-              --seed N      draws other requests and other victims, usually 1
-              --rate N      requests a second: 10 to 300, usually 150
-              --jar FILE    the sidecar's jar, usually found beside this one\
+              --seconds N   duration of the traffic: 5 to 3600, default 30
+              --seed N      seed of the random requests and faults, default 1
+              --rate N      requests per second: 10 to 300, default 150
+              --jar FILE    jar of the sidecar, default: the one built in the same checkout\
             """;
 
     /**
-     * What the command line says; what makes no sense is told by an {@link
-     * IllegalArgumentException}.
+     * Parses the command line.
+     *
+     * @throws IllegalArgumentException names an option that is unknown or has an invalid value
      */
     static Options parse(String... args) {
         int seconds = 30;
@@ -40,37 +41,41 @@
                 default -> throw new IllegalArgumentException("unknown option " + args[i]);
             }
         }
-        return new Options(seconds, seed, rate, jar == null ? besideOurs() : jar);
+        return new Options(seconds, seed, rate, jar == null ? defaultJar() : jar);
     }
 
-    private static long number(String name, String value, long least, long most) {
+    private static long number(String name, String value, long min, long max) {
         try {
             long number = Long.parseLong(value);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, together with what is no sensible number.
+            // Reported below, like a number out of range.
         }
-        throw new IllegalArgumentException(name + " makes no sense: " + value);
+        throw new IllegalArgumentException(
+                name + " must be an integer from " + min + " to " + max + ": " + value);
     }
 
     /**
-     * In a built checkout the two jars, or our classes, lie in two modules' {@code target} folders.
+     * Returns the jar of the sidecar in the same checkout, relative to the jar or the classes of
+     * the testbed.
      */
-    private static Path besideOurs() {
+    private static Path defaultJar() {
         try {
-            Path ours =
+            Path testbed =
                     Path.of(
                             Options.class
                                     .getProtectionDomain()
                                     .getCodeSource()
                                     .getLocation()
                                     .toURI());
-            return ours.resolveSibling(Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
+            return testbed.resolveSibling(
+                            Path.of("..", "..", "sidecar", "target", "appleridge.jar"))
                     .normalize();
         } catch (URISyntaxException e) {
-            throw new IllegalArgumentException("--jar is needed", e);
+            throw new IllegalArgumentException(
+                    "the location of testbed.jar is unknown: --jar is required", e);
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/demo/SidecarProcess.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SidecarProcess.java
@@ -16,10 +16,13 @@
 import java.util.function.IntFunction;
 import java.util.stream.Stream;
 
-/** The sidecar as a child process, with a folder of its own; both are gone when this is closed. */
+/**
+ * The sidecar as a child process with its own temporary folder. {@link #close} kills the process
+ * and deletes the folder.
+ */
 public final class SidecarProcess implements AutoCloseable {
-    /** As in service, but for the archive of classes, which only that build makes. */
-    private static final List<String> FLAGS =
+    /** The flags of production, except for the class data archive, which only its build makes. */
+    private static final List<String> JVM_FLAGS =
             List.of(
                     "-Xms48m",
                     "-Xmx48m",
@@ -34,13 +37,13 @@
                     "-XX:+ExitOnOutOfMemoryError",
                     "-Djava.util.logging.SimpleFormatter.format=%1$tT %4$s %5$s%6$s%n");
 
-    private static final int STARTS = 3;
+    private static final int MAX_STARTS = 3;
     private static final int READY_SECONDS = 60;
     private static final int POLL_MILLIS = 50;
-    private static final int ASK_MILLIS = 1000;
+    private static final int READY_REQUEST_MILLIS = 1000;
 
-    /** It ends by itself within some seconds of SIGTERM. */
-    private static final int ENDS_SECONDS = 20;
+    /** The sidecar exits by itself within a few seconds of SIGTERM. */
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
 
     private static final int LAST_LINES = 20;
 
@@ -52,11 +55,12 @@
     private int port;
     private boolean closing;
 
+    /** Creates a sidecar without an operator's file. */
     SidecarProcess(Path jar) throws IOException {
         this(jar, "");
     }
 
-    /** With the text of an operator's file; empty for none. */
+    /** Creates a sidecar with this text of the operator's file; empty for no file. */
     public SidecarProcess(Path jar, String operator) throws IOException {
         this.jar = jar;
         this.operator = operator;
@@ -65,32 +69,35 @@
     }
 
     /**
-     * Starts it with a configuration made for the port, and waits until it says that it is ready.
+     * Starts the sidecar on a free port with the configuration for that port, and waits until it is
+     * ready.
+     *
+     * @throws IOException if it is not ready after several starts
      */
     public void start(IntFunction<JsonNode> configuration)
             throws IOException, InterruptedException {
-        for (int i = 0; i < STARTS; i++) {
+        for (int i = 0; i < MAX_STARTS; i++) {
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                 port = free.getLocalPort();
             }
             write(configuration.apply(port));
             launch();
-            // Someone else may have taken the port meanwhile; then it ends, and another one is
-            // tried.
+            // Another process may have taken the port; then the sidecar exits, and the next start
+            // uses another port.
             if (awaitReady()) {
                 return;
             }
         }
-        throw new IOException("the sidecar does not start");
+        throw new IOException("the sidecar did not become ready in " + MAX_STARTS + " starts");
     }
 
     private synchronized void launch() throws IOException {
         if (closing) {
-            throw new IOException("ended from outside");
+            throw new IOException("the sidecar is being closed");
         }
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.add("-Djava.io.tmpdir=" + folder);
         command.addAll(List.of("-jar", jar.toString(), "serve"));
         if (!operator.isEmpty()) {
@@ -121,43 +128,43 @@
 
     private boolean ready() {
         try {
-            HttpURLConnection asked =
+            HttpURLConnection connection =
                     (HttpURLConnection)
                             URI.create("http://127.0.0.1:" + port + "/health/ready")
                                     .toURL()
                                     .openConnection();
-            asked.setConnectTimeout(ASK_MILLIS);
-            asked.setReadTimeout(ASK_MILLIS);
-            asked.setRequestProperty("Connection", "close");
-            return asked.getResponseCode() == 200;
+            connection.setConnectTimeout(READY_REQUEST_MILLIS);
+            connection.setReadTimeout(READY_REQUEST_MILLIS);
+            connection.setRequestProperty("Connection", "close");
+            return connection.getResponseCode() == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Where it serves on the loopback address. */
+    /** The port at which it serves on the loopback address. */
     public int port() {
         return port;
     }
 
-    /** Its process's id. */
+    /** The process id of the last start. */
     public long pid() {
         return process.pid();
     }
 
-    /** Stops it where it stands, or lets it go on. */
+    /** Suspends the process with SIGSTOP, or resumes it with SIGCONT. */
     public void standStill(boolean still) throws IOException, InterruptedException {
         new ProcessBuilder("kill", still ? "-STOP" : "-CONT", Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** Whether it runs. */
+    /** Whether the process is running. */
     public boolean alive() {
         return process.isAlive();
     }
 
-    /** Replaces its configuration and tells it to read it; false where there is no such signal. */
+    /** Replaces the configuration and sends SIGHUP; returns false if either fails. */
     boolean reload(JsonNode configuration) {
         try {
             write(configuration);
@@ -168,26 +175,26 @@
         }
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public void term() {
         process.destroy();
     }
 
-    /** How it ended; -1 if it had to be killed. */
+    /** Waits for the exit and returns its status; kills it after a timeout and returns -1. */
     public int awaitExit() throws InterruptedException {
-        if (process.waitFor(ENDS_SECONDS, TimeUnit.SECONDS)) {
+        if (process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             return process.exitValue();
         }
         process.destroyForcibly().waitFor();
         return -1;
     }
 
-    /** All of its log. */
+    /** All lines of its log. */
     public List<String> log() throws IOException {
         return Files.readAllLines(logFile());
     }
 
-    /** The end of its log. */
+    /** The last lines of its log; empty if it can't be read. */
     public List<String> lastLines() {
         try {
             List<String> lines = Files.readAllLines(logFile());
@@ -197,7 +204,7 @@
         }
     }
 
-    /** Whole at any moment, whoever reads it. */
+    /** Writes the configuration atomically: a concurrent reader sees the old or the new file. */
     private void write(JsonNode configuration) throws IOException {
         Path next = folder.resolve("next.json");
         Files.writeString(next, configuration.toString());
@@ -218,7 +225,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(atExit);
         } catch (IllegalStateException e) {
-            // The process is ending already, and the hook does the same.
+            // The JVM is shutting down, and the shutdown hook does the same.
         }
     }
 
@@ -227,7 +234,7 @@
         if (process != null) {
             process.destroyForcibly();
             try {
-                process.waitFor(ENDS_SECONDS, TimeUnit.SECONDS);
+                process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -235,7 +242,7 @@
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
         } catch (IOException e) {
-            // Gone already.
+            // The folder was deleted before.
         }
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/demo/SidecarSettings.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SidecarSettings.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The configuration of the site's sidecar, as the platform would write it. */
+/** Builds the configuration of a sidecar as the platform writes it. */
 public final class SidecarSettings {
     /**
-     * What all wholesalers together may send before it counts for less: most of what six servers
-     * can do.
+     * Requests per second that all tenants together may send before further ones are worth less:
+     * most of the capacity of six servers.
      */
-    private static final double QUOTA = 250;
+    private static final double TOTAL_QUOTA_RPS = 250;
 
     private final ObjectMapper json = new ObjectMapper();
     private final List<String> zones;
     private final long seed;
 
-    /** With the names of zones, and what it draws from. */
+    /** Uses these zones, the first of which is the sidecar's, and the seed of the sidecar. */
     public SidecarSettings(List<String> zones, long seed) {
         this.zones = zones;
         this.seed = seed;
     }
 
-    /** For a sidecar at a port, with the address of discovery and the list that it begins with. */
+    /** Returns the configuration for a port, an address of discovery and a known endpoint list. */
     public ObjectNode configuration(int port, String discovery, JsonNode known) {
         ObjectNode root = json.createObjectNode();
         root.put("name", "n0")
@@ -57,15 +57,15 @@
                 case KEYED_BY_ZONE -> keyed(profile, "zone", kind);
                 case KEYED_BY_ALL -> keyed(profile, "all", kind);
                 case UNSAFE -> profile.put("semantics", "once");
-                default -> throw new IllegalStateException("unknown: " + kind.repeats());
+                default -> throw new IllegalStateException("unknown semantics: " + kind.repeats());
             }
         }
         ArrayNode parties = settings.putArray("parties");
-        for (TenantShare wholesaler : TenantShare.ALL) {
+        for (TenantShare tenant : TenantShare.ALL) {
             parties.addObject()
-                    .put("name", wholesaler.name())
-                    .put("portion", wholesaler.share())
-                    .put("quotaRps", QUOTA * wholesaler.share());
+                    .put("name", tenant.name())
+                    .put("portion", tenant.share())
+                    .put("quotaRps", TOTAL_QUOTA_RPS * tenant.share());
         }
         ArrayNode names = settings.putArray("zones");
         zones.forEach(names::add);
--- a/testbed/src/main/java/appleridge/testbed/demo/Site.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Site.java
@@ -16,26 +16,27 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** Order servers in three zones, discovery and clients, all on one event loop. */
+/** Order servers in three zones, discovery and clients, all on one event loop. Not thread-safe. */
 final class Site {
     static final List<String> ZONES = List.of("ebene", "port-louis", "rose-belle");
-    private static final int SERVERS = 6;
-    private static final int CLIENTS = 36;
-    private static final int QUEUE = 48;
-    private static final double IMPATIENT = 0.005;
+    private static final int SERVER_COUNT = 6;
+    private static final int CLIENT_COUNT = 36;
+    private static final int QUEUE_LENGTH = 48;
+    private static final double IMPATIENT_SHARE = 0.005;
 
-    /** Within so long a bad client is owed an error or a close. */
-    private static final long OWED = TimeUnit.SECONDS.toNanos(3) + Verdict.MACHINE;
+    /** Nanoseconds within which a bad client must receive an error or a close. */
+    private static final long BAD_CLIENT_LIMIT_NANOS =
+            TimeUnit.SECONDS.toNanos(3) + Verdict.TOLERANCE;
 
     final EventLoop loop;
     final RealTime time = new RealTime();
     final SiteLog log = new SiteLog();
     final LoopbackRegistry registry;
 
-    /** Those that run, in the order of their starts. */
+    /** The running servers, in the order in which they became ready. */
     final List<LoopbackServer> servers = new ArrayList<>();
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final RepeatMemory memory = new RepeatMemory(0);
     LoopbackClients clients;
     BadClients badClients;
@@ -44,22 +45,22 @@
 
     Site(EventLoop loop, long seed) {
         this.loop = loop;
-        this.chance = new SplittableRandom(seed);
-        this.turn = chance.nextInt(SERVERS);
+        this.random = new SplittableRandom(seed);
+        this.turn = random.nextInt(SERVER_COUNT);
         this.registry = new LoopbackRegistry(loop, time, log);
     }
 
-    /** Opens all that a sidecar needs to start; blocks, so never to be called on the loop. */
+    /** Opens discovery and the servers. Blocks; must not be called on the event loop. */
     void open() throws InterruptedException {
         registry.listen();
-        for (int i = 0; i < SERVERS; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             LoopbackServer server = server(ZONES.get(i % ZONES.size()), false);
             server.listen();
             loop.submit(() -> ready(server)).sync();
         }
     }
 
-    /** The applications beside a sidecar, and some that misbehave. */
+    /** Creates the clients of the sidecar at this port, including bad clients. */
     void attach(int port, double rate) {
         InetSocketAddress sidecar = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         clients =
@@ -67,10 +68,11 @@
                         loop,
                         time,
                         sidecar,
-                        new LoopbackClients.Habits(CLIENTS, rate, IMPATIENT, Verdict.MACHINE),
-                        chance.split(),
+                        new LoopbackClients.Habits(
+                                CLIENT_COUNT, rate, IMPATIENT_SHARE, Verdict.TOLERANCE),
+                        random.split(),
                         log);
-        badClients = new BadClients(loop, sidecar, OWED, log);
+        badClients = new BadClients(loop, sidecar, BAD_CLIENT_LIMIT_NANOS, log);
     }
 
     private LoopbackServer server(String zone, boolean cold) {
@@ -79,9 +81,9 @@
                         loop,
                         time,
                         new LoopbackServer.Identity(
-                                "s" + ++started, zone, ColdStart.Figures.USUAL, QUEUE, cold),
+                                "s" + ++started, zone, ColdStart.Figures.USUAL, QUEUE_LENGTH, cold),
                         memory,
-                        chance.split(),
+                        random.split(),
                         log);
         log.started(server.identity().name(), cold, time.nanos());
         return server;
@@ -89,11 +91,11 @@
 
     private void ready(LoopbackServer server) {
         servers.add(server);
-        say(server, State.READY);
+        announce(server, State.READY);
     }
 
-    /** Discovery comes to know this of a server. */
-    void say(LoopbackServer server, State state) {
+    /** Sets the state of a server in discovery. */
+    void announce(LoopbackServer server, State state) {
         registry.set(
                 new LoopbackRegistry.Entry(
                         server.identity().name(),
@@ -103,29 +105,32 @@
                         server.bootMillis()));
     }
 
-    /** Starts another one at the address of one that is no more. */
+    /** Starts a cold server at the address of one that has ended. */
     LoopbackServer replace(LoopbackServer gone) {
-        return begin(gone.identity().zone(), gone.port());
+        return startCold(gone.identity().zone(), gone.port());
     }
 
-    /** Starts another one at an address of its own. */
+    /** Starts a cold server at a new address. */
     LoopbackServer add(String zone) {
-        return begin(zone, 0);
+        return startCold(zone, 0);
     }
 
-    private LoopbackServer begin(String zone, int port) {
+    private LoopbackServer startCold(String zone, int port) {
         LoopbackServer server = server(zone, true);
         server.listen(port, () -> ready(server));
         return server;
     }
 
-    /** One that runs, drawn at first and then in turn, so that faults strike different ones. */
-    LoopbackServer another() {
+    /**
+     * Returns the running servers in turn, from a random one on, so that faults affect different
+     * ones.
+     */
+    LoopbackServer nextServer() {
         turn++;
         return servers.get(turn % servers.size());
     }
 
-    /** The process ends. */
+    /** Ends a server abruptly, as a crashed process does. */
     void end(LoopbackServer server) {
         servers.remove(server);
         server.crash();
--- a/testbed/src/main/java/appleridge/testbed/demo/SiteLog.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SiteLog.java
@@ -9,9 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All that clients, servers and discovery saw, for the verdict and the board. */
+/**
+ * Records what clients, servers and discovery observe, for the verdict and the board. Not
+ * thread-safe; times are in nanoseconds.
+ */
 final class SiteLog implements StandInListener {
-    /** What became of one try of a client. */
+    /** One request of a client and its outcome. */
     static final class Try {
         final Ask ask;
         boolean taken;
@@ -40,16 +43,16 @@
         }
     }
 
-    /** A server process. */
+    /** The start of a server process. */
     record Life(boolean cold, long startedAt) {}
 
-    /** A state of a server that discovery came to know. */
+    /** A change of the state of a server in discovery. */
     static final class Change {
         final String server;
         final LoopbackRegistry.State state;
         final long knownAt;
 
-        /** When it was first written to the sidecar; the largest value if never. */
+        /** When it was first sent to the sidecar; {@link Long#MAX_VALUE} if never. */
         long toldAt = Long.MAX_VALUE;
 
         private Change(String server, LoopbackRegistry.State state, long knownAt) {
@@ -59,12 +62,12 @@
         }
     }
 
-    /** What became of a client that does not speak as it should. */
+    /** The outcome of a client that violates the protocol. */
     record BadClient(String what, String how, boolean served) {}
 
     final Map<String, Try> tries = new LinkedHashMap<>();
 
-    /** In the order of their coming. */
+    /** All arrivals at servers, in their order. */
     final List<Arrival> arrivals = new ArrayList<>();
 
     final Map<String, Life> lives = new LinkedHashMap<>();
@@ -73,7 +76,7 @@
     final List<BadClient> badClients = new ArrayList<>();
     final List<String> unasked = new ArrayList<>();
 
-    /** Tries that have ended since this was last emptied. */
+    /** Requests that have ended since this was last cleared. */
     final List<Try> fresh = new ArrayList<>();
 
     @Override
@@ -88,19 +91,19 @@
 
     @Override
     public void answered(String id, int status, String body, long at) {
-        Try answered = tries.get(id);
-        answered.statuses.add(status);
-        answered.body = body;
-        answered.endedAt = at;
-        fresh.add(answered);
+        Try request = tries.get(id);
+        request.statuses.add(status);
+        request.body = body;
+        request.endedAt = at;
+        fresh.add(request);
     }
 
     @Override
     public void ended(String id, Ending how, long at) {
-        Try ended = tries.get(id);
-        ended.ending = how;
-        ended.endedAt = at;
-        fresh.add(ended);
+        Try request = tries.get(id);
+        request.ending = how;
+        request.endedAt = at;
+        fresh.add(request);
     }
 
     @Override
@@ -126,17 +129,17 @@
     @Override
     public void arrived(Arrival arrival) {
         arrivals.add(arrival);
-        Try meant = tries.get(arrival.id());
-        if (meant != null) {
-            meant.arrivals.add(arrival);
+        Try request = tries.get(arrival.id());
+        if (request != null) {
+            request.arrivals.add(arrival);
         }
     }
 
     @Override
     public void made(String server, String id, String body) {
-        Try meant = tries.get(id);
-        if (meant != null) {
-            meant.made.add(body);
+        Try request = tries.get(id);
+        if (request != null) {
+            request.made.add(body);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/demo/Verdict.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Verdict.java
@@ -16,22 +16,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The four rules, judged from what clients, servers and discovery saw; never from the sidecar's own
- * word.
+ * Checks the four rules from the observations of clients, servers and discovery; nothing that the
+ * sidecar reports is used.
  *
- * <p>This machine may be busy with other things, and neither the sidecar nor the stand-ins are to
- * be blamed for that: where a moment seen by one stand-in is held against another's, {@link
- * #MACHINE} is let pass.
+ * <p>On a busy machine, the sidecar and the stand-ins may be delayed without fault. So comparisons
+ * between times that different stand-ins observed allow for {@link #TOLERANCE}.
  */
 final class Verdict {
-    /** For a machine that stands still: what is less late than this is not told from it. */
-    static final long MACHINE = TimeUnit.SECONDS.toNanos(1);
+    /** Nanoseconds of delay that a pause of the machine may cause. */
+    static final long TOLERANCE = TimeUnit.SECONDS.toNanos(1);
 
-    /** The stated grace after a drain is told, and the time limits' margin on sockets. */
-    static final long GRACE = TimeUnit.MILLISECONDS.toNanos(2000 + 50);
+    /**
+     * Nanoseconds after a drain was sent within which requests may still arrive: the configured
+     * {@code stopSendingWithin} and a margin for sockets.
+     */
+    static final long DRAIN_GRACE = TimeUnit.MILLISECONDS.toNanos(2000 + 50);
 
-    /** What discovery has to tell counts as told by then, whether or not it arrived. */
-    static final long TOLD_BY = TimeUnit.SECONDS.toNanos(6);
+    /** Nanoseconds after which a change in discovery counts as sent even if it was not. */
+    static final long REPORT_LIMIT = TimeUnit.SECONDS.toNanos(6);
 
     private final SiteLog log;
 
@@ -39,11 +41,12 @@
         this.log = log;
     }
 
+    /** Returns one finding per rule, always in the same order. */
     List<Finding> findings() {
-        return List.of(lost(), twice(), drains(), cold());
+        return List.of(checkLost(), checkTwice(), checkDrains(), checkCold());
     }
 
-    private Finding lost() {
+    private Finding checkLost() {
         List<String> broken = new ArrayList<>();
         int taken = 0;
         int answered = 0;
@@ -56,18 +59,19 @@
                 broken.add(name + ": " + lost);
             }
             if (each.served() && !each.made.contains(each.body)) {
-                broken.add(name + ": served with what no server made for it: " + each.body);
+                broken.add(
+                        name + ": served with a body that no server produced for it: " + each.body);
             }
             boolean sentLate =
                     each.over()
                             && each.ending != Ending.GAVE_UP
                             && each.arrivals.stream()
-                                    .anyMatch(a -> a.firstByte() > each.endedAt + MACHINE);
+                                    .anyMatch(a -> a.firstByte() > each.endedAt + TOLERANCE);
             if (sentLate) {
-                broken.add(name + ": still sent on after its final answer");
+                broken.add(name + ": forwarded after its final answer");
             }
         }
-        log.unasked.forEach(who -> broken.add(who + ": bytes that no request waited for"));
+        log.unasked.forEach(who -> broken.add(who + ": received bytes that no request waited for"));
         log.badClients.stream()
                 .filter(SiteLog.BadClient::served)
                 .forEach(bad -> broken.add("a client that sent " + bad.what() + " was served"));
@@ -83,42 +87,43 @@
             return "answered more than once: " + each.statuses;
         }
         if (each.arrivals.stream().anyMatch(a -> a.firstByte() <= each.sentAgainAt)) {
-            return "its connection was closed though it had been sent on";
+            return "its connection was closed though it had been forwarded";
         }
         if (each.ending == Ending.SILENT) {
             return "no answer";
         }
-        // What was closed with nothing sent on for it has failed: its client may ask again.
+        // A connection closed before its request was forwarded is a failure that permits a retry.
         return each.ending == Ending.CLOSED_FIRST && !each.arrivals.isEmpty()
                 ? "its connection was closed without an answer"
                 : null;
     }
 
-    /** An arrival that was not turned away may have run, whether or not its answer came. */
-    private Finding twice() {
+    /** An arrival that was not rejected may have been executed, even without a response. */
+    private Finding checkTwice() {
         List<String> broken = new ArrayList<>();
-        RepeatMemory memory = new RepeatMemory(MACHINE);
+        RepeatMemory memory = new RepeatMemory(TOLERANCE);
         Map<String, Arrival> effects = new HashMap<>();
         int repeats = 0;
         for (Arrival arrival : log.arrivals) {
-            SiteLog.Try of = log.tries.get(arrival.id());
-            if (of == null) {
+            SiteLog.Try request = log.tries.get(arrival.id());
+            if (request == null) {
                 broken.add(
                         arrival.server()
                                 + " was sent "
                                 + arrival.id()
-                                + ", which no client asks for");
-            } else if (!arrival.turnedAway() && of.ask.kind().repeats() != Repeats.SAFE) {
+                                + ", which no client requested");
+            } else if (!arrival.turnedAway() && request.ask.kind().repeats() != Repeats.SAFE) {
                 String zone = arrival.zone();
                 boolean effect =
-                        memory.takesEffect(of.ask.kind(), arrival.key(), zone, arrival.lastByte());
-                Arrival before = effects.putIfAbsent(of.ask.wish(), arrival);
+                        memory.takesEffect(
+                                request.ask.kind(), arrival.key(), zone, arrival.lastByte());
+                Arrival before = effects.putIfAbsent(request.ask.wish(), arrival);
                 repeats += before == null ? 0 : 1;
                 if (before != null && effect) {
                     broken.add(
-                            of.ask.kind().name()
+                            request.ask.kind().name()
                                     + " "
-                                    + of.ask.wish()
+                                    + request.ask.wish()
                                     + ": at "
                                     + before.server()
                                     + " in "
@@ -133,18 +138,20 @@
                 }
             }
         }
-        refusedThoughRun(broken);
+        checkRefusals(broken);
         return new Finding(
                 "no effect happens twice",
                 log.arrivals.size()
                         + " sent to servers, "
                         + repeats
-                        + " of them repeats that the servers drop",
+                        + " of them retries that the servers deduplicate",
                 broken);
     }
 
-    /** A refusal says that trying again is harmless. */
-    private void refusedThoughRun(List<String> broken) {
+    /**
+     * A refusal tells the client that a retry is safe, so the request must not have been executed.
+     */
+    private void checkRefusals(List<String> broken) {
         for (SiteLog.Try each : log.tries.values()) {
             Repeats repeats = each.ask.kind().repeats();
             boolean harmful = repeats == Repeats.UNSAFE || repeats == Repeats.KEYED_BY_ZONE;
@@ -155,13 +162,12 @@
                         each.ask.kind().name()
                                 + " "
                                 + each.ask.id()
-                                + ": refused, as if it could be tried again, though it may have"
-                                + " run");
+                                + ": refused as safe to retry, though it may have been executed");
             }
         }
     }
 
-    private Finding drains() {
+    private Finding checkDrains() {
         List<String> broken = new ArrayList<>();
         Map<String, Long> toldAt = new HashMap<>();
         int drains = 0;
@@ -169,7 +175,7 @@
             if (change.state != State.READY) {
                 toldAt.merge(
                         change.server,
-                        Math.min(change.toldAt, change.knownAt + TOLD_BY),
+                        Math.min(change.toldAt, change.knownAt + REPORT_LIMIT),
                         Math::min);
                 drains += change.state == State.TERMINATING ? 1 : 0;
             }
@@ -179,28 +185,28 @@
             long after =
                     arrival.firstByte() - toldAt.getOrDefault(arrival.server(), Long.MAX_VALUE);
             last = Math.max(last, after);
-            if (after > GRACE) {
+            if (after > DRAIN_GRACE) {
                 broken.add(
                         arrival.server()
                                 + " was sent "
                                 + arrival.id()
                                 + " "
                                 + seconds(after)
-                                + " after it was told to be draining or gone");
+                                + " after it was reported as draining or gone");
             }
         }
         return new Finding(
                 "drains are kept",
                 drains
-                        + " told, the last request to begin after it "
+                        + " drains reported, the last request that began afterwards "
                         + (last > 0 ? "came " + seconds(last) + " later" : "came before"),
                 broken);
     }
 
-    private Finding cold() {
+    private Finding checkCold() {
         List<String> broken = new ArrayList<>();
         Map<String, ColdStart> starts = new HashMap<>();
-        Set<String> tipped = new HashSet<>(log.fallen);
+        Set<String> overloaded = new HashSet<>(log.fallen);
         int cold = 0;
         for (Map.Entry<String, SiteLog.Life> life : log.lives.entrySet()) {
             starts.put(
@@ -211,21 +217,21 @@
                             life.getValue().startedAt()));
             cold += life.getValue().cold() ? 1 : 0;
         }
-        double most = 0;
+        double maxLoad = 0;
         for (Arrival arrival : log.arrivals) {
-            double part = starts.get(arrival.server()).sent(arrival.lastByte(), arrival.work());
-            most = Math.max(most, part);
-            if (part > 1) {
-                tipped.add(arrival.server());
+            double load = starts.get(arrival.server()).sent(arrival.lastByte(), arrival.work());
+            maxLoad = Math.max(maxLoad, load);
+            if (load > 1) {
+                overloaded.add(arrival.server());
             }
         }
-        tipped.forEach(server -> broken.add(server + " fell over while it was cold"));
+        overloaded.forEach(server -> broken.add(server + " fell over while it was cold"));
         return new Finding(
                 "no cold server is pushed over",
                 cold
                         + " started cold, sent at most "
-                        + Math.round(100 * most)
-                        + " % of what would tip one",
+                        + Math.round(100 * maxLoad)
+                        + " % of the load that overloads one",
                 broken);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/ArchitectureTest.java
+++ b/testbed/src/test/java/appleridge/testbed/ArchitectureTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class ArchitectureTest {
-    /** Guards against proofs that start another system's server: all stand-ins are our own. */
+    /** Guards against tests that start a third-party server: all stand-ins are in this project. */
     @Test
-    void nothingKnowsAThirdPartysServer() {
+    void noClassDependsOnTheZooKeeperServer() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -16,9 +16,9 @@
                 .check(new ClassFileImporter().importPackages("appleridge"));
     }
 
-    /** Guards against a coordination stand-in that only real sockets and threads can play. */
+    /** Guards against a coordination stand-in that runs only with real sockets and threads. */
     @Test
-    void theCoordinationStandInsCoreIsPure() {
+    void coreOfTheCoordinationStandInUsesNoSocketsOrThreads() {
         noClasses()
                 .that()
                 .haveNameMatching(
--- a/testbed/src/test/java/appleridge/testbed/demo/DemoIT.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/DemoIT.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged rig, playing the packaged sidecar. */
+/** Runs the packaged demo with the packaged sidecar. */
 @Timeout(180)
 class DemoIT {
     @TempDir private Path temporary;
@@ -41,10 +41,10 @@
     }
 
     @Test
-    void theFourRulesHoldAndNothingIsLeftBehind() throws Exception {
+    void fourRulesHoldAndNoFilesAreLeft() throws Exception {
         Process demo = demo("--seconds", "6");
-        String said = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, demo.waitFor(), said);
+        String output = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, demo.waitFor(), output);
         for (String rule :
                 new String[] {
                     "no request is lost +kept",
@@ -53,19 +53,19 @@
                     "no cold server is pushed over +kept",
                     "the four rules held"
                 }) {
-            assertTrue(said.lines().anyMatch(line -> line.matches(rule + ".*")), said);
+            assertTrue(output.lines().anyMatch(line -> line.matches(rule + ".*")), output);
         }
         assertTrue(leftNothing());
     }
 
-    /** As with Ctrl-C: the sidecar must not outlive the demo, nor its folder. */
+    /** Guards against a sidecar or a temporary folder that outlives a demo ended by a signal. */
     @Test
-    void whenEndedFromOutsideItTakesTheSidecarWithIt() throws Exception {
+    void sidecarEndsWithATerminatedDemo() throws Exception {
         Process demo = demo("--seconds", "600");
-        try (var said = demo.inputReader()) {
-            String line = said.readLine();
+        try (var output = demo.inputReader()) {
+            String line = output.readLine();
             while (line != null && !line.contains("served")) {
-                line = said.readLine();
+                line = output.readLine();
             }
             List<ProcessHandle> children = demo.children().toList();
             assertEquals(1, children.size());
@@ -79,10 +79,10 @@
     }
 
     @Test
-    void aMissingJarIsNamed() throws Exception {
+    void missingJarIsNamed() throws Exception {
         Process demo = demo("--jar", "no-such.jar");
-        String said = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(demo.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(2, demo.waitFor());
-        assertTrue(said.startsWith("demo: no such file: no-such.jar"), said);
+        assertTrue(output.startsWith("demo: no such file: no-such.jar"), output);
     }
 }
--- a/testbed/src/test/java/appleridge/testbed/demo/VerdictTest.java
+++ b/testbed/src/test/java/appleridge/testbed/demo/VerdictTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each rule kept and broken, on logs written by hand. Times are in milliseconds. */
+/** Tests each rule kept and broken on constructed logs. Times are in milliseconds. */
 class VerdictTest {
     private static final int CHECK = 0;
     private static final int HOLD = 1;
@@ -49,7 +49,7 @@
         log.taken(id, millis(at));
     }
 
-    /** At s1 in zone a, s2 in zone b, s3 in zone a. */
+    /** Servers s1 and s3 are in zone a, s2 in zone b. */
     private void arrives(String id, String server, long at, boolean turnedAway) {
         Ask ask = log.tries.get(id).ask;
         log.arrived(
@@ -78,7 +78,7 @@
         new Verdict(log).findings().forEach(each -> assertTrue(each.kept(), each.toString()));
     }
 
-    /** Only this rule, and told in these words. */
+    /** Asserts that only this rule is broken, with this text in its violations. */
     private void assertBroken(String rule, String words) {
         List<Finding> broken = new ArrayList<>(new Verdict(log).findings());
         broken.removeIf(Finding::kept);
@@ -100,12 +100,12 @@
     }
 
     @Test
-    void anEmptyLogKeepsAll() {
+    void emptyLogBreaksNoRule() {
         assertKept();
     }
 
     @Test
-    void anAnswerOfAnyKindLosesNothing() {
+    void requestWithAnyAnswerIsNotLost() {
         asks("served", CHECK, 0);
         runs("served", "s1", 5);
         answered("served", 200, "served by s1", 50);
@@ -118,20 +118,20 @@
     }
 
     @Test
-    void aRequestThatIsOpenAtTheEndIsLost() {
+    void requestOpenAtTheEndIsLost() {
         asks("r", CHECK, 0);
         assertLost("still open");
     }
 
     @Test
-    void silenceLosesARequest() {
+    void requestWithoutAnswerIsLost() {
         asks("r", CHECK, 0);
         log.ended("r", Ending.SILENT, millis(1400));
         assertLost("no answer");
     }
 
     @Test
-    void aConnectionClosedAfterItsRequestWasSentOnLosesIt() {
+    void requestIsLostIfItsConnectionClosesAfterForwarding() {
         asks("r", CHECK, 0);
         runs("r", "s1", 5);
         log.ended("r", Ending.CLOSED_FIRST, millis(50));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void whatWasNotSentOnMayBeClosedAndWhatWasCutCanBeTold() {
+    void unforwardedCutAndAbandonedRequestsAreNotLost() {
         asks("closed", CHECK, 0);
         log.ended("closed", Ending.CLOSED_FIRST, millis(50));
         asks("cut", CHECK, 0);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aKeptConnectionMayCloseBeforeItsRequestIsSentOnButNotAfter() {
+    void reusedConnectionMayCloseOnlyBeforeItsRequestIsForwarded() {
         asks("crossed", CHECK, 0);
         log.sentAgain("crossed", millis(10));
         runs("crossed", "s1", 20);
@@ -163,11 +163,11 @@
         runs("dropped", "s1", 5);
         log.sentAgain("dropped", millis(10));
         answered("dropped", 503, "", 50);
-        assertLost("closed though it had been sent on");
+        assertLost("closed though it had been forwarded");
     }
 
     @Test
-    void twoAnswersBreakTheFirstRule() {
+    void secondAnswerIsAViolation() {
         asks("r", CHECK, 0);
         runs("r", "s1", 5);
         answered("r", 200, "r by s1", 50);
@@ -176,34 +176,34 @@
     }
 
     @Test
-    void anAnswerNobodyWaitedForBreaksTheFirstRule() {
+    void unsolicitedAnswerIsAViolation() {
         log.unasked("/127.0.0.1:1", millis(5));
         assertLost("no request waited");
     }
 
     @Test
-    void anAnswerMadeForAnotherRequestBreaksTheFirstRule() {
+    void answerOfAnotherRequestIsAViolation() {
         asks("mine", CHECK, 0);
         runs("mine", "s1", 5);
         asks("other", CHECK, 0);
         runs("other", "s1", 5);
         answered("mine", 200, "other by s1", 50);
         answered("other", 200, "other by s1", 50);
-        assertLost("no server made for it");
+        assertLost("no server produced for it");
     }
 
     @Test
-    void nothingIsSentOnAfterTheFinalAnswer() {
+    void forwardingAfterTheFinalAnswerIsAViolation() {
         asks("r", CHECK, 0);
         answered("r", 503, "", 50);
         arrives("r", "s1", 1049, true);
         assertKept();
         arrives("r", "s1", 1051, true);
-        assertLost("after its final answer");
+        assertLost("forwarded after its final answer");
     }
 
     @Test
-    void aBadClientMustNotBeServed() {
+    void servedBadClientIsAViolation() {
         log.badClient("noise", "turned away", false);
         assertKept();
         log.badClient("no id", "served", true);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void anUnsafeRequestGoesOutAgainOnlyIfItHasNotRun() {
+    void unsafeRequestIsRetriedOnlyIfNotExecuted() {
         asks("r", INVOICE, 0);
         arrives("r", "s1", 5, true);
         runs("r", "s2", 10);
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void aKeyedRequestIsRepeatedInsideItsGroupOnly() {
+    void keyedRequestIsRetriedOnlyInItsZone() {
         asks("r", HOLD, 0);
         arrives("r", "s1", 5, false);
         runs("r", "s3", 900);
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void aKeyedRequestIsRepeatedInsideItsWindowOnly() {
+    void keyedRequestIsRetriedOnlyInItsWindow() {
         asks("r", CONFIRM, 0);
         arrives("r", "s1", 5, false);
         arrives("r", "s2", 8500, false);
@@ -244,7 +244,7 @@
     }
 
     @Test
-    void whatIsSafeMayRunAnyNumberOfTimes() {
+    void safeRequestMayRunTwice() {
         asks("r", CHECK, 0);
         arrives("r", "s1", 5, false);
         runs("r", "s2", 100);
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void aRefusalSaysThatNothingHasRun() {
+    void refusedRequestMustNotHaveRun() {
         asks("all", CONFIRM, 0);
         arrives("all", "s1", 5, false);
         answered("all", 503, "", 50);
@@ -268,7 +268,7 @@
     }
 
     @Test
-    void aClientsRetryOfTheSameWishCounts() {
+    void clientRetryCountsAsASecondEffect() {
         asks("first", INVOICE, 0);
         arrives("first", "s1", 5, false);
         answered("first", 502, "", 50);
@@ -288,15 +288,15 @@
     }
 
     @Test
-    void whatNoClientAskedForMustNotReachAServer() {
+    void unknownRequestAtAServerIsAViolation() {
         log.arrived(
                 new Arrival(
                         "s1", "a", "bad-client", RequestKind.ALL.get(CHECK), null, 0, 0, 0, false));
-        assertTwice("which no client asks for");
+        assertTwice("which no client requested");
     }
 
     @Test
-    void aDrainIsKeptFromItsGraceOn() {
+    void drainingServerReceivesNothingAfterTheGracePeriod() {
         log.changed("s2", State.TERMINATING, 0);
         log.told("s2", State.TERMINATING, millis(1000));
         asks("r", CHECK, 3000);
@@ -308,7 +308,7 @@
     }
 
     @Test
-    void oneThatIsGoneTakesNothingEither() {
+    void goneServerReceivesNothingAfterTheGracePeriod() {
         log.changed("s2", State.GONE, 0);
         log.told("s2", State.GONE, millis(1000));
         asks("r", CHECK, 3000);
@@ -318,7 +318,7 @@
     }
 
     @Test
-    void aDrainThatNeverArrivedCountsAsToldInTheEnd() {
+    void unreportedDrainCountsAsReportedAfterALimit() {
         log.changed("s2", State.TERMINATING, 0);
         asks("r", CHECK, 7000);
         answered("r", 503, "", 9000);
@@ -329,8 +329,9 @@
     }
 
     @Test
-    void aColdServerTakesWhatItCanButNotMuchMore() {
-        // Four times what it can do after a second, 47 % of three cores, for 1.5 s: 8.5 s of work.
+    void overloadOfAColdServerIsAViolation() {
+        // After one second, its capacity is 47 % of three cores; four times that for 1.5 s is 8.5 s
+        // of work.
         for (int i = 0; i < 100; i++) {
             asks("r" + i, INVOICE, 0);
             arrives("r" + i, "s3", 10L * i, true);
@@ -347,7 +348,7 @@
     }
 
     @Test
-    void aServerThatFellOverBreaksTheFourthRule() {
+    void coldServerThatFellOverIsAViolation() {
         log.fellOver("s3", millis(5));
         assertBroken("no cold server is pushed over", "s3 fell over");
     }
