--- a/testbed/src/main/java/appleridge/testbed/demo/Demo.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Demo.java
@@ -146,8 +146,8 @@
     }
 
     private static void line(Board board, Site site, String now) {
-        board.line(site.log.fresh, now);
-        site.log.fresh.clear();
+        board.line(site.log.newlyEnded, now);
+        site.log.newlyEnded.clear();
     }
 
     private static <T> T onLoop(Site site, Callable<T> action)
--- a/testbed/src/main/java/appleridge/testbed/demo/SiteLog.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/SiteLog.java
@@ -22,7 +22,7 @@
         String body;
         Ending ending;
         long endedAt;
-        long sentAgainAt = Long.MIN_VALUE;
+        long resentAt = Long.MIN_VALUE;
         final List<Arrival> arrivals = new ArrayList<>();
         final Set<String> made = new HashSet<>();
 
@@ -44,7 +44,7 @@
     }
 
     /** The start of a server process. */
-    record Life(boolean cold, long startedAt) {}
+    record ServerStart(boolean cold, long startedAt) {}
 
     /** A change of the state of a server in discovery. */
     static final class Change {
@@ -53,7 +53,7 @@
         final long knownAt;
 
         /** When it was first sent to the sidecar; {@link Long#MAX_VALUE} if never. */
-        long toldAt = Long.MAX_VALUE;
+        long sentAt = Long.MAX_VALUE;
 
         private Change(String server, LoopbackRegistry.State state, long knownAt) {
             this.server = server;
@@ -70,14 +70,16 @@
     /** All arrivals at servers, in their order. */
     final List<Arrival> arrivals = new ArrayList<>();
 
-    final Map<String, Life> lives = new LinkedHashMap<>();
+    final Map<String, ServerStart> serverStarts = new LinkedHashMap<>();
     final List<Change> changes = new ArrayList<>();
-    final List<String> fallen = new ArrayList<>();
+    final List<String> fallenServers = new ArrayList<>();
     final List<BadClient> badClients = new ArrayList<>();
-    final List<String> unasked = new ArrayList<>();
+
+    /** Connections on which a client received bytes that no request waited for. */
+    final List<String> unsolicited = new ArrayList<>();
 
     /** Requests that have ended since this was last cleared. */
-    final List<Try> fresh = new ArrayList<>();
+    final List<Try> newlyEnded = new ArrayList<>();
 
     @Override
     public void asks(Ask ask) {
@@ -95,7 +97,7 @@
         request.statuses.add(status);
         request.body = body;
         request.endedAt = at;
-        fresh.add(request);
+        newlyEnded.add(request);
     }
 
     @Override
@@ -103,17 +105,17 @@
         Try request = tries.get(id);
         request.ending = how;
         request.endedAt = at;
-        fresh.add(request);
+        newlyEnded.add(request);
     }
 
     @Override
     public void sentAgain(String id, long at) {
-        tries.get(id).sentAgainAt = at;
+        tries.get(id).resentAt = at;
     }
 
     @Override
     public void unasked(String connection, long at) {
-        unasked.add(connection);
+        unsolicited.add(connection);
     }
 
     @Override
@@ -123,7 +125,7 @@
 
     @Override
     public void started(String server, boolean cold, long at) {
-        lives.put(server, new Life(cold, at));
+        serverStarts.put(server, new ServerStart(cold, at));
     }
 
     @Override
@@ -145,7 +147,7 @@
 
     @Override
     public void fellOver(String server, long at) {
-        fallen.add(server);
+        fallenServers.add(server);
     }
 
     @Override
@@ -157,7 +159,7 @@
     public void told(String server, LoopbackRegistry.State state, long at) {
         for (Change change : changes) {
             if (change.server.equals(server) && change.state == state) {
-                change.toldAt = Math.min(change.toldAt, at);
+                change.sentAt = Math.min(change.sentAt, at);
             }
         }
     }
--- a/testbed/src/main/java/appleridge/testbed/demo/Verdict.java
+++ b/testbed/src/main/java/appleridge/testbed/demo/Verdict.java
@@ -71,7 +71,8 @@
                 broken.add(name + ": forwarded after its final answer");
             }
         }
-        log.unasked.forEach(who -> broken.add(who + ": received bytes that no request waited for"));
+        log.unsolicited.forEach(
+                who -> broken.add(who + ": received bytes that no request waited for"));
         log.badClients.stream()
                 .filter(SiteLog.BadClient::served)
                 .forEach(bad -> broken.add("a client that sent " + bad.what() + " was served"));
@@ -86,7 +87,7 @@
         if (each.statuses.size() > 1) {
             return "answered more than once: " + each.statuses;
         }
-        if (each.arrivals.stream().anyMatch(a -> a.firstByte() <= each.sentAgainAt)) {
+        if (each.arrivals.stream().anyMatch(a -> a.firstByte() <= each.resentAt)) {
             return "its connection was closed though it had been forwarded";
         }
         if (each.ending == Ending.SILENT) {
@@ -169,13 +170,13 @@
 
     private Finding checkDrains() {
         List<String> broken = new ArrayList<>();
-        Map<String, Long> toldAt = new HashMap<>();
+        Map<String, Long> reportedAt = new HashMap<>();
         int drains = 0;
         for (SiteLog.Change change : log.changes) {
             if (change.state != State.READY) {
-                toldAt.merge(
+                reportedAt.merge(
                         change.server,
-                        Math.min(change.toldAt, change.knownAt + REPORT_LIMIT),
+                        Math.min(change.sentAt, change.knownAt + REPORT_LIMIT),
                         Math::min);
                 drains += change.state == State.TERMINATING ? 1 : 0;
             }
@@ -183,7 +184,7 @@
         long last = 0;
         for (Arrival arrival : log.arrivals) {
             long after =
-                    arrival.firstByte() - toldAt.getOrDefault(arrival.server(), Long.MAX_VALUE);
+                    arrival.firstByte() - reportedAt.getOrDefault(arrival.server(), Long.MAX_VALUE);
             last = Math.max(last, after);
             if (after > DRAIN_GRACE) {
                 broken.add(
@@ -206,16 +207,16 @@
     private Finding checkCold() {
         List<String> broken = new ArrayList<>();
         Map<String, ColdStart> starts = new HashMap<>();
-        Set<String> overloaded = new HashSet<>(log.fallen);
+        Set<String> overloaded = new HashSet<>(log.fallenServers);
         int cold = 0;
-        for (Map.Entry<String, SiteLog.Life> life : log.lives.entrySet()) {
+        for (Map.Entry<String, SiteLog.ServerStart> start : log.serverStarts.entrySet()) {
             starts.put(
-                    life.getKey(),
+                    start.getKey(),
                     new ColdStart(
                             ColdStart.Figures.USUAL,
-                            life.getValue().cold(),
-                            life.getValue().startedAt()));
-            cold += life.getValue().cold() ? 1 : 0;
+                            start.getValue().cold(),
+                            start.getValue().startedAt()));
+            cold += start.getValue().cold() ? 1 : 0;
         }
         double maxLoad = 0;
         for (Arrival arrival : log.arrivals) {
