--- a/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
+++ b/testbed/src/test/java/appleridge/testbed/lease/LeaseStoreTest.java
@@ -66,7 +66,7 @@
 
         @Override
         public void onConflict(long requestId) {
-            texts.add("conflicted " + requestId);
+            texts.add("conflict " + requestId);
         }
 
         @Override
@@ -81,12 +81,12 @@
 
         @Override
         public void onHeadOfQueue() {
-            texts.add("front");
+            texts.add("head of queue");
         }
 
         @Override
         public void onRecordRecreated(String reason) {
-            texts.add("broken");
+            texts.add("recreated");
         }
 
         /** Waits for this event and discards earlier ones. */
@@ -181,11 +181,11 @@
         store.write(2, -1, entry(1, "a/2", false));
         events.await("written 2 version 0");
         store.write(3, -1, entry(1, "a/3", false));
-        events.await("conflicted 3");
+        events.await("conflict 3");
         store.write(4, 0, entry(1, "a/4", false));
         events.await("written 4 version 1");
         store.write(5, 0, entry(1, "a/5", false));
-        events.await("conflicted 5");
+        events.await("conflict 5");
         store.read(6);
         events.await("read 6");
         assertEquals(
@@ -260,22 +260,22 @@
                 Thread.onSpinWait();
             }
         }
-        events[0].await("front");
+        events[0].await("head of queue");
         stores[0].setQueued(false);
-        events[1].await("front");
+        events[1].await("head of queue");
         stores[1].setQueued(false);
         stores[1].setQueued(true);
-        events[1].await("front");
+        events[1].await("head of queue");
         stores[1].setQueued(false);
-        events[2].await("front");
+        events[2].await("head of queue");
         stores[1].setQueued(true);
         stores[2].close();
-        events[1].await("front");
+        events[1].await("head of queue");
         for (long session : server.sessions()) {
             server.expire(session);
         }
         events[1].await("disconnected");
-        events[1].await("front");
+        events[1].await("head of queue");
         assertEquals(1, operator().getChildren(ROOT + "/nightly/line", false).size());
     }
 
@@ -317,7 +317,7 @@
         first.write(3, 1, entry(1, "a/3", false));
         one.await("written 3 version 2");
         behind.write(2, 1, entry(2, "b/2", false));
-        other.await("conflicted 2");
+        other.await("conflict 2");
     }
 
     @Test
@@ -350,7 +350,7 @@
         operator.delete(RECORD, -1);
         operator.create(RECORD, data, OPEN, CreateMode.PERSISTENT);
         store.write(3, 0, entry(1, "a/3", false));
-        events.await("broken");
+        events.await("recreated");
     }
 
     @Test
@@ -378,7 +378,9 @@
         events.await("connected");
     }
 
-    /** The same as above for a holder that created the record itself and never read it. */
+    /**
+     * Guards against a recreated record that its first creator, which never read it, overwrites.
+     */
     @Test
     void recordRecreatedAfterItsCreationIsReported() throws Exception {
         EventLog events = new EventLog();
@@ -389,7 +391,7 @@
         operator.delete(RECORD, -1);
         operator.create(RECORD, data, OPEN, CreateMode.PERSISTENT);
         store.write(3, 0, entry(1, "a/3", false));
-        assertEquals("broken", events.either("broken", "written 3 version 1"));
+        assertEquals("recreated", events.either("recreated", "written 3 version 1"));
     }
 
     /** Guards against a waiter that waits forever after an operator has deleted the queue node. */
@@ -399,6 +401,6 @@
         LeaseStore store = connected("a", events);
         operator().delete(ROOT + "/nightly/line", -1);
         store.setQueued(true);
-        events.await("front");
+        events.await("head of queue");
     }
 }
