--- a/sidecar/src/main/java/appleridge/config/Addresses.java
+++ b/sidecar/src/main/java/appleridge/config/Addresses.java
@@ -23,19 +23,19 @@
      * Parses {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; empty for any other text, including
      * host names.
      */
-    public static Optional<InetSocketAddress> literal(String text) {
+    public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || text.length() > MAX_CHARS) {
             return Optional.empty();
         }
-        int port = number(text.substring(colon + 1), 1, MAX_PORT);
+        int port = parseNumber(text.substring(colon + 1), 1, MAX_PORT);
         if (port == NOT_A_NUMBER) {
             return Optional.empty();
         }
         return host(text.substring(0, colon)).map(host -> new InetSocketAddress(host, port));
     }
 
-    /** The form that {@link #literal} parses, with an IPv6 address in brackets. */
+    /** The form that {@link #parse} parses, with an IPv6 address in brackets. */
     public static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Parses a bracketed IPv6 address. Only characters of an address are accepted, because then the
-     * JDK resolves nothing.
+     * Parses a bracketed IPv6 address. Text with characters that no IPv6 address has is rejected,
+     * so that {@link InetAddress#getByName} never resolves a name.
      */
     private static Optional<InetAddress> ipv6(String bracketed) throws UnknownHostException {
         boolean literal =
@@ -70,7 +70,7 @@
         }
         byte[] bytes = new byte[IPV4_BYTES];
         for (int i = 0; i < bytes.length; i++) {
-            int part = number(parts[i], 0, MAX_BYTE);
+            int part = parseNumber(parts[i], 0, MAX_BYTE);
             if (part == NOT_A_NUMBER) {
                 return Optional.empty();
             }
@@ -91,7 +91,7 @@
      * Parses a decimal number without leading zeros; {@link #NOT_A_NUMBER} if it is malformed or
      * outside of {@code min} to {@code max}.
      */
-    private static int number(String text, int min, int max) {
+    private static int parseNumber(String text, int min, int max) {
         if (text.isEmpty()
                 || text.length() > MAX_DIGITS
                 || text.length() > 1 && text.charAt(0) == '0'
--- a/sidecar/src/main/java/appleridge/config/Catalog.java
+++ b/sidecar/src/main/java/appleridge/config/Catalog.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The names that requests and endpoints refer to. The load-balancing policy identifies each by its
- * index in its list. Immutable.
+ * The names that requests and endpoints refer to. The load-balancing policy refers to a name by its
+ * index in the list. Immutable.
  *
  * @param requestClasses names that clients send in a request header
  * @param tenants names that clients send in a request header; empty if there is only one tenant
--- a/sidecar/src/main/java/appleridge/config/SidecarConfigParser.java
+++ b/sidecar/src/main/java/appleridge/config/SidecarConfigParser.java
@@ -85,7 +85,7 @@
      * @throws ConfigException naming {@code key} if it is not a literal IP address
      */
     static InetSocketAddress address(String key, String text) {
-        return Addresses.literal(text)
+        return Addresses.parse(text)
                 .orElseThrow(() -> ConfigException.notAllowed(key, text, ADDRESS_FORM));
     }
 
--- a/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
+++ b/sidecar/src/main/java/appleridge/config/operator/AddressKind.java
@@ -10,7 +10,7 @@
     public InetSocketAddress read(SourceValue source) {
         Optional<InetSocketAddress> address =
                 source.node().isTextual()
-                        ? Addresses.literal(source.node().textValue())
+                        ? Addresses.parse(source.node().textValue())
                         : Optional.empty();
         if (address.isEmpty()) {
             source.reject(
--- a/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
+++ b/sidecar/src/main/java/appleridge/config/operator/CheckConfig.java
@@ -65,7 +65,7 @@
             try {
                 summary = platform.read(config);
             } catch (IOException e) {
-                problem = firstLine(MessageText.unreadable(e));
+                problem = firstLine(MessageText.describeReadFailure(e));
             } catch (IllegalArgumentException e) {
                 problem = firstLine(String.valueOf(e.getMessage()));
             }
--- a/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
+++ b/sidecar/src/main/java/appleridge/config/operator/LeasesSection.java
@@ -19,10 +19,12 @@
  * @param tls {@code [leases.tls]}; empty for plain TCP
  * @param term how long a lease that is not renewed excludes other holders
  * @param drift how far the rate of a machine's clock may differ from true time, as a fraction
- * @param guard maximum age of a clock reading when a decision uses it
- * @param renewEvery interval between renewal requests, from request to request
- * @param longestPause the longest stall of the process that guards a command
- * @param longestAct how long ending a command and every process that it has started may take
+ * @param guard the maximum age of a clock reading by which a process decides that its lease is
+ *     still valid or that another holder's lease has expired
+ * @param renewEvery the interval from the start of one renewal request to the start of the next
+ * @param longestPause the assumed maximum stall of the process that guards a command
+ * @param longestAct the maximum time to end a command and every process that it has started; at
+ *     least {@code killAfter} plus {@link #KILL_ALLOWANCE}
  * @param killAfter how long a command has from SIGTERM to SIGKILL
  */
 public record LeasesSection(
@@ -139,15 +141,15 @@
         if (table.valid() && terminationTime().compareTo(longestAct) > 0) {
             table.reject(
                     "longest-act",
-                    "is shorter than kill-after and the time needed to kill, "
+                    "is too short: kill-after and the time to kill processes require at least "
                             + terminationTime().toMillis()
                             + "ms");
         }
         if (table.valid() && minTerm().compareTo(term) > 0) {
             table.reject(
                     "term",
-                    "is too short: this guard, drift, kill-after and two times renew-every"
-                            + " require at least "
+                    "is too short: guard, drift, kill-after and twice renew-every require"
+                            + " at least "
                             + minTerm().toMillis()
                             + "ms");
         }
--- a/sidecar/src/main/java/appleridge/config/operator/MessageText.java
+++ b/sidecar/src/main/java/appleridge/config/operator/MessageText.java
@@ -14,18 +14,18 @@
 
     private MessageText() {}
 
-    /** The path of a key within the table at a path. */
+    /** Appends a key to the path of its table. */
     static String child(String path, String key) {
-        String name = isBare(key) ? truncate(key) : quoted(key);
+        String name = isBareKey(key) ? truncate(key) : quoted(key);
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    /** The path of a list's item; {@code index} counts from 0, the path from 1. */
+    /** Appends an item to the path of its list; {@code index} counts from 0, the path from 1. */
     static String item(String path, int index) {
         return path + "[" + (index + 1) + "]";
     }
 
-    /** A value as it appears in messages; tables, lists and dates by their type only. */
+    /** Formats a string, number or boolean; for a table, list or date returns only its type. */
     static String value(JsonNode node) {
         return switch (node.getNodeType()) {
             case STRING -> quoted(node.textValue());
@@ -37,7 +37,7 @@
         };
     }
 
-    /** A number. Adds {@code .0} to 2.0, which the parser would otherwise print like 2. */
+    /** Formats a number. Adds {@code .0} to the float 2.0, which Jackson prints as 2. */
     private static String number(JsonNode node) {
         String text = node.asText();
         boolean looksWhole = text.chars().allMatch(c -> c == '-' || c >= '0' && c <= '9');
@@ -72,7 +72,7 @@
     }
 
     /** Describes why a file can't be read. */
-    static String unreadable(IOException e) {
+    static String describeReadFailure(IOException e) {
         if (e instanceof NoSuchFileException) {
             return "no such file";
         }
@@ -81,11 +81,13 @@
                 : String.valueOf(e.getMessage());
     }
 
-    static boolean isBare(String key) {
-        return !key.isEmpty() && key.chars().allMatch(MessageText::isBare);
+    /** Whether a key needs no quotes in TOML. */
+    static boolean isBareKey(String key) {
+        return !key.isEmpty() && key.chars().allMatch(MessageText::isBareKeyChar);
     }
 
-    static boolean isBare(int c) {
+    /** Whether a character may be part of a TOML key without quotes. */
+    static boolean isBareKeyChar(int c) {
         return c >= 'a' && c <= 'z'
                 || c >= 'A' && c <= 'Z'
                 || c >= '0' && c <= '9'
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFile.java
@@ -53,7 +53,7 @@
             return inspect(in.readNBytes(TomlText.MAX_BYTES + 1));
         } catch (IOException e) {
             Findings findings = new Findings();
-            findings.problem("", () -> Position.UNKNOWN, () -> MessageText.unreadable(e));
+            findings.problem("", () -> Position.UNKNOWN, () -> MessageText.describeReadFailure(e));
             return new Inspection(null, null, findings);
         }
     }
--- a/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
+++ b/sidecar/src/main/java/appleridge/config/operator/OperatorFileException.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Thrown if an operator's file can't be read or is invalid. The message names the file, then every
- * problem on a line of its own, or on the same line if there is only one.
+ * Thrown if an operator's file can't be read or is invalid. The message names the file, then the
+ * problems, each on a line of its own, or a single problem on the same line.
  */
 public final class OperatorFileException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
--- a/sidecar/src/main/java/appleridge/config/operator/Positions.java
+++ b/sidecar/src/main/java/appleridge/config/operator/Positions.java
@@ -201,7 +201,7 @@
                     text.substring(Math.min(start + 1, offset), Math.max(start + 1, offset - 1));
             return escapes && name.indexOf('\\') >= 0 ? null : name;
         }
-        while (MessageText.isBare(peek())) {
+        while (MessageText.isBareKeyChar(peek())) {
             offset++;
         }
         return text.substring(start, offset);
--- a/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
+++ b/sidecar/src/main/java/appleridge/discovery/registration/RegisterArguments.java
@@ -119,7 +119,7 @@
     }
 
     private static InetSocketAddress address(String text) {
-        return Addresses.literal(text)
+        return Addresses.parse(text)
                 .orElseThrow(
                         () ->
                                 new IllegalArgumentException(
--- a/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
+++ b/sidecar/src/main/java/appleridge/discovery/zookeeper/NodeJsonParser.java
@@ -80,7 +80,7 @@
 
     private static InetSocketAddress address(JsonNode text) {
         Optional<InetSocketAddress> address =
-                text.isTextual() ? Addresses.literal(text.textValue()) : Optional.empty();
+                text.isTextual() ? Addresses.parse(text.textValue()) : Optional.empty();
         return address.orElseThrow(
                 () -> new IllegalArgumentException("address is not like \"192.0.2.1:8080\""));
     }
--- a/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
+++ b/sidecar/src/main/java/appleridge/http1/HeadLineValidator.java
@@ -25,9 +25,9 @@
 
     /**
      * Whether all complete head lines in the buffer are well formed. Must be called before each
-     * step of the decoder, which consumes all complete lines.
+     * step of the decoder: a step consumes all complete lines, which can't be validated later.
      */
-    boolean areWellFormed(ByteBuf in) {
+    boolean isWellFormed(ByteBuf in) {
         if (!inHead) {
             return true;
         }
@@ -42,7 +42,7 @@
             }
             int end = lf - 1;
             if (lf == from && !startLineSeen && leadingEmptyLinesAllowed) {
-                // The decoder has consumed the carriage return of this empty line already.
+                // An empty line whose carriage return the decoder has consumed in an earlier step.
                 end = from;
             } else if (lf == from || in.getByte(end) != '\r') {
                 return false;
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Whether there are no control bytes other than tabs. No parser ends a line at bytes above
-     * ASCII.
+     * Whether there are no control bytes other than tabs. Bytes above ASCII are allowed, because no
+     * parser takes them for the end of a line.
      */
     private static boolean isText(ByteBuf in, int from, int end) {
         for (int i = from; i < end; i++) {
--- a/sidecar/src/main/java/appleridge/http1/StrictRequestDecoder.java
+++ b/sidecar/src/main/java/appleridge/http1/StrictRequestDecoder.java
@@ -17,7 +17,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
             throws Exception {
-        if (headLines.areWellFormed(in)) {
+        if (headLines.isWellFormed(in)) {
             int first = out.size();
             super.decode(ctx, in, out);
             headLines.onDecoded(out, first);
--- a/sidecar/src/main/java/appleridge/request/EventLog.java
+++ b/sidecar/src/main/java/appleridge/request/EventLog.java
@@ -11,9 +11,9 @@
     void warning(String line);
 
     /**
-     * Logs an event with its fields in the form {@code key=value}. Each kind is rate-limited, and
-     * the next line of that kind gives the number of suppressed ones. The fields are computed only
-     * for a line that is written.
+     * Logs an event with its fields in the form {@code key=value}. Each kind is rate-limited; the
+     * first line after a suppression gives the number of suppressed lines of its kind. The fields
+     * are computed only for a line that is written. By default, events are not logged.
      */
     default void event(LogEvent kind, Supplier<String> fields) {}
 
--- a/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
+++ b/sidecar/src/main/java/appleridge/transport/AcceptFailureHandler.java
@@ -6,8 +6,8 @@
 
 /**
  * Handles failures to accept on a listening channel and does not propagate them: Netty's own
- * handler would stop accepting for a second, whatever the connection limit is, and log each failure
- * with its stack trace. Event loop only.
+ * handler would stop accepting for a second, even if a connection is closed in the meantime, and
+ * log each failure with its stack trace. Event loop only.
  */
 public final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private static final long MIN_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -34,7 +34,7 @@
         if (now - lastLoggedNanos >= MIN_LOG_INTERVAL_NANOS) {
             loop.log()
                     .warning(
-                            "accepting fails: "
+                            "failed to accept a connection: "
                                     + cause.getMessage()
                                     + (suppressedCount == 0
                                             ? ""
--- a/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
+++ b/sidecar/src/main/java/appleridge/transport/EventLoopMonitor.java
@@ -13,8 +13,8 @@
     private static final long MIN_STALL_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * An interval with more turns than this may be a spin; a busy interval also has many turns,
-     * several for each event.
+     * Minimum turns of an interval that is a spin. A busy loop exceeds it as well, so a spin also
+     * needs more than {@link #MAX_TURNS_PER_EVENT} turns for each event.
      */
     private static final long MIN_SPIN_TURNS = 2000;
 
--- a/sidecar/src/test/java/appleridge/config/AddressesTest.java
+++ b/sidecar/src/test/java/appleridge/config/AddressesTest.java
@@ -9,9 +9,8 @@
 class AddressesTest {
     @Test
     void literalAddressIsParsed() {
-        assertEquals(
-                "/10.1.0.18:3000", Addresses.literal("10.1.0.18:3000").orElseThrow().toString());
-        assertEquals(80, Addresses.literal("[2001:db8::1]:80").orElseThrow().getPort());
+        assertEquals("/10.1.0.18:3000", Addresses.parse("10.1.0.18:3000").orElseThrow().toString());
+        assertEquals(80, Addresses.parse("[2001:db8::1]:80").orElseThrow().getPort());
     }
 
     /**
@@ -37,7 +36,7 @@
                         "0x7f000001:80",
                         "1.2.3.4.5:80",
                         "")) {
-            assertEquals(Optional.empty(), Addresses.literal(text), text);
+            assertEquals(Optional.empty(), Addresses.parse(text), text);
         }
     }
 }
--- a/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
+++ b/sidecar/src/test/java/appleridge/config/operator/LeasesSectionTest.java
@@ -54,12 +54,12 @@
                         + " their own");
         problems.put(
                 START + "term = \"9s\"",
-                "line 4, column 1: leases.term: is too short: this guard, "
-                        + "drift, kill-after and two times renew-every require at least 10102ms");
+                "line 4, column 1: leases.term: is too short: guard, "
+                        + "drift, kill-after and twice renew-every require at least 10102ms");
         problems.put(
                 START + "longest-act = \"1s\"",
-                "line 4, column 1: leases.longest-act: is shorter than "
-                        + "kill-after and the time needed to kill, 3500ms");
+                "line 4, column 1: leases.longest-act: is too short: "
+                        + "kill-after and the time to kill processes require at least 3500ms");
         problems.put(
                 START + "drift = 0.2",
                 "line 4, column 1: leases.drift: 0.2 is out of range: from 0 to " + "0.05");
--- a/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
+++ b/sidecar/src/test/java/appleridge/daemon/RandomEndingsTest.java
@@ -37,9 +37,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Upstreams end attempts in every way that a socket allows, and clients disconnect at any time. The
- * test checks that non-idempotent requests run once, that responses are correct, and that nothing
- * is left in flight at the end.
+ * Upstreams end attempts with random responses, invalid bytes, resets and silence, and clients
+ * disconnect at any time. The test checks that non-idempotent requests run once, that responses are
+ * correct, and that nothing is left in flight at the end.
  */
 @Timeout(120)
 class RandomEndingsTest {
@@ -54,12 +54,12 @@
         GOOD_WITH_CONNECTION_CLOSE,
         GOOD_THEN_CLOSE,
         DUPLICATE_RESPONSE,
-        NOISE_AFTER_RESPONSE,
+        INVALID_BYTES_AFTER_RESPONSE,
         INTERIM,
         ERROR,
         REJECTED_NOT_RUN,
         REJECTED_MAY_HAVE_RUN,
-        NOISE,
+        INVALID_BYTES,
         RESET,
         CLOSE,
         PARTIAL_HEAD,
@@ -83,7 +83,7 @@
     private final Map<String, Queue<ReceivedRequest>> received = new ConcurrentHashMap<>();
     private final Queue<String> violations = new ConcurrentLinkedQueue<>();
     private final AtomicInteger served = new AtomicInteger();
-    private volatile boolean endingsAreGood;
+    private volatile boolean alwaysRespondCorrectly;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -114,7 +114,7 @@
                 SidecarConfig.parse(new ObjectMapper().readTree(json))
                         .withListenAddress(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        SidecarEventLoop time =
+        SidecarEventLoop sidecarLoop =
                 new SidecarEventLoop(
                         loop,
                         SystemTime.UNIX_MILLIS,
@@ -123,7 +123,7 @@
                 loop.submit(
                                 () ->
                                         new Sidecar(
-                                                time,
+                                                sidecarLoop,
                                                 new NioSocketFactory(),
                                                 config,
                                                 RuntimeOptions.DEFAULTS,
@@ -147,6 +147,8 @@
             boolean allowed =
                     switch (requestClass) {
                         case "pay" -> false;
+                        // Idempotent by key within a zone; the upstreams alternate between two
+                        // zones.
                         case "hold" -> earlier.server % 2 == server % 2;
                         default -> true;
                     };
@@ -158,7 +160,7 @@
         int millis;
         synchronized (random) {
             ending =
-                    endingsAreGood || random.nextInt(3) == 0
+                    alwaysRespondCorrectly || random.nextInt(3) == 0
                             ? Ending.GOOD
                             : Ending.values()[random.nextInt(Ending.values().length)];
             millis = random.nextInt(20);
@@ -178,7 +180,7 @@
                     case GOOD_WITH_CONNECTION_CLOSE ->
                             StubUpstream.response("200 OK", id, "Connection: close");
                     case DUPLICATE_RESPONSE -> good + good;
-                    case NOISE_AFTER_RESPONSE -> good + "\u0000noise";
+                    case INVALID_BYTES_AFTER_RESPONSE -> good + "\u0000noise";
                     case INTERIM -> "HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + good;
                     case ERROR ->
                             StubUpstream.response("500 Internal Server Error", "", "X-Not-Run: 1");
@@ -186,7 +188,7 @@
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 1");
                     case REJECTED_MAY_HAVE_RUN ->
                             StubUpstream.response("503 Service Unavailable", "", "X-Not-Run: 0");
-                    case NOISE -> "\u0000\u0001 noise\r\n\r\n";
+                    case INVALID_BYTES -> "\u0000\u0001 noise\r\n\r\n";
                     case PARTIAL_HEAD -> good.substring(0, 12);
                     case PARTIAL_BODY, PAUSE -> good.substring(0, good.length() - 1);
                     case UNDELIMITED_THEN_RESET -> "HTTP/1.1 200 OK\r\n\r\n" + id;
@@ -258,13 +260,13 @@
     }
 
     /**
-     * Guards against requests that run twice, responses to another request, and requests or
-     * attempts that stay in flight forever. Even seeds use more restricted settings: two attempts,
-     * no cancellation, short deadlines and short idempotency key lifetimes.
+     * Guards against non-idempotent requests that run twice, responses to another request, and
+     * requests or attempts that stay in flight forever. Even seeds use more restricted settings:
+     * two attempts, no cancellation, short deadlines and short idempotency key lifetimes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void noRequestRunsTwiceAndNothingIsLeftOpen(long seed) throws Exception {
+    void nonIdempotentRequestsRunAtMostOnceAndNothingStaysInFlight(long seed) throws Exception {
         Random random = new Random(seed);
         List<StubUpstream> servers = new ArrayList<>();
         String[] targets = new String[UPSTREAMS];
@@ -289,14 +291,15 @@
             }
             assertEquals(List.of(), List.copyOf(violations));
             assertTrue(served.get() > 0, "some requests are served");
-            endingsAreGood = true;
-            long until =
+            alwaysRespondCorrectly = true;
+            long deadline =
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(LoopbackSidecar.TIMEOUT_SECONDS);
             while (!inFlightCounts().equals(new InFlightCounts(0, 0, 0, 0))) {
-                assertTrue(System.nanoTime() < until, "still in flight: " + inFlightCounts());
+                assertTrue(System.nanoTime() < deadline, "still in flight: " + inFlightCounts());
                 Thread.sleep(5);
             }
-            // A concurrency slot that is never released would exclude its upstream forever.
+            // Guards against a concurrency slot that is never released: its upstream would get no
+            // requests anymore.
             received.clear();
             while (received.values().stream()
                             .flatMap(Queue::stream)
@@ -304,7 +307,7 @@
                             .distinct()
                             .count()
                     < UPSTREAMS) {
-                assertTrue(System.nanoTime() < until, "some upstream gets no requests anymore");
+                assertTrue(System.nanoTime() < deadline, "some upstream gets no requests anymore");
                 try (TestClient client = new TestClient(address)) {
                     client.exchange(TestClient.request("read", "2.0"));
                 }
--- a/sidecar/src/test/java/appleridge/lease/store/StoredLeaseRecordTest.java
+++ b/sidecar/src/test/java/appleridge/lease/store/StoredLeaseRecordTest.java
@@ -10,7 +10,11 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Records written by commit 4260e73: processes of both versions may compete for a lease. */
+/**
+ * Guards against an incompatible change of the stored lease record: during an upgrade, processes of
+ * this version and of commit 4260e73 may compete for the same lease. The files were written by that
+ * commit.
+ */
 class StoredLeaseRecordTest {
     private static final String FOLDER = "/stored/4260e73/";
     private static final int VERSION = 5;
--- a/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
+++ b/sidecar/src/test/java/appleridge/simulator/PackagedJarIT.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Runs the packaged jar as a process: exit status, standard error, and complete frames only on
- * standard output.
+ * Runs the packaged jar as a process and checks its exit status, its standard error and that
+ * standard output consists of complete frames.
  */
 class PackagedJarIT {
     @TempDir private Path folder;
@@ -97,7 +97,7 @@
         assertTrue(result.err.contains("frame 2: header cut short"), result.err);
     }
 
-    /** Guards against a disabled feature whose classes are loaded all the same. */
+    /** Guards against loading the classes of a feature that is disabled. */
     @Test
     void classesOfDisabledFeaturesAreNotLoaded() throws Exception {
         for (String command : List.of("adapter", "warm-up")) {
--- a/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
+++ b/testbed/src/test/java/appleridge/testbed/campaign/AcceptFailuresTest.java
@@ -51,7 +51,10 @@
             assertEquals(List.of(), late.statuses());
             assertTrue(busy.stream().noneMatch(Front.Client::ended));
             assertEquals(3, front.warnings.size(), front.warnings.toString());
-            assertTrue(front.warnings.get(0).equals("accepting fails: Too many open files"));
+            assertTrue(
+                    front.warnings
+                            .get(0)
+                            .equals("failed to accept a connection: Too many open files"));
             assertEquals(List.of(), front.failures);
             front.sidecar.maxDescriptors(1000);
             front.run(60 * MS);
