--- a/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/CoordinatedSite.java
@@ -174,7 +174,7 @@
 
     private void arrived(StandInListener.Arrival arrival) {
         String address = addresses.get(arrival.server());
-        drains.arrived(address, arrival.server(), arrival.id(), arrival.firstByte());
+        drains.onRequest(address, arrival.server(), arrival.id(), arrival.firstByte());
         listeners.forEach(each -> each.arrived(address, arrival));
     }
 
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainCheck.java
@@ -52,7 +52,7 @@
             int ends,
             int withRequests,
             Samples delays,
-            List<DrainTracker.Late> late,
+            List<DrainTracker.RequestAfterRemoval> late,
             int arrivals,
             boolean complete) {
         boolean held() {
@@ -168,11 +168,11 @@
         // Requests that are still sent to ended servers arrive before the clients stop.
         TimeUnit.MILLISECONDS.sleep(2500);
         site.stopClients();
-        List<DrainTracker.End> ends = site.onLoop(() -> List.copyOf(site.drains.ends()));
+        List<DrainTracker.Removal> ends = site.onLoop(() -> List.copyOf(site.drains.removals()));
         Samples delays =
                 new Samples(
                         ends.stream()
-                                .map(DrainTracker.End::delay)
+                                .map(DrainTracker.Removal::delay)
                                 .filter(each -> each >= 0)
                                 .toList());
         Result result =
@@ -180,7 +180,7 @@
                         ends.size(),
                         delays.count(),
                         delays,
-                        site.drains.lateRequests(),
+                        site.drains.requestsAfterRemoval(),
                         site.traffic.answers().size(),
                         complete);
         print(site, result, settledAfter);
@@ -238,11 +238,11 @@
                                                 + " "
                                                 + Samples.millis(each.delay())
                                                 + " ms after the report of its end, "
-                                                + each.end().reason
+                                                + each.removal().reason
                                                 + " of "
-                                                + each.end().name
+                                                + each.removal().name
                                                 + " at "
-                                                + clock(site, each.end().from)));
+                                                + clock(site, each.removal().from)));
         out.println(result.held() ? "held: no new work after 2 s" : "NOT HELD");
         if (!result.held()) {
             out.println("Faults:");
--- a/testbed/src/main/java/appleridge/testbed/coordination/DrainTracker.java
+++ b/testbed/src/main/java/appleridge/testbed/coordination/DrainTracker.java
@@ -10,13 +10,13 @@
 
 /**
  * Compares the requests that order servers receive with what the coordination service has told the
- * sidecar about their nodes. An address counts as ended from the moment when the last node that
+ * sidecar about their nodes. An address counts as removed from the moment when the last node that
  * names it is reported deleted, moved to another address, not ready or unreadable, until a ready
  * node names the address again. Times in nanoseconds; not thread-safe.
  */
 final class DrainTracker implements Relay.ReplyListener {
-    /** A period during which an address counts as ended. */
-    static final class End {
+    /** A period during which an address counts as removed. */
+    static final class Removal {
         final String address;
         final long from;
         final NodeReply.Kind reason;
@@ -25,7 +25,7 @@
         private long last = -1;
         private int requests;
 
-        private End(String address, long from, NodeReply.Kind reason, String name) {
+        private Removal(String address, long from, NodeReply.Kind reason, String name) {
             this.address = address;
             this.from = from;
             this.reason = reason;
@@ -47,21 +47,21 @@
         }
     }
 
-    /** A request that arrived more than the allowed delay after its server's end. */
-    record Late(String server, String id, long delay, End end) {}
+    /** A request that arrived more than the allowed delay after its server's removal. */
+    record RequestAfterRemoval(String server, String id, long delay, Removal removal) {}
 
     private final String root;
     private final long allowed;
     private final Map<String, String> addressByNode = new HashMap<>();
     private final Map<String, Set<String>> nodesByAddress = new HashMap<>();
-    private final Map<String, List<End>> ends = new LinkedHashMap<>();
-    private final List<Late> lateRequests = new ArrayList<>();
+    private final Map<String, List<Removal>> removals = new LinkedHashMap<>();
+    private final List<RequestAfterRemoval> requestsAfterRemoval = new ArrayList<>();
     private long highestZxid;
     private int requestsAtUnknownAddresses;
 
     /**
-     * Tracks the children of {@code root}; requests may still arrive within {@code allowed} after
-     * an end.
+     * Tracks the children of {@code root}; requests may still arrive within {@code allowed} after a
+     * removal.
      */
     DrainTracker(String root, long allowed) {
         this.root = root + "/";
@@ -109,7 +109,7 @@
             addressByNode.put(name, node.address());
             nodesByAddress.computeIfAbsent(node.address(), any -> new LinkedHashSet<>()).add(name);
         }
-        List<End> periods = ends.computeIfAbsent(node.address(), any -> new ArrayList<>());
+        List<Removal> periods = removals.computeIfAbsent(node.address(), any -> new ArrayList<>());
         if (!periods.isEmpty() && periods.get(periods.size() - 1).until == Long.MAX_VALUE) {
             periods.get(periods.size() - 1).until = at;
         }
@@ -120,27 +120,28 @@
         if (address != null
                 && nodesByAddress.get(address).remove(name)
                 && nodesByAddress.get(address).isEmpty()) {
-            ends.computeIfAbsent(address, any -> new ArrayList<>())
-                    .add(new End(address, at, reason, name));
+            removals.computeIfAbsent(address, any -> new ArrayList<>())
+                    .add(new Removal(address, at, reason, name));
         }
     }
 
     /** Records a request whose first byte arrived at the server at an address. */
-    void arrived(String address, String server, String id, long firstByte) {
-        List<End> periods = ends.get(address);
+    void onRequest(String address, String server, String id, long firstByte) {
+        List<Removal> periods = removals.get(address);
         if (periods == null) {
             requestsAtUnknownAddresses++;
             return;
         }
         for (int i = periods.size() - 1; i >= 0; i--) {
-            End end = periods.get(i);
-            if (end.from <= firstByte) {
-                if (firstByte < end.until) {
-                    long delay = firstByte - end.from;
-                    end.last = Math.max(end.last, delay);
-                    end.requests++;
+            Removal removal = periods.get(i);
+            if (removal.from <= firstByte) {
+                if (firstByte < removal.until) {
+                    long delay = firstByte - removal.from;
+                    removal.last = Math.max(removal.last, delay);
+                    removal.requests++;
                     if (delay > allowed) {
-                        lateRequests.add(new Late(server, id, delay, end));
+                        requestsAfterRemoval.add(
+                                new RequestAfterRemoval(server, id, delay, removal));
                     }
                 }
                 return;
@@ -148,13 +149,13 @@
         }
     }
 
-    /** All periods; those of one address are in chronological order. */
-    List<End> ends() {
-        return ends.values().stream().flatMap(List::stream).toList();
+    /** All removals; those of one address are in chronological order. */
+    List<Removal> removals() {
+        return removals.values().stream().flatMap(List::stream).toList();
     }
 
-    List<Late> lateRequests() {
-        return lateRequests;
+    List<RequestAfterRemoval> requestsAfterRemoval() {
+        return requestsAfterRemoval;
     }
 
     /** The number of requests at addresses that no node has named. */
--- a/testbed/src/main/java/appleridge/testbed/invariants/ClientAttempt.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ClientAttempt.java
@@ -4,27 +4,27 @@
  * One attempt of a well-behaved client.
  *
  * @param id new for each attempt
- * @param origin the id of the operation that the attempts serve
- * @param number counts the attempts of one operation, from 0
+ * @param operationId the id of the operation, shared by the attempts that retry it
+ * @param number the attempt's number within its operation, from 0
  * @param sidecar the sidecar that the client sends to
- * @param requestClass index in the world's request classes
- * @param tenant index in the world's tenants
- * @param idempotencyKey null for classes without one
- * @param cookieKey unique for each attempt; it matches the decision module's events with the
- *     attempt
- * @param askedAt when the first byte is written
- * @param deadlineNanos value of its X-Deadline
- * @param patienceNanos how long the client waits before it gives up
+ * @param requestClass index in the simulated day's request classes
+ * @param tenant index in the simulated day's tenants
+ * @param idempotencyKey null for request classes that have no idempotency key
+ * @param cookieKey the key in the Cookie header, unique for each attempt; it relates the events of
+ *     the load-balancing policy to the attempt
+ * @param startedAt when the first byte is written, in nanoseconds
+ * @param deadlineNanos the value of the X-Deadline header
+ * @param clientTimeoutNanos the client's own timeout, after which it gives up
  */
 public record ClientAttempt(
         String id,
-        String origin,
+        String operationId,
         int number,
         String sidecar,
         int requestClass,
         int tenant,
         String idempotencyKey,
         long cookieKey,
-        long askedAt,
+        long startedAt,
         long deadlineNanos,
-        long patienceNanos) {}
+        long clientTimeoutNanos) {}
--- a/testbed/src/main/java/appleridge/testbed/invariants/DayListener.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DayListener.java
@@ -194,7 +194,7 @@
      * @param at the target: a sidecar, a server, discovery or a client
      * @param id the request at which it is aimed, or null
      */
-    default void faultStruck(String kind, String at, String id) {}
+    default void faultTriggered(String kind, String at, String id) {}
 
     /**
      * A lasting fault is armed at this target, or at none in particular (null). It affects only the
--- a/testbed/src/main/java/appleridge/testbed/invariants/DayListenerFanOut.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/DayListenerFanOut.java
@@ -329,10 +329,10 @@
     }
 
     @Override
-    public final void faultStruck(String kind, String at, String id) {
+    public final void faultTriggered(String kind, String at, String id) {
         before();
         for (DayListener each : listeners) {
-            each.faultStruck(kind, at, id);
+            each.faultTriggered(kind, at, id);
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/FaultHitCounter.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/FaultHitCounter.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public void faultStruck(String kind, String at, String id) {
+    public void faultTriggered(String kind, String at, String id) {
         coverage.expect(kind);
         if (id != null) {
             RequestState state = states.state(id);
--- a/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/ListRule.java
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void faultStruck(String kind, String at, String id) {
+    public void faultTriggered(String kind, String at, String id) {
         clockStepped |= kind.equals("wall-step");
     }
 
--- a/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/RecoveryRule.java
@@ -50,14 +50,14 @@
             // A further attempt has only the rest of its operation's time, which may be less than
             // the work takes.
             if (attempt.number() == 0
-                    && attempt.askedAt() >= lastFaultEndedAt + bounds.recovery()
-                    && attempt.askedAt() + attempt.deadlineNanos() + bounds.answerSlack() <= end
+                    && attempt.startedAt() >= lastFaultEndedAt + bounds.recovery()
+                    && attempt.startedAt() + attempt.deadlineNanos() + bounds.answerSlack() <= end
                     && waitedForDeadline(each)
                     && !context.excuses()
                             .linkTroubled(
                                     attempt,
-                                    attempt.askedAt(),
-                                    attempt.askedAt() + attempt.deadlineNanos())) {
+                                    attempt.startedAt(),
+                                    attempt.startedAt() + attempt.deadlineNanos())) {
                 eligible++;
                 served += each.stage == AttemptRecord.Stage.ANSWERED && each.status == 200 ? 1 : 0;
             }
@@ -96,9 +96,9 @@
      */
     private static boolean waitedForDeadline(AttemptRecord request) {
         long deadline = request.attempt.deadlineNanos();
-        return request.attempt.patienceNanos() >= deadline
+        return request.attempt.clientTimeoutNanos() >= deadline
                 && (request.stage != AttemptRecord.Stage.LEFT
-                        || request.leftAt >= request.attempt.askedAt() + deadline);
+                        || request.leftAt >= request.attempt.startedAt() + deadline);
     }
 
     /** Returns how many requests were judged. */
--- a/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
+++ b/testbed/src/main/java/appleridge/testbed/invariants/Requests.java
@@ -143,7 +143,7 @@
         }
 
         @Override
-        public void faultStruck(String kind, String at, String id) {
+        public void faultTriggered(String kind, String at, String id) {
             AttemptRecord request = id == null ? null : all.get(id);
             if (request != null) {
                 request.struckByFault = true;
--- a/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Handshake.java
@@ -70,7 +70,7 @@
     }
 
     private boolean isCutOff() {
-        return client.host().isVanished() || target.isVanished();
+        return client.host().isIsolated() || target.isIsolated();
     }
 
     private void onSyn() {
--- a/testbed/src/main/java/appleridge/testbed/simnet/Host.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Host.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** A process on its own machine, as the network sees it. Several hosts may share an address. */
+/**
+ * An endpoint of the simulated network: a process on a machine of its own. Several hosts may have
+ * the same address.
+ */
 public final class Host {
     private static final int FIRST_PORT = 32_768;
     private static final int PORTS = 28_232;
@@ -21,11 +24,11 @@
     private final List<SimListener> listeners = new ArrayList<>();
     private final int index;
     private int maxDescriptors;
-    private int ports;
+    private int portsAssigned;
     private int epoch;
-    private int reserved;
-    private long ahead;
-    private boolean vanished;
+    private int reservedDescriptors;
+    private long leadNanos;
+    private boolean isolated;
     private boolean alive = true;
 
     Host(Network network, String name, InetAddress address, int maxDescriptors, int index) {
@@ -60,7 +63,7 @@
     /** Opens a listener without checking the descriptor limit. */
     SimListener open(InetSocketAddress at, int backlog) throws IOException {
         InetSocketAddress own =
-                new InetSocketAddress(address, at.getPort() == 0 ? port() : at.getPort());
+                new InetSocketAddress(address, at.getPort() == 0 ? nextPort() : at.getPort());
         if (network.listener(own, null) != null) {
             throw new BindException("Address already in use: " + own);
         }
@@ -72,7 +75,7 @@
 
     /**
      * Opens a connection. Throws if no descriptor is left; every other outcome is reported to
-     * `events`. A dead process is alive again afterwards.
+     * {@code events}. A dead process is alive again afterwards.
      */
     public SimSocket connect(InetSocketAddress to, SimSocket.Events events) throws IOException {
         checkDescriptors();
@@ -87,12 +90,12 @@
                 new SimSocket(
                         this,
                         target == null ? this : target,
-                        new InetSocketAddress(address, port()),
+                        new InetSocketAddress(address, nextPort()),
                         to,
                         network.nextId(),
                         null);
         socket.events(events);
-        hold(socket);
+        add(socket);
         network.connecting(socket);
         if (!socket.isOpen()) {
             return socket;
@@ -109,7 +112,7 @@
      * Open descriptors: listeners, and sockets that are connecting, connected or not yet closed.
      */
     public int descriptors() {
-        return reserved + listeners.size() + sockets.size();
+        return reservedDescriptors + listeners.size() + sockets.size();
     }
 
     /** Whether the descriptor limit is reached, so that nothing can be opened or accepted. */
@@ -127,7 +130,7 @@
      */
     public void die() {
         alive = false;
-        reserved = 0;
+        reservedDescriptors = 0;
         for (SimListener listener : List.copyOf(listeners)) {
             listener.close();
         }
@@ -137,28 +140,28 @@
     }
 
     /**
-     * Cuts the machine off: it sends and receives nothing. Its process keeps running unless it is
+     * Isolates the machine: it sends and receives nothing. Its process keeps running unless it is
      * ended as well.
      */
-    public void vanish() {
-        vanished = true;
+    public void isolate() {
+        isolated = true;
     }
 
     /**
-     * Reconnects a machine that had vanished. It has lost its connections and backlogs; its
+     * Reconnects a machine that was isolated. It has lost its connections and backlogs; its
      * listeners stay open.
      */
-    public void reappear() {
-        if (!vanished) {
+    public void reconnect() {
+        if (!isolated) {
             return;
         }
-        vanished = false;
+        isolated = false;
         epoch++;
         for (SimListener listener : listeners) {
-            listener.forget();
+            listener.dropBacklog();
         }
         for (SimSocket socket : List.copyOf(sockets)) {
-            socket.forget();
+            socket.loseConnection();
         }
     }
 
@@ -166,8 +169,8 @@
         return alive;
     }
 
-    public boolean isVanished() {
-        return vanished;
+    public boolean isIsolated() {
+        return isolated;
     }
 
     /**
@@ -175,12 +178,12 @@
      * is running.
      */
     public long localNow() {
-        return network.simulation().now() + ahead;
+        return network.simulation().now() + leadNanos;
     }
 
     /** Sets how far local time is ahead of the simulation's; called by the process's event loop. */
-    void ahead(long nanos) {
-        ahead = nanos;
+    void setLead(long nanos) {
+        leadNanos = nanos;
     }
 
     int index() {
@@ -206,29 +209,31 @@
         }
     }
 
-    /** Takes a descriptor for a socket that neither listens nor connects yet. */
+    /**
+     * Reserves a descriptor for a socket that has been created but doesn't listen or connect yet.
+     */
     void reserve() throws IOException {
         checkDescriptors();
-        reserved++;
+        reservedDescriptors++;
     }
 
     void unreserve() {
-        reserved = Math.max(0, reserved - 1);
+        reservedDescriptors = Math.max(0, reservedDescriptors - 1);
     }
 
-    void hold(SimSocket socket) {
+    void add(SimSocket socket) {
         sockets.add(socket);
     }
 
-    void release(SimSocket socket) {
+    void remove(SimSocket socket) {
         sockets.remove(socket);
     }
 
-    void release(SimListener listener) {
+    void remove(SimListener listener) {
         listeners.remove(listener);
     }
 
-    private int port() {
-        return FIRST_PORT + ports++ % PORTS;
+    private int nextPort() {
+        return FIRST_PORT + portsAssigned++ % PORTS;
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/Pipe.java
@@ -268,7 +268,7 @@
     }
 
     private boolean isCutOff() {
-        return silent || forward.blackHole || from.host().isVanished() || to.host().isVanished();
+        return silent || forward.blackHole || from.host().isIsolated() || to.host().isIsolated();
     }
 
     private void arrive() {
@@ -331,8 +331,8 @@
     /** Whether window updates of the receiver cannot reach the sender. */
     private boolean isReverseCutOff() {
         return reverse.blackHole
-                || from.host().isVanished()
-                || to.host().isVanished()
+                || from.host().isIsolated()
+                || to.host().isIsolated()
                 || to.isMute();
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimListener.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimListener.java
@@ -50,7 +50,7 @@
     public void close() {
         if (open) {
             open = false;
-            host.release(this);
+            host.remove(this);
             while (!waiting.isEmpty()) {
                 waiting.poll().reset();
             }
@@ -79,7 +79,7 @@
     }
 
     /** Drops the backlog, because the machine has lost its connections. */
-    void forget() {
+    void dropBacklog() {
         waiting.clear();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimLoop.java
@@ -260,7 +260,7 @@
             running = false;
             freeAt = Math.max(freeAt, now + spent + cost - before);
             spent = 0;
-            host.ahead(0);
+            host.setLead(0);
             if (shuttingDown && tasks.isEmpty()) {
                 die();
             }
@@ -335,7 +335,7 @@
 
     private void spend(long nanos) {
         spent += nanos;
-        host.ahead(spent);
+        host.setLead(spent);
     }
 
     private long draw(long mean) {
--- a/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
+++ b/testbed/src/main/java/appleridge/testbed/simnet/SimSocket.java
@@ -405,7 +405,7 @@
 
     void accept() {
         accepted = true;
-        host.hold(this);
+        host.add(this);
         network.accepted(this);
     }
 
@@ -463,7 +463,7 @@
     }
 
     /** Resets this end because its machine has lost the connection. */
-    void forget() {
+    void loseConnection() {
         if (!established) {
             fail(new IOException("Connection reset"));
             return;
@@ -521,7 +521,7 @@
     private void release(String how) {
         open = false;
         if (listener == null || accepted) {
-            host.release(this);
+            host.remove(this);
         }
         if (!established && abandoned != null) {
             abandoned.run();
--- a/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/AppConnection.java
@@ -27,7 +27,7 @@
     private final ArrayDeque<Long> startOffsets = new ArrayDeque<>(2);
 
     private SimSocket socket;
-    private Player player;
+    private ScriptWriter writer;
     private PendingAttempt firstAttempt;
     private Simulation.Event connectTimeout;
     private Simulation.Event slowRead;
@@ -58,7 +58,7 @@
         try {
             openedAt = day.now();
             socket = application.host().connect(slot.address(), this);
-            player = new Player(day.simulation, socket);
+            writer = new ScriptWriter(day.simulation, socket);
             connectTimeout =
                     day.after(CONNECT_TIMEOUT, () -> failed(new IOException("connect timeout")));
             return true;
@@ -94,7 +94,7 @@
                 && !stalled
                 && !openAttempts.isEmpty()
                 && openAttempts.size() < MAX_PIPELINED
-                && player.isDone()
+                && writer.isDone()
                 && !openAttempts.peekLast().intent.slowReader
                 && openAttempts.peekLast().expiresAt() <= expiresAt;
     }
@@ -106,7 +106,7 @@
         if (faulty) {
             reportFaulty(attempt);
         }
-        player.play(attempt.script(), attempt::written);
+        writer.start(attempt.script(), attempt::written);
     }
 
     // ---- actions of the client
@@ -123,7 +123,7 @@
     void reset() {
         if (!closed) {
             closed = true;
-            player.stop();
+            writer.stop();
             socket.reset();
             application.connectionClosed(this);
             abandonAll();
@@ -134,7 +134,7 @@
     void halfClose() {
         if (!closed) {
             keptOnly = true;
-            player.stop();
+            writer.stop();
             socket.shutdownOutput();
             abandonAll();
             day.after(Site.SECOND, this::disconnect);
@@ -177,7 +177,7 @@
         if (connectTimeout != null) {
             connectTimeout.cancel();
         }
-        player.stop();
+        writer.stop();
         socket.close();
         application.connectionClosed(this);
     }
@@ -211,7 +211,7 @@
     @Override
     public void writable() {
         if (!closed) {
-            player.writable();
+            writer.writable();
         }
     }
 
--- a/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/BadClient.java
@@ -23,7 +23,7 @@
     private final Runnable onEnded;
     private final HttpReader reader = new HttpReader(true);
     private SimSocket socket;
-    private Player player;
+    private ScriptWriter writer;
     private boolean ended;
 
     /**
@@ -66,8 +66,8 @@
             day.evidence.badClientConnected(
                     name, day.now() + (large ? LARGE_BODY_RESPONSE_DEADLINE : RESPONSE_DEADLINE));
         }
-        player = new Player(day.simulation, socket);
-        player.play(script, () -> {});
+        writer = new ScriptWriter(day.simulation, socket);
+        writer.start(script, () -> {});
     }
 
     /** False for a client that closes the connection itself or never reads: it sees no response. */
@@ -85,8 +85,8 @@
 
     @Override
     public void writable() {
-        if (player != null) {
-            player.writable();
+        if (writer != null) {
+            writer.writable();
         }
     }
 
@@ -143,7 +143,7 @@
      * need not respond any more, so the client is reported as ended.
      */
     private void leave() {
-        if (player != null && !ended && expectsResponse()) {
+        if (writer != null && !ended && expectsResponse()) {
             ended = true;
             day.evidence.badClientEnded(name, 0);
         }
@@ -151,8 +151,8 @@
     }
 
     private void close() {
-        if (player != null) {
-            player.stop();
+        if (writer != null) {
+            writer.stop();
         }
         socket.close();
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ConnectionFaultInjector.java
@@ -9,7 +9,7 @@
 /** Injects faults into the connection or the response of a single request. */
 final class ConnectionFaultInjector {
 
-    /** Bytes; every request and every response is at least this long. */
+    /** Minimum length of a request or a response, in bytes. */
     private static final int MIN_MESSAGE_LENGTH = 30;
 
     private final Day day;
@@ -30,8 +30,8 @@
         }
     }
 
-    private void reportStruck(Fault fault, ObservedRequest request, String at) {
-        day.evidence.faultStruck(fault.kind().word(), at, request.id());
+    private void reportTriggered(Fault fault, ObservedRequest request, String at) {
+        day.evidence.faultTriggered(fault.kind().word(), at, request.id());
     }
 
     private void injectUpstream(Fault fault, ObservedRequest request) {
@@ -48,10 +48,10 @@
             cutResponse(
                     fault,
                     sidecarEnd,
-                    states.state(request.id()) == request.state() && isResponding(request));
+                    states.state(request.id()) == request.state() && responseHasStarted(request));
             return;
         }
-        reportStruck(fault, request, request.server());
+        reportTriggered(fault, request, request.server());
         switch (fault.kind()) {
             case UP_RESET -> sidecarEnd.fault(SimSocket.Fault.RESET);
             case UP_RESET_LATE -> sidecarEnd.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Breaks the connection at a byte of the response that has not been sent yet. With no such
-     * byte: within the first bytes of a response that has not started, else at the next byte
-     * written.
+     * Breaks the connection at a byte of the response that is written but not sent yet. If there is
+     * none, breaks it within the first {@link #MIN_MESSAGE_LENGTH} bytes of a response that has not
+     * started, or at the next byte of one that has.
      *
      * @param readingEnd the end of the connection that reads the response
      * @param started whether the response has started
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Resets the connection at a byte position. The fault counts when the connection breaks, for
-     * the request that is on the connection at that time.
+     * Resets the connection at a byte position. The fault is reported as armed now, and as
+     * triggered when the connection breaks, for the request that is on the connection by then.
      */
     private void cutAt(Fault fault, SimSocket writer, long position, SimSocket end) {
         day.evidence.faultArmed(fault.kind().word(), null);
@@ -127,7 +127,7 @@
                 () -> {
                     ObservedRequest affected = states.onConnection(end);
                     if (affected != null) {
-                        reportStruck(
+                        reportTriggered(
                                 fault,
                                 affected,
                                 end.isServerEnd() ? affected.server() : affected.sidecar());
@@ -135,7 +135,7 @@
                 });
     }
 
-    private static boolean isResponding(ObservedRequest request) {
+    private static boolean responseHasStarted(ObservedRequest request) {
         return switch (request.state()) {
             case ANSWERING, RESEND_ANSWERING, ANSWERED -> true;
             default -> false;
@@ -143,7 +143,7 @@
     }
 
     private void injectResponse(Fault fault, ObservedRequest request) {
-        reportStruck(fault, request, request.server());
+        reportTriggered(fault, request, request.server());
         if (fault.kind() == FaultKind.SPOIL) {
             day.sentRequests.corruptResponse(
                     request.id(), FaultKind.of(ResponseCorruption.class, fault.style()));
@@ -161,10 +161,10 @@
         }
         if (fault.kind() == FaultKind.DOWN_CUT_ANSWER) {
             connection.markFaulty();
-            cutResponse(fault, socket, isResponding(request));
+            cutResponse(fault, socket, responseHasStarted(request));
             return;
         }
-        reportStruck(fault, request, request.sidecar());
+        reportTriggered(fault, request, request.sidecar());
         switch (fault.kind()) {
             case CLIENT_CLOSE -> connection.disconnect();
             case CLIENT_RESET -> connection.reset();
@@ -172,12 +172,12 @@
             case CLIENT_STALL -> connection.stall();
             default -> {
                 connection.markFaulty();
-                injectNetwork(fault, socket);
+                injectSocketFault(fault, socket);
             }
         }
     }
 
-    private static void injectNetwork(Fault fault, SimSocket socket) {
+    private static void injectSocketFault(Fault fault, SimSocket socket) {
         switch (fault.kind()) {
             case DOWN_RESET -> socket.fault(SimSocket.Fault.RESET);
             case DOWN_RESET_LATE -> socket.fault(SimSocket.Fault.RESET_AFTER_DELIVERY);
--- a/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/FaultOverlaps.java
@@ -184,7 +184,7 @@
                                                 && within(
                                                         from,
                                                         until,
-                                                        each.attempt().askedAt()
+                                                        each.attempt().startedAt()
                                                                 + each.attempt().deadlineNanos()))
                         .toList();
         if (!resent.isEmpty()) {
--- a/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ListFaultInjector.java
@@ -16,7 +16,8 @@
 
     void inject(Fault fault, ObservedRequest request) {
         Registry registry = discovery.registry();
-        day.evidence.faultStruck(fault.kind().word(), null, request == null ? null : request.id());
+        day.evidence.faultTriggered(
+                fault.kind().word(), null, request == null ? null : request.id());
         long duration =
                 fault.kind().params().contains(FaultParameter.FOR)
                         ? day.bounded(fault.value(FaultParameter.FOR))
--- a/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Machine.java
@@ -151,11 +151,11 @@
      * The machine sends nothing for a while. Discovery removes the server after the notice time, if
      * it is still away, and adds it again after its return.
      */
-    void vanish(long duration) {
-        if (server == null || changing || host.isVanished()) {
+    void isolate(long duration) {
+        if (server == null || changing || host.isIsolated()) {
             return;
         }
-        host.vanish();
+        host.isolate();
         long away = day.bounded(duration);
         OrderServer hidden = server;
         long notice = day.plan.size(ScenarioParameter.SILENT_NOTICE);
@@ -166,7 +166,7 @@
         day.after(
                 away,
                 () -> {
-                    host.reappear();
+                    host.reconnect();
                     if (noticed && server == hidden && !hidden.isDraining()) {
                         fleet.instances()
                                 .change(
--- a/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/NodeFaultInjector.java
@@ -43,7 +43,7 @@
             case NODE_FLAPS, NODE_GARBLED -> {
                 OrderServer server = machine(fault, request).server();
                 if (server != null) {
-                    day.evidence.faultStruck(fault.kind().word(), server.uid(), id);
+                    day.evidence.faultTriggered(fault.kind().word(), server.uid(), id);
                     if (fault.kind() == FaultKind.NODE_FLAPS) {
                         registrations.flap(
                                 server.uid(),
@@ -57,11 +57,11 @@
             case NODES_LOST -> {
                 String sidecar =
                         fault.who() != null ? fault.who() : random.pick(slots.all()).name();
-                day.evidence.faultStruck(fault.kind().word(), sidecar, id);
+                day.evidence.faultTriggered(fault.kind().word(), sidecar, id);
                 ensemble.lose(sidecar, duration);
             }
             default -> {
-                day.evidence.faultStruck(fault.kind().word(), null, id);
+                day.evidence.faultTriggered(fault.kind().word(), null, id);
                 injectIntoService(fault, duration);
             }
         }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registrations.java
@@ -133,7 +133,7 @@
         for (Machine each : fleet.machines()) {
             Server server = each.server() == null ? null : servers.get(each.server().uid());
             if (server != null && !server.stopped) {
-                checkSession(each.server().uid(), server, each.host().isVanished());
+                checkSession(each.server().uid(), server, each.host().isIsolated());
             }
         }
         day.after(SESSION_CHECK_INTERVAL_NANOS, this::checkSessions);
--- a/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/Registry.java
@@ -331,8 +331,8 @@
 
     /** Its machine is unreachable for a while. */
     void silent(long duration) {
-        host.vanish();
-        day.after(duration, host::reappear);
+        host.isolate();
+        day.after(duration, host::reconnect);
     }
 
     /** Answers nothing for a while. */
--- a/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/RegistryConnection.java
@@ -14,7 +14,7 @@
     private final Registry registry;
     private final SimSocket socket;
     private final HttpReader reader = new HttpReader(false);
-    private final Player player;
+    private final ScriptWriter writer;
     private Registry.Call openCall;
 
     /**
@@ -26,7 +26,7 @@
         this.day = day;
         this.registry = registry;
         this.socket = socket;
-        this.player = new Player(day.simulation, socket);
+        this.writer = new ScriptWriter(day.simulation, socket);
         socket.events(this);
     }
 
@@ -36,7 +36,7 @@
 
     /** Whether bytes written now can reach the sidecar. */
     boolean canReachSidecar() {
-        return !socket.host().isVanished()
+        return !socket.host().isIsolated()
                 && !day.network.conditions(socket.host(), socket.peerHost()).blackHole;
     }
 
@@ -92,11 +92,11 @@
 
     @Override
     public void writable() {
-        player.writable();
+        writer.writable();
     }
 
     private void proceed() {
-        if (openCall != null || !player.isDone() || !reader.advance()) {
+        if (openCall != null || !writer.isDone() || !reader.advance()) {
             return;
         }
         if (reader.isBroken() || !reader.word(0).equals("GET")) {
@@ -107,7 +107,7 @@
         reader.next();
         int query = uri.indexOf('?');
         if (!(query < 0 ? uri : uri.substring(0, query)).equals(LIST)) {
-            player.play(Script.of(ServerResponses.plain("404 Not Found", "", "")), () -> {});
+            writer.start(Script.of(ServerResponses.plain("404 Not Found", "", "")), () -> {});
             return;
         }
         long since = query < 0 ? -1 : queryNumber(uri, "since=", -1);
@@ -135,7 +135,7 @@
         if (!isOpen(call)) {
             return;
         }
-        player.play(
+        writer.start(
                 answer,
                 () -> {
                     openCall = null;
@@ -152,7 +152,7 @@
     void abort(Consumer<Registry.Call> failed) {
         Registry.Call call = openCall;
         openCall = null;
-        player.stop();
+        writer.stop();
         socket.reset();
         if (call != null) {
             failed.accept(call);
@@ -161,7 +161,7 @@
 
     private void close() {
         openCall = null;
-        player.stop();
+        writer.stop();
         socket.close();
         registry.closed(this);
     }
--- a/testbed/src/main/java/appleridge/testbed/simulation/Player.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ScriptWriter.java
@@ -5,37 +5,38 @@
 import java.io.IOException;
 
 /**
- * Writes scripts to a connection, one at a time: each part after its pause and as the send buffer
- * has room.
+ * Writes scripts to a connection, one at a time. Each part is written after its pause, and only as
+ * far as the send buffer has room.
  */
-final class Player {
+final class ScriptWriter {
     private final Simulation simulation;
     private final SimSocket socket;
     private final Outbox outbox;
     private Script script;
-    private int next;
-    private Runnable whenDone;
+    private int nextPart;
+    private Runnable onDone;
     private Simulation.Event pause;
 
-    Player(Simulation simulation, SimSocket socket) {
+    ScriptWriter(Simulation simulation, SimSocket socket) {
         this.simulation = simulation;
         this.socket = socket;
         this.outbox = new Outbox(socket);
     }
 
-    /** Whether no script is being played. */
+    /** Whether no script is being written. */
     boolean isDone() {
         return script == null;
     }
 
     /**
-     * Starts a script. Calls back when all is in the socket's buffer and the script's end has been
-     * carried out; never, if the connection breaks before.
+     * Starts a script. Runs {@code newOnDone} when the last byte is in the send buffer and the
+     * connection has been closed or reset as the script requires; never runs it if the connection
+     * breaks before that.
      */
-    void play(Script newScript, Runnable whenWritten) {
+    void start(Script newScript, Runnable newOnDone) {
         script = newScript;
-        whenDone = whenWritten;
-        next = 0;
+        onDone = newOnDone;
+        nextPart = 0;
         proceed();
     }
 
@@ -61,11 +62,11 @@
 
     private void proceed() {
         while (script != null && outbox.isEmpty() && pause == null) {
-            if (next == script.parts().size()) {
+            if (nextPart == script.parts().size()) {
                 finish();
                 return;
             }
-            Script.Part part = script.parts().get(next++);
+            Script.Part part = script.parts().get(nextPart++);
             if (part.pause() > 0) {
                 pause =
                         simulation.after(
@@ -101,6 +102,6 @@
             case RESET -> socket.reset();
             default -> {}
         }
-        whenDone.run();
+        onDone.run();
     }
 }
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerConnection.java
@@ -41,7 +41,7 @@
     private final SimSocket socket;
     private final boolean surplus;
     private final HttpReader reader = new HttpReader(false);
-    private final Player player;
+    private final ScriptWriter writer;
     private Simulation.Event idleTimeout;
     private long firstByteSentAt;
     private boolean idReported;
@@ -59,7 +59,7 @@
         this.server = server;
         this.socket = socket;
         this.surplus = surplus;
-        this.player = new Player(day.simulation, socket);
+        this.writer = new ScriptWriter(day.simulation, socket);
         socket.events(this);
         startIdleTimeout();
     }
@@ -80,13 +80,13 @@
 
     /** Whether a request is being processed or its response is not yet written. */
     boolean isBusy() {
-        return busy || !player.isDone();
+        return busy || !writer.isDone();
     }
 
     /** Stops reading and writing without closing the socket. */
     void stop() {
         stopped = true;
-        player.stop();
+        writer.stop();
         cancelIdleTimeout();
     }
 
@@ -136,12 +136,12 @@
 
     @Override
     public void writable() {
-        player.writable();
+        writer.writable();
     }
 
     /** Parses the buffered bytes, unless a response is still to be written. */
     private void proceed() {
-        if (busy || !player.isDone()) {
+        if (busy || !writer.isDone()) {
             return;
         }
         boolean ended = reader.advance();
@@ -260,7 +260,7 @@
         if (!isOpen()) {
             return;
         }
-        player.play(
+        writer.start(
                 script,
                 () -> {
                     busy = false;
--- a/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/ServerFaultInjector.java
@@ -42,7 +42,7 @@
                 return;
             }
             default ->
-                    day.evidence.faultStruck(
+                    day.evidence.faultTriggered(
                             fault.kind().word(),
                             server.uid(),
                             request == null ? null : request.id());
@@ -63,7 +63,7 @@
                             random.hits(0.5) ? 0 : day.plan.size(ScenarioParameter.NOTICE));
             case CRASH -> machine.crash(fault.value(FaultParameter.DOWN), false);
             case RESTART -> machine.crash(fault.value(FaultParameter.DOWN), true);
-            case VANISH -> machine.vanish(duration);
+            case VANISH -> machine.isolate(duration);
             case LIST_FLAPS ->
                     fleet.instances()
                             .flap(
--- a/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/SidecarFaultInjector.java
@@ -63,7 +63,7 @@
         String id = request == null ? null : request.id();
         if (fault.kind() == FaultKind.ZONE_CUT) {
             String zone = fault.who() != null ? fault.who() : random.pick(Site.ZONES);
-            day.evidence.faultStruck(fault.kind().word(), zone, id);
+            day.evidence.faultTriggered(fault.kind().word(), zone, id);
             cutZone(Site.ZONES.indexOf(zone), day.bounded(fault.value(FaultParameter.FOR)));
             return;
         }
@@ -72,7 +72,7 @@
             return;
         }
         if (fault.kind() != FaultKind.NO_DESCRIPTORS) {
-            day.evidence.faultStruck(fault.kind().word(), slot.name(), id);
+            day.evidence.faultTriggered(fault.kind().word(), slot.name(), id);
         }
         long duration =
                 fault.kind().params().contains(FaultParameter.FOR)
--- a/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
+++ b/testbed/src/main/java/appleridge/testbed/simulation/TraceRecorder.java
@@ -48,7 +48,7 @@
                                 + " "
                                 + attempt.id()
                                 + " ("
-                                + attempt.origin()
+                                + attempt.operationId()
                                 + ", attempt "
                                 + attempt.number()
                                 + "), deadline "
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void faultStruck(String kind, String at, String id) {
+    public void faultTriggered(String kind, String at, String id) {
         note(
                 FAULT,
                 kind,
--- a/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/CoverageTest.java
@@ -86,18 +86,18 @@
         fixture.startRequest("r");
         fixture.startRequest("s");
         fixture.states.requestSent("s");
-        counter.faultStruck("down-reset", "app", "s");
+        counter.faultTriggered("down-reset", "app", "s");
         assertEquals(1, coverage.count("down-reset", RequestState.HELD));
         assertEquals(1, coverage.total());
-        counter.faultStruck("kill", NetworkFixture.SIDECAR, null);
+        counter.faultTriggered("kill", NetworkFixture.SIDECAR, null);
         assertEquals(1, coverage.count("kill", RequestState.HELD));
         assertEquals(1, coverage.count("kill", RequestState.ARRIVING));
-        counter.faultStruck("kill", "side-1", null);
-        counter.faultStruck("crash", "a-1", null);
-        counter.faultStruck("down-reset", "app", "over");
+        counter.faultTriggered("kill", "side-1", null);
+        counter.faultTriggered("crash", "a-1", null);
+        counter.faultTriggered("down-reset", "app", "over");
         assertEquals(3, coverage.total());
-        counter.faultStruck("list-down", null, null);
-        counter.faultStruck("zone-cut", "ebene", null);
+        counter.faultTriggered("list-down", null, null);
+        counter.faultTriggered("zone-cut", "ebene", null);
         assertEquals(3, coverage.total());
     }
 
--- a/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/InvariantCheckerTest.java
@@ -45,7 +45,7 @@
         fixture.checker.serverDidNotRun("a-1", 1, "x");
         fixture.checker.answerBroken("x", "closed", true);
         fixture.checker.clientGaveUp("x");
-        fixture.checker.faultStruck("kill", "a-1", "x");
+        fixture.checker.faultTriggered("kill", "a-1", "x");
         fixture.checker.moduleAccepted(CheckerFixture.SIDECAR, 1, 1, 99);
         fixture.checker.moduleRefused(CheckerFixture.SIDECAR, 1, 1);
         fixture.after(CheckerFixture.S);
--- a/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
+++ b/testbed/src/test/java/appleridge/testbed/invariants/LostRuleTest.java
@@ -181,7 +181,7 @@
     void faultAimedAtTheRequestExcusesABrokenOffAnswer() {
         accepted();
         fixture.checker.serverAnswered("a-1", 1, "r", "whole");
-        fixture.checker.faultStruck("up-reset", "a-1", "r");
+        fixture.checker.faultTriggered("up-reset", "a-1", "r");
         breakConnection(true);
         assertNotLost();
     }
--- a/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simnet/FaultTest.java
@@ -198,11 +198,11 @@
 
     @Test
     void machineThatReappearsResetsOnTheNextSegment() throws IOException {
-        world.b.vanish();
+        world.b.isolate();
         TwoHosts.write(client, "into the dark");
         world.run(TwoHosts.SECOND);
         assertFalse(client.isReset());
-        world.b.reappear();
+        world.b.reconnect();
         world.run(TwoHosts.SECOND);
         assertTrue(client.isReset());
         assertTrue(server.isReset());
@@ -213,9 +213,9 @@
 
     @Test
     void idlePeerLearnsOfALostConnectionOnlyByWriting() throws IOException {
-        world.b.vanish();
+        world.b.isolate();
         world.run(TwoHosts.SECOND);
-        world.b.reappear();
+        world.b.reconnect();
         world.run(TwoHosts.SECOND);
         assertFalse(client.isReset());
         TwoHosts.write(client, "hello");
--- a/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/ApplicationTest.java
@@ -18,7 +18,10 @@
 
     private static Map<String, Integer> attemptsByIntent(SimulatedDay day) {
         Map<String, Integer> attempts = new HashMap<>();
-        day.recorder.asks.values().forEach(each -> attempts.merge(each.origin(), 1, Integer::sum));
+        day.recorder
+                .asks
+                .values()
+                .forEach(each -> attempts.merge(each.operationId(), 1, Integer::sum));
         return attempts;
     }
 
@@ -35,7 +38,8 @@
             assertEquals(
                     RequestClasses.of(each.requestClass()).keyed(), each.idempotencyKey() != null);
             String before =
-                    idempotency.putIfAbsent(each.origin(), String.valueOf(each.idempotencyKey()));
+                    idempotency.putIfAbsent(
+                            each.operationId(), String.valueOf(each.idempotencyKey()));
             assertTrue(before == null || before.equals(String.valueOf(each.idempotencyKey())));
             assertTrue(each.deadlineNanos() <= RequestClasses.of(each.requestClass()).deadline());
         }
@@ -73,7 +77,7 @@
         day.recorder
                 .asks
                 .values()
-                .forEach(each -> assertTrue(each.patienceNanos() < each.deadlineNanos()));
+                .forEach(each -> assertTrue(each.clientTimeoutNanos() < each.deadlineNanos()));
     }
 
     @Test
--- a/testbed/src/test/java/appleridge/testbed/simulation/DayRecorder.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/DayRecorder.java
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void faultStruck(String kind, String at, String id) {
+    public void faultTriggered(String kind, String at, String id) {
         faults.merge(kind, 1, Integer::sum);
     }
 
--- a/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/OrderServerTest.java
@@ -238,7 +238,7 @@
         ServerFixture fixture = fixture("");
         ServerFixture.Connection connection =
                 fixture.connectToServer(0).send(ServerFixture.get("r1"));
-        fixture.machine(0).vanish(Site.SECOND);
+        fixture.machine(0).isolate(Site.SECOND);
         assertEquals("", connection.receive(500 * MS));
         assertFalse(connection.isClosed());
         fixture.advance(Site.SECOND);
--- a/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
+++ b/testbed/src/test/java/appleridge/testbed/simulation/WorldTest.java
@@ -160,7 +160,7 @@
         int sent = 0;
         int served = 0;
         for (var each : day.recorder.asks.values()) {
-            if (each.askedAt() > day.world.plan().calmFrom()) {
+            if (each.startedAt() > day.world.plan().calmFrom()) {
                 sent++;
                 served += Integer.valueOf(200).equals(day.recorder.answers.get(each.id())) ? 1 : 0;
             }
